--- a/src/main/java/dillfront/lab/whole/Sim.java
+++ b/src/main/java/dillfront/lab/whole/Sim.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 import java.util.random.RandomGenerator;
@@ -35,6 +36,17 @@
     final List<Machine> machines = new ArrayList<>();
     /** What processes noted. */
     final List<String> told = new ArrayList<>();
+    /** Sees each message as it is sent. */
+    Tap tap = (from, to, kind, message) -> { };
+
+    /** Sees each message before the network has it. */
+    interface Tap {
+
+        /**
+         * @param kind FRAMES or LINES for a message on a connection; for HTTP the method and path of a call, or the status of an answer
+         */
+        void sent(String from, String to, String kind, byte[] message);
+    }
 
     Sim(long seed) {
         random = new SplittableRandom(seed);
@@ -322,6 +334,7 @@
             Machine to = listeners.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             int mine = life;
+            tap.sent(name, address, method + " " + path + " " + new TreeMap<>(headers), body);
             after(timeoutMs, () -> answer.completeExceptionally(new IllegalStateException("no answer in time")));
             if (to != null) {
                 Sim.this.after(2 * way(this, to), () -> {
@@ -333,11 +346,16 @@
                         return;
                     }
                     int its = to.life;
-                    to.enter(() -> http.call(method, path, body, headers).whenComplete((is, fault) -> Sim.this.after(way(this, to), () -> {
-                        if (its == to.life && to.reaches(this) && life == mine) {
-                            enter(() -> answer.complete(fault == null ? is : new Answer(503, new byte[0])));
+                    to.enter(() -> http.call(method, path, body, headers).whenComplete((is, fault) -> {
+                        if (fault == null) {
+                            tap.sent(to.name, name, is.status() + " " + path + " " + is.location(), is.body());
                         }
-                    })));
+                        Sim.this.after(way(this, to), () -> {
+                            if (its == to.life && to.reaches(this) && life == mine) {
+                                enter(() -> answer.complete(fault == null ? is : new Answer(503, new byte[0])));
+                            }
+                        });
+                    }));
                 });
             }
             return answer;
@@ -422,6 +440,7 @@
                 return;
             }
             Line far = other;
+            tap.sent(at.name, far.at.name, form.name(), message);
             if (form == Host.Form.FRAMES) {
                 pass(() -> {
                     if (!far.over) {
--- /dev/null
+++ b/src/test/java/dillfront/core/StoredStateTest.java
@@ -0,0 +1,107 @@
+package dillfront.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dillfront.host.ManualHost;
+import dillfront.memory.Keep;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Disks of control processes that revision 6ff1719 wrote in real use (src/test/resources/stored) are read in full. */
+class StoredStateTest {
+
+    private static final Path STORED = Path.of("src/test/resources/stored");
+    private static final String FIRST = "127.0.78.1/8705b1430a7ae331";
+    private static final String SECOND = "127.0.78.2/8107c477209dcc4d";
+    private static final String THIRD = "127.0.78.3/71225040e018e121";
+
+    @TempDir
+    Path folder;
+
+    private Path copy(String disk) throws IOException {
+        Path copy = Files.createDirectories(folder.resolve(disk));
+        return Files.copy(STORED.resolve(disk).resolve("memory.log"), copy.resolve("memory.log"));
+    }
+
+    private static Map<String, String> open(Path log) throws Keep.Broken {
+        Keep keep = Keep.open(log.getParent(), "control-plane");
+        assertFalse(keep.damaged());
+        return keep.all();
+    }
+
+    private static Core start(Map<String, String> texts) throws Exception {
+        return Alone.start(new ManualHost(), new Store() {
+            @Override
+            public Map<String, String> all() {
+                return texts;
+            }
+
+            @Override
+            public CompletableFuture<Void> put(Map<String, String> next) {
+                return CompletableFuture.completedFuture(null);
+            }
+        });
+    }
+
+    private static String server(Core core, String id) {
+        Member server = core.members.get(id);
+        return server.service + " " + server.zone + " " + server.state + " " + server.role;
+    }
+
+    private void readsAll(String disk, String id, long asked) throws Exception {
+        Map<String, String> texts = open(copy(disk));
+        Core core = start(texts);
+        assertEquals(id, core.id());
+        Value value = core.register.held();
+        assertEquals(3, value.epoch());
+        assertEquals(Value.ids(String.join(",", FIRST, SECOND, THIRD)), value.members());
+        assertFalse(value.joint());
+        assertEquals(7, value.configuration().version());
+        assertEquals(141, value.configuration().size());
+        assertEquals(507, value.configuration().route("h140").timeout());
+        assertEquals("[1, 3, 5, 7]", value.past().keySet().toString());
+        assertEquals(value.configuration().digest(), value.past().get(7L));
+        assertEquals(1_048_577, core.lease.promised());
+        assertEquals(SECOND, core.lease.promisedTo());
+        assertEquals("orders-1", core.lead("orders").primary());
+        assertEquals("accounts-1", core.lead("accounts").primary());
+        assertFalse(core.lead("orders").moving());
+        assertEquals("orders 127.0.78.1 ready primary", server(core, "orders-1"));
+        assertEquals("orders 127.0.78.2 ready replica", server(core, "orders-2"));
+        assertEquals("orders 127.0.78.3 left replica", server(core, "orders-3"));
+        assertEquals("accounts 127.0.78.3 ready primary", server(core, "accounts-1"));
+        assertEquals("accounts 127.0.78.1 leaving replica", server(core, "accounts-2"));
+        assertEquals(asked, Long.parseLong(texts.getOrDefault("asked", "0")));
+    }
+
+    @Test
+    void disksOfThreeProcessesAreRead() throws Exception {
+        readsAll("control-1", FIRST, 0);
+        readsAll("control-2", SECOND, 1_048_577);
+        readsAll("control-3", THIRD, 0);
+    }
+
+    /** The last record was not whole when the power went: all before it is read. */
+    @Test
+    void tornTailLosesTheLastRecordAlone() throws Exception {
+        Path log = copy("control-3");
+        Map<String, String> whole = open(copy("control-1").getParent().resolve("memory.log"));
+        byte[] bytes = Files.readAllBytes(log);
+        Files.write(log, Arrays.copyOf(bytes, bytes.length - 9));
+        Map<String, String> torn = open(log);
+        // The last record drops the old set of members; the one before it has both.
+        assertEquals("7 " + SECOND, whole.get("accepted-ballot"));
+        assertEquals("6 " + SECOND, torn.get("accepted-ballot"));
+        assertEquals("2", torn.get("epoch"));
+        assertEquals(whole.get("members"), torn.get("members"));
+        assertTrue(torn.containsKey("server:orders-1"));
+    }
+}
--- /dev/null
+++ b/src/test/java/dillfront/lab/whole/RecordedMessages.java
@@ -0,0 +1,151 @@
+package dillfront.lab.whole;
+
+import dillfront.host.Pack;
+import dillfront.lab.ControlMeasure;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * Plays simulated days and records what the processes send. The files under src/test/resources/messages were written by
+ * {@link #main} on revision 6ff1719, before the code was renamed and split; they are written anew only where a change of the
+ * protocol or of the decisions is meant.
+ */
+final class RecordedMessages {
+
+    static final Path FOLDER = Path.of("src/test/resources/messages");
+    static final Path DIGESTS = FOLDER.resolve("day-digests.txt");
+    static final Path EXAMPLES = FOLDER.resolve("system-messages.txt");
+    static final Path TEXTS = FOLDER.resolve("http-and-lines.txt");
+    private static final int RANDOM_DAYS = 12;
+    private static final int WORST_DAYS = 24;
+
+    private RecordedMessages() {}
+
+    /** The days whose messages are kept, by name; not yet played. */
+    static Map<String, Day> days() {
+        Map<String, Day> days = new TreeMap<>();
+        for (long seed = 1; seed <= RANDOM_DAYS; seed++) {
+            Day day = new Day(seed, 2, 2, 9, 24_000);
+            day.random();
+            days.put("random-" + seed, day);
+        }
+        for (long seed = 1; seed <= WORST_DAYS; seed++) {
+            days.put("worst-" + seed, ControlMeasure.day(seed));
+        }
+        return days;
+    }
+
+    /** Plays the day; a digest over the time, the ends and the bytes of each message, and how many there were. */
+    static String digest(Day day, Sim.Tap also) {
+        MessageDigest digest = sha256();
+        long[] count = new long[1];
+        day.sim.tap = (from, to, kind, message) -> {
+            count[0]++;
+            digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.sim.micros()));
+            digest.update((from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
+            digest.update(message);
+            also.sent(from, to, kind, message);
+        };
+        day.play();
+        return count[0] + " " + HexFormat.of().formatHex(digest.digest());
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException impossible) {
+            throw new IllegalStateException(impossible);
+        }
+    }
+
+    /** The fields of a message with the kind of each value, as a path from the outermost; what is repeated stands once. */
+    static TreeSet<String> shape(Object value, String path) {
+        TreeSet<String> shape = new TreeSet<>();
+        if (value instanceof Map<?, ?> map) {
+            map.forEach((name, one) -> shape.addAll(shape(one, path + "/" + name)));
+        } else if (value instanceof List<?> list) {
+            list.forEach(one -> shape.addAll(shape(one, path + "[]")));
+        } else {
+            shape.add(path + ":" + (value == null ? "null" : value.getClass().getSimpleName()));
+        }
+        return shape;
+    }
+
+    /** A message as text: names in their order, bytes in Base64. */
+    static String text(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            List<String> parts = new ArrayList<>();
+            new TreeMap<>(map).forEach((name, one) -> parts.add(name + "=" + text(one)));
+            return "{" + String.join(", ", parts) + "}";
+        } else if (value instanceof List<?> list) {
+            return "[" + String.join(", ", list.stream().map(RecordedMessages::text).toList()) + "]";
+        } else if (value instanceof byte[] bytes) {
+            return "b64:" + Base64.getEncoder().encodeToString(bytes);
+        }
+        return value instanceof String text ? "'" + text.replace("\n", "\\n") + "'" : String.valueOf(value);
+    }
+
+    /** The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine. */
+    static final class Texts implements Sim.Tap {
+
+        private final Map<String, String> firsts = new TreeMap<>();
+
+        @Override
+        public void sent(String from, String to, String kind, byte[] message) {
+            if (kind.equals("FRAMES")) {
+                return;
+            }
+            String text = new String(message, StandardCharsets.ISO_8859_1);
+            boolean line = kind.equals("LINES");
+            String first = line ? text.replaceAll("[ \r\n].*", "") : kind.replaceAll("(/[A-Za-z]+\\.[A-Za-z]+).*", "$1");
+            String ends = machines(from) + ">" + machines(to);
+            firsts.putIfAbsent(ends + " " + first, ends + " " + (line ? "" : kind + " ") + text.replace("\r\n", "\\r\\n"));
+        }
+
+        private static String machines(String name) {
+            return name.startsWith("10.") ? "address" : name.replaceAll("\\d*-.*", "");
+        }
+
+        List<String> lines() {
+            return List.copyOf(firsts.values());
+        }
+    }
+
+    /** Writes the files. */
+    public static void main(String[] args) throws IOException {
+        Texts texts = new Texts();
+        List<String> digests = new ArrayList<>();
+        List<String> examples = new ArrayList<>();
+        TreeSet<String> seen = new TreeSet<>();
+        days().forEach((name, day) -> digests.add(name + " " + digest(day, (from, to, kind, message) -> {
+            texts.sent(from, to, kind, message);
+            if (kind.equals("FRAMES")) {
+                try {
+                    Map<String, Object> fields = Pack.read(message).all();
+                    String ends = from.replaceAll("-.*", "") + ">" + to.replaceAll("-.*", "");
+                    if (seen.addAll(shape(fields, ends))) {
+                        examples.add(ends + " " + Base64.getEncoder().encodeToString(message) + " " + text(fields));
+                    }
+                } catch (Pack.Bad bad) {
+                    throw new IllegalStateException(bad);
+                }
+            }
+        })));
+        Files.createDirectories(FOLDER);
+        Files.write(DIGESTS, digests);
+        Files.write(EXAMPLES, examples);
+        Files.write(TEXTS, texts.lines());
+    }
+}
--- /dev/null
+++ b/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
@@ -0,0 +1,48 @@
+package dillfront.lab.whole;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dillfront.host.Pack;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.util.Base64;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+
+/** What the processes of the whole system say to each other is what they said before the code was renamed and split. */
+class RecordedMessagesTest {
+
+    /** Each byte, each moment and each decision of these days, HTTP calls and the lines of the wire among them. */
+    @Test
+    void daysSendTheSameMessages() throws IOException {
+        Map<String, String> expected = new TreeMap<>();
+        for (String line : Files.readAllLines(RecordedMessages.DIGESTS)) {
+            String[] part = line.split(" ", 2);
+            expected.put(part[0], part[1]);
+        }
+        Map<String, Day> days = RecordedMessages.days();
+        assertEquals(expected.keySet(), days.keySet());
+        Map<String, String> actual = new TreeMap<>();
+        RecordedMessages.Texts texts = new RecordedMessages.Texts();
+        days.forEach((name, day) -> actual.put(name, RecordedMessages.digest(day, texts)));
+        assertEquals(String.join("\n", Files.readAllLines(RecordedMessages.TEXTS)), String.join("\n", texts.lines()));
+        assertEquals(expected, actual);
+    }
+
+    @Test
+    void recordedMessagesAreReadAsWritten() throws Exception {
+        List<String> lines = Files.readAllLines(RecordedMessages.EXAMPLES);
+        assertTrue(lines.size() > 20, "examples: " + lines.size());
+        for (String line : lines) {
+            String[] part = line.split(" ", 3);
+            byte[] message = Base64.getDecoder().decode(part[1]);
+            Map<String, Object> fields = Pack.read(message).all();
+            assertEquals(part[2], RecordedMessages.text(fields));
+            // The codec keeps no order of names on reading, so what it writes is compared once read again.
+            assertEquals(part[2], RecordedMessages.text(Pack.read(Pack.write(fields)).all()));
+        }
+    }
+}
