--- a/src/main/java/dillfront/bench/Drive.java
+++ b/src/main/java/dillfront/bench/Drive.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router as a process of its own, started as the deployment starts it, and what it has used by the system's count. */
+/**
+ * A router as a process of its own, started as the deployment starts it, and what it has used by
+ * the system's count.
+ */
 final class Drive implements AutoCloseable {
 
     private static final long TICK_MICROS = 10_000;
@@ -21,8 +24,11 @@
     private final Process process;
     private final Path config;
 
-    /** @param command what starts it, from this folder, with LB_CONFIG set */
-    Drive(List<String> command, Path folder, StandIns round, double cores) throws IOException, InterruptedException {
+    /**
+     * @param command what starts it, from this folder, with LB_CONFIG set
+     */
+    Drive(List<String> command, Path folder, StandIns round, double cores)
+            throws IOException, InterruptedException {
         port = freePort();
         config = Files.createTempFile("dillfront", ".json");
         Files.writeString(config, round.config(port, cores));
@@ -42,9 +48,16 @@
 
     /** The command line of deploy/balancer.toml for this key. */
     static List<String> deployed(Path folder, String key) throws IOException {
-        String line = Files.readAllLines(folder.resolve("deploy/balancer.toml")).stream().filter(l -> l.startsWith(key + " ="))
-                .findFirst().orElseThrow(() -> new IOException("no " + key + " in " + folder));
-        return new ArrayList<>(Arrays.asList("/bin/sh", "-c", line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))));
+        String line =
+                Files.readAllLines(folder.resolve("deploy/balancer.toml")).stream()
+                        .filter(l -> l.startsWith(key + " ="))
+                        .findFirst()
+                        .orElseThrow(() -> new IOException("no " + key + " in " + folder));
+        return new ArrayList<>(
+                Arrays.asList(
+                        "/bin/sh",
+                        "-c",
+                        line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))));
     }
 
     private boolean open() {
@@ -64,7 +77,9 @@
 
     /** Sends the process a signal by its name; 0 where it was sent. */
     int signal(String name) throws IOException, InterruptedException {
-        return new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        return new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
     }
 
     /** What all threads of it have used so far, in microseconds. */
--- a/src/main/java/dillfront/bench/Relay.java
+++ b/src/main/java/dillfront/bench/Relay.java
@@ -16,28 +16,47 @@
 import java.nio.file.Path;
 
 /**
- * Passes bytes on between each client and one node, and looks at nothing: what the sockets alone cost. Configured as a
- * router is, by the file that LB_CONFIG names, of which it reads two addresses.
+ * Passes bytes on between each client and one node, and looks at nothing: what the sockets alone
+ * cost. Configured as a router is, by the file that LB_CONFIG names, of which it reads two
+ * addresses.
  */
 public final class Relay {
 
     private Relay() {}
 
     public static void main(String[] args) throws Exception {
-        String config = Files.readString(Path.of(System.getenv("LB_CONFIG")), StandardCharsets.US_ASCII);
+        String config =
+                Files.readString(Path.of(System.getenv("LB_CONFIG")), StandardCharsets.US_ASCII);
         InetSocketAddress listen = address(config, "\"listen\":\"");
         InetSocketAddress node = address(config, "\"hostPort\":\"");
         NioEventLoopGroup loop = new NioEventLoopGroup(1);
-        new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInitializer<NioSocketChannel>() {
-                    @Override
-                    protected void initChannel(NioSocketChannel client) {
-                        Channel server = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                                .option(ChannelOption.TCP_NODELAY, true).handler(new Passing(client)).connect(node)
-                                .addListener(done -> client.config().setAutoRead(true)).channel();
-                        client.pipeline().addLast(new Passing(server));
-                    }
-                }).bind(listen).sync().channel().closeFuture().sync();
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(
+                        new ChannelInitializer<NioSocketChannel>() {
+                            @Override
+                            protected void initChannel(NioSocketChannel client) {
+                                Channel server =
+                                        new Bootstrap()
+                                                .group(loop)
+                                                .channel(NioSocketChannel.class)
+                                                .option(ChannelOption.TCP_NODELAY, true)
+                                                .handler(new Passing(client))
+                                                .connect(node)
+                                                .addListener(
+                                                        done -> client.config().setAutoRead(true))
+                                                .channel();
+                                client.pipeline().addLast(new Passing(server));
+                            }
+                        })
+                .bind(listen)
+                .sync()
+                .channel()
+                .closeFuture()
+                .sync();
     }
 
     private static InetSocketAddress address(String config, String after) {
--- a/src/main/java/dillfront/bench/StandIns.java
+++ b/src/main/java/dillfront/bench/StandIns.java
@@ -13,7 +13,6 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
@@ -21,29 +20,36 @@
 import java.util.stream.Collectors;
 
 /**
- * Nodes and discovery of the rig, and clients that wait, to be put round one router that is measured; a node answers each statement with a row of as many bytes as its key says, after a set time.
+ * Nodes and discovery of the rig, and clients that wait, to be put round one router that is
+ * measured; a node answers each statement with a row of as many bytes as its key says, after a set
+ * time.
  */
 final class StandIns implements Closeable {
 
     static final int GROUPS = 3;
     static final int MEMBERS = 4;
     private static final long FIRST_GENERATION = 41;
+
     /** Nobody waits for a core: what a node costs is its work's time. */
     private static final int AT_ONCE = 256;
-    private static final String SETTINGS = "{'az':'a','zones':['a','b'],'stepUs':5000,'groupSize':2,"
-            + "'bounds':{'dialTimeoutUs':250000,'maxAttempts':6,'probes':true,'retryAfter':true,"
-            + "'maxRetryAfterUs':2000000,'keepaliveUs':30000000},'charges':{'probe':0.012},"
-            + "'stats':{'how':'inline','fields':['x0','x1']},'classes':["
-            + "{'name':'stock-view','effect':'retryable','targetUs':300000,'deadlineUs':750000,'worth':3.0},"
-            + "{'name':'own-entries','effect':'retryable','targetUs':600000,'deadlineUs':2500000,'worth':2.0},"
-            + "{'name':'history','effect':'retryable','targetUs':300000,'deadlineUs':1000000,'worth':2.0},"
-            + "{'name':'balance-check','effect':'retryable','targetUs':400000,'deadlineUs':1000000,'worth':2.0},"
-            + "{'name':'post-movement','effect':'dedup','dedupScope':'cell','dedupWindowUs':2000000,"
-            + "'targetUs':750000,'deadlineUs':3000000,'worth':6.0,'lateShare':0.3}],"
-            + "'familyInfo':{'classRead':['lag_bound','causal','eventual','strong','mutate'],"
-            + "'classBoundUs':[200000,0,0,0,0],'listRole':'static','guards':'off','tokens':'kept'},"
-            + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}";
-    private static final String[] TYPES = {"stock-view", "own-entries", "history", "balance-check", "post-movement"};
+
+    private static final String SETTINGS =
+            "{'az':'a','zones':['a','b'],'stepUs':5000,'groupSize':2,"
+                    + "'bounds':{'dialTimeoutUs':250000,'maxAttempts':6,'probes':true,'retryAfter':true,"
+                    + "'maxRetryAfterUs':2000000,'keepaliveUs':30000000},'charges':{'probe':0.012},"
+                    + "'stats':{'how':'inline','fields':['x0','x1']},'classes':["
+                    + "{'name':'stock-view','effect':'retryable','targetUs':300000,'deadlineUs':750000,'worth':3.0},"
+                    + "{'name':'own-entries','effect':'retryable','targetUs':600000,'deadlineUs':2500000,'worth':2.0},"
+                    + "{'name':'history','effect':'retryable','targetUs':300000,'deadlineUs':1000000,'worth':2.0},"
+                    + "{'name':'balance-check','effect':'retryable','targetUs':400000,'deadlineUs':1000000,'worth':2.0},"
+                    + "{'name':'post-movement','effect':'dedup','dedupScope':'cell','dedupWindowUs':2000000,"
+                    + "'targetUs':750000,'deadlineUs':3000000,'worth':6.0,'lateShare':0.3}],"
+                    + "'familyInfo':{'classRead':['lag_bound','causal','eventual','strong','mutate'],"
+                    + "'classBoundUs':[200000,0,0,0,0],'listRole':'static','guards':'off','tokens':'kept'},"
+                    + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}";
+    private static final String[] TYPES = {
+        "stock-view", "own-entries", "history", "balance-check", "post-movement"
+    };
 
     private final InetAddress here = InetAddress.getLoopbackAddress();
     private final Stage stage = new Stage();
@@ -53,11 +59,14 @@
     private final Agent discovery;
     private final AtomicLong ids = new AtomicLong();
 
-    /** @param workMicros how long a node takes for a statement */
+    /**
+     * @param workMicros how long a node takes for a statement
+     */
     StandIns(long workMicros) {
         Node.Work work = new Node.Work(AT_ONCE, workMicros, 1, 1, 1, 1000);
         for (int i = 0; i < GROUPS * MEMBERS; i++) {
-            Group group = i % MEMBERS == 0 ? new Group(stage, i / MEMBERS, 0) : nodes.get(i - 1).group();
+            Group group =
+                    i % MEMBERS == 0 ? new Group(stage, i / MEMBERS, 0) : nodes.get(i - 1).group();
             Node node = new Node(stage, "s-" + i, group, i % MEMBERS == 0, work);
             node.lag(0);
             nodes.add(node);
@@ -73,17 +82,37 @@
 
     /** A configuration for a router that listens there. */
     String config(int port, double cores) {
-        String known = first.stream().map(e -> Agent.row(e, port(e.id()))).collect(Collectors.joining(","));
-        return ("{'name':'n0','listen':'127.0.0.1:" + port + "','discovery':'" + Stage.HOST + ":" + discovery.port()
-                + "','seed':'8c1f30d27a5be964','limits':{'cores':" + cores + ",'memory_mb':128,'sockets':512},'known':"
-                + "{'generation':" + FIRST_GENERATION + ",'reset':true,'instances':[" + known + "]},'settings':" + SETTINGS + "}")
+        String known =
+                first.stream()
+                        .map(e -> Agent.row(e, port(e.id())))
+                        .collect(Collectors.joining(","));
+        return ("{'name':'n0','listen':'127.0.0.1:"
+                        + port
+                        + "','discovery':'"
+                        + Stage.HOST
+                        + ":"
+                        + discovery.port()
+                        + "','seed':'8c1f30d27a5be964','limits':{'cores':"
+                        + cores
+                        + ",'memory_mb':128,'sockets':512},'known':"
+                        + "{'generation':"
+                        + FIRST_GENERATION
+                        + ",'reset':true,'instances':["
+                        + known
+                        + "]},'settings':"
+                        + SETTINGS
+                        + "}")
                 .replace('\'', '"');
     }
 
     /** From now on this node drains, or is ready again; its number runs below GROUPS * MEMBERS. */
     void tell(int node, String lifecycle) {
         Catalogue.Entry e = first.get(node);
-        stage.run(() -> catalogue.change(new Catalogue.Entry(e.id(), e.group(), e.zone(), lifecycle, 0, e.leads())));
+        stage.run(
+                () ->
+                        catalogue.change(
+                                new Catalogue.Entry(
+                                        e.id(), e.group(), e.zone(), lifecycle, 0, e.leads())));
     }
 
     /** Waits until the router has the list as it is now, and asks for a newer one. */
@@ -136,11 +165,28 @@
         void say(String type, int bytes) throws IOException {
             boolean write = type.equals("post-movement");
             String key = bytes + "-" + number;
-            String comment = " /* id=" + Long.toHexString(0x9b1f03aa00000000L + ids.incrementAndGet()) + ",c=" + type
-                    + ",d=700" + (write ? ",k=5c0f6e1a2b3d4c59" : "") + ",cluster=" + number % GROUPS + " */";
-            write(Messages.query(Unpooled.buffer(256), write
-                    ? "INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x9f03') RETURNING body" + comment
-                    : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment));
+            String comment =
+                    " /* id="
+                            + Long.toHexString(0x9b1f03aa00000000L + ids.incrementAndGet())
+                            + ",c="
+                            + type
+                            + ",d=700"
+                            + (write ? ",k=5c0f6e1a2b3d4c59" : "")
+                            + ",cluster="
+                            + number % GROUPS
+                            + " */";
+            write(
+                    Messages.query(
+                            Unpooled.buffer(256),
+                            write
+                                    ? "INSERT INTO objects (oid, body) VALUES ('"
+                                            + key
+                                            + "', '\\x9f03') RETURNING body"
+                                            + comment
+                                    : "SELECT body FROM objects WHERE oid = '"
+                                            + key
+                                            + "'"
+                                            + comment));
         }
 
         /** Whether something has come that was not heard yet. */
@@ -175,25 +221,31 @@
      *
      * @return how many had their value, and how many asked
      */
-    long[] load(int port, int clients, long pauseMicros, int bytes, long millis) throws IOException, InterruptedException {
+    long[] load(int port, int clients, long pauseMicros, int bytes, long millis)
+            throws IOException, InterruptedException {
         AtomicLong good = new AtomicLong();
         AtomicLong all = new AtomicLong();
         long until = System.nanoTime() + millis * 1_000_000;
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
             int number = i;
-            Thread thread = new Thread(null, () -> {
-                try (Client client = new Client(port, number)) {
-                    LockSupport.parkNanos(pauseMicros * 1000 * number / clients);
-                    for (int turn = 0; System.nanoTime() < until; turn++) {
-                        all.incrementAndGet();
-                        good.addAndGet(client.ask(turn, bytes) ? 1 : 0);
-                        LockSupport.parkNanos(pauseMicros * 1000);
-                    }
-                } catch (IOException broken) {
-                    // Counted as asked and not served.
-                }
-            }, "client", 1 << 18);
+            Thread thread =
+                    new Thread(
+                            null,
+                            () -> {
+                                try (Client client = new Client(port, number)) {
+                                    LockSupport.parkNanos(pauseMicros * 1000 * number / clients);
+                                    for (int turn = 0; System.nanoTime() < until; turn++) {
+                                        all.incrementAndGet();
+                                        good.addAndGet(client.ask(turn, bytes) ? 1 : 0);
+                                        LockSupport.parkNanos(pauseMicros * 1000);
+                                    }
+                                } catch (IOException broken) {
+                                    // Counted as asked and not served.
+                                }
+                            },
+                            "client",
+                            1 << 18);
             threads.add(thread);
             thread.start();
         }
@@ -203,7 +255,6 @@
         return new long[] {good.get(), all.get()};
     }
 
-
     @Override
     public void close() {
         stage.close();
--- a/src/main/java/dillfront/cli/AcceptDataLoss.java
+++ b/src/main/java/dillfront/cli/AcceptDataLoss.java
@@ -16,40 +16,70 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows what a service waits for that no log has that is left; and gives that up, and nothing that came since, where told to. */
-@Command(name = "accept-data-loss", mixinStandardHelpOptions = true,
-        description = "Shows the acknowledged commits that a service waits for in vain; with --yes gives them up, so that another leads without them.",
-        footer = {"", "Exit code: 0 shown or accepted, 1 refused or no clear answer (the same call may be sent again, to any control process),",
-            "2 the command line is wrong, 3 nothing is lacking of this service.", "",
+/**
+ * Shows what a service waits for that no log has that is left; and gives that up, and nothing that
+ * came since, where told to.
+ */
+@Command(
+        name = "accept-data-loss",
+        mixinStandardHelpOptions = true,
+        description =
+                "Shows the acknowledged commits that a service waits for in vain; with --yes gives them up, so that another leads without them.",
+        footer = {
+            "",
+            "Exit code: 0 shown or accepted, 1 refused or no clear answer (the same call may be sent again, to any control process),",
+            "2 the command line is wrong, 3 nothing is lacking of this service.",
+            "",
             "Example: dillfront system accept-data-loss 10.1.0.8:8785 orders",
-            "         dillfront system accept-data-loss 10.1.0.8:8785 orders --shown 1f0c9a7e21b4 --yes"})
+            "         dillfront system accept-data-loss 10.1.0.8:8785 orders --shown 1f0c9a7e21b4 --yes"
+        })
 final class AcceptDataLoss implements Callable<Integer> {
 
     private static final int NOTHING = 3;
-    private static final String[] NAMES = {"service", "move", "log_position", "least_acknowledged", "most_acknowledged", "out_of_reach"};
+    private static final String[] NAMES = {
+        "service", "move", "log_position", "least_acknowledged", "most_acknowledged", "out_of_reach"
+    };
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
-    @Parameters(index = "0", paramLabel = "ADDRESS", description = "control_address of any control process, as IP:PORT")
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+    @Parameters(
+            index = "0",
+            paramLabel = "ADDRESS",
+            description = "control_address of any control process, as IP:PORT")
     private String address;
-    @Parameters(index = "1", paramLabel = "SERVICE", description = "the service that has no primary")
+
+    @Parameters(
+            index = "1",
+            paramLabel = "SERVICE",
+            description = "the service that has no primary")
     private String service;
-    @Option(names = "--shown", paramLabel = "SEAL", description = "what was shown: the seal that the command printed without --yes")
+
+    @Option(
+            names = "--shown",
+            paramLabel = "SEAL",
+            description = "what was shown: the seal that the command printed without --yes")
     private String shown;
+
     @Option(names = "--yes", description = "give up what was shown; needs --shown")
     private boolean yes;
+
     @Option(names = "--json", description = "as JSON instead of lines")
     private boolean json;
 
     @Override
     public Integer call() {
         if (yes != (shown != null)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--yes and --shown go together: look first, then accept what was shown");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(),
+                    "--yes and --shown go together: look first, then accept what was shown");
         }
         try {
             JsonObject lacking = lacking();
             if (lacking == null) {
-                System.out.println(json ? "{\"lacking\":null}" : service + ": nothing is lacking, as " + address + " knows");
+                System.out.println(
+                        json
+                                ? "{\"lacking\":null}"
+                                : service + ": nothing is lacking, as " + address + " knows");
                 return NOTHING;
             }
             String seal = seal(lacking);
@@ -59,14 +89,24 @@
             }
             if (!seal.equals(shown)) {
                 show(lacking, seal);
-                return Commands.fault(service + ": something else is lacking than what was shown; nothing was given up");
+                return Commands.fault(
+                        service
+                                + ": something else is lacking than what was shown; nothing was given up");
             }
-            WholeSystem.Answer is = WholeSystem.ask(address, "/Services.AcceptDataLoss", body(lacking).toString());
+            WholeSystem.Answer is =
+                    WholeSystem.ask(address, "/Services.AcceptDataLoss", body(lacking).toString());
             JsonObject said = Json.parse(is.text()).asObject();
             if (is.status() != 200) {
-                return Commands.fault(service + ": " + is.status() + " " + said.getString("error_message", ""));
+                return Commands.fault(
+                        service + ": " + is.status() + " " + said.getString("error_message", ""));
             }
-            System.out.println(json ? is.text() : service + ": accepted, goes on from " + said.getString("log_position", "") + " or a longer log that is there");
+            System.out.println(
+                    json
+                            ? is.text()
+                            : service
+                                    + ": accepted, goes on from "
+                                    + said.getString("log_position", "")
+                                    + " or a longer log that is there");
             return 0;
         } catch (ParseException | UnsupportedOperationException | NullPointerException bad) {
             return Commands.fault(address + ": no control process answers so: " + bad.getMessage());
@@ -76,7 +116,11 @@
     }
 
     private JsonObject lacking() throws IOException {
-        JsonArray all = Json.parse(WholeSystem.ask(address, "/status", null).text()).asObject().get("lacking").asArray();
+        JsonArray all =
+                Json.parse(WholeSystem.ask(address, "/status", null).text())
+                        .asObject()
+                        .get("lacking")
+                        .asArray();
         for (JsonValue one : all) {
             if (one.asObject().getString("service", "").equals(service)) {
                 return one.asObject();
@@ -96,7 +140,9 @@
     /** The same for the same loss, and for no other. */
     private static String seal(JsonObject lacking) {
         try {
-            byte[] digest = MessageDigest.getInstance("SHA-256").digest(body(lacking).toString().getBytes(StandardCharsets.UTF_8));
+            byte[] digest =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(body(lacking).toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, 6);
         } catch (NoSuchAlgorithmException never) {
             throw new IllegalStateException(never);
@@ -110,16 +156,36 @@
         }
         JsonArray servers = lacking.get("out_of_reach").asArray();
         String log = lacking.getString("log_position", "");
-        System.out.println(service + ": no primary; " + lacking.getString("primary", "") + " led last, lacking for "
-                + lacking.getLong("for_ms", 0) / 1_000 + " s");
+        System.out.println(
+                service
+                        + ": no primary; "
+                        + lacking.getString("primary", "")
+                        + " led last, lacking for "
+                        + lacking.getLong("for_ms", 0) / 1_000
+                        + " s");
         System.out.println("  longest log left   " + log);
-        System.out.println("  acknowledged up to " + lacking.getString("least_acknowledged", "") + " at the least, "
-                + lacking.getString("most_acknowledged", "") + " at the most");
+        System.out.println(
+                "  acknowledged up to "
+                        + lacking.getString("least_acknowledged", "")
+                        + " at the least, "
+                        + lacking.getString("most_acknowledged", "")
+                        + " at the most");
         if (!servers.isEmpty()) {
             System.out.println("  out of reach       " + servers + ", which may have more");
         }
-        System.out.println("Bringing back a server that has these commits loses nothing. To go on without them, for good:");
-        System.out.println("  a server whose log ends at " + log + " or later leads; what clients were told of past that is gone");
-        System.out.println("  dillfront system accept-data-loss " + address + " " + service + " --shown " + seal + " --yes");
+        System.out.println(
+                "Bringing back a server that has these commits loses nothing. To go on without them, for good:");
+        System.out.println(
+                "  a server whose log ends at "
+                        + log
+                        + " or later leads; what clients were told of past that is gone");
+        System.out.println(
+                "  dillfront system accept-data-loss "
+                        + address
+                        + " "
+                        + service
+                        + " --shown "
+                        + seal
+                        + " --yes");
     }
 }
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/Commands.java
@@ -26,21 +26,34 @@
 import picocli.CommandLine.Parameters;
 
 /** What people call; the ways of running the decisions are in Main. */
-@Command(name = "dillfront", mixinStandardHelpOptions = true, version = "dillfront 0.1.0",
+@Command(
+        name = "dillfront",
+        mixinStandardHelpOptions = true,
+        version = "dillfront 0.1.0",
         description = "A proxy before a primary and its replicas.",
-        footer = {"", "Run by the platform, without options:",
+        footer = {
+            "",
+            "Run by the platform, without options:",
             "  drill     decide on the simulator's wire, from standard input to standard output",
             "  serve     be one router, as LB_CONFIG, the other LB_ variables and LB_OPERATOR say",
             "  rehearse  run one router against itself for a moment, for the build to keep the classes it loads",
             "  data-plane, control-plane  the two programs of the whole system, as DILLFRONT_SETTINGS says",
-            "  rehearse-system  both of them for a moment, for the build"},
-        subcommands = {Commands.Check.class, Commands.Peers.class, Commands.Status.class, Commands.Keygen.class, Keys.class, Site.class, WholeSystem.class})
+            "  rehearse-system  both of them for a moment, for the build"
+        },
+        subcommands = {
+            Commands.Check.class,
+            Commands.Peers.class,
+            Commands.Status.class,
+            Commands.Keygen.class,
+            Keys.class,
+            Site.class,
+            WholeSystem.class
+        })
 final class Commands implements Runnable {
 
     private static final int PATIENCE_MS = 3000;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** Without a subcommand. */
     @Override
@@ -53,10 +66,16 @@
         return new CommandLine(new Commands()).execute(args);
     }
 
-    /** A file that only its owner reads; one that is there is never overwritten. 0, or 1 once the fault is told. */
+    /**
+     * A file that only its owner reads; one that is there is never overwritten. 0, or 1 once the
+     * fault is told.
+     */
     static int secret(Path file, String text) {
         try {
-            Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
+            Files.createFile(
+                    file,
+                    PosixFilePermissions.asFileAttribute(
+                            PosixFilePermissions.fromString("rw-------")));
             Files.writeString(file, text, StandardOpenOption.WRITE);
             return 0;
         } catch (FileAlreadyExistsException there) {
@@ -75,10 +94,15 @@
     @Command(name = "check", description = "Checks the operator's file, and the key that it names.")
     static final class Check implements Callable<Integer> {
 
-        @Parameters(paramLabel = "FILE", description = "the operator's file, as LB_OPERATOR names it")
+        @Parameters(
+                paramLabel = "FILE",
+                description = "the operator's file, as LB_OPERATOR names it")
         private Path file;
 
-        @Option(names = "--name", paramLabel = "NAME", description = "also check that an instance of this name could start")
+        @Option(
+                names = "--name",
+                paramLabel = "NAME",
+                description = "also check that an instance of this name could start")
         private String name;
 
         @Override
@@ -89,9 +113,18 @@
                     operator.gossip().self(name);
                     operator.gossip().key();
                 }
-                System.out.println(file + ": gossip " + (operator.gossip() == null ? "off" : "among "
-                        + operator.gossip().ring().size() + " peers, " + operator.gossip().tuning().bytesPerSecond()
-                        + " bytes a second") + ", control " + (operator.control() == null ? "off" : operator.control()));
+                System.out.println(
+                        file
+                                + ": gossip "
+                                + (operator.gossip() == null
+                                        ? "off"
+                                        : "among "
+                                                + operator.gossip().ring().size()
+                                                + " peers, "
+                                                + operator.gossip().tuning().bytesPerSecond()
+                                                + " bytes a second")
+                                + ", control "
+                                + (operator.control() == null ? "off" : operator.control()));
                 return 0;
             } catch (Operator.BadOperator bad) {
                 return fault(bad.getMessage());
@@ -102,7 +135,10 @@
     /** Asks a running instance one question. */
     abstract static class Asking implements Callable<Integer> {
 
-        @Option(names = "--control", paramLabel = "ADDRESS", required = true,
+        @Option(
+                names = "--control",
+                paramLabel = "ADDRESS",
+                required = true,
                 description = "where it answers, as control() in the operator's file says")
         private String control;
 
@@ -112,14 +148,19 @@
         public Integer call() {
             InetSocketAddress address = Address.parse(control);
             if (address == null) {
-                return fault("--control " + control + ": expected an address and a port, as 127.0.0.1:9946");
+                return fault(
+                        "--control "
+                                + control
+                                + ": expected an address and a port, as 127.0.0.1:9946");
             }
             try (Socket socket = new Socket()) {
                 socket.connect(address, PATIENCE_MS);
                 socket.setSoTimeout(PATIENCE_MS);
-                socket.getOutputStream().write((question() + "\n").getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write((question() + "\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
-                new PrintStream(System.out, true, StandardCharsets.UTF_8).print(new String(in.readAllBytes(), StandardCharsets.UTF_8));
+                new PrintStream(System.out, true, StandardCharsets.UTF_8)
+                        .print(new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 return 0;
             } catch (IOException none) {
                 return fault("--control " + control + ": " + none.getMessage());
@@ -127,7 +168,9 @@
         }
     }
 
-    @Command(name = "peers", description = "What a running instance thinks of its peers, and of nodes by hearsay.")
+    @Command(
+            name = "peers",
+            description = "What a running instance thinks of its peers, and of nodes by hearsay.")
     static final class Peers extends Asking {
 
         @Option(names = "--json", description = "as JSON instead of a table")
@@ -139,7 +182,10 @@
         }
     }
 
-    @Command(name = "status", description = "How far a running instance has come back, and what it remembers for its next life.")
+    @Command(
+            name = "status",
+            description =
+                    "How far a running instance has come back, and what it remembers for its next life.")
     static final class Status extends Asking {
 
         @Option(names = "--json", description = "as JSON instead of a line a section")
@@ -152,7 +198,10 @@
     }
 
     /** Makes a key pair. */
-    @Command(name = "keygen", description = "Makes a key of an instance: the private one into FILE, the public one is printed.")
+    @Command(
+            name = "keygen",
+            description =
+                    "Makes a key of an instance: the private one into FILE, the public one is printed.")
     static final class Keygen implements Callable<Integer> {
 
         @Parameters(paramLabel = "FILE", description = "must not be there yet")
--- a/src/main/java/dillfront/cli/Keys.java
+++ b/src/main/java/dillfront/cli/Keys.java
@@ -28,15 +28,18 @@
 import picocli.CommandLine.Parameters;
 
 /** Keys that sign callers' tokens, and tokens for a try-out; nothing here talks to a router. */
-@Command(name = "keys", description = "Makes and publishes keys that sign tokens, and signs tokens.", mixinStandardHelpOptions = true)
+@Command(
+        name = "keys",
+        description = "Makes and publishes keys that sign tokens, and signs tokens.",
+        mixinStandardHelpOptions = true)
 final class Keys implements Runnable {
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "expected new, public, token or revoke");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "expected new, public, token or revoke");
     }
 
     /** Beside it and then moved: a router never reads half of it. */
@@ -58,16 +61,35 @@
         throw new IOException(file + ": no signing key as `dillfront keys new` writes it");
     }
 
-    @Command(name = "new", description = "Makes a signing key (ES256): the private one into FILE, which must not be there yet.")
-    int make(@Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--id", required = true, paramLabel = "ID", description = "its name in key sets and tokens") String id)
+    @Command(
+            name = "new",
+            description =
+                    "Makes a signing key (ES256): the private one into FILE, which must not be there yet.")
+    int make(
+            @Parameters(paramLabel = "FILE") Path file,
+            @Option(
+                            names = "--id",
+                            required = true,
+                            paramLabel = "ID",
+                            description = "its name in key sets and tokens")
+                    String id)
             throws JOSEException {
-        ECKey key = new ECKeyGenerator(Curve.P_256).keyID(id).algorithm(JWSAlgorithm.ES256).generate();
+        ECKey key =
+                new ECKeyGenerator(Curve.P_256).keyID(id).algorithm(JWSAlgorithm.ES256).generate();
         return Commands.secret(file, key.toJSONString() + "\n");
     }
 
-    @Command(name = "public", description = "Writes the key set that routers read: the public parts of all these keys.")
-    int publish(@Option(names = "--to", required = true, paramLabel = "SET", description = "replaced in one step") Path to,
+    @Command(
+            name = "public",
+            description =
+                    "Writes the key set that routers read: the public parts of all these keys.")
+    int publish(
+            @Option(
+                            names = "--to",
+                            required = true,
+                            paramLabel = "SET",
+                            description = "replaced in one step")
+                    Path to,
             @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
         try {
             List<JWK> keys = new ArrayList<>();
@@ -81,20 +103,44 @@
         }
     }
 
-    @Command(name = "token", description = "Signs a token and prints it; its id goes to standard error, for `revoke`.")
-    int token(@Parameters(paramLabel = "FILE", description = "the signing key") Path file,
-            @Option(names = "--for", required = true, paramLabel = "NAME", description = "the principal") String name,
+    @Command(
+            name = "token",
+            description =
+                    "Signs a token and prints it; its id goes to standard error, for `revoke`.")
+    int token(
+            @Parameters(paramLabel = "FILE", description = "the signing key") Path file,
+            @Option(
+                            names = "--for",
+                            required = true,
+                            paramLabel = "NAME",
+                            description = "the principal")
+                    String name,
             @Option(names = "--issuer", required = true, paramLabel = "ISSUER") String issuer,
-            @Option(names = "--audience", defaultValue = "dillfront", paramLabel = "AUDIENCE") String audience,
-            @Option(names = "--minutes", defaultValue = "60", paramLabel = "N", description = "good for so long") int minutes)
+            @Option(names = "--audience", defaultValue = "dillfront", paramLabel = "AUDIENCE")
+                    String audience,
+            @Option(
+                            names = "--minutes",
+                            defaultValue = "60",
+                            paramLabel = "N",
+                            description = "good for so long")
+                    int minutes)
             throws JOSEException {
         try {
             ECKey key = read(file);
             String id = UUID.randomUUID().toString();
             Instant now = Instant.now();
-            SignedJWT jwt = new SignedJWT(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(key.getKeyID()).build(),
-                    new JWTClaimsSet.Builder().subject(name).issuer(issuer).audience(audience).jwtID(id).issueTime(Date.from(now))
-                            .expirationTime(Date.from(now.plus(Duration.ofMinutes(minutes)))).build());
+            SignedJWT jwt =
+                    new SignedJWT(
+                            new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(key.getKeyID()).build(),
+                            new JWTClaimsSet.Builder()
+                                    .subject(name)
+                                    .issuer(issuer)
+                                    .audience(audience)
+                                    .jwtID(id)
+                                    .issueTime(Date.from(now))
+                                    .expirationTime(
+                                            Date.from(now.plus(Duration.ofMinutes(minutes))))
+                                    .build());
             jwt.sign(new ECDSASigner(key));
             System.out.println(jwt.serialize());
             System.err.println("id " + id);
@@ -104,12 +150,20 @@
         }
     }
 
-    @Command(name = "revoke", description = "Adds ids of tokens to the list of those that count no more.")
-    int revoke(@Option(names = "--list", required = true, paramLabel = "LIST") Path list,
+    @Command(
+            name = "revoke",
+            description = "Adds ids of tokens to the list of those that count no more.")
+    int revoke(
+            @Option(names = "--list", required = true, paramLabel = "LIST") Path list,
             @Parameters(paramLabel = "ID", arity = "1..*") List<String> ids) {
         try {
             String before = Files.exists(list) ? Files.readString(list) : "";
-            replace(list, before + (before.isEmpty() || before.endsWith("\n") ? "" : "\n") + String.join("\n", ids) + "\n");
+            replace(
+                    list,
+                    before
+                            + (before.isEmpty() || before.endsWith("\n") ? "" : "\n")
+                            + String.join("\n", ids)
+                            + "\n");
             return 0;
         } catch (IOException bad) {
             return Commands.fault(bad.getMessage());
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -22,7 +22,15 @@
     private Main() {}
 
     public static void main(String[] args) {
-        if (args.length != 1 || !List.of("drill", "serve", "rehearse", "data-plane", "control-plane", "rehearse-system").contains(args[0])) {
+        if (args.length != 1
+                || !List.of(
+                                "drill",
+                                "serve",
+                                "rehearse",
+                                "data-plane",
+                                "control-plane",
+                                "rehearse-system")
+                        .contains(args[0])) {
             // Not for what the platform starts: the library's classes would cost each start.
             System.exit(Commands.run(args));
         }
@@ -30,7 +38,8 @@
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
                 Silence.over(log);
-                Daemon daemon = new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
+                Daemon daemon =
+                        new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
                 // Before the start: the JVM's own answer to SIGHUP is to end.
                 daemon.hear(() -> Config.again(System.getenv()));
                 daemon.start();
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/Site.java
@@ -26,32 +26,58 @@
 import picocli.CommandLine.Parameters;
 
 /** What becomes of the load where sites are lost; nothing here talks to a router. */
-@Command(name = "site", description = "Plans for the loss of sites.", mixinStandardHelpOptions = true, subcommands = Site.Plans.class)
+@Command(
+        name = "site",
+        description = "Plans for the loss of sites.",
+        mixinStandardHelpOptions = true,
+        subcommands = Site.Plans.class)
 final class Site implements Runnable {
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "expected plan");
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true,
-            description = "Prints where the load goes, what is refused and what binds, for the loss of each site and each pair.",
-            footer = {"", "Example:", "  dillfront site plan config.json --use 0.7 --mix view=0.6,move=0.4 --lost north"})
+    @Command(
+            name = "plan",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Prints where the load goes, what is refused and what binds, for the loss of each site and each pair.",
+            footer = {
+                "",
+                "Example:",
+                "  dillfront site plan config.json --use 0.7 --mix view=0.6,move=0.4 --lost north"
+            })
     static final class Plans implements Callable<Integer> {
 
-        @Parameters(paramLabel = "CONFIG", description = "a router's configuration: its settings, and the list in 'known'")
+        @Parameters(
+                paramLabel = "CONFIG",
+                description = "a router's configuration: its settings, and the list in 'known'")
         private Path file;
 
-        @Option(names = "--use", paramLabel = "PART", defaultValue = "0.7", description = "what is asked, as a part of what all nodes can do (${DEFAULT-VALUE})")
+        @Option(
+                names = "--use",
+                paramLabel = "PART",
+                defaultValue = "0.7",
+                description =
+                        "what is asked, as a part of what all nodes can do (${DEFAULT-VALUE})")
         private double use;
 
-        @Option(names = "--mix", paramLabel = "TYPE=SHARE", split = ",", description = "the share of each txn type in the work; all the same where none is given")
+        @Option(
+                names = "--mix",
+                paramLabel = "TYPE=SHARE",
+                split = ",",
+                description =
+                        "the share of each txn type in the work; all the same where none is given")
         private Map<String, Double> mix = new TreeMap<>();
 
-        @Option(names = "--lost", paramLabel = "SITE", split = ",", description = "for the loss of these sites alone")
+        @Option(
+                names = "--lost",
+                paramLabel = "SITE",
+                split = ",",
+                description = "for the loss of these sites alone")
         private List<String> lost = List.of();
 
         @Option(names = "--json", description = "as JSON instead of a table")
@@ -60,9 +86,15 @@
         @Override
         public Integer call() {
             double shares = mix.values().stream().mapToDouble(Double::doubleValue).sum();
-            if (use <= 0 || !mix.isEmpty() && Math.abs(shares - 1) > 0.001 || mix.values().stream().anyMatch(s -> s < 0)) {
-                return Commands.fault(use <= 0 ? "--use " + use + ": expected more than 0"
-                        : "--mix: shares are " + shares + " in all, expected 1 and none below 0");
+            if (use <= 0
+                    || !mix.isEmpty() && Math.abs(shares - 1) > 0.001
+                    || mix.values().stream().anyMatch(s -> s < 0)) {
+                return Commands.fault(
+                        use <= 0
+                                ? "--use " + use + ": expected more than 0"
+                                : "--mix: shares are "
+                                        + shares
+                                        + " in all, expected 1 and none below 0");
             }
             Estate estate;
             try (InputStream in = Files.newInputStream(file)) {
@@ -70,14 +102,24 @@
             } catch (NoSuchFileException none) {
                 return Commands.fault(file + ": no such file");
             } catch (IOException | BadConfig bad) {
-                return Commands.fault(file + ": " + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                return Commands.fault(
+                        file
+                                + ": "
+                                + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
             }
             for (String site : lost) {
                 if (!estate.sites().contains(site)) {
-                    return Commands.fault("--lost " + site + ": no such site; there are " + String.join(", ", estate.sites()));
+                    return Commands.fault(
+                            "--lost "
+                                    + site
+                                    + ": no such site; there are "
+                                    + String.join(", ", estate.sites()));
                 }
             }
-            List<Plan> plans = lost.isEmpty() ? Planner.all(estate) : List.of(Planner.plan(estate, new TreeSet<>(lost)));
+            List<Plan> plans =
+                    lost.isEmpty()
+                            ? Planner.all(estate)
+                            : List.of(Planner.plan(estate, new TreeSet<>(lost)));
             System.out.print(json ? json(estate, plans) : table(estate, plans));
             return 0;
         }
@@ -88,27 +130,74 @@
     }
 
     static String table(Estate estate, List<Plan> plans) {
-        StringBuilder out = new StringBuilder(String.format(Locale.ROOT, "%-24s %6s %7s  %s%n", "lost", "served", "crosses", "refused, most first"));
+        StringBuilder out =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-24s %6s %7s  %s%n",
+                                "lost",
+                                "served",
+                                "crosses",
+                                "refused, most first"));
         for (Plan plan : plans) {
-            double crosses = plan.groups().stream().flatMap(g -> g.rows().stream()).mapToDouble(Plan.Row::crosses).sum();
+            double crosses =
+                    plan.groups().stream()
+                            .flatMap(g -> g.rows().stream())
+                            .mapToDouble(Plan.Row::crosses)
+                            .sum();
             Map<Double, List<String>> refused = new TreeMap<>((a, b) -> Double.compare(b, a));
             for (Estate.Kind kind : estate.kinds()) {
                 double part = plan.refused(kind.name());
                 if (part > 0.0005) {
-                    refused.computeIfAbsent(part, k -> new java.util.ArrayList<>()).add(String.format(Locale.ROOT, "%s %.1f%%", kind.name(), part * 100));
+                    refused.computeIfAbsent(part, k -> new java.util.ArrayList<>())
+                            .add(String.format(Locale.ROOT, "%s %.1f%%", kind.name(), part * 100));
                 }
             }
-            out.append(String.format(Locale.ROOT, "%-24s %5.1f%% %6.1f%%  %s%n", name(plan), 100 * plan.served() / plan.asked(),
-                    100 * crosses / plan.asked(), refused.isEmpty() ? "-" : String.join(", ", refused.values().stream().flatMap(List::stream).toList())));
+            out.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-24s %5.1f%% %6.1f%%  %s%n",
+                            name(plan),
+                            100 * plan.served() / plan.asked(),
+                            100 * crosses / plan.asked(),
+                            refused.isEmpty()
+                                    ? "-"
+                                    : String.join(
+                                            ", ",
+                                            refused.values().stream()
+                                                    .flatMap(List::stream)
+                                                    .toList())));
         }
         for (Plan plan : plans) {
             for (Plan.Group group : plan.groups()) {
-                List<String> binds = group.rows().stream().filter(r -> r.limit() != Plan.Limit.NONE).map(r -> String.format(Locale.ROOT, "%s: %s, %.1f%% refused",
-                        r.kind(), word(r.limit()), 100 * (1 - r.served() / r.asked()))).toList();
+                List<String> binds =
+                        group.rows().stream()
+                                .filter(r -> r.limit() != Plan.Limit.NONE)
+                                .map(
+                                        r ->
+                                                String.format(
+                                                        Locale.ROOT,
+                                                        "%s: %s, %.1f%% refused",
+                                                        r.kind(),
+                                                        word(r.limit()),
+                                                        100 * (1 - r.served() / r.asked())))
+                                .toList();
                 if (group.elects() || !binds.isEmpty()) {
-                    out.append(String.format(Locale.ROOT, "%n%s, group %d: %d of %d members left, %s", name(plan), group.number(), group.left(), group.members(),
-                            group.primary() == null ? "none to lead" : group.elects() ? "no primary until one takes over (planned for " + group.primary() + ")"
-                                    : group.primary() + " leads"));
+                    out.append(
+                            String.format(
+                                    Locale.ROOT,
+                                    "%n%s, group %d: %d of %d members left, %s",
+                                    name(plan),
+                                    group.number(),
+                                    group.left(),
+                                    group.members(),
+                                    group.primary() == null
+                                            ? "none to lead"
+                                            : group.elects()
+                                                    ? "no primary until one takes over (planned for "
+                                                            + group.primary()
+                                                            + ")"
+                                                    : group.primary() + " leads"));
                     binds.forEach(b -> out.append("\n  ").append(b));
                 }
             }
--- a/src/main/java/dillfront/cli/WholeSystem.java
+++ b/src/main/java/dillfront/cli/WholeSystem.java
@@ -18,23 +18,36 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What operators of the whole system call: it reads and asks, and changes nothing but by accept-data-loss. */
-@Command(name = "system", mixinStandardHelpOptions = true, description = "Checks and asks the two programs of the whole system.",
-        subcommands = {WholeSystem.CheckSettings.class, WholeSystem.CheckConfiguration.class, WholeSystem.Asks.class, AcceptDataLoss.class})
+/**
+ * What operators of the whole system call: it reads and asks, and changes nothing but by
+ * accept-data-loss.
+ */
+@Command(
+        name = "system",
+        mixinStandardHelpOptions = true,
+        description = "Checks and asks the two programs of the whole system.",
+        subcommands = {
+            WholeSystem.CheckSettings.class,
+            WholeSystem.CheckConfiguration.class,
+            WholeSystem.Asks.class,
+            AcceptDataLoss.class
+        })
 final class WholeSystem implements Runnable {
 
     private static final int PATIENCE_MS = 3_000;
 
-    @picocli.CommandLine.Spec
-    private picocli.CommandLine.Model.CommandSpec spec;
+    @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "expected settings, configuration, status or accept-data-loss");
+        throw new picocli.CommandLine.ParameterException(
+                spec.commandLine(), "expected settings, configuration, status or accept-data-loss");
     }
 
     /** As a start would. */
-    @Command(name = "settings", description = "Checks a settings file as a start of data-plane or control-plane would.",
+    @Command(
+            name = "settings",
+            description = "Checks a settings file as a start of data-plane or control-plane would.",
             footer = "Example: dillfront system settings /etc/dillfront/node.json")
     static final class CheckSettings implements Callable<Integer> {
         @Parameters(description = "the settings file")
@@ -44,8 +57,20 @@
         public Integer call() {
             try {
                 Settings is = Settings.read(file);
-                System.out.println(file + ": " + is.name() + " in " + is.zone() + ", " + (is.front() != null ? "front " + is.front()
-                        : is.control() != null ? "control " + is.control() : "serves nothing") + ", seeds " + is.seeds());
+                System.out.println(
+                        file
+                                + ": "
+                                + is.name()
+                                + " in "
+                                + is.zone()
+                                + ", "
+                                + (is.front() != null
+                                        ? "front " + is.front()
+                                        : is.control() != null
+                                                ? "control " + is.control()
+                                                : "serves nothing")
+                                + ", seeds "
+                                + is.seeds());
                 return 0;
             } catch (Settings.Bad bad) {
                 return Commands.fault(bad.getMessage());
@@ -54,7 +79,9 @@
     }
 
     /** As the control plane would. */
-    @Command(name = "configuration", description = "Checks a configuration as the control plane would, before it is sent.",
+    @Command(
+            name = "configuration",
+            description = "Checks a configuration as the control plane would, before it is sent.",
             footer = "Example: dillfront system configuration next.json")
     static final class CheckConfiguration implements Callable<Integer> {
         @Parameters(description = "the JSON body of POST /Configuration.Replace")
@@ -64,7 +91,15 @@
         public Integer call() {
             try {
                 Configuration is = Configuration.read(Files.readAllBytes(file));
-                System.out.println(file + ": version " + is.version() + ", " + is.size() + " routes, " + is.services().size() + " services");
+                System.out.println(
+                        file
+                                + ": version "
+                                + is.version()
+                                + ", "
+                                + is.size()
+                                + " routes, "
+                                + is.services().size()
+                                + " services");
                 return 0;
             } catch (Configuration.Invalid bad) {
                 return Commands.fault(file + ": " + bad.getMessage());
@@ -75,11 +110,14 @@
     }
 
     /** What a process holds. */
-    @Command(name = "status", description = "Asks a data plane or a control plane what it holds.",
+    @Command(
+            name = "status",
+            description = "Asks a data plane or a control plane what it holds.",
             footer = "Example: dillfront system status 10.1.0.8:8785")
     static final class Asks implements Callable<Integer> {
         @Parameters(description = "its readiness_address or control_address, as IP:PORT")
         private String address;
+
         @Option(names = "--json", description = "as it was answered")
         private boolean json;
 
@@ -91,7 +129,13 @@
                     return Commands.fault(address + ": " + is.status() + " " + is.text());
                 }
                 String text = is.text();
-                System.out.println(json ? text : Json.parse(text).asObject().getString("status", "").replace(" | ", "\n"));
+                System.out.println(
+                        json
+                                ? text
+                                : Json.parse(text)
+                                        .asObject()
+                                        .getString("status", "")
+                                        .replace(" | ", "\n"));
                 return 0;
             } catch (ParseException | UnsupportedOperationException bad) {
                 return Commands.fault(address + ": " + bad.getMessage());
@@ -102,7 +146,7 @@
     }
 
     /** What was answered. */
-    record Answer(int status, String text) { }
+    record Answer(int status, String text) {}
 
     /**
      * Asks a process.
@@ -115,7 +159,11 @@
         if (to == null) {
             throw new IOException("no IP:PORT");
         }
-        HttpURLConnection asked = (HttpURLConnection) URI.create("http://" + to.getHostString() + ":" + to.getPort() + path).toURL().openConnection();
+        HttpURLConnection asked =
+                (HttpURLConnection)
+                        URI.create("http://" + to.getHostString() + ":" + to.getPort() + path)
+                                .toURL()
+                                .openConnection();
         try {
             asked.setConnectTimeout(PATIENCE_MS);
             asked.setReadTimeout(PATIENCE_MS);
@@ -125,7 +173,9 @@
             }
             int status = asked.getResponseCode();
             try (InputStream in = status < 400 ? asked.getInputStream() : asked.getErrorStream()) {
-                return new Answer(status, in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
+                return new Answer(
+                        status,
+                        in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
             }
         } finally {
             asked.disconnect();
--- a/src/main/java/dillfront/clients/Callers.java
+++ b/src/main/java/dillfront/clients/Callers.java
@@ -8,7 +8,10 @@
 /** Who may come in, for a door that asks; without it all are served. On the loop. */
 public interface Callers {
 
-    /** A handler that makes a connection one of TLS; null where none can be had, or too many begin at once. */
+    /**
+     * A handler that makes a connection one of TLS; null where none can be had, or too many begin
+     * at once.
+     */
     ChannelHandler tls();
 
     /** Whoever speaks without TLS is refused. */
@@ -30,5 +33,6 @@
     void enter(String address, String user, String token, Entry entry);
 
     /** For the record: a txn of someone who is in was not taken. */
-    void denied(Gate.Session session, Refusal why, String type, boolean write, int group, String cause);
+    void denied(
+            Gate.Session session, Refusal why, String type, boolean write, int group, String cause);
 }
--- a/src/main/java/dillfront/clients/ClientConnection.java
+++ b/src/main/java/dillfront/clients/ClientConnection.java
@@ -26,26 +26,43 @@
     private final Frames frames = new Frames();
     private ChannelHandlerContext ctx;
     private boolean started;
-    /** Where callers are asked: the name given, until it is proven; who is in; whether its txn is out. */
+
+    /**
+     * Where callers are asked: the name given, until it is proven; who is in; whether its txn is
+     * out.
+     */
     private String user;
+
     private boolean proving;
     private boolean encrypted;
     private Gate.Session session;
     private boolean counted;
+
     /** After a message of the extended protocol, until its Sync. */
     private boolean skipping;
+
     /** The txn that is out; the connection owes its answer. */
     private Exchange exchange;
+
     private boolean owes;
     private boolean closed;
-    /** Since when it could have sent a whole query: since it came, was answered, or began one after that. */
+
+    /**
+     * Since when it could have sent a whole query: since it came, was answered, or began one after
+     * that.
+     */
     private long since = System.nanoTime();
+
     private boolean served;
+
     /** Of a message that is not whole, as last told. */
     private int told;
+
     /** How long what was read last may have lain in the socket, and when it was read. */
     private Duration age = Duration.ZERO;
+
     private long readNanos;
+
     /** In the clients' line, to be looked at in its turn. */
     boolean inLine;
 
@@ -128,7 +145,8 @@
         } catch (BadFrame bad) {
             refuse(Messages.VIOLATION, bad.getMessage());
         } catch (RuntimeException fault) {
-            // Outside the channel's own events nobody else would tell it: this client alone pays for the fault.
+            // Outside the channel's own events nobody else would tell it: this client alone pays
+            // for the fault.
             exceptionCaught(ctx, fault);
         }
         waits();
@@ -145,7 +163,8 @@
 
     private void startup(ByteBuf message) {
         int code = message.getInt(message.readerIndex() + 4);
-        String name = code == Messages.VERSION && clients.callers != null ? Messages.user(message) : null;
+        String name =
+                code == Messages.VERSION && clients.callers != null ? Messages.user(message) : null;
         message.release();
         switch (code) {
             case Messages.SSL -> encrypt();
@@ -164,7 +183,10 @@
         }
     }
 
-    /** The one byte in the clear that says whether TLS begins; what came with the question would pass for a part of it. */
+    /**
+     * The one byte in the clear that says whether TLS begins; what came with the question would
+     * pass for a part of it.
+     */
     private void encrypt() {
         ChannelHandler tls = clients.callers == null || encrypted ? null : clients.callers.tls();
         if (tls != null && frames.waiting() > 0) {
@@ -178,7 +200,10 @@
         }
     }
 
-    /** Asks for the token, as a password (AuthenticationCleartextPassword), over TLS alone where there is TLS. */
+    /**
+     * Asks for the token, as a password (AuthenticationCleartextPassword), over TLS alone where
+     * there is TLS.
+     */
     private void prove(String name) {
         if (clients.callers.tlsAlone() && !encrypted) {
             refuse(Refusal.UNKNOWN.code(), "only over TLS");
@@ -186,7 +211,11 @@
         }
         Duration wait = clients.callers.wait(address(), name);
         if (!wait.isZero()) {
-            refuse(Refusal.PENALTY.code(), "failed too often, to be tried again in " + Math.max(1, wait.toMillis()) + " ms");
+            refuse(
+                    Refusal.PENALTY.code(),
+                    "failed too often, to be tried again in "
+                            + Math.max(1, wait.toMillis())
+                            + " ms");
             return;
         }
         user = name;
@@ -195,7 +224,9 @@
     }
 
     private String address() {
-        return ctx.channel().remoteAddress() instanceof InetSocketAddress at ? at.getAddress().getHostAddress() : "";
+        return ctx.channel().remoteAddress() instanceof InetSocketAddress at
+                ? at.getAddress().getHostAddress()
+                : "";
     }
 
     private void proof(ByteBuf message) {
@@ -209,33 +240,37 @@
         message.release();
         // Nothing else is looked at until it is known who this is.
         owes = true;
-        clients.callers.enter(address(), user, token, new Callers.Entry() {
-            @Override
-            public void entered(Gate.Session in) {
-                if (closed) {
-                    in.leave();
-                    return;
-                }
-                session = in;
-                owes = false;
-                // Who has proven himself is no stranger.
-                clients.taken(ClientConnection.this);
-                since = System.nanoTime();
-                ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
-                if (frames.waiting() > 0) {
-                    clients.line(ClientConnection.this);
-                }
-            }
-
-            @Override
-            public void refused(Refusal why, String text) {
-                if (!closed) {
-                    owes = false;
-                    // Why in full stands in the log alone.
-                    refuse(why.code(), "not let in: " + why.word());
-                }
-            }
-        });
+        clients.callers.enter(
+                address(),
+                user,
+                token,
+                new Callers.Entry() {
+                    @Override
+                    public void entered(Gate.Session in) {
+                        if (closed) {
+                            in.leave();
+                            return;
+                        }
+                        session = in;
+                        owes = false;
+                        // Who has proven himself is no stranger.
+                        clients.taken(ClientConnection.this);
+                        since = System.nanoTime();
+                        ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
+                        if (frames.waiting() > 0) {
+                            clients.line(ClientConnection.this);
+                        }
+                    }
+
+                    @Override
+                    public void refused(Refusal why, String text) {
+                        if (!closed) {
+                            owes = false;
+                            // Why in full stands in the log alone.
+                            refuse(why.code(), "not let in: " + why.word());
+                        }
+                    }
+                });
     }
 
     /** Takes one message over. */
@@ -251,7 +286,7 @@
         }
         message.release();
         switch (type) {
-            case 'Q', 'H' -> { }
+            case 'Q', 'H' -> {}
             case 'X' -> close();
             case 'S' -> {
                 skipping = false;
@@ -260,8 +295,13 @@
             case 'P', 'B', 'D', 'E', 'C' -> {
                 if (!skipping) {
                     skipping = true;
-                    ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), false, Messages.NOT_SUPPORTED,
-                            "only simple queries are served here", null));
+                    ctx.writeAndFlush(
+                            Messages.error(
+                                    ctx.alloc().buffer(128),
+                                    false,
+                                    Messages.NOT_SUPPORTED,
+                                    "only simple queries are served here",
+                                    null));
                 }
             }
             case 'F' -> {
@@ -282,7 +322,8 @@
             return;
         }
         if (clients.leaving()) {
-            // It came when this router had said goodbye: no longer than what is out may it go on. Never sent, so harmless.
+            // It came when this router had said goodbye: no longer than what is out may it go on.
+            // Never sent, so harmless.
             message.release();
             clients.counters.turnedAway++;
             error(Messages.DECLINED, "this router ends, trying again is harmless", null);
@@ -305,7 +346,9 @@
             return;
         }
         owes = true;
-        Exchange taken = clients.desk.take(statement, message, this, waited, session == null ? -1 : session.tenant());
+        Exchange taken =
+                clients.desk.take(
+                        statement, message, this, waited, session == null ? -1 : session.tenant());
         if (taken == null) {
             owes = false;
             uncount();
@@ -319,7 +362,10 @@
         }
     }
 
-    /** Whether this session may have this txn begun; if not, it has been told, and the message is gone. */
+    /**
+     * Whether this session may have this txn begun; if not, it has been told, and the message is
+     * gone.
+     */
     private boolean mayTake(Statement statement, ByteBuf message) {
         clients.callers.tick();
         int type = clients.desk.type(statement.type);
@@ -328,14 +374,20 @@
             counted = true;
             return true;
         }
-        String cause = no == Refusal.NO_RIGHT ? session.cause(type, statement.write, statement.group, statement) : "-";
-        clients.callers.denied(session, no, statement.type, statement.write, statement.group, cause);
+        String cause =
+                no == Refusal.NO_RIGHT
+                        ? session.cause(type, statement.write, statement.group, statement)
+                        : "-";
+        clients.callers.denied(
+                session, no, statement.type, statement.write, statement.group, cause);
         message.release();
         if (no.endsSession()) {
             dismiss(no);
         } else {
             Duration pause = no == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
-            error(no.code(), no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
+            error(
+                    no.code(),
+                    no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
                     pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
         }
         return false;
@@ -389,7 +441,9 @@
     @Override
     public void declined(Duration pause) {
         clients.counters.declined++;
-        error(Messages.DECLINED, "declined, trying again is harmless",
+        error(
+                Messages.DECLINED,
+                "declined, trying again is harmless",
                 pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
         answered();
     }
@@ -420,7 +474,8 @@
         closed = true;
         frames.release();
         waits();
-        // Its last words are sent before the end, and what still comes is let go: a close would cut them off.
+        // Its last words are sent before the end, and what still comes is let go: a close would cut
+        // them off.
         ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), true, code, text, null))
                 .addListener(sent -> clients.closeSoon(this, ctx));
     }
--- a/src/main/java/dillfront/clients/Clients.java
+++ b/src/main/java/dillfront/clients/Clients.java
@@ -24,7 +24,10 @@
 /** The door for clients, and those that are in. */
 public final class Clients {
 
-    /** A connection on which nothing is open may be closed after 2 s, as clients are told; in dial time-outs. */
+    /**
+     * A connection on which nothing is open may be closed after 2 s, as clients are told; in dial
+     * time-outs.
+     */
     private static final int IDLE_DIALS = 8;
 
     final Desk desk;
@@ -37,30 +40,52 @@
     private final int mostKnown;
     private final long mostWaiting;
     private final long dialNanos;
+
     /** Refused: they get their last words and no more. */
     private final Set<ClientConnection> refused = new LinkedHashSet<>();
+
     /** Nothing that they sent has been of use so far, the ones that came last at the end. */
     private final Set<ClientConnection> strangers = new LinkedHashSet<>();
+
     /** Those whose queries were taken, the ones answered last at the end. */
     private final Set<ClientConnection> known = new LinkedHashSet<>();
-    /** Those of whom something was read that has not been looked at yet, in the order in which it was read. */
+
+    /**
+     * Those of whom something was read that has not been looked at yet, in the order in which it
+     * was read.
+     */
     private final ArrayDeque<ClientConnection> line = new ArrayDeque<>();
+
     private boolean turning;
+
     /** Bytes of messages that are not whole yet. */
     private long waiting;
+
     private Channel door;
+
     /** Null where all are served. */
     Callers callers;
+
     private boolean leaving;
 
     /**
      * @param most how many clients may be in at once
      * @param mostKnown of these, those whose queries were taken
      * @param mostWaiting how many bytes of messages not yet whole may be held for all of them
-     * @param dial how long one that was refused may take to read why; for what else they get, a multiple of it
+     * @param dial how long one that was refused may take to read why; for what else they get, a
+     *     multiple of it
      */
-    public Clients(Desk desk, Pace pace, Clock clock, Counters counters, Log log, EventLoop loop, int most, int mostKnown,
-            long mostWaiting, Duration dial) {
+    public Clients(
+            Desk desk,
+            Pace pace,
+            Clock clock,
+            Counters counters,
+            Log log,
+            EventLoop loop,
+            int most,
+            int mostKnown,
+            long mostWaiting,
+            Duration dial) {
         this.desk = desk;
         this.pace = pace;
         this.clock = clock;
@@ -80,15 +105,20 @@
     }
 
     public ChannelFuture open(InetSocketAddress address) {
-        ChannelFuture bound = Sockets.listen(loop, address, 2 * most, new WriteBufferWaterMark(1 << 15, 1 << 16),
-                () -> new ClientConnection(this));
+        ChannelFuture bound =
+                Sockets.listen(
+                        loop,
+                        address,
+                        2 * most,
+                        new WriteBufferWaterMark(1 << 15, 1 << 16),
+                        () -> new ClientConnection(this));
         door = bound.channel();
         return bound;
     }
 
     /**
-     * Something was read of a client: it is looked at once the sockets that are ready have been, so that news of the list
-     * and answers of nodes go before new queries.
+     * Something was read of a client: it is looked at once the sockets that are ready have been, so
+     * that news of the list and answers of nodes go before new queries.
      */
     void line(ClientConnection client) {
         if (!client.inLine) {
@@ -152,13 +182,14 @@
     }
 
     /**
-     * A query of its own was taken. Clients hold a third of all descriptors at the most, also for those who ask once
-     * and stay: near that the one idle longest goes, so that another can come.
+     * A query of its own was taken. Clients hold a third of all descriptors at the most, also for
+     * those who ask once and stay: near that the one idle longest goes, so that another can come.
      */
     void taken(ClientConnection client) {
         if (strangers.remove(client)) {
             known.add(client);
-            ClientConnection leaver = known.size() >= mostKnown ? first(known, ClientConnection::idle) : null;
+            ClientConnection leaver =
+                    known.size() >= mostKnown ? first(known, ClientConnection::idle) : null;
             if (leaver != null) {
                 close(leaver);
             }
@@ -177,7 +208,10 @@
         }
     }
 
-    /** More or less of its messages waits than before. Guards against memory full of messages never sent to their end. */
+    /**
+     * More or less of its messages waits than before. Guards against memory full of messages never
+     * sent to their end.
+     */
     void waits(long more) {
         waiting += more;
         if (more > 0 && waiting > mostWaiting) {
@@ -196,16 +230,23 @@
     }
 
     /**
-     * At the limit one has to go, so that there is always room for one more: one that was refused, a stranger
-     * who has had time to say something or is one of many, the client idle longest. Where none is, the door
-     * waits, and what has come stays in line before it. Guards against hundreds that connect, say nothing or no whole query, and would keep the usual clients out.
+     * At the limit one has to go, so that there is always room for one more: one that was refused,
+     * a stranger who has had time to say something or is one of many, the client idle longest.
+     * Where none is, the door waits, and what has come stays in line before it. Guards against
+     * hundreds that connect, say nothing or no whole query, and would keep the usual clients out.
      */
     private void makeRoom() {
         if (size() >= most) {
             ClientConnection leaver = first(refused, client -> true);
             boolean many = strangers.size() > known.size();
-            leaver = leaver != null ? leaver
-                    : first(strangers, client -> !client.owes() && (many || client.waitedNanos() > dialNanos));
+            leaver =
+                    leaver != null
+                            ? leaver
+                            : first(
+                                    strangers,
+                                    client ->
+                                            !client.owes()
+                                                    && (many || client.waitedNanos() > dialNanos));
             leaver = leaver != null ? leaver : first(known, ClientConnection::idle);
             if (leaver != null) {
                 close(leaver);
@@ -213,12 +254,22 @@
         }
         boolean open = size() < most;
         if (!leaving && door.config().isAutoRead() != open) {
-            log.info("door", "open", open, "refused", refused.size(), "strangers", strangers.size(), "known", known.size());
+            log.info(
+                    "door",
+                    "open",
+                    open,
+                    "refused",
+                    refused.size(),
+                    "strangers",
+                    strangers.size(),
+                    "known",
+                    known.size());
             door.config().setAutoRead(open);
         }
     }
 
-    private static ClientConnection first(Set<ClientConnection> of, Predicate<ClientConnection> which) {
+    private static ClientConnection first(
+            Set<ClientConnection> of, Predicate<ClientConnection> which) {
         for (ClientConnection client : of) {
             if (which.test(client)) {
                 return client;
@@ -227,7 +278,10 @@
         return null;
     }
 
-    /** Strangers have their time; so has a message to be sent to its end; who is idle goes while the house is half full. */
+    /**
+     * Strangers have their time; so has a message to be sent to its end; who is idle goes while the
+     * house is half full.
+     */
     private void closeOld() {
         if (callers != null) {
             callers.tick();
--- a/src/main/java/dillfront/config/Address.java
+++ b/src/main/java/dillfront/config/Address.java
@@ -13,10 +13,15 @@
     /** Null where the text is none. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] host = colon < 1 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        byte[] host =
+                colon < 1
+                        ? null
+                        : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
             int port = host == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-            return port < 1 || port > 65535 ? null : new InetSocketAddress(InetAddress.getByAddress(host), port);
+            return port < 1 || port > 65535
+                    ? null
+                    : new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (NumberFormatException | UnknownHostException none) {
             return null;
         }
--- a/src/main/java/dillfront/config/Checks.java
+++ b/src/main/java/dillfront/config/Checks.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * What is wrong with a settings object, by place. What is absent has its default and is no fault; a key that is there
- * must be of its kind, since one that is misread would be taken for its default without a word.
+ * What is wrong with a settings object, by place. What is absent has its default and is no fault; a
+ * key that is there must be of its kind, since one that is misread would be taken for its default
+ * without a word.
  */
 final class Checks {
 
@@ -19,8 +20,10 @@
     private static final Form AMOUNT = number(0, FOREVER);
     private static final Form SOME = number(1, FOREVER);
     private static final Form SHARE = number(0, 1);
-    private static final Form FLAG = value -> value instanceof Boolean ? null : "is neither true nor false";
-    private static final Form NAME = value -> value instanceof String s && !s.isEmpty() ? null : "is no name";
+    private static final Form FLAG =
+            value -> value instanceof Boolean ? null : "is neither true nor false";
+    private static final Form NAME =
+            value -> value instanceof String s && !s.isEmpty() ? null : "is no name";
 
     private final Tree settings;
     private String fault;
@@ -37,28 +40,98 @@
     }
 
     private void all() {
-        at(settings, "", "stepUs", SOME, "groupSize", SOME, "registryMode", words("push", "ask"), "az", NAME);
-        at(part("bounds"), "bounds.", "dialTimeoutUs", SOME, "keepaliveUs", AMOUNT, "maxAttempts", SOME,
-                "maxRetryAfterUs", AMOUNT, "probes", FLAG, "retryAfter", FLAG);
-        at(part("rules"), "rules.", "coldFrom", SHARE, "coldUs", AMOUNT, "tipMultiple", AMOUNT, "tipAfterUs", AMOUNT,
-                "drainGraceUs", AMOUNT, "askWithinUs", AMOUNT, "droppedStayOpen", FLAG);
+        at(
+                settings,
+                "",
+                "stepUs",
+                SOME,
+                "groupSize",
+                SOME,
+                "registryMode",
+                words("push", "ask"),
+                "az",
+                NAME);
+        at(
+                part("bounds"),
+                "bounds.",
+                "dialTimeoutUs",
+                SOME,
+                "keepaliveUs",
+                AMOUNT,
+                "maxAttempts",
+                SOME,
+                "maxRetryAfterUs",
+                AMOUNT,
+                "probes",
+                FLAG,
+                "retryAfter",
+                FLAG);
+        at(
+                part("rules"),
+                "rules.",
+                "coldFrom",
+                SHARE,
+                "coldUs",
+                AMOUNT,
+                "tipMultiple",
+                AMOUNT,
+                "tipAfterUs",
+                AMOUNT,
+                "drainGraceUs",
+                AMOUNT,
+                "askWithinUs",
+                AMOUNT,
+                "droppedStayOpen",
+                FLAG);
         at(part("charges"), "charges.", "probe", AMOUNT);
         at(part("stats"), "stats.", "how", words("inline", "on_probe", "off"));
-        at(part("familyInfo"), "familyInfo.", "guards", words("off", "bounce", "await"), "listRole",
-                words("trailing", "static", "off"), "tokens", words("brought", "kept"), "originTimeUs", AMOUNT);
+        at(
+                part("familyInfo"),
+                "familyInfo.",
+                "guards",
+                words("off", "bounce", "await"),
+                "listRole",
+                words("trailing", "static", "off"),
+                "tokens",
+                words("brought", "kept"),
+                "originTimeUs",
+                AMOUNT);
         List<Tree> types = named("classes");
         for (int i = 0; i < types.size(); i++) {
-            at(types.get(i), "classes[" + i + "].", "effect", words("retryable", "dedup", "fragile"), "dedupScope",
-                    words("all", "zone", "cell"), "dedupWindowUs", AMOUNT, "targetUs", SOME, "deadlineUs", SOME,
-                    "worth", AMOUNT, "lateShare", SHARE);
+            at(
+                    types.get(i),
+                    "classes[" + i + "].",
+                    "effect",
+                    words("retryable", "dedup", "fragile"),
+                    "dedupScope",
+                    words("all", "zone", "cell"),
+                    "dedupWindowUs",
+                    AMOUNT,
+                    "targetUs",
+                    SOME,
+                    "deadlineUs",
+                    SOME,
+                    "worth",
+                    AMOUNT,
+                    "lateShare",
+                    SHARE);
         }
-        each("classRead", words("mutate", "strong", "causal", "lag_bound", "eventual"), types.size());
+        each(
+                "classRead",
+                words("mutate", "strong", "causal", "lag_bound", "eventual"),
+                types.size());
         each("classBoundUs", AMOUNT, types.size());
         List<?> reads = settings.tree("familyInfo").list("classRead");
         List<?> bounds = settings.tree("familyInfo").list("classBoundUs");
         for (int i = 0; fault == null && i < reads.size(); i++) {
-            if (reads.get(i).equals("lag_bound") && (i >= bounds.size() || ((Number) bounds.get(i)).longValue() < 1)) {
-                fault = "settings.familyInfo.classBoundUs[" + i + "]: classRead[" + i + "] is lag_bound and needs a bound";
+            if (reads.get(i).equals("lag_bound")
+                    && (i >= bounds.size() || ((Number) bounds.get(i)).longValue() < 1)) {
+                fault =
+                        "settings.familyInfo.classBoundUs["
+                                + i
+                                + "]: classRead["
+                                + i
+                                + "] is lag_bound and needs a bound";
             }
         }
         List<Tree> tenants = named("tenants");
@@ -80,7 +153,10 @@
         for (int i = 0; fault == null && i < forms.length; i += 2) {
             Object value = tree.value((String) forms[i]);
             String wrong = value == null ? null : ((Form) forms[i + 1]).fault(value);
-            fault = wrong == null ? null : "settings." + place + forms[i] + " " + wrong + ": '" + value + "'";
+            fault =
+                    wrong == null
+                            ? null
+                            : "settings." + place + forms[i] + " " + wrong + ": '" + value + "'";
         }
     }
 
@@ -100,21 +176,45 @@
     private void each(String name, Form form, int types) {
         List<?> all = settings.tree("familyInfo").list(name);
         if (fault == null && all.size() > types) {
-            fault = "settings.familyInfo." + name + " has " + all.size() + " values for " + types + " classes";
+            fault =
+                    "settings.familyInfo."
+                            + name
+                            + " has "
+                            + all.size()
+                            + " values for "
+                            + types
+                            + " classes";
         }
         for (int i = 0; fault == null && i < all.size(); i++) {
             String wrong = all.get(i) == null ? "is missing" : form.fault(all.get(i));
-            fault = wrong == null ? null : "settings.familyInfo." + name + "[" + i + "] " + wrong + ": '" + all.get(i) + "'";
+            fault =
+                    wrong == null
+                            ? null
+                            : "settings.familyInfo."
+                                    + name
+                                    + "["
+                                    + i
+                                    + "] "
+                                    + wrong
+                                    + ": '"
+                                    + all.get(i)
+                                    + "'";
         }
     }
 
     private static Form number(long least, long most) {
-        return value -> !(value instanceof Number n) ? "is no number"
-                : n.doubleValue() >= least && n.doubleValue() <= most ? null
-                : "is out of range, " + least + (most == FOREVER ? " or more" : " to " + most);
+        return value ->
+                !(value instanceof Number n)
+                        ? "is no number"
+                        : n.doubleValue() >= least && n.doubleValue() <= most
+                                ? null
+                                : "is out of range, "
+                                        + least
+                                        + (most == FOREVER ? " or more" : " to " + most);
     }
 
     private static Form words(String... known) {
-        return value -> List.of(known).contains(value) ? null : "is none of " + String.join(", ", known);
+        return value ->
+                List.of(known).contains(value) ? null : "is none of " + String.join(", ", known);
     }
 }
--- a/src/main/java/dillfront/config/Config.java
+++ b/src/main/java/dillfront/config/Config.java
@@ -18,10 +18,20 @@
  * @param sockets how many file descriptors it may hold
  * @param memoryMb how much memory it may take
  * @param known the member list as it last had it, in discovery's form
- * @param named where the file itself says that discovery is, whatever the variables say; empty where it says nothing
+ * @param named where the file itself says that discovery is, whatever the variables say; empty
+ *     where it says nothing
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, double cores, int sockets,
-        long memoryMb, Tree known, Setup setup, String named) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        double cores,
+        int sockets,
+        long memoryMb,
+        Tree known,
+        Setup setup,
+        String named) {
 
     /** The variables go before what the file says of the same thing. */
     public static Config read(Map<String, String> env) throws BadConfig {
@@ -39,7 +49,10 @@
         }
     }
 
-    /** As at a reload: the variable names discovery's address at the start, the file where it is now. */
+    /**
+     * As at a reload: the variable names discovery's address at the start, the file where it is
+     * now.
+     */
     public static Config again(Map<String, String> env) throws BadConfig {
         Map<String, String> others = new HashMap<>(env);
         others.remove("LB_DISCOVERY");
@@ -48,7 +61,8 @@
 
     /** The same but for the settings. */
     public Config by(Setup other) {
-        return new Config(name, listen, discovery, seed, cores, sockets, memoryMb, known, other, named);
+        return new Config(
+                name, listen, discovery, seed, cores, sockets, memoryMb, known, other, named);
     }
 
     /** What of another configuration cannot be taken over by a router that runs. */
@@ -74,7 +88,8 @@
         return read(text, Map.of());
     }
 
-    private static Config read(InputStream text, Map<String, String> env) throws IOException, BadConfig {
+    private static Config read(InputStream text, Map<String, String> env)
+            throws IOException, BadConfig {
         Tree tree = Tree.parse(text);
         Tree settings = tree.tree("settings");
         if (settings.list("classes").isEmpty()) {
@@ -88,10 +103,17 @@
         if (setup.settings().dial().isZero() || setup.settings().step().isZero()) {
             throw new BadConfig("settings lack stepUs or bounds.dialTimeoutUs");
         }
-        return new Config(env.getOrDefault("LB_NAME", tree.text("name")),
-                address(env, "LB_LISTEN", tree.text("listen")), address(env, "LB_DISCOVERY", tree.text("discovery")),
-                seed(tree.text("seed")), tree.tree("limits").number("cores", Integer.MAX_VALUE), (int) tree.tree("limits").number("sockets", 1024),
-                (long) tree.tree("limits").number("memory_mb", 192), tree.tree("known"), setup, tree.text("discovery"));
+        return new Config(
+                env.getOrDefault("LB_NAME", tree.text("name")),
+                address(env, "LB_LISTEN", tree.text("listen")),
+                address(env, "LB_DISCOVERY", tree.text("discovery")),
+                seed(tree.text("seed")),
+                tree.tree("limits").number("cores", Integer.MAX_VALUE),
+                (int) tree.tree("limits").number("sockets", 1024),
+                (long) tree.tree("limits").number("memory_mb", 192),
+                tree.tree("known"),
+                setup,
+                tree.text("discovery"));
     }
 
     private static InetSocketAddress address(Map<String, String> env, String name, String otherwise)
--- a/src/main/java/dillfront/config/Setup.java
+++ b/src/main/java/dillfront/config/Setup.java
@@ -20,16 +20,27 @@
  * @param idle a connection that carried nothing for so long is closed by the node
  * @param reports nodes tell of themselves: in answers and probes, or in probes alone
  */
-public record Setup(Settings settings, Map<String, Integer> types, Map<String, Integer> tenants,
-        Map<String, Integer> zones, boolean tokensCarried, Duration idle, boolean reports) {
+public record Setup(
+        Settings settings,
+        Map<String, Integer> types,
+        Map<String, Integer> tenants,
+        Map<String, Integer> zones,
+        boolean tokensCarried,
+        Duration idle,
+        boolean reports) {
 
     public static Setup read(Tree setup) {
         Tree family = setup.tree("familyInfo");
         Map<String, Integer> zones = index(setup.list("zones"));
-        return new Setup(settings(setup, family, zones),
-                index(names(setup.trees("classes"))), index(names(setup.trees("tenants"))),
-                zones, family.text("tokens").equals("brought"), setup.tree("bounds").span("keepaliveUs"),
-                !setup.tree("stats").text("how").equals("off") && !setup.tree("stats").list("fields").isEmpty());
+        return new Setup(
+                settings(setup, family, zones),
+                index(names(setup.trees("classes"))),
+                index(names(setup.trees("tenants"))),
+                zones,
+                family.text("tokens").equals("brought"),
+                setup.tree("bounds").span("keepaliveUs"),
+                !setup.tree("stats").text("how").equals("off")
+                        && !setup.tree("stats").list("fields").isEmpty());
     }
 
     public int zone(String name) {
@@ -41,7 +52,8 @@
         return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, Decide.SESSIONS);
     }
 
-    // Loops, not streams: these are read at every start, which pays for each class of the JDK that it uses first.
+    // Loops, not streams: these are read at every start, which pays for each class of the JDK that
+    // it uses first.
 
     private static List<String> names(List<Tree> of) {
         List<String> names = new ArrayList<>();
@@ -67,27 +79,42 @@
         List<TxnType> rows = new ArrayList<>();
         for (int i = 0; i < classes.size(); i++) {
             Tree type = classes.get(i);
-            rows.add(new TxnType(
-                    switch (type.text("effect")) {
-                        case "retryable" -> Effect.REPEATABLE;
-                        case "dedup" -> Effect.REFERENCED;
-                        default -> Effect.ONCE_ONLY;
-                    },
-                    !type.text("dedupScope").equals("all"), type.span("dedupWindowUs"),
-                    read(family.list("classRead"), i),
-                    i < family.list("classBoundUs").size()
-                            ? micros(family.list("classBoundUs").get(i)) : Duration.ZERO,
-                    type.span("targetUs"), type.span("deadlineUs"), type.number("worth", 1), type.number("lateShare", 0)));
+            rows.add(
+                    new TxnType(
+                            switch (type.text("effect")) {
+                                case "retryable" -> Effect.REPEATABLE;
+                                case "dedup" -> Effect.REFERENCED;
+                                default -> Effect.ONCE_ONLY;
+                            },
+                            !type.text("dedupScope").equals("all"),
+                            type.span("dedupWindowUs"),
+                            read(family.list("classRead"), i),
+                            i < family.list("classBoundUs").size()
+                                    ? micros(family.list("classBoundUs").get(i))
+                                    : Duration.ZERO,
+                            type.span("targetUs"),
+                            type.span("deadlineUs"),
+                            type.number("worth", 1),
+                            type.number("lateShare", 0)));
         }
-        return new Settings(setup.span("stepUs"), zones.getOrDefault(setup.text("az"), -1),
+        return new Settings(
+                setup.span("stepUs"),
+                zones.getOrDefault(setup.text("az"), -1),
                 bounds.span("dialTimeoutUs"),
                 bounds.flag("retryAfter") ? bounds.span("maxRetryAfterUs") : Duration.ZERO,
-                (int) bounds.number("maxAttempts", 1), bounds.flag("probes"),
-                setup.text("registryMode").equals("ask"), rules.span("askWithinUs"),
-                !family.text("guards").equals("off"), rules.flag("droppedStayOpen"),
-                rules.number("coldFrom", 1), rules.span("coldUs"), rules.number("tipMultiple", 1),
-                rules.span("tipAfterUs"), charges.number("probe", 0),
-                (int) setup.number("groupSize", 1), rows,
+                (int) bounds.number("maxAttempts", 1),
+                bounds.flag("probes"),
+                setup.text("registryMode").equals("ask"),
+                rules.span("askWithinUs"),
+                !family.text("guards").equals("off"),
+                rules.flag("droppedStayOpen"),
+                rules.number("coldFrom", 1),
+                rules.span("coldUs"),
+                rules.number("tipMultiple", 1),
+                rules.span("tipAfterUs"),
+                charges.number("probe", 0),
+                (int) setup.number("groupSize", 1),
+                rows,
                 quotas(setup.trees("tenants")));
     }
 
--- a/src/main/java/dillfront/config/Tree.java
+++ b/src/main/java/dillfront/config/Tree.java
@@ -105,6 +105,7 @@
     }
 
     public static Duration micros(long us) {
-        return Duration.ofSeconds(Math.floorDiv(us, 1_000_000L), Math.floorMod(us, 1_000_000L) * 1000);
+        return Duration.ofSeconds(
+                Math.floorDiv(us, 1_000_000L), Math.floorMod(us, 1_000_000L) * 1000);
     }
 }
--- a/src/main/java/dillfront/control/Control.java
+++ b/src/main/java/dillfront/control/Control.java
@@ -17,8 +17,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A door on loopback where the operator asks this instance about itself: one line in, a text out, and the end. A few at a
- * time, a short line, and a second for it: what asks badly costs no more than that.
+ * A door on loopback where the operator asks this instance about itself: one line in, a text out,
+ * and the end. A few at a time, a short line, and a second for it: what asks badly costs no more
+ * than that.
  */
 public final class Control {
 
@@ -33,8 +34,11 @@
     private Channel door;
     private int open;
 
-    /** @param answers a text for a question, without the end of its line */
-    public Control(EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> answers) {
+    /**
+     * @param answers a text for a question, without the end of its line
+     */
+    public Control(
+            EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> answers) {
         this.loop = loop;
         this.address = address;
         this.log = log;
@@ -43,11 +47,19 @@
 
     /** On the loop. */
     public void open() {
-        Sockets.listen(loop, address, MOST, WriteBufferWaterMark.DEFAULT, Question::new).addListener(done -> {
-            if (!done.isSuccess()) {
-                log.warn("control-not-bound", "address", address, "fault", done.cause());
-            }
-        }).addListener((ChannelFutureListener) done -> door = done.channel());
+        Sockets.listen(loop, address, MOST, WriteBufferWaterMark.DEFAULT, Question::new)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                log.warn(
+                                        "control-not-bound",
+                                        "address",
+                                        address,
+                                        "fault",
+                                        done.cause());
+                            }
+                        })
+                .addListener((ChannelFutureListener) done -> door = done.channel());
     }
 
     public void close() {
@@ -84,8 +96,12 @@
                     if (c == '\n') {
                         answered = true;
                         String text = answers.apply(line.toString().strip());
-                        ctx.writeAndFlush(ByteBufUtil.encodeString(ctx.alloc(), java.nio.CharBuffer.wrap(text),
-                                StandardCharsets.UTF_8)).addListener(ChannelFutureListener.CLOSE);
+                        ctx.writeAndFlush(
+                                        ByteBufUtil.encodeString(
+                                                ctx.alloc(),
+                                                java.nio.CharBuffer.wrap(text),
+                                                StandardCharsets.UTF_8))
+                                .addListener(ChannelFutureListener.CLOSE);
                     } else if (line.length() >= LONGEST) {
                         ctx.close();
                         return;
--- a/src/main/java/dillfront/core/Askers.java
+++ b/src/main/java/dillfront/core/Askers.java
@@ -10,12 +10,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The fronts that ask this control process for news: each question waits until there is some, or a while. */
+/**
+ * The fronts that ask this control process for news: each question waits until there is some, or a
+ * while.
+ */
 final class Askers {
 
     private static final long HOLD_MS = 600;
+
     /** A front that has not asked for so long is not counted. */
     private static final long COUNTED_MS = 1_500;
+
     private static final long FORGOTTEN_MS = 60_000;
     private static final int MOST = 6_000;
 
@@ -25,18 +30,27 @@
         long question;
         long heard;
         boolean waits;
-        /** It knows nobody better: it would rather wait for contact here than ask in vain elsewhere. */
+
+        /**
+         * It knows nobody better: it would rather wait for contact here than ask in vain elsewhere.
+         */
         boolean patient;
+
         String boot = "";
         long has;
         long version = -1;
+
         /** Of its configuration; it says so where that has changed. */
         long digest;
+
         boolean wantsWhole;
+
         /** The places that it was told on this connection. */
         List<Object> places = List.of();
+
         /** That no other leads was said to hold until then. */
         long sureTill;
+
         long record = -1;
         long suspects = -1;
         final Map<String, Sight> sights = new HashMap<>();
@@ -44,8 +58,13 @@
 
     private final Core core;
     private final TreeMap<String, Asker> fronts = new TreeMap<>();
-    /** By service: what any front ever told of acknowledged commits, here or at another control process. */
+
+    /**
+     * By service: what any front ever told of acknowledged commits, here or at another control
+     * process.
+     */
     private final Map<String, Acknowledged> acknowledged = new HashMap<>();
+
     private final Versions versions = new Versions();
 
     Askers(Core core) {
@@ -87,40 +106,60 @@
             String service = row.text("s");
             long sees = row.number("h", 0);
             acknowledged(service, Acknowledged.of(row.text("a")));
-            a.sights.put(service, new Sight(row.text("p"), sees > 0 ? 1 : 0, sees < 0 ? 1 : 0,
-                    (int) Math.max(0, Math.min(1 << 20, row.number("o", 0)))));
+            a.sights.put(
+                    service,
+                    new Sight(
+                            row.text("p"),
+                            sees > 0 ? 1 : 0,
+                            sees < 0 ? 1 : 0,
+                            (int) Math.max(0, Math.min(1 << 20, row.number("o", 0)))));
             lost -= sees < 0 ? 1 : 0;
             Lead lead = core.lead(service);
             news |= sees < 0 || lead == null || lead.moving() || suspected.contains(service);
             // Whoever holds the duty waits for just this.
             Sight before = saw.get(service);
-            waited |= lead != null && lead.moving() && (had < lead.number() && a.record >= lead.number()
-                    || before != null && before.open() > 0 && a.sights.get(service).open() == 0);
+            waited |=
+                    lead != null
+                            && lead.moving()
+                            && (had < lead.number() && a.record >= lead.number()
+                                    || before != null
+                                            && before.open() > 0
+                                            && a.sights.get(service).open() == 0);
         }
         if (lost != 0 || waited) {
             core.poke();
         }
         long question = a.question;
         if (!answer(a)) {
-            core.host.after(HOLD_MS, () -> {
-                if (a.waits && a.question == question) {
-                    send(a);
-                }
-            });
+            core.host.after(
+                    HOLD_MS,
+                    () -> {
+                        if (a.waits && a.question == question) {
+                            send(a);
+                        }
+                    });
         }
         if (news) {
             core.duty.look();
         }
     }
 
-    /** Whether this front lacks anything, and has been told so. Out of contact with a majority it is told that, and no more. */
+    /**
+     * Whether this front lacks anything, and has been told so. Out of contact with a majority it is
+     * told that, and no more.
+     */
     private boolean answer(Asker a) {
         if (core.alone() && a.patient) {
             return false;
         }
-        boolean lacks = core.alone() || !a.boot.equals(core.boot()) || a.has < core.members.changes()
-                || a.version < core.register.committed().version() || a.record < core.records.newest()
-                || a.suspects != core.suspectsAt() && (a.suspects >= 0 || !core.suspects().isEmpty());
+        boolean lacks =
+                core.alone()
+                        || !a.boot.equals(core.boot())
+                        || a.has < core.members.changes()
+                        || a.version < core.register.committed().version()
+                        || a.record < core.records.newest()
+                        || a.suspects != core.suspectsAt()
+                                && (a.suspects >= 0 || !core.suspects().isEmpty());
         if (lacks) {
             send(a);
         }
@@ -217,7 +256,8 @@
     }
 
     void acknowledged(String service, Acknowledged also) {
-        if (!also.equals(Acknowledged.NONE) && (acknowledged.size() < MOST || acknowledged.containsKey(service))) {
+        if (!also.equals(Acknowledged.NONE)
+                && (acknowledged.size() < MOST || acknowledged.containsKey(service))) {
             acknowledged.merge(service, also, Acknowledged::and);
         }
     }
--- a/src/main/java/dillfront/core/Ballot.java
+++ b/src/main/java/dillfront/core/Ballot.java
@@ -26,7 +26,9 @@
     /** As it stands on the disk or in a message; NONE for an empty text. */
     public static Ballot of(String text) {
         int blank = text.indexOf(' ');
-        return blank < 0 ? NONE : new Ballot(Long.parseLong(text.substring(0, blank)), text.substring(blank + 1));
+        return blank < 0
+                ? NONE
+                : new Ballot(Long.parseLong(text.substring(0, blank)), text.substring(blank + 1));
     }
 
     @Override
--- a/src/main/java/dillfront/core/Core.java
+++ b/src/main/java/dillfront/core/Core.java
@@ -1,15 +1,15 @@
 package dillfront.core;
 
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
+import com.eclipsesource.json.ParseException;
 import dillfront.host.Acknowledged;
 import dillfront.host.Configuration;
 import dillfront.host.Host;
 import dillfront.host.HttpDoor;
 import dillfront.host.Pack;
 import dillfront.host.Settings;
-import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
-import com.eclipsesource.json.ParseException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,40 +26,57 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One control process. It and its like tell each other what they have, often and at once where something changed; there is
- * no log and no leader. One loop calls all of it.
+ * One control process. It and its like tell each other what they have, often and at once where
+ * something changed; there is no log and no leader. One loop calls all of it.
  */
 public final class Core implements Lease.Ground<Peer> {
 
     private static final long TICK_MS = 400;
     private static final long LOOK_MS = 50;
     private static final long LATE_MS = 300;
+
     /** One that was not heard for so long is out of touch. */
     static final long TOUCH_MS = 1_300;
+
     /** What a majority answered so long ago is fresh: two ticks, and the way there and back. */
     private static final long FRESH_MS = 850;
-    /** That a primary leads is sure for no longer than this after the duty's holder last said so. */
+
+    /**
+     * That a primary leads is sure for no longer than this after the duty's holder last said so.
+     */
     static final long SURE_MS = 3_000;
+
     /**
-     * Nor for longer than this past the end of its lease. At the most for which the next holder's wait covers clocks that differ by a
-     * tenth: (2250 + 600) * 1.1 < 2500 + 700 / 1.1.
+     * Nor for longer than this past the end of its lease. At the most for which the next holder's
+     * wait covers clocks that differ by a tenth: (2250 + 600) * 1.1 < 2500 + 700 / 1.1.
      */
     static final long PAST_MS = 600;
+
     private static final int DIAL_MS = 700;
     private static final long REDIAL_MS = 200;
+
     /** A dial that is out for so long went to a life that is over, where another is heard. */
     private static final long HANGS_MS = 100;
+
     /** A connection that brought no answer for so long is left. */
     private static final long DEAF_MS = 1_500;
+
     /** Who calls waits a second for an answer. */
     static final long ANSWER_MS = 900;
+
     /** Where it ends in order, others get so long to have what only it holds. */
     private static final long HAND_OVER_MS = 2_000;
+
     private static final long LAST_WORD_MS = 50;
     private static final long FORGOTTEN_MS = 60_000;
     private static final long BEAT_ANSWER_MS = 850;
-    /** One that said that it leaves has ended by then, even where it serves on for many seconds past its time. */
+
+    /**
+     * One that said that it leaves has ended by then, even where it serves on for many seconds past
+     * its time.
+     */
     private static final long ENDED_MS = 30_000;
+
     private static final long FEWER_MS = 15_000;
     static final long TOGETHER_MS = 20;
     private static final int MOST_BEATS = 60_000;
@@ -77,14 +94,22 @@
     final DataLosses losses;
     private final Store store;
     private final String boot;
+
     /** The seeds of the first start of all; empty where this process began later. */
     private String firstSeeds = "";
+
     private final TreeMap<String, Peer> peers = new TreeMap<>();
-    /** Those that beat here, the last one first; one that beat again stands there twice for a while. */
+
+    /**
+     * Those that beat here, the last one first; one that beat again stands there twice for a while.
+     */
     private final ArrayDeque<Member> beats = new ArrayDeque<>();
+
     private String id = "";
+
     /** Its id is on the disk, so it may be told. */
     private boolean named;
+
     private boolean leaving;
     private final Settling settling = new Settling();
     private TreeSet<String> changesTo = new TreeSet<>();
@@ -103,7 +128,7 @@
     private int fronts = 1;
     private long frontsAt;
 
-    private record Waits(long change, CompletableFuture<Void> done) { }
+    private record Waits(long change, CompletableFuture<Void> done) {}
 
     /** Who waits until the disks of a majority have the table as far as this. */
     private final List<Waits> waits = new ArrayList<>();
@@ -129,10 +154,12 @@
             // An empty disk, or a damaged one: whoever was here before, this is another.
             id = ip() + "/" + Long.toHexString(host.chance().nextLong());
             firstSeeds = settings.first() ? sortedSeeds() : "";
-            store(Map.of("id", id, "first-seeds", firstSeeds)).thenRun(() -> {
-                named = true;
-                poke();
-            });
+            store(Map.of("id", id, "first-seeds", firstSeeds))
+                    .thenRun(
+                            () -> {
+                                named = true;
+                                poke();
+                            });
         } else {
             named = true;
             firstSeeds = kept.getOrDefault("first-seeds", "");
@@ -168,7 +195,12 @@
             return;
         }
         if (peers.size() >= MOST_PEERS) {
-            peers.values().removeIf(p -> !member(p.id) && host.now() - Math.max(p.heard, started) > FORGOTTEN_MS);
+            peers.values()
+                    .removeIf(
+                            p ->
+                                    !member(p.id)
+                                            && host.now() - Math.max(p.heard, started)
+                                                    > FORGOTTEN_MS);
         }
         if (peers.size() < MOST_PEERS) {
             peers.put(ip, new Peer(ip));
@@ -189,12 +221,19 @@
         return peers.values();
     }
 
-    /** Where control processes are, each with its zone, and whether it is heard; those that are come first. */
+    /**
+     * Where control processes are, each with its zone, and whether it is heard; those that are come
+     * first.
+     */
     List<Object> places() {
         List<Object> places = new ArrayList<>();
         places.add(new TreeMap<>(Map.of("i", ip(), "z", settings.zone())));
-        peers.values().stream().filter(this::touch).forEach(p -> places.add(new TreeMap<>(Map.of("i", p.ip, "z", p.zone))));
-        peers.values().stream().filter(p -> !touch(p)).forEach(p -> places.add(new TreeMap<>(Map.of("i", p.ip, "z", p.zone, "s", true))));
+        peers.values().stream()
+                .filter(this::touch)
+                .forEach(p -> places.add(new TreeMap<>(Map.of("i", p.ip, "z", p.zone))));
+        peers.values().stream()
+                .filter(p -> !touch(p))
+                .forEach(p -> places.add(new TreeMap<>(Map.of("i", p.ip, "z", p.zone, "s", true))));
         return places;
     }
 
@@ -265,14 +304,26 @@
     /** Whether a majority of each set in force has this, itself where it says so. */
     boolean quorum(boolean itself, Predicate<Peer> other) {
         Value is = register.held();
-        return is != null && is.quorum(of -> of.equals(id) ? itself : peerOf(of) != null && other.test(peerOf(of)));
+        return is != null
+                && is.quorum(
+                        of ->
+                                of.equals(id)
+                                        ? itself
+                                        : peerOf(of) != null && other.test(peerOf(of)));
     }
 
     @Override
     public long reached(long itself, ToLongFunction<? super Peer> moment) {
         Value is = register.held();
-        return is == null ? Lease.NEVER : is.reached(of -> of.equals(id) ? itself
-                : peerOf(of) == null ? Lease.NEVER : moment.applyAsLong(peerOf(of)));
+        return is == null
+                ? Lease.NEVER
+                : is.reached(
+                        of ->
+                                of.equals(id)
+                                        ? itself
+                                        : peerOf(of) == null
+                                                ? Lease.NEVER
+                                                : moment.applyAsLong(peerOf(of)));
     }
 
     @Override
@@ -333,10 +384,12 @@
     }
 
     private void keep() {
-        table.keep(peers.values().stream().map(p -> p.table).toList(), () -> {
-            acknowledge();
-            poke();
-        });
+        table.keep(
+                peers.values().stream().map(p -> p.table).toList(),
+                () -> {
+                    acknowledge();
+                    poke();
+                });
     }
 
     /** For how long from now it is sure that no other leads than the records say. */
@@ -351,15 +404,20 @@
         return fronts;
     }
 
-    /** There is news for fronts: at once, or together with what else comes within a moment of the last. */
+    /**
+     * There is news for fronts: at once, or together with what else comes within a moment of the
+     * last.
+     */
     void news() {
         if (!telling) {
             telling = true;
-            host.after(Math.max(0, toldAt + TOGETHER_MS - host.now()), () -> {
-                telling = false;
-                toldAt = host.now();
-                askers.news();
-            });
+            host.after(
+                    Math.max(0, toldAt + TOGETHER_MS - host.now()),
+                    () -> {
+                        telling = false;
+                        toldAt = host.now();
+                        askers.news();
+                    });
         }
     }
 
@@ -369,11 +427,13 @@
     void poke() {
         if (!poked) {
             poked = true;
-            host.after(Math.max(0, pokedAt + TOGETHER_MS - host.now()), () -> {
-                poked = false;
-                pokedAt = host.now();
-                peers.values().forEach(this::tell);
-            });
+            host.after(
+                    Math.max(0, pokedAt + TOGETHER_MS - host.now()),
+                    () -> {
+                        poked = false;
+                        pokedAt = host.now();
+                        peers.values().forEach(this::tell);
+                    });
         }
     }
 
@@ -392,7 +452,8 @@
                 asking += p.fronts;
             }
         }
-        // Fewer are believed only after a while: those that start again come back to their connections.
+        // Fewer are believed only after a while: those that start again come back to their
+        // connections.
         int many = Math.max(1, asking);
         if (many >= fronts) {
             frontsAt = host.now();
@@ -421,7 +482,8 @@
         boolean is = alone();
         if (is != wasAlone && host.now() > started + TOUCH_MS) {
             wasAlone = is;
-            host.wrong(is ? "no majority of control processes is heard" : "a majority is heard again");
+            host.wrong(
+                    is ? "no majority of control processes is heard" : "a majority is heard again");
         }
         lease.look();
         duty.look();
@@ -441,12 +503,16 @@
     }
 
     /**
-     * The first set of members, by one process alone: the lowest of the seeds, once each of them has said that it is at its
-     * first start and belongs to nothing.
+     * The first set of members, by one process alone: the lowest of the seeds, once each of them
+     * has said that it is at its first start and belongs to nothing.
      */
     private void found() {
         List<String> ips = new ArrayList<>(new TreeSet<>(settings.seedIps()));
-        if (!firstStart() || !named || !register.blank() || ips.isEmpty() || !ips.get(0).equals(ip())) {
+        if (!firstStart()
+                || !named
+                || !register.blank()
+                || ips.isEmpty()
+                || !ips.get(0).equals(ip())) {
             return;
         }
         TreeSet<String> ids = new TreeSet<>();
@@ -476,16 +542,23 @@
             for (Peer p : peers.values()) {
                 if (!p.id.isEmpty()) {
                     long silent = host.now() - Math.max(Math.max(p.heard, started), awayAt);
-                    boolean near = p.echo > host.now() - TOUCH_MS && p.epoch == is.epoch() && p.record >= records.newest()
-                            && register.acceptedBy(p.id).equals(register.decidedBallot());
+                    boolean near =
+                            p.echo > host.now() - TOUCH_MS
+                                    && p.epoch == is.epoch()
+                                    && p.record >= records.newest()
+                                    && register.acceptedBy(p.id).equals(register.decidedBallot());
                     seen.add(new Membership.Process(p.id, p.zone, silent, near, p.leaving));
                 }
             }
             for (String member : is.members()) {
                 if (peerOf(member) == null && !member.equals(id)) {
                     long silent = host.now() - Math.max(started, awayAt);
-                    boolean another = peers.containsKey(Value.ip(member)) && !peers.get(Value.ip(member)).id.isEmpty();
-                    seen.add(new Membership.Process(member, "", another ? Long.MAX_VALUE : silent, false, false));
+                    boolean another =
+                            peers.containsKey(Value.ip(member))
+                                    && !peers.get(Value.ip(member)).id.isEmpty();
+                    seen.add(
+                            new Membership.Process(
+                                    member, "", another ? Long.MAX_VALUE : silent, false, false));
                 }
             }
             TreeSet<String> next = Membership.next(is.members(), seen, settings.losses());
@@ -500,16 +573,26 @@
             }
             return;
         }
-        // All that the old set had when it agreed to the joint one is known here; then the new one has it on its disks.
+        // All that the old set had when it agreed to the joint one is known here; then the new one
+        // has it on its disks.
         Ballot joint = register.decidedBallot();
-        if (settling.may(is, joint, of -> register.acceptedBy(of).equals(joint), table.changes(), records.newest(), this::onDisk)) {
+        if (settling.may(
+                is,
+                joint,
+                of -> register.acceptedBy(of).equals(joint),
+                table.changes(),
+                records.newest(),
+                this::onDisk)) {
             register.settle(is.epoch());
         }
     }
 
     private boolean onDisk(String of, long change, long record) {
-        return of.equals(id) ? table.durable() >= change && records.durable() >= record
-                : peerOf(of) != null && table.kept(peerOf(of).table) >= change && peerOf(of).record >= record;
+        return of.equals(id)
+                ? table.durable() >= change && records.durable() >= record
+                : peerOf(of) != null
+                        && table.kept(peerOf(of).table) >= change
+                        && peerOf(of).record >= record;
     }
 
     private void leave(Peer p) {
@@ -524,36 +607,41 @@
         p.dialedAt = host.now();
         p.up = false;
         long mine = ++p.dials;
-        p.link = host.dial(settings.innerOf(p.ip), Host.Form.FRAMES, DIAL_MS, new Host.Ear() {
-            @Override
-            public void opened(Host.Link link) {
-                if (mine != p.dials) {
-                    return;
-                }
-                p.link = link;
-                p.up = true;
-                p.dialing = false;
-                p.upAt = host.now();
-                p.toldAt = host.now() - 2 * settings.beat();
-                p.placesTold = "";
-                register.again(p.id);
-                tell(p);
-            }
-
-            @Override
-            public void message(byte[] message) {
-                // Words come on the other's own connection.
-            }
-
-            @Override
-            public void closed(String why) {
-                if (mine == p.dials) {
-                    p.up = false;
-                    p.dialing = false;
-                    p.dialAt = host.now() + REDIAL_MS;
-                }
-            }
-        });
+        p.link =
+                host.dial(
+                        settings.innerOf(p.ip),
+                        Host.Form.FRAMES,
+                        DIAL_MS,
+                        new Host.Ear() {
+                            @Override
+                            public void opened(Host.Link link) {
+                                if (mine != p.dials) {
+                                    return;
+                                }
+                                p.link = link;
+                                p.up = true;
+                                p.dialing = false;
+                                p.upAt = host.now();
+                                p.toldAt = host.now() - 2 * settings.beat();
+                                p.placesTold = "";
+                                register.again(p.id);
+                                tell(p);
+                            }
+
+                            @Override
+                            public void message(byte[] message) {
+                                // Words come on the other's own connection.
+                            }
+
+                            @Override
+                            public void closed(String why) {
+                                if (mine == p.dials) {
+                                    p.up = false;
+                                    p.dialing = false;
+                                    p.dialAt = host.now() + REDIAL_MS;
+                                }
+                            }
+                        });
     }
 
     private void tell(Peer p) {
@@ -589,11 +677,13 @@
             out.put("rh", lease.gaveUpHeld());
         }
         List<String> places = new ArrayList<>();
-        peers.values().forEach(o -> {
-            if (touch(o)) {
-                places.add(o.ip);
-            }
-        });
+        peers.values()
+                .forEach(
+                        o -> {
+                            if (touch(o)) {
+                                places.add(o.ip);
+                            }
+                        });
         if (!places.toString().equals(p.placesTold)) {
             p.placesTold = places.toString();
             out.put("pl", places);
@@ -629,8 +719,14 @@
             }
             Sight seen = askers.sight(lead.service(), lead.primary());
             if (seen.lost() > 0 || lead.moving()) {
-                sights.add(List.of(lead.service(), lead.primary(), seen.well(), seen.lost(), seen.open(),
-                        askers.acknowledged(lead.service()).toString()));
+                sights.add(
+                        List.of(
+                                lead.service(),
+                                lead.primary(),
+                                seen.well(),
+                                seen.lost(),
+                                seen.open(),
+                                askers.acknowledged(lead.service()).toString()));
             }
         }
         if (!cleared.isEmpty()) {
@@ -670,7 +766,8 @@
         if (!in.text("b").equals(p.boot) || !in.text("id").equals(p.id)) {
             p.boot = in.text("b");
             p.earlier = p.heard;
-            // An answer at once, on a connection to this life: it counts nobody whom it has not heard answer, and what went out
+            // An answer at once, on a connection to this life: it counts nobody whom it has not
+            // heard answer, and what went out
             // to its life before may hang for long.
             if (p.up && p.earlier > started || p.dialing && host.now() - p.dialedAt > HANGS_MS) {
                 p.link.close();
@@ -716,7 +813,8 @@
             try {
                 register.hear(p.id, new Pack.Fields(fields));
             } catch (Configuration.Invalid never) {
-                host.wrong("a configuration of " + ip + " is not understood: " + never.getMessage());
+                host.wrong(
+                        "a configuration of " + ip + " is not understood: " + never.getMessage());
             }
         }
         p.promised = in.number("p", 0);
@@ -739,9 +837,16 @@
         if (seen instanceof List<?> list) {
             for (Object one : list) {
                 if (one instanceof List<?> row && row.size() == 6) {
-                    p.sights.put(String.valueOf(row.get(0)), new Sight(String.valueOf(row.get(1)),
-                            ((Number) row.get(2)).intValue(), ((Number) row.get(3)).intValue(), ((Number) row.get(4)).intValue()));
-                    askers.acknowledged(String.valueOf(row.get(0)), Acknowledged.of(String.valueOf(row.get(5))));
+                    p.sights.put(
+                            String.valueOf(row.get(0)),
+                            new Sight(
+                                    String.valueOf(row.get(1)),
+                                    ((Number) row.get(2)).intValue(),
+                                    ((Number) row.get(3)).intValue(),
+                                    ((Number) row.get(4)).intValue()));
+                    askers.acknowledged(
+                            String.valueOf(row.get(0)),
+                            Acknowledged.of(String.valueOf(row.get(5))));
                 }
             }
         }
@@ -753,7 +858,8 @@
         lease.wants(p, p.wanted, p.itsNow);
         lease.released(p, in.number("rl", 0), in.bit("rh"));
         if (in.bit("h") && ours && p.promised >= lease.promised()) {
-            // Dated from before the holder looked at its clock: it ends no later than by that one's.
+            // Dated from before the holder looked at its clock: it ends no later than by that
+            // one's.
             long left = Math.min(SURE_MS, in.number("hl", -PAST_MS) + PAST_MS);
             sureUntil = Math.max(sureUntil, in.number("e", Long.MIN_VALUE / 2) + left);
         }
@@ -769,8 +875,8 @@
     }
 
     /**
-     * Ends in order: what only this process holds is on the disks of others first, a set that has enough without it goes on without
-     * it, and the lease goes back before its time.
+     * Ends in order: what only this process holds is on the disks of others first, a set that has
+     * enough without it goes on without it, and the lease goes back before its time.
      */
     public void leave(Runnable end) {
         if (leaving) {
@@ -784,8 +890,17 @@
 
     private void leave(Runnable end, long until) {
         Value is = register.held();
-        boolean others = is == null || !votes() || is.quorum(of -> of.equals(id)
-                || onDisk(of, members.changes(), records.durable()) && register.acceptedBy(of).compareTo(register.accepted()) >= 0);
+        boolean others =
+                is == null
+                        || !votes()
+                        || is.quorum(
+                                of ->
+                                        of.equals(id)
+                                                || onDisk(of, members.changes(), records.durable())
+                                                        && register.acceptedBy(of)
+                                                                        .compareTo(
+                                                                                register.accepted())
+                                                                >= 0);
         boolean stays = is != null && votes() && is.members().size() > 2 * settings.losses() + 1;
         if (host.now() < until && (!others || stays)) {
             change();
@@ -818,7 +933,10 @@
         over.forEach(w -> w.done().complete(null));
     }
 
-    /** Completes once a majority has answered what was sent since then; fails at once where it is out of contact. */
+    /**
+     * Completes once a majority has answered what was sent since then; fails at once where it is
+     * out of contact.
+     */
     private CompletableFuture<Void> contact(long since) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         contact(since, done);
@@ -835,7 +953,10 @@
         }
     }
 
-    /** Completes with what was decided at some moment from now on, as a majority that answers from now on says. */
+    /**
+     * Completes with what was decided at some moment from now on, as a majority that answers from
+     * now on says.
+     */
     private CompletableFuture<Configuration> read() {
         CompletableFuture<Configuration> done = new CompletableFuture<>();
         peers.values().forEach(this::tell);
@@ -851,7 +972,10 @@
             done.completeExceptionally(new IllegalStateException(NOBODY));
             return;
         }
-        Configuration is = reading.look(register, of -> of.equals(id) || peerOf(of) != null && peerOf(of).echo >= from);
+        Configuration is =
+                reading.look(
+                        register,
+                        of -> of.equals(id) || peerOf(of) != null && peerOf(of).echo >= from);
         if (is != null) {
             done.complete(is);
         } else {
@@ -880,7 +1004,10 @@
                     } else if (in.text("t").equals("news")) {
                         askers.asked(link, in);
                     }
-                } catch (Pack.Bad | ClassCastException | NumberFormatException | NullPointerException bad) {
+                } catch (Pack.Bad
+                        | ClassCastException
+                        | NumberFormatException
+                        | NullPointerException bad) {
                     host.wrong("a message that is none: " + bad.getMessage());
                     link.close();
                 }
@@ -912,8 +1039,14 @@
             return !post ? said(405, "POST only") : losses.accept(body, !alone() && !leaving);
         }
         if (path.equals("/status")) {
-            return CompletableFuture.completedFuture(new Host.Answer(200, Json.object().add("status", status())
-                    .add("lacking", losses.shown()).toString().getBytes(StandardCharsets.UTF_8)));
+            return CompletableFuture.completedFuture(
+                    new Host.Answer(
+                            200,
+                            Json.object()
+                                    .add("status", status())
+                                    .add("lacking", losses.shown())
+                                    .toString()
+                                    .getBytes(StandardCharsets.UTF_8)));
         }
         return said(404, "no such call");
     }
@@ -923,9 +1056,12 @@
     }
 
     static final String NOBODY = "no majority of control processes is heard; ask another";
-    private static final Host.Answer FINE = new Host.Answer(200, "{}".getBytes(StandardCharsets.UTF_8));
+    private static final Host.Answer FINE =
+            new Host.Answer(200, "{}".getBytes(StandardCharsets.UTF_8));
 
-    /** It can decide nothing: no majority answers it, it is about to end, or its disk stands still. */
+    /**
+     * It can decide nothing: no majority answers it, it is about to end, or its disk stands still.
+     */
     private boolean unfit() {
         return alone() || leaving || store.stalledFor() > ANSWER_MS;
     }
@@ -936,43 +1072,60 @@
     }
 
     /**
-     * The caller is sent on to one of those that were heard last; to a member, or where members are not known to a seed, where this process
-     * was started out of contact. He may know nobody else, or call here again and again. One that is down itself costs him a second, as one
-     * that he picks may; two that are cut off send him back and forth twice, and no further. Servers are not sent on: they go on by
-     * themselves at once, and a second is most of what a beat has.
+     * The caller is sent on to one of those that were heard last; to a member, or where members are
+     * not known to a seed, where this process was started out of contact. He may know nobody else,
+     * or call here again and again. One that is down itself costs him a second, as one that he
+     * picks may; two that are cut off send him back and forth twice, and no further. Servers are
+     * not sent on: they go on by themselves at once, and a second is most of what a beat has.
      */
     private Host.Answer elsewhere(String path) {
         List<Peer> able = new ArrayList<>();
         long last = peers.values().stream().mapToLong(p -> p.heard).max().orElse(Long.MIN_VALUE);
         Value is = register.held();
         for (Peer p : peers.values()) {
-            boolean member = is == null || is.members().stream().anyMatch(of -> Value.ip(of).equals(p.ip));
-            if (last >= started ? !p.leaving && p.heard > last - TOUCH_MS : member && host.now() > started + TOUCH_MS) {
+            boolean member =
+                    is == null || is.members().stream().anyMatch(of -> Value.ip(of).equals(p.ip));
+            if (last >= started
+                    ? !p.leaving && p.heard > last - TOUCH_MS
+                    : member && host.now() > started + TOUCH_MS) {
                 able.add(p);
             }
         }
         if (able.isEmpty()) {
             return HttpDoor.said(503, NOBODY);
         }
-        String to = able.get(host.chance().nextInt(able.size())).ip + settings.control().substring(settings.control().lastIndexOf(':'));
+        String to =
+                able.get(host.chance().nextInt(able.size())).ip
+                        + settings.control().substring(settings.control().lastIndexOf(':'));
         return new Host.Answer(307, HttpDoor.said(307, NOBODY).body(), "http://" + to + path);
     }
 
     /** An answer once this is done, or 503 where it is not done in time. */
-    CompletableFuture<Host.Answer> once(CompletableFuture<?> done, long ms, Supplier<Host.Answer> answer) {
+    CompletableFuture<Host.Answer> once(
+            CompletableFuture<?> done, long ms, Supplier<Host.Answer> answer) {
         return once(done, ms, answer, fault -> HttpDoor.said(503, fault));
     }
 
     /** An answer once this is done, or another where it fails or is not done in time. */
-    private CompletableFuture<Host.Answer> once(CompletableFuture<?> done, long ms, Supplier<Host.Answer> answer,
+    private CompletableFuture<Host.Answer> once(
+            CompletableFuture<?> done,
+            long ms,
+            Supplier<Host.Answer> answer,
             Function<String, Host.Answer> otherwise) {
         CompletableFuture<Host.Answer> out = new CompletableFuture<>();
-        done.whenComplete((is, fault) -> out.complete(fault == null ? answer.get() : otherwise.apply(fault.getMessage())));
-        host.after(ms, () -> {
-            if (out.complete(otherwise.apply("no majority in time"))) {
-                done.cancel(false);
-            }
-        });
+        done.whenComplete(
+                (is, fault) ->
+                        out.complete(
+                                fault == null
+                                        ? answer.get()
+                                        : otherwise.apply(fault.getMessage())));
+        host.after(
+                ms,
+                () -> {
+                    if (out.complete(otherwise.apply("no majority in time"))) {
+                        done.cancel(false);
+                    }
+                });
         return out;
     }
 
@@ -1009,7 +1162,9 @@
             m.heardHere = host.now();
             beats.addFirst(m);
         }
-        while (!beats.isEmpty() && (host.now() - beats.getLast().heardHere > 3 * settings.beat() || beats.size() > MOST_BEATS)) {
+        while (!beats.isEmpty()
+                && (host.now() - beats.getLast().heardHere > 3 * settings.beat()
+                        || beats.size() > MOST_BEATS)) {
             beats.removeLast();
         }
         if (changed) {
@@ -1018,7 +1173,9 @@
             duty.look();
         }
         // That it drains binds everybody, so a majority must know before it is told so.
-        return m.draining() ? once(majorityHas(m.changed), BEAT_ANSWER_MS, () -> FINE) : CompletableFuture.completedFuture(FINE);
+        return m.draining()
+                ? once(majorityHas(m.changed), BEAT_ANSWER_MS, () -> FINE)
+                : CompletableFuture.completedFuture(FINE);
     }
 
     static String text(JsonObject in, String name) {
@@ -1057,13 +1214,26 @@
         if (unfit()) {
             return CompletableFuture.completedFuture(elsewhere(path));
         }
-        // Also what was decided before, or is only heard to be, is said on the ground of a majority's answer just now.
+        // Also what was decided before, or is only heard to be, is said on the ground of a
+        // majority's answer just now.
         CompletableFuture<Value.Outcome> order = register.order(next);
-        CompletableFuture<Value.Outcome> done = order.thenCompose(outcome -> contact(host.now() - FRESH_MS).thenApply(is -> outcome));
+        CompletableFuture<Value.Outcome> done =
+                order.thenCompose(
+                        outcome -> contact(host.now() - FRESH_MS).thenApply(is -> outcome));
         // One that is given up here is proposed no more, unless it is under way.
         done.whenComplete((is, fault) -> order.cancel(false));
-        return once(done, ANSWER_MS, () -> done.join() == Value.Outcome.CONFLICT
-                ? HttpDoor.said(409, "revision_number " + next.version() + " has another content") : FINE, fault -> failed(path, fault));
+        return once(
+                done,
+                ANSWER_MS,
+                () ->
+                        done.join() == Value.Outcome.CONFLICT
+                                ? HttpDoor.said(
+                                        409,
+                                        "revision_number "
+                                                + next.version()
+                                                + " has another content")
+                                : FINE,
+                fault -> failed(path, fault));
     }
 
     private CompletableFuture<Host.Answer> answerRead(String path) {
@@ -1071,21 +1241,55 @@
             return CompletableFuture.completedFuture(elsewhere(path));
         }
         CompletableFuture<Configuration> done = read();
-        return once(done, ANSWER_MS, () -> done.join() == Configuration.NONE ? HttpDoor.said(503, "no configuration yet")
-                : new Host.Answer(200, done.join().body()), fault -> failed(path, fault));
+        return once(
+                done,
+                ANSWER_MS,
+                () ->
+                        done.join() == Configuration.NONE
+                                ? HttpDoor.said(503, "no configuration yet")
+                                : new Host.Answer(200, done.join().body()),
+                fault -> failed(path, fault));
     }
 
     /** One line for operators and logs. */
     public String status() {
-        StringBuilder line = new StringBuilder("version=").append(register.committed().version()).append(" held=")
-                .append(register.held() == null ? -1 : register.held().configuration().version()).append(" epoch=").append(epoch())
-                .append(" members=").append(register.held() == null ? "none" : register.held().members())
-                .append(register.held() != null && register.held().joint() ? " outgoing=" + register.held().outgoing() : "")
-                .append(votes() ? "" : " learner").append(alone() ? " alone" : "").append(leaving ? " leaving" : "")
-                .append(" lease=").append(lease.number()).append(lease.holds() ? " held" : "").append(" promised=")
-                .append(lease.promised()).append(" to=").append(lease.promisedTo()).append(" fronts=").append(fronts);
-        records.all().forEach(l -> line.append(" | ").append(l.service()).append(" primary=").append(l.primary()).append(l.moving() ? " moving" : "")
-                .append(losses.status(l.service())));
+        StringBuilder line =
+                new StringBuilder("version=")
+                        .append(register.committed().version())
+                        .append(" held=")
+                        .append(
+                                register.held() == null
+                                        ? -1
+                                        : register.held().configuration().version())
+                        .append(" epoch=")
+                        .append(epoch())
+                        .append(" members=")
+                        .append(register.held() == null ? "none" : register.held().members())
+                        .append(
+                                register.held() != null && register.held().joint()
+                                        ? " outgoing=" + register.held().outgoing()
+                                        : "")
+                        .append(votes() ? "" : " learner")
+                        .append(alone() ? " alone" : "")
+                        .append(leaving ? " leaving" : "")
+                        .append(" lease=")
+                        .append(lease.number())
+                        .append(lease.holds() ? " held" : "")
+                        .append(" promised=")
+                        .append(lease.promised())
+                        .append(" to=")
+                        .append(lease.promisedTo())
+                        .append(" fronts=")
+                        .append(fronts);
+        records.all()
+                .forEach(
+                        l ->
+                                line.append(" | ")
+                                        .append(l.service())
+                                        .append(" primary=")
+                                        .append(l.primary())
+                                        .append(l.moving() ? " moving" : "")
+                                        .append(losses.status(l.service())));
         return line.toString();
     }
 }
--- a/src/main/java/dillfront/core/DataLosses.java
+++ b/src/main/java/dillfront/core/DataLosses.java
@@ -17,9 +17,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Services of which no log is left with all that was acknowledged, as the holder of the duty says, and a person's word that
- * these commits are given up. The word may come to any process: it goes along with what that one tells the others until the
- * record says so, under this holder or the next.
+ * Services of which no log is left with all that was acknowledged, as the holder of the duty says,
+ * and a person's word that these commits are given up. The word may come to any process: it goes
+ * along with what that one tells the others until the record says so, under this holder or the
+ * next.
  */
 final class DataLosses {
 
@@ -36,11 +37,21 @@
      * @param primary who led, and would have it
      * @param since when that was found out, by this process's clock
      */
-    record Lack(String service, long move, Position log, Acknowledged lacked, List<String> servers, String primary, long since) {
+    record Lack(
+            String service,
+            long move,
+            Position log,
+            Acknowledged lacked,
+            List<String> servers,
+            String primary,
+            long since) {
 
         /** It names the same commits of the same loss. */
         boolean same(Lack other) {
-            return service.equals(other.service) && move == other.move && log.equals(other.log) && lacked.equals(other.lacked)
+            return service.equals(other.service)
+                    && move == other.move
+                    && log.equals(other.log)
+                    && lacked.equals(other.lacked)
                     && servers.equals(other.servers);
         }
 
@@ -59,19 +70,29 @@
         /** null where it is none */
         static Lack of(Pack.Fields row, long now) {
             Position log = Position.of(row.text("l"));
-            return log == null ? null : new Lack(row.text("s"), row.number("mv", 0), log, Acknowledged.of(row.text("a")), row.texts("o"),
-                    row.text("p"), now - row.number("t", 0));
+            return log == null
+                    ? null
+                    : new Lack(
+                            row.text("s"),
+                            row.number("mv", 0),
+                            log,
+                            Acknowledged.of(row.text("a")),
+                            row.texts("o"),
+                            row.text("p"),
+                            now - row.number("t", 0));
         }
     }
 
     /** What somebody gives up, and until when his call is answered. */
-    private record Word(Lack shown, long until) { }
+    private record Word(Lack shown, long until) {}
 
     private final Core core;
     private List<Lack> told = List.of();
     private long toldAt = Long.MIN_VALUE / 2;
+
     /** The lease of the one that told. */
     private long toldBy;
+
     private final List<Word> words = new ArrayList<>();
 
     DataLosses(Core core) {
@@ -80,12 +101,16 @@
 
     /** As the holder says; null where none is known. */
     private List<Lack> known() {
-        return core.duty.settled() ? core.duty.lacking() : core.host.now() - toldAt < Core.TOUCH_MS ? told : null;
+        return core.duty.settled()
+                ? core.duty.lacking()
+                : core.host.now() - toldAt < Core.TOUCH_MS ? told : null;
     }
 
     private Lack known(String service) {
         List<Lack> all = known();
-        return all == null ? null : all.stream().filter(l -> l.service().equals(service)).findFirst().orElse(null);
+        return all == null
+                ? null
+                : all.stream().filter(l -> l.service().equals(service)).findFirst().orElse(null);
     }
 
     // ---- between control processes
@@ -107,7 +132,9 @@
         }
     }
 
-    /** @param fresh it answers what this process said in this life */
+    /**
+     * @param fresh it answers what this process said in this life
+     */
     void heard(Pack.Fields in, boolean fresh) {
         long now = core.host.now();
         // Of two that say so the one with the later lease holds the duty.
@@ -134,7 +161,10 @@
 
     // ---- a person's call
 
-    /** POST /Services.AcceptDataLoss: the body is what `status` shows under `lacking`, for one service. */
+    /**
+     * POST /Services.AcceptDataLoss: the body is what `status` shows under `lacking`, for one
+     * service.
+     */
     CompletableFuture<Host.Answer> accept(byte[] body, boolean contact) {
         Lack shown;
         try {
@@ -143,14 +173,23 @@
             Position least = Position.of(Core.text(in, "least_acknowledged"));
             Position most = Position.of(Core.text(in, "most_acknowledged"));
             if (log == null || least == null || most == null) {
-                return Core.said(400, "log_position, least_acknowledged, most_acknowledged: expected TERM.NUMBER");
+                return Core.said(
+                        400,
+                        "log_position, least_acknowledged, most_acknowledged: expected TERM.NUMBER");
             }
             List<String> servers = new ArrayList<>();
             if (in.get("out_of_reach") != null) {
                 in.get("out_of_reach").asArray().forEach(id -> servers.add(id.asString()));
             }
-            shown = new Lack(Core.text(in, "service"), Long.parseLong(Core.text(in, "move")), log, new Acknowledged(least, most),
-                    servers, "", 0);
+            shown =
+                    new Lack(
+                            Core.text(in, "service"),
+                            Long.parseLong(Core.text(in, "move")),
+                            log,
+                            new Acknowledged(least, most),
+                            servers,
+                            "",
+                            0);
         } catch (ParseException | UnsupportedOperationException | NumberFormatException bad) {
             return Core.said(400, String.valueOf(bad.getMessage()));
         }
@@ -163,7 +202,8 @@
             if (known() == null) {
                 return Core.said(503, "nobody holds the duty; ask again");
             } else if (known == null && lead != null && lead.moving()) {
-                return Core.said(503, "it moves, and nobody has found yet what is lacking; ask again");
+                return Core.said(
+                        503, "it moves, and nobody has found yet what is lacking; ask again");
             } else if (known == null || !known.same(shown)) {
                 return conflict(known);
             } else if (words.size() >= MOST) {
@@ -179,10 +219,14 @@
     }
 
     private static boolean given(Lead lead, Lack shown) {
-        return lead != null && lead.loss() != null && lead.loss().same(shown.move(), shown.log(), shown.lacked(), shown.servers());
+        return lead != null
+                && lead.loss() != null
+                && lead.loss().same(shown.move(), shown.log(), shown.lacked(), shown.servers());
     }
 
-    /** Until a majority that answers from now on has it on its disks, or something else is lacking. */
+    /**
+     * Until a majority that answers from now on has it on its disks, or something else is lacking.
+     */
     private void wait(Lack shown, long from, CompletableFuture<Host.Answer> done) {
         if (done.isDone()) {
             return;
@@ -191,9 +235,18 @@
         Lack known = known(shown.service());
         if (given(lead, shown)) {
             DataLoss loss = lead.loss();
-            if (core.quorum(core.records.durable() >= lead.number(), p -> p.echo >= from && p.record >= lead.number())) {
-                done.complete(new Host.Answer(200, Json.object().add("service", shown.service()).add("log_position", loss.log().toString())
-                        .add("given_up", loss.until().toString()).toString().getBytes(StandardCharsets.UTF_8)));
+            if (core.quorum(
+                    core.records.durable() >= lead.number(),
+                    p -> p.echo >= from && p.record >= lead.number())) {
+                done.complete(
+                        new Host.Answer(
+                                200,
+                                Json.object()
+                                        .add("service", shown.service())
+                                        .add("log_position", loss.log().toString())
+                                        .add("given_up", loss.until().toString())
+                                        .toString()
+                                        .getBytes(StandardCharsets.UTF_8)));
                 return;
             }
         } else if (known != null && !known.same(shown) || lead == null || !lead.moving()) {
@@ -204,17 +257,30 @@
     }
 
     private CompletableFuture<Host.Answer> conflict(Lack known) {
-        JsonObject out = Json.object().add("error_message", known == null ? "nothing is known to be lacking" : "something else is lacking")
-                .add("lacking", known == null ? Json.NULL : json(known));
-        return CompletableFuture.completedFuture(new Host.Answer(409, out.toString().getBytes(StandardCharsets.UTF_8)));
+        JsonObject out =
+                Json.object()
+                        .add(
+                                "error_message",
+                                known == null
+                                        ? "nothing is known to be lacking"
+                                        : "something else is lacking")
+                        .add("lacking", known == null ? Json.NULL : json(known));
+        return CompletableFuture.completedFuture(
+                new Host.Answer(409, out.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
     private JsonObject json(Lack l) {
         JsonArray servers = Json.array().asArray();
         l.servers().forEach(servers::add);
-        return Json.object().add("service", l.service()).add("move", Long.toString(l.move())).add("primary", l.primary())
-                .add("log_position", l.log().toString()).add("least_acknowledged", l.lacked().least().toString())
-                .add("most_acknowledged", l.lacked().most().toString()).add("out_of_reach", servers).add("for_ms", core.host.now() - l.since());
+        return Json.object()
+                .add("service", l.service())
+                .add("move", Long.toString(l.move()))
+                .add("primary", l.primary())
+                .add("log_position", l.log().toString())
+                .add("least_acknowledged", l.lacked().least().toString())
+                .add("most_acknowledged", l.lacked().most().toString())
+                .add("out_of_reach", servers)
+                .add("for_ms", core.host.now() - l.since());
     }
 
     /** For `status`: what each service waits for. */
@@ -230,7 +296,18 @@
     /** The same in its line. */
     String status(String service) {
         Lack l = known(service);
-        return l == null ? "" : " lacking=" + l.lacked().least() + ".." + l.lacked().most() + " longest_log=" + l.log() + (l.servers().isEmpty() ? "" : " out_of_reach=" + String.join(",", l.servers())) + " for_s="
-                + (core.host.now() - l.since()) / 1_000;
+        return l == null
+                ? ""
+                : " lacking="
+                        + l.lacked().least()
+                        + ".."
+                        + l.lacked().most()
+                        + " longest_log="
+                        + l.log()
+                        + (l.servers().isEmpty()
+                                ? ""
+                                : " out_of_reach=" + String.join(",", l.servers()))
+                        + " for_s="
+                        + (core.host.now() - l.since()) / 1_000;
     }
 }
--- a/src/main/java/dillfront/core/Defence.java
+++ b/src/main/java/dillfront/core/Defence.java
@@ -1,6 +1,9 @@
 package dillfront.core;
 
-/** What keeps the control side sound, each by name, so that a small world can be run without one and shown to break. */
+/**
+ * What keeps the control side sound, each by name, so that a small world can be run without one and
+ * shown to break.
+ */
 public enum Defence {
     /** A promise is on the disk before it is told. */
     PROMISE_ON_DISK,
@@ -22,7 +25,10 @@
     SETS_BY_HOLDER,
     /** While sets change, a majority of each is needed. */
     JOINT_MAJORITIES,
-    /** What is over counts for nothing: the set that goes still accepts the value that drops it, and asks of an older epoch are refused. */
+    /**
+     * What is over counts for nothing: the set that goes still accepts the value that drops it, and
+     * asks of an older epoch are refused.
+     */
     OLDER_EPOCHS,
     /** One number has one content for ever. */
     ONE_CONTENT,
@@ -44,25 +50,38 @@
     LEASE_FROM_ASKED,
     /** A voter's promise stands for its time, whoever else asks. */
     LEASE_PROMISE_STANDS,
-    /** While a voter's promise to another is on its way to the disk, it grants nothing more to the one before. */
+    /**
+     * While a voter's promise to another is on its way to the disk, it grants nothing more to the
+     * one before.
+     */
     LEASE_TURNS,
     /** Only a number that was never held binds nobody once it is given up. */
     LEASE_NEVER_HELD,
-    /** A voter whose promise binds nobody any more still promises no number up to those that may have been held before. */
+    /**
+     * A voter whose promise binds nobody any more still promises no number up to those that may
+     * have been held before.
+     */
     LEASE_NUMBERS_RISE,
     /** What was asked for and given up is never asked for again, in no later life either. */
     LEASE_ASKED_ONCE,
-    /** A voter tells until when those before may have said that their lease runs, be it given back or ended sooner. */
+    /**
+     * A voter tells until when those before may have said that their lease runs, be it given back
+     * or ended sooner.
+     */
     LEASE_FORMER,
     /** What is said to be kept of the table of servers is on the disk. */
     ROWS_ON_DISK,
     /** How far another has this table counts only where it is said of this life. */
     ROWS_OF_THIS_LIFE,
-    /** A table is known as far as a word says only where its rows begin at what was known before. */
+    /**
+     * A table is known as far as a word says only where its rows begin at what was known before.
+     */
     ROWS_WITHOUT_GAP,
     /** A server goes from ready to draining to left, and never back. */
     ROWS_FORWARD,
-    /** A row is acknowledged by what was said to be kept under no newer set than the one gone by. */
+    /**
+     * A row is acknowledged by what was said to be kept under no newer set than the one gone by.
+     */
     ROWS_UNDER_EPOCH,
     /** That a server leaves is kept like all else of it, also where it is not known. */
     ROWS_OF_LEAVES,
@@ -74,7 +93,10 @@
     RECORDS_WITHOUT_GAP,
     /** An older record never takes the place of a newer. */
     RECORDS_FORWARD,
-    /** A holder acts once a majority has answered since its lease began, and has nothing that it lacks. */
+    /**
+     * A holder acts once a majority has answered since its lease began, and has nothing that it
+     * lacks.
+     */
     RECORDS_OF_MAJORITY,
     /** A number within a lease is given once. */
     NUMBERS_ONCE
--- a/src/main/java/dillfront/core/Durable.java
+++ b/src/main/java/dillfront/core/Durable.java
@@ -9,32 +9,44 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk that may refuse a write, or take long over it. What it refused is tried again until it is there, together with what came
- * since, the newest text of each name; so what is on the disk never stays behind what was given to it. Puts that come while one
- * is under way go together in the next, whole. One loop calls all of it.
+ * A disk that may refuse a write, or take long over it. What it refused is tried again until it is
+ * there, together with what came since, the newest text of each name; so what is on the disk never
+ * stays behind what was given to it. Puts that come while one is under way go together in the next,
+ * whole. One loop calls all of it.
  */
 public final class Durable implements Store {
 
     private static final long PAUSE_MS = 100;
     private static final long LONGEST_PAUSE_MS = 2_000;
-    /** So many may wait for the disk; the texts of one that is refused beyond that are kept all the same. */
+
+    /**
+     * So many may wait for the disk; the texts of one that is refused beyond that are kept all the
+     * same.
+     */
     private static final int MOST_WAITING = 10_000;
 
-    private record Waiting(long since, CompletableFuture<Void> done) { }
+    private record Waiting(long since, CompletableFuture<Void> done) {}
 
     private final Host host;
     private final Store disk;
+
     /** What the disk was not given yet, or refused. */
     private TreeMap<String, String> texts = new TreeMap<>();
+
     /** What is on the disk for sure: it is not written once more. */
     private final Map<String, String> kept;
+
     private List<Waiting> waiting = new ArrayList<>();
+
     /** Who waits for what is under way. */
     private List<Waiting> under = new ArrayList<>();
+
     private boolean writing;
     private int failures;
+
     /** Where the last try failed: when it did. */
     private long failedAt;
+
     private Host.Timer again;
 
     public Durable(Host host, Store disk) {
@@ -48,14 +60,22 @@
         return disk.all();
     }
 
-    /** Completes once all of it, or what took its place, is on the disk, however often that takes; in the order of the calls. */
+    /**
+     * Completes once all of it, or what took its place, is on the disk, however often that takes;
+     * in the order of the calls.
+     */
     @Override
     public CompletableFuture<Void> put(Map<String, String> next) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         for (Map.Entry<String, String> one : next.entrySet()) {
             if (Math.max(one.getKey().length(), one.getValue().length()) > LONGEST) {
                 // The disk will never take it, and what comes later is not to wait for that.
-                done.completeExceptionally(new IllegalArgumentException("a text of " + one.getValue().length() + " letters under " + one.getKey()));
+                done.completeExceptionally(
+                        new IllegalArgumentException(
+                                "a text of "
+                                        + one.getValue().length()
+                                        + " letters under "
+                                        + one.getKey()));
                 return done;
             }
         }
@@ -94,28 +114,34 @@
         TreeMap<String, String> given = texts;
         texts = new TreeMap<>();
         given.entrySet().removeIf(one -> one.getValue().equals(kept.get(one.getKey())));
-        (given.isEmpty() ? CompletableFuture.<Void>completedFuture(null) : disk.put(given)).whenComplete((is, fault) -> {
-            writing = false;
-            if (fault != null) {
-                refused(given);
-                return;
-            }
-            failures = 0;
-            given.forEach((name, text) -> {
-                if (text.isEmpty()) {
-                    kept.remove(name);
-                } else {
-                    kept.put(name, text);
-                }
-            });
-            List<Waiting> over = under;
-            under = new ArrayList<>();
-            over.forEach(w -> w.done().complete(null));
-            write();
-        });
+        (given.isEmpty() ? CompletableFuture.<Void>completedFuture(null) : disk.put(given))
+                .whenComplete(
+                        (is, fault) -> {
+                            writing = false;
+                            if (fault != null) {
+                                refused(given);
+                                return;
+                            }
+                            failures = 0;
+                            given.forEach(
+                                    (name, text) -> {
+                                        if (text.isEmpty()) {
+                                            kept.remove(name);
+                                        } else {
+                                            kept.put(name, text);
+                                        }
+                                    });
+                            List<Waiting> over = under;
+                            under = new ArrayList<>();
+                            over.forEach(w -> w.done().complete(null));
+                            write();
+                        });
     }
 
-    /** What was given waits again, but for names that have a newer text; whether the disk has it is not known. */
+    /**
+     * What was given waits again, but for names that have a newer text; whether the disk has it is
+     * not known.
+     */
     private void refused(Map<String, String> given) {
         given.forEach(texts::putIfAbsent);
         kept.keySet().removeAll(given.keySet());
@@ -129,9 +155,12 @@
         if (again != null) {
             again.cancel();
         }
-        again = host.after(ms, () -> {
-            again = null;
-            write();
-        });
+        again =
+                host.after(
+                        ms,
+                        () -> {
+                            again = null;
+                            write();
+                        });
     }
 }
