--- a/src/main/java/dillfront/core/Duty.java
+++ b/src/main/java/dillfront/core/Duty.java
@@ -12,45 +12,83 @@
 import java.util.TreeSet;
 
 /**
- * The one duty there is: which server leads each service. Only the holder of the lease acts. A service whose primary is
- * lost or drains is first recorded as moving, and nothing is done before a majority has that record: whoever holds the
- * lease next finds it and goes on. A replica is named only when no acknowledged commit can be missing from its log, and no
- * front can still take another for the primary.
+ * The one duty there is: which server leads each service. Only the holder of the lease acts. A
+ * service whose primary is lost or drains is first recorded as moving, and nothing is done before a
+ * majority has that record: whoever holds the lease next finds it and goes on. A replica is named
+ * only when no acknowledged commit can be missing from its log, and no front can still take another
+ * for the primary.
  */
 final class Duty {
 
     private static final long PROBE_MS = 500;
-    /** Suspicion is cheap to be wrong about: a primary that answers while its service moves leads on. */
+
+    /**
+     * Suspicion is cheap to be wrong about: a primary that answers while its service moves leads
+     * on.
+     */
     private static final long SUSPECT_MS = 300;
+
     private static final long PROBE_GAP_MS = 250;
     private static final long PLATFORM_MS = 1_500;
     private static final long AGAIN_MS = 200;
+
     /** The page says some hundred ms from a call to the new primary. */
     private static final long PROMOTES_MS = 1_500;
+
     /** Open transactions may end, before a planned move. */
     private static final long OPEN_MS = 900;
-    /** A replica gets so long to receive what the old primary had last, before the longest log is taken as it is. */
+
+    /**
+     * A replica gets so long to receive what the old primary had last, before the longest log is
+     * taken as it is.
+     */
     private static final long CATCH_UP_MS = 2_500;
+
     /** A server that was silent for so long when its primary was still there is not waited for. */
     private static final long LONG_SILENT_MS = 10_000;
-    /** One that said that it leaves does not come back: with so many questions in vain it has ended. */
+
+    /**
+     * One that said that it leaves does not come back: with so many questions in vain it has ended.
+     */
     private static final int ENDED_AFTER = 2;
-    /** Where logs may lack a commit, they receive for so long before they are stopped and looked at again. */
+
+    /**
+     * Where logs may lack a commit, they receive for so long before they are stopped and looked at
+     * again.
+     */
     private static final long RECEIVE_MS = 1_000;
+
     /** Where it is not known whether they do, for so long altogether. */
     private static final long UNSURE_MS = 4_000;
+
     private static final long RESUME_MS = 500;
     private static final long TELL_WAIT_MS = 1_000;
-    /** A word that was on its way when a service settled has arrived, or never does, once this is over. */
+
+    /**
+     * A word that was on its way when a service settled has arrived, or never does, once this is
+     * over.
+     */
     private static final long ON_ITS_WAY_MS = 3_500;
+
     private static final long NO_LEAD_MS = 4_000;
-    /** From the platform's yes until the one named is asked whether it leads, and from one such question to the next. */
+
+    /**
+     * From the platform's yes until the one named is asked whether it leads, and from one such
+     * question to the next.
+     */
     private static final long LEAD_FROM_MS = 350;
+
     private static final long LEAD_PROBE_MS = 350;
     private static final long LEAD_GAP_MS = 150;
-    /** From one look at whether a replica has what a primary that drains had to the next; twice as long each time, up to a bound. */
+
+    /**
+     * From one look at whether a replica has what a primary that drains had to the next; twice as
+     * long each time, up to a bound.
+     */
     private static final long COMPARE_GAP_MS = 60;
+
     private static final long COMPARE_MOST_MS = 500;
+
     /** A lease that ends sooner is no ground to begin a call on. */
     private static final long LEFT_MS = 300;
 
@@ -61,27 +99,44 @@
         boolean probing;
         boolean calling;
         long refusedUntil;
-        /** Whether another could take over from one that drains is being asked, and when it was asked last. */
+
+        /**
+         * Whether another could take over from one that drains is being asked, and when it was
+         * asked last.
+         */
         boolean comparing;
+
         long comparedAt = Long.MIN_VALUE / 2;
         long compareGap = COMPARE_GAP_MS;
+
         /** Of the record under which replicas are resumed: those that have not answered yet. */
         long resuming = -1;
+
         long resumingFrom;
         final TreeSet<String> paused = new TreeSet<>();
         final TreeSet<String> asking = new TreeSet<>();
         final Map<String, Long> askAgain = new TreeMap<>();
     }
 
-    private enum Step { CLEAR, STOP, CHOOSE, NAME, WAIT }
+    private enum Step {
+        CLEAR,
+        STOP,
+        CHOOSE,
+        NAME,
+        WAIT
+    }
 
     /** A service on its way to another primary. */
     private static final class Move {
         Lead lead;
         final boolean planned;
         final long since;
-        /** Found as it was left by an earlier holder: a call of that one may still be on its way. */
+
+        /**
+         * Found as it was left by an earlier holder: a call of that one may still be on its way.
+         */
         final boolean inherited;
+
         Step step = Step.CLEAR;
         boolean busy;
         long again;
@@ -90,33 +145,55 @@
         long steppedAt;
         boolean forced;
         boolean paused;
+
         /** Of its PAUSE. */
         long term;
-        /** Since when every log that is left lacks what may have been acknowledged; -1 while that is not so. */
+
+        /**
+         * Since when every log that is left lacks what may have been acknowledged; -1 while that is
+         * not so.
+         */
         long lacksFrom = -1;
+
         /** What no log that is left holds; null while that is not so. */
         DataLosses.Lack lack;
+
         /** Whoever leads is asked how far its log reaches. */
         boolean measuring;
+
         long toldLackAt = Long.MIN_VALUE / 2;
         long toldWaitAt = Long.MIN_VALUE / 2;
         final Map<String, Question.Row> rows = new TreeMap<>();
         final TreeSet<String> asking = new TreeSet<>();
         final Map<String, Long> askAgain = new TreeMap<>();
+
         /** How often each gave no answer at all, one after the other. */
         final Map<String, Integer> unanswered = new TreeMap<>();
+
         final TreeSet<String> refused = new TreeSet<>();
-        /** Once it is named, it is the only one that may lead, until the platform says that the call is not carried out. */
+
+        /**
+         * Once it is named, it is the only one that may lead, until the platform says that the call
+         * is not carried out.
+         */
         String target;
+
         long namedAt;
         boolean named;
         long fence;
         boolean fenced;
+
         /** The platform did not take that call: it is asked again from then on. */
         long fenceAgain;
+
         boolean anew;
-        /** The one named said that it leads before it was named: that it still says so in a beat tells nothing. */
+
+        /**
+         * The one named said that it leads before it was named: that it still says so in a beat
+         * tells nothing.
+         */
         boolean claimed;
+
         /** When calls of earlier holders were known to be fenced off. */
         long fencedAt = Long.MIN_VALUE / 2;
 
@@ -132,8 +209,10 @@
     private final Core core;
     private final Map<String, Watch> watches = new TreeMap<>();
     private final Map<String, Move> moves = new TreeMap<>();
+
     /** The lease under which all of this was begun. */
     private long held;
+
     private long heldFrom;
     private boolean taken;
     private long awayAt = Long.MIN_VALUE / 2;
@@ -197,7 +276,10 @@
         core.suspects(suspected);
     }
 
-    /** Once a majority has answered since the lease began, what earlier holders recorded is known, and is recorded anew. */
+    /**
+     * Once a majority has answered since the lease began, what earlier holders recorded is known,
+     * and is recorded anew.
+     */
     private void take() {
         if (!core.quorum(true, p -> core.records.covers(p.echo >= heldFrom, p.record))) {
             return;
@@ -236,7 +318,10 @@
         return leads;
     }
 
-    /** Nothing is recorded: the one that says it leads does. Where others held this duty before, their calls are fenced first. */
+    /**
+     * Nothing is recorded: the one that says it leads does. Where others held this duty before,
+     * their calls are fenced first.
+     */
     private void begin(String service) {
         Watch w = watchOf(service);
         Member leads = leader(service);
@@ -248,25 +333,40 @@
             return;
         }
         w.calling = true;
-        name(service, leads.id, number()).whenComplete((status, fault) -> {
-            w.calling = false;
-            w.refusedUntil = now() + AGAIN_MS;
-            boolean unheard = fault != null && ++w.misses >= 2;
-            if (settled() && core.lead(service) == null && (fault == null && status == 200 || unheard)) {
-                w.misses = 0;
-                core.lead(new Lead(service, number(), leads.id, false, true));
-            }
-        });
+        name(service, leads.id, number())
+                .whenComplete(
+                        (status, fault) -> {
+                            w.calling = false;
+                            w.refusedUntil = now() + AGAIN_MS;
+                            boolean unheard = fault != null && ++w.misses >= 2;
+                            if (settled()
+                                    && core.lead(service) == null
+                                    && (fault == null && status == 200 || unheard)) {
+                                w.misses = 0;
+                                core.lead(new Lead(service, number(), leads.id, false, true));
+                            }
+                        });
     }
 
     /**
-     * Tells the platform. Each choice has a fence of its own, above all before: a call that was held up on its way, and for
-     * which another was made since, is refused there.
+     * Tells the platform. Each choice has a fence of its own, above all before: a call that was
+     * held up on its way, and for which another was made since, is refused there.
      */
-    private java.util.concurrent.CompletableFuture<Integer> name(String service, String id, long fence) {
+    private java.util.concurrent.CompletableFuture<Integer> name(
+            String service, String id, long fence) {
         String json = Json.object().add("service", service).add("instance_id", id).toString();
-        return core.host.post(core.settings.platform(), "/promotion", json, Map.of("Dillfront-Duty-Holder", core.settings.name(),
-                "Dillfront-Fence-Number", Long.toString(fence)), (int) PLATFORM_MS).thenApply(dillfront.host.Host.Answer::status);
+        return core.host
+                .post(
+                        core.settings.platform(),
+                        "/promotion",
+                        json,
+                        Map.of(
+                                "Dillfront-Duty-Holder",
+                                core.settings.name(),
+                                "Dillfront-Fence-Number",
+                                Long.toString(fence)),
+                        (int) PLATFORM_MS)
+                .thenApply(dillfront.host.Host.Answer::status);
     }
 
     // ---- a primary that leads
@@ -276,7 +376,9 @@
         Member m = core.members.get(lead.primary());
         Watch w = watchOf(lead.service());
         Member says = leader(lead.service());
-        if (says != null && !says.id.equals(lead.primary()) && (m == null || m.left() || !m.leads())) {
+        if (says != null
+                && !says.id.equals(lead.primary())
+                && (m == null || m.left() || !m.leads())) {
             // Promoted by a call of an earlier holder that arrived late: so it is.
             core.lead(new Lead(lead.service(), number(), says.id, false, lead.paused()));
             return false;
@@ -300,18 +402,26 @@
         }
         w.probing = true;
         w.probedAt = now();
-        Question.ask(core, m, SUSPECT_MS, null).whenComplete((row, fault) -> {
-            w.probing = false;
-            w.probedAt = now();
-            boolean alive = fault == null || fault instanceof Question.Unanswered u && u.alive;
-            w.misses = alive ? 0 : w.misses + 1;
-            Sight sees = seen(lead.service(), lead.primary());
-            boolean others = sees.lost() > sees.well() || sees.well() == 0 && silent(m);
-            int enough = sees.lost() >= 2 && sees.well() == 0 ? 1 : 2;
-            if (w.misses >= enough && others && settled() && core.lead(lead.service()) == lead) {
-                move(lead, false);
-            }
-        });
+        Question.ask(core, m, SUSPECT_MS, null)
+                .whenComplete(
+                        (row, fault) -> {
+                            w.probing = false;
+                            w.probedAt = now();
+                            boolean alive =
+                                    fault == null
+                                            || fault instanceof Question.Unanswered u && u.alive;
+                            w.misses = alive ? 0 : w.misses + 1;
+                            Sight sees = seen(lead.service(), lead.primary());
+                            boolean others =
+                                    sees.lost() > sees.well() || sees.well() == 0 && silent(m);
+                            int enough = sees.lost() >= 2 && sees.well() == 0 ? 1 : 2;
+                            if (w.misses >= enough
+                                    && others
+                                    && settled()
+                                    && core.lead(lead.service()) == lead) {
+                                move(lead, false);
+                            }
+                        });
         return true;
     }
 
@@ -336,12 +446,17 @@
         return all;
     }
 
-    /** One that drains leads on until another, which stays, has received all that it had when it was asked. */
+    /**
+     * One that drains leads on until another, which stays, has received all that it had when it was
+     * asked.
+     */
     private void handOver(Lead lead, Member from) {
         Watch w = watchOf(lead.service());
         List<Member> heirs = new ArrayList<>();
         for (Member m : core.members.of(lead.service())) {
-            if (!m.id.equals(lead.primary()) && !m.draining() && now() - m.heard < 2 * core.settings.beat()) {
+            if (!m.id.equals(lead.primary())
+                    && !m.draining()
+                    && now() - m.heard < 2 * core.settings.beat()) {
                 heirs.add(m);
             }
         }
@@ -349,21 +464,28 @@
             return;
         }
         w.comparing = true;
-        Question.ask(core, from, PROBE_MS, null).whenComplete((has, fault) -> {
-            w.comparing = false;
-            w.comparedAt = now();
-            w.compareGap = Math.min(COMPARE_MOST_MS, 2 * w.compareGap);
-            if (fault != null) {
-                return;
-            }
-            for (Member heir : heirs) {
-                Question.ask(core, heir, PROBE_MS, null).whenComplete((row, none) -> {
-                    if (none == null && row.position().covers(has.position()) && settled() && core.lead(lead.service()) == lead) {
-                        move(lead, true);
-                    }
-                });
-            }
-        });
+        Question.ask(core, from, PROBE_MS, null)
+                .whenComplete(
+                        (has, fault) -> {
+                            w.comparing = false;
+                            w.comparedAt = now();
+                            w.compareGap = Math.min(COMPARE_MOST_MS, 2 * w.compareGap);
+                            if (fault != null) {
+                                return;
+                            }
+                            for (Member heir : heirs) {
+                                Question.ask(core, heir, PROBE_MS, null)
+                                        .whenComplete(
+                                                (row, none) -> {
+                                                    if (none == null
+                                                            && row.position().covers(has.position())
+                                                            && settled()
+                                                            && core.lead(lead.service()) == lead) {
+                                                        move(lead, true);
+                                                    }
+                                                });
+                            }
+                        });
     }
 
     // ---- a service that moves
@@ -387,7 +509,8 @@
 
     /** A majority of control processes has the record. */
     private boolean recorded(Move m) {
-        return core.quorum(core.records.durable() >= m.lead.number(), p -> p.record >= m.lead.number());
+        return core.quorum(
+                core.records.durable() >= m.lead.number(), p -> p.record >= m.lead.number());
     }
 
     /** No front takes the old one for sure any more: each has said so, or its time is over. */
@@ -399,8 +522,10 @@
             return false;
         }
         for (Peer p : core.peers()) {
-            // What it passes on as sure, it asked for in a word that was heard here; with the last of them that is over too. So
-            // it is with what it passed on in an earlier life, of which it cannot say that its fronts have heard since.
+            // What it passes on as sure, it asked for in a word that was heard here; with the last
+            // of them that is over too. So
+            // it is with what it passed on in an earlier life, of which it cannot say that its
+            // fronts have heard since.
             boolean told = p.cleared.getOrDefault(m.lead.service(), -1L) >= m.lead.number();
             if (!told && Math.min(p.heard, m.since) > over || Math.min(p.earlier, m.since) > over) {
                 return false;
@@ -416,22 +541,28 @@
         String service = m.lead.service();
         Member from = core.members.get(m.lead.primary());
         Member leads = leader(service);
-        if (leads != null && !leads.id.equals(m.lead.primary()) && (from == null || from.left() || !from.leads())) {
+        if (leads != null
+                && !leads.id.equals(m.lead.primary())
+                && (from == null || from.left() || !from.leads())) {
             settle(m, leads.id);
         }
-        if (moves.get(service) != m || m.measuring || m.step != Step.NAME && m.step != Step.WAIT && promotes(m)) {
+        if (moves.get(service) != m
+                || m.measuring
+                || m.step != Step.NAME && m.step != Step.WAIT && promotes(m)) {
             // It is over, or as good as over: nobody else is named.
             return;
         }
         if (m.fenced && !m.anew && m.step != Step.NAME && m.step != Step.WAIT) {
-            // What was heard of logs and leaders before may be no more, now that the earlier holder's call is carried out.
+            // What was heard of logs and leaders before may be no more, now that the earlier
+            // holder's call is carried out.
             m.anew = true;
             m.rows.clear();
             m.step = Step.STOP;
         }
         switch (m.step) {
             case CLEAR:
-                boolean quiet = !m.planned || cleared(m) && seen(service, m.lead.primary()).open() == 0;
+                boolean quiet =
+                        !m.planned || cleared(m) && seen(service, m.lead.primary()).open() == 0;
                 if (quiet || now() > m.since + OPEN_MS) {
                     // Nothing is to be waited for before the next step.
                     m.step = Step.STOP;
@@ -473,19 +604,21 @@
         }
         if (!m.stepped) {
             m.busy = true;
-            Question.ask(core, from, PROBE_MS, row -> "STEPDOWN " + row.next()).whenComplete((row, fault) -> {
-                m.busy = false;
-                m.again = now() + AGAIN_MS;
-                if (fault == null && !row.leads()) {
-                    m.stepped = true;
-                    m.steppedAt = now();
-                    m.last = row.position();
-                    m.again = 0;
-                    look();
-                } else if (now() > m.since + CATCH_UP_MS) {
-                    m.forced = true;
-                }
-            });
+            Question.ask(core, from, PROBE_MS, row -> "STEPDOWN " + row.next())
+                    .whenComplete(
+                            (row, fault) -> {
+                                m.busy = false;
+                                m.again = now() + AGAIN_MS;
+                                if (fault == null && !row.leads()) {
+                                    m.stepped = true;
+                                    m.steppedAt = now();
+                                    m.last = row.position();
+                                    m.again = 0;
+                                    look();
+                                } else if (now() > m.since + CATCH_UP_MS) {
+                                    m.forced = true;
+                                }
+                            });
             return;
         }
         if (now() > m.steppedAt + CATCH_UP_MS) {
@@ -494,47 +627,71 @@
             return;
         }
         for (Member r : core.members.of(m.lead.service())) {
-            if (r.id.equals(m.lead.primary()) || r.draining() || now() - r.heard > 2 * core.settings.beat()) {
+            if (r.id.equals(m.lead.primary())
+                    || r.draining()
+                    || now() - r.heard > 2 * core.settings.beat()) {
                 continue;
             }
-            ask(m, r, 60, null, row -> {
-                if (row.position().covers(m.last) && m.step == Step.STOP) {
-                    m.rows.clear();
-                    m.rows.put(r.id, row);
-                    m.step = Step.CHOOSE;
-                }
-            });
+            ask(
+                    m,
+                    r,
+                    60,
+                    null,
+                    row -> {
+                        if (row.position().covers(m.last) && m.step == Step.STOP) {
+                            m.rows.clear();
+                            m.rows.put(r.id, row);
+                            m.step = Step.CHOOSE;
+                        }
+                    });
         }
     }
 
-    private void ask(Move m, Member to, long gap, java.util.function.Function<Question.Row, String> then,
+    private void ask(
+            Move m,
+            Member to,
+            long gap,
+            java.util.function.Function<Question.Row, String> then,
             java.util.function.Consumer<Question.Row> got) {
         if (m.asking.contains(to.id) || now() < m.askAgain.getOrDefault(to.id, 0L)) {
             return;
         }
         m.asking.add(to.id);
-        Question.ask(core, to, PROBE_MS, then).whenComplete((row, fault) -> {
-            m.asking.remove(to.id);
-            m.askAgain.put(to.id, now() + gap);
-            boolean alive = fault == null || fault instanceof Question.Unanswered u && u.alive;
-            m.unanswered.put(to.id, alive ? 0 : m.unanswered.getOrDefault(to.id, 0) + 1);
-            if (fault == null && moves.get(m.lead.service()) == m) {
-                got.accept(row);
-                look();
-            }
-        });
+        Question.ask(core, to, PROBE_MS, then)
+                .whenComplete(
+                        (row, fault) -> {
+                            m.asking.remove(to.id);
+                            m.askAgain.put(to.id, now() + gap);
+                            boolean alive =
+                                    fault == null
+                                            || fault instanceof Question.Unanswered u && u.alive;
+                            m.unanswered.put(
+                                    to.id, alive ? 0 : m.unanswered.getOrDefault(to.id, 0) + 1);
+                            if (fault == null && moves.get(m.lead.service()) == m) {
+                                got.accept(row);
+                                look();
+                            }
+                        });
     }
 
-    /** Each replica's log is stopped, so that nothing can be acknowledged behind the choice; the old one may turn out to live. */
+    /**
+     * Each replica's log is stopped, so that nothing can be acknowledged behind the choice; the old
+     * one may turn out to live.
+     */
     private void pause(Move m, Member from) {
         if (from != null && !from.left()) {
-            ask(m, from, AGAIN_MS, null, row -> {
-                if (row.leads() && !m.stepped) {
-                    lives(m, from);
-                } else {
-                    m.rows.put(from.id, row);
-                }
-            });
+            ask(
+                    m,
+                    from,
+                    AGAIN_MS,
+                    null,
+                    row -> {
+                        if (row.leads() && !m.stepped) {
+                            lives(m, from);
+                        } else {
+                            m.rows.put(from.id, row);
+                        }
+                    });
         }
         if (now() < m.again) {
             return;
@@ -556,19 +713,29 @@
             }
             all &= ended;
             m.paused = true;
-            ask(m, r, AGAIN_MS, row -> pauses(m, row), row -> {
-                if (row.leads()) {
-                    settle(m, r.id);
-                } else if (row.held() != 0) {
-                    m.rows.put(r.id, row);
-                } else {
-                    // It knows of no later term, but its service does: that one is passed over until it is high enough.
-                    m.term++;
-                    m.askAgain.remove(r.id);
-                }
-            });
-        }
-        if (m.stepped && from != null && !from.left() && !silent(from) && !m.rows.containsKey(from.id)) {
+            ask(
+                    m,
+                    r,
+                    AGAIN_MS,
+                    row -> pauses(m, row),
+                    row -> {
+                        if (row.leads()) {
+                            settle(m, r.id);
+                        } else if (row.held() != 0) {
+                            m.rows.put(r.id, row);
+                        } else {
+                            // It knows of no later term, but its service does: that one is passed
+                            // over until it is high enough.
+                            m.term++;
+                            m.askAgain.remove(r.id);
+                        }
+                    });
+        }
+        if (m.stepped
+                && from != null
+                && !from.left()
+                && !silent(from)
+                && !m.rows.containsKey(from.id)) {
             // It runs, and has all.
             all = false;
         }
@@ -582,17 +749,24 @@
             List<String> waited = new ArrayList<>();
             core.members.of(m.lead.service()).forEach(r -> waited.add(r.id));
             waited.removeAll(m.rows.keySet());
-            core.host.note("move " + m.lead.service() + ": not stopped yet, or out of reach: " + waited);
+            core.host.note(
+                    "move " + m.lead.service() + ": not stopped yet, or out of reach: " + waited);
         }
     }
 
     /** A person said that this move does not wait for it; it does once that one is heard again. */
     private boolean givenUp(Move m, Member r) {
         DataLoss loss = m.lead.loss();
-        return loss != null && loss.move() == m.lead.move() && loss.servers().contains(r.id) && silent(r);
+        return loss != null
+                && loss.move() == m.lead.move()
+                && loss.servers().contains(r.id)
+                && silent(r);
     }
 
-    /** All that can be heard are stopped, and others that may have more were silent for long: that these are given up is for a person. */
+    /**
+     * All that can be heard are stopped, and others that may have more were silent for long: that
+     * these are given up is for a person.
+     */
     private void outOfReach(Move m) {
         List<String> silent = new ArrayList<>();
         for (Member r : core.members.of(m.lead.service())) {
@@ -608,11 +782,21 @@
         Position furthest = null;
         for (Map.Entry<String, Question.Row> one : m.rows.entrySet()) {
             Member r = core.members.get(one.getKey());
-            furthest = r == null || r.left() ? furthest : Position.later(furthest, one.getValue().position());
+            furthest =
+                    r == null || r.left()
+                            ? furthest
+                            : Position.later(furthest, one.getValue().position());
         }
         if (furthest != null && !silent.isEmpty()) {
-            m.lack = new DataLosses.Lack(m.lead.service(), m.lead.move(), furthest, known(m), silent, m.lead.primary(),
-                    m.lack == null ? now() : m.lack.since());
+            m.lack =
+                    new DataLosses.Lack(
+                            m.lead.service(),
+                            m.lead.move(),
+                            furthest,
+                            known(m),
+                            silent,
+                            m.lead.primary(),
+                            m.lack == null ? now() : m.lack.since());
         }
     }
 
@@ -625,13 +809,24 @@
         return m.lead.loss() == null ? known : m.lead.loss().without(known);
     }
 
-    /** Above the newest term of the service, which a replica that received nothing for long does not know itself. */
+    /**
+     * Above the newest term of the service, which a replica that received nothing for long does not
+     * know itself.
+     */
     private String pauses(Move m, Question.Row row) {
-        m.term = Math.max(m.term, Math.max(row.next(), core.askers.acknowledged(m.lead.service()).most().term() + 1));
+        m.term =
+                Math.max(
+                        m.term,
+                        Math.max(
+                                row.next(),
+                                core.askers.acknowledged(m.lead.service()).most().term() + 1));
         return moves.get(m.lead.service()) == m && mayAct() ? "PAUSE " + m.term : null;
     }
 
-    /** It was not lost: replicas receive again, and it goes on leading; a call of an earlier holder is fenced off before. */
+    /**
+     * It was not lost: replicas receive again, and it goes on leading; a call of an earlier holder
+     * is fenced off before.
+     */
     private void lives(Move m, Member from) {
         if (m.step == Step.STOP || m.step == Step.CHOOSE) {
             core.host.note("move " + m.lead.service() + ": " + from.id + " lives");
@@ -640,9 +835,10 @@
     }
 
     /**
-     * This one leads, whoever made it. Not while another is named: what it acknowledged would be lost once that one leads. And
-     * where an earlier holder may have named one, its call is fenced off first, while fronts still hold what they have; and what
-     * the platform had begun by then is waited for: that this one leads now is no proof that it will.
+     * This one leads, whoever made it. Not while another is named: what it acknowledged would be
+     * lost once that one leads. And where an earlier holder may have named one, its call is fenced
+     * off first, while fronts still hold what they have; and what the platform had begun by then is
+     * waited for: that this one leads now is no proof that it will.
      */
     private void settle(Move m, String id) {
         if (m.busy || m.named && !id.equals(m.target)) {
@@ -653,15 +849,17 @@
                 return;
             }
             m.busy = true;
-            name(m.lead.service(), id, number()).whenComplete((status, fault) -> {
-                m.busy = false;
-                m.fenceAgain = now() + AGAIN_MS;
-                m.fenced = fault == null && status == 200;
-                m.fencedAt = m.fenced ? now() : m.fencedAt;
-                if (m.fenced && moves.get(m.lead.service()) == m && settled()) {
-                    settle(m, id);
-                }
-            });
+            name(m.lead.service(), id, number())
+                    .whenComplete(
+                            (status, fault) -> {
+                                m.busy = false;
+                                m.fenceAgain = now() + AGAIN_MS;
+                                m.fenced = fault == null && status == 200;
+                                m.fencedAt = m.fenced ? now() : m.fencedAt;
+                                if (m.fenced && moves.get(m.lead.service()) == m && settled()) {
+                                    settle(m, id);
+                                }
+                            });
             return;
         }
         if (!promotes(m)) {
@@ -679,8 +877,8 @@
     }
 
     /**
-     * Each replica is told at once, and again until it has said that it receives when no PAUSE can be on its way any more; before
-     * that is recorded, the next holder goes on with it.
+     * Each replica is told at once, and again until it has said that it receives when no PAUSE can
+     * be on its way any more; before that is recorded, the next holder goes on with it.
      */
     private void resume(Lead lead) {
         Watch w = watchOf(lead.service());
@@ -705,30 +903,53 @@
             w.asking.add(id);
             long asked = now();
             long last = w.resumingFrom + ON_ITS_WAY_MS;
-            Question.ask(core, r, 2 * PROBE_MS, Duty::resumes).whenComplete((row, fault) -> {
-                w.asking.remove(id);
-                boolean receives = fault == null && row.held() == 0;
-                w.askAgain.put(id, receives ? Math.max(last, now()) : now() + RESUME_MS);
-                if (receives && asked >= last && w.resuming == lead.number()) {
-                    w.paused.remove(id);
-                }
-            });
+            Question.ask(core, r, 2 * PROBE_MS, Duty::resumes)
+                    .whenComplete(
+                            (row, fault) -> {
+                                w.asking.remove(id);
+                                boolean receives = fault == null && row.held() == 0;
+                                w.askAgain.put(
+                                        id, receives ? Math.max(last, now()) : now() + RESUME_MS);
+                                if (receives && asked >= last && w.resuming == lead.number()) {
+                                    w.paused.remove(id);
+                                }
+                            });
         }
     }
 
     /**
-     * No log that is left is known to hold all that was acknowledged: they receive for a while, in case the old primary
-     * reaches them though nobody here reaches it; then they are stopped and looked at again.
+     * No log that is left is known to hold all that was acknowledged: they receive for a while, in
+     * case the old primary reaches them though nobody here reaches it; then they are stopped and
+     * looked at again.
      */
     private void lacks(Move m, Position furthest, Acknowledged known) {
         if (now() - m.toldLackAt > LONG_SILENT_MS) {
             m.toldLackAt = now();
-            core.host.wrong("move " + m.lead.service() + ": the longest log that is left ends at " + furthest + " and lacks what was"
-                    + " acknowledged, " + known + "; waiting for " + m.lead.primary() + " or another that has it");
-        }
-        // Past that only commits can be missing that were under way together; that is waited for no longer than UNSURE_MS.
-        m.lack = furthest.covers(known.least()) ? null : new DataLosses.Lack(m.lead.service(), m.lead.move(), furthest, known,
-                List.of(), m.lead.primary(), m.lack == null ? now() : m.lack.since());
+            core.host.wrong(
+                    "move "
+                            + m.lead.service()
+                            + ": the longest log that is left ends at "
+                            + furthest
+                            + " and lacks what was"
+                            + " acknowledged, "
+                            + known
+                            + "; waiting for "
+                            + m.lead.primary()
+                            + " or another that has it");
+        }
+        // Past that only commits can be missing that were under way together; that is waited for no
+        // longer than UNSURE_MS.
+        m.lack =
+                furthest.covers(known.least())
+                        ? null
+                        : new DataLosses.Lack(
+                                m.lead.service(),
+                                m.lead.move(),
+                                furthest,
+                                known,
+                                List.of(),
+                                m.lead.primary(),
+                                m.lack == null ? now() : m.lack.since());
         for (Member r : core.members.of(m.lead.service())) {
             Question.ask(core, r, PROBE_MS, Duty::resumes);
         }
@@ -738,7 +959,10 @@
         m.again = now() + RECEIVE_MS;
     }
 
-    /** Whether this log may be named: it lacks no acknowledged commit that any front in touch, or gone since, knows of. */
+    /**
+     * Whether this log may be named: it lacks no acknowledged commit that any front in touch, or
+     * gone since, knows of.
+     */
     private boolean holdsAll(Move m, Position furthest, Acknowledged known) {
         Configuration.Service is = core.register.committed().services().get(m.lead.service());
         if (is != null && is.synchronous() == 0) {
@@ -754,10 +978,15 @@
         return now() > m.lacksFrom + UNSURE_MS;
     }
 
-    /** Whether a replica that counted for commits a moment before the primary was lost is not among those that were asked. */
+    /**
+     * Whether a replica that counted for commits a moment before the primary was lost is not among
+     * those that were asked.
+     */
     private boolean misses(Move m) {
         for (Member r : core.members.all()) {
-            if (r.service.equals(m.lead.service()) && !r.id.equals(m.lead.primary()) && !m.rows.containsKey(r.id)
+            if (r.service.equals(m.lead.service())
+                    && !r.id.equals(m.lead.primary())
+                    && !m.rows.containsKey(r.id)
                     && (!r.left() || m.since - r.heard < 3 * core.settings.beat())) {
                 return true;
             }
@@ -772,15 +1001,31 @@
         return all;
     }
 
-    /** A person gives up what no log that is left holds: recorded first, like all that the next holder must go on with. */
+    /**
+     * A person gives up what no log that is left holds: recorded first, like all that the next
+     * holder must go on with.
+     */
     void giveUp(DataLosses.Lack shown) {
         Move m = moves.get(shown.service());
         if (!settled() || m == null || m.lack == null || !m.lack.same(shown)) {
             return;
         }
-        DataLoss given = DataLoss.of(shown.move(), shown.log(), shown.lacked(), shown.servers(), m.lead.loss());
-        core.host.wrong("data loss accepted: " + m.lead.service() + " goes on from " + shown.log() + ", acknowledged was " + shown.lacked()
-                + "; " + m.lead.primary() + " is given up" + (shown.servers().isEmpty() ? "" : ", and what these have, out of reach: " + shown.servers()));
+        DataLoss given =
+                DataLoss.of(
+                        shown.move(), shown.log(), shown.lacked(), shown.servers(), m.lead.loss());
+        core.host.wrong(
+                "data loss accepted: "
+                        + m.lead.service()
+                        + " goes on from "
+                        + shown.log()
+                        + ", acknowledged was "
+                        + shown.lacked()
+                        + "; "
+                        + m.lead.primary()
+                        + " is given up"
+                        + (shown.servers().isEmpty()
+                                ? ""
+                                : ", and what these have, out of reach: " + shown.servers()));
         m.lack = null;
         m.lead = m.lead.without(number(), given);
         core.lead(m.lead);
@@ -840,35 +1085,43 @@
         m.named = true;
         m.namedAt = now();
         core.host.note("name " + m.lead.service() + " " + m.target + " fence " + m.fence);
-        name(m.lead.service(), m.target, m.fence).whenComplete((status, fault) -> {
-            m.busy = false;
-            m.again = now() + AGAIN_MS;
-            if (fault == null && status == 200) {
-                m.step = Step.WAIT;
-                m.again = now() + LEAD_FROM_MS;
-            } else if (fault == null && status == 409) {
-                m.named = false;
-                m.refused.add(m.target);
-                m.step = Step.CHOOSE;
-            }
-        });
+        name(m.lead.service(), m.target, m.fence)
+                .whenComplete(
+                        (status, fault) -> {
+                            m.busy = false;
+                            m.again = now() + AGAIN_MS;
+                            if (fault == null && status == 200) {
+                                m.step = Step.WAIT;
+                                m.again = now() + LEAD_FROM_MS;
+                            } else if (fault == null && status == 409) {
+                                m.named = false;
+                                m.refused.add(m.target);
+                                m.step = Step.CHOOSE;
+                            }
+                        });
     }
 
     private void wait(Move m) {
         Member target = core.members.get(m.target);
         if (target == null || target.left() || now() > m.namedAt + NO_LEAD_MS) {
-            // The platform is asked again: that it is not running is the only ground to choose another.
+            // The platform is asked again: that it is not running is the only ground to choose
+            // another.
             m.step = Step.NAME;
             return;
         }
         if (target.leads() && !m.claimed) {
             done(m, target.id);
         } else if (now() >= m.again) {
-            ask(m, target, LEAD_GAP_MS, null, row -> {
-                if (row.leads()) {
-                    done(m, target.id);
-                }
-            });
+            ask(
+                    m,
+                    target,
+                    LEAD_GAP_MS,
+                    null,
+                    row -> {
+                        if (row.leads()) {
+                            done(m, target.id);
+                        }
+                    });
         }
     }
 
@@ -885,18 +1138,27 @@
         } else {
             // What it holds is not given up; where that is not heard, nothing is.
             m.measuring = true;
-            Question.ask(core, leads, PROBE_MS, null).whenComplete((row, fault) -> {
-                m.measuring = false;
-                if (moves.get(m.lead.service()) == m && settled()) {
-                    done(m, primary, loss.leads(fault == null && row.leads() ? row.position() : loss.until()));
-                }
-            });
+            Question.ask(core, leads, PROBE_MS, null)
+                    .whenComplete(
+                            (row, fault) -> {
+                                m.measuring = false;
+                                if (moves.get(m.lead.service()) == m && settled()) {
+                                    done(
+                                            m,
+                                            primary,
+                                            loss.leads(
+                                                    fault == null && row.leads()
+                                                            ? row.position()
+                                                            : loss.until()));
+                                }
+                            });
         }
     }
 
     private void done(Move m, String primary, DataLoss loss) {
         moves.remove(m.lead.service());
-        core.host.note("lead " + m.lead.service() + " " + primary + " after " + (now() - m.since) + " ms");
+        core.host.note(
+                "lead " + m.lead.service() + " " + primary + " after " + (now() - m.since) + " ms");
         Lead leads = m.lead.leads(number(), primary, m.paused, loss);
         core.lead(leads);
         core.poke();
--- a/src/main/java/dillfront/core/Lead.java
+++ b/src/main/java/dillfront/core/Lead.java
@@ -14,7 +14,14 @@
  * @param move the record with which it began to move; 0 while it does not
  * @param loss the commits that a person gave up last; null for none
  */
-public record Lead(String service, long number, String primary, boolean moving, boolean paused, long move, DataLoss loss) {
+public record Lead(
+        String service,
+        long number,
+        String primary,
+        boolean moving,
+        boolean paused,
+        long move,
+        DataLoss loss) {
 
     /** Nothing that was given up before counts for this one. */
     public Lead(String service, long number, String primary, boolean moving, boolean paused) {
@@ -62,12 +69,28 @@
     static Lead of(Pack.Fields row) {
         long number = row.number("k", 0);
         boolean moving = row.bit("m");
-        return new Lead(row.text("s"), number, row.text("p"), moving, row.bit("h"), moving ? row.number("mv", number) : 0,
+        return new Lead(
+                row.text("s"),
+                number,
+                row.text("p"),
+                moving,
+                row.bit("h"),
+                moving ? row.number("mv", number) : 0,
                 DataLoss.of(row.text("dl")));
     }
 
     String kept() {
-        return number + "\n" + primary + "\n" + moving + "\n" + paused + "\n" + move + "\n" + (loss == null ? "" : loss);
+        return number
+                + "\n"
+                + primary
+                + "\n"
+                + moving
+                + "\n"
+                + paused
+                + "\n"
+                + move
+                + "\n"
+                + (loss == null ? "" : loss);
     }
 
     static Lead kept(String service, String text) {
@@ -78,7 +101,13 @@
         long number = Long.parseLong(part[0]);
         boolean moving = Boolean.parseBoolean(part[2]);
         // Texts before this one wrote three parts, or four.
-        return new Lead(service, number, part[1], moving, part.length == 3 || Boolean.parseBoolean(part[3]),
-                part.length > 4 ? Long.parseLong(part[4]) : moving ? number : 0, part.length > 5 ? DataLoss.of(part[5]) : null);
+        return new Lead(
+                service,
+                number,
+                part[1],
+                moving,
+                part.length == 3 || Boolean.parseBoolean(part[3]),
+                part.length > 4 ? Long.parseLong(part[4]) : moving ? number : 0,
+                part.length > 5 ? DataLoss.of(part[5]) : null);
     }
 }
--- a/src/main/java/dillfront/core/Member.java
+++ b/src/main/java/dillfront/core/Member.java
@@ -11,17 +11,24 @@
     final String service;
     String address;
     String zone;
+
     /** "ready", "draining", "leaving" or "left"; it only goes on in this order. */
     String state = "ready";
+
     String role = "";
+
     /** Of its last call that counted. */
     long sequence = -1;
+
     /** When it was last heard by any control process, on this one's clock. */
     long heard;
+
     /** And by this one itself. */
     long heardHere = Long.MIN_VALUE / 2;
+
     /** Since when this process knows that it leaves; -1 where it does not. */
     long leavingFrom = -1;
+
     /** The change of the table in which it was last changed. */
     long changed;
 
@@ -89,7 +96,9 @@
         return m;
     }
 
-    /** @return whether anything changed that others must know */
+    /**
+     * @return whether anything changed that others must know
+     */
     boolean merge(Pack.Fields row, boolean back) {
         boolean changes = false;
         long from = row.number("q", -1);
--- a/src/main/java/dillfront/core/Members.java
+++ b/src/main/java/dillfront/core/Members.java
@@ -7,10 +7,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The table of all database servers. Every change has a number, so that others ask only for what they lack. */
+/**
+ * The table of all database servers. Every change has a number, so that others ask only for what
+ * they lack.
+ */
 final class Members {
 
-    /** Rows of those that left are kept so that a late word does not bring them back; so many at the most. */
+    /**
+     * Rows of those that left are kept so that a late word does not bring them back; so many at the
+     * most.
+     */
     private static final int MOST = 20_000;
 
     private static final TreeMap<String, Member> NONE = new TreeMap<>();
@@ -18,12 +24,17 @@
 
     private final TreeMap<String, Member> rows = new TreeMap<>();
     private final TreeMap<String, TreeMap<String, Member>> services = new TreeMap<>();
+
     /** By the change that made them what they are, so that whoever lacks a few is told of a few. */
     private final TreeMap<Long, Member> byChange = new TreeMap<>();
+
     private final TreeSet<String> forgotten = new TreeSet<>();
+
     /** Those that said that they leave, and may serve on. */
     private final TreeSet<String> leaving = new TreeSet<>();
+
     private long changes;
+
     /** Rows go back too, as only a small world has it. */
     private final boolean back;
 
@@ -84,17 +95,24 @@
 
     /** What the disk held, at the start. */
     void load(Map<String, String> kept, long now) {
-        kept.forEach((name, text) -> {
-            Member m = name.startsWith(KEPT) ? Member.kept(name.substring(KEPT.length()), text) : null;
-            if (m != null) {
-                m.heard = now;
-                add(m);
-                changed(m);
-            }
-        });
+        kept.forEach(
+                (name, text) -> {
+                    Member m =
+                            name.startsWith(KEPT)
+                                    ? Member.kept(name.substring(KEPT.length()), text)
+                                    : null;
+                    if (m != null) {
+                        m.heard = now;
+                        add(m);
+                        changed(m);
+                    }
+                });
     }
 
-    /** What has changed since, as it goes to the disk; of those that left too, so that no late message brings one back. */
+    /**
+     * What has changed since, as it goes to the disk; of those that left too, so that no late
+     * message brings one back.
+     */
     Map<String, String> kept(long since) {
         Map<String, String> kept = new TreeMap<>();
         for (Member m : byChange.tailMap(since, false).values()) {
@@ -109,7 +127,8 @@
     boolean merge(Pack.Fields row, long heard) {
         String id = row.text("i");
         String service = row.text("v");
-        if (id.isEmpty() || service.isEmpty() && Member.rank(row.text("st")) < Member.rank("leaving")) {
+        if (id.isEmpty()
+                || service.isEmpty() && Member.rank(row.text("st")) < Member.rank("leaving")) {
             return false;
         }
         Member is = rows.get(id);
@@ -134,9 +153,9 @@
     }
 
     /**
-     * A new server has this one's address: whichever of the same service had it before is gone. That the new one has its log
-     * is not said; one that left took it along, and the new one copies. Only a server's own call says so, never hearsay, which
-     * may be late.
+     * A new server has this one's address: whichever of the same service had it before is gone.
+     * That the new one has its log is not said; one that left took it along, and the new one
+     * copies. Only a server's own call says so, never hearsay, which may be late.
      */
     boolean succeeds(Member fresh) {
         boolean any = false;
@@ -148,8 +167,9 @@
     }
 
     /**
-     * It said that it leaves. One that said before that it drains ends now; any other serves on as long as one that drains. That
-     * of a server that is not known here, and may be elsewhere, is kept like any other, so that no late beat undoes it.
+     * It said that it leaves. One that said before that it drains ends now; any other serves on as
+     * long as one that drains. That of a server that is not known here, and may be elsewhere, is
+     * kept like any other, so that no late beat undoes it.
      */
     Member leaves(String id) {
         Member is = rows.get(id);
@@ -168,7 +188,9 @@
         return is;
     }
 
-    /** Those that left so long ago that they have surely ended, and were not heard since, are gone. */
+    /**
+     * Those that left so long ago that they have surely ended, and were not heard since, are gone.
+     */
     boolean expire(long now, long after) {
         boolean any = false;
         for (String id : List.copyOf(leaving)) {
@@ -195,7 +217,8 @@
     private void forget() {
         Member oldest = null;
         for (Member m : rows.values()) {
-            if ((m.left() || m.service.isEmpty()) && (oldest == null || m.changed < oldest.changed)) {
+            if ((m.left() || m.service.isEmpty())
+                    && (oldest == null || m.changed < oldest.changed)) {
                 oldest = m;
             }
         }
--- a/src/main/java/dillfront/core/Membership.java
+++ b/src/main/java/dillfront/core/Membership.java
@@ -9,27 +9,35 @@
 import java.util.TreeSet;
 
 /**
- * Which processes are to be members, as the holder of the lease sees them. One step at a time: at most one comes and at most one
- * goes. Nobody goes for good by this: one that was away and comes back is taken in again.
+ * Which processes are to be members, as the holder of the lease sees them. One step at a time: at
+ * most one comes and at most one goes. Nobody goes for good by this: one that was away and comes
+ * back is taken in again.
  */
 final class Membership {
 
-    /** More disks cost more to ask than they bear losses; but as many as the losses that are to be borne want. */
+    /**
+     * More disks cost more to ask than they bear losses; but as many as the losses that are to be
+     * borne want.
+     */
     static final int MOST = 7;
+
     private static final int FEWEST = 3;
+
     /** Silent for so long, it gives its place to another. */
     static final long SILENT_MS = 1_500;
+
     /** And without another, so that those that are left are not held up by two that are gone. */
     static final long GONE_MS = 30_000;
 
     /**
      * A process, a member or not.
      *
-     * @param silent for how many milliseconds nothing came from it; Long.MAX_VALUE where another is at its address
+     * @param silent for how many milliseconds nothing came from it; Long.MAX_VALUE where another is
+     *     at its address
      * @param near it is heard both ways, and holds what is decided
      * @param leaving it said that it ends
      */
-    record Process(String id, String zone, long silent, boolean near, boolean leaving) { }
+    record Process(String id, String zone, long silent, boolean near, boolean leaving) {}
 
     private Membership() {}
 
@@ -48,10 +56,14 @@
                 learners.add(p);
             }
         }
-        learners.sort(Comparator.<Process>comparingInt(p -> zones.getOrDefault(p.zone(), 0)).thenComparing(Process::id));
+        learners.sort(
+                Comparator.<Process>comparingInt(p -> zones.getOrDefault(p.zone(), 0))
+                        .thenComparing(Process::id));
         boolean goes = worst != null && weight(worst) > SILENT_MS;
         for (Process p : learners) {
-            if (worst != null && worst.silent() == Long.MAX_VALUE && Value.ip(worst.id()).equals(Value.ip(p.id()))) {
+            if (worst != null
+                    && worst.silent() == Long.MAX_VALUE
+                    && Value.ip(worst.id()).equals(Value.ip(p.id()))) {
                 next.remove(worst.id());
                 next.add(p.id());
                 return next;
--- a/src/main/java/dillfront/core/Numbers.java
+++ b/src/main/java/dillfront/core/Numbers.java
@@ -1,8 +1,9 @@
 package dillfront.core;
 
 /**
- * Numbers for what the holder of a lease does, at the platform (fencing tokens) and in records: the lease's own above, and within it one
- * more each time. None is given twice, also where the lease was out of hand for a moment and came back under its number.
+ * Numbers for what the holder of a lease does, at the platform (fencing tokens) and in records: the
+ * lease's own above, and within it one more each time. None is given twice, also where the lease
+ * was out of hand for a moment and came back under its number.
  */
 public final class Numbers {
 
--- a/src/main/java/dillfront/core/Progress.java
+++ b/src/main/java/dillfront/core/Progress.java
@@ -1,15 +1,19 @@
 package dillfront.core;
 
 /**
- * How far two processes have each other's table of servers, as one of them sees it. A table is named by its number of changes, which
- * begins anew with each life of its process: so does this, with each life of the other.
+ * How far two processes have each other's table of servers, as one of them sees it. A table is
+ * named by its number of changes, which begins anew with each life of its process: so does this,
+ * with each life of the other.
  */
 public final class Progress {
 
     /** How far the other has this one's table: in memory, and on its disk. */
     long knows;
+
     long kept;
+
     /** How far this one has the other's: in memory, and on the disk. */
     long known;
+
     long stored;
 }
--- a/src/main/java/dillfront/core/Question.java
+++ b/src/main/java/dillfront/core/Question.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** One question to a database server, on a connection of its own: STATUS, and a word that may follow from its answer. */
+/**
+ * One question to a database server, on a connection of its own: STATUS, and a word that may follow
+ * from its answer.
+ */
 final class Question implements Host.Ear {
 
     /** What it answered of itself. */
@@ -26,6 +29,7 @@
     /** It did not answer: why. */
     static final class Unanswered extends Exception {
         private static final long serialVersionUID = 1;
+
         /** It runs and answers, but not this, or not now. */
         final boolean alive;
 
@@ -38,8 +42,10 @@
     private final Core core;
     private final Member to;
     private final Function<Row, String> then;
+
     /** The lease under which it was asked, and when its time is over. */
     private final long lease;
+
     private final long until;
     private final CompletableFuture<Row> answer = new CompletableFuture<>();
     private final Answers answers = new Answers();
@@ -59,10 +65,12 @@
      *
      * @param then gives the second word; null for none
      */
-    static CompletableFuture<Row> ask(Core core, Member to, long timeoutMs, Function<Row, String> then) {
+    static CompletableFuture<Row> ask(
+            Core core, Member to, long timeoutMs, Function<Row, String> then) {
         Question q = new Question(core, to, timeoutMs, then);
         q.link = core.host.dial(to.address, Host.Form.LINES, (int) timeoutMs, q);
-        core.host.after(timeoutMs, () -> q.end(new Unanswered("no answer in " + timeoutMs + " ms", false)));
+        core.host.after(
+                timeoutMs, () -> q.end(new Unanswered("no answer in " + timeoutMs + " ms", false)));
         return q.answer;
     }
 
@@ -143,7 +151,9 @@
             position = Position.NONE;
         }
         try {
-            return position == null ? null : new Row(part[0], Long.parseLong(part[1]), position, Long.parseLong(part[3]));
+            return position == null
+                    ? null
+                    : new Row(part[0], Long.parseLong(part[1]), position, Long.parseLong(part[3]));
         } catch (NumberFormatException none) {
             return null;
         }
--- a/src/main/java/dillfront/core/Records.java
+++ b/src/main/java/dillfront/core/Records.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The records of who leads, and how far they are on the disk. Numbers rise from holder to holder and within one, and a process that
- * says a number has all before it, or what took their place.
+ * The records of who leads, and how far they are on the disk. Numbers rise from holder to holder
+ * and within one, and a process that says a number has all before it, or what took their place.
  */
 public final class Records {
 
@@ -17,8 +17,10 @@
 
     private final Register.Ground ground;
     private final TreeMap<String, Lead> leads = new TreeMap<>();
+
     /** The newest that is known here, and that is on the disk with all before it. */
     private long newest = -1;
+
     private long durable = -1;
 
     public Records(Register.Ground ground) {
@@ -27,13 +29,17 @@
 
     /** What the disk held, at the start. */
     public void load(Map<String, String> kept) {
-        kept.forEach((name, text) -> {
-            Lead lead = name.startsWith(KEPT) ? Lead.kept(name.substring(KEPT.length()), text) : null;
-            if (lead != null) {
-                leads.put(lead.service(), lead);
-                newest = Math.max(newest, lead.number());
-            }
-        });
+        kept.forEach(
+                (name, text) -> {
+                    Lead lead =
+                            name.startsWith(KEPT)
+                                    ? Lead.kept(name.substring(KEPT.length()), text)
+                                    : null;
+                    if (lead != null) {
+                        leads.put(lead.service(), lead);
+                        newest = Math.max(newest, lead.number());
+                    }
+                });
         durable = newest;
     }
 
@@ -63,7 +69,9 @@
         for (Lead lead : next) {
             Lead is = leads.get(lead.service());
             newest = Math.max(newest, lead.number());
-            if (is == null || is.number() < lead.number() || is.number() > lead.number() && ground.without(Defence.RECORDS_FORWARD)) {
+            if (is == null
+                    || is.number() < lead.number()
+                    || is.number() > lead.number() && ground.without(Defence.RECORDS_FORWARD)) {
                 leads.put(lead.service(), lead);
                 texts.put(KEPT + lead.service(), lead.kept());
             }
@@ -72,10 +80,12 @@
             return false;
         }
         long upTo = newest;
-        ground.store(texts).thenRun(() -> {
-            durable = Math.max(durable, upTo);
-            ground.tell();
-        });
+        ground.store(texts)
+                .thenRun(
+                        () -> {
+                            durable = Math.max(durable, upTo);
+                            ground.tell();
+                        });
         return true;
     }
 
@@ -97,7 +107,8 @@
     /** A word of another process; whether anything was newer. */
     public boolean hear(Pack.Fields in) {
         if (in.number("lf", -1) > newest && !ground.without(Defence.RECORDS_WITHOUT_GAP)) {
-            // Meant for one that had this disk before it was lost: all that comes before is missing.
+            // Meant for one that had this disk before it was lost: all that comes before is
+            // missing.
             return false;
         }
         List<Lead> next = in.list("l").stream().map(Lead::of).toList();
@@ -111,7 +122,9 @@
         return any;
     }
 
-    /** Whether nothing is lacked here of what that process has, by what it said since a lease began. */
+    /**
+     * Whether nothing is lacked here of what that process has, by what it said since a lease began.
+     */
     public boolean covers(boolean since, long its) {
         return since && its <= newest || ground.without(Defence.RECORDS_OF_MAJORITY);
     }
--- a/src/main/java/dillfront/core/Register.java
+++ b/src/main/java/dillfront/core/Register.java
@@ -19,9 +19,10 @@
 import java.util.function.Predicate;
 
 /**
- * One value, agreed on by ballots: the members and the configuration (CASPaxos). This is one process's part in it, as acceptor,
- * proposer and learner. It says what it holds in each message, so a message that is lost, repeated or old does no harm; what it
- * promised or accepted is on its disk before it says so.
+ * One value, agreed on by ballots: the members and the configuration (CASPaxos). This is one
+ * process's part in it, as acceptor, proposer and learner. It says what it holds in each message,
+ * so a message that is lost, repeated or old does no harm; what it promised or accepted is on its
+ * disk before it says so.
  */
 public final class Register {
 
@@ -56,14 +57,22 @@
     }
 
     private static final int PIECE = 16_000;
+
     /** While another's ballot is under way, one's own waits so long. */
     private static final long HOLD_OFF_MS = 150;
+
     private static final long BACKOFF_MS = 20;
     private static final int MOST_DOUBLINGS = 4;
+
     /** What was accepted and is not decided is proposed again after so long. */
     private static final long STUCK_MS = 250;
-    /** Who lacks a decided value is sent it by others than its proposer after so long; and again after this. */
+
+    /**
+     * Who lacks a decided value is sent it by others than its proposer after so long; and again
+     * after this.
+     */
     private static final long LACKS_MS = 300;
+
     private static final long AGAIN_MS = 350;
     private static final int MOST_ORDERS = 256;
 
@@ -74,25 +83,36 @@
         Ballot decided = Ballot.NONE;
         Ballot wants = Ballot.NONE;
         boolean accepting;
+
         /** The value that came last, and its ballot. */
         Ballot valueBallot = Ballot.NONE;
+
         Value value;
+
         /** Up to which of this process's values it has. */
         Ballot has = Ballot.NONE;
+
         Ballot sent = Ballot.NONE;
         long sentAt;
     }
 
-    private enum Phase { NONE, OPENING, PREPARE, ACCEPT }
+    private enum Phase {
+        NONE,
+        OPENING,
+        PREPARE,
+        ACCEPT
+    }
 
-    private record Step(long epoch, SortedSet<String> members) { }
+    private record Step(long epoch, SortedSet<String> members) {}
 
-    private record Order(Configuration content, CompletableFuture<Value.Outcome> done) { }
+    private record Order(Configuration content, CompletableFuture<Value.Outcome> done) {}
 
     private final Ground ground;
     private final TreeMap<String, View> views = new TreeMap<>();
+
     /** On the disk. */
     private Ballot promised = Ballot.NONE;
+
     private Ballot accepted = Ballot.NONE;
     private Value value;
     private boolean writing;
@@ -107,11 +127,20 @@
     private int lost;
     private long proposeAt;
     private final List<Order> orders = new ArrayList<>();
-    /** What the sets are to become: the epoch that this is meant for, and the next members; null for the second step. */
+
+    /**
+     * What the sets are to become: the epoch that this is meant for, and the next members; null for
+     * the second step.
+     */
     private Step step;
+
     private long stuckAt = -1;
-    /** The newest value that was told, as it went to those who have another; by the ballot of that. */
+
+    /**
+     * The newest value that was told, as it went to those who have another; by the ballot of that.
+     */
     private Ballot rowsOf = Ballot.NONE;
+
     private final TreeMap<Ballot, Map<String, Object>> rows = new TreeMap<>();
 
     public Register(Ground ground) {
@@ -130,17 +159,27 @@
         for (int i = 0; i < pieces; i++) {
             text.append(kept.getOrDefault("piece" + i, ""));
         }
-        Configuration configuration = text.length() == 0 ? Configuration.NONE
-                : Configuration.read(text.toString().getBytes(StandardCharsets.UTF_8));
+        Configuration configuration =
+                text.length() == 0
+                        ? Configuration.NONE
+                        : Configuration.read(text.toString().getBytes(StandardCharsets.UTF_8));
         TreeMap<Long, Long> past = new TreeMap<>();
         for (String one : kept.getOrDefault("past", "").split(",")) {
             int colon = one.indexOf(':');
             if (colon > 0) {
-                past.put(Long.parseLong(one.substring(0, colon)), Long.parseLong(one.substring(colon + 1)));
+                past.put(
+                        Long.parseLong(one.substring(0, colon)),
+                        Long.parseLong(one.substring(colon + 1)));
             }
         }
-        value = new Value(Long.parseLong(kept.getOrDefault("epoch", "0")), Value.ids(kept.getOrDefault("members", "")),
-                Value.ids(kept.getOrDefault("outgoing", "")), Value.ids(kept.getOrDefault("dropped", "")), configuration, past);
+        value =
+                new Value(
+                        Long.parseLong(kept.getOrDefault("epoch", "0")),
+                        Value.ids(kept.getOrDefault("members", "")),
+                        Value.ids(kept.getOrDefault("outgoing", "")),
+                        Value.ids(kept.getOrDefault("dropped", "")),
+                        configuration,
+                        past);
     }
 
     boolean without(Defence defence) {
@@ -172,7 +211,10 @@
         return decidedValue == null ? Configuration.NONE : decidedValue.configuration();
     }
 
-    /** Nothing is accepted or promised here: a disk that was empty, and nobody has said anything yet. */
+    /**
+     * Nothing is accepted or promised here: a disk that was empty, and nobody has said anything
+     * yet.
+     */
     public boolean blank() {
         return value == null && promised == Ballot.NONE && !writing;
     }
@@ -188,23 +230,32 @@
 
     /** What that process has accepted, as far as was heard. */
     public Ballot acceptedBy(String id) {
-        return id.equals(ground.self()) ? accepted : views.containsKey(id) ? views.get(id).accepted : Ballot.NONE;
+        return id.equals(ground.self())
+                ? accepted
+                : views.containsKey(id) ? views.get(id).accepted : Ballot.NONE;
     }
 
-    /** The first value of all, under the first ballot, offered once it is on this disk; only the founder calls this. */
+    /**
+     * The first value of all, under the first ballot, offered once it is on this disk; only the
+     * founder calls this.
+     */
     public void found(SortedSet<String> members) {
         Ballot ballot = new Ballot(1, ground.self());
         Value first = Value.founded(members);
-        accept(ballot, first).thenRun(() -> {
-            mine = ballot;
-            base = first;
-            proposed = first;
-            phase = Phase.ACCEPT;
-            proposer();
-        });
-    }
-
-    /** Completes with what became of it, once that is decided; fails at once where too many wait. */
+        accept(ballot, first)
+                .thenRun(
+                        () -> {
+                            mine = ballot;
+                            base = first;
+                            proposed = first;
+                            phase = Phase.ACCEPT;
+                            proposer();
+                        });
+    }
+
+    /**
+     * Completes with what became of it, once that is decided; fails at once where too many wait.
+     */
     public CompletableFuture<Value.Outcome> order(Configuration content) {
         CompletableFuture<Value.Outcome> done = new CompletableFuture<>();
         if (orders.size() >= MOST_ORDERS) {
@@ -217,7 +268,10 @@
         return done;
     }
 
-    /** Another set of members, as the first of two steps; passed over where the holder or the epoch is another by then. */
+    /**
+     * Another set of members, as the first of two steps; passed over where the holder or the epoch
+     * is another by then.
+     */
     public void members(long epoch, SortedSet<String> next) {
         step = new Step(epoch, Collections.unmodifiableSortedSet(new TreeSet<>(next)));
         look();
@@ -300,33 +354,43 @@
             rowsOf = ballot;
             rows.clear();
         }
-        return rows.computeIfAbsent(than, t -> {
-            Map<String, Object> row = new LinkedHashMap<>();
-            row.put("e", of.epoch());
-            row.put("m", Value.text(of.members()));
-            row.put("o", Value.text(of.outgoing()));
-            row.put("x", Value.text(of.dropped()));
-            // The other may have numbers that were never decided, or with another content: then the past goes whole.
-            boolean rises = other != null && other.pastWith(of.past()).equals(of.past());
-            List<Object> past = new ArrayList<>();
-            of.past().forEach((version, digest) -> {
-                if (!rises || !digest.equals(other.past().get(version))) {
-                    past.add(version);
-                    past.add(digest);
-                }
-            });
-            row.put("p", past);
-            row.put("pr", rises);
-            if (other == null) {
-                row.put("cz", Deflate.of(of.configuration().body()));
-            } else {
-                row.put("b", than.kept());
-                if (!Arrays.equals(of.configuration().body(), other.configuration().body())) {
-                    row.put("cx", Delta.of(other.configuration().body(), of.configuration().body()));
-                }
-            }
-            return row;
-        });
+        return rows.computeIfAbsent(
+                than,
+                t -> {
+                    Map<String, Object> row = new LinkedHashMap<>();
+                    row.put("e", of.epoch());
+                    row.put("m", Value.text(of.members()));
+                    row.put("o", Value.text(of.outgoing()));
+                    row.put("x", Value.text(of.dropped()));
+                    // The other may have numbers that were never decided, or with another content:
+                    // then the past goes whole.
+                    boolean rises = other != null && other.pastWith(of.past()).equals(of.past());
+                    List<Object> past = new ArrayList<>();
+                    of.past()
+                            .forEach(
+                                    (version, digest) -> {
+                                        if (!rises || !digest.equals(other.past().get(version))) {
+                                            past.add(version);
+                                            past.add(digest);
+                                        }
+                                    });
+                    row.put("p", past);
+                    row.put("pr", rises);
+                    if (other == null) {
+                        row.put("cz", Deflate.of(of.configuration().body()));
+                    } else {
+                        row.put("b", than.kept());
+                        if (!Arrays.equals(
+                                of.configuration().body(), other.configuration().body())) {
+                            row.put(
+                                    "cx",
+                                    Delta.of(
+                                            other.configuration().body(),
+                                            of.configuration().body()));
+                        }
+                    }
+                    return row;
+                });
     }
 
     /** Null where it says what it is by another value that is not known here. */
@@ -342,14 +406,24 @@
         }
         Configuration configuration = other == null ? Configuration.NONE : other.configuration();
         try {
-            byte[] body = row.has("cx") ? Delta.apply(configuration.body(), row.bytes("cx"))
-                    : other == null ? Deflate.back(row.bytes("cz"), Delta.MOST) : null;
-            configuration = body == null ? configuration : body.length == 0 ? Configuration.NONE : Configuration.read(body);
+            byte[] body =
+                    row.has("cx")
+                            ? Delta.apply(configuration.body(), row.bytes("cx"))
+                            : other == null ? Deflate.back(row.bytes("cz"), Delta.MOST) : null;
+            configuration =
+                    body == null
+                            ? configuration
+                            : body.length == 0 ? Configuration.NONE : Configuration.read(body);
         } catch (Delta.Bad | Deflate.Bad bad) {
             return null;
         }
-        return new Value(row.number("e", 0), Value.ids(row.text("m")), Value.ids(row.text("o")), Value.ids(row.text("x")),
-                configuration, row.bit("pr") && other != null ? other.pastWith(past) : past);
+        return new Value(
+                row.number("e", 0),
+                Value.ids(row.text("m")),
+                Value.ids(row.text("o")),
+                Value.ids(row.text("x")),
+                configuration,
+                row.bit("pr") && other != null ? other.pastWith(past) : past);
     }
 
     /** A message of that process; an old one changes nothing. */
@@ -382,7 +456,13 @@
 
     /** Whoever is no longer there is forgotten, unless it is a member. */
     public void retain(Predicate<String> there) {
-        views.keySet().removeIf(id -> !there.test(id) && (value == null || !value.members().contains(id) && !value.outgoing().contains(id)));
+        views.keySet()
+                .removeIf(
+                        id ->
+                                !there.test(id)
+                                        && (value == null
+                                                || !value.members().contains(id)
+                                                        && !value.outgoing().contains(id)));
     }
 
     private void consider() {
@@ -477,7 +557,15 @@
         View of = null;
         for (View v : views.values()) {
             boolean offer = v.accepting && v.valueBallot.equals(v.wants);
-            boolean news = v.wants.above(best) || ground.without(Defence.PROMISE_KEPT) && offer && v.wants.above(accepted) || of == null && v.wants.equals(best) && offer && v.wants.above(accepted);
+            boolean news =
+                    v.wants.above(best)
+                            || ground.without(Defence.PROMISE_KEPT)
+                                    && offer
+                                    && v.wants.above(accepted)
+                            || of == null
+                                    && v.wants.equals(best)
+                                    && offer
+                                    && v.wants.above(accepted);
             if (news && (offer || !v.accepting)) {
                 best = v.wants;
                 of = v;
@@ -495,7 +583,9 @@
     }
 
     private CompletableFuture<Void> promise(Ballot ballot) {
-        return write(Map.of("promised-ballot", ballot.kept()), () -> promised = Ballot.highest(promised, ballot));
+        return write(
+                Map.of("promised-ballot", ballot.kept()),
+                () -> promised = Ballot.highest(promised, ballot));
     }
 
     private CompletableFuture<Void> accept(Ballot ballot, Value is) {
@@ -507,22 +597,29 @@
         record.put("outgoing", Value.text(is.outgoing()));
         record.put("dropped", Value.text(is.dropped()));
         StringBuilder past = new StringBuilder();
-        is.past().forEach((version, digest) -> past.append(version).append(':').append(digest).append(','));
+        is.past()
+                .forEach(
+                        (version, digest) ->
+                                past.append(version).append(':').append(digest).append(','));
         record.put("past", past.toString());
         int before = pieces;
         if (value == null || is.configuration() != value.configuration()) {
             pieces(record, new String(is.configuration().body(), StandardCharsets.UTF_8));
         }
-        CompletableFuture<Void> done = write(record, () -> {
-            promised = Ballot.highest(promised, ballot);
-            accepted = ballot;
-            value = is;
-            acceptedAt = ground.now();
-        });
-        done.exceptionally(fault -> {
-            pieces = Math.max(before, pieces);
-            return null;
-        });
+        CompletableFuture<Void> done =
+                write(
+                        record,
+                        () -> {
+                            promised = Ballot.highest(promised, ballot);
+                            accepted = ballot;
+                            value = is;
+                            acceptedAt = ground.now();
+                        });
+        done.exceptionally(
+                fault -> {
+                    pieces = Math.max(before, pieces);
+                    return null;
+                });
         return done;
     }
 
@@ -543,19 +640,23 @@
         record.put("pieces", Integer.toString(count));
     }
 
-    /** One write at a time; what was heard meanwhile is looked at once it is done. Nothing is said before. */
+    /**
+     * One write at a time; what was heard meanwhile is looked at once it is done. Nothing is said
+     * before.
+     */
     private CompletableFuture<Void> write(Map<String, String> record, Runnable then) {
         writing = true;
         CompletableFuture<Void> done = ground.store(record);
-        return done.whenComplete((is, fault) -> {
-            writing = false;
-            if (fault == null) {
-                then.run();
-                ground.tell();
-                consider();
-                look();
-            }
-        });
+        return done.whenComplete(
+                (is, fault) -> {
+                    writing = false;
+                    if (fault == null) {
+                        then.run();
+                        ground.tell();
+                        consider();
+                        look();
+                    }
+                });
     }
 
     // ---- proposer
@@ -563,30 +664,38 @@
     private void open() {
         long round = Math.max(promised.round(), Math.max(accepted.round(), mine.round()));
         for (View v : views.values()) {
-            round = Math.max(round, Math.max(v.promised.round(), Math.max(v.accepted.round(), v.wants.round())));
+            round =
+                    Math.max(
+                            round,
+                            Math.max(
+                                    v.promised.round(),
+                                    Math.max(v.accepted.round(), v.wants.round())));
         }
         mine = new Ballot(round + 1, ground.self());
         phase = Phase.OPENING;
         Ballot ballot = mine;
-        promise(ballot).whenComplete((is, fault) -> {
-            if (!ballot.equals(mine) || phase != Phase.OPENING) {
-                return;
-            }
-            if (fault != null) {
-                give();
-                return;
-            }
-            phase = Phase.PREPARE;
-            ground.tell();
-            proposer();
-        });
+        promise(ballot)
+                .whenComplete(
+                        (is, fault) -> {
+                            if (!ballot.equals(mine) || phase != Phase.OPENING) {
+                                return;
+                            }
+                            if (fault != null) {
+                                give();
+                                return;
+                            }
+                            phase = Phase.PREPARE;
+                            ground.tell();
+                            proposer();
+                        });
     }
 
     /** This ballot is lost or cannot go on: another after a while. */
     private void give() {
         phase = Phase.NONE;
         lost = Math.min(lost + 1, MOST_DOUBLINGS);
-        proposeAt = Math.max(proposeAt, ground.now() + BACKOFF_MS + ground.chance(BACKOFF_MS << lost));
+        proposeAt =
+                Math.max(proposeAt, ground.now() + BACKOFF_MS + ground.chance(BACKOFF_MS << lost));
     }
 
     private void proposer() {
@@ -609,7 +718,9 @@
     }
 
     private boolean promisedTo(String id) {
-        return id.equals(ground.self()) ? promised.equals(mine) : views.containsKey(id) && views.get(id).promised.equals(mine);
+        return id.equals(ground.self())
+                ? promised.equals(mine)
+                : views.containsKey(id) && views.get(id).promised.equals(mine);
     }
 
     private void prepared() {
@@ -620,7 +731,9 @@
             }
         }
         Value follows = of(highest);
-        boolean promises = ground.without(Defence.PROMISES_OF_MAJORITY) || follows != null && follows.quorum(this::promisedTo);
+        boolean promises =
+                ground.without(Defence.PROMISES_OF_MAJORITY)
+                        || follows != null && follows.quorum(this::promisedTo);
         if (follows == null || writing || !promises) {
             return;
         }
@@ -630,7 +743,10 @@
             next = order.done().isDone() ? next : fold(next, order.content());
         }
         if (known && step != null) {
-            boolean may = ground.holds() && step.epoch() == next.epoch() && next.joint() == (step.members() == null);
+            boolean may =
+                    ground.holds()
+                            && step.epoch() == next.epoch()
+                            && next.joint() == (step.members() == null);
             next = !may ? next : next.joint() ? drop(next) : join(next, step.members());
             step = null;
         }
@@ -638,18 +754,23 @@
         proposed = next;
         phase = Phase.ACCEPT;
         ground.tell();
-        accept(mine, next).exceptionally(fault -> {
-            give();
-            return null;
-        });
+        accept(mine, next)
+                .exceptionally(
+                        fault -> {
+                            give();
+                            return null;
+                        });
     }
 
     private Value fold(Value into, Configuration order) {
-        return (ground.without(Defence.ONE_CONTENT) ? into.without(order.version()) : into).with(order);
+        return (ground.without(Defence.ONE_CONTENT) ? into.without(order.version()) : into)
+                .with(order);
     }
 
     private Value join(Value on, SortedSet<String> next) {
-        return ground.without(Defence.JOINT_MAJORITIES) ? on.towards(next).settled().clean() : on.towards(next);
+        return ground.without(Defence.JOINT_MAJORITIES)
+                ? on.towards(next).settled().clean()
+                : on.towards(next);
     }
 
     private Value drop(Value joint) {
@@ -664,7 +785,8 @@
     private void counted() {
         Ballot ballot = mine;
         if (proposed.decidedBy(id -> counts(id, ballot))
-                && (ground.without(Defence.OLDER_EPOCHS) || base.quorum(id -> counts(id, ballot)))) {
+                && (ground.without(Defence.OLDER_EPOCHS)
+                        || base.quorum(id -> counts(id, ballot)))) {
             phase = Phase.NONE;
             lost = 0;
             learn(ballot, proposed);
--- a/src/main/java/dillfront/core/Settling.java
+++ b/src/main/java/dillfront/core/Settling.java
@@ -3,8 +3,8 @@
 import java.util.function.Predicate;
 
 /**
- * When the new one of two sets may go on alone: once a majority of it has on its disks all that a majority of each had when it accepted the
- * joint value. Its holder has heard that from them.
+ * When the new one of two sets may go on alone: once a majority of it has on its disks all that a
+ * majority of each had when it accepted the joint value. Its holder has heard that from them.
  */
 public final class Settling {
 
@@ -14,8 +14,11 @@
         boolean has(String id, long change, long record);
     }
 
-    /** The ballot that made two sets count, and the holder's table when a majority of each had that. */
+    /**
+     * The ballot that made two sets count, and the holder's table when a majority of each had that.
+     */
     private Ballot joint = Ballot.NONE;
+
     private long mark = -1;
 
     /** One set counts. */
@@ -29,7 +32,13 @@
      * @param change of the holder's table, now
      * @param record the newest that the holder knows
      */
-    public boolean may(Value is, Ballot ballot, Predicate<String> accepted, long change, long record, Disks disks) {
+    public boolean may(
+            Value is,
+            Ballot ballot,
+            Predicate<String> accepted,
+            long change,
+            long record,
+            Disks disks) {
         if (!ballot.equals(joint) || mark < 0) {
             joint = ballot;
             mark = is.quorum(accepted) ? change : -1;
--- a/src/main/java/dillfront/core/Sight.java
+++ b/src/main/java/dillfront/core/Sight.java
@@ -1,6 +1,9 @@
 package dillfront.core;
 
-/** What fronts see of a service's primary: how many have it answer, how many in vain, what is open there. */
+/**
+ * What fronts see of a service's primary: how many have it answer, how many in vain, what is open
+ * there.
+ */
 record Sight(String primary, int well, int lost, int open) {
 
     static final Sight NONE = new Sight("", 0, 0, 0);
--- a/src/main/java/dillfront/core/Store.java
+++ b/src/main/java/dillfront/core/Store.java
@@ -6,13 +6,19 @@
 /** The disk of a control process: texts under names. */
 public interface Store {
 
-    /** A text has at most so many letters; a disk may hold it in two bytes of length, with up to three a letter. */
+    /**
+     * A text has at most so many letters; a disk may hold it in two bytes of length, with up to
+     * three a letter.
+     */
     int LONGEST = 0xffff / 3;
 
     /** What was there at the start. */
     Map<String, String> all();
 
-    /** Completes on the loop once all of it is on the disk, in the order of the calls; fails where it is not. */
+    /**
+     * Completes on the loop once all of it is on the disk, in the order of the calls; fails where
+     * it is not.
+     */
     CompletableFuture<Void> put(Map<String, String> texts);
 
     /** For how long what was given to the disk has been waiting for it, in milliseconds. */
--- a/src/main/java/dillfront/core/Table.java
+++ b/src/main/java/dillfront/core/Table.java
@@ -6,17 +6,20 @@
 import java.util.Map;
 
 /**
- * The table of servers as processes tell each other of it: what of it goes into a word, how far each has that of the other, and how far
- * it is on the disk. Rows only go forward, so a word that is lost, repeated or old does no harm.
+ * The table of servers as processes tell each other of it: what of it goes into a word, how far
+ * each has that of the other, and how far it is on the disk. Rows only go forward, so a word that
+ * is lost, repeated or old does no harm.
  */
 public final class Table {
 
-    private record Heard(Progress from, long known) { }
+    private record Heard(Progress from, long known) {}
 
     private final Register.Ground ground;
     private final Members members;
+
     /** The change that the disk has. */
     private long durable;
+
     private boolean keeping;
 
     Table(Register.Ground ground, Members members) {
@@ -42,7 +45,10 @@
         return durable;
     }
 
-    /** It goes to the disk behind what happens: a restart then begins with it, and servers tell again anyway. */
+    /**
+     * It goes to the disk behind what happens: a restart then begins with it, and servers tell
+     * again anyway.
+     */
     public void keep(List<Progress> others, Runnable then) {
         if (keeping) {
             return;
@@ -55,14 +61,17 @@
         long upTo = members.changes();
         List<Heard> heard = new ArrayList<>();
         others.forEach(p -> heard.add(new Heard(p, p.known)));
-        ground.store(members.kept(durable)).whenComplete((done, fault) -> {
-            keeping = false;
-            if (fault == null) {
-                durable = upTo;
-                heard.forEach(h -> h.from.stored = Math.max(h.from.stored, h.known));
-                then.run();
-            }
-        });
+        ground.store(members.kept(durable))
+                .whenComplete(
+                        (done, fault) -> {
+                            keeping = false;
+                            if (fault == null) {
+                                durable = upTo;
+                                heard.forEach(
+                                        h -> h.from.stored = Math.max(h.from.stored, h.known));
+                                then.run();
+                            }
+                        });
     }
 
     /** What goes into a word to that process. */
@@ -104,8 +113,9 @@
     }
 
     /**
-     * The same, as far as it counts for an acknowledgement under the set that is gone by here: what it has on its disk while it goes by a
-     * newer set may be missing in what that one was settled with.
+     * The same, as far as it counts for an acknowledgement under the set that is gone by here: what
+     * it has on its disk while it goes by a newer set may be missing in what that one was settled
+     * with.
      */
     public long kept(Progress by, long itsEpoch, long epoch) {
         return itsEpoch <= epoch || ground.without(Defence.ROWS_UNDER_EPOCH) ? by.kept : 0;
--- a/src/main/java/dillfront/core/Value.java
+++ b/src/main/java/dillfront/core/Value.java
@@ -17,14 +17,22 @@
  * @param epoch one more with each change of the sets
  * @param members ids of the processes whose disks count
  * @param outgoing the set before, while both count (joint); else empty
- * @param dropped the outgoing set of the joint value that this one follows: it has to accept this one still; else empty
- * @param past numbers of configurations that were decided, the newest ones, each with the digest of its content
+ * @param dropped the outgoing set of the joint value that this one follows: it has to accept this
+ *     one still; else empty
+ * @param past numbers of configurations that were decided, the newest ones, each with the digest of
+ *     its content
  */
-public record Value(long epoch, SortedSet<String> members, SortedSet<String> outgoing, SortedSet<String> dropped,
-        Configuration configuration, SortedMap<Long, Long> past) {
+public record Value(
+        long epoch,
+        SortedSet<String> members,
+        SortedSet<String> outgoing,
+        SortedSet<String> dropped,
+        Configuration configuration,
+        SortedMap<Long, Long> past) {
 
     private static final int MOST_PAST = 512;
-    private static final SortedSet<String> NOBODY = Collections.unmodifiableSortedSet(new TreeSet<>());
+    private static final SortedSet<String> NOBODY =
+            Collections.unmodifiableSortedSet(new TreeSet<>());
 
     /** What became of an order, by a decided value. */
     public enum Outcome {
@@ -75,7 +83,9 @@
 
     private static long reached(SortedSet<String> of, ToLongFunction<String> moment) {
         long[] moments = of.stream().mapToLong(moment).sorted().toArray();
-        return moments.length == 0 ? Long.MIN_VALUE : moments[moments.length - 1 - moments.length / 2];
+        return moments.length == 0
+                ? Long.MIN_VALUE
+                : moments[moments.length - 1 - moments.length / 2];
     }
 
     /** An order: above what is held it takes its place; a number has one content for ever. */
@@ -88,7 +98,9 @@
             return new Value(epoch, members, outgoing, dropped, order, next);
         }
         // Overtaken before anything was decided under its number: from now on this is its content.
-        return next.containsKey(order.version()) ? new Value(epoch, members, outgoing, dropped, configuration, next) : this;
+        return next.containsKey(order.version())
+                ? new Value(epoch, members, outgoing, dropped, configuration, next)
+                : this;
     }
 
     SortedMap<Long, Long> pastWith(Map<Long, Long> more) {
@@ -114,7 +126,9 @@
             return digest == digest(order) ? Outcome.TAKEN : Outcome.CONFLICT;
         }
         boolean forgotten = past.size() == MOST_PAST && order.version() < past.firstKey();
-        return forgotten && order.version() < configuration.version() ? Outcome.TAKEN : Outcome.OPEN;
+        return forgotten && order.version() < configuration.version()
+                ? Outcome.TAKEN
+                : Outcome.OPEN;
     }
 
     /** The step to another set: both count. */
@@ -129,12 +143,16 @@
 
     /** The same, where all that dropped a set is known to be decided. */
     Value clean() {
-        return dropped.isEmpty() ? this : new Value(epoch, members, outgoing, NOBODY, configuration, past);
+        return dropped.isEmpty()
+                ? this
+                : new Value(epoch, members, outgoing, NOBODY, configuration, past);
     }
 
     /** Ids from a text that holds them between commas. */
     static SortedSet<String> ids(String text) {
-        return text.isEmpty() ? NOBODY : Collections.unmodifiableSortedSet(new TreeSet<>(Arrays.asList(text.split(","))));
+        return text.isEmpty()
+                ? NOBODY
+                : Collections.unmodifiableSortedSet(new TreeSet<>(Arrays.asList(text.split(","))));
     }
 
     static String text(SortedSet<String> ids) {
--- a/src/main/java/dillfront/core/Versions.java
+++ b/src/main/java/dillfront/core/Versions.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * The newest decided configuration and those before it, for whoever holds one of them and wants the newest. Of those before
- * only what turns each into the one before it is kept, so that hundreds of changes take little room. What is made for one
- * asker serves all others.
+ * The newest decided configuration and those before it, for whoever holds one of them and wants the
+ * newest. Of those before only what turns each into the one before it is kept, so that hundreds of
+ * changes take little room. What is made for one asker serves all others.
  */
 final class Versions {
 
@@ -17,13 +17,17 @@
     private static final int MOST_BYTES = 1 << 19;
 
     /** One that was the newest: what turns the one after it into it. */
-    private record Past(long version, long digest, byte[] back) { }
+    private record Past(long version, long digest, byte[] back) {}
 
     private final ArrayDeque<Past> past = new ArrayDeque<>();
     private int bytes;
     private Configuration newest = Configuration.NONE;
     private byte[] whole;
-    /** What turns a version into the newest; empty where that is not known, or no shorter than the whole. */
+
+    /**
+     * What turns a version into the newest; empty where that is not known, or no shorter than the
+     * whole.
+     */
     private final TreeMap<Long, byte[]> made = new TreeMap<>();
 
     /** This one is decided; one that is no newer than what is known changes nothing. */
@@ -32,7 +36,11 @@
             return;
         }
         if (newest != Configuration.NONE) {
-            Past last = new Past(newest.version(), newest.digest(), Delta.of(next.body(), newest.body()));
+            Past last =
+                    new Past(
+                            newest.version(),
+                            newest.digest(),
+                            Delta.of(next.body(), newest.body()));
             past.addFirst(last);
             bytes += last.back().length;
             while (past.size() > MOST || bytes > MOST_BYTES) {
--- a/src/main/java/dillfront/daemon/Doorkeeper.java
+++ b/src/main/java/dillfront/daemon/Doorkeeper.java
@@ -33,9 +33,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps the gate's state as the operator's files have it, and the door's TLS. Files are looked at and read by a thread of
- * their own, four times a second; what they say comes to the loop as one object. Handshakes' arithmetic is done by that
- * thread too, so that a storm of them takes none of the loop's turns; so many at once, and the next are turned away.
+ * Keeps the gate's state as the operator's files have it, and the door's TLS. Files are looked at
+ * and read by a thread of their own, four times a second; what they say comes to the loop as one
+ * object. Handshakes' arithmetic is done by that thread too, so that a storm of them takes none of
+ * the loop's turns; so many at once, and the next are turned away.
  */
 final class Doorkeeper implements Callers {
 
@@ -47,8 +48,10 @@
     private record Read(Policy policy, Tokens tokens, SslContext tls) {}
 
     private final Path operatorFile;
+
     /** On the reader's thread after the start. */
     private Setup setup;
+
     private final Clock clock;
     private final EventLoop loop;
     private final Log log;
@@ -56,8 +59,10 @@
     private final Penalty penalty;
     private final ScheduledThreadPoolExecutor reader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
+
     /** What was read last and was good, and the files of it as they were then. */
     private Operator.IdentityPart part;
+
     private String seen;
     private String fault = "";
     private Tokens tokens;
@@ -65,7 +70,14 @@
     private int handshakes;
 
     /** Reads the files once, or says what is wrong with them. */
-    Doorkeeper(Path operatorFile, Operator operator, Setup setup, long seed, Clock clock, EventLoop loop, Log log)
+    Doorkeeper(
+            Path operatorFile,
+            Operator operator,
+            Setup setup,
+            long seed,
+            Clock clock,
+            EventLoop loop,
+            Log log)
             throws Operator.BadOperator {
         this.operatorFile = operatorFile;
         this.setup = setup;
@@ -76,7 +88,8 @@
         part = operator.identity();
         seen = stamps(part);
         take(read(part, setup));
-        reader.scheduleWithFixedDelay(this::look, LOOK.toMillis(), LOOK.toMillis(), TimeUnit.MILLISECONDS);
+        reader.scheduleWithFixedDelay(
+                this::look, LOOK.toMillis(), LOOK.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     void close() {
@@ -84,26 +97,33 @@
     }
 
     /**
-     * Other settings: the rights are read by their txn types and tenants, and both change in one turn of the loop.
-     * Guards against rights that speak of a type by an index which has become another's.
+     * Other settings: the rights are read by their txn types and tenants, and both change in one
+     * turn of the loop. Guards against rights that speak of a type by an index which has become
+     * another's.
      */
     void settle(Setup next, Runnable then) throws BadConfig {
         try {
-            reader.submit(() -> {
-                // Where the settings are the same, a file that cannot be read now keeps nobody from moving discovery.
-                Read read = next.equals(setup) ? null : read(part, next);
-                setup = next;
-                loop.execute(() -> {
-                    then.run();
-                    if (read != null) {
-                        tick();
-                        take(read);
-                    }
-                });
-                return null;
-            }).get();
+            reader.submit(
+                            () -> {
+                                // Where the settings are the same, a file that cannot be read now
+                                // keeps nobody from moving discovery.
+                                Read read = next.equals(setup) ? null : read(part, next);
+                                setup = next;
+                                loop.execute(
+                                        () -> {
+                                            then.run();
+                                            if (read != null) {
+                                                tick();
+                                                take(read);
+                                            }
+                                        });
+                                return null;
+                            })
+                    .get();
         } catch (InterruptedException | ExecutionException | RejectedExecutionException bad) {
-            throw new BadConfig("identity, by these settings: " + (bad.getCause() == null ? bad : bad.getCause().getMessage()));
+            throw new BadConfig(
+                    "identity, by these settings: "
+                            + (bad.getCause() == null ? bad : bad.getCause().getMessage()));
         }
     }
 
@@ -116,8 +136,12 @@
         StringBuilder all = new StringBuilder();
         for (Path file : files) {
             try {
-                all.append(file).append(' ').append(Files.getLastModifiedTime(file).toInstant()).append(' ')
-                        .append(Files.size(file)).append('\n');
+                all.append(file)
+                        .append(' ')
+                        .append(Files.getLastModifiedTime(file).toInstant())
+                        .append(' ')
+                        .append(Files.size(file))
+                        .append('\n');
             } catch (IOException none) {
                 all.append(file).append(" not there\n");
             }
@@ -134,7 +158,8 @@
         try {
             Operator operator = Operator.read(operatorFile);
             if (operator.identity() == null) {
-                throw new Operator.BadOperator(operatorFile + ": identity() is gone; that waits for a start");
+                throw new Operator.BadOperator(
+                        operatorFile + ": identity() is gone; that waits for a start");
             }
             String now = stamps(operator.identity());
             read = read(operator.identity(), setup);
@@ -149,29 +174,46 @@
         fault = wrong;
         Read good = read;
         String why = wrong;
-        loop.execute(() -> {
-            tick();
-            if (good != null) {
-                take(good);
-                log.info("identity-read", "principals", good.policy.principals().size(), "keys", good.policy.keys());
-            } else {
-                gate.unreadable();
-                if (!said) {
-                    log.warn("identity-unreadable", "fault", why);
-                }
-            }
-        });
+        loop.execute(
+                () -> {
+                    tick();
+                    if (good != null) {
+                        take(good);
+                        log.info(
+                                "identity-read",
+                                "principals",
+                                good.policy.principals().size(),
+                                "keys",
+                                good.policy.keys());
+                    } else {
+                        gate.unreadable();
+                        if (!said) {
+                            log.warn("identity-unreadable", "fault", why);
+                        }
+                    }
+                });
     }
 
     private Read read(Operator.IdentityPart of, Setup by) throws Operator.BadOperator {
         try {
             Tokens next = new Tokens(Files.readString(of.jwks()), of.issuer(), of.audience());
-            Set<String> revoked = of.revoked() == null ? Set.of()
-                    : Files.readAllLines(of.revoked(), StandardCharsets.UTF_8).stream().map(String::strip)
-                            .filter(l -> !l.isEmpty() && !l.startsWith("#")).collect(Collectors.toSet());
-            SslContext context = of.certificate() == null ? null : SslContextBuilder.forServer(of.certificate().toFile(),
-                    of.privateKey().toFile()).sslProvider(SslProvider.JDK).protocols("TLSv1.3", "TLSv1.2").build();
-            return new Read(of.policy(by.types(), by.tenants(), next.ids(), revoked), next, context);
+            Set<String> revoked =
+                    of.revoked() == null
+                            ? Set.of()
+                            : Files.readAllLines(of.revoked(), StandardCharsets.UTF_8).stream()
+                                    .map(String::strip)
+                                    .filter(l -> !l.isEmpty() && !l.startsWith("#"))
+                                    .collect(Collectors.toSet());
+            SslContext context =
+                    of.certificate() == null
+                            ? null
+                            : SslContextBuilder.forServer(
+                                            of.certificate().toFile(), of.privateKey().toFile())
+                                    .sslProvider(SslProvider.JDK)
+                                    .protocols("TLSv1.3", "TLSv1.2")
+                                    .build();
+            return new Read(
+                    of.policy(by.types(), by.tenants(), next.ids(), revoked), next, context);
         } catch (Tokens.BadToken bad) {
             throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
         } catch (IOException | IllegalArgumentException bad) {
@@ -203,7 +245,8 @@
         if (tls == null || handshakes >= HANDSHAKES) {
             return null;
         }
-        SslHandler handler = new SslHandler(tls.newEngine(io.netty.buffer.ByteBufAllocator.DEFAULT), reader);
+        SslHandler handler =
+                new SslHandler(tls.newEngine(io.netty.buffer.ByteBufAllocator.DEFAULT), reader);
         handler.setHandshakeTimeoutMillis(HANDSHAKE.toMillis());
         handshakes++;
         handler.handshakeFuture().addListener(done -> handshakes--);
@@ -220,35 +263,66 @@
     @Override
     public void enter(String address, String user, String token, Entry entry) {
         Tokens by = tokens;
-        reader.execute(() -> {
-            Gate.Credential credential = null;
-            String wrong = null;
-            try {
-                credential = by.read(token);
-                wrong = credential.principal().equals(user) ? null : "the token is for '" + credential.principal() + "'";
-            } catch (Tokens.BadToken bad) {
-                wrong = bad.getMessage();
-            }
-            Gate.Credential said = credential;
-            String fault = wrong;
-            loop.execute(() -> {
-                tick();
-                Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
-                if (in instanceof Gate.Session session) {
-                    penalty.right(address, user);
-                    entry.entered(session);
-                    return;
-                }
-                penalty.failed(address, user);
-                String why = fault != null ? fault : ((Refusal) in).word();
-                log.warn("login-refused", "user", user, "address", address, "why", why);
-                entry.refused((Refusal) in, why);
-            });
-        });
+        reader.execute(
+                () -> {
+                    Gate.Credential credential = null;
+                    String wrong = null;
+                    try {
+                        credential = by.read(token);
+                        wrong =
+                                credential.principal().equals(user)
+                                        ? null
+                                        : "the token is for '" + credential.principal() + "'";
+                    } catch (Tokens.BadToken bad) {
+                        wrong = bad.getMessage();
+                    }
+                    Gate.Credential said = credential;
+                    String fault = wrong;
+                    loop.execute(
+                            () -> {
+                                tick();
+                                Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
+                                if (in instanceof Gate.Session session) {
+                                    penalty.right(address, user);
+                                    entry.entered(session);
+                                    return;
+                                }
+                                penalty.failed(address, user);
+                                String why = fault != null ? fault : ((Refusal) in).word();
+                                log.warn(
+                                        "login-refused",
+                                        "user",
+                                        user,
+                                        "address",
+                                        address,
+                                        "why",
+                                        why);
+                                entry.refused((Refusal) in, why);
+                            });
+                });
     }
 
     @Override
-    public void denied(Gate.Session session, Refusal why, String type, boolean write, int group, String cause) {
-        log.warn("denied", "who", session.name(), "why", why, "type", type, "write", write, "group", group, "rule", cause);
+    public void denied(
+            Gate.Session session,
+            Refusal why,
+            String type,
+            boolean write,
+            int group,
+            String cause) {
+        log.warn(
+                "denied",
+                "who",
+                session.name(),
+                "why",
+                why,
+                "type",
+                type,
+                "write",
+                write,
+                "group",
+                group,
+                "rule",
+                cause);
     }
 }
--- a/src/main/java/dillfront/daemon/Ledger.java
+++ b/src/main/java/dillfront/daemon/Ledger.java
@@ -24,28 +24,38 @@
 import java.util.function.IntFunction;
 
 /**
- * What a router keeps in mind beyond the txn that asks, where the operator's file has it: referenced txns that may have run,
- * and how far each group has come back. Joins these decisions to the disk and to the router's words. On the loop.
+ * What a router keeps in mind beyond the txn that asks, where the operator's file has it:
+ * referenced txns that may have run, and how far each group has come back. Joins these decisions to
+ * the disk and to the router's words. On the loop.
  */
 final class Ledger implements Groups.Listener, Sites.Listener {
 
-    /** State changes that are logged within one span of this length, in dial time-outs; the rest are counted. */
+    /**
+     * State changes that are logged within one span of this length, in dial time-outs; the rest are
+     * counted.
+     */
     private static final int LINES = 64;
+
     private static final int LINES_DIALS = 40;
 
     private final Log log;
+
     /** Null where it is off. */
     private final Doubts doubts;
+
     private final Memory memory;
     private final Groups groups;
+
     /** Null where they are not watched. */
     private final Sites sites;
+
     private Map<Integer, String> zones = Map.of();
     private Duration dial;
     private Duration linesFrom = Duration.ZERO;
     private int lines;
     private long unsaid;
     private Duration now = Duration.ZERO;
+
     /** What other routers have in doubt; null where none tells. */
     private Others others;
 
@@ -54,13 +64,22 @@
      * @param memory null where nothing is remembered
      * @param watchesSites what is lost is judged by site
      */
-    Ledger(Doubts.Bounds bounds, Memory memory, boolean watchesSites, Setup setup, Duration began, Log log) {
+    Ledger(
+            Doubts.Bounds bounds,
+            Memory memory,
+            boolean watchesSites,
+            Setup setup,
+            Duration began,
+            Log log) {
         this.log = log;
         this.memory = memory;
         Settings settings = setup.settings();
         dial = settings.dial();
         named(setup);
-        sites = watchesSites ? new Sites(zones.getOrDefault(settings.zone(), ""), dial, this) : null;
+        sites =
+                watchesSites
+                        ? new Sites(zones.getOrDefault(settings.zone(), ""), dial, this)
+                        : null;
         doubts = bounds == null ? null : new Doubts(bounds, memory);
         groups = new Groups(began, dial, settings.coldFor(), this);
         if (memory != null) {
@@ -129,20 +148,26 @@
         }
         if (result == Result.UNREACHABLE || result == Result.TIMED_OUT) {
             groups.silent(node);
-        } else if (result != Result.UNSENT && result != Result.WITHDRAWN && result != Result.RESET) {
+        } else if (result != Result.UNSENT
+                && result != Result.WITHDRAWN
+                && result != Result.RESET) {
             groups.heard(node, note.role(), note.position(), clock);
         }
     }
 
     /**
-     * Whether a write of this key, 0 where it has none, may go to this node now; asked again at the send. Guards against a write
-     * that waited for the disk or a connection while another router told that it may have run.
+     * Whether a write of this key, 0 where it has none, may go to this node now; asked again at the
+     * send. Guards against a write that waited for the disk or a connection while another router
+     * told that it may have run.
      */
     boolean mayWrite(long key, int node, Duration clock) {
         return (key == 0 || !elsewhere(key)) && groups.mayWrite(node, clock);
     }
 
-    /** One that claims to lead, and gets no write, stands at no present either: nothing that it says of itself counts. */
+    /**
+     * One that claims to lead, and gets no write, stands at no present either: nothing that it says
+     * of itself counts.
+     */
     Report believed(int node, Report says, Duration clock) {
         return says.role() == Role.PRIMARY && !groups.mayLead(node, clock) ? Report.NOTHING : says;
     }
@@ -160,9 +185,17 @@
     void listed(List<Member> members) {
         for (Member m : members) {
             NodeRow row = m.row();
-            groups.listed(row.node(), m.id(), row.group(), row.started(), row.standing() == Standing.READY);
+            groups.listed(
+                    row.node(),
+                    m.id(),
+                    row.group(),
+                    row.started(),
+                    row.standing() == Standing.READY);
             if (sites != null) {
-                sites.listed(row.node(), zones.getOrDefault(row.zone(), "?"), row.standing() == Standing.READY);
+                sites.listed(
+                        row.node(),
+                        zones.getOrDefault(row.zone(), "?"),
+                        row.standing() == Standing.READY);
             }
         }
     }
@@ -178,7 +211,9 @@
         }
     }
 
-    /** @param sees what the router sees of each node, by its index, of so many */
+    /**
+     * @param sees what the router sees of each node, by its index, of so many
+     */
     void beat(Duration clock, int nodes, IntFunction<Sight> sees) {
         now = clock;
         groups.beat(clock);
@@ -211,7 +246,17 @@
     @Override
     public void changed(int group, Groups.State from, Groups.State to) {
         if (mayLog()) {
-            log.info("recovery", "group", group, "from", name(from), "to", name(to), "loss", name(groups.loss()), "sure",
+            log.info(
+                    "recovery",
+                    "group",
+                    group,
+                    "from",
+                    name(from),
+                    "to",
+                    name(to),
+                    "loss",
+                    name(groups.loss()),
+                    "sure",
                     String.format(Locale.ROOT, "%.2f", groups.sure()));
         }
     }
@@ -253,8 +298,15 @@
         recovery.put("changes_unsaid", unsaid);
         all.put("recovery", recovery);
         Map<String, Object> states = new LinkedHashMap<>();
-        groups.states().forEach((group, state) -> states.put(String.valueOf(group), name(state)
-                + (groups.awaits(group) == null ? "" : ", awaits " + groups.awaits(group))));
+        groups.states()
+                .forEach(
+                        (group, state) ->
+                                states.put(
+                                        String.valueOf(group),
+                                        name(state)
+                                                + (groups.awaits(group) == null
+                                                        ? ""
+                                                        : ", awaits " + groups.awaits(group))));
         all.put("groups", states);
         if (sites != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
--- a/src/main/java/dillfront/daemon/Rehearsal.java
+++ b/src/main/java/dillfront/daemon/Rehearsal.java
@@ -14,22 +14,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Starts one router whose only node is its own door, and lets one client ask it: a txn comes back to the door, is
- * refused there since its id is open, and so goes through all that a router needs at its start. The build runs this
- * and keeps the classes that were loaded, so that a router that starts again serves sooner. Nothing leaves the machine.
+ * Starts one router whose only node is its own door, and lets one client ask it: a txn comes back
+ * to the door, is refused there since its id is open, and so goes through all that a router needs
+ * at its start. The build runs this and keeps the classes that were loaded, so that a router that
+ * starts again serves sooner. Nothing leaves the machine.
  */
 public final class Rehearsal {
 
-    private static final String CONFIG = "{'name':'rehearsal','listen':'%1$s','discovery':'127.0.0.1:1','seed':'1',"
-            + "'limits':{'sockets':512},'known':{'generation':1,'reset':true,'instances':[{'instanceId':'s','hostPort':"
-            + "'%1$s','zone':'a','cell':1,'lifecycle':'ready','weight':1.5,'startedAtMs':1,'role':'leader'}]},"
-            + "'settings':{'az':'a','zones':['a'],'stepUs':5000,'bounds':{'dialTimeoutUs':250000,'maxAttempts':2,"
-            + "'probes':true,'retryAfter':true,'maxRetryAfterUs':1000000,'keepaliveUs':30000000},"
-            + "'stats':{'how':'inline','fields':['x0','x1']},'classes':[{'name':'any','effect':'retryable',"
-            + "'targetUs':300000,'deadlineUs':1000000,'worth':1.5,'lateShare':0.1},{'name':'move','effect':'dedup',"
-            + "'dedupWindowUs':2000000,'targetUs':300000,'deadlineUs':1000000}],'familyInfo':{'classRead':"
-            + "['eventual','mutate'],'listRole':'static','guards':'off','tokens':'brought'},"
-            + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}}";
+    private static final String CONFIG =
+            "{'name':'rehearsal','listen':'%1$s','discovery':'127.0.0.1:1','seed':'1',"
+                    + "'limits':{'sockets':512},'known':{'generation':1,'reset':true,'instances':[{'instanceId':'s','hostPort':"
+                    + "'%1$s','zone':'a','cell':1,'lifecycle':'ready','weight':1.5,'startedAtMs':1,'role':'leader'}]},"
+                    + "'settings':{'az':'a','zones':['a'],'stepUs':5000,'bounds':{'dialTimeoutUs':250000,'maxAttempts':2,"
+                    + "'probes':true,'retryAfter':true,'maxRetryAfterUs':1000000,'keepaliveUs':30000000},"
+                    + "'stats':{'how':'inline','fields':['x0','x1']},'classes':[{'name':'any','effect':'retryable',"
+                    + "'targetUs':300000,'deadlineUs':1000000,'worth':1.5,'lateShare':0.1},{'name':'move','effect':'dedup',"
+                    + "'dedupWindowUs':2000000,'targetUs':300000,'deadlineUs':1000000}],'familyInfo':{'classRead':"
+                    + "['eventual','mutate'],'listRole':'static','guards':'off','tokens':'brought'},"
+                    + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}}";
 
     private Rehearsal() {}
 
@@ -39,7 +41,8 @@
             port = free.getLocalPort();
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
-        Config read = Config.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
+        Config read =
+                Config.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
         Daemon daemon = new Daemon(read, log);
         daemon.hear(() -> read);
         daemon.start();
@@ -47,11 +50,15 @@
             client.setSoTimeout(5000);
             ByteBuf all = Messages.startup(Unpooled.buffer(), "worker", "catalog");
             Messages.query(all, "");
-            Messages.query(all, "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d=400,cluster=1,after=1 */");
-            Messages.query(all, "INSERT INTO objects (oid, body) VALUES ('k', '\\x00') RETURNING body "
-                    + "/* id=1,c=move,d=400,cluster=1 */");
+            Messages.query(
+                    all,
+                    "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d=400,cluster=1,after=1 */");
+            Messages.query(
+                    all,
+                    "INSERT INTO objects (oid, body) VALUES ('k', '\\x00') RETURNING body "
+                            + "/* id=1,c=move,d=400,cluster=1 */");
             client.getOutputStream().write(all.array(), 0, all.readableBytes());
-            for (int readies = 0; readies < 4;) {
+            for (int readies = 0; readies < 4; ) {
                 int type = client.getInputStream().read();
                 byte[] length = client.getInputStream().readNBytes(4);
                 if (length.length < 4) {
--- a/src/main/java/dillfront/daemon/Router.java
+++ b/src/main/java/dillfront/daemon/Router.java
@@ -40,8 +40,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The module and what it drives: words of the network become its calls, its results go out again. */
-final class Router implements Outlet, Desk, Fleet.Listener, Watch.Listener, Neighbours.Decisions, Telling.Lists {
+/**
+ * The module and what it drives: words of the network become its calls, its results go out again.
+ */
+final class Router
+        implements Outlet,
+                Desk,
+                Fleet.Listener,
+                Watch.Listener,
+                Neighbours.Decisions,
+                Telling.Lists {
 
     /** The part of the memory that one answer may take: 2 MB where it is 128. */
     private static final int LONGEST_PART = 64;
@@ -52,27 +60,43 @@
     private final Log log;
     private final EventLoop loop;
     private final Pace pace;
+
     /** Of its own delay, what the module has been told. */
     private Duration told = Duration.ZERO;
+
     private final MemberList members;
     private final Decide decide;
     private final Fleet fleet;
+
     /** A slot is used again once its txn is over. */
     private final List<Exchange> slots = new ArrayList<>();
+
     /** Of the txns that hold a slot. */
     private final Set<Long> ids = new HashSet<>();
+
     private boolean listed;
+
     /** The last expiry of all that was taken. */
     private Duration owedUntil = Duration.ZERO;
+
     private final List<Integer> free = new ArrayList<>();
+
     /** Null where gossip is off. */
     private Neighbours neighbours;
+
     /** How many others say that their lists have closed anything. */
     private int telling;
+
     /** Null where nothing is kept in mind beyond the txns that are out. */
     private Ledger ledger;
 
-    Router(Config config, Clock clock, Counters counters, Log log, EventLoop loop, int nodeConnections) {
+    Router(
+            Config config,
+            Clock clock,
+            Counters counters,
+            Log log,
+            EventLoop loop,
+            int nodeConnections) {
         this.setup = config.setup();
         this.clock = clock;
         this.counters = counters;
@@ -80,10 +104,18 @@
         this.loop = loop;
         pace = new Pace(setup.settings().step());
         members = new MemberList(setup, clock, log);
-        fleet = new Fleet(setup, clock, pace, counters, log, loop, nodeConnections,
-                (int) (config.memoryMb() << 20) / LONGEST_PART, this);
-        decide = new Decide(setup.settings(), this,
-                new SplittableRandom(config.seed()));
+        fleet =
+                new Fleet(
+                        setup,
+                        clock,
+                        pace,
+                        counters,
+                        log,
+                        loop,
+                        nodeConnections,
+                        (int) (config.memoryMb() << 20) / LONGEST_PART,
+                        this);
+        decide = new Decide(setup.settings(), this, new SplittableRandom(config.seed()));
     }
 
     /** Some list is there: before that, nothing can be served. */
@@ -101,7 +133,10 @@
         fleet.news(watch::look);
     }
 
-    /** Who remembers for a later life, and what is remembered from an earlier one. Before the first list. */
+    /**
+     * Who remembers for a later life, and what is remembered from an earlier one. Before the first
+     * list.
+     */
     void remembers(Consumer<MemberList> memory) {
         memory.accept(members);
     }
@@ -115,7 +150,10 @@
         return telling;
     }
 
-    /** What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key waits for. Before the first list. */
+    /**
+     * What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key
+     * waits for. Before the first list.
+     */
     void keeps(Ledger by, Fleet.Kept before) {
         ledger = by;
         fleet.kept(before);
@@ -130,7 +168,10 @@
         fleet.close();
     }
 
-    /** Other settings from now on, for what is taken and sent; the caller asks for the whole list then. */
+    /**
+     * Other settings from now on, for what is taken and sent; the caller asks for the whole list
+     * then.
+     */
     void settings(Setup next) {
         tick();
         setup = next;
@@ -186,19 +227,20 @@
 
     /** Who has left the list goes from all tables at once, as soon as nothing of it is out. */
     private void forget() {
-        members.forget(node -> {
-            boolean over = decide.forget(node);
-            if (over) {
-                fleet.forget(node);
-                if (neighbours != null) {
-                    neighbours.forget(node);
-                }
-                if (ledger != null) {
-                    ledger.forget(node);
-                }
-            }
-            return over;
-        });
+        members.forget(
+                node -> {
+                    boolean over = decide.forget(node);
+                    if (over) {
+                        fleet.forget(node);
+                        if (neighbours != null) {
+                            neighbours.forget(node);
+                        }
+                        if (ledger != null) {
+                            ledger.forget(node);
+                        }
+                    }
+                    return over;
+                });
         counters.nodes = members.indices();
     }
 
@@ -219,18 +261,23 @@
     }
 
     @Override
-    public Exchange take(Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant) {
+    public Exchange take(
+            Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant) {
         Integer type = setup.types().get(statement.type);
         if (type == null || !members.mayHave(statement.group)) {
             return null;
         }
-        // Guards against one client's query that passes for another's: nodes tell txns apart by nothing else.
+        // Guards against one client's query that passes for another's: nodes tell txns apart by
+        // nothing else.
         if (!ids.add(statement.id)) {
             return null;
         }
         tick();
-        boolean marked = ledger != null && ledger.keeps() && statement.mark != 0
-                && setup.settings().types().get(type).effect() == Effect.REFERENCED;
+        boolean marked =
+                ledger != null
+                        && ledger.keeps()
+                        && statement.mark != 0
+                        && setup.settings().types().get(type).effect() == Effect.REFERENCED;
         long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
@@ -245,17 +292,33 @@
         counters.taken++;
         counters.txns++;
         Duration now = clock.now();
-        Duration token = !setup.tokensCarried() ? null
-                : statement.afterMs == 0 ? Duration.ZERO : now.minus(clock.since(statement.afterMs));
+        Duration token =
+                !setup.tokensCarried()
+                        ? null
+                        : statement.afterMs == 0
+                                ? Duration.ZERO
+                                : now.minus(clock.since(statement.afterMs));
         Duration patience = patience(statement, type);
         Duration expiry = now.minus(waited).plus(patience);
         owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
-        exchange.taken(decide.take(slot, type, tenant, Setup.session(statement.key), statement.group, patience, token,
-                waited, marked ? ledger.ran(key) : null));
+        exchange.taken(
+                decide.take(
+                        slot,
+                        type,
+                        tenant,
+                        Setup.session(statement.key),
+                        statement.group,
+                        patience,
+                        token,
+                        waited,
+                        marked ? ledger.ran(key) : null));
         return exchange;
     }
 
-    /** It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time that clients heed. */
+    /**
+     * It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time
+     * that clients heed.
+     */
     private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
         ids.remove(statement.id);
         counters.taken++;
@@ -279,7 +342,9 @@
 
     @Override
     public boolean may(Exchange exchange, int node) {
-        return ledger == null || !exchange.statement().write || ledger.mayWrite(exchange.key(), node, clock.now());
+        return ledger == null
+                || !exchange.statement().write
+                || ledger.mayWrite(exchange.key(), node, clock.now());
     }
 
     @Override
@@ -338,10 +403,20 @@
         List<Member> closed = new ArrayList<>();
         for (Witnesses.Word word : newer) {
             String id = ids.get(word.node());
-            Member member = id == null ? null : members.closedElsewhere(id, word.generation(), word.startedMs());
+            Member member =
+                    id == null
+                            ? null
+                            : members.closedElsewhere(id, word.generation(), word.startedMs());
             if (member != null) {
                 closed.add(member);
-                log.info("closed-elsewhere", "id", id, "generation", word.generation(), "latest_here", members.latest());
+                log.info(
+                        "closed-elsewhere",
+                        "id",
+                        id,
+                        "generation",
+                        word.generation(),
+                        "latest_here",
+                        members.latest());
             }
         }
         if (!closed.isEmpty()) {
@@ -409,23 +484,27 @@
     @Override
     public void wake(Duration in) {
         pace.expect(clock.now().plus(in));
-        loop.schedule(() -> {
-            try {
-                tick();
-                pace.came(clock.now());
-                counters.longestTurnMs = Math.max(counters.longestTurnMs, pace.longest().toMillis());
-                decide.woken();
-                if (neighbours != null) {
-                    neighbours.beat(clock.now());
-                }
-                if (ledger != null) {
-                    ledger.beat(clock.now(), members.indices(), decide::sees);
-                }
-                forget();
-            } catch (RuntimeException fault) {
-                // A timer's fault would vanish in its future, and the clock's beat with it.
-                log.warn("beat", "fault", fault);
-            }
-        }, in.toNanos(), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    try {
+                        tick();
+                        pace.came(clock.now());
+                        counters.longestTurnMs =
+                                Math.max(counters.longestTurnMs, pace.longest().toMillis());
+                        decide.woken();
+                        if (neighbours != null) {
+                            neighbours.beat(clock.now());
+                        }
+                        if (ledger != null) {
+                            ledger.beat(clock.now(), members.indices(), decide::sees);
+                        }
+                        forget();
+                    } catch (RuntimeException fault) {
+                        // A timer's fault would vanish in its future, and the clock's beat with it.
+                        log.warn("beat", "fault", fault);
+                    }
+                },
+                in.toNanos(),
+                TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/dillfront/daemon/Side.java
+++ b/src/main/java/dillfront/daemon/Side.java
@@ -20,34 +20,65 @@
 import java.util.HexFormat;
 import java.util.SplittableRandom;
 
-/** What the operator's file adds to a router: gossip, and a door for questions on loopback. On the loop but for its making. */
+/**
+ * What the operator's file adds to a router: gossip, and a door for questions on loopback. On the
+ * loop but for its making.
+ */
 final class Side {
 
     private final Neighbours neighbours;
     private final Datagrams datagrams;
     private final Control control;
     private final Doorkeeper doorkeeper;
+
     /** Null where nothing is remembered. */
     private final Memory memory;
+
     private final Ledger ledger;
 
-    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log) throws Operator.BadOperator {
+    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log)
+            throws Operator.BadOperator {
         String name = config.name();
         long seed = config.seed();
-        doorkeeper = operator.identity() == null ? null
-                : new Doorkeeper(operator.file(), operator, config.setup(), seed, router.clock(), loop, log);
+        doorkeeper =
+                operator.identity() == null
+                        ? null
+                        : new Doorkeeper(
+                                operator.file(),
+                                operator,
+                                config.setup(),
+                                seed,
+                                router.clock(),
+                                loop,
+                                log);
         if (doorkeeper != null) {
             clients.ask(doorkeeper);
         }
         memory = operator.memory() == null ? null : Memory.open(operator.memory(), name, log, loop);
         if (memory != null) {
-            router.remembers(members -> {
-                memory.closings().forEach(c -> members.recall(c.id(), c.standing(), c.startedMs(), c.generation()));
-                members.keeper(memory);
-            });
+            router.remembers(
+                    members -> {
+                        memory.closings()
+                                .forEach(
+                                        c ->
+                                                members.recall(
+                                                        c.id(),
+                                                        c.standing(),
+                                                        c.startedMs(),
+                                                        c.generation()));
+                        members.keeper(memory);
+                    });
         }
-        ledger = memory == null && operator.doubts() == null && !operator.sites() ? null
-                : new Ledger(operator.doubts(), memory, operator.sites(), config.setup(), router.clock().now(), log);
+        ledger =
+                memory == null && operator.doubts() == null && !operator.sites()
+                        ? null
+                        : new Ledger(
+                                operator.doubts(),
+                                memory,
+                                operator.sites(),
+                                config.setup(),
+                                router.clock().now(),
+                                log);
         if (ledger != null) {
             router.keeps(ledger, memory == null ? null : memory::whenKept);
         }
@@ -59,29 +90,77 @@
             int self = gossip.self(name);
             Ring ring = gossip.ring();
             neighbours = new Neighbours(gossip.tuning(), ring.size(), router);
-            datagrams = new Datagrams(gossip.tuning(), ring, self, gossip.bind(), Ring.id(HexFormat.of().parseHex(gossip.publicKey())), gossip.key(),
-                    loop, log, router.clock()::now, () -> Duration.ofMillis(router.clock().unixMillis()),
-                    new SplittableRandom(~seed), (word, age) -> neighbours.claimed(word, age, router.clock().now()));
+            datagrams =
+                    new Datagrams(
+                            gossip.tuning(),
+                            ring,
+                            self,
+                            gossip.bind(),
+                            Ring.id(HexFormat.of().parseHex(gossip.publicKey())),
+                            gossip.key(),
+                            loop,
+                            log,
+                            router.clock()::now,
+                            () -> Duration.ofMillis(router.clock().unixMillis()),
+                            new SplittableRandom(~seed),
+                            (word, age) -> neighbours.claimed(word, age, router.clock().now()));
             neighbours.speaksBy(datagrams::gossip);
             router.hears(neighbours);
-            Others others = operator.doubts() == null ? null : new Others(ring.size(), operator.doubts().keeps());
+            Others others =
+                    operator.doubts() == null
+                            ? null
+                            : new Others(ring.size(), operator.doubts().keeps());
             if (others != null) {
                 ledger.others(others);
             }
-            datagrams.tells(new Telling(others == null ? null : ledger.doubts(), others, new Witnesses(gossip.tuning().liars()), router,
-                    router.clock()::now));
+            datagrams.tells(
+                    new Telling(
+                            others == null ? null : ledger.doubts(),
+                            others,
+                            new Witnesses(gossip.tuning().liars()),
+                            router,
+                            router.clock()::now));
         }
-        control = operator.control() == null ? null : new Control(loop, operator.control(), log, question ->
-                switch (question) {
-                    case "peers" -> datagrams == null ? "gossip is off\n" : Standing.table(datagrams, neighbours);
-                    case "peers json" -> datagrams == null ? "{}\n" : Standing.json(datagrams, neighbours);
-                    case "status" -> ledger == null ? "memory, doubts and sites are off\n" : Status.table(ledger.status(router.closings(), router.witnesses()));
-                    case "status json" -> ledger == null ? "{}\n" : Status.json(ledger.status(router.closings(), router.witnesses()));
-                    default -> "unknown question; known: peers, peers json, status, status json\n";
-                });
+        control =
+                operator.control() == null
+                        ? null
+                        : new Control(
+                                loop,
+                                operator.control(),
+                                log,
+                                question ->
+                                        switch (question) {
+                                            case "peers" ->
+                                                    datagrams == null
+                                                            ? "gossip is off\n"
+                                                            : Standing.table(datagrams, neighbours);
+                                            case "peers json" ->
+                                                    datagrams == null
+                                                            ? "{}\n"
+                                                            : Standing.json(datagrams, neighbours);
+                                            case "status" ->
+                                                    ledger == null
+                                                            ? "memory, doubts and sites are off\n"
+                                                            : Status.table(
+                                                                    ledger.status(
+                                                                            router.closings(),
+                                                                            router.witnesses()));
+                                            case "status json" ->
+                                                    ledger == null
+                                                            ? "{}\n"
+                                                            : Status.json(
+                                                                    ledger.status(
+                                                                            router.closings(),
+                                                                            router.witnesses()));
+                                            default ->
+                                                    "unknown question; known: peers, peers json, status, status json\n";
+                                        });
     }
 
-    /** False where nothing here goes by the settings; else what follows happens with the rights read anew, or not at all. */
+    /**
+     * False where nothing here goes by the settings; else what follows happens with the rights read
+     * anew, or not at all.
+     */
     boolean settle(Setup next, Runnable then) throws BadConfig {
         if (doorkeeper == null) {
             return false;
--- a/src/main/java/dillfront/daemon/Signals.java
+++ b/src/main/java/dillfront/daemon/Signals.java
@@ -12,7 +12,10 @@
 
     private Signals() {}
 
-    /** The type is no promise of the platform, and may go; a proxy round it costs 25 ms of every start. */
+    /**
+     * The type is no promise of the platform, and may go; a proxy round it costs 25 ms of every
+     * start.
+     */
     public static void on(String name, Runnable run, Log log) {
         try {
             Signal.handle(new Signal(name), signal -> run.run());
@@ -22,21 +25,31 @@
     }
 
     /**
-     * Warns of a word that the system does not bring here. Who starts a process with a signal ignored, as nohup does and
-     * some supervisors and shells, leaves it ignored there, and the JVM then installs nothing and throws nothing.
+     * Warns of a word that the system does not bring here. Who starts a process with a signal
+     * ignored, as nohup does and some supervisors and shells, leaves it ignored there, and the JVM
+     * then installs nothing and throws nothing.
      */
     static void check(String name, int number, String follows, Log log) {
         String ignored = mask("SigIgn:");
         if (ignored != null && (Long.parseUnsignedLong(ignored, 16) >>> number - 1 & 1) != 0) {
-            log.warn("signal-ignored", "name", name, "follows", follows,
-                    "do", "start it by env --default-signal=" + name + ", as run in deploy/balancer.toml does");
+            log.warn(
+                    "signal-ignored",
+                    "name",
+                    name,
+                    "follows",
+                    follows,
+                    "do",
+                    "start it by env --default-signal="
+                            + name
+                            + ", as run in deploy/balancer.toml does");
         }
     }
 
     /** What Linux tells of this process; null elsewhere. */
     private static String mask(String line) {
         try {
-            String all = Files.readString(Path.of("/proc/self/status"), StandardCharsets.ISO_8859_1);
+            String all =
+                    Files.readString(Path.of("/proc/self/status"), StandardCharsets.ISO_8859_1);
             int at = all.indexOf(line);
             return at < 0 ? null : all.substring(at + line.length(), all.indexOf('\n', at)).strip();
         } catch (IOException none) {
--- a/src/main/java/dillfront/daemon/Status.java
+++ b/src/main/java/dillfront/daemon/Status.java
@@ -6,19 +6,32 @@
 import java.io.StringWriter;
 import java.util.Map;
 
-/** What an instance says of itself, in sections of names and values: to be read by people, a line a section, or by programs. */
+/**
+ * What an instance says of itself, in sections of names and values: to be read by people, a line a
+ * section, or by programs.
+ */
 final class Status {
 
     private Status() {}
 
     static String table(Map<String, Object> sections) {
         StringBuilder out = new StringBuilder();
-        sections.forEach((section, rows) -> {
-            out.append(section);
-            ((Map<?, ?>) rows).forEach((name, value) -> out.append(' ').append(name).append('=').append(
-                    String.valueOf(value).matches(".*[ ,:].*") ? "\"" + value + "\"" : value));
-            out.append('\n');
-        });
+        sections.forEach(
+                (section, rows) -> {
+                    out.append(section);
+                    ((Map<?, ?>) rows)
+                            .forEach(
+                                    (name, value) ->
+                                            out.append(' ')
+                                                    .append(name)
+                                                    .append('=')
+                                                    .append(
+                                                            String.valueOf(value)
+                                                                            .matches(".*[ ,:].*")
+                                                                    ? "\"" + value + "\""
+                                                                    : value));
+                    out.append('\n');
+                });
         return out.toString();
     }
 
--- a/src/main/java/dillfront/drill/Drill.java
+++ b/src/main/java/dillfront/drill/Drill.java
@@ -58,7 +58,10 @@
                 }
             }
         } catch (JsonProcessingException bad) {
-            String fault = bad instanceof InputCoercionException ? "number out of range" : bad.getOriginalMessage();
+            String fault =
+                    bad instanceof InputCoercionException
+                            ? "number out of range"
+                            : bad.getOriginalMessage();
             int line = bad.getLocation() == null ? event.line : bad.getLocation().getLineNr();
             throw new BadInput(line, "malformed: " + fault.lines().findFirst().orElse(""));
         }
--- a/src/main/java/dillfront/drill/Event.java
+++ b/src/main/java/dillfront/drill/Event.java
@@ -14,8 +14,18 @@
 /** The fields of the line being read; one object serves every line. */
 final class Event {
 
-    private static final Result[] RESULTS = {null, Result.COMMITTED, Result.ERROR, Result.FULL, Result.TIMED_OUT,
-        Result.UNREACHABLE, Result.RESET, Result.WITHDRAWN, Result.MOOT, Result.MISS};
+    private static final Result[] RESULTS = {
+        null,
+        Result.COMMITTED,
+        Result.ERROR,
+        Result.FULL,
+        Result.TIMED_OUT,
+        Result.UNREACHABLE,
+        Result.RESET,
+        Result.WITHDRAWN,
+        Result.MOOT,
+        Result.MISS
+    };
 
     int line;
     String kind;
@@ -100,9 +110,13 @@
             case "telemetry" -> report = telemetry(json);
             case "buffer" -> buffer = json.getIntValue();
             case "scope" -> scope = json.getIntValue();
-            case "seed" -> seed = json.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                    ? json.getBigIntegerValue().longValue() : json.getLongValue();
-            case "setup" -> setup = json.currentToken() == JsonToken.START_OBJECT ? Tree.read(json) : null;
+            case "seed" ->
+                    seed =
+                            json.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                                    ? json.getBigIntegerValue().longValue()
+                                    : json.getLongValue();
+            case "setup" ->
+                    setup = json.currentToken() == JsonToken.START_OBJECT ? Tree.read(json) : null;
             case "rowsIn" -> {
                 if (json.currentToken() == JsonToken.START_ARRAY) {
                     rows = new ArrayList<>();
@@ -115,7 +129,10 @@
         }
     }
 
-    /** A reported position was rounded by its writer, to no more than a millisecond: the lower one counts. */
+    /**
+     * A reported position was rounded by its writer, to no more than a millisecond: the lower one
+     * counts.
+     */
     private static Report telemetry(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
             json.skipChildren();
@@ -124,7 +141,8 @@
         Tree values = Tree.read(json);
         double x0 = values.number("x0", Double.NaN);
         double x1 = values.number("x1", Double.NaN);
-        return new Report(Double.isNaN(x0) ? null : Duration.ofMillis((long) Math.floor(x0 * 1000 - 1)),
+        return new Report(
+                Double.isNaN(x0) ? null : Duration.ofMillis((long) Math.floor(x0 * 1000 - 1)),
                 Double.isNaN(x1) ? null : x1 == 1 ? Role.PRIMARY : Role.REPLICA);
     }
 
--- a/src/main/java/dillfront/drill/Instance.java
+++ b/src/main/java/dillfront/drill/Instance.java
@@ -31,10 +31,12 @@
 
     /** Grows with the machines that any list has named. */
     private final Map<String, Integer> nodes = new HashMap<>();
+
     private final List<String> nodeIds = new ArrayList<>();
 
     /** Held from the txn's arrival until it is answered and nothing of it is out. */
     private final Map<Long, Integer> txns = new HashMap<>();
+
     private final List<Txn> slots = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
 
@@ -70,14 +72,19 @@
                 nodeIds.add(id);
             }
             long started = entry.whole("lastStartUs");
-            rows.add(new NodeRow(node, (int) entry.whole("db"), setup.zone(entry.text("locality")),
-                    entry.number("scale", 1), entry.number("primary", 0) == 1,
-                    started == 0 ? null : Tree.micros(started - zeroUs),
-                    switch ((int) entry.whole("availability")) {
-                        case 1 -> Standing.READY;
-                        case 2 -> Standing.DRAINING;
-                        default -> Standing.GONE;
-                    }));
+            rows.add(
+                    new NodeRow(
+                            node,
+                            (int) entry.whole("db"),
+                            setup.zone(entry.text("locality")),
+                            entry.number("scale", 1),
+                            entry.number("primary", 0) == 1,
+                            started == 0 ? null : Tree.micros(started - zeroUs),
+                            switch ((int) entry.whole("availability")) {
+                                case 1 -> Standing.READY;
+                                case 2 -> Standing.DRAINING;
+                                default -> Standing.GONE;
+                            }));
         }
         decide.list(whole, rows);
     }
@@ -102,10 +109,21 @@
         txn.handle = null;
         txns.put(e.corr, slot);
         int session = e.hasUser ? Setup.session(e.user) : -1;
-        Duration token = !setup.tokensCarried() || Double.isNaN(e.lastWriteMs) ? null
-                : Duration.ofNanos((long) Math.floor(e.lastWriteMs * 1e6));
-        txn.handle = decide.take(slot, type, setup.tenants().getOrDefault(e.account, -1), session,
-                (int) e.partitionNo, Tree.micros(e.expiresInUs), token, Duration.ZERO, null);
+        Duration token =
+                !setup.tokensCarried() || Double.isNaN(e.lastWriteMs)
+                        ? null
+                        : Duration.ofNanos((long) Math.floor(e.lastWriteMs * 1e6));
+        txn.handle =
+                decide.take(
+                        slot,
+                        type,
+                        setup.tenants().getOrDefault(e.account, -1),
+                        session,
+                        (int) e.partitionNo,
+                        Tree.micros(e.expiresInUs),
+                        token,
+                        Duration.ZERO,
+                        null);
         releaseIfOver(slot);
     }
 
@@ -186,22 +204,26 @@
     @Override
     public void submit(int txn, int node, Duration limit) {
         slots.get(txn).out++;
-        write("HandOff", () -> {
-            reply.writeNumberField("corr", slots.get(txn).corr);
-            reply.writeNumberField("limitUs", limit.toNanos() / 1000);
-            reply.writeStringField("node", nodeIds.get(node));
-        });
+        write(
+                "HandOff",
+                () -> {
+                    reply.writeNumberField("corr", slots.get(txn).corr);
+                    reply.writeNumberField("limitUs", limit.toNanos() / 1000);
+                    reply.writeStringField("node", nodeIds.get(node));
+                });
     }
 
     @Override
     public void decline(int txn, Duration pause) {
         slots.get(txn).answered = true;
-        write("Reject", () -> {
-            reply.writeNumberField("corr", slots.get(txn).corr);
-            if (!pause.isZero()) {
-                reply.writeNumberField("pauseUs", pause.toNanos() / 1000);
-            }
-        });
+        write(
+                "Reject",
+                () -> {
+                    reply.writeNumberField("corr", slots.get(txn).corr);
+                    if (!pause.isZero()) {
+                        reply.writeNumberField("pauseUs", pause.toNanos() / 1000);
+                    }
+                });
     }
 
     @Override
@@ -227,9 +249,11 @@
 
     @Override
     public void wake(Duration in) {
-        write("WakeAt", () -> {
-            reply.writeNumberField("sleepForUs", in.toNanos() / 1000);
-            reply.writeNumberField("ctx", 0);
-        });
+        write(
+                "WakeAt",
+                () -> {
+                    reply.writeNumberField("sleepForUs", in.toNanos() / 1000);
+                    reply.writeNumberField("ctx", 0);
+                });
     }
 }
--- a/src/main/java/dillfront/exchange/Answer.java
+++ b/src/main/java/dillfront/exchange/Answer.java
@@ -6,12 +6,15 @@
 public record Answer(ByteBuf description, ByteBuf row, ByteBuf completion) {
 
     /**
-     * The three as one slice, where they lie one behind the other in the buffer that they were read into; takes them
-     * over then. Null where they do not, and they stay as they are.
+     * The three as one slice, where they lie one behind the other in the buffer that they were read
+     * into; takes them over then. Null where they do not, and they stay as they are.
      */
     public ByteBuf joined() {
         ByteBuf root = description.unwrap();
-        if (root == null || root != row.unwrap() || root != completion.unwrap() || !root.hasMemoryAddress()) {
+        if (root == null
+                || root != row.unwrap()
+                || root != completion.unwrap()
+                || !root.hasMemoryAddress()) {
             return null;
         }
         long from = description.memoryAddress() + description.readerIndex();
@@ -20,7 +23,10 @@
         if (from + description.readableBytes() != next || next + row.readableBytes() != last) {
             return null;
         }
-        ByteBuf all = root.retainedSlice((int) (from - root.memoryAddress()), (int) (last - from) + completion.readableBytes());
+        ByteBuf all =
+                root.retainedSlice(
+                        (int) (from - root.memoryAddress()),
+                        (int) (last - from) + completion.readableBytes());
         release();
         return all;
     }
--- a/src/main/java/dillfront/exchange/Desk.java
+++ b/src/main/java/dillfront/exchange/Desk.java
@@ -14,7 +14,8 @@
      *
      * @param waited how long ago its last byte may have come
      * @param tenant index of its client's tenant; -1 where it has none
-     * @return null where nothing was taken: no such txn type or group is known, or a txn of this id is out, and the message is still the caller's
+     * @return null where nothing was taken: no such txn type or group is known, or a txn of this id
+     *     is out, and the message is still the caller's
      */
     Exchange take(Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant);
 
--- a/src/main/java/dillfront/exchange/Exchange.java
+++ b/src/main/java/dillfront/exchange/Exchange.java
@@ -8,8 +8,9 @@
 import java.time.Duration;
 
 /**
- * One txn, from its last byte until it is answered and nothing of it is out: the only place where the client
- * side and the server side meet. Owns the message with the statement, and gives it back when it is over.
+ * One txn, from its last byte until it is answered and nothing of it is out: the only place where
+ * the client side and the server side meet. Owns the message with the statement, and gives it back
+ * when it is over.
  */
 public final class Exchange {
 
@@ -18,14 +19,20 @@
     private final Statement statement;
     private final ByteBuf message;
     private final Asker asker;
-    /** What stands for its group and idempotency key where the router keeps them in mind (recovery.Doubts); else 0. */
+
+    /**
+     * What stands for its group and idempotency key where the router keeps them in mind
+     * (recovery.Doubts); else 0.
+     */
     private final long key;
+
     private Handle handle;
     private int out;
     private boolean answered;
     private boolean over;
 
-    public Exchange(Desk desk, int slot, Statement statement, ByteBuf message, Asker asker, long key) {
+    public Exchange(
+            Desk desk, int slot, Statement statement, ByteBuf message, Asker asker, long key) {
         this.desk = desk;
         this.key = key;
         this.slot = slot;
@@ -89,14 +96,19 @@
 
     // ---- from the server side
 
-    /** Whether a submission that waited for its connection may still go; if not, it ends as unsent. */
+    /**
+     * Whether a submission that waited for its connection may still go; if not, it ends as unsent.
+     */
     public boolean stands(int node) {
         desk.tick();
         return !answered && desk.may(this, node) && handle.stands(node);
     }
 
-    /** @param answer what the node answered where it committed, else null; taken over */
-    public void ended(int node, Result result, Duration took, Answer answer, Report note, Report report) {
+    /**
+     * @param answer what the node answered where it committed, else null; taken over
+     */
+    public void ended(
+            int node, Result result, Duration took, Answer answer, Report note, Report report) {
         desk.tick();
         out--;
         boolean told = answer != null && !answered;
@@ -107,7 +119,13 @@
         } else if (answer != null) {
             answer.release();
         }
-        handle.ended(node, result, took, answered, desk.believed(node, note), desk.believed(node, report));
+        handle.ended(
+                node,
+                result,
+                took,
+                answered,
+                desk.believed(node, note),
+                desk.believed(node, report));
         releaseIfOver();
     }
 
--- a/src/main/java/dillfront/front/Connection.java
+++ b/src/main/java/dillfront/front/Connection.java
@@ -13,21 +13,33 @@
 import java.util.Set;
 
 /**
- * One connection to a database server. Whoever holds it asks one thing at a time; what must hold before, the session's
- * values and prepared names, goes ahead of it in the same write.
+ * One connection to a database server. Whoever holds it asks one thing at a time; what must hold
+ * before, the session's values and prepared names, goes ahead of it in the same write.
  */
 final class Connection implements Host.Ear {
 
     /** What an asking ended with. */
     interface Ended {
 
-        /** @param code null where it was a success; "CUT" where the connection ended before the answer did */
-        void ended(List<String> rows, String stamp, String code, String text, char state, Position position);
+        /**
+         * @param code null where it was a success; "CUT" where the connection ended before the
+         *     answer did
+         */
+        void ended(
+                List<String> rows,
+                String stamp,
+                String code,
+                String text,
+                char state,
+                Position position);
     }
 
-    private record Ask(Ended ended, long at, long until) { }
+    private record Ask(Ended ended, long at, long until) {}
 
-    /** A word of this front's own that is not answered by then is lost, and with it the order of what follows. */
+    /**
+     * A word of this front's own that is not answered by then is lost, and with it the order of
+     * what follows.
+     */
     private static final long OWN_MS = 1_500;
 
     /** Names and values that one connection remembers at the most. */
@@ -38,8 +50,10 @@
     private Host.Link link;
     private final Answers answers = new Answers();
     private boolean over;
+
     /** As the last answer said. */
     private char state = 'I';
+
     private final Map<String, String> values = new HashMap<>();
     private final Set<String> prepared = new HashSet<>();
     private final ArrayDeque<Ask> asks = new ArrayDeque<>();
@@ -51,18 +65,27 @@
     void dial() {
         server.front.counts.dialed++;
         link = server.host().dial(server.address, Host.Form.LINES, Server.DIAL_MS, this);
-        server.host().after(Server.DIAL_MS, () -> {
-            if (!answers.connected() && !over) {
-                closed("silent");
-                link.close();
-            }
-        });
+        server.host()
+                .after(
+                        Server.DIAL_MS,
+                        () -> {
+                            if (!answers.connected() && !over) {
+                                closed("silent");
+                                link.close();
+                            }
+                        });
     }
 
     @Override
     public void opened(Host.Link opened) {
         link = opened;
-        send("CONNECT " + server.service.name + " " + server.front.settings.name() + " " + server.id);
+        send(
+                "CONNECT "
+                        + server.service.name
+                        + " "
+                        + server.front.settings.name()
+                        + " "
+                        + server.id);
     }
 
     private void send(String line) {
@@ -83,27 +106,34 @@
 
     /** Makes the values those of this session; what is sent goes ahead of the next asking. */
     private void values(Map<String, String> wanted, StringBuilder out) {
-        if (!wanted.keySet().containsAll(values.keySet()) || prepared.size() > MOST && state == 'I') {
+        if (!wanted.keySet().containsAll(values.keySet())
+                || prepared.size() > MOST && state == 'I') {
             own(out, "RESET");
             values.clear();
             prepared.clear();
         }
-        wanted.forEach((name, value) -> {
-            if (!value.equals(values.get(name))) {
-                own(out, "SET " + name + " " + value);
-                values.put(name, value);
-            }
-        });
+        wanted.forEach(
+                (name, value) -> {
+                    if (!value.equals(values.get(name))) {
+                        own(out, "SET " + name + " " + value);
+                        values.put(name, value);
+                    }
+                });
     }
 
     private void own(StringBuilder out, String line) {
         out.append("QUERY - ").append(line).append("\r\n");
-        asked(new Ask((r, s, failed, t, state, p) -> {
-            if (failed != null && !failed.equals("CUT")) {
-                // What follows would run with other values than its client was told of.
-                cut("out of step");
-            }
-        }, server.host().now(), Long.MAX_VALUE));
+        asked(
+                new Ask(
+                        (r, s, failed, t, state, p) -> {
+                            if (failed != null && !failed.equals("CUT")) {
+                                // What follows would run with other values than its client was told
+                                // of.
+                                cut("out of step");
+                            }
+                        },
+                        server.host().now(),
+                        Long.MAX_VALUE));
     }
 
     private void asked(Ask ask) {
@@ -117,12 +147,19 @@
     }
 
     /**
-     * Asks once what goes ahead is set. Ends with UNSENT where the connection was over before anything was written.
+     * Asks once what goes ahead is set. Ends with UNSENT where the connection was over before
+     * anything was written.
      *
      * @param shape what must be prepared, as "READ shape" or "WRITE shape"; null where nothing must
      * @param until without an answer by then the connection is left
      */
-    void ask(Map<String, String> wanted, String shape, String id, String line, long until, Ended ended) {
+    void ask(
+            Map<String, String> wanted,
+            String shape,
+            String id,
+            String line,
+            long until,
+            Ended ended) {
         StringBuilder out = new StringBuilder();
         boolean rested = asks.isEmpty();
         if (wanted != null) {
@@ -152,7 +189,9 @@
         return first == null ? Long.MAX_VALUE : first.at();
     }
 
-    /** Where what is out should have been answered by now, whatever else was heard of the server. */
+    /**
+     * Where what is out should have been answered by now, whatever else was heard of the server.
+     */
     void overdue(long now) {
         for (Ask ask : asks) {
             if (now >= ask.until()) {
@@ -189,7 +228,8 @@
             if (asks.isEmpty()) {
                 server.out = Math.max(0, server.out - 1);
             }
-            ask.ended().ended(is.rows(), is.stamp(), is.code(), is.text(), is.state(), is.position());
+            ask.ended()
+                    .ended(is.rows(), is.stamp(), is.code(), is.text(), is.state(), is.position());
         }
     }
 
--- a/src/main/java/dillfront/front/Floors.java
+++ b/src/main/java/dillfront/front/Floors.java
@@ -4,16 +4,18 @@
 import java.util.ArrayDeque;
 
 /**
- * What a log must hold for a read to be young enough. Each entry says: all that was acknowledged before this moment, by
- * whatever router, stands no further than this position; it was learnt by asking the primary at that moment.
+ * What a log must hold for a read to be young enough. Each entry says: all that was acknowledged
+ * before this moment, by whatever router, stands no further than this position; it was learnt by
+ * asking the primary at that moment.
  *
- * <p>Guards against a read that lacks another router's commit: the position goes along as AFTER, so the node itself refuses.
+ * <p>Guards against a read that lacks another router's commit: the position goes along as AFTER, so
+ * the node itself refuses.
  */
 final class Floors {
 
     private static final int MOST = 128;
 
-    private record Floor(Position position, long at) { }
+    private record Floor(Position position, long at) {}
 
     private final ArrayDeque<Floor> floors = new ArrayDeque<>();
     private long spacing = 20;
@@ -23,7 +25,9 @@
         spacing = Math.max(5, ms / (MOST / 2));
     }
 
-    /** A primary that was asked at this moment, and led when it answered, had its log up to here. */
+    /**
+     * A primary that was asked at this moment, and led when it answered, had its log up to here.
+     */
     void led(Position position, long asked) {
         Floor last = floors.peekLast();
         if (position == null || last != null && asked < last.at() + spacing) {
@@ -35,7 +39,10 @@
         }
     }
 
-    /** The least position that holds all that was acknowledged before this moment; null where that is not known. */
+    /**
+     * The least position that holds all that was acknowledged before this moment; null where that
+     * is not known.
+     */
     Position since(long moment) {
         Position least = null;
         for (Floor floor : floors) {
--- a/src/main/java/dillfront/front/Front.java
+++ b/src/main/java/dillfront/front/Front.java
@@ -7,14 +7,23 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The data plane of one machine: its sessions, its connections, and what it was told. One loop calls all of it. */
+/**
+ * The data plane of one machine: its sessions, its connections, and what it was told. One loop
+ * calls all of it.
+ */
 public final class Front {
 
     /** How much of a connection limit is left for the control plane's own questions. */
     private static final int FOR_CONTROL = 8;
+
     private static final long LOOK_MS = 100;
-    /** From SIGTERM on: sessions at rest are closed, once the platform has most likely seen that it is not ready. */
+
+    /**
+     * From SIGTERM on: sessions at rest are closed, once the platform has most likely seen that it
+     * is not ready.
+     */
     private static final long CLOSES_MS = 2_300;
+
     /** And it has surely seen it: who is sent here until then is served. */
     private static final long SENT_MS = 3_200;
 
@@ -41,7 +50,7 @@
     private boolean leftAll;
     private boolean endsNow;
     private boolean mayEnd;
-    private Runnable end = () -> { };
+    private Runnable end = () -> {};
 
     public Front(Host host, Settings settings) {
         this.host = host;
@@ -95,25 +104,30 @@
     }
 
     Service service(String name) {
-        return services.computeIfAbsent(name, n -> {
-            Service s = new Service(this, n);
-            s.floors.reach(3_000);
-            return s;
-        });
+        return services.computeIfAbsent(
+                name,
+                n -> {
+                    Service s = new Service(this, n);
+                    s.floors.reach(3_000);
+                    return s;
+                });
     }
 
     Iterable<Service> services() {
         return services.values();
     }
 
-    /** Of a server's connections, this front's part: what the whole fleet can hold, also with one more of us. */
+    /**
+     * Of a server's connections, this front's part: what the whole fleet can hold, also with one
+     * more of us.
+     */
     int connectionsEach(Service service) {
         return Math.max(2, (service.connections - FOR_CONTROL) / (news.fronts() + 1));
     }
 
     /**
-     * Whether it can serve: it has a configuration and knows who leads some service, or led it before a move that is under way: no
-     * other front knows better, and replicas serve meanwhile.
+     * Whether it can serve: it has a configuration and knows who leads some service, or led it
+     * before a move that is under way: no other front knows better, and replicas serve meanwhile.
      */
     public boolean ready() {
         if (leaving || configuration == Configuration.NONE) {
@@ -154,8 +168,8 @@
     }
 
     /**
-     * Ends in order: at once it is ready no more; once the platform has seen that, sessions at rest are closed, and
-     * transactions have until half of the grace.
+     * Ends in order: at once it is ready no more; once the platform has seen that, sessions at rest
+     * are closed, and transactions have until half of the grace.
      */
     public void leave(Runnable done) {
         if (leaving) {
@@ -164,30 +178,54 @@
         leaving = true;
         end = done;
         long half = settings.grace() / 2;
-        host.after(Math.min(CLOSES_MS, half * 3 / 4), () -> {
-            leftAll = true;
-            new ArrayList<>(sessions).forEach(Session::leaveAtRest);
-        });
-        host.after(Math.min(SENT_MS, half), () -> {
-            mayEnd = true;
-            endsWhereNobodyIs();
-        });
-        host.after(half, () -> {
-            endsNow = true;
-            new ArrayList<>(sessions).forEach(Session::leaveNow);
-        });
+        host.after(
+                Math.min(CLOSES_MS, half * 3 / 4),
+                () -> {
+                    leftAll = true;
+                    new ArrayList<>(sessions).forEach(Session::leaveAtRest);
+                });
+        host.after(
+                Math.min(SENT_MS, half),
+                () -> {
+                    mayEnd = true;
+                    endsWhereNobodyIs();
+                });
+        host.after(
+                half,
+                () -> {
+                    endsNow = true;
+                    new ArrayList<>(sessions).forEach(Session::leaveNow);
+                });
         host.after(settings.grace() * 5 / 6, end);
     }
 
     /** One line for operators and logs. */
     public String status() {
-        StringBuilder line = new StringBuilder("version=").append(configuration.version()).append(" sessions=")
-                .append(sessions.size()).append(" fronts=").append(news.fronts()).append(" source=").append(news.source())
-                .append(" served=").append(counts.served).append(" refused=").append(counts.refused).append(" unsure=")
-                .append(counts.unsure).append(" dialed=").append(counts.dialed);
+        StringBuilder line =
+                new StringBuilder("version=")
+                        .append(configuration.version())
+                        .append(" sessions=")
+                        .append(sessions.size())
+                        .append(" fronts=")
+                        .append(news.fronts())
+                        .append(" source=")
+                        .append(news.source())
+                        .append(" served=")
+                        .append(counts.served)
+                        .append(" refused=")
+                        .append(counts.refused)
+                        .append(" unsure=")
+                        .append(counts.unsure)
+                        .append(" dialed=")
+                        .append(counts.dialed);
         for (Service s : services.values()) {
-            line.append(" | ").append(s.name).append(" primary=").append(s.primary).append(s.moving ? " moving" : "")
-                    .append(" servers=").append(s.servers.size());
+            line.append(" | ")
+                    .append(s.name)
+                    .append(" primary=")
+                    .append(s.primary)
+                    .append(s.moving ? " moving" : "")
+                    .append(" servers=")
+                    .append(s.servers.size());
         }
         return line.toString();
     }
--- a/src/main/java/dillfront/front/News.java
+++ b/src/main/java/dillfront/front/News.java
@@ -13,66 +13,103 @@
 import java.util.TreeMap;
 
 /**
- * Asks a control process for news with what it has, and is answered when there is some, or after a while without. Moves to
- * another control process where one is silent or says that it is out of contact with a majority itself; what it has never goes
- * back with that. A configuration comes as what turns the one it has into the newest, or whole where that does not fit.
+ * Asks a control process for news with what it has, and is answered when there is some, or after a
+ * while without. Moves to another control process where one is silent or says that it is out of
+ * contact with a majority itself; what it has never goes back with that. A configuration comes as
+ * what turns the one it has into the newest, or whole where that does not fit.
  */
 final class News implements Host.Ear {
 
     /** A question is out no longer than it may be held and a little. */
     private static final int DIAL_MS = 700;
-    /** Of what was acknowledged while a server leaves, this is told now and then: it counts where this front is lost too. */
+
+    /**
+     * Of what was acknowledged while a server leaves, this is told now and then: it counts where
+     * this front is lost too.
+     */
     private static final long LOSES_MS = 2_000;
+
     private static final long SILENT_MS = 1_400;
     private static final long TOGETHER_MS = 50;
     private static final long PAUSE_MS = 100;
     private static final int MOST_PAUSES = 4;
+
     /** A configuration that it cannot read is not asked for again sooner. */
     private static final long UNREAD_MS = 1_000;
-    /** A source that was left is not gone back to by choice for so long; less where it said itself that it hears no majority. */
+
+    /**
+     * A source that was left is not gone back to by choice for so long; less where it said itself
+     * that it hears no majority.
+     */
     private static final long STAY_MS = 20_000;
+
     private static final long ALONE_MS = 2_000;
     private static final int MOST_SOURCES = 16;
     private static final String ALONE = "alone";
 
     /** Where a control process is said to be. */
-    private record Place(String ip, boolean near, boolean silent) { }
+    private record Place(String ip, boolean near, boolean silent) {}
 
     private final Front front;
-    /** What it was told last, and then the seeds: those that are heard first, and the near among them. */
+
+    /**
+     * What it was told last, and then the seeds: those that are heard first, and the near among
+     * them.
+     */
     private final List<String> sources = new ArrayList<>();
+
     private List<Place> places = List.of();
     private String source = "-";
+
     /** Of a source that was left: when, and until when it is not gone back to by choice. */
-    private record Left(long at, long until) { }
+    private record Left(long at, long until) {}
 
     /** For those that are listed. */
     private final TreeMap<String, Left> left = new TreeMap<>();
+
     /** Sources left since one had news. */
     private int tries;
+
     private Host.Link link;
     private boolean up;
     private boolean telling;
     private long asked;
+
     /** When it last told what was acknowledged by services from which a server leaves. */
     private long losesAt = -LOSES_MS;
+
     private long question;
     private Host.Timer silence;
-    /** A question was sent and nothing came since: silence counts from the first such, whatever is asked meanwhile. */
+
+    /**
+     * A question was sent and nothing came since: silence counts from the first such, whatever is
+     * asked meanwhile.
+     */
     private boolean outstanding;
+
     private String boot = "";
     private long has;
-    /** The digest of its configuration was told on this connection; what turns it into the newest did not fit. */
+
+    /**
+     * The digest of its configuration was told on this connection; what turns it into the newest
+     * did not fit.
+     */
     private boolean digestTold;
+
     private boolean wantsWhole;
+
     /** A version that it cannot read; -1 for none. */
     private long unread = -1;
+
     /** The newest record it has; it has all before that were not overtaken. */
     private long record = -1;
+
     /** Services whose primary is suspected, as they were told last. */
     private List<String> suspects = List.of();
+
     private long suspectsAt = -1;
     private long sureUntil = -1;
+
     /** Until it is told, it takes a part that is safe among many. */
     private int fronts = 15;
 
@@ -85,17 +122,24 @@
         dial();
     }
 
-    /** Those of the settings file count, whatever it was told: all that it was told of may be gone. */
+    /**
+     * Those of the settings file count, whatever it was told: all that it was told of may be gone.
+     */
     void seeds() {
         listed();
     }
 
-    /** What was told last takes the place of what was told before, so that the list does not fill up with the dead. */
+    /**
+     * What was told last takes the place of what was told before, so that the list does not fill up
+     * with the dead.
+     */
     private void listed() {
         sources.clear();
         for (int rank = 0; rank < 4; rank++) {
             for (Place p : places) {
-                if (rank == (p.silent() ? 2 : 0) + (p.near() ? 0 : 1) && sources.size() < MOST_SOURCES && !sources.contains(p.ip())) {
+                if (rank == (p.silent() ? 2 : 0) + (p.near() ? 0 : 1)
+                        && sources.size() < MOST_SOURCES
+                        && !sources.contains(p.ip())) {
                     sources.add(p.ip());
                 }
             }
@@ -123,27 +167,33 @@
         source = ip;
         up = false;
         Host.Link[] mine = new Host.Link[1];
-        mine[0] = front.host.dial(front.settings.innerOf(ip), Host.Form.FRAMES, DIAL_MS, new Host.Ear() {
-            @Override
-            public void opened(Host.Link opened) {
-                News.this.opened(opened);
-            }
+        mine[0] =
+                front.host.dial(
+                        front.settings.innerOf(ip),
+                        Host.Form.FRAMES,
+                        DIAL_MS,
+                        new Host.Ear() {
+                            @Override
+                            public void opened(Host.Link opened) {
+                                News.this.opened(opened);
+                            }
 
-            @Override
-            public void message(byte[] message) {
-                // What a source that was left said meanwhile answers no question of now.
-                if (link == mine[0]) {
-                    News.this.message(message);
-                }
-            }
+                            @Override
+                            public void message(byte[] message) {
+                                // What a source that was left said meanwhile answers no question of
+                                // now.
+                                if (link == mine[0]) {
+                                    News.this.message(message);
+                                }
+                            }
 
-            @Override
-            public void closed(String why) {
-                if (link == mine[0] || mine[0] == null) {
-                    News.this.closed(why);
-                }
-            }
-        });
+                            @Override
+                            public void closed(String why) {
+                                if (link == mine[0] || mine[0] == null) {
+                                    News.this.closed(why);
+                                }
+                            }
+                        });
         link = mine[0];
         watch(DIAL_MS + 100);
     }
@@ -165,12 +215,20 @@
         }
         front.host.note("news: left " + source + ", " + why);
         if (sources.contains(source)) {
-            left.put(source, new Left(front.host.now(), front.host.now() + (why.equals(ALONE) ? ALONE_MS : STAY_MS)));
+            left.put(
+                    source,
+                    new Left(
+                            front.host.now(),
+                            front.host.now() + (why.equals(ALONE) ? ALONE_MS : STAY_MS)));
         }
         up = false;
         tries++;
         int rounds = tries / Math.max(1, sources.size());
-        front.host.after(tries % Math.max(1, sources.size()) == 0 ? PAUSE_MS * Math.min(rounds, MOST_PAUSES) : 1, this::dial);
+        front.host.after(
+                tries % Math.max(1, sources.size()) == 0
+                        ? PAUSE_MS * Math.min(rounds, MOST_PAUSES)
+                        : 1,
+                this::dial);
     }
 
     @Override
@@ -206,12 +264,14 @@
             out.put("cw", true);
         }
         if (sources.stream().allMatch(ip -> ip.equals(source) || leftAt(ip) != Long.MIN_VALUE)) {
-            // All others were asked in vain: where this one is alone too, it may answer once it no longer is.
+            // All others were asked in vain: where this one is alone too, it may answer once it no
+            // longer is.
             out.put("hw", true);
         }
         out.put("k", record);
         out.put("sn", suspectsAt);
-        // Of most services there is nothing to say; of those that move or are suspected, what is seen here.
+        // Of most services there is nothing to say; of those that move or are suspected, what is
+        // seen here.
         List<Object> sights = new ArrayList<>();
         boolean also = asked >= losesAt + LOSES_MS;
         for (Service s : front.services()) {
@@ -238,16 +298,21 @@
         }
     }
 
-    /** What it sees of a primary has changed: worth a question now, or together with what else comes within a moment of the last. */
+    /**
+     * What it sees of a primary has changed: worth a question now, or together with what else comes
+     * within a moment of the last.
+     */
     void tell() {
         if (!telling) {
             telling = true;
-            front.host.after(Math.max(0, asked + TOGETHER_MS - front.host.now()), () -> {
-                telling = false;
-                if (up) {
-                    ask();
-                }
-            });
+            front.host.after(
+                    Math.max(0, asked + TOGETHER_MS - front.host.now()),
+                    () -> {
+                        telling = false;
+                        if (up) {
+                            ask();
+                        }
+                    });
         }
     }
 
@@ -276,10 +341,14 @@
             }
             if (whole) {
                 for (Service s : front.services()) {
-                    new ArrayList<>(s.servers.values()).stream().filter(x -> !named.contains(x.id)).forEach(x -> {
-                        x.leave();
-                        s.servers.remove(x.id);
-                    });
+                    new ArrayList<>(s.servers.values())
+                            .stream()
+                                    .filter(x -> !named.contains(x.id))
+                                    .forEach(
+                                            x -> {
+                                                x.leave();
+                                                s.servers.remove(x.id);
+                                            });
                 }
             }
         }
@@ -300,12 +369,18 @@
             suspects = in.texts("sq");
         }
         if (in.has("cp")) {
-            // Whoever is out of contact may know fewer: what it knows of besides comes behind the rest.
+            // Whoever is out of contact may know fewer: what it knows of besides comes behind the
+            // rest.
             boolean besides = in.bit("alone");
             List<Place> told = besides ? new ArrayList<>(places) : new ArrayList<>();
             for (Pack.Fields p : in.list("cp")) {
-                if (!besides || places.stream().noneMatch(known -> known.ip().equals(p.text("i")))) {
-                    told.add(new Place(p.text("i"), front.settings.near(p.text("z")), besides || p.bit("s")));
+                if (!besides
+                        || places.stream().noneMatch(known -> known.ip().equals(p.text("i")))) {
+                    told.add(
+                            new Place(
+                                    p.text("i"),
+                                    front.settings.near(p.text("z")),
+                                    besides || p.bit("s")));
                 }
             }
             places = told;
@@ -329,11 +404,13 @@
                 // What crosses regions costs, and is heard later.
                 next(near + " is nearer");
             } else if (in.number("cv", -1) == unread && unread >= 0) {
-                front.host.after(UNREAD_MS, () -> {
-                    if (up && q == question) {
-                        ask();
-                    }
-                });
+                front.host.after(
+                        UNREAD_MS,
+                        () -> {
+                            if (up && q == question) {
+                                ask();
+                            }
+                        });
             } else {
                 ask();
             }
@@ -355,7 +432,10 @@
         return null;
     }
 
-    /** Takes a newer configuration over; an older one, or what turns an older one into another, changes nothing. */
+    /**
+     * Takes a newer configuration over; an older one, or what turns an older one into another,
+     * changes nothing.
+     */
     private void configured(Pack.Fields in) {
         long version = in.number("cv", -1);
         if (version <= front.configuration().version()) {
@@ -364,8 +444,12 @@
         try {
             byte[] delta = in.bytes("cx");
             byte[] whole = in.bytes("cz");
-            Configuration next = Configuration.read(delta != null ? Delta.apply(front.configuration().body(), delta)
-                    : Deflate.back(whole == null ? new byte[0] : whole, Delta.MOST));
+            Configuration next =
+                    Configuration.read(
+                            delta != null
+                                    ? Delta.apply(front.configuration().body(), delta)
+                                    : Deflate.back(
+                                            whole == null ? new byte[0] : whole, Delta.MOST));
             front.configured(next);
             digestTold = false;
             wantsWhole = false;
@@ -374,7 +458,8 @@
             front.host.note("news: version " + version + " asked for whole, " + other.getMessage());
             wantsWhole = true;
         } catch (Deflate.Bad | Configuration.Invalid never) {
-            // The control plane took it, so it is of a form that this text does not know: what is held stays.
+            // The control plane took it, so it is of a form that this text does not know: what is
+            // held stays.
             unread = version;
             front.host.wrong("configuration " + version + " not understood: " + never.getMessage());
         }
