--- a/src/main/java/dillfront/front/Server.java
+++ b/src/main/java/dillfront/front/Server.java
@@ -12,15 +12,19 @@
 
     /** A dial that waits longer is given up; the server is taken for out of reach. */
     static final int DIAL_MS = 900;
+
     /** Nothing was heard for so long while something was out: it may be dark. */
     static final long SILENT_MS = 450;
+
     private static final long RETRY_MS = 120;
     private static final long RETRY_MOST_MS = 1_000;
 
     /** Who waits for a connection. */
     interface Waiter {
 
-        /** @return whether it still wants one */
+        /**
+         * @return whether it still wants one
+         */
         boolean wants();
 
         long rank();
@@ -42,23 +46,29 @@
     boolean draining;
     private long drainedAt;
     boolean gone;
+
     /** Leave to lead, as it said itself in its beat. */
     boolean leads;
+
     /** How far its log was at the least, by any of its answers. */
     Position seen;
+
     final List<Connection> idle = new ArrayList<>();
     final List<Connection> all = new ArrayList<>();
     private final List<Waiter> waiters = new ArrayList<>();
     int dialing;
     int out;
+
     /** The usual time of an answer over this server's usual for such work: 1 in calm. */
     double pace = 1;
+
     long heardAt;
     long laggingUntil;
     private long lagFor = 50;
     long downSince = -1;
     private long tryAt;
     private long retry = RETRY_MS;
+
     /** It refuses more connections than it has of this front. */
     private long fullUntil;
 
@@ -140,7 +150,10 @@
     private void grow() {
         waiters.removeIf(w -> !w.wants());
         long now = front.host.now();
-        while (!gone && dialing < waiters.size() && all.size() < front.connectionsEach(service) && now >= fullUntil) {
+        while (!gone
+                && dialing < waiters.size()
+                && all.size() < front.connectionsEach(service)
+                && now >= fullUntil) {
             if (downSince >= 0 && (now < tryAt || dialing > 0)) {
                 break;
             }
@@ -167,8 +180,8 @@
     }
 
     /**
-     * One that went dark forgets its connections: a write on one of them would be cut later, and nobody could say if it ran. One
-     * that leaves may go on for long, and keeps none either.
+     * One that went dark forgets its connections: a write on one of them would be cut later, and
+     * nobody could say if it ran. One that leaves may go on for long, and keeps none either.
      */
     void look() {
         if (!idle.isEmpty() && (leaves() || silent())) {
@@ -179,7 +192,10 @@
         }
     }
 
-    /** Connections whose answers were lost, and for which nobody waits any more: else they would be nobody's for ever. */
+    /**
+     * Connections whose answers were lost, and for which nobody waits any more: else they would be
+     * nobody's for ever.
+     */
     void leaveOverdue() {
         if (out > 0) {
             long now = front.host.now();
@@ -249,11 +265,12 @@
     void drop(String why) {
         List<Waiter> over = new ArrayList<>(waiters);
         waiters.clear();
-        over.forEach(w -> {
-            if (w.wants()) {
-                w.none(why);
-            }
-        });
+        over.forEach(
+                w -> {
+                    if (w.wants()) {
+                        w.none(why);
+                    }
+                });
     }
 
     void leave() {
@@ -262,7 +279,9 @@
         drop("gone");
     }
 
-    /** Nothing new goes there; but to one that leads, until another does or its time is nearly over. */
+    /**
+     * Nothing new goes there; but to one that leads, until another does or its time is nearly over.
+     */
     void drain() {
         draining = true;
         drainedAt = front.host.now();
@@ -277,7 +296,10 @@
         return draining && front.host.now() > drainedAt + front.settings.drain();
     }
 
-    /** It drains or is gone, and is not the primary, or no longer to be used as such: nothing begins there. */
+    /**
+     * It drains or is gone, and is not the primary, or no longer to be used as such: nothing begins
+     * there.
+     */
     boolean leaves() {
         return gone || draining && service.primary() != this;
     }
--- a/src/main/java/dillfront/front/Service.java
+++ b/src/main/java/dillfront/front/Service.java
@@ -12,30 +12,42 @@
 
     final String name;
     final Front front;
+
     /** By id, so that every order is the same each time. */
     final TreeMap<String, Server> servers = new TreeMap<>();
+
     final Floors floors = new Floors();
+
     /** Who leads by the record of the duty's holder; empty where there is none. */
     String primary = "";
+
     boolean moving;
     long record = -1;
     int connections = Integer.MAX_VALUE;
+
     /** Reads that may go to the primary though a replica could serve them. */
     double spill = SPILL_BURST;
+
     /** Transactions that are open at the primary. */
     int openAtPrimary;
+
     /** Of the commits whose answers came here. */
     Acknowledged acknowledged = Acknowledged.NONE;
+
     /** What a person gave up, as the record says; null for nothing. */
     DataLoss loss;
+
     private final List<Runnable> waiting = new ArrayList<>();
 
     private static final double SPILL_BURST = 4;
     private static final double SPILL = 0.25;
+
     /** Where no replica is as near as the primary. */
     private static final double SPILL_NEAR = 0.6;
+
     /** How much busier one that is near may be than one in another region. */
     private static final double FAR = 2;
+
     /** What a primary must be less busy by to take what a replica could. */
     private static final double LEADS = 1;
 
@@ -70,8 +82,9 @@
     }
 
     /**
-     * Where a read goes that a replica may serve: the least busy of those that should have what it needs; a bounded
-     * share to the primary, while that is less busy still. Null where no replica will do.
+     * Where a read goes that a replica may serve: the least busy of those that should have what it
+     * needs; a bounded share to the primary, while that is less busy still. Null where no replica
+     * will do.
      *
      * @param without those that were tried
      */
@@ -80,10 +93,17 @@
         Server best = null;
         double least = Double.MAX_VALUE;
         long now = front.host.now();
-        boolean near = lead != null && lead.near && servers.values().stream().noneMatch(s -> s != lead && s.near && s.usable());
+        boolean near =
+                lead != null
+                        && lead.near
+                        && servers.values().stream()
+                                .noneMatch(s -> s != lead && s.near && s.usable());
         spill = Math.min(SPILL_BURST, spill + (near ? SPILL_NEAR : SPILL));
         for (Server s : servers.values()) {
-            if (!s.usable() || without.contains(s) || need == null && s != lead || s != lead && s.laggingUntil > now) {
+            if (!s.usable()
+                    || without.contains(s)
+                    || need == null && s != lead
+                    || s != lead && s.laggingUntil > now) {
                 continue;
             }
             double busy = (s.out + 0.5) * s.pace + (s.near ? 0 : FAR);
@@ -106,9 +126,13 @@
 
     /** Since when there is no primary to ask; -1 while there is. */
     private long leaderlessFrom = -1;
+
     private boolean despaired;
 
-    /** Whether a primary may be there soon: a move takes no longer than a few beats of the servers, else nobody knows. */
+    /**
+     * Whether a primary may be there soon: a move takes no longer than a few beats of the servers,
+     * else nobody knows.
+     */
     boolean hopeful() {
         Server lead = primary();
         if (lead != null && lead.reachable()) {
@@ -120,8 +144,15 @@
         leaderlessFrom = leaderlessFrom < 0 ? now : leaderlessFrom;
         boolean hope = now - leaderlessFrom < HOPE_BEATS * front.settings.beat();
         if (!hope && !despaired) {
-            front.host.wrong("no primary of " + name + " for " + (now - leaderlessFrom) + " ms, recorded is '" + primary + "'"
-                    + (moving ? ", moving" : ""));
+            front.host.wrong(
+                    "no primary of "
+                            + name
+                            + " for "
+                            + (now - leaderlessFrom)
+                            + " ms, recorded is '"
+                            + primary
+                            + "'"
+                            + (moving ? ", moving" : ""));
         }
         despaired = !hope;
         return hope;
@@ -157,11 +188,15 @@
     }
 
     /**
-     * This server answered a commit. Behind a loss its log may be shorter than what was given up; what it acknowledges stands past
-     * that all the same, in a later term, and is not given up with it.
+     * This server answered a commit. Behind a loss its log may be shorter than what was given up;
+     * what it acknowledges stands past that all the same, in a later term, and is not given up with
+     * it.
      */
     void acknowledged(Server by, Position before, Position answered) {
-        Position behind = loss != null && loss.any() && by.id.equals(primary) ? Position.later(before, loss.until()) : before;
+        Position behind =
+                loss != null && loss.any() && by.id.equals(primary)
+                        ? Position.later(before, loss.until())
+                        : before;
         acknowledged = acknowledged.and(Acknowledged.of(behind, answered));
     }
 
--- a/src/main/java/dillfront/front/Session.java
+++ b/src/main/java/dillfront/front/Session.java
@@ -13,19 +13,27 @@
 import java.util.Map;
 
 /**
- * One client's connection. It holds a connection to a server only while a transaction is open or a statement runs; its
- * values and prepared names are kept here and replayed there. One thing is asked at a time; what comes ahead waits.
+ * One client's connection. It holds a connection to a server only while a transaction is open or a
+ * statement runs; its values and prepared names are kept here and replayed there. One thing is
+ * asked at a time; what comes ahead waits.
  */
 final class Session implements Host.Ear {
 
     private static final int MOST_AHEAD = 32;
     private static final int MOST_NAMES = 400;
+
     /** Bytes that a client may leave unread. */
     private static final long MOST_UNREAD = 4 << 20;
-    /** The part of a statement's time that it may wait for a primary or a connection before it is refused. */
+
+    /**
+     * The part of a statement's time that it may wait for a primary or a connection before it is
+     * refused.
+     */
     private static final double PATIENCE = 0.8;
+
     /** Before its time is over it is answered, so that the answer is there in time. */
     private static final long EARLY_MS = 25;
+
     private static final long BUSY_PAUSE_MS = 20;
 
     /** What is given a connection: one statement by itself, or a transaction. */
@@ -71,56 +79,66 @@
                 nowhere(service);
                 return;
             }
-            server.take(new Server.Waiter() {
-                @Override
-                public boolean wants() {
-                    return wanted();
-                }
-
-                @Override
-                public long rank() {
-                    return route.priority() * 1_000_000_000L + since;
-                }
-
-                @Override
-                public Map<String, String> values() {
-                    return values;
-                }
-
-                @Override
-                public void got(Connection connection) {
-                    Work.this.got(service, server, connection, need);
-                }
-
-                @Override
-                public void none(String why) {
-                    Work.this.none(service, server);
-                }
-            });
+            server.take(
+                    new Server.Waiter() {
+                        @Override
+                        public boolean wants() {
+                            return wanted();
+                        }
+
+                        @Override
+                        public long rank() {
+                            return route.priority() * 1_000_000_000L + since;
+                        }
+
+                        @Override
+                        public Map<String, String> values() {
+                            return values;
+                        }
+
+                        @Override
+                        public void got(Connection connection) {
+                            Work.this.got(service, server, connection, need);
+                        }
+
+                        @Override
+                        public void none(String why) {
+                            Work.this.none(service, server);
+                        }
+                    });
         }
 
         /** What a log must hold for its reads; null where that is not known. */
         private Position need(Service service) {
             Position floor = service.floors.since(since - route.stale());
-            return floor == null ? null : service.without(route.kind() == Kind.OWN ? Position.later(floor, token) : floor);
+            return floor == null
+                    ? null
+                    : service.without(
+                            route.kind() == Kind.OWN ? Position.later(floor, token) : floor);
         }
 
         /**
-         * That a server leads is not sure by the record, so it is asked first, on the same connection. One that led after a
-         * read's first byte came has all that was acknowledged before, whatever happens to it then.
+         * That a server leads is not sure by the record, so it is asked first, on the same
+         * connection. One that led after a read's first byte came has all that was acknowledged
+         * before, whatever happens to it then.
          */
         void verify(Connection at, Runnable then, Runnable otherwise) {
             front.counts.verified++;
-            at.ask("STATUS", (answer, done, code, text, state, position) -> {
-                if (wanted() && code == null && !answer.isEmpty() && answer.get(0).startsWith("primary ")) {
-                    then.run();
-                    return;
-                }
-                release(at, state);
-                if (wanted()) {
-                    otherwise.run();
-                }
-            });
+            at.ask(
+                    "STATUS",
+                    (answer, done, code, text, state, position) -> {
+                        if (wanted()
+                                && code == null
+                                && !answer.isEmpty()
+                                && answer.get(0).startsWith("primary ")) {
+                            then.run();
+                            return;
+                        }
+                        release(at, state);
+                        if (wanted()) {
+                            otherwise.run();
+                        }
+                    });
         }
     }
 
@@ -129,11 +147,15 @@
         final boolean reads;
         Server server;
         boolean opening;
+
         /** A statement of it has run, or may have. */
         boolean ran;
+
         boolean wrote;
+
         /** What waits until it is open. */
         Job first;
+
         Host.Timer rest;
 
         Txn(boolean reads, String id, Route route) {
@@ -168,8 +190,10 @@
         final String text;
         final Statement statement;
         final long until;
+
         /** What it needs the session to have prepared, as "READ shape". */
         String shape;
+
         boolean writes;
         Host.Timer limit;
         Runnable again;
@@ -207,11 +231,13 @@
                 await(service, this);
             } else {
                 tried.add(server);
-                front.host.after(0, () -> {
-                    if (wanted()) {
-                        take();
-                    }
-                });
+                front.host.after(
+                        0,
+                        () -> {
+                            if (wanted()) {
+                                take();
+                            }
+                        });
             }
         }
     }
@@ -223,14 +249,21 @@
     private final Map<String, String> prepared = new HashMap<>();
     private Position token;
     private Txn txn;
+
     /** The transaction failed: its end rolls back. */
     private boolean failed;
+
     private Job job;
     private boolean over;
     private boolean leaves;
     private boolean leavesNow;
-    /** It came when this front was already on its way out: it gets one operation, or none where that could not end any more. */
+
+    /**
+     * It came when this front was already on its way out: it gets one operation, or none where that
+     * could not end any more.
+     */
     private boolean late;
+
     private boolean tooLate;
     private boolean asked;
     private final ArrayDeque<String> ahead = new ArrayDeque<>();
@@ -411,12 +444,15 @@
         if (of.rest != null) {
             of.rest.cancel();
         }
-        of.rest = front.host.after(front.configuration().transactionIdle(), () -> {
-            if (txn == of && job == null && !failed) {
-                failed = true;
-                let(of, true);
-            }
-        });
+        of.rest =
+                front.host.after(
+                        front.configuration().transactionIdle(),
+                        () -> {
+                            if (txn == of && job == null && !failed) {
+                                failed = true;
+                                let(of, true);
+                            }
+                        });
     }
 
     private void rollback() {
@@ -458,16 +494,18 @@
     }
 
     private static void back(Connection on) {
-        on.ask("ROLLBACK", (rows, stamp, code, text, state, position) -> {
-            if (on.over()) {
-                return;
-            }
-            if (state == 'I') {
-                on.server.free(on);
-            } else {
-                on.cut("not rolled back");
-            }
-        });
+        on.ask(
+                "ROLLBACK",
+                (rows, stamp, code, text, state, position) -> {
+                    if (on.over()) {
+                        return;
+                    }
+                    if (state == 'I') {
+                        on.server.free(on);
+                    } else {
+                        on.cut("not rolled back");
+                    }
+                });
     }
 
     private void counted(Txn of, Server now) {
@@ -505,13 +543,17 @@
     }
 
     private static String line(Job of) {
-        return of.shape == null ? of.text : "EXECUTE " + Connection.name(of.shape) + " " + of.statement.rest();
+        return of.shape == null
+                ? of.text
+                : "EXECUTE " + Connection.name(of.shape) + " " + of.statement.rest();
     }
 
     private void run(Job next) {
         job = next;
         asked = true;
-        next.limit = front.host.after(Math.max(1, next.until - front.host.now()), () -> timeIsOver(next));
+        next.limit =
+                front.host.after(
+                        Math.max(1, next.until - front.host.now()), () -> timeIsOver(next));
         if (txn != null) {
             if (txn.on != null) {
                 inside(txn, next);
@@ -544,7 +586,11 @@
         front.counts.served++;
         StringBuilder out = new StringBuilder();
         rows.forEach(row -> out.append("ROW ").append(row).append("\r\n"));
-        out.append("COMPLETE ").append(stamp).append("\r\nREADY ").append(state()).append(' ')
+        out.append("COMPLETE ")
+                .append(stamp)
+                .append("\r\nREADY ")
+                .append(state())
+                .append(' ')
                 .append(position == null ? "-" : position);
         say(out.toString());
         if (txn != null) {
@@ -629,12 +675,13 @@
             return;
         }
         of.tried.clear();
-        of.again = () -> {
-            of.again = null;
-            if (!of.over && !over) {
-                of.take();
-            }
-        };
+        of.again =
+                () -> {
+                    of.again = null;
+                    if (!of.over && !over) {
+                        of.take();
+                    }
+                };
         service.await(of.again);
     }
 
@@ -644,14 +691,17 @@
             sendNow(of, service, server, on, after ? need : null);
         } else {
             of.on = on;
-            of.verify(on, () -> sendNow(of, service, server, on, null), () -> {
-                of.on = null;
-                if (of.tries++ < 3 && front.host.now() < of.patience()) {
-                    later(of, of::take);
-                } else {
-                    busy(of);
-                }
-            });
+            of.verify(
+                    on,
+                    () -> sendNow(of, service, server, on, null),
+                    () -> {
+                        of.on = null;
+                        if (of.tries++ < 3 && front.host.now() < of.patience()) {
+                            later(of, of::take);
+                        } else {
+                            busy(of);
+                        }
+                    });
         }
     }
 
@@ -660,34 +710,40 @@
         long sent = front.host.now();
         Position before = server.seen;
         String line = (after == null ? "" : "AFTER " + after + " ") + line(of);
-        on.ask(values, of.shape, of.id, line, of.overdue(), (rows, stamp, code, text, state, position) -> {
-            of.on = null;
-            if (code == null) {
-                server.fresh();
-                boolean sure = service.sure(server);
-                if (of.writes) {
-                    service.acknowledged(server, before, position);
-                }
-                if (of.writes || sure) {
-                    service.floors.led(position, sent);
-                }
-                release(on, state);
-                paced(server, of, sent);
-                if (of.over || over) {
-                    return;
-                }
-                if (of.writes) {
-                    token = Position.later(token, position);
-                }
-                answer(of, rows, stamp, position);
-                return;
-            }
-            release(on, state);
-            if (of.over || over) {
-                return;
-            }
-            failed(of, service, server, code, text);
-        });
+        on.ask(
+                values,
+                of.shape,
+                of.id,
+                line,
+                of.overdue(),
+                (rows, stamp, code, text, state, position) -> {
+                    of.on = null;
+                    if (code == null) {
+                        server.fresh();
+                        boolean sure = service.sure(server);
+                        if (of.writes) {
+                            service.acknowledged(server, before, position);
+                        }
+                        if (of.writes || sure) {
+                            service.floors.led(position, sent);
+                        }
+                        release(on, state);
+                        paced(server, of, sent);
+                        if (of.over || over) {
+                            return;
+                        }
+                        if (of.writes) {
+                            token = Position.later(token, position);
+                        }
+                        answer(of, rows, stamp, position);
+                        return;
+                    }
+                    release(on, state);
+                    if (of.over || over) {
+                        return;
+                    }
+                    failed(of, service, server, code, text);
+                });
     }
 
     private void paced(Server server, Job of, long sent) {
@@ -708,11 +764,13 @@
     }
 
     private void later(Job of, Runnable run) {
-        front.host.after(BUSY_PAUSE_MS + front.host.chance().nextInt(20), () -> {
-            if (!of.over && !over) {
-                run.run();
-            }
-        });
+        front.host.after(
+                BUSY_PAUSE_MS + front.host.chance().nextInt(20),
+                () -> {
+                    if (!of.over && !over) {
+                        run.run();
+                    }
+                });
     }
 
     /** It came to nothing: again where that is allowed, else the client is told. */
@@ -785,7 +843,9 @@
         }
     }
 
-    /** Waits for a change; given up with the statement that waits, or after a while where none does. */
+    /**
+     * Waits for a change; given up with the statement that waits, or after a while where none does.
+     */
     private void openLater(Txn of, Service service) {
         long until = of.first != null ? of.first.patience() : of.patience();
         if (front.host.now() >= until || of.first != null && !service.hopeful()) {
@@ -803,45 +863,56 @@
         if (!of.reads || need != null || service.sure(server)) {
             beginNow(of, service, server, on, need);
         } else {
-            of.verify(on, () -> beginNow(of, service, server, on, null),
+            of.verify(
+                    on,
+                    () -> beginNow(of, service, server, on, null),
                     () -> front.host.after(BUSY_PAUSE_MS, () -> openLater(of, service)));
         }
     }
 
     private void beginNow(Txn of, Service service, Server server, Connection on, Position need) {
-        String line = (need == null ? "" : "AFTER " + need + " ") + (of.reads ? "BEGIN READ" : "BEGIN");
+        String line =
+                (need == null ? "" : "AFTER " + need + " ") + (of.reads ? "BEGIN READ" : "BEGIN");
         long sent = front.host.now();
-        on.ask(values, null, of.id, line, sent + of.route.timeout(), (rows, stamp, code, text, state, position) -> {
-            if (of.over || over) {
-                release(on, on.over() ? 'I' : state);
-                return;
-            }
-            if (code == null) {
-                if (!of.reads) {
-                    service.floors.led(position, sent);
-                }
-                opened(of, server, on);
-                return;
-            }
-            release(on, state);
-            if (code.equals("LAGGING")) {
-                front.counts.lagging++;
-                server.lagging();
-            }
-            of.tried.add(server);
-            of.tries++;
-            front.host.after(code.equals("LAGGING") ? 0 : BUSY_PAUSE_MS, () -> {
-                if (of.over || over) {
-                    return;
-                }
-                long until = of.first != null ? of.first.patience() : of.patience();
-                if (front.host.now() >= until) {
-                    openLater(of, service);
-                } else {
-                    open(of);
-                }
-            });
-        });
+        on.ask(
+                values,
+                null,
+                of.id,
+                line,
+                sent + of.route.timeout(),
+                (rows, stamp, code, text, state, position) -> {
+                    if (of.over || over) {
+                        release(on, on.over() ? 'I' : state);
+                        return;
+                    }
+                    if (code == null) {
+                        if (!of.reads) {
+                            service.floors.led(position, sent);
+                        }
+                        opened(of, server, on);
+                        return;
+                    }
+                    release(on, state);
+                    if (code.equals("LAGGING")) {
+                        front.counts.lagging++;
+                        server.lagging();
+                    }
+                    of.tried.add(server);
+                    of.tries++;
+                    front.host.after(
+                            code.equals("LAGGING") ? 0 : BUSY_PAUSE_MS,
+                            () -> {
+                                if (of.over || over) {
+                                    return;
+                                }
+                                long until = of.first != null ? of.first.patience() : of.patience();
+                                if (front.host.now() >= until) {
+                                    openLater(of, service);
+                                } else {
+                                    open(of);
+                                }
+                            });
+                });
     }
 
     private void opened(Txn of, Server server, Connection on) {
@@ -871,60 +942,83 @@
         of.wrote = wrote;
         long sent = front.host.now();
         Position before = on.server.seen;
-        // Values may have been set within the transaction; what would need a RESET cannot come here.
-        on.ask(values, asked.shape, asked.id, line(asked), asked.overdue(), (rows, stamp, code, text, state, position) -> {
-            asked.on = null;
-            if (code == null && commit && wrote) {
-                service.acknowledged(on.server, before, position);
-            }
-            if (asked.over || over || txn != of) {
-                return;
-            }
-            if (code == null) {
-                if (!of.reads && (!commit || of.wrote)) {
-                    // One that wrote nothing is committed by a router that has lost the lead, too.
-                    service.floors.led(position, sent);
-                }
-                if (commit) {
-                    if (of.wrote) {
-                        token = Position.later(token, position);
+        // Values may have been set within the transaction; what would need a RESET cannot come
+        // here.
+        on.ask(
+                values,
+                asked.shape,
+                asked.id,
+                line(asked),
+                asked.overdue(),
+                (rows, stamp, code, text, state, position) -> {
+                    asked.on = null;
+                    if (code == null && commit && wrote) {
+                        service.acknowledged(on.server, before, position);
                     }
-                    txn = null;
-                    if (of.rest != null) {
-                        of.rest.cancel();
+                    if (asked.over || over || txn != of) {
+                        return;
                     }
-                    let(of, state != 'I');
-                }
-                answer(asked, rows, stamp, position);
-                return;
-            }
-            boolean unsent = code.equals("UNSENT");
-            boolean cut = code.equals("CUT") || unsent;
-            if (code.equals("BUSY") && state == 'T' && front.host.now() < asked.patience()) {
-                later(asked, () -> inside(of, asked));
-                return;
-            }
-            if (commit) {
-                txn = null;
-                if (of.rest != null) {
-                    of.rest.cancel();
-                }
-                let(of, state != 'I');
-                fail(asked, !cut ? code : of.wrote && !unsent ? "UNCERTAIN" : "ABORTED", cut ? "the connection ended" : text);
-                return;
-            }
-            boolean promised = code.equals("BUSY") || code.equals("READONLY") || code.equals("LAGGING")
-                    || code.equals("UNKNOWN") || cut;
-            if (first && promised && front.host.now() < asked.patience() && asked.tries++ < 4) {
-                if (cut || code.equals("READONLY")) {
-                    of.tried.add(on.server);
-                }
-                elsewhere(of, asked, cut ? 0 : BUSY_PAUSE_MS);
-                return;
-            }
-            endsFailed();
-            fail(asked, cut ? "ABORTED" : code, cut ? "the connection ended; nothing of it is kept" : text);
-        });
+                    if (code == null) {
+                        if (!of.reads && (!commit || of.wrote)) {
+                            // One that wrote nothing is committed by a router that has lost the
+                            // lead, too.
+                            service.floors.led(position, sent);
+                        }
+                        if (commit) {
+                            if (of.wrote) {
+                                token = Position.later(token, position);
+                            }
+                            txn = null;
+                            if (of.rest != null) {
+                                of.rest.cancel();
+                            }
+                            let(of, state != 'I');
+                        }
+                        answer(asked, rows, stamp, position);
+                        return;
+                    }
+                    boolean unsent = code.equals("UNSENT");
+                    boolean cut = code.equals("CUT") || unsent;
+                    if (code.equals("BUSY")
+                            && state == 'T'
+                            && front.host.now() < asked.patience()) {
+                        later(asked, () -> inside(of, asked));
+                        return;
+                    }
+                    if (commit) {
+                        txn = null;
+                        if (of.rest != null) {
+                            of.rest.cancel();
+                        }
+                        let(of, state != 'I');
+                        fail(
+                                asked,
+                                !cut ? code : of.wrote && !unsent ? "UNCERTAIN" : "ABORTED",
+                                cut ? "the connection ended" : text);
+                        return;
+                    }
+                    boolean promised =
+                            code.equals("BUSY")
+                                    || code.equals("READONLY")
+                                    || code.equals("LAGGING")
+                                    || code.equals("UNKNOWN")
+                                    || cut;
+                    if (first
+                            && promised
+                            && front.host.now() < asked.patience()
+                            && asked.tries++ < 4) {
+                        if (cut || code.equals("READONLY")) {
+                            of.tried.add(on.server);
+                        }
+                        elsewhere(of, asked, cut ? 0 : BUSY_PAUSE_MS);
+                        return;
+                    }
+                    endsFailed();
+                    fail(
+                            asked,
+                            cut ? "ABORTED" : code,
+                            cut ? "the connection ended; nothing of it is kept" : text);
+                });
     }
 
     /** Nothing of the transaction has been kept: it begins anew. */
@@ -976,7 +1070,8 @@
             Connection on = was.on;
             over(was);
             if (txn != null && on != null) {
-                // What runs is cut with its connection: it rolls back, or the commit that is out goes its own way.
+                // What runs is cut with its connection: it rolls back, or the commit that is out
+                // goes its own way.
                 txn.over = true;
                 counted(txn, null);
                 txn.on = null;
@@ -1001,7 +1096,10 @@
         next();
     }
 
-    /** The front ends now: what is open is told that nothing of it is kept, what runs is heard to its end. */
+    /**
+     * The front ends now: what is open is told that nothing of it is kept, what runs is heard to
+     * its end.
+     */
     void leaveNow() {
         leaves = true;
         leavesNow = true;
--- a/src/main/java/dillfront/front/Statement.java
+++ b/src/main/java/dillfront/front/Statement.java
@@ -3,7 +3,19 @@
 /** The text of a client's QUERY, as far as the front must know it. */
 record Statement(Verb verb, String name, String rest) {
 
-    enum Verb { BEGIN, BEGIN_READ, COMMIT, ROLLBACK, READ, WRITE, SET, PREPARE, EXECUTE, DEALLOCATE, MALFORMED }
+    enum Verb {
+        BEGIN,
+        BEGIN_READ,
+        COMMIT,
+        ROLLBACK,
+        READ,
+        WRITE,
+        SET,
+        PREPARE,
+        EXECUTE,
+        DEALLOCATE,
+        MALFORMED
+    }
 
     private static final Statement BAD = new Statement(Verb.MALFORMED, "", "");
 
@@ -13,7 +25,8 @@
         String rest = blank < 0 ? "" : text.substring(blank + 1);
         switch (word) {
             case "BEGIN":
-                return rest.isEmpty() && blank < 0 ? new Statement(Verb.BEGIN, "", "")
+                return rest.isEmpty() && blank < 0
+                        ? new Statement(Verb.BEGIN, "", "")
                         : rest.equals("READ") ? new Statement(Verb.BEGIN_READ, "", "") : BAD;
             case "COMMIT":
                 return blank < 0 ? new Statement(Verb.COMMIT, "", "") : BAD;
@@ -25,12 +38,16 @@
                 return two(rest) ? new Statement(Verb.WRITE, "", rest) : BAD;
             case "SET":
                 return two(rest) ? named(Verb.SET, rest) : BAD;
-            case "PREPARE": {
-                Statement is = two(rest) ? named(Verb.PREPARE, rest) : BAD;
-                int gap = is.rest().indexOf(' ');
-                boolean shaped = gap > 0 && (is.rest().startsWith("READ ") || is.rest().startsWith("WRITE "));
-                return shaped && one(is.rest().substring(gap + 1)) ? is : BAD;
-            }
+            case "PREPARE":
+                {
+                    Statement is = two(rest) ? named(Verb.PREPARE, rest) : BAD;
+                    int gap = is.rest().indexOf(' ');
+                    boolean shaped =
+                            gap > 0
+                                    && (is.rest().startsWith("READ ")
+                                            || is.rest().startsWith("WRITE "));
+                    return shaped && one(is.rest().substring(gap + 1)) ? is : BAD;
+                }
             case "EXECUTE":
                 return two(rest) ? named(Verb.EXECUTE, rest) : BAD;
             case "DEALLOCATE":
--- a/src/main/java/dillfront/gossip/Budget.java
+++ b/src/main/java/dillfront/gossip/Budget.java
@@ -5,16 +5,18 @@
 import java.time.Duration;
 
 /**
- * A token bucket over bytes. What keeps instances known to each other may use it up; what spreads words leaves a part for
- * that; what only evens out tables leaves the most. Guards against gossip that grows with the number of instances, and
- * against one that is made to talk by others.
+ * A token bucket over bytes. What keeps instances known to each other may use it up; what spreads
+ * words leaves a part for that; what only evens out tables leaves the most. Guards against gossip
+ * that grows with the number of instances, and against one that is made to talk by others.
  */
 public final class Budget {
 
     /** Full after so many seconds of silence: a burst spreads a new claim at once. */
     private static final double FULL = 3;
+
     /** Parts of the full bucket that stay for what matters more. */
     private static final double LEFT_BY_CLAIMS = 0.05;
+
     private static final double LEFT_BY_WORDS = 0.3;
     private static final double LEFT_BY_TABLES = 0.6;
 
@@ -31,7 +33,10 @@
 
     /** What a send is for. */
     enum Use {
-        PROBE(0), CLAIMS(LEFT_BY_CLAIMS), WORDS(LEFT_BY_WORDS), TABLES(LEFT_BY_TABLES);
+        PROBE(0),
+        CLAIMS(LEFT_BY_CLAIMS),
+        WORDS(LEFT_BY_WORDS),
+        TABLES(LEFT_BY_TABLES);
 
         private final double left;
 
--- a/src/main/java/dillfront/gossip/Gossip.java
+++ b/src/main/java/dillfront/gossip/Gossip.java
@@ -10,35 +10,51 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one instance says to others and when: probes, direct and by others' help; words that spread along with them; a new
- * claim pushed on at once; and tables evened out, also with those held gone, so that a healed partition finds itself.
- * All within a budget of bytes that does not depend on how many instances there are.
+ * What one instance says to others and when: probes, direct and by others' help; words that spread
+ * along with them; a new claim pushed on at once; and tables evened out, also with those held gone,
+ * so that a healed partition finds itself. All within a budget of bytes that does not depend on how
+ * many instances there are.
  *
- * <p>The caller sets the clocks with at(), calls woken() a few times a period, and tells what came; what goes out leaves by
- * the Post during the call. Same calls, same seed: same datagrams.
+ * <p>The caller sets the clocks with at(), calls woken() a few times a period, and tells what came;
+ * what goes out leaves by the Post during the call. Same calls, same seed: same datagrams.
  */
 public final class Gossip {
 
-    /** An ack is awaited for this part of a period before others are asked for help; the rest is theirs. */
+    /**
+     * An ack is awaited for this part of a period before others are asked for help; the rest is
+     * theirs.
+     */
     private static final double ACK = 0.3;
+
     private static final int HELPERS = 3;
+
     /** A new claim is pushed to so many at once, by its origin and by each that hears it first. */
     private static final int FAN = 4;
+
     /** Tables are evened out once in so many periods. */
     private static final int EVEN = 5;
+
     /** Of the ring: below this part the table lacks many. */
     private static final double KNOWN = 0.9;
+
     /** Seeds that are asked at once. */
     private static final int KNOCKS = 5;
+
     /** A longer gap between two calls of woken(), in periods, is this instance's own absence. */
     private static final double AWAY = 0.5;
+
     private static final int WORDS = 6;
     private static final int WORDS_PUSHED = 4;
     private static final int TABLE = 8;
-    /** Pings of others that are answered or passed on, a period; above that of a usual load by far. */
+
+    /**
+     * Pings of others that are answered or passed on, a period; above that of a usual load by far.
+     */
     private static final int ANSWERED = 16;
+
     /** Pings that are passed on for others at the same time. */
     private static final int PASSED = 64;
+
     /** Of each origin so many claims are remembered. */
     private static final int CLAIMS = 32;
 
@@ -52,8 +68,13 @@
     private final Members members;
     private final Rumours rumours = new Rumours();
     private final Budget budget;
-    /** By origin: its last words on nodes. A row holds CLAIMS at the most, the longest unheard leaves first. */
+
+    /**
+     * By origin: its last words on nodes. A row holds CLAIMS at the most, the longest unheard
+     * leaves first.
+     */
     private final Map<Integer, Map<Long, Word>> claims = new LinkedHashMap<>();
+
     private final Map<Integer, Passed> passed = new LinkedHashMap<>();
     private Duration now = Duration.ZERO;
     private Duration unix = Duration.ZERO;
@@ -80,7 +101,13 @@
      * @param instances how many may speak; indices run below it
      * @param incarnation where to begin: above any that this instance may have had, if it is known
      */
-    public Gossip(Tuning tuning, int instances, int self, int incarnation, Post post, RandomGenerator chance) {
+    public Gossip(
+            Tuning tuning,
+            int instances,
+            int self,
+            int incarnation,
+            Post post,
+            RandomGenerator chance) {
         this.tuning = tuning;
         this.self = self;
         this.incarnation = incarnation;
@@ -139,8 +166,8 @@
     // ---- what this instance says of itself
 
     /**
-     * Asks some of those whose address the operator's file tells for their tables, by chance: guards against the first of
-     * a long list that all ask at once. Asks on until someone is there.
+     * Asks some of those whose address the operator's file tells for their tables, by chance:
+     * guards against the first of a long list that all ask at once. Asks on until someone is there.
      */
     public void join(List<Integer> from) {
         seeds = from.stream().filter(s -> s != self).toList();
@@ -150,7 +177,11 @@
 
     private void knock() {
         for (int i = 0; i < Math.min(KNOCKS, seeds.size()); i++) {
-            push(seeds.get(seeds.size() <= KNOCKS ? i : chance.nextInt(seeds.size())), true, List.of(alive), Budget.Use.PROBE);
+            push(
+                    seeds.get(seeds.size() <= KNOCKS ? i : chance.nextInt(seeds.size())),
+                    true,
+                    List.of(alive),
+                    Budget.Use.PROBE);
         }
     }
 
@@ -172,7 +203,8 @@
     }
 
     private Word own(Kind kind, long subject, int detail, int evidence, Duration since) {
-        return post.seal(Word.of(self, incarnation, ++number, kind, subject, detail, evidence, since, unix));
+        return post.seal(
+                Word.of(self, incarnation, ++number, kind, subject, detail, evidence, since, unix));
     }
 
     /** Said anew each time, since old words are not believed. */
@@ -187,9 +219,14 @@
         rumours.add(alive);
     }
 
-    /** Once a period at the most: guards against accusations that make this instance flood others with answers. */
+    /**
+     * Once a period at the most: guards against accusations that make this instance flood others
+     * with answers.
+     */
     private void raise(int above) {
-        if (raisedAt != null && now.minus(raisedAt).compareTo(tuning.period()) < 0 && above < incarnation + 1) {
+        if (raisedAt != null
+                && now.minus(raisedAt).compareTo(tuning.period()) < 0
+                && above < incarnation + 1) {
             return;
         }
         raisedAt = now;
@@ -208,7 +245,8 @@
     public void from(int peer, int itsIncarnation, Duration sent) {
         skew.direct(peer, sent, unix);
         heard++;
-        if (members.state(peer) == Members.State.GONE && itsIncarnation == members.incarnation(peer)) {
+        if (members.state(peer) == Members.State.GONE
+                && itsIncarnation == members.incarnation(peer)) {
             // It has to speak up itself, so that all who hold it gone hear of it.
             push(peer, false, List.of(accusation(peer)), Budget.Use.PROBE);
         }
@@ -217,7 +255,8 @@
             // Started anew, and has forgotten how far it was.
             push(peer, false, List.of(former), Budget.Use.PROBE);
         }
-        if (members.state(peer) != Members.State.LEFT || itsIncarnation > members.incarnation(peer)) {
+        if (members.state(peer) != Members.State.LEFT
+                || itsIncarnation > members.incarnation(peer)) {
             members.there(peer, itsIncarnation, null, now);
         }
     }
@@ -280,7 +319,8 @@
                 }
             }
             case LEAVING -> {
-                if (word.origin() != self && members.present(word.origin())
+                if (word.origin() != self
+                        && members.present(word.origin())
                         && word.incarnation() >= members.incarnation(word.origin())) {
                     members.left(word.origin(), word.incarnation(), now);
                     rumours.add(word);
@@ -330,7 +370,10 @@
         post.claimed(word, age);
     }
 
-    /** What is worth passing on, the one who hears it decides: a claim that adds nothing to others' spreads no further. */
+    /**
+     * What is worth passing on, the one who hears it decides: a claim that adds nothing to others'
+     * spreads no further.
+     */
     public void passOn(Word word, int from) {
         rumours.add(word);
         spread(from);
@@ -409,7 +452,8 @@
                 push(to, true, table(), Budget.Use.TABLES);
             }
         }
-        // As often as one that is gone would be met by chance among all: after a parting each side meets the other soon.
+        // As often as one that is gone would be met by chance among all: after a parting each side
+        // meets the other soon.
         if (chance.nextDouble() * (members.there() + members.gone()) < members.gone()) {
             int gone = members.goneOne();
             push(gone, true, List.of(alive, accusation(gone)), Budget.Use.WORDS);
@@ -418,7 +462,10 @@
 
     // ---- sends
 
-    /** Whether so many bytes may go now beside what instances say of each other; if so they are counted as sent. */
+    /**
+     * Whether so many bytes may go now beside what instances say of each other; if so they are
+     * counted as sent.
+     */
     public boolean pays(int bytes) {
         return budget.takes(bytes, Budget.Use.WORDS, now);
     }
--- a/src/main/java/dillfront/gossip/Hearsay.java
+++ b/src/main/java/dillfront/gossip/Hearsay.java
@@ -11,44 +11,64 @@
 import java.util.Map;
 
 /**
- * What others' claims about nodes are worth to this router. The outcome is one bit a node: doubted or not. A doubt opens
- * nothing, gives no position, frees no budget of a cold node and excuses no send; it makes the module suspicious sooner of
- * silence that it sees itself, lets it take another node first, and halves the room. The router's own fresh answer ends
- * it at once.
+ * What others' claims about nodes are worth to this router. The outcome is one bit a node: doubted
+ * or not. A doubt opens nothing, gives no position, frees no budget of a cold node and excuses no
+ * send; it makes the module suspicious sooner of silence that it sees itself, lets it take another
+ * node first, and halves the room. The router's own fresh answer ends it at once.
  *
- * <p>Claims stand for a while, each instance's latest on a node. Voices are weighed by credit, which grows slowly with
- * claims that this router then finds true by itself and falls fast with those that its own answers contradict. Of the
- * voices on one node the best few are left out, as many as may lie; what remains must still carry the claim. Instances
- * that were wrong together more than once are one voice. Who claims most of the fleet ill is more likely cut off himself,
- * and is not counted.
+ * <p>Claims stand for a while, each instance's latest on a node. Voices are weighed by credit,
+ * which grows slowly with claims that this router then finds true by itself and falls fast with
+ * those that its own answers contradict. Of the voices on one node the best few are left out, as
+ * many as may lie; what remains must still carry the claim. Instances that were wrong together more
+ * than once are one voice. Who claims most of the fleet ill is more likely cut off himself, and is
+ * not counted.
  *
- * <p>Pure: times are spans since the start. Tables are as long as the ring, and as the nodes in the list.
+ * <p>Pure: times are spans since the start. Tables are as long as the ring, and as the nodes in the
+ * list.
  */
 public final class Hearsay {
 
     private static final double CREDIT_START = 0.5;
     private static final double CREDIT_GAIN = 0.25;
-    /** What is left of credit after a claim that own answers contradict, and after one soon overtaken by an answer. */
+
+    /**
+     * What is left of credit after a claim that own answers contradict, and after one soon
+     * overtaken by an answer.
+     */
     private static final double CONTRADICTED = 0.5;
+
     private static final double OVERTAKEN = 0.8;
-    /** An answer so soon after a claim was said speaks against it; as a part of the time for which claims stand. */
+
+    /**
+     * An answer so soon after a claim was said speaks against it; as a part of the time for which
+     * claims stand.
+     */
     private static final double SOON = 0.1;
+
     /** What must remain of the weight on a node once as many voices as may lie are left out. */
     private static final double CARRIES = 0.4;
+
     /** Voices below this are not counted at all. */
     private static final double HEARD = 0.1;
+
     /** Who claims more than this part of all nodes ill, and more than one, is not counted. */
     private static final double CUT_OFF = 0.5;
-    /** Wrong together so often: one voice from then on, for so many times the standing of a claim. */
+
+    /**
+     * Wrong together so often: one voice from then on, for so many times the standing of a claim.
+     */
     private static final int TOGETHER = 2;
+
     private static final int TOGETHER_FOR = 120;
     private static final int PAIRS = 256;
 
     private static final class Claim {
         final int peer;
         Symptom symptom;
+
         /** When it began, and when it was last said, by this router's clock. */
         Duration since;
+
         Duration said;
         boolean confirmed;
 
@@ -59,8 +79,10 @@
 
     private static final class Row {
         final List<Claim> claims = new ArrayList<>();
+
         /** Those who claimed it ill and have taken that back, for as long as a claim stands. */
         final List<Claim> back = new ArrayList<>();
+
         Duration wellAt = Duration.ofSeconds(-1);
         boolean ill;
     }
@@ -70,11 +92,15 @@
     private final Duration lasts;
     private final Duration soon;
     private final double[] credit;
+
     /** Instances of one voice share the number of its first. */
     private final int[] voice;
+
     private final int[] claiming;
+
     /** Pairs that were wrong together; the longest unseen leaves first. */
     private final Map<Long, Integer> together = new LinkedHashMap<>();
+
     private final List<Row> rows = new ArrayList<>();
     private int known;
     private Duration apartAt = Duration.ZERO;
@@ -83,7 +109,9 @@
     private long overruled;
     private long confirmed;
 
-    /** @param instances how many may speak; indices run below it */
+    /**
+     * @param instances how many may speak; indices run below it
+     */
     public Hearsay(Tuning tuning, int instances) {
         liars = Math.min(tuning.liars(), Math.max(0, (instances - 1) / 3));
         // Enough to leave out the liars twice over, and to see who was right.
@@ -119,8 +147,8 @@
      * @param node this router's index of it
      * @param age for how long the word has been on its way
      * @param since for how long it had lasted when it was said
-     * @return whether others should hear of it too: not if enough others have said it, so that a trouble which all see
-     *     costs no more to tell than one which a few see
+     * @return whether others should hear of it too: not if enough others have said it, so that a
+     *     trouble which all see costs no more to tell than one which a few see
      */
     public boolean heard(int peer, int node, Symptom symptom, Duration age, Duration since) {
         Row row = row(node);
@@ -154,7 +182,8 @@
         claim.symptom = symptom;
         claim.said = said;
         judge(row);
-        // Who is not counted here is not passed on either: a liar pays for his words with his own bytes alone.
+        // Who is not counted here is not passed on either: a liar pays for his words with his own
+        // bytes alone.
         return row.claims.size() < most && !cutOff(peer) && credit[peer] >= HEARD;
     }
 
@@ -162,7 +191,10 @@
         return claiming[peer] > 1 && claiming[peer] > CUT_OFF * known;
     }
 
-    /** A voice of more credit takes the place of the least: guards against places kept by those who only lie. */
+    /**
+     * A voice of more credit takes the place of the least: guards against places kept by those who
+     * only lie.
+     */
     private boolean crowdsOut(Row row, int peer) {
         Claim least = row.claims.get(0);
         for (Claim one : row.claims) {
@@ -183,7 +215,9 @@
         judge(row);
     }
 
-    /** Claims on a node against what this router knows of it: the only way in which credit changes. */
+    /**
+     * Claims on a node against what this router knows of it: the only way in which credit changes.
+     */
     private void judge(Row row) {
         row.back.removeIf(c -> c.said.plus(lasts).compareTo(now) <= 0);
         if (row.claims.isEmpty()) {
@@ -198,9 +232,12 @@
                 credit[c.peer] += CREDIT_GAIN * (1 - credit[c.peer]);
             }
             // It answered after that began and before it was said again: then it had not begun.
-            boolean against = row.wellAt.compareTo(c.since.plus(soon)) > 0 && row.wellAt.plus(soon).compareTo(c.said) < 0;
+            boolean against =
+                    row.wellAt.compareTo(c.since.plus(soon)) > 0
+                            && row.wellAt.plus(soon).compareTo(c.said) < 0;
             // Or it answered right after: what was so short was nothing to tell.
-            boolean overtaken = row.wellAt.compareTo(c.said) > 0 && row.wellAt.compareTo(c.said.plus(soon)) < 0;
+            boolean overtaken =
+                    row.wellAt.compareTo(c.said) > 0 && row.wellAt.compareTo(c.said.plus(soon)) < 0;
             if ((against || overtaken) && !c.confirmed) {
                 credit[c.peer] *= against ? CONTRADICTED : OVERTAKEN;
                 wrong.add(c);
@@ -248,11 +285,13 @@
     }
 
     /**
-     * Whether enough of those who claimed it ill have had an answer of it since. Worth a try sooner where this router
-     * still waits to try it; and no more than that.
+     * Whether enough of those who claimed it ill have had an answer of it since. Worth a try sooner
+     * where this router still waits to try it; and no more than that.
      */
     public boolean better(int node) {
-        return node < rows.size() && !rows.get(node).back.isEmpty() && weight(rows.get(node).back) >= CARRIES;
+        return node < rows.size()
+                && !rows.get(node).back.isEmpty()
+                && weight(rows.get(node).back) >= CARRIES;
     }
 
     private double weight(List<Claim> claims) {
@@ -315,7 +354,10 @@
         return credit[peer];
     }
 
-    /** Whether one more claim would add nothing: so many stand that even without the liars' share they carry. */
+    /**
+     * Whether one more claim would add nothing: so many stand that even without the liars' share
+     * they carry.
+     */
     public boolean enough(int node) {
         return claims(node) >= most;
     }
@@ -325,7 +367,10 @@
         return node < rows.size() ? rows.get(node).claims.size() : 0;
     }
 
-    /** Claims taken since the start, those found true by this router itself, and those that its own answers ended. */
+    /**
+     * Claims taken since the start, those found true by this router itself, and those that its own
+     * answers ended.
+     */
     public long taken() {
         return taken;
     }
--- a/src/main/java/dillfront/gossip/Kind.java
+++ b/src/main/java/dillfront/gossip/Kind.java
@@ -1,4 +1,12 @@
 package dillfront.gossip;
 
-/** What a word is about: its origin's being there or leaving, another instance's silence, or a node's symptom. */
-public enum Kind { ALIVE, LEAVING, SILENT, CLAIM }
+/**
+ * What a word is about: its origin's being there or leaving, another instance's silence, or a
+ * node's symptom.
+ */
+public enum Kind {
+    ALIVE,
+    LEAVING,
+    SILENT,
+    CLAIM
+}
--- a/src/main/java/dillfront/gossip/Members.java
+++ b/src/main/java/dillfront/gossip/Members.java
@@ -9,18 +9,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which instances are there, in the manner of SWIM with Lifeguard's local health: who is silent is first suspected, and
- * held gone only if it does not speak up in its time, which is shorter the more others accuse it. Nobody tells others that
- * an instance is gone: each comes to that by itself, from accusations that their authors signed. A speaker's own word that
- * it is there, of a later incarnation, ends all accusations; it alone can say it.
+ * Which instances are there, in the manner of SWIM with Lifeguard's local health: who is silent is
+ * first suspected, and held gone only if it does not speak up in its time, which is shorter the
+ * more others accuse it. Nobody tells others that an instance is gone: each comes to that by
+ * itself, from accusations that their authors signed. A speaker's own word that it is there, of a
+ * later incarnation, ends all accusations; it alone can say it.
  *
- * <p>Rows are by index in the ring of those who may speak, so the table is as long as the ring and no longer.
+ * <p>Rows are by index in the ring of those who may speak, so the table is as long as the ring and
+ * no longer.
  */
 public final class Members {
 
     /** What this instance holds of another. */
     public enum State {
-        UNKNOWN, ALIVE, SUSPECT, GONE, LEFT;
+        UNKNOWN,
+        ALIVE,
+        SUSPECT,
+        GONE,
+        LEFT;
 
         /** It is there, or only suspected not to be. */
         boolean present() {
@@ -30,10 +36,15 @@
 
     /** Accusers beyond the first that shorten a suspicion (Lifeguard, section IV-B). */
     private static final int ACCUSERS = 3;
-    /** The shortest suspicion, in periods times the base-ten logarithm of the number of instances. */
+
+    /**
+     * The shortest suspicion, in periods times the base-ten logarithm of the number of instances.
+     */
     private static final double SUSPICION = 3;
+
     /** The longest, in shortest ones. */
     private static final double SUSPICION_LONGEST = 5;
+
     /** Local health runs from zero, well, to this (Lifeguard, section IV-A). */
     private static final int WORST = 8;
 
@@ -41,10 +52,13 @@
     static final class Peer {
         State state = State.UNKNOWN;
         int incarnation = -1;
+
         /** The last word of its own that it is there; passed on to those who ask for the table. */
         Word alive;
+
         /** Own time at which the state began. */
         Duration since = Duration.ZERO;
+
         /** Of a suspicion: who accuses, each once. Null where there is none. */
         int[] accusers;
     }
@@ -56,8 +70,10 @@
     private int gone;
     private int ill;
     private final List<Integer> suspects = new ArrayList<>();
+
     /** The order of probing: all that are there, mixed anew after each round. */
     private final List<Integer> round = new ArrayList<>();
+
     private final RandomGenerator chance;
 
     Members(int instances, int self, Duration period, RandomGenerator chance) {
@@ -111,8 +127,8 @@
     }
 
     /**
-     * A probe failed, this instance was away, or others accuse it: it doubts itself first. Guards against a slow router
-     * that condemns all others because it reads their acks too late.
+     * A probe failed, this instance was away, or others accuse it: it doubts itself first. Guards
+     * against a slow router that condemns all others because it reads their acks too late.
      */
     void worse(int by) {
         ill = Math.min(WORST, ill + by);
@@ -123,8 +139,9 @@
     }
 
     /**
-     * It has said so itself, by a word that others passed on, or it has just spoken, where no word is given. A word of an
-     * incarnation that was accused since changes nothing: guards against the gone that come back with others' tables.
+     * It has said so itself, by a word that others passed on, or it has just spoken, where no word
+     * is given. A word of an incarnation that was accused since changes nothing: guards against the
+     * gone that come back with others' tables.
      *
      * @return whether anything changed
      */
@@ -136,7 +153,8 @@
         boolean newer = incarnation > p.incarnation;
         // Its own datagram may have come before the word that others still lack.
         boolean news = alive != null && (p.alive == null || incarnation > p.alive.incarnation());
-        boolean changed = newer || p.state == State.UNKNOWN || alive == null && p.state != State.ALIVE;
+        boolean changed =
+                newer || p.state == State.UNKNOWN || alive == null && p.state != State.ALIVE;
         p.alive = news ? alive : p.alive;
         p.incarnation = incarnation;
         if (changed) {
@@ -155,7 +173,8 @@
     }
 
     /**
-     * Someone accuses it of silence, this instance or another; it counts only against the incarnation that is known.
+     * Someone accuses it of silence, this instance or another; it counts only against the
+     * incarnation that is known.
      *
      * @return whether that was new
      */
@@ -201,7 +220,10 @@
         }
     }
 
-    /** How long a suspect has to speak up: from the longest down to the shortest with the logarithm of accusers. */
+    /**
+     * How long a suspect has to speak up: from the longest down to the shortest with the logarithm
+     * of accusers.
+     */
     private Duration suspicion(int accusers) {
         double shortest = SUSPICION * Math.max(1, Math.log10(there + 1));
         double longest = shortest * SUSPICION_LONGEST;
@@ -219,7 +241,8 @@
             p.accusers = null;
         }
         if (is && !was) {
-            // Somewhere in what is left of the round, so that those who come at once are not probed at once.
+            // Somewhere in what is left of the round, so that those who come at once are not probed
+            // at once.
             round.add(round.isEmpty() ? 0 : chance.nextInt(round.size() + 1), peer);
         }
         p.state = state;
@@ -247,7 +270,10 @@
         return state(peer).present();
     }
 
-    /** Up to so many others that are there and not suspect, each once, by chance; never the one that is left out. */
+    /**
+     * Up to so many others that are there and not suspect, each once, by chance; never the one that
+     * is left out.
+     */
     List<Integer> some(int most, int but) {
         List<Integer> found = new ArrayList<>(most);
         int tries = 4 * most + 8;
@@ -280,7 +306,10 @@
         return -1;
     }
 
-    /** Words of others that they are there, for a table that lacks them: so many, from a place by chance. */
+    /**
+     * Words of others that they are there, for a table that lacks them: so many, from a place by
+     * chance.
+     */
     List<Word> slice(int most) {
         List<Word> words = new ArrayList<>(most);
         int from = chance.nextInt(peers.length);
--- a/src/main/java/dillfront/gossip/Rumours.java
+++ b/src/main/java/dillfront/gossip/Rumours.java
@@ -4,14 +4,19 @@
 import java.util.List;
 
 /**
- * Words that still spread: each goes along with datagrams that are sent anyway, the claims first and the least sent first, until it has gone
- * out a few times the logarithm of the number of instances. Emptied by that; never longer than its bound, since the most
- * sent word gives way to a new one, and a word to a later one of the same origin on the same matter.
+ * Words that still spread: each goes along with datagrams that are sent anyway, the claims first
+ * and the least sent first, until it has gone out a few times the logarithm of the number of
+ * instances. Emptied by that; never longer than its bound, since the most sent word gives way to a
+ * new one, and a word to a later one of the same origin on the same matter.
  */
 final class Rumours {
 
     private static final int MOST = 64;
-    /** Of a word: so often the base-two logarithm of the number of instances (SWIM, section 4.1). Accusations go last. */
+
+    /**
+     * Of a word: so often the base-two logarithm of the number of instances (SWIM, section 4.1).
+     * Accusations go last.
+     */
     private static final double TIMES = 2;
 
     private static final class Row {
@@ -43,11 +48,15 @@
         rows.add(0, new Row(word));
     }
 
-    /** Someone sent it here too: it has spread so far, and counts as sent (Demers et al., rumours with feedback). */
+    /**
+     * Someone sent it here too: it has spread so far, and counts as sent (Demers et al., rumours
+     * with feedback).
+     */
     void heardAgain(Word word) {
         for (int i = 0; i < rows.size(); i++) {
             Row row = rows.get(i);
-            if (row.word.origin() == word.origin() && row.word.number() == word.number()
+            if (row.word.origin() == word.origin()
+                    && row.word.number() == word.number()
                     && row.word.incarnation() == word.incarnation()) {
                 rows.remove(i);
                 row.sends++;
@@ -70,7 +79,10 @@
         rows.removeIf(r -> r.word.kind() == kind && r.word.subject() == subject);
     }
 
-    /** Up to so many words for one datagram: claims first, accusations last, of each the least sent first. */
+    /**
+     * Up to so many words for one datagram: claims first, accusations last, of each the least sent
+     * first.
+     */
     List<Word> next(int most) {
         return next(most, 3);
     }
--- a/src/main/java/dillfront/gossip/Skew.java
+++ b/src/main/java/dillfront/gossip/Skew.java
@@ -4,16 +4,21 @@
 import java.util.Arrays;
 
 /**
- * How old a word is when it arrives, though no two clocks agree. Of each origin the least difference between its time on
- * a datagram or word and the time of arrival here is kept; what a later word needs beyond it is its age. The least
- * difference drifts upwards slowly, so that a clock that was set anew does not make all words of its owner old for good.
- * Until a datagram has come from the origin itself, the clocks are taken as equal: guards against words of others that
+ * How old a word is when it arrives, though no two clocks agree. Of each origin the least
+ * difference between its time on a datagram or word and the time of arrival here is kept; what a
+ * later word needs beyond it is its age. The least difference drifts upwards slowly, so that a
+ * clock that was set anew does not make all words of its owner old for good. Until a datagram has
+ * come from the origin itself, the clocks are taken as equal: guards against words of others that
  * have been on their way for long, and would be the measure of those to come.
  */
 public final class Skew {
 
-    /** Clocks further apart than this are not believed: a word kept back for longer can't be told from a new one. */
+    /**
+     * Clocks further apart than this are not believed: a word kept back for longer can't be told
+     * from a new one.
+     */
     public static final Duration MOST = Duration.ofSeconds(30);
+
     /** How fast the least difference gives way, as a part of the time. */
     private static final double DRIFT = 0.001;
 
@@ -35,7 +40,8 @@
     }
 
     /**
-     * The age of a word that arrives now; negative where it can't be told since the clocks are too far apart.
+     * The age of a word that arrives now; negative where it can't be told since the clocks are too
+     * far apart.
      *
      * @param here this instance's Unix time
      */
--- a/src/main/java/dillfront/gossip/Symptom.java
+++ b/src/main/java/dillfront/gossip/Symptom.java
@@ -1,4 +1,9 @@
 package dillfront.gossip;
 
 /** What an instance saw of a node by itself. WELL takes an earlier claim back. */
-public enum Symptom { HUNG, REFUSING, UNREACHABLE, WELL }
+public enum Symptom {
+    HUNG,
+    REFUSING,
+    UNREACHABLE,
+    WELL
+}
--- a/src/main/java/dillfront/gossip/Witness.java
+++ b/src/main/java/dillfront/gossip/Witness.java
@@ -8,14 +8,16 @@
 import java.util.List;
 
 /**
- * What this router tells others of nodes: only what it sees itself, when it begins, again while there is new evidence,
- * and once more when it is over. Says nothing new where enough others have said it already, nor of more than a few nodes
- * a second: a router that finds everything ill is more likely ill itself.
+ * What this router tells others of nodes: only what it sees itself, when it begins, again while
+ * there is new evidence, and once more when it is over. Says nothing new where enough others have
+ * said it already, nor of more than a few nodes a second: a router that finds everything ill is
+ * more likely ill itself.
  */
 public final class Witness {
 
     /** Said again after this part of the time for which claims stand, while it lasts. */
     private static final double AGAIN = 0.5;
+
     /** New claims, in the time for which claims stand. */
     private static final int MOST = 16;
 
@@ -47,7 +49,11 @@
         while (rows.size() <= node) {
             rows.add(new Row());
         }
-        allowance = Math.min(MOST, allowance + MOST * (double) now.minus(filledAt).toNanos() / lasts.toNanos());
+        allowance =
+                Math.min(
+                        MOST,
+                        allowance
+                                + MOST * (double) now.minus(filledAt).toNanos() / lasts.toNanos());
         filledAt = now;
         Row row = rows.get(node);
         if (!sight.ill()) {
@@ -59,17 +65,24 @@
             return;
         }
         row.since = row.ill ? row.since : now;
-        boolean due = !row.ill || now.minus(row.saidAt).compareTo(times(lasts, AGAIN)) >= 0 && sight.evidence() > 0;
+        boolean due =
+                !row.ill
+                        || now.minus(row.saidAt).compareTo(times(lasts, AGAIN)) >= 0
+                                && sight.evidence() > 0;
         row.ill = true;
         if (due && !enough && allowance >= 1) {
             allowance--;
             row.said = true;
             row.saidAt = now;
-            telling.say(node, switch (sight.health()) {
-                case LOST -> Symptom.UNREACHABLE;
-                case FAILING -> Symptom.REFUSING;
-                default -> Symptom.HUNG;
-            }, sight.evidence(), now.minus(row.since));
+            telling.say(
+                    node,
+                    switch (sight.health()) {
+                        case LOST -> Symptom.UNREACHABLE;
+                        case FAILING -> Symptom.REFUSING;
+                        default -> Symptom.HUNG;
+                    },
+                    sight.evidence(),
+                    now.minus(row.since));
         }
     }
 
--- a/src/main/java/dillfront/host/Answers.java
+++ b/src/main/java/dillfront/host/Answers.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * A database server's lines on one connection, put together to answers. The wire tells answers apart by nothing but their
- * order, so each line must be the next of the answer that is due; where it is not, nobody can say any more whose the
- * following ones are, and the connection is to be left.
+ * A database server's lines on one connection, put together to answers. The wire tells answers
+ * apart by nothing but their order, so each line must be the next of the answer that is due; where
+ * it is not, nobody can say any more whose the following ones are, and the connection is to be
+ * left.
  */
 public final class Answers {
 
@@ -18,7 +19,13 @@
      * @param code null where it was a success
      * @param state I, T or E
      */
-    public record Answer(List<String> rows, String stamp, String code, String text, char state, Position position) { }
+    public record Answer(
+            List<String> rows,
+            String stamp,
+            String code,
+            String text,
+            char state,
+            Position position) {}
 
     /** A line that is not the next of an answer that is due. */
     public static final class OutOfStep extends Exception {
@@ -49,7 +56,8 @@
     /**
      * Takes one line.
      *
-     * @return the answer that it ends; null where there is more to come. CONNECT's is a READY alone, or an ERROR alone
+     * @return the answer that it ends; null where there is more to come. CONNECT's is a READY
+     *     alone, or an ERROR alone
      */
     public Answer read(byte[] bytes) throws OutOfStep {
         String line = new String(bytes, StandardCharsets.ISO_8859_1);
@@ -73,28 +81,30 @@
                 }
                 stamp = rest;
                 return null;
-            case "ERROR": {
-                if (decided) {
-                    throw new OutOfStep("a second end of an answer");
-                }
-                int gap = rest.indexOf(' ');
-                code = gap < 0 ? rest : rest.substring(0, gap);
-                text = gap < 0 ? "" : rest.substring(gap + 1);
-                return connected ? null : take('I', null);
-            }
-            case "READY": {
-                if (connected ? !decided : decided) {
-                    throw new OutOfStep("half an answer");
+            case "ERROR":
+                {
+                    if (decided) {
+                        throw new OutOfStep("a second end of an answer");
+                    }
+                    int gap = rest.indexOf(' ');
+                    code = gap < 0 ? rest : rest.substring(0, gap);
+                    text = gap < 0 ? "" : rest.substring(gap + 1);
+                    return connected ? null : take('I', null);
                 }
-                char state = rest.isEmpty() ? '?' : rest.charAt(0);
-                int gap = rest.indexOf(' ');
-                Position position = gap < 0 ? null : Position.of(rest.substring(gap + 1));
-                if (connected) {
-                    due--;
+            case "READY":
+                {
+                    if (connected ? !decided : decided) {
+                        throw new OutOfStep("half an answer");
+                    }
+                    char state = rest.isEmpty() ? '?' : rest.charAt(0);
+                    int gap = rest.indexOf(' ');
+                    Position position = gap < 0 ? null : Position.of(rest.substring(gap + 1));
+                    if (connected) {
+                        due--;
+                    }
+                    connected = true;
+                    return take(state, position);
                 }
-                connected = true;
-                return take(state, position);
-            }
             default:
                 throw new OutOfStep("no word of the wire");
         }
--- a/src/main/java/dillfront/host/Configuration.java
+++ b/src/main/java/dillfront/host/Configuration.java
@@ -12,7 +12,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A whole configuration of the operator's, read and checked by hand; each fault names its place. */
+/**
+ * A whole configuration of the operator's, read and checked by hand; each fault names its place.
+ */
 public final class Configuration {
 
     /** It is not valid: where, and what is wrong there. */
@@ -25,18 +27,30 @@
     }
 
     /** Which reads a route lets a replica serve. */
-    public enum Kind { PRIMARY, BOUNDED, OWN }
+    public enum Kind {
+        PRIMARY,
+        BOUNDED,
+        OWN
+    }
 
     /**
      * One route. Times in milliseconds.
      *
      * @param stale how old a read may be, where it need not be the newest
      */
-    public record Route(String name, String host, Kind kind, long timeout, long aim, long priority, String service,
-            long attempts, long stale) { }
+    public record Route(
+            String name,
+            String host,
+            Kind kind,
+            long timeout,
+            long aim,
+            long priority,
+            String service,
+            long attempts,
+            long stale) {}
 
     /** One service; synchronous: how many replicas have a commit before it is answered. */
-    public record Service(String name, int connections, int synchronous) { }
+    public record Service(String name, int connections, int synchronous) {}
 
     public static final Configuration NONE = new Configuration(-1, new byte[0]);
 
@@ -53,7 +67,9 @@
         digest = Delta.digest(body);
     }
 
-    /** @throws Invalid with the place and the fault */
+    /**
+     * @throws Invalid with the place and the fault
+     */
     public static Configuration read(byte[] body) throws Invalid {
         String text;
         try {
@@ -65,20 +81,36 @@
         try {
             all = Json.parse(text).asObject();
         } catch (ParseException cut) {
-            throw new Invalid("line " + cut.getLocation().line + ", column " + cut.getLocation().column + ": no whole JSON");
+            throw new Invalid(
+                    "line "
+                            + cut.getLocation().line
+                            + ", column "
+                            + cut.getLocation().column
+                            + ": no whole JSON");
         } catch (UnsupportedOperationException other) {
             throw new Invalid("the body is no object");
         } catch (StackOverflowError deep) {
             throw new Invalid("the body is nested too deep");
         }
-        Configuration is = new Configuration(number(all, "", "revision_number", 0, Long.MAX_VALUE, null), body);
+        Configuration is =
+                new Configuration(
+                        number(all, "", "revision_number", 0, Long.MAX_VALUE, null), body);
         int at = 0;
         for (JsonValue one : array(all, "services")) {
             String place = "services[" + at++ + "]";
             JsonObject row = object(one, place);
-            Service service = new Service(text(row, place, "name"),
-                    (int) number(row, place, "connection_limit", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE),
-                    (int) number(row, place, "synchronous_replicas", 0, 1000, 0L));
+            Service service =
+                    new Service(
+                            text(row, place, "name"),
+                            (int)
+                                    number(
+                                            row,
+                                            place,
+                                            "connection_limit",
+                                            1,
+                                            Integer.MAX_VALUE,
+                                            (long) Integer.MAX_VALUE),
+                            (int) number(row, place, "synchronous_replicas", 0, 1000, 0L));
             if (is.services.put(service.name(), service) != null) {
                 throw new Invalid(place + ".name: '" + service.name() + "' stands twice");
             }
@@ -90,24 +122,38 @@
             String place = "routes[" + at++ + "]";
             JsonObject row = object(one, place);
             String kind = text(row, place, "route_kind");
-            Kind known = switch (kind) {
-                case "primary" -> Kind.PRIMARY;
-                case "bounded_staleness" -> Kind.BOUNDED;
-                case "read_your_writes" -> Kind.OWN;
-                default -> throw new Invalid(place + ".route_kind: '" + kind + "' is unknown");
-            };
+            Kind known =
+                    switch (kind) {
+                        case "primary" -> Kind.PRIMARY;
+                        case "bounded_staleness" -> Kind.BOUNDED;
+                        case "read_your_writes" -> Kind.OWN;
+                        default ->
+                                throw new Invalid(place + ".route_kind: '" + kind + "' is unknown");
+                    };
             String prefix = row.get("path_prefix") == null ? "/" : text(row, place, "path_prefix");
-            Route route = new Route(text(row, place, "name"), text(row, place, "host_name"), known,
-                    number(row, place, "timeout_ms", 1, 86_400_000, null),
-                    number(row, place, "target_latency_ms", 0, 86_400_000, 0L),
-                    number(row, place, "priority", 0, 1_000_000, 0L), text(row, place, "service"),
-                    number(row, place, "max_attempts", 0, 1_000_000, 1L),
-                    number(row, place, "max_staleness_ms", 0, 86_400_000, 0L));
+            Route route =
+                    new Route(
+                            text(row, place, "name"),
+                            text(row, place, "host_name"),
+                            known,
+                            number(row, place, "timeout_ms", 1, 86_400_000, null),
+                            number(row, place, "target_latency_ms", 0, 86_400_000, 0L),
+                            number(row, place, "priority", 0, 1_000_000, 0L),
+                            text(row, place, "service"),
+                            number(row, place, "max_attempts", 0, 1_000_000, 1L),
+                            number(row, place, "max_staleness_ms", 0, 86_400_000, 0L));
             if (!is.services.containsKey(route.service())) {
-                throw new Invalid(place + ".service: no service is named '" + route.service() + "'");
+                throw new Invalid(
+                        place + ".service: no service is named '" + route.service() + "'");
             }
             if (!places.add(route.host() + " " + prefix)) {
-                throw new Invalid(place + ": a second route for host '" + route.host() + "' and prefix '" + prefix + "'");
+                throw new Invalid(
+                        place
+                                + ": a second route for host '"
+                                + route.host()
+                                + "' and prefix '"
+                                + prefix
+                                + "'");
             }
             if (!names.add(route.name())) {
                 throw new Invalid(place + ".name: '" + route.name() + "' stands twice");
@@ -116,7 +162,14 @@
         }
         JsonValue limits = all.get("limits");
         if (limits != null) {
-            is.transactionIdle = number(object(limits, "limits"), "limits", "transaction_idle_ms", 1, 86_400_000, 3_000L);
+            is.transactionIdle =
+                    number(
+                            object(limits, "limits"),
+                            "limits",
+                            "transaction_idle_ms",
+                            1,
+                            86_400_000,
+                            3_000L);
         }
         return is;
     }
@@ -144,7 +197,8 @@
         return is.asString();
     }
 
-    private static long number(JsonObject in, String place, String name, long least, long most, Long otherwise)
+    private static long number(
+            JsonObject in, String place, String name, long least, long most, Long otherwise)
             throws Invalid {
         JsonValue is = in.get(name);
         if (is == null && otherwise != null) {
@@ -154,7 +208,8 @@
         try {
             double number = is == null || !is.isNumber() ? Double.NaN : is.asDouble();
             if (!(number >= least && number <= most) || number != Math.rint(number)) {
-                throw new Invalid(where + ": " + is + " is no whole number from " + least + " to " + most);
+                throw new Invalid(
+                        where + ": " + is + " is no whole number from " + least + " to " + most);
             }
             return number > 1L << 52 ? Long.parseLong(is.toString()) : (long) number;
         } catch (NumberFormatException bad) {
--- a/src/main/java/dillfront/host/Deflate.java
+++ b/src/main/java/dillfront/host/Deflate.java
@@ -47,7 +47,8 @@
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(deflated);
-            ByteArrayOutputStream out = new ByteArrayOutputStream(Math.min(most, deflated.length * 4 + 64));
+            ByteArrayOutputStream out =
+                    new ByteArrayOutputStream(Math.min(most, deflated.length * 4 + 64));
             byte[] part = new byte[PART];
             while (!inflater.finished()) {
                 int got = inflater.inflate(part);
--- a/src/main/java/dillfront/host/Delta.java
+++ b/src/main/java/dillfront/host/Delta.java
@@ -6,8 +6,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * What turns one text into another, where most of it stays: runs that are copied from the base, and bytes between them. Both
- * are cut into pieces behind each '}' and '[', so that a list of objects of which a few changed is found again whatever moved.
+ * What turns one text into another, where most of it stays: runs that are copied from the base, and
+ * bytes between them. Both are cut into pieces behind each '}' and '[', so that a list of objects
+ * of which a few changed is found again whatever moved.
  *
  * <pre>
  *   delta   1 form   length and CRC32C of the base   length and CRC32C of the text   steps
@@ -31,9 +32,12 @@
 
     /** No text is longer: a message of the system's own, which holds a whole one, is not either. */
     public static final int MOST = 1 << 20;
+
     private static final byte FORM = 1;
+
     /** No piece is shorter, but for the last, so that their number is bounded. */
     private static final int LEAST_PIECE = 16;
+
     /** A run is not worth its own numbers below. */
     private static final int LEAST_RUN = 8;
 
@@ -52,7 +56,8 @@
      */
     public static byte[] of(byte[] base, byte[] next) {
         if (base.length > MOST || next.length > MOST) {
-            throw new IllegalArgumentException("a text of " + Math.max(base.length, next.length) + " bytes");
+            throw new IllegalArgumentException(
+                    "a text of " + Math.max(base.length, next.length) + " bytes");
         }
         return new Writer(base, next).write();
     }
@@ -62,7 +67,9 @@
         int[] from = new int[text.length / LEAST_PIECE + 2];
         int count = 1;
         for (int i = 0; i < text.length; i++) {
-            if ((text[i] == '}' || text[i] == '[') && i + 1 - from[count - 1] >= LEAST_PIECE && i + 1 < text.length) {
+            if ((text[i] == '}' || text[i] == '[')
+                    && i + 1 - from[count - 1] >= LEAST_PIECE
+                    && i + 1 < text.length) {
                 from[count++] = i + 1;
             }
         }
@@ -75,11 +82,18 @@
         private final byte[] base;
         private final byte[] next;
         private final int[] olds;
-        /** Pieces of the base by their content: one more than the number of the first, at the place of its hash or behind it. */
+
+        /**
+         * Pieces of the base by their content: one more than the number of the first, at the place
+         * of its hash or behind it.
+         */
         private final int[] table;
+
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+
         /** The run that is not written yet, and the bytes of the text that wait before it. */
         private int runFrom;
+
         private int runEnd;
         private int bytesFrom;
         private int bytesEnd;
@@ -106,7 +120,9 @@
                 hash ^= hash >>> 29;
             }
             int slot = (int) (hash >>> 32) & table.length - 1;
-            while (table[slot] != 0 && !Arrays.equals(base, olds[table[slot] - 1], olds[table[slot]], text, from, to)) {
+            while (table[slot] != 0
+                    && !Arrays.equals(
+                            base, olds[table[slot] - 1], olds[table[slot]], text, from, to)) {
                 slot = slot + 1 & table.length - 1;
             }
             return slot;
@@ -122,7 +138,8 @@
             for (int k = 0; k < news.length - 1; k++) {
                 int from = news[k];
                 int to = news[k + 1];
-                if (at >= olds.length - 1 || !Arrays.equals(base, olds[at], olds[at + 1], next, from, to)) {
+                if (at >= olds.length - 1
+                        || !Arrays.equals(base, olds[at], olds[at + 1], next, from, to)) {
                     int found = table[slot(next, from, to)] - 1;
                     if (found < 0) {
                         at += changed(at, from, to) ? 1 : 0;
--- a/src/main/java/dillfront/host/Host.java
+++ b/src/main/java/dillfront/host/Host.java
@@ -4,9 +4,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a program of the system needs of the machine it runs on: a steady clock, timers, connections, chance. The programs'
- * own parts know nothing else, so that they run the same on sockets and in simulated time. All calls and all answers on the
- * program's one loop.
+ * What a program of the system needs of the machine it runs on: a steady clock, timers,
+ * connections, chance. The programs' own parts know nothing else, so that they run the same on
+ * sockets and in simulated time. All calls and all answers on the program's one loop.
  */
 public interface Host {
 
@@ -67,7 +67,11 @@
     Link dial(String address, Form form, int timeoutMs, Ear ear);
 
     /** A POST with a JSON body; the future fails where no whole answer came within the time. */
-    CompletableFuture<Answer> post(String address, String path, String json, java.util.Map<String, String> headers,
+    CompletableFuture<Answer> post(
+            String address,
+            String path,
+            String json,
+            java.util.Map<String, String> headers,
             int timeoutMs);
 
     RandomGenerator chance();
--- a/src/main/java/dillfront/host/HttpDoor.java
+++ b/src/main/java/dillfront/host/HttpDoor.java
@@ -23,17 +23,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP connection: calls in, one after the other. Answers are told apart by nothing but their order, so the next call
- * begins once the one before has its answer, and whoever sends several at once sees them done in that order. Bodies, silence,
- * the time of a call and answers that nobody reads are bounded; what is sent beyond that stays in the socket.
+ * One HTTP connection: calls in, one after the other. Answers are told apart by nothing but their
+ * order, so the next call begins once the one before has its answer, and whoever sends several at
+ * once sees them done in that order. Bodies, silence, the time of a call and answers that nobody
+ * reads are bounded; what is sent beyond that stays in the socket.
  */
 public final class HttpDoor extends Ears {
 
     private static final int LONGEST_BODY = 1 << 20;
     private static final int SILENT_S = 60;
+
     /** Above all that a call may take by itself. */
     static final long LONGEST_MS = 10_000;
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+
+    private static final byte[] CONTINUE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What is called, and what it answers. */
     public interface Calls {
@@ -44,13 +48,18 @@
     private final Calls calls;
     private final long longestMs;
     private ChannelHandlerContext ctx;
+
     /** The call that is not answered yet; null where none is. */
     private Turn turn;
+
     /** What was read meanwhile. */
     private final ArrayDeque<HttpObject> ahead = new ArrayDeque<>();
+
     /** The call that is being read. */
     private HttpRequest head;
+
     private ByteBuf body;
+
     /** After a call that is the last one, or no HTTP: whatever follows is no call. */
     private boolean ends;
 
@@ -68,7 +77,10 @@
         Turn(boolean last) {
             this.last = last;
             turn = this;
-            limit = host.after(longestMs, () -> answer(said(503, "no answer in " + longestMs + " ms")));
+            limit =
+                    host.after(
+                            longestMs,
+                            () -> answer(said(503, "no answer in " + longestMs + " ms")));
         }
 
         void answer(Host.Answer is) {
@@ -83,7 +95,11 @@
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
-        ctx.pipeline().addBefore(ctx.name(), "silence", new IdleStateHandler(true, 0, 0, SILENT_S, TimeUnit.SECONDS));
+        ctx.pipeline()
+                .addBefore(
+                        ctx.name(),
+                        "silence",
+                        new IdleStateHandler(true, 0, 0, SILENT_S, TimeUnit.SECONDS));
         ctx.pipeline().addBefore(ctx.name(), "codec", new HttpServerCodec());
     }
 
@@ -126,7 +142,10 @@
         }
         if (part instanceof HttpContent content && head != null) {
             if (body.readableBytes() + content.content().readableBytes() > LONGEST_BODY) {
-                refuse(413, "a body of more than " + LONGEST_BODY + " bytes", !HttpUtil.isKeepAlive(head));
+                refuse(
+                        413,
+                        "a body of more than " + LONGEST_BODY + " bytes",
+                        !HttpUtil.isKeepAlive(head));
                 return;
             }
             body.writeBytes(content.content());
@@ -142,10 +161,14 @@
         String expected = request.headers().get("Expect");
         boolean large = HttpUtil.getContentLength(request, 0L) > LONGEST_BODY;
         if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
-            // Whether its body comes all the same, nobody can say: what follows is not read as calls.
+            // Whether its body comes all the same, nobody can say: what follows is not read as
+            // calls.
             refuse(large ? 413 : 417, "not expected", true);
         } else if (large) {
-            refuse(413, "a body of more than " + LONGEST_BODY + " bytes", !HttpUtil.isKeepAlive(request));
+            refuse(
+                    413,
+                    "a body of more than " + LONGEST_BODY + " bytes",
+                    !HttpUtil.isKeepAlive(request));
         } else if (expected != null) {
             // Not through the codec, which would take it for the answer.
             ctx.pipeline().context("codec").writeAndFlush(Unpooled.wrappedBuffer(CONTINUE));
@@ -171,9 +194,15 @@
         String uri = request.uri();
         int query = uri.indexOf('?');
         try {
-            calls.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all).whenComplete((is, fault) ->
-                    its.answer(fault != null ? said(503, String.valueOf(fault.getMessage()))
-                            : is == null || is.body() == null ? said(500, "no answer") : is));
+            calls.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
+                    .whenComplete(
+                            (is, fault) ->
+                                    its.answer(
+                                            fault != null
+                                                    ? said(503, String.valueOf(fault.getMessage()))
+                                                    : is == null || is.body() == null
+                                                            ? said(500, "no answer")
+                                                            : is));
         } catch (RuntimeException | StackOverflowError fault) {
             // This call alone pays for it, not those beside it on the connection.
             wrong(fault);
@@ -182,9 +211,14 @@
     }
 
     private void write(Host.Answer is, boolean last) {
-        DefaultFullHttpResponse out = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(is.status()),
-                Unpooled.wrappedBuffer(is.body()));
-        out.headers().set("Content-Type", "application/json").set("Content-Length", is.body().length);
+        DefaultFullHttpResponse out =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.valueOf(is.status()),
+                        Unpooled.wrappedBuffer(is.body()));
+        out.headers()
+                .set("Content-Type", "application/json")
+                .set("Content-Length", is.body().length);
         if (is.location() != null) {
             out.headers().set("Location", is.location());
         }
@@ -201,7 +235,10 @@
         }
     }
 
-    /** Nothing came or went for long. Whoever takes long to read an answer is not silent while he reads. */
+    /**
+     * Nothing came or went for long. Whoever takes long to read an answer is not silent while he
+     * reads.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof IdleStateEvent) {
@@ -211,8 +248,12 @@
 
     /** An answer that says what was wrong. */
     public static Host.Answer said(int status, String fault) {
-        return new Host.Answer(status, com.eclipsesource.json.Json.object().add("error_message", fault).toString()
-                .getBytes(StandardCharsets.UTF_8));
+        return new Host.Answer(
+                status,
+                com.eclipsesource.json.Json.object()
+                        .add("error_message", fault)
+                        .toString()
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
@@ -227,7 +268,11 @@
     }
 
     private void wrong(Throwable fault) {
-        host.wrong("fault on a call: " + fault + " at " + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
+        host.wrong(
+                "fault on a call: "
+                        + fault
+                        + " at "
+                        + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
     }
 
     @Override
--- a/src/main/java/dillfront/host/NettyHost.java
+++ b/src/main/java/dillfront/host/NettyHost.java
@@ -43,8 +43,10 @@
 
     /** The longest message of the wire, and of the system's own processes. */
     private static final int LONGEST_LINE = 1 << 20;
+
     private static final int LONGEST_FRAME = 1 << 23;
-    private static final InetSocketAddress NOWHERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private static final InetSocketAddress NOWHERE =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final int BACKLOG = 512;
     private static final WriteBufferWaterMark MARK = new WriteBufferWaterMark(1 << 17, 1 << 20);
 
@@ -116,9 +118,14 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            ByteToMessageDecoder cutter = form == Form.LINES
-                    ? new DelimiterBasedFrameDecoder(LONGEST_LINE, true, true, Unpooled.wrappedBuffer(new byte[] {13, 10}))
-                    : new LengthFieldBasedFrameDecoder(LONGEST_FRAME, 0, 4, 0, 4, true);
+            ByteToMessageDecoder cutter =
+                    form == Form.LINES
+                            ? new DelimiterBasedFrameDecoder(
+                                    LONGEST_LINE,
+                                    true,
+                                    true,
+                                    Unpooled.wrappedBuffer(new byte[] {13, 10}))
+                            : new LengthFieldBasedFrameDecoder(LONGEST_FRAME, 0, 4, 0, 4, true);
             ctx.pipeline().addBefore(ctx.name(), "cut", cutter);
         }
 
@@ -181,13 +188,15 @@
         public void close() {
             over = true;
             if (channel != null) {
-                channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+                channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
+                        .addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
         public long waiting() {
-            return channel == null || channel.unsafe().outboundBuffer() == null ? 0
+            return channel == null || channel.unsafe().outboundBuffer() == null
+                    ? 0
                     : channel.unsafe().outboundBuffer().totalPendingWriteBytes();
         }
     }
@@ -201,18 +210,32 @@
             return line;
         }
         line.channel = opening.channel();
-        opening.addListener(done -> {
-            if (!done.isSuccess()) {
-                line.end(done.cause() instanceof java.net.ConnectException
-                        && !(done.cause() instanceof io.netty.channel.ConnectTimeoutException) ? "refused" : "unreachable");
-            }
-        });
+        opening.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        line.end(
+                                done.cause() instanceof java.net.ConnectException
+                                                && !(done.cause()
+                                                        instanceof
+                                                        io.netty.channel.ConnectTimeoutException)
+                                        ? "refused"
+                                        : "unreachable");
+                    }
+                });
         return line;
     }
 
     /** A door for the wire or for the system's own processes. */
     public void listen(String at, Form form, Function<Host, Ear> each) throws IOException {
-        bind(() -> Sockets.listen(loop, address(at), BACKLOG, MARK, () -> new Line(form, each.apply(this))), at);
+        bind(
+                () ->
+                        Sockets.listen(
+                                loop,
+                                address(at),
+                                BACKLOG,
+                                MARK,
+                                () -> new Line(form, each.apply(this))),
+                at);
     }
 
     /** A door for HTTP. */
@@ -220,9 +243,19 @@
         serve(at, calls, HttpDoor.LONGEST_MS);
     }
 
-    /** @param longestMs a call that is not answered by then is answered so */
+    /**
+     * @param longestMs a call that is not answered by then is answered so
+     */
     void serve(String at, HttpDoor.Calls calls, long longestMs) throws IOException {
-        bind(() -> Sockets.listen(loop, address(at), BACKLOG, MARK, () -> new HttpDoor(this, calls, longestMs)), at);
+        bind(
+                () ->
+                        Sockets.listen(
+                                loop,
+                                address(at),
+                                BACKLOG,
+                                MARK,
+                                () -> new HttpDoor(this, calls, longestMs)),
+                at);
     }
 
     /** Doors are made on the loop. */
@@ -239,87 +272,107 @@
     }
 
     @Override
-    public CompletableFuture<Answer> post(String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+    public CompletableFuture<Answer> post(
+            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         if (!loop.inEventLoop()) {
-            loop.execute(() -> post(address, path, json, headers, timeoutMs).whenComplete((is, fault) -> {
-                if (fault == null) {
-                    answer.complete(is);
-                } else {
-                    answer.completeExceptionally(fault);
-                }
-            }));
+            loop.execute(
+                    () ->
+                            post(address, path, json, headers, timeoutMs)
+                                    .whenComplete(
+                                            (is, fault) -> {
+                                                if (fault == null) {
+                                                    answer.complete(is);
+                                                } else {
+                                                    answer.completeExceptionally(fault);
+                                                }
+                                            }));
             return answer;
         }
         long until = now() + timeoutMs;
-        Ears ears = new Ears() {
-            @Override
-            public void handlerAdded(ChannelHandlerContext ctx) {
-                ctx.pipeline().addBefore(ctx.name(), "codec", new HttpClientCodec());
-                ctx.pipeline().addBefore(ctx.name(), "whole", new HttpObjectAggregator(1 << 16));
-            }
+        Ears ears =
+                new Ears() {
+                    @Override
+                    public void handlerAdded(ChannelHandlerContext ctx) {
+                        ctx.pipeline().addBefore(ctx.name(), "codec", new HttpClientCodec());
+                        ctx.pipeline()
+                                .addBefore(ctx.name(), "whole", new HttpObjectAggregator(1 << 16));
+                    }
 
-            @Override
-            public void channelActive(ChannelHandlerContext ctx) {
-                if (now() >= until) {
-                    // This process stood still: what it asks for was decided long ago, and given up.
-                    answer.completeExceptionally(new IOException("not sent in " + timeoutMs + " ms"));
-                    ctx.close();
-                    return;
-                }
-                ByteBuf body = Unpooled.wrappedBuffer(json.getBytes(StandardCharsets.UTF_8));
-                DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path, body);
-                request.headers().set("Host", address).set("Content-Type", "application/json")
-                        .set("Content-Length", body.readableBytes()).set("Connection", "close");
-                headers.forEach(request.headers()::set);
-                ctx.writeAndFlush(request);
-            }
+                    @Override
+                    public void channelActive(ChannelHandlerContext ctx) {
+                        if (now() >= until) {
+                            // This process stood still: what it asks for was decided long ago, and
+                            // given up.
+                            answer.completeExceptionally(
+                                    new IOException("not sent in " + timeoutMs + " ms"));
+                            ctx.close();
+                            return;
+                        }
+                        ByteBuf body =
+                                Unpooled.wrappedBuffer(json.getBytes(StandardCharsets.UTF_8));
+                        DefaultFullHttpRequest request =
+                                new DefaultFullHttpRequest(
+                                        HttpVersion.HTTP_1_1, HttpMethod.POST, path, body);
+                        request.headers()
+                                .set("Host", address)
+                                .set("Content-Type", "application/json")
+                                .set("Content-Length", body.readableBytes())
+                                .set("Connection", "close");
+                        headers.forEach(request.headers()::set);
+                        ctx.writeAndFlush(request);
+                    }
 
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object in) {
-                FullHttpResponse is = (FullHttpResponse) in;
-                try {
-                    if (is.decoderResult().isFailure()) {
-                        answer.completeExceptionally(new IOException("no whole answer"));
-                    } else if (is.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                        // The answer is still to come.
-                        return;
-                    } else {
-                        byte[] body = new byte[is.content().readableBytes()];
-                        is.content().readBytes(body);
-                        answer.complete(new Answer(is.status().code(), body));
+                    @Override
+                    public void channelRead(ChannelHandlerContext ctx, Object in) {
+                        FullHttpResponse is = (FullHttpResponse) in;
+                        try {
+                            if (is.decoderResult().isFailure()) {
+                                answer.completeExceptionally(new IOException("no whole answer"));
+                            } else if (is.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+                                // The answer is still to come.
+                                return;
+                            } else {
+                                byte[] body = new byte[is.content().readableBytes()];
+                                is.content().readBytes(body);
+                                answer.complete(new Answer(is.status().code(), body));
+                            }
+                        } finally {
+                            is.release();
+                        }
+                        ctx.close();
                     }
-                } finally {
-                    is.release();
-                }
-                ctx.close();
-            }
 
-            @Override
-            public void channelInactive(ChannelHandlerContext ctx) {
-                answer.completeExceptionally(new IOException("closed without an answer"));
-            }
+                    @Override
+                    public void channelInactive(ChannelHandlerContext ctx) {
+                        answer.completeExceptionally(new IOException("closed without an answer"));
+                    }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                answer.completeExceptionally(cause);
-                ctx.close();
-            }
-        };
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        answer.completeExceptionally(cause);
+                        ctx.close();
+                    }
+                };
         ChannelFuture opening = Sockets.connect(loop, address(address), ears, timeoutMs);
         if (opening == null) {
             answer.completeExceptionally(new IOException("no descriptor is left"));
             return answer;
         }
-        opening.addListener(done -> {
-            if (!done.isSuccess()) {
-                answer.completeExceptionally(done.cause());
-            }
-        });
-        loop.schedule(() -> {
-            answer.completeExceptionally(new IOException("no answer in " + timeoutMs + " ms"));
-            opening.channel().close();
-        }, timeoutMs, TimeUnit.MILLISECONDS);
+        opening.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        answer.completeExceptionally(done.cause());
+                    }
+                });
+        loop.schedule(
+                () -> {
+                    answer.completeExceptionally(
+                            new IOException("no answer in " + timeoutMs + " ms"));
+                    opening.channel().close();
+                },
+                timeoutMs,
+                TimeUnit.MILLISECONDS);
         return answer;
     }
 }
--- a/src/main/java/dillfront/host/Pack.java
+++ b/src/main/java/dillfront/host/Pack.java
@@ -15,6 +15,7 @@
 
     private static final int DEEPEST = 8;
     private static final int MOST = 1 << 18;
+
     /** Of all lists and maps of a message together. */
     private static final int MOST_PARTS = 1 << 20;
 
@@ -66,7 +67,9 @@
         }
     }
 
-    /** @throws Bad where the bytes are no map of this form, or hold more than any message does */
+    /**
+     * @throws Bad where the bytes are no map of this form, or hold more than any message does
+     */
     public static Fields read(byte[] bytes) throws Bad {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             Object all = new Reading(in, bytes.length).read(0);
@@ -81,7 +84,10 @@
         }
     }
 
-    /** A message that is being read: what it claims to hold is checked before there is room made for it. */
+    /**
+     * A message that is being read: what it claims to hold is checked before there is room made for
+     * it.
+     */
     private static final class Reading {
         private final MessageUnpacker in;
         private final int length;
@@ -117,29 +123,32 @@
                     return in.unpackLong();
                 case STRING:
                     return in.unpackString();
-                case BINARY: {
-                    int size = in.unpackBinaryHeader();
-                    if (size < 0 || size > length - in.getTotalReadBytes()) {
-                        throw new Bad("more bytes than there are: " + size);
+                case BINARY:
+                    {
+                        int size = in.unpackBinaryHeader();
+                        if (size < 0 || size > length - in.getTotalReadBytes()) {
+                            throw new Bad("more bytes than there are: " + size);
+                        }
+                        return in.readPayload(size);
                     }
-                    return in.readPayload(size);
-                }
-                case ARRAY: {
-                    int size = size(in.unpackArrayHeader(), 1);
-                    List<Object> list = new ArrayList<>();
-                    for (int i = 0; i < size; i++) {
-                        list.add(read(depth + 1));
+                case ARRAY:
+                    {
+                        int size = size(in.unpackArrayHeader(), 1);
+                        List<Object> list = new ArrayList<>();
+                        for (int i = 0; i < size; i++) {
+                            list.add(read(depth + 1));
+                        }
+                        return list;
                     }
-                    return list;
-                }
-                case MAP: {
-                    int size = size(in.unpackMapHeader(), 2);
-                    Map<String, Object> map = new HashMap<>();
-                    for (int i = 0; i < size; i++) {
-                        map.put(in.unpackString(), read(depth + 1));
+                case MAP:
+                    {
+                        int size = size(in.unpackMapHeader(), 2);
+                        Map<String, Object> map = new HashMap<>();
+                        for (int i = 0; i < size; i++) {
+                            map.put(in.unpackString(), read(depth + 1));
+                        }
+                        return map;
                     }
-                    return map;
-                }
                 default:
                     throw new Bad("a value of no kind that is used");
             }
--- a/src/main/java/dillfront/host/Position.java
+++ b/src/main/java/dillfront/host/Position.java
@@ -1,18 +1,26 @@
 package dillfront.host;
 
-/** A place in the log of a database: TERM.NUMBER. Those of a later term are behind all of an earlier one. */
+/**
+ * A place in the log of a database: TERM.NUMBER. Those of a later term are behind all of an earlier
+ * one.
+ */
 public record Position(long term, long number) implements Comparable<Position> {
 
     public static final Position NONE = new Position(0, 0);
 
-    /** @return null where the text is no position */
+    /**
+     * @return null where the text is no position
+     */
     public static Position of(String text) {
         int dot = text.indexOf('.');
         if (dot < 1 || dot == text.length() - 1 || text.length() > 40) {
             return null;
         }
         try {
-            Position is = new Position(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
+            Position is =
+                    new Position(
+                            Long.parseLong(text.substring(0, dot)),
+                            Long.parseLong(text.substring(dot + 1)));
             return is.term < 0 || is.number < 0 ? null : is;
         } catch (NumberFormatException none) {
             return null;
@@ -21,7 +29,9 @@
 
     @Override
     public int compareTo(Position other) {
-        return term != other.term ? Long.compare(term, other.term) : Long.compare(number, other.number);
+        return term != other.term
+                ? Long.compare(term, other.term)
+                : Long.compare(number, other.number);
     }
 
     public boolean covers(Position other) {
--- a/src/main/java/dillfront/host/Ring.java
+++ b/src/main/java/dillfront/host/Ring.java
@@ -3,8 +3,8 @@
 import java.io.PrintStream;
 
 /**
- * The last things that were noted, in memory. They go out once something is wrong, with what led to it, and at most so many
- * times a minute: no trouble can make the log the next trouble.
+ * The last things that were noted, in memory. They go out once something is wrong, with what led to
+ * it, and at most so many times a minute: no trouble can make the log the next trouble.
  */
 public final class Ring {
 
@@ -15,8 +15,10 @@
     private final PrintStream out;
     private final String name;
     private final String[] lines = new String[KEPT];
+
     /** How many were noted, and how many of them went out or fell out. */
     private long noted;
+
     private long gone;
     private long minute;
     private int times;
--- a/src/main/java/dillfront/host/Settings.java
+++ b/src/main/java/dillfront/host/Settings.java
@@ -13,20 +13,37 @@
 import java.util.List;
 
 /**
- * What a process is told by its settings file; fields that are not known are passed over. Times in milliseconds.
+ * What a process is told by its settings file; fields that are not known are passed over. Times in
+ * milliseconds.
  *
  * @param front where clients come in; null where this process serves none
  * @param inner the first of the ports for what the system's processes say to one another
  * @param seeds addresses of machines that serve control
  * @param folder where the disk is; null where there is none
  * @param losses how many machines that count may be lost at once
- * @param drain for how long, from when it was told, a data plane goes on with a primary that drains: its last work there comes well
- *     before the server's time is over, and before a data plane that was told late counts as in touch
+ * @param drain for how long, from when it was told, a data plane goes on with a primary that
+ *     drains: its last work there comes well before the server's time is over, and before a data
+ *     plane that was told late counts as in touch
  * @param platform null where there is none
  */
-public record Settings(String name, String zone, String region, java.util.Map<String, String> regions, String ip,
-        String front, String ready, String control, int inner, List<String> seeds, boolean first, String folder,
-        int losses, long beat, long drain, long grace, String platform) {
+public record Settings(
+        String name,
+        String zone,
+        String region,
+        java.util.Map<String, String> regions,
+        String ip,
+        String front,
+        String ready,
+        String control,
+        int inner,
+        List<String> seeds,
+        boolean first,
+        String folder,
+        int losses,
+        long beat,
+        long drain,
+        long grace,
+        String platform) {
 
     /** The file cannot be used: which, where in it, and why. */
     public static final class Bad extends Exception {
@@ -40,12 +57,16 @@
     public static final String VARIABLE = "DILLFRONT_SETTINGS";
     private static final String USUAL = "/etc/dillfront/node.json";
 
-    /** @throws Bad with the file, the place and the fault */
+    /**
+     * @throws Bad with the file, the place and the fault
+     */
     public static Settings of(java.util.Map<String, String> variables) throws Bad {
         return read(Path.of(variables.getOrDefault(VARIABLE, USUAL)));
     }
 
-    /** @throws Bad with the file, the place and the fault */
+    /**
+     * @throws Bad with the file, the place and the fault
+     */
     public static Settings read(Path file) throws Bad {
         JsonObject all;
         try {
@@ -59,9 +80,13 @@
             JsonObject listen = object(all, "listen_addresses");
             JsonObject bounds = object(all, "bounds");
             java.util.Map<String, String> regions = new java.util.HashMap<>();
-            object(all, "zones").forEach(member -> regions.put(member.getName(), member.getValue().asString()));
+            object(all, "zones")
+                    .forEach(member -> regions.put(member.getName(), member.getValue().asString()));
             JsonValue ports = all.get("internal_port_range");
-            if (ports == null || !ports.isArray() || ports.asArray().isEmpty() || !ports.asArray().get(0).isNumber()) {
+            if (ports == null
+                    || !ports.isArray()
+                    || ports.asArray().isEmpty()
+                    || !ports.asArray().get(0).isNumber()) {
                 throw new Bad("internal_port_range: no list of ports");
             }
             List<String> seeds = new ArrayList<>();
@@ -71,15 +96,28 @@
                 }
             }
             JsonValue platform = all.get("cloud_api");
-            return new Settings(text(all, "node_name"), text(all, "zone_name"), all.getString("region", ""), regions,
-                    text(all, "ip_address"), optional(listen, "front_address"), optional(listen, "readiness_address"),
-                    optional(listen, "control_address"), ports.asArray().get(0).asInt(), List.copyOf(seeds),
-                    all.getBoolean("first_start", false), optional(all, "data_directory"),
-                    all.get("tolerated_losses") == null ? 0
+            return new Settings(
+                    text(all, "node_name"),
+                    text(all, "zone_name"),
+                    all.getString("region", ""),
+                    regions,
+                    text(all, "ip_address"),
+                    optional(listen, "front_address"),
+                    optional(listen, "readiness_address"),
+                    optional(listen, "control_address"),
+                    ports.asArray().get(0).asInt(),
+                    List.copyOf(seeds),
+                    all.getBoolean("first_start", false),
+                    optional(all, "data_directory"),
+                    all.get("tolerated_losses") == null
+                            ? 0
                             : Math.max(0, object(all, "tolerated_losses").getInt("machines", 0)),
-                    number(all, "heartbeat_interval_ms", 1_200), drain(bounds),
+                    number(all, "heartbeat_interval_ms", 1_200),
+                    drain(bounds),
                     Math.round(bounds.getDouble("grace_period_s", 6) * 1_000),
-                    platform == null || platform.isNull() ? null : optional(platform.asObject(), "address"));
+                    platform == null || platform.isNull()
+                            ? null
+                            : optional(platform.asObject(), "address"));
         } catch (Bad bad) {
             throw new Bad(file + ": " + bad.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException bad) {
@@ -88,7 +126,9 @@
     }
 
     private static long drain(JsonObject bounds) throws Bad {
-        return Math.min(number(bounds, "drain_ms", 7_000) * 2 / 3, number(bounds, "in_touch_ms", 4_000) * 7 / 8);
+        return Math.min(
+                number(bounds, "drain_ms", 7_000) * 2 / 3,
+                number(bounds, "in_touch_ms", 4_000) * 7 / 8);
     }
 
     private static JsonObject object(JsonObject in, String name) throws Bad {
--- a/src/main/java/dillfront/identity/Gate.java
+++ b/src/main/java/dillfront/identity/Gate.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * Who is in, and what of his txns may be taken. One for a router. A change of the policy raises its epoch; each session
- * looks at the epoch before each txn, so that a change is felt at the very next one, and costs the others one comparison.
- * What was taken is none of its business any more: a revocation ends a session, never a txn.
+ * Who is in, and what of his txns may be taken. One for a router. A change of the policy raises its
+ * epoch; each session looks at the epoch before each txn, so that a change is felt at the very next
+ * one, and costs the others one comparison. What was taken is none of its business any more: a
+ * revocation ends a session, never a txn.
  *
- * <p>Pure: times are spans since the start, Unix times come with the credentials. The table of keys that have ended holds
- * as many as have in one overlap; that of use, the principals of the policy.
+ * <p>Pure: times are spans since the start, Unix times come with the credentials. The table of keys
+ * that have ended holds as many as have in one overlap; that of use, the principals of the policy.
  */
 public final class Gate {
 
@@ -34,12 +35,16 @@
     private Duration unix = Duration.ZERO;
     private Duration readAt = Duration.ZERO;
     private boolean failing;
+
     /** Keys that count for those who are in, until then. */
     private final Map<String, Duration> ending = new HashMap<>();
+
     private final Map<String, Use> uses = new HashMap<>();
     private final Shares shares = new Shares();
 
-    /** @param here Unix time, for what credentials say of their own */
+    /**
+     * @param here Unix time, for what credentials say of their own
+     */
     public void at(Duration clock, Duration here) {
         now = clock;
         unix = here;
@@ -50,8 +55,12 @@
     public void read(Policy next) {
         for (String key : policy.keys()) {
             if (!next.keys().contains(key)) {
-                // By the overlap that was in force when it ended, or the new one where that is shorter.
-                Duration overlap = next.overlap().compareTo(policy.overlap()) < 0 ? next.overlap() : policy.overlap();
+                // By the overlap that was in force when it ended, or the new one where that is
+                // shorter.
+                Duration overlap =
+                        next.overlap().compareTo(policy.overlap()) < 0
+                                ? next.overlap()
+                                : policy.overlap();
                 ending.putIfAbsent(key, now.plus(overlap));
             }
         }
@@ -62,9 +71,11 @@
         readAt = now;
         failing = false;
         epoch++;
-        for (Iterator<Map.Entry<String, Use>> each = uses.entrySet().iterator(); each.hasNext();) {
+        for (Iterator<Map.Entry<String, Use>> each = uses.entrySet().iterator(); each.hasNext(); ) {
             Map.Entry<String, Use> one = each.next();
-            if (!policy.principals().containsKey(one.getKey()) && one.getValue().out == 0 && one.getValue().sessions == 0) {
+            if (!policy.principals().containsKey(one.getKey())
+                    && one.getValue().out == 0
+                    && one.getValue().sessions == 0) {
                 each.remove();
             }
         }
@@ -76,7 +87,10 @@
         failing = true;
     }
 
-    /** The last good state is too old to let anybody new in. Guards against a file that is lost and nobody notices. */
+    /**
+     * The last good state is too old to let anybody new in. Guards against a file that is lost and
+     * nobody notices.
+     */
     public boolean stale() {
         return policy == Policy.NOBODY || failing && now.compareTo(readAt.plus(policy.holds())) > 0;
     }
@@ -85,14 +99,20 @@
         return epoch;
     }
 
-    /** Whether a token or certificate by this key may begin a session now: keys that end only serve those who are in. */
+    /**
+     * Whether a token or certificate by this key may begin a session now: keys that end only serve
+     * those who are in.
+     */
     public boolean honours(String key) {
         Duration until = ending.get(key);
         return policy.keys().contains(key) || until != null && now.compareTo(until) < 0;
     }
 
-    /** What a credential says, found right by whoever checked its signature. Times are Unix times. */
-    public record Credential(String principal, String key, String id, Duration notBefore, Duration expires) {}
+    /**
+     * What a credential says, found right by whoever checked its signature. Times are Unix times.
+     */
+    public record Credential(
+            String principal, String key, String id, Duration notBefore, Duration expires) {}
 
     /** Lets someone in, or says why not. */
     public Object enter(Credential credential) {
@@ -148,7 +168,9 @@
             return credential.principal;
         }
 
-        /** Null where it still stands; asked before each txn, and by whoever closes idle sessions. */
+        /**
+         * Null where it still stands; asked before each txn, and by whoever closes idle sessions.
+         */
         public Refusal over() {
             if (seen != epoch) {
                 look();
@@ -165,8 +187,8 @@
         }
 
         /**
-         * Whether this txn may be taken now; if so it counts as out until done(). The wait after BUSY is told by
-         * comeBack().
+         * Whether this txn may be taken now; if so it counts as out until done(). The wait after
+         * BUSY is told by comeBack().
          *
          * @return null where it may
          */
@@ -202,7 +224,10 @@
 
         private void fill() {
             double most = Math.max(1, principal.rate() * seconds(AHEAD));
-            double seconds = use.filledAt.isZero() ? most / principal.rate() : seconds(now.minus(use.filledAt));
+            double seconds =
+                    use.filledAt.isZero()
+                            ? most / principal.rate()
+                            : seconds(now.minus(use.filledAt));
             use.allowance = Math.min(most, use.allowance + seconds * principal.rate());
             use.filledAt = now;
         }
@@ -229,7 +254,9 @@
 
         public void leave() {
             use.sessions--;
-            if (use.sessions == 0 && use.out == 0 && !policy.principals().containsKey(credential.principal)) {
+            if (use.sessions == 0
+                    && use.out == 0
+                    && !policy.principals().containsKey(credential.principal)) {
                 uses.remove(credential.principal);
             }
         }
--- a/src/main/java/dillfront/identity/Penalty.java
+++ b/src/main/java/dillfront/identity/Penalty.java
@@ -3,22 +3,31 @@
 import java.time.Duration;
 
 /**
- * Waits after failed logins, so that guessing is slow. Failures are counted by address with name, by name, and by address,
- * in a count-min sketch of fixed size whose counts halve with time. One who fails for one name waits for that name at his
- * address; others behind the same address are not locked out by him, since an address as a whole is charged only for the
- * names of it that failed beyond what one user does.
+ * Waits after failed logins, so that guessing is slow. Failures are counted by address with name,
+ * by name, and by address, in a count-min sketch of fixed size whose counts halve with time. One
+ * who fails for one name waits for that name at his address; others behind the same address are not
+ * locked out by him, since an address as a whole is charged only for the names of it that failed
+ * beyond what one user does.
  */
 public final class Penalty {
 
     private static final int ROWS = 4;
     private static final int COLUMNS = 1 << 12;
-    /** Failures that cost nothing: of one name at one address, of a name anywhere, of an address for all names. */
+
+    /**
+     * Failures that cost nothing: of one name at one address, of a name anywhere, of an address for
+     * all names.
+     */
     private static final double FREE_PAIR = 3;
+
     private static final double FREE_NAME = 30;
     private static final double FREE_ADDRESS = 100;
+
     /** The first wait, doubled by each further failure, and the longest. */
     private static final Duration FIRST = Duration.ofMillis(250);
+
     private static final Duration LONGEST = Duration.ofSeconds(60);
+
     /** Counts halve in this time. */
     private static final Duration HALF = Duration.ofMinutes(2);
 
@@ -27,7 +36,9 @@
     private final long secret;
     private Duration now = Duration.ZERO;
 
-    /** @param secret of this instance, so that nobody can choose names that fall together */
+    /**
+     * @param secret of this instance, so that nobody can choose names that fall together
+     */
     public Penalty(long secret) {
         this.secret = secret;
     }
@@ -54,10 +65,17 @@
         }
     }
 
-    /** How long the last failures make this one wait before a credential is looked at; zero where they don't. */
+    /**
+     * How long the last failures make this one wait before a credential is looked at; zero where
+     * they don't.
+     */
     public Duration wait(String address, String name) {
-        double over = Math.max(count(hash(address, name)) - FREE_PAIR,
-                Math.max(count(hash("", name)) - FREE_NAME, count(hash(address, "")) - FREE_ADDRESS));
+        double over =
+                Math.max(
+                        count(hash(address, name)) - FREE_PAIR,
+                        Math.max(
+                                count(hash("", name)) - FREE_NAME,
+                                count(hash(address, "")) - FREE_ADDRESS));
         if (over <= 0) {
             return Duration.ZERO;
         }
@@ -69,7 +87,8 @@
         float least = count(key);
         for (int row = 0; row < ROWS; row++) {
             int column = column(key, row);
-            // Conservative update: only the least counters grow, so that names that fall together cost each other less.
+            // Conservative update: only the least counters grow, so that names that fall together
+            // cost each other less.
             counts[row][column] = Math.max(decayed(row, column), least + 1);
             at[row][column] = now.toNanos();
         }
--- a/src/main/java/dillfront/identity/Principal.java
+++ b/src/main/java/dillfront/identity/Principal.java
@@ -4,7 +4,8 @@
  * Someone who may be served.
  *
  * @param tenant index of his tenant in the settings; -1 where it has none
- * @param rate txns a second that he may begin, over all his sessions here; 0 where that is not bounded
+ * @param rate txns a second that he may begin, over all his sessions here; 0 where that is not
+ *     bounded
  * @param atOnce txns that he may have out at once here; 0 where that is not bounded
  */
 public record Principal(String name, int tenant, Rights rights, double rate, int atOnce) {}
--- a/src/main/java/dillfront/identity/Rights.java
+++ b/src/main/java/dillfront/identity/Rights.java
@@ -5,10 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * The rules of one principal, compiled: a trie over the prefixes of keys for each group of nodes that rules name, and one
- * for the rules of all groups. Each trie node holds one word of bits, types by access, for what is allowed from there on
- * and one for what is denied. A verdict walks the key once a trie, and stops where no rule goes further; it allocates
- * nothing. Denial goes over allowance, wherever either stands; what no rule speaks of is denied.
+ * The rules of one principal, compiled: a trie over the prefixes of keys for each group of nodes
+ * that rules name, and one for the rules of all groups. Each trie node holds one word of bits,
+ * types by access, for what is allowed from there on and one for what is denied. A verdict walks
+ * the key once a trie, and stops where no rule goes further; it allocates nothing. Denial goes over
+ * allowance, wherever either stands; what no rule speaks of is denied.
  */
 public final class Rights {
 
@@ -16,13 +17,19 @@
     public static final Rights NONE = new Rights(List.of());
 
     /** What may be, and why not. */
-    public enum Verdict { ALLOWED, NO_RULE, DENIED }
+    public enum Verdict {
+        ALLOWED,
+        NO_RULE,
+        DENIED
+    }
 
     private static final class Node {
         /** What leads here from the parent, its first byte included. */
         byte[] label;
+
         /** First bytes of the children's labels as unsigned numbers, rising. */
         int[] firsts = {};
+
         Node[] children = {};
         long allow;
         long deny;
@@ -59,16 +66,20 @@
 
     private final List<Rule> rules;
     private final Node all = new Node(new byte[0]);
+
     /** Groups that rules name, rising, and their tries. */
     private final int[] groups;
+
     private final Node[] tries;
 
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
         TreeMap<Integer, Node> named = new TreeMap<>();
         for (Rule rule : rules) {
-            Node root = rule.group() == Rule.ANY ? all
-                    : named.computeIfAbsent(rule.group(), g -> new Node(new byte[0]));
+            Node root =
+                    rule.group() == Rule.ANY
+                            ? all
+                            : named.computeIfAbsent(rule.group(), g -> new Node(new byte[0]));
             add(root, rule);
         }
         groups = named.keySet().stream().mapToInt(Integer::intValue).toArray();
@@ -87,7 +98,9 @@
                 break;
             }
             int same = 0;
-            while (same < rest.length && same < next.label.length && rest[same] == next.label[same]) {
+            while (same < rest.length
+                    && same < next.label.length
+                    && rest[same] == next.label[same]) {
                 same++;
             }
             if (same < next.label.length) {
@@ -122,7 +135,10 @@
         return found < 0 ? Verdict.DENIED : found > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
     }
 
-    /** 1 where some node on the key's way allows it, 0 where none does, negative where one denies it. */
+    /**
+     * 1 where some node on the key's way allows it, 0 where none does, negative where one denies
+     * it.
+     */
     private static int walk(Node root, long bit, KeyBytes key) {
         int length = key.length();
         int at = 0;
@@ -149,7 +165,10 @@
         }
     }
 
-    /** The first rule that decides it as the verdict does, in the order in which rules were given; for a denial's record. */
+    /**
+     * The first rule that decides it as the verdict does, in the order in which rules were given;
+     * for a denial's record.
+     */
     public String cause(int type, boolean write, int group, KeyBytes key) {
         String allowed = null;
         for (Rule rule : rules) {
--- a/src/main/java/dillfront/identity/Rule.java
+++ b/src/main/java/dillfront/identity/Rule.java
@@ -12,10 +12,18 @@
  * @param prefix what the key begins with; empty for all keys
  * @param from where the rule stands, for people
  */
-public record Rule(boolean allow, int types, boolean reads, boolean writes, int group, byte[] prefix, String from) {
+public record Rule(
+        boolean allow,
+        int types,
+        boolean reads,
+        boolean writes,
+        int group,
+        byte[] prefix,
+        String from) {
 
     public static final int ALL = -1;
     public static final int ANY = -1;
+
     /** Types have indices below this. */
     public static final int TYPES = 32;
 
@@ -26,10 +34,19 @@
         }
     }
 
-    /** @param access r, w or rw */
-    public static Rule of(boolean allow, int types, String access, int group, String prefix, String from) {
-        return new Rule(allow, types, access.contains("r"), access.contains("w"), group,
-                prefix.getBytes(StandardCharsets.UTF_8), from);
+    /**
+     * @param access r, w or rw
+     */
+    public static Rule of(
+            boolean allow, int types, String access, int group, String prefix, String from) {
+        return new Rule(
+                allow,
+                types,
+                access.contains("r"),
+                access.contains("w"),
+                group,
+                prefix.getBytes(StandardCharsets.UTF_8),
+                from);
     }
 
     /** Bit of a type and an access within 64: reads below, writes above. */
@@ -43,7 +60,9 @@
 
     /** Whether it speaks of this txn; the plain reading, against which the index is tested. */
     boolean speaksOf(int type, boolean write, int group, KeyBytes key) {
-        if ((bits() & bit(type, write)) == 0 || this.group != ANY && this.group != group || key.length() < prefix.length) {
+        if ((bits() & bit(type, write)) == 0
+                || this.group != ANY && this.group != group
+                || key.length() < prefix.length) {
             return false;
         }
         for (int i = 0; i < prefix.length; i++) {
--- a/src/main/java/dillfront/identity/Shares.java
+++ b/src/main/java/dillfront/identity/Shares.java
@@ -4,17 +4,20 @@
 import java.util.Arrays;
 
 /**
- * How many txns of each tenant may be out at once. Each has a part of the whole that is its own by its weight; what the
- * others leave unused may be borrowed, but for what is kept back for them: all of the part of a tenant that was here
- * lately, a quarter of one that was not. So who comes back finds room for his first txns at once, and the rest as fast as
- * what was lent comes to its end; no flood of one tenant takes from another what he uses.
+ * How many txns of each tenant may be out at once. Each has a part of the whole that is its own by
+ * its weight; what the others leave unused may be borrowed, but for what is kept back for them: all
+ * of the part of a tenant that was here lately, a quarter of one that was not. So who comes back
+ * finds room for his first txns at once, and the rest as fast as what was lent comes to its end; no
+ * flood of one tenant takes from another what he uses.
  *
- * <p>Pure; rows are the tenants of the settings, and one for those who have none, whose part is nothing.
+ * <p>Pure; rows are the tenants of the settings, and one for those who have none, whose part is
+ * nothing.
  */
 public final class Shares {
 
     /** Of its part, what is kept back for a tenant that has not been here lately. */
     private static final double KEPT = 0.25;
+
     /** Here lately: within this time. */
     private static final Duration LATELY = Duration.ofSeconds(5);
 
@@ -83,7 +86,10 @@
         return true;
     }
 
-    /** Within its own part: only what is kept for the first txns of others is left alone, while some of it is lent out. */
+    /**
+     * Within its own part: only what is kept for the first txns of others is left alone, while some
+     * of it is lent out.
+     */
     private boolean room(int row) {
         double taken = all;
         for (int i = 0; i < out.length; i++) {
--- a/src/main/java/dillfront/lab/CapacityMeasure.java
+++ b/src/main/java/dillfront/lab/CapacityMeasure.java
@@ -22,8 +22,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Three real control processes on loopback, and hollow fronts and database servers in this one: they ask for news and beat as
- * the real ones do, and do nothing else. What a front hears and says, and what control spends, at three sizes.
+ * Three real control processes on loopback, and hollow fronts and database servers in this one:
+ * they ask for news and beat as the real ones do, and do nothing else. What a front hears and says,
+ * and what control spends, at three sizes.
  */
 public final class CapacityMeasure {
 
@@ -31,16 +32,26 @@
     private static final int CONTROL = 17_300;
     private static final String[] IPS = ControlProcesses.IPS;
     private static final long BEAT_MS = ControlProcesses.BEAT_MS;
+
     /** Where all hollow servers are asked how they are, each at an address of its own. */
     private static final int HOLLOW = 17_500;
+
     private static final int CALM_S = 6;
     private static final int SETTLE_S = 4;
     private static final int CHANGES = 5;
     private static final int TRIES = 60;
 
     private final NettyHost host = new NettyHost(1);
-    private final ControlProcesses processes = new ControlProcesses("capacity", CONTROL, INNER, "-Xmx192m", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-jar", "target/dillfront.jar");
+    private final ControlProcesses processes =
+            new ControlProcesses(
+                    "capacity",
+                    CONTROL,
+                    INNER,
+                    "-Xmx192m",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-jar",
+                    "target/dillfront.jar");
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLong messages = new AtomicLong();
     private final int fronts;
@@ -55,7 +66,8 @@
         versions = new long[fronts];
     }
 
-    private record Row(int fronts, double bytes, double messages, double share, long configMs, double mb) { }
+    private record Row(
+            int fronts, double bytes, double messages, double share, long configMs, double mb) {}
 
     public static void main(String[] args) throws Exception {
         List<Row> rows = new ArrayList<>();
@@ -71,10 +83,16 @@
         Row small = rows.get(0);
         Row large = rows.get(rows.size() - 1);
         double sizes = Math.log((double) large.fronts() / small.fronts());
-        double growth = Math.pow(10, Math.log(Math.max(1e-6, large.share()) / Math.max(1e-6, small.share())) / sizes);
+        double growth =
+                Math.pow(
+                        10,
+                        Math.log(Math.max(1e-6, large.share()) / Math.max(1e-6, small.share()))
+                                / sizes);
         for (Row r : rows) {
-            System.out.printf("capacity: routers=%d bytes_a_router=%.0f messages_a_router=%.2f control_core_share=%.4f config_ms_p99=%d "
-                    + "control_mb=%.0f growth_10x=%.1f%n", r.fronts(), r.bytes(), r.messages(), r.share(), r.configMs(), r.mb(), growth);
+            System.out.printf(
+                    "capacity: routers=%d bytes_a_router=%.0f messages_a_router=%.2f control_core_share=%.4f config_ms_p99=%d "
+                            + "control_mb=%.0f growth_10x=%.1f%n",
+                    r.fronts(), r.bytes(), r.messages(), r.share(), r.configMs(), r.mb(), growth);
         }
         System.exit(0);
     }
@@ -91,8 +109,11 @@
         @Override
         public void message(byte[] message) {
             String line = new String(message, StandardCharsets.US_ASCII);
-            link.send((line.startsWith("CONNECT") ? "READY I 1.1" : "ROW primary 1 1.1 0 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1")
-                    .getBytes(StandardCharsets.US_ASCII));
+            link.send(
+                    (line.startsWith("CONNECT")
+                                    ? "READY I 1.1"
+                                    : "ROW primary 1 1.1 0 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1")
+                            .getBytes(StandardCharsets.US_ASCII));
         }
 
         @Override
@@ -106,16 +127,24 @@
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(1_500);
         configure(1).get(10, TimeUnit.SECONDS);
-        host.loop().submit(() -> {
-            for (int i = 0; i < fronts; i++) {
-                new Front(i).dial();
-            }
-            for (int d = 0; d < databases; d++) {
-                for (int s = 0; s < 3; s++) {
-                    beats("i-" + d + "-" + s, "127.1." + d + "." + (10 + s) + ":" + HOLLOW, "db" + d, s == 0, host.chance().nextInt((int) BEAT_MS));
-                }
-            }
-        }).get();
+        host.loop()
+                .submit(
+                        () -> {
+                            for (int i = 0; i < fronts; i++) {
+                                new Front(i).dial();
+                            }
+                            for (int d = 0; d < databases; d++) {
+                                for (int s = 0; s < 3; s++) {
+                                    beats(
+                                            "i-" + d + "-" + s,
+                                            "127.1." + d + "." + (10 + s) + ":" + HOLLOW,
+                                            "db" + d,
+                                            s == 0,
+                                            host.chance().nextInt((int) BEAT_MS));
+                                }
+                            }
+                        })
+                .get();
         TimeUnit.SECONDS.sleep(SETTLE_S);
         long cpu = processes.cpuNanos();
         long b = bytes.get();
@@ -145,11 +174,26 @@
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
         for (int d = 0; d < databases; d++) {
-            services.add(Json.object().add("name", "db" + d).add("connection_limit", 100).add("synchronous_replicas", 1));
-            routes.add(Json.object().add("name", "r" + d).add("host_name", "h" + d).add("path_prefix", "/").add("route_kind", "primary")
-                    .add("timeout_ms", 1_000 + version).add("priority", 1).add("service", "db" + d));
+            services.add(
+                    Json.object()
+                            .add("name", "db" + d)
+                            .add("connection_limit", 100)
+                            .add("synchronous_replicas", 1));
+            routes.add(
+                    Json.object()
+                            .add("name", "r" + d)
+                            .add("host_name", "h" + d)
+                            .add("path_prefix", "/")
+                            .add("route_kind", "primary")
+                            .add("timeout_ms", 1_000 + version)
+                            .add("priority", 1)
+                            .add("service", "db" + d));
         }
-        JsonValue body = Json.object().add("revision_number", version).add("routes", routes).add("services", services);
+        JsonValue body =
+                Json.object()
+                        .add("revision_number", version)
+                        .add("routes", routes)
+                        .add("services", services);
         CompletableFuture<Host.Answer> taken = new CompletableFuture<>();
         send(body.toString(), TRIES, taken);
         return taken;
@@ -157,24 +201,43 @@
 
     /** As an operator does: one that got no clear answer goes again as it was. */
     private void send(String body, int tries, CompletableFuture<Host.Answer> taken) {
-        host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000).whenComplete((is, fault) -> {
-            if (fault == null && is.status() == 200) {
-                taken.complete(is);
-            } else if (tries == 0 || fault == null && is.status() < 500) {
-                taken.completeExceptionally(fault == null ? new IllegalStateException("status " + is.status()) : fault);
-            } else {
-                host.after(100, () -> send(body, tries - 1, taken));
-            }
-        });
+        host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000)
+                .whenComplete(
+                        (is, fault) -> {
+                            if (fault == null && is.status() == 200) {
+                                taken.complete(is);
+                            } else if (tries == 0 || fault == null && is.status() < 500) {
+                                taken.completeExceptionally(
+                                        fault == null
+                                                ? new IllegalStateException("status " + is.status())
+                                                : fault);
+                            } else {
+                                host.after(100, () -> send(body, tries - 1, taken));
+                            }
+                        });
     }
 
     private void beats(String id, String address, String service, boolean leads, long in) {
-        host.after(in, () -> {
-            String body = Json.object().add("service", service).add("address", address).add("zone_name", "z").add("state", "ready")
-                    .add("database_role", leads ? "primary" : "replica").add("call_sequence", host.now()).toString();
-            host.post(processes.control(host.chance().nextInt(IPS.length)), "/Instances.Heartbeat/" + id, body, Map.of(), 1_000);
-            beats(id, address, service, leads, BEAT_MS);
-        });
+        host.after(
+                in,
+                () -> {
+                    String body =
+                            Json.object()
+                                    .add("service", service)
+                                    .add("address", address)
+                                    .add("zone_name", "z")
+                                    .add("state", "ready")
+                                    .add("database_role", leads ? "primary" : "replica")
+                                    .add("call_sequence", host.now())
+                                    .toString();
+                    host.post(
+                            processes.control(host.chance().nextInt(IPS.length)),
+                            "/Instances.Heartbeat/" + id,
+                            body,
+                            Map.of(),
+                            1_000);
+                    beats(id, address, service, leads, BEAT_MS);
+                });
     }
 
     /** A front that asks for news, and keeps nothing but what it has. */
@@ -243,7 +306,10 @@
                         everywhere.complete(null);
                     }
                 } else if (in.has("cv")) {
-                    body = in.has("cx") ? Delta.apply(body, in.bytes("cx")) : Deflate.back(in.bytes("cz"), Delta.MOST);
+                    body =
+                            in.has("cx")
+                                    ? Delta.apply(body, in.bytes("cx"))
+                                    : Deflate.back(in.bytes("cz"), Delta.MOST);
                     versions[number] = in.number("cv", -1);
                     told = false;
                     if (waiting.decrementAndGet() == 0) {
@@ -269,6 +335,9 @@
 
     private void end() throws IOException, InterruptedException {
         processes.end();
-        host.loop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(3, TimeUnit.SECONDS);
+        host.loop()
+                .parent()
+                .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+                .await(3, TimeUnit.SECONDS);
     }
 }
--- a/src/main/java/dillfront/lab/ChangesMeasure.java
+++ b/src/main/java/dillfront/lab/ChangesMeasure.java
@@ -22,9 +22,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Three real control processes on loopback, a front that only asks, and hundreds of changes of a configuration of 300 routes: what
- * the front and a control process hear for each, how long each takes, and how long a process is behind that was away for 600.
- * Before that, what a disk takes for such changes. The first argument is another jar to measure, which may be of a text that sends
+ * Three real control processes on loopback, a front that only asks, and hundreds of changes of a
+ * configuration of 300 routes: what the front and a control process hear for each, how long each
+ * takes, and how long a process is behind that was away for 600. Before that, what a disk takes for
+ * such changes. The first argument is another jar to measure, which may be of a text that sends
  * each configuration whole, or "disk" for the disk alone.
  */
 public final class ChangesMeasure {
@@ -45,8 +46,18 @@
     private int length;
 
     private ChangesMeasure(String jar) throws IOException {
-        processes = new ControlProcesses("changes", CONTROL, INNER, "-Xms40m", "-Xmx40m", "-Xss256k", "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-jar", jar);
+        processes =
+                new ControlProcesses(
+                        "changes",
+                        CONTROL,
+                        INNER,
+                        "-Xms40m",
+                        "-Xmx40m",
+                        "-Xss256k",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-jar",
+                        jar);
     }
 
     public static void main(String[] args) throws Exception {
@@ -79,10 +90,18 @@
         }
         await(() -> has.get() == version);
         Collections.sort(took);
-        System.out.printf("changes: routes=%d bytes=%d changes=%d front_bytes_a_change=%d control_read_a_change=%d control_disk_a_change=%d "
-                + "control_cpu_ms_a_change=%.1f acknowledged_ms_p50=%d acknowledged_ms_p99=%d%n", ROUTES, length, CHANGES,
-                (heard.get() - front) / CHANGES, (processes.io(1, "rchar") - read) / CHANGES, (processes.io(1, "write_bytes") - written) / CHANGES,
-                (processes.cpuNanos(1) - cpu) / 1e6 / CHANGES, took.get(CHANGES / 2), took.get(CHANGES * 99 / 100));
+        System.out.printf(
+                "changes: routes=%d bytes=%d changes=%d front_bytes_a_change=%d control_read_a_change=%d control_disk_a_change=%d "
+                        + "control_cpu_ms_a_change=%.1f acknowledged_ms_p50=%d acknowledged_ms_p99=%d%n",
+                ROUTES,
+                length,
+                CHANGES,
+                (heard.get() - front) / CHANGES,
+                (processes.io(1, "rchar") - read) / CHANGES,
+                (processes.io(1, "write_bytes") - written) / CHANGES,
+                (processes.cpuNanos(1) - cpu) / 1e6 / CHANGES,
+                took.get(CHANGES / 2),
+                took.get(CHANGES * 99 / 100));
         for (boolean emptied : new boolean[] {false, true}) {
             processes.kill(2, false);
             for (int i = 0; i < AWAY; i++) {
@@ -94,13 +113,21 @@
             long from = System.nanoTime();
             processes.start(2, false);
             await(() -> status(2).contains("version=" + version + " "));
-            System.out.printf("changes: behind=%d emptied=%b catch_up_ms=%d read=%d peak_mb=%.0f%n", AWAY, emptied,
-                    (System.nanoTime() - from) / 1_000_000, processes.io(2, "rchar"), processes.peakMb(2));
+            System.out.printf(
+                    "changes: behind=%d emptied=%b catch_up_ms=%d read=%d peak_mb=%.0f%n",
+                    AWAY,
+                    emptied,
+                    (System.nanoTime() - from) / 1_000_000,
+                    processes.io(2, "rchar"),
+                    processes.peakMb(2));
         }
         System.out.println("changes: " + status(0));
     }
 
-    /** A configuration of some 300 KB, kept as a control process keeps it: how long a put takes, and how long the file gets. */
+    /**
+     * A configuration of some 300 KB, kept as a control process keeps it: how long a put takes, and
+     * how long the file gets.
+     */
     private void disk() throws Exception {
         Path data = Files.createDirectories(processes.folder().resolve("disk"));
         Keep keep = Keep.open(data, "measure");
@@ -109,7 +136,9 @@
         for (int i = 0; i < AWAY; i++) {
             Map<String, String> texts = new LinkedHashMap<>();
             for (int piece = 0; piece < 19; piece++) {
-                texts.put("piece" + piece, (i + " " + piece + ",").repeat(16_000 / (i + " " + piece + ",").length()));
+                texts.put(
+                        "piece" + piece,
+                        (i + " " + piece + ",").repeat(16_000 / (i + " " + piece + ",").length()));
             }
             long from = System.nanoTime();
             keep.put(texts);
@@ -118,8 +147,15 @@
         }
         Collections.sort(puts);
         Runtime run = Runtime.getRuntime();
-        System.out.printf("changes: disk_bytes=%d puts=%d put_us_p50=%d put_us_p99=%d put_us_most=%d file_most=%d heap_most_mb=%d%n", 19 * 16_000, AWAY,
-                puts.get(AWAY / 2), puts.get(AWAY * 99 / 100), puts.get(AWAY - 1), most, run.maxMemory() >> 20);
+        System.out.printf(
+                "changes: disk_bytes=%d puts=%d put_us_p50=%d put_us_p99=%d put_us_most=%d file_most=%d heap_most_mb=%d%n",
+                19 * 16_000,
+                AWAY,
+                puts.get(AWAY / 2),
+                puts.get(AWAY * 99 / 100),
+                puts.get(AWAY - 1),
+                most,
+                run.maxMemory() >> 20);
     }
 
     private interface Is {
@@ -138,34 +174,67 @@
 
     private String status(int of) {
         try {
-            return new String(host.post(processes.control(of), "/status", "{}", Map.of(), 1_000).join().body(), StandardCharsets.UTF_8);
+            return new String(
+                    host.post(processes.control(of), "/status", "{}", Map.of(), 1_000)
+                            .join()
+                            .body(),
+                    StandardCharsets.UTF_8);
         } catch (CompletionException notYet) {
             return "";
         }
     }
 
-    /** One time-out changes, and every tenth time a route goes and another comes. Sent until it is taken. */
+    /**
+     * One time-out changes, and every tenth time a route goes and another comes. Sent until it is
+     * taken.
+     */
     private void configure() throws Exception {
         version++;
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
         for (int i = 0; i < ROUTES; i++) {
             long number = i + ROUTES * (version / 10 > i ? 1 : 0);
-            routes.add(Json.object().add("name", "r-" + Long.toHexString(number * 7_919)).add("host_name", "host" + number * 104_729)
-                    .add("path_prefix", "/").add("route_kind", "read_your_writes").add("timeout_ms", i == version % ROUTES ? 950 : 800)
-                    .add("target_latency_ms", 600).add("priority", 2).add("service", "service" + i % 40).add("max_attempts", 2)
-                    .add("max_staleness_ms", 2_500));
+            routes.add(
+                    Json.object()
+                            .add("name", "r-" + Long.toHexString(number * 7_919))
+                            .add("host_name", "host" + number * 104_729)
+                            .add("path_prefix", "/")
+                            .add("route_kind", "read_your_writes")
+                            .add("timeout_ms", i == version % ROUTES ? 950 : 800)
+                            .add("target_latency_ms", 600)
+                            .add("priority", 2)
+                            .add("service", "service" + i % 40)
+                            .add("max_attempts", 2)
+                            .add("max_staleness_ms", 2_500));
         }
         for (int i = 0; i < 40; i++) {
-            services.add(Json.object().add("name", "service" + i).add("health_path", "/health").add("connection_limit", 68)
-                    .add("protocol", "h1").add("tls_enabled", false).add("synchronous_replicas", 1));
+            services.add(
+                    Json.object()
+                            .add("name", "service" + i)
+                            .add("health_path", "/health")
+                            .add("connection_limit", 68)
+                            .add("protocol", "h1")
+                            .add("tls_enabled", false)
+                            .add("synchronous_replicas", 1));
         }
-        String body = Json.object().add("revision_number", version).add("routes", routes).add("services", services).toString();
+        String body =
+                Json.object()
+                        .add("revision_number", version)
+                        .add("routes", routes)
+                        .add("services", services)
+                        .toString();
         length = body.length();
         long from = System.nanoTime();
         for (int tries = 0; tries < 50; tries++) {
             try {
-                Host.Answer answer = host.post(processes.control(tries % 2), "/Configuration.Replace", body, Map.of(), 5_000).join();
+                Host.Answer answer =
+                        host.post(
+                                        processes.control(tries % 2),
+                                        "/Configuration.Replace",
+                                        body,
+                                        Map.of(),
+                                        5_000)
+                                .join();
                 if (answer.status() == 200) {
                     took.add((System.nanoTime() - from) / 1_000_000);
                     return;
@@ -224,12 +293,21 @@
                     table = in.number("r", 0);
                 }
                 suspects = in.number("sn", suspects);
-                byte[] next = in.has("cb") ? in.bytes("cb") : in.has("cx") ? Delta.apply(body, in.bytes("cx"))
-                        : in.has("cz") ? Deflate.back(in.bytes("cz"), Delta.MOST) : body;
+                byte[] next =
+                        in.has("cb")
+                                ? in.bytes("cb")
+                                : in.has("cx")
+                                        ? Delta.apply(body, in.bytes("cx"))
+                                        : in.has("cz")
+                                                ? Deflate.back(in.bytes("cz"), Delta.MOST)
+                                                : body;
                 if (next != body) {
                     body = next;
                     told = false;
-                    has.set(Json.parse(new String(body, StandardCharsets.UTF_8)).asObject().getLong("revision_number", -1));
+                    has.set(
+                            Json.parse(new String(body, StandardCharsets.UTF_8))
+                                    .asObject()
+                                    .getLong("revision_number", -1));
                 }
                 if (in.bit("alone")) {
                     host.after(100, this::ask);
@@ -249,6 +327,9 @@
 
     private void end() throws IOException, InterruptedException {
         processes.end();
-        host.loop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(3, TimeUnit.SECONDS);
+        host.loop()
+                .parent()
+                .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+                .await(3, TimeUnit.SECONDS);
     }
 }
--- a/src/main/java/dillfront/lab/ControlProcesses.java
+++ b/src/main/java/dillfront/lab/ControlProcesses.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Three real control processes on loopback, for a measure: their start, what the system counts of them, and their end. */
+/**
+ * Three real control processes on loopback, for a measure: their start, what the system counts of
+ * them, and their end.
+ */
 final class ControlProcesses {
 
     static final String[] IPS = {"127.0.0.2", "127.0.0.3", "127.0.0.4"};
@@ -27,7 +30,8 @@
     /**
      * @param java what the JVM is started with, and the program
      */
-    ControlProcesses(String measure, int controlPort, int innerPort, String... java) throws IOException {
+    ControlProcesses(String measure, int controlPort, int innerPort, String... java)
+            throws IOException {
         folder = Files.createTempDirectory(measure);
         this.controlPort = controlPort;
         this.innerPort = innerPort;
@@ -59,11 +63,24 @@
             seeds.add(control(i));
         }
         Path data = Files.createDirectories(data(which));
-        JsonObject settings = Json.object().add("node_name", "core-" + ip).add("ip_address", ip).add("zone_name", ip).add("region", ip)
-                .add("zones", Json.object().add(ip, ip)).add("listen_addresses", Json.object().add("control_address", control(which)))
-                .add("internal_port_range", Json.array(innerPort, innerPort + 9)).add("seed_addresses", seeds).add("first_start", first)
-                .add("data_directory", data.toString()).add("tolerated_losses", Json.object().add("machines", 1))
-                .add("heartbeat_interval_ms", BEAT_MS).add("bounds", Json.object()).add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
+        JsonObject settings =
+                Json.object()
+                        .add("node_name", "core-" + ip)
+                        .add("ip_address", ip)
+                        .add("zone_name", ip)
+                        .add("region", ip)
+                        .add("zones", Json.object().add(ip, ip))
+                        .add(
+                                "listen_addresses",
+                                Json.object().add("control_address", control(which)))
+                        .add("internal_port_range", Json.array(innerPort, innerPort + 9))
+                        .add("seed_addresses", seeds)
+                        .add("first_start", first)
+                        .add("data_directory", data.toString())
+                        .add("tolerated_losses", Json.object().add("machines", 1))
+                        .add("heartbeat_interval_ms", BEAT_MS)
+                        .add("bounds", Json.object())
+                        .add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
         Path file = folder.resolve(ip + ".json");
         Files.writeString(file, settings.toString());
         List<String> line = new ArrayList<>();
@@ -102,8 +119,11 @@
     }
 
     private long of(int which, String file, String name) throws IOException {
-        try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(processes[which].pid()), file))) {
-            return lines.filter(l -> l.startsWith(name + ":")).mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).sum();
+        try (Stream<String> lines =
+                Files.lines(Path.of("/proc", Long.toString(processes[which].pid()), file))) {
+            return lines.filter(l -> l.startsWith(name + ":"))
+                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .sum();
         }
     }
 
