--- a/src/main/java/dillfront/lab/ControlWorld.java
+++ b/src/main/java/dillfront/lab/ControlWorld.java
@@ -30,20 +30,25 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A few control processes by their real {@link Register}, {@link Lease}, {@link Records}, {@link Table} and {@link Settling}, two operators,
- * database servers, their disks and what lies between them, all of it moved by steps that are chosen from outside. After each step it is
- * looked at whether all still holds:
+ * A few control processes by their real {@link Register}, {@link Lease}, {@link Records}, {@link
+ * Table} and {@link Settling}, two operators, database servers, their disks and what lies between
+ * them, all of it moved by steps that are chosen from outside. After each step it is looked at
+ * whether all still holds:
  *
  * <ul>
- * <li>one ballot has one value; values that enough disks accepted are one line: past numbers keep their contents, the number in
- * force never falls, sets change by one step of two at a time; what a process takes for decided is one of them;
- * <li>what was acknowledged stands in that line, what was refused stands there with another content, for ever;
- * <li>the calls of the operators are linearizable ({@link History});
- * <li>one process at a time holds the lease, a number of it belongs to one life of one process, and each is above those held before;
- * <li>whoever holds the lease knows until when those before could say that theirs runs;
- * <li>that a server drains or left, once acknowledged, and a record that a holder may act on, are on the disks of enough that no majority
- * lacks them; who says to have them has them, and who takes the duty over knows what there was when its lease began; rows and records
- * never go back, and a number is one record's.
+ *   <li>one ballot has one value; values that enough disks accepted are one line: past numbers keep
+ *       their contents, the number in force never falls, sets change by one step of two at a time;
+ *       what a process takes for decided is one of them;
+ *   <li>what was acknowledged stands in that line, what was refused stands there with another
+ *       content, for ever;
+ *   <li>the calls of the operators are linearizable ({@link History});
+ *   <li>one process at a time holds the lease, a number of it belongs to one life of one process,
+ *       and each is above those held before;
+ *   <li>whoever holds the lease knows until when those before could say that theirs runs;
+ *   <li>that a server drains or left, once acknowledged, and a record that a holder may act on, are
+ *       on the disks of enough that no majority lacks them; who says to have them has them, and who
+ *       takes the duty over knows what there was when its lease began; rows and records never go
+ *       back, and a number is one record's.
  * </ul>
  */
 final class ControlWorld {
@@ -58,10 +63,14 @@
         OLD,
         /** The first write of a's disk is done. */
         DISK,
-        /** The first write of a's disk fails; b = 1: yet it is there after a loss of power before the next one is done. */
+        /**
+         * The first write of a's disk fails; b = 1: yet it is there after a loss of power before
+         * the next one is done.
+         */
         REFUSED,
         /** a loses its power; the first b of its writes were done. */
-        CRASH, START,
+        CRASH,
+        START,
         /** a's disk is gone. */
         EMPTY,
         /** Milliseconds pass. */
@@ -72,10 +81,14 @@
         GIVE_UP,
         /** A read at a. */
         READ,
-        /** a, if it holds the lease, wants the processes of the bits of b as members; without bits, the second step. */
+        /**
+         * a, if it holds the lease, wants the processes of the bits of b as members; without bits,
+         * the second step.
+         */
         SETS,
         /** What a says does not reach b, until it does. */
-        CUT, JOIN,
+        CUT,
+        JOIN,
         /** Server b / 3 says at a that it is ready, that it drains, or that it leaves. */
         SERVER,
         /** a, if it has the duty, records who leads service b. */
@@ -92,18 +105,51 @@
     /**
      * What there is, and how often each thing may happen.
      *
-     * @param first nothing is on the disks, and the first process founds; else the first ones are members
+     * @param first nothing is on the disks, and the first process founds; else the first ones are
+     *     members
      * @param lease whether the real lease runs; else the first process holds it
      * @param numbers orders have numbers from 1 to this
-     * @param sets changes of the sets that may be asked for; up to two: those that the first steps ask for, and the step that settles them
-     * @param servers what servers say; with these or records, sets are changed and settled only by whoever has the duty, by its rule
+     * @param sets changes of the sets that may be asked for; up to two: those that the first steps
+     *     ask for, and the step that settles them
+     * @param servers what servers say; with these or records, sets are changed and settled only by
+     *     whoever has the duty, by its rule
      */
-    record Scene(int processes, int members, boolean first, boolean lease, int numbers, int orders, int reads, int sent, int crashes, int empties,
-            int refusals, int ticks, int sets, int cuts, int servers, int records) {
-
-        Scene(int processes, int members, boolean first, boolean lease, int numbers, int orders, int reads, int sent, int crashes, int empties,
-                int refusals, int ticks, int sets, int cuts) {
-            this(processes, members, first, lease, numbers, orders, reads, sent, crashes, empties, refusals, ticks, sets, cuts, 0, 0);
+    record Scene(
+            int processes,
+            int members,
+            boolean first,
+            boolean lease,
+            int numbers,
+            int orders,
+            int reads,
+            int sent,
+            int crashes,
+            int empties,
+            int refusals,
+            int ticks,
+            int sets,
+            int cuts,
+            int servers,
+            int records) {
+
+        Scene(
+                int processes,
+                int members,
+                boolean first,
+                boolean lease,
+                int numbers,
+                int orders,
+                int reads,
+                int sent,
+                int crashes,
+                int empties,
+                int refusals,
+                int ticks,
+                int sets,
+                int cuts) {
+            this(
+                    processes, members, first, lease, numbers, orders, reads, sent, crashes,
+                    empties, refusals, ticks, sets, cuts, 0, 0);
         }
 
         /** There is a duty: servers, and records of who leads. */
@@ -113,8 +159,10 @@
     }
 
     private static final int OPERATORS = 2;
+
     /** Servers, each of a service of its own. */
     private static final int SERVERS = 2;
+
     private static final List<String> STATES = List.of("ready", "draining", "leaving", "left");
     private static final int[] TIMES = {10, 50, 250, 1_000};
 
@@ -131,29 +179,40 @@
     private final int[] left;
     private final TreeMap<Ballot, Value> values = new TreeMap<>();
     private final TreeMap<Ballot, TreeSet<String>> accepted = new TreeMap<>();
+
     /** What enough disks accepted. */
     private final TreeMap<Ballot, Value> chosen = new TreeMap<>();
+
     private final TreeMap<String, Boolean> answered = new TreeMap<>();
     private final TreeMap<Long, String> fences = new TreeMap<>();
+
     /** Until when a holder could say that its lease runs. */
     private long spokenUntil;
+
     private final Map<String, Configuration> contents = new HashMap<>();
-    /** How far servers are, as it was acknowledged to them; and records that a holder could act on, by service. */
+
+    /**
+     * How far servers are, as it was acknowledged to them; and records that a holder could act on,
+     * by service.
+     */
     private final TreeMap<String, Integer> acknowledged = new TreeMap<>();
+
     private final TreeMap<String, Long> acted = new TreeMap<>();
     private final TreeMap<Long, String> recorded = new TreeMap<>();
     private long calls;
     long now = 1_000_000;
+
     /** Something was answered or chosen in this step. */
     private boolean ended;
+
     /** What did not hold first. */
     String broken;
 
-    private record Sent(int from, int to, Map<String, Object> message) { }
+    private record Sent(int from, int to, Map<String, Object> message) {}
 
-    private record Asked(int operation, int at, String content) { }
+    private record Asked(int operation, int at, String content) {}
 
-    private record Write(Map<String, String> texts, CompletableFuture<Void> done) { }
+    private record Write(Map<String, String> texts, CompletableFuture<Void> done) {}
 
     private static final class Read {
         final int operation;
@@ -221,14 +280,21 @@
     }
 
     private Configuration content(long number, int by) {
-        return contents.computeIfAbsent(number + "/" + by, key -> {
-            try {
-                return Configuration.read(("{\"revision_number\":" + number + ",\"by\":" + by + ",\"services\":[],\"routes\":[]}")
-                        .getBytes(StandardCharsets.UTF_8));
-            } catch (Configuration.Invalid never) {
-                throw new IllegalStateException(never);
-            }
-        });
+        return contents.computeIfAbsent(
+                number + "/" + by,
+                key -> {
+                    try {
+                        return Configuration.read(
+                                ("{\"revision_number\":"
+                                                + number
+                                                + ",\"by\":"
+                                                + by
+                                                + ",\"services\":[],\"routes\":[]}")
+                                        .getBytes(StandardCharsets.UTF_8));
+                    } catch (Configuration.Invalid never) {
+                        throw new IllegalStateException(never);
+                    }
+                });
     }
 
     private static String digest(Configuration of) {
@@ -244,12 +310,18 @@
             return false;
         }
         boolean operator = step.kind == Kind.ORDER || step.kind == Kind.GIVE_UP;
-        Process p = operator || step.kind == Kind.TIME || step.kind == Kind.OLD ? null : processes[step.a];
+        Process p =
+                operator || step.kind == Kind.TIME || step.kind == Kind.OLD
+                        ? null
+                        : processes[step.a];
         boolean up = p != null && p.register != null;
         switch (step.kind) {
             case MESSAGE:
             case SENT:
-                return step.a != step.b && up && !cut[step.a][step.b] && processes[step.b].register != null;
+                return step.a != step.b
+                        && up
+                        && !cut[step.a][step.b]
+                        && processes[step.b].register != null;
             case OLD:
                 return step.a < sent.size() && processes[sent.get(step.a).to].register != null;
             case DISK:
@@ -328,12 +400,15 @@
                 observe(p);
             }
         }
-        accepted.forEach((ballot, by) -> {
-            Value value = values.get(ballot);
-            if (value != null && !chosen.containsKey(ballot) && value.decidedBy(by::contains)) {
-                choose(ballot, value);
-            }
-        });
+        accepted.forEach(
+                (ballot, by) -> {
+                    Value value = values.get(ballot);
+                    if (value != null
+                            && !chosen.containsKey(ballot)
+                            && value.decidedBy(by::contains)) {
+                        choose(ballot, value);
+                    }
+                });
         for (Process p : processes) {
             if (p.register != null) {
                 believes(p);
@@ -366,7 +441,9 @@
             may(all, Kind.DISK, i, 0);
             may(all, Kind.REFUSED, i, 0);
             may(all, Kind.REFUSED, i, 1);
-            for (int done = 0; processes[i].register != null && done <= processes[i].disk().size(); done++) {
+            for (int done = 0;
+                    processes[i].register != null && done <= processes[i].disk().size();
+                    done++) {
                 may(all, Kind.CRASH, i, done);
             }
             may(all, Kind.START, i, 0);
@@ -378,7 +455,8 @@
             for (int b = 0; b < SERVERS; b++) {
                 may(all, Kind.RECORD, i, b);
             }
-            // Where few changes may be asked for, the first steps have asked for the sets; the second step of each is left.
+            // Where few changes may be asked for, the first steps have asked for the sets; the
+            // second step of each is left.
             for (int mask = 0; mask < (scene.sets > 2 ? 1 << n : 1); mask++) {
                 if (mask == 0 || Integer.bitCount(mask) >= 2) {
                     may(all, Kind.SETS, i, mask);
@@ -412,22 +490,36 @@
     private void order(int operator, int at, long number) {
         Configuration content = content(number, operator);
         String digest = Integer.toString(operator);
-        Asked one = new Asked(history.begin(now, "operator " + operator, number, digest), at, number + "/" + digest);
+        Asked one =
+                new Asked(
+                        history.begin(now, "operator " + operator, number, digest),
+                        at,
+                        number + "/" + digest);
         asked[operator] = one;
         told.add("asks " + operator + " " + one.content);
-        processes[at].register.order(content).whenComplete((outcome, fault) -> {
-            if (asked[operator] == one && fault == null) {
-                asked[operator] = null;
-                boolean taken = outcome == Value.Outcome.TAKEN;
-                history.end(one.operation, now, taken ? History.Outcome.ACKNOWLEDGED : History.Outcome.REFUSED);
-                told.add(operator + " is told " + outcome);
-                if (!Boolean.valueOf(taken).equals(answered.getOrDefault(one.content, taken))) {
-                    breaks("order " + one.content + " is refused and acknowledged");
-                }
-                answered.put(one.content, taken);
-                ended = true;
-            }
-        });
+        processes[at]
+                .register
+                .order(content)
+                .whenComplete(
+                        (outcome, fault) -> {
+                            if (asked[operator] == one && fault == null) {
+                                asked[operator] = null;
+                                boolean taken = outcome == Value.Outcome.TAKEN;
+                                history.end(
+                                        one.operation,
+                                        now,
+                                        taken
+                                                ? History.Outcome.ACKNOWLEDGED
+                                                : History.Outcome.REFUSED);
+                                told.add(operator + " is told " + outcome);
+                                if (!Boolean.valueOf(taken)
+                                        .equals(answered.getOrDefault(one.content, taken))) {
+                                    breaks("order " + one.content + " is refused and acknowledged");
+                                }
+                                answered.put(one.content, taken);
+                                ended = true;
+                            }
+                        });
     }
 
     // ---- what must hold
@@ -441,21 +533,39 @@
             return;
         }
         Value newest = chosen.lastEntry().getValue();
-        answered.forEach((content, taken) -> {
-            String[] parts = content.split("/");
-            Configuration is = content(Long.parseLong(parts[0]), Integer.parseInt(parts[1]));
-            Value.Outcome outcome = newest.outcome(is);
-            if (outcome != (taken ? Value.Outcome.TAKEN : Value.Outcome.CONFLICT)) {
-                breaks("order " + content + " was " + (taken ? "acknowledged" : "refused") + ", and in the newest value it is "
-                        + outcome + ": " + text(newest));
-            }
-        });
+        answered.forEach(
+                (content, taken) -> {
+                    String[] parts = content.split("/");
+                    Configuration is =
+                            content(Long.parseLong(parts[0]), Integer.parseInt(parts[1]));
+                    Value.Outcome outcome = newest.outcome(is);
+                    if (outcome != (taken ? Value.Outcome.TAKEN : Value.Outcome.CONFLICT)) {
+                        breaks(
+                                "order "
+                                        + content
+                                        + " was "
+                                        + (taken ? "acknowledged" : "refused")
+                                        + ", and in the newest value it is "
+                                        + outcome
+                                        + ": "
+                                        + text(newest));
+                    }
+                });
     }
 
     private static String text(Value of) {
-        return "epoch " + of.epoch() + " of " + of.members() + (of.outgoing().isEmpty() ? "" : " and " + of.outgoing())
-                + (of.dropped().isEmpty() ? "" : " without " + of.dropped()) + " number " + of.configuration().version() + "/"
-                + digest(of.configuration()) + " past " + of.past();
+        return "epoch "
+                + of.epoch()
+                + " of "
+                + of.members()
+                + (of.outgoing().isEmpty() ? "" : " and " + of.outgoing())
+                + (of.dropped().isEmpty() ? "" : " without " + of.dropped())
+                + " number "
+                + of.configuration().version()
+                + "/"
+                + digest(of.configuration())
+                + " past "
+                + of.past();
     }
 
     private void observe(Process p) {
@@ -482,20 +592,42 @@
         if (!decided.equals(p.seenDecided)) {
             p.seenDecided = decided;
             if (!chosen.containsKey(decided)) {
-                breaks(p.id + " takes for decided what is not: " + decided + " " + text(p.register.decided()));
+                breaks(
+                        p.id
+                                + " takes for decided what is not: "
+                                + decided
+                                + " "
+                                + text(p.register.decided()));
             }
         }
         if (scene.lease && p.lease.holds()) {
             String life = p.id + " life " + p.life;
             if (!fences.isEmpty() && p.lease.number() < fences.lastKey()) {
-                breaks("the lease's number " + p.lease.number() + " is held after " + fences.lastKey());
+                breaks(
+                        "the lease's number "
+                                + p.lease.number()
+                                + " is held after "
+                                + fences.lastKey());
             }
-            if (!fences.containsKey(p.lease.number()) && Math.max(now, p.lease.formerUntil()) < spokenUntil) {
-                breaks("the lease is " + life + "'s, who may think that what was said before is over by " + p.lease.formerUntil() + ", not " + spokenUntil);
+            if (!fences.containsKey(p.lease.number())
+                    && Math.max(now, p.lease.formerUntil()) < spokenUntil) {
+                breaks(
+                        "the lease is "
+                                + life
+                                + "'s, who may think that what was said before is over by "
+                                + p.lease.formerUntil()
+                                + ", not "
+                                + spokenUntil);
             }
             spokenUntil = Math.max(spokenUntil, p.lease.until());
             if (!life.equals(fences.computeIfAbsent(p.lease.number(), n -> life))) {
-                breaks("the lease's number " + p.lease.number() + " is of " + fences.get(p.lease.number()) + " and of " + life);
+                breaks(
+                        "the lease's number "
+                                + p.lease.number()
+                                + " is of "
+                                + fences.get(p.lease.number())
+                                + " and of "
+                                + life);
             }
         }
     }
@@ -515,9 +647,19 @@
     /** Null where this value may be the next one, or one after a few of the same sets. */
     private String follows(Value before, Value after) {
         String both = text(before) + ", then " + text(after);
-        boolean steps = after.epoch() == before.epoch() && after.members().equals(before.members()) && after.outgoing().equals(before.outgoing());
-        boolean joins = after.epoch() == before.epoch() + 1 && !before.joint() && after.outgoing().equals(before.members());
-        boolean drops = after.epoch() == before.epoch() + 1 && before.joint() && !after.joint() && after.members().equals(before.members());
+        boolean steps =
+                after.epoch() == before.epoch()
+                        && after.members().equals(before.members())
+                        && after.outgoing().equals(before.outgoing());
+        boolean joins =
+                after.epoch() == before.epoch() + 1
+                        && !before.joint()
+                        && after.outgoing().equals(before.members());
+        boolean drops =
+                after.epoch() == before.epoch() + 1
+                        && before.joint()
+                        && !after.joint()
+                        && after.members().equals(before.members());
         // Without a defence only what does harm counts, not that the steps are others.
         boolean harmless = without != null && after.epoch() > before.epoch();
         if (!steps && !joins && !drops && !harmless) {
@@ -527,7 +669,12 @@
             return "numbers: " + both;
         }
         long rises = after.configuration().version() - before.configuration().version();
-        return rises < 0 || rises == 0 && !digest(before.configuration()).equals(digest(after.configuration())) ? "in force: " + both : null;
+        return rises < 0
+                        || rises == 0
+                                && !digest(before.configuration())
+                                        .equals(digest(after.configuration()))
+                ? "in force: " + both
+                : null;
     }
 
     private void holders() {
@@ -535,7 +682,15 @@
         for (Process p : processes) {
             if (scene.lease && p.register != null && p.lease.holds()) {
                 if (holder != null) {
-                    breaks("two hold the lease: " + holder.id + " with " + holder.lease.number() + ", " + p.id + " with " + p.lease.number());
+                    breaks(
+                            "two hold the lease: "
+                                    + holder.id
+                                    + " with "
+                                    + holder.lease.number()
+                                    + ", "
+                                    + p.id
+                                    + " with "
+                                    + p.lease.number());
                 }
                 holder = p;
             }
@@ -556,14 +711,29 @@
                 }
             }
         }
-        acknowledged.forEach((server, rank) -> everyMajority(p -> p.onDisk(server) >= rank, server + " is " + STATES.get(rank)));
-        acted.forEach((service, number) -> everyMajority(p -> p.recordOnDisk(service) >= number, service + " has record " + number));
+        acknowledged.forEach(
+                (server, rank) ->
+                        everyMajority(
+                                p -> p.onDisk(server) >= rank, server + " is " + STATES.get(rank)));
+        acted.forEach(
+                (service, number) ->
+                        everyMajority(
+                                p -> p.recordOnDisk(service) >= number,
+                                service + " has record " + number));
     }
 
     /** None of those that are there and lack it are a majority of the sets in force. */
     private void everyMajority(Predicate<Process> has, String what) {
         Value is = newest();
-        if (is != null && is.quorum(of -> Arrays.stream(processes).anyMatch(p -> p.id.equals(of) && p.disk.containsKey("id") && !has.test(p)))) {
+        if (is != null
+                && is.quorum(
+                        of ->
+                                Arrays.stream(processes)
+                                        .anyMatch(
+                                                p ->
+                                                        p.id.equals(of)
+                                                                && p.disk.containsKey("id")
+                                                                && !has.test(p)))) {
             breaks("a majority does not have on disk that " + what + ": " + text(is));
         }
     }
@@ -576,7 +746,16 @@
     /** All that the future depends on. */
     String state() {
         Dump dump = new Dump();
-        dump.add(now).add(left).add(told).add(cut).add(asked).add(chosen).add(accepted).add(fences).add(spokenUntil).add(answered);
+        dump.add(now)
+                .add(left)
+                .add(told)
+                .add(cut)
+                .add(asked)
+                .add(chosen)
+                .add(accepted)
+                .add(fences)
+                .add(spokenUntil)
+                .add(answered);
         if (scene.duty()) {
             dump.add(acknowledged).add(acted).add(recorded).add(calls);
         }
@@ -586,13 +765,30 @@
         }
         dump.add(ways);
         for (Process p : processes) {
-            dump.add(p.disk).add(p.doubtful).add(p.empties).add(p.life).add(p.id).add(p.register == null);
+            dump.add(p.disk)
+                    .add(p.doubtful)
+                    .add(p.empties)
+                    .add(p.life)
+                    .add(p.id)
+                    .add(p.register == null);
             if (p.register != null) {
-                dump.add(p.writes.stream().map(Write::texts).toList()).add(p.register).add(p.lease).add(p.views).add(p.token)
+                dump.add(p.writes.stream().map(Write::texts).toList())
+                        .add(p.register)
+                        .add(p.lease)
+                        .add(p.views)
+                        .add(p.token)
                         .add(p.readings);
                 if (scene.duty()) {
-                    dump.add(p.table).add(p.records).add(p.settling).add(p.held).add(p.heldFrom).add(p.taken)
-                            .add(p.given).add(p.began).add(p.waits).add(p.rows)
+                    dump.add(p.table)
+                            .add(p.records)
+                            .add(p.settling)
+                            .add(p.held)
+                            .add(p.heldFrom)
+                            .add(p.taken)
+                            .add(p.given)
+                            .add(p.began)
+                            .add(p.waits)
+                            .add(p.rows)
                             .add(p.numbers);
                 }
             }
@@ -664,7 +860,7 @@
     }
 
     /** A server waits until a majority has its row as far as this. */
-    private record Waits(String server, int rank, long change) { }
+    private record Waits(String server, int rank, long change) {}
 
     /** One control process: what {@code core.Core} does around register and lease, and no more. */
     final class Process implements Lease.Ground<View> {
@@ -672,16 +868,22 @@
         final int index;
         final TreeMap<String, String> disk = new TreeMap<>();
         final ArrayDeque<Write> writes = new ArrayDeque<>();
+
         /** What the disk refused, and may hold all the same. */
         Map<String, String> doubtful = Map.of();
+
         int empties;
         int life = -1;
         String id = "";
+
         /** Null while it is down. */
         Register register;
+
         Lease lease;
+
         /** To whom there is something to say that was not yet said. */
         final boolean[] news = new boolean[scene.processes];
+
         View[] views;
         long token;
         List<Read> readings;
@@ -691,16 +893,28 @@
         Table table;
         Records records;
         Settling settling;
-        /** The lease under which it has the duty, since when, and whether it knows what earlier holders recorded. */
+
+        /**
+         * The lease under which it has the duty, since when, and whether it knows what earlier
+         * holders recorded.
+         */
         long held;
+
         long heldFrom;
         boolean taken;
         Numbers given;
-        /** What was acknowledged to servers when the lease began: later words are for whoever has the duty by then. */
+
+        /**
+         * What was acknowledged to servers when the lease began: later words are for whoever has
+         * the duty by then.
+         */
         TreeMap<String, Integer> began = new TreeMap<>();
+
         final List<Waits> waits = new ArrayList<>();
+
         /** As far as rows and records were seen here in this life. */
         final TreeMap<String, Integer> rows = new TreeMap<>();
+
         final TreeMap<String, Long> numbers = new TreeMap<>();
 
         Process(int index) {
@@ -789,7 +1003,9 @@
             readings();
             if (scene.duty()) {
                 duty();
-                table.keep(Arrays.stream(views).map(v -> v.table).toList(), () -> Arrays.fill(news, true));
+                table.keep(
+                        Arrays.stream(views).map(v -> v.table).toList(),
+                        () -> Arrays.fill(news, true));
                 acknowledge();
             }
         }
@@ -806,7 +1022,8 @@
                     ids.add(views[i].id);
                 }
             }
-            if (ids.size() == scene.members || lacks(Defence.FOUNDER_HEARS_ALL) && ids.size() > scene.members / 2) {
+            if (ids.size() == scene.members
+                    || lacks(Defence.FOUNDER_HEARS_ALL) && ids.size() > scene.members / 2) {
                 register.found(ids);
             }
         }
@@ -912,8 +1129,15 @@
         /** As {@code core.Core.read}. */
         private void readings() {
             for (Read one : List.copyOf(readings)) {
-                Configuration got = lacks(Defence.FRESH_MAJORITY) && register.decided() != null ? register.committed()
-                        : one.reading.look(register, of -> of.equals(id) || view(of) != null && view(of).token >= one.token);
+                Configuration got =
+                        lacks(Defence.FRESH_MAJORITY) && register.decided() != null
+                                ? register.committed()
+                                : one.reading.look(
+                                        register,
+                                        of ->
+                                                of.equals(id)
+                                                        || view(of) != null
+                                                                && view(of).token >= one.token);
                 if (got != null) {
                     readings.remove(one);
                     history.end(one.operation, now, got.version(), digest(got));
@@ -942,7 +1166,9 @@
             if (is.joint()) {
                 return mask == 0 && (!scene.duty() || settles(is));
             }
-            return mask != 0 && set(mask).size() == Integer.bitCount(mask) && !set(mask).equals(is.members());
+            return mask != 0
+                    && set(mask).size() == Integer.bitCount(mask)
+                    && !set(mask).equals(is.members());
         }
 
         private Value base() {
@@ -960,9 +1186,17 @@
         /** As {@code core.Core.change}. */
         private boolean settles(Value is) {
             Ballot joint = register.decidedBallot();
-            return settling.may(is, joint, of -> register.acceptedBy(of).equals(joint), table.changes(), records.newest(),
-                    (of, change, record) -> has(of, table.durable() >= change && records.durable() >= record,
-                            v -> table.kept(v.table) >= change && v.record >= record));
+            return settling.may(
+                    is,
+                    joint,
+                    of -> register.acceptedBy(of).equals(joint),
+                    table.changes(),
+                    records.newest(),
+                    (of, change, record) ->
+                            has(
+                                    of,
+                                    table.durable() >= change && records.durable() >= record,
+                                    v -> table.kept(v.table) >= change && v.record >= record));
         }
 
         private boolean has(String of, boolean itself, Predicate<View> other) {
@@ -992,13 +1226,26 @@
             if (one) {
                 settling.none();
             }
-            if (held != 0 && !taken && quorum(true, v -> records.covers(scene.lease ? v.echo >= heldFrom : v.answers, v.record))) {
+            if (held != 0
+                    && !taken
+                    && quorum(
+                            true,
+                            v ->
+                                    records.covers(
+                                            scene.lease ? v.echo >= heldFrom : v.answers,
+                                            v.record))) {
                 taken = true;
-                began.forEach((server, rank) -> {
-                    if (STATES.indexOf(table.state(server)) < rank) {
-                        breaks(id + " takes the duty over and does not know that " + server + " is " + STATES.get(rank));
-                    }
-                });
+                began.forEach(
+                        (server, rank) -> {
+                            if (STATES.indexOf(table.state(server)) < rank) {
+                                breaks(
+                                        id
+                                                + " takes the duty over and does not know that "
+                                                + server
+                                                + " is "
+                                                + STATES.get(rank));
+                            }
+                        });
                 records.anew(given::next);
             }
             if (taken && register.decided() != null && register.decided().joint()) {
@@ -1016,15 +1263,22 @@
         void mayAct() {
             for (Lead lead : records.all()) {
                 long number = lead.number();
-                if (number >> 20 == held && quorum(records.durable() >= number, v -> v.record >= number)) {
+                if (number >> 20 == held
+                        && quorum(records.durable() >= number, v -> v.record >= number)) {
                     acted.merge(lead.service(), number, Math::max);
                 }
             }
-            acted.forEach((service, number) -> {
-                if (records.of(service) == null || records.of(service).number() < number) {
-                    breaks(id + " has the duty and does not know record " + number + " of " + service);
-                }
-            });
+            acted.forEach(
+                    (service, number) -> {
+                        if (records.of(service) == null || records.of(service).number() < number) {
+                            breaks(
+                                    id
+                                            + " has the duty and does not know record "
+                                            + number
+                                            + " of "
+                                            + service);
+                        }
+                    });
         }
 
         /** As {@code core.Core.beat} and {@code leave}. */
@@ -1092,23 +1346,45 @@
             }
         }
 
-        /** What it says to have on its disk of the records, and what it was told that others have of its rows, is there. */
+        /**
+         * What it says to have on its disk of the records, and what it was told that others have of
+         * its rows, is there.
+         */
         void claims() {
-            acted.forEach((service, number) -> {
-                if (records.durable() >= number && recordOnDisk(service) < number) {
-                    breaks(id + " says that it has record " + records.durable() + " and all before, and lacks " + number + " of " + service);
-                }
-            });
+            acted.forEach(
+                    (service, number) -> {
+                        if (records.durable() >= number && recordOnDisk(service) < number) {
+                            breaks(
+                                    id
+                                            + " says that it has record "
+                                            + records.durable()
+                                            + " and all before, and lacks "
+                                            + number
+                                            + " of "
+                                            + service);
+                        }
+                    });
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
                 int rank = STATES.indexOf(table.state(server));
                 long change = table.changed(server);
                 for (int other = 0; change >= 0 && other < views.length; other++) {
                     Process p = processes[other];
-                    if (other != index && p.id.equals(views[other].id) && p.disk.containsKey("id") && table.kept(views[other].table) >= change
+                    if (other != index
+                            && p.id.equals(views[other].id)
+                            && p.disk.containsKey("id")
+                            && table.kept(views[other].table) >= change
                             && p.onDisk(server) < rank) {
-                        breaks(id + " was told that " + p.id + " keeps its change " + change + ", and there " + server + " is not "
-                                + STATES.get(rank));
+                        breaks(
+                                id
+                                        + " was told that "
+                                        + p.id
+                                        + " keeps its change "
+                                        + change
+                                        + ", and there "
+                                        + server
+                                        + " is not "
+                                        + STATES.get(rank));
                     }
                 }
             }
@@ -1149,16 +1425,26 @@
         public CompletableFuture<Void> store(Map<String, String> texts) {
             Write write = new Write(texts, new CompletableFuture<>());
             writes.add(write);
-            boolean ballot = texts.containsKey("promised-ballot") && !texts.containsKey("accepted-ballot");
+            boolean ballot =
+                    texts.containsKey("promised-ballot") && !texts.containsKey("accepted-ballot");
             boolean own = ballot && Ballot.of(texts.get("promised-ballot")).proposer().equals(id);
-            boolean early = lacks(Defence.BALLOT_ON_DISK) && own || lacks(Defence.PROMISE_ON_DISK) && ballot && !own
-                    || lacks(Defence.ACCEPTED_ON_DISK) && texts.containsKey("accepted-ballot")
-                    || lacks(Defence.LEASE_ON_DISK) && texts.containsKey("promised")
-                    || lacks(Defence.ROWS_ON_DISK) && texts.keySet().stream().anyMatch(name -> name.startsWith("server:"))
-                    || lacks(Defence.RECORDS_ON_DISK) && texts.keySet().stream().anyMatch(name -> name.startsWith("lead:"));
+            boolean early =
+                    lacks(Defence.BALLOT_ON_DISK) && own
+                            || lacks(Defence.PROMISE_ON_DISK) && ballot && !own
+                            || lacks(Defence.ACCEPTED_ON_DISK)
+                                    && texts.containsKey("accepted-ballot")
+                            || lacks(Defence.LEASE_ON_DISK) && texts.containsKey("promised")
+                            || lacks(Defence.ROWS_ON_DISK)
+                                    && texts.keySet().stream()
+                                            .anyMatch(name -> name.startsWith("server:"))
+                            || lacks(Defence.RECORDS_ON_DISK)
+                                    && texts.keySet().stream()
+                                            .anyMatch(name -> name.startsWith("lead:"));
             if (early) {
                 if (texts.containsKey("accepted-ballot")) {
-                    accepted.computeIfAbsent(Ballot.of(texts.get("accepted-ballot")), b -> new TreeSet<>()).add(id);
+                    accepted.computeIfAbsent(
+                                    Ballot.of(texts.get("accepted-ballot")), b -> new TreeSet<>())
+                            .add(id);
                 }
                 write.done.complete(null);
             }
@@ -1178,7 +1464,10 @@
 
         @Override
         public long chance(long below) {
-            long mixed = seed * 0x9E3779B97F4A7C15L + index * 0xBF58476D1CE4E5B9L + chances++ * 0x94D049BB133111EBL;
+            long mixed =
+                    seed * 0x9E3779B97F4A7C15L
+                            + index * 0xBF58476D1CE4E5B9L
+                            + chances++ * 0x94D049BB133111EBL;
             mixed = (mixed ^ mixed >>> 31) * 0xD6E8FEB86659FD93L;
             return seed == 0 ? 0 : Long.remainderUnsigned(mixed ^ mixed >>> 32, below);
         }
@@ -1234,8 +1523,15 @@
         @Override
         public long reached(long itself, ToLongFunction<? super View> moment) {
             Value is = register.held();
-            return is == null ? Lease.NEVER : is.reached(of -> of.equals(id) ? itself : view(of) == null ? Lease.NEVER
-                    : moment.applyAsLong(view(of)));
+            return is == null
+                    ? Lease.NEVER
+                    : is.reached(
+                            of ->
+                                    of.equals(id)
+                                            ? itself
+                                            : view(of) == null
+                                                    ? Lease.NEVER
+                                                    : moment.applyAsLong(view(of)));
         }
     }
 }
--- a/src/main/java/dillfront/lab/ControlWorlds.java
+++ b/src/main/java/dillfront/lab/ControlWorlds.java
@@ -22,43 +22,81 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Small worlds of the control side gone through: all that may happen up to a depth, nearest first, and random walks far beyond it;
- * and the same without one defence after the other, where it must break.
+ * Small worlds of the control side gone through: all that may happen up to a depth, nearest first,
+ * and random walks far beyond it; and the same without one defence after the other, where it must
+ * break.
  */
 public final class ControlWorlds {
 
     /**
-     * @param worlds states that were reached by breadth and walks that were taken, with all defences
+     * @param worlds states that were reached by breadth and walks that were taken, with all
+     *     defences
      * @param steps that the walks took
      * @param broken what did not hold with all defences, and how it came about; null where all held
      * @param caught for each defence that broke something when it was taken out, the trace
      * @param missed those that broke nothing in the time that there was
      */
-    public record Result(long worlds, long steps, String broken, TreeMap<Defence, String> caught, List<Defence> missed) { }
+    public record Result(
+            long worlds,
+            long steps,
+            String broken,
+            TreeMap<Defence, String> caught,
+            List<Defence> missed) {}
 
-    /** States that were looked at, the deepest path to one, whether there was no more to see, and what broke. */
-    record Found(int states, int depth, boolean whole, String broken) { }
+    /**
+     * States that were looked at, the deepest path to one, whether there was no more to see, and
+     * what broke.
+     */
+    record Found(int states, int depth, boolean whole, String broken) {}
 
     /** Two operators, one number, three members. */
     static final Scene DUEL = new Scene(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
+
     static final String DUEL_BEGINS = "ORDER 0 8, ORDER 1 9";
+
     /** An order, and one loss of power; whoever has no answer sends again. */
     static final Scene LOSS = new Scene(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
+
     static final String LOSS_BEGINS = "ORDER 0 8";
-    /** One member gives its place to another, while an order is under way at the one that goes; the first process asks for both steps. */
+
+    /**
+     * One member gives its place to another, while an order is under way at the one that goes; the
+     * first process asks for both steps.
+     */
     static final Scene REPLACED = new Scene(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
+
     /** The same from where the joint value is under way, and one process may lose its power. */
     static final Scene JOINT = new Scene(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
-    private static final String HEARD = "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0, MESSAGE 3 0, MESSAGE 0 3";
+
+    private static final String HEARD =
+            "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0, MESSAGE 3 0, MESSAGE 0 3";
     static final String REPLACED_BEGINS = HEARD + ", SETS 0 11, ORDER 0 10";
-    /** The joint value is accepted by the first alone, by a majority of the old set alone, or decided and to be settled. */
-    static final String REPLACED_BY_ONE = HEARD + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, ORDER 0 10";
-    static final String REPLACED_BY_OLD = HEARD + ", SETS 0 11, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, ORDER 0 10";
-    static final String REPLACED_SETTLING = HEARD + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
-            + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, ORDER 0 10";
-    /** Servers speak and a record is made while members stay; and while one gives its place, where one process may lose its power. */
+
+    /**
+     * The joint value is accepted by the first alone, by a majority of the old set alone, or
+     * decided and to be settled.
+     */
+    static final String REPLACED_BY_ONE =
+            HEARD
+                    + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, ORDER 0 10";
+
+    static final String REPLACED_BY_OLD =
+            HEARD
+                    + ", SETS 0 11, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, ORDER 0 10";
+    static final String REPLACED_SETTLING =
+            HEARD
+                    + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
+                    + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, ORDER 0 10";
+
+    /**
+     * Servers speak and a record is made while members stay; and while one gives its place, where
+     * one process may lose its power.
+     */
     static final Scene KEPT = new Scene(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
-    static final Scene KEPT_SETS = new Scene(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
+
+    static final Scene KEPT_SETS =
+            new Scene(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
+
     /** The first start, with a disk that is emptied. */
     static final Scene FIRST = new Scene(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
 
@@ -66,27 +104,49 @@
     private static final int THREADS = 2;
     private static final double[] SPEEDS = {0, 0.05, 1, 3};
     private static final int MANY = 1_000;
+
     /** Members that stay, two operators, power and disks. */
-    static final Scene POWER = new Scene(3, 3, false, false, 2, MANY, MANY, MANY, 8, 2, 3, MANY, 0, MANY);
+    static final Scene POWER =
+            new Scene(3, 3, false, false, 2, MANY, MANY, MANY, 8, 2, 3, MANY, 0, MANY);
+
     /** Sets change, and the first process may ask for it. */
-    static final Scene SETS = new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 3, 1, 1, MANY, MANY, MANY);
+    static final Scene SETS =
+            new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 3, 1, 1, MANY, MANY, MANY);
+
     /** All of it. */
-    static final Scene ALL = new Scene(5, 3, false, true, 3, MANY, MANY, MANY, 6, 3, 2, MANY, MANY, MANY);
+    static final Scene ALL =
+            new Scene(5, 3, false, true, 3, MANY, MANY, MANY, 6, 3, 2, MANY, MANY, MANY);
+
     /** From empty disks; one of them is emptied again. */
-    static final Scene FOUNDED = new Scene(3, 3, true, true, 2, MANY, MANY, MANY, 6, 1, 2, MANY, MANY, MANY);
-    static final Scene FIVE = new Scene(5, 5, false, true, 2, MANY, MANY, MANY, 4, 1, 2, MANY, MANY, MANY);
+    static final Scene FOUNDED =
+            new Scene(3, 3, true, true, 2, MANY, MANY, MANY, 6, 1, 2, MANY, MANY, MANY);
+
+    static final Scene FIVE =
+            new Scene(5, 5, false, true, 2, MANY, MANY, MANY, 4, 1, 2, MANY, MANY, MANY);
+
     /** Who holds the lease, and nothing else: with members that stay, and with others. */
     static final Scene LEASE = new Scene(3, 3, false, true, 1, 0, 0, MANY, 3, 0, 1, MANY, 0, MANY);
-    static final Scene LEASE_SETS = new Scene(4, 3, false, true, 1, 0, 0, MANY, 2, 0, 1, MANY, MANY, MANY);
+
+    static final Scene LEASE_SETS =
+            new Scene(4, 3, false, true, 1, 0, 0, MANY, 2, 0, 1, MANY, MANY, MANY);
 
     /** Two members more, who come and go, with nothing else. */
-    static final Scene CHANGES = new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 0, 0, 0, MANY, MANY, 0);
+    static final Scene CHANGES =
+            new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 0, 0, 0, MANY, MANY, 0);
 
-    /** Servers and records, with members that stay, and with others; the first process has the duty, or whoever holds the lease. */
-    static final Scene SERVED = new Scene(3, 3, false, false, 1, 0, 0, MANY, 6, 2, 0, 0, 0, MANY, MANY, MANY);
-    static final Scene SERVED_SETS = new Scene(4, 3, false, false, 1, 0, 0, MANY, 4, 2, 0, MANY, MANY, MANY, MANY, MANY);
-    static final Scene DUTY = new Scene(3, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, 0, MANY, MANY, MANY);
-    static final Scene DUTY_SETS = new Scene(5, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, MANY, MANY, MANY, MANY);
+    /**
+     * Servers and records, with members that stay, and with others; the first process has the duty,
+     * or whoever holds the lease.
+     */
+    static final Scene SERVED =
+            new Scene(3, 3, false, false, 1, 0, 0, MANY, 6, 2, 0, 0, 0, MANY, MANY, MANY);
+
+    static final Scene SERVED_SETS =
+            new Scene(4, 3, false, false, 1, 0, 0, MANY, 4, 2, 0, MANY, MANY, MANY, MANY, MANY);
+    static final Scene DUTY =
+            new Scene(3, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, 0, MANY, MANY, MANY);
+    static final Scene DUTY_SETS =
+            new Scene(5, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, MANY, MANY, MANY, MANY);
 
     /**
      * A scene, how long a walk through it is, and what happens more often there than elsewhere.
@@ -101,146 +161,376 @@
     }
 
     /** Where exploration begins. */
-    private record Begun(String name, Scene scene, String first) { }
+    private record Begun(String name, Scene scene, String first) {}
+
+    private static final Map<Kind, Integer> CALM =
+            Map.of(
+                    Kind.SENT,
+                    0,
+                    Kind.OLD,
+                    0,
+                    Kind.READ,
+                    0,
+                    Kind.CUT,
+                    0,
+                    Kind.REFUSED,
+                    0,
+                    Kind.EMPTY,
+                    0);
 
-    private static final Map<Kind, Integer> CALM = Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.READ, 0, Kind.CUT, 0, Kind.REFUSED, 0, Kind.EMPTY, 0);
     /** A member's promise was told to one proposer, and is asked for by another; power may go. */
-    private static final Walk PROMISED = new Walk(POWER, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.READ, 0, Kind.CUT, 0, Kind.REFUSED, 0,
-            Kind.CRASH, 3, Kind.ORDER, 0), "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, "
-            + "MESSAGE 2 0, DISK 1 0");
-    private static final Walk DUELLING = new Walk(POWER, 60, CALM, "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, "
-            + "MESSAGE 1 0");
+    private static final Walk PROMISED =
+            new Walk(
+                    POWER,
+                    60,
+                    Map.of(
+                            Kind.SENT,
+                            0,
+                            Kind.OLD,
+                            0,
+                            Kind.READ,
+                            0,
+                            Kind.CUT,
+                            0,
+                            Kind.REFUSED,
+                            0,
+                            Kind.CRASH,
+                            3,
+                            Kind.ORDER,
+                            0),
+                    "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, "
+                            + "MESSAGE 2 0, DISK 1 0");
+
+    private static final Walk DUELLING =
+            new Walk(
+                    POWER,
+                    60,
+                    CALM,
+                    "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, "
+                            + "MESSAGE 1 0");
+
     /** A proposer has offered a value to one member, and its power may go. */
-    private static final Walk OFFERED = new Walk(POWER, 60, CALM,
-            "ORDER 0 18, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, CRASH 2 0");
-    /** One member has accepted the first step of a change, and without the defence the second, that no other knows of. */
-    private static final Walk UNDECIDED = new Walk(CHANGES, 60, CALM, "MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, "
-            + "DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, ORDER 1 9, DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, SETS 0 0, DISK 0 0, "
-            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, TIME 250 0, DISK 1 0, MESSAGE 1 0, DISK 0 0, "
-            + "TIME 250 0");
-    /** A set was dropped, and one that belonged to it does not know; an order is under way in the new one. */
-    private static final Walk DROPPED = new Walk(SETS, 60, Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.SETS, 0, Kind.READ, 2), "MESSAGE 2 0, MESSAGE 0 2, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 1 3, "
-            + "DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, "
-            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
-            + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, MESSAGE 3 1, TIME 50 0, ORDER 0 8, DISK 0 0, MESSAGE 0 3, DISK 3 0, "
-            + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 2 1");
-    /** An order was decided, another set is asked for, and another order is under way at one that is left out. */
-    private static final Walk CHANGING = new Walk(CHANGES, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.READ, 0), "MESSAGE 1 0, ORDER 0 16, "
-            + "DISK 0 0, MESSAGE 0 1, MESSAGE 1 0, DISK 1 0, SETS 0 1, ORDER 1 18, MESSAGE 1 0");
+    private static final Walk OFFERED =
+            new Walk(
+                    POWER,
+                    60,
+                    CALM,
+                    "ORDER 0 18, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, CRASH 2 0");
+
+    /**
+     * One member has accepted the first step of a change, and without the defence the second, that
+     * no other knows of.
+     */
+    private static final Walk UNDECIDED =
+            new Walk(
+                    CHANGES,
+                    60,
+                    CALM,
+                    "MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, "
+                            + "DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, ORDER 1 9, DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, SETS 0 0, DISK 0 0, "
+                            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, TIME 250 0, DISK 1 0, MESSAGE 1 0, DISK 0 0, "
+                            + "TIME 250 0");
+
+    /**
+     * A set was dropped, and one that belonged to it does not know; an order is under way in the
+     * new one.
+     */
+    private static final Walk DROPPED =
+            new Walk(
+                    SETS,
+                    60,
+                    Map.of(
+                            Kind.CRASH,
+                            0,
+                            Kind.SENT,
+                            0,
+                            Kind.OLD,
+                            0,
+                            Kind.CUT,
+                            0,
+                            Kind.SETS,
+                            0,
+                            Kind.READ,
+                            2),
+                    "MESSAGE 2 0, MESSAGE 0 2, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 1 3, "
+                            + "DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, "
+                            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
+                            + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, MESSAGE 3 1, TIME 50 0, ORDER 0 8, DISK 0 0, MESSAGE 0 3, DISK 3 0, "
+                            + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 2 1");
+
+    /**
+     * An order was decided, another set is asked for, and another order is under way at one that is
+     * left out.
+     */
+    private static final Walk CHANGING =
+            new Walk(
+                    CHANGES,
+                    60,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.READ, 0),
+                    "MESSAGE 1 0, ORDER 0 16, "
+                            + "DISK 0 0, MESSAGE 0 1, MESSAGE 1 0, DISK 1 0, SETS 0 1, ORDER 1 18, MESSAGE 1 0");
+
     /** Several ask for other sets, where the defence is out, and some hold the lease by them. */
-    private static final Walk SEVERAL = new Walk(LEASE_SETS, 100, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.CRASH, 0),
-            "MESSAGE 0 3, TIME 1000 0, DISK 0 0, MESSAGE 0 1, DISK 2 0, MESSAGE 1 2, MESSAGE 3 2, MESSAGE 2 1, TIME 10 0, "
-            + "MESSAGE 1 0, DISK 1 0, SETS 1 5, MESSAGE 2 3, MESSAGE 1 2, DISK 3 0, MESSAGE 2 3, TIME 10 0, SETS 3 5, "
-            + "TIME 50 0, TIME 50 0, TIME 10 0, DISK 1 0, SETS 2 10, TIME 50 0, DISK 1 0, DISK 3 0, MESSAGE 3 2, "
-            + "TIME 50 0, DISK 2 0, TIME 250 0, TIME 10 0, DISK 2 0, DISK 0 0, MESSAGE 0 2, TIME 10 0, MESSAGE 3 1, "
-            + "DISK 2 0, DISK 1 0, SETS 2 2, MESSAGE 2 0, MESSAGE 2 1, DISK 1 0, MESSAGE 1 2, SETS 2 4, DISK 2 0");
+    private static final Walk SEVERAL =
+            new Walk(
+                    LEASE_SETS,
+                    100,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.CRASH, 0),
+                    "MESSAGE 0 3, TIME 1000 0, DISK 0 0, MESSAGE 0 1, DISK 2 0, MESSAGE 1 2, MESSAGE 3 2, MESSAGE 2 1, TIME 10 0, "
+                            + "MESSAGE 1 0, DISK 1 0, SETS 1 5, MESSAGE 2 3, MESSAGE 1 2, DISK 3 0, MESSAGE 2 3, TIME 10 0, SETS 3 5, "
+                            + "TIME 50 0, TIME 50 0, TIME 10 0, DISK 1 0, SETS 2 10, TIME 50 0, DISK 1 0, DISK 3 0, MESSAGE 3 2, "
+                            + "TIME 50 0, DISK 2 0, TIME 250 0, TIME 10 0, DISK 2 0, DISK 0 0, MESSAGE 0 2, TIME 10 0, MESSAGE 3 1, "
+                            + "DISK 2 0, DISK 1 0, SETS 2 2, MESSAGE 2 0, MESSAGE 2 1, DISK 1 0, MESSAGE 1 2, SETS 2 4, DISK 2 0");
+
     /** The founder has heard one of two. */
-    private static final Walk FOUNDING = new Walk(FOUNDED, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.CRASH, 3),
-            "MESSAGE 0 1, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, CRASH 0 0, DISK 1 0");
+    private static final Walk FOUNDING =
+            new Walk(
+                    FOUNDED,
+                    60,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.CRASH, 3),
+                    "MESSAGE 0 1, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, CRASH 0 0, DISK 1 0");
+
     /** An order was acknowledged, and one that accepted it is down. */
-    private static final Walk EMPTIED = new Walk(POWER, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 8, Kind.CRASH, 3),
-            "MESSAGE 1 0, ORDER 0 16, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 0 0");
+    private static final Walk EMPTIED =
+            new Walk(
+                    POWER,
+                    60,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 8, Kind.CRASH, 3),
+                    "MESSAGE 1 0, ORDER 0 16, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 0 0");
+
     private static final Walk LEASING = new Walk(LEASE, 200, Map.of());
-    /** A member promised the lease to one whose disk then does nothing, and another, which asked before, asks for a higher number. */
-    private static final Walk TURNING = new Walk(LEASE, 60, Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0), "MESSAGE 1 2, MESSAGE 2 1, "
-            + "TIME 600 0, DISK 1 0, CRASH 1 0, START 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 2, MESSAGE 2 1, TIME 250 0, DISK 0 0, DISK 0 0, "
-            + "DISK 1 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 1 0, " + "MESSAGE 1 2, MESSAGE 2 1, TIME 1000 0, DISK 1 0, ".repeat(3)
-            + "MESSAGE 1 2");
-    /** The holder is at work with a set of its own choice; a member of the former one asks another of them for the lease. */
-    private static final Walk OVER = new Walk(LEASE_SETS, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CRASH, 0, Kind.CUT, 0),
-            "MESSAGE 0 1, MESSAGE 1 0, TIME 50 0, MESSAGE 3 0, TIME 50 0, TIME 50 0, TIME 50 0, TIME 50 0, DISK 0 0, "
-            + "MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, "
-            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 0 3, MESSAGE 1 0, MESSAGE 3 0, DISK 3 0, MESSAGE 3 0, "
-            + "TIME 50 0, SETS 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, "
-            + "DISK 0 0, TIME 250 0, TIME 250 0, TIME 250 0, MESSAGE 0 3, MESSAGE 3 0, TIME 250 0, TIME 250 0, TIME 250 0, "
-            + "MESSAGE 2 1, SENT 1 2, MESSAGE 1 2, TIME 250 0, TIME 250 0, DISK 2 0, TIME 250 0, TIME 250 0, DISK 2 0");
-    private static final Map<Kind, Integer> FEW = Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.REFUSED, 0);
-    /** Two ask for one number in the same moment; what the first one asked for is not on its disk yet. */
-    private static final String TIE = "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 1 0, ";
+
+    /**
+     * A member promised the lease to one whose disk then does nothing, and another, which asked
+     * before, asks for a higher number.
+     */
+    private static final Walk TURNING =
+            new Walk(
+                    LEASE,
+                    60,
+                    Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0),
+                    "MESSAGE 1 2, MESSAGE 2 1, "
+                            + "TIME 600 0, DISK 1 0, CRASH 1 0, START 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 2, MESSAGE 2 1, TIME 250 0, DISK 0 0, DISK 0 0, "
+                            + "DISK 1 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 1 0, "
+                            + "MESSAGE 1 2, MESSAGE 2 1, TIME 1000 0, DISK 1 0, ".repeat(3)
+                            + "MESSAGE 1 2");
+
+    /**
+     * The holder is at work with a set of its own choice; a member of the former one asks another
+     * of them for the lease.
+     */
+    private static final Walk OVER =
+            new Walk(
+                    LEASE_SETS,
+                    60,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CRASH, 0, Kind.CUT, 0),
+                    "MESSAGE 0 1, MESSAGE 1 0, TIME 50 0, MESSAGE 3 0, TIME 50 0, TIME 50 0, TIME 50 0, TIME 50 0, DISK 0 0, "
+                            + "MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, "
+                            + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 0 3, MESSAGE 1 0, MESSAGE 3 0, DISK 3 0, MESSAGE 3 0, "
+                            + "TIME 50 0, SETS 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, "
+                            + "DISK 0 0, TIME 250 0, TIME 250 0, TIME 250 0, MESSAGE 0 3, MESSAGE 3 0, TIME 250 0, TIME 250 0, TIME 250 0, "
+                            + "MESSAGE 2 1, SENT 1 2, MESSAGE 1 2, TIME 250 0, TIME 250 0, DISK 2 0, TIME 250 0, TIME 250 0, DISK 2 0");
+
+    private static final Map<Kind, Integer> FEW =
+            Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.REFUSED, 0);
+
+    /**
+     * Two ask for one number in the same moment; what the first one asked for is not on its disk
+     * yet.
+     */
+    private static final String TIE =
+            "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 1 0, ";
+
     /** The second one held the lease by it, and lost it; the first one's disk goes on. */
-    private static final String HELD = TIE + "MESSAGE 1 2, DISK 2 0, DISK 2 0, MESSAGE 2 1, TIME 1000 0, TIME 1000 0, TIME 1000 0, ";
+    private static final String HELD =
+            TIE
+                    + "MESSAGE 1 2, DISK 2 0, DISK 2 0, MESSAGE 2 1, TIME 1000 0, TIME 1000 0, TIME 1000 0, ";
+
     private static final Walk GIVEN_UP = new Walk(LEASE, 40, FEW, HELD + "DISK 0 0, MESSAGE 0 1");
+
     /** The same, and whoever promised it asked for a higher one, in vain. */
-    private static final Walk VOTED = new Walk(LEASE, 40, FEW, HELD + "MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, TIME 1000 0, DISK 2 0, "
-            + "TIME 1000 0, TIME 1000 0, DISK 0 0, MESSAGE 0 2");
+    private static final Walk VOTED =
+            new Walk(
+                    LEASE,
+                    40,
+                    FEW,
+                    HELD
+                            + "MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, TIME 1000 0, DISK 2 0, "
+                            + "TIME 1000 0, TIME 1000 0, DISK 0 0, MESSAGE 0 2");
+
     /** The first one got it; the second asked for the next, and gave that up once it saw so. */
-    private static final Walk LOST = new Walk(LEASE, 60, FEW, TIE + "DISK 0 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0, "
-            + "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, TIME 250 0, ".repeat(6) + "DISK 1 0, DISK 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 2 1, "
-            + "MESSAGE 0 1, TIME 50 0, MESSAGE 0 1, DISK 1 0, CRASH 0 0, TIME 1000 0, TIME 1000 0, MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, "
-            + "TIME 1000 0");
-    private static final List<Walk> SERVING = List.of(new Walk(SERVED, 200, Map.of()), new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 4)),
-            new Walk(DUTY, 400, Map.of()), new Walk(DUTY_SETS, 800, Map.of()));
-    static final String MET = "MESSAGE 1 0, MESSAGE 2 0, MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0";
+    private static final Walk LOST =
+            new Walk(
+                    LEASE,
+                    60,
+                    FEW,
+                    TIE
+                            + "DISK 0 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0, "
+                            + "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, TIME 250 0, ".repeat(6)
+                            + "DISK 1 0, DISK 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 2 1, "
+                            + "MESSAGE 0 1, TIME 50 0, MESSAGE 0 1, DISK 1 0, CRASH 0 0, TIME 1000 0, TIME 1000 0, MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, "
+                            + "TIME 1000 0");
+
+    private static final List<Walk> SERVING =
+            List.of(
+                    new Walk(SERVED, 200, Map.of()),
+                    new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 4)),
+                    new Walk(DUTY, 400, Map.of()),
+                    new Walk(DUTY_SETS, 800, Map.of()));
+    static final String MET =
+            "MESSAGE 1 0, MESSAGE 2 0, MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0";
+
     /** A server's word is on the disk of one and known to another, who may lose its power. */
-    private static final Walk AGAIN = new Walk(SERVED, 40, Map.of(Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 4), MET + ", SERVER 1 1, DISK 1 0");
+    private static final Walk AGAIN =
+            new Walk(
+                    SERVED,
+                    40,
+                    Map.of(Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 4),
+                    MET + ", SERVER 1 1, DISK 1 0");
+
     /** Two records are on their way in one word, the older one second. */
-    private static final Walk RECORDED = new Walk(SERVED, 40, Map.of(Kind.CUT, 0, Kind.EMPTY, 0), MET + ", RECORD 0 1, RECORD 0 0");
+    private static final Walk RECORDED =
+            new Walk(
+                    SERVED,
+                    40,
+                    Map.of(Kind.CUT, 0, Kind.EMPTY, 0),
+                    MET + ", RECORD 0 1, RECORD 0 0");
+
     /** A member that had a record loses its disk. */
-    private static final Walk EMPTIED_RECORD = new Walk(SERVED, 40, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.SERVER, 0),
-            MET + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
-    /** The holder of the lease has made records, and a set with more members, whose promises it does not have, is under way. */
-    private static final Walk GROWING = new Walk(DUTY_SETS, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 0, Kind.SERVER, 0,
-            Kind.TIME, 0), "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, MESSAGE 4 1, TIME 250 0, TIME 250 0, DISK 1 0, "
-            + "CRASH 0 1, MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, START 0 0, RECORD 1 1, DISK 1 0, RECORD 1 0, DISK 1 0, MESSAGE 3 1, MESSAGE 1 0, "
-            + "MESSAGE 0 3, MESSAGE 3 4, DISK 0 0, SETS 1 9, DISK 4 0, DISK 1 0, MESSAGE 1 0, SETS 1 31, DISK 0 0, MESSAGE 0 1, DISK 1 0");
-    /** A newcomer takes the place of a member that does not know it: the joint value is decided, and a server speaks to that member. */
-    private static final String JOINS = MET + ", MESSAGE 3 0, MESSAGE 0 3, MESSAGE 1 2, MESSAGE 2 1, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, "
-            + "MESSAGE 0 2, MESSAGE 0 3, DISK 2 0, DISK 3 0";
+    private static final Walk EMPTIED_RECORD =
+            new Walk(
+                    SERVED,
+                    40,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.SERVER, 0),
+                    MET + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
+
+    /**
+     * The holder of the lease has made records, and a set with more members, whose promises it does
+     * not have, is under way.
+     */
+    private static final Walk GROWING =
+            new Walk(
+                    DUTY_SETS,
+                    60,
+                    Map.of(
+                            Kind.SENT,
+                            0,
+                            Kind.OLD,
+                            0,
+                            Kind.CUT,
+                            0,
+                            Kind.EMPTY,
+                            0,
+                            Kind.CRASH,
+                            0,
+                            Kind.SERVER,
+                            0,
+                            Kind.TIME,
+                            0),
+                    "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, MESSAGE 4 1, TIME 250 0, TIME 250 0, DISK 1 0, "
+                            + "CRASH 0 1, MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, START 0 0, RECORD 1 1, DISK 1 0, RECORD 1 0, DISK 1 0, MESSAGE 3 1, MESSAGE 1 0, "
+                            + "MESSAGE 0 3, MESSAGE 3 4, DISK 0 0, SETS 1 9, DISK 4 0, DISK 1 0, MESSAGE 1 0, SETS 1 31, DISK 0 0, MESSAGE 0 1, DISK 1 0");
+
+    /**
+     * A newcomer takes the place of a member that does not know it: the joint value is decided, and
+     * a server speaks to that member.
+     */
+    private static final String JOINS =
+            MET
+                    + ", MESSAGE 3 0, MESSAGE 0 3, MESSAGE 1 2, MESSAGE 2 1, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, "
+                    + "MESSAGE 0 2, MESSAGE 0 3, DISK 2 0, DISK 3 0";
+
     static final String KEPT_BEGINS = MET + ", SERVER 1 1, RECORD 0 0";
     static final String KEPT_JOINT = JOINS + ", SERVER 1 1, RECORD 0 0";
-    static final String KEPT_SETTLING = JOINS + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0";
-    private static final Walk JOINED = new Walk(SERVED_SETS, 60, Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 0),
-            JOINS + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, DISK 2 0");
-    /** A member is silent, and the holder of the lease takes a newcomer in for it: the joint value is decided. */
-    private static final String SILENT = "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, TIME 250 0, TIME 250 0, DISK 1 0, CRASH 0 1, "
-            + "MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, RECORD 1 1, SERVER 2 1, MESSAGE 3 1, MESSAGE 1 3, SETS 1 14, DISK 1 0, DISK 1 0, MESSAGE 1 2, DISK 2 0, "
-            + "DISK 2 0, DISK 2 0, MESSAGE 2 1, DISK 1 0, DISK 1 0, MESSAGE 1 2, MESSAGE 1 3, DISK 2 0, DISK 2 0, DISK 3 0, DISK 3 0, MESSAGE 2 1, "
-            + "MESSAGE 3 1";
-    private static final List<Walk> WALKS = List.of(new Walk(POWER, 200, Map.of()), new Walk(SETS, 300, Map.of()),
-            new Walk(ALL, 800, Map.of()), new Walk(FOUNDED, 300, Map.of()), new Walk(FIVE, 800, Map.of()), new Walk(LEASE, 300, Map.of()),
-            new Walk(LEASE_SETS, 600, Map.of()), new Walk(POWER, 1_000, Map.of()), new Walk(CHANGES, 200, Map.of(Kind.SETS, 4)),
-            new Walk(SERVED, 200, Map.of()), new Walk(SERVED_SETS, 300, Map.of()), new Walk(DUTY, 400, Map.of()), new Walk(DUTY_SETS, 800, Map.of()),
-            new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), KEPT_JOINT), new Walk(DUTY_SETS, 300, Map.of(Kind.SETS, 8), SILENT));
+    static final String KEPT_SETTLING =
+            JOINS
+                    + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0";
+    private static final Walk JOINED =
+            new Walk(
+                    SERVED_SETS,
+                    60,
+                    Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 0),
+                    JOINS
+                            + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, DISK 2 0");
+
+    /**
+     * A member is silent, and the holder of the lease takes a newcomer in for it: the joint value
+     * is decided.
+     */
+    private static final String SILENT =
+            "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, TIME 250 0, TIME 250 0, DISK 1 0, CRASH 0 1, "
+                    + "MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, RECORD 1 1, SERVER 2 1, MESSAGE 3 1, MESSAGE 1 3, SETS 1 14, DISK 1 0, DISK 1 0, MESSAGE 1 2, DISK 2 0, "
+                    + "DISK 2 0, DISK 2 0, MESSAGE 2 1, DISK 1 0, DISK 1 0, MESSAGE 1 2, MESSAGE 1 3, DISK 2 0, DISK 2 0, DISK 3 0, DISK 3 0, MESSAGE 2 1, "
+                    + "MESSAGE 3 1";
+
+    private static final List<Walk> WALKS =
+            List.of(
+                    new Walk(POWER, 200, Map.of()),
+                    new Walk(SETS, 300, Map.of()),
+                    new Walk(ALL, 800, Map.of()),
+                    new Walk(FOUNDED, 300, Map.of()),
+                    new Walk(FIVE, 800, Map.of()),
+                    new Walk(LEASE, 300, Map.of()),
+                    new Walk(LEASE_SETS, 600, Map.of()),
+                    new Walk(POWER, 1_000, Map.of()),
+                    new Walk(CHANGES, 200, Map.of(Kind.SETS, 4)),
+                    new Walk(SERVED, 200, Map.of()),
+                    new Walk(SERVED_SETS, 300, Map.of()),
+                    new Walk(DUTY, 400, Map.of()),
+                    new Walk(DUTY_SETS, 800, Map.of()),
+                    new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), KEPT_JOINT),
+                    new Walk(DUTY_SETS, 300, Map.of(Kind.SETS, 8), SILENT));
+
     /** From here each is explored. */
-    private static final List<Begun> BEGUN = List.of(new Begun("duel", DUEL, DUEL_BEGINS), new Begun("loss", LOSS, LOSS_BEGINS),
-            new Begun("first", FIRST, ""), new Begun("replaced", REPLACED, REPLACED_BEGINS), new Begun("replaced by one", JOINT, REPLACED_BY_ONE),
-            new Begun("replaced by old", JOINT, REPLACED_BY_OLD), new Begun("replaced settling", JOINT, REPLACED_SETTLING),
-            new Begun("kept", KEPT, KEPT_BEGINS), new Begun("kept joint", KEPT_SETS, KEPT_JOINT), new Begun("kept settling", KEPT_SETS, KEPT_SETTLING));
+    private static final List<Begun> BEGUN =
+            List.of(
+                    new Begun("duel", DUEL, DUEL_BEGINS),
+                    new Begun("loss", LOSS, LOSS_BEGINS),
+                    new Begun("first", FIRST, ""),
+                    new Begun("replaced", REPLACED, REPLACED_BEGINS),
+                    new Begun("replaced by one", JOINT, REPLACED_BY_ONE),
+                    new Begun("replaced by old", JOINT, REPLACED_BY_OLD),
+                    new Begun("replaced settling", JOINT, REPLACED_SETTLING),
+                    new Begun("kept", KEPT, KEPT_BEGINS),
+                    new Begun("kept joint", KEPT_SETS, KEPT_JOINT),
+                    new Begun("kept settling", KEPT_SETS, KEPT_SETTLING));
+
     /** Where a defence is missed soonest; any walk finds the others. */
-    private static final Map<Defence, List<Walk>> NEAREST = Map.ofEntries(
-            Map.entry(Defence.PROMISE_ON_DISK, List.of(PROMISED)),
-            Map.entry(Defence.BALLOT_ON_DISK, List.of(OFFERED)),
-            Map.entry(Defence.SETS_ON_DECIDED, List.of(UNDECIDED)),
-            Map.entry(Defence.JOINT_MAJORITIES, List.of(CHANGING)),
-            Map.entry(Defence.PROMISE_KEPT, List.of(DUELLING)),
-            Map.entry(Defence.SETS_BY_HOLDER, List.of(SEVERAL)),
-            Map.entry(Defence.OLDER_EPOCHS, List.of(OVER)),
-            Map.entry(Defence.FOUNDER_HEARS_ALL, List.of(FOUNDING)),
-            Map.entry(Defence.NEW_ID, List.of(EMPTIED)),
-            Map.entry(Defence.READ_BY_ITS_SETS, List.of(DROPPED)),
-            Map.entry(Defence.ROWS_ON_DISK, SERVING),
-            Map.entry(Defence.ROWS_OF_THIS_LIFE, List.of(AGAIN)),
-            Map.entry(Defence.ROWS_WITHOUT_GAP, List.of(AGAIN)),
-            Map.entry(Defence.ROWS_FORWARD, SERVING),
-            Map.entry(Defence.ROWS_UNDER_EPOCH, List.of(JOINED)),
-            Map.entry(Defence.ROWS_OF_LEAVES, SERVING),
-            Map.entry(Defence.RECORDS_ON_DISK, SERVING),
-            Map.entry(Defence.RECORDS_TOGETHER, List.of(RECORDED)),
-            Map.entry(Defence.RECORDS_WITHOUT_GAP, List.of(EMPTIED_RECORD)),
-            Map.entry(Defence.RECORDS_FORWARD, List.of(RECORDED)),
-            Map.entry(Defence.RECORDS_OF_MAJORITY, List.of(AGAIN)),
-            Map.entry(Defence.NUMBERS_ONCE, List.of(GROWING)),
-            Map.entry(Defence.LEASE_TURNS, List.of(TURNING)),
-            Map.entry(Defence.LEASE_ON_DISK, List.of(LEASING)),
-            Map.entry(Defence.LEASE_AFTER_START, List.of(LEASING)),
-            Map.entry(Defence.LEASE_FROM_ASKED, List.of(LEASING)),
-            Map.entry(Defence.LEASE_PROMISE_STANDS, List.of(LEASING)),
-            Map.entry(Defence.LEASE_NEVER_HELD, List.of(GIVEN_UP)),
-            Map.entry(Defence.LEASE_FORMER, List.of(LEASING)),
-            Map.entry(Defence.LEASE_NUMBERS_RISE, List.of(VOTED)),
-            Map.entry(Defence.LEASE_ASKED_ONCE, List.of(LOST)));
-
-    private ControlWorlds() { }
+    private static final Map<Defence, List<Walk>> NEAREST =
+            Map.ofEntries(
+                    Map.entry(Defence.PROMISE_ON_DISK, List.of(PROMISED)),
+                    Map.entry(Defence.BALLOT_ON_DISK, List.of(OFFERED)),
+                    Map.entry(Defence.SETS_ON_DECIDED, List.of(UNDECIDED)),
+                    Map.entry(Defence.JOINT_MAJORITIES, List.of(CHANGING)),
+                    Map.entry(Defence.PROMISE_KEPT, List.of(DUELLING)),
+                    Map.entry(Defence.SETS_BY_HOLDER, List.of(SEVERAL)),
+                    Map.entry(Defence.OLDER_EPOCHS, List.of(OVER)),
+                    Map.entry(Defence.FOUNDER_HEARS_ALL, List.of(FOUNDING)),
+                    Map.entry(Defence.NEW_ID, List.of(EMPTIED)),
+                    Map.entry(Defence.READ_BY_ITS_SETS, List.of(DROPPED)),
+                    Map.entry(Defence.ROWS_ON_DISK, SERVING),
+                    Map.entry(Defence.ROWS_OF_THIS_LIFE, List.of(AGAIN)),
+                    Map.entry(Defence.ROWS_WITHOUT_GAP, List.of(AGAIN)),
+                    Map.entry(Defence.ROWS_FORWARD, SERVING),
+                    Map.entry(Defence.ROWS_UNDER_EPOCH, List.of(JOINED)),
+                    Map.entry(Defence.ROWS_OF_LEAVES, SERVING),
+                    Map.entry(Defence.RECORDS_ON_DISK, SERVING),
+                    Map.entry(Defence.RECORDS_TOGETHER, List.of(RECORDED)),
+                    Map.entry(Defence.RECORDS_WITHOUT_GAP, List.of(EMPTIED_RECORD)),
+                    Map.entry(Defence.RECORDS_FORWARD, List.of(RECORDED)),
+                    Map.entry(Defence.RECORDS_OF_MAJORITY, List.of(AGAIN)),
+                    Map.entry(Defence.NUMBERS_ONCE, List.of(GROWING)),
+                    Map.entry(Defence.LEASE_TURNS, List.of(TURNING)),
+                    Map.entry(Defence.LEASE_ON_DISK, List.of(LEASING)),
+                    Map.entry(Defence.LEASE_AFTER_START, List.of(LEASING)),
+                    Map.entry(Defence.LEASE_FROM_ASKED, List.of(LEASING)),
+                    Map.entry(Defence.LEASE_PROMISE_STANDS, List.of(LEASING)),
+                    Map.entry(Defence.LEASE_NEVER_HELD, List.of(GIVEN_UP)),
+                    Map.entry(Defence.LEASE_FORMER, List.of(LEASING)),
+                    Map.entry(Defence.LEASE_NUMBERS_RISE, List.of(VOTED)),
+                    Map.entry(Defence.LEASE_ASKED_ONCE, List.of(LOST)));
+
+    private ControlWorlds() {}
 
     /** All states up to this depth from where these steps lead, nearest first. */
     static Found explore(Scene scene, String first, Defence without, int depth, int most) {
@@ -250,11 +540,14 @@
     /**
      * The same.
      *
-     * @param terse words are said only where something happened to the speaker since the last: deeper, and not all there is
+     * @param terse words are said only where something happened to the speaker since the last:
+     *     deeper, and not all there is
      */
-    static Found explore(Scene scene, String first, Defence without, int depth, int most, boolean terse) {
+    static Found explore(
+            Scene scene, String first, Defence without, int depth, int most, boolean terse) {
         Set<Long> seen = new HashSet<>();
-        ArrayDeque<Step[]> next = new ArrayDeque<>(Collections.singleton(steps(first).toArray(new Step[0])));
+        ArrayDeque<Step[]> next =
+                new ArrayDeque<>(Collections.singleton(steps(first).toArray(new Step[0])));
         int begin = next.peek().length;
         ControlWorld there = played(scene, without, 0, Arrays.asList(next.peek()));
         if (there.broken == null && there.steps.size() < begin) {
@@ -273,7 +566,9 @@
             deepest = Math.max(deepest, path.length - begin);
             if (path.length - begin < depth) {
                 for (Step step : world.choices()) {
-                    if (terse && step.kind() == Kind.MESSAGE && !world.processes[step.a()].news[step.b()]) {
+                    if (terse
+                            && step.kind() == Kind.MESSAGE
+                            && !world.processes[step.a()].news[step.b()]) {
                         continue;
                     }
                     Step[] longer = Arrays.copyOf(path, path.length + 1);
@@ -318,7 +613,11 @@
         List<Step> path = new ArrayList<>();
         for (String one : text.isEmpty() ? new String[0] : text.split(", ")) {
             String[] parts = one.split(" ");
-            path.add(new Step(Kind.valueOf(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2])));
+            path.add(
+                    new Step(
+                            Kind.valueOf(parts[0]),
+                            Integer.parseInt(parts[1]),
+                            Integer.parseInt(parts[2])));
         }
         return path;
     }
@@ -327,7 +626,10 @@
         return world.broken + " after " + world.steps;
     }
 
-    /** How likely each kind is on one walk: drawn anew for each, so that some walks do little but one thing. */
+    /**
+     * How likely each kind is on one walk: drawn anew for each, so that some walks do little but
+     * one thing.
+     */
     private static double[] weights(Scene scene, SplittableRandom random) {
         double[] weights = new double[Kind.values().length];
         weights[Kind.MESSAGE.ordinal()] = 50;
@@ -360,7 +662,9 @@
         return weights;
     }
 
-    /** One random walk: in spells, in which some links and disks are quick and others do nothing. */
+    /**
+     * One random walk: in spells, in which some links and disks are quick and others do nothing.
+     */
     static ControlWorld walk(Walk walk, Defence without, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] weights = weights(walk.scene, random);
@@ -405,7 +709,12 @@
         return at;
     }
 
-    private static Step drawn(ControlWorld world, Kind kind, double[] links, double[] disks, SplittableRandom random) {
+    private static Step drawn(
+            ControlWorld world,
+            Kind kind,
+            double[] links,
+            double[] disks,
+            SplittableRandom random) {
         int n = world.scene.processes();
         int a = random.nextInt(n);
         int b = 0;
@@ -436,7 +745,10 @@
                 for (int k = 0; k < n && world.processes[a].disk().isEmpty(); k++) {
                     a = random.nextInt(n);
                 }
-                b = world.processes[a].register == null || random.nextBoolean() ? 0 : random.nextInt(world.processes[a].disk().size() + 1);
+                b =
+                        world.processes[a].register == null || random.nextBoolean()
+                                ? 0
+                                : random.nextInt(world.processes[a].disk().size() + 1);
             }
             case TIME -> {
                 int dice = random.nextInt(20);
@@ -450,12 +762,15 @@
             case SERVER -> b = random.nextInt(6);
             case RECORD -> b = random.nextInt(2);
             case SETS -> b = random.nextBoolean() ? 0 : random.nextInt(1 << n);
-            default -> { }
+            default -> {}
         }
         return new Step(kind, a, b);
     }
 
-    /** The same break with as few of the steps as may be: those that can be left out are left out, later ones first. */
+    /**
+     * The same break with as few of the steps as may be: those that can be left out are left out,
+     * later ones first.
+     */
     static ControlWorld shortest(Scene scene, Defence without, long seed, ControlWorld broken) {
         List<Step> steps = new ArrayList<>(broken.steps);
         ControlWorld best = broken;
@@ -479,7 +794,10 @@
         return best;
     }
 
-    /** Walks without this defence until one breaks; null where none does in the walks or the time that there is. */
+    /**
+     * Walks without this defence until one breaks; null where none does in the walks or the time
+     * that there is.
+     */
     static String hunt(Defence without, long seed, int most, long until) {
         List<Walk> walks = without == null ? WALKS : NEAREST.getOrDefault(without, WALKS);
         for (int i = 0; i < most && System.nanoTime() < until; i++) {
@@ -487,7 +805,10 @@
             ControlWorld world = walk(walk, without, seed + i);
             if (world.broken != null) {
                 ControlWorld least = shortest(walk.scene, without, seed + i, world);
-                String also = without == null ? null : played(walk.scene, null, seed + i, least.steps).broken;
+                String also =
+                        without == null
+                                ? null
+                                : played(walk.scene, null, seed + i, least.steps).broken;
                 return also != null ? null : told(least);
             }
         }
@@ -495,8 +816,8 @@
     }
 
     /**
-     * Within about this time, on two threads: first by breadth, then walks with all defences up to two fifths of it, then without one
-     * after the other.
+     * Within about this time, on two threads: first by breadth, then walks with all defences up to
+     * two fifths of it, then without one after the other.
      */
     public static Result run(long seed, long budgetMs) {
         long begun = System.nanoTime();
@@ -528,7 +849,9 @@
             TreeMap<Defence, String> caught = new TreeMap<>();
             List<Defence> missed = List.of(Defence.values());
             // Whatever was missed is tried again with the time that others left.
-            for (long pass = 0; !missed.isEmpty() && (pass == 0 || System.nanoTime() - begun < budget); pass++) {
+            for (long pass = 0;
+                    !missed.isEmpty() && (pass == 0 || System.nanoTime() - begun < budget);
+                    pass++) {
                 caught.putAll(caught(missed, seed + pass * MANY * MANY, begun + budget, two));
                 missed = missed.stream().filter(one -> !caught.containsKey(one)).toList();
             }
@@ -540,15 +863,27 @@
         }
     }
 
-    private static Map<Defence, String> caught(List<Defence> which, long seed, long end, ExecutorService by)
+    private static Map<Defence, String> caught(
+            List<Defence> which, long seed, long end, ExecutorService by)
             throws InterruptedException, ExecutionException {
         Map<Defence, Future<String>> hunts = new LinkedHashMap<>();
         AtomicInteger left = new AtomicInteger(which.size());
         for (Defence one : which) {
-            hunts.put(one, by.submit(() -> {
-                long now = System.nanoTime();
-                return hunt(one, seed, Integer.MAX_VALUE, now + Math.max(0, end - now) * THREADS / Math.max(THREADS, left.getAndDecrement()));
-            }));
+            hunts.put(
+                    one,
+                    by.submit(
+                            () -> {
+                                long now = System.nanoTime();
+                                return hunt(
+                                        one,
+                                        seed,
+                                        Integer.MAX_VALUE,
+                                        now
+                                                + Math.max(0, end - now)
+                                                        * THREADS
+                                                        / Math.max(
+                                                                THREADS, left.getAndDecrement()));
+                            }));
         }
         Map<Defence, String> caught = new TreeMap<>();
         for (Map.Entry<Defence, Future<String>> one : hunts.entrySet()) {
@@ -569,44 +904,75 @@
             count++;
             steps += world.steps.size();
             if (world.broken != null) {
-                return new Found(count, steps, false, told(shortest(walk.scene, null, seed + i, world)));
+                return new Found(
+                        count, steps, false, told(shortest(walk.scene, null, seed + i, world)));
             }
         }
         return new Found(count, steps, false, null);
     }
 
     /**
-     * Arguments: the seed, the time in milliseconds, and one defence alone, EACH of them in turn, ALL for walks with all of them; or BREADTH
-     * or TERSE and a depth, then the second is the most states.
+     * Arguments: the seed, the time in milliseconds, and one defence alone, EACH of them in turn,
+     * ALL for walks with all of them; or BREADTH or TERSE and a depth, then the second is the most
+     * states.
      */
     public static void main(String[] args) {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
         long budget = args.length > 1 ? Long.parseLong(args[1]) : 15_000;
-        if (args.length > 2 && args[2].equals("BREADTH") || args.length > 2 && args[2].equals("TERSE")) {
+        if (args.length > 2 && args[2].equals("BREADTH")
+                || args.length > 2 && args[2].equals("TERSE")) {
             int depth = Integer.parseInt(args[3]);
             for (Begun one : BEGUN) {
                 long begun = System.nanoTime();
-                System.out.println(one.name + ": " + explore(one.scene, one.first, null, depth, (int) budget, args[2].equals("TERSE")) + " "
-                        + (System.nanoTime() - begun) / 1_000_000 + " ms");
+                System.out.println(
+                        one.name
+                                + ": "
+                                + explore(
+                                        one.scene,
+                                        one.first,
+                                        null,
+                                        depth,
+                                        (int) budget,
+                                        args[2].equals("TERSE"))
+                                + " "
+                                + (System.nanoTime() - begun) / 1_000_000
+                                + " ms");
             }
             return;
         }
         if (args.length > 2) {
-            for (Defence one : args[2].equals("EACH") ? Defence.values() : new Defence[] {args[2].equals("ALL") ? null : Defence.valueOf(args[2])}) {
+            for (Defence one :
+                    args[2].equals("EACH")
+                            ? Defence.values()
+                            : new Defence[] {
+                                args[2].equals("ALL") ? null : Defence.valueOf(args[2])
+                            }) {
                 long begun = System.nanoTime();
                 String trace = hunt(one, seed, Integer.MAX_VALUE, begun + budget * 1_000_000);
-                System.out.println((System.nanoTime() - begun) / 1_000_000 + " ms, " + (one == null ? "with all: " : "without " + one + ": ") + trace);
+                System.out.println(
+                        (System.nanoTime() - begun) / 1_000_000
+                                + " ms, "
+                                + (one == null ? "with all: " : "without " + one + ": ")
+                                + trace);
             }
             return;
         }
         Result result = run(seed, budget);
-        result.caught.forEach((defence, trace) -> System.out.println("without " + defence + ": " + trace));
-        result.missed.forEach(defence -> System.out.println("without " + defence + ": nothing broke"));
+        result.caught.forEach(
+                (defence, trace) -> System.out.println("without " + defence + ": " + trace));
+        result.missed.forEach(
+                defence -> System.out.println("without " + defence + ": nothing broke"));
         if (result.broken != null) {
             System.out.println("BROKEN with all defences: " + result.broken);
         }
         System.out.println("steps=" + result.steps);
-        System.out.println("worlds=" + result.worlds + " defences=" + Defence.values().length + " defences_caught=" + result.caught.size());
+        System.out.println(
+                "worlds="
+                        + result.worlds
+                        + " defences="
+                        + Defence.values().length
+                        + " defences_caught="
+                        + result.caught.size());
         if (result.broken != null) {
             System.exit(1);
         }
--- a/src/main/java/dillfront/lab/Crowd.java
+++ b/src/main/java/dillfront/lab/Crowd.java
@@ -12,13 +12,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Instances that gossip in virtual time over a network that loses, doubles, delays and parts. Sizes are those of the wire
- * (dillfront.peers.Codec), signatures are taken as right: words here are objects that nobody can change.
+ * Instances that gossip in virtual time over a network that loses, doubles, delays and parts. Sizes
+ * are those of the wire (dillfront.peers.Codec), signatures are taken as right: words here are
+ * objects that nobody can change.
  */
 public final class Crowd {
 
     /** Looks at the clock, a period; as many as on sockets. */
     private static final int LOOKS = 10;
+
     private static final Duration EPOCH = Duration.ofDays(20_000);
 
     /** Hears what claims are new at an instance. */
@@ -31,11 +33,15 @@
 
         public final int index;
         public Gossip gossip;
+
         /** What its clock shows beyond the others'. */
         public Duration clock = Duration.ZERO;
+
         public boolean off;
+
         /** The part of a parted network that it is in. */
         public int side;
+
         public long datagrams;
         private boolean still;
         private final List<Runnable> waiting = new ArrayList<>();
@@ -49,10 +55,19 @@
         public void start(List<Integer> seeds) {
             off = false;
             int mine = ++life;
-            gossip = new Gossip(tuning, instances.length, index, 0, this, new SplittableRandom(chance.nextLong()));
+            gossip =
+                    new Gossip(
+                            tuning,
+                            instances.length,
+                            index,
+                            0,
+                            this,
+                            new SplittableRandom(chance.nextLong()));
             at();
             gossip.join(seeds);
-            time.after(Duration.ofNanos(chance.nextLong(tuning.period().toNanos() / LOOKS)), () -> beat(mine));
+            time.after(
+                    Duration.ofNanos(chance.nextLong(tuning.period().toNanos() / LOOKS)),
+                    () -> beat(mine));
         }
 
         private void beat(int mine) {
@@ -74,13 +89,15 @@
         /** Does nothing for so long, as a stopped process; then reads all that came. */
         public void standStill(Duration span) {
             still = true;
-            time.after(span, () -> {
-                still = false;
-                at();
-                gossip.woken();
-                waiting.forEach(Runnable::run);
-                waiting.clear();
-            });
+            time.after(
+                    span,
+                    () -> {
+                        still = false;
+                        at();
+                        gossip.woken();
+                        waiting.forEach(Runnable::run);
+                        waiting.clear();
+                    });
         }
 
         private interface Told {
@@ -97,22 +114,25 @@
                 if (chance.nextDouble() < lost || other.side != side) {
                     continue;
                 }
-                time.after(Duration.ofNanos((long) (delay.toNanos() * (0.5 + chance.nextDouble()))), () -> {
-                    if (other.off) {
-                        return;
-                    }
-                    Runnable read = () -> {
-                        other.at();
-                        other.gossip.from(index, incarnation, sent);
-                        words.forEach(w -> other.gossip.word(w, index));
-                        told.to(other.gossip, other);
-                    };
-                    if (other.still) {
-                        other.waiting.add(read);
-                    } else {
-                        read.run();
-                    }
-                });
+                time.after(
+                        Duration.ofNanos((long) (delay.toNanos() * (0.5 + chance.nextDouble()))),
+                        () -> {
+                            if (other.off) {
+                                return;
+                            }
+                            Runnable read =
+                                    () -> {
+                                        other.at();
+                                        other.gossip.from(index, incarnation, sent);
+                                        words.forEach(w -> other.gossip.word(w, index));
+                                        told.to(other.gossip, other);
+                                    };
+                            if (other.still) {
+                                other.waiting.add(read);
+                            } else {
+                                read.run();
+                            }
+                        });
             }
         }
 
@@ -133,11 +153,14 @@
 
         @Override
         public void push(int to, boolean swap, List<Word> words) {
-            send(to, words, (g, at) -> {
-                if (swap) {
-                    g.swapped(index);
-                }
-            });
+            send(
+                    to,
+                    words,
+                    (g, at) -> {
+                        if (swap) {
+                            g.swapped(index);
+                        }
+                    });
         }
 
         @Override
@@ -158,8 +181,10 @@
 
     public final Instance[] instances;
     public final Time time;
+
     /** Parts of all datagrams. */
     public double lost;
+
     public double doubled;
     public Duration delay = Duration.ofMillis(2);
     private final Tuning tuning;
--- a/src/main/java/dillfront/lab/Dark.java
+++ b/src/main/java/dillfront/lab/Dark.java
@@ -20,9 +20,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet that comes back cold as a whole, in virtual time: as many routers as there may be, each deciding by {@link Decide}
- * itself, before nodes that warm up as slowly as their settings allow and fall over where they are pushed. Clients try again.
- * Rougher than the world: one core a node, one time for all statements, no connections, no lost messages. Same case, same run.
+ * A fleet that comes back cold as a whole, in virtual time: as many routers as there may be, each
+ * deciding by {@link Decide} itself, before nodes that warm up as slowly as their settings allow
+ * and fall over where they are pushed. Clients try again. Rougher than the world: one core a node,
+ * one time for all statements, no connections, no lost messages. Same case, same run.
  */
 public final class Dark {
 
@@ -31,18 +32,32 @@
      * @param coldFrom the part of its work that a node can do at its start
      * @param tries how often a client asks at the most
      * @param surge what is asked for in the first second, as a multiple of the usual
-     * @param crowd how many clients ask in one moment as the routers are there, as a multiple of a second's first tries
+     * @param crowd how many clients ask in one moment as the routers are there, as a multiple of a
+     *     second's first tries
      * @param lateNodes the part of the nodes that is back only after half of the time to warm
-     * @param lateRouters the part of the routers that starts only then; their clients go to the others meanwhile
+     * @param lateRouters the part of the routers that starts only then; their clients go to the
+     *     others meanwhile
      */
-    public record Case(int routers, int groups, int members, double load, double coldFrom, double tipMultiple, int tries, double surge, double crowd,
-            double lateNodes, double lateRouters, long seed) {}
+    public record Case(
+            int routers,
+            int groups,
+            int members,
+            double load,
+            double coldFrom,
+            double tipMultiple,
+            int tries,
+            double surge,
+            double crowd,
+            double lateNodes,
+            double lateRouters,
+            long seed) {}
 
     /**
      * @param peak how near a cold node came to falling over, 1 and it did
-     * @param served what was served until all were warm, as a part of what nodes could have done of it
-     * @param wave of the tries that come again, how many came in the fullest tenth of a second of the crowd's, as a multiple of the
-     *     mean over the two seconds behind it; 0 without a crowd
+     * @param served what was served until all were warm, as a part of what nodes could have done of
+     *     it
+     * @param wave of the tries that come again, how many came in the fullest tenth of a second of
+     *     the crowd's, as a multiple of the mean over the two seconds behind it; 0 without a crowd
      * @param first when the first txn was served after the first router was there, in seconds
      */
     public record Outcome(double peak, double served, double first, double wave) {}
@@ -60,14 +75,22 @@
 
     private final Case given;
     private final SplittableRandom chance;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at)
-            : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Double.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     private long number;
     private double now;
     private final List<Node> nodes = new ArrayList<>();
     private final List<Router> routers = new ArrayList<>();
-    /** Tries that came again, by tenths of a second, from when the first of a crowd were given up. */
+
+    /**
+     * Tries that came again, by tenths of a second, from when the first of a crowd were given up.
+     */
     private final int[] waves = new int[20];
+
     private double peak;
     private double done;
     private double first = Double.NaN;
@@ -94,12 +117,21 @@
         int count = given.groups * given.members;
         double late = COLD / 2;
         for (int i = 0; i < count; i++) {
-            nodes.add(new Node(i, chance.nextDouble() < given.lateNodes ? late + chance.nextDouble() : chance.nextDouble() * 0.3));
+            nodes.add(
+                    new Node(
+                            i,
+                            chance.nextDouble() < given.lateNodes
+                                    ? late + chance.nextDouble()
+                                    : chance.nextDouble() * 0.3));
         }
         double weights = 0;
         for (int i = 0; i < given.routers; i++) {
-            Router router = new Router(i, chance.nextDouble() < given.lateRouters ? late + chance.nextDouble()
-                    : 0.3 + chance.nextDouble() * 0.3);
+            Router router =
+                    new Router(
+                            i,
+                            chance.nextDouble() < given.lateRouters
+                                    ? late + chance.nextDouble()
+                                    : 0.3 + chance.nextDouble() * 0.3);
             weights += router.weight;
             routers.add(router);
             after(router.startsAt, router::start);
@@ -134,10 +166,16 @@
             fullest = Math.max(fullest, again);
             all += again;
         }
-        return new Outcome(peak, done / could, first - 0.3, given.crowd > 0 ? fullest * waves.length / Math.max(1.0, all) : 0);
+        return new Outcome(
+                peak,
+                done / could,
+                first - 0.3,
+                given.crowd > 0 ? fullest * waves.length / Math.max(1.0, all) : 0);
     }
 
-    /** The clients of one router, one after another; while it is not there they ask at another one. */
+    /**
+     * The clients of one router, one after another; while it is not there they ask at another one.
+     */
     private void client(Router router) {
         double surge = now < 1.5 ? given.surge : 1;
         after(-Math.log(1 - chance.nextDouble()) / (router.rate * surge), () -> client(router));
@@ -182,7 +220,10 @@
             return Math.min(1, given.coldFrom + (1 - given.coldFrom) * (at - startsAt) / COLD);
         }
 
-        /** When it will be done with one more; what it cannot be done with in time waits all the same, as in a queue. */
+        /**
+         * When it will be done with one more; what it cannot be done with in time waits all the
+         * same, as in a queue.
+         */
         double take() {
             long in = (long) (now * PARTS / TIP_AFTER);
             for (; part < in; part++) {
@@ -191,7 +232,11 @@
             sent[(int) (in % PARTS)] += WORK;
             double warmth = warmth(now);
             if (warmth < 1) {
-                peak = Math.max(peak, Arrays.stream(sent).sum() / (given.tipMultiple * warmth * TIP_AFTER));
+                peak =
+                        Math.max(
+                                peak,
+                                Arrays.stream(sent).sum()
+                                        / (given.tipMultiple * warmth * TIP_AFTER));
             }
             free = Math.max(now, free) + WORK / warmth;
             return free;
@@ -200,8 +245,10 @@
 
     private final class Router implements Outlet {
         final double startsAt;
+
         /** Some get several times the mean. */
         final double weight = 0.2 + Math.pow(chance.nextDouble(), 3) * 4;
+
         final long seed;
         double rate;
         Decide decide;
@@ -225,7 +272,15 @@
             double next = Double.MAX_VALUE;
             for (Node node : nodes) {
                 if (node.startsAt <= now) {
-                    rows.add(new NodeRow(node.id, node.id / given.members, 0, 1, node.leads(), span(node.startsAt), Standing.READY));
+                    rows.add(
+                            new NodeRow(
+                                    node.id,
+                                    node.id / given.members,
+                                    0,
+                                    1,
+                                    node.leads(),
+                                    span(node.startsAt),
+                                    Standing.READY));
                 } else {
                     next = Math.min(next, node.startsAt - now);
                 }
@@ -247,7 +302,17 @@
             }
             decide.at(span(now));
             int type = chance.nextInt(10) < 3 ? 0 : chance.nextInt(10) < 5 ? 1 : 2;
-            txn.handle = decide.take(slot, type, -1, -1, chance.nextInt(given.groups), span(EXPIRY), null, Duration.ZERO, null);
+            txn.handle =
+                    decide.take(
+                            slot,
+                            type,
+                            -1,
+                            -1,
+                            chance.nextInt(given.groups),
+                            span(EXPIRY),
+                            null,
+                            Duration.ZERO,
+                            null);
             txn.end();
         }
 
@@ -257,11 +322,15 @@
             txn.out++;
             double sentAt = now;
             double most = limit.toNanos() / 1e9;
-            after(WIRE, () -> {
-                double at = nodes.get(node).take() + WIRE;
-                boolean intime = at - sentAt < most;
-                after(Math.max(0, (intime ? at : sentAt + most) - now), () -> txn.ended(node, intime, now - sentAt));
-            });
+            after(
+                    WIRE,
+                    () -> {
+                        double at = nodes.get(node).take() + WIRE;
+                        boolean intime = at - sentAt < most;
+                        after(
+                                Math.max(0, (intime ? at : sentAt + most) - now),
+                                () -> txn.ended(node, intime, now - sentAt));
+                    });
         }
 
         @Override
@@ -279,25 +348,34 @@
         }
 
         @Override
-        public void release(int node) { }
+        public void release(int node) {}
 
         @Override
         public void probe(int node) {
-            after(2 * WIRE, () -> {
-                decide.at(span(now));
-                decide.probed(node, true, new Report(span(now), nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA));
-            });
+            after(
+                    2 * WIRE,
+                    () -> {
+                        decide.at(span(now));
+                        decide.probed(
+                                node,
+                                true,
+                                new Report(
+                                        span(now),
+                                        nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA));
+                    });
         }
 
         @Override
-        public void follow() { }
+        public void follow() {}
 
         @Override
         public void wake(Duration in) {
-            after(in.toNanos() / 1e9, () -> {
-                decide.at(span(now));
-                decide.woken();
-            });
+            after(
+                    in.toNanos() / 1e9,
+                    () -> {
+                        decide.at(span(now));
+                        decide.woken();
+                    });
         }
 
         private final class Txn {
@@ -324,8 +402,13 @@
                     first = Double.isNaN(first) ? now : first;
                 }
                 Role role = nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA;
-                handle.ended(node, intime ? Result.COMMITTED : Result.TIMED_OUT, span(took), answered,
-                        intime ? new Report(span(now), role) : Report.NOTHING, Report.NOTHING);
+                handle.ended(
+                        node,
+                        intime ? Result.COMMITTED : Result.TIMED_OUT,
+                        span(took),
+                        answered,
+                        intime ? new Report(span(now), role) : Report.NOTHING,
+                        Report.NOTHING);
                 end();
             }
 
@@ -339,13 +422,42 @@
     }
 
     private Settings settings() {
-        List<TxnType> types = List.of(type(Effect.REFERENCED, Read.WRITE, 6), type(Effect.REPEATABLE, Read.BOUNDED, 3),
-                type(Effect.REPEATABLE, Read.ANY, 2));
-        return new Settings(STEP, 0, Duration.ofMillis(250), Duration.ofSeconds(2), 6, true, false, Duration.ZERO, false, false,
-                given.coldFrom, span(COLD), given.tipMultiple, span(TIP_AFTER), 0.012, given.routers, types, List.of());
+        List<TxnType> types =
+                List.of(
+                        type(Effect.REFERENCED, Read.WRITE, 6),
+                        type(Effect.REPEATABLE, Read.BOUNDED, 3),
+                        type(Effect.REPEATABLE, Read.ANY, 2));
+        return new Settings(
+                STEP,
+                0,
+                Duration.ofMillis(250),
+                Duration.ofSeconds(2),
+                6,
+                true,
+                false,
+                Duration.ZERO,
+                false,
+                false,
+                given.coldFrom,
+                span(COLD),
+                given.tipMultiple,
+                span(TIP_AFTER),
+                0.012,
+                given.routers,
+                types,
+                List.of());
     }
 
     private static TxnType type(Effect effect, Read read, double value) {
-        return new TxnType(effect, true, Duration.ofSeconds(2), read, Duration.ofMillis(200), span(EXPIRY * 0.4), span(EXPIRY), value, 0);
+        return new TxnType(
+                effect,
+                true,
+                Duration.ofSeconds(2),
+                read,
+                Duration.ofMillis(200),
+                span(EXPIRY * 0.4),
+                span(EXPIRY),
+                value,
+                0);
     }
 }
--- a/src/main/java/dillfront/lab/Dump.java
+++ b/src/main/java/dillfront/lab/Dump.java
@@ -13,7 +13,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** The state of objects as a text, by their fields: two that give the same text go on alike. Only for small worlds. */
+/**
+ * The state of objects as a text, by their fields: two that give the same text go on alike. Only
+ * for small worlds.
+ */
 final class Dump {
 
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
@@ -25,7 +28,9 @@
         if (what == null) {
             out.append('-');
         } else if (what instanceof Configuration one) {
-            out.append(one.version()).append('/').append(new String(one.body(), StandardCharsets.UTF_8));
+            out.append(one.version())
+                    .append('/')
+                    .append(new String(one.body(), StandardCharsets.UTF_8));
         } else if (what instanceof byte[] bytes) {
             out.append(new String(bytes, StandardCharsets.UTF_8));
         } else if (what instanceof CompletableFuture<?> future) {
@@ -64,16 +69,18 @@
 
     private static List<Field> fields(Class<?> of) {
         synchronized (FIELDS) {
-            return FIELDS.computeIfAbsent(of, c -> {
-                List<Field> all = new ArrayList<>();
-                for (Field field : c.getDeclaredFields()) {
-                    if (!Modifier.isStatic(field.getModifiers()) && !field.isSynthetic()) {
-                        field.setAccessible(true);
-                        all.add(field);
-                    }
-                }
-                return all;
-            });
+            return FIELDS.computeIfAbsent(
+                    of,
+                    c -> {
+                        List<Field> all = new ArrayList<>();
+                        for (Field field : c.getDeclaredFields()) {
+                            if (!Modifier.isStatic(field.getModifiers()) && !field.isSynthetic()) {
+                                field.setAccessible(true);
+                                all.add(field);
+                            }
+                        }
+                        return all;
+                    });
         }
     }
 
--- a/src/main/java/dillfront/lab/GossipMeasure.java
+++ b/src/main/java/dillfront/lab/GossipMeasure.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 
 /**
- * Measures gossip in virtual time, and once on loopback; prints a table and one line of figures, all of this run. With an
- * argument, also how it is with so many instances.
+ * Measures gossip in virtual time, and once on loopback; prints a table and one line of figures,
+ * all of this run. With an argument, also how it is with so many instances.
  */
 public final class GossipMeasure {
 
@@ -24,10 +24,14 @@
     }
 
     private static World.Script script(double rate, boolean gossip, World.Lie lie, long seed) {
-        return new World.Script(ROUTERS, 2, 4, rate, 0, seconds(4), seconds(4), seconds(11), gossip, lie, seed);
+        return new World.Script(
+                ROUTERS, 2, 4, rate, 0, seconds(4), seconds(4), seconds(11), gossip, lie, seed);
     }
 
-    /** Over the seeds: the median of how long pouring went on, in milliseconds, and the means of the rest. */
+    /**
+     * Over the seeds: the median of how long pouring went on, in milliseconds, and the means of the
+     * rest.
+     */
     private record Row(double stopped, double value, double poured, double doubts) {}
 
     private static Row row(double rate, boolean gossip, World.Lie lie) {
@@ -43,29 +47,47 @@
             doubts += one.doubts() / SEEDS;
         }
         stopped.sort(null);
-        return new Row((stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2, value, poured, doubts);
+        return new Row(
+                (stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2, value, poured, doubts);
     }
 
     private static Row shown(double rate, boolean gossip, World.Lie lie) {
         Row row = row(rate, gossip, lie);
-        System.out.printf(Locale.ROOT, "%4.0f txns/s each, gossip %-3s lie %-9s last pour %6.0f ms  value %.4f  poured %5.1f  "
-                + "false doubts %.5f%n", rate, gossip ? "on" : "off", lie, row.stopped, row.value, row.poured, row.doubts);
+        System.out.printf(
+                Locale.ROOT,
+                "%4.0f txns/s each, gossip %-3s lie %-9s last pour %6.0f ms  value %.4f  poured %5.1f  "
+                        + "false doubts %.5f%n",
+                rate,
+                gossip ? "on" : "off",
+                lie,
+                row.stopped,
+                row.value,
+                row.poured,
+                row.doubts);
         return row;
     }
 
     /** What many instances cost, and how fast a claim and a healed parting spread. */
-    private record Size(double quiet, double spreadMs, double heardPart, double healSeconds, double gone) {}
+    private record Size(
+            double quiet, double spreadMs, double heardPart, double healSeconds, double gone) {}
 
     private static Size size(int count, double settle, boolean parts) {
         Time time = new Time();
         long[] last = new long[1];
         int[] heard = new int[1];
         Crowd[] crowd = new Crowd[1];
-        crowd[0] = new Crowd(count, Tuning.USUAL, time, 7, (at, claim, age) -> {
-            heard[0]++;
-            last[0] = heard[0] <= 0.95 * (count - 1) ? time.now().toNanos() : last[0];
-            crowd[0].instances[at].gossip.passOn(claim, claim.origin());
-        });
+        crowd[0] =
+                new Crowd(
+                        count,
+                        Tuning.USUAL,
+                        time,
+                        7,
+                        (at, claim, age) -> {
+                            heard[0]++;
+                            last[0] =
+                                    heard[0] <= 0.95 * (count - 1) ? time.now().toNanos() : last[0];
+                            crowd[0].instances[at].gossip.passOn(claim, claim.origin());
+                        });
         crowd[0].start();
         time.until(seconds(settle));
         double before = crowd[0].bytes();
@@ -93,13 +115,23 @@
                 time.until(seconds(settle + 75 + heal));
             }
         }
-        System.out.printf(Locale.ROOT, "%4d instances: %5.0f bytes/s each, a claim to %3.0f %% of them, 95 %% of all in %6.1f ms%s%n",
-                count, quiet, 100 * part, spread, parts ? String.format(Locale.ROOT, ", parted %.2f unknown, healed in %.0f s",
-                        gone, heal) : "");
+        System.out.printf(
+                Locale.ROOT,
+                "%4d instances: %5.0f bytes/s each, a claim to %3.0f %% of them, 95 %% of all in %6.1f ms%s%n",
+                count,
+                quiet,
+                100 * part,
+                spread,
+                parts
+                        ? String.format(
+                                Locale.ROOT, ", parted %.2f unknown, healed in %.0f s", gone, heal)
+                        : "");
         return new Size(quiet, spread, part, heal, gone);
     }
 
-    /** @param args further numbers of instances, measured without a parting */
+    /**
+     * @param args further numbers of instances, measured without a parting
+     */
     public static void main(String[] args) throws Exception {
         double speedup = 0;
         double liar = 0;
@@ -121,15 +153,52 @@
         for (String count : args) {
             size(Integer.parseInt(count), 60, false);
         }
-        World.Script real = new World.Script(ROUTERS, 2, 4, RATE, 0, seconds(2.5), seconds(2), seconds(6), false, World.Lie.NONE, 1);
+        World.Script real =
+                new World.Script(
+                        ROUTERS,
+                        2,
+                        4,
+                        RATE,
+                        0,
+                        seconds(2.5),
+                        seconds(2),
+                        seconds(6),
+                        false,
+                        World.Lie.NONE,
+                        1);
         World.Outcome off = Loopback.play(real);
-        World.Outcome on = Loopback.play(new World.Script(ROUTERS, 2, 4, RATE, 0, seconds(2.5), seconds(2), seconds(6), true,
-                World.Lie.ALL, 1));
-        System.out.printf(Locale.ROOT, "on loopback, 20 instances, one that lies: last pour %d ms with, %d without; value %.4f, %.4f%n",
-                on.stopped().toMillis(), off.stopped().toMillis(), on.value(), off.value());
-        System.out.printf(Locale.ROOT, "gossip: speedup=%.1f liar=%.4f bytes_per_s_20=%.0f bytes_per_s_500=%.0f heal_s=%.0f "
-                + "spread_ms_20=%.1f loopback_liar=%.4f%n", speedup, liar, twenty.quiet, many.quiet, twenty.healSeconds,
-                twenty.spreadMs, on.value() / off.value());
+        World.Outcome on =
+                Loopback.play(
+                        new World.Script(
+                                ROUTERS,
+                                2,
+                                4,
+                                RATE,
+                                0,
+                                seconds(2.5),
+                                seconds(2),
+                                seconds(6),
+                                true,
+                                World.Lie.ALL,
+                                1));
+        System.out.printf(
+                Locale.ROOT,
+                "on loopback, 20 instances, one that lies: last pour %d ms with, %d without; value %.4f, %.4f%n",
+                on.stopped().toMillis(),
+                off.stopped().toMillis(),
+                on.value(),
+                off.value());
+        System.out.printf(
+                Locale.ROOT,
+                "gossip: speedup=%.1f liar=%.4f bytes_per_s_20=%.0f bytes_per_s_500=%.0f heal_s=%.0f "
+                        + "spread_ms_20=%.1f loopback_liar=%.4f%n",
+                speedup,
+                liar,
+                twenty.quiet,
+                many.quiet,
+                twenty.healSeconds,
+                twenty.spreadMs,
+                on.value() / off.value());
         System.exit(0);
     }
 }
--- a/src/main/java/dillfront/lab/History.java
+++ b/src/main/java/dillfront/lab/History.java
@@ -12,21 +12,28 @@
 import java.util.TreeSet;
 
 /**
- * What operators asked of the configuration and what they were told, and whether that is linearizable: whether each call can be
- * given one moment between its beginning and its end, so that one object that does them one after another says the same.
+ * What operators asked of the configuration and what they were told, and whether that is
+ * linearizable: whether each call can be given one moment between its beginning and its end, so
+ * that one object that does them one after another says the same.
  *
- * <p>The object: one number has one content for ever; an order with a number above the one held takes its place, one with an
- * older number changes nothing, both are acknowledged; an order whose number has another content is refused; a read returns
- * what is held. An order without a clear answer takes effect at any moment after its beginning, or never; a read without one
- * says nothing. The order of calls of {@code begin} and {@code end} is the order of time; {@code at} is for the text alone.
+ * <p>The object: one number has one content for ever; an order with a number above the one held
+ * takes its place, one with an older number changes nothing, both are acknowledged; an order whose
+ * number has another content is refused; a read returns what is held. An order without a clear
+ * answer takes effect at any moment after its beginning, or never; a read without one says nothing.
+ * The order of calls of {@code begin} and {@code end} is the order of time; {@code at} is for the
+ * text alone.
  *
- * <p>The search is exact, as Wing and Gong's with the memory of Lowe's: what changes nothing is taken as soon as it fits, and
- * only orders that change the object are tried in turn.
+ * <p>The search is exact, as Wing and Gong's with the memory of Lowe's: what changes nothing is
+ * taken as soon as it fits, and only orders that change the object are tried in turn.
  */
 public final class History {
 
     /** How a call ended. REFUSED is 409, for the number's other content, and nothing else. */
-    public enum Outcome { ACKNOWLEDGED, REFUSED, UNKNOWN }
+    public enum Outcome {
+        ACKNOWLEDGED,
+        REFUSED,
+        UNKNOWN
+    }
 
     /** What a read of an object that holds nothing yet returns. */
     public static final long NONE = -1;
@@ -53,8 +60,15 @@
 
         @Override
         public String toString() {
-            String what = read ? "read of " + (number == NONE ? "nothing" : number + "/" + digest) : "order " + number + "/" + digest + " "
-                    + outcome.name().toLowerCase(Locale.ROOT);
+            String what =
+                    read
+                            ? "read of " + (number == NONE ? "nothing" : number + "/" + digest)
+                            : "order "
+                                    + number
+                                    + "/"
+                                    + digest
+                                    + " "
+                                    + outcome.name().toLowerCase(Locale.ROOT);
             return by + ": " + what + " [" + begunAt + ", " + (ended == NEVER ? "" : endedAt) + "]";
         }
     }
@@ -77,7 +91,10 @@
         return operations.size() - 1;
     }
 
-    /** An order has its answer. Without a clear one it may still take effect; so may one that never ends. */
+    /**
+     * An order has its answer. Without a clear one it may still take effect; so may one that never
+     * ends.
+     */
     public void end(int operation, long at, Outcome outcome) {
         Operation one = ended(operation, at);
         one.outcome = outcome;
@@ -108,7 +125,10 @@
         return operations.size();
     }
 
-    /** Null where it is linearizable; else what the first call whose answer no order of moments explains was, and what came before it. */
+    /**
+     * Null where it is linearizable; else what the first call whose answer no order of moments
+     * explains was, and what came before it.
+     */
     public String check() {
         if (linearizable(moments)) {
             return null;
@@ -128,7 +148,11 @@
         for (Operation one : operations) {
             broke = one.ended == wrong - 1 ? one : broke;
         }
-        StringBuilder text = new StringBuilder("not linearizable: ").append(broke).append(contradicts(broke)).append("; before it");
+        StringBuilder text =
+                new StringBuilder("not linearizable: ")
+                        .append(broke)
+                        .append(contradicts(broke))
+                        .append("; before it");
         int told = 0;
         for (int i = operations.size() - 1; i >= 0 && told < 6; i--) {
             Operation one = operations.get(i);
@@ -142,11 +166,16 @@
     /** The plain cases by name. */
     private String contradicts(Operation broke) {
         for (Operation other : operations) {
-            if (other == broke || other.ended > broke.ended || other.number != broke.number || broke.number == NONE) {
+            if (other == broke
+                    || other.ended > broke.ended
+                    || other.number != broke.number
+                    || broke.number == NONE) {
                 continue;
             }
             boolean same = other.digest.equals(broke.digest);
-            if (!same && other.outcome == Outcome.ACKNOWLEDGED && broke.outcome == Outcome.ACKNOWLEDGED) {
+            if (!same
+                    && other.outcome == Outcome.ACKNOWLEDGED
+                    && broke.outcome == Outcome.ACKNOWLEDGED) {
                 return " (two contents under one number: " + other + ")";
             } else if (same && other.outcome != broke.outcome) {
                 return " (refused and in force: " + other + ")";
@@ -155,7 +184,10 @@
         return "";
     }
 
-    /** What happened before this moment, ends that came later taken for answers that are still awaited. */
+    /**
+     * What happened before this moment, ends that came later taken for answers that are still
+     * awaited.
+     */
     private boolean linearizable(int until) {
         Search search = new Search();
         for (Operation one : operations) {
@@ -172,14 +204,20 @@
     private static final class Search {
         /** In the order in which they began. */
         final List<Operation> all = new ArrayList<>();
+
         final List<Integer> ends = new ArrayList<>();
         final List<Outcome> outcomes = new ArrayList<>();
+
         /** The content of a number, where an answer tells it. */
         final Map<Long, String> content = new HashMap<>();
+
         final Set<Long> refused = new HashSet<>();
         final Set<String> seen = new HashSet<>();
 
-        /** Whether the answers agree on one content a number; orders without an answer that explain nothing are left out. */
+        /**
+         * Whether the answers agree on one content a number; orders without an answer that explain
+         * nothing are left out.
+         */
         boolean prepare() {
             Set<String> reads = new HashSet<>();
             for (int i = 0; i < all.size(); i++) {
@@ -203,9 +241,12 @@
                 if (outcomes.get(i) == Outcome.REFUSED && one.digest.equals(told)) {
                     return false;
                 }
-                // Its effect is seen by a read of it, or by a refusal of another; without these it is none.
-                boolean explains = reads.contains(one.number + "/" + one.digest)
-                        || refused.contains(one.number) && (told == null || told.equals(one.digest));
+                // Its effect is seen by a read of it, or by a refusal of another; without these it
+                // is none.
+                boolean explains =
+                        reads.contains(one.number + "/" + one.digest)
+                                || refused.contains(one.number)
+                                        && (told == null || told.equals(one.digest));
                 if (may && !explains) {
                     all.remove(i);
                     ends.remove(i);
@@ -219,7 +260,8 @@
          * Whether all that is left can be done from here.
          *
          * @param from all before this are done
-         * @param bound contents of numbers that no answer tells, once they took effect; of the others, only those that did
+         * @param bound contents of numbers that no answer tells, once they took effect; of the
+         *     others, only those that did
          */
         boolean from(BitSet before, int first, long held, String digest, Map<Long, String> bound) {
             BitSet done = (BitSet) before.clone();
@@ -256,9 +298,15 @@
                     } else if (outcomes.get(i) == Outcome.REFUSED) {
                         fits = is != null && !is.equals(one.digest);
                     } else {
-                        // Done already by another of the same content; or without an answer, and too late to do anything.
-                        fits = is != null && (is.equals(one.digest) || outcomes.get(i) == Outcome.UNKNOWN)
-                                || outcomes.get(i) == Outcome.UNKNOWN && one.number < held && !refused.contains(one.number);
+                        // Done already by another of the same content; or without an answer, and
+                        // too late to do anything.
+                        fits =
+                                is != null
+                                                && (is.equals(one.digest)
+                                                        || outcomes.get(i) == Outcome.UNKNOWN)
+                                        || outcomes.get(i) == Outcome.UNKNOWN
+                                                && one.number < held
+                                                && !refused.contains(one.number);
                         if (!fits && is == null) {
                             changing.add(i);
                         }
@@ -270,8 +318,21 @@
                 }
                 from = done.nextClearBit(from);
             }
-            if (!seen.add(from + ":" + done.get(from, Math.max(from, done.length())) + held + "/" + digest + new TreeSet<>(bound.keySet()
-                    .stream().filter(n -> refused.contains(n) && content.get(n) == null).map(n -> n + bound.get(n)).toList()))) {
+            if (!seen.add(
+                    from
+                            + ":"
+                            + done.get(from, Math.max(from, done.length()))
+                            + held
+                            + "/"
+                            + digest
+                            + new TreeSet<>(
+                                    bound.keySet().stream()
+                                            .filter(
+                                                    n ->
+                                                            refused.contains(n)
+                                                                    && content.get(n) == null)
+                                            .map(n -> n + bound.get(n))
+                                            .toList()))) {
                 return false;
             }
             changing.sort(Comparator.comparingLong(i -> all.get(i).number));
@@ -281,7 +342,8 @@
                 then.put(one.number, one.digest);
                 done.set(i);
                 boolean takes = one.number > held;
-                if (from(done, from, takes ? one.number : held, takes ? one.digest : digest, then)) {
+                if (from(
+                        done, from, takes ? one.number : held, takes ? one.digest : digest, then)) {
                     return true;
                 }
                 done.clear(i);
--- a/src/main/java/dillfront/lab/Loopback.java
+++ b/src/main/java/dillfront/lab/Loopback.java
@@ -20,7 +20,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** The same world in real time: each router on an event loop, its words signed and sent over UDP on loopback. */
+/**
+ * The same world in real time: each router on an event loop, its words signed and sent over UDP on
+ * loopback.
+ */
 public final class Loopback {
 
     private static final int LOOPS = 4;
@@ -50,26 +53,33 @@
             for (int i = 0; i < script.routers(); i++) {
                 times.add(new LoopTime(group.next(), start));
             }
-            World world = new World(script, times, new World.Wire() {
-                @Override
-                public void start(List<World.Router> routers) {
-                    try {
-                        speak(script, routers, times, all);
-                    } catch (Exception bad) {
-                        throw new IllegalStateException(bad);
-                    }
-                }
+            World world =
+                    new World(
+                            script,
+                            times,
+                            new World.Wire() {
+                                @Override
+                                public void start(List<World.Router> routers) {
+                                    try {
+                                        speak(script, routers, times, all);
+                                    } catch (Exception bad) {
+                                        throw new IllegalStateException(bad);
+                                    }
+                                }
 
-                @Override
-                public Gossip of(int router) {
-                    return all.get(router).gossip();
-                }
+                                @Override
+                                public Gossip of(int router) {
+                                    return all.get(router).gossip();
+                                }
 
-                @Override
-                public double bytes() {
-                    return all.stream().mapToLong(d -> d.gossip().budget().sent()).average().orElse(0);
-                }
-            });
+                                @Override
+                                public double bytes() {
+                                    return all.stream()
+                                            .mapToLong(d -> d.gossip().budget().sent())
+                                            .average()
+                                            .orElse(0);
+                                }
+                            });
             world.start();
             Thread.sleep(script.end().toMillis());
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -79,8 +89,15 @@
         }
     }
 
-    /** Keys, addresses and sockets of all; each reads the same ring from a text of its own, as each process would. */
-    private static void speak(World.Script script, List<World.Router> routers, List<LoopTime> times, List<Datagrams> all)
+    /**
+     * Keys, addresses and sockets of all; each reads the same ring from a text of its own, as each
+     * process would.
+     */
+    private static void speak(
+            World.Script script,
+            List<World.Router> routers,
+            List<LoopTime> times,
+            List<Datagrams> all)
             throws Exception {
         List<KeyPair> keys = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
@@ -97,14 +114,34 @@
             Ring ring = new Ring();
             for (int k = 0; k < routers.size(); k++) {
                 // Only the first few addresses are told; the others are learnt.
-                ring.add("r" + k, k < 3 || k == i ? new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(k)) : null);
-                ring.key(k, HexFormat.of().formatHex(Ring.raw(keys.get(k).getPublic())), Duration.ZERO, Duration.ofDays(1_000_000));
+                ring.add(
+                        "r" + k,
+                        k < 3 || k == i
+                                ? new InetSocketAddress(
+                                        InetAddress.getLoopbackAddress(), ports.get(k))
+                                : null);
+                ring.key(
+                        k,
+                        HexFormat.of().formatHex(Ring.raw(keys.get(k).getPublic())),
+                        Duration.ZERO,
+                        Duration.ofDays(1_000_000));
             }
             World.Router router = routers.get(i);
             LoopTime time = times.get(i);
-            all.add(new Datagrams(Tuning.USUAL, ring, i, null, Ring.id(Ring.raw(keys.get(i).getPublic())), keys.get(i).getPrivate(),
-                    time.loop(), log, time::now, () -> Duration.ofMillis(System.currentTimeMillis()),
-                    new SplittableRandom(script.seed() + i), (word, age) -> router.neighbours.claimed(word, age, time.now())));
+            all.add(
+                    new Datagrams(
+                            Tuning.USUAL,
+                            ring,
+                            i,
+                            null,
+                            Ring.id(Ring.raw(keys.get(i).getPublic())),
+                            keys.get(i).getPrivate(),
+                            time.loop(),
+                            log,
+                            time::now,
+                            () -> Duration.ofMillis(System.currentTimeMillis()),
+                            new SplittableRandom(script.seed() + i),
+                            (word, age) -> router.neighbours.claimed(word, age, time.now())));
         }
         for (int i = 0; i < routers.size(); i++) {
             times.get(i).loop().execute(all.get(i)::open);
--- a/src/main/java/dillfront/lab/PowerMeasure.java
+++ b/src/main/java/dillfront/lab/PowerMeasure.java
@@ -26,17 +26,20 @@
 import java.util.stream.Stream;
 
 /**
- * Power lost by all at once: real processes that lose it again and again and come back, judged over all of it, with a memory
- * that keeps writes before they are sent; what that memory costs; all orders of events in a small world; and the return of a cold
- * fleet in virtual time, at 100 and 1,000 routers, against one that could use all that nodes can do. Ends with one line.
+ * Power lost by all at once: real processes that lose it again and again and come back, judged over
+ * all of it, with a memory that keeps writes before they are sent; what that memory costs; all
+ * orders of events in a small world; and the return of a cold fleet in virtual time, at 100 and
+ * 1,000 routers, against one that could use all that nodes can do. Ends with one line.
  */
 public final class PowerMeasure {
 
     private static final int ROUTERS = 4;
     private static final int RIGS = 4;
     private static final int LOSSES = 5;
+
     /** A return is over once so many txns were served, by all routers. */
     private static final int SERVED = 100;
+
     private static final Node.Work WORK = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
     private static final Node.Work QUICK = new Node.Work(8, 500, 0.2, 3000, 2, 1000);
     private static final int CLOSED = 64;
@@ -59,28 +62,75 @@
         }
         rigs.shutdown();
         double back = median(all.backMs);
-        String line = String.format(Locale.ROOT, "power: processes=%d losses=%d twice=%d drained=%d stale=%d tipped=%d unanswered=%d "
-                + "back_ms=%.0f back_ms_vs_ideal=%.2f cold_peak_of_limit=%.2f", RIGS * ROUTERS, all.backMs.size(), all.rules[2], all.rules[3],
-                all.rules[5], all.rules[4], all.rules[1], back, back / median(ideal.get().backMs), all.peak);
+        String line =
+                String.format(
+                        Locale.ROOT,
+                        "power: processes=%d losses=%d twice=%d drained=%d stale=%d tipped=%d unanswered=%d "
+                                + "back_ms=%.0f back_ms_vs_ideal=%.2f cold_peak_of_limit=%.2f",
+                        RIGS * ROUTERS,
+                        all.backMs.size(),
+                        all.rules[2],
+                        all.rules[3],
+                        all.rules[5],
+                        all.rules[4],
+                        all.rules[1],
+                        back,
+                        back / median(ideal.get().backMs),
+                        all.peak);
         double[] mix = {rate(true, false), rate(false, false)};
         double[] writes = {rate(true, true), rate(false, true)};
-        line += String.format(Locale.ROOT, " memory_cost=%.2f memory_cost_of_writes=%.2f writes_per_s=%.0f recover_ms_100k=%d", mix[0] / mix[1],
-                writes[0] / writes[1], writes[0], recoverMs(100_000));
+        line +=
+                String.format(
+                        Locale.ROOT,
+                        " memory_cost=%.2f memory_cost_of_writes=%.2f writes_per_s=%.0f recover_ms_100k=%d",
+                        mix[0] / mix[1],
+                        writes[0] / writes[1],
+                        writes[0],
+                        recoverMs(100_000));
         Small.Found small = Small.explore(5, Integer.MAX_VALUE, Small.Plant.NONE);
         if (small.broken() != null) {
             throw new IllegalStateException(small.toString());
         }
         Dark.Outcome[] hundred = play(100, 200);
         Dark.Outcome[] thousand = play(1000, 4);
-        Dark.Outcome[] crowd = IntStream.range(0, 24).parallel().mapToObj(seed -> Dark.play(new Dark.Case(100, 4, 4, 0.3 + 0.1 * (seed % 8),
-                0.2, 2, 3, 1, 1, 0, 0, seed))).toArray(Dark.Outcome[]::new);
-        System.out.printf(Locale.ROOT, "%s small_states=%d first_s_100=%.2f served_of_could_100=%.2f cold_peak_of_limit_100=%.2f "
-                + "first_s_1000=%.2f served_of_could_1000=%.2f cold_peak_of_limit_1000=%.2f wave_of_mean=%.2f%n", line, small.states(),
-                worst(hundred, 0), mean(hundred), worst(hundred, 1), worst(thousand, 0), mean(thousand), worst(thousand, 1),
+        Dark.Outcome[] crowd =
+                IntStream.range(0, 24)
+                        .parallel()
+                        .mapToObj(
+                                seed ->
+                                        Dark.play(
+                                                new Dark.Case(
+                                                        100,
+                                                        4,
+                                                        4,
+                                                        0.3 + 0.1 * (seed % 8),
+                                                        0.2,
+                                                        2,
+                                                        3,
+                                                        1,
+                                                        1,
+                                                        0,
+                                                        0,
+                                                        seed)))
+                        .toArray(Dark.Outcome[]::new);
+        System.out.printf(
+                Locale.ROOT,
+                "%s small_states=%d first_s_100=%.2f served_of_could_100=%.2f cold_peak_of_limit_100=%.2f "
+                        + "first_s_1000=%.2f served_of_could_1000=%.2f cold_peak_of_limit_1000=%.2f wave_of_mean=%.2f%n",
+                line,
+                small.states(),
+                worst(hundred, 0),
+                mean(hundred),
+                worst(hundred, 1),
+                worst(thousand, 0),
+                mean(thousand),
+                worst(thousand, 1),
                 Arrays.stream(crowd).mapToDouble(Dark.Outcome::wave).max().orElse(0));
     }
 
-    /** @param backMs of each loss, until SERVED were served after it */
+    /**
+     * @param backMs of each loss, until SERVED were served after it
+     */
     private record Losses(List<Long> backMs, long[] rules, double peak) {
 
         Losses and(Losses other) {
@@ -101,19 +151,42 @@
     }
 
     private static Dark.Outcome[] play(int routers, int seeds) {
-        return IntStream.range(0, seeds).parallel().mapToObj(seed -> Dark.play(new Dark.Case(routers, 4, 4, 0.3 + 0.1 * (seed % 8),
-                0.2, 2 + seed % 2, 1 + seed % 3, 1 + seed % 3, 0, seed % 4 * 0.15, seed % 5 * 0.1, seed))).toArray(Dark.Outcome[]::new);
+        return IntStream.range(0, seeds)
+                .parallel()
+                .mapToObj(
+                        seed ->
+                                Dark.play(
+                                        new Dark.Case(
+                                                routers,
+                                                4,
+                                                4,
+                                                0.3 + 0.1 * (seed % 8),
+                                                0.2,
+                                                2 + seed % 2,
+                                                1 + seed % 3,
+                                                1 + seed % 3,
+                                                0,
+                                                seed % 4 * 0.15,
+                                                seed % 5 * 0.1,
+                                                seed)))
+                .toArray(Dark.Outcome[]::new);
     }
 
     private static double worst(Dark.Outcome[] of, int which) {
-        return Arrays.stream(of).mapToDouble(o -> which == 0 ? o.first() : o.peak()).max().orElse(0);
+        return Arrays.stream(of)
+                .mapToDouble(o -> which == 0 ? o.first() : o.peak())
+                .max()
+                .orElse(0);
     }
 
     private static double mean(Dark.Outcome[] of) {
         return Arrays.stream(of).mapToDouble(Dark.Outcome::served).average().orElse(0);
     }
 
-    /** How long the next life takes to read a memory of so many closed nodes, in a JVM that has read one before. */
+    /**
+     * How long the next life takes to read a memory of so many closed nodes, in a JVM that has read
+     * one before.
+     */
     private static long recoverMs(int closings) throws Exception {
         Path folder = Files.createTempDirectory("dillfront-memory");
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
@@ -144,17 +217,22 @@
         }
     }
 
-    /** How many txns a second one router serves, to clients that ask the next as soon as they have an answer. */
+    /**
+     * How many txns a second one router serves, to clients that ask the next as soon as they have
+     * an answer.
+     */
     private static double rate(boolean remembers, boolean writes) throws Exception {
         Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(QUICK);
         try (Rig rig = new Rig(remembers ? plan.operator(PowerMeasure::memory) : plan)) {
             rig.start();
             long[] count = new long[1];
-            rig.stage().run(() -> {
-                for (int i = 0; i < CLOSED; i++) {
-                    next(rig, writes, count);
-                }
-            });
+            rig.stage()
+                    .run(
+                            () -> {
+                                for (int i = 0; i < CLOSED; i++) {
+                                    next(rig, writes, count);
+                                }
+                            });
             Thread.sleep(CLOSED_MS / 2);
             long from = rig.stage().now();
             long before = rig.stage().call(() -> count[0]);
@@ -172,13 +250,30 @@
             return;
         }
         long number = ++count[0];
-        Mix.Type type = writes ? Mix.type("move") : Mix.TYPES.get((int) (number % Mix.TYPES.size()));
-        rig.router(0).caller().ask(type.name(), 0, type.write() ? "c" + number : "16-" + number % 1000, 1500, 0, a -> next(rig, writes, count));
+        Mix.Type type =
+                writes ? Mix.type("move") : Mix.TYPES.get((int) (number % Mix.TYPES.size()));
+        rig.router(0)
+                .caller()
+                .ask(
+                        type.name(),
+                        0,
+                        type.write() ? "c" + number : "16-" + number % 1000,
+                        1500,
+                        0,
+                        a -> next(rig, writes, count));
     }
 
-    /** Real processes: all lose power, nodes and routers come back side by side, as many are served again, and so on. */
+    /**
+     * Real processes: all lose power, nodes and routers come back side by side, as many are served
+     * again, and so on.
+     */
     private static Losses losses(int routers, int many, long seed) throws Exception {
-        try (Rig rig = new Rig(Rig.Plan.of(routers, 2, 3).work(WORK).zones("a", "b", "c").operator(PowerMeasure::memory))) {
+        try (Rig rig =
+                new Rig(
+                        Rig.Plan.of(routers, 2, 3)
+                                .work(WORK)
+                                .zones("a", "b", "c")
+                                .operator(PowerMeasure::memory))) {
             rig.start();
             Load load = new Load(rig, seed, 5000);
             load.start();
@@ -209,6 +304,9 @@
 
     private static void served(Rig rig, Load load) {
         List<String> lives = rig.routers().stream().map(Router::life).toList();
-        rig.stage().await(SERVED + " were served", () -> lives.stream().mapToInt(load::committed).sum() >= SERVED);
+        rig.stage()
+                .await(
+                        SERVED + " were served",
+                        () -> lives.stream().mapToInt(load::committed).sum() >= SERVED);
     }
 }
--- a/src/main/java/dillfront/lab/SiteMeasure.java
+++ b/src/main/java/dillfront/lab/SiteMeasure.java
@@ -10,8 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The plans for lost sites: how long fifty and 120 nodes take, and what a greedy order would lose against them. Ends with one line.
- * What real processes do with a plan comes with the rest of that direction.
+ * The plans for lost sites: how long fifty and 120 nodes take, and what a greedy order would lose
+ * against them. Ends with one line. What real processes do with a plan comes with the rest of that
+ * direction.
  */
 public final class SiteMeasure {
 
@@ -23,14 +24,27 @@
         SplittableRandom chance = new SplittableRandom(seed);
         List<Estate.Node> all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            all.add(new Estate.Node("s-" + i, "z" + chance.nextInt(3), i / 5, 1 + chance.nextInt(4), i % 5 == 0));
+            all.add(
+                    new Estate.Node(
+                            "s-" + i,
+                            "z" + chance.nextInt(3),
+                            i / 5,
+                            1 + chance.nextInt(4),
+                            i % 5 == 0));
         }
-        List<Estate.Kind> kinds = List.of(new Estate.Kind("move", true, 6, 0.1), new Estate.Kind("fresh", true, 2, 0.1),
-                new Estate.Kind("view", false, 3, 0.4), new Estate.Kind("own", false, 2, 0.2), new Estate.Kind("any", false, 2, 0.2));
+        List<Estate.Kind> kinds =
+                List.of(
+                        new Estate.Kind("move", true, 6, 0.1),
+                        new Estate.Kind("fresh", true, 2, 0.1),
+                        new Estate.Kind("view", false, 3, 0.4),
+                        new Estate.Kind("own", false, 2, 0.2),
+                        new Estate.Kind("any", false, 2, 0.2));
         return new Estate(List.of("z0", "z1", "z2"), all, kinds, use, 0.026);
     }
 
-    /** The median time of all plans of an estate, the ordinary day's and each loss, in milliseconds. */
+    /**
+     * The median time of all plans of an estate, the ordinary day's and each loss, in milliseconds.
+     */
     private static double ms(int nodes) {
         double[] took = new double[ESTATES];
         for (int i = 0; i < ESTATES; i++) {
@@ -60,6 +74,12 @@
                 }
             }
         }
-        System.out.printf(Locale.ROOT, "site: solver_ms_50=%.0f solver_ms_120=%.0f greedy_of_plan=%.4f greedy_of_plan_worst=%.4f%n", ms(50), ms(120), greedy / planned, worst);
+        System.out.printf(
+                Locale.ROOT,
+                "site: solver_ms_50=%.0f solver_ms_120=%.0f greedy_of_plan=%.4f greedy_of_plan_worst=%.4f%n",
+                ms(50),
+                ms(120),
+                greedy / planned,
+                worst);
     }
 }
--- a/src/main/java/dillfront/lab/Small.java
+++ b/src/main/java/dillfront/lab/Small.java
@@ -25,20 +25,31 @@
 import java.util.TreeSet;
 
 /**
- * All that can happen in a world so small that it can be gone through: two routers that decide by {@link Decide}, {@link Doubts}
- * and {@link Closings} themselves, three nodes of one group, two keys; asks, sends, answers, lost connections, lists, a drain,
- * syncs of the disk, a router's end, power lost by all, and time, in every order up to a depth. Each state is reached anew from
- * the beginning, so nothing in the decisions is copied; two orders are one state where each router has had the same words at
- * the same times, and the rest of the world is the same.
+ * All that can happen in a world so small that it can be gone through: two routers that decide by
+ * {@link Decide}, {@link Doubts} and {@link Closings} themselves, three nodes of one group, two
+ * keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's end,
+ * power lost by all, and time, in every order up to a depth. Each state is reached anew from the
+ * beginning, so nothing in the decisions is copied; two orders are one state where each router has
+ * had the same words at the same times, and the rest of the world is the same.
  *
- * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router that lives has one answer by
- * its expiry; nothing is sent to a node that a router knows to drain, across its lives where it was kept; no bounded read is
- * sent to data older than its bound. A planted fault shows that each is looked at.
+ * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router
+ * that lives has one answer by its expiry; nothing is sent to a node that a router knows to drain,
+ * across its lives where it was kept; no bounded read is sent to data older than its bound. A
+ * planted fault shows that each is looked at.
  */
 public final class Small {
 
     /** Something that a router is made to do wrong. */
-    public enum Plant { NONE, SENDS_BEFORE_KEPT, FORGETS_DOUBTS, BELIEVES_OLD_TIMES, FORGETS_DRAINS, KEEPS_POSITIONS, IGNORES_OTHERS, LOSES_ANSWERS }
+    public enum Plant {
+        NONE,
+        SENDS_BEFORE_KEPT,
+        FORGETS_DOUBTS,
+        BELIEVES_OLD_TIMES,
+        FORGETS_DRAINS,
+        KEEPS_POSITIONS,
+        IGNORES_OTHERS,
+        LOSES_ANSWERS
+    }
 
     /**
      * @param states that were looked at, and how deep
@@ -56,8 +67,10 @@
     private static final Duration EXPIRY = TICK.multipliedBy(2);
     private static final Duration BOUND = TICK;
     private static final Duration COLD = TICK.multipliedBy(40);
+
     /** How often each thing may happen on one way through. */
     private static final int ASKS = 3;
+
     private static final int READS = 1;
     private static final int TICKS = 4;
     private static final int LOSSES = 2;
@@ -78,7 +91,10 @@
                 world.step(choice);
             }
             if (world.broken != null) {
-                return new Found(seen.size(), path.length, world.broken + " after " + String.join(", ", world.steps));
+                return new Found(
+                        seen.size(),
+                        path.length,
+                        world.broken + " after " + String.join(", ", world.steps));
             }
             if (!seen.add(world.state())) {
                 continue;
@@ -100,8 +116,10 @@
     private static final class Ask {
         final Life of;
         final int id;
+
         /** Negative for a read: BOUNDED or ANY. */
         final int key;
+
         final Duration at;
         Handle handle;
         int out;
@@ -117,7 +135,13 @@
         }
     }
 
-    private enum Where { WAITS, OUT, BACK, STRAY, OVER }
+    private enum Where {
+        WAITS,
+        OUT,
+        BACK,
+        STRAY,
+        OVER
+    }
 
     /** One submission. */
     private static final class Sent {
@@ -144,16 +168,23 @@
         final List<Ask> asks = new ArrayList<>();
         final List<Sent> sent = new ArrayList<>();
         final Life[] lives = new Life[ROUTERS];
+
         /** On each router's disk. */
         final List<TreeSet<Integer>> keptKeys = new ArrayList<>();
+
         final List<TreeSet<String>> keptDrains = new ArrayList<>();
+
         /** By key, when it last had its effect, and how often. */
         final Duration[] effect = new Duration[KEYS];
+
         final int[] effects = new int[KEYS];
+
         /** Who had the effect's first txn. */
         final int[] effectBy = new int[KEYS];
+
         /** Which keys each router has reason to know of as having perhaps run, since when. */
         final Duration[][] knows = new Duration[ROUTERS][KEYS];
+
         final Duration[] position = new Duration[NODES];
         Duration now = Duration.ofSeconds(1000);
         Duration started;
@@ -212,10 +243,16 @@
                 }
                 for (int read = BOUNDED; read >= ANY && reads < READS; read--) {
                     int kind = read;
-                    all.add(new Step("r" + r + " is asked for " + (read == ANY ? "any read" : "a bounded read"), () -> {
-                        reads++;
-                        life.ask(kind);
-                    }));
+                    all.add(
+                            new Step(
+                                    "r"
+                                            + r
+                                            + " is asked for "
+                                            + (read == ANY ? "any read" : "a bounded read"),
+                                    () -> {
+                                        reads++;
+                                        life.ask(kind);
+                                    }));
                 }
                 if (!life.unsynced.isEmpty()) {
                     all.add(new Step("r" + r + " syncs", life::sync));
@@ -224,17 +261,23 @@
                     all.add(new Step("r" + r + " is told", life::told));
                 }
                 if (gossip < GOSSIP && life.doubts.doubted() > 0) {
-                    all.add(new Step("r" + r + " tells its doubts", () -> {
-                        gossip++;
-                        lives[1 - who].hears(life);
-                    }));
+                    all.add(
+                            new Step(
+                                    "r" + r + " tells its doubts",
+                                    () -> {
+                                        gossip++;
+                                        lives[1 - who].hears(life);
+                                    }));
                 }
                 if (losses < LOSSES && (life.busy() || !life.unsynced.isEmpty())) {
-                    all.add(new Step("r" + r + " ends", () -> {
-                        losses++;
-                        life.end();
-                        restart(who);
-                    }));
+                    all.add(
+                            new Step(
+                                    "r" + r + " ends",
+                                    () -> {
+                                        losses++;
+                                        life.end();
+                                        restart(who);
+                                    }));
                 }
             }
             for (Sent one : sent) {
@@ -246,19 +289,25 @@
                     all.add(new Step(name + " is answered", () -> answered(one, one.result)));
                 }
                 if (breaks < BREAKS && (one.where == Where.OUT || one.where == Where.BACK)) {
-                    all.add(new Step(name + " breaks", () -> {
-                        breaks++;
-                        boolean yet = one.where == Where.OUT;
-                        answered(one, Result.RESET);
-                        one.where = yet ? Where.STRAY : Where.OVER;
-                    }));
+                    all.add(
+                            new Step(
+                                    name + " breaks",
+                                    () -> {
+                                        breaks++;
+                                        boolean yet = one.where == Where.OUT;
+                                        answered(one, Result.RESET);
+                                        one.where = yet ? Where.STRAY : Where.OVER;
+                                    }));
                 }
             }
             if (!drains) {
-                all.add(new Step("n2 drains", () -> {
-                    drains = true;
-                    generation++;
-                }));
+                all.add(
+                        new Step(
+                                "n2 drains",
+                                () -> {
+                                    drains = true;
+                                    generation++;
+                                }));
             }
             if (losses < LOSSES && !sent.isEmpty()) {
                 all.add(new Step("power goes", this::power));
@@ -298,7 +347,8 @@
                 position[n] = n == 2 ? position[n] : now;
             }
             for (Sent one : List.copyOf(sent)) {
-                if ((one.where == Where.OUT || one.where == Where.BACK) && one.until.compareTo(now) <= 0) {
+                if ((one.where == Where.OUT || one.where == Where.BACK)
+                        && one.until.compareTo(now) <= 0) {
                     boolean yet = one.where == Where.OUT;
                     answered(one, Result.TIMED_OUT);
                     one.where = yet ? Where.STRAY : Where.OVER;
@@ -310,7 +360,9 @@
                 life.woken();
             }
             for (Ask ask : asks) {
-                if (ask.answer == null && lives[ask.of.index] == ask.of && ask.at.plus(EXPIRY).compareTo(now) < 0) {
+                if (ask.answer == null
+                        && lives[ask.of.index] == ask.of
+                        && ask.at.plus(EXPIRY).compareTo(now) < 0) {
                     breaks("txn " + ask.id + " has no answer");
                 }
             }
@@ -330,7 +382,8 @@
                 effect[key] = now;
                 one.ask.ran = true;
                 if (++effects[key] > 1 && effectBy[key] == one.ask.of.index) {
-                    // A stray that runs late is the network's doing: the platform counts its window from the send.
+                    // A stray that runs late is the network's doing: the platform counts its window
+                    // from the send.
                     if (!stray) {
                         breaks("k" + key + " had its effect twice");
                     }
@@ -352,14 +405,34 @@
 
         String state() {
             StringBuilder out = new StringBuilder();
-            out.append(now.toMillis()).append(Arrays.toString(effect)).append(Arrays.toString(effects)).append(generation).append(drains)
-                    .append(reads).append(ticks).append(losses).append(breaks).append(gossip).append(keptKeys).append(keptDrains)
-                    .append(Arrays.deepToString(knows)).append(Arrays.toString(effectBy));
+            out.append(now.toMillis())
+                    .append(Arrays.toString(effect))
+                    .append(Arrays.toString(effects))
+                    .append(generation)
+                    .append(drains)
+                    .append(reads)
+                    .append(ticks)
+                    .append(losses)
+                    .append(breaks)
+                    .append(gossip)
+                    .append(keptKeys)
+                    .append(keptDrains)
+                    .append(Arrays.deepToString(knows))
+                    .append(Arrays.toString(effectBy));
             Set<String> flying = new TreeSet<>();
             for (Sent one : sent) {
                 if (one.where != Where.OVER) {
-                    flying.add(one.ask.of.index + "/" + one.ask.key + "/" + one.node + one.where + one.at.toMillis() + one.result
-                            + one.ask.of.asks.indexOf(one.ask) + (lives[one.ask.of.index] == one.ask.of));
+                    flying.add(
+                            one.ask.of.index
+                                    + "/"
+                                    + one.ask.key
+                                    + "/"
+                                    + one.node
+                                    + one.where
+                                    + one.at.toMillis()
+                                    + one.result
+                                    + one.ask.of.asks.indexOf(one.ask)
+                                    + (lives[one.ask.of.index] == one.ask.of));
                 }
             }
             out.append(flying).append(asks.size());
@@ -376,8 +449,13 @@
         final int index;
         final List<Ask> asks = new ArrayList<>();
         final List<String> words = new ArrayList<>();
-        /** What is to be on the disk, and is not yet: {@code +0}, {@code -0} a key, {@code n2} a drain. */
+
+        /**
+         * What is to be on the disk, and is not yet: {@code +0}, {@code -0} a key, {@code n2} a
+         * drain.
+         */
         final TreeSet<String> unsynced = new TreeSet<>();
+
         final Duration began;
         final Decide decide;
         final Doubts doubts;
@@ -395,19 +473,69 @@
         }
 
         private static Settings settings() {
-            List<TxnType> types = List.of(
-                    new TxnType(Effect.REFERENCED, true, WINDOW, Read.WRITE, Duration.ZERO, EXPIRY.dividedBy(2), EXPIRY, 6, 0.3),
-                    new TxnType(Effect.REPEATABLE, true, WINDOW, Read.BOUNDED, BOUND, EXPIRY.dividedBy(2), EXPIRY, 2, 0),
-                    new TxnType(Effect.REPEATABLE, true, WINDOW, Read.ANY, Duration.ZERO, EXPIRY.dividedBy(2), EXPIRY, 2, 0));
-            return new Settings(Duration.ofMillis(5), 0, TICK, TICK.multipliedBy(4), 6, false, false, Duration.ZERO, false, false, 1,
-                    COLD, 2, Duration.ofSeconds(1), 0.012, ROUTERS, types, List.of());
-        }
-
-        /** What is remembered is told, then the list of the configuration, which is from before all drains. */
+            List<TxnType> types =
+                    List.of(
+                            new TxnType(
+                                    Effect.REFERENCED,
+                                    true,
+                                    WINDOW,
+                                    Read.WRITE,
+                                    Duration.ZERO,
+                                    EXPIRY.dividedBy(2),
+                                    EXPIRY,
+                                    6,
+                                    0.3),
+                            new TxnType(
+                                    Effect.REPEATABLE,
+                                    true,
+                                    WINDOW,
+                                    Read.BOUNDED,
+                                    BOUND,
+                                    EXPIRY.dividedBy(2),
+                                    EXPIRY,
+                                    2,
+                                    0),
+                            new TxnType(
+                                    Effect.REPEATABLE,
+                                    true,
+                                    WINDOW,
+                                    Read.ANY,
+                                    Duration.ZERO,
+                                    EXPIRY.dividedBy(2),
+                                    EXPIRY,
+                                    2,
+                                    0));
+            return new Settings(
+                    Duration.ofMillis(5),
+                    0,
+                    TICK,
+                    TICK.multipliedBy(4),
+                    6,
+                    false,
+                    false,
+                    Duration.ZERO,
+                    false,
+                    false,
+                    1,
+                    COLD,
+                    2,
+                    Duration.ofSeconds(1),
+                    0.012,
+                    ROUTERS,
+                    types,
+                    List.of());
+        }
+
+        /**
+         * What is remembered is told, then the list of the configuration, which is from before all
+         * drains.
+         */
         void begin() {
             closings.keeper(this);
             if (world.plant != Plant.FORGETS_DRAINS) {
-                world.keptDrains.get(index).forEach(id -> closings.close(id, Standing.DRAINING, 0, 2));
+                world.keptDrains
+                        .get(index)
+                        .forEach(id -> closings.close(id, Standing.DRAINING, 0, 2));
             }
             decide.at(world.now);
             for (int key : world.keptKeys.get(index)) {
@@ -483,7 +611,17 @@
             }
             Duration ran = key < 0 ? null : doubts.ran(key);
             ran = ran == null && others.contains(key) ? Doubts.LONG_AGO : ran;
-            ask.handle = decide.take(asks.size() - 1, key < 0 ? -key : 0, -1, -1, 0, EXPIRY, null, Duration.ZERO, ran);
+            ask.handle =
+                    decide.take(
+                            asks.size() - 1,
+                            key < 0 ? -key : 0,
+                            -1,
+                            -1,
+                            0,
+                            EXPIRY,
+                            null,
+                            Duration.ZERO,
+                            ran);
             end(ask);
         }
 
@@ -498,7 +636,11 @@
         }
 
         private void end(Ask ask) {
-            if (ask.handle != null && ask.answer != null && ask.out == 0 && !ask.over && ask.key >= 0) {
+            if (ask.handle != null
+                    && ask.answer != null
+                    && ask.out == 0
+                    && !ask.over
+                    && ask.key >= 0) {
                 ask.over = true;
                 doubts.over(ask.key, world.now);
             }
@@ -520,7 +662,13 @@
             }
             decide.at(world.now);
             boolean spoke = result == Result.COMMITTED || result == Result.MISS;
-            ask.handle.ended(one.node, result, world.now.minus(one.at), ask.answer != null, spoke ? one.note : Report.NOTHING, Report.NOTHING);
+            ask.handle.ended(
+                    one.node,
+                    result,
+                    world.now.minus(one.at),
+                    ask.answer != null,
+                    spoke ? one.note : Report.NOTHING,
+                    Report.NOTHING);
             end(ask);
         }
 
@@ -531,7 +679,10 @@
             }
             for (Sent one : world.sent) {
                 if (one.ask.of == this) {
-                    one.where = one.where == Where.OUT ? Where.STRAY : one.where == Where.STRAY ? Where.STRAY : Where.OVER;
+                    one.where =
+                            one.where == Where.OUT
+                                    ? Where.STRAY
+                                    : one.where == Where.STRAY ? Where.STRAY : Where.OVER;
                 }
             }
         }
@@ -552,7 +703,9 @@
             for (Sent one : List.copyOf(world.sent)) {
                 if (one.where == Where.WAITS && one.ask.of == this) {
                     decide.at(world.now);
-                    if (one.ask.answer == null && !others.contains(one.ask.key) && one.ask.handle.stands(one.node)) {
+                    if (one.ask.answer == null
+                            && !others.contains(one.ask.key)
+                            && one.ask.handle.stands(one.node)) {
                         goes(one);
                     } else {
                         world.answered(one, Result.UNSENT);
@@ -571,14 +724,17 @@
                 world.breaks("txn " + one.ask.id + " was sent after its answer");
             }
             if (key < 0) {
-                if (key == BOUNDED && one.node != 0 && world.position[one.node].compareTo(world.now.minus(BOUND)) < 0) {
+                if (key == BOUNDED
+                        && one.node != 0
+                        && world.position[one.node].compareTo(world.now.minus(BOUND)) < 0) {
                     world.breaks("a read was sent to n" + one.node + ", which is too far behind");
                 }
                 return;
             }
             Duration since = told.contains(key) ? Doubts.LONG_AGO : world.knows[index][key];
             if (since != null && world.now.minus(since).compareTo(WINDOW) >= 0) {
-                world.breaks("k" + key + " was sent by r" + index + ", which knew that it may have run");
+                world.breaks(
+                        "k" + key + " was sent by r" + index + ", which knew that it may have run");
             }
             world.knows[index][key] = since == null ? world.now : since;
         }
@@ -592,8 +748,11 @@
             if (ask.key >= 0) {
                 doubts.sends(ask.key, world.now);
             }
-            boolean kept = ask.key < 0 || world.plant == Plant.SENDS_BEFORE_KEPT || !unsynced.contains("+" + ask.key)
-                    && world.keptKeys.get(index).contains(ask.key);
+            boolean kept =
+                    ask.key < 0
+                            || world.plant == Plant.SENDS_BEFORE_KEPT
+                            || !unsynced.contains("+" + ask.key)
+                                    && world.keptKeys.get(index).contains(ask.key);
             Sent one = new Sent(ask, node, limit, world.now, Where.WAITS);
             world.sent.add(one);
             if (kept && !others.contains(ask.key)) {
@@ -614,16 +773,16 @@
         }
 
         @Override
-        public void release(int node) { }
+        public void release(int node) {}
 
         @Override
-        public void probe(int node) { }
+        public void probe(int node) {}
 
         @Override
-        public void follow() { }
+        public void follow() {}
 
         @Override
-        public void wake(Duration in) { }
+        public void wake(Duration in) {}
 
         // ---- the disk
 
@@ -650,6 +809,6 @@
         }
 
         @Override
-        public void opened(String id) { }
+        public void opened(String id) {}
     }
 }
--- a/src/main/java/dillfront/lab/SystemMeasure.java
+++ b/src/main/java/dillfront/lab/SystemMeasure.java
@@ -5,7 +5,10 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Some hundreds of random days of the whole system, and what became of the rules. With an argument: one seed, told in full. */
+/**
+ * Some hundreds of random days of the whole system, and what became of the rules. With an argument:
+ * one seed, told in full.
+ */
 public final class SystemMeasure {
 
     private static final long PLAY_MS = 24_000;
@@ -28,7 +31,13 @@
             day.told().forEach(System.out::println);
             day.status().forEach(System.out::println);
             day.breaches().forEach(System.out::println);
-            System.out.println("served " + day.served() + " promotions " + day.promotions() + " promote_ms " + day.promoteMs());
+            System.out.println(
+                    "served "
+                            + day.served()
+                            + " promotions "
+                            + day.promotions()
+                            + " promote_ms "
+                            + day.promoteMs());
             return;
         }
         long from = System.nanoTime();
@@ -41,7 +50,9 @@
         int stale = 0;
         int promotions = 0;
         double served = 0;
-        for (long seed = 1; days < MOST_DAYS && (System.nanoTime() - from) / 1_000_000 < BUDGET_MS; seed++) {
+        for (long seed = 1;
+                days < MOST_DAYS && (System.nanoTime() - from) / 1_000_000 < BUDGET_MS;
+                seed++) {
             Day day = play(seed);
             days++;
             broken += day.breaches().size();
@@ -53,13 +64,29 @@
             promote.addAll(day.promoteMs());
             config.addAll(day.configMs());
             if (!day.breaches().isEmpty()) {
-                System.out.println("seed " + seed + ": " + day.breaches().get(0) + (day.breaches().size() > 1 ? " and " + (day.breaches().size() - 1) + " more" : ""));
+                System.out.println(
+                        "seed "
+                                + seed
+                                + ": "
+                                + day.breaches().get(0)
+                                + (day.breaches().size() > 1
+                                        ? " and " + (day.breaches().size() - 1) + " more"
+                                        : ""));
             } else if (day.served() < 0.8) {
                 System.out.println("seed " + seed + ": served " + day.served());
             }
         }
-        System.out.printf("system: days=%d rules_broken=%d lost=%d twice=%d stale=%d promotions=%d promote_ms_p99=%d config_ms_p99=%d served=%.4f%n",
-                days, broken, lost, twice, stale, promotions, p99(promote), p99(config), served / days);
+        System.out.printf(
+                "system: days=%d rules_broken=%d lost=%d twice=%d stale=%d promotions=%d promote_ms_p99=%d config_ms_p99=%d served=%.4f%n",
+                days,
+                broken,
+                lost,
+                twice,
+                stale,
+                promotions,
+                p99(promote),
+                p99(config),
+                served / days);
     }
 
     private static long p99(List<Long> of) {
--- a/src/main/java/dillfront/lab/Time.java
+++ b/src/main/java/dillfront/lab/Time.java
@@ -3,13 +3,19 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** Virtual time: what is due runs in the order of its time, and of its asking where times are equal. */
+/**
+ * Virtual time: what is due runs in the order of its time, and of its asking where times are equal.
+ */
 public final class Time implements Clockwork {
 
     private record Due(long nanos, long order, Runnable work) {}
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.nanos != b.nanos
-            ? Long.compare(a.nanos, b.nanos) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.nanos != b.nanos
+                                    ? Long.compare(a.nanos, b.nanos)
+                                    : Long.compare(a.order, b.order));
     private long now;
     private long asked;
 
