--- a/src/main/java/dillfront/lab/World.java
+++ b/src/main/java/dillfront/lab/World.java
@@ -28,17 +28,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Routers with the decisions as they are, each with txns of its own, before nodes that one script makes hang; with gossip
- * or without. Tells what the txns earned and how long routers went on sending to what hung.
+ * Routers with the decisions as they are, each with txns of its own, before nodes that one script
+ * makes hang; with gossip or without. Tells what the txns earned and how long routers went on
+ * sending to what hung.
  */
 public final class World {
 
     /** What one run is. */
-    public record Script(int routers, int groups, int members, double txnsPerSecond, int hung, Duration hangs,
-            Duration lasts, Duration end, boolean gossip, Lie lie, long seed) {}
+    public record Script(
+            int routers,
+            int groups,
+            int members,
+            double txnsPerSecond,
+            int hung,
+            Duration hangs,
+            Duration lasts,
+            Duration end,
+            boolean gossip,
+            Lie lie,
+            long seed) {}
 
     /** What the last router says to others, if it lies. */
-    public enum Lie { NONE, ALL, PRIMARIES, HALF }
+    public enum Lie {
+        NONE,
+        ALL,
+        PRIMARIES,
+        HALF
+    }
 
     /**
      * What came of it.
@@ -46,16 +62,23 @@
      * @param value earned, as a part of what was asked
      * @param stopped from the first router's own evidence until the last stopped pouring
      * @param poured txns sent to what hung after the first router's evidence, trials included
-     * @param doubts falsely held: node-beats at which a node that was well was doubted by hearsay, of all node-beats
+     * @param doubts falsely held: node-beats at which a node that was well was doubted by hearsay,
+     *     of all node-beats
      * @param bytes that one instance sent a second, in the mean
      */
-    public record Outcome(double value, Duration stopped, int poured, double doubts, double bytes) {}
+    public record Outcome(
+            double value, Duration stopped, int poured, double doubts, double bytes) {}
 
     private static final Duration BEAT = Duration.ofMillis(20);
     private static final Duration DIAL = Duration.ofMillis(250);
     private static final Duration WORK = Duration.ofMillis(20);
-    /** A router that sends one txn after such a gap, with nothing else out there, only tries the node. */
+
+    /**
+     * A router that sends one txn after such a gap, with nothing else out there, only tries the
+     * node.
+     */
     private static final Duration TRIAL = DIAL;
+
     private static final Duration CLIENT = Duration.ofMillis(750);
     private static final double[] VALUES = {3, 2, 6};
 
@@ -77,7 +100,9 @@
     private final List<Router> routers = new ArrayList<>();
     private final Wire wire;
 
-    /** @param times one a router */
+    /**
+     * @param times one a router
+     */
     World(Script script, List<? extends Clockwork> times, Wire wire) {
         this.script = script;
         this.wire = wire;
@@ -90,25 +115,38 @@
     public static Outcome play(Script script) {
         Time time = new Time();
         World[] world = new World[1];
-        Crowd crowd = new Crowd(script.routers, Tuning.USUAL, time, script.seed + 1,
-                (at, claim, age) -> world[0].routers.get(at).neighbours.claimed(claim, age, time.now()));
-        world[0] = new World(script, Collections.nCopies(script.routers, time), new Wire() {
-            @Override
-            public void start(List<Router> routers) {
-                crowd.start();
-            }
-
-            @Override
-            public Gossip of(int router) {
-                crowd.instances[router].at();
-                return crowd.instances[router].gossip;
-            }
-
-            @Override
-            public double bytes() {
-                return crowd.bytes();
-            }
-        });
+        Crowd crowd =
+                new Crowd(
+                        script.routers,
+                        Tuning.USUAL,
+                        time,
+                        script.seed + 1,
+                        (at, claim, age) ->
+                                world[0].routers
+                                        .get(at)
+                                        .neighbours
+                                        .claimed(claim, age, time.now()));
+        world[0] =
+                new World(
+                        script,
+                        Collections.nCopies(script.routers, time),
+                        new Wire() {
+                            @Override
+                            public void start(List<Router> routers) {
+                                crowd.start();
+                            }
+
+                            @Override
+                            public Gossip of(int router) {
+                                crowd.instances[router].at();
+                                return crowd.instances[router].gossip;
+                            }
+
+                            @Override
+                            public double bytes() {
+                                return crowd.bytes();
+                            }
+                        });
         world[0].start();
         time.until(script.end);
         return world[0].outcome();
@@ -138,7 +176,10 @@
             earned += r.earned;
             beats += r.beats;
             falseDoubts += r.falseDoubts;
-            first = r.evidence == null || first != null && first.compareTo(r.evidence) < 0 ? first : r.evidence;
+            first =
+                    r.evidence == null || first != null && first.compareTo(r.evidence) < 0
+                            ? first
+                            : r.evidence;
             last = r.lastPour.compareTo(last) > 0 ? r.lastPour : last;
         }
         for (Router r : routers) {
@@ -146,8 +187,13 @@
                 poured += first != null && at.compareTo(first) > 0 ? 1 : 0;
             }
         }
-        Duration stopped = first == null || last.compareTo(first) < 0 ? Duration.ZERO : last.minus(first);
-        return new Outcome(earned / asked, stopped, poured, falseDoubts / (double) Math.max(1, beats),
+        Duration stopped =
+                first == null || last.compareTo(first) < 0 ? Duration.ZERO : last.minus(first);
+        return new Outcome(
+                earned / asked,
+                stopped,
+                poured,
+                falseDoubts / (double) Math.max(1, beats),
                 script.gossip ? wire.bytes() / seconds(script.end) : 0);
     }
 
@@ -156,20 +202,62 @@
     }
 
     private boolean hangs(int node, Duration at) {
-        return node == script.hung && at.compareTo(script.hangs) >= 0
+        return node == script.hung
+                && at.compareTo(script.hangs) >= 0
                 && at.compareTo(script.hangs.plus(script.lasts)) < 0;
     }
 
     private static Settings settings(int routers) {
         Duration ms = Duration.ofMillis(1);
-        return new Settings(ms.multipliedBy(5), 0, DIAL, Duration.ofSeconds(2), 6, true, false, Duration.ZERO,
-                false, false, 0.2, Duration.ofSeconds(9), 2, Duration.ofSeconds(1), 0.012, routers,
-                List.of(new TxnType(Effect.REPEATABLE, false, Duration.ZERO, Read.BOUNDED, ms.multipliedBy(200),
-                                ms.multipliedBy(300), CLIENT, 3, 0),
-                        new TxnType(Effect.REPEATABLE, false, Duration.ZERO, Read.ANY, Duration.ZERO,
-                                ms.multipliedBy(300), CLIENT, 2, 0),
-                        new TxnType(Effect.REFERENCED, true, Duration.ofSeconds(2), Read.WRITE, Duration.ZERO,
-                                CLIENT, CLIENT, 6, 0)), List.of());
+        return new Settings(
+                ms.multipliedBy(5),
+                0,
+                DIAL,
+                Duration.ofSeconds(2),
+                6,
+                true,
+                false,
+                Duration.ZERO,
+                false,
+                false,
+                0.2,
+                Duration.ofSeconds(9),
+                2,
+                Duration.ofSeconds(1),
+                0.012,
+                routers,
+                List.of(
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                false,
+                                Duration.ZERO,
+                                Read.BOUNDED,
+                                ms.multipliedBy(200),
+                                ms.multipliedBy(300),
+                                CLIENT,
+                                3,
+                                0),
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                false,
+                                Duration.ZERO,
+                                Read.ANY,
+                                Duration.ZERO,
+                                ms.multipliedBy(300),
+                                CLIENT,
+                                2,
+                                0),
+                        new TxnType(
+                                Effect.REFERENCED,
+                                true,
+                                Duration.ofSeconds(2),
+                                Read.WRITE,
+                                Duration.ZERO,
+                                CLIENT,
+                                CLIENT,
+                                6,
+                                0)),
+                List.of());
     }
 
     private static final class Txn {
@@ -193,8 +281,10 @@
         private final Decide decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
+
         /** At the node that hangs: the last send, or the begin of a doubt; and how many are out. */
         private Duration heldBack;
+
         private boolean doubts;
         private int outAtHung;
         private Duration evidence;
@@ -209,7 +299,9 @@
             this.index = index;
             this.time = time;
             mine = new SplittableRandom(script.seed * 1_000_003 + index);
-            decide = new Decide(settings(script.routers), this, new SplittableRandom(mine.nextLong()));
+            decide =
+                    new Decide(
+                            settings(script.routers), this, new SplittableRandom(mine.nextLong()));
             neighbours = new Neighbours(tuning, script.routers, this);
             neighbours.speaksBy(() -> wire.of(index));
         }
@@ -221,7 +313,15 @@
         private void begin() {
             List<NodeRow> rows = new ArrayList<>();
             for (int n = 0; n < nodes(); n++) {
-                rows.add(new NodeRow(n, n / script.members, 0, 1, n % script.members == 0, null, Standing.READY));
+                rows.add(
+                        new NodeRow(
+                                n,
+                                n / script.members,
+                                0,
+                                1,
+                                n % script.members == 0,
+                                null,
+                                Standing.READY));
                 neighbours.known(n, "node-" + n);
             }
             decide.at(time.now());
@@ -235,52 +335,77 @@
 
         private void lie() {
             for (int node = 0; node < nodes(); node++) {
-                boolean says = switch (script.lie) {
-                    case ALL -> true;
-                    case PRIMARIES -> node % script.members == 0;
-                    case HALF -> node < nodes() / 2;
-                    default -> false;
-                };
+                boolean says =
+                        switch (script.lie) {
+                            case ALL -> true;
+                            case PRIMARIES -> node % script.members == 0;
+                            case HALF -> node < nodes() / 2;
+                            default -> false;
+                        };
                 if (says) {
-                    wire.of(index).claim(Ring.hash("node-" + node), Symptom.HUNG, 5, Duration.ofSeconds(1));
+                    wire.of(index)
+                            .claim(
+                                    Ring.hash("node-" + node),
+                                    Symptom.HUNG,
+                                    5,
+                                    Duration.ofSeconds(1));
                 }
             }
             time.after(tuning.period(), this::lie);
         }
 
         private void arrive() {
-            Duration gap = Duration.ofNanos((long) (-Math.log(1 - mine.nextDouble()) / script.txnsPerSecond * 1e9));
-            time.after(gap, () -> {
-                double kind = mine.nextDouble();
-                int type = kind < 0.2 ? 0 : kind < 0.85 ? 1 : 2;
-                Txn txn = new Txn(type, time.now());
-                txns.add(txn);
-                asked += VALUES[type];
-                decide.at(time.now());
-                int id = txns.size() - 1;
-                txn.handle = decide.take(id, type, -1, -1, mine.nextInt(script.groups), CLIENT, null, Duration.ZERO, null);
-                arrive();
-            });
+            Duration gap =
+                    Duration.ofNanos(
+                            (long) (-Math.log(1 - mine.nextDouble()) / script.txnsPerSecond * 1e9));
+            time.after(
+                    gap,
+                    () -> {
+                        double kind = mine.nextDouble();
+                        int type = kind < 0.2 ? 0 : kind < 0.85 ? 1 : 2;
+                        Txn txn = new Txn(type, time.now());
+                        txns.add(txn);
+                        asked += VALUES[type];
+                        decide.at(time.now());
+                        int id = txns.size() - 1;
+                        txn.handle =
+                                decide.take(
+                                        id,
+                                        type,
+                                        -1,
+                                        -1,
+                                        mine.nextInt(script.groups),
+                                        CLIENT,
+                                        null,
+                                        Duration.ZERO,
+                                        null);
+                        arrive();
+                    });
         }
 
         /** What the daemon does at its beat, and nothing more. */
         private void beat() {
-            time.after(BEAT, () -> {
-                decide.at(time.now());
-                if (evidence == null && hangs(script.hung, time.now()) && decide.sees(script.hung).ill()) {
-                    evidence = time.now();
-                }
-                // He who lies does not take it back by telling what he sees.
-                if (script.gossip && !lies()) {
-                    neighbours.beat(time.now());
-                    for (int n = 0; n < nodes(); n++) {
-                        beats++;
-                        boolean well = n != script.hung || time.now().compareTo(script.hangs) < 0;
-                        falseDoubts += neighbours.doubts(n) && well ? 1 : 0;
-                    }
-                }
-                beat();
-            });
+            time.after(
+                    BEAT,
+                    () -> {
+                        decide.at(time.now());
+                        if (evidence == null
+                                && hangs(script.hung, time.now())
+                                && decide.sees(script.hung).ill()) {
+                            evidence = time.now();
+                        }
+                        // He who lies does not take it back by telling what he sees.
+                        if (script.gossip && !lies()) {
+                            neighbours.beat(time.now());
+                            for (int n = 0; n < nodes(); n++) {
+                                beats++;
+                                boolean well =
+                                        n != script.hung || time.now().compareTo(script.hangs) < 0;
+                                falseDoubts += neighbours.doubts(n) && well ? 1 : 0;
+                            }
+                        }
+                        beat();
+                    });
         }
 
         @Override
@@ -309,29 +434,43 @@
             Txn txn = txns.get(id);
             Duration now = time.now();
             if (hangs(node, now)) {
-                boolean tries = heldBack != null && outAtHung == 0 && now.minus(heldBack).compareTo(TRIAL) >= 0;
+                boolean tries =
+                        heldBack != null
+                                && outAtHung == 0
+                                && now.minus(heldBack).compareTo(TRIAL) >= 0;
                 heldBack = now;
                 lastPour = tries ? lastPour : now;
                 pours.add(now);
             }
             outAtHung += node == script.hung ? 1 : 0;
             Duration work = Duration.ofNanos((long) (WORK.toNanos() * (0.5 + mine.nextDouble())));
-            boolean answers = !hangs(node, now) && !hangs(node, now.plus(work)) && work.compareTo(limit) < 0;
-            time.after(answers ? work : limit, () -> {
-                decide.at(time.now());
-                outAtHung -= node == script.hung ? 1 : 0;
-                Duration position = time.now().minusMillis(node % script.members == 0 ? 0 : 20);
-                Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
-                boolean first = answers && !txn.over;
-                if (first) {
-                    txn.over = true;
-                    boolean timely = time.now().minus(txn.came).toMillis() <= (txn.type == 2 ? 750 : 300);
-                    earned += timely ? VALUES[txn.type] : 0;
-                }
-                Report note = answers ? new Report(position, role) : Report.NOTHING;
-                txn.handle.ended(node, answers ? Result.COMMITTED : Result.TIMED_OUT, time.now().minus(now), txn.over,
-                        note, Report.NOTHING);
-            });
+            boolean answers =
+                    !hangs(node, now) && !hangs(node, now.plus(work)) && work.compareTo(limit) < 0;
+            time.after(
+                    answers ? work : limit,
+                    () -> {
+                        decide.at(time.now());
+                        outAtHung -= node == script.hung ? 1 : 0;
+                        Duration position =
+                                time.now().minusMillis(node % script.members == 0 ? 0 : 20);
+                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        boolean first = answers && !txn.over;
+                        if (first) {
+                            txn.over = true;
+                            boolean timely =
+                                    time.now().minus(txn.came).toMillis()
+                                            <= (txn.type == 2 ? 750 : 300);
+                            earned += timely ? VALUES[txn.type] : 0;
+                        }
+                        Report note = answers ? new Report(position, role) : Report.NOTHING;
+                        txn.handle.ended(
+                                node,
+                                answers ? Result.COMMITTED : Result.TIMED_OUT,
+                                time.now().minus(now),
+                                txn.over,
+                                note,
+                                Report.NOTHING);
+                    });
         }
 
         @Override
@@ -351,11 +490,18 @@
         @Override
         public void probe(int node) {
             boolean answers = !hangs(node, time.now());
-            time.after(answers ? Duration.ofMillis(2) : DIAL, () -> {
-                decide.at(time.now());
-                Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
-                decide.probed(node, answers, answers ? new Report(time.now().minusMillis(20), role) : Report.NOTHING);
-            });
+            time.after(
+                    answers ? Duration.ofMillis(2) : DIAL,
+                    () -> {
+                        decide.at(time.now());
+                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        decide.probed(
+                                node,
+                                answers,
+                                answers
+                                        ? new Report(time.now().minusMillis(20), role)
+                                        : Report.NOTHING);
+                    });
         }
 
         @Override
@@ -363,10 +509,12 @@
 
         @Override
         public void wake(Duration in) {
-            time.after(in, () -> {
-                decide.at(time.now());
-                decide.woken();
-            });
+            time.after(
+                    in,
+                    () -> {
+                        decide.at(time.now());
+                        decide.woken();
+                    });
         }
     }
 }
--- a/src/main/java/dillfront/lab/rig/Agent.java
+++ b/src/main/java/dillfront/lab/rig/Agent.java
@@ -18,23 +18,29 @@
 import java.util.function.ToIntFunction;
 
 /**
- * An agent of discovery: the list over HTTP, whole or what changed, at once or once something has. It may know an older
- * version than the catalogue has, be silent, or be gone and come back. All calls on the stage's loop or through run().
+ * An agent of discovery: the list over HTTP, whole or what changed, at once or once something has.
+ * It may know an older version than the catalogue has, be silent, or be gone and come back. All
+ * calls on the stage's loop or through run().
  */
 public final class Agent {
 
     private final Stage stage;
     private final String name;
     private final Catalogue catalogue;
+
     /** Where whoever asks reaches this node: each router by a way of its own. */
     private final Map<String, ToIntFunction<String>> ways = new HashMap<>();
+
     private final ToIntFunction<String> plain;
     private int port;
     private Channel door;
+
     /** Knows no later version than this. */
     private long upTo = Long.MAX_VALUE;
+
     private boolean silent;
     private final Set<Asker> askers = new LinkedHashSet<>();
+
     /** What each life of a router was told of: to name those that a whole list leaves out. */
     private final Map<String, Set<String>> named = new HashMap<>();
 
@@ -64,10 +70,11 @@
 
     /** Gone, as its process is: connections end, new ones are refused. */
     public void close() {
-        stage.run(() -> {
-            door.close();
-            List.copyOf(askers).forEach(a -> a.ctx.close());
-        });
+        stage.run(
+                () -> {
+                    door.close();
+                    List.copyOf(askers).forEach(a -> a.ctx.close());
+                });
         stage.await("an agent's door closed", () -> !door.isOpen());
     }
 
@@ -77,24 +84,38 @@
 
     /** Waits until somebody who has the list as it is now asks for a newer one. */
     public void awaitAsker() {
-        stage.await("somebody with the newest list asks for a newer one",
-                () -> askers.stream().anyMatch(a -> a.asks && a.after == catalogue.upTo(upTo).generation()));
+        stage.await(
+                "somebody with the newest list asks for a newer one",
+                () ->
+                        askers.stream()
+                                .anyMatch(
+                                        a ->
+                                                a.asks
+                                                        && a.after
+                                                                == catalogue
+                                                                        .upTo(upTo)
+                                                                        .generation()));
     }
 
     /** Says nothing from now on, and has not heard either; or speaks up again. */
     public void silent(boolean now) {
-        stage.run(() -> {
-            silent = now;
-            tell();
-        });
+        stage.run(
+                () -> {
+                    silent = now;
+                    tell();
+                });
     }
 
-    /** Knows no version later than this, as one that lags or was restored; asked by those connected, it says so. */
+    /**
+     * Knows no version later than this, as one that lags or was restored; asked by those connected,
+     * it says so.
+     */
     public void upTo(long generation) {
-        stage.run(() -> {
-            upTo = generation;
-            tell();
-        });
+        stage.run(
+                () -> {
+                    upTo = generation;
+                    tell();
+                });
     }
 
     private void tell() {
@@ -107,8 +128,10 @@
 
         private final StringBuilder said = new StringBuilder();
         private ChannelHandlerContext ctx;
+
         /** A call is open, for what is newer than this; negative for all. */
         private boolean asks;
+
         private long after;
         private ScheduledFuture<?> wait;
 
@@ -133,22 +156,34 @@
         private void asked(String line) {
             String life = stage.behind(ctx.channel());
             asks = true;
-            after = line.contains("after=") ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1")) : -1;
-            long waitMs = line.contains("wait_ms=") ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1")) : 0;
+            after =
+                    line.contains("after=")
+                            ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1"))
+                            : -1;
+            long waitMs =
+                    line.contains("wait_ms=")
+                            ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
+                            : 0;
             if (after >= 0) {
                 long read = after;
                 long at = stage.now();
-                stage.afterNextLook(() -> stage.happened(new Happening.Heard(at, life + "<" + name, read)));
+                stage.afterNextLook(
+                        () -> stage.happened(new Happening.Heard(at, life + "<" + name, read)));
             }
             if (!silent) {
                 answerIfNewer();
             }
             if (asks) {
-                wait = stage.loop().schedule(() -> {
-                    if (asks && !silent) {
-                        answer();
-                    }
-                }, waitMs, TimeUnit.MILLISECONDS);
+                wait =
+                        stage.loop()
+                                .schedule(
+                                        () -> {
+                                            if (asks && !silent) {
+                                                answer();
+                                            }
+                                        },
+                                        waitMs,
+                                        TimeUnit.MILLISECONDS);
             }
         }
 
@@ -182,16 +217,35 @@
                 if (!whole) {
                     rows.add(row(then.entries().get(id).is("gone"), life));
                 }
-                told(life, now.generation(), id, whole ? "absent" : "gone", whole ? 0 : then.entries().get(id).startedMs());
+                told(
+                        life,
+                        now.generation(),
+                        id,
+                        whole ? "absent" : "gone",
+                        whole ? 0 : then.entries().get(id).startedMs());
             }
-            String body = "{\"generation\":" + now.generation() + ",\"reset\":" + whole + ",\"instances\":["
-                    + String.join(",", rows) + "]}";
-            ctx.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body,
-                    StandardCharsets.US_ASCII));
+            String body =
+                    "{\"generation\":"
+                            + now.generation()
+                            + ",\"reset\":"
+                            + whole
+                            + ",\"instances\":["
+                            + String.join(",", rows)
+                            + "]}";
+            ctx.writeAndFlush(
+                    Unpooled.copiedBuffer(
+                            "HTTP/1.1 200 OK\r\nContent-Length: "
+                                    + body.length()
+                                    + "\r\n\r\n"
+                                    + body,
+                            StandardCharsets.US_ASCII));
         }
 
-        private void told(String life, long generation, String id, String standing, long startedMs) {
-            stage.happened(new Happening.Told(stage.now(), life + "<" + name, generation, id, standing, startedMs));
+        private void told(
+                String life, long generation, String id, String standing, long startedMs) {
+            stage.happened(
+                    new Happening.Told(
+                            stage.now(), life + "<" + name, generation, id, standing, startedMs));
         }
 
         @Override
@@ -213,8 +267,16 @@
 
     /** As discovery lists a node, in its form. */
     public static String row(Catalogue.Entry e, int port) {
-        return String.format("{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\",\"machineType\":\"m\","
-                + "\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d,\"role\":\"%s\"}", e.id(), Stage.HOST, port, e.zone(),
-                e.group(), e.lifecycle(), e.startedMs(), e.leads() ? "leader" : "follower");
+        return String.format(
+                "{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\",\"machineType\":\"m\","
+                        + "\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d,\"role\":\"%s\"}",
+                e.id(),
+                Stage.HOST,
+                port,
+                e.zone(),
+                e.group(),
+                e.lifecycle(),
+                e.startedMs(),
+                e.leads() ? "leader" : "follower");
     }
 }
--- a/src/main/java/dillfront/lab/rig/Audit.java
+++ b/src/main/java/dillfront/lab/rig/Audit.java
@@ -9,9 +9,10 @@
 import java.util.TreeMap;
 
 /**
- * Judges the five rules over a whole rig, from what its stand-ins recorded, across all lives of its routers. Pure: the same
- * record, the same verdict. A rule about lists counts from when the router has shown that it read the word, not from a time,
- * so that a slow machine makes no breach and hides none.
+ * Judges the five rules over a whole rig, from what its stand-ins recorded, across all lives of its
+ * routers. Pure: the same record, the same verdict. A rule about lists counts from when the router
+ * has shown that it read the word, not from a time, so that a slow machine makes no breach and
+ * hides none.
  */
 public final class Audit {
 
@@ -33,8 +34,10 @@
     private static final class Life {
         boolean killed;
         boolean over;
+
         /** Told, and not yet shown to be read. */
         final List<Happening.Told> told = new ArrayList<>();
+
         final Map<String, Closing> closed;
 
         Life(Map<String, Closing> closed) {
@@ -57,8 +60,12 @@
     private double peak;
     private int sent;
 
-    /** What closes a node binds a router in all its lives, since it remembers; else in the life that has heard it. */
+    /**
+     * What closes a node binds a router in all its lives, since it remembers; else in the life that
+     * has heard it.
+     */
     private final boolean remembers;
+
     private final Map<String, Map<String, Closing>> closed = new HashMap<>();
 
     private Audit(boolean remembers) {
@@ -70,7 +77,9 @@
         return of(record, false);
     }
 
-    /** @param remembers routers keep over their lives what closes a node */
+    /**
+     * @param remembers routers keep over their lives what closes a node
+     */
     public static Audit of(List<Happening> record, boolean remembers) {
         Audit audit = new Audit(remembers);
         record.forEach(audit::next);
@@ -92,7 +101,9 @@
     }
 
     public long ended(String how) {
-        return txns.values().stream().filter(t -> t.answered != null && t.answered.how().equals(how)).count();
+        return txns.values().stream()
+                .filter(t -> t.answered != null && t.answered.how().equals(how))
+                .count();
     }
 
     public int asked() {
@@ -105,7 +116,8 @@
 
     private Life life(String name) {
         String who = remembers ? name.replaceAll("#.*", "") : name;
-        return lives.computeIfAbsent(name, k -> new Life(closed.computeIfAbsent(who, w -> new HashMap<>())));
+        return lives.computeIfAbsent(
+                name, k -> new Life(closed.computeIfAbsent(who, w -> new HashMap<>())));
     }
 
     private Txn txn(String id) {
@@ -151,17 +163,29 @@
         }
     }
 
-    /** A word that opens a node counts once told, one that closes it once read; only a newer word or start opens it again. */
+    /**
+     * A word that opens a node counts once told, one that closes it once read; only a newer word or
+     * start opens it again.
+     */
     private static void word(Life life, Happening.Told t, boolean read) {
         Closing before = life.closed.get(t.node());
-        boolean newer = before == null || t.generation() > before.generation || t.startedMs() > before.startedMs;
+        boolean newer =
+                before == null
+                        || t.generation() > before.generation
+                        || t.startedMs() > before.startedMs;
         if (t.standing().equals("ready")) {
             if (newer) {
                 life.closed.remove(t.node());
             }
         } else if (read && (newer || t.generation() == before.generation)) {
-            life.closed.put(t.node(), new Closing(t.generation(), before == null ? t.startedMs()
-                    : Math.max(t.startedMs(), before.startedMs), t.standing()));
+            life.closed.put(
+                    t.node(),
+                    new Closing(
+                            t.generation(),
+                            before == null
+                                    ? t.startedMs()
+                                    : Math.max(t.startedMs(), before.startedMs),
+                            t.standing()));
         }
     }
 
@@ -173,13 +197,24 @@
         }
         Closing closed = life.closed.get(s.node());
         if (closed != null) {
-            breach(3, s.life() + " sent " + s.txn() + " to " + s.node() + ", which is " + closed.standing
-                    + " by generation " + closed.generation);
+            breach(
+                    3,
+                    s.life()
+                            + " sent "
+                            + s.txn()
+                            + " to "
+                            + s.node()
+                            + ", which is "
+                            + closed.standing
+                            + " by generation "
+                            + closed.generation);
         }
         Txn txn = txn(s.txn());
         txn.sends++;
         if (txn.answered != null && !txn.answered.how().equals("broken")) {
-            breach(1, s.life() + " sent " + s.txn() + " to " + s.node() + " after its final answer");
+            breach(
+                    1,
+                    s.life() + " sent " + s.txn() + " to " + s.node() + " after its final answer");
         }
         if (txn.ran && s.type().equals("once")) {
             breach(2, s.life() + " sent " + s.txn() + " again, once-only, after it had run");
@@ -222,7 +257,16 @@
         declinedAndRan(a.txn());
         long lateMs = (a.at() - txn.asked.at()) / 1_000_000 - txn.asked.waitMs();
         if (lateMs > SLACK_MS && !life(txn.asked.life()).killed && !a.how().equals("unreached")) {
-            breach(1, a.txn() + " of " + txn.asked.life() + " was answered " + a.how() + " " + lateMs + " ms after its client gave up");
+            breach(
+                    1,
+                    a.txn()
+                            + " of "
+                            + txn.asked.life()
+                            + " was answered "
+                            + a.how()
+                            + " "
+                            + lateMs
+                            + " ms after its client gave up");
         }
     }
 
@@ -230,24 +274,52 @@
         Mix.Type type = Mix.type(r.type());
         Happening.Asked asked = txn(r.txn()).asked;
         long ageMs = r.unixMs() - r.positionMs();
-        if (type.read().equals("causal") && asked != null && asked.afterMs() > 0 && r.positionMs() < asked.afterMs()) {
-            breach(5, r.txn() + " at " + r.node() + " did not see its session's write, " + (asked.afterMs() - r.positionMs()) + " ms behind");
+        if (type.read().equals("causal")
+                && asked != null
+                && asked.afterMs() > 0
+                && r.positionMs() < asked.afterMs()) {
+            breach(
+                    5,
+                    r.txn()
+                            + " at "
+                            + r.node()
+                            + " did not see its session's write, "
+                            + (asked.afterMs() - r.positionMs())
+                            + " ms behind");
         }
-        if (type.read().equals("lag_bound") && ageMs > type.boundMs() + SLACK_MS || type.read().equals("strong") && ageMs > SLACK_MS) {
-            breach(5, r.txn() + ", " + r.type() + ", at " + r.node() + " was answered from data " + ageMs + " ms old");
+        if (type.read().equals("lag_bound") && ageMs > type.boundMs() + SLACK_MS
+                || type.read().equals("strong") && ageMs > SLACK_MS) {
+            breach(
+                    5,
+                    r.txn()
+                            + ", "
+                            + r.type()
+                            + ", at "
+                            + r.node()
+                            + " was answered from data "
+                            + ageMs
+                            + " ms old");
         }
     }
 
     private void end() {
-        txns.forEach((id, txn) -> {
-            if (txn.asked == null) {
-                return;
-            }
-            Life life = life(txn.asked.life());
-            boolean broken = txn.answered != null && txn.answered.how().equals("broken");
-            if ((txn.answered == null || broken) && !life.killed) {
-                breach(1, id + " of " + txn.asked.life() + (broken ? ": its connection ended with no answer" : " has no answer"));
-            }
-        });
+        txns.forEach(
+                (id, txn) -> {
+                    if (txn.asked == null) {
+                        return;
+                    }
+                    Life life = life(txn.asked.life());
+                    boolean broken = txn.answered != null && txn.answered.how().equals("broken");
+                    if ((txn.answered == null || broken) && !life.killed) {
+                        breach(
+                                1,
+                                id
+                                        + " of "
+                                        + txn.asked.life()
+                                        + (broken
+                                                ? ": its connection ended with no answer"
+                                                : " has no answer"));
+                    }
+                });
     }
 }
--- a/src/main/java/dillfront/lab/rig/Caller.java
+++ b/src/main/java/dillfront/lab/rig/Caller.java
@@ -17,16 +17,18 @@
 import java.util.function.Consumer;
 
 /**
- * Clients of one router: each query on a connection of its own that is kept for the next, each with a new id, and what became
- * of it in the record. On the stage's loop.
+ * Clients of one router: each query on a connection of its own that is kept for the next, each with
+ * a new id, and what became of it in the record. On the stage's loop.
  */
 public final class Caller {
 
     private final Stage stage;
     private final Router router;
     private final ArrayDeque<Line> free = new ArrayDeque<>();
+
     /** Those that wait for an answer, by their ids. */
     private final Map<String, Line> out = new HashMap<>();
+
     private long number;
 
     Caller(Stage stage, Router router) {
@@ -46,14 +48,37 @@
      * @param afterMs when its session last wrote, in Unix milliseconds; 0 where it has not
      * @param then is told how it ended
      */
-    public String ask(String type, int group, String key, long waitMs, long afterMs, Consumer<Happening.Answered> then) {
+    public String ask(
+            String type,
+            int group,
+            String key,
+            long waitMs,
+            long afterMs,
+            Consumer<Happening.Answered> then) {
         String txn = router.name() + "-" + ++number;
         Mix.Type row = Mix.type(type);
-        String comment = " /* id=" + txn + ",c=" + type + ",d=" + waitMs + (row.referenced() ? ",k=" + key : "")
-                + ",cluster=" + group + (afterMs > 0 ? ",after=" + afterMs : "") + " */";
-        String text = row.write() ? "INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x9f03') RETURNING body" + comment
-                : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment;
-        stage.happened(new Happening.Asked(stage.now(), txn, type, group, key, waitMs, afterMs, router.life()));
+        String comment =
+                " /* id="
+                        + txn
+                        + ",c="
+                        + type
+                        + ",d="
+                        + waitMs
+                        + (row.referenced() ? ",k=" + key : "")
+                        + ",cluster="
+                        + group
+                        + (afterMs > 0 ? ",after=" + afterMs : "")
+                        + " */";
+        String text =
+                row.write()
+                        ? "INSERT INTO objects (oid, body) VALUES ('"
+                                + key
+                                + "', '\\x9f03') RETURNING body"
+                                + comment
+                        : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment;
+        stage.happened(
+                new Happening.Asked(
+                        stage.now(), txn, type, group, key, waitMs, afterMs, router.life()));
         send(txn, text, then, false);
         return txn;
     }
@@ -98,11 +123,12 @@
                 return;
             }
             connecting.channel().config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
-            connecting.addListener(done -> {
-                if (!done.isSuccess()) {
-                    stage.loop().execute(this::ended);
-                }
-            });
+            connecting.addListener(
+                    done -> {
+                        if (!done.isSuccess()) {
+                            stage.loop().execute(this::ended);
+                        }
+                    });
         }
 
         @Override
@@ -134,17 +160,26 @@
             switch (message.getByte(message.readerIndex())) {
                 case 'D' -> {
                     int from = message.readerIndex() + 11;
-                    said = message.toString(from, message.writerIndex() - from, StandardCharsets.US_ASCII).replace("\0", "");
+                    said =
+                            message.toString(
+                                            from,
+                                            message.writerIndex() - from,
+                                            StandardCharsets.US_ASCII)
+                                    .replace("\0", "");
                 }
                 case 'C' -> how = "committed";
                 case 'E' -> {
                     String code = Messages.code(message);
                     how = code.equals("53300") || code.equals("57P03") ? "declined" : "rolled-back";
-                    said = message.toString(message.readerIndex() + 5, message.readableBytes() - 5, StandardCharsets.US_ASCII)
-                            .replace('\0', '|');
+                    said =
+                            message.toString(
+                                            message.readerIndex() + 5,
+                                            message.readableBytes() - 5,
+                                            StandardCharsets.US_ASCII)
+                                    .replace('\0', '|');
                 }
                 case 'Z' -> ready();
-                default -> { }
+                default -> {}
             }
         }
 
@@ -167,13 +202,14 @@
             Consumer<Happening.Answered> told = then;
             txn = null;
             // What the router sent to nodes before it answered may still lie unread there.
-            stage.afterNextLook(() -> {
-                out.remove(answered.txn());
-                stage.happened(answered);
-                if (told != null) {
-                    told.accept(answered);
-                }
-            });
+            stage.afterNextLook(
+                    () -> {
+                        out.remove(answered.txn());
+                        stage.happened(answered);
+                        if (told != null) {
+                            told.accept(answered);
+                        }
+                    });
         }
 
         /** A kept connection that ends as a query crosses its end: once more, on a new one. */
--- a/src/main/java/dillfront/lab/rig/Catalogue.java
+++ b/src/main/java/dillfront/lab/rig/Catalogue.java
@@ -9,7 +9,8 @@
 public final class Catalogue {
 
     /** One node as a list has it. */
-    public record Entry(String id, int group, String zone, String lifecycle, long startedMs, boolean leads) {
+    public record Entry(
+            String id, int group, String zone, String lifecycle, long startedMs, boolean leads) {
 
         Entry is(String other) {
             return new Entry(id, group, zone, other, startedMs, leads);
@@ -24,6 +25,7 @@
 
     /** All that there were: a rig's changes are few, and it ends. */
     private final List<Version> versions = new ArrayList<>();
+
     private final List<Runnable> heed = new ArrayList<>();
 
     public Catalogue(long first, List<Entry> entries) {
--- a/src/main/java/dillfront/lab/rig/Group.java
+++ b/src/main/java/dillfront/lab/rig/Group.java
@@ -12,8 +12,13 @@
     final int number;
     final List<Node> members = new ArrayList<>();
     private final long windowMs;
-    /** When each key last had its effect; the group drops repeats within its window. Ends with the rig. */
+
+    /**
+     * When each key last had its effect; the group drops repeats within its window. Ends with the
+     * rig.
+     */
     private final Map<String, Long> effects = new HashMap<>();
+
     private long lastMs;
 
     public Group(Stage stage, int number, long windowMs) {
--- a/src/main/java/dillfront/lab/rig/Hub.java
+++ b/src/main/java/dillfront/lab/rig/Hub.java
@@ -13,16 +13,22 @@
 import java.util.TreeSet;
 
 /**
- * Stands before the datagrams of one router: others reach it here, and it sees each of them at a port of its own, as behind a
- * translation of addresses. Passes datagrams on, or loses those of some others, both ways. On the stage's loop.
+ * Stands before the datagrams of one router: others reach it here, and it sees each of them at a
+ * port of its own, as behind a translation of addresses. Passes datagrams on, or loses those of
+ * some others, both ways. On the stage's loop.
  */
 public final class Hub {
 
     private final Stage stage;
     private final InetSocketAddress target;
     private final NioDatagramChannel door;
-    /** By where a datagram came from: the port at which the target sees its sender. As many as senders; ends with the rig. */
+
+    /**
+     * By where a datagram came from: the port at which the target sees its sender. As many as
+     * senders; ends with the rig.
+     */
     private final Map<InetSocketAddress, NioDatagramChannel> seen = new HashMap<>();
+
     private final Set<Integer> cut = new TreeSet<>();
     private final List<InetSocketAddress> known;
 
@@ -42,25 +48,30 @@
     }
 
     private NioDatagramChannel open(Taken to) {
-        return stage.call(() -> {
-            NioDatagramChannel channel = new NioDatagramChannel();
-            channel.config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
-            channel.pipeline().addLast(new Ears() {
-                @Override
-                public void channelRead(ChannelHandlerContext ctx, Object read) {
-                    DatagramPacket packet = (DatagramPacket) read;
-                    to.take(packet.sender(), packet);
-                }
+        return stage.call(
+                () -> {
+                    NioDatagramChannel channel = new NioDatagramChannel();
+                    channel.config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
+                    channel.pipeline()
+                            .addLast(
+                                    new Ears() {
+                                        @Override
+                                        public void channelRead(
+                                                ChannelHandlerContext ctx, Object read) {
+                                            DatagramPacket packet = (DatagramPacket) read;
+                                            to.take(packet.sender(), packet);
+                                        }
 
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    // A router that is down has no port.
-                }
-            });
-            stage.loop().register(channel);
-            channel.bind(Stage.here(0));
-            return channel;
-        });
+                                        @Override
+                                        public void exceptionCaught(
+                                                ChannelHandlerContext ctx, Throwable cause) {
+                                            // A router that is down has no port.
+                                        }
+                                    });
+                    stage.loop().register(channel);
+                    channel.bind(Stage.here(0));
+                    return channel;
+                });
     }
 
     /** Where others reach the router. */
@@ -70,13 +81,14 @@
 
     /** Datagrams between this router and that one are lost from now on, or pass. */
     public void cut(int other, boolean lost) {
-        stage.run(() -> {
-            if (lost) {
-                cut.add(other);
-            } else {
-                cut.remove(other);
-            }
-        });
+        stage.run(
+                () -> {
+                    if (lost) {
+                        cut.add(other);
+                    } else {
+                        cut.remove(other);
+                    }
+                });
     }
 
     /** From some router to this one. */
--- a/src/main/java/dillfront/lab/rig/Load.java
+++ b/src/main/java/dillfront/lab/rig/Load.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Clients that ask at all routers, by a seed: each type in turn, at a steady rate, whatever comes back. */
+/**
+ * Clients that ask at all routers, by a seed: each type in turn, at a steady rate, whatever comes
+ * back.
+ */
 public final class Load {
 
     private final Rig rig;
@@ -15,10 +18,13 @@
     private boolean on;
     private final Map<String, Integer> committed = new HashMap<>();
     private long asked;
+
     /** When the next is due, whatever the machine does meanwhile. */
     private long due;
 
-    /** @param gapMicros between two queries, over all routers */
+    /**
+     * @param gapMicros between two queries, over all routers
+     */
     public Load(Rig rig, long seed, long gapMicros) {
         this(rig, seed, gapMicros, 1500);
     }
@@ -31,11 +37,13 @@
     }
 
     public void start() {
-        rig.stage().run(() -> {
-            on = true;
-            due = rig.stage().now();
-            next();
-        });
+        rig.stage()
+                .run(
+                        () -> {
+                            on = true;
+                            due = rig.stage().now();
+                            next();
+                        });
     }
 
     /** On the loop: how many this life of a router has served. */
@@ -59,8 +67,18 @@
         String key = type.write() ? "k" + ++asked : "16-" + chance.nextInt(1000);
         if (!router.down()) {
             String life = router.life();
-            router.caller().ask(type.name(), group, key, waitMs, 0, a -> committed.merge(life, a.how().equals("committed") ? 1 : 0,
-                    Integer::sum));
+            router.caller()
+                    .ask(
+                            type.name(),
+                            group,
+                            key,
+                            waitMs,
+                            0,
+                            a ->
+                                    committed.merge(
+                                            life,
+                                            a.how().equals("committed") ? 1 : 0,
+                                            Integer::sum));
         }
     }
 }
--- a/src/main/java/dillfront/lab/rig/Node.java
+++ b/src/main/java/dillfront/lab/rig/Node.java
@@ -17,16 +17,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One member of a group: takes statements, works them off on so many cores, and answers with what it has. It warms up after a
- * start, falls over where it is pushed, lags, hangs, errs, and dies, by the rig's word. On the stage's loop.
+ * One member of a group: takes statements, works them off on so many cores, and answers with what
+ * it has. It warms up after a start, falls over where it is pushed, lags, hangs, errs, and dies, by
+ * the rig's word. On the stage's loop.
  */
 public final class Node {
 
     /** What it does with a statement. */
-    public enum Mood { WELL, HANGS, ERRS, FULL }
+    public enum Mood {
+        WELL,
+        HANGS,
+        ERRS,
+        FULL
+    }
 
     /** How many statements may wait before more are turned away, by core. */
     private static final int QUEUE = 64;
+
     /** Into so many parts the time is cut over which a push counts. */
     private static final int PARTS = 10;
 
@@ -41,16 +48,28 @@
     boolean leads;
     private Mood mood = Mood.WELL;
     private double slower = 1;
-    /** How far behind the present its data is, while it is no primary; and from when it stands still. */
+
+    /**
+     * How far behind the present its data is, while it is no primary; and from when it stands
+     * still.
+     */
     private long lagMs = 5;
+
     private long frozenMs = Long.MAX_VALUE;
     private long floorMs;
+
     /** When each core is free. */
     private final long[] free;
+
     private long life;
     private boolean tipped;
-    /** Work sent in each part of the last time that counts, in core nanoseconds, and the part in use. */
+
+    /**
+     * Work sent in each part of the last time that counts, in core nanoseconds, and the part in
+     * use.
+     */
     private final double[] sent = new double[PARTS];
+
     private long part;
     long statements;
     private final List<Long> arrivals = new ArrayList<>();
@@ -64,7 +83,8 @@
      * @param coldMs until it is warm
      * @param tipMultiple more than so many times what it can do, over tipMs, and it falls over
      */
-    public record Work(int cores, long micros, double coldFrom, long coldMs, double tipMultiple, long tipMs) {}
+    public record Work(
+            int cores, long micros, double coldFrom, long coldMs, double tipMultiple, long tipMs) {}
 
     public Node(Stage stage, String id, Group group, boolean leads, Work work) {
         this.stage = stage;
@@ -121,53 +141,62 @@
         stage.run(() -> frozenMs = now ? position() : Long.MAX_VALUE);
     }
 
-    /** It takes itself for the primary from now on, or no longer; what its group thinks is the group's affair. */
+    /**
+     * It takes itself for the primary from now on, or no longer; what its group thinks is the
+     * group's affair.
+     */
     public void leads(boolean now) {
-        stage.run(() -> {
-            floorMs = position();
-            leads = now;
-        });
+        stage.run(
+                () -> {
+                    floorMs = position();
+                    leads = now;
+                });
     }
 
     /** Dies at once: connections are reset, new ones refused, what it had begun has not run. */
     public void kill() {
-        stage.run(() -> {
-            life++;
-            door.close();
-            for (Talk talk : List.copyOf(talks)) {
-                Stage.reset(talk.ctx.channel());
-            }
-            stage.happened(new Happening.Ended(id, true));
-        });
+        stage.run(
+                () -> {
+                    life++;
+                    door.close();
+                    for (Talk talk : List.copyOf(talks)) {
+                        Stage.reset(talk.ctx.channel());
+                    }
+                    stage.happened(new Happening.Ended(id, true));
+                });
         stage.await("a node's door closed", () -> !door.isOpen());
     }
 
     /** Starts anew on the same port, cold, with its data so far behind what it had. */
     public void start(long lostMs) {
         door = stage.listen(port, Talk::new);
-        stage.run(() -> {
-            floorMs = 0;
-            startedMs = System.currentTimeMillis();
-            frozenMs = lostMs > 0 ? startedMs - lostMs : Long.MAX_VALUE;
-            Arrays.fill(free, 0);
-            Arrays.fill(sent, 0);
-            tipped = false;
-            stage.happened(new Happening.Started(id));
-        });
+        stage.run(
+                () -> {
+                    floorMs = 0;
+                    startedMs = System.currentTimeMillis();
+                    frozenMs = lostMs > 0 ? startedMs - lostMs : Long.MAX_VALUE;
+                    Arrays.fill(free, 0);
+                    Arrays.fill(sent, 0);
+                    tipped = false;
+                    stage.happened(new Happening.Started(id));
+                });
     }
 
     /** As if it had been up for long. */
     public void warm() {
-        stage.run(() -> {
-            startedMs = 0;
-            frozenMs = Long.MAX_VALUE;
-        });
+        stage.run(
+                () -> {
+                    startedMs = 0;
+                    frozenMs = Long.MAX_VALUE;
+                });
     }
 
     /** In Unix milliseconds: all that was committed before is here. */
     long position() {
         long now = System.currentTimeMillis();
-        return leads && frozenMs == Long.MAX_VALUE ? now : Math.max(floorMs, Math.min(frozenMs, now - lagMs));
+        return leads && frozenMs == Long.MAX_VALUE
+                ? now
+                : Math.max(floorMs, Math.min(frozenMs, now - lagMs));
     }
 
     /** The part of a warm node's work that it can do now. */
@@ -186,7 +215,9 @@
         sent[(int) (now % PARTS)] += work.micros * 1000.0;
         double warmth = warmth();
         if (warmth < 1) {
-            double of = Arrays.stream(sent).sum() / (work.tipMultiple * warmth * work.cores * work.tipMs * 1e6);
+            double of =
+                    Arrays.stream(sent).sum()
+                            / (work.tipMultiple * warmth * work.cores * work.tipMs * 1e6);
             stage.happened(new Happening.Pressed(id, of));
             tipped |= of >= 1;
         }
@@ -218,11 +249,15 @@
         }
         free[core] = Math.max(now, free[core]) + (long) each;
         long of = this.life;
-        stage.loop().schedule(() -> {
-            if (of == this.life) {
-                done(talk, s);
-            }
-        }, free[core] - now, TimeUnit.NANOSECONDS);
+        stage.loop()
+                .schedule(
+                        () -> {
+                            if (of == this.life) {
+                                done(talk, s);
+                            }
+                        },
+                        free[core] - now,
+                        TimeUnit.NANOSECONDS);
     }
 
     private void done(Talk talk, Statement s) {
@@ -249,8 +284,13 @@
             oid = oid.substring(0, oid.indexOf('\''));
             String digits = oid.replaceAll("-.*", "");
             String key = field(text, ",k=");
-            return new Statement(field(text, "id="), field(text, ",c="), key.isEmpty() ? oid : key,
-                    Integer.parseInt(field(text, ",cluster=")), write, digits.matches("\\d{1,6}") ? Integer.parseInt(digits) : 16);
+            return new Statement(
+                    field(text, "id="),
+                    field(text, ",c="),
+                    key.isEmpty() ? oid : key,
+                    Integer.parseInt(field(text, ",cluster=")),
+                    write,
+                    digits.matches("\\d{1,6}") ? Integer.parseInt(digits) : 16);
         }
 
         private static String field(String text, String name) {
@@ -289,24 +329,36 @@
         }
 
         private void message(ByteBuf message) {
-            String text = message.toString(message.readerIndex() + 5, Math.max(0, message.readableBytes() - 6),
-                    StandardCharsets.US_ASCII);
+            String text =
+                    message.toString(
+                            message.readerIndex() + 5,
+                            Math.max(0, message.readableBytes() - 6),
+                            StandardCharsets.US_ASCII);
             message.release();
             if (!started) {
                 started = true;
                 frames.typed();
                 if (mood != Mood.HANGS) {
-                    ctx.writeAndFlush(Messages.ready(Unpooled.buffer().writeByte('R').writeInt(8).writeInt(0)));
+                    ctx.writeAndFlush(
+                            Messages.ready(
+                                    Unpooled.buffer().writeByte('R').writeInt(8).writeInt(0)));
                 }
             } else if (text.startsWith("SHOW") && mood != Mood.HANGS) {
-                ctx.writeAndFlush(Messages.ready(row(Unpooled.buffer(), report().getBytes(StandardCharsets.US_ASCII))));
+                ctx.writeAndFlush(
+                        Messages.ready(
+                                row(
+                                        Unpooled.buffer(),
+                                        report().getBytes(StandardCharsets.US_ASCII))));
             } else if (!text.startsWith("SHOW")) {
                 statement(this, text);
             }
         }
 
         void error(String code, String why) {
-            ctx.writeAndFlush(Messages.ready(Messages.error(notes(Unpooled.buffer(), position()), false, code, why, null)));
+            ctx.writeAndFlush(
+                    Messages.ready(
+                            Messages.error(
+                                    notes(Unpooled.buffer(), position()), false, code, why, null)));
         }
 
         void value(Statement s, long position) {
@@ -330,7 +382,12 @@
 
     private String report() {
         long ms = position();
-        return "x0=" + ms / 1000 + "." + String.valueOf(1000 + ms % 1000).substring(1) + ",x1=" + (leads ? 1 : 0);
+        return "x0="
+                + ms / 1000
+                + "."
+                + String.valueOf(1000 + ms % 1000).substring(1)
+                + ",x1="
+                + (leads ? 1 : 0);
     }
 
     private ByteBuf notes(ByteBuf out, long position) {
@@ -346,9 +403,23 @@
     }
 
     private static ByteBuf row(ByteBuf out, byte[] value) {
-        out.writeByte('T').writeInt(29).writeShort(1).writeBytes("body\0".getBytes(StandardCharsets.US_ASCII))
-                .writeInt(0).writeShort(0).writeInt(17).writeShort(-1).writeInt(-1).writeShort(1);
-        out.writeByte('D').writeInt(10 + value.length).writeShort(1).writeInt(value.length).writeBytes(value);
-        return out.writeByte('C').writeInt(13).writeBytes("SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
+        out.writeByte('T')
+                .writeInt(29)
+                .writeShort(1)
+                .writeBytes("body\0".getBytes(StandardCharsets.US_ASCII))
+                .writeInt(0)
+                .writeShort(0)
+                .writeInt(17)
+                .writeShort(-1)
+                .writeInt(-1)
+                .writeShort(1);
+        out.writeByte('D')
+                .writeInt(10 + value.length)
+                .writeShort(1)
+                .writeInt(value.length)
+                .writeBytes(value);
+        return out.writeByte('C')
+                .writeInt(13)
+                .writeBytes("SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/src/main/java/dillfront/lab/rig/Relay.java
+++ b/src/main/java/dillfront/lab/rig/Relay.java
@@ -16,18 +16,25 @@
 import java.util.function.Supplier;
 
 /**
- * Stands between two processes on a port of its own, for as long as the rig: passes bytes on, or does to them what a network
- * does. Each way has its own fault. All calls on the stage's loop or through {@link Stage#run}.
+ * Stands between two processes on a port of its own, for as long as the rig: passes bytes on, or
+ * does to them what a network does. Each way has its own fault. All calls on the stage's loop or
+ * through {@link Stage#run}.
  */
 public final class Relay {
 
     /** What happens to bytes of one way. */
-    public enum Way { PASS, HOLD, SWALLOW }
+    public enum Way {
+        PASS,
+        HOLD,
+        SWALLOW
+    }
 
     private final Stage stage;
     private final Supplier<InetSocketAddress> target;
+
     /** Whoever comes through here, at this moment. */
     private final Supplier<String> who;
+
     private final int port;
     private Channel door;
     private Way there = Way.PASS;
@@ -49,14 +56,18 @@
 
     /** From now on, also for connections that are open. */
     public void ways(Way toTarget, Way fromTarget) {
-        stage.run(() -> {
-            there = toTarget;
-            back = fromTarget;
-            List.copyOf(links).forEach(Link::goOn);
-        });
+        stage.run(
+                () -> {
+                    there = toTarget;
+                    back = fromTarget;
+                    List.copyOf(links).forEach(Link::goOn);
+                });
     }
 
-    /** Cut off: whatever is written is lost, connections stay open, new ones come up and hear nothing. */
+    /**
+     * Cut off: whatever is written is lost, connections stay open, new ones come up and hear
+     * nothing.
+     */
     public void cut() {
         ways(Way.SWALLOW, Way.SWALLOW);
     }
@@ -110,18 +121,20 @@
         void open(Channel from) {
             near = from;
             links.add(this);
-            ChannelFuture connecting = Sockets.connect(stage.loop(), target.get(), new Far(this), 2000);
+            ChannelFuture connecting =
+                    Sockets.connect(stage.loop(), target.get(), new Far(this), 2000);
             if (connecting == null) {
                 reset();
                 return;
             }
             far = connecting.channel();
             far.config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
-            connecting.addListener(done -> {
-                if (!done.isSuccess()) {
-                    reset();
-                }
-            });
+            connecting.addListener(
+                    done -> {
+                        if (!done.isSuccess()) {
+                            reset();
+                        }
+                    });
         }
 
         void up() {
@@ -136,7 +149,8 @@
             if (over || (toTarget ? there : back) == Way.SWALLOW) {
                 bytes.release();
             } else if (delayNanos > 0) {
-                stage.loop().schedule(() -> pass(bytes, toTarget), delayNanos, TimeUnit.NANOSECONDS);
+                stage.loop()
+                        .schedule(() -> pass(bytes, toTarget), delayNanos, TimeUnit.NANOSECONDS);
             } else {
                 pass(bytes, toTarget);
             }
@@ -164,7 +178,10 @@
             }
         }
 
-        /** The other side hears of an end as it would without a relay, but through a cut nobody hears of it. */
+        /**
+         * The other side hears of an end as it would without a relay, but through a cut nobody
+         * hears of it.
+         */
         void ended(boolean nearEnded) {
             if (!nearEnded) {
                 portIsFree();
@@ -190,7 +207,10 @@
             over();
         }
 
-        /** Once, and as soon as it is so: the next connection may have the same port, and another name behind it. */
+        /**
+         * Once, and as soon as it is so: the next connection may have the same port, and another
+         * name behind it.
+         */
         private void portIsFree() {
             if (farPort != 0) {
                 stage.behind(farPort, targetPort, null);
--- a/src/main/java/dillfront/lab/rig/Rig.java
+++ b/src/main/java/dillfront/lab/rig/Rig.java
@@ -16,8 +16,9 @@
 import java.util.stream.Stream;
 
 /**
- * A whole installation on loopback: routers as real processes, nodes, an agent of discovery for each router, clients, and a
- * relay on each way between them. All that it started it ends, also where a test fails in the middle.
+ * A whole installation on loopback: routers as real processes, nodes, an agent of discovery for
+ * each router, clients, and a relay on each way between them. All that it started it ends, also
+ * where a test fails in the middle.
  */
 public final class Rig implements AutoCloseable {
 
@@ -28,18 +29,44 @@
      * @param expiryMs how long clients of each type may wait, by the settings
      * @param command what starts a router; null for this JVM's own classes
      * @param settings what is changed in the text of the settings, which is in single quotes there
-     * @param operator the text of the operator's file for a router, by the rig and its index; null for none
+     * @param operator the text of the operator's file for a router, by the rig and its index; null
+     *     for none
      */
-    public record Plan(int routers, int groups, int members, List<String> zones, long expiryMs, Node.Work work,
-            List<String> command, UnaryOperator<String> settings, BiFunction<Rig, Integer, String> operator) {
+    public record Plan(
+            int routers,
+            int groups,
+            int members,
+            List<String> zones,
+            long expiryMs,
+            Node.Work work,
+            List<String> command,
+            UnaryOperator<String> settings,
+            BiFunction<Rig, Integer, String> operator) {
 
         public static Plan of(int routers, int groups, int members) {
-            return new Plan(routers, groups, members, List.of("a"), 2000, new Node.Work(4, 2000, 0.2, 4000, 2, 1000), null,
-                    UnaryOperator.identity(), null);
+            return new Plan(
+                    routers,
+                    groups,
+                    members,
+                    List.of("a"),
+                    2000,
+                    new Node.Work(4, 2000, 0.2, 4000, 2, 1000),
+                    null,
+                    UnaryOperator.identity(),
+                    null);
         }
 
         public Plan zones(String... names) {
-            return new Plan(routers, groups, members, List.of(names), expiryMs, work, command, settings, operator);
+            return new Plan(
+                    routers,
+                    groups,
+                    members,
+                    List.of(names),
+                    expiryMs,
+                    work,
+                    command,
+                    settings,
+                    operator);
         }
 
         public Plan expiry(long ms) {
@@ -47,15 +74,18 @@
         }
 
         public Plan work(Node.Work other) {
-            return new Plan(routers, groups, members, zones, expiryMs, other, command, settings, operator);
+            return new Plan(
+                    routers, groups, members, zones, expiryMs, other, command, settings, operator);
         }
 
         public Plan command(List<String> other) {
-            return new Plan(routers, groups, members, zones, expiryMs, work, other, settings, operator);
+            return new Plan(
+                    routers, groups, members, zones, expiryMs, work, other, settings, operator);
         }
 
         public Plan operator(BiFunction<Rig, Integer, String> text) {
-            return new Plan(routers, groups, members, zones, expiryMs, work, command, settings, text);
+            return new Plan(
+                    routers, groups, members, zones, expiryMs, work, command, settings, text);
         }
     }
 
@@ -69,10 +99,13 @@
     private final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Catalogue catalogue;
     private final List<Router> routers = new ArrayList<>();
+
     /** By router and node. */
     private final Map<String, Relay> toNode = new HashMap<>();
+
     /** By router: its agents, as many as it was ever moved to, and the ways there. */
     private final List<List<Agent>> agents = new ArrayList<>();
+
     private final List<List<Relay>> toAgent = new ArrayList<>();
     private final List<Hub> hubs = new ArrayList<>();
 
@@ -88,7 +121,9 @@
             for (int m = 0; m < plan.members; m++) {
                 String id = "s-" + (g * plan.members + m);
                 nodes.put(id, new Node(stage, id, group, m == 0, plan.work));
-                entries.add(new Catalogue.Entry(id, g, plan.zones.get(m % plan.zones.size()), "ready", 0, m == 0));
+                entries.add(
+                        new Catalogue.Entry(
+                                id, g, plan.zones.get(m % plan.zones.size()), "ready", 0, m == 0));
             }
         }
         catalogue = new Catalogue(FIRST_GENERATION, entries);
@@ -103,7 +138,9 @@
             Router router = new Router(stage, name, Stage.free(r), config, command, more);
             routers.add(router);
             for (Node node : nodes.values()) {
-                toNode.put(name + ">" + node.id(), new Relay(stage, router::life, () -> Stage.here(node.port())));
+                toNode.put(
+                        name + ">" + node.id(),
+                        new Relay(stage, router::life, () -> Stage.here(node.port())));
             }
             agents.add(new ArrayList<>());
             toAgent.add(new ArrayList<>());
@@ -117,9 +154,16 @@
 
     /** The program by this JVM's own classes, as the deployment would start it. */
     public static List<String> own() {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx64m",
-                "-XX:TieredStopAtLevel=1", "-Djava.net.preferIPv4Stack=true", "-cp", System.getProperty("java.class.path"),
-                "dillfront.cli.Main", "serve");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-Xmx64m",
+                "-XX:TieredStopAtLevel=1",
+                "-Djava.net.preferIPv4Stack=true",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dillfront.cli.Main",
+                "serve");
     }
 
     /** Starts all routers side by side, and returns once all serve. */
@@ -176,25 +220,52 @@
     /** One agent more for this router, at a port of its own; its number. */
     public int addAgent(int r) {
         String name = "r" + r;
-        Agent agent = new Agent(stage, "a" + agents.get(r).size(), catalogue, id -> nodes.get(id).port());
+        Agent agent =
+                new Agent(stage, "a" + agents.get(r).size(), catalogue, id -> nodes.get(id).port());
         agent.way(name, id -> toNode.get(name + ">" + id).port());
         agents.get(r).add(agent);
         toAgent.get(r).add(new Relay(stage, routers.get(r)::life, () -> Stage.here(agent.port())));
         return agents.get(r).size() - 1;
     }
 
-    /** Writes the router's configuration, with discovery at this agent of its own and the first list as known. */
+    /**
+     * Writes the router's configuration, with discovery at this agent of its own and the first list
+     * as known.
+     */
     public void configure(int r, int agent) {
         String name = "r" + r;
         List<String> known = new ArrayList<>();
         for (Catalogue.Entry e : catalogue.upTo(FIRST_GENERATION).entries().values()) {
             known.add(Agent.row(e, toNode.get(name + ">" + e.id()).port()));
         }
-        String text = "{'name':'" + name + "','listen':'" + routers.get(r).address().getHostString() + ":" + routers.get(r).address().getPort() + "','discovery':'" + Stage.HOST + ":"
-                + toAgent.get(r).get(agent).port() + "','seed':'" + Long.toHexString(0x8c1f30d27a5be964L + r) + "','limits':"
-                + "{'cores':1.0,'memory_mb':128,'sockets':512},'known':{'generation':" + FIRST_GENERATION + ",'reset':true,"
-                + "'instances':[" + String.join(",", known) + "]},'settings':" + plan.settings.apply(Mix.settings(
-                plan.zones.get(r % plan.zones.size()), plan.zones, plan.routers, plan.expiryMs, plan.work)) + "}";
+        String text =
+                "{'name':'"
+                        + name
+                        + "','listen':'"
+                        + routers.get(r).address().getHostString()
+                        + ":"
+                        + routers.get(r).address().getPort()
+                        + "','discovery':'"
+                        + Stage.HOST
+                        + ":"
+                        + toAgent.get(r).get(agent).port()
+                        + "','seed':'"
+                        + Long.toHexString(0x8c1f30d27a5be964L + r)
+                        + "','limits':"
+                        + "{'cores':1.0,'memory_mb':128,'sockets':512},'known':{'generation':"
+                        + FIRST_GENERATION
+                        + ",'reset':true,"
+                        + "'instances':["
+                        + String.join(",", known)
+                        + "]},'settings':"
+                        + plan.settings.apply(
+                                Mix.settings(
+                                        plan.zones.get(r % plan.zones.size()),
+                                        plan.zones,
+                                        plan.routers,
+                                        plan.expiryMs,
+                                        plan.work))
+                        + "}";
         try {
             Path next = folder.resolve(name + ".next");
             Files.writeString(next, text.replace('\'', '"'));
@@ -204,18 +275,26 @@
         }
     }
 
-    /** On the loop: the latest generation that this life has shown at this agent to have read; negative where none. */
+    /**
+     * On the loop: the latest generation that this life has shown at this agent to have read;
+     * negative where none.
+     */
     public long heard(String lifeAndAgent) {
         return stage.heard(lifeAndAgent);
     }
 
-    /** Datagrams between these two are lost from now on, both ways, or pass; for routers that talk. */
+    /**
+     * Datagrams between these two are lost from now on, both ways, or pass; for routers that talk.
+     */
     public void apart(int one, int other, boolean lost) {
         hubs.get(one).cut(other, lost);
         hubs.get(other).cut(one, lost);
     }
 
-    /** A hub before each router's datagrams, whose own sockets are at these addresses. Before start(). */
+    /**
+     * A hub before each router's datagrams, whose own sockets are at these addresses. Before
+     * start().
+     */
     public List<Hub> hubs(List<InetSocketAddress> sockets) {
         if (hubs.isEmpty()) {
             sockets.forEach(s -> hubs.add(new Hub(stage, s, sockets)));
@@ -233,32 +312,49 @@
     /** A node is back, cold, with its data so far behind what it had, and discovery knows of it. */
     public void back(Node node, long lostMs) {
         node.start(lostMs);
-        stage.run(() -> {
-            Catalogue.Entry before = catalogue.entry(node.id());
-            catalogue.change(before.startedAt(node.startedMs));
-        });
+        stage.run(
+                () -> {
+                    Catalogue.Entry before = catalogue.entry(node.id());
+                    catalogue.change(before.startedAt(node.startedMs));
+                });
     }
 
     /** A client of this router asks once, with no write of its session before. */
-    public CompletableFuture<Happening.Answered> ask(int router, String type, int group, String key, long waitMs) {
+    public CompletableFuture<Happening.Answered> ask(
+            int router, String type, int group, String key, long waitMs) {
         CompletableFuture<Happening.Answered> answer = new CompletableFuture<>();
-        stage.run(() -> routers.get(router).caller().ask(type, group, key, waitMs, 0, answer::complete));
+        stage.run(
+                () ->
+                        routers.get(router)
+                                .caller()
+                                .ask(type, group, key, waitMs, 0, answer::complete));
         return answer;
     }
 
     /** How often nodes have read a statement with this key, and how often it had its effect. */
     public long[] count(String key) {
         long[] counts = new long[2];
-        stage.run(() -> stage.each(h -> {
-            counts[0] += h instanceof Happening.Sent s && s.key().equals(key) ? 1 : 0;
-            counts[1] += h instanceof Happening.Ran r && r.key().equals(key) ? 1 : 0;
-        }));
+        stage.run(
+                () ->
+                        stage.each(
+                                h -> {
+                                    counts[0] +=
+                                            h instanceof Happening.Sent s && s.key().equals(key)
+                                                    ? 1
+                                                    : 0;
+                                    counts[1] +=
+                                            h instanceof Happening.Ran r && r.key().equals(key)
+                                                    ? 1
+                                                    : 0;
+                                }));
         return counts;
     }
 
     /** Until nobody waits for an answer. */
     public void settle() {
-        stage.await("all clients had their answers", () -> routers.stream().allMatch(r -> r.caller().waiting() == 0));
+        stage.await(
+                "all clients had their answers",
+                () -> routers.stream().allMatch(r -> r.caller().waiting() == 0));
     }
 
     private void endProcesses() {
--- a/src/main/java/dillfront/lab/rig/Router.java
+++ b/src/main/java/dillfront/lab/rig/Router.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** A router as a process of its own, started, hit by signals and started anew under its name, port and folder. */
+/**
+ * A router as a process of its own, started, hit by signals and started anew under its name, port
+ * and folder.
+ */
 public final class Router {
 
     private static final long PATIENCE_MS = 30_000;
@@ -28,10 +31,17 @@
     private Process process;
     private volatile int lives;
     private volatile boolean down = true;
+
     /** What the present life wrote; a rig's routers say little, and end. */
     private volatile List<String> lines = List.of();
 
-    Router(Stage stage, String name, InetSocketAddress address, Path config, List<String> command, Map<String, String> more) {
+    Router(
+            Stage stage,
+            String name,
+            InetSocketAddress address,
+            Path config,
+            List<String> command,
+            Map<String, String> more) {
         this.stage = stage;
         this.name = name;
         this.address = address;
@@ -90,15 +100,23 @@
         String life = life();
         stage.run(() -> stage.happened(new Happening.Started(life)));
         Process of = process;
-        Thread reader = new Thread(() -> {
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    said.add(line);
-                }
-            } catch (IOException over) {
-                // It ended in the middle of a line.
-            }
-        }, "lines of " + life);
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader in =
+                                    new BufferedReader(
+                                            new InputStreamReader(
+                                                    of.getInputStream(), StandardCharsets.UTF_8))) {
+                                for (String line = in.readLine();
+                                        line != null;
+                                        line = in.readLine()) {
+                                    said.add(line);
+                                }
+                            } catch (IOException over) {
+                                // It ended in the middle of a line.
+                            }
+                        },
+                        "lines of " + life);
         reader.setDaemon(true);
         reader.start();
     }
@@ -114,8 +132,10 @@
     public void awaitLine(String what, Predicate<String> such) {
         long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
         while (lines().stream().noneMatch(such)) {
-            if (System.nanoTime() - until > 0 || !process.isAlive() && lines().stream().noneMatch(such)) {
-                throw new IllegalStateException(life() + " never said " + what + "; it said " + lines());
+            if (System.nanoTime() - until > 0
+                    || !process.isAlive() && lines().stream().noneMatch(such)) {
+                throw new IllegalStateException(
+                        life() + " never said " + what + "; it said " + lines());
             }
             Stage.pause();
         }
@@ -128,7 +148,10 @@
     /** Sends the process a signal by its name. */
     public void signal(String signal) {
         try {
-            if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor() != 0) {
+            if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                            .start()
+                            .waitFor()
+                    != 0) {
                 throw new IllegalStateException("no " + signal + " to " + life());
             }
         } catch (IOException | InterruptedException bad) {
@@ -144,7 +167,10 @@
         awaitEnd();
     }
 
-    /** Told to end; those who deal out clients hear of it by its own line. Returns once it has ended, by itself. */
+    /**
+     * Told to end; those who deal out clients hear of it by its own line. Returns once it has
+     * ended, by itself.
+     */
     public void end() {
         signal("TERM");
         awaitLine("stopping", l -> l.contains(" stopping "));
--- a/src/main/java/dillfront/lab/rig/Stage.java
+++ b/src/main/java/dillfront/lab/rig/Stage.java
@@ -28,26 +28,37 @@
 import java.util.function.Supplier;
 
 /**
- * Where all stand-ins of a rig play: one thread, so that what happens has one order, and a record of it that the auditor
- * reads. Buffers are not pooled: what is measured in the same process counts pooled ones.
+ * Where all stand-ins of a rig play: one thread, so that what happens has one order, and a record
+ * of it that the auditor reads. Buffers are not pooled: what is measured in the same process counts
+ * pooled ones.
  */
 public final class Stage implements AutoCloseable {
 
-    /** What has not come by then never comes: far beyond any time that a machine under load may take. */
+    /**
+     * What has not come by then never comes: far beyond any time that a machine under load may
+     * take.
+     */
     private static final long PATIENCE_MS = 30_000;
 
     /**
-     * Where stand-ins listen. Connections come from 127.0.0.1: none of them takes the port of a door that is shut for a while.
+     * Where stand-ins listen. Connections come from 127.0.0.1: none of them takes the port of a
+     * door that is shut for a while.
      */
     public static final String HOST = "127.0.0.2";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1, Stage::thread);
     private final EventLoop loop = group.next();
     private final long startNanos = System.nanoTime();
+
     /** All that happened, in its order; on the loop. Ends with the rig. */
     private final List<Happening> record = new ArrayList<>();
+
     private final Map<String, Long> heard = new HashMap<>();
-    /** Who is behind a connection, by both its ports, as one port may serve to several places; emptied as they close. */
+
+    /**
+     * Who is behind a connection, by both its ports, as one port may serve to several places;
+     * emptied as they close.
+     */
     private final Map<Long, String> behind = new HashMap<>();
 
     private static Thread thread(Runnable work) {
@@ -73,12 +84,18 @@
         }
     }
 
-    /** On the loop: what this life has last shown to have read at this agent, {@code r1#2<a0}; negative where nothing. */
+    /**
+     * On the loop: what this life has last shown to have read at this agent, {@code r1#2<a0};
+     * negative where nothing.
+     */
     long heard(String lifeAndAgent) {
         return heard.getOrDefault(lifeAndAgent, -1L);
     }
 
-    /** On the loop: this connection, open on our side, is one of whoever is named; null once it is over. */
+    /**
+     * On the loop: this connection, open on our side, is one of whoever is named; null once it is
+     * over.
+     */
     void behind(int from, int to, String who) {
         if (who == null) {
             behind.remove(key(from, to));
@@ -104,12 +121,24 @@
 
     /** On the loop: how many statements of this life of a router the node has read so far. */
     long sent(String life, String node) {
-        return record.stream().filter(h -> h instanceof Happening.Sent s && s.life().equals(life) && s.node().equals(node)).count();
+        return record.stream()
+                .filter(
+                        h ->
+                                h instanceof Happening.Sent s
+                                        && s.life().equals(life)
+                                        && s.node().equals(node))
+                .count();
     }
 
     /** On the loop: how many statements that write this node has read so far. */
     long writes(String node) {
-        return record.stream().filter(h -> h instanceof Happening.Sent s && s.node().equals(node) && Mix.type(s.type()).write()).count();
+        return record.stream()
+                .filter(
+                        h ->
+                                h instanceof Happening.Sent s
+                                        && s.node().equals(node)
+                                        && Mix.type(s.type()).write())
+                .count();
     }
 
     /** A copy of what happened so far. */
@@ -136,10 +165,11 @@
     }
 
     public void run(Runnable what) {
-        call(() -> {
-            what.run();
-            return null;
-        });
+        call(
+                () -> {
+                    what.run();
+                    return null;
+                });
     }
 
     /** Waits until this is so, as looked at on the loop; not for how long, but for what. */
@@ -154,22 +184,30 @@
     }
 
     /**
-     * On the loop: done once all sockets that are ready now have been read. What a process had written before a word of
-     * its own that was just read lies in some socket here by then, as loopback delivers at once.
+     * On the loop: done once all sockets that are ready now have been read. What a process had
+     * written before a word of its own that was just read lies in some socket here by then, as
+     * loopback delivers at once.
      */
     void afterNextLook(Runnable then) {
         loop.schedule(() -> loop.schedule(then, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its port only as the loop next
-     * looks at its sockets, so a port that is taken is tried again.
+     * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its
+     * port only as the loop next looks at its sockets, so a port that is taken is tried again.
      */
     Channel listen(int port, Supplier<Ears> each) {
         long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
         while (true) {
-            ChannelFuture bound = call(() -> Sockets.listen(loop, here(port), 1024, WriteBufferWaterMark.DEFAULT,
-                    () -> new Unpooled(each.get())));
+            ChannelFuture bound =
+                    call(
+                            () ->
+                                    Sockets.listen(
+                                            loop,
+                                            here(port),
+                                            1024,
+                                            WriteBufferWaterMark.DEFAULT,
+                                            () -> new Unpooled(each.get())));
             bound.awaitUninterruptibly(PATIENCE_MS);
             if (bound.isSuccess()) {
                 return bound.channel();
@@ -205,8 +243,9 @@
     }
 
     /**
-     * A loopback address of its own, with a port that nobody listens on now. Nothing else in a rig uses that address, so that
-     * none of its many connections takes the port while a process is down.
+     * A loopback address of its own, with a port that nobody listens on now. Nothing else in a rig
+     * uses that address, so that none of its many connections takes the port while a process is
+     * down.
      */
     static InetSocketAddress free(int number) {
         String host = "127.0.1." + (1 + number);
@@ -226,7 +265,10 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(PATIENCE_MS);
     }
 
-    /** Has the channel use buffers of its own before anything is read, then leaves it to the handler meant. */
+    /**
+     * Has the channel use buffers of its own before anything is read, then leaves it to the handler
+     * meant.
+     */
     private static final class Unpooled extends Ears {
 
         private final Ears meant;
@@ -242,9 +284,9 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) { }
+        public void channelRead(ChannelHandlerContext ctx, Object read) {}
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
 }
--- a/src/main/java/dillfront/lab/whole/Audit.java
+++ b/src/main/java/dillfront/lab/whole/Audit.java
@@ -20,10 +20,13 @@
         final Map<String, String> prepared;
         final String kind;
         final long stale;
+
         /** The session's last answered write, as a count of its database's commits. */
         long token;
+
         final String database;
         boolean promised;
+
         /** Of the transaction that it belongs to. */
         final Try first;
 
@@ -43,33 +46,41 @@
     final Map<String, Try> tries = new HashMap<>();
     final Map<String, Database> databases = new HashMap<>();
     final List<String> breaches = new ArrayList<>();
-    private record Acknowledgement(long at, Position position) { }
+
+    private record Acknowledgement(long at, Position position) {}
 
     /** Commits that were acknowledged to clients, by database, in the order of time. */
     private final Map<String, List<Acknowledgement>> acknowledged = new HashMap<>();
 
     /** A person's call to give up what a log that ends here lacks, up to there. */
-    record Given(String database, Position log, Position until) { }
+    record Given(String database, Position log, Position until) {}
 
     /** Those that may have been carried out, and may count for the next promotion. */
     private final List<Given> given = new ArrayList<>();
+
     /** Acknowledged commits that a person gave up. */
     int givenUp;
+
     private final Set<String> committed = new HashSet<>();
     private final Sim sim;
     int lost;
     int twice;
     int staleReads;
+
     /** Answers that belong to another call than the one they came to. */
     int wrongCaller;
+
     /** Calls that may not be repeated and ran twice. */
     int sentTwice;
+
     private final Set<String> onceOnly = new HashSet<>();
     int promotions;
     final List<Long> promoteMs = new ArrayList<>();
     final List<Long> configMs = new ArrayList<>();
+
     /** By server: when an in-touch machine acknowledged that it drains. */
     final Map<String, Long> drained = new HashMap<>();
+
     long drainMs = 7_000;
     private final Map<String, Long> leaderless = new HashMap<>();
 
@@ -100,7 +111,9 @@
         }
         // Somebody leads, so the loss is over; what is lost from now on nobody was shown.
         given.removeIf(g -> g.database().equals(database));
-        acknowledged.computeIfAbsent(database, d -> new ArrayList<>()).add(new Acknowledgement(sim.micros(), at));
+        acknowledged
+                .computeIfAbsent(database, d -> new ArrayList<>())
+                .add(new Acknowledgement(sim.micros(), at));
         return at.number();
     }
 
@@ -127,13 +140,15 @@
     }
 
     @Override
-    public void runs(Database.Server at, Database.Connection by, String id, String text, boolean begins) {
+    public void runs(
+            Database.Server at, Database.Connection by, String id, String text, boolean begins) {
         Try is = tries.get(id);
         if (is == null) {
             breach("UNASKED", at.id + " runs " + id);
             return;
         }
-        // A write inside a transaction takes effect with its COMMIT; one that was rolled back does not count (see again).
+        // A write inside a transaction takes effect with its COMMIT; one that was rolled back does
+        // not count (see again).
         boolean once = text.equals("COMMIT") || text.startsWith("WRITE") && by.state == 'I';
         if (once && !onceOnly.add(id)) {
             sentTwice++;
@@ -160,10 +175,21 @@
             if (is.kind.equals("own")) {
                 need = Math.max(need, is.first.token);
             }
-            // Within a transaction it sees what its first statement saw, and this stand-in shows the newest at each.
+            // Within a transaction it sees what its first statement saw, and this stand-in shows
+            // the newest at each.
             if (at.appliedPosition().number() < need) {
                 staleReads++;
-                breach("STALE", id + " (" + is.kind + ") runs at " + at.id + " with " + at.appliedPosition() + ", needs " + need);
+                breach(
+                        "STALE",
+                        id
+                                + " ("
+                                + is.kind
+                                + ") runs at "
+                                + at.id
+                                + " with "
+                                + at.appliedPosition()
+                                + ", needs "
+                                + need);
             }
         }
     }
@@ -176,7 +202,9 @@
         long need = needed(database, Long.MAX_VALUE);
         if (to.position().number() < need) {
             lost++;
-            breach("LOST", to.id + " is promoted with " + to.position() + ", acknowledged was " + need);
+            breach(
+                    "LOST",
+                    to.id + " is promoted with " + to.position() + ", acknowledged was " + need);
         }
         Long since = leaderless.remove(database);
         if (since != null) {
@@ -196,22 +224,35 @@
         given.removeIf(g -> g == is);
     }
 
-    /** A log that ends here leads: what it lacks, and a person gave up, is counted and missed no more. All else is. */
+    /**
+     * A log that ends here leads: what it lacks, and a person gave up, is counted and missed no
+     * more. All else is.
+     */
     private void giveUp(String database, Position end) {
         List<Acknowledgement> all = acknowledged.computeIfAbsent(database, d -> new ArrayList<>());
         int before = all.size();
-        all.removeIf(a -> a.position().number() > end.number() && given.stream().anyMatch(g -> g.database().equals(database)
-                && end.covers(g.log()) && !g.log().covers(a.position()) && g.until().covers(a.position())));
+        all.removeIf(
+                a ->
+                        a.position().number() > end.number()
+                                && given.stream()
+                                        .anyMatch(
+                                                g ->
+                                                        g.database().equals(database)
+                                                                && end.covers(g.log())
+                                                                && !g.log().covers(a.position())
+                                                                && g.until().covers(a.position())));
         given.removeIf(g -> g.database().equals(database));
         if (all.size() < before) {
             givenUp += before - all.size();
-            tries.values().stream().filter(t -> t.database.equals(database)).forEach(t -> t.token = Math.min(t.token, end.number()));
+            tries.values().stream()
+                    .filter(t -> t.database.equals(database))
+                    .forEach(t -> t.token = Math.min(t.token, end.number()));
             forgets.accept(database, end.number());
         }
     }
 
     /** Sessions that wrote what was given up need it no more. */
-    java.util.function.BiConsumer<String, Long> forgets = (database, number) -> { };
+    java.util.function.BiConsumer<String, Long> forgets = (database, number) -> {};
 
     void leaderless(String database) {
         leaderless.put(database, sim.millis());
@@ -219,21 +260,25 @@
 
     /** At the end: what no log may hold, or hold twice. */
     void close() {
-        databases.forEach((name, db) -> {
-            Database.Server most = db.leader();
-            if (most == null) {
-                return;
-            }
-            for (Database.Commit c : most.log) {
-                if (!committed.add(name + " " + c.write)) {
-                    twice++;
-                    breach("TWICE", c.write + " is twice in the log of " + most.id);
-                }
-                Try is = tries.get(c.write);
-                if (is != null && is.first.promised) {
-                    breach("REFUSED", c.write + " is in the log, and its client was promised that it is not");
-                }
-            }
-        });
+        databases.forEach(
+                (name, db) -> {
+                    Database.Server most = db.leader();
+                    if (most == null) {
+                        return;
+                    }
+                    for (Database.Commit c : most.log) {
+                        if (!committed.add(name + " " + c.write)) {
+                            twice++;
+                            breach("TWICE", c.write + " is twice in the log of " + most.id);
+                        }
+                        Try is = tries.get(c.write);
+                        if (is != null && is.first.promised) {
+                            breach(
+                                    "REFUSED",
+                                    c.write
+                                            + " is in the log, and its client was promised that it is not");
+                        }
+                    }
+                });
     }
 }
--- a/src/main/java/dillfront/lab/whole/Client.java
+++ b/src/main/java/dillfront/lab/whole/Client.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One client session that asks one operation after the other, each again where the page lets it. */
+/**
+ * One client session that asks one operation after the other, each again where the page lets it.
+ */
 final class Client implements Host.Ear {
 
-    private static final List<String> PROMISES = List.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
+    private static final List<String> PROMISES =
+            List.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
     private static final int TRIES = 3;
 
     private final Day day;
@@ -68,11 +71,13 @@
             return;
         }
         link = day.clients.dial(to.ip + ":" + Day.FRONT, Host.Form.LINES, 1_000, this);
-        day.sim.after(2_000, () -> {
-            if (life == mine && !ready) {
-                gone(true);
-            }
-        });
+        day.sim.after(
+                2_000,
+                () -> {
+                    if (life == mine && !ready) {
+                        gone(true);
+                    }
+                });
     }
 
     private void retryConnect() {
@@ -111,8 +116,18 @@
         int many = transaction ? 1 + random.nextInt(4) : 1;
         for (int i = 0; i < many; i++) {
             String thing = "k" + random.nextInt(50);
-            steps.add(names ? "EXECUTE " + steps.stream().filter(x -> x.startsWith("PREPARE")).findFirst().orElseThrow().split(" ")[1]
-                    + " " + thing + (writes ? " d" : "") : writes ? "WRITE " + thing + " d" : "READ " + thing);
+            steps.add(
+                    names
+                            ? "EXECUTE "
+                                    + steps.stream()
+                                            .filter(x -> x.startsWith("PREPARE"))
+                                            .findFirst()
+                                            .orElseThrow()
+                                            .split(" ")[1]
+                                    + " "
+                                    + thing
+                                    + (writes ? " d" : "")
+                            : writes ? "WRITE " + thing + " d" : "READ " + thing);
         }
         if (transaction) {
             steps.add(random.nextDouble() < 0.1 ? "ROLLBACK" : "COMMIT");
@@ -150,16 +165,19 @@
             first = is;
         }
         day.audit.tries.put(id, is);
-        boolean write = text.startsWith("WRITE") || text.startsWith("EXECUTE") && text.endsWith(" d");
+        boolean write =
+                text.startsWith("WRITE") || text.startsWith("EXECUTE") && text.endsWith(" d");
         wrote |= write;
         sentLast = text.equals("COMMIT") || write && !transaction;
         link.send(Sim.bytes("QUERY " + id + " " + text));
         long mine = life;
-        day.sim.after(3_000, () -> {
-            if (life == mine && id.equals(out)) {
-                gone(true);
-            }
-        });
+        day.sim.after(
+                3_000,
+                () -> {
+                    if (life == mine && id.equals(out)) {
+                        gone(true);
+                    }
+                });
     }
 
     @Override
@@ -199,7 +217,11 @@
         out = null;
         String text = plan.get(step);
         if (code == null) {
-            boolean runs = text.startsWith("READ") || text.startsWith("WRITE") || text.startsWith("EXECUTE") || text.equals("COMMIT");
+            boolean runs =
+                    text.startsWith("READ")
+                            || text.startsWith("WRITE")
+                            || text.startsWith("EXECUTE")
+                            || text.equals("COMMIT");
             if (runs && !id.equals(day.stamp(database, stamp))) {
                 day.audit.wrongCaller(id, stamp);
             }
@@ -210,18 +232,24 @@
                 String[] part = Sim.words(text, 3);
                 prepared.put(part[1], part[2]);
             } else if (sentLast && wrote) {
-                token = Math.max(token, day.audit.acknowledge(database, text.equals("COMMIT") ? lastWrite : id));
+                token =
+                        Math.max(
+                                token,
+                                day.audit.acknowledge(
+                                        database, text.equals("COMMIT") ? lastWrite : id));
             }
             if (text.startsWith("WRITE") || text.startsWith("EXECUTE") && text.endsWith(" d")) {
                 lastWrite = id;
             }
             step++;
             long mine = life;
-            day.sim.after(transaction ? 5 : 0, () -> {
-                if (life == mine && ready) {
-                    next();
-                }
-            });
+            day.sim.after(
+                    transaction ? 5 : 0,
+                    () -> {
+                        if (life == mine && ready) {
+                            next();
+                        }
+                    });
             return;
         }
         boolean promise = PROMISES.contains(code);
@@ -241,6 +269,7 @@
     }
 
     private String lastWrite = "";
+
     /** Of what is to come next there is one at a time. */
     private long turn;
 
@@ -269,11 +298,13 @@
         out = null;
         long mine = ++turn;
         if (mayAgain && tries < TRIES && day.sim.millis() - began < 6_000) {
-            day.sim.after(80 * tries + day.sim.random.nextInt(40), () -> {
-                if (turn == mine) {
-                    again();
-                }
-            });
+            day.sim.after(
+                    80 * tries + day.sim.random.nextInt(40),
+                    () -> {
+                        if (turn == mine) {
+                            again();
+                        }
+                    });
         } else {
             rest();
         }
--- a/src/main/java/dillfront/lab/whole/ConfigAudit.java
+++ b/src/main/java/dillfront/lab/whole/ConfigAudit.java
@@ -9,15 +9,21 @@
 import java.util.TreeMap;
 import java.util.zip.CRC32C;
 
-/** Judges what operators, the platform and the fronts saw of control state, by the rules and by the letter's five points. */
+/**
+ * Judges what operators, the platform and the fronts saw of control state, by the rules and by the
+ * letter's five points.
+ */
 final class ConfigAudit {
 
     private static final long APPLY_MS = 3_000;
     private static final long ACKNOWLEDGE_MS = 5_000;
+
     /** What is said on the ground of contact with a majority so long ago is still fresh. */
     private static final long FRESH_MS = 1_000;
+
     private static final double LOOK_MS = 20;
     private static final long NEVER_MS = 99_999;
+
     /** While all is settled, the lease is without a holder no longer than this. */
     private static final long HELD_MS = 1_500;
 
@@ -34,7 +40,7 @@
         }
     }
 
-    private record Acknowledged(long number, long at) { }
+    private record Acknowledged(long number, long at) {}
 
     private final Day day;
     private final Sim sim;
@@ -44,12 +50,16 @@
     private final List<Acknowledged> acknowledgements = new ArrayList<>();
     private long highestAcknowledged;
     private long highestSent;
+
     /** The highest that any read that is over has shown. */
     private long highestRead;
+
     /** The highest that was read back once the day was over. */
     private long lastRead = -1;
+
     /** By number: the contents that were in force or confirmed as the decided one. */
     private final Map<Long, Map<Long, String>> decided = new HashMap<>();
+
     private final List<Orders.Order> refusals = new ArrayList<>();
     private final Map<Long, String> fences = new TreeMap<>();
     private final Map<String, long[]> fronts = new LinkedHashMap<>();
@@ -70,6 +80,7 @@
     int behindChanges;
     final List<Long> replaceMs = new ArrayList<>();
     final List<Long> catchUpMs = new ArrayList<>();
+
     /** From when each number was first sent until it was first acknowledged. */
     final List<Long> acknowledgeMs = new ArrayList<>();
 
@@ -98,8 +109,12 @@
 
     /** What came of it; 0 for nothing. */
     void ends(int call, int status) {
-        history.end(call, sim.millis(), status == 200 ? History.Outcome.ACKNOWLEDGED
-                : status == 409 ? History.Outcome.REFUSED : History.Outcome.UNKNOWN);
+        history.end(
+                call,
+                sim.millis(),
+                status == 200
+                        ? History.Outcome.ACKNOWLEDGED
+                        : status == 409 ? History.Outcome.REFUSED : History.Outcome.UNKNOWN);
     }
 
     void sent(Orders.Order o) {
@@ -112,8 +127,14 @@
         boolean clear = status < 500 && status != 307 && status != 408 && status != 429;
         if (clear && by.aloneSince >= 0 && by.aloneSince + FRESH_MS <= askedAt) {
             minorityAnswers++;
-            audit.breach("MINORITY", by.machine.name + " answers " + status + " to what was asked " + (askedAt - by.aloneSince)
-                    + " ms after it was cut off");
+            audit.breach(
+                    "MINORITY",
+                    by.machine.name
+                            + " answers "
+                            + status
+                            + " to what was asked "
+                            + (askedAt - by.aloneSince)
+                            + " ms after it was cut off");
         }
     }
 
@@ -126,7 +147,8 @@
             day.applied(o.number, sim.millis());
         }
         highestAcknowledged = Math.max(highestAcknowledged, o.number);
-        // With a higher one on its way it may have been overtaken before it was decided, and changes nothing.
+        // With a higher one on its way it may have been overtaken before it was decided, and
+        // changes nothing.
         if (highestSent <= o.number || decided.containsKey(o.number)) {
             decides(o.number, o.digest, "acknowledged by " + by.machine.name);
         }
@@ -155,14 +177,23 @@
     // ---- reads
 
     Reading reads(ControlMachine from) {
-        return new Reading(from, Math.max(highestAcknowledged, highestRead), history.begin(sim.millis(), from.machine.name));
+        return new Reading(
+                from,
+                Math.max(highestAcknowledged, highestRead),
+                history.begin(sim.millis(), from.machine.name));
     }
 
     void read(Reading reading, long number, long digest) {
         history.end(reading.call, sim.millis(), number, Long.toHexString(digest));
         if (number < reading.floor) {
             back++;
-            audit.breach("CONFIG", reading.from.machine.name + " reads back " + number + ", known before was " + reading.floor);
+            audit.breach(
+                    "CONFIG",
+                    reading.from.machine.name
+                            + " reads back "
+                            + number
+                            + ", known before was "
+                            + reading.floor);
         }
         highestRead = Math.max(highestRead, number);
         lastRead = day.ended() ? Math.max(lastRead, number) : -1;
@@ -226,7 +257,8 @@
         twoHold = holders > 1;
         heldAt = holders > 0 || !day.controls.settled() ? sim.millis() : heldAt;
         if (sim.millis() - heldAt > HELD_MS && !unheld) {
-            audit.breach("LEASE", "nobody has held it for " + HELD_MS + " ms though all is settled");
+            audit.breach(
+                    "LEASE", "nobody has held it for " + HELD_MS + " ms though all is settled");
         }
         unheld = sim.millis() - heldAt > HELD_MS;
         overdue();
@@ -239,7 +271,8 @@
         }
         int end = status.indexOf(' ', at);
         try {
-            return Long.parseLong(status.substring(at + name.length(), end < 0 ? status.length() : end));
+            return Long.parseLong(
+                    status.substring(at + name.length(), end < 0 ? status.length() : end));
         } catch (NumberFormatException other) {
             return -1;
         }
@@ -252,7 +285,8 @@
                 String status = o.core.status();
                 int at = status.indexOf("members=[");
                 String set = at < 0 ? "" : status.substring(at, status.indexOf(']', at) + 1);
-                if (!set.matches(".*[\\[ ,]" + c.machine.ip.replace(".", "\\.") + "/.*") || status.contains(" outgoing=")
+                if (!set.matches(".*[\\[ ,]" + c.machine.ip.replace(".", "\\.") + "/.*")
+                        || status.contains(" outgoing=")
                         || o == c && status.contains(" learner")) {
                     return false;
                 }
@@ -263,17 +297,25 @@
 
     private void overdue() {
         long settled = day.controls.settledSince();
-        open.removeIf(o -> {
-            if (o.over || o.taken || o.rival != null && o.rival.taken) {
-                return true;
-            }
-            if (sim.millis() - Math.max(o.sentAt, settled) > ACKNOWLEDGE_MS + o.bytesMs()) {
-                noMajority++;
-                audit.breach("ACKS", "version " + o.number + " of " + o.sentAt + " has no acknowledgement, settled since " + settled);
-                return true;
-            }
-            return false;
-        });
+        open.removeIf(
+                o -> {
+                    if (o.over || o.taken || o.rival != null && o.rival.taken) {
+                        return true;
+                    }
+                    if (sim.millis() - Math.max(o.sentAt, settled) > ACKNOWLEDGE_MS + o.bytesMs()) {
+                        noMajority++;
+                        audit.breach(
+                                "ACKS",
+                                "version "
+                                        + o.number
+                                        + " of "
+                                        + o.sentAt
+                                        + " has no acknowledgement, settled since "
+                                        + settled);
+                        return true;
+                    }
+                    return false;
+                });
     }
 
     /** A front's configuration, at any moment of its life. */
@@ -295,13 +337,24 @@
             return;
         }
         long need = -1;
-        for (int i = acknowledgements.size() - 1; i >= 0 && i > acknowledgements.size() - 200; i--) {
+        for (int i = acknowledgements.size() - 1;
+                i >= 0 && i > acknowledgements.size() - 200;
+                i--) {
             Acknowledged a = acknowledgements.get(i);
             need = a.at() + APPLY_MS < sim.millis() ? Math.max(need, a.number()) : need;
         }
         if (number < need && was[2] < need) {
             was[2] = need;
-            audit.breach("CONFIG", front + " in touch uses " + number + ", " + need + " was acknowledged over " + APPLY_MS + " ms before");
+            audit.breach(
+                    "CONFIG",
+                    front
+                            + " in touch uses "
+                            + number
+                            + ", "
+                            + need
+                            + " was acknowledged over "
+                            + APPLY_MS
+                            + " ms before");
         }
     }
 
@@ -327,7 +380,10 @@
             if (c.replaces && c.runs() && sim.millis() - c.contactFrom > 2 * Controls.CATCH_UP_MS) {
                 replaceMs.add(NEVER_MS);
             }
-            if (c.behind >= 0 && c.behindBy > 0 && c.runs() && sim.millis() - c.contactFrom > 2 * Controls.CATCH_UP_MS) {
+            if (c.behind >= 0
+                    && c.behindBy > 0
+                    && c.runs()
+                    && sim.millis() - c.contactFrom > 2 * Controls.CATCH_UP_MS) {
                 catchUpMs.add(NEVER_MS);
             }
         }
--- a/src/main/java/dillfront/lab/whole/ControlCounts.java
+++ b/src/main/java/dillfront/lab/whole/ControlCounts.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a day, or many, brought to control state: what was lost, what became of it, and the counts of harm. */
+/**
+ * What a day, or many, brought to control state: what was lost, what became of it, and the counts
+ * of harm.
+ */
 public final class ControlCounts {
 
     public long losses;
--- a/src/main/java/dillfront/lab/whole/ControlTroubles.java
+++ b/src/main/java/dillfront/lab/whole/ControlTroubles.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What may happen to control machines and to the configuration, as a line of a scenario says it. */
+/**
+ * What may happen to control machines and to the configuration, as a line of a scenario says it.
+ */
 final class ControlTroubles {
 
     private static final int AFTER_ACK_MS = 4;
@@ -22,7 +24,10 @@
     }
 
     private static boolean isControl(String name) {
-        return name.startsWith("core") || name.equals("leader") || name.equals("seed") || name.equals("other");
+        return name.startsWith("core")
+                || name.equals("leader")
+                || name.equals("seed")
+                || name.equals("other");
     }
 
     private static int number(String[] w, int at, int otherwise) {
@@ -54,7 +59,9 @@
                 }
             }
             case "core_cut" -> coreCut(c, line, number(w, 2, 1), ms);
-            case "replace" -> controls.replace(c, line.contains(" planned"), line.contains(" for ") ? ms : 1_000);
+            case "replace" ->
+                    controls.replace(
+                            c, line.contains(" planned"), line.contains(" for ") ? ms : 1_000);
             case "seeds" -> {
                 controls.turn(c == null ? List.of() : List.of(c));
                 day.reseed();
@@ -68,15 +75,16 @@
                 c.machine.reset();
             }
             case "hard" -> controls.hard(c, ms);
-            case "disk_stall", "disk_slow", "disk_refuse" -> controls.disk(c, w[0], number(w, 2, 30), ms);
+            case "disk_stall", "disk_slow", "disk_refuse" ->
+                    controls.disk(c, w[0], number(w, 2, 30), ms);
             case "after_ack" -> afterAck(w[1], number(w, 2, 1), ms);
             case "closing" -> closing(w[1], ms);
-            case "configure" -> day.orders.change(null, x -> { });
+            case "configure" -> day.orders.change(null, x -> {});
             case "order" -> {
                 if (line.contains(" hard")) {
                     day.orders.hard(c);
                 } else {
-                    day.orders.change(c, x -> { });
+                    day.orders.change(c, x -> {});
                 }
             }
             case "repeat" -> day.orders.repeatOld();
@@ -104,11 +112,14 @@
     private void storm(int many, int gap) {
         day.say("storm of " + many);
         for (int i = 0; i < many; i++) {
-            sim.after((double) i * gap, () -> day.orders.change(null, x -> { }));
+            sim.after((double) i * gap, () -> day.orders.change(null, x -> {}));
         }
     }
 
-    /** Of these, `meet` sends a change to the one that is cut off, in the middle of it and as it returns. */
+    /**
+     * Of these, `meet` sends a change to the one that is cut off, in the middle of it and as it
+     * returns.
+     */
     private void coreCut(ControlMachine c, String line, int many, long ms) {
         List<ControlMachine> off = new ArrayList<>();
         off.add(c);
@@ -118,69 +129,87 @@
             }
         }
         if (line.contains(" meet")) {
-            sim.after(ms * 0.4, () -> day.orders.change(c, x -> { }));
-            sim.after(ms + 5, () -> day.orders.change(c, x -> { }));
+            sim.after(ms * 0.4, () -> day.orders.change(c, x -> {}));
+            sim.after(ms + 5, () -> day.orders.change(c, x -> {}));
         }
         if (line.contains(" seeds")) {
             controls.turn(off);
             day.reseed();
         }
-        controls.cutOff(off, line.contains(" in ") ? "in" : line.contains(" out ") ? "out" : "both", line.contains(" both"), ms);
+        controls.cutOff(
+                off,
+                line.contains(" in ") ? "in" : line.contains(" out ") ? "out" : "both",
+                line.contains(" both"),
+                ms);
     }
 
     /**
-     * Whoever acknowledges the change, and some more, are lost within a few milliseconds; timed: some time after it was sent. Not where
-     * another is lost by then.
+     * Whoever acknowledges the change, and some more, are lost within a few milliseconds; timed:
+     * some time after it was sent. Not where another is lost by then.
      */
     private void afterAck(String how, int many, long ms) {
-        Consumer<ControlMachine> strike = by -> sim.after(1 + sim.random.nextInt(AFTER_ACK_MS), () -> {
-            if (sim.millis() < controls.lostUntil()) {
-                return;
-            }
-            int left = many;
-            if (by != null) {
-                controls.lose(by, !how.equals("kill"), how.equals("wipe"), ms);
-                left--;
-            }
-            for (ControlMachine o : List.copyOf(controls.known())) {
-                if (left > 0 && o != by) {
-                    controls.lose(o, !how.equals("kill"), how.equals("wipe"), ms);
-                    left--;
-                }
-            }
-        });
+        Consumer<ControlMachine> strike =
+                by ->
+                        sim.after(
+                                1 + sim.random.nextInt(AFTER_ACK_MS),
+                                () -> {
+                                    if (sim.millis() < controls.lostUntil()) {
+                                        return;
+                                    }
+                                    int left = many;
+                                    if (by != null) {
+                                        controls.lose(
+                                                by, !how.equals("kill"), how.equals("wipe"), ms);
+                                        left--;
+                                    }
+                                    for (ControlMachine o : List.copyOf(controls.known())) {
+                                        if (left > 0 && o != by) {
+                                            controls.lose(
+                                                    o, !how.equals("kill"), how.equals("wipe"), ms);
+                                            left--;
+                                        }
+                                    }
+                                });
         if (how.equals("timed")) {
             ControlMachine to = controls.of("leader");
-            day.orders.change(to, x -> { });
-            sim.after(5 + sim.random.nextInt(TIMED_MS), () -> {
-                if (sim.millis() >= controls.lostUntil()) {
-                    controls.lose(to, true, false, ms);
-                }
-            });
+            day.orders.change(to, x -> {});
+            sim.after(
+                    5 + sim.random.nextInt(TIMED_MS),
+                    () -> {
+                        if (sim.millis() >= controls.lostUntil()) {
+                            controls.lose(to, true, false, ms);
+                        }
+                    });
         } else {
             day.orders.change(null, strike);
         }
     }
 
     /**
-     * Right after a change was acknowledged all lose power (also where another is lost already), or all are killed, or one loses its
-     * disk, the others their power or not; timed: some time after it was sent.
+     * Right after a change was acknowledged all lose power (also where another is lost already), or
+     * all are killed, or one loses its disk, the others their power or not; timed: some time after
+     * it was sent.
      */
     private void closing(String how, long ms) {
         if (how.equals("timed")) {
-            day.orders.change(null, x -> { });
+            day.orders.change(null, x -> {});
             sim.after(5 + sim.random.nextInt(TIMED_MS), () -> controls.loseAll(true, null, ms));
             return;
         }
-        day.orders.change(null, by -> sim.after(1 + sim.random.nextInt(CLOSING_MS), () -> {
-            day.say("closing " + how);
-            boolean one = sim.millis() >= controls.lostUntil();
-            switch (one ? how : "power") {
-                case "power" -> controls.loseAll(true, null, ms);
-                case "kill" -> controls.loseAll(false, null, ms);
-                case "wipe_power" -> controls.loseAll(true, by, ms);
-                default -> controls.lose(by, true, true, ms);
-            }
-        }));
+        day.orders.change(
+                null,
+                by ->
+                        sim.after(
+                                1 + sim.random.nextInt(CLOSING_MS),
+                                () -> {
+                                    day.say("closing " + how);
+                                    boolean one = sim.millis() >= controls.lostUntil();
+                                    switch (one ? how : "power") {
+                                        case "power" -> controls.loseAll(true, null, ms);
+                                        case "kill" -> controls.loseAll(false, null, ms);
+                                        case "wipe_power" -> controls.loseAll(true, by, ms);
+                                        default -> controls.lose(by, true, true, ms);
+                                    }
+                                }));
     }
 }
--- a/src/main/java/dillfront/lab/whole/Controls.java
+++ b/src/main/java/dillfront/lab/whole/Controls.java
@@ -13,7 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiFunction;
 
-/** The control machines of a day: which there are, who knows of them, and what has happened to them. */
+/**
+ * The control machines of a day: which there are, who knows of them, and what has happened to them.
+ */
 final class Controls {
 
     static final int HTTP = 8_002;
@@ -25,20 +27,28 @@
     private static final double START_MS = 300;
     private static final double GRACE_MS = 6_000;
 
-    private record Listed(long from, List<ControlMachine> machines) { }
+    private record Listed(long from, List<ControlMachine> machines) {}
 
     private final Day day;
     private final Sim sim;
     private final BiFunction<Sim.Machine, Boolean, Settings> settings;
     private final TreeMap<String, ControlMachine> all = new TreeMap<>();
     private final ArrayDeque<Listed> lists = new ArrayDeque<>();
+
     /** What the settings name; null for the first of those that are there. */
     private List<ControlMachine> turned;
+
     private int added;
+
     /** When something last happened to one of them, or between them. */
     private long eventAt = -IN_TOUCH_MS;
-    /** Until then one of them counts as lost: for catch_up_s after it is back, or after its successor's start. */
+
+    /**
+     * Until then one of them counts as lost: for catch_up_s after it is back, or after its
+     * successor's start.
+     */
     private long lostUntil;
+
     /** The one that acted or acknowledged last. */
     private String acted = "";
 
@@ -48,14 +58,20 @@
         this.settings = settings;
         for (int i = 0; i < many; i++) {
             String zone = Day.ZONES[i % Day.ZONES.length];
-            add("core-" + zone + (i < Day.ZONES.length ? "" : i / Day.ZONES.length), zone, 1 + i / Day.ZONES.length);
+            add(
+                    "core-" + zone + (i < Day.ZONES.length ? "" : i / Day.ZONES.length),
+                    zone,
+                    1 + i / Day.ZONES.length);
         }
         lists.clear();
         lists.add(new Listed(-LIST_MS, List.copyOf(all.values())));
     }
 
     private ControlMachine add(String name, String zone, int number) {
-        ControlMachine c = new ControlMachine(sim, sim.new Machine(name, zone, "10." + zone.charAt(0) % 'a' + ".0." + number));
+        ControlMachine c =
+                new ControlMachine(
+                        sim,
+                        sim.new Machine(name, zone, "10." + zone.charAt(0) % 'a' + ".0." + number));
         all.put(name, c);
         listed();
         return c;
@@ -92,45 +108,85 @@
         return all.values().stream().filter(c -> c.machine.ip.equals(ip)).findFirst().orElse(null);
     }
 
-    /** By name; or `leader`, the one that acted or acknowledged last; `seed`, the first one of the settings; `other`, neither. */
+    /**
+     * By name; or `leader`, the one that acted or acknowledged last; `seed`, the first one of the
+     * settings; `other`, neither.
+     */
     ControlMachine of(String name) {
-        ControlMachine is = switch (name) {
-            case "leader" -> all.containsKey(acted) ? all.get(acted) : all.firstEntry().getValue();
-            case "seed" -> seedMachines().stream().filter(c -> !c.gone).findFirst().orElse(all.firstEntry().getValue());
-            case "other" -> all.values().stream().filter(c -> !c.machine.name.equals(acted) && c.machine.up).findFirst().orElse(null);
-            default -> all.get(name);
-        };
+        ControlMachine is =
+                switch (name) {
+                    case "leader" ->
+                            all.containsKey(acted) ? all.get(acted) : all.firstEntry().getValue();
+                    case "seed" ->
+                            seedMachines().stream()
+                                    .filter(c -> !c.gone)
+                                    .findFirst()
+                                    .orElse(all.firstEntry().getValue());
+                    case "other" ->
+                            all.values().stream()
+                                    .filter(c -> !c.machine.name.equals(acted) && c.machine.up)
+                                    .findFirst()
+                                    .orElse(null);
+                    default -> all.get(name);
+                };
         if (is == null) {
             // It was replaced: whoever came for it.
-            is = all.values().stream().filter(c -> c.machine.name.startsWith(name + "-")).findFirst().orElse(null);
+            is =
+                    all.values().stream()
+                            .filter(c -> c.machine.name.startsWith(name + "-"))
+                            .findFirst()
+                            .orElse(null);
         }
         return is;
     }
 
     /** What was answered in the end, by whom, and when that one was asked. */
-    record Answered(Host.Answer answer, ControlMachine by, long askedAt) { }
+    record Answered(Host.Answer answer, ControlMachine by, long askedAt) {}
 
     /** A call as all make it: a 307 is followed twice, and each that is asked is given so long. */
-    CompletableFuture<Answered> call(Sim.Machine from, String method, ControlMachine to, String path, byte[] body, int timeoutMs) {
+    CompletableFuture<Answered> call(
+            Sim.Machine from,
+            String method,
+            ControlMachine to,
+            String path,
+            byte[] body,
+            int timeoutMs) {
         CompletableFuture<Answered> done = new CompletableFuture<>();
         call(from, method, to.machine.ip + ":" + HTTP, path, body, timeoutMs, 2, done);
         return done;
     }
 
-    private void call(Sim.Machine from, String method, String address, String path, byte[] body, int timeoutMs, int more,
+    private void call(
+            Sim.Machine from,
+            String method,
+            String address,
+            String path,
+            byte[] body,
+            int timeoutMs,
+            int more,
             CompletableFuture<Answered> done) {
         long askedAt = sim.millis();
         ControlMachine to = at(address.substring(0, address.indexOf(':')));
-        from.call(method, address, path, body, Map.of(), timeoutMs).whenComplete((is, fault) -> {
-            if (fault != null) {
-                done.completeExceptionally(fault);
-            } else if (is.status() == 307 && is.location() != null && more > 0) {
-                URI location = URI.create(is.location());
-                call(from, method, location.getAuthority(), location.getPath(), body, timeoutMs, more - 1, done);
-            } else {
-                done.complete(new Answered(is, to, askedAt));
-            }
-        });
+        from.call(method, address, path, body, Map.of(), timeoutMs)
+                .whenComplete(
+                        (is, fault) -> {
+                            if (fault != null) {
+                                done.completeExceptionally(fault);
+                            } else if (is.status() == 307 && is.location() != null && more > 0) {
+                                URI location = URI.create(is.location());
+                                call(
+                                        from,
+                                        method,
+                                        location.getAuthority(),
+                                        location.getPath(),
+                                        body,
+                                        timeoutMs,
+                                        more - 1,
+                                        done);
+                            } else {
+                                done.complete(new Answered(is, to, askedAt));
+                            }
+                        });
     }
 
     void acted(String name) {
@@ -156,7 +212,8 @@
     }
 
     void startAll() {
-        all.values().forEach(c -> sim.after(sim.random.nextDouble() * START_MS, () -> start(c, true)));
+        all.values()
+                .forEach(c -> sim.after(sim.random.nextDouble() * START_MS, () -> start(c, true)));
     }
 
     void start(ControlMachine c, boolean first) {
@@ -206,7 +263,10 @@
         }
     }
 
-    /** Since when more than half have run and been connected with nothing happening; the future where that is not so. */
+    /**
+     * Since when more than half have run and been connected with nothing happening; the future
+     * where that is not so.
+     */
     long settledSince() {
         boolean connected = all.values().stream().anyMatch(this::reachesMajority);
         return connected ? eventAt + IN_TOUCH_MS : Long.MAX_VALUE / 2;
@@ -226,7 +286,10 @@
         lostUntil = Math.max(lostUntil, sim.millis() + ms + CATCH_UP_MS);
     }
 
-    /** Its process ends, or its power goes, and it is back after a while; with an empty disk where it is wiped. */
+    /**
+     * Its process ends, or its power goes, and it is back after a while; with an empty disk where
+     * it is wiped.
+     */
     void lose(ControlMachine c, boolean power, boolean wipe, long forMs) {
         if (c == null || !c.machine.up) {
             return;
@@ -241,12 +304,14 @@
             c.disk.wipe();
             c.replaces = true;
         }
-        sim.after(forMs, () -> {
-            if (!c.machine.up && !c.gone) {
-                day.say("back " + c.machine.name);
-                start(c, false);
-            }
-        });
+        sim.after(
+                forMs,
+                () -> {
+                    if (!c.machine.up && !c.gone) {
+                        day.say("back " + c.machine.name);
+                        start(c, false);
+                    }
+                });
     }
 
     /** Killed, and again soon after each start, for so long. */
@@ -263,22 +328,28 @@
         }.run();
     }
 
-    /** Gone for good; an empty one comes at another address. Planned: that one first, then SIGTERM. */
+    /**
+     * Gone for good; an empty one comes at another address. Planned: that one first, then SIGTERM.
+     */
     void replace(ControlMachine old, boolean planned, long inMs) {
         if (old == null || old.gone || !all.containsKey(old.machine.name)) {
             return;
         }
-        String base = old.machine.name.contains("-r") ? old.machine.name.substring(0, old.machine.name.indexOf("-r")) : old.machine.name;
+        String base =
+                old.machine.name.contains("-r")
+                        ? old.machine.name.substring(0, old.machine.name.indexOf("-r"))
+                        : old.machine.name;
         day.say((planned ? "planned replacement of " : "gone for good ") + old.machine.name);
         int number = ++added;
         lostFor(inMs);
-        Runnable comes = () -> {
-            ControlMachine c = add(base + "-r" + number, old.machine.zone, 100 + number);
-            c.replaces = true;
-            day.configAudit.replaced++;
-            day.say("new " + c.machine.name);
-            start(c, false);
-        };
+        Runnable comes =
+                () -> {
+                    ControlMachine c = add(base + "-r" + number, old.machine.zone, 100 + number);
+                    c.replaces = true;
+                    day.configAudit.replaced++;
+                    day.say("new " + c.machine.name);
+                    start(c, false);
+                };
         if (planned) {
             comes.run();
             sim.after(inMs, () -> terminate(old));
@@ -310,12 +381,13 @@
         event();
         lostFor(0);
         c.gone = true;
-        Runnable ends = () -> {
-            if (all.containsKey(c.machine.name)) {
-                day.say("ended " + c.machine.name);
-                end(c, false);
-            }
-        };
+        Runnable ends =
+                () -> {
+                    if (all.containsKey(c.machine.name)) {
+                        day.say("ended " + c.machine.name);
+                        end(c, false);
+                    }
+                };
         if (c.core == null) {
             ends.run();
         } else {
@@ -337,17 +409,27 @@
         sim.after(forMs, this::event);
     }
 
-    /** Cut off from all others of its kind. way: both, in (it hears nothing), out (it is not heard). */
+    /**
+     * Cut off from all others of its kind. way: both, in (it hears nothing), out (it is not heard).
+     */
     void cutOff(List<ControlMachine> off, String way, boolean restarts, long forMs) {
         List<ControlMachine> rest = all.values().stream().filter(c -> !off.contains(c)).toList();
-        day.say("cut off " + off.stream().map(c -> c.machine.name).toList() + " " + way + " for " + forMs);
+        day.say(
+                "cut off "
+                        + off.stream().map(c -> c.machine.name).toList()
+                        + " "
+                        + way
+                        + " for "
+                        + forMs);
         day.configAudit.losses += off.size();
         lostFor(forMs);
         cut(off, rest, way, true);
-        sim.after(forMs, () -> {
-            day.say("joined " + off.stream().map(c -> c.machine.name).toList());
-            cut(off, rest, way, false);
-        });
+        sim.after(
+                forMs,
+                () -> {
+                    day.say("joined " + off.stream().map(c -> c.machine.name).toList());
+                    cut(off, rest, way, false);
+                });
         if (restarts) {
             sim.after(forMs / 3.0, () -> off.forEach(c -> lose(c, false, false, 300)));
             sim.after(forMs * 2 / 3.0, () -> rest.forEach(c -> lose(c, false, false, 300)));
@@ -390,12 +472,25 @@
 
     /** All at once: without power, or killed. */
     void loseAll(boolean power, ControlMachine wiped, long forMs) {
-        List.copyOf(all.values()).forEach(c -> lose(c, power || c == wiped, c == wiped, forMs + sim.random.nextInt(300)));
+        List.copyOf(all.values())
+                .forEach(
+                        c ->
+                                lose(
+                                        c,
+                                        power || c == wiped,
+                                        c == wiped,
+                                        forMs + sim.random.nextInt(300)));
     }
 
     List<String> status() {
         List<String> lines = new ArrayList<>();
-        all.values().forEach(c -> lines.add(c.machine.name + " " + (c.core == null ? "down" : c.core.status())));
+        all.values()
+                .forEach(
+                        c ->
+                                lines.add(
+                                        c.machine.name
+                                                + " "
+                                                + (c.core == null ? "down" : c.core.status())));
         return lines;
     }
 }
--- a/src/main/java/dillfront/lab/whole/Database.java
+++ b/src/main/java/dillfront/lab/whole/Database.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A service's database servers, by the page of what is spoken: one leads, the others get its log over the network. */
+/**
+ * A service's database servers, by the page of what is spoken: one leads, the others get its log
+ * over the network.
+ */
 final class Database {
 
     /** One commit: its place, which try wrote it, and when it was acknowledged; -1 for not. */
@@ -48,7 +51,15 @@
     private long stamp;
     final Map<String, String> stamps = new HashMap<>();
 
-    Database(Sim sim, String name, int slots, int limit, double workMs, double promoteMs, boolean sync, Watch watch) {
+    Database(
+            Sim sim,
+            String name,
+            int slots,
+            int limit,
+            double workMs,
+            double promoteMs,
+            boolean sync,
+            Watch watch) {
         this.sim = sim;
         this.name = name;
         this.slots = slots;
@@ -72,7 +83,10 @@
         return servers.stream().filter(s -> s.id.equals(id)).findFirst().orElse(null);
     }
 
-    /** The named one leads the next term with what it has received and nothing more; others are cut back to it. */
+    /**
+     * The named one leads the next term with what it has received and nothing more; others are cut
+     * back to it.
+     */
     boolean promote(String id) {
         Server to = of(id);
         if (to == null || !to.machine.up || to.machine.dark) {
@@ -81,24 +95,26 @@
         if (to.leads) {
             return true;
         }
-        sim.after(promoteMs, () -> {
-            if (to.leads || !to.machine.up) {
-                return;
-            }
-            watch.promoted(to);
-            term++;
-            for (Server s : servers) {
-                if (s != to) {
-                    s.leads = false;
-                    s.cutBack(to.log.size());
-                }
-                s.held = 0;
-            }
-            to.leads = true;
-            to.term = term;
-            to.applied = to.log.size();
-            to.role();
-        });
+        sim.after(
+                promoteMs,
+                () -> {
+                    if (to.leads || !to.machine.up) {
+                        return;
+                    }
+                    watch.promoted(to);
+                    term++;
+                    for (Server s : servers) {
+                        if (s != to) {
+                            s.leads = false;
+                            s.cutBack(to.log.size());
+                        }
+                        s.held = 0;
+                    }
+                    to.leads = true;
+                    to.term = term;
+                    to.applied = to.log.size();
+                    to.role();
+                });
         return true;
     }
 
@@ -108,23 +124,31 @@
         final String address;
         boolean leads;
         boolean draining;
+
         /** It says no more of itself. */
         boolean quiet;
+
         long term = 1;
         long held;
+
         /** What was received, and how much of it is applied. */
         final List<Commit> log = new ArrayList<>();
+
         int applied;
+
         /** Each answer is lost with this chance. */
         double lost;
+
         /** It receives nothing, and does not know. */
         boolean deaf;
+
         /** A new one has nothing before it has copied all of it. */
         long copiedAt;
+
         private int busy;
         private final List<Runnable> queue = new ArrayList<>();
         int connections;
-        Runnable roleTold = () -> { };
+        Runnable roleTold = () -> {};
 
         Server(Sim.Machine machine, String id, int port) {
             this.machine = machine;
@@ -159,7 +183,13 @@
 
         /** Gets what the leader has, over the network, and applies it later. */
         void follow(Server leader) {
-            if (held != 0 || !machine.up || machine.dark || deaf || sim.millis() < copiedAt || leads || !leader.leads
+            if (held != 0
+                    || !machine.up
+                    || machine.dark
+                    || deaf
+                    || sim.millis() < copiedAt
+                    || leads
+                    || !leader.leads
                     || sim.cut(machine, leader.machine)) {
                 return;
             }
@@ -171,11 +201,13 @@
             if (got) {
                 term = leader.term;
                 int size = log.size();
-                sim.after(lagMs * (0.5 + sim.random.nextDouble()), () -> {
-                    if (!leads) {
-                        applied = Math.max(applied, Math.min(size, log.size()));
-                    }
-                });
+                sim.after(
+                        lagMs * (0.5 + sim.random.nextDouble()),
+                        () -> {
+                            if (!leads) {
+                                applied = Math.max(applied, Math.min(size, log.size()));
+                            }
+                        });
             }
         }
 
@@ -194,13 +226,15 @@
 
         private void begin(double ms, Runnable done) {
             busy++;
-            machine.after(Math.round(ms), () -> {
-                busy--;
-                if (!queue.isEmpty()) {
-                    queue.remove(0).run();
-                }
-                done.run();
-            });
+            machine.after(
+                    Math.round(ms),
+                    () -> {
+                        busy--;
+                        if (!queue.isEmpty()) {
+                            queue.remove(0).run();
+                        }
+                        done.run();
+                    });
         }
 
         void stop(boolean power) {
@@ -232,12 +266,13 @@
             int size = log.size();
             int life = machine.life;
             boolean[] told = new boolean[1];
-            Runnable acknowledge = () -> {
-                if (!told[0] && machine.life == life && machine.up) {
-                    told[0] = true;
-                    done.run();
-                }
-            };
+            Runnable acknowledge =
+                    () -> {
+                        if (!told[0] && machine.life == life && machine.up) {
+                            told[0] = true;
+                            done.run();
+                        }
+                    };
             if (!sync) {
                 acknowledge.run();
             }
@@ -249,17 +284,19 @@
         }
 
         private void spread(Server to, int size, Runnable acknowledge, Commit mine) {
-            sim.after(sim.way(machine, to.machine), () -> {
-                if (!leads || log.size() < size || log.get(size - 1) != mine) {
-                    return;
-                }
-                to.follow(this);
-                if (to.log.size() >= size && to.log.get(size - 1) == mine) {
-                    sim.after(sim.way(machine, to.machine), acknowledge);
-                } else if (machine.up) {
-                    sim.after(20, () -> spread(to, size, acknowledge, mine));
-                }
-            });
+            sim.after(
+                    sim.way(machine, to.machine),
+                    () -> {
+                        if (!leads || log.size() < size || log.get(size - 1) != mine) {
+                            return;
+                        }
+                        to.follow(this);
+                        if (to.log.size() >= size && to.log.get(size - 1) == mine) {
+                            sim.after(sim.way(machine, to.machine), acknowledge);
+                        } else if (machine.up) {
+                            sim.after(20, () -> spread(to, size, acknowledge, mine));
+                        }
+                    });
         }
     }
 
@@ -274,8 +311,10 @@
         char state = 'I';
         boolean reads;
         final List<String> writes = new ArrayList<>();
+
         /** The first read, write or commit of its transaction came by this try. */
         String began;
+
         private final List<String> ahead = new ArrayList<>();
         private boolean running;
 
@@ -338,7 +377,9 @@
         private void take(String line) {
             String[] part = Sim.words(line, 4);
             if (!started) {
-                if (!"CONNECT".equals(part[0]) || !name.equals(part[1]) || part[3] != null && !part[3].equals(server.id)) {
+                if (!"CONNECT".equals(part[0])
+                        || !name.equals(part[1])
+                        || part[3] != null && !part[3].equals(server.id)) {
                     say("ERROR WRONGNODE");
                     end();
                 } else if (server.connections > limit) {
@@ -347,11 +388,13 @@
                 } else {
                     started = true;
                     running = true;
-                    server.work(12, () -> {
-                        running = false;
-                        ready();
-                        next();
-                    });
+                    server.work(
+                            12,
+                            () -> {
+                                running = false;
+                                ready();
+                                next();
+                            });
                 }
             } else if (line.equals("GOODBYE")) {
                 end();
@@ -428,7 +471,19 @@
         }
 
         private void state(Server s) {
-            say("ROW " + (s.leads ? "primary" : "replica") + " " + s.term + " " + s.position() + " " + s.held + " 0 " + s.busy + " " + s.connections);
+            say(
+                    "ROW "
+                            + (s.leads ? "primary" : "replica")
+                            + " "
+                            + s.term
+                            + " "
+                            + s.position()
+                            + " "
+                            + s.held
+                            + " 0 "
+                            + s.busy
+                            + " "
+                            + s.connections);
             done("-");
         }
 
@@ -461,51 +516,63 @@
             running = true;
             double ms = workMs * (0.4 + 1.2 * sim.random.nextDouble());
             boolean begins = state == 'I' || began == null;
-            boolean taken = server.work(ms, () -> {
-                if (over && (state != 'I' || !write)) {
-                    return;
-                }
-                if ((write || plain) && !server.leads && !(commit && writes.isEmpty())) {
-                    running = false;
-                    if (commit) {
-                        state = 'I';
-                    }
-                    fail("READONLY");
-                    next();
-                    return;
-                }
-                began = id;
-                watch.runs(server, this, id, shape == null ? text : shape + " " + text, begins);
-                if (write) {
-                    writes.add(id);
-                }
-                boolean commits = commit || write && state == 'I';
-                Runnable answer = () -> {
-                    running = false;
-                    if (over) {
-                        return;
-                    }
-                    if (server.lost > 0 && sim.random.nextDouble() < server.lost) {
-                        running = true;
-                        return;
-                    }
-                    String is = name + "." + ++stamp;
-                    stamps.put(is, id);
-                    if (!write && !commit) {
-                        say("ROW r" + id);
-                    }
-                    done(is);
-                    next();
-                };
-                if (commits) {
-                    List<String> all = new ArrayList<>(writes);
-                    writes.clear();
-                    state = 'I';
-                    server.commit(this, id, all, answer);
-                } else {
-                    answer.run();
-                }
-            });
+            boolean taken =
+                    server.work(
+                            ms,
+                            () -> {
+                                if (over && (state != 'I' || !write)) {
+                                    return;
+                                }
+                                if ((write || plain)
+                                        && !server.leads
+                                        && !(commit && writes.isEmpty())) {
+                                    running = false;
+                                    if (commit) {
+                                        state = 'I';
+                                    }
+                                    fail("READONLY");
+                                    next();
+                                    return;
+                                }
+                                began = id;
+                                watch.runs(
+                                        server,
+                                        this,
+                                        id,
+                                        shape == null ? text : shape + " " + text,
+                                        begins);
+                                if (write) {
+                                    writes.add(id);
+                                }
+                                boolean commits = commit || write && state == 'I';
+                                Runnable answer =
+                                        () -> {
+                                            running = false;
+                                            if (over) {
+                                                return;
+                                            }
+                                            if (server.lost > 0
+                                                    && sim.random.nextDouble() < server.lost) {
+                                                running = true;
+                                                return;
+                                            }
+                                            String is = name + "." + ++stamp;
+                                            stamps.put(is, id);
+                                            if (!write && !commit) {
+                                                say("ROW r" + id);
+                                            }
+                                            done(is);
+                                            next();
+                                        };
+                                if (commits) {
+                                    List<String> all = new ArrayList<>(writes);
+                                    writes.clear();
+                                    state = 'I';
+                                    server.commit(this, id, all, answer);
+                                } else {
+                                    answer.run();
+                                }
+                            });
             if (!taken) {
                 running = false;
                 fail("BUSY");
--- a/src/main/java/dillfront/lab/whole/Disk.java
+++ b/src/main/java/dillfront/lab/whole/Disk.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What is on a machine's disk: synced with every put that was answered. Of those under way at the end of a process or of the
- * power, the first few may be there, though nobody was told.
+ * What is on a machine's disk: synced with every put that was answered. Of those under way at the
+ * end of a process or of the power, the first few may be there, though nobody was told.
  */
 final class Disk implements Store {
 
     private static final double SYNC_MS = 3;
 
-    private record Write(Map<String, String> texts, long at, CompletableFuture<Void> done) { }
+    private record Write(Map<String, String> texts, long at, CompletableFuture<Void> done) {}
 
     private final Sim sim;
     private final Sim.Machine machine;
@@ -70,23 +70,28 @@
         if (!queue.isEmpty()) {
             begin();
         }
-        machine.enter(() -> {
-            if (kept) {
-                write.done().complete(null);
-            } else {
-                write.done().completeExceptionally(new IllegalStateException("the disk refuses"));
-            }
-        });
+        machine.enter(
+                () -> {
+                    if (kept) {
+                        write.done().complete(null);
+                    } else {
+                        write.done()
+                                .completeExceptionally(
+                                        new IllegalStateException("the disk refuses"));
+                    }
+                });
     }
 
     private void apply(Write write) {
-        write.texts().forEach((name, text) -> {
-            if (text.isEmpty()) {
-                kept.remove(name);
-            } else {
-                kept.put(name, text);
-            }
-        });
+        write.texts()
+                .forEach(
+                        (name, text) -> {
+                            if (text.isEmpty()) {
+                                kept.remove(name);
+                            } else {
+                                kept.put(name, text);
+                            }
+                        });
     }
 
     /** The process ended, or the power went. */
--- a/src/main/java/dillfront/lab/whole/Orders.java
+++ b/src/main/java/dillfront/lab/whole/Orders.java
@@ -11,8 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * The operators of a day. They pick among the control machines of a list that lags, go on after a failure, a 5xx, 408, 429 or
- * a silence with a pause that grows, and send the same order again, to any process; up to eight are under way at once.
+ * The operators of a day. They pick among the control machines of a list that lags, go on after a
+ * failure, a 5xx, 408, 429 or a silence with a pause that grows, and send the same order again, to
+ * any process; up to eight are under way at once.
  */
 final class Orders {
 
@@ -32,22 +33,30 @@
         final int routes;
         long sentAt = -1;
         boolean acknowledged;
+
         /** It was acknowledged, though that may have been lost on its way. */
         boolean taken;
+
         boolean refused;
+
         /** No more is done for it. */
         boolean over;
+
         /** The other one under its number. */
         Order rival;
+
         private int tries;
         private int others;
         private ControlMachine first;
+
         /** Nobody but the first is called, again and again until it answers. */
         private boolean hard;
+
         /** Tried since it last began with all of them anew. */
         private final List<ControlMachine> tried = new ArrayList<>();
+
         /** Told which process acknowledged it, once. */
-        private Consumer<ControlMachine> then = c -> { };
+        private Consumer<ControlMachine> then = c -> {};
 
         Order(long number, int variant) {
             this.number = number;
@@ -68,10 +77,13 @@
     private final ArrayDeque<Order> queue = new ArrayDeque<>();
     private int underWay;
     private long number = 1;
+
     /** Routes that make the configuration bigger. */
     int more;
+
     /** Each answer is lost on its way with this chance. */
     double lost;
+
     final List<Order> all = new ArrayList<>();
 
     Orders(Day day, Sim.Machine operator) {
@@ -84,19 +96,52 @@
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
         for (String name : day.databaseNames()) {
-            services.add(Json.object().add("name", name).add("connection_limit", 60).add("synchronous_replicas", 1));
-            for (String[] kind : new String[][] {{"primary", "primary"}, {"bounded", "bounded_staleness"}, {"own", "read_your_writes"}}) {
-                routes.add(Json.object().add("name", name + kind[0]).add("host_name", name + "-" + kind[0]).add("path_prefix", "/")
-                        .add("route_kind", kind[1]).add("timeout_ms", 1_000 + of % 1_000).add("target_latency_ms", 400 + variant).add("priority", 1)
-                        .add("service", name).add("max_attempts", 2).add("max_staleness_ms", kind[0].equals("bounded") ? 1_500 : 2_500));
+            services.add(
+                    Json.object()
+                            .add("name", name)
+                            .add("connection_limit", 60)
+                            .add("synchronous_replicas", 1));
+            for (String[] kind :
+                    new String[][] {
+                        {"primary", "primary"},
+                        {"bounded", "bounded_staleness"},
+                        {"own", "read_your_writes"}
+                    }) {
+                routes.add(
+                        Json.object()
+                                .add("name", name + kind[0])
+                                .add("host_name", name + "-" + kind[0])
+                                .add("path_prefix", "/")
+                                .add("route_kind", kind[1])
+                                .add("timeout_ms", 1_000 + of % 1_000)
+                                .add("target_latency_ms", 400 + variant)
+                                .add("priority", 1)
+                                .add("service", name)
+                                .add("max_attempts", 2)
+                                .add(
+                                        "max_staleness_ms",
+                                        kind[0].equals("bounded") ? 1_500 : 2_500));
             }
         }
         for (int i = 0; i < more; i++) {
-            routes.add(Json.object().add("name", "more" + i).add("host_name", "more" + i).add("path_prefix", "/").add("route_kind", "primary")
-                    .add("timeout_ms", 1_000 + of % 1_000).add("target_latency_ms", 400).add("priority", 1).add("service", "db0"));
+            routes.add(
+                    Json.object()
+                            .add("name", "more" + i)
+                            .add("host_name", "more" + i)
+                            .add("path_prefix", "/")
+                            .add("route_kind", "primary")
+                            .add("timeout_ms", 1_000 + of % 1_000)
+                            .add("target_latency_ms", 400)
+                            .add("priority", 1)
+                            .add("service", "db0"));
         }
-        return Json.object().add("revision_number", of).add("routes", routes).add("services", services)
-                .add("limits", Json.object().add("transaction_idle_ms", 3_000)).toString().getBytes(StandardCharsets.UTF_8);
+        return Json.object()
+                .add("revision_number", of)
+                .add("routes", routes)
+                .add("services", services)
+                .add("limits", Json.object().add("transaction_idle_ms", 3_000))
+                .toString()
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     /** The next number with a content of its own; sent to this one first, if one is given. */
@@ -163,33 +208,39 @@
     }
 
     private void send(Order o) {
-        ControlMachine to = (o.tries++ == 0 || o.hard) && o.first != null ? o.first : another(o.tried);
+        ControlMachine to =
+                (o.tries++ == 0 || o.hard) && o.first != null ? o.first : another(o.tried);
         o.tried.add(to);
         long began = sim.millis();
         long silence = SILENCE_MS + Math.round(o.bytesMs());
         boolean unheard = lost > 0 && sim.random.nextDouble() < lost;
         int call = day.configAudit.calls(o);
-        day.controls.call(operator, "POST", to, "/Configuration.Replace", o.body, (int) silence).whenComplete((is, fault) -> {
-            int status = fault == null ? is.answer().status() : 503;
-            if (fault == null) {
-                day.configAudit.answered(is.by(), is.askedAt(), status);
-                o.taken |= status == 200;
-            }
-            day.configAudit.ends(call, fault == null && !unheard ? status : 0);
-            if (fault == null && unheard) {
-                sim.at((began + silence) * 1_000, () -> again(o));
-            } else {
-                heard(o, fault == null ? is.by() : to, status);
-            }
-        });
+        day.controls
+                .call(operator, "POST", to, "/Configuration.Replace", o.body, (int) silence)
+                .whenComplete(
+                        (is, fault) -> {
+                            int status = fault == null ? is.answer().status() : 503;
+                            if (fault == null) {
+                                day.configAudit.answered(is.by(), is.askedAt(), status);
+                                o.taken |= status == 200;
+                            }
+                            day.configAudit.ends(call, fault == null && !unheard ? status : 0);
+                            if (fault == null && unheard) {
+                                sim.at((began + silence) * 1_000, () -> again(o));
+                            } else {
+                                heard(o, fault == null ? is.by() : to, status);
+                            }
+                        });
     }
 
     private void again(Order o) {
-        sim.after(Math.min(MOST_PAUSE_MS, PAUSE_MS << Math.min(6, o.tries)), () -> {
-            if (!o.over && !day.ended()) {
-                send(o);
-            }
-        });
+        sim.after(
+                Math.min(MOST_PAUSE_MS, PAUSE_MS << Math.min(6, o.tries)),
+                () -> {
+                    if (!o.over && !day.ended()) {
+                        send(o);
+                    }
+                });
     }
 
     private void heard(Order o, ControlMachine to, int status) {
@@ -231,19 +282,28 @@
         }
         ControlMachine to = any();
         int call = day.configAudit.calls(o);
-        day.controls.call(operator, "POST", to, "/Configuration.Replace", o.body, (int) (SILENCE_MS + o.bytesMs())).whenComplete((is, fault) -> {
-            int status = fault == null ? is.answer().status() : 0;
-            day.configAudit.ends(call, status);
-            if (fault != null) {
-                return;
-            }
-            day.configAudit.answered(is.by(), is.askedAt(), status);
-            if (status >= 400 && status < 500 && !AGAIN.contains(status)) {
-                day.configAudit.refused(o, is.by(), status);
-            } else if (status == 200) {
-                day.configAudit.acknowledged(o, is.by());
-            }
-        });
+        day.controls
+                .call(
+                        operator,
+                        "POST",
+                        to,
+                        "/Configuration.Replace",
+                        o.body,
+                        (int) (SILENCE_MS + o.bytesMs()))
+                .whenComplete(
+                        (is, fault) -> {
+                            int status = fault == null ? is.answer().status() : 0;
+                            day.configAudit.ends(call, status);
+                            if (fault != null) {
+                                return;
+                            }
+                            day.configAudit.answered(is.by(), is.askedAt(), status);
+                            if (status >= 400 && status < 500 && !AGAIN.contains(status)) {
+                                day.configAudit.refused(o, is.by(), status);
+                            } else if (status == 200) {
+                                day.configAudit.acknowledged(o, is.by());
+                            }
+                        });
     }
 
     /** An old one that was acknowledged, or any of the last, again. */
@@ -254,7 +314,9 @@
         }
     }
 
-    /** One that was refused for the other content of its number, as if that answer had been lost. */
+    /**
+     * One that was refused for the other content of its number, as if that answer had been lost.
+     */
     void repeatRefused() {
         List<Order> refused = all.stream().filter(o -> o.refused).toList();
         if (!refused.isEmpty()) {
@@ -272,17 +334,23 @@
 
     void read(ControlMachine from, int timeoutMs) {
         ConfigAudit.Reading reading = day.configAudit.reads(from);
-        day.controls.call(operator, "GET", from, "/Configuration.Read", new byte[0], timeoutMs).whenComplete((is, fault) -> {
-            if (fault != null || is.answer().status() != 200) {
-                return;
-            }
-            day.configAudit.answered(is.by(), is.askedAt(), 200);
-            byte[] body = is.answer().body();
-            try {
-                day.configAudit.read(reading, Configuration.read(body).version(), ConfigAudit.digest(body));
-            } catch (Configuration.Invalid bad) {
-                day.audit.breach("CONFIG", bad.getMessage());
-            }
-        });
+        day.controls
+                .call(operator, "GET", from, "/Configuration.Read", new byte[0], timeoutMs)
+                .whenComplete(
+                        (is, fault) -> {
+                            if (fault != null || is.answer().status() != 200) {
+                                return;
+                            }
+                            day.configAudit.answered(is.by(), is.askedAt(), 200);
+                            byte[] body = is.answer().body();
+                            try {
+                                day.configAudit.read(
+                                        reading,
+                                        Configuration.read(body).version(),
+                                        ConfigAudit.digest(body));
+                            } catch (Configuration.Invalid bad) {
+                                day.audit.breach("CONFIG", bad.getMessage());
+                            }
+                        });
     }
 }
--- a/src/main/java/dillfront/lab/whole/Sim.java
+++ b/src/main/java/dillfront/lab/whole/Sim.java
@@ -16,34 +16,45 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulated time, and a network of machines in it: everything from one seed, so that a day plays the same each time. A machine
- * that is killed resets its connections; one without power, or behind a cut, says nothing more.
+ * Simulated time, and a network of machines in it: everything from one seed, so that a day plays
+ * the same each time. A machine that is killed resets its connections; one without power, or behind
+ * a cut, says nothing more.
  */
 final class Sim {
 
-    private record Event(long at, long order, Runnable run) { }
+    private record Event(long at, long order, Runnable run) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() != b.at()
+                                    ? Long.compare(a.at(), b.at())
+                                    : Long.compare(a.order(), b.order()));
     private long now;
     private long order;
     final SplittableRandom random;
     private final Map<String, Machine> listeners = new HashMap<>();
+
     /** How many cuts lie on the way from one to the other. */
     private final Map<String, Integer> cuts = new HashMap<>();
+
     /** Ends of connections on which something is held up. */
     private final List<Line> stuck = new ArrayList<>();
+
     final List<Machine> machines = new ArrayList<>();
+
     /** What processes noted. */
     final List<String> told = new ArrayList<>();
+
     /** Sees each message as it is sent. */
-    Tap tap = (from, to, kind, message) -> { };
+    Tap tap = (from, to, kind, message) -> {};
 
     /** Sees each message before the network has it. */
     interface Tap {
 
         /**
-         * @param kind FRAMES or LINES for a message on a connection; for HTTP the method and path of a call, or the status of an answer
+         * @param kind FRAMES or LINES for a message on a connection; for HTTP the method and path
+         *     of a call, or the status of an answer
          */
         void sent(String from, String to, String kind, byte[] message);
     }
@@ -84,7 +95,10 @@
         cutWay(b, a, is);
     }
 
-    /** What the one sends does not reach the other; what waited on open connections arrives once the last cut has ended. */
+    /**
+     * What the one sends does not reach the other; what waited on open connections arrives once the
+     * last cut has ended.
+     */
     void cutWay(Machine from, Machine to, boolean is) {
         String way = from.name + " " + to.name;
         if (is) {
@@ -118,7 +132,8 @@
 
     /** What a machine offers on one of its ports. */
     interface Http {
-        CompletableFuture<Host.Answer> call(String method, String path, byte[] body, Map<String, String> headers);
+        CompletableFuture<Host.Answer> call(
+                String method, String path, byte[] body, Map<String, String> headers);
     }
 
     /** A machine with one process. */
@@ -127,16 +142,21 @@
         final String zone;
         final String ip;
         boolean up = true;
+
         /** Without power it says nothing, and hears nothing. */
         boolean dark;
+
         int life;
         private final Map<Integer, Function<Host, Ear>> doors = new HashMap<>();
         private final Map<Integer, Http> calls = new HashMap<>();
         private final List<Line> lines = new ArrayList<>();
         private final RandomGenerator chance;
+
         /** The process is paused: what comes to it, and its timers, wait until it goes on. */
         private boolean frozen;
+
         private final List<Runnable> waiting = new ArrayList<>();
+
         /** What its steady clock showed when the day began. */
         private long zero;
 
@@ -207,19 +227,21 @@
             }
             frozen = true;
             int mine = life;
-            Sim.this.after(ms, () -> {
-                if (life != mine) {
-                    return;
-                }
-                frozen = false;
-                List<Runnable> all = new ArrayList<>(waiting);
-                waiting.clear();
-                for (Runnable one : all) {
-                    if (life == mine) {
-                        enter(one);
-                    }
-                }
-            });
+            Sim.this.after(
+                    ms,
+                    () -> {
+                        if (life != mine) {
+                            return;
+                        }
+                        frozen = false;
+                        List<Runnable> all = new ArrayList<>(waiting);
+                        waiting.clear();
+                        for (Runnable one : all) {
+                            if (life == mine) {
+                                enter(one);
+                            }
+                        }
+                    });
         }
 
         /** All its connections are reset. */
@@ -244,15 +266,18 @@
         public Timer after(long ms, Runnable run) {
             int mine = life;
             boolean[] off = new boolean[1];
-            Sim.this.after(ms, () -> {
-                if (life == mine && up) {
-                    enter(() -> {
-                        if (!off[0]) {
-                            run.run();
+            Sim.this.after(
+                    ms,
+                    () -> {
+                        if (life == mine && up) {
+                            enter(
+                                    () -> {
+                                        if (!off[0]) {
+                                            run.run();
+                                        }
+                                    });
                         }
                     });
-                }
-            });
             return () -> off[0] = true;
         }
 
@@ -282,81 +307,141 @@
             Machine to = listeners.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             lines.add(near);
-            after(timeoutMs, () -> {
-                if (near.other == null && !near.over) {
-                    near.end("unreachable");
-                }
-            });
+            after(
+                    timeoutMs,
+                    () -> {
+                        if (near.other == null && !near.over) {
+                            near.end("unreachable");
+                        }
+                    });
             if (to == null) {
                 return near;
             }
-            Sim.this.after(way(this, to), () -> {
-                if (!reaches(to) || cutWay(to, this) || near.over) {
-                    return;
-                }
-                Function<Host, Ear> door = to.up ? to.doors.get(port) : null;
-                if (door == null) {
-                    Sim.this.after(way(this, to), () -> near.end("refused"));
-                    return;
-                }
-                Line far = new Line(to, form, null);
-                far.other = near;
-                to.lines.add(far);
-                to.enter(() -> {
-                    far.ear = door.apply(to);
-                    far.ear.opened(far);
-                });
-                int mine = life;
-                Sim.this.after(way(this, to), () -> {
-                    if (life == mine && !near.over) {
-                        near.other = far;
-                        enter(() -> {
-                            if (!near.over) {
-                                near.ear.opened(near);
-                            }
-                        });
-                    } else {
-                        far.end("broken");
-                    }
-                });
-            });
+            Sim.this.after(
+                    way(this, to),
+                    () -> {
+                        if (!reaches(to) || cutWay(to, this) || near.over) {
+                            return;
+                        }
+                        Function<Host, Ear> door = to.up ? to.doors.get(port) : null;
+                        if (door == null) {
+                            Sim.this.after(way(this, to), () -> near.end("refused"));
+                            return;
+                        }
+                        Line far = new Line(to, form, null);
+                        far.other = near;
+                        to.lines.add(far);
+                        to.enter(
+                                () -> {
+                                    far.ear = door.apply(to);
+                                    far.ear.opened(far);
+                                });
+                        int mine = life;
+                        Sim.this.after(
+                                way(this, to),
+                                () -> {
+                                    if (life == mine && !near.over) {
+                                        near.other = far;
+                                        enter(
+                                                () -> {
+                                                    if (!near.over) {
+                                                        near.ear.opened(near);
+                                                    }
+                                                });
+                                    } else {
+                                        far.end("broken");
+                                    }
+                                });
+                    });
             return near;
         }
 
         @Override
-        public CompletableFuture<Answer> post(String address, String path, String json, Map<String, String> headers, int timeoutMs) {
-            return call("POST", address, path, json.getBytes(StandardCharsets.UTF_8), headers, timeoutMs);
+        public CompletableFuture<Answer> post(
+                String address,
+                String path,
+                String json,
+                Map<String, String> headers,
+                int timeoutMs) {
+            return call(
+                    "POST",
+                    address,
+                    path,
+                    json.getBytes(StandardCharsets.UTF_8),
+                    headers,
+                    timeoutMs);
         }
 
-        CompletableFuture<Answer> call(String method, String address, String path, byte[] body, Map<String, String> headers, int timeoutMs) {
+        CompletableFuture<Answer> call(
+                String method,
+                String address,
+                String path,
+                byte[] body,
+                Map<String, String> headers,
+                int timeoutMs) {
             CompletableFuture<Answer> answer = new CompletableFuture<>();
             int colon = address.lastIndexOf(':');
             Machine to = listeners.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             int mine = life;
             tap.sent(name, address, method + " " + path + " " + new TreeMap<>(headers), body);
-            after(timeoutMs, () -> answer.completeExceptionally(new IllegalStateException("no answer in time")));
+            after(
+                    timeoutMs,
+                    () ->
+                            answer.completeExceptionally(
+                                    new IllegalStateException("no answer in time")));
             if (to != null) {
-                Sim.this.after(2 * way(this, to), () -> {
-                    Http http = to.up && reaches(to) ? to.calls.get(port) : null;
-                    if (http == null) {
-                        if (reaches(to) && !cutWay(to, this)) {
-                            answer.completeExceptionally(new IllegalStateException("refused"));
-                        }
-                        return;
-                    }
-                    int its = to.life;
-                    to.enter(() -> http.call(method, path, body, headers).whenComplete((is, fault) -> {
-                        if (fault == null) {
-                            tap.sent(to.name, name, is.status() + " " + path + " " + is.location(), is.body());
-                        }
-                        Sim.this.after(way(this, to), () -> {
-                            if (its == to.life && to.reaches(this) && life == mine) {
-                                enter(() -> answer.complete(fault == null ? is : new Answer(503, new byte[0])));
+                Sim.this.after(
+                        2 * way(this, to),
+                        () -> {
+                            Http http = to.up && reaches(to) ? to.calls.get(port) : null;
+                            if (http == null) {
+                                if (reaches(to) && !cutWay(to, this)) {
+                                    answer.completeExceptionally(
+                                            new IllegalStateException("refused"));
+                                }
+                                return;
                             }
+                            int its = to.life;
+                            to.enter(
+                                    () ->
+                                            http.call(method, path, body, headers)
+                                                    .whenComplete(
+                                                            (is, fault) -> {
+                                                                if (fault == null) {
+                                                                    tap.sent(
+                                                                            to.name,
+                                                                            name,
+                                                                            is.status()
+                                                                                    + " "
+                                                                                    + path
+                                                                                    + " "
+                                                                                    + is.location(),
+                                                                            is.body());
+                                                                }
+                                                                Sim.this.after(
+                                                                        way(this, to),
+                                                                        () -> {
+                                                                            if (its == to.life
+                                                                                    && to.reaches(
+                                                                                            this)
+                                                                                    && life
+                                                                                            == mine) {
+                                                                                enter(
+                                                                                        () ->
+                                                                                                answer
+                                                                                                        .complete(
+                                                                                                                fault
+                                                                                                                                == null
+                                                                                                                        ? is
+                                                                                                                        : new Answer(
+                                                                                                                                503,
+                                                                                                                                new byte
+                                                                                                                                        [0])));
+                                                                            }
+                                                                        });
+                                                            }));
                         });
-                    }));
-                });
             }
             return answer;
         }
@@ -370,6 +455,7 @@
         Line other;
         boolean over;
         private long lastAt;
+
         /** What a cut holds up, in order. */
         private final ArrayDeque<Runnable> held = new ArrayDeque<>();
 
@@ -380,13 +466,14 @@
         }
 
         void end(String why) {
-            at.enter(() -> {
-                if (!over) {
-                    over = true;
-                    at.lines.remove(this);
-                    ear.closed(why);
-                }
-            });
+            at.enter(
+                    () -> {
+                        if (!over) {
+                            over = true;
+                            at.lines.remove(this);
+                            ear.closed(why);
+                        }
+                    });
         }
 
         private void pass(Runnable run) {
@@ -395,21 +482,23 @@
                 return;
             }
             lastAt = Math.max(lastAt, now + Math.round(way(at, far.at) * 1_000));
-            Sim.this.at(lastAt, () -> {
-                if (far.at.dark) {
-                    return;
-                }
-                if (cutWay(at, far.at) || !held.isEmpty()) {
-                    if (!at.dark) {
-                        held.add(run);
-                        if (!stuck.contains(this)) {
-                            stuck.add(this);
+            Sim.this.at(
+                    lastAt,
+                    () -> {
+                        if (far.at.dark) {
+                            return;
                         }
-                    }
-                } else {
-                    arrive(far, run);
-                }
-            });
+                        if (cutWay(at, far.at) || !held.isEmpty()) {
+                            if (!at.dark) {
+                                held.add(run);
+                                if (!stuck.contains(this)) {
+                                    stuck.add(this);
+                                }
+                            }
+                        } else {
+                            arrive(far, run);
+                        }
+                    });
         }
 
         /** Who has no such connection any more says so. */
@@ -442,20 +531,22 @@
             Line far = other;
             tap.sent(at.name, far.at.name, form.name(), message);
             if (form == Host.Form.FRAMES) {
-                pass(() -> {
-                    if (!far.over) {
-                        far.ear.message(message);
-                    }
-                });
+                pass(
+                        () -> {
+                            if (!far.over) {
+                                far.ear.message(message);
+                            }
+                        });
                 return;
             }
             for (String line : new String(message, StandardCharsets.ISO_8859_1).split("\r\n", -1)) {
                 byte[] one = line.getBytes(StandardCharsets.ISO_8859_1);
-                pass(() -> {
-                    if (!far.over) {
-                        far.ear.message(one);
-                    }
-                });
+                pass(
+                        () -> {
+                            if (!far.over) {
+                                far.ear.message(one);
+                            }
+                        });
             }
         }
 
