--- a/src/main/java/dillfront/lab/whole/WorstDay.java
+++ b/src/main/java/dillfront/lab/whole/WorstDay.java
@@ -3,15 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * A day by chance, of losses as close as the page allows: one control machine at a time, the next right after the one before
- * has had its time to catch up; and at any moment orders, races, storms, lost answers, and troubles of servers and fronts.
+ * A day by chance, of losses as close as the page allows: one control machine at a time, the next
+ * right after the one before has had its time to catch up; and at any moment orders, races, storms,
+ * lost answers, and troubles of servers and fronts.
  */
 final class WorstDay {
 
     private static final double FROM_S = 6;
     private static final double UNTIL_S = 27;
     private static final double CLOSING_S = 31;
-    private static final String[] WHICH = {"core-a", "core-b", "core-c", "leader", "leader", "seed", "other"};
+    private static final String[] WHICH = {
+        "core-a", "core-b", "core-c", "leader", "leader", "seed", "other"
+    };
 
     private final Day day;
     private final SplittableRandom random;
@@ -40,11 +43,19 @@
         servers();
         fronts();
         if (chance(0.4)) {
-            day.at(CLOSING_S, "closing " + pick("power", "kill", "wipe", "wipe_power", "timed") + " for " + seconds(1, 3));
+            day.at(
+                    CLOSING_S,
+                    "closing "
+                            + pick("power", "kill", "wipe", "wipe_power", "timed")
+                            + " for "
+                            + seconds(1, 3));
         }
     }
 
-    /** One loss after the other: the next once the one before has had its time, at once or a little later. */
+    /**
+     * One loss after the other: the next once the one before has had its time, at once or a little
+     * later.
+     */
     private void control() {
         long wait = day.controls.lostUntil() - day.sim.millis();
         if (day.sim.millis() > UNTIL_S * 1_000) {
@@ -68,7 +79,14 @@
             case 2 -> "wipe " + which + some;
             case 3, 4, 5 -> "replace " + which + " for " + seconds(0.5, 2);
             case 6 -> "replace " + which + " planned for " + seconds(1, 4);
-            case 7, 8 -> "core_cut " + which + pick("", " in", " out") + pick("", " meet") + pick("", " seeds", "") + " for " + seconds(2, 16);
+            case 7, 8 ->
+                    "core_cut "
+                            + which
+                            + pick("", " in", " out")
+                            + pick("", " meet")
+                            + pick("", " seeds", "")
+                            + " for "
+                            + seconds(2, 16);
             case 9 -> "core_cut " + which + " both for " + seconds(6, 12);
             case 10 -> "freeze " + which + some;
             case 11 -> "hard " + which + " for " + seconds(2, 6);
@@ -86,16 +104,27 @@
             day.at(FROM_S, "lossy " + seconds(0.05, 0.4) + " for " + seconds(5, 20));
         }
         if (chance(0.3)) {
-            day.at(seconds(FROM_S, 15), "storm " + (50 + random.nextInt(150)) + " " + (40 + random.nextInt(80)));
+            day.at(
+                    seconds(FROM_S, 15),
+                    "storm " + (50 + random.nextInt(150)) + " " + (40 + random.nextInt(80)));
         }
         if (chance(0.5)) {
-            day.at(seconds(FROM_S, 15), "race " + (3 + random.nextInt(8)) + " " + (200 + random.nextInt(1_500)));
+            day.at(
+                    seconds(FROM_S, 15),
+                    "race " + (3 + random.nextInt(8)) + " " + (200 + random.nextInt(1_500)));
         }
         if (chance(0.3)) {
             day.at(seconds(FROM_S, UNTIL_S), "seeds");
         }
         for (double at = FROM_S; at < CLOSING_S + 4; at += seconds(0.5, 4)) {
-            day.at(at, pick("configure", "configure", "repeat", "repeat_refused", "order " + pick(WHICH)));
+            day.at(
+                    at,
+                    pick(
+                            "configure",
+                            "configure",
+                            "repeat",
+                            "repeat_refused",
+                            "order " + pick(WHICH)));
         }
     }
 
@@ -104,9 +133,17 @@
             String db = "db" + random.nextInt(day.databases());
             String which = pick("primary", "primary", "replica");
             String s = " for " + seconds(1, 6);
-            day.at(at, pick("crash " + db + " " + which + s, "dark " + db + " " + which + s, "release " + db + " " + which + pick("", " same", " longer for 6"),
-                    "gone " + db + " replica" + pick("", " same"), "lose " + db + " " + which + s, "lag " + db + " 50" + s,
-                    "primary_cut " + db + " " + pick("replicas", "core", "fronts") + s, "platform" + s));
+            day.at(
+                    at,
+                    pick(
+                            "crash " + db + " " + which + s,
+                            "dark " + db + " " + which + s,
+                            "release " + db + " " + which + pick("", " same", " longer for 6"),
+                            "gone " + db + " replica" + pick("", " same"),
+                            "lose " + db + " " + which + s,
+                            "lag " + db + " 50" + s,
+                            "primary_cut " + db + " " + pick("replicas", "core", "fronts") + s,
+                            "platform" + s));
             if (chance(0.3)) {
                 day.at(at - 1, "deaf " + db + " replica for " + seconds(1, 4));
             }
@@ -116,8 +153,20 @@
     private void fronts() {
         for (double at = seconds(FROM_S, 14); at < UNTIL_S; at += seconds(6, 14)) {
             String front = "front-" + pick(Day.ZONES) + "0";
-            day.at(at, pick("kill " + front + " for 1", "power " + front + " for " + seconds(1, 4), "freeze " + front + " for " + seconds(0.3, 4),
-                    "leave " + front, "reset " + front, "cut " + front + " " + pick("core-a", "core-b", "core-c") + " for " + seconds(1, 6)));
+            day.at(
+                    at,
+                    pick(
+                            "kill " + front + " for 1",
+                            "power " + front + " for " + seconds(1, 4),
+                            "freeze " + front + " for " + seconds(0.3, 4),
+                            "leave " + front,
+                            "reset " + front,
+                            "cut "
+                                    + front
+                                    + " "
+                                    + pick("core-a", "core-b", "core-c")
+                                    + " for "
+                                    + seconds(1, 6)));
         }
     }
 }
--- a/src/main/java/dillfront/list/Closings.java
+++ b/src/main/java/dillfront/list/Closings.java
@@ -6,12 +6,14 @@
 import java.util.Map;
 
 /**
- * Which words of the lists stand: a word that closed a node is undone only by one that is known to be newer, or by a new
- * start of that node. Guards against a list that is older than what was told before, as one from an agent that lags, was
- * restored, or has just begun: it would open again what drains or is gone. Words that close count from anyone.
+ * Which words of the lists stand: a word that closed a node is undone only by one that is known to
+ * be newer, or by a new start of that node. Guards against a list that is older than what was told
+ * before, as one from an agent that lags, was restored, or has just begun: it would open again what
+ * drains or is gone. Words that close count from anyone.
  *
- * <p>Newer is what has a higher generation, whoever tells it. Harm: where a discovery numbers its lists from anew, a node
- * that was closed before and is ready again without a restart stays closed until the numbers have caught up.
+ * <p>Newer is what has a higher generation, whoever tells it. Harm: where a discovery numbers its
+ * lists from anew, a node that was closed before and is ready again without a restart stays closed
+ * until the numbers have caught up.
  *
  * <p>Pure: no clock, no socket; decided by what the lists say alone.
  */
@@ -24,15 +26,23 @@
         void opened(String id);
     }
 
-    /** How many nodes are remembered, in lists of the present length; those closed first are forgotten first. */
+    /**
+     * How many nodes are remembered, in lists of the present length; those closed first are
+     * forgotten first.
+     */
     private static final int LISTS = 4;
+
     private static final int LEAST = 64;
 
-    /** The last word that closed a node: of which list, what it said, and the start of the process that it spoke of. */
+    /**
+     * The last word that closed a node: of which list, what it said, and the start of the process
+     * that it spoke of.
+     */
     private record Closing(long generation, Standing standing, long startedMs) {}
 
     /** Emptied by words that open a node again, and at the bound. */
     private final Map<String, Closing> closed = new LinkedHashMap<>();
+
     private Keeper keeper;
     private long version;
 
@@ -49,7 +59,8 @@
      */
     public Standing heard(String id, Standing said, long startedMs, long generation) {
         Closing before = closed.get(id);
-        boolean older = before != null && generation <= before.generation && startedMs <= before.startedMs;
+        boolean older =
+                before != null && generation <= before.generation && startedMs <= before.startedMs;
         if (said != Standing.READY) {
             close(id, said, startedMs, generation);
             return said;
@@ -66,14 +77,23 @@
         return said;
     }
 
-    /** An older word that comes later says nothing new. One that drained stays drained when it is gone: that binds more. */
+    /**
+     * An older word that comes later says nothing new. One that drained stays drained when it is
+     * gone: that binds more.
+     */
     public void close(String id, Standing said, long startedMs, long generation) {
         Closing before = closed.get(id);
         if (before == null || generation >= before.generation || startedMs > before.startedMs) {
-            boolean drained = before != null && before.standing == Standing.DRAINING && startedMs <= before.startedMs;
+            boolean drained =
+                    before != null
+                            && before.standing == Standing.DRAINING
+                            && startedMs <= before.startedMs;
             closed.remove(id);
-            Closing now = new Closing(before == null ? generation : Math.max(generation, before.generation),
-                    drained ? Standing.DRAINING : said, before == null ? startedMs : Math.max(startedMs, before.startedMs));
+            Closing now =
+                    new Closing(
+                            before == null ? generation : Math.max(generation, before.generation),
+                            drained ? Standing.DRAINING : said,
+                            before == null ? startedMs : Math.max(startedMs, before.startedMs));
             closed.put(id, now);
             version += now.equals(before) ? 0 : 1;
             if (keeper != null && !now.equals(before)) {
@@ -85,7 +105,8 @@
     /** The words that hold, by the ids of their nodes, the latest last. */
     Map<String, long[]> words() {
         Map<String, long[]> words = new LinkedHashMap<>();
-        closed.forEach((id, closing) -> words.put(id, new long[] {closing.generation, closing.startedMs}));
+        closed.forEach(
+                (id, closing) -> words.put(id, new long[] {closing.generation, closing.startedMs}));
         return words;
     }
 
--- a/src/main/java/dillfront/list/HttpAnswers.java
+++ b/src/main/java/dillfront/list/HttpAnswers.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Cuts an HTTP/1.1 server's answers out of what it sends. Only answers of a stated length are read. Owns what is
- * not yet cut off; gives it back when it is used up, and in release().
+ * Cuts an HTTP/1.1 server's answers out of what it sends. Only answers of a stated length are read.
+ * Owns what is not yet cut off; gives it back when it is used up, and in release().
  */
 public final class HttpAnswers {
 
@@ -60,19 +60,27 @@
                 end = i;
             }
         }
-        if (end < 0 ? held.readableBytes() > LONGEST_HEAD : end - held.readerIndex() > LONGEST_HEAD) {
+        if (end < 0
+                ? held.readableBytes() > LONGEST_HEAD
+                : end - held.readerIndex() > LONGEST_HEAD) {
             throw new BadHttp("head too long");
         }
         if (end < 0) {
             return;
         }
-        String[] lines = held.toString(held.readerIndex(), end - held.readerIndex(), StandardCharsets.ISO_8859_1)
-                .split("\r\n");
+        String[] lines =
+                held.toString(
+                                held.readerIndex(),
+                                end - held.readerIndex(),
+                                StandardCharsets.ISO_8859_1)
+                        .split("\r\n");
         held.readerIndex(end + 4);
         String first = lines[0];
         boolean known = first.startsWith("HTTP/1.0 ") || first.startsWith("HTTP/1.1 ");
-        int code = known && first.length() >= 12 && (first.length() == 12 || first.charAt(12) == ' ')
-                ? number(first.substring(9, 12), 3) : -1;
+        int code =
+                known && first.length() >= 12 && (first.length() == 12 || first.charAt(12) == ' ')
+                        ? number(first.substring(9, 12), 3)
+                        : -1;
         if (code < 0) {
             throw new BadHttp("no status line");
         }
@@ -80,7 +88,8 @@
         int stated = -1;
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
-            String name = colon < 0 ? "" : lines[i].substring(0, colon).trim().toLowerCase(Locale.ROOT);
+            String name =
+                    colon < 0 ? "" : lines[i].substring(0, colon).trim().toLowerCase(Locale.ROOT);
             String value = colon < 0 ? "" : lines[i].substring(colon + 1).trim();
             if (name.equals("transfer-encoding")) {
                 throw new BadHttp("an answer in chunks");
--- a/src/main/java/dillfront/list/MemberList.java
+++ b/src/main/java/dillfront/list/MemberList.java
@@ -25,21 +25,29 @@
     private Setup setup;
     private final Clock clock;
     private final Log log;
+
     /** Its index, and when it last started, in Unix time, as the last list had it. */
     private record Known(int index, long startedMs) {}
 
     /** Of the machines in the list, and of those that have left it until they are forgotten. */
     private final Map<String, Known> nodes = new HashMap<>();
+
     private final Closings closings = new Closings();
+
     /** Ids of those that have left the list. */
     private final Set<String> left = new TreeSet<>();
+
     /** Indices that may be given again, and how many there are in all. */
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
+
     private int indices;
+
     /** Of the latest list that was read. */
     private long latest = -1;
+
     /** The last row of each, to be said again where others close it. */
     private final Map<String, Member> rows = new HashMap<>();
+
     /** Grows with the groups that any list has named. */
     private final Set<Integer> groups = new HashSet<>();
 
@@ -54,7 +62,10 @@
         setup = next;
     }
 
-    /** A word that closed a node, heard in an earlier life: only a newer word or a new start opens it again. */
+    /**
+     * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
+     * it again.
+     */
     public void recall(String id, Standing standing, long startedMs, long generation) {
         closings.close(id, standing, startedMs, generation);
     }
@@ -88,21 +99,37 @@
         for (Tree entry : list.trees("instances")) {
             String id = entry.text("instanceId");
             InetSocketAddress address = Address.parse(entry.text("hostPort"));
-            Standing standing = switch (entry.text("lifecycle")) {
-                case "ready" -> Standing.READY;
-                case "draining" -> Standing.DRAINING;
-                case "gone" -> Standing.GONE;
-                default -> null;
-            };
+            Standing standing =
+                    switch (entry.text("lifecycle")) {
+                        case "ready" -> Standing.READY;
+                        case "draining" -> Standing.DRAINING;
+                        case "gone" -> Standing.GONE;
+                        default -> null;
+                    };
             if (id.isEmpty() || address == null || standing == null) {
-                log.warn("list-entry-left-out", "id", id, "address", entry.text("hostPort"),
-                        "lifecycle", entry.text("lifecycle"));
+                log.warn(
+                        "list-entry-left-out",
+                        "id",
+                        id,
+                        "address",
+                        entry.text("hostPort"),
+                        "lifecycle",
+                        entry.text("lifecycle"));
                 continue;
             }
             long startedMs = entry.whole("startedAtMs");
             Standing holds = closings.heard(id, standing, startedMs, generation);
             if (holds != standing) {
-                log.warn("list-older", "id", id, "says", standing, "holds", holds, "generation", generation);
+                log.warn(
+                        "list-older",
+                        "id",
+                        id,
+                        "says",
+                        standing,
+                        "holds",
+                        holds,
+                        "generation",
+                        generation);
                 standing = holds;
             }
             open.remove(id);
@@ -118,9 +145,20 @@
             int node = before != null ? before.index : free.isEmpty() ? indices++ : free.poll();
             nodes.put(id, new Known(node, startedMs));
             groups.add((int) entry.whole("cell"));
-            rows.put(id, new Member(id, new NodeRow(node, (int) entry.whole("cell"), setup.zone(entry.text("zone")),
-                    entry.number("weight", 1), entry.text("role").equals("leader"),
-                    startedMs == 0 ? null : clock.since(startedMs), standing), address, startedMs));
+            rows.put(
+                    id,
+                    new Member(
+                            id,
+                            new NodeRow(
+                                    node,
+                                    (int) entry.whole("cell"),
+                                    setup.zone(entry.text("zone")),
+                                    entry.number("weight", 1),
+                                    entry.text("role").equals("leader"),
+                                    startedMs == 0 ? null : clock.since(startedMs),
+                                    standing),
+                            address,
+                            startedMs));
             members.add(rows.get(id));
         }
         // A whole list closes those that it leaves out.
@@ -131,9 +169,12 @@
         return members;
     }
 
-    /** Gives back the index of each node that has left the list, if nobody holds anything of it any more. */
+    /**
+     * Gives back the index of each node that has left the list, if nobody holds anything of it any
+     * more.
+     */
     public void forget(IntPredicate over) {
-        for (Iterator<String> ids = left.iterator(); ids.hasNext();) {
+        for (Iterator<String> ids = left.iterator(); ids.hasNext(); ) {
             String id = ids.next();
             if (over.test(nodes.get(id).index)) {
                 free.add(nodes.remove(id).index);
@@ -158,24 +199,42 @@
         return closings.version();
     }
 
-    /** What is closed now, by the ids of nodes: the generation of the list that closed it, and the start it spoke of. */
+    /**
+     * What is closed now, by the ids of nodes: the generation of the list that closed it, and the
+     * start it spoke of.
+     */
     public Map<String, long[]> closed() {
         return closings.words();
     }
 
     /**
-     * Others' lists have closed this node, in a generation that no list here has reached: it is closed here as well, as by a word
-     * that is remembered. Null where it is not known here, has started since, or is closed already.
+     * Others' lists have closed this node, in a generation that no list here has reached: it is
+     * closed here as well, as by a word that is remembered. Null where it is not known here, has
+     * started since, or is closed already.
      */
     public Member closedElsewhere(String id, long generation, long startedMs) {
         Member member = rows.get(id);
-        if (member == null || member.row().standing() != Standing.READY || member.startedMs() > startedMs || generation <= latest) {
+        if (member == null
+                || member.row().standing() != Standing.READY
+                || member.startedMs() > startedMs
+                || generation <= latest) {
             return null;
         }
         closings.close(id, Standing.DRAINING, startedMs, generation);
         NodeRow row = member.row();
-        Member now = new Member(id, new NodeRow(row.node(), row.group(), row.zone(), row.size(), row.primary(), row.started(),
-                Standing.DRAINING), member.address(), member.startedMs());
+        Member now =
+                new Member(
+                        id,
+                        new NodeRow(
+                                row.node(),
+                                row.group(),
+                                row.zone(),
+                                row.size(),
+                                row.primary(),
+                                row.started(),
+                                Standing.DRAINING),
+                        member.address(),
+                        member.startedMs());
         rows.put(id, now);
         return now;
     }
--- a/src/main/java/dillfront/list/Watch.java
+++ b/src/main/java/dillfront/list/Watch.java
@@ -19,7 +19,10 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** Asks discovery for what is newer than the last list, again and again; one connection at a time, two while it moves. */
+/**
+ * Asks discovery for what is newer than the last list, again and again; one connection at a time,
+ * two while it moves.
+ */
 public final class Watch {
 
     /** Where the lists go. */
@@ -30,8 +33,12 @@
         void listFailed();
     }
 
-    /** How long discovery may wait for news, and how long an answer may take beyond that, in dial time-outs. */
+    /**
+     * How long discovery may wait for news, and how long an answer may take beyond that, in dial
+     * time-outs.
+     */
     private static final int WAIT_DIALS = 4;
+
     private static final int LATE_DIALS = 2;
 
     private final long dialNanos;
@@ -40,19 +47,36 @@
     private final EventLoop loop;
     private final Listener listener;
     private InetSocketAddress address;
+
     /** Of the latest list from this address; negative where none is known. */
     private long generation;
+
     private Asking asking;
-    /** Where discovery was before it moved: heard until the new one has told its list, or it ends by itself. */
+
+    /**
+     * Where discovery was before it moved: heard until the new one has told its list, or it ends by
+     * itself.
+     */
     private Asking former;
+
     private boolean closed;
+
     /** Discovery has answered since the start, so what it had told until then is known. */
     private boolean answered;
+
     /** Said once, until it is reached again. */
     private boolean unreachable;
 
-    /** @param generation of the list that is known; negative where none is */
-    public Watch(InetSocketAddress address, Duration dial, Counters counters, Log log, EventLoop loop, long generation,
+    /**
+     * @param generation of the list that is known; negative where none is
+     */
+    public Watch(
+            InetSocketAddress address,
+            Duration dial,
+            Counters counters,
+            Log log,
+            EventLoop loop,
+            long generation,
             Listener listener) {
         this.address = address;
         dialNanos = dial.toNanos();
@@ -71,8 +95,9 @@
     }
 
     /**
-     * Discovery is elsewhere now. The last list holds until the first from there, which is asked for whole; until
-     * then the old address is heard too. Guards against a drain that it has told, and that lies unread meanwhile.
+     * Discovery is elsewhere now. The last list holds until the first from there, which is asked
+     * for whole; until then the old address is heard too. Guards against a drain that it has told,
+     * and that lies unread meanwhile.
      */
     public void move(InetSocketAddress to) {
         address = to;
@@ -88,7 +113,10 @@
         start();
     }
 
-    /** Reads now what discovery has written, out of its turn among the sockets: what it has told binds what is sent. */
+    /**
+     * Reads now what discovery has written, out of its turn among the sockets: what it has told
+     * binds what is sent.
+     */
     public void look() {
         if (former != null) {
             former.look();
@@ -122,8 +150,10 @@
         private ScheduledFuture<?> silence;
         private boolean over;
         private boolean up;
+
         /** What is newer than this is asked for; negative for the whole list. */
         private long after;
+
         /** Its first answer is there: from then on it may be waited for. */
         private boolean proven;
 
@@ -139,34 +169,44 @@
 
         void open() {
             silentAfter(LATE_DIALS * dialNanos);
-            ChannelFuture connecting = Sockets.connect(loop, at, this,
-                    (int) TimeUnit.NANOSECONDS.toMillis(2 * LATE_DIALS * dialNanos));
+            ChannelFuture connecting =
+                    Sockets.connect(
+                            loop,
+                            at,
+                            this,
+                            (int) TimeUnit.NANOSECONDS.toMillis(2 * LATE_DIALS * dialNanos));
             if (connecting == null) {
                 close();
                 return;
             }
             channel = connecting.channel();
-            connecting.addListener(done -> {
-                if (!done.isSuccess()) {
-                    close();
-                }
-            });
+            connecting.addListener(
+                    done -> {
+                        if (!done.isSuccess()) {
+                            close();
+                        }
+                    });
         }
 
         private void silentAfter(long nanos) {
             if (silence != null) {
                 silence.cancel(false);
             }
-            silence = loop.schedule(() -> {
-                // Guards against a pause of this process taken for discovery's: what it wrote meanwhile lies unread.
-                ScheduledFuture<?> awaited = silence;
-                look();
-                if (over || silence != awaited) {
-                    return;
-                }
-                log.warn("list-silent", "address", at);
-                close();
-            }, nanos, TimeUnit.NANOSECONDS);
+            silence =
+                    loop.schedule(
+                            () -> {
+                                // Guards against a pause of this process taken for discovery's:
+                                // what it wrote meanwhile lies unread.
+                                ScheduledFuture<?> awaited = silence;
+                                look();
+                                if (over || silence != awaited) {
+                                    return;
+                                }
+                                log.warn("list-silent", "address", at);
+                                close();
+                            },
+                            nanos,
+                            TimeUnit.NANOSECONDS);
         }
 
         @Override
@@ -177,13 +217,23 @@
         }
 
         private void ask(ChannelHandlerContext ctx) {
-            // The first is not waited for: it proves the way there, and brings what was told before this watch.
-            String query = after >= 0 ? "?after=" + after + "&wait_ms=" + (proven ? waitMs : 0) : "";
+            // The first is not waited for: it proves the way there, and brings what was told before
+            // this watch.
+            String query =
+                    after >= 0 ? "?after=" + after + "&wait_ms=" + (proven ? waitMs : 0) : "";
             String host = at.getAddress().getHostAddress() + ":" + at.getPort();
-            ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(),
-                    "GET /api/targets" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
-            // Short, since a connection that has fallen silent looks like one with no news until the wait is over.
-            silentAfter((after >= 0 && proven ? WAIT_DIALS : 0) * dialNanos + LATE_DIALS * dialNanos);
+            ctx.writeAndFlush(
+                    ByteBufUtil.writeAscii(
+                            ctx.alloc(),
+                            "GET /api/targets"
+                                    + query
+                                    + " HTTP/1.1\r\nHost: "
+                                    + host
+                                    + "\r\n\r\n"));
+            // Short, since a connection that has fallen silent looks like one with no news until
+            // the wait is over.
+            silentAfter(
+                    (after >= 0 && proven ? WAIT_DIALS : 0) * dialNanos + LATE_DIALS * dialNanos);
         }
 
         @Override
@@ -210,7 +260,8 @@
                     throw new BadHttp("status " + answers.status());
                 }
                 Tree list = Tree.parse(new ByteBufInputStream(body));
-                if (list.number("generation", -1) < 0 || list.flag("reset") && list.list("instances").isEmpty()) {
+                if (list.number("generation", -1) < 0
+                        || list.flag("reset") && list.list("instances").isEmpty()) {
                     throw new BadHttp("no generation, or a whole list of nothing");
                 }
                 after = list.whole("generation");
@@ -223,7 +274,9 @@
                     former.close();
                 }
             } catch (IOException bad) {
-                throw new BadHttp("no JSON: " + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                throw new BadHttp(
+                        "no JSON: "
+                                + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
             } finally {
                 body.release();
             }
@@ -269,7 +322,8 @@
             }
             if (!closed) {
                 listener.listFailed();
-                // One that has answered is asked again at once: until then nothing is heard of drains.
+                // One that has answered is asked again at once: until then nothing is heard of
+                // drains.
                 loop.schedule(Watch.this::start, proven ? 0 : dialNanos / 4, TimeUnit.NANOSECONDS);
             }
         }
--- a/src/main/java/dillfront/list/Witnesses.java
+++ b/src/main/java/dillfront/list/Witnesses.java
@@ -8,22 +8,29 @@
 import java.util.Map;
 
 /**
- * What other instances say that their lists have closed. Guards against an agent of discovery that lags, or that was restored,
- * where others' do not: its router would go on sending to a node that drains. It restricts and never permits; so many may lie
- * without closing anything, and what a list of one's own says in the same generation or a later one goes before it.
+ * What other instances say that their lists have closed. Guards against an agent of discovery that
+ * lags, or that was restored, where others' do not: its router would go on sending to a node that
+ * drains. It restricts and never permits; so many may lie without closing anything, and what a list
+ * of one's own says in the same generation or a later one goes before it.
  *
  * <p>Pure. Rows are as many as instances, each of them bounded by what one datagram holds.
  */
 public final class Witnesses {
 
-    /** A node, by a hash of its id, that is closed by a list of this generation, if it has not started since. */
+    /**
+     * A node, by a hash of its id, that is closed by a list of this generation, if it has not
+     * started since.
+     */
     public record Word(long node, long generation, long startedMs) {}
 
     private final int liars;
+
     /** By instance: its last word, whole. */
     private final Map<Integer, List<Word>> said = new HashMap<>();
 
-    /** @param liars so many instances may say what they like without closing anything */
+    /**
+     * @param liars so many instances may say what they like without closing anything
+     */
     public Witnesses(int liars) {
         this.liars = liars;
     }
@@ -49,12 +56,17 @@
             }
         }
         List<Word> enough = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, List<Word>>> all = byNode.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<Long, List<Word>>> all = byNode.entrySet().iterator();
+                all.hasNext(); ) {
             Map.Entry<Long, List<Word>> one = all.next();
             if (one.getValue().size() > liars) {
-                // As far as the least of the first who are enough: none of the liars can make it more.
-                enough.add(new Word(one.getKey(), nth(one.getValue().stream().map(Word::generation).toList()),
-                        nth(one.getValue().stream().map(Word::startedMs).toList())));
+                // As far as the least of the first who are enough: none of the liars can make it
+                // more.
+                enough.add(
+                        new Word(
+                                one.getKey(),
+                                nth(one.getValue().stream().map(Word::generation).toList()),
+                                nth(one.getValue().stream().map(Word::startedMs).toList())));
             }
         }
         enough.sort((a, b) -> Long.compare(a.node, b.node));
--- a/src/main/java/dillfront/log/Counters.java
+++ b/src/main/java/dillfront/log/Counters.java
@@ -7,8 +7,10 @@
 
     public long queries;
     public long outOfForm;
+
     /** Came when this router was ending, and was told to go elsewhere. */
     public long turnedAway;
+
     public long taken;
     public long committed;
     public long declined;
@@ -25,8 +27,10 @@
 
     // Held now.
     public int txns;
+
     /** Rows for nodes, in use or to be used again: as many as were needed at once. */
     public int nodes;
+
     public int clientConnections;
     public int nodeConnections;
     public int timers;
@@ -38,11 +42,49 @@
     public void print(Log log) {
         Object[] line = new Object[2 * (20 + ended.length)];
         int at = 0;
-        for (Object o : new Object[] {"queries", queries, "out_of_form", outOfForm, "turned_away", turnedAway, "taken", taken,
-            "committed", committed, "declined", declined, "rolled_back", rolledBack, "left", left,
-            "submitted", submitted, "probes", probes, "dialed", dialed, "accepted", accepted, "lists", lists,
-            "list_faults", listFaults, "longest_turn_ms", longestTurnMs, "txns_held", txns,
-            "client_connections", clientConnections, "node_connections", nodeConnections, "timers", timers, "node_rows", nodes}) {
+        for (Object o :
+                new Object[] {
+                    "queries",
+                    queries,
+                    "out_of_form",
+                    outOfForm,
+                    "turned_away",
+                    turnedAway,
+                    "taken",
+                    taken,
+                    "committed",
+                    committed,
+                    "declined",
+                    declined,
+                    "rolled_back",
+                    rolledBack,
+                    "left",
+                    left,
+                    "submitted",
+                    submitted,
+                    "probes",
+                    probes,
+                    "dialed",
+                    dialed,
+                    "accepted",
+                    accepted,
+                    "lists",
+                    lists,
+                    "list_faults",
+                    listFaults,
+                    "longest_turn_ms",
+                    longestTurnMs,
+                    "txns_held",
+                    txns,
+                    "client_connections",
+                    clientConnections,
+                    "node_connections",
+                    nodeConnections,
+                    "timers",
+                    timers,
+                    "node_rows",
+                    nodes
+                }) {
             line[at++] = o;
         }
         for (Result result : Result.values()) {
--- a/src/main/java/dillfront/log/Log.java
+++ b/src/main/java/dillfront/log/Log.java
@@ -6,8 +6,9 @@
 import java.time.ZoneOffset;
 
 /**
- * One line an event, on standard error: time, level, event, then names and values. Bounded in rate, so that
- * no trouble can make the log the next trouble; what was left out is counted in the next line that goes out.
+ * One line an event, on standard error: time, level, event, then names and values. Bounded in rate,
+ * so that no trouble can make the log the next trouble; what was left out is counted in the next
+ * line that goes out.
  */
 public final class Log {
 
@@ -40,11 +41,19 @@
             dropped++;
             return;
         }
-        StringBuilder line = new StringBuilder(128).append(LocalDateTime.ofEpochSecond(second, now.getNano(), ZoneOffset.UTC)).append("Z ").append(level).append(' ').append(event);
+        StringBuilder line =
+                new StringBuilder(128)
+                        .append(LocalDateTime.ofEpochSecond(second, now.getNano(), ZoneOffset.UTC))
+                        .append("Z ")
+                        .append(level)
+                        .append(' ')
+                        .append(event);
         for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
             Object given = namesAndValues[i + 1];
-            String value = given instanceof Throwable fault && fault.getStackTrace().length > 0
-                    ? fault + " at " + fault.getStackTrace()[0] : String.valueOf(given);
+            String value =
+                    given instanceof Throwable fault && fault.getStackTrace().length > 0
+                            ? fault + " at " + fault.getStackTrace()[0]
+                            : String.valueOf(given);
             line.append(' ').append(namesAndValues[i]).append('=');
             line.append(plain(value) ? value : quoted(value));
         }
--- a/src/main/java/dillfront/log/Silence.java
+++ b/src/main/java/dillfront/log/Silence.java
@@ -5,8 +5,8 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * What Netty has to say, of which warnings alone go on to our log. Netty would look for three logging libraries first,
- * and end with the JDK's: 40 ms of every start.
+ * What Netty has to say, of which warnings alone go on to our log. Netty would look for three
+ * logging libraries first, and end with the JDK's: 40 ms of every start.
  */
 public final class Silence extends InternalLoggerFactory {
 
@@ -46,19 +46,19 @@
         }
 
         @Override
-        public void trace(String message) { }
+        public void trace(String message) {}
 
         @Override
-        public void trace(String format, Object a) { }
+        public void trace(String format, Object a) {}
 
         @Override
-        public void trace(String format, Object a, Object b) { }
+        public void trace(String format, Object a, Object b) {}
 
         @Override
-        public void trace(String format, Object... arguments) { }
+        public void trace(String format, Object... arguments) {}
 
         @Override
-        public void trace(String message, Throwable fault) { }
+        public void trace(String message, Throwable fault) {}
 
         @Override
         public boolean isDebugEnabled() {
@@ -66,19 +66,19 @@
         }
 
         @Override
-        public void debug(String message) { }
+        public void debug(String message) {}
 
         @Override
-        public void debug(String format, Object a) { }
+        public void debug(String format, Object a) {}
 
         @Override
-        public void debug(String format, Object a, Object b) { }
+        public void debug(String format, Object a, Object b) {}
 
         @Override
-        public void debug(String format, Object... arguments) { }
+        public void debug(String format, Object... arguments) {}
 
         @Override
-        public void debug(String message, Throwable fault) { }
+        public void debug(String message, Throwable fault) {}
 
         @Override
         public boolean isInfoEnabled() {
@@ -86,19 +86,19 @@
         }
 
         @Override
-        public void info(String message) { }
+        public void info(String message) {}
 
         @Override
-        public void info(String format, Object a) { }
+        public void info(String format, Object a) {}
 
         @Override
-        public void info(String format, Object a, Object b) { }
+        public void info(String format, Object a, Object b) {}
 
         @Override
-        public void info(String format, Object... arguments) { }
+        public void info(String format, Object... arguments) {}
 
         @Override
-        public void info(String message, Throwable fault) { }
+        public void info(String message, Throwable fault) {}
 
         @Override
         public boolean isWarnEnabled() {
--- a/src/main/java/dillfront/memory/Disk.java
+++ b/src/main/java/dillfront/memory/Disk.java
@@ -11,7 +11,10 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A folder as a memory needs it. What was written may be lost with the power until it is synced, each part of it by itself. */
+/**
+ * A folder as a memory needs it. What was written may be lost with the power until it is synced,
+ * each part of it by itself.
+ */
 interface Disk extends AutoCloseable {
 
     /** Null where there is no such file. */
@@ -23,7 +26,10 @@
 
     void cut(String name, long length) throws IOException;
 
-    /** In the place of whatever had that name. After a loss of power it is either so or not, until the names are synced. */
+    /**
+     * In the place of whatever had that name. After a loss of power it is either so or not, until
+     * the names are synced.
+     */
     void rename(String from, String to) throws IOException;
 
     void delete(String name) throws IOException;
@@ -38,16 +44,21 @@
     final class Folder implements Disk {
 
         private static final String LOCK = "memory.lock";
+
         /** More than any memory may have. */
         private static final long MOST = 1 << 28;
 
         private final Path folder;
         private final FileChannel lock;
+
         /** What was appended to last stays open. */
         private String name;
+
         private FileChannel open;
 
-        /** @throws Shelf.Held where another process has it */
+        /**
+         * @throws Shelf.Held where another process has it
+         */
         Folder(Path folder) throws IOException, Shelf.Held {
             this.folder = folder;
             Path there = folder.toAbsolutePath();
@@ -56,10 +67,16 @@
             }
             Files.createDirectories(folder);
             // A folder that was made is a name in the one above it.
-            for (Path made = folder.toAbsolutePath(); !made.equals(there); made = made.getParent()) {
+            for (Path made = folder.toAbsolutePath();
+                    !made.equals(there);
+                    made = made.getParent()) {
                 syncNames(made.getParent());
             }
-            lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            lock =
+                    FileChannel.open(
+                            folder.resolve(LOCK),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE);
             FileLock held;
             try {
                 held = lock.tryLock();
@@ -76,7 +93,11 @@
         public byte[] read(String of) throws IOException {
             try {
                 if (Files.size(folder.resolve(of)) > MOST) {
-                    throw new IOException(folder.resolve(of) + ": of " + Files.size(folder.resolve(of)) + " bytes");
+                    throw new IOException(
+                            folder.resolve(of)
+                                    + ": of "
+                                    + Files.size(folder.resolve(of))
+                                    + " bytes");
                 }
                 return Files.readAllBytes(folder.resolve(of));
             } catch (NoSuchFileException none) {
@@ -87,7 +108,11 @@
         private FileChannel channel(String of) throws IOException {
             if (!of.equals(name)) {
                 shut();
-                open = FileChannel.open(folder.resolve(of), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                open =
+                        FileChannel.open(
+                                folder.resolve(of),
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.WRITE);
                 name = of;
             }
             return open;
@@ -124,7 +149,11 @@
         @Override
         public void rename(String from, String to) throws IOException {
             shut();
-            Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    folder.resolve(from),
+                    folder.resolve(to),
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         }
 
         @Override
--- a/src/main/java/dillfront/memory/Keep.java
+++ b/src/main/java/dillfront/memory/Keep.java
@@ -3,7 +3,10 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Texts under names, kept in a folder so that each put is there whole or not at all after a loss of power. From one thread. */
+/**
+ * Texts under names, kept in a folder so that each put is there whole or not at all after a loss of
+ * power. From one thread.
+ */
 public final class Keep {
 
     /** The folder cannot be used: which, and why. */
@@ -21,7 +24,9 @@
         this.shelf = shelf;
     }
 
-    /** @throws Broken where it cannot be read, or is another's */
+    /**
+     * @throws Broken where it cannot be read, or is another's
+     */
     public static Keep open(Path folder, String owner) throws Broken {
         try {
             return on(new Disk.Folder(folder), folder.toString(), owner);
@@ -38,7 +43,10 @@
         }
     }
 
-    /** More than the last record was damaged: what was kept may be gone, so nothing of it was taken over, and the folder begins anew. */
+    /**
+     * More than the last record was damaged: what was kept may be gone, so nothing of it was taken
+     * over, and the folder begins anew.
+     */
     public boolean damaged() {
         return shelf.isAside();
     }
@@ -50,7 +58,8 @@
     /**
      * Returns once it is on the disk; an empty text takes its name out.
      *
-     * @throws Broken where it may be there or not; what was kept before stays, and the next put tries the disk again
+     * @throws Broken where it may be there or not; what was kept before stays, and the next put
+     *     tries the disk again
      * @throws IllegalArgumentException where a name or a text has more than 65,535 bytes in UTF-8
      */
     public void put(Map<String, String> texts) throws Broken {
--- a/src/main/java/dillfront/memory/Memory.java
+++ b/src/main/java/dillfront/memory/Memory.java
@@ -16,15 +16,18 @@
 import java.util.function.Consumer;
 
 /**
- * What a router keeps for its next life, on a disk that lasts: the words of the lists that closed nodes, who led each group,
- * and the referenced txns that may have run. It restricts and never permits.
+ * What a router keeps for its next life, on a disk that lasts: the words of the lists that closed
+ * nodes, who led each group, and the referenced txns that may have run. It restricts and never
+ * permits.
  *
- * <p>Words wait for nobody: one that was not kept when the power went is heard again from discovery, or is as unknown as
- * without a memory. Txns are kept before they are sent: {@link #whenKept} tells when.
+ * <p>Words wait for nobody: one that was not kept when the power went is heard again from
+ * discovery, or is as unknown as without a memory. Txns are kept before they are sent: {@link
+ * #whenKept} tells when.
  *
- * <p>A thread of its own writes, what has come meanwhile at once; what changes faster than the disk takes it is folded, so
- * that no more waits than there are nodes and txns. A disk that fails is said once, and what waits is
- * written again, at a gap, until it takes it. Meanwhile no txn is kept, and {@link #able} says so.
+ * <p>A thread of its own writes, what has come meanwhile at once; what changes faster than the disk
+ * takes it is folded, so that no more waits than there are nodes and txns. A disk that fails is
+ * said once, and what waits is written again, at a gap, until it takes it. Meanwhile no txn is
+ * kept, and {@link #able} says so.
  */
 public final class Memory implements Closings.Keeper, Doubts.Keeper {
 
@@ -39,8 +42,13 @@
         static Closing read(String id, String text) {
             String[] parts = text.split(" ");
             try {
-                return parts.length != 3 ? null : new Closing(id, Standing.valueOf(parts[0]), Long.parseLong(parts[1]),
-                        Long.parseLong(parts[2]));
+                return parts.length != 3
+                        ? null
+                        : new Closing(
+                                id,
+                                Standing.valueOf(parts[0]),
+                                Long.parseLong(parts[1]),
+                                Long.parseLong(parts[2]));
             } catch (IllegalArgumentException bad) {
                 return null;
             }
@@ -49,25 +57,42 @@
 
     /** Names of texts: the first character tells what it is of. */
     private static final String CLOSED = "c";
+
     private static final String LED = "l";
-    /** The end waits so long for what is not written yet; after that it is lost, as in a loss of power. */
+
+    /**
+     * The end waits so long for what is not written yet; after that it is lost, as in a loss of
+     * power.
+     */
     private static final long LAST_MS = 1000;
+
     /** Between two tries at a disk that fails. */
     private static final long AGAIN_MS = 250;
 
     private final Log log;
     private final Path folder;
     private final Executor loop;
+
     /** The writer's, once it runs. */
     private final Shelf shelf;
+
     private final List<Closing> closings = new ArrayList<>();
     private final Map<Integer, String> leaders = new HashMap<>();
     private final Set<Long> doubts;
     private final Thread writer;
-    /** Not written yet: the last text of each, empty where it is to be taken out. This and what follows, under its lock. */
+
+    /**
+     * Not written yet: the last text of each, empty where it is to be taken out. This and what
+     * follows, under its lock.
+     */
     private final Map<String, String> waiting = new HashMap<>();
-    /** Not written yet: with the Unix time for people who look into the file; null where it is to be taken out. */
+
+    /**
+     * Not written yet: with the Unix time for people who look into the file; null where it is to be
+     * taken out.
+     */
     private final Map<Long, Long> numbers = new HashMap<>();
+
     private final List<Consumer<Boolean>> told = new ArrayList<>();
     private boolean over;
     private volatile boolean failing;
@@ -80,17 +105,19 @@
         this.shelf = shelf;
         this.log = log;
         this.loop = loop;
-        shelf.all().forEach((name, text) -> {
-            String id = name.substring(1);
-            if (name.startsWith(CLOSED)) {
-                Closing closing = Closing.read(id, text);
-                if (closing != null) {
-                    closings.add(closing);
-                }
-            } else if (name.startsWith(LED) && id.matches("\\d{1,9}")) {
-                leaders.put(Integer.valueOf(id), text);
-            }
-        });
+        shelf.all()
+                .forEach(
+                        (name, text) -> {
+                            String id = name.substring(1);
+                            if (name.startsWith(CLOSED)) {
+                                Closing closing = Closing.read(id, text);
+                                if (closing != null) {
+                                    closings.add(closing);
+                                }
+                            } else if (name.startsWith(LED) && id.matches("\\d{1,9}")) {
+                                leaders.put(Integer.valueOf(id), text);
+                            }
+                        });
         doubts = shelf.numbers().keySet();
         writer = new Thread(this::write, "memory");
         writer.setDaemon(true);
@@ -98,12 +125,14 @@
     }
 
     /**
-     * Opens the folder for the router of this name, or says why it must not. What is broken is set aside and named in the log,
-     * and what was before it holds: a router without a memory is as careful as any, and after a loss of power it is needed.
+     * Opens the folder for the router of this name, or says why it must not. What is broken is set
+     * aside and named in the log, and what was before it holds: a router without a memory is as
+     * careful as any, and after a loss of power it is needed.
      *
      * @param loop where it is told that something was kept
      */
-    public static Memory open(Path folder, String name, Log log, Executor loop) throws Operator.BadOperator {
+    public static Memory open(Path folder, String name, Log log, Executor loop)
+            throws Operator.BadOperator {
         Shelf shelf;
         try {
             Disk disk = new Disk.Folder(folder);
@@ -120,7 +149,15 @@
             log.warn(shelf.isAside() ? "memory-broken" : "memory-tail-cut", "fault", shelf.fault());
         }
         Memory memory = new Memory(folder, shelf, log, loop);
-        log.info("memory", "folder", folder, "closings", memory.closings.size(), "leaders", memory.leaders.size(), "doubts",
+        log.info(
+                "memory",
+                "folder",
+                folder,
+                "closings",
+                memory.closings.size(),
+                "leaders",
+                memory.leaders.size(),
+                "doubts",
                 memory.doubts.size());
         return memory;
     }
@@ -182,7 +219,10 @@
         }
     }
 
-    /** Tells on the loop once all that came before is on the disk, or, with false, that the disk does not take it. */
+    /**
+     * Tells on the loop once all that came before is on the disk, or, with false, that the disk
+     * does not take it.
+     */
     public void whenKept(Consumer<Boolean> then) {
         synchronized (waiting) {
             if (!failing) {
@@ -247,15 +287,18 @@
         }
     }
 
-    /** What was not written waits again, but for what is newer by now; false once this is closed. */
+    /**
+     * What was not written waits again, but for what is newer by now; false once this is closed.
+     */
     private boolean again(Map<String, String> texts, Map<Long, Long> keys) {
         synchronized (waiting) {
             texts.forEach(waiting::putIfAbsent);
-            keys.forEach((key, number) -> {
-                if (!numbers.containsKey(key)) {
-                    numbers.put(key, number);
-                }
-            });
+            keys.forEach(
+                    (key, number) -> {
+                        if (!numbers.containsKey(key)) {
+                            numbers.put(key, number);
+                        }
+                    });
             // So that a disk which works again is found, whatever else there is to write.
             waiting.putIfAbsent("tried", "");
             List<Consumer<Boolean>> tell = new ArrayList<>(told);
@@ -265,7 +308,9 @@
             }
             long until = System.nanoTime() + AGAIN_MS * 1_000_000;
             try {
-                for (long left = AGAIN_MS; left > 0 && !over; left = (until - System.nanoTime()) / 1_000_000) {
+                for (long left = AGAIN_MS;
+                        left > 0 && !over;
+                        left = (until - System.nanoTime()) / 1_000_000) {
                     waiting.wait(left);
                 }
             } catch (InterruptedException stopped) {
@@ -282,7 +327,10 @@
             status.put("folder", folder.toString());
             status.put("written", written);
             status.put("commits", commits);
-            status.put("waiting", waiting.size() + numbers.values().stream().filter(java.util.Objects::nonNull).count());
+            status.put(
+                    "waiting",
+                    waiting.size()
+                            + numbers.values().stream().filter(java.util.Objects::nonNull).count());
             status.put("failures", failures);
             status.put("failing", failing);
         }
--- a/src/main/java/dillfront/memory/Shelf.java
+++ b/src/main/java/dillfront/memory/Shelf.java
@@ -12,9 +12,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Texts under names, and numbers under numbers, in one file that survives the end of the process and of power at any byte. Each
- * put is one record, written and synced before the next, so that a loss takes the last one alone, whole. Once the file is
- * several times what is in it, all that is in it goes into a new one, which takes its place at once. All calls from one thread.
+ * Texts under names, and numbers under numbers, in one file that survives the end of the process
+ * and of power at any byte. Each put is one record, written and synced before the next, so that a
+ * loss takes the last one alone, whole. Once the file is several times what is in it, all that is
+ * in it goes into a new one, which takes its place at once. All calls from one thread.
  *
  * <pre>
  *   file    "dillfront memory 2\n"  records
@@ -24,7 +25,8 @@
  *           4 numbers, each  8 key  1 there or not  8 number
  * </pre>
  *
- * Numbers are big-endian. The first record holds all that was there, and under "" the name of the router it belongs to.
+ * Numbers are big-endian. The first record holds all that was there, and under "" the name of the
+ * router it belongs to.
  */
 final class Shelf {
 
@@ -54,9 +56,15 @@
     private static final int BEFORE_BODY = 8;
     private static final int LEAST_BODY = 16;
     private static final String OWNER = "";
-    /** The file may be so many times as long as what is in it, or so long, before it is written anew. */
+
+    /**
+     * The file may be so many times as long as what is in it, or so long, before it is written
+     * anew.
+     */
     private static final int TIMES = 4;
+
     private static final int LEAST = 1 << 16;
+
     /** Bytes of a name, and of a text: its length has two of them. */
     static final int LONGEST = 0xffff;
 
@@ -64,16 +72,24 @@
     private final String where;
     private final Map<String, String> texts = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
+
     /** Of the file, as far as it is good; and of a new one with the same in it. */
     private long length;
+
     private long live;
     private long record;
     private String cut;
     private boolean aside;
+
     /** A write failed: what is behind the good part is not known. */
     private boolean tailDoubtful;
-    /** A change of names failed: which file has the name, and which will have it after a loss of power, is not known. */
+
+    /**
+     * A change of names failed: which file has the name, and which will have it after a loss of
+     * power, is not known.
+     */
     private boolean namesDoubtful;
+
     /** Where it could not be written anew, that is tried again at this length. */
     private long dueAt;
 
@@ -87,13 +103,17 @@
      *
      * @param where the folder, for what is said of it
      * @param owner the router's name
-     * @throws Broken where the file is another router's or of a format that this program does not know, or cannot be read
+     * @throws Broken where the file is another router's or of a format that this program does not
+     *     know, or cannot be read
      */
     static Shelf open(Disk disk, String where, String owner) throws Broken {
         return open(disk, where, owner, false);
     }
 
-    /** @param whole of a file of which more than a torn tail is wrong nothing is taken over, in no later life either */
+    /**
+     * @param whole of a file of which more than a torn tail is wrong nothing is taken over, in no
+     *     later life either
+     */
     static Shelf open(Disk disk, String where, String owner, boolean whole) throws Broken {
         Shelf shelf = new Shelf(disk, where);
         try {
@@ -114,9 +134,13 @@
         }
         int at = HEAD.length;
         if (all.length < at || !Arrays.equals(all, 0, at, HEAD, 0, at)) {
-            Matcher format = FORMAT.matcher(new String(all, 0, Math.min(all.length, 32), StandardCharsets.US_ASCII));
+            Matcher format =
+                    FORMAT.matcher(
+                            new String(
+                                    all, 0, Math.min(all.length, 32), StandardCharsets.US_ASCII));
             if (format.lookingAt()) {
-                throw new Broken(where + " is of format " + format.group(1) + ", and this program writes 2");
+                throw new Broken(
+                        where + " is of format " + format.group(1) + ", and this program writes 2");
             }
             aside(all, "no memory");
             texts.put(OWNER, owner);
@@ -126,12 +150,14 @@
         int good = records(all, at);
         String its = texts.putIfAbsent(OWNER, owner);
         if (its != null && !its.equals(owner)) {
-            throw new Broken(where + " is that of router '" + its + "', and this is '" + owner + "'");
+            throw new Broken(
+                    where + " is that of router '" + its + "', and this is '" + owner + "'");
         }
         if (good < all.length) {
             String fault = "of " + all.length + " bytes, those from " + good + " on are no record";
             if (good == at || more(all, good)) {
-                // Not the tail alone: something that was kept is lost, so the rest is kept for whoever looks into it.
+                // Not the tail alone: something that was kept is lost, so the rest is kept for
+                // whoever looks into it.
                 aside(all, fault);
             } else {
                 cut = fault;
@@ -165,7 +191,10 @@
         }
     }
 
-    /** How long the body of the record here is; -1 where there is none with this number, or any number where it is negative. */
+    /**
+     * How long the body of the record here is; -1 where there is none with this number, or any
+     * number where it is negative.
+     */
     private static int body(byte[] all, int at, long number) {
         if (all.length - at < BEFORE_BODY + LEAST_BODY) {
             return -1;
@@ -173,7 +202,9 @@
         ByteBuffer in = ByteBuffer.wrap(all, at, all.length - at);
         int length = in.getInt();
         int sum = in.getInt();
-        if (length < LEAST_BODY || length > in.remaining() || number >= 0 && in.getLong(in.position()) != number) {
+        if (length < LEAST_BODY
+                || length > in.remaining()
+                || number >= 0 && in.getLong(in.position()) != number) {
             return -1;
         }
         CRC32C crc = new CRC32C();
@@ -250,12 +281,13 @@
     }
 
     /**
-     * All of it or nothing is there after a loss of power. Where it fails, all or nothing of it may be there; what was kept before
-     * stays.
+     * All of it or nothing is there after a loss of power. Where it fails, all or nothing of it may
+     * be there; what was kept before stays.
      *
      * @param named an empty text takes its name out
      * @param numbered null takes its key out
-     * @throws IllegalArgumentException where a name or a text is longer than the form can hold; nothing is written then
+     * @throws IllegalArgumentException where a name or a text is longer than the form can hold;
+     *     nothing is written then
      */
     void put(Map<String, String> named, Map<Long, Long> numbered) throws Broken {
         int size = size(named, numbered);
@@ -263,7 +295,8 @@
             if (tailDoubtful) {
                 disk.cut(FILE, length);
                 tailDoubtful = false;
-                // A disk that is full gets back what is no longer needed, by this put too: as a whole new file.
+                // A disk that is full gets back what is no longer needed, by this put too: as a
+                // whole new file.
                 anewWith(named, numbered);
             } else if (namesDoubtful) {
                 anewWith(named, numbered);
@@ -283,7 +316,10 @@
         }
     }
 
-    /** Writes the file anew where it has grown long; if that fails, what was put is on the disk all the same. */
+    /**
+     * Writes the file anew where it has grown long; if that fails, what was put is on the disk all
+     * the same.
+     */
     private void grown() {
         if (length <= Math.max(dueAt, Math.max(LEAST, TIMES * live))) {
             return;
@@ -320,8 +356,9 @@
     }
 
     /**
-     * All that is here into a new file, which then takes the place of the former. Until the folder is synced either may be there
-     * after a loss of power, so nothing is put into the new one before.
+     * All that is here into a new file, which then takes the place of the former. Until the folder
+     * is synced either may be there after a loss of power, so nothing is put into the new one
+     * before.
      */
     private void anew() throws IOException {
         disk.delete(NEXT);
@@ -355,18 +392,27 @@
             char c = text.charAt(i);
             if (c >= 0x80) {
                 // Each half of a pair counts for two; one that stands alone is written as '?'.
-                boolean pair = Character.isHighSurrogate(c) && i + 1 < text.length() && Character.isLowSurrogate(text.charAt(i + 1));
+                boolean pair =
+                        Character.isHighSurrogate(c)
+                                && i + 1 < text.length()
+                                && Character.isLowSurrogate(text.charAt(i + 1));
                 size += pair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
                 i += pair ? 1 : 0;
             }
         }
         if (size > LONGEST) {
-            throw new IllegalArgumentException("a text of " + size + " bytes, and at most " + LONGEST + " are kept under a name");
+            throw new IllegalArgumentException(
+                    "a text of "
+                            + size
+                            + " bytes, and at most "
+                            + LONGEST
+                            + " are kept under a name");
         }
         return size;
     }
 
-    private static ByteBuffer record(long number, int size, Map<String, String> named, Map<Long, Long> numbered) {
+    private static ByteBuffer record(
+            long number, int size, Map<String, String> named, Map<Long, Long> numbered) {
         ByteBuffer out = ByteBuffer.allocate(BEFORE_BODY + size);
         out.putInt(size).putInt(0).putLong(number).putInt(named.size());
         for (Map.Entry<String, String> one : named.entrySet()) {
@@ -376,7 +422,11 @@
             }
         }
         out.putInt(numbered.size());
-        numbered.forEach((key, is) -> out.putLong(key).put((byte) (is == null ? 0 : 1)).putLong(is == null ? 0 : is));
+        numbered.forEach(
+                (key, is) ->
+                        out.putLong(key)
+                                .put((byte) (is == null ? 0 : 1))
+                                .putLong(is == null ? 0 : is));
         CRC32C crc = new CRC32C();
         crc.update(out.array(), BEFORE_BODY, size);
         out.putInt(4, (int) crc.getValue());
@@ -400,6 +450,8 @@
 
     private static String said(IOException bad) {
         String text = String.valueOf(bad.getMessage()).lines().findFirst().orElse("");
-        return bad.getClass() == IOException.class ? text : bad.getClass().getSimpleName() + " " + text;
+        return bad.getClass() == IOException.class
+                ? text
+                : bad.getClass().getSimpleName() + " " + text;
     }
 }
--- a/src/main/java/dillfront/operator/Operator.java
+++ b/src/main/java/dillfront/operator/Operator.java
@@ -30,8 +30,8 @@
 import java.util.Set;
 
 /**
- * What the operator's own file says; without one, nothing of it is on. The file is a script (dillfront.script) that may
- * call these words, roles before the principals that have them:
+ * What the operator's own file says; without one, nothing of it is on. The file is a script
+ * (dillfront.script) that may call these words, roles before the principals that have them:
  *
  * <pre>
  *   gossip(key = "/etc/dillfront/r1.key", public = "64 hex digits", period = "1s", bytes_per_second = 3000, liars = 1,
@@ -50,21 +50,33 @@
  * @param gossip null where it is off
  * @param identity null where all are served
  * @param file where it was read
- * @param memory the folder where a router keeps what restricts its next life; null where it keeps nothing
- * @param doubts how many referenced txns that may have run are kept in mind, and for how long; null where none is
+ * @param memory the folder where a router keeps what restricts its next life; null where it keeps
+ *     nothing
+ * @param doubts how many referenced txns that may have run are kept in mind, and for how long; null
+ *     where none is
  * @param sites whether what is lost is judged by site
- * @param control where the instance answers questions about itself, on a loopback address; null where it does not
+ * @param control where the instance answers questions about itself, on a loopback address; null
+ *     where it does not
  */
-public record Operator(GossipPart gossip, InetSocketAddress control, IdentityPart identity, Path memory, Doubts.Bounds doubts, boolean sites, Path file) {
+public record Operator(
+        GossipPart gossip,
+        InetSocketAddress control,
+        IdentityPart identity,
+        Path memory,
+        Doubts.Bounds doubts,
+        boolean sites,
+        Path file) {
 
     public static final Operator NONE = new Operator(null, null, null, null, null, false, null);
 
     /**
      * @param keyFile of this instance's private key, PKCS #8 in PEM
-     * @param bind where its socket is, where others reach it by another address than that; null where they do not
+     * @param bind where its socket is, where others reach it by another address than that; null
+     *     where they do not
      * @param publicKey what belongs to it: one of this instance's keys in the ring, in hexadecimal
      */
-    public record GossipPart(Tuning tuning, Ring ring, Path keyFile, String publicKey, InetSocketAddress bind) {
+    public record GossipPart(
+            Tuning tuning, Ring ring, Path keyFile, String publicKey, InetSocketAddress bind) {
 
         /** The index of the instance of this name. */
         public int self(String name) throws BadOperator {
@@ -73,10 +85,12 @@
                 throw new BadOperator("no peer is called '" + name + "', as this instance is");
             }
             if (ring.address(self) == null) {
-                throw new BadOperator("peer '" + name + "', which this instance is, has no address");
+                throw new BadOperator(
+                        "peer '" + name + "', which this instance is, has no address");
             }
             if (!ring.has(self, publicKey)) {
-                throw new BadOperator("'public' of gossip() is none of the keys of peer '" + name + "'");
+                throw new BadOperator(
+                        "'public' of gossip() is none of the keys of peer '" + name + "'");
             }
             return self;
         }
@@ -85,7 +99,8 @@
         public PrivateKey key() throws BadOperator {
             PrivateKey mine = fromFile();
             if (!ring.pair(mine, publicKey)) {
-                throw new BadOperator("key " + keyFile + ": does not belong to 'public' of gossip()");
+                throw new BadOperator(
+                        "key " + keyFile + ": does not belong to 'public' of gossip()");
             }
             return mine;
         }
@@ -96,35 +111,61 @@
             } catch (NoSuchFileException none) {
                 throw new BadOperator("key " + keyFile + ": no such file");
             } catch (IOException | GeneralSecurityException | IllegalArgumentException bad) {
-                throw new BadOperator("key " + keyFile + ": no Ed25519 key as `dillfront keygen` writes it");
+                throw new BadOperator(
+                        "key " + keyFile + ": no Ed25519 key as `dillfront keygen` writes it");
             }
         }
     }
 
     /** One allow() or deny(), names not yet looked up. */
-    public record RuleText(boolean allow, List<String> types, String access, int group, String prefix, String from) {}
+    public record RuleText(
+            boolean allow,
+            List<String> types,
+            String access,
+            int group,
+            String prefix,
+            String from) {}
 
     /** One principal(). */
-    public record PrincipalText(String name, String tenant, List<String> roles, double rate, int atOnce, String from) {}
+    public record PrincipalText(
+            String name, String tenant, List<String> roles, double rate, int atOnce, String from) {}
 
     /**
      * @param jwks file of the public keys that sign tokens
      * @param revoked file of ids that count no more, one a line; null where there is none
-     * @param certificate file of the door's certificate chain in PEM, and its private key; null where the door has no TLS
+     * @param certificate file of the door's certificate chain in PEM, and its private key; null
+     *     where the door has no TLS
      */
-    public record IdentityPart(Path jwks, String issuer, String audience, Path revoked, Path certificate, Path privateKey,
-            Duration overlap, Duration holds, Map<String, List<RuleText>> roles, List<PrincipalText> principals, int atOnce,
-            Map<String, Long> weights, String from) {
+    public record IdentityPart(
+            Path jwks,
+            String issuer,
+            String audience,
+            Path revoked,
+            Path certificate,
+            Path privateKey,
+            Duration overlap,
+            Duration holds,
+            Map<String, List<RuleText>> roles,
+            List<PrincipalText> principals,
+            int atOnce,
+            Map<String, Long> weights,
+            String from) {
 
         /** All files that it is made of but for the operator's own. */
         public List<Path> files() {
-            return java.util.stream.Stream.of(jwks, revoked, certificate, privateKey).filter(java.util.Objects::nonNull).toList();
+            return java.util.stream.Stream.of(jwks, revoked, certificate, privateKey)
+                    .filter(java.util.Objects::nonNull)
+                    .toList();
         }
 
         /**
          * @param types and tenants by their names in the settings
          */
-        public Policy policy(Map<String, Integer> types, Map<String, Integer> tenants, Set<String> keys, Set<String> revokedIds)
+        public Policy policy(
+                Map<String, Integer> types,
+                Map<String, Integer> tenants,
+                Set<String> keys,
+                Set<String> revokedIds)
                 throws BadOperator {
             Map<String, Principal> named = new HashMap<>();
             for (PrincipalText one : principals) {
@@ -135,20 +176,29 @@
                     }
                 }
                 if (one.tenant != null && !tenants.containsKey(one.tenant)) {
-                    throw new BadOperator(one.from + ": no tenant '" + one.tenant + "' in the settings");
+                    throw new BadOperator(
+                            one.from + ": no tenant '" + one.tenant + "' in the settings");
                 }
-                named.put(one.name, new Principal(one.name, one.tenant == null ? -1 : tenants.get(one.tenant), new Rights(rules),
-                        one.rate, one.atOnce));
+                named.put(
+                        one.name,
+                        new Principal(
+                                one.name,
+                                one.tenant == null ? -1 : tenants.get(one.tenant),
+                                new Rights(rules),
+                                one.rate,
+                                one.atOnce));
             }
             double[] shares = new double[tenants.size()];
             for (Map.Entry<String, Long> one : weights.entrySet()) {
                 Integer tenant = tenants.get(one.getKey());
                 if (tenant == null) {
-                    throw new BadOperator(from + ": no tenant '" + one.getKey() + "' in the settings");
+                    throw new BadOperator(
+                            from + ": no tenant '" + one.getKey() + "' in the settings");
                 }
                 shares[tenant] = one.getValue();
             }
-            return new Policy(named, keys, revokedIds, overlap, holds, new Shares.Setting(atOnce, shares));
+            return new Policy(
+                    named, keys, revokedIds, overlap, holds, new Shares.Setting(atOnce, shares));
         }
 
         private static Rule rule(RuleText text, Map<String, Integer> types) throws BadOperator {
@@ -156,7 +206,8 @@
             for (String type : text.types) {
                 Integer index = types.get(type);
                 if (index == null || index >= Rule.TYPES) {
-                    throw new BadOperator(text.from + ": no txn type '" + type + "' in the settings");
+                    throw new BadOperator(
+                            text.from + ": no txn type '" + type + "' in the settings");
                 }
                 bits |= 1 << index;
             }
@@ -210,14 +261,27 @@
             Duration holds = span(given, "holds", Duration.ofMinutes(10));
             given.done();
             if (jwks == null || issuer == null) {
-                throw given.error("", "identity() needs '" + (jwks == null ? "jwks" : "issuer") + "'");
+                throw given.error(
+                        "", "identity() needs '" + (jwks == null ? "jwks" : "issuer") + "'");
             }
             if ((certificate == null) != (key == null)) {
                 throw given.error("certificate", "'certificate' and 'key' go together");
             }
-            identity = new IdentityPart(Path.of(jwks), issuer, audience, revoked == null ? null : Path.of(revoked),
-                    certificate == null ? null : Path.of(certificate), key == null ? null : Path.of(key), overlap, holds, roles,
-                    principals, (int) atOnce, weights, file + ":" + given.line());
+            identity =
+                    new IdentityPart(
+                            Path.of(jwks),
+                            issuer,
+                            audience,
+                            revoked == null ? null : Path.of(revoked),
+                            certificate == null ? null : Path.of(certificate),
+                            key == null ? null : Path.of(key),
+                            overlap,
+                            holds,
+                            roles,
+                            principals,
+                            (int) atOnce,
+                            weights,
+                            file + ":" + given.line());
             return null;
         }
 
@@ -229,7 +293,9 @@
             }
             if (shares instanceof Map<?, ?> map) {
                 for (Map.Entry<?, ?> one : map.entrySet()) {
-                    if (!(one.getKey() instanceof String name && one.getValue() instanceof Long weight && weight > 0)) {
+                    if (!(one.getKey() instanceof String name
+                            && one.getValue() instanceof Long weight
+                            && weight > 0)) {
                         throw given.error("shares", "expected tenants' names and weights above 0");
                     }
                     weights.put(name, weight);
@@ -246,7 +312,8 @@
             long group = number(given, "group", -1, -1, Integer.MAX_VALUE);
             given.done();
             if (!access.matches("r|w|rw")) {
-                throw given.error("access", "expected \"r\", \"w\" or \"rw\", found \"" + access + "\"");
+                throw given.error(
+                        "access", "expected \"r\", \"w\" or \"rw\", found \"" + access + "\"");
             }
             if (!types.stream().allMatch(t -> t instanceof String)) {
                 throw given.error("types", "expected a list of names of txn types");
@@ -255,8 +322,15 @@
                 throw given.error("prefix", "a prefix longer than 255 bytes");
             }
             Map<String, Object> row = new HashMap<>();
-            row.put("rule", new RuleText(allow, types.stream().map(String::valueOf).toList(), access, (int) group, prefix,
-                    file + ":" + given.line()));
+            row.put(
+                    "rule",
+                    new RuleText(
+                            allow,
+                            types.stream().map(String::valueOf).toList(),
+                            access,
+                            (int) group,
+                            prefix,
+                            file + ":" + given.line()));
             return row;
         }
 
@@ -271,7 +345,11 @@
             }
             given.done();
             if (name.isEmpty() || roles.put(name, rules) != null) {
-                throw given.error("name", name.isEmpty() ? "a role without a name" : "role '" + name + "' is there twice");
+                throw given.error(
+                        "name",
+                        name.isEmpty()
+                                ? "a role without a name"
+                                : "role '" + name + "' is there twice");
             }
             return null;
         }
@@ -289,10 +367,20 @@
                 }
             }
             if (name.isEmpty() || principals.stream().anyMatch(p -> p.name.equals(name))) {
-                throw given.error("name", name.isEmpty() ? "a principal without a name" : "principal '" + name + "' is there twice");
-            }
-            principals.add(new PrincipalText(name, tenant, its.stream().map(String::valueOf).toList(), rate, (int) atOnce,
-                    file + ":" + given.line()));
+                throw given.error(
+                        "name",
+                        name.isEmpty()
+                                ? "a principal without a name"
+                                : "principal '" + name + "' is there twice");
+            }
+            principals.add(
+                    new PrincipalText(
+                            name,
+                            tenant,
+                            its.stream().map(String::valueOf).toList(),
+                            rate,
+                            (int) atOnce,
+                            file + ":" + given.line()));
             return null;
         }
 
@@ -312,7 +400,11 @@
             given.done();
             bind = at == null ? null : Address.parse(at);
             if (at != null && bind == null) {
-                throw given.error("bind", "'" + at + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
+                throw given.error(
+                        "bind",
+                        "'"
+                                + at
+                                + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
             }
             if (key == null || publicKey == null) {
                 throw given.error("", "gossip() needs '" + (key == null ? "key" : "public") + "'");
@@ -335,7 +427,11 @@
             }
             InetSocketAddress address = at == null ? null : Address.parse(at);
             if (at != null && address == null) {
-                throw given.error("address", "'" + at + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
+                throw given.error(
+                        "address",
+                        "'"
+                                + at
+                                + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
             }
             if (keys.isEmpty()) {
                 throw given.error("keys", "peer '" + name + "' has no key");
@@ -345,11 +441,17 @@
                 for (Object key : keys) {
                     if (key instanceof String hex) {
                         ring.key(peer, hex, Duration.ZERO, Duration.ofDays(1_000_000));
-                    } else if (key instanceof Map<?, ?> row && row.get("key") instanceof String hex) {
-                        ring.key(peer, hex, time(given, row.get("from"), Duration.ZERO),
+                    } else if (key instanceof Map<?, ?> row
+                            && row.get("key") instanceof String hex) {
+                        ring.key(
+                                peer,
+                                hex,
+                                time(given, row.get("from"), Duration.ZERO),
                                 time(given, row.get("until"), Duration.ofDays(1_000_000)));
                     } else {
-                        throw given.error("keys", "expected a string, or a dict with 'key', 'from' and 'until'");
+                        throw given.error(
+                                "keys",
+                                "expected a string, or a dict with 'key', 'from' and 'until'");
                     }
                 }
             } catch (Ring.BadRing bad) {
@@ -363,7 +465,9 @@
             given.done();
             control = Address.parse(at);
             if (control == null || !control.getAddress().isLoopbackAddress()) {
-                throw given.error("address", "'" + at + "' is no loopback address with a port, as 127.0.0.1:9946");
+                throw given.error(
+                        "address",
+                        "'" + at + "' is no loopback address with a port, as 127.0.0.1:9946");
             }
             return null;
         }
@@ -372,7 +476,9 @@
             String folder = given.text("folder", "");
             given.done();
             if (folder.isEmpty() || memory != null) {
-                throw given.error("folder", memory != null ? "memory() is there twice" : "memory() needs 'folder'");
+                throw given.error(
+                        "folder",
+                        memory != null ? "memory() is there twice" : "memory() needs 'folder'");
             }
             memory = Path.of(folder);
             return null;
@@ -395,29 +501,40 @@
             return null;
         }
 
-        private static long number(Script.Arguments given, String name, long otherwise, long least, long most)
+        private static long number(
+                Script.Arguments given, String name, long otherwise, long least, long most)
                 throws ScriptError {
             long value = given.number(name, otherwise);
             if (value < least || value > most) {
-                throw given.error(name, "'" + name + "' is " + value + ", expected " + least + " to " + most);
+                throw given.error(
+                        name, "'" + name + "' is " + value + ", expected " + least + " to " + most);
             }
             return value;
         }
 
-        private static Duration span(Script.Arguments given, String name, Duration otherwise) throws ScriptError {
+        private static Duration span(Script.Arguments given, String name, Duration otherwise)
+                throws ScriptError {
             String text = given.text(name, null);
             if (text == null) {
                 return otherwise;
             }
             boolean ms = text.endsWith("ms");
-            String digits = text.endsWith("s") ? text.substring(0, text.length() - (ms ? 2 : 1)) : "";
+            String digits =
+                    text.endsWith("s") ? text.substring(0, text.length() - (ms ? 2 : 1)) : "";
             if (!digits.matches("[0-9]{1,6}") || Long.parseLong(digits) == 0) {
-                throw given.error(name, "expected a span as \"250ms\" or \"5s\" for '" + name + "', found \"" + text + "\"");
+                throw given.error(
+                        name,
+                        "expected a span as \"250ms\" or \"5s\" for '"
+                                + name
+                                + "', found \""
+                                + text
+                                + "\"");
             }
             return Duration.ofMillis(Long.parseLong(digits) * (ms ? 1 : 1000));
         }
 
-        private static Duration time(Script.Arguments given, Object text, Duration otherwise) throws ScriptError {
+        private static Duration time(Script.Arguments given, Object text, Duration otherwise)
+                throws ScriptError {
             if (text == null) {
                 return otherwise;
             }
@@ -439,12 +556,27 @@
                 return new Operator(null, control, identity, memory, doubts, sites, Path.of(file));
             }
             if (ring.size() < 2) {
-                throw new BadOperator("gossip() with " + ring.size() + " peers: expected this instance and another");
+                throw new BadOperator(
+                        "gossip() with "
+                                + ring.size()
+                                + " peers: expected this instance and another");
             }
             if (3 * tuning.liars() > ring.size()) {
-                throw new BadOperator("liars = " + tuning.liars() + " of " + ring.size() + " peers: expected a third at the most");
-            }
-            return new Operator(new GossipPart(tuning, ring, keyFile, publicKey, bind), control, identity, memory, doubts, sites, Path.of(file));
+                throw new BadOperator(
+                        "liars = "
+                                + tuning.liars()
+                                + " of "
+                                + ring.size()
+                                + " peers: expected a third at the most");
+            }
+            return new Operator(
+                    new GossipPart(tuning, ring, keyFile, publicKey, bind),
+                    control,
+                    identity,
+                    memory,
+                    doubts,
+                    sites,
+                    Path.of(file));
         }
     }
 
@@ -464,7 +596,9 @@
         }
     }
 
-    /** @param name of the file, for errors */
+    /**
+     * @param name of the file, for errors
+     */
     public static Operator read(String name, String text) throws BadOperator {
         Saying saying = new Saying(name);
         Map<String, Script.Word> words = new HashMap<>();
@@ -483,7 +617,8 @@
             Script.run(text, words);
             return saying.said();
         } catch (ScriptError bad) {
-            throw new BadOperator(name + ":" + bad.line() + ":" + bad.column() + ": " + bad.getMessage());
+            throw new BadOperator(
+                    name + ":" + bad.line() + ":" + bad.column() + ": " + bad.getMessage());
         } catch (BadOperator bad) {
             throw new BadOperator(name + ": " + bad.getMessage());
         }
--- a/src/main/java/dillfront/pace/Pace.java
+++ b/src/main/java/dillfront/pace/Pace.java
@@ -5,19 +5,22 @@
 import java.time.Duration;
 
 /**
- * What the router knows of its own time: how far its one thread is behind, and what it does about that. A machine that
- * gets part of a core stands still for spans that it cannot see from inside, but for one sign: the clock's beat comes
- * later than it was due. All sockets are ready at once then, and what is read first must not be what came first.
+ * What the router knows of its own time: how far its one thread is behind, and what it does about
+ * that. A machine that gets part of a core stands still for spans that it cannot see from inside,
+ * but for one sign: the clock's beat comes later than it was due. All sockets are ready at once
+ * then, and what is read first must not be what came first.
  *
- * <p>Pure: times are spans since the start and come with each call; nothing here reads a clock, a socket or a chance.
- * The caller says when the next beat is due, and that it has come; in between, a beat that is overdue tells how long the
- * thread has been away by now. Decisions: how long a turn takes queries, how old a query may be that has just been read, and
- * whether a time limit that ran meanwhile is to be believed.
+ * <p>Pure: times are spans since the start and come with each call; nothing here reads a clock, a
+ * socket or a chance. The caller says when the next beat is due, and that it has come; in between,
+ * a beat that is overdue tells how long the thread has been away by now. Decisions: how long a turn
+ * takes queries, how old a query may be that has just been read, and whether a time limit that ran
+ * meanwhile is to be believed.
  */
 public final class Pace {
 
     /** A turn takes queries for this many steps of the clock, then looks at the sockets again. */
     private static final double TURN = 1;
+
     /** Up to so many steps a beat is late by the timer's own grain: that is no delay. */
     private static final double GRAIN = 1;
 
@@ -57,7 +60,10 @@
         due = null;
     }
 
-    /** By how much the thread is late at this moment; zero while it is on time, by the timer's grain. */
+    /**
+     * By how much the thread is late at this moment; zero while it is on time, by the timer's
+     * grain.
+     */
     public Duration lag(Duration now) {
         if (due == null) {
             return Duration.ZERO;
@@ -67,8 +73,9 @@
     }
 
     /**
-     * Whether what the sockets held a beat ago has been read: the last beat came on time, which it does after a look at
-     * all sockets, and the next is not overdue. Where it is not sure, the news are read by themselves before a send.
+     * Whether what the sockets held a beat ago has been read: the last beat came on time, which it
+     * does after a look at all sockets, and the next is not overdue. Where it is not sure, the news
+     * are read by themselves before a send.
      */
     public boolean sure(Duration now) {
         return due != null && !cameLate && lag(now).isZero();
@@ -87,24 +94,27 @@
     }
 
     /**
-     * How long ago a query that has just been read may have come: it lay in its socket while the thread was away. The
-     * longest that can be, since an answer after the client's time is no answer.
+     * How long ago a query that has just been read may have come: it lay in its socket while the
+     * thread was away. The longest that can be, since an answer after the client's time is no
+     * answer.
      */
     public Duration age(Duration now) {
         return lag(now);
     }
 
     /**
-     * Whether a turn that began then takes one more query. Guards against a backlog of clients that keeps the news of
-     * the list, and answers that have come, unread: between two turns all sockets are looked at.
+     * Whether a turn that began then takes one more query. Guards against a backlog of clients that
+     * keeps the news of the list, and answers that have come, unread: between two turns all sockets
+     * are looked at.
      */
     public boolean takesMore(Duration began, Duration now) {
         return now.minus(began).compareTo(turn) < 0;
     }
 
     /**
-     * Whether a time limit that has run out is believed. Not if the thread was behind since the limit was set: the answer
-     * may lie unread, so the sockets are looked at once more. Guards against nodes blamed for the router's own pause.
+     * Whether a time limit that has run out is believed. Not if the thread was behind since the
+     * limit was set: the answer may lie unread, so the sockets are looked at once more. Guards
+     * against nodes blamed for the router's own pause.
      *
      * @param behindThen what behind() was when the limit was set
      */
--- a/src/main/java/dillfront/peers/Codec.java
+++ b/src/main/java/dillfront/peers/Codec.java
@@ -18,7 +18,8 @@
 import java.util.Map;
 
 /**
- * Datagrams between instances, version 1. All numbers big-endian. A datagram, 117 bytes and 113 for each word:
+ * Datagrams between instances, version 1. All numbers big-endian. A datagram, 117 bytes and 113 for
+ * each word:
  *
  * <pre>
  *   2 'd' 'f'   1 version   1 form   8 key id of the sender   4 its incarnation   8 number, rising from its start on
@@ -26,34 +27,49 @@
  *   1 words   words   64 Ed25519 signature of all before, behind the text "dillfront datagram 1"
  * </pre>
  *
- * A word: 8 key id of who said it, 4 incarnation, 4 number, 1 kind, 8 subject, 4 detail, 2 evidence, 4 milliseconds since,
- * 8 said, Unix microseconds, 4 and 2 address and port where ALIVE, 64 Ed25519 signature of these behind "dillfront word 1".
+ * A word: 8 key id of who said it, 4 incarnation, 4 number, 1 kind, 8 subject, 4 detail, 2
+ * evidence, 4 milliseconds since, 8 said, Unix microseconds, 4 and 2 address and port where ALIVE,
+ * 64 Ed25519 signature of these behind "dillfront word 1".
  *
- * <p>A datagram of the form DOUBTS has no words; the byte that counts them counts 64-bit parts of a recovery.Digest, which
- * stand in their place, and the name it is about is whose keys these are. CLOSED is the same with three parts for each node that
- * the sender's lists have closed: the first 8 bytes of the SHA-256 of its id, the generation of that list, the start of the process
- * it spoke of. Instances that do not know these forms drop them.
+ * <p>A datagram of the form DOUBTS has no words; the byte that counts them counts 64-bit parts of a
+ * recovery.Digest, which stand in their place, and the name it is about is whose keys these are.
+ * CLOSED is the same with three parts for each node that the sender's lists have closed: the first
+ * 8 bytes of the SHA-256 of its id, the generation of that list, the start of the process it spoke
+ * of. Instances that do not know these forms drop them.
  *
- * <p>What comes is looked at in the order of cost, and nothing is allocated by a length that it names: the count of words
- * must fit the size that came. Signatures of words that were checked before are known by their bytes.
+ * <p>What comes is looked at in the order of cost, and nothing is allocated by a length that it
+ * names: the count of words must fit the size that came. Signatures of words that were checked
+ * before are known by their bytes.
  */
 public final class Codec {
 
     static final int HEAD = 53;
     static final int WORD = 113;
     static final int SIGNATURE = 64;
+
     /** Of IP and UDP. */
     static final int BELOW = 28;
+
     private static final int SIGNED = WORD - SIGNATURE;
-    private static final byte[] DATAGRAM_TEXT = "dillfront datagram 1".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] DATAGRAM_TEXT =
+            "dillfront datagram 1".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] WORD_TEXT = "dillfront word 1".getBytes(StandardCharsets.US_ASCII);
     private static final int CHECKED = 1024;
     private static final int MOST_PARTS = 128;
+
     /** What one closed node takes of those parts. */
     static final int CLOSED_PARTS = 3;
 
     /** What a datagram is for. */
-    public enum Form { PING, ACK, ASK, PUSH, SWAP, DOUBTS, CLOSED }
+    public enum Form {
+        PING,
+        ACK,
+        ASK,
+        PUSH,
+        SWAP,
+        DOUBTS,
+        CLOSED
+    }
 
     /** Takes what was read and found right. */
     public interface Reader {
@@ -61,15 +77,26 @@
          * @param sent by the sender's clock, since the zero of Unix time
          * @param about index of the instance that the sender asks about; -1 where there is none
          */
-        void read(int from, int incarnation, Duration sent, Form form, int probe, int about, List<Word> words);
+        void read(
+                int from,
+                int incarnation,
+                Duration sent,
+                Form form,
+                int probe,
+                int about,
+                List<Word> words);
 
         /**
          * @param life which of the sender's
-         * @param about whose keys in doubt these are: the sender's, or what it says were this instance's
+         * @param about whose keys in doubt these are: the sender's, or what it says were this
+         *     instance's
          */
         void doubts(int from, int incarnation, Duration sent, int life, int about, long[] digest);
 
-        /** @param words of what the sender's lists have closed, three numbers each: the node's hash, generation, start */
+        /**
+         * @param words of what the sender's lists have closed, three numbers each: the node's hash,
+         *     generation, start
+         */
         void closed(int from, int incarnation, Duration sent, long[] words);
 
         /** An instance's own word tells where it is. */
@@ -88,17 +115,27 @@
     private final Window window;
     private final Signature signing;
     private final Signature checking;
+
     /** Words whose signature was found right, by all their bytes; the oldest leaves first. */
     private final Map<ByteBuffer, Boolean> checked = new LinkedHashMap<>();
+
     private long number;
 
     /**
      * @param keyId which of this instance's keys in the ring the private one belongs to
      * @param address where others reach this instance
      * @param datagram bytes of the largest, those below UDP left out
-     * @param first the first datagram's number, above any of an earlier life: microseconds of Unix time
+     * @param first the first datagram's number, above any of an earlier life: microseconds of Unix
+     *     time
      */
-    public Codec(Ring ring, int self, long keyId, PrivateKey key, InetSocketAddress address, int datagram, long first) {
+    public Codec(
+            Ring ring,
+            int self,
+            long keyId,
+            PrivateKey key,
+            InetSocketAddress address,
+            int datagram,
+            long first) {
         this.ring = ring;
         this.self = self;
         this.keyId = keyId;
@@ -121,7 +158,10 @@
         return BELOW + HEAD + words * WORD + SIGNATURE;
     }
 
-    /** Bytes on the wire of a datagram of keys in doubt, and how many parts of 64 bits the largest one holds. */
+    /**
+     * Bytes on the wire of a datagram of keys in doubt, and how many parts of 64 bits the largest
+     * one holds.
+     */
     public static int doubtBytes(int parts) {
         return BELOW + HEAD + parts * Long.BYTES + SIGNATURE;
     }
@@ -135,10 +175,17 @@
     /** Signs an own word. */
     public Word seal(Word word) {
         ByteBuffer out = ByteBuffer.allocate(WORD);
-        out.putLong(keyId).putInt(word.incarnation()).putInt(word.number()).put((byte) word.kind().ordinal());
-        out.putLong(word.kind() == Kind.CLAIM ? word.subject() : Ring.hash(ring.name((int) word.subject())));
+        out.putLong(keyId)
+                .putInt(word.incarnation())
+                .putInt(word.number())
+                .put((byte) word.kind().ordinal());
+        out.putLong(
+                word.kind() == Kind.CLAIM
+                        ? word.subject()
+                        : Ring.hash(ring.name((int) word.subject())));
         out.putInt(word.detail()).putShort((short) Math.min(word.evidence(), Short.MAX_VALUE));
-        out.putInt((int) Math.min(word.since().toMillis(), Integer.MAX_VALUE)).putLong(micros(word.said()));
+        out.putInt((int) Math.min(word.since().toMillis(), Integer.MAX_VALUE))
+                .putLong(micros(word.said()));
         out.put(word.kind() == Kind.ALIVE ? address.getAddress().getAddress() : new byte[4]);
         out.putShort((short) (word.kind() == Kind.ALIVE ? address.getPort() : 0));
         out.put(sign(WORD_TEXT, out.array(), SIGNED));
@@ -146,7 +193,14 @@
     }
 
     /** One datagram; the buffer is the caller's. */
-    public void write(ByteBuf out, int to, int incarnation, Form form, int probe, int about, List<Word> words,
+    public void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            Form form,
+            int probe,
+            int about,
+            List<Word> words,
             Duration unix) {
         int start = head(out, to, incarnation, form, probe, about, words.size(), unix);
         for (Word word : words) {
@@ -155,8 +209,18 @@
         seal(out, start);
     }
 
-    /** One datagram of keys in doubt; in place of a probe's number, which life of the sender this is. */
-    public void write(ByteBuf out, int to, int incarnation, int life, int about, long[] digest, Duration unix) {
+    /**
+     * One datagram of keys in doubt; in place of a probe's number, which life of the sender this
+     * is.
+     */
+    public void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            int life,
+            int about,
+            long[] digest,
+            Duration unix) {
         write(out, to, incarnation, Form.DOUBTS, life, about, digest, unix);
     }
 
@@ -165,7 +229,15 @@
         write(out, to, incarnation, Form.CLOSED, 0, self, closed, unix);
     }
 
-    private void write(ByteBuf out, int to, int incarnation, Form form, int life, int about, long[] parts, Duration unix) {
+    private void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            Form form,
+            int life,
+            int about,
+            long[] parts,
+            Duration unix) {
         int start = head(out, to, incarnation, form, life, about, parts.length, unix);
         for (long part : parts) {
             out.writeLong(part);
@@ -173,11 +245,21 @@
         seal(out, start);
     }
 
-    private int head(ByteBuf out, int to, int incarnation, Form form, int probe, int about, int count, Duration unix) {
+    private int head(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            Form form,
+            int probe,
+            int about,
+            int count,
+            Duration unix) {
         int start = out.writerIndex();
         out.writeByte('d').writeByte('f').writeByte(1).writeByte(form.ordinal());
         out.writeLong(keyId).writeInt(incarnation).writeLong(++number).writeLong(micros(unix));
-        out.writeLong(Ring.hash(ring.name(to))).writeInt(probe).writeLong(about < 0 ? 0 : Ring.hash(ring.name(about)));
+        out.writeLong(Ring.hash(ring.name(to)))
+                .writeInt(probe)
+                .writeLong(about < 0 ? 0 : Ring.hash(ring.name(about)));
         out.writeByte(count);
         return start;
     }
@@ -210,14 +292,21 @@
     public void read(ByteBuf in, Duration now, Duration unix, Reader reader) {
         int start = in.readerIndex();
         int size = in.readableBytes();
-        if (size < HEAD + SIGNATURE || size > datagram || in.getByte(start) != 'd' || in.getByte(start + 1) != 'f'
-                || in.getByte(start + 2) != 1 || in.getUnsignedByte(start + 3) >= Form.values().length) {
+        if (size < HEAD + SIGNATURE
+                || size > datagram
+                || in.getByte(start) != 'd'
+                || in.getByte(start + 1) != 'f'
+                || in.getByte(start + 2) != 1
+                || in.getUnsignedByte(start + 3) >= Form.values().length) {
             reader.dropped(Drop.FORM);
             return;
         }
         int count = in.getUnsignedByte(start + HEAD - 1);
         Form form = Form.values()[in.getByte(start + 3)];
-        if (size != HEAD + count * (form == Form.DOUBTS || form == Form.CLOSED ? Long.BYTES : WORD) + SIGNATURE) {
+        if (size
+                != HEAD
+                        + count * (form == Form.DOUBTS || form == Form.CLOSED ? Long.BYTES : WORD)
+                        + SIGNATURE) {
             reader.dropped(Drop.FORM);
             return;
         }
@@ -257,7 +346,9 @@
             long[] digest = new long[count];
             ByteBuffer.wrap(all, HEAD, count * Long.BYTES).asLongBuffer().get(digest);
             boolean closed = form == Form.CLOSED;
-            if (count > MOST_PARTS || about != from.peer() && (closed || about != self) || closed && count % CLOSED_PARTS != 0) {
+            if (count > MOST_PARTS
+                    || about != from.peer() && (closed || about != self)
+                    || closed && count % CLOSED_PARTS != 0) {
                 reader.dropped(Drop.FORM);
             } else if (closed) {
                 reader.closed(from.peer(), incarnation, sent, digest);
@@ -276,7 +367,14 @@
                 words[good++] = word;
             }
         }
-        reader.read(from.peer(), incarnation, sent, form, in.getInt(start + 40), about, List.of(java.util.Arrays.copyOf(words, good)));
+        reader.read(
+                from.peer(),
+                incarnation,
+                sent,
+                form,
+                in.getInt(start + 40),
+                about,
+                List.of(java.util.Arrays.copyOf(words, good)));
     }
 
     /** Null where it is not as its origin said it. */
@@ -286,7 +384,11 @@
         int incarnation = in.getInt();
         int its = in.getInt();
         int kindNumber = in.get();
-        if (key == null || kindNumber < 0 || kindNumber >= Kind.values().length || incarnation < 0 || its < 0) {
+        if (key == null
+                || kindNumber < 0
+                || kindNumber >= Kind.values().length
+                || incarnation < 0
+                || its < 0) {
             return null;
         }
         Kind kind = Kind.values()[kindNumber];
@@ -302,10 +404,15 @@
         int evidence = in.getShort();
         int since = in.getInt();
         long said = in.getLong();
-        // Accusations and claims are of this moment; that one is there is told for as long as it is.
+        // Accusations and claims are of this moment; that one is there is told for as long as it
+        // is.
         boolean old = (kind == Kind.SILENT || kind == Kind.CLAIM) && apart(unix, said);
-        if (old || evidence < 0 || since < 0 || said < 0
-                || kind == Kind.CLAIM && (detail < 0 || detail >= dillfront.gossip.Symptom.values().length)) {
+        if (old
+                || evidence < 0
+                || since < 0
+                || said < 0
+                || kind == Kind.CLAIM
+                        && (detail < 0 || detail >= dillfront.gossip.Symptom.values().length)) {
             return null;
         }
         byte[] bytes = java.util.Arrays.copyOfRange(all, at, at + WORD);
@@ -322,8 +429,17 @@
         if (kind == Kind.ALIVE) {
             where(key.peer(), incarnation, bytes, reader);
         }
-        return new Word(key.peer(), incarnation, its, kind, subject, detail, evidence, Duration.ofMillis(since),
-                Duration.ofNanos(said * 1000), bytes);
+        return new Word(
+                key.peer(),
+                incarnation,
+                its,
+                kind,
+                subject,
+                detail,
+                evidence,
+                Duration.ofMillis(since),
+                Duration.ofNanos(said * 1000),
+                bytes);
     }
 
     private static void where(int peer, int incarnation, byte[] word, Reader reader) {
@@ -333,7 +449,10 @@
         int port = in.getShort() & 0xffff;
         if (port > 0) {
             try {
-                reader.at(peer, incarnation, new InetSocketAddress(InetAddress.getByAddress(ip), port));
+                reader.at(
+                        peer,
+                        incarnation,
+                        new InetSocketAddress(InetAddress.getByAddress(ip), port));
             } catch (UnknownHostException none) {
                 throw new IllegalStateException(none);
             }
--- a/src/main/java/dillfront/peers/Datagrams.java
+++ b/src/main/java/dillfront/peers/Datagrams.java
@@ -26,8 +26,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Gossip on a UDP socket of the router's one loop. Owns the socket, and gives it back in close(). One receive buffer of the
- * largest datagram; what is longer was cut short, and fails its form.
+ * Gossip on a UDP socket of the router's one loop. Owns the socket, and gives it back in close().
+ * One receive buffer of the largest datagram; what is longer was cut short, and fails its form.
  */
 public final class Datagrams implements Post, Codec.Reader {
 
@@ -53,9 +53,12 @@
     private long sent;
     private long noAddress;
     private boolean closed;
+
     /** Null where none is told. */
     private Telling telling;
+
     private final InetSocketAddress bind;
+
     /** Unlike any other of this instance, but for two in one second: never 0. */
     private final int life;
 
@@ -92,26 +95,44 @@
         long version = -1;
         Duration at;
         boolean empty;
+
         /** How often it is still told what it said in an earlier life. */
         int echoes;
+
         Duration echoedAt;
         long closedVersion = -1;
         Duration closedAt;
     }
 
-    /** Datagrams get lost: so often an earlier life's word is told back, and what is in doubt is told again after so many periods. */
+    /**
+     * Datagrams get lost: so often an earlier life's word is told back, and what is in doubt is
+     * told again after so many periods.
+     */
     private static final int ECHOES = 3;
+
     private static final int AGAIN = 10;
 
     /**
-     * @param bind where the socket is, if not at the address that others reach it by; null where it is
+     * @param bind where the socket is, if not at the address that others reach it by; null where it
+     *     is
      * @param keyId of this instance's key in the ring, to which the private one belongs
      * @param clock since the start
      * @param unix Unix time
      * @param claims takes each new claim of others and how old it is
      */
-    public Datagrams(Tuning tuning, Ring ring, int self, InetSocketAddress bind, long keyId, PrivateKey key, EventLoop loop, Log log,
-            Supplier<Duration> clock, Supplier<Duration> unix, RandomGenerator chance, BiConsumer<Word, Duration> claims) {
+    public Datagrams(
+            Tuning tuning,
+            Ring ring,
+            int self,
+            InetSocketAddress bind,
+            long keyId,
+            PrivateKey key,
+            EventLoop loop,
+            Log log,
+            Supplier<Duration> clock,
+            Supplier<Duration> unix,
+            RandomGenerator chance,
+            BiConsumer<Word, Duration> claims) {
         this.tuning = tuning;
         this.ring = ring;
         this.self = self;
@@ -127,7 +148,15 @@
         life = (int) unix.get().toSeconds() | 1 << 31;
         addressOf = new int[ring.size()];
         Arrays.fill(addressOf, -1);
-        codec = new Codec(ring, self, keyId, key, ring.address(self), tuning.datagram(), unix.get().toNanos() / 1000);
+        codec =
+                new Codec(
+                        ring,
+                        self,
+                        keyId,
+                        key,
+                        ring.address(self),
+                        tuning.datagram(),
+                        unix.get().toNanos() / 1000);
         gossip = new Gossip(tuning, ring.size(), self, 0, this, chance);
     }
 
@@ -139,37 +168,51 @@
 
     /** On the loop: opens the socket and speaks to those whose address the file tells. */
     public void open() {
-        channel.config().setOption(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(tuning.datagram() + 1));
-        channel.pipeline().addLast(new Ears() {
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object message) {
-                DatagramPacket packet = (DatagramPacket) message;
-                try {
-                    take(packet);
-                } finally {
-                    packet.release();
-                }
-            }
-
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                // A port that nobody listens on is told to the sender on loopback; that is no fault here.
-                if (!(cause instanceof IOException)) {
-                    log.warn("gossip", "fault", cause);
-                }
-            }
-        });
+        channel.config()
+                .setOption(
+                        ChannelOption.RCVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(tuning.datagram() + 1));
+        channel.pipeline()
+                .addLast(
+                        new Ears() {
+                            @Override
+                            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                                DatagramPacket packet = (DatagramPacket) message;
+                                try {
+                                    take(packet);
+                                } finally {
+                                    packet.release();
+                                }
+                            }
+
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {
+                                // A port that nobody listens on is told to the sender on loopback;
+                                // that is no fault here.
+                                if (!(cause instanceof IOException)) {
+                                    log.warn("gossip", "fault", cause);
+                                }
+                            }
+                        });
         loop.register(channel).syncUninterruptibly();
-        channel.bind(bind).addListener(done -> {
-            if (!done.isSuccess()) {
-                log.warn("gossip-not-bound", "address", bind, "fault", done.cause());
-                close();
-                return;
-            }
-            at();
-            gossip.join(java.util.stream.IntStream.range(0, ring.size()).filter(p -> ring.address(p) != null).boxed().toList());
-            look();
-        });
+        channel.bind(bind)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                log.warn(
+                                        "gossip-not-bound", "address", bind, "fault", done.cause());
+                                close();
+                                return;
+                            }
+                            at();
+                            gossip.join(
+                                    java.util.stream.IntStream.range(0, ring.size())
+                                            .filter(p -> ring.address(p) != null)
+                                            .boxed()
+                                            .toList());
+                            look();
+                        });
     }
 
     private void at() {
@@ -190,18 +233,26 @@
         telling = of;
     }
 
-    /** One datagram a look at the most, to those in turn who lack something, as far as the budget allows. */
+    /**
+     * One datagram a look at the most, to those in turn who lack something, as far as the budget
+     * allows.
+     */
     private void tellDoubts() {
         for (int i = 0; i < ring.size() && telling != null; i++) {
             int peer = next;
             next = (next + 1) % ring.size();
-            if (peer != self && gossip.members().present(peer) && tellDoubts(peer, told.get(peer))) {
+            if (peer != self
+                    && gossip.members().present(peer)
+                    && tellDoubts(peer, told.get(peer))) {
                 return;
             }
         }
     }
 
-    /** The first word of a life goes out though there is nothing to tell: others see by it that this is another life. */
+    /**
+     * The first word of a life goes out though there is nothing to tell: others see by it that this
+     * is another life.
+     */
     private boolean tellDoubts(int peer, Told its) {
         Duration now = clock.get();
         long[] before = telling.before(peer);
@@ -212,7 +263,10 @@
             its.echoes = before == null ? 0 : ECHOES;
             its.echoedAt = null;
         }
-        if (its.echoes > 0 && before != null && (its.echoedAt == null || now.minus(its.echoedAt).compareTo(tuning.period()) >= 0)) {
+        if (its.echoes > 0
+                && before != null
+                && (its.echoedAt == null
+                        || now.minus(its.echoedAt).compareTo(tuning.period()) >= 0)) {
             its.echoedAt = now;
             its.echoes--;
             return sendDoubts(peer, peer, before);
@@ -221,7 +275,10 @@
             return true;
         }
         boolean soon = its.at != null && now.minus(its.at).compareTo(tuning.period()) < 0;
-        boolean again = its.at != null && !its.empty && now.minus(its.at).compareTo(tuning.period().multipliedBy(AGAIN)) >= 0;
+        boolean again =
+                its.at != null
+                        && !its.empty
+                        && now.minus(its.at).compareTo(tuning.period().multipliedBy(AGAIN)) >= 0;
         if (soon || its.version == telling.version() && !again) {
             return false;
         }
@@ -235,10 +292,17 @@
         return true;
     }
 
-    /** What is closed, as it changes, and again: an agent that lags does so for long. Nothing where nothing is and was. */
+    /**
+     * What is closed, as it changes, and again: an agent that lags does so for long. Nothing where
+     * nothing is and was.
+     */
     private boolean tellClosed(int peer, Told its, Duration now) {
-        boolean soon = its.closedAt != null && now.minus(its.closedAt).compareTo(tuning.period()) < 0;
-        boolean again = its.closedAt != null && now.minus(its.closedAt).compareTo(tuning.period().multipliedBy(AGAIN)) >= 0;
+        boolean soon =
+                its.closedAt != null && now.minus(its.closedAt).compareTo(tuning.period()) < 0;
+        boolean again =
+                its.closedAt != null
+                        && now.minus(its.closedAt).compareTo(tuning.period().multipliedBy(AGAIN))
+                                >= 0;
         if (soon || its.closedVersion == telling.closedVersion() && !again) {
             return false;
         }
@@ -261,7 +325,9 @@
 
     private boolean send(int to, int about, long[] parts, boolean closed) {
         InetSocketAddress address = ring.address(to);
-        if (address == null || !channel.isActive() || !gossip.pays(Codec.doubtBytes(parts.length))) {
+        if (address == null
+                || !channel.isActive()
+                || !gossip.pays(Codec.doubtBytes(parts.length))) {
             return false;
         }
         ByteBuf out = channel.alloc().buffer(Codec.doubtBytes(parts.length));
@@ -301,7 +367,14 @@
     }
 
     @Override
-    public void read(int from, int incarnation, Duration at, Codec.Form form, int probe, int about, List<Word> words) {
+    public void read(
+            int from,
+            int incarnation,
+            Duration at,
+            Codec.Form form,
+            int probe,
+            int about,
+            List<Word> words) {
         read++;
         // It is where its own fresh datagram came from.
         ring.address(from, sender);
@@ -318,7 +391,7 @@
                 }
             }
             case SWAP -> gossip.swapped(from);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/dillfront/peers/Neighbours.java
+++ b/src/main/java/dillfront/peers/Neighbours.java
@@ -16,9 +16,10 @@
 import java.util.function.Supplier;
 
 /**
- * Between the decisions and gossip: at each beat what the router sees of its nodes goes to those who weigh and tell it, and
- * what others' words are worth comes back as a doubt or a try. Nodes go by a hash of their id on the wire, since each
- * router has indices of its own. Rows are as many as the router has rows for nodes.
+ * Between the decisions and gossip: at each beat what the router sees of its nodes goes to those
+ * who weigh and tell it, and what others' words are worth comes back as a doubt or a try. Nodes go
+ * by a hash of their id on the wire, since each router has indices of its own. Rows are as many as
+ * the router has rows for nodes.
  */
 public final class Neighbours {
 
@@ -48,8 +49,10 @@
     private final Hearsay hearsay;
     private final Witness witness;
     private final Map<Long, Integer> nodes = new HashMap<>();
+
     /** By the router's index; null where it has none now. */
     private final List<Row> rows = new ArrayList<>();
+
     private Supplier<Gossip> gossip;
     private Duration now = Duration.ZERO;
 
@@ -103,15 +106,23 @@
             Sight sight = decisions.sees(node);
             hearsay.seen(node, sight);
             if (gossip != null) {
-                witness.seen(node, sight, hearsay.enough(node), now, (n, symptom, evidence, since) ->
-                        gossip.get().claim(row.key, symptom, evidence, since));
+                witness.seen(
+                        node,
+                        sight,
+                        hearsay.enough(node),
+                        now,
+                        (n, symptom, evidence, since) ->
+                                gossip.get().claim(row.key, symptom, evidence, since));
             }
             weigh(node);
         }
         hearsay.woken();
     }
 
-    /** A new claim of another instance. Of nodes that this router does not know it passes nothing on. */
+    /**
+     * A new claim of another instance. Of nodes that this router does not know it passes nothing
+     * on.
+     */
     public void claimed(Word word, Duration age, Duration clock) {
         Integer node = nodes.get(word.subject());
         if (node == null) {
@@ -119,7 +130,8 @@
         }
         now = clock;
         hearsay.at(now);
-        if (hearsay.heard(word.origin(), node, Symptom.values()[word.detail()], age, word.since())) {
+        if (hearsay.heard(
+                word.origin(), node, Symptom.values()[word.detail()], age, word.since())) {
             gossip.get().passOn(word, word.origin());
         }
         weigh(node);
@@ -128,7 +140,8 @@
     private void weigh(int node) {
         Row row = rows.get(node);
         boolean doubts = hearsay.doubted(node);
-        // Said again at each beat: the node's own answer has ended it meanwhile, unless the doubt is newer.
+        // Said again at each beat: the node's own answer has ended it meanwhile, unless the doubt
+        // is newer.
         if (doubts || row.doubted) {
             decisions.doubted(node, doubts);
         }
--- a/src/main/java/dillfront/peers/Ring.java
+++ b/src/main/java/dillfront/peers/Ring.java
@@ -16,14 +16,16 @@
 import java.util.Map;
 
 /**
- * Who may speak, and by which keys. An instance has one name and any number of keys at once, each good from one Unix time
- * to another, so that keys change in service: the new one is made known first, then used, then the old one ends. Indices
- * run in the order of the file; the table is as long as that.
+ * Who may speak, and by which keys. An instance has one name and any number of keys at once, each
+ * good from one Unix time to another, so that keys change in service: the new one is made known
+ * first, then used, then the old one ends. Indices run in the order of the file; the table is as
+ * long as that.
  */
 public final class Ring {
 
     /** An Ed25519 key as X.509 writes it is this and 32 bytes (RFC 8410, section 4). */
     private static final byte[] X509 = HexFormat.of().parseHex("302a300506032b6570032100");
+
     private static final int KEY_BYTES = 32;
 
     /**
@@ -54,7 +56,9 @@
         return names.size() - 1;
     }
 
-    /** @param hex the 32 bytes of an Ed25519 public key, as `dillfront keygen` prints them */
+    /**
+     * @param hex the 32 bytes of an Ed25519 public key, as `dillfront keygen` prints them
+     */
     public void key(int peer, String hex, Duration from, Duration until) throws BadRing {
         byte[] raw;
         try {
@@ -63,17 +67,23 @@
             raw = new byte[0];
         }
         if (raw.length != KEY_BYTES) {
-            throw new BadRing("a key of peer '" + names.get(peer) + "' is not 64 hexadecimal digits");
+            throw new BadRing(
+                    "a key of peer '" + names.get(peer) + "' is not 64 hexadecimal digits");
         }
         try {
             byte[] x509 = ByteBuffer.allocate(X509.length + KEY_BYTES).put(X509).put(raw).array();
-            PublicKey key = KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(x509));
+            PublicKey key =
+                    KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(x509));
             Key row = new Key(peer, id(raw), key, from, until);
             if (keys.putIfAbsent(row.id, row) != null) {
                 throw new BadRing("a key of peer '" + names.get(peer) + "' is there twice");
             }
         } catch (GeneralSecurityException bad) {
-            throw new BadRing("a key of peer '" + names.get(peer) + "' is no Ed25519 key: " + bad.getMessage());
+            throw new BadRing(
+                    "a key of peer '"
+                            + names.get(peer)
+                            + "' is no Ed25519 key: "
+                            + bad.getMessage());
         }
     }
 
@@ -151,7 +161,9 @@
     /** Null where there is none of this id that counts at this Unix time. */
     public Key key(long id, Duration unix) {
         Key key = keys.get(id);
-        return key == null || unix.compareTo(key.from) < 0 || unix.compareTo(key.until) >= 0 ? null : key;
+        return key == null || unix.compareTo(key.from) < 0 || unix.compareTo(key.until) >= 0
+                ? null
+                : key;
     }
 
     /** What is wrong with a ring, for the operator. */
--- a/src/main/java/dillfront/peers/Standing.java
+++ b/src/main/java/dillfront/peers/Standing.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What an instance thinks of its peers, and of the nodes by hearsay, to be read by people or programs. */
+/**
+ * What an instance thinks of its peers, and of the nodes by hearsay, to be read by people or
+ * programs.
+ */
 public final class Standing {
 
     private Standing() {}
@@ -21,14 +24,24 @@
 
     private static List<Count> counts(Datagrams datagrams, Hearsay hearsay) {
         Gossip gossip = datagrams.gossip();
-        List<Count> counts = new ArrayList<>(List.of(new Count("datagrams_sent", datagrams.datagramsSent()),
-                new Count("datagrams_read", datagrams.datagramsRead()), new Count("bytes_sent", gossip.budget().sent()),
-                new Count("unsent_for_budget", gossip.budget().refused()), new Count("unsent_for_address", datagrams.noAddress()),
-                new Count("claims_taken", hearsay.taken()), new Count("claims_confirmed", hearsay.confirmed()),
-                new Count("claims_overruled", hearsay.overruled()), new Count("claims_out_of_time", gossip.outOfTime()),
-                new Count("words_crowded_out", gossip.crowdedOut())));
+        List<Count> counts =
+                new ArrayList<>(
+                        List.of(
+                                new Count("datagrams_sent", datagrams.datagramsSent()),
+                                new Count("datagrams_read", datagrams.datagramsRead()),
+                                new Count("bytes_sent", gossip.budget().sent()),
+                                new Count("unsent_for_budget", gossip.budget().refused()),
+                                new Count("unsent_for_address", datagrams.noAddress()),
+                                new Count("claims_taken", hearsay.taken()),
+                                new Count("claims_confirmed", hearsay.confirmed()),
+                                new Count("claims_overruled", hearsay.overruled()),
+                                new Count("claims_out_of_time", gossip.outOfTime()),
+                                new Count("words_crowded_out", gossip.crowdedOut())));
         for (Drop why : Drop.values()) {
-            counts.add(new Count("dropped_" + why.name().toLowerCase(Locale.ROOT), datagrams.drops(why)));
+            counts.add(
+                    new Count(
+                            "dropped_" + why.name().toLowerCase(Locale.ROOT),
+                            datagrams.drops(why)));
         }
         return counts;
     }
@@ -38,22 +51,48 @@
         Ring ring = datagrams.ring();
         Members members = datagrams.gossip().members();
         Hearsay hearsay = neighbours.hearsay();
-        StringBuilder out = new StringBuilder(String.format(Locale.ROOT, "%-24s %-8s %11s %6s  %s%n", "peer", "state",
-                "incarnation", "credit", "address"));
+        StringBuilder out =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-24s %-8s %11s %6s  %s%n",
+                                "peer",
+                                "state",
+                                "incarnation",
+                                "credit",
+                                "address"));
         for (int p = 0; p < ring.size(); p++) {
-            out.append(String.format(Locale.ROOT, "%-24s %-8s %11d %6.2f  %s%n", ring.name(p), state(datagrams, members, p),
-                    members.incarnation(p), hearsay.credit(p), ring.address(p) == null ? "-" : text(ring, p)));
+            out.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-24s %-8s %11d %6.2f  %s%n",
+                            ring.name(p),
+                            state(datagrams, members, p),
+                            members.incarnation(p),
+                            hearsay.credit(p),
+                            ring.address(p) == null ? "-" : text(ring, p)));
         }
         out.append(String.format(Locale.ROOT, "%n%-24s %-8s %6s%n", "node", "doubted", "claims"));
-        neighbours.nodes((id, node) -> {
-            if (hearsay.claims(node) > 0) {
-                out.append(String.format(Locale.ROOT, "%-24s %-8s %6d%n", id, neighbours.doubts(node) ? "yes" : "no",
-                        hearsay.claims(node)));
-            }
-        });
+        neighbours.nodes(
+                (id, node) -> {
+                    if (hearsay.claims(node) > 0) {
+                        out.append(
+                                String.format(
+                                        Locale.ROOT,
+                                        "%-24s %-8s %6d%n",
+                                        id,
+                                        neighbours.doubts(node) ? "yes" : "no",
+                                        hearsay.claims(node)));
+                    }
+                });
         out.append(String.format(Locale.ROOT, "%n%-24s %8d%n", "own illness", members.ill()));
         for (Count count : counts(datagrams, hearsay)) {
-            out.append(String.format(Locale.ROOT, "%-24s %8d%n", count.name.replace('_', ' '), count.number));
+            out.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-24s %8d%n",
+                            count.name.replace('_', ' '),
+                            count.number));
         }
         return out.toString();
     }
@@ -82,10 +121,11 @@
             out.writeArrayFieldStart("nodes");
             List<String> ids = new ArrayList<>();
             List<Integer> indices = new ArrayList<>();
-            neighbours.nodes((id, node) -> {
-                ids.add(id);
-                indices.add(node);
-            });
+            neighbours.nodes(
+                    (id, node) -> {
+                        ids.add(id);
+                        indices.add(node);
+                    });
             for (int i = 0; i < ids.size(); i++) {
                 out.writeStartObject();
                 out.writeStringField("id", ids.get(i));
@@ -108,10 +148,14 @@
     }
 
     private static String state(Datagrams datagrams, Members members, int peer) {
-        return peer == datagrams.self() ? "self" : members.state(peer).name().toLowerCase(Locale.ROOT);
+        return peer == datagrams.self()
+                ? "self"
+                : members.state(peer).name().toLowerCase(Locale.ROOT);
     }
 
     private static String text(Ring ring, int peer) {
-        return ring.address(peer).getAddress().getHostAddress() + ":" + ring.address(peer).getPort();
+        return ring.address(peer).getAddress().getHostAddress()
+                + ":"
+                + ring.address(peer).getPort();
     }
 }
--- a/src/main/java/dillfront/peers/Telling.java
+++ b/src/main/java/dillfront/peers/Telling.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Between what restricts here, keys in doubt and closed nodes, and the datagrams that tell others of it and bring theirs. */
+/**
+ * Between what restricts here, keys in doubt and closed nodes, and the datagrams that tell others
+ * of it and bring theirs.
+ */
 public final class Telling implements Datagrams.Telling {
 
     /** The lists, as far as others are told of them. */
@@ -26,13 +29,21 @@
 
     /** Null where they are not kept in mind. */
     private final Doubts doubts;
+
     private final Others others;
     private final Witnesses witnesses;
     private final Lists lists;
     private final Supplier<Duration> clock;
 
-    /** @param doubts and others null where they are not kept in mind */
-    public Telling(Doubts doubts, Others others, Witnesses witnesses, Lists lists, Supplier<Duration> clock) {
+    /**
+     * @param doubts and others null where they are not kept in mind
+     */
+    public Telling(
+            Doubts doubts,
+            Others others,
+            Witnesses witnesses,
+            Lists lists,
+            Supplier<Duration> clock) {
         this.doubts = doubts;
         this.others = others;
         this.witnesses = witnesses;
@@ -82,7 +93,8 @@
     @Override
     public long[] closed(int mostParts) {
         List<Map.Entry<String, long[]>> all = new ArrayList<>(lists.closed().entrySet());
-        List<Map.Entry<String, long[]>> told = all.subList(Math.max(0, all.size() - mostParts / Codec.CLOSED_PARTS), all.size());
+        List<Map.Entry<String, long[]>> told =
+                all.subList(Math.max(0, all.size() - mostParts / Codec.CLOSED_PARTS), all.size());
         long[] parts = new long[told.size() * Codec.CLOSED_PARTS];
         int at = 0;
         for (Map.Entry<String, long[]> one : told) {
--- a/src/main/java/dillfront/pgwire/Frames.java
+++ b/src/main/java/dillfront/pgwire/Frames.java
@@ -3,13 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Cuts what one peer sends into whole messages, each a slice of the buffer it was read into. Owns what is not
- * yet cut off; gives it back when it is used up, and in release().
+ * Cuts what one peer sends into whole messages, each a slice of the buffer it was read into. Owns
+ * what is not yet cut off; gives it back when it is used up, and in release().
  */
 public final class Frames {
 
     /** Of a client's: a value of 64 KiB in hexadecimal digits, and a statement round it. */
     public static final int LONGEST = (1 << 17) + (1 << 12);
+
     /** As PostgreSQL bounds it. */
     private static final int LONGEST_STARTUP = 10_000;
 
--- a/src/main/java/dillfront/pgwire/Messages.java
+++ b/src/main/java/dillfront/pgwire/Messages.java
@@ -8,8 +8,11 @@
 /** Writes messages, and reads the small ones. */
 public final class Messages {
 
-    /** The first number of a client's startup: version 3.0, and the requests that come in its place. */
+    /**
+     * The first number of a client's startup: version 3.0, and the requests that come in its place.
+     */
     public static final int VERSION = 196608;
+
     public static final int CANCEL = 80877102;
     public static final int SSL = 80877103;
     public static final int GSS = 80877104;
@@ -43,7 +46,8 @@
         return out.writeByte('Z').writeInt(5).writeByte('I');
     }
 
-    private static final ByteBuf READY = Unpooled.unreleasableBuffer(ready(Unpooled.directBuffer(6, 6)));
+    private static final ByteBuf READY =
+            Unpooled.unreleasableBuffer(ready(Unpooled.directBuffer(6, 6)));
 
     /** One that stands ready, for the ordinary path. */
     public static ByteBuf ready() {
@@ -54,8 +58,11 @@
         return ready(out.writeByte('I').writeInt(4));
     }
 
-    /** @param detail null where there is none */
-    public static ByteBuf error(ByteBuf out, boolean fatal, String code, String message, String detail) {
+    /**
+     * @param detail null where there is none
+     */
+    public static ByteBuf error(
+            ByteBuf out, boolean fatal, String code, String message, String detail) {
         int start = out.writerIndex();
         out.writeByte('E').writeInt(0);
         String severity = fatal ? "FATAL" : "ERROR";
@@ -104,8 +111,12 @@
         while (at < end && message.getByte(at) != 0) {
             int nameTo = zero(message, at, end);
             int valueTo = zero(message, Math.min(end, nameTo + 1), end);
-            if (nameTo - at == 4 && message.toString(at, 4, StandardCharsets.US_ASCII).equals("user")) {
-                return message.toString(nameTo + 1, Math.max(0, Math.min(valueTo - nameTo - 1, 256)), StandardCharsets.UTF_8);
+            if (nameTo - at == 4
+                    && message.toString(at, 4, StandardCharsets.US_ASCII).equals("user")) {
+                return message.toString(
+                        nameTo + 1,
+                        Math.max(0, Math.min(valueTo - nameTo - 1, 256)),
+                        StandardCharsets.UTF_8);
             }
             at = valueTo + 1;
         }
@@ -123,7 +134,8 @@
     /** What a password message says. */
     public static String password(ByteBuf message) {
         int from = message.readerIndex() + 5;
-        return message.toString(from, zero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
+        return message.toString(
+                from, zero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
     }
 
     /** The code of an error message; empty where it holds none. */
@@ -142,12 +154,19 @@
         return "";
     }
 
-    /** Where the value of a parameter message of this name begins; negative where it has another name, or no form. */
+    /**
+     * Where the value of a parameter message of this name begins; negative where it has another
+     * name, or no form.
+     */
     public static int valueOf(ByteBuf message, byte[] name) {
         int from = message.readerIndex() + 5;
         int value = from + name.length + 1;
-        return is(message, from, name) && value < message.writerIndex() && message.getByte(value - 1) == 0
-                && message.getByte(message.writerIndex() - 1) == 0 ? value : -1;
+        return is(message, from, name)
+                        && value < message.writerIndex()
+                        && message.getByte(value - 1) == 0
+                        && message.getByte(message.writerIndex() - 1) == 0
+                ? value
+                : -1;
     }
 
     /** Whether these bytes stand there. */
@@ -180,8 +199,10 @@
     /** Whether a description is of one column, and nothing else. */
     public static boolean oneField(ByteBuf description) {
         int at = description.readerIndex() + 5;
-        int zero = description.readableBytes() < 7 || description.getShort(at) != 1 ? -1
-                : description.indexOf(at + 2, description.writerIndex(), (byte) 0);
+        int zero =
+                description.readableBytes() < 7 || description.getShort(at) != 1
+                        ? -1
+                        : description.indexOf(at + 2, description.writerIndex(), (byte) 0);
         return zero >= 0 && description.writerIndex() - zero == 19;
     }
 
@@ -194,7 +215,9 @@
     /** Whether a row holds one column that fills it. */
     public static boolean oneColumn(ByteBuf row) {
         int at = row.readerIndex() + 5;
-        return row.readableBytes() >= 11 && row.getShort(at) == 1 && row.getInt(at + 2) == row.readableBytes() - 11;
+        return row.readableBytes() >= 11
+                && row.getShort(at) == 1
+                && row.getInt(at + 2) == row.readableBytes() - 11;
     }
 
     /** Whether a query holds nothing: white space and semicolons. */
--- a/src/main/java/dillfront/pgwire/Statement.java
+++ b/src/main/java/dillfront/pgwire/Statement.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client's statement, read in place. Keeps numbers, and the places in the message where the waiting time
- * stands, never the bytes.
+ * A client's statement, read in place. Keeps numbers, and the places in the message where the
+ * waiting time stands, never the bytes.
  */
 public final class Statement implements KeyBytes {
 
@@ -25,23 +25,32 @@
 
     /** Its client's name for the type. */
     public String type;
+
     public boolean write;
+
     /** A hash of what tells this txn from all others. */
     public long id;
+
     /** A hash of the quoted key, which names the session where there is one. */
     public long key;
+
     /** A hash of the idempotency key that a referenced txn carries; 0 where there is none. */
     public long mark;
+
     public long waitMs = -1;
     public int group;
+
     /** Unix time of the session's last write; 0 where it has none, or does not say. */
     public long afterMs;
+
     /** Where the digits of the waiting time begin and end in the message. */
     public int waitFrom;
+
     public int waitTo;
 
     /** Where the key begins in the message, and its bytes. */
     private int keyFrom;
+
     private int keyLength;
 
     private final ByteBuf message;
@@ -156,8 +165,11 @@
 
     /** Goes on to this character or to what ends a comment's entry. */
     private int stop(char mark) {
-        while (at < end && message.getByte(at) != mark && message.getByte(at) != ','
-                && message.getByte(at) != ' ' && message.getByte(at) != '*') {
+        while (at < end
+                && message.getByte(at) != mark
+                && message.getByte(at) != ','
+                && message.getByte(at) != ' '
+                && message.getByte(at) != '*') {
             at++;
         }
         return at;
--- a/src/main/java/dillfront/plan/Estate.java
+++ b/src/main/java/dillfront/plan/Estate.java
@@ -7,12 +7,15 @@
 import java.util.TreeSet;
 
 /**
- * What is planned for: the nodes of a list, the txn types of the settings, and how much is asked where. All that is in it comes
- * from what every router has alike, in an order of its own, so that the same list makes the same plan everywhere.
+ * What is planned for: the nodes of a list, the txn types of the settings, and how much is asked
+ * where. All that is in it comes from what every router has alike, in an order of its own, so that
+ * the same list makes the same plan everywhere.
  */
 public final class Estate {
 
-    /** @param capacity work a second, in units of a node of weight 1 */
+    /**
+     * @param capacity work a second, in units of a node of weight 1
+     */
     public record Node(String id, String site, int group, double capacity, boolean leads) {}
 
     /**
@@ -33,10 +36,15 @@
      * @param use what is asked, as a part of what all nodes can do
      * @param crossing what one txn that crosses sites costs, as a part of the mean value
      */
-    public Estate(List<String> sites, List<Node> nodes, List<Kind> kinds, double use, double crossing) {
+    public Estate(
+            List<String> sites, List<Node> nodes, List<Kind> kinds, double use, double crossing) {
         this.sites = List.copyOf(new TreeSet<>(sites));
         List<Node> sorted = new ArrayList<>(nodes);
-        sorted.sort((a, b) -> a.group != b.group ? Integer.compare(a.group, b.group) : a.id.compareTo(b.id));
+        sorted.sort(
+                (a, b) ->
+                        a.group != b.group
+                                ? Integer.compare(a.group, b.group)
+                                : a.id.compareTo(b.id));
         this.nodes = List.copyOf(sorted);
         this.kinds = List.copyOf(kinds);
         this.use = use;
@@ -58,7 +66,9 @@
     /** What one crossing takes from the value of a txn. */
     double crossingPrice() {
         double shares = kinds.stream().mapToDouble(Kind::share).sum();
-        return shares == 0 ? 0 : crossing * kinds.stream().mapToDouble(k -> k.value * k.share).sum() / shares;
+        return shares == 0
+                ? 0
+                : crossing * kinds.stream().mapToDouble(k -> k.value * k.share).sum() / shares;
     }
 
     /** By group, all its members. */
@@ -74,11 +84,12 @@
     }
 
     /**
-     * Of what is asked, the part whose clients come to this site once those are lost: clients stand where nodes do, and those of
-     * a lost site go to the others as much as they can do.
+     * Of what is asked, the part whose clients come to this site once those are lost: clients stand
+     * where nodes do, and those of a lost site go to the others as much as they can do.
      */
     double part(String site, Set<String> lost) {
-        double left = sites.stream().filter(s -> !lost.contains(s)).mapToDouble(this::capacity).sum();
+        double left =
+                sites.stream().filter(s -> !lost.contains(s)).mapToDouble(this::capacity).sum();
         return lost.contains(site) || left == 0 ? 0 : capacity(site) / left;
     }
 
--- a/src/main/java/dillfront/plan/Lists.java
+++ b/src/main/java/dillfront/plan/Lists.java
@@ -32,7 +32,8 @@
             kinds.add(new Estate.Kind(name, primaryOnly, types.get(i).number("worth", 1), share));
         }
         if (!shares.isEmpty()) {
-            throw new BadConfig("no txn type '" + shares.keySet().iterator().next() + "' in the settings");
+            throw new BadConfig(
+                    "no txn type '" + shares.keySet().iterator().next() + "' in the settings");
         }
         List<Estate.Node> nodes = new ArrayList<>();
         List<String> sites = new ArrayList<>();
@@ -46,12 +47,18 @@
             if (!sites.contains(site)) {
                 sites.add(site);
             }
-            nodes.add(new Estate.Node(entry.text("instanceId"), site, (int) entry.whole("cell"), weight > 0 ? weight : 1,
-                    entry.text("role").equals("leader")));
+            nodes.add(
+                    new Estate.Node(
+                            entry.text("instanceId"),
+                            site,
+                            (int) entry.whole("cell"),
+                            weight > 0 ? weight : 1,
+                            entry.text("role").equals("leader")));
         }
         if (nodes.isEmpty()) {
             throw new BadConfig("'known' lists no node that is ready");
         }
-        return new Estate(sites, nodes, kinds, use, settings.tree("charges").number("crossZone", 0));
+        return new Estate(
+                sites, nodes, kinds, use, settings.tree("charges").number("crossZone", 0));
     }
 }
--- a/src/main/java/dillfront/plan/Plan.java
+++ b/src/main/java/dillfront/plan/Plan.java
@@ -4,7 +4,8 @@
 import java.util.Set;
 
 /**
- * What becomes of all that is asked once these sites are lost. Amounts are work a second, in units of a node of weight 1.
+ * What becomes of all that is asked once these sites are lost. Amounts are work a second, in units
+ * of a node of weight 1.
  *
  * @param lost none where this is the plan of an ordinary day
  */
@@ -23,10 +24,12 @@
     }
 
     /**
-     * @param primary who leads; where he is lost, the least of those who may come to, since nobody knows who will
+     * @param primary who leads; where he is lost, the least of those who may come to, since nobody
+     *     knows who will
      * @param elects the one that led is lost: until another does, the group takes no write
      */
-    public record Group(int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
+    public record Group(
+            int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
 
     /**
      * One kind of txn.
@@ -34,7 +37,13 @@
      * @param asked of the group, at all sites
      * @param limit what binds where not all is served
      */
-    public record Row(String kind, double asked, double served, double crosses, Limit limit, List<Flow> flows) {}
+    public record Row(
+            String kind,
+            double asked,
+            double served,
+            double crosses,
+            Limit limit,
+            List<Flow> flows) {}
 
     /** So much of what is asked at a site goes to a node. */
     public record Flow(String from, String node, String at, double amount) {}
--- a/src/main/java/dillfront/plan/Planner.java
+++ b/src/main/java/dillfront/plan/Planner.java
@@ -18,22 +18,30 @@
 import org.apache.commons.math3.optim.nonlinear.scalar.GoalType;
 
 /**
- * Where all that is asked goes once sites are lost, so that as much value is served as the rest can, with as few crossings as
- * that allows. One linear programme a group, as groups share no node; by a simplex of the registry, whose pivots are chosen by
- * Bland's rule, so that the same estate makes the same plan, to the byte.
+ * Where all that is asked goes once sites are lost, so that as much value is served as the rest
+ * can, with as few crossings as that allows. One linear programme a group, as groups share no node;
+ * by a simplex of the registry, whose pivots are chosen by Bland's rule, so that the same estate
+ * makes the same plan, to the byte.
  *
- * <p>A greedy order comes within a hundredth of a percent of it in the mean, and 0.2 % at the worst ({@code make measure-site}); the
- * plan is exact all the same, so that what it refuses finds no room, whatever the order. Pure: no clock, no chance, no I/O.
+ * <p>A greedy order comes within a hundredth of a percent of it in the mean, and 0.2 % at the worst
+ * ({@code make measure-site}); the plan is exact all the same, so that what it refuses finds no
+ * room, whatever the order. Pure: no clock, no chance, no I/O.
  */
 public final class Planner {
 
-    /** Nodes are filled up to this part of what they can do: waiting times grow without bound at the whole of it (M/M/1). */
+    /**
+     * Nodes are filled up to this part of what they can do: waiting times grow without bound at the
+     * whole of it (M/M/1).
+     */
     static final double FILL = 0.85;
+
     /**
-     * What a routed read that spills to the primary costs, as a part of its value and beside the price of a crossing: it goes to
-     * a replica of another site before that, as the mechanism has it.
+     * What a routed read that spills to the primary costs, as a part of its value and beside the
+     * price of a crossing: it goes to a replica of another site before that, as the mechanism has
+     * it.
      */
     private static final double SPILL = 0.02;
+
     private static final int ITERATIONS = 20_000;
     private static final double NOTHING = 1e-9;
 
@@ -56,21 +64,34 @@
 
     /** How much goes each way. */
     private interface Choice {
-        double[] of(Estate estate, List<Way> ways, List<Estate.Node> left, double all, Set<String> lost);
+        double[] of(
+                Estate estate,
+                List<Way> ways,
+                List<Estate.Node> left,
+                double all,
+                Set<String> lost);
     }
 
     private static Plan plan(Estate estate, Set<String> lost, Choice by) {
         List<Plan.Group> groups = new ArrayList<>();
-        estate.groups().forEach((number, members) -> groups.add(group(estate, number, members, lost, by)));
+        estate.groups()
+                .forEach((number, members) -> groups.add(group(estate, number, members, lost, by)));
         return new Plan(lost, List.copyOf(groups));
     }
 
-    private static Plan.Group group(Estate estate, int number, List<Estate.Node> members, Set<String> lost, Choice by) {
+    private static Plan.Group group(
+            Estate estate, int number, List<Estate.Node> members, Set<String> lost, Choice by) {
         List<Estate.Node> left = members.stream().filter(n -> !lost.contains(n.site())).toList();
         Estate.Node leads = members.stream().filter(Estate.Node::leads).findFirst().orElse(null);
         boolean elects = leads != null && lost.contains(leads.site());
-        Estate.Node primary = leads != null && !elects ? leads
-                : left.stream().min(Comparator.comparingDouble(Estate.Node::capacity).thenComparing(Estate.Node::id)).orElse(null);
+        Estate.Node primary =
+                leads != null && !elects
+                        ? leads
+                        : left.stream()
+                                .min(
+                                        Comparator.comparingDouble(Estate.Node::capacity)
+                                                .thenComparing(Estate.Node::id))
+                                .orElse(null);
         double all = members.stream().mapToDouble(Estate.Node::capacity).sum();
         List<Way> ways = new ArrayList<>();
         for (int s = 0; s < estate.sites().size(); s++) {
@@ -80,7 +101,16 @@
                 if (estate.part(site, lost) * kind.share() > 0) {
                     for (Estate.Node node : left) {
                         if (!kind.primaryOnly() || node == primary) {
-                            ways.add(new Way(s, k, node, gain(estate, kind, node == primary, !node.site().equals(site))));
+                            ways.add(
+                                    new Way(
+                                            s,
+                                            k,
+                                            node,
+                                            gain(
+                                                    estate,
+                                                    kind,
+                                                    node == primary,
+                                                    !node.site().equals(site))));
                         }
                     }
                 }
@@ -89,40 +119,71 @@
         double[] amounts = ways.isEmpty() ? new double[0] : by.of(estate, ways, left, all, lost);
         List<Plan.Row> rows = new ArrayList<>();
         for (int k = 0; k < estate.kinds().size(); k++) {
-            rows.add(row(estate, k, ways, amounts, left, primary, estate.use() * all * estate.kinds().get(k).share()));
+            rows.add(
+                    row(
+                            estate,
+                            k,
+                            ways,
+                            amounts,
+                            left,
+                            primary,
+                            estate.use() * all * estate.kinds().get(k).share()));
         }
-        return new Plan.Group(number, members.size(), left.size(), primary == null ? null : primary.id(), elects && primary != null, rows);
+        return new Plan.Group(
+                number,
+                members.size(),
+                left.size(),
+                primary == null ? null : primary.id(),
+                elects && primary != null,
+                rows);
     }
 
     /** What one unit of a kind is worth, served so. */
-    private static double gain(Estate estate, Estate.Kind kind, boolean atPrimary, boolean crosses) {
-        double spills = !kind.primaryOnly() && atPrimary ? SPILL * kind.value() + estate.crossingPrice() : 0;
+    private static double gain(
+            Estate estate, Estate.Kind kind, boolean atPrimary, boolean crosses) {
+        double spills =
+                !kind.primaryOnly() && atPrimary
+                        ? SPILL * kind.value() + estate.crossingPrice()
+                        : 0;
         return kind.value() - spills - (crosses ? estate.crossingPrice() : 0);
     }
 
     /** A kind that is asked at a site, to a node. */
     private record Way(int site, int kind, Estate.Node node, double gain) {}
 
-    private static double[] solve(Estate estate, List<Way> ways, List<Estate.Node> left, double all, Set<String> lost) {
+    private static double[] solve(
+            Estate estate, List<Way> ways, List<Estate.Node> left, double all, Set<String> lost) {
         double[] gains = ways.stream().mapToDouble(Way::gain).toArray();
         List<LinearConstraint> limits = new ArrayList<>();
         for (int s = 0; s < estate.sites().size(); s++) {
             for (int k = 0; k < estate.kinds().size(); k++) {
                 int site = s;
                 int kind = k;
-                double asked = estate.use() * all * estate.kinds().get(k).share() * estate.part(estate.sites().get(s), lost);
+                double asked =
+                        estate.use()
+                                * all
+                                * estate.kinds().get(k).share()
+                                * estate.part(estate.sites().get(s), lost);
                 add(limits, ways, w -> w.site == site && w.kind == kind, asked);
             }
         }
         for (Estate.Node node : left) {
             add(limits, ways, w -> w.node == node, node.capacity() * FILL);
         }
-        PointValuePair best = new SimplexSolver().optimize(new MaxIter(ITERATIONS), new LinearObjectiveFunction(gains, 0),
-                new LinearConstraintSet(limits), GoalType.MAXIMIZE, new NonNegativeConstraint(true), PivotSelectionRule.BLAND);
+        PointValuePair best =
+                new SimplexSolver()
+                        .optimize(
+                                new MaxIter(ITERATIONS),
+                                new LinearObjectiveFunction(gains, 0),
+                                new LinearConstraintSet(limits),
+                                GoalType.MAXIMIZE,
+                                new NonNegativeConstraint(true),
+                                PivotSelectionRule.BLAND);
         return best.getPoint();
     }
 
-    private static double[] inOrder(Estate estate, List<Way> ways, List<Estate.Node> left, double all, Set<String> lost) {
+    private static double[] inOrder(
+            Estate estate, List<Way> ways, List<Estate.Node> left, double all, Set<String> lost) {
         Map<String, Double> room = new TreeMap<>();
         left.forEach(n -> room.put(n.id(), n.capacity() * FILL));
         Map<String, Double> asked = new TreeMap<>();
@@ -135,8 +196,14 @@
         for (int i : order) {
             Way way = ways.get(i);
             String from = way.site + "/" + way.kind;
-            double rest = asked.computeIfAbsent(from, k -> estate.use() * all * estate.kinds().get(way.kind).share()
-                    * estate.part(estate.sites().get(way.site), lost));
+            double rest =
+                    asked.computeIfAbsent(
+                            from,
+                            k ->
+                                    estate.use()
+                                            * all
+                                            * estate.kinds().get(way.kind).share()
+                                            * estate.part(estate.sites().get(way.site), lost));
             amounts[i] = Math.min(rest, room.get(way.node.id()));
             asked.put(from, rest - amounts[i]);
             room.merge(way.node.id(), -amounts[i], Double::sum);
@@ -160,7 +227,13 @@
         }
     }
 
-    private static Plan.Row row(Estate estate, int kind, List<Way> ways, double[] amounts, List<Estate.Node> left, Estate.Node primary,
+    private static Plan.Row row(
+            Estate estate,
+            int kind,
+            List<Way> ways,
+            double[] amounts,
+            List<Estate.Node> left,
+            Estate.Node primary,
             double asked) {
         List<Plan.Flow> flows = new ArrayList<>();
         double served = 0;
@@ -175,8 +248,12 @@
             }
         }
         Estate.Kind its = estate.kinds().get(kind);
-        Plan.Limit limit = served >= asked - 1e-6 * Math.max(1, asked) ? Plan.Limit.NONE : left.isEmpty() || primary == null ? Plan.Limit.NO_MEMBER
-                : its.primaryOnly() ? Plan.Limit.PRIMARY : Plan.Limit.MEMBERS;
+        Plan.Limit limit =
+                served >= asked - 1e-6 * Math.max(1, asked)
+                        ? Plan.Limit.NONE
+                        : left.isEmpty() || primary == null
+                                ? Plan.Limit.NO_MEMBER
+                                : its.primaryOnly() ? Plan.Limit.PRIMARY : Plan.Limit.MEMBERS;
         return new Plan.Row(its.name(), asked, served, crosses, limit, List.copyOf(flows));
     }
 
@@ -186,7 +263,13 @@
         for (Plan.Group group : plan.groups()) {
             for (int k = 0; k < group.rows().size(); k++) {
                 for (Plan.Flow flow : group.rows().get(k).flows()) {
-                    worth += flow.amount() * gain(estate, estate.kinds().get(k), flow.node().equals(group.primary()), !flow.from().equals(flow.at()));
+                    worth +=
+                            flow.amount()
+                                    * gain(
+                                            estate,
+                                            estate.kinds().get(k),
+                                            flow.node().equals(group.primary()),
+                                            !flow.from().equals(flow.at()));
                 }
             }
         }
@@ -196,8 +279,23 @@
     /** Of each node left, the part of what it can do that the plan gives it. */
     static Map<String, Double> load(Plan plan, List<Estate.Node> nodes) {
         Map<String, Double> load = new TreeMap<>();
-        nodes.stream().filter(n -> !plan.lost().contains(n.site())).forEach(n -> load.put(n.id(), 0.0));
-        plan.groups().forEach(g -> g.rows().forEach(r -> r.flows().forEach(f -> load.merge(f.node(), f.amount(), Double::sum))));
+        nodes.stream()
+                .filter(n -> !plan.lost().contains(n.site()))
+                .forEach(n -> load.put(n.id(), 0.0));
+        plan.groups()
+                .forEach(
+                        g ->
+                                g.rows()
+                                        .forEach(
+                                                r ->
+                                                        r.flows()
+                                                                .forEach(
+                                                                        f ->
+                                                                                load.merge(
+                                                                                        f.node(),
+                                                                                        f.amount(),
+                                                                                        Double
+                                                                                                ::sum))));
         nodes.forEach(n -> load.computeIfPresent(n.id(), (id, amount) -> amount / n.capacity()));
         return load;
     }
--- a/src/main/java/dillfront/port/Effect.java
+++ b/src/main/java/dillfront/port/Effect.java
@@ -1,4 +1,8 @@
 package dillfront.port;
 
 /** What a second run of a txn would do. */
-public enum Effect { REPEATABLE, REFERENCED, ONCE_ONLY }
+public enum Effect {
+    REPEATABLE,
+    REFERENCED,
+    ONCE_ONLY
+}
--- a/src/main/java/dillfront/port/Handle.java
+++ b/src/main/java/dillfront/port/Handle.java
@@ -15,8 +15,8 @@
     void ended(int node, Result result, Duration took, boolean closed, Report note, Report report);
 
     /**
-     * A submission could not be sent at once, since a connection had to be opened: whether it may go now. If
-     * not, it is never sent, and ends as UNSENT.
+     * A submission could not be sent at once, since a connection had to be opened: whether it may
+     * go now. If not, it is never sent, and ends as UNSENT.
      */
     boolean stands(int node);
 
--- a/src/main/java/dillfront/port/NodeRow.java
+++ b/src/main/java/dillfront/port/NodeRow.java
@@ -7,5 +7,11 @@
  *
  * @param started when it last started; null where that is long ago
  */
-public record NodeRow(int node, int group, int zone, double size, boolean primary, Duration started,
+public record NodeRow(
+        int node,
+        int group,
+        int zone,
+        double size,
+        boolean primary,
+        Duration started,
         Standing standing) {}
--- a/src/main/java/dillfront/port/Read.java
+++ b/src/main/java/dillfront/port/Read.java
@@ -1,4 +1,12 @@
 package dillfront.port;
 
-/** How current the data must be that a txn type is answered from; a write goes to the primary alone. */
-public enum Read { ANY, BOUNDED, SESSION, FRESH, WRITE }
+/**
+ * How current the data must be that a txn type is answered from; a write goes to the primary alone.
+ */
+public enum Read {
+    ANY,
+    BOUNDED,
+    SESSION,
+    FRESH,
+    WRITE
+}
--- a/src/main/java/dillfront/port/Report.java
+++ b/src/main/java/dillfront/port/Report.java
@@ -3,7 +3,8 @@
 import java.time.Duration;
 
 /**
- * What a node told of itself: in the note of an answer, or in a load report, which is some time old.
+ * What a node told of itself: in the note of an answer, or in a load report, which is some time
+ * old.
  *
  * @param position up to where it has applied every commit; null where it did not say
  * @param role null where it did not say
--- a/src/main/java/dillfront/port/Result.java
+++ b/src/main/java/dillfront/port/Result.java
@@ -2,9 +2,19 @@
 
 /** How a submission ended. */
 public enum Result {
-    COMMITTED(true), ERROR(true), FULL(false), TIMED_OUT(true), UNREACHABLE(false), RESET(true),
-    WITHDRAWN(true), MOOT(false), MISS(false),
-    /** What came back was in no form. The txn may have run; it says nothing of the node, which was up. */
+    COMMITTED(true),
+    ERROR(true),
+    FULL(false),
+    TIMED_OUT(true),
+    UNREACHABLE(false),
+    RESET(true),
+    WITHDRAWN(true),
+    MOOT(false),
+    MISS(false),
+    /**
+     * What came back was in no form. The txn may have run; it says nothing of the node, which was
+     * up.
+     */
     SPOILT(true),
     /** It no longer stood when a connection was up. */
     UNSENT(false);
--- a/src/main/java/dillfront/port/Role.java
+++ b/src/main/java/dillfront/port/Role.java
@@ -1,4 +1,7 @@
 package dillfront.port;
 
 /** What a node said it was. */
-public enum Role { PRIMARY, REPLICA }
+public enum Role {
+    PRIMARY,
+    REPLICA
+}
--- a/src/main/java/dillfront/port/Settings.java
+++ b/src/main/java/dillfront/port/Settings.java
@@ -12,11 +12,26 @@
  * @param maxPause the longest come-back time that a client heeds; zero where none can be given
  * @param listAsked the member list comes only when asked for
  * @param askWithin where it is asked for: how long an unasked list counts as told
- * @param goneStaysOpen only a node listed as draining is closed to new txns; one gone from the list is not
+ * @param goneStaysOpen only a node listed as draining is closed to new txns; one gone from the list
+ *     is not
  * @param quotas txns a second, over all routers, within each tenant's share
  */
-public record Settings(Duration step, int zone, Duration dial, Duration maxPause, int maxSubmissions,
-        boolean probes, boolean listAsked, Duration askWithin,
-        boolean nodesRefuse, boolean goneStaysOpen, double coldFrom, Duration coldFor,
-        double tipMultiple, Duration tipAfter, double probePrice, int routers,
-        List<TxnType> types, List<Double> quotas) {}
+public record Settings(
+        Duration step,
+        int zone,
+        Duration dial,
+        Duration maxPause,
+        int maxSubmissions,
+        boolean probes,
+        boolean listAsked,
+        Duration askWithin,
+        boolean nodesRefuse,
+        boolean goneStaysOpen,
+        double coldFrom,
+        Duration coldFor,
+        double tipMultiple,
+        Duration tipAfter,
+        double probePrice,
+        int routers,
+        List<TxnType> types,
+        List<Double> quotas) {}
--- a/src/main/java/dillfront/port/Sight.java
+++ b/src/main/java/dillfront/port/Sight.java
@@ -11,7 +11,13 @@
 public record Sight(Health health, Duration wellAt, int evidence) {
 
     /** UNKNOWN is neither: too little was sent there of late. */
-    public enum Health { WELL, UNKNOWN, SILENT, FAILING, LOST }
+    public enum Health {
+        WELL,
+        UNKNOWN,
+        SILENT,
+        FAILING,
+        LOST
+    }
 
     public boolean ill() {
         return health != Health.WELL && health != Health.UNKNOWN;
--- a/src/main/java/dillfront/port/Standing.java
+++ b/src/main/java/dillfront/port/Standing.java
@@ -1,4 +1,8 @@
 package dillfront.port;
 
 /** What the member list says of a node. */
-public enum Standing { READY, DRAINING, GONE }
+public enum Standing {
+    READY,
+    DRAINING,
+    GONE
+}
--- a/src/main/java/dillfront/port/TxnType.java
+++ b/src/main/java/dillfront/port/TxnType.java
@@ -11,5 +11,13 @@
  * @param longest how long a client waits, over all its tries
  * @param lateShare the share of its value that an answer after the SLA time still earns
  */
-public record TxnType(Effect effect, boolean groupDrops, Duration window, Read read, Duration bound,
-        Duration sla, Duration longest, double value, double lateShare) {}
+public record TxnType(
+        Effect effect,
+        boolean groupDrops,
+        Duration window,
+        Read read,
+        Duration bound,
+        Duration sla,
+        Duration longest,
+        double value,
+        double lateShare) {}
--- a/src/main/java/dillfront/programs/Rehearsal.java
+++ b/src/main/java/dillfront/programs/Rehearsal.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Both programs for a moment in one process, with a configuration, a server that is not there, and a client that is told so.
- * The build runs this and keeps the classes that were loaded, so that a process that starts again serves sooner.
+ * Both programs for a moment in one process, with a configuration, a server that is not there, and
+ * a client that is told so. The build runs this and keeps the classes that were loaded, so that a
+ * process that starts again serves sooner.
  */
 public final class Rehearsal {
 
@@ -34,26 +35,70 @@
             }
         }
         String control = "127.0.0.1:" + port[0];
-        JsonObject common = Json.object().add("ip_address", "127.0.0.1").add("zone_name", "a").add("region", "a")
-                .add("zones", Json.object().add("a", "a")).add("internal_port_range", Json.array(port[1], port[1]))
-                .add("seed_addresses", Json.array().add(control)).add("first_start", true).add("bounds", Json.object())
-                .add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
+        JsonObject common =
+                Json.object()
+                        .add("ip_address", "127.0.0.1")
+                        .add("zone_name", "a")
+                        .add("region", "a")
+                        .add("zones", Json.object().add("a", "a"))
+                        .add("internal_port_range", Json.array(port[1], port[1]))
+                        .add("seed_addresses", Json.array().add(control))
+                        .add("first_start", true)
+                        .add("bounds", Json.object())
+                        .add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
         Path core = folder.resolve("core.json");
-        Files.writeString(core, new JsonObject(common).add("node_name", "core").add("data_directory", folder.resolve("data").toString())
-                .add("listen_addresses", Json.object().add("control_address", control)).toString());
+        Files.writeString(
+                core,
+                new JsonObject(common)
+                        .add("node_name", "core")
+                        .add("data_directory", folder.resolve("data").toString())
+                        .add("listen_addresses", Json.object().add("control_address", control))
+                        .toString());
         Path front = folder.resolve("front.json");
-        Files.writeString(front, new JsonObject(common).add("node_name", "front").add("listen_addresses", Json.object()
-                .add("front_address", "127.0.0.1:" + port[2]).add("readiness_address", "127.0.0.1:" + port[3])).toString());
+        Files.writeString(
+                front,
+                new JsonObject(common)
+                        .add("node_name", "front")
+                        .add(
+                                "listen_addresses",
+                                Json.object()
+                                        .add("front_address", "127.0.0.1:" + port[2])
+                                        .add("readiness_address", "127.0.0.1:" + port[3]))
+                        .toString());
         ControlPlane.run(() -> Settings.read(core));
         DataPlane.run(() -> Settings.read(front));
         NettyHost host = new NettyHost(1);
-        JsonObject configuration = Json.object().add("revision_number", 1)
-                .add("routes", Json.array().add(Json.object().add("name", "r").add("host_name", "h").add("path_prefix", "/")
-                        .add("route_kind", "primary").add("timeout_ms", 300).add("priority", 1).add("service", "s")))
-                .add("services", Json.array().add(Json.object().add("name", "s").add("connection_limit", 20)));
+        JsonObject configuration =
+                Json.object()
+                        .add("revision_number", 1)
+                        .add(
+                                "routes",
+                                Json.array()
+                                        .add(
+                                                Json.object()
+                                                        .add("name", "r")
+                                                        .add("host_name", "h")
+                                                        .add("path_prefix", "/")
+                                                        .add("route_kind", "primary")
+                                                        .add("timeout_ms", 300)
+                                                        .add("priority", 1)
+                                                        .add("service", "s")))
+                        .add(
+                                "services",
+                                Json.array()
+                                        .add(
+                                                Json.object()
+                                                        .add("name", "s")
+                                                        .add("connection_limit", 20)));
         say(host, control, "/Configuration.Replace", configuration);
-        JsonObject beat = Json.object().add("service", "s").add("address", "127.0.0.1:1").add("zone_name", "a").add("state", "ready")
-                .add("database_role", "primary").add("call_sequence", 1);
+        JsonObject beat =
+                Json.object()
+                        .add("service", "s")
+                        .add("address", "127.0.0.1:1")
+                        .add("zone_name", "a")
+                        .add("state", "ready")
+                        .add("database_role", "primary")
+                        .add("call_sequence", 1);
         say(host, control, "/Instances.Heartbeat/i-1", beat);
         say(host, "127.0.0.1:" + port[3], "/readiness", Json.object());
         for (int tries = 0; tries < 50; tries++) {
@@ -75,8 +120,11 @@
     private static String client(int port) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(WITHIN_MS);
-            socket.getOutputStream().write(("CONNECT h w\r\nQUERY 1 SET a b\r\nQUERY 2 PREPARE p READ q\r\nQUERY 3 EXECUTE p k\r\n"
-                    + "QUERY 4 BEGIN READ\r\nQUERY 5 ROLLBACK\r\nQUERY 6 WRITE k v\r\nGOODBYE\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            ("CONNECT h w\r\nQUERY 1 SET a b\r\nQUERY 2 PREPARE p READ q\r\nQUERY 3 EXECUTE p k\r\n"
+                                            + "QUERY 4 BEGIN READ\r\nQUERY 5 ROLLBACK\r\nQUERY 6 WRITE k v\r\nGOODBYE\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
--- a/src/main/java/dillfront/recovery/Digest.java
+++ b/src/main/java/dillfront/recovery/Digest.java
@@ -9,15 +9,24 @@
 import org.apache.commons.collections4.bloomfilter.SimpleBloomFilter;
 
 /**
- * Keys in doubt as one instance tells them to others: a Bloom filter, so that its size is bounded whatever there is to tell, and
- * nobody reads keys out of it. It may hold a key that was never put in, in one of 10,000 cases; what it holds restricts alone.
+ * Keys in doubt as one instance tells them to others: a Bloom filter, so that its size is bounded
+ * whatever there is to tell, and nobody reads keys out of it. It may hold a key that was never put
+ * in, in one of 10,000 cases; what it holds restricts alone.
  */
 public final class Digest {
 
-    /** So many bits a key and so many of them set: one in 10,000 others seems to be there (Bloom 1970; m/n = 20, k = 14). */
+    /**
+     * So many bits a key and so many of them set: one in 10,000 others seems to be there (Bloom
+     * 1970; m/n = 20, k = 14).
+     */
     static final int BITS = 20;
+
     private static final int SET = 14;
-    /** One with more of its bits set was made to hold everything: an honest one has half of them at the most. */
+
+    /**
+     * One with more of its bits set was made to hold everything: an honest one has half of them at
+     * the most.
+     */
     private static final double FULL = 0.55;
 
     private final long[] words;
@@ -38,7 +47,8 @@
     }
 
     /**
-     * Of these keys, as short as they need. Where there are too many, the latest: who asks again does so soon.
+     * Of these keys, as short as they need. Where there are too many, the latest: who asks again
+     * does so soon.
      *
      * @param keys the latest last
      * @param most words of 64 bits
@@ -47,7 +57,8 @@
         List<Long> all = new ArrayList<>();
         keys.forEach(all::add);
         int words = Math.max(1, Math.min(most, (all.size() * BITS + Long.SIZE - 1) / Long.SIZE));
-        List<Long> told = all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS), all.size());
+        List<Long> told =
+                all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS), all.size());
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(words));
         told.forEach(key -> filter.merge(hasher(key)));
         return new Digest(told.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
@@ -57,7 +68,9 @@
     public static Digest read(long[] words) {
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(Math.max(1, words.length)));
         filter.merge(BitMapExtractor.fromBitMapArray(words));
-        return filter.cardinality() > FULL * words.length * Long.SIZE ? null : new Digest(words, filter);
+        return filter.cardinality() > FULL * words.length * Long.SIZE
+                ? null
+                : new Digest(words, filter);
     }
 
     public boolean isEmpty() {
--- a/src/main/java/dillfront/recovery/Doubts.java
+++ b/src/main/java/dillfront/recovery/Doubts.java
@@ -7,20 +7,25 @@
 import java.util.Map;
 
 /**
- * The referenced txns that may have run and of which nobody knows whether they did, by group and idempotency key. A client that
- * asks again comes with a new id and the same key: by the id alone it would be a new txn, and past the set's window it would
- * have its effect twice. What is here says since when it may have run; {@link dillfront.Decide} then sends it only within the
- * window, and answers it with what promises nothing after that.
+ * The referenced txns that may have run and of which nobody knows whether they did, by group and
+ * idempotency key. A client that asks again comes with a new id and the same key: by the id alone
+ * it would be a new txn, and past the set's window it would have its effect twice. What is here
+ * says since when it may have run; {@link dillfront.Decide} then sends it only within the window,
+ * and answers it with what promises nothing after that.
  *
- * <p>What an earlier life or another router tells has no time that could be trusted, since no clock counts an outage: it may
- * have run at any time, so its window counts as over. It restricts and never permits.
+ * <p>What an earlier life or another router tells has no time that could be trusted, since no clock
+ * counts an outage: it may have run at any time, so its window counts as over. It restricts and
+ * never permits.
  *
- * <p>A key is kept from before its first send until it is known that it never ran, or until its client has its answer; in doubt
- * it is kept for as long as clients may come again, and bounded in number: what finds no room is not taken at all. Guards
- * against a write that is applied twice, across a restart too where a {@link Keeper} remembers. Harm: a client whose txn never
- * ran in truth gets no write through by that key for as long as it is kept; it has to read, and ask by a new one.
+ * <p>A key is kept from before its first send until it is known that it never ran, or until its
+ * client has its answer; in doubt it is kept for as long as clients may come again, and bounded in
+ * number: what finds no room is not taken at all. Guards against a write that is applied twice,
+ * across a restart too where a {@link Keeper} remembers. Harm: a client whose txn never ran in
+ * truth gets no write through by that key for as long as it is kept; it has to read, and ask by a
+ * new one.
  *
- * <p>Pure: no clock, no I/O. Once-only txns carry no key and cannot be told apart here; they are sent once by their id alone.
+ * <p>Pure: no clock, no I/O. Once-only txns carry no key and cannot be told apart here; they are
+ * sent once by their id alone.
  */
 public final class Doubts {
 
@@ -49,27 +54,39 @@
     private static final class Row {
         /** Txns of this key that are here, and submissions of theirs that are out. */
         int here;
+
         int out;
-        /** Since when it may have run, if an ending has not told otherwise; null where none is known to be sent. */
+
+        /**
+         * Since when it may have run, if an ending has not told otherwise; null where none is known
+         * to be sent.
+         */
         Duration since;
+
         /** Some submission ended without telling. */
         boolean doubt;
+
         /** When it was last doubted. */
         Duration at;
     }
 
     private final Bounds bounds;
     private final Keeper keeper;
+
     /** Those with a txn here; emptied as txns end. */
     private final Map<Long, Row> open = new HashMap<>();
+
     /** Those in doubt with none here, the longest doubted first; emptied as their time is over. */
     private final LinkedHashMap<Long, Row> kept = new LinkedHashMap<>();
+
     private long version;
     private long refused;
     private long met;
     private long settled;
 
-    /** @param keeper null where nobody remembers */
+    /**
+     * @param keeper null where nobody remembers
+     */
     public Doubts(Bounds bounds, Keeper keeper) {
         this.bounds = bounds;
         this.keeper = keeper;
@@ -116,7 +133,10 @@
         return true;
     }
 
-    /** Since when a txn of this key, just taken, may have run by an earlier one; null where it has not. */
+    /**
+     * Since when a txn of this key, just taken, may have run by an earlier one; null where it has
+     * not.
+     */
     public Duration ran(long key) {
         return open.get(key).since;
     }
@@ -171,7 +191,7 @@
 
     /** Those whose time is over go. */
     public void expire(Duration now) {
-        for (Iterator<Map.Entry<Long, Row>> first = kept.entrySet().iterator(); first.hasNext();) {
+        for (Iterator<Map.Entry<Long, Row>> first = kept.entrySet().iterator(); first.hasNext(); ) {
             Map.Entry<Long, Row> one = first.next();
             if (one.getValue().at.plus(bounds.keeps).compareTo(now) > 0) {
                 return;
