--- a/src/main/java/dillfront/recovery/Groups.java
+++ b/src/main/java/dillfront/recovery/Groups.java
@@ -3,22 +3,24 @@
 import dillfront.port.Role;
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * How far each group has come back in this life, and who may be believed to lead it: one state machine a group, fed by what
- * nodes say, by silence and by lists. What an earlier life knew of who led restricts: whoever leads by his own word alone,
- * against him who led before, gets no write until that one has spoken, or a bounded time is over.
+ * How far each group has come back in this life, and who may be believed to lead it: one state
+ * machine a group, fed by what nodes say, by silence and by lists. What an earlier life knew of who
+ * led restricts: whoever leads by his own word alone, against him who led before, gets no write
+ * until that one has spoken, or a bounded time is over.
  *
- * <p>Guards against a former primary that is back first after a loss of power and still believes in itself, or that an old list
- * names: what it takes is lost to the group. Within a life {@link dillfront.Decide} believes the latest word, as nodes that
- * hang must not hold a group. Harm: where the one that led is gone for good, and still listed, writes of its group wait for that
- * time once, and clients are told to come back.
+ * <p>Guards against a former primary that is back first after a loss of power and still believes in
+ * itself, or that an old list names: what it takes is lost to the group. Within a life {@link
+ * dillfront.Decide} believes the latest word, as nodes that hang must not hold a group. Harm: where
+ * the one that led is gone for good, and still listed, writes of its group wait for that time once,
+ * and clients are told to come back.
  *
- * <p>Pure: the caller has the clock, and feeds each word once. Rows are as many as lists name nodes and groups.
+ * <p>Pure: the caller has the clock, and feeds each word once. Rows are as many as lists name nodes
+ * and groups.
  */
 public final class Groups {
 
@@ -56,7 +58,10 @@
         void leads(int group, String node);
     }
 
-    /** So long, in dial time-outs, the one that led before may take to speak once another has claimed its place. */
+    /**
+     * So long, in dial time-outs, the one that led before may take to speak once another has
+     * claimed its place.
+     */
     private static final int AWAITED_DIALS = 8;
 
     private static final class Row {
@@ -80,14 +85,25 @@
 
     private static final class Place {
         State state = State.DARK;
+
         /** Who led in an earlier life; null once that is settled, one way or the other. */
         String former;
-        /** He leads by his own word in this life too: against him others' claims count only once he has gone silent. */
+
+        /**
+         * He leads by his own word in this life too: against him others' claims count only once he
+         * has gone silent.
+         */
         boolean confirmed;
-        /** When another than he first claimed the place; while nobody does, no time runs against him. */
+
+        /**
+         * When another than he first claimed the place; while nobody does, no time runs against
+         * him.
+         */
         Duration claimedAt;
+
         /** Who was last told of as leading. */
         String leader;
+
         final List<Row> members = new ArrayList<>();
     }
 
@@ -95,13 +111,17 @@
     private final Listener listener;
     private Duration awaited;
     private Duration coldFor;
+
     /** By the router's index; null where it has none now. */
     private final List<Row> rows = new ArrayList<>();
+
     private final Map<Integer, Place> places = new TreeMap<>();
     private boolean discovery;
     private long held;
 
-    /** @param began when this life did */
+    /**
+     * @param began when this life did
+     */
     public Groups(Duration began, Duration dial, Duration coldFor, Listener listener) {
         this.began = began;
         this.listener = listener;
@@ -126,7 +146,9 @@
 
     // ---- what lists say
 
-    /** @param started null for long ago */
+    /**
+     * @param started null for long ago
+     */
     public void listed(int node, String id, int group, Duration started, boolean ready) {
         while (rows.size() <= node) {
             rows.add(null);
@@ -191,19 +213,30 @@
     }
 
     /**
-     * Whether this node's word that it leads counts, as far as it is known who led before. His silence tells nothing until he has spoken:
-     * where power comes back, he may be the last to be there. Once he has said that he leads, it ends what is known of him.
+     * Whether this node's word that it leads counts, as far as it is known who led before. His
+     * silence tells nothing until he has spoken: where power comes back, he may be the last to be
+     * there. Once he has said that he leads, it ends what is known of him.
      */
     public boolean mayLead(int node, Duration now) {
         Row row = node < rows.size() ? rows.get(node) : null;
         Place place = row == null ? null : place(row.group);
-        if (place == null || place.former == null || place.former.equals(row.id)
+        if (place == null
+                || place.former == null
+                || place.former.equals(row.id)
                 || Trust.of(Trust.Thing.LEADER, place.state) != Trust.RESTRICTS) {
             return true;
         }
-        Row former = place.members.stream().filter(m -> m.ready && m.id.equals(place.former)).findAny().orElse(null);
-        boolean over = former == null || (place.confirmed ? former.silent || former.heardAt.plus(awaited).compareTo(now) < 0
-                : place.claimedAt != null && now.minus(place.claimedAt).compareTo(awaited) >= 0);
+        Row former =
+                place.members.stream()
+                        .filter(m -> m.ready && m.id.equals(place.former))
+                        .findAny()
+                        .orElse(null);
+        boolean over =
+                former == null
+                        || (place.confirmed
+                                ? former.silent || former.heardAt.plus(awaited).compareTo(now) < 0
+                                : place.claimedAt != null
+                                        && now.minus(place.claimedAt).compareTo(awaited) >= 0);
         if (over) {
             place.former = null;
             return true;
@@ -221,19 +254,20 @@
     // ---- the beat
 
     public void beat(Duration now) {
-        places.forEach((group, place) -> {
-            State is = state(place, now);
-            if (is != place.state) {
-                State was = place.state;
-                place.state = is;
-                listener.changed(group, was, is);
-            }
-            Row leader = is.compareTo(State.KNOWN) >= 0 ? leading(place).get(0) : null;
-            if (leader != null && !leader.id.equals(place.leader)) {
-                place.leader = leader.id;
-                listener.leads(group, leader.id);
-            }
-        });
+        places.forEach(
+                (group, place) -> {
+                    State is = state(place, now);
+                    if (is != place.state) {
+                        State was = place.state;
+                        place.state = is;
+                        listener.changed(group, was, is);
+                    }
+                    Row leader = is.compareTo(State.KNOWN) >= 0 ? leading(place).get(0) : null;
+                    if (leader != null && !leader.id.equals(place.leader)) {
+                        place.leader = leader.id;
+                        listener.leads(group, leader.id);
+                    }
+                });
     }
 
     private static List<Row> leading(Place place) {
@@ -258,14 +292,16 @@
             cold |= row.ready && cold(row, now);
             if (row.ready && row.role != Role.PRIMARY) {
                 replicas = true;
-                covered |= row.there() && row.position != null && row.position.compareTo(began) >= 0;
+                covered |=
+                        row.there() && row.position != null && row.position.compareTo(began) >= 0;
             }
         }
         if (!any) {
             return State.DARK;
         }
         List<Row> leading = leading(place);
-        if (leading.size() != 1 || place.former != null && !leading.get(0).id.equals(place.former)) {
+        if (leading.size() != 1
+                || place.former != null && !leading.get(0).id.equals(place.former)) {
             return State.CONTESTED;
         }
         return replicas && !covered ? State.KNOWN : all && !cold ? State.WARM : State.COVERED;
@@ -279,22 +315,24 @@
 
     public Map<Integer, State> states() {
         Map<Integer, State> states = new TreeMap<>();
-        places.forEach((group, place) -> {
-            if (!place.members.isEmpty()) {
-                states.put(group, place.state);
-            }
-        });
+        places.forEach(
+                (group, place) -> {
+                    if (!place.members.isEmpty()) {
+                        states.put(group, place.state);
+                    }
+                });
         return states;
     }
 
     /** Who is known to lead each group, or to have led it last. */
     public List<String> leaders() {
         List<String> leaders = new ArrayList<>();
-        places.forEach((group, place) -> {
-            if (place.leader != null) {
-                leaders.add(group + ":" + place.leader);
-            }
-        });
+        places.forEach(
+                (group, place) -> {
+                    if (place.leader != null) {
+                        leaders.add(group + ":" + place.leader);
+                    }
+                });
         return leaders;
     }
 
@@ -318,10 +356,15 @@
         return 2 * seen.young > seen.nodes ? Loss.ALL : discovery ? Loss.ROUTER : Loss.DISCOVERY;
     }
 
-    /** How sure: 0 where half of the nodes tell this and half that, or none is there; 1 where all are and agree. */
+    /**
+     * How sure: 0 where half of the nodes tell this and half that, or none is there; 1 where all
+     * are and agree.
+     */
     public double sure() {
         Seen seen = seen();
-        return seen.nodes == 0 ? 0 : Math.abs(2.0 * seen.young / seen.nodes - 1) * seen.there / seen.nodes;
+        return seen.nodes == 0
+                ? 0
+                : Math.abs(2.0 * seen.young / seen.nodes - 1) * seen.there / seen.nodes;
     }
 
     private record Seen(int nodes, int there, int young) {}
@@ -335,7 +378,10 @@
             if (row != null && row.ready) {
                 nodes++;
                 there += row.there() ? 1 : 0;
-                young += row.started != null && row.started.plus(coldFor).compareTo(began) > 0 ? 1 : 0;
+                young +=
+                        row.started != null && row.started.plus(coldFor).compareTo(began) > 0
+                                ? 1
+                                : 0;
             }
         }
         return new Seen(nodes, there, young);
--- a/src/main/java/dillfront/recovery/Others.java
+++ b/src/main/java/dillfront/recovery/Others.java
@@ -6,12 +6,14 @@
 import java.util.List;
 
 /**
- * What other instances have said that they have in doubt, and what they say that this one said in an earlier life, which it may
- * have forgotten with its disk. It restricts and never permits: an instance that lies can hold back the writes of keys that it
- * knows, and one in 10,000 others; one that claims everything is not heard. Nobody is waited for.
+ * What other instances have said that they have in doubt, and what they say that this one said in
+ * an earlier life, which it may have forgotten with its disk. It restricts and never permits: an
+ * instance that lies can hold back the writes of keys that it knows, and one in 10,000 others; one
+ * that claims everything is not heard. Nobody is waited for.
  *
- * <p>Of each instance the latest word counts, and the last one of its life before that, for as long as a client may come again:
- * one that comes back without its disk says nothing, and knew something. Rows are as many as instances.
+ * <p>Of each instance the latest word counts, and the last one of its life before that, for as long
+ * as a client may come again: one that comes back without its disk says nothing, and knew
+ * something. Rows are as many as instances.
  */
 public final class Others {
 
@@ -21,6 +23,7 @@
     private static final class Row {
         Said now;
         Said former;
+
         /** What it says that this instance said. */
         Said ours;
     }
@@ -30,7 +33,9 @@
     private long heard;
     private long refused;
 
-    /** @param keeps for how long a client may come again with the same key */
+    /**
+     * @param keeps for how long a client may come again with the same key
+     */
     public Others(int instances, Duration keeps) {
         this.keeps = keeps;
         for (int i = 0; i < instances; i++) {
@@ -38,7 +43,10 @@
         }
     }
 
-    /** An instance says what it has in doubt, in this life of it: any other than the last is a new one. */
+    /**
+     * An instance says what it has in doubt, in this life of it: any other than the last is a new
+     * one.
+     */
     public void says(int instance, int life, long[] words, Duration now) {
         Digest digest = take(words);
         if (digest == null) {
@@ -66,7 +74,10 @@
         return digest;
     }
 
-    /** What an instance said in its life before this one, to be told back to it; null where nothing is known. */
+    /**
+     * What an instance said in its life before this one, to be told back to it; null where nothing
+     * is known.
+     */
     public long[] before(int instance) {
         Said said = rows.get(instance).former;
         return said == null ? null : said.digest.words();
@@ -93,9 +104,12 @@
     }
 
     public void expire(Duration now) {
-        for (Iterator<Row> all = rows.iterator(); all.hasNext();) {
+        for (Iterator<Row> all = rows.iterator(); all.hasNext(); ) {
             Row row = all.next();
-            row.now = over(row.now, now) ? new Said(row.now.life, Digest.of(List.of(), 1), now) : row.now;
+            row.now =
+                    over(row.now, now)
+                            ? new Said(row.now.life, Digest.of(List.of(), 1), now)
+                            : row.now;
             row.former = over(row.former, now) ? null : row.former;
             row.ours = over(row.ours, now) ? null : row.ours;
         }
@@ -107,7 +121,9 @@
 
     /** How many say that they have anything in doubt, or had in their life before. */
     public long telling() {
-        return rows.stream().filter(r -> r.now != null && !r.now.digest.isEmpty() || r.former != null).count();
+        return rows.stream()
+                .filter(r -> r.now != null && !r.now.digest.isEmpty() || r.former != null)
+                .count();
     }
 
     /** How many say that this instance had something in doubt in an earlier life. */
--- a/src/main/java/dillfront/script/Lexer.java
+++ b/src/main/java/dillfront/script/Lexer.java
@@ -4,12 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** From text to words. Indentation by spaces makes blocks, as in Starlark; within brackets lines go on. */
+/**
+ * From text to words. Indentation by spaces makes blocks, as in Starlark; within brackets lines go
+ * on.
+ */
 final class Lexer {
 
     private static final int LONGEST = 1 << 20;
-    private static final List<String> SIGNS = List.of("//=", "==", "!=", "<=", ">=", "+=", "-=", "*=", "%=", "//", "+", "-", "*",
-            "%", "<", ">", "=", "(", ")", "[", "]", "{", "}", ",", ":", ".", ";");
+    private static final List<String> SIGNS =
+            List.of(
+                    "//=", "==", "!=", "<=", ">=", "+=", "-=", "*=", "%=", "//", "+", "-", "*", "%",
+                    "<", ">", "=", "(", ")", "[", "]", "{", "}", ",", ":", ".", ";");
 
     private final String text;
     private final List<Token> tokens = new ArrayList<>();
@@ -50,7 +55,8 @@
             line();
         }
         if (!brackets.isEmpty()) {
-            throw new ScriptError(brackets.peek(), "this " + brackets.peek().shown() + " is not closed");
+            throw new ScriptError(
+                    brackets.peek(), "this " + brackets.peek().shown() + " is not closed");
         }
         if (!tokens.isEmpty() && tokens.get(tokens.size() - 1).kind() != Token.Kind.NEWLINE) {
             add(Token.Kind.NEWLINE, "", at);
@@ -170,7 +176,8 @@
                 if ("([{".contains(sign)) {
                     brackets.push(token);
                 } else if (")]}".contains(sign)) {
-                    if (brackets.isEmpty() || "([{".indexOf(brackets.peek().text()) != ")]}".indexOf(sign)) {
+                    if (brackets.isEmpty()
+                            || "([{".indexOf(brackets.peek().text()) != ")]}".indexOf(sign)) {
                         throw error("this " + sign + " closes nothing");
                     }
                     brackets.pop();
--- a/src/main/java/dillfront/script/Parser.java
+++ b/src/main/java/dillfront/script/Parser.java
@@ -9,11 +9,38 @@
 final class Parser {
 
     private static final int DEEPEST = 64;
-    private static final Set<String> WORDS = Set.of("if", "elif", "else", "for", "in", "def", "return", "pass", "break", "continue",
-            "and", "or", "not", "True", "False", "None", "while", "lambda", "load", "import", "class");
+    private static final Set<String> WORDS =
+            Set.of(
+                    "if",
+                    "elif",
+                    "else",
+                    "for",
+                    "in",
+                    "def",
+                    "return",
+                    "pass",
+                    "break",
+                    "continue",
+                    "and",
+                    "or",
+                    "not",
+                    "True",
+                    "False",
+                    "None",
+                    "while",
+                    "lambda",
+                    "load",
+                    "import",
+                    "class");
+
     /** Weakest first; of one row from left to right. */
-    private static final List<Set<String>> BINARY = List.of(Set.of("or"), Set.of("and"),
-            Set.of("==", "!=", "<", ">", "<=", ">=", "in"), Set.of("+", "-"), Set.of("*", "//", "%"));
+    private static final List<Set<String>> BINARY =
+            List.of(
+                    Set.of("or"),
+                    Set.of("and"),
+                    Set.of("==", "!=", "<", ">", "<=", ">=", "in"),
+                    Set.of("+", "-"),
+                    Set.of("*", "//", "%"));
 
     private final List<Token> tokens;
     private int at;
@@ -99,7 +126,8 @@
             }
             case "def" -> into.add(function());
             case "while", "lambda", "load", "import", "class" ->
-                    throw new ScriptError(first, "'" + first.text() + "' is not part of these scripts");
+                    throw new ScriptError(
+                            first, "'" + first.text() + "' is not part of these scripts");
             default -> {
                 small(into);
                 endOfLine();
@@ -127,10 +155,18 @@
                 List<Token> names = names();
                 expect("=");
                 into.add(new Tree.Set(first, names, "=", value()));
-            } else if (value instanceof Tree.Name && peek().kind() == Kind.SIGN && peek().text().length() > 1
-                    && peek().text().endsWith("=") && !"==!=<=>=".contains(peek().text())) {
+            } else if (value instanceof Tree.Name
+                    && peek().kind() == Kind.SIGN
+                    && peek().text().length() > 1
+                    && peek().text().endsWith("=")
+                    && !"==!=<=>=".contains(peek().text())) {
                 String sign = next().text();
-                into.add(new Tree.Set(first, List.of(first), sign.substring(0, sign.length() - 1), value()));
+                into.add(
+                        new Tree.Set(
+                                first,
+                                List.of(first),
+                                sign.substring(0, sign.length() - 1),
+                                value()));
             } else {
                 into.add(new Tree.Do(first, value));
             }
@@ -233,10 +269,13 @@
             return new Tree.Unary(sign, of);
         }
         Tree.Value left = binary(row + 1);
-        while ((peek().kind() == Kind.SIGN || peek().kind() == Kind.NAME) && BINARY.get(row).contains(peek().text())) {
+        while ((peek().kind() == Kind.SIGN || peek().kind() == Kind.NAME)
+                && BINARY.get(row).contains(peek().text())) {
             Token sign = next();
             left = new Tree.Binary(sign, left, binary(row + 1));
-            if (row == 2 && BINARY.get(row).contains(peek().text()) && peek().kind() != Kind.STRING) {
+            if (row == 2
+                    && BINARY.get(row).contains(peek().text())
+                    && peek().kind() != Kind.STRING) {
                 throw new ScriptError(peek(), "comparisons in a row: use brackets and 'and'");
             }
         }
@@ -328,7 +367,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
         if (takes("(")) {
             Tree.Value value = value();
--- a/src/main/java/dillfront/script/Script.java
+++ b/src/main/java/dillfront/script/Script.java
@@ -9,9 +9,10 @@
 import java.util.Set;
 
 /**
- * Runs a script: whole numbers, strings, truth, None, lists, dicts, functions without recursion, for over what is finite.
- * It reads no file, clock or chance, so the same text does the same; and it ends, since its steps are bounded. What it
- * has to say it says by calls of words that the program gives it.
+ * Runs a script: whole numbers, strings, truth, None, lists, dicts, functions without recursion,
+ * for over what is finite. It reads no file, clock or chance, so the same text does the same; and
+ * it ends, since its steps are bounded. What it has to say it says by calls of words that the
+ * program gives it.
  */
 public final class Script {
 
@@ -20,7 +21,9 @@
 
     /** A word that the program gives to scripts. */
     public interface Word {
-        /** @return the value of the call: null, Boolean, Long, String, List or Map */
+        /**
+         * @return the value of the call: null, Boolean, Long, String, List or Map
+         */
         Object call(Arguments arguments) throws ScriptError;
     }
 
@@ -33,7 +36,11 @@
         private final Map<String, Token> where;
         private int taken;
 
-        Arguments(Token at, List<Object> placed, Map<String, Object> named, Map<String, Token> where) {
+        Arguments(
+                Token at,
+                List<Object> placed,
+                Map<String, Object> named,
+                Map<String, Token> where) {
             this.at = at;
             this.placed = placed;
             this.named = named;
@@ -80,7 +87,8 @@
                 throw new ScriptError(at, "too many arguments for '" + at.text() + "'");
             }
             for (String name : named.keySet()) {
-                throw new ScriptError(where.get(name), "'" + at.text() + "' takes no '" + name + "'");
+                throw new ScriptError(
+                        where.get(name), "'" + at.text() + "' takes no '" + name + "'");
             }
         }
 
@@ -98,7 +106,12 @@
     private record Function(Tree.Def def, List<Object> defaults) {}
 
     /** How a list of steps ended. */
-    private enum End { THROUGH, BREAK, CONTINUE, RETURN }
+    private enum End {
+        THROUGH,
+        BREAK,
+        CONTINUE,
+        RETURN
+    }
 
     private final Map<String, Word> words;
     private final Map<String, Object> globals = new HashMap<>();
@@ -168,7 +181,9 @@
             returned = back.value() == null ? null : value(back.value());
             return End.RETURN;
         } else if (step instanceof Tree.Leave leave) {
-            return leave.at().is("break") ? End.BREAK : leave.at().is("continue") ? End.CONTINUE : End.THROUGH;
+            return leave.at().is("break")
+                    ? End.BREAK
+                    : leave.at().is("continue") ? End.CONTINUE : End.THROUGH;
         }
         return End.THROUGH;
     }
@@ -177,13 +192,15 @@
         Map<String, Object> into = locals == null ? globals : locals;
         if (names.size() == 1) {
             if (words.containsKey(names.get(0).text())) {
-                throw new ScriptError(names.get(0), "'" + names.get(0).text() + "' is a word of the program");
+                throw new ScriptError(
+                        names.get(0), "'" + names.get(0).text() + "' is a word of the program");
             }
             into.put(names.get(0).text(), value);
             return;
         }
         if (!(value instanceof List<?> list) || list.size() != names.size()) {
-            throw new ScriptError(at, "expected a list of " + names.size() + ", found " + shown(value));
+            throw new ScriptError(
+                    at, "expected a list of " + names.size() + ", found " + shown(value));
         }
         for (int i = 0; i < names.size(); i++) {
             into.put(names.get(i).text(), list.get(i));
@@ -231,7 +248,9 @@
             for (int i = 0; i < entries.keys().size(); i++) {
                 Object key = value(entries.keys().get(i));
                 if (map.containsKey(key)) {
-                    throw new ScriptError(entries.keys().get(i).at(), "the key " + shown(key) + " is there twice");
+                    throw new ScriptError(
+                            entries.keys().get(i).at(),
+                            "the key " + shown(key) + " is there twice");
                 }
                 map.put(key(entries.keys().get(i).at(), key), value(entries.values().get(i)));
             }
@@ -310,7 +329,12 @@
         return call(call.at(), function, placed, named, where);
     }
 
-    private Object call(Token at, Function function, List<Object> placed, Map<String, Object> named, Map<String, Token> where)
+    private Object call(
+            Token at,
+            Function function,
+            List<Object> placed,
+            Map<String, Object> named,
+            Map<String, Token> where)
             throws ScriptError {
         Tree.Def def = function.def();
         String called = def.names().get(0).text();
@@ -352,8 +376,11 @@
         switch (at.text()) {
             case "len" -> {
                 Object of = one(at, given);
-                return of instanceof List<?> list ? (Object) (long) list.size() : of instanceof Map<?, ?> map ? (long) map.size()
-                        : (long) text(at, of).length();
+                return of instanceof List<?> list
+                        ? (Object) (long) list.size()
+                        : of instanceof Map<?, ?> map
+                                ? (long) map.size()
+                                : (long) text(at, of).length();
             }
             case "str" -> {
                 Object of = one(at, given);
@@ -363,7 +390,8 @@
                 long from = given.size() > 1 ? number(at, given.get(0)) : 0;
                 long to = given.isEmpty() ? 0 : number(at, given.get(given.size() > 1 ? 1 : 0));
                 if (given.isEmpty() || given.size() > 2 || to - from > LARGEST) {
-                    throw new ScriptError(at, "expected range(to) or range(from, to) of at most " + LARGEST);
+                    throw new ScriptError(
+                            at, "expected range(to) or range(from, to) of at most " + LARGEST);
                 }
                 List<Object> list = new ArrayList<>();
                 for (long i = from; i < to; i++) {
@@ -399,7 +427,8 @@
             long at = number(index.at(), key);
             at = at < 0 ? at + list.size() : at;
             if (at < 0 || at >= list.size()) {
-                throw new ScriptError(index.at(), "no element " + shown(key) + " in a list of " + list.size());
+                throw new ScriptError(
+                        index.at(), "no element " + shown(key) + " in a list of " + list.size());
             }
             return list.get((int) at);
         }
@@ -418,8 +447,11 @@
                 case "format" -> {
                     String result = text;
                     for (Object one : given) {
-                        result = result.replaceFirst("\\{\\}", java.util.regex.Matcher.quoteReplacement(
-                                one instanceof String s ? s : shown(one)));
+                        result =
+                                result.replaceFirst(
+                                        "\\{\\}",
+                                        java.util.regex.Matcher.quoteReplacement(
+                                                one instanceof String s ? s : shown(one)));
                     }
                     return bounded(at, result);
                 }
@@ -430,7 +462,7 @@
                     }
                     return bounded(at, result.toString());
                 }
-                default -> { }
+                default -> {}
             }
         } else if (of instanceof Map<?, ?> map) {
             switch (at.text()) {
@@ -438,7 +470,9 @@
                     if (given.isEmpty() || given.size() > 2) {
                         throw new ScriptError(at, "'get' takes a key and what stands for none");
                     }
-                    return map.containsKey(given.get(0)) ? map.get(given.get(0)) : given.size() > 1 ? given.get(1) : null;
+                    return map.containsKey(given.get(0))
+                            ? map.get(given.get(0))
+                            : given.size() > 1 ? given.get(1) : null;
                 }
                 case "keys" -> {
                     return new ArrayList<>(map.keySet());
@@ -448,7 +482,7 @@
                     map.forEach((k, v) -> pairs.add(java.util.Arrays.asList(k, v)));
                     return pairs;
                 }
-                default -> { }
+                default -> {}
             }
         }
         throw new ScriptError(at, shown(of) + " has no '" + at.text() + "'");
@@ -468,8 +502,11 @@
             case "!=":
                 return !java.util.Objects.equals(left, right);
             case "in":
-                return right instanceof Map<?, ?> map ? map.containsKey(left)
-                        : right instanceof String text ? (Object) text.contains(text(at, left)) : items(at, right).contains(left);
+                return right instanceof Map<?, ?> map
+                        ? map.containsKey(left)
+                        : right instanceof String text
+                                ? (Object) text.contains(text(at, left))
+                                : items(at, right).contains(left);
             case "+":
                 if (left instanceof String a && right instanceof String b) {
                     return bounded(at, a + b);
@@ -510,7 +547,9 @@
                     throw new ScriptError(at, "'" + sign + "' has no meaning here");
             }
         } catch (ArithmeticException bad) {
-            throw new ScriptError(at, b == 0 && !sign.equals("*") ? "a division by zero" : "a number beyond 64 bits");
+            throw new ScriptError(
+                    at,
+                    b == 0 && !sign.equals("*") ? "a division by zero" : "a number beyond 64 bits");
         }
     }
 
@@ -524,8 +563,17 @@
     }
 
     private static boolean truth(Object value) {
-        return value instanceof Boolean b ? b : value instanceof Long n ? n != 0 : value instanceof String s ? !s.isEmpty()
-                : value instanceof List<?> list ? !list.isEmpty() : value instanceof Map<?, ?> map ? !map.isEmpty() : value != null;
+        return value instanceof Boolean b
+                ? b
+                : value instanceof Long n
+                        ? n != 0
+                        : value instanceof String s
+                                ? !s.isEmpty()
+                                : value instanceof List<?> list
+                                        ? !list.isEmpty()
+                                        : value instanceof Map<?, ?> map
+                                                ? !map.isEmpty()
+                                                : value != null;
     }
 
     private static long number(Token at, Object value) throws ScriptError {
@@ -544,17 +592,28 @@
 
     private static Object key(Token at, Object value) throws ScriptError {
         if (value instanceof List || value instanceof Map) {
-            throw new ScriptError(at, "expected a string or number as a key, found " + shown(value));
+            throw new ScriptError(
+                    at, "expected a string or number as a key, found " + shown(value));
         }
         return value;
     }
 
     /** As a script would write it, shortened. */
     static String shown(Object value) {
-        String text = value == null ? "None" : value instanceof String ? '"' + (String) value + '"'
-                : value instanceof Boolean b ? b ? "True" : "False" : value instanceof List<?> list ? "a list of " + list.size()
-                : value instanceof Map<?, ?> map ? "a dict of " + map.size() : value instanceof Function ? "a function"
-                : String.valueOf(value);
+        String text =
+                value == null
+                        ? "None"
+                        : value instanceof String
+                                ? '"' + (String) value + '"'
+                                : value instanceof Boolean b
+                                        ? b ? "True" : "False"
+                                        : value instanceof List<?> list
+                                                ? "a list of " + list.size()
+                                                : value instanceof Map<?, ?> map
+                                                        ? "a dict of " + map.size()
+                                                        : value instanceof Function
+                                                                ? "a function"
+                                                                : String.valueOf(value);
         return text.length() > 60 ? text.substring(0, 57) + "..." : text;
     }
 }
--- a/src/main/java/dillfront/script/Token.java
+++ b/src/main/java/dillfront/script/Token.java
@@ -7,7 +7,16 @@
  */
 record Token(Kind kind, String text, int line, int column) {
 
-    enum Kind { NAME, NUMBER, STRING, SIGN, NEWLINE, INDENT, DEDENT, END }
+    enum Kind {
+        NAME,
+        NUMBER,
+        STRING,
+        SIGN,
+        NEWLINE,
+        INDENT,
+        DEDENT,
+        END
+    }
 
     boolean is(String sign) {
         return (kind == Kind.SIGN || kind == Kind.NAME) && text.equals(sign);
--- a/src/main/java/dillfront/script/Tree.java
+++ b/src/main/java/dillfront/script/Tree.java
@@ -8,7 +8,18 @@
     private Tree() {}
 
     /** What has a value. */
-    sealed interface Value permits Literal, Name, Items, Entries, Call, Index, Method, Unary, Binary, Choice, Comprehension {
+    sealed interface Value
+            permits Literal,
+                    Name,
+                    Items,
+                    Entries,
+                    Call,
+                    Index,
+                    Method,
+                    Unary,
+                    Binary,
+                    Choice,
+                    Comprehension {
         Token at();
     }
 
@@ -20,7 +31,9 @@
 
     record Entries(Token at, List<Value> keys, List<Value> values) implements Value {}
 
-    /** @param names of keyword arguments, null for those by place */
+    /**
+     * @param names of keyword arguments, null for those by place
+     */
     record Call(Token at, Value of, List<Token> names, List<Value> values) implements Value {}
 
     record Index(Token at, Value of, Value index) implements Value {}
@@ -34,14 +47,17 @@
 
     record Choice(Token at, Value when, Value then, Value otherwise) implements Value {}
 
-    record Comprehension(Token at, Value each, List<Token> names, Value in, Value when) implements Value {}
+    record Comprehension(Token at, Value each, List<Token> names, Value in, Value when)
+            implements Value {}
 
     /** What is done. */
     sealed interface Step permits Set, Do, If, For, Def, Return, Leave {
         Token at();
     }
 
-    /** @param sign = or one with an operator in front */
+    /**
+     * @param sign = or one with an operator in front
+     */
     record Set(Token at, List<Token> names, String sign, Value value) implements Step {}
 
     record Do(Token at, Value value) implements Step {}
@@ -50,8 +66,11 @@
 
     record For(Token at, List<Token> names, Value in, List<Step> each) implements Step {}
 
-    /** @param defaults null where there is none */
-    record Def(Token at, List<Token> names, List<Value> defaults, List<Step> steps) implements Step {}
+    /**
+     * @param defaults null where there is none
+     */
+    record Def(Token at, List<Token> names, List<Value> defaults, List<Step> steps)
+            implements Step {}
 
     record Return(Token at, Value value) implements Step {}
 
--- a/src/main/java/dillfront/servers/Call.java
+++ b/src/main/java/dillfront/servers/Call.java
@@ -11,22 +11,32 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.time.Duration;
 
-/** One question to a node, a submission or a probe: its time limit, and what has come back of the answer. */
+/**
+ * One question to a node, a submission or a probe: its time limit, and what has come back of the
+ * answer.
+ */
 abstract class Call {
 
     final Pool pool;
     final long startedNanos = System.nanoTime();
+
     /** Where it is out; null while it waits for a connection, and once it has ended. */
     Connection connection;
+
     /** Owned here: cancelled when the call ends. */
     ScheduledFuture<?> limit;
+
     /** How far the router was behind then, in all. */
     final Duration behindAtStart;
+
     /** Its time is up, and the sockets are looked at once more before that counts. */
     boolean lastLook;
+
     /** Its last byte was written. */
     boolean whole;
+
     boolean ended;
+
     /** The node spoke out of turn or in no form: no word of this answer counts. */
     boolean spoilt;
 
@@ -72,7 +82,7 @@
                     return true;
                 }
             }
-            default -> { }
+            default -> {}
         }
         message.release();
         return false;
@@ -139,8 +149,12 @@
             release(completion);
         }
         description = row = completion = null;
-        over(result, Duration.ofNanos(System.nanoTime() - startedNanos), answer,
-                spoilt ? Report.NOTHING : new Report(position, role), spoilt ? Report.NOTHING : report);
+        over(
+                result,
+                Duration.ofNanos(System.nanoTime() - startedNanos),
+                answer,
+                spoilt ? Report.NOTHING : new Report(position, role),
+                spoilt ? Report.NOTHING : report);
     }
 
     private static void release(ByteBuf message) {
--- a/src/main/java/dillfront/servers/Connection.java
+++ b/src/main/java/dillfront/servers/Connection.java
@@ -35,13 +35,19 @@
     private Channel channel;
     private ChannelHandlerContext ctx;
     private ScheduledFuture<?> dialing;
+
     /** While an answer has begun and has not ended. */
     private ScheduledFuture<?> stalling;
-    /** Whom it is opened for; it may have gone over another connection by the time this one is up. */
+
+    /**
+     * Whom it is opened for; it may have gone over another connection by the time this one is up.
+     */
     private Call caller;
+
     private Call call;
     private boolean up;
     private boolean closed;
+
     /** Since when it could be used; later than now while it rests. */
     long idleSince;
 
@@ -60,21 +66,27 @@
 
     void open() {
         fleet.opened(this);
-        ChannelFuture connecting = Sockets.connect(fleet.loop, address, this,
-                (int) fleet.setup.settings().dial().toMillis() + 1);
+        ChannelFuture connecting =
+                Sockets.connect(
+                        fleet.loop,
+                        address,
+                        this,
+                        (int) fleet.setup.settings().dial().toMillis() + 1);
         if (connecting == null) {
             close();
             return;
         }
         channel = connecting.channel();
         fleet.counters.timers++;
-        dialing = fleet.loop.schedule(this::close, fleet.setup.settings().dial().toNanos(),
-                TimeUnit.NANOSECONDS);
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                close();
-            }
-        });
+        dialing =
+                fleet.loop.schedule(
+                        this::close, fleet.setup.settings().dial().toNanos(), TimeUnit.NANOSECONDS);
+        connecting.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        close();
+                    }
+                });
     }
 
     /** The dial is over, well or not. */
@@ -99,13 +111,14 @@
         call = next;
         next.connection = this;
         ChannelPromise last = ctx.newPromise();
-        last.addListener(done -> {
-            if (done.isSuccess()) {
-                next.whole = true;
-            } else {
-                close();
-            }
-        });
+        last.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        next.whole = true;
+                    } else {
+                        close();
+                    }
+                });
         next.write(ctx, last);
     }
 
@@ -127,7 +140,9 @@
         }
         frames.add((ByteBuf) read);
         try {
-            for (ByteBuf message = frames.next(); message != null; message = closed ? null : frames.next()) {
+            for (ByteBuf message = frames.next();
+                    message != null;
+                    message = closed ? null : frames.next()) {
                 byte type = message.getByte(message.readerIndex());
                 if (!taken(type, message)) {
                     spoilt("message " + (char) type + " out of turn");
@@ -150,8 +165,12 @@
             stalled();
         } else if (open && stalling == null) {
             fleet.counters.timers++;
-            stalling = channel.eventLoop().schedule(() -> spoilt("an answer that does not go on"),
-                    fleet.setup.settings().dial().toNanos(), TimeUnit.NANOSECONDS);
+            stalling =
+                    channel.eventLoop()
+                            .schedule(
+                                    () -> spoilt("an answer that does not go on"),
+                                    fleet.setup.settings().dial().toNanos(),
+                                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -179,10 +198,12 @@
         }
         try {
             switch (type) {
-                case 'N' -> { }
+                case 'N' -> {}
                 case 'S' -> parameter(message);
                 case 'R' -> {
-                    return !up && message.readableBytes() == 9 && message.getInt(message.readerIndex() + 5) == 0;
+                    return !up
+                            && message.readableBytes() == 9
+                            && message.getInt(message.readerIndex() + 5) == 0;
                 }
                 case 'K' -> {
                     return !up;
@@ -216,8 +237,10 @@
         int position = role < 0 ? Messages.valueOf(message, POSITION) : -1;
         int load = role < 0 && position < 0 ? Messages.valueOf(message, LOAD) : -1;
         if (role >= 0) {
-            call.noted(Messages.is(message, role, LEADER) ? Role.PRIMARY
-                    : Messages.is(message, role, FOLLOWER) ? Role.REPLICA : (Role) null);
+            call.noted(
+                    Messages.is(message, role, LEADER)
+                            ? Role.PRIMARY
+                            : Messages.is(message, role, FOLLOWER) ? Role.REPLICA : (Role) null);
         } else if (position >= 0) {
             call.noted(fleet.position(message, position));
         } else if (load >= 0) {
--- a/src/main/java/dillfront/servers/Fleet.java
+++ b/src/main/java/dillfront/servers/Fleet.java
@@ -28,12 +28,17 @@
         void probed(int node, boolean answered, Report report);
     }
 
-    /** Who tells, on the loop, once all that was to be kept is; or, with false, that it cannot be. */
+    /**
+     * Who tells, on the loop, once all that was to be kept is; or, with false, that it cannot be.
+     */
     public interface Kept {
         void whenKept(Consumer<Boolean> then);
     }
 
-    /** A submission waits so long at the most to be kept, in dial time-outs; then it has never been sent. */
+    /**
+     * A submission waits so long at the most to be kept, in dial time-outs; then it has never been
+     * sent.
+     */
     private static final int KEPT_DIALS = 1;
 
     Setup setup;
@@ -41,27 +46,43 @@
     final Pace pace;
     final Counters counters;
     final Log log;
+
     /** A peer that acknowledges late holds back what comes behind an answer by 40 ms. */
     final long restNanos;
+
     /** Of one message of a node. */
     final int longest;
+
     final EventLoop loop;
     private final int most;
     private final Listener listener;
+
     /** One a node index; what was opened for a node that is forgotten closes by itself. */
     private final List<Pool> pools = new ArrayList<>();
+
     private int open;
+
     /** What has to be kept before a txn with a key is sent; null where nothing is. */
     private Kept kept;
+
     /** Reads what discovery has written: see look(). */
-    private Runnable news = () -> { };
+    private Runnable news = () -> {};
+
     private long lookedNanos;
 
     /**
      * @param most how many connections may be open at once
      * @param longest how many bytes one message of a node may have
      */
-    public Fleet(Setup setup, Clock clock, Pace pace, Counters counters, Log log, EventLoop loop, int most, int longest,
+    public Fleet(
+            Setup setup,
+            Clock clock,
+            Pace pace,
+            Counters counters,
+            Log log,
+            EventLoop loop,
+            int most,
+            int longest,
             Listener listener) {
         this.setup = setup;
         this.clock = clock;
@@ -74,10 +95,14 @@
         this.listener = listener;
         restNanos = setup.settings().dial().toNanos() / 4;
         Duration every = setup.settings().dial();
-        loop.scheduleWithFixedDelay(this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(
+                this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** For what is sent from now on; what rests and how often old connections are looked for stays as at the start. */
+    /**
+     * For what is sent from now on; what rests and how often old connections are looked for stays
+     * as at the start.
+     */
     public void settings(Setup next) {
         setup = next;
     }
@@ -93,8 +118,9 @@
     }
 
     /**
-     * Before anything is sent: the news were looked at within the last step of the clock, unless the pace is sure that
-     * all sockets were within a beat, whatever the loop or the machine did meanwhile. Guards against a send that overtakes a drain which lies unread: after a pause all
+     * Before anything is sent: the news were looked at within the last step of the clock, unless
+     * the pace is sure that all sockets were within a beat, whatever the loop or the machine did
+     * meanwhile. Guards against a send that overtakes a drain which lies unread: after a pause all
      * sockets are ready at once, and discovery's is one among hundreds.
      */
     void look() {
@@ -108,7 +134,10 @@
         }
     }
 
-    /** What the list says of a node: old connections are not used for a new address or a new process. */
+    /**
+     * What the list says of a node: old connections are not used for a new address or a new
+     * process.
+     */
     public void known(int node, InetSocketAddress address, long startedMs) {
         while (pools.size() <= node) {
             pools.add(new Pool(this, pools.size()));
@@ -123,7 +152,9 @@
         }
     }
 
-    /** The node has left the list and nothing is out there: its index may name another from now on. */
+    /**
+     * The node has left the list and nothing is out there: its index may name another from now on.
+     */
     public void forget(int node) {
         pools.get(node).address = null;
         pools.get(node).closeIdle();
@@ -141,27 +172,41 @@
         }
     }
 
-    /** Guards against a write that nobody remembers after a loss of power: it goes once it is kept, if it still stands then. */
+    /**
+     * Guards against a write that nobody remembers after a loss of power: it goes once it is kept,
+     * if it still stands then.
+     */
     private void startKept(Submission submission, Duration limit) {
-        loop.execute(() -> {
-            long most = Math.min(limit.toNanos(), KEPT_DIALS * setup.settings().dial().toNanos());
-            counters.timers++;
-            submission.limit = loop.schedule(() -> submission.end(Result.UNSENT), most, TimeUnit.NANOSECONDS);
-            kept.whenKept(well -> {
-                if (submission.ended) {
-                    return;
-                }
-                long left = limit.toNanos() - (System.nanoTime() - submission.startedNanos);
-                if (!well || left <= 0) {
-                    submission.end(Result.UNSENT);
-                    return;
-                }
-                submission.limit.cancel(false);
-                counters.timers--;
-                submission.limit = null;
-                go(submission, Duration.ofNanos(left));
-            });
-        });
+        loop.execute(
+                () -> {
+                    long most =
+                            Math.min(
+                                    limit.toNanos(),
+                                    KEPT_DIALS * setup.settings().dial().toNanos());
+                    counters.timers++;
+                    submission.limit =
+                            loop.schedule(
+                                    () -> submission.end(Result.UNSENT),
+                                    most,
+                                    TimeUnit.NANOSECONDS);
+                    kept.whenKept(
+                            well -> {
+                                if (submission.ended) {
+                                    return;
+                                }
+                                long left =
+                                        limit.toNanos()
+                                                - (System.nanoTime() - submission.startedNanos);
+                                if (!well || left <= 0) {
+                                    submission.end(Result.UNSENT);
+                                    return;
+                                }
+                                submission.limit.cancel(false);
+                                counters.timers--;
+                                submission.limit = null;
+                                go(submission, Duration.ofNanos(left));
+                            });
+                });
     }
 
     @Override
@@ -170,7 +215,9 @@
         start(new Probe(pools.get(node)), setup.settings().dial());
     }
 
-    /** Only once the module has returned: what ends at once must not reach it within its own call. */
+    /**
+     * Only once the module has returned: what ends at once must not reach it within its own call.
+     */
     private void start(Call call, Duration limit) {
         loop.execute(() -> go(call, limit));
     }
@@ -291,8 +338,8 @@
     }
 
     /**
-     * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in seconds, x1 as 0 or 1.
-     * Whatever else it may be is read as a text.
+     * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in
+     * seconds, x1 as 0 or 1. Whatever else it may be is read as a text.
      */
     Report report(ByteBuf message, int at) {
         Duration position = null;
@@ -349,12 +396,15 @@
     }
 
     private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dial().toMillis() ? null : clock.since(ms);
+        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dial().toMillis()
+                ? null
+                : clock.since(ms);
     }
 
     /**
-     * A load report: its position was rounded by its writer, to no more than a millisecond, so the lower one counts.
-     * One that cannot be read whole tells nothing, least of all who is the primary.
+     * A load report: its position was rounded by its writer, to no more than a millisecond, so the
+     * lower one counts. One that cannot be read whole tells nothing, least of all who is the
+     * primary.
      */
     Report report(String text) {
         Duration position = null;
@@ -372,7 +422,8 @@
                 }
             }
         } catch (NumberFormatException none) {
-            log.warn("report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
+            log.warn(
+                    "report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
             return Report.NOTHING;
         }
         return new Report(position, role);
--- a/src/main/java/dillfront/servers/Pool.java
+++ b/src/main/java/dillfront/servers/Pool.java
@@ -11,10 +11,13 @@
     final Fleet fleet;
     final int node;
     InetSocketAddress address;
+
     /** When the node last started, in Unix time; what was opened before that is not used again. */
     long startedMs;
+
     /** The one used last at the end: it is used first, so that the others grow old. */
     final ArrayDeque<Connection> idle = new ArrayDeque<>();
+
     final ArrayDeque<Call> waiting = new ArrayDeque<>();
 
     Pool(Fleet fleet, int node) {
@@ -23,8 +26,8 @@
     }
 
     /**
-     * A connection is up and free. After an answer it rests before it is used again: what comes behind that, a
-     * second copy or noise, must find no call that would take it for its own answer.
+     * A connection is up and free. After an answer it rests before it is used again: what comes
+     * behind that, a second copy or noise, must find no call that would take it for its own answer.
      */
     void free(Connection connection, long restNanos) {
         if (!connection.usable()) {
@@ -43,7 +46,7 @@
     /** The one used last of those that have rested; null where none has. */
     Connection rested() {
         long now = System.nanoTime();
-        for (Iterator<Connection> latest = idle.descendingIterator(); latest.hasNext();) {
+        for (Iterator<Connection> latest = idle.descendingIterator(); latest.hasNext(); ) {
             Connection connection = latest.next();
             if (now - connection.idleSince >= 0) {
                 return connection;
--- a/src/main/java/dillfront/servers/Submission.java
+++ b/src/main/java/dillfront/servers/Submission.java
@@ -39,18 +39,21 @@
         long leftMs = Math.max(1, (endNanos - System.nanoTime()) / 1_000_000);
         String digits = Long.toString(leftMs);
         if (digits.length() == statement.waitTo - statement.waitFrom) {
-            // As long as the client's own: written over it, since the message is this txn's alone, and sent in one piece.
+            // As long as the client's own: written over it, since the message is this txn's alone,
+            // and sent in one piece.
             message.setCharSequence(start + statement.waitFrom, digits, StandardCharsets.US_ASCII);
             ctx.writeAndFlush(message.retainedSlice(start, size), last);
             return;
         }
         ByteBuf head = ctx.alloc().buffer(5 + digits.length());
-        head.writeByte('Q').writeInt(size - 1 - (statement.waitTo - statement.waitFrom) + digits.length());
+        head.writeByte('Q')
+                .writeInt(size - 1 - (statement.waitTo - statement.waitFrom) + digits.length());
         ByteBufUtil.writeAscii(head, digits);
         ctx.write(head.readRetainedSlice(5));
         ctx.write(message.retainedSlice(start + 5, statement.waitFrom - 5));
         ctx.write(head);
-        ctx.writeAndFlush(message.retainedSlice(start + statement.waitTo, size - statement.waitTo), last);
+        ctx.writeAndFlush(
+                message.retainedSlice(start + statement.waitTo, size - statement.waitTo), last);
     }
 
     @Override
--- a/src/main/java/dillfront/site/Sites.java
+++ b/src/main/java/dillfront/site/Sites.java
@@ -10,13 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * Which sites are lost, as far as this router can tell by itself: by what it sees of the nodes there at each beat, and by nothing
- * that others say. A verdict is about the way from here to there; whether nodes died or the way did, it cannot tell and need
- * not. It tells where all that it hears of is at an end from where it is cut off itself.
+ * Which sites are lost, as far as this router can tell by itself: by what it sees of the nodes
+ * there at each beat, and by nothing that others say. A verdict is about the way from here to
+ * there; whether nodes died or the way did, it cannot tell and need not. It tells where all that it
+ * hears of is at an end from where it is cut off itself.
  *
- * <p>It goes down soon and up slowly: a site that is taken for lost for a moment costs crossings, one that is taken back too soon
- * costs the txns that are sent there. Each return that did not last doubles the time the next has to, and that is forgiven with
- * time; so a site that flaps ten times in a minute stays out of use after the first few, instead of swinging.
+ * <p>It goes down soon and up slowly: a site that is taken for lost for a moment costs crossings,
+ * one that is taken back too soon costs the txns that are sent there. Each return that did not last
+ * doubles the time the next has to, and that is forgiven with time; so a site that flaps ten times
+ * in a minute stays out of use after the first few, instead of swinging.
  *
  * <p>Pure: the caller has the clock. Rows are as many as lists name nodes and sites.
  */
@@ -36,7 +38,10 @@
     public enum Self {
         /** Some site answers that is not its own, or there is none. */
         JOINED,
-        /** No site answers but its own: the others are lost, or it and its site are cut off from them. */
+        /**
+         * No site answers but its own: the others are lost, or it and its site are cut off from
+         * them.
+         */
         ISLAND,
         /** None answers, its own neither. */
         ALONE
@@ -49,10 +54,15 @@
         void changed(Self from, Self to);
     }
 
-    /** A verdict for the worse has to hold for so long, in dial time-outs, and one for the better, at first and at the most. */
+    /**
+     * A verdict for the worse has to hold for so long, in dial time-outs, and one for the better,
+     * at first and at the most.
+     */
     private static final int WORSE_DIALS = 1;
+
     private static final int BETTER_DIALS = 4;
     private static final int MOST_DIALS = 64;
+
     /** After so long without a change, a return that did not last is forgiven. */
     private static final int FORGIVEN_DIALS = 128;
 
@@ -68,13 +78,18 @@
 
     private static final class Place {
         State state = State.UNKNOWN;
+
         /** What the last beat would have it be, and since when. */
         State would = State.UNKNOWN;
+
         Duration since = Duration.ZERO;
+
         /** When a return was last forgiven. */
         Duration calmFrom = Duration.ZERO;
+
         /** Returns that did not last, and are not forgiven. */
         int flaps;
+
         /** It has been lost or partly before its present state. */
         boolean returned;
     }
@@ -86,7 +101,9 @@
     private final Map<String, Place> places = new TreeMap<>();
     private Self self = Self.JOINED;
 
-    /** @param own the site where this router stands */
+    /**
+     * @param own the site where this router stands
+     */
     public Sites(String own, Duration dial, Listener listener) {
         this.own = own;
         this.dial = dial;
@@ -124,16 +141,19 @@
     }
 
     public void beat(Duration now) {
-        places.forEach((site, place) -> {
-            State is = looks(site);
-            // A beat without evidence is none against a return: few ask where all was lost, and not at every beat.
-            boolean silent = is == State.UNKNOWN && place.state.compareTo(State.PARTLY) >= 0;
-            if (is != place.would && !silent) {
-                place.would = is;
-                place.since = now;
-            }
-            judge(site, place, now);
-        });
+        places.forEach(
+                (site, place) -> {
+                    State is = looks(site);
+                    // A beat without evidence is none against a return: few ask where all was lost,
+                    // and not at every beat.
+                    boolean silent =
+                            is == State.UNKNOWN && place.state.compareTo(State.PARTLY) >= 0;
+                    if (is != place.would && !silent) {
+                        place.would = is;
+                        place.since = now;
+                    }
+                    judge(site, place, now);
+                });
         Self is = where();
         if (is != self) {
             Self was = self;
@@ -150,7 +170,10 @@
             if (row != null && row.ready && row.site.equals(site)) {
                 nodes++;
                 well += row.health == Sight.Health.WELL ? 1 : 0;
-                ill += row.health != Sight.Health.WELL && row.health != Sight.Health.UNKNOWN ? 1 : 0;
+                ill +=
+                        row.health != Sight.Health.WELL && row.health != Sight.Health.UNKNOWN
+                                ? 1
+                                : 0;
             }
         }
         if (nodes == 0 || ill == 0 && well == 0) {
@@ -162,16 +185,21 @@
     private void judge(String site, Place place, Duration now) {
         // Quiet is what has not changed underneath either, whatever the verdict made of it.
         Duration quietFrom = later(place.calmFrom, place.since);
-        if (place.flaps > 0 && now.minus(quietFrom).compareTo(dial.multipliedBy(FORGIVEN_DIALS)) > 0) {
+        if (place.flaps > 0
+                && now.minus(quietFrom).compareTo(dial.multipliedBy(FORGIVEN_DIALS)) > 0) {
             place.flaps--;
             place.calmFrom = now;
         }
         // What nothing is heard of stays what it was: nobody asks there, because it is lost.
-        if (place.would == place.state || place.would == State.UNKNOWN && place.state != State.WELL) {
+        if (place.would == place.state
+                || place.would == State.UNKNOWN && place.state != State.WELL) {
             return;
         }
         boolean worse = place.would.compareTo(place.state) > 0;
-        int dials = worse ? WORSE_DIALS : Math.min(MOST_DIALS, BETTER_DIALS << Math.min(place.flaps, 8));
+        int dials =
+                worse
+                        ? WORSE_DIALS
+                        : Math.min(MOST_DIALS, BETTER_DIALS << Math.min(place.flaps, 8));
         // The first word on a site counts at once.
         boolean first = place.state == State.UNKNOWN && place.would == State.WELL;
         if (!first && now.minus(place.since).compareTo(dial.multipliedBy(dials)) < 0) {
--- a/src/main/java/dillfront/sockets/Sockets.java
+++ b/src/main/java/dillfront/sockets/Sockets.java
@@ -13,15 +13,19 @@
 import java.util.function.Supplier;
 
 /**
- * Channels made by hand, on the one loop. Netty's bootstraps would copy themselves, look up names that are numbers here,
- * and load classes for all that at every start.
+ * Channels made by hand, on the one loop. Netty's bootstraps would copy themselves, look up names
+ * that are numbers here, and load classes for all that at every start.
  */
 public final class Sockets {
 
     private Sockets() {}
 
-    /** Opens one to this address; on the loop. The handler is its only one. Null where no descriptor is left. */
-    public static ChannelFuture connect(EventLoop loop, InetSocketAddress to, Ears ears, int timeoutMs) {
+    /**
+     * Opens one to this address; on the loop. The handler is its only one. Null where no descriptor
+     * is left.
+     */
+    public static ChannelFuture connect(
+            EventLoop loop, InetSocketAddress to, Ears ears, int timeoutMs) {
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
@@ -34,35 +38,50 @@
         return registered.isSuccess() ? channel.connect(to) : registered;
     }
 
-    /** A door: each that comes gets a handler of its own; on the loop. Its channel is the future's. */
-    public static ChannelFuture listen(EventLoop loop, InetSocketAddress at, int backlog, WriteBufferWaterMark mark,
+    /**
+     * A door: each that comes gets a handler of its own; on the loop. Its channel is the future's.
+     */
+    public static ChannelFuture listen(
+            EventLoop loop,
+            InetSocketAddress at,
+            int backlog,
+            WriteBufferWaterMark mark,
             Supplier<Ears> each) {
         NioServerSocketChannel door = new NioServerSocketChannel();
         door.config().setBacklog(backlog).setReuseAddress(true);
-        door.pipeline().addLast(new Ears() {
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                NioSocketChannel client = (NioSocketChannel) accepted;
-                client.config().setTcpNoDelay(true).setWriteBufferWaterMark(mark);
-                client.pipeline().addLast(each.get());
-                loop.register(client).addListener(done -> {
-                    if (!done.isSuccess()) {
-                        client.unsafe().closeForcibly();
-                    }
-                });
-            }
+        door.pipeline()
+                .addLast(
+                        new Ears() {
+                            @Override
+                            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
+                                NioSocketChannel client = (NioSocketChannel) accepted;
+                                client.config().setTcpNoDelay(true).setWriteBufferWaterMark(mark);
+                                client.pipeline().addLast(each.get());
+                                loop.register(client)
+                                        .addListener(
+                                                done -> {
+                                                    if (!done.isSuccess()) {
+                                                        client.unsafe().closeForcibly();
+                                                    }
+                                                });
+                            }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                // No descriptor was left: those who wait in line are let in a little later, not at once again.
-                Channel channel = ctx.channel();
-                if (channel.config().isAutoRead()) {
-                    channel.config().setAutoRead(false);
-                    loop.schedule(() -> channel.config().setAutoRead(true), 1, TimeUnit.SECONDS);
-                }
-                ctx.fireExceptionCaught(cause);
-            }
-        });
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {
+                                // No descriptor was left: those who wait in line are let in a
+                                // little later, not at once again.
+                                Channel channel = ctx.channel();
+                                if (channel.config().isAutoRead()) {
+                                    channel.config().setAutoRead(false);
+                                    loop.schedule(
+                                            () -> channel.config().setAutoRead(true),
+                                            1,
+                                            TimeUnit.SECONDS);
+                                }
+                                ctx.fireExceptionCaught(cause);
+                            }
+                        });
         ChannelFuture registered = loop.register(door);
         return registered.isSuccess() ? door.bind(at) : registered;
     }
--- a/src/main/java/dillfront/tokens/Tokens.java
+++ b/src/main/java/dillfront/tokens/Tokens.java
@@ -20,16 +20,18 @@
 import java.util.Set;
 
 /**
- * Signed tokens (RFC 7519) against a set of public keys (RFC 7517). What algorithm a key is for is said by the key, never by
- * the token; only signatures with a private key count, so that a public one is nobody's secret. Reads no file and no clock.
+ * Signed tokens (RFC 7519) against a set of public keys (RFC 7517). What algorithm a key is for is
+ * said by the key, never by the token; only signatures with a private key count, so that a public
+ * one is nobody's secret. Reads no file and no clock.
  */
 public final class Tokens {
 
     /** Longer ones are not looked at. */
     public static final int LONGEST = 8192;
+
     private static final int LONGEST_SET = 1 << 18;
-    private static final Set<JWSAlgorithm> ALGORITHMS = Set.of(JWSAlgorithm.ES256, JWSAlgorithm.ES384, JWSAlgorithm.RS256,
-            JWSAlgorithm.PS256);
+    private static final Set<JWSAlgorithm> ALGORITHMS =
+            Set.of(JWSAlgorithm.ES256, JWSAlgorithm.ES384, JWSAlgorithm.RS256, JWSAlgorithm.PS256);
     private static final int RSA_BITS = 2048;
 
     private record Key(JWSAlgorithm algorithm, JWSVerifier verifier) {}
@@ -47,7 +49,9 @@
     private final String issuer;
     private final String audience;
 
-    /** @param jwks a JSON Web Key Set of public keys, each with kid and alg */
+    /**
+     * @param jwks a JSON Web Key Set of public keys, each with kid and alg
+     */
     public Tokens(String jwks, String issuer, String audience) throws BadToken {
         this.issuer = issuer;
         this.audience = audience;
@@ -61,10 +65,13 @@
                     throw new BadToken("a key without kid");
                 }
                 if (jwk.isPrivate()) {
-                    throw new BadToken("key '" + id + "' is a secret: public keys alone belong here");
+                    throw new BadToken(
+                            "key '" + id + "' is a secret: public keys alone belong here");
                 }
-                if (jwk.getAlgorithm() == null || !ALGORITHMS.contains(JWSAlgorithm.parse(jwk.getAlgorithm().getName()))) {
-                    throw new BadToken("key '" + id + "' has no alg of ES256, ES384, RS256 or PS256");
+                if (jwk.getAlgorithm() == null
+                        || !ALGORITHMS.contains(JWSAlgorithm.parse(jwk.getAlgorithm().getName()))) {
+                    throw new BadToken(
+                            "key '" + id + "' has no alg of ES256, ES384, RS256 or PS256");
                 }
                 JWSAlgorithm algorithm = JWSAlgorithm.parse(jwk.getAlgorithm().getName());
                 if (keys.put(id, new Key(algorithm, verifier(jwk, algorithm))) != null) {
@@ -79,7 +86,8 @@
         }
     }
 
-    private static JWSVerifier verifier(JWK jwk, JWSAlgorithm algorithm) throws JOSEException, BadToken {
+    private static JWSVerifier verifier(JWK jwk, JWSAlgorithm algorithm)
+            throws JOSEException, BadToken {
         if (jwk instanceof ECKey ec && algorithm.getName().startsWith("ES")) {
             ECDSAVerifier verifier = new ECDSAVerifier(ec);
             if (verifier.supportedJWSAlgorithms().contains(algorithm)) {
@@ -87,11 +95,19 @@
             }
         } else if (jwk instanceof RSAKey rsa && !algorithm.getName().startsWith("ES")) {
             if (rsa.size() < RSA_BITS) {
-                throw new BadToken("key '" + jwk.getKeyID() + "' has " + rsa.size() + " bits: " + RSA_BITS + " at the least");
+                throw new BadToken(
+                        "key '"
+                                + jwk.getKeyID()
+                                + "' has "
+                                + rsa.size()
+                                + " bits: "
+                                + RSA_BITS
+                                + " at the least");
             }
             return new RSASSAVerifier(rsa);
         }
-        throw new BadToken("key '" + jwk.getKeyID() + "' is of no kind that " + algorithm + " needs");
+        throw new BadToken(
+                "key '" + jwk.getKeyID() + "' is of no kind that " + algorithm + " needs");
     }
 
     /** Ids of the keys. */
@@ -100,7 +116,8 @@
     }
 
     /**
-     * Whether this was signed by one of the keys, for this audience; its times are looked at by the gate.
+     * Whether this was signed by one of the keys, for this audience; its times are looked at by the
+     * gate.
      *
      * @return what it says
      */
@@ -115,7 +132,11 @@
                 throw new BadToken("signed by no key of ours");
             }
             if (!key.algorithm.equals(jwt.getHeader().getAlgorithm())) {
-                throw new BadToken("the key is for " + key.algorithm + ", the token says " + jwt.getHeader().getAlgorithm());
+                throw new BadToken(
+                        "the key is for "
+                                + key.algorithm
+                                + ", the token says "
+                                + jwt.getHeader().getAlgorithm());
             }
             if (jwt.getHeader().getCriticalParams() != null) {
                 throw new BadToken("critical headers, of which none is known here");
@@ -130,11 +151,17 @@
             if (!claims.getAudience().contains(audience)) {
                 throw new BadToken("for another audience");
             }
-            if (claims.getSubject() == null || claims.getExpirationTime() == null || claims.getJWTID() == null) {
+            if (claims.getSubject() == null
+                    || claims.getExpirationTime() == null
+                    || claims.getJWTID() == null) {
                 throw new BadToken("lacks sub, exp or jti");
             }
-            return new Gate.Credential(claims.getSubject(), jwt.getHeader().getKeyID(), claims.getJWTID(),
-                    unix(claims.getNotBeforeTime()), unix(claims.getExpirationTime()));
+            return new Gate.Credential(
+                    claims.getSubject(),
+                    jwt.getHeader().getKeyID(),
+                    claims.getJWTID(),
+                    unix(claims.getNotBeforeTime()),
+                    unix(claims.getExpirationTime()));
         } catch (ParseException | JOSEException | RuntimeException bad) {
             throw new BadToken("no signed token: " + first(bad.getMessage()));
         } catch (StackOverflowError deep) {
--- a/src/test/java/dillfront/DecideTest.java
+++ b/src/test/java/dillfront/DecideTest.java
@@ -18,7 +18,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each test plays a short scene; its decisions are kept, to be read, in src/test/resources/traces. */
+/**
+ * Each test plays a short scene; its decisions are kept, to be read, in src/test/resources/traces.
+ */
 class DecideTest {
 
     private final Scene s = new Scene(false).three();
@@ -55,7 +57,10 @@
         s.compare("bounded-read");
     }
 
-    /** Guards against reads that were fresh when they were decided and are old when a connection is up. */
+    /**
+     * Guards against reads that were fresh when they were decided and are old when a connection is
+     * up.
+     */
     @Test
     void whatWaitedForAConnectionIsTestedAgain() throws IOException {
         s.to(10);
@@ -168,18 +173,25 @@
         s.change(row(1, false, ms(10), Standing.READY));
         for (int quarter = 0; quarter < 4; quarter++) {
             int[] went = new int[3];
-            s.mute(() -> {
-                for (int i = 0; i < 50; i++) {
-                    s.to(s.ms + 80);
-                    known(s.ms);
-                    int[] txns = {s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW)};
-                    for (int txn : txns) {
-                        went[s.whereIs(txn)]++;
-                        s.well(txn, 80);
-                    }
-                }
-            });
-            s.note(went[1] + " of 200 to the cold node 1, " + went[2] + " to node 2, " + went[0] + " to the primary");
+            s.mute(
+                    () -> {
+                        for (int i = 0; i < 50; i++) {
+                            s.to(s.ms + 80);
+                            known(s.ms);
+                            int[] txns = {s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW)};
+                            for (int txn : txns) {
+                                went[s.whereIs(txn)]++;
+                                s.well(txn, 80);
+                            }
+                        }
+                    });
+            s.note(
+                    went[1]
+                            + " of 200 to the cold node 1, "
+                            + went[2]
+                            + " to node 2, "
+                            + went[0]
+                            + " to the primary");
         }
         s.compare("cold-node");
     }
@@ -188,14 +200,16 @@
     void aSlowNodeGetsLessRoom() throws IOException {
         s.to(10);
         known(5);
-        s.mute(() -> {
-            for (int i = 0; i < 40; i++) {
-                s.to(s.ms + 100);
-                known(s.ms);
-                s.well(s.take(FRESH), 700);
-            }
-        });
-        s.note("answers took 700 of an SLA time of 400: how many are let out now, before and after a second");
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 40; i++) {
+                        s.to(s.ms + 100);
+                        known(s.ms);
+                        s.well(s.take(FRESH), 700);
+                    }
+                });
+        s.note(
+                "answers took 700 of an SLA time of 400: how many are let out now, before and after a second");
         for (int i = 0; i < 4; i++) {
             s.take(FRESH, 1500, null);
         }
@@ -210,7 +224,8 @@
         r.report(0, 5, PRIMARY);
         r.report(1, 5, REPLICA);
         r.to(600);
-        r.note("node 1 is known to 5 only, and it is 600: it may be tried, as it turns away what it cannot answer");
+        r.note(
+                "node 1 is known to 5 only, and it is 600: it may be tried, as it turns away what it cannot answer");
         int view = r.take(VIEW);
         r.to(605);
         r.ended(view, Result.MISS, 5, REPLICA, 0);
@@ -222,7 +237,9 @@
         r.compare("refusing-nodes");
     }
 
-    /** Guards against a list that calls serving nodes gone, and against taking a drain back with it. */
+    /**
+     * Guards against a list that calls serving nodes gone, and against taking a drain back with it.
+     */
     @Test
     void whatIsWronglyListedAsGoneServesOn() throws IOException {
         Scene r = new Scene(false, false, true).three();
@@ -239,7 +256,8 @@
         r.to(60);
         r.well(view, 50);
         r.well(move, 50);
-        r.note("node 1 has really died: found by its answers, and its row is given back once it has been away for the warm-up");
+        r.note(
+                "node 1 has really died: found by its answers, and its row is given back once it has been away for the warm-up");
         for (int i = 0; i < 8; i++) {
             r.report(0, r.ms, PRIMARY);
             int one = r.take(ANY);
@@ -251,19 +269,26 @@
             }
         }
         r.note("node 1 forgotten now: " + r.decide.forget(1));
-        r.mute(() -> {
-            r.decide.probed(1, false, Report.NOTHING);
-            r.to(r.ms + 17_000);
-            r.decide.probed(1, false, Report.NOTHING);
-        });
-        r.note("and 17 s later: " + r.decide.forget(1) + "; node 0, which answers: " + r.decide.forget(0));
+        r.mute(
+                () -> {
+                    r.decide.probed(1, false, Report.NOTHING);
+                    r.to(r.ms + 17_000);
+                    r.decide.probed(1, false, Report.NOTHING);
+                });
+        r.note(
+                "and 17 s later: "
+                        + r.decide.forget(1)
+                        + "; node 0, which answers: "
+                        + r.decide.forget(0));
         r.change(row(2, false, null, Standing.READY));
         r.note("node 2 is listed as ready again");
         r.take(ANY);
         r.compare("wrong-list");
     }
 
-    /** Guards against reads that wait at a replica which is known to lag, a tenth of a second each. */
+    /**
+     * Guards against reads that wait at a replica which is known to lag, a tenth of a second each.
+     */
     @Test
     void aReadThatWaitedInVainTellsHowFarBehindItsReplicaIs() throws IOException {
         Scene r = new Scene(true).three();
@@ -292,27 +317,37 @@
         s.to(10);
         known(5);
         int[] went = new int[3];
-        s.mute(() -> {
-            for (int i = 0; i < 100; i++) {
-                s.to(s.ms + 120);
-                known(s.ms);
-                int[] views = {s.take(ANY), s.take(ANY), s.take(ANY), s.take(ANY)};
-                s.to(s.ms + 10);
-                for (int view : views) {
-                    int where = s.whereIs(view);
-                    if (where >= 0) {
-                        went[where] += i < 50 ? 0 : 1;
-                        s.well(view, where == 1 ? 100 : 50);
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 100; i++) {
+                        s.to(s.ms + 120);
+                        known(s.ms);
+                        int[] views = {s.take(ANY), s.take(ANY), s.take(ANY), s.take(ANY)};
+                        s.to(s.ms + 10);
+                        for (int view : views) {
+                            int where = s.whereIs(view);
+                            if (where >= 0) {
+                                went[where] += i < 50 ? 0 : 1;
+                                s.well(view, where == 1 ? 100 : 50);
+                            }
+                        }
                     }
-                }
-            }
-        });
-        s.note("of 200, after as many to learn: " + went[1] + " to node 1, which takes twice as long, " + went[2]
-                + " to node 2, " + went[0] + " to the primary");
+                });
+        s.note(
+                "of 200, after as many to learn: "
+                        + went[1]
+                        + " to node 1, which takes twice as long, "
+                        + went[2]
+                        + " to node 2, "
+                        + went[0]
+                        + " to the primary");
         s.compare("no-sizes");
     }
 
-    /** Guards against long reads that keep every replica behind, and against their being held to one that others need. */
+    /**
+     * Guards against long reads that keep every replica behind, and against their being held to one
+     * that others need.
+     */
     @Test
     void readsThatStallGoToTheReplicaFurthestBehind() throws IOException {
         Scene r = new Scene(true, false, false, 2000).three();
@@ -322,7 +357,8 @@
         r.note("any reads last longer than the tightest bound: node 1 is furthest behind");
         int[] long1 = {r.take(ANY), r.take(ANY)};
         r.to(400);
-        r.note("their answers come from positions that stood still: node 1 keeps them, current reads go to node 2");
+        r.note(
+                "their answers come from positions that stood still: node 1 keeps them, current reads go to node 2");
         for (int txn : long1) {
             r.ended(txn, Result.COMMITTED, 390, REPLICA, 6);
         }
@@ -332,13 +368,14 @@
         r.to(800);
         r.ended(view, Result.COMMITTED, 100, REPLICA, 795);
         r.ended(more, Result.COMMITTED, 400, REPLICA, 7);
-        r.mute(() -> {
-            for (int i = 0; i < 6; i++) {
-                int one = r.take(ANY);
-                r.to(r.ms + 400);
-                r.ended(one, Result.COMMITTED, 400, REPLICA, r.ms - 10);
-            }
-        });
+        r.mute(
+                () -> {
+                    for (int i = 0; i < 6; i++) {
+                        int one = r.take(ANY);
+                        r.to(r.ms + 400);
+                        r.ended(one, Result.COMMITTED, 400, REPLICA, r.ms - 10);
+                    }
+                });
         r.note("six answers told of positions that went on: it stalls nothing, and goes to either");
         for (int i = 0; i < 4; i++) {
             r.take(ANY);
@@ -351,28 +388,38 @@
     void whereAllAreSlowAlikeRoomStays() throws IOException {
         s.to(10);
         known(5);
-        s.mute(() -> {
-            for (int i = 0; i < 40; i++) {
-                s.to(s.ms + 50);
-                known(s.ms);
-                int[] views = {s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW)};
-                s.to(s.ms + 50);
-                for (int view : views) {
-                    s.well(view, i < 20 ? 50 : 240);
-                }
-            }
-        });
-        s.note("answers take 240 of an SLA time of 300 at every node; out at once to nodes 0, 1, 2:");
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 40; i++) {
+                        s.to(s.ms + 50);
+                        known(s.ms);
+                        int[] views = {
+                            s.take(VIEW),
+                            s.take(VIEW),
+                            s.take(VIEW),
+                            s.take(VIEW),
+                            s.take(VIEW),
+                            s.take(VIEW)
+                        };
+                        s.to(s.ms + 50);
+                        for (int view : views) {
+                            s.well(view, i < 20 ? 50 : 240);
+                        }
+                    }
+                });
+        s.note(
+                "answers take 240 of an SLA time of 300 at every node; out at once to nodes 0, 1, 2:");
         int[] out = new int[3];
         known(s.ms);
-        s.mute(() -> {
-            for (int i = 0; i < 12; i++) {
-                int where = s.whereIs(s.take(VIEW));
-                if (where >= 0) {
-                    out[where]++;
-                }
-            }
-        });
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 12; i++) {
+                        int where = s.whereIs(s.take(VIEW));
+                        if (where >= 0) {
+                            out[where]++;
+                        }
+                    }
+                });
         s.note(out[0] + ", " + out[1] + ", " + out[2]);
         s.compare("slow-alike");
     }
@@ -391,14 +438,16 @@
     void whereMostNodesFailTheyAreStillLeftAlone() throws IOException {
         s.to(10);
         known(5);
-        s.mute(() -> {
-            for (int i = 0; i < 12; i++) {
-                s.to(s.ms + 50);
-                known(s.ms);
-                s.ended(s.take(ANY), Result.UNREACHABLE, 1, null, 0);
-            }
-        });
-        s.note("all three are out of reach: one trial each a second, the rest is held and declined");
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 12; i++) {
+                        s.to(s.ms + 50);
+                        known(s.ms);
+                        s.ended(s.take(ANY), Result.UNREACHABLE, 1, null, 0);
+                    }
+                });
+        s.note(
+                "all three are out of reach: one trial each a second, the rest is held and declined");
         for (int i = 0; i < 6; i++) {
             s.take(ANY);
         }
@@ -412,12 +461,17 @@
         known(5);
         s.note("of two tenants with 50 a second each over three routers, one sends 30 at once");
         int[] went = new int[2];
-        s.mute(() -> {
-            for (int i = 0; i < 30; i++) {
-                went[s.whereIs(s.take(FRESH, 0, 2000, null)) < 0 ? 1 : 0]++;
-            }
-        });
-        s.note(went[0] + " were sent, " + went[1] + " declined; the other tenant, and a repeat past its SLA time:");
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 30; i++) {
+                        went[s.whereIs(s.take(FRESH, 0, 2000, null)) < 0 ? 1 : 0]++;
+                    }
+                });
+        s.note(
+                went[0]
+                        + " were sent, "
+                        + went[1]
+                        + " declined; the other tenant, and a repeat past its SLA time:");
         s.take(FRESH, 1, 2000, null);
         s.take(FRESH, 1, 1500, null);
         s.compare("spare");
@@ -427,7 +481,8 @@
     void whereTheListIsAskedForAndGoneStaysOpen() throws IOException {
         Scene r = new Scene(false, true, true).three();
         r.to(30);
-        r.note("node 1 is gone from the list, which proves nothing here; node 2 drains first, and stays closed");
+        r.note(
+                "node 1 is gone from the list, which proves nothing here; node 2 drains first, and stays closed");
         r.change(row(1, false, null, Standing.GONE), row(2, false, null, Standing.DRAINING));
         r.change(row(2, false, null, Standing.GONE));
         r.report(1, 25, REPLICA);
@@ -439,17 +494,20 @@
         r.compare("asked-list");
     }
 
-    /** Guards against counting an absence from when a node was given up: much of it is over by then. */
+    /**
+     * Guards against counting an absence from when a node was given up: much of it is over by then.
+     */
     @Test
     void aPrimaryCutOffAndStillPrimaryIsNotTakenForColdOnceItIsBack() throws IOException {
         s.to(10);
         known(5);
-        s.mute(() -> {
-            for (int i = 0; i < 40; i++) {
-                s.to(10 + 25 * i);
-                s.well(s.take(FRESH), 50);
-            }
-        });
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 40; i++) {
+                        s.to(10 + 25 * i);
+                        s.well(s.take(FRESH), 50);
+                    }
+                });
         s.note("last heard at 985; time-outs, and much later no connections");
         for (int txn : new int[] {s.take(FRESH), s.take(FRESH), s.take(FRESH), s.take(FRESH)}) {
             s.ended(txn, Result.TIMED_OUT, 1000, null, 0);
@@ -457,20 +515,27 @@
         s.to(6500);
         s.ended(s.take(FRESH), Result.UNREACHABLE, 250, null, 0);
         s.to(9000);
-        s.note("at 9000 its first probe is lost as well, the next is answered: it still is the primary");
+        s.note(
+                "at 9000 its first probe is lost as well, the next is answered: it still is the primary");
         s.decide.probed(0, false, Report.NOTHING);
         s.to(9250);
         s.report(0, 9240, PRIMARY);
         int[] went = new int[2];
-        s.mute(() -> {
-            for (int i = 0; i < 40; i++) {
-                s.to(9250 + 50 * i);
-                int txn = s.take(FRESH);
-                went[s.whereIs(txn) < 0 ? 1 : 0]++;
-                s.well(txn, 50);
-            }
-        });
-        s.note("of 40 in the next two seconds " + went[0] + " are sent at once, " + went[1] + " are not");
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 40; i++) {
+                        s.to(9250 + 50 * i);
+                        int txn = s.take(FRESH);
+                        went[s.whereIs(txn) < 0 ? 1 : 0]++;
+                        s.well(txn, 50);
+                    }
+                });
+        s.note(
+                "of 40 in the next two seconds "
+                        + went[0]
+                        + " are sent at once, "
+                        + went[1]
+                        + " are not");
         s.compare("cut-off");
     }
 
@@ -493,15 +558,16 @@
     /** Gives no connection at node 0, each after that time; then it answers its first probe. */
     private void returns(long took) {
         int fresh = s.take(ONCE);
-        s.mute(() -> {
-            for (int i = 0; i < 4; i++) {
-                s.ended(fresh, Result.UNREACHABLE, took, null, 0);
-                s.to(s.ms + 1500);
-                s.report(0, s.ms, PRIMARY);
-                s.ended(s.take(ONCE), Result.UNREACHABLE, took, null, 0);
-            }
-            s.to(s.ms + 200);
-        });
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 4; i++) {
+                        s.ended(fresh, Result.UNREACHABLE, took, null, 0);
+                        s.to(s.ms + 1500);
+                        s.report(0, s.ms, PRIMARY);
+                        s.ended(s.take(ONCE), Result.UNREACHABLE, took, null, 0);
+                    }
+                    s.to(s.ms + 200);
+                });
         known(s.ms);
     }
 
@@ -515,13 +581,15 @@
     void refusedConnectionsAreNoDeath() throws IOException {
         s.to(10);
         known(5);
-        s.note("node 0 refuses connections at once but answers its first probe: it is up, and free ones are closed");
+        s.note(
+                "node 0 refuses connections at once but answers its first probe: it is up, and free ones are closed");
         returns(1);
         oneView();
         oneView();
         s.to(s.ms + 4000);
         known(s.ms);
-        s.note("four seconds later they are kept again, and also where connections fail by time-out");
+        s.note(
+                "four seconds later they are kept again, and also where connections fail by time-out");
         oneView();
         returns(250);
         oneView();
@@ -553,21 +621,23 @@
     void spoiltAnswersFallBackAndCostNoNodeItsStanding() throws IOException {
         s.to(10);
         known(5);
-        s.note("may have run: a read falls back, a referenced write goes again, one that runs once is rolled back");
+        s.note(
+                "may have run: a read falls back, a referenced write goes again, one that runs once is rolled back");
         int[] txns = {s.take(VIEW), s.take(MOVE), s.take(ONCE)};
         s.to(30);
         for (int txn : txns) {
             s.ended(txn, Result.SPOILT, 20, null, 0);
         }
-        s.mute(() -> {
-            for (int i = 0; i < 9; i++) {
-                known(s.ms);
-                int bad = s.take(ANY);
-                s.to(s.ms + 20);
-                s.ended(bad, Result.SPOILT, 20, null, 0);
-                s.well(bad, 20);
-            }
-        });
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 9; i++) {
+                        known(s.ms);
+                        int bad = s.take(ANY);
+                        s.to(s.ms + 20);
+                        s.ended(bad, Result.SPOILT, 20, null, 0);
+                        s.well(bad, 20);
+                    }
+                });
         s.note("nine more came spoilt: no node has lost its standing");
         known(s.ms);
         s.take(ANY);
@@ -576,7 +646,9 @@
         s.compare("spoilt");
     }
 
-    /** Guards against leaving nodes out for connections that break at any node, kept ones above all. */
+    /**
+     * Guards against leaving nodes out for connections that break at any node, kept ones above all.
+     */
     @Test
     void fewResetsInARowCostNoNodeItsStanding() throws IOException {
         s.to(10);
@@ -590,18 +662,22 @@
         s.note("a fresh read still goes there");
         s.take(FRESH);
         s.well(write, 20);
-        s.mute(() -> {
-            for (int i = 0; i < 12; i++) {
-                s.ended(s.take(ONCE), Result.RESET, 0, null, 0);
-            }
-        });
+        s.mute(
+                () -> {
+                    for (int i = 0; i < 12; i++) {
+                        s.ended(s.take(ONCE), Result.RESET, 0, null, 0);
+                    }
+                });
         s.note("where no more than resets comes it is left out, but for trials");
         s.take(ONCE);
         s.take(ONCE);
         s.compare("resets");
     }
 
-    /** Guards against tables that grow with machines that are replaced, and against words meant for the last holder. */
+    /**
+     * Guards against tables that grow with machines that are replaced, and against words meant for
+     * the last holder.
+     */
     @Test
     void aNodeThatLeftGivesItsRowBackOnceNothingIsOut() throws IOException {
         s.to(10);
@@ -624,7 +700,8 @@
     void aNodeThatOnlyTurnsWorkAwayIsTriedAtGaps() throws IOException {
         s.to(10);
         known(5);
-        s.note("the primary has hung with its queue full: it answers at once, and its probes are well");
+        s.note(
+                "the primary has hung with its queue full: it answers at once, and its probes are well");
         for (int i = 0; i < 12; i++) {
             s.to(s.ms + 400);
             s.mute(() -> known(s.ms));
--- a/src/test/java/dillfront/PaceTest.java
+++ b/src/test/java/dillfront/PaceTest.java
@@ -7,7 +7,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** A router that stands still for a while: what it makes of its own time, and what the module makes of it. */
+/**
+ * A router that stands still for a while: what it makes of its own time, and what the module makes
+ * of it.
+ */
 class PaceTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -15,12 +18,21 @@
 
     private void shows(String what, long at) {
         Duration now = ms(at);
-        trace.append(String.format("%4d %-34s late %3d, in all %3d, %s, a limit from 0 is %s\n", at, what,
-                pace.lag(now).toMillis(), pace.behind(now).toMillis(),
-                pace.sure(now) ? "sure" : "not sure", pace.believes(Duration.ZERO, now) ? "believed" : "looked at again"));
+        trace.append(
+                String.format(
+                        "%4d %-34s late %3d, in all %3d, %s, a limit from 0 is %s\n",
+                        at,
+                        what,
+                        pace.lag(now).toMillis(),
+                        pace.behind(now).toMillis(),
+                        pace.sure(now) ? "sure" : "not sure",
+                        pace.believes(Duration.ZERO, now) ? "believed" : "looked at again"));
     }
 
-    /** Guards against pauses that are seen only once the beat has come, after all that lay unread was judged. */
+    /**
+     * Guards against pauses that are seen only once the beat has come, after all that lay unread
+     * was judged.
+     */
     @Test
     void anOverdueBeatTellsOfThePauseAtOnce() throws IOException {
         pace.expect(ms(20));
@@ -40,13 +52,22 @@
         pace.came(ms(386));
         pace.expect(ms(700));
         shows("a dial time-out later it is calm", 650);
-        trace.append("longest ").append(pace.longest().toMillis()).append(", then ").append(pace.longest().toMillis())
-                .append("; a turn of 4 ms takes more: ").append(pace.takesMore(ms(1), ms(5)))
-                .append(", of 5 ms: ").append(pace.takesMore(ms(1), ms(6))).append('\n');
+        trace.append("longest ")
+                .append(pace.longest().toMillis())
+                .append(", then ")
+                .append(pace.longest().toMillis())
+                .append("; a turn of 4 ms takes more: ")
+                .append(pace.takesMore(ms(1), ms(5)))
+                .append(", of 5 ms: ")
+                .append(pace.takesMore(ms(1), ms(6)))
+                .append('\n');
         Scene.compare("pace", trace);
     }
 
-    /** Guards against a router that takes its own pause for the silence of all nodes, and for their slowness. */
+    /**
+     * Guards against a router that takes its own pause for the silence of all nodes, and for their
+     * slowness.
+     */
     @Test
     void itsOwnPauseIsNoNodesFault() throws IOException {
         for (boolean told : new boolean[] {false, true}) {
@@ -57,7 +78,9 @@
             }
             int[] out = {s.take(Scene.FRESH), s.take(Scene.FRESH), s.take(Scene.FRESH)};
             s.trace.setLength(0);
-            s.note((told ? "told of" : "not told of") + " a pause of 800 ms, with three txns out to the primary");
+            s.note(
+                    (told ? "told of" : "not told of")
+                            + " a pause of 800 ms, with three txns out to the primary");
             s.ms += 800;
             s.decide.at(ms(s.ms));
             if (told) {
@@ -79,7 +102,10 @@
         Scene.compare("own-pause", trace);
     }
 
-    /** Guards against work for a node that nobody waits for any more, since it lay in line at this router. */
+    /**
+     * Guards against work for a node that nobody waits for any more, since it lay in line at this
+     * router.
+     */
     @Test
     void whatLayInLineTooLongIsDeclinedWithATimeToComeBack() throws IOException {
         Scene s = new Scene(false).three();
--- a/src/test/java/dillfront/Scene.java
+++ b/src/test/java/dillfront/Scene.java
@@ -26,7 +26,9 @@
 import java.util.TreeMap;
 import java.util.random.RandomGeneratorFactory;
 
-/** One router and a clock; what the module does is written down, a line a decision, and compared. */
+/**
+ * One router and a clock; what the module does is written down, a line a decision, and compared.
+ */
 public final class Scene implements Outlet {
 
     static final int VIEW = 0;
@@ -44,12 +46,16 @@
     private long wakeAt = -1;
     final Decide decide;
     long ms;
+
     /** In line at the router, before it is taken. */
     Duration waited = Duration.ZERO;
+
     Duration ran;
     private final Map<Integer, Integer> at = new TreeMap<>();
 
-    /** @param nodesRefuse nodes turn away reads that they are too far behind for */
+    /**
+     * @param nodesRefuse nodes turn away reads that they are too far behind for
+     */
     Scene(boolean nodesRefuse) {
         this(nodesRefuse, false, false);
     }
@@ -58,18 +64,96 @@
         this(nodesRefuse, listAsked, goneStaysOpen, 300);
     }
 
-    /** @param anySla the SLA time of any reads: a quarter of it is what they are taken to last at first */
+    /**
+     * @param anySla the SLA time of any reads: a quarter of it is what they are taken to last at
+     *     first
+     */
     Scene(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen, long anySla) {
-        List<TxnType> types = List.of(
-                new TxnType(Effect.REPEATABLE, true, ms(2000), Read.BOUNDED, ms(200), ms(300), ms(2000), 3, 0),
-                new TxnType(Effect.REPEATABLE, true, ms(2000), Read.SESSION, ms(0), ms(600), ms(2000), 2, 0),
-                new TxnType(Effect.REPEATABLE, true, ms(2000), Read.ANY, ms(0), ms(anySla), ms(2000), 2, 0),
-                new TxnType(Effect.REPEATABLE, true, ms(2000), Read.FRESH, ms(0), ms(400), ms(2000), 2, 0),
-                new TxnType(Effect.REFERENCED, true, ms(2000), Read.WRITE, ms(0), ms(750), ms(2000), 6, 0.3),
-                new TxnType(Effect.ONCE_ONLY, true, ms(2000), Read.WRITE, ms(0), ms(750), ms(2000), 6, 0.3));
-        decide = new Decide(new Settings(ms(5), 0, ms(250), ms(2000), 6, true, listAsked, ms(10000),
-                nodesRefuse, goneStaysOpen, 0.16, ms(16000), 2, ms(1000), 0.012, 3, types,
-                List.of(50.0, 50.0)), this, RandomGeneratorFactory.of("L64X128MixRandom").create(1));
+        List<TxnType> types =
+                List.of(
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                true,
+                                ms(2000),
+                                Read.BOUNDED,
+                                ms(200),
+                                ms(300),
+                                ms(2000),
+                                3,
+                                0),
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                true,
+                                ms(2000),
+                                Read.SESSION,
+                                ms(0),
+                                ms(600),
+                                ms(2000),
+                                2,
+                                0),
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                true,
+                                ms(2000),
+                                Read.ANY,
+                                ms(0),
+                                ms(anySla),
+                                ms(2000),
+                                2,
+                                0),
+                        new TxnType(
+                                Effect.REPEATABLE,
+                                true,
+                                ms(2000),
+                                Read.FRESH,
+                                ms(0),
+                                ms(400),
+                                ms(2000),
+                                2,
+                                0),
+                        new TxnType(
+                                Effect.REFERENCED,
+                                true,
+                                ms(2000),
+                                Read.WRITE,
+                                ms(0),
+                                ms(750),
+                                ms(2000),
+                                6,
+                                0.3),
+                        new TxnType(
+                                Effect.ONCE_ONLY,
+                                true,
+                                ms(2000),
+                                Read.WRITE,
+                                ms(0),
+                                ms(750),
+                                ms(2000),
+                                6,
+                                0.3));
+        decide =
+                new Decide(
+                        new Settings(
+                                ms(5),
+                                0,
+                                ms(250),
+                                ms(2000),
+                                6,
+                                true,
+                                listAsked,
+                                ms(10000),
+                                nodesRefuse,
+                                goneStaysOpen,
+                                0.16,
+                                ms(16000),
+                                2,
+                                ms(1000),
+                                0.012,
+                                3,
+                                types,
+                                List.of(50.0, 50.0)),
+                        this,
+                        RandomGeneratorFactory.of("L64X128MixRandom").create(1));
         decide.at(ms(0));
     }
 
@@ -79,8 +163,12 @@
 
     /** Three members of one group, all in this zone; node 0 is listed as the primary. */
     Scene three() {
-        decide.list(true, List.of(row(0, true, null, Standing.READY), row(1, false, null, Standing.READY),
-                row(2, false, null, Standing.READY)));
+        decide.list(
+                true,
+                List.of(
+                        row(0, true, null, Standing.READY),
+                        row(1, false, null, Standing.READY),
+                        row(2, false, null, Standing.READY)));
         return this;
     }
 
@@ -111,7 +199,12 @@
 
     /** Ends the txn well after the time it took at its node, whatever that is. */
     void well(int txn, long took) {
-        ended(txn, Result.COMMITTED, took, at.getOrDefault(txn, 0) == 0 ? Role.PRIMARY : Role.REPLICA, ms);
+        ended(
+                txn,
+                Result.COMMITTED,
+                took,
+                at.getOrDefault(txn, 0) == 0 ? Role.PRIMARY : Role.REPLICA,
+                ms);
     }
 
     /** Where the txn is out to; -1 where nowhere. */
@@ -147,14 +240,27 @@
         int id = txns.size();
         names.add(NAMES[type] + id);
         txns.add(null);
-        txns.set(id, decide.take(id, type, tenant, type == OWN || type == MOVE ? 3 : -1, 7, ms(expiry), token, waited, ran));
+        txns.set(
+                id,
+                decide.take(
+                        id,
+                        type,
+                        tenant,
+                        type == OWN || type == MOVE ? 3 : -1,
+                        7,
+                        ms(expiry),
+                        token,
+                        waited,
+                        ran));
         return id;
     }
 
     /** Its connection is up only now: may it still go? If not, it ends unsent. */
     void connected(int txn) {
         boolean stands = txns.get(txn).stands(at.get(txn));
-        say("%s connected to node %d: %s", names.get(txn), at.get(txn), stands ? "goes" : "goes no more");
+        say(
+                "%s connected to node %d: %s",
+                names.get(txn), at.get(txn), stands ? "goes" : "goes no more");
         if (!stands) {
             ended(txn, Result.UNSENT, 0, null, 0);
         }
@@ -168,11 +274,19 @@
         int node = at.remove(txn);
         boolean closed = result == Result.COMMITTED;
         trace.append(String.format("%5d   %s at node %d: %s\n", ms, names.get(txn), node, result));
-        txns.get(txn).ended(node, result, ms(took), closed,
-                new Report(role == null ? null : ms(position), role), Report.NOTHING);
+        txns.get(txn)
+                .ended(
+                        node,
+                        result,
+                        ms(took),
+                        closed,
+                        new Report(role == null ? null : ms(position), role),
+                        Report.NOTHING);
     }
 
-    /** What was seen is also left in target/traces, to be read and kept where a change was meant. */
+    /**
+     * What was seen is also left in target/traces, to be read and kept where a change was meant.
+     */
     void compare(String name) throws IOException {
         compare(name, trace);
     }
--- a/src/test/java/dillfront/bench/IdentityTest.java
+++ b/src/test/java/dillfront/bench/IdentityTest.java
@@ -44,14 +44,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router whose callers prove who they are, with an authority of the test's own and nodes that count what reaches them. */
+/**
+ * A router whose callers prove who they are, with an authority of the test's own and nodes that
+ * count what reaches them.
+ */
 class IdentityTest {
 
     private static final AtomicInteger IDS = new AtomicInteger();
     private static final String PASSWORD = "changeit";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<Socket> open = new ArrayList<>();
@@ -65,12 +67,22 @@
     @BeforeEach
     void start() throws Exception {
         certificate();
-        first = new ECKeyGenerator(Curve.P_256).keyID("k1").algorithm(JWSAlgorithm.ES256).generate();
-        second = new ECKeyGenerator(Curve.P_256).keyID("k2").algorithm(JWSAlgorithm.ES256).generate();
+        first =
+                new ECKeyGenerator(Curve.P_256)
+                        .keyID("k1")
+                        .algorithm(JWSAlgorithm.ES256)
+                        .generate();
+        second =
+                new ECKeyGenerator(Curve.P_256)
+                        .keyID("k2")
+                        .algorithm(JWSAlgorithm.ES256)
+                        .generate();
         keys(first);
         Files.writeString(folder.resolve("revoked.txt"), "# none yet\n");
         Path file = folder.resolve("operator.star");
-        Files.writeString(file, """
+        Files.writeString(
+                file,
+                """
                 D = "%s/"
                 identity(jwks = D + "keys.json", issuer = "depot", revoked = D + "revoked.txt", certificate = D + "door.pem",
                          key = D + "door.key", overlap = "3s", holds = "60s")
@@ -79,11 +91,17 @@
                 role("poster", [allow(types = ["post-movement"], access = "w", prefix = "9-hotel-7/")])
                 principal("billing-7", roles = ["reader"])
                 principal("tablet-7", roles = ["reader", "poster"], at_once = 2)
-                """.formatted(folder));
+                """
+                        .formatted(folder));
         round = new StandIns(250_000);
         port = Drive.freePort();
-        daemon = new Daemon(Config.read(new ByteArrayInputStream(round.config(port, 1.0).getBytes(StandardCharsets.UTF_8))),
-                Operator.read(file), new Log(new PrintStream(log, true)));
+        daemon =
+                new Daemon(
+                        Config.read(
+                                new ByteArrayInputStream(
+                                        round.config(port, 1.0).getBytes(StandardCharsets.UTF_8))),
+                        Operator.read(file),
+                        new Log(new PrintStream(log, true)));
         daemon.start();
     }
 
@@ -104,25 +122,55 @@
     /** Made by the JDK's own tool, and trusted by the clients of this test. */
     private void certificate() throws Exception {
         Path store = folder.resolve("door.p12");
-        assertEquals(0, new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "keytool").toString(), "-genkeypair", "-alias",
-                "door", "-keyalg", "EC", "-groupname", "secp256r1", "-dname", "CN=localhost", "-validity", "2", "-storetype", "PKCS12",
-                "-keystore", store.toString(), "-storepass", PASSWORD).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("keytool.log").toFile()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "keytool")
+                                        .toString(),
+                                "-genkeypair",
+                                "-alias",
+                                "door",
+                                "-keyalg",
+                                "EC",
+                                "-groupname",
+                                "secp256r1",
+                                "-dname",
+                                "CN=localhost",
+                                "-validity",
+                                "2",
+                                "-storetype",
+                                "PKCS12",
+                                "-keystore",
+                                store.toString(),
+                                "-storepass",
+                                PASSWORD)
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("keytool.log").toFile())
+                        .start()
+                        .waitFor());
         KeyStore keys = KeyStore.getInstance(store.toFile(), PASSWORD.toCharArray());
         pem("door.pem", "CERTIFICATE", keys.getCertificate("door").getEncoded());
         pem("door.key", "PRIVATE KEY", keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
         KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
         trusted.setCertificateEntry("door", keys.getCertificate("door"));
-        TrustManagerFactory factory = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
+        TrustManagerFactory factory =
+                TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
         factory.init(trusted);
         trust = SSLContext.getInstance("TLS");
         trust.init(null, factory.getTrustManagers(), null);
     }
 
     private void pem(String name, String what, byte[] bytes) throws IOException {
-        Files.writeString(folder.resolve(name), "-----BEGIN " + what + "-----\n" + Base64.getMimeEncoder(64, new byte[] {'\n'})
-                .encodeToString(bytes) + "\n-----END " + what + "-----\n");
+        Files.writeString(
+                folder.resolve(name),
+                "-----BEGIN "
+                        + what
+                        + "-----\n"
+                        + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes)
+                        + "\n-----END "
+                        + what
+                        + "-----\n");
     }
 
     private void keys(JWK... keys) throws IOException {
@@ -134,9 +182,16 @@
     }
 
     private static String token(ECKey by, String who, String id) throws Exception {
-        SignedJWT jwt = new SignedJWT(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(by.getKeyID()).build(),
-                new JWTClaimsSet.Builder().subject(who).issuer("depot").audience("dillfront").jwtID(id)
-                        .expirationTime(new Date(System.currentTimeMillis() + 3_600_000)).build());
+        SignedJWT jwt =
+                new SignedJWT(
+                        new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(by.getKeyID()).build(),
+                        new JWTClaimsSet.Builder()
+                                .subject(who)
+                                .issuer("depot")
+                                .audience("dillfront")
+                                .jwtID(id)
+                                .expirationTime(new Date(System.currentTimeMillis() + 3_600_000))
+                                .build());
         jwt.sign(new ECDSASigner(by));
         return jwt.serialize();
     }
@@ -167,7 +222,10 @@
         return secure;
     }
 
-    /** Up to what tells that the router waits: R with a question, Z, or the end. Only errors' codes and types are kept. */
+    /**
+     * Up to what tells that the router waits: R with a question, Z, or the end. Only errors' codes
+     * and types are kept.
+     */
     private static String hear(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         StringBuilder heard = new StringBuilder();
@@ -194,8 +252,13 @@
         Socket socket = tls();
         write(socket, Messages.startup(Unpooled.buffer(), user, "catalog"));
         assertEquals("password?", hear(socket));
-        write(socket, Unpooled.buffer().writeByte('p').writeInt(5 + token.length()).writeBytes(token.getBytes(StandardCharsets.US_ASCII))
-                .writeByte(0));
+        write(
+                socket,
+                Unpooled.buffer()
+                        .writeByte('p')
+                        .writeInt(5 + token.length())
+                        .writeBytes(token.getBytes(StandardCharsets.US_ASCII))
+                        .writeByte(0));
         return socket;
     }
 
@@ -206,10 +269,22 @@
     }
 
     private static void say(Socket socket, String type, String key) throws IOException {
-        String comment = " /* id=" + Integer.toHexString(0x7000000 + IDS.incrementAndGet()) + ",c=" + type + ",d=700,cluster=0 */";
-        write(socket, Messages.query(Unpooled.buffer(256), type.equals("post-movement")
-                ? "INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x9f03') RETURNING body" + comment
-                : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment));
+        String comment =
+                " /* id="
+                        + Integer.toHexString(0x7000000 + IDS.incrementAndGet())
+                        + ",c="
+                        + type
+                        + ",d=700,cluster=0 */";
+        write(
+                socket,
+                Messages.query(
+                        Unpooled.buffer(256),
+                        type.equals("post-movement")
+                                ? "INSERT INTO objects (oid, body) VALUES ('"
+                                        + key
+                                        + "', '\\x9f03') RETURNING body"
+                                        + comment
+                                : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment));
     }
 
     private static String ask(Socket socket, String type, String key) throws IOException {
@@ -234,7 +309,8 @@
     }
 
     private void untilLogged(String part, int times) throws Exception {
-        for (long end = System.nanoTime() + 20_000_000_000L; timesLogged(part) < times && System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + 20_000_000_000L;
+                timesLogged(part) < times && System.nanoTime() < end; ) {
             Thread.sleep(5);
         }
         assertTrue(timesLogged(part) >= times, logged());
@@ -245,18 +321,32 @@
         Socket billing = ready("billing-7", token(first, "billing-7", "t-1"));
         assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
         assertEquals(1, reached());
-        for (String key : List.of("9-hotel-70/june", "9-hotel-7", "9-hotel-8/june", "9-hotel-7/safe/1", "8-hotel-7/june")) {
+        for (String key :
+                List.of(
+                        "9-hotel-70/june",
+                        "9-hotel-7",
+                        "9-hotel-8/june",
+                        "9-hotel-7/safe/1",
+                        "8-hotel-7/june")) {
             assertEquals("42501 ready", ask(billing, "history", key), key);
         }
         assertEquals("42501 ready", ask(billing, "post-movement", "9-hotel-7/june"), "a write");
-        assertEquals("42501 ready", ask(billing, "balance-check", "9-hotel-7/june"), "another type");
+        assertEquals(
+                "42501 ready", ask(billing, "balance-check", "9-hotel-7/june"), "another type");
         assertEquals("42501 ready", ask(billing, "no-such", "9-hotel-7/june"));
         // A write under the name of a read's type.
-        write(billing, Messages.query(Unpooled.buffer(256), "INSERT INTO objects (oid, body) VALUES ('9-hotel-7/x', '\\x9f') RETURNING "
-                + "body /* id=77aa,c=history,d=700,cluster=0 */"));
+        write(
+                billing,
+                Messages.query(
+                        Unpooled.buffer(256),
+                        "INSERT INTO objects (oid, body) VALUES ('9-hotel-7/x', '\\x9f') RETURNING "
+                                + "body /* id=77aa,c=history,d=700,cluster=0 */"));
         assertEquals("42501 ready", hear(billing));
         assertEquals(1, reached(), "none of these reached a node");
-        untilLogged("denied who=billing-7 why=NO_RIGHT type=history write=false group=0 rule=" + folder.resolve("operator.star") + ":5");
+        untilLogged(
+                "denied who=billing-7 why=NO_RIGHT type=history write=false group=0 rule="
+                        + folder.resolve("operator.star")
+                        + ":5");
         Socket tablet = ready("tablet-7", token(first, "tablet-7", "t-2"));
         assertEquals("row ready", ask(tablet, "post-movement", "9-hotel-7/june"));
     }
@@ -272,9 +362,16 @@
         write(stuffed, both);
         assertEquals("08P01 end", hear(stuffed), "bytes behind the request");
         assertEquals("28000 end", hear(in("billing-7", "nonsense")));
-        assertEquals("28000 end", hear(in("billing-7", token(second, "billing-7", "t-1"))), "a key of nobody");
-        assertEquals("28000 end", hear(in("tablet-7", token(first, "billing-7", "t-1"))), "another's token");
-        assertEquals("28000 end", hear(in("guest", token(first, "guest", "t-1"))), "no such principal");
+        assertEquals(
+                "28000 end",
+                hear(in("billing-7", token(second, "billing-7", "t-1"))),
+                "a key of nobody");
+        assertEquals(
+                "28000 end",
+                hear(in("tablet-7", token(first, "billing-7", "t-1"))),
+                "another's token");
+        assertEquals(
+                "28000 end", hear(in("guest", token(first, "guest", "t-1"))), "no such principal");
         Socket early = tls();
         write(early, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
         assertEquals("password?", hear(early));
@@ -364,7 +461,8 @@
             if (i % 2 == 0) {
                 half.getOutputStream().write(new byte[] {22, 3, 1, 0, 50, 1});
             } else {
-                half.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                half.getOutputStream()
+                        .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
         }
         assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
--- a/src/test/java/dillfront/bench/SideTest.java
+++ b/src/test/java/dillfront/bench/SideTest.java
@@ -28,13 +28,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Routers as they are, with the operator's file: they find each other, say how things stand, and leave. */
+/**
+ * Routers as they are, with the operator's file: they find each other, say how things stand, and
+ * leave.
+ */
 class SideTest {
 
     private static final int ROUTERS = 3;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private final List<Integer> controls = new ArrayList<>();
 
@@ -56,7 +58,7 @@
 
     private void until(int router, String part, int times) throws Exception {
         String said = "";
-        for (long end = System.nanoTime() + 10_000_000_000L; System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + 10_000_000_000L; System.nanoTime() < end; ) {
             said = asked(router, "peers json\n");
             if (said.split(part, -1).length - 1 == times) {
                 return;
@@ -74,18 +76,37 @@
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             Files.writeString(folder.resolve("r" + i + ".key"), KeyFile.text(pair.getPrivate()));
             publics.add(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
-            peers.append(String.format("peer(\"r%d\", address = \"127.0.0.1:%d\", keys = [\"%s\"])%n", i, freeUdp(), publics.get(i)));
+            peers.append(
+                    String.format(
+                            "peer(\"r%d\", address = \"127.0.0.1:%d\", keys = [\"%s\"])%n",
+                            i, freeUdp(), publics.get(i)));
             controls.add(Drive.freePort());
         }
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         List<Daemon> daemons = new ArrayList<>();
         try (StandIns round = new StandIns(1000)) {
             for (int i = 0; i < ROUTERS; i++) {
-                Operator operator = Operator.read("r" + i + ".star", peers + "gossip(key = \"" + folder.resolve("r" + i + ".key")
-                        + "\", public = \"" + publics.get(i) + "\", period = \"200ms\")\ncontrol(\"127.0.0.1:" + controls.get(i) + "\")\n");
-                String config = round.config(Drive.freePort(), 1.0).replace("\"name\":\"n0\"", "\"name\":\"r" + i + "\"");
-                Daemon daemon = new Daemon(Config.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.UTF_8))),
-                        operator, new Log(new PrintStream(log, true)));
+                Operator operator =
+                        Operator.read(
+                                "r" + i + ".star",
+                                peers
+                                        + "gossip(key = \""
+                                        + folder.resolve("r" + i + ".key")
+                                        + "\", public = \""
+                                        + publics.get(i)
+                                        + "\", period = \"200ms\")\ncontrol(\"127.0.0.1:"
+                                        + controls.get(i)
+                                        + "\")\n");
+                String config =
+                        round.config(Drive.freePort(), 1.0)
+                                .replace("\"name\":\"n0\"", "\"name\":\"r" + i + "\"");
+                Daemon daemon =
+                        new Daemon(
+                                Config.read(
+                                        new ByteArrayInputStream(
+                                                config.getBytes(StandardCharsets.UTF_8))),
+                                operator,
+                                new Log(new PrintStream(log, true)));
                 daemon.start();
                 daemons.add(daemon);
             }
@@ -96,15 +117,22 @@
             String table = asked(0, "peers\n");
             assertTrue(table.startsWith("peer "), table);
             assertTrue(table.contains("datagrams read"), table);
-            assertEquals("unknown question; known: peers, peers json, status, status json\n", asked(0, "who\n"));
+            assertEquals(
+                    "unknown question; known: peers, peers json, status, status json\n",
+                    asked(0, "who\n"));
             assertEquals("", asked(0, "x".repeat(100)), "a line that is no question");
             // Datagrams that nobody signed.
             try (DatagramSocket stranger = new DatagramSocket()) {
                 byte[] junk = new byte[200];
                 String at = peers.toString().split("127.0.0.1:")[1].split("\"")[0];
                 for (int i = 0; i < 5; i++) {
-                    stranger.send(new java.net.DatagramPacket(junk, junk.length,
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(at))));
+                    stranger.send(
+                            new java.net.DatagramPacket(
+                                    junk,
+                                    junk.length,
+                                    new InetSocketAddress(
+                                            InetAddress.getLoopbackAddress(),
+                                            Integer.parseInt(at))));
                 }
             }
             until(0, "\"dropped_form\":5", 1);
@@ -114,6 +142,8 @@
         } finally {
             daemons.forEach(Daemon::stop);
         }
-        assertTrue(!log.toString(StandardCharsets.UTF_8).contains("fault="), log.toString(StandardCharsets.UTF_8));
+        assertTrue(
+                !log.toString(StandardCharsets.UTF_8).contains("fault="),
+                log.toString(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/dillfront/bench/StopTest.java
+++ b/src/test/java/dillfront/bench/StopTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A router as a child that stands still for a while with work out and work in line, and a drain told meanwhile: what it
- * does first when it goes on. All sockets are ready then.
+ * A router as a child that stands still for a while with work out and work in line, and a drain
+ * told meanwhile: what it does first when it goes on. All sockets are ready then.
  */
 class StopTest {
 
@@ -20,8 +20,14 @@
     private static final long GRACE_NANOS = 250_000_000;
 
     private static List<String> child() {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "dillfront.cli.Main", "serve");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dillfront.cli.Main",
+                "serve");
     }
 
     /** Reads of one group, of every other client before the stop, of the others during it. */
@@ -32,12 +38,14 @@
     }
 
     /**
-     * Stopped once all that was said is out at nodes and none of it is answered; where answers were faster, once more.
+     * Stopped once all that was said is out at nodes and none of it is answered; where answers were
+     * faster, once more.
      *
      * @return when it was said
      */
-    private static long stopWithWorkOut(StandIns round, Drive router, List<StandIns.Client> clients) throws Exception {
-        for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end;) {
+    private static long stopWithWorkOut(StandIns round, Drive router, List<StandIns.Client> clients)
+            throws Exception {
+        for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; ) {
             int before = round.arrived(0);
             long said = System.nanoTime();
             say(clients, 0);
@@ -63,7 +71,8 @@
 
     @Test
     void standsStill() throws Exception {
-        try (StandIns round = new StandIns(20_000); Drive router = new Drive(child(), Path.of("."), round, 1.0)) {
+        try (StandIns round = new StandIns(20_000);
+                Drive router = new Drive(child(), Path.of("."), round, 1.0)) {
             List<StandIns.Client> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 // All of the first group.
@@ -92,8 +101,11 @@
                 for (StandIns.Client client : clients) {
                     good += client.hear() ? 1 : 0;
                 }
-                // Each has its answer: the value, or after a pause beyond the clients' 700 ms perhaps that it is too late.
-                assertTrue(good == CLIENTS || stood > 700, good + " of " + CLIENTS + " after " + stood + " ms");
+                // Each has its answer: the value, or after a pause beyond the clients' 700 ms
+                // perhaps that it is too late.
+                assertTrue(
+                        good == CLIENTS || stood > 700,
+                        good + " of " + CLIENTS + " after " + stood + " ms");
                 for (int again = 0; again < 5; again++) {
                     say(clients, 0);
                     say(clients, 1);
@@ -105,8 +117,11 @@
                 for (long at : round.arrivals(drained)) {
                     last = Math.max(last, at);
                 }
-                assertTrue(last - told < Math.min(GRACE_NANOS, ms * 1_000_000L),
-                        "sent to a node that drains " + (last - told) / 1_000_000 + " ms after it was told");
+                assertTrue(
+                        last - told < Math.min(GRACE_NANOS, ms * 1_000_000L),
+                        "sent to a node that drains "
+                                + (last - told) / 1_000_000
+                                + " ms after it was told");
                 round.tell(drained, "ready");
             }
             for (StandIns.Client client : clients) {
--- a/src/test/java/dillfront/cli/WholeSystemTest.java
+++ b/src/test/java/dillfront/cli/WholeSystemTest.java
@@ -21,8 +21,7 @@
 /** Exit codes that scripts can use: 0 all is well, 1 it is not, 2 the command line is wrong. */
 class WholeSystemTest {
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     @Test
     void aConfigurationIsCheckedBeforeItIsSent() throws IOException {
@@ -42,8 +41,9 @@
         assertEquals(2, Commands.run("system"));
     }
 
-    private static final String LACKING = "{'service':'db','move':'1099512676354','primary':'db-a','log_position':'1.10','least_acknowledged':'1.70',"
-            + "'most_acknowledged':'1.%s','out_of_reach':['db-b'],'for_ms':%s}";
+    private static final String LACKING =
+            "{'service':'db','move':'1099512676354','primary':'db-a','log_position':'1.10','least_acknowledged':'1.70',"
+                    + "'most_acknowledged':'1.%s','out_of_reach':['db-b'],'for_ms':%s}";
 
     private final List<String> posted = new ArrayList<>();
     private volatile String most = "72";
@@ -52,11 +52,23 @@
     /** A control process that says what is lacking, and writes down what is posted. */
     private HttpServer control() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        server.createContext("/status", call -> say(call, 200, "{'status':'-','lacking':[" + String.format(LACKING, most, System.nanoTime()) + "]}"));
-        server.createContext("/Services.AcceptDataLoss", call -> {
-            posted.add(new String(call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
-            say(call, answers, "{'log_position':'1.10','error_message':'something else'}");
-        });
+        server.createContext(
+                "/status",
+                call ->
+                        say(
+                                call,
+                                200,
+                                "{'status':'-','lacking':["
+                                        + String.format(LACKING, most, System.nanoTime())
+                                        + "]}"));
+        server.createContext(
+                "/Services.AcceptDataLoss",
+                call -> {
+                    posted.add(
+                            new String(
+                                    call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
+                    say(call, answers, "{'log_position':'1.10','error_message':'something else'}");
+                });
         server.start();
         return server;
     }
@@ -89,24 +101,37 @@
         try {
             String to = "127.0.0.1:" + control.getAddress().getPort();
             assertEquals(0, run("system", "accept-data-loss", to, "db"));
-            assertTrue(out.contains("longest log left   1.10") && out.contains("1.72 at the most") && out.contains("db-b"), out);
+            assertTrue(
+                    out.contains("longest log left   1.10")
+                            && out.contains("1.72 at the most")
+                            && out.contains("db-b"),
+                    out);
             String seal = out.replaceAll("(?s).*--shown (\\w+) --yes.*", "$1");
             assertEquals(0, run("system", "accept-data-loss", to, "db", "--json"));
-            assertEquals(seal, Json.parse(out).asObject().getString("seal", ""), "the same, however long it lasts");
+            assertEquals(
+                    seal,
+                    Json.parse(out).asObject().getString("seal", ""),
+                    "the same, however long it lasts");
             assertEquals(3, run("system", "accept-data-loss", to, "other"));
             assertEquals(2, run("system", "accept-data-loss", to, "db", "--yes"));
             assertEquals(2, run("system", "accept-data-loss", to, "db", "--shown", seal));
-            assertEquals(1, run("system", "accept-data-loss", to, "db", "--shown", "0000", "--yes"));
+            assertEquals(
+                    1, run("system", "accept-data-loss", to, "db", "--shown", "0000", "--yes"));
             most = "73";
             assertEquals(1, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
             assertEquals(List.of(), posted);
             most = "72";
             assertEquals(0, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
-            assertEquals(List.of("{'service':'db','move':'1099512676354','log_position':'1.10','least_acknowledged':'1.70','most_acknowledged':'1.72',"
-                    .replace('\'', '"') + "\"out_of_reach\":[\"db-b\"]}"), posted);
+            assertEquals(
+                    List.of(
+                            "{'service':'db','move':'1099512676354','log_position':'1.10','least_acknowledged':'1.70','most_acknowledged':'1.72',"
+                                            .replace('\'', '"')
+                                    + "\"out_of_reach\":[\"db-b\"]}"),
+                    posted);
             for (int refused : new int[] {409, 503}) {
                 answers = refused;
-                assertEquals(1, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
+                assertEquals(
+                        1, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
             }
         } finally {
             control.stop(0);
--- a/src/test/java/dillfront/core/Alone.java
+++ b/src/test/java/dillfront/core/Alone.java
@@ -7,10 +7,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 
-/** One control process by itself, as tests begin with it; others that its settings name are not there. */
+/**
+ * One control process by itself, as tests begin with it; others that its settings name are not
+ * there.
+ */
 final class Alone {
 
     static final String IP = "10.0.0.1";
+
     /** When it surely holds the lease, where it is the only one. */
     static final long HOLDS_MS = 6_000;
 
@@ -18,23 +22,47 @@
 
     /** Started, with nothing on its disk, and everything kept at once and forgotten. */
     static Core start(Host host, String... others) throws Exception {
-        return start(host, new Store() {
-            @Override
-            public Map<String, String> all() {
-                return Map.of();
-            }
-
-            @Override
-            public CompletableFuture<Void> put(Map<String, String> texts) {
-                return CompletableFuture.completedFuture(null);
-            }
-        }, others);
+        return start(
+                host,
+                new Store() {
+                    @Override
+                    public Map<String, String> all() {
+                        return Map.of();
+                    }
+
+                    @Override
+                    public CompletableFuture<Void> put(Map<String, String> texts) {
+                        return CompletableFuture.completedFuture(null);
+                    }
+                },
+                others);
     }
 
     static Core start(Host host, Store store, String... others) throws Exception {
-        List<String> seeds = Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
-        Core core = new Core(host, new Settings("core-1", "a", "ra", Map.of("a", "ra"), IP, null, null, IP + ":8002", 7400, seeds, true, "/", 1, 1_200,
-                7_000, 6_000, null), store);
+        List<String> seeds =
+                Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
+        Core core =
+                new Core(
+                        host,
+                        new Settings(
+                                "core-1",
+                                "a",
+                                "ra",
+                                Map.of("a", "ra"),
+                                IP,
+                                null,
+                                null,
+                                IP + ":8002",
+                                7400,
+                                seeds,
+                                true,
+                                "/",
+                                1,
+                                1_200,
+                                7_000,
+                                6_000,
+                                null),
+                        store);
         core.start();
         return core;
     }
--- a/src/test/java/dillfront/core/AskersTest.java
+++ b/src/test/java/dillfront/core/AskersTest.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a control process tells fronts: a configuration as what changed, and nothing at all where it is out of contact. */
+/**
+ * What a control process tells fronts: a configuration as what changed, and nothing at all where it
+ * is out of contact.
+ */
 class AskersTest {
 
     private final ManualHost host = new ManualHost();
@@ -27,31 +30,33 @@
 
     private Host.Ear front(Core core) {
         Host.Ear ear = core.accept();
-        ear.opened(new Host.Link() {
-            @Override
-            public void send(byte[] message) {
-                try {
-                    answers.add(Pack.read(message));
-                } catch (Pack.Bad bad) {
-                    throw new AssertionError(bad);
-                }
-            }
-
-            @Override
-            public void close() {
-                // It stays.
-            }
-
-            @Override
-            public long waiting() {
-                return 0;
-            }
-        });
+        ear.opened(
+                new Host.Link() {
+                    @Override
+                    public void send(byte[] message) {
+                        try {
+                            answers.add(Pack.read(message));
+                        } catch (Pack.Bad bad) {
+                            throw new AssertionError(bad);
+                        }
+                    }
+
+                    @Override
+                    public void close() {
+                        // It stays.
+                    }
+
+                    @Override
+                    public long waiting() {
+                        return 0;
+                    }
+                });
         return ear;
     }
 
     private Pack.Fields ask(Host.Ear ear, long question, Object... fields) {
-        Map<String, Object> out = new HashMap<>(Map.of("t", "news", "n", "front-1", "q", question, "b", "", "c", -1));
+        Map<String, Object> out =
+                new HashMap<>(Map.of("t", "news", "n", "front-1", "q", question, "b", "", "c", -1));
         for (int i = 0; i < fields.length; i += 2) {
             out.put((String) fields[i], fields[i + 1]);
         }
@@ -66,14 +71,23 @@
     private static byte[] configuration(long version) {
         StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
         for (int i = 0; i < 40; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"r").append(i).append("\",\"host_name\":\"h").append(i)
-                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":").append(i == version ? 900 : 800).append(",\"service\":\"s\"}");
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"r")
+                    .append(i)
+                    .append("\",\"host_name\":\"h")
+                    .append(i)
+                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
+                    .append(i == version ? 900 : 800)
+                    .append(",\"service\":\"s\"}");
         }
-        return text.append("],\"services\":[{\"name\":\"s\"}]}").toString().getBytes(StandardCharsets.UTF_8);
+        return text.append("],\"services\":[{\"name\":\"s\"}]}")
+                .toString()
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private void configure(Core core, long version) {
-        CompletableFuture<Host.Answer> answer = core.call("POST", "/Configuration.Replace", configuration(version));
+        CompletableFuture<Host.Answer> answer =
+                core.call("POST", "/Configuration.Replace", configuration(version));
         host.until(host.now() + 1_000);
         assertEquals(200, answer.join().status());
     }
@@ -97,10 +111,16 @@
         // The digest is said once; it holds until another is said.
         assertTrue(ask(front, 3, "c", 2L).has("cx"));
         assertTrue(ask(front, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
-        assertTrue(ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"), "another content under this number");
+        assertTrue(
+                ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
+                "another content under this number");
         assertTrue(ask(front, 6, "c", 1L, "cd", Delta.digest(configuration(1))).has("cx"));
-        Pack.Fields none = ask(front, 7, "c", 6L, "b", second.text("b"), "r", second.number("r", 0));
-        assertEquals(Set.of("q", "f", "su"), subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"), none.all().toString());
+        Pack.Fields none =
+                ask(front, 7, "c", 6L, "b", second.text("b"), "r", second.number("r", 0));
+        assertEquals(
+                Set.of("q", "f", "su"),
+                subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
+                none.all().toString());
     }
 
     private static Set<String> subset(Pack.Fields of, String... names) {
@@ -109,29 +129,53 @@
         return there;
     }
 
-    /** It hears neither of the two others: whatever it has, it says that alone, and where others may be found, at once. */
+    /**
+     * It hears neither of the two others: whatever it has, it says that alone, and where others may
+     * be found, at once.
+     */
     @Test
     void outOfContactItHandsOutNothing() throws Exception {
         Core core = Alone.start(host, "10.0.0.2", "10.0.0.3");
         Host.Ear front = front(core);
-        core.call("POST", "/Instances.Heartbeat/i-1", ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
-                + "\"database_role\":\"primary\",\"call_sequence\":1}").getBytes(StandardCharsets.UTF_8));
+        core.call(
+                "POST",
+                "/Instances.Heartbeat/i-1",
+                ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
+                                + "\"database_role\":\"primary\",\"call_sequence\":1}")
+                        .getBytes(StandardCharsets.UTF_8));
         host.until(3_000);
         answers.clear();
         front.message(Pack.write(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
         assertEquals(1, answers.size(), "at once");
-        assertEquals(Map.of("q", 5L, "alone", true, "cp", List.of(Map.of("i", "10.0.0.1", "z", "a"),
-                Map.of("i", "10.0.0.2", "z", "", "s", true), Map.of("i", "10.0.0.3", "z", "", "s", true))), answers.get(0).all());
+        assertEquals(
+                Map.of(
+                        "q",
+                        5L,
+                        "alone",
+                        true,
+                        "cp",
+                        List.of(
+                                Map.of("i", "10.0.0.1", "z", "a"),
+                                Map.of("i", "10.0.0.2", "z", "", "s", true),
+                                Map.of("i", "10.0.0.3", "z", "", "s", true))),
+                answers.get(0).all());
         // One that knows nobody better waits for contact, and no longer than for news.
         answers.clear();
-        front.message(Pack.write(Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
+        front.message(
+                Pack.write(
+                        Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
         host.until(3_500);
         assertEquals(0, answers.size());
         host.until(3_700);
-        assertEquals(Set.of("q", "alone"), subset(answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
+        assertEquals(
+                Set.of("q", "alone"),
+                subset(answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
     }
 
-    /** Of a primary it says 'sure' for no longer than 600 ms past the end of its lease, which is 2250 ms from its last question. */
+    /**
+     * Of a primary it says 'sure' for no longer than 600 ms past the end of its lease, which is
+     * 2250 ms from its last question.
+     */
     @Test
     void aHolderSaysSureNoLongerThanItsLeaseAndALittle() throws Exception {
         Core core = Alone.start(host);
@@ -140,7 +184,10 @@
         assertEquals(2_850, ask(front, 1).number("su", 0));
     }
 
-    /** What is left of another's lease counts from this one's clock when it said what that one had heard last. */
+    /**
+     * What is left of another's lease counts from this one's clock when it said what that one had
+     * heard last.
+     */
     @Test
     void whatAHolderSaysIsSureIsPassedOnWithWhatIsLeftOfItsLease() throws Exception {
         Core core = Alone.start(host, "10.0.0.2");
@@ -151,7 +198,8 @@
         assertEquals(1_000 + 600 - 300, core.sureFor());
         host.until(now + 200);
         assertEquals(1_000 + 600 - 500, core.sureFor());
-        // Over for more than that, or from one that says nothing of its lease: nothing is sure that was not before.
+        // Over for more than that, or from one that says nothing of its lease: nothing is sure that
+        // was not before.
         holderSays(core, other, 2, now, -700);
         assertEquals(1_000 + 600 - 500, core.sureFor());
         holderSays(core, other, 3, now, 1 << 20);
@@ -159,7 +207,28 @@
     }
 
     private static void holderSays(Core core, Host.Ear ear, long clock, long echo, long left) {
-        ear.message(Pack.write(Map.of("t", "word", "i", "10.0.0.2", "id", "10.0.0.2/1", "b", "other", "n", clock, "e", echo,
-                "eb", core.boot(), "p", (1L << 20) + 1, "h", true, "hl", left)));
+        ear.message(
+                Pack.write(
+                        Map.of(
+                                "t",
+                                "word",
+                                "i",
+                                "10.0.0.2",
+                                "id",
+                                "10.0.0.2/1",
+                                "b",
+                                "other",
+                                "n",
+                                clock,
+                                "e",
+                                echo,
+                                "eb",
+                                core.boot(),
+                                "p",
+                                (1L << 20) + 1,
+                                "h",
+                                true,
+                                "hl",
+                                left)));
     }
 }
--- a/src/test/java/dillfront/core/ControlCallsTest.java
+++ b/src/test/java/dillfront/core/ControlCallsTest.java
@@ -18,17 +18,36 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Calls and messages that are spoilt in any way: each is refused or passed over, none does harm, and what follows is served. */
+/**
+ * Calls and messages that are spoilt in any way: each is refused or passed over, none does harm,
+ * and what follows is served.
+ */
 class ControlCallsTest {
 
     private static final int TRIES = 4_000;
-    private static final String GOOD = "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
-            + "'timeout_ms':800,'service':'s'}],'services':[{'name':'s','connection_limit':68}]}";
-    private static final String BEAT = "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'ready','database_role':'replica',"
-            + "'call_sequence':4}";
-    private static final String LOSS = "{'service':'s','move':'7','log_position':'1.5','least_acknowledged':'1.7','most_acknowledged':'1.8'}";
-    private static final Object[] ODD = {null, "", "x", -1L, Long.MAX_VALUE, Long.MIN_VALUE, true, new byte[] {1}, List.of(), List.of(1L, "x"),
-        Map.of(), Map.of("i", 5L), List.of(Map.of("i", "q"))};
+    private static final String GOOD =
+            "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
+                    + "'timeout_ms':800,'service':'s'}],'services':[{'name':'s','connection_limit':68}]}";
+    private static final String BEAT =
+            "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'ready','database_role':'replica',"
+                    + "'call_sequence':4}";
+    private static final String LOSS =
+            "{'service':'s','move':'7','log_position':'1.5','least_acknowledged':'1.7','most_acknowledged':'1.8'}";
+    private static final Object[] ODD = {
+        null,
+        "",
+        "x",
+        -1L,
+        Long.MAX_VALUE,
+        Long.MIN_VALUE,
+        true,
+        new byte[] {1},
+        List.of(),
+        List.of(1L, "x"),
+        Map.of(),
+        Map.of("i", 5L),
+        List.of(Map.of("i", "q"))
+    };
 
     private final ScriptedHost host = new ScriptedHost();
     private final SplittableRandom random = new SplittableRandom(8_241);
@@ -74,32 +93,102 @@
         return is;
     }
 
-    /** Guards against a body that is not understood and changes something, or whose caller hears nothing. */
+    /**
+     * Guards against a body that is not understood and changes something, or whose caller hears
+     * nothing.
+     */
     @Test
     void anyBodyIsAnswered() {
         Set<Integer> usual = Set.of(200, 400, 404, 405, 409, 503);
-        String[] paths = {"/Configuration.Replace", "/Instances.Heartbeat/i-1", "/Instances.Heartbeat/", "/Instances.Leave/i-9", "/",
-            "/Configuration.Read", DataLosses.ACCEPT, "/Instances.Heartbeat/" + "x".repeat(5_000), "/Instances.Heartbeat/i\n1"};
+        String[] paths = {
+            "/Configuration.Replace",
+            "/Instances.Heartbeat/i-1",
+            "/Instances.Heartbeat/",
+            "/Instances.Leave/i-9",
+            "/",
+            "/Configuration.Read",
+            DataLosses.ACCEPT,
+            "/Instances.Heartbeat/" + "x".repeat(5_000),
+            "/Instances.Heartbeat/i\n1"
+        };
         String[] methods = {"POST", "POST", "POST", "GET", "PUT", "HEAD"};
         for (int i = 0; i < TRIES; i++) {
             String path = paths[random.nextInt(paths.length)];
-            byte[] body = random.nextInt(20) == 0 ? "[".repeat(20_000).getBytes(StandardCharsets.US_ASCII)
-                    : spoilt(bytes(path.contains("Beat") || path.contains("Instances") ? BEAT : path.equals(DataLosses.ACCEPT) ? LOSS : GOOD));
+            byte[] body =
+                    random.nextInt(20) == 0
+                            ? "[".repeat(20_000).getBytes(StandardCharsets.US_ASCII)
+                            : spoilt(
+                                    bytes(
+                                            path.contains("Beat") || path.contains("Instances")
+                                                    ? BEAT
+                                                    : path.equals(DataLosses.ACCEPT)
+                                                            ? LOSS
+                                                            : GOOD));
             String method = methods[random.nextInt(methods.length)];
             int status = call(method, path, body);
-            assertTrue(usual.contains(status), () -> status + " for " + method + " " + path + " " + new String(body, StandardCharsets.ISO_8859_1));
+            assertTrue(
+                    usual.contains(status),
+                    () ->
+                            status
+                                    + " for "
+                                    + method
+                                    + " "
+                                    + path
+                                    + " "
+                                    + new String(body, StandardCharsets.ISO_8859_1));
         }
-        assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":9000000000000000000,"))));
+        assertEquals(
+                200,
+                call(
+                        "POST",
+                        "/Configuration.Replace",
+                        bytes(GOOD.replace(":7,", ":9000000000000000000,"))));
         assertEquals(200, call("POST", "/Instances.Heartbeat/i-2", bytes(BEAT)));
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
     }
 
     private static Map<String, Object> word() {
-        Map<String, Object> is = new HashMap<>(Map.of("t", "word", "i", "10.0.0.2", "id", "10.0.0.2/1", "z", "z", "b", "b1", "n", 5L, "e", 3L,
-                "eb", "x", "r", 2L));
+        Map<String, Object> is =
+                new HashMap<>(
+                        Map.of(
+                                "t",
+                                "word",
+                                "i",
+                                "10.0.0.2",
+                                "id",
+                                "10.0.0.2/1",
+                                "z",
+                                "z",
+                                "b",
+                                "b1",
+                                "n",
+                                5L,
+                                "e",
+                                3L,
+                                "eb",
+                                "x",
+                                "r",
+                                2L));
         is.put("a", 0L);
         is.put("ak", 0L);
-        is.put("m", List.of(Map.of("i", "i-7", "v", "s", "a", "10.0.0.7:1", "z", "z", "st", "ready", "ro", "replica", "q", 3L)));
+        is.put(
+                "m",
+                List.of(
+                        Map.of(
+                                "i",
+                                "i-7",
+                                "v",
+                                "s",
+                                "a",
+                                "10.0.0.7:1",
+                                "z",
+                                "z",
+                                "st",
+                                "ready",
+                                "ro",
+                                "replica",
+                                "q",
+                                3L)));
         is.put("al", List.of("i-7", 5L, 6L));
         is.put("ep", 1L);
         is.put("pl", List.of("10.0.0.2"));
@@ -107,14 +196,32 @@
         is.put("pt", "10.0.0.2/1");
         is.put("w", 0L);
         is.put("k", -1L);
-        is.put("l", List.of(Map.of("s", "s", "k", 1L, "p", "i-7", "m", false, "dl", "1 1.5 1.7 1.8 1.5 1.8")));
+        is.put(
+                "l",
+                List.of(
+                        Map.of(
+                                "s",
+                                "s",
+                                "k",
+                                1L,
+                                "p",
+                                "i-7",
+                                "m",
+                                false,
+                                "dl",
+                                "1 1.5 1.7 1.8 1.5 1.8")));
         is.put("cl", List.of("s", 1L));
         is.put("s", List.of(List.of("s", "i-7", 1L, 0L, 0L, "-")));
         is.put("f", 1L);
         is.put("h", true);
         is.put("sq", List.of("s"));
         is.put("rg", Map.of("v", 1L));
-        is.put("dl", List.of(Map.of("s", "s", "mv", 1L, "l", "1.5", "a", "1.7 1.8", "p", "i-7", "t", 5L)));
+        is.put(
+                "dl",
+                List.of(
+                        Map.of(
+                                "s", "s", "mv", 1L, "l", "1.5", "a", "1.7 1.8", "p", "i-7", "t",
+                                5L)));
         is.put("du", is.get("dl"));
         return is;
     }
@@ -132,30 +239,40 @@
     }
 
     /**
-     * Guards against an order that waits for the end of a cut at the one machine that can't take it, against a caller who is sent to
-     * one that is known to be gone, and against a wrong order that is sent round instead of being refused.
+     * Guards against an order that waits for the end of a cut at the one machine that can't take
+     * it, against a caller who is sent to one that is known to be gone, and against a wrong order
+     * that is sent round instead of being refused.
      */
     @Test
     void outOfContactItSendsOrdersOnToWhoeverItHeardLast() throws Exception {
         Core cut = Alone.start(host, "10.0.0.2", "10.0.0.3");
-        assertEquals(503, answer(cut, "POST", "/Configuration.Replace", GOOD).status(), "it has heard nobody, and others may be starting too");
+        assertEquals(
+                503,
+                answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
+                "it has heard nobody, and others may be starting too");
         host.pass(2_000);
         Set<String> seeds = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
             Host.Answer order = answer(cut, "POST", "/Configuration.Replace", GOOD);
             seeds.add(order.status() + " " + order.location());
         }
-        assertEquals("[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]", seeds.toString());
+        assertEquals(
+                "[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]",
+                seeds.toString());
         hears(cut, "10.0.0.2", false);
         host.pass(2_000);
         hears(cut, "10.0.0.3", false);
         host.pass(20_000);
         for (int i = 0; i < 20; i++) {
             Host.Answer order = answer(cut, "POST", "/Configuration.Replace", GOOD);
-            assertEquals("307 http://10.0.0.3:8002/Configuration.Replace", order.status() + " " + order.location());
+            assertEquals(
+                    "307 http://10.0.0.3:8002/Configuration.Replace",
+                    order.status() + " " + order.location());
         }
         Host.Answer read = answer(cut, "GET", "/Configuration.Read", "");
-        assertEquals("307 http://10.0.0.3:8002/Configuration.Read", read.status() + " " + read.location());
+        assertEquals(
+                "307 http://10.0.0.3:8002/Configuration.Read",
+                read.status() + " " + read.location());
         assertEquals(400, answer(cut, "POST", "/Configuration.Replace", "{}").status());
         assertEquals(503, answer(cut, "POST", "/Instances.Heartbeat/i-1", BEAT).status());
         assertEquals(503, answer(cut, "POST", "/Instances.Leave/i-1", BEAT).status());
@@ -163,11 +280,17 @@
         hears(cut, "10.0.0.3", true);
         host.pass(20_000);
         Host.Answer later = answer(cut, "POST", "/Configuration.Replace", GOOD);
-        assertEquals("307 http://10.0.0.2:8002/Configuration.Replace", later.status() + " " + later.location());
+        assertEquals(
+                "307 http://10.0.0.2:8002/Configuration.Replace",
+                later.status() + " " + later.location());
     }
 
     private static Map<String, Object> question() {
-        Map<String, Object> is = new HashMap<>(Map.of("t", "news", "n", "f1", "z", "z", "q", 1L, "b", "", "r", 0L, "c", 6L, "k", -1L));
+        Map<String, Object> is =
+                new HashMap<>(
+                        Map.of(
+                                "t", "news", "n", "f1", "z", "z", "q", 1L, "b", "", "r", 0L, "c",
+                                6L, "k", -1L));
         is.put("sn", -1L);
         is.put("s", List.of(Map.of("s", "s", "o", 1L, "p", "i-7", "h", 1L, "a", "-")));
         return is;
@@ -224,7 +347,8 @@
         }
         host.pass(5_000);
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
-        assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
+        assertEquals(
+                200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
         ScriptedHost.Line front = new ScriptedHost.Line("front", Host.Form.FRAMES, core.accept());
         front.open();
         front.say(new String(Pack.write(question()), StandardCharsets.ISO_8859_1));
--- a/src/test/java/dillfront/core/DurableTest.java
+++ b/src/test/java/dillfront/core/DurableTest.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** A disk that refuses, hangs, or does what it said it did not: what was given to it gets there, and nobody is told before. */
+/**
+ * A disk that refuses, hangs, or does what it said it did not: what was given to it gets there, and
+ * nobody is told before.
+ */
 class DurableTest {
 
     private final ManualHost host = new ManualHost();
@@ -27,8 +30,10 @@
         final List<Map<String, String>> given = new ArrayList<>();
         long takes = 3;
         boolean refuses;
+
         /** Where it refuses: it may have done it all the same. */
         boolean done;
+
         boolean hangs;
         private CompletableFuture<Void> hung;
 
@@ -64,7 +69,10 @@
         }
     }
 
-    /** Finding 3 of issue 44: what the disk refused is there after the next put, and the next life has it. */
+    /**
+     * Finding 3 of issue 44: what the disk refused is there after the next put, and the next life
+     * has it.
+     */
     @Test
     void whatWasRefusedGoesWithTheNext() {
         Hand disk = new Hand();
@@ -131,7 +139,10 @@
         assertEquals(2, disk.given.size(), "what waited went together");
     }
 
-    /** What is there is not written again, unless the disk refused it and may hold the one or the other. */
+    /**
+     * What is there is not written again, unless the disk refused it and may hold the one or the
+     * other.
+     */
     @Test
     void whatIsThereIsNotWrittenAgain() {
         Hand disk = new Hand();
@@ -160,7 +171,8 @@
     void whatNoDiskTakesIsRefusedAndHoldsUpNobody() {
         Hand disk = new Hand();
         Durable store = new Durable(host, disk);
-        assertTrue(store.put(Map.of("a", "x".repeat(Store.LONGEST + 1))).isCompletedExceptionally());
+        assertTrue(
+                store.put(Map.of("a", "x".repeat(Store.LONGEST + 1))).isCompletedExceptionally());
         CompletableFuture<Void> fits = store.put(Map.of("a", "x".repeat(Store.LONGEST)));
         host.until(10);
         assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
@@ -174,10 +186,14 @@
         disk.hangs = false;
         disk.end(disk.given.get(1), true, false);
         host.until(20);
-        assertEquals("10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
+        assertEquals(
+                "10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
     }
 
-    /** The process itself: a record of who leads that the disk refused is in its next life, though no other record follows. */
+    /**
+     * The process itself: a record of who leads that the disk refused is in its next life, though
+     * no other record follows.
+     */
     @Test
     void aRecordThatTheDiskRefusedIsThereLater() throws Exception {
         Hand disk = new Hand();
@@ -185,18 +201,33 @@
         host.until(8_000);
         for (int i = 1; i <= 6; i++) {
             disk.refuses = i <= 1;
-            core.call("POST", "/Instances.Heartbeat/i-1", ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
-                    + "\"database_role\":\"primary\",\"call_sequence\":" + i + "}").getBytes(StandardCharsets.UTF_8));
+            core.call(
+                    "POST",
+                    "/Instances.Heartbeat/i-1",
+                    ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
+                                    + "\"database_role\":\"primary\",\"call_sequence\":"
+                                    + i
+                                    + "}")
+                            .getBytes(StandardCharsets.UTF_8));
             host.until(host.now() + 500);
             assertTrue(i > 1 || !disk.there.containsKey("lead:s"));
         }
         assertTrue(core.status().contains(" | s primary=i-1"), core.status());
-        assertEquals(1, disk.given.stream().map(put -> put.get("lead:s")).filter(java.util.Objects::nonNull).distinct().count());
+        assertEquals(
+                1,
+                disk.given.stream()
+                        .map(put -> put.get("lead:s"))
+                        .filter(java.util.Objects::nonNull)
+                        .distinct()
+                        .count());
         assertTrue(disk.there.getOrDefault("lead:s", "").contains("i-1"), disk.there.toString());
         assertTrue(disk.there.containsKey("server:i-1"), disk.there.toString());
     }
 
-    /** Any order of puts, refusals and pauses: whoever was told has it on the disk, in the order of the puts, and in the end all have. */
+    /**
+     * Any order of puts, refusals and pauses: whoever was told has it on the disk, in the order of
+     * the puts, and in the end all have.
+     */
     @Test
     void whoeverWasToldHasItOnTheDisk() {
         for (long seed = 1; seed <= 200; seed++) {
@@ -213,10 +244,19 @@
                     put.put(name, "" + i);
                     newest.put(name, i);
                 }
-                store.put(put).thenRun(() -> {
-                    told.add(number);
-                    put.forEach((name, text) -> assertTrue(Integer.parseInt(disk.there.getOrDefault(name, "-1")) >= number, name));
-                });
+                store.put(put)
+                        .thenRun(
+                                () -> {
+                                    told.add(number);
+                                    put.forEach(
+                                            (name, text) ->
+                                                    assertTrue(
+                                                            Integer.parseInt(
+                                                                            disk.there.getOrDefault(
+                                                                                    name, "-1"))
+                                                                    >= number,
+                                                            name));
+                                });
                 if (random.nextInt(8) == 0) {
                     disk.refuses = !disk.refuses;
                     disk.done = random.nextBoolean();
--- a/src/test/java/dillfront/core/LeadTest.java
+++ b/src/test/java/dillfront/core/LeadTest.java
@@ -13,8 +13,13 @@
 /** What was recorded of a service is the same on a disk, and at another process. */
 class LeadTest {
 
-    private final DataLoss loss = DataLoss.of(5, new Position(1, 10), new Acknowledged(new Position(1, 70), new Position(1, 72)),
-            List.of("i\n3"), null);
+    private final DataLoss loss =
+            DataLoss.of(
+                    5,
+                    new Position(1, 10),
+                    new Acknowledged(new Position(1, 70), new Position(1, 72)),
+                    List.of("i\n3"),
+                    null);
 
     private static Lead passed(Lead of) throws Pack.Bad {
         assertEquals(of, Lead.kept(of.service(), of.kept()));
@@ -40,7 +45,8 @@
     @Test
     void textsOfBeforeAreRead() {
         assertEquals(new Lead("db", 3, "i-1", true, true), Lead.kept("db", "3\ni-1\ntrue"));
-        assertEquals(new Lead("db", 3, "i-1", false, false), Lead.kept("db", "3\ni-1\nfalse\nfalse"));
+        assertEquals(
+                new Lead("db", 3, "i-1", false, false), Lead.kept("db", "3\ni-1\nfalse\nfalse"));
         assertNull(Lead.kept("db", "3\ni-1"));
     }
 }
--- a/src/test/java/dillfront/core/LeavesTest.java
+++ b/src/test/java/dillfront/core/LeavesTest.java
@@ -17,32 +17,59 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Servers that say that they leave, with or without a word of draining before, and what of them comes late. */
+/**
+ * Servers that say that they leave, with or without a word of draining before, and what of them
+ * comes late.
+ */
 class LeavesTest {
 
     private final ScriptedHost host = new ScriptedHost();
     private final Map<String, String> disk = new TreeMap<>();
     private Core core;
+
     /** Writes that were made while the disk stood still. */
     private boolean stands;
+
     private CompletableFuture<Void> writes = CompletableFuture.completedFuture(null);
 
     @BeforeEach
     void start() throws Exception {
-        Settings settings = new Settings("c", "z", "r", Map.of("z", "r"), "10.0.0.1", null, null, "10.0.0.1:80", 7_440,
-                List.of("10.0.0.1:80"), true, "unused", 0, 1_200, 7_000, 6_000, null);
-        core = new Core(host, settings, new Store() {
-            @Override
-            public Map<String, String> all() {
-                return disk;
-            }
-
-            @Override
-            public CompletableFuture<Void> put(Map<String, String> texts) {
-                CompletableFuture<Void> done = stands ? writes : CompletableFuture.completedFuture(null);
-                return done.thenRun(() -> disk.putAll(texts));
-            }
-        });
+        Settings settings =
+                new Settings(
+                        "c",
+                        "z",
+                        "r",
+                        Map.of("z", "r"),
+                        "10.0.0.1",
+                        null,
+                        null,
+                        "10.0.0.1:80",
+                        7_440,
+                        List.of("10.0.0.1:80"),
+                        true,
+                        "unused",
+                        0,
+                        1_200,
+                        7_000,
+                        6_000,
+                        null);
+        core =
+                new Core(
+                        host,
+                        settings,
+                        new Store() {
+                            @Override
+                            public Map<String, String> all() {
+                                return disk;
+                            }
+
+                            @Override
+                            public CompletableFuture<Void> put(Map<String, String> texts) {
+                                CompletableFuture<Void> done =
+                                        stands ? writes : CompletableFuture.completedFuture(null);
+                                return done.thenRun(() -> disk.putAll(texts));
+                            }
+                        });
         core.start();
         host.pass(6_000);
     }
@@ -52,8 +79,18 @@
     }
 
     private void beat(String id, String state, String role, long sequence) {
-        assertEquals(200, answered(call("/Instances.Heartbeat/" + id, "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'" + state
-                + "','database_role':'" + role + "','call_sequence':" + sequence + "}")));
+        assertEquals(
+                200,
+                answered(
+                        call(
+                                "/Instances.Heartbeat/" + id,
+                                "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'"
+                                        + state
+                                        + "','database_role':'"
+                                        + role
+                                        + "','call_sequence':"
+                                        + sequence
+                                        + "}")));
     }
 
     private int leave(String id) {
@@ -67,7 +104,23 @@
     }
 
     private static Pack.Fields row(String id, String service, String state, long sequence) {
-        return new Pack.Fields(new HashMap<>(Map.of("i", id, "v", service, "a", "10.0.0.9:80", "z", "z", "st", state, "ro", "replica", "q", sequence)));
+        return new Pack.Fields(
+                new HashMap<>(
+                        Map.of(
+                                "i",
+                                id,
+                                "v",
+                                service,
+                                "a",
+                                "10.0.0.9:80",
+                                "z",
+                                "z",
+                                "st",
+                                state,
+                                "ro",
+                                "replica",
+                                "q",
+                                sequence)));
     }
 
     @Test
--- a/src/test/java/dillfront/core/MembershipTest.java
+++ b/src/test/java/dillfront/core/MembershipTest.java
@@ -8,15 +8,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who is to be a member, in one line each: those that are, what is seen of whom, and who is to be one next. */
+/**
+ * Who is to be a member, in one line each: those that are, what is seen of whom, and who is to be
+ * one next.
+ */
 final class MembershipTest {
 
     /**
-     * Seen: id, then z and its zone, s and for how many seconds it has been silent (s* where another has its address), l where it
-     * leaves, n where it is near.
+     * Seen: id, then z and its zone, s and for how many seconds it has been silent (s* where
+     * another has its address), l where it leaves, n where it is near.
      */
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             calm                                  | 1 | a b c     | a-n b-n c-n                  | a b c
             a restart is waited for               | 1 | a b c     | a-n b-n c-s20                | a b c
             a learner takes a silent one's place  | 1 | a b c     | a-n b-n c-s2 d-n             | a b d
@@ -47,11 +53,21 @@
             String what = dash < 0 ? "" : one.substring(dash + 1);
             int silent = what.indexOf('s');
             int zone = what.indexOf('z');
-            processes.add(new Membership.Process(id, zone < 0 ? "" : what.substring(zone), silent < 0 ? 0
-                    : what.endsWith("*") ? Long.MAX_VALUE : 1_000 * Long.parseLong(what.substring(silent + 1)),
-                    what.contains("n"), what.contains("l")));
+            processes.add(
+                    new Membership.Process(
+                            id,
+                            zone < 0 ? "" : what.substring(zone),
+                            silent < 0
+                                    ? 0
+                                    : what.endsWith("*")
+                                            ? Long.MAX_VALUE
+                                            : 1_000 * Long.parseLong(what.substring(silent + 1)),
+                            what.contains("n"),
+                            what.contains("l")));
         }
-        assertEquals(new TreeSet<>(List.of(expected.trim().split(" +"))),
-                Membership.next(new TreeSet<>(List.of(members.trim().split(" +"))), processes, losses));
+        assertEquals(
+                new TreeSet<>(List.of(expected.trim().split(" +"))),
+                Membership.next(
+                        new TreeSet<>(List.of(members.trim().split(" +"))), processes, losses));
     }
 }
--- a/src/test/java/dillfront/core/QuestionTest.java
+++ b/src/test/java/dillfront/core/QuestionTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** STATUS and the word that follows from it: whose answer counts, and when nothing is said any more. */
+/**
+ * STATUS and the word that follows from it: whose answer counts, and when nothing is said any more.
+ */
 class QuestionTest {
 
     private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
@@ -28,14 +30,17 @@
         to.address = "10.0.0.9:5432";
     }
 
-    private ScriptedHost.Line ask(Function<Question.Row, String> then, CompletableFuture<Question.Row> into) {
-        Question.ask(core, to, 500, then).whenComplete((row, fault) -> {
-            if (fault == null) {
-                into.complete(row);
-            } else {
-                into.completeExceptionally(fault);
-            }
-        });
+    private ScriptedHost.Line ask(
+            Function<Question.Row, String> then, CompletableFuture<Question.Row> into) {
+        Question.ask(core, to, 500, then)
+                .whenComplete(
+                        (row, fault) -> {
+                            if (fault == null) {
+                                into.complete(row);
+                            } else {
+                                into.completeExceptionally(fault);
+                            }
+                        });
         ScriptedHost.Line line = host.lastDialed();
         line.open();
         assertEquals("CONNECT db control i-1", line.last());
@@ -65,7 +70,9 @@
         assertTrue(line.closed);
     }
 
-    /** Guards against a row that was there before anything was asked, and against half an answer. */
+    /**
+     * Guards against a row that was there before anything was asked, and against half an answer.
+     */
     @Test
     void whatIsNoAnswerToItCountsForNothing() {
         CompletableFuture<Question.Row> early = new CompletableFuture<>();
@@ -82,13 +89,16 @@
 
     @Test
     void aRefusalEndsItAndTellsWhetherItLives() {
-        for (String[] one : new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
+        for (String[] one :
+                new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
             CompletableFuture<Question.Row> is = new CompletableFuture<>();
             ask(null, is).say(one[0]);
-            is.exceptionally(fault -> {
-                assertEquals(Boolean.parseBoolean(one[1]), ((Question.Unanswered) fault).alive);
-                return null;
-            });
+            is.exceptionally(
+                    fault -> {
+                        assertEquals(
+                                Boolean.parseBoolean(one[1]), ((Question.Unanswered) fault).alive);
+                        return null;
+                    });
             assertTrue(is.isCompletedExceptionally());
         }
         CompletableFuture<Question.Row> busy = new CompletableFuture<>();
@@ -98,7 +108,10 @@
         assertFalse(line.sent.contains("QUERY - PAUSE 4"));
     }
 
-    /** Guards against a word that goes out once the process runs again: by then another holds the lease. */
+    /**
+     * Guards against a word that goes out once the process runs again: by then another holds the
+     * lease.
+     */
     @Test
     void whoWasAwayTooLongSaysNoSecondWord() {
         CompletableFuture<Question.Row> is = new CompletableFuture<>();
@@ -114,14 +127,16 @@
     @Test
     void withoutTheLeaseThereIsNoSecondWord() {
         CompletableFuture<Question.Row> is = new CompletableFuture<>();
-        Question.ask(core, to, 60_000, row -> "STEPDOWN " + row.next()).whenComplete((row, fault) -> is.complete(row));
+        Question.ask(core, to, 60_000, row -> "STEPDOWN " + row.next())
+                .whenComplete((row, fault) -> is.complete(row));
         ScriptedHost.Line line = host.lastDialed();
         line.open();
         line.say("READY I -");
         core.lease.leave();
         assertFalse(core.lease.holds());
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
-        assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
+        assertFalse(
+                line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
         assertTrue(is.isDone());
     }
 
--- a/src/test/java/dillfront/core/StoredStateTest.java
+++ b/src/test/java/dillfront/core/StoredStateTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Disks of control processes that revision 6ff1719 wrote in real use (src/test/resources/stored) are read in full. */
+/**
+ * Disks of control processes that revision 6ff1719 wrote in real use (src/test/resources/stored)
+ * are read in full.
+ */
 class StoredStateTest {
 
     private static final Path STORED = Path.of("src/test/resources/stored");
@@ -23,8 +26,7 @@
     private static final String SECOND = "127.0.78.2/8107c477209dcc4d";
     private static final String THIRD = "127.0.78.3/71225040e018e121";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Path copy(String disk) throws IOException {
         Path copy = Files.createDirectories(folder.resolve(disk));
@@ -38,17 +40,19 @@
     }
 
     private static Core start(Map<String, String> texts) throws Exception {
-        return Alone.start(new ManualHost(), new Store() {
-            @Override
-            public Map<String, String> all() {
-                return texts;
-            }
+        return Alone.start(
+                new ManualHost(),
+                new Store() {
+                    @Override
+                    public Map<String, String> all() {
+                        return texts;
+                    }
 
-            @Override
-            public CompletableFuture<Void> put(Map<String, String> next) {
-                return CompletableFuture.completedFuture(null);
-            }
-        });
+                    @Override
+                    public CompletableFuture<Void> put(Map<String, String> next) {
+                        return CompletableFuture.completedFuture(null);
+                    }
+                });
     }
 
     private static String server(Core core, String id) {
--- a/src/test/java/dillfront/core/VersionsTest.java
+++ b/src/test/java/dillfront/core/VersionsTest.java
@@ -20,14 +20,23 @@
 /** What fronts that are some versions behind get, and how much of what was is kept for them. */
 class VersionsTest {
 
-    private static Configuration configuration(long version, int routes, long salt) throws Configuration.Invalid {
+    private static Configuration configuration(long version, int routes, long salt)
+            throws Configuration.Invalid {
         StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"r").append(i).append("\",\"host_name\":\"h").append(i * 7919 + salt)
-                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":").append(i == version % routes ? 1_000 + version : 800)
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"r")
+                    .append(i)
+                    .append("\",\"host_name\":\"h")
+                    .append(i * 7919 + salt)
+                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
+                    .append(i == version % routes ? 1_000 + version : 800)
                     .append(",\"service\":\"s\"}");
         }
-        return Configuration.read(text.append("],\"services\":[{\"name\":\"s\"}]}").toString().getBytes(StandardCharsets.UTF_8));
+        return Configuration.read(
+                text.append("],\"services\":[{\"name\":\"s\"}]}")
+                        .toString()
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -45,10 +54,17 @@
             assertEquals(i >= 199 - 64, delta != null, "of version " + is.version());
             if (delta != null) {
                 assertArrayEquals(newest.body(), Delta.apply(is.body(), delta));
-                assertSame(delta, versions.since(is.version(), is.digest()), "made once for all who ask");
-                assertTrue(delta.length < 60 + 30 * (199 - i), delta.length + " bytes for " + (199 - i) + " changes");
+                assertSame(
+                        delta,
+                        versions.since(is.version(), is.digest()),
+                        "made once for all who ask");
+                assertTrue(
+                        delta.length < 60 + 30 * (199 - i),
+                        delta.length + " bytes for " + (199 - i) + " changes");
             }
-            assertNull(versions.since(is.version(), is.digest() + 1), "another content under this number");
+            assertNull(
+                    versions.since(is.version(), is.digest() + 1),
+                    "another content under this number");
             assertNull(versions.since(is.version() + 1, is.digest()), "a number that never was");
         }
         assertNull(versions.since(newest.version(), newest.digest()));
@@ -72,11 +88,18 @@
             for (int i = 0; i < noise.length; i++) {
                 noise[i] = (byte) ('a' + random.nextInt(26));
             }
-            all.add(Configuration.read(("{\"revision_number\":" + v + ",\"routes\":[],\"services\":[],\"x\":\"" + new String(noise, StandardCharsets.US_ASCII)
-                    + "\"}").getBytes(StandardCharsets.UTF_8)));
+            all.add(
+                    Configuration.read(
+                            ("{\"revision_number\":"
+                                            + v
+                                            + ",\"routes\":[],\"services\":[],\"x\":\""
+                                            + new String(noise, StandardCharsets.US_ASCII)
+                                            + "\"}")
+                                    .getBytes(StandardCharsets.UTF_8)));
             versions.decided(all.get(v - 1));
         }
-        long known = all.stream().filter(c -> versions.since(c.version(), c.digest()) != null).count();
+        long known =
+                all.stream().filter(c -> versions.since(c.version(), c.digest()) != null).count();
         assertEquals(0, known, "no change is shorter than the whole, deflated");
     }
 
@@ -90,7 +113,9 @@
                 byte[] part = Arrays.copyOf(small, cut);
                 assertThrows(Deflate.Bad.class, () -> Deflate.back(part, is.length));
             }
-            assertThrows(Deflate.Bad.class, () -> Deflate.back(Arrays.copyOf(small, small.length + 1), is.length));
+            assertThrows(
+                    Deflate.Bad.class,
+                    () -> Deflate.back(Arrays.copyOf(small, small.length + 1), is.length));
             for (int at = 0; at < small.length; at++) {
                 byte[] bad = small.clone();
                 bad[at] ^= 4;
