--- a/src/test/java/dillfront/daemon/RouterTest.java
+++ b/src/test/java/dillfront/daemon/RouterTest.java
@@ -1,8 +1,8 @@
 package dillfront.daemon;
 
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.Scene;
 import dillfront.config.BadConfig;
@@ -55,54 +55,65 @@
 
     static {
         ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
-        ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(new ResourceLeakDetectorFactory() {
-            @Override
-            @SuppressWarnings("deprecation")
-            public <T> ResourceLeakDetector<T> newResourceLeakDetector(Class<T> type, int interval, long most) {
-                return new ResourceLeakDetector<>(type, interval) {
-                    @Override
-                    protected boolean needReport() {
-                        return true;
-                    }
-
+        ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(
+                new ResourceLeakDetectorFactory() {
                     @Override
-                    protected void reportTracedLeak(String kind, String records) {
-                        LEAKS.incrementAndGet();
+                    @SuppressWarnings("deprecation")
+                    public <T> ResourceLeakDetector<T> newResourceLeakDetector(
+                            Class<T> type, int interval, long most) {
+                        return new ResourceLeakDetector<>(type, interval) {
+                            @Override
+                            protected boolean needReport() {
+                                return true;
+                            }
+
+                            @Override
+                            protected void reportTracedLeak(String kind, String records) {
+                                LEAKS.incrementAndGet();
+                            }
+
+                            @Override
+                            protected void reportUntracedLeak(String kind) {
+                                LEAKS.incrementAndGet();
+                            }
+                        };
                     }
-
-                    @Override
-                    protected void reportUntracedLeak(String kind) {
-                        LEAKS.incrementAndGet();
-                    }
-                };
-            }
-        });
+                });
     }
 
-    private static final String SETTINGS = "{'az':'a','zones':['a'],'stepUs':5000,'groupSize':1,"
-            + "'bounds':{'dialTimeoutUs':250000,'maxAttempts':3,'probes':true,'retryAfter':true,"
-            + "'maxRetryAfterUs':2000000,'keepaliveUs':30000000},'stats':{'how':'inline','fields':['x0','x1']},"
-            + "'classes':[{'name':'any','effect':'retryable','targetUs':300000,'deadlineUs':1000000},"
-            + "{'name':'move','effect':'dedup','dedupScope':'cell','dedupWindowUs':2000000,'targetUs':300000,"
-            + "'deadlineUs':1000000,'lateShare':0.5},"
-            + "{'name':'once','effect':'fragile','targetUs':300000,'deadlineUs':1000000,'lateShare':0.5}],"
-            + "'familyInfo':{'classRead':['strong','mutate','mutate'],'listRole':'static','guards':'off',"
-            + "'tokens':'kept'},'rules':{'coldFrom':0.2,'coldUs':9000000}}";
-
-    /** For scenes in which no time-out is meant to end: on a busy machine a stand-in takes longer than these. */
+    private static final String SETTINGS =
+            "{'az':'a','zones':['a'],'stepUs':5000,'groupSize':1,"
+                    + "'bounds':{'dialTimeoutUs':250000,'maxAttempts':3,'probes':true,'retryAfter':true,"
+                    + "'maxRetryAfterUs':2000000,'keepaliveUs':30000000},'stats':{'how':'inline','fields':['x0','x1']},"
+                    + "'classes':[{'name':'any','effect':'retryable','targetUs':300000,'deadlineUs':1000000},"
+                    + "{'name':'move','effect':'dedup','dedupScope':'cell','dedupWindowUs':2000000,'targetUs':300000,"
+                    + "'deadlineUs':1000000,'lateShare':0.5},"
+                    + "{'name':'once','effect':'fragile','targetUs':300000,'deadlineUs':1000000,'lateShare':0.5}],"
+                    + "'familyInfo':{'classRead':['strong','mutate','mutate'],'listRole':'static','guards':'off',"
+                    + "'tokens':'kept'},'rules':{'coldFrom':0.2,'coldUs':9000000}}";
+
+    /**
+     * For scenes in which no time-out is meant to end: on a busy machine a stand-in takes longer
+     * than these.
+     */
     private static final String PATIENT = "patient";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private final StringBuilder trace = new StringBuilder();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
     private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger lists = new AtomicInteger();
+
     /** Where the loop is to stand still next. */
     private final Queue<Hold> holds = new ConcurrentLinkedQueue<>();
-    /** The connection on which discovery was asked last for what is newer; and, once the test is ready to tell, the one that waits. */
+
+    /**
+     * The connection on which discovery was asked last for what is newer; and, once the test is
+     * ready to tell, the one that waits.
+     */
     private volatile Socket last;
+
     private volatile Socket waiting;
     private volatile boolean ready;
     private ServerSocket node;
@@ -118,7 +129,7 @@
         serve(node, this::node);
         serve(list, this::list);
         // Another process may have been given a free port before the router listens there.
-        for (int tries = 1;; tries++) {
+        for (int tries = 1; ; tries++) {
             try {
                 start(here, scene);
                 return;
@@ -136,20 +147,39 @@
             port = free.getLocalPort();
         }
         Path config = dir.resolve("config.json");
-        Files.writeString(config, ("{'name':'n0','listen':'127.0.0.1:" + port + "','discovery':'127.0.0.1:"
-                + list.getLocalPort() + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':" + listed(41)
-                + ",'settings':" + (scene.getTags().contains(PATIENT) ? SETTINGS.replace("'dialTimeoutUs':250000", "'dialTimeoutUs':2000000")
-                .replace("'deadlineUs':1000000", "'deadlineUs':4000000") : SETTINGS) + "}").replace('\'', '"'));
-        daemon = new Daemon(Config.read(Map.of("LB_CONFIG", config.toString())), new Log(new PrintStream(log, true) {
-            @Override
-            public void println(Object line) {
-                super.println(line);
-                Hold next = holds.peek();
-                if (next != null && line.toString().contains(next.at)) {
-                    holds.remove().stand();
-                }
-            }
-        }));
+        Files.writeString(
+                config,
+                ("{'name':'n0','listen':'127.0.0.1:"
+                                + port
+                                + "','discovery':'127.0.0.1:"
+                                + list.getLocalPort()
+                                + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':"
+                                + listed(41)
+                                + ",'settings':"
+                                + (scene.getTags().contains(PATIENT)
+                                        ? SETTINGS.replace(
+                                                        "'dialTimeoutUs':250000",
+                                                        "'dialTimeoutUs':2000000")
+                                                .replace(
+                                                        "'deadlineUs':1000000",
+                                                        "'deadlineUs':4000000")
+                                        : SETTINGS)
+                                + "}")
+                        .replace('\'', '"'));
+        daemon =
+                new Daemon(
+                        Config.read(Map.of("LB_CONFIG", config.toString())),
+                        new Log(
+                                new PrintStream(log, true) {
+                                    @Override
+                                    public void println(Object line) {
+                                        super.println(line);
+                                        Hold next = holds.peek();
+                                        if (next != null && line.toString().contains(next.at)) {
+                                            holds.remove().stand();
+                                        }
+                                    }
+                                }));
         daemon.start();
         client = new Socket(here, port);
         client.setSoTimeout(5000);
@@ -172,37 +202,49 @@
     }
 
     private static void serve(ServerSocket door, Peer peer) {
-        Thread thread = new Thread(() -> {
-            while (!door.isClosed()) {
-                try {
-                    Socket socket = door.accept();
-                    Thread one = new Thread(() -> {
-                        try (socket) {
-                            peer.meet(socket);
-                        } catch (IOException over) {
-                            // The router ended it: so be it.
-                        }
-                    });
-                    one.setDaemon(true);
-                    one.start();
-                } catch (IOException closed) {
-                    return;
-                }
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            while (!door.isClosed()) {
+                                try {
+                                    Socket socket = door.accept();
+                                    Thread one =
+                                            new Thread(
+                                                    () -> {
+                                                        try (socket) {
+                                                            peer.meet(socket);
+                                                        } catch (IOException over) {
+                                                            // The router ended it: so be it.
+                                                        }
+                                                    });
+                                    one.setDaemon(true);
+                                    one.start();
+                                } catch (IOException closed) {
+                                    return;
+                                }
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
 
     private String listed(int generation) {
-        return "{'generation':" + generation + ",'reset':true,'instances':[{'instanceId':'s-1','hostPort':'127.0.0.1:"
-                + node.getLocalPort() + "','zone':'a','cell':2,'lifecycle':'ready','weight':1,'startedAtMs':0,"
+        return "{'generation':"
+                + generation
+                + ",'reset':true,'instances':[{'instanceId':'s-1','hostPort':'127.0.0.1:"
+                + node.getLocalPort()
+                + "','zone':'a','cell':2,'lifecycle':'ready','weight':1,'startedAtMs':0,"
                 + "'role':'leader'}]}";
     }
 
-    /** A second address of discovery: answers at once with the whole list, and notes what it was asked. */
+    /**
+     * A second address of discovery: answers at once with the whole list, and notes what it was
+     * asked.
+     */
     private void laterList(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
                 asked.add(line.replaceAll(" HTTP.*", ""));
@@ -214,17 +256,28 @@
     }
 
     private static void answer(Socket socket, String list) throws IOException {
-        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
-                + list.replace('\'', '"')).getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(
+                        ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                        + list.length()
+                                        + "\r\n\r\n"
+                                        + list.replace('\'', '"'))
+                                .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Answers the first call with rubbish, then the first on each connection: the known list holds. */
+    /**
+     * Answers the first call with rubbish, then the first on each connection: the known list holds.
+     */
     private void list(Socket socket) throws IOException {
         if (lists.incrementAndGet() == 1) {
-            socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"a\"".getBytes(
-                    StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"a\""
+                                    .getBytes(StandardCharsets.US_ASCII));
         }
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         boolean answers = lists.get() > 1;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isEmpty() && answers) {
@@ -234,18 +287,24 @@
         }
     }
 
-    /** Discovery by the test's word: the whole list at once or as late as said, then what is told. */
+    /**
+     * Discovery by the test's word: the whole list at once or as late as said, then what is told.
+     */
     private Peer tells(BlockingQueue<String> told, long firstAfter) {
         return socket -> {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("GET")) {
                     asked.add(line.replaceAll(" HTTP.*", ""));
                 } else if (line.isEmpty()) {
                     try {
                         pause(asked.size() == 1 ? firstAfter : 0);
-                        answer(socket, asked.size() == 1 && firstAfter == 0 ? listed(42) : told.take());
+                        answer(
+                                socket,
+                                asked.size() == 1 && firstAfter == 0 ? listed(42) : told.take());
                     } catch (InterruptedException over) {
                         return;
                     }
@@ -255,19 +314,29 @@
     }
 
     /**
-     * As tells(), but as discovery does: without news it says so once its time is over, and it tells whoever asked last. From
-     * the moment that the test is ready to tell, that one is not answered before.
+     * As tells(), but as discovery does: without news it says so once its time is over, and it
+     * tells whoever asked last. From the moment that the test is ready to tell, that one is not
+     * answered before.
      */
     private Peer watched(BlockingQueue<String> told) {
         return socket -> {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             long wait = 0;
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("GET")) {
-                    wait = line.contains("wait_ms=") ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1")) : 0;
+                    wait =
+                            line.contains("wait_ms=")
+                                    ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
+                                    : 0;
                 } else if (line.isEmpty()) {
-                    answer(socket, wait == 0 ? listed(42) : whenTold(socket, told, System.nanoTime() + wait * 1_000_000));
+                    answer(
+                            socket,
+                            wait == 0
+                                    ? listed(42)
+                                    : whenTold(socket, told, System.nanoTime() + wait * 1_000_000));
                 }
             }
         };
@@ -290,13 +359,22 @@
         return listed(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
     }
 
-    /** A query that nobody can read, with this word in its line of the log, at which the loop may be held. */
+    /**
+     * A query that nobody can read, with this word in its line of the log, at which the loop may be
+     * held.
+     */
     private static ByteBuf busy(String word) {
-        return Messages.query(Unpooled.buffer(), "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d=" + word
-                + ",cluster=2 */");
+        return Messages.query(
+                Unpooled.buffer(),
+                "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d="
+                        + word
+                        + ",cluster=2 */");
     }
 
-    /** The router's loop stands still at the first line of its log that holds this text, until it is let go. */
+    /**
+     * The router's loop stands still at the first line of its log that holds this text, until it is
+     * let go.
+     */
     private static final class Hold {
         private final String at;
         private final CountDownLatch stands = new CountDownLatch(1);
@@ -330,14 +408,18 @@
         return hold;
     }
 
-    /** How many bytes lie unread in this process's socket between these two ports; -1 where there is none. */
+    /**
+     * How many bytes lie unread in this process's socket between these two ports; -1 where there is
+     * none.
+     */
     private static int unread(int local, int remote) {
         String ends = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
         try {
             for (String file : new String[] {"/proc/net/tcp", "/proc/net/tcp6"}) {
                 for (String line : Files.readAllLines(Path.of(file))) {
                     if (line.matches(".*" + ends + ".*")) {
-                        return Integer.parseInt(line.replaceAll(".*" + ends + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
+                        return Integer.parseInt(
+                                line.replaceAll(".*" + ends + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
                     }
                 }
             }
@@ -354,17 +436,22 @@
         send(socket, Messages.ready(Unpooled.buffer().writeByte('R').writeInt(8).writeInt(0)));
         while (true) {
             in.readByte();
-            String text = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0", "");
+            String text =
+                    new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8)
+                            .replace("\0", "");
             if (text.equals("SHOW server_load")) {
                 send(socket, Messages.ready(row("x0=1,x1=1")));
                 continue;
             }
-            seen.add(text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
+            seen.add(
+                    text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
             String key = text.replaceAll("[^']*'([^']*)'.*", "$1");
             ByteBuf note = Unpooled.buffer();
-            note.writeByte('S').writeInt(21).writeBytes("node_role\0leader\0".getBytes(StandardCharsets.US_ASCII));
+            note.writeByte('S')
+                    .writeInt(21)
+                    .writeBytes("node_role\0leader\0".getBytes(StandardCharsets.US_ASCII));
             switch (key) {
-                case "hang" -> { }
+                case "hang" -> {}
                 case "slow" -> {
                     pause(300);
                     send(socket, Messages.ready(note.writeBytes(row(key))));
@@ -379,24 +466,52 @@
                 case "nonsense" -> send(socket, Unpooled.buffer().writeByte('!').writeInt(4));
                 case "huge" -> send(socket, Unpooled.buffer().writeByte('T').writeInt(1 << 30));
                 case "twice" -> send(socket, Messages.ready(row("one").writeBytes(row("two"))));
-                case "behind" -> send(socket, Messages.ready(Messages.ready(row("mine")).writeBytes(row("none's"))));
+                case "behind" ->
+                        send(
+                                socket,
+                                Messages.ready(
+                                        Messages.ready(row("mine")).writeBytes(row("none's"))));
                 case "apart" -> {
                     send(socket, Messages.ready(row("mine")));
                     send(socket, Messages.ready(row("none's")));
                 }
-                case "noise" -> send(socket, Messages.ready(row("mine")).writeBytes(new byte[] {'D', 0, 0}));
+                case "noise" ->
+                        send(
+                                socket,
+                                Messages.ready(row("mine")).writeBytes(new byte[] {'D', 0, 0}));
                 case "short" -> {
                     send(socket, row("short").setInt(31, 410).setInt(37, 400));
                     pause(1000);
                 }
                 case "large" -> send(socket, row("v").setInt(31, 70_010).setInt(37, 70_000));
                 case "fields" -> send(socket, row("v").setShort(5, 2));
-                case "report" -> send(socket, Messages.ready(note.writeByte('S').writeInt(29).writeBytes(
-                        "server_load\0x0=9e12,x1=7\0".getBytes(StandardCharsets.US_ASCII)).writeBytes(row("mine"))));
+                case "report" ->
+                        send(
+                                socket,
+                                Messages.ready(
+                                        note.writeByte('S')
+                                                .writeInt(29)
+                                                .writeBytes(
+                                                        "server_load\0x0=9e12,x1=7\0"
+                                                                .getBytes(
+                                                                        StandardCharsets.US_ASCII))
+                                                .writeBytes(row("mine"))));
                 case "empty" -> send(socket, Messages.ready(Unpooled.buffer()));
-                case "wide" -> send(socket, Messages.ready(note.writeBytes(row("w".repeat(300_000)))));
-                case "full", "miss", "error" -> send(socket, Messages.ready(Messages.error(note, false,
-                        Map.of("full", "53300", "miss", "25006", "error", "XX000").get(key), "no", null)));
+                case "wide" ->
+                        send(socket, Messages.ready(note.writeBytes(row("w".repeat(300_000)))));
+                case "full", "miss", "error" ->
+                        send(
+                                socket,
+                                Messages.ready(
+                                        Messages.error(
+                                                note,
+                                                false,
+                                                Map.of(
+                                                                "full", "53300", "miss", "25006",
+                                                                "error", "XX000")
+                                                        .get(key),
+                                                "no",
+                                                null)));
                 default -> send(socket, Messages.ready(note.writeBytes(row(key))));
             }
         }
@@ -405,10 +520,24 @@
     private static ByteBuf row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.US_ASCII);
         ByteBuf out = Unpooled.buffer();
-        out.writeByte('T').writeInt(29).writeShort(1).writeBytes("body\0".getBytes(StandardCharsets.US_ASCII))
-                .writeInt(0).writeShort(0).writeInt(17).writeShort(-1).writeInt(-1).writeShort(1);
-        out.writeByte('D').writeInt(10 + bytes.length).writeShort(1).writeInt(bytes.length).writeBytes(bytes);
-        return out.writeByte('C').writeInt(13).writeBytes("SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
+        out.writeByte('T')
+                .writeInt(29)
+                .writeShort(1)
+                .writeBytes("body\0".getBytes(StandardCharsets.US_ASCII))
+                .writeInt(0)
+                .writeShort(0)
+                .writeInt(17)
+                .writeShort(-1)
+                .writeInt(-1)
+                .writeShort(1);
+        out.writeByte('D')
+                .writeInt(10 + bytes.length)
+                .writeShort(1)
+                .writeInt(bytes.length)
+                .writeBytes(bytes);
+        return out.writeByte('C')
+                .writeInt(13)
+                .writeBytes("SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
     }
 
     private static void pause(long ms) {
@@ -433,9 +562,14 @@
 
     private static ByteBuf ask(String type, String key, int wait, String id) {
         String comment = "/* id=" + id + ",c=" + type + ",d=" + wait + ",k=5c,cluster=2 */";
-        return Messages.query(Unpooled.buffer(), type.equals("any")
-                ? "SELECT body FROM objects WHERE oid = '" + key + "' " + comment
-                : "INSERT INTO objects (oid, body) VALUES ('" + key + "', '\\x9f03') RETURNING body " + comment);
+        return Messages.query(
+                Unpooled.buffer(),
+                type.equals("any")
+                        ? "SELECT body FROM objects WHERE oid = '" + key + "' " + comment
+                        : "INSERT INTO objects (oid, body) VALUES ('"
+                                + key
+                                + "', '\\x9f03') RETURNING body "
+                                + comment);
     }
 
     private static ByteBuf startup() {
@@ -458,10 +592,15 @@
             }
             heard.append((char) type);
             if (type == 'D') {
-                heard.append(':').append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
+                heard.append(':')
+                        .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
             } else if (type == 'E') {
-                heard.append(':').append(new String(body, StandardCharsets.UTF_8).replaceAll("S.*?\0V.*?\0C", "")
-                        .replaceAll("\0+$", "").replaceAll("\0", "|"));
+                heard.append(':')
+                        .append(
+                                new String(body, StandardCharsets.UTF_8)
+                                        .replaceAll("S.*?\0V.*?\0C", "")
+                                        .replaceAll("\0+$", "")
+                                        .replaceAll("\0", "|"));
             }
             heard.append(' ');
             left -= type == 'Z' ? 1 : 0;
@@ -475,24 +614,46 @@
     }
 
     private void statementsSeen() {
-        seen.stream().distinct().forEach(text -> trace.append("   node: ").append(text).append('\n'));
+        seen.stream()
+                .distinct()
+                .forEach(text -> trace.append("   node: ").append(text).append('\n'));
         seen.clear();
     }
 
     /** The last line of counters. */
     private String counters() {
-        return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" counters ")).reduce((a, b) -> b).orElse("");
+        return log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" counters "))
+                .reduce((a, b) -> b)
+                .orElse("");
     }
 
     /** Until one line of counters, printed from now on, has all of these. */
     private void untilCounted(String... all) throws InterruptedException {
-        long before = log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" counters ")).count();
+        long before =
+                log.toString(StandardCharsets.UTF_8)
+                        .lines()
+                        .filter(l -> l.contains(" counters "))
+                        .count();
         try {
-            until("counters have " + List.of(all), () -> {
-                daemon.print();
-                return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" counters ")).skip(before)
-                        .anyMatch(l -> Stream.of(all).allMatch(one -> l.matches(".* " + one + "( .*|$)")));
-            });
+            until(
+                    "counters have " + List.of(all),
+                    () -> {
+                        daemon.print();
+                        return log.toString(StandardCharsets.UTF_8)
+                                .lines()
+                                .filter(l -> l.contains(" counters "))
+                                .skip(before)
+                                .anyMatch(
+                                        l ->
+                                                Stream.of(all)
+                                                        .allMatch(
+                                                                one ->
+                                                                        l.matches(
+                                                                                ".* " + one
+                                                                                        + "( .*|$)")));
+                    });
         } catch (AssertionError never) {
             throw new AssertionError(never.getMessage() + ": " + counters(), never);
         }
@@ -523,16 +684,31 @@
 
     @Test
     void answersInOrderAndStatementsUnchanged() throws Exception {
-        say("all in one packet", startup().writeBytes(Messages.query(Unpooled.buffer(), ""))
-                .writeBytes(ask("any", "k1", 900)).writeBytes(ask("move", "k2", 900)), 4);
+        say(
+                "all in one packet",
+                startup()
+                        .writeBytes(Messages.query(Unpooled.buffer(), ""))
+                        .writeBytes(ask("any", "k1", 900))
+                        .writeBytes(ask("move", "k2", 900)),
+                4);
         say("read", ask("any", "k3", 900), 1);
         say("a long value", ask("any", "v".repeat(50_000), 900), 1);
         statementsSeen();
         say("a longer answer", ask("any", "wide", 900), 1);
-        String shorter = trace.toString().replaceAll("v{50000}", "v (50000 times)").replaceAll("w{300000}", "w (300000 times)");
+        String shorter =
+                trace.toString()
+                        .replaceAll("v{50000}", "v (50000 times)")
+                        .replaceAll("w{300000}", "w (300000 times)");
         trace.setLength(0);
         trace.append(shorter);
-        counted("queries", "taken", "committed", "submitted", "list_faults", "txns_held", "client_connections",
+        counted(
+                "queries",
+                "taken",
+                "committed",
+                "submitted",
+                "list_faults",
+                "txns_held",
+                "client_connections",
                 "node_connections");
         noLeaks();
         Scene.compare("router-serves", trace);
@@ -541,8 +717,22 @@
     @Test
     void endingsAreToldApart() throws Exception {
         say("startup", startup(), 1);
-        for (String key : new String[] {"full", "miss", "error", "reset", "half", "nonsense", "huge", "twice",
-            "empty", "hang", "short", "large", "fields"}) {
+        for (String key :
+                new String[] {
+                    "full",
+                    "miss",
+                    "error",
+                    "reset",
+                    "half",
+                    "nonsense",
+                    "huge",
+                    "twice",
+                    "empty",
+                    "hang",
+                    "short",
+                    "large",
+                    "fields"
+                }) {
             say("once, " + key, ask("once", key, 400), 1);
             // Until it has recovered in the module's eyes.
             for (int i = 0; i < 6; i++) {
@@ -552,22 +742,50 @@
             seen.removeIf(text -> text.contains("'ok'"));
         }
         statementsSeen();
-        counted("out_of_form", "txns_held", "node_connections", "timers", "ended_error", "ended_reset",
-                "ended_spoilt", "ended_timed_out");
+        counted(
+                "out_of_form",
+                "txns_held",
+                "node_connections",
+                "timers",
+                "ended_error",
+                "ended_reset",
+                "ended_spoilt",
+                "ended_timed_out");
         noLeaks();
         Scene.compare("router-endings", trace);
     }
 
-    /** Guards against a second copy or noise behind an answer that meets the next txn on that connection. */
+    /**
+     * Guards against a second copy or noise behind an answer that meets the next txn on that
+     * connection.
+     */
     @Test
     void whatComesBehindAnAnswerIsNobodysAnswer() throws Exception {
         say("startup", startup(), 1);
         for (String key : new String[] {"behind", "apart", "noise", "report"}) {
-            say(key + ", k1, k2", ask("once", key, 900).writeBytes(ask("any", "k1", 900)).writeBytes(ask("any", "k2", 900)), 3);
+            say(
+                    key + ", k1, k2",
+                    ask("once", key, 900)
+                            .writeBytes(ask("any", "k1", 900))
+                            .writeBytes(ask("any", "k2", 900)),
+                    3);
         }
-        counted("committed", "submitted", "node_connections", "timers", "ended_spoilt", "ended_committed");
-        log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" WARN ") && !l.contains(" list-"))
-                .map(line -> line.substring(line.indexOf("WARN")).replaceAll("127.0.0.1:\\d+", "NODE")).distinct().sorted()
+        counted(
+                "committed",
+                "submitted",
+                "node_connections",
+                "timers",
+                "ended_spoilt",
+                "ended_committed");
+        log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" WARN ") && !l.contains(" list-"))
+                .map(
+                        line ->
+                                line.substring(line.indexOf("WARN"))
+                                        .replaceAll("127.0.0.1:\\d+", "NODE"))
+                .distinct()
+                .sorted()
                 .forEach(line -> trace.append(line).append('\n'));
         noLeaks();
         Scene.compare("router-behind", trace);
@@ -580,8 +798,10 @@
         say("startup", startup(), 1);
         say("nonsense", Messages.query(Unpooled.buffer(), "DROP TABLE objects"), 1);
         say("unknown type", ask("other", "k", 900), 1);
-        ByteBuf group = Messages.query(Unpooled.buffer(),
-                "SELECT body FROM objects WHERE oid = 'k' /* id=9b,c=any,d=900,cluster=9 */");
+        ByteBuf group =
+                Messages.query(
+                        Unpooled.buffer(),
+                        "SELECT body FROM objects WHERE oid = 'k' /* id=9b,c=any,d=900,cluster=9 */");
         say("unknown group", group, 1);
         ByteBuf extended = Unpooled.buffer().writeByte('P').writeInt(6).writeShort(0);
         extended.writeByte('E').writeInt(4).writeByte('S').writeInt(4);
@@ -601,8 +821,12 @@
             {"version 2", Unpooled.buffer().writeInt(8).writeInt(2 << 16)},
             {"a startup too long", Unpooled.buffer().writeInt(10_001).writeInt(Messages.VERSION)},
             {"a length too small", startup().writeByte('Q').writeInt(3)},
-            {"a query too long", startup().writeByte('Q').writeInt(1 << 20).writeBytes(new byte[4000])},
-            {"Terminate", startup().writeByte('X').writeInt(4)}};
+            {
+                "a query too long",
+                startup().writeByte('Q').writeInt(1 << 20).writeBytes(new byte[4000])
+            },
+            {"Terminate", startup().writeByte('X').writeInt(4)}
+        };
         Socket first = client;
         for (Object[] one : cases) {
             client = new Socket(first.getInetAddress(), first.getPort());
@@ -627,27 +851,50 @@
         until("the node has a submission", () -> !seen.isEmpty());
         Thread stopping = new Thread(daemon::stop);
         stopping.start();
-        until("the end has begun", () -> log.toString(StandardCharsets.UTF_8).contains(" stopping "));
+        until(
+                "the end has begun",
+                () -> log.toString(StandardCharsets.UTF_8).contains(" stopping "));
         Socket first = client;
         client = new Socket(first.getInetAddress(), first.getPort());
         say("new, while it ends", startup().writeBytes(ask("once", "k", 900)), 2);
         trace.append("then                   ").append(hear(1)).append('\n');
         client = first;
-        trace.append("the first              ").append(hear(1)).append(' ').append(hear(1)).append('\n');
+        trace.append("the first              ")
+                .append(hear(1))
+                .append(' ')
+                .append(hear(1))
+                .append('\n');
         stopping.join(4000);
         daemon = null;
-        counted("accepted", "taken", "committed", "declined", "txns_held", "client_connections", "node_connections");
+        counted(
+                "accepted",
+                "taken",
+                "committed",
+                "declined",
+                "txns_held",
+                "client_connections",
+                "node_connections");
         Scene.compare("router-ends", trace);
     }
 
     private volatile String toldNow;
-    /** The generation that discovery was asked last for more than, and how many connections have had a list and asked again. */
+
+    /**
+     * The generation that discovery was asked last for more than, and how many connections have had
+     * a list and asked again.
+     */
     private volatile long askedAfter;
+
     private final AtomicInteger renewed = new AtomicInteger();
 
-    /** Discovery that tells what is so now: whole where nothing is known, else once it is newer or the wait is over. */
+    /**
+     * Discovery that tells what is so now: whole where nothing is known, else once it is newer or
+     * the wait is over.
+     */
     private void tellsNow(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         int times = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
@@ -656,7 +903,13 @@
                 if (++times == 2) {
                     renewed.incrementAndGet();
                 }
-                long end = System.nanoTime() + Long.parseLong("0" + line.replaceAll(".*wait_ms=(\\d+) .*|.*", "$1")) * 1_000_000;
+                long end =
+                        System.nanoTime()
+                                + Long.parseLong(
+                                                "0"
+                                                        + line.replaceAll(
+                                                                ".*wait_ms=(\\d+) .*|.*", "$1"))
+                                        * 1_000_000;
                 while (System.nanoTime() < end && toldNow.contains(":" + after + ",")) {
                     pause(5);
                 }
@@ -669,11 +922,18 @@
         int before = renewed.get();
         Files.writeString(file, text);
         daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-        until("the settings are taken over", () -> log.toString(StandardCharsets.UTF_8).endsWith(settings + " kept_as_at_start=[]\n"));
+        until(
+                "the settings are taken over",
+                () ->
+                        log.toString(StandardCharsets.UTF_8)
+                                .endsWith(settings + " kept_as_at_start=[]\n"));
         until("the list is read by the new ones", () -> renewed.get() > before);
     }
 
-    /** Guards against txns lost or sent twice by a change of settings, and against one that has no way back. */
+    /**
+     * Guards against txns lost or sent twice by a change of settings, and against one that has no
+     * way back.
+     */
     @Test
     @Tag(PATIENT)
     void otherSettingsAreTakenOverInServiceAndTakenBack() throws Exception {
@@ -683,9 +943,13 @@
             startAnew(discovery);
             Path file = dir.resolve("config.json");
             String first = Files.readString(file);
-            String other = first.replace("\"name\":\"move\"", "\"name\":\"transfer\"").replace("\"rules\":{",
-                    "\"rules\":{\"droppedStayOpen\":true,").replace("\"guards\":\"off\"", "\"guards\":\"await\"")
-                    .replace("\"deadlineUs\":4000000,\"lateShare\"", "\"deadlineUs\":3000000,\"lateShare\"");
+            String other =
+                    first.replace("\"name\":\"move\"", "\"name\":\"transfer\"")
+                            .replace("\"rules\":{", "\"rules\":{\"droppedStayOpen\":true,")
+                            .replace("\"guards\":\"off\"", "\"guards\":\"await\"")
+                            .replace(
+                                    "\"deadlineUs\":4000000,\"lateShare\"",
+                                    "\"deadlineUs\":3000000,\"lateShare\"");
             say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
             send(client, ask("move", "slow", 4_000));
             until("seen has 2", () -> seen.size() >= 2);
@@ -707,28 +971,57 @@
             until("the router knows that it is back", () -> askedAfter == 44);
             say("as before", ask("move", "back", 4_000), 1);
             statementsSeen();
-            counted("taken", "committed", "declined", "rolled_back", "submitted", "out_of_form", "txns_held");
-            log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" reload")).forEach(line -> trace.append(
-                    line.substring(line.indexOf(" reload") + 1).replaceAll("127.0.0.1:\\d+", "HERE")).append('\n'));
+            counted(
+                    "taken",
+                    "committed",
+                    "declined",
+                    "rolled_back",
+                    "submitted",
+                    "out_of_form",
+                    "txns_held");
+            log.toString(StandardCharsets.UTF_8)
+                    .lines()
+                    .filter(l -> l.contains(" reload"))
+                    .forEach(
+                            line ->
+                                    trace.append(
+                                                    line.substring(line.indexOf(" reload") + 1)
+                                                            .replaceAll("127.0.0.1:\\d+", "HERE"))
+                                            .append('\n'));
         }
         Scene.compare("router-settings", trace);
     }
 
-    /** Guards against ending on SIGHUP, against a list asked for where none is any more, and against a bad file. */
+    /**
+     * Guards against ending on SIGHUP, against a list asked for where none is any more, and against
+     * a bad file.
+     */
     @Test
     @Tag(PATIENT)
     void aNewConfigurationMovesDiscoveryAndDisturbsNothing() throws Exception {
         Path file = dir.resolve("config.json");
         String first = Files.readString(file);
-        Map<String, String> env = Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", "127.0.0.1:" + list.getLocalPort());
-        Signals.on("HUP", () -> daemon.reload(() -> Config.again(env)), new Log(new PrintStream(log, true)));
+        Map<String, String> env =
+                Map.of(
+                        "LB_CONFIG",
+                        file.toString(),
+                        "LB_DISCOVERY",
+                        "127.0.0.1:" + list.getLocalPort());
+        Signals.on(
+                "HUP",
+                () -> daemon.reload(() -> Config.again(env)),
+                new Log(new PrintStream(log, true)));
         say("startup", startup(), 1);
         send(client, ask("any", "slow", 900));
         until("the node has a submission", () -> !seen.isEmpty());
         try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
             serve(later, this::laterList);
-            Files.writeString(file, first.replace("\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort()).replace("\"sockets\":256", "\"sockets\":300"));
+            Files.writeString(
+                    file,
+                    first.replace(
+                                    "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
+                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort())
+                            .replace("\"sockets\":256", "\"sockets\":300"));
             hangUp();
             trace.append("what was out           ").append(hear(1)).append('\n');
             until("asked has 2", () -> asked.size() >= 2);
@@ -739,9 +1032,16 @@
             until("asked has 3", () -> asked.size() >= 3);
         }
         asked.forEach(line -> trace.append(line).append('\n'));
-        log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" reload")).forEach(line -> trace.append(
-                line.substring(line.indexOf(" reload") + 1).replaceAll("127.0.0.1:\\d+", "LATER").replace(file.toString(),
-                "FILE")).append('\n'));
+        log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" reload"))
+                .forEach(
+                        line ->
+                                trace.append(
+                                                line.substring(line.indexOf(" reload") + 1)
+                                                        .replaceAll("127.0.0.1:\\d+", "LATER")
+                                                        .replace(file.toString(), "FILE"))
+                                        .append('\n'));
         Scene.compare("router-reloads", trace);
     }
 
@@ -750,15 +1050,21 @@
         client.close();
         daemon.stop();
         Path file = dir.resolve("config.json");
-        String text = Files.readString(file).replace("\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort());
+        String text =
+                Files.readString(file)
+                        .replace(
+                                "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
+                                "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort());
         Files.writeString(file, text);
         daemon = new Daemon(Config.read(Map.of("LB_CONFIG", file.toString())), daemon.log());
         daemon.start();
         client = another();
     }
 
-    /** Guards against a send that overtakes a drain told while the loop stood still between decision and send. */
+    /**
+     * Guards against a send that overtakes a drain told while the loop stood still between decision
+     * and send.
+     */
     @Test
     void newsGoBeforeWhatWasDecidedWithoutThem() throws Exception {
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -766,12 +1072,16 @@
             serve(discovery, watched(told));
             // Time enough for a txn on the busiest machine: only the order counts here.
             Path file = dir.resolve("config.json");
-            Files.writeString(file, Files.readString(file).replace("\"deadlineUs\":1000000", "\"deadlineUs\":4000000"));
+            Files.writeString(
+                    file,
+                    Files.readString(file)
+                            .replace("\"deadlineUs\":1000000", "\"deadlineUs\":4000000"));
             startAnew(discovery);
             say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
             ready = true;
             until("discovery is asked for what is newer", () -> waiting != null);
-            // In one turn: the loop stands still, a txn is decided, the loop stands still, then the txn would be sent.
+            // In one turn: the loop stands still, a txn is decided, the loop stands still, then the
+            // txn would be sent.
             Hold before = hold("'still");
             Hold between = hold(" counters ");
             send(client, busy("still").writeBytes(ask("move", "drained", 4_000)));
@@ -780,8 +1090,11 @@
             before.go();
             until("the loop stands still between decision and send", between::stands);
             told.add(drains());
-            until("the drain lies unread", () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
-            // Many steps of the clock: whoever was away for so long knows it. More of them change nothing.
+            until(
+                    "the drain lies unread",
+                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
+            // Many steps of the clock: whoever was away for so long knows it. More of them change
+            // nothing.
             Thread.sleep(100);
             between.go();
             trace.append("the loop stands still        ").append(hear(1)).append('\n');
@@ -792,7 +1105,10 @@
         Scene.compare("router-news-first", trace);
     }
 
-    /** Guards against a drain that the old discovery has told, and that lies unread while the new one is not up. */
+    /**
+     * Guards against a drain that the old discovery has told, and that lies unread while the new
+     * one is not up.
+     */
     @Test
     @Tag(PATIENT)
     void whatTheFormerDiscoveryToldHolds() throws Exception {
@@ -808,10 +1124,14 @@
             send(client, busy("still"));
             until("the loop stands still", still::stands);
             told.add(drains());
-            until("the drain lies unread", () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
+            until(
+                    "the drain lies unread",
+                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
             Path file = dir.resolve("config.json");
-            Files.writeString(file, Files.readString(file).replace(":" + discovery.getLocalPort(),
-                    ":" + silent.getLocalPort()));
+            Files.writeString(
+                    file,
+                    Files.readString(file)
+                            .replace(":" + discovery.getLocalPort(), ":" + silent.getLocalPort()));
             daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
             // As long as a drain may take to be known.
             Thread.sleep(300);
@@ -838,31 +1158,44 @@
         Scene.compare("router-door", trace);
     }
 
-    /** Guards against a list that stands still because the connection to discovery has fallen silent. */
+    /**
+     * Guards against a list that stands still because the connection to discovery has fallen
+     * silent.
+     */
     @Test
     void aWatchThatFallsSilentIsBegunAnew() throws Exception {
         say("startup", startup(), 1);
         long since = System.nanoTime();
         until("lists has 4", () -> lists.get() >= 4);
         long took = (System.nanoTime() - since) / 1_000_000;
-        trace.append("asked twice more, after two silences, within 4 s: ").append(took < 4000 && took > 1000).append('\n');
+        trace.append("asked twice more, after two silences, within 4 s: ")
+                .append(took < 4000 && took > 1000)
+                .append('\n');
         Scene.compare("router-list-silent", trace);
     }
 
-    /** Where the signal is ignored, as nohup leaves it, `env --default-signal=HUP` in .ci/run restores it. */
+    /**
+     * Where the signal is ignored, as nohup leaves it, `env --default-signal=HUP` in .ci/run
+     * restores it.
+     */
     private void hangUp() throws Exception {
         long before = reloads();
-        new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid())).start().waitFor();
+        new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
+                .start()
+                .waitFor();
         until("the configuration is read anew after SIGHUP", () -> reloads() > before);
     }
 
     private long reloads() {
-        return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" reload")).count();
+        return log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" reload"))
+                .count();
     }
 
     /** Bounded, and it fails with what it waited for. */
     private static void until(String what, BooleanSupplier is) throws InterruptedException {
-        for (long end = System.nanoTime() + 20_000_000_000L; !is.getAsBoolean();) {
+        for (long end = System.nanoTime() + 20_000_000_000L; !is.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + what);
             Thread.sleep(5);
         }
@@ -876,12 +1209,18 @@
         try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
             serve(later, this::changingList);
             Path file = dir.resolve("config.json");
-            Files.writeString(file, Files.readString(file).replace("\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort()));
+            Files.writeString(
+                    file,
+                    Files.readString(file)
+                            .replace(
+                                    "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
+                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort()));
             daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
             for (int i = 0; i < 100; i++) {
-                // Out while its node is replaced; but no faster than the router hears of it, or more rows are in use at once.
-                // The last comes while nothing is out: a probe's connection is all that there is to it.
+                // Out while its node is replaced; but no faster than the router hears of it, or
+                // more rows are in use at once.
+                // The last comes while nothing is out: a probe's connection is all that there is to
+                // it.
                 if (i < 99) {
                     send(client, ask("any", "k", 4_000));
                 }
@@ -894,8 +1233,12 @@
             }
             untilCounted("node_rows=[2-5]", "node_connections=1");
         }
-        trace.append("connections to nodes now: ").append(counters().replaceAll(".* node_connections=(\\d+).*", "$1")).append('\n');
-        trace.append("at most 5 rows for 100 machines: ").append(counters().matches(".* node_rows=[2-5] .*")).append('\n');
+        trace.append("connections to nodes now: ")
+                .append(counters().replaceAll(".* node_connections=(\\d+).*", "$1"))
+                .append('\n');
+        trace.append("at most 5 rows for 100 machines: ")
+                .append(counters().matches(".* node_rows=[2-5] .*"))
+                .append('\n');
         say("the last of 100", ask("any", "k", 4_000), 1);
         counted("txns_held", "node_connections", "timers");
         noLeaks();
@@ -903,26 +1246,38 @@
     }
 
     private static final int FIRST_OF_CHANGES = 50;
+
     /** How often the machine was replaced so far. */
     private volatile int replaced;
 
     /** Tells of the newest machine, and that all are gone which whoever asks was told of before. */
     private void changingList(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         long after = -1;
         long wait = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
-                after = line.contains("after=") ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1")) : -1;
-                wait = line.contains("wait_ms=") ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1")) : 0;
+                after =
+                        line.contains("after=")
+                                ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1"))
+                                : -1;
+                wait =
+                        line.contains("wait_ms=")
+                                ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
+                                : 0;
                 askedAfter = after;
             } else if (line.isEmpty()) {
-                for (long end = System.nanoTime() + wait * 1_000_000; FIRST_OF_CHANGES + replaced <= after && System.nanoTime() < end;) {
+                for (long end = System.nanoTime() + wait * 1_000_000;
+                        FIRST_OF_CHANGES + replaced <= after && System.nanoTime() < end; ) {
                     pause(1);
                 }
                 int now = FIRST_OF_CHANGES + replaced;
-                String entry = "{'instanceId':'s-%d','hostPort':'127.0.0.1:" + node.getLocalPort()
-                        + "','zone':'a','cell':2,'lifecycle':'%s','weight':1,'role':'leader'}";
+                String entry =
+                        "{'instanceId':'s-%d','hostPort':'127.0.0.1:"
+                                + node.getLocalPort()
+                                + "','zone':'a','cell':2,'lifecycle':'%s','weight':1,'role':'leader'}";
                 List<String> entries = new ArrayList<>();
                 if (now > after) {
                     entries.add(String.format(entry, now, "ready"));
@@ -930,7 +1285,15 @@
                 for (long old = Math.max(after, 0); old > 0 && old < now; old++) {
                     entries.add(String.format(entry, old, "gone"));
                 }
-                answer(socket, "{'generation':" + now + ",'reset':" + (after < 0) + ",'instances':[" + String.join(",", entries) + "]}");
+                answer(
+                        socket,
+                        "{'generation':"
+                                + now
+                                + ",'reset':"
+                                + (after < 0)
+                                + ",'instances':["
+                                + String.join(",", entries)
+                                + "]}");
             }
         }
     }
@@ -942,8 +1305,12 @@
         client.close();
         daemon.stop();
         Path file = dir.resolve("config.json");
-        Files.writeString(file, Files.readString(file).replace("\"sockets\":256", "\"sockets\":44"));
-        daemon = new Daemon(Config.read(Map.of("LB_CONFIG", file.toString())), new Log(new PrintStream(log, true)));
+        Files.writeString(
+                file, Files.readString(file).replace("\"sockets\":256", "\"sockets\":44"));
+        daemon =
+                new Daemon(
+                        Config.read(Map.of("LB_CONFIG", file.toString())),
+                        new Log(new PrintStream(log, true)));
         daemon.start();
         for (int i = 1; i < 3; i++) {
             client = another();
@@ -989,7 +1356,10 @@
         return socket;
     }
 
-    /** Guards against hundreds that say nothing, or half of something, in the place of those who ask. */
+    /**
+     * Guards against hundreds that say nothing, or half of something, in the place of those who
+     * ask.
+     */
     @Test
     void thoseWhoSayNothingKeepNobodyOutAndGo() throws Exception {
         say("startup and query", startup().writeBytes(ask("any", "k", 900)), 2);
@@ -1006,16 +1376,21 @@
             }
             if (i % 50 == 49) {
                 client = another();
-                say("a new one among " + (i + 1), startup().writeBytes(ask("any", "k" + i, 900)), 2);
+                say(
+                        "a new one among " + (i + 1),
+                        startup().writeBytes(ask("any", "k" + i, 900)),
+                        2);
                 client.close();
             }
         }
         client = first;
         say("the first", ask("any", "k", 900), 1);
         for (Socket socket : silent) {
-            while (reads(socket)) { }
+            while (reads(socket)) {}
         }
-        trace.append("the silent are closed within 3 s: ").append(System.nanoTime() - since < 3_000_000_000L).append('\n');
+        trace.append("the silent are closed within 3 s: ")
+                .append(System.nanoTime() - since < 3_000_000_000L)
+                .append('\n');
         counted("accepted", "committed", "client_connections");
         noLeaks();
         Scene.compare("router-silent", trace);
@@ -1038,8 +1413,16 @@
         Socket first = client;
         client = another();
         say("the same id", startup().writeBytes(ask("any", "k", 900, "7f")), 2);
-        say("a wait of ages", ask("any", "k", 900).writerIndex(0).writeBytes(Messages.query(Unpooled.buffer(), "SELECT body "
-                + "FROM objects WHERE oid = 'k' /* id=8a,c=any,d=99999999999999999,cluster=2 */")), 1);
+        say(
+                "a wait of ages",
+                ask("any", "k", 900)
+                        .writerIndex(0)
+                        .writeBytes(
+                                Messages.query(
+                                        Unpooled.buffer(),
+                                        "SELECT body "
+                                                + "FROM objects WHERE oid = 'k' /* id=8a,c=any,d=99999999999999999,cluster=2 */")),
+                1);
         client.close();
         client = first;
         trace.append("the first              ").append(hear(1)).append('\n');
@@ -1052,49 +1435,104 @@
     @Test
     void whatCannotBeUsedIsNamed() throws Exception {
         String good = Files.readString(dir.resolve("config.json"));
-        String[][] cases = {{"", ""}, {"'reset':true", "'reset':tru"}, {"'seed':'8c", "'seed':'xx"}, {"'classes'", "'none'"},
-            {"'dialTimeoutUs':250000,", ""}, {"'dialTimeoutUs':250000", "'dialTimeoutUs':0"},
-            {"'dialTimeoutUs':250000", "'dialTimeoutUs':'fast'"}, {"'guards':'off'", "'guards':'wait'"},
-            {"'strong','mutate'", "'strong','write'"}, {"'strong'", "'lag_bound'"}, {"'coldFrom':0.2", "'coldFrom':2"},
-            {"'effect':'dedup'", "'effect':'keyed'"}, {"'name':'move'", "'name':'any'"}, {"'rules':{", "'rules':{'droppedStayOpen':1,"},
-            {"'stats':{'how':'inline','fields':['x0','x1']}", "'stats':0"}, {"'discovery':'127", "'discovery':'host"}};
+        String[][] cases = {
+            {"", ""},
+            {"'reset':true", "'reset':tru"},
+            {"'seed':'8c", "'seed':'xx"},
+            {"'classes'", "'none'"},
+            {"'dialTimeoutUs':250000,", ""},
+            {"'dialTimeoutUs':250000", "'dialTimeoutUs':0"},
+            {"'dialTimeoutUs':250000", "'dialTimeoutUs':'fast'"},
+            {"'guards':'off'", "'guards':'wait'"},
+            {"'strong','mutate'", "'strong','write'"},
+            {"'strong'", "'lag_bound'"},
+            {"'coldFrom':0.2", "'coldFrom':2"},
+            {"'effect':'dedup'", "'effect':'keyed'"},
+            {"'name':'move'", "'name':'any'"},
+            {"'rules':{", "'rules':{'droppedStayOpen':1,"},
+            {"'stats':{'how':'inline','fields':['x0','x1']}", "'stats':0"},
+            {"'discovery':'127", "'discovery':'host"}
+        };
         for (String[] change : cases) {
             Path file = dir.resolve("bad.json");
-            Files.writeString(file, change[0].isEmpty() ? "" : good.replace(change[0].replace('\'', '"'),
-                    change[1].replace('\'', '"')));
-            trace.append(assertThrows(BadConfig.class, () -> Config.read(Map.of("LB_CONFIG", file.toString())))
-                    .getMessage().replace(file.toString(), "FILE").replaceAll(":\\d{4,5}", ":PORT")).append('\n');
+            Files.writeString(
+                    file,
+                    change[0].isEmpty()
+                            ? ""
+                            : good.replace(
+                                    change[0].replace('\'', '"'), change[1].replace('\'', '"')));
+            trace.append(
+                            assertThrows(
+                                            BadConfig.class,
+                                            () -> Config.read(Map.of("LB_CONFIG", file.toString())))
+                                    .getMessage()
+                                    .replace(file.toString(), "FILE")
+                                    .replaceAll(":\\d{4,5}", ":PORT"))
+                    .append('\n');
         }
-        for (Map<String, String> env : List.of(Map.<String, String>of(), Map.of("LB_CONFIG", "/nowhere/config.json"),
-                Map.of("LB_CONFIG", dir.resolve("config.json").toString(), "LB_LISTEN", "here"))) {
-            trace.append(assertThrows(BadConfig.class, () -> Config.read(env)).getMessage()).append('\n');
+        for (Map<String, String> env :
+                List.of(
+                        Map.<String, String>of(),
+                        Map.of("LB_CONFIG", "/nowhere/config.json"),
+                        Map.of(
+                                "LB_CONFIG",
+                                dir.resolve("config.json").toString(),
+                                "LB_LISTEN",
+                                "here"))) {
+            trace.append(assertThrows(BadConfig.class, () -> Config.read(env)).getMessage())
+                    .append('\n');
         }
-        Daemon second = new Daemon(Config.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
-                new Log(new PrintStream(log, true)));
-        trace.append(assertThrows(BadConfig.class, second::start).getMessage().replaceAll(":\\d{4,5}", ":PORT")).append('\n');
+        Daemon second =
+                new Daemon(
+                        Config.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
+                        new Log(new PrintStream(log, true)));
+        trace.append(
+                        assertThrows(BadConfig.class, second::start)
+                                .getMessage()
+                                .replaceAll(":\\d{4,5}", ":PORT"))
+                .append('\n');
         Scene.compare("bad-config", trace);
     }
 
     /** Guards against a door that opens while the start is still being paid for. */
     @Test
     void theStartIsPaidForBeforeTheDoorOpens() throws Exception {
-        long[][] cases = {{200, 280, 50}, {310, 300, 50}, {100, 280, 50}, {100, 280, 100}, {900, 300, 10}};
+        long[][] cases = {
+            {200, 280, 50}, {310, 300, 50}, {100, 280, 50}, {100, 280, 100}, {900, 300, 10}
+        };
         for (long[] c : cases) {
-            trace.append(String.format("%d ms used in %d, %d %% of a core: %d ms owed\n", c[0], c[1], c[2], Daemon.owed(
-                    java.time.Duration.ofMillis(c[0]), java.time.Duration.ofMillis(c[1]), c[2] / 100.0).toMillis()));
+            trace.append(
+                    String.format(
+                            "%d ms used in %d, %d %% of a core: %d ms owed\n",
+                            c[0],
+                            c[1],
+                            c[2],
+                            Daemon.owed(
+                                            java.time.Duration.ofMillis(c[0]),
+                                            java.time.Duration.ofMillis(c[1]),
+                                            c[2] / 100.0)
+                                    .toMillis()));
         }
         Scene.compare("router-owes", trace);
     }
 
     @Test
-        void aClientThatLeavesLeavesNothingBehind() throws Exception {
+    void aClientThatLeavesLeavesNothingBehind() throws Exception {
         say("startup", startup(), 1);
         send(client, ask("any", "hang", 900));
         until("the node has a submission", () -> !seen.isEmpty());
         client.close();
         untilCounted("ended_timed_out=1", "txns_held=0");
-        counted("taken", "left", "committed", "declined", "txns_held", "client_connections", "node_connections",
-                "timers", "ended_timed_out");
+        counted(
+                "taken",
+                "left",
+                "committed",
+                "declined",
+                "txns_held",
+                "client_connections",
+                "node_connections",
+                "timers",
+                "ended_timed_out");
         noLeaks();
         Scene.compare("router-left", trace);
     }
--- a/src/test/java/dillfront/front/CallersTest.java
+++ b/src/test/java/dillfront/front/CallersTest.java
@@ -19,15 +19,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sessions through one data plane to a primary and a replica whose answers are lost, late, cut or refused: each client gets
- * the answers to what it asked, no write takes effect twice, none that was promised not to, and no connection is left behind.
+ * Random sessions through one data plane to a primary and a replica whose answers are lost, late,
+ * cut or refused: each client gets the answers to what it asked, no write takes effect twice, none
+ * that was promised not to, and no connection is left behind.
  */
 class CallersTest {
 
     private static final int DAYS = 150;
     private static final int STEPS = 1_500;
     private static final int CLIENTS = 6;
-    private static final Set<String> PROMISES = Set.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
+    private static final Set<String> PROMISES =
+            Set.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
 
     /** One of the database servers' connections. */
     private static final class Conn {
@@ -57,6 +59,7 @@
         final List<String> rows = new ArrayList<>();
         String stamp;
         String code;
+
         /** The writes of the transaction that is open. */
         List<String> writes = new ArrayList<>();
     }
@@ -81,13 +84,36 @@
         Day(long seed) throws Configuration.Invalid {
             this.seed = seed;
             random = new SplittableRandom(seed);
-            front = new Front(host, new Settings("f", "z", "r", Map.of("z", "r"), "10.0.0.1", "10.0.0.1:80", "10.0.0.1:81", null, 7_440,
-                    List.of(), true, null, 0, 1_200, 7_000, 6_000, null));
+            front =
+                    new Front(
+                            host,
+                            new Settings(
+                                    "f",
+                                    "z",
+                                    "r",
+                                    Map.of("z", "r"),
+                                    "10.0.0.1",
+                                    "10.0.0.1:80",
+                                    "10.0.0.1:81",
+                                    null,
+                                    7_440,
+                                    List.of(),
+                                    true,
+                                    null,
+                                    0,
+                                    1_200,
+                                    7_000,
+                                    6_000,
+                                    null));
             front.start();
-            front.configured(Configuration.read(("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
-                    + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
-                    + "'route_kind':'bounded_staleness','max_staleness_ms':1000,'timeout_ms':800,'target_latency_ms':300,'service':'s',"
-                    + "'max_attempts':3}],'services':[{'name':'s','connection_limit':24}]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8)));
+            front.configured(
+                    Configuration.read(
+                            ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
+                                            + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
+                                            + "'route_kind':'bounded_staleness','max_staleness_ms':1000,'timeout_ms':800,'target_latency_ms':300,'service':'s',"
+                                            + "'max_attempts':3}],'services':[{'name':'s','connection_limit':24}]}")
+                                    .replace('\'', '"')
+                                    .getBytes(StandardCharsets.UTF_8)));
             service = front.service("s");
             service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.8:1", "z"));
             service.servers.put("i-2", new Server(front, service, "i-2", "10.0.0.9:1", "z"));
@@ -99,7 +125,18 @@
         }
 
         void check(boolean is, String what) {
-            assertTrue(is, () -> "seed " + seed + ": " + what + "\n" + String.join("\n", story.subList(Math.max(0, story.size() - 60), story.size())));
+            assertTrue(
+                    is,
+                    () ->
+                            "seed "
+                                    + seed
+                                    + ": "
+                                    + what
+                                    + "\n"
+                                    + String.join(
+                                            "\n",
+                                            story.subList(
+                                                    Math.max(0, story.size() - 60), story.size())));
         }
 
         // ---- the servers
@@ -125,7 +162,10 @@
             String text = part[2].replaceFirst("^AFTER \\S+ ", "");
             double fault = calm ? 1 : random.nextDouble();
             boolean runs = fault >= 0.12;
-            if (fault < 0.04 && !text.startsWith("SET") && !text.equals("RESET") && !text.equals("ROLLBACK")) {
+            if (fault < 0.04
+                    && !text.startsWith("SET")
+                    && !text.equals("RESET")
+                    && !text.equals("ROLLBACK")) {
                 line.say("ERROR BUSY later", "READY " + c.state + " -");
                 return;
             }
@@ -182,7 +222,9 @@
             } else {
                 Client by = asked.get(id);
                 if (by != null && id.equals(by.out)) {
-                    check(c.values.equals(by.values), "PINNED: " + id + " runs with " + c.values + " for " + by.values);
+                    check(
+                            c.values.equals(by.values),
+                            "PINNED: " + id + " runs with " + c.values + " for " + by.values);
                 }
                 if (text.startsWith("WRITE ")) {
                     check(c.primary, "a write at a replica: " + id);
@@ -200,7 +242,10 @@
             return rows;
         }
 
-        /** What had been sent before it was closed may run all the same, and is heard by nobody; what was open rolls back. */
+        /**
+         * What had been sent before it was closed may run all the same, and is heard by nobody;
+         * what was open rolls back.
+         */
         private void ended(Conn c) {
             while (c.done < c.line.sent.size() && random.nextBoolean()) {
                 String next = c.line.sent.get(c.done++);
@@ -234,9 +279,22 @@
             if (c.state == 'E') {
                 text = "ROLLBACK";
             } else if (c.state == 'T') {
-                text = kind < 3 ? "READ k" : kind < 7 ? "WRITE k d" : kind < 9 ? "COMMIT" : "ROLLBACK";
+                text =
+                        kind < 3
+                                ? "READ k"
+                                : kind < 7 ? "WRITE k d" : kind < 9 ? "COMMIT" : "ROLLBACK";
             } else {
-                text = kind < 3 ? "READ k" : kind < 6 ? "WRITE k d" : kind < 7 ? "SET v" + random.nextInt(2) + " x" + random.nextInt(3) : "BEGIN";
+                text =
+                        kind < 3
+                                ? "READ k"
+                                : kind < 6
+                                        ? "WRITE k d"
+                                        : kind < 7
+                                                ? "SET v"
+                                                        + random.nextInt(2)
+                                                        + " x"
+                                                        + random.nextInt(3)
+                                                : "BEGIN";
             }
             String id = "q" + ++ids;
             c.out = id;
@@ -277,16 +335,32 @@
         private void answered(Client c, char state) {
             String id = c.out;
             c.out = null;
-            story.add(host.now() + " client " + clients.indexOf(c) + " " + id + " has " + (c.code == null ? c.stamp : c.code) + " " + state);
-            boolean own = c.text.startsWith("SET") || c.text.equals("BEGIN") || c.text.equals("ROLLBACK");
+            story.add(
+                    host.now()
+                            + " client "
+                            + clients.indexOf(c)
+                            + " "
+                            + id
+                            + " has "
+                            + (c.code == null ? c.stamp : c.code)
+                            + " "
+                            + state);
+            boolean own =
+                    c.text.startsWith("SET") || c.text.equals("BEGIN") || c.text.equals("ROLLBACK");
             boolean single = c.state == 'I' && c.text.startsWith("WRITE");
             if (c.code == null) {
                 served++;
-                check(c.stamp.equals(own ? "-" : "s:" + id), "MIXED: " + id + " is answered with " + c.stamp);
-                check(c.rows.equals(c.text.startsWith("READ") ? List.of("r:" + id) : List.of()), "MIXED: " + id + " has rows " + c.rows);
+                check(
+                        c.stamp.equals(own ? "-" : "s:" + id),
+                        "MIXED: " + id + " is answered with " + c.stamp);
+                check(
+                        c.rows.equals(c.text.startsWith("READ") ? List.of("r:" + id) : List.of()),
+                        "MIXED: " + id + " has rows " + c.rows);
                 if (single || c.text.equals("COMMIT")) {
                     for (String write : single ? List.of(id) : c.writes) {
-                        check(effects.getOrDefault(write, 0) == 1, "LOST: " + write + " was acknowledged with " + id);
+                        check(
+                                effects.getOrDefault(write, 0) == 1,
+                                "LOST: " + write + " was acknowledged with " + id);
                     }
                 }
             } else if (PROMISES.contains(c.code)) {
@@ -303,12 +377,14 @@
 
         void step() {
             for (ScriptedHost.Line line : host.dialed) {
-                conns.computeIfAbsent(line, l -> {
-                    if (!l.closed && !chance(0.02)) {
-                        l.open();
-                    }
-                    return new Conn(l);
-                });
+                conns.computeIfAbsent(
+                        line,
+                        l -> {
+                            if (!l.closed && !chance(0.02)) {
+                                l.open();
+                            }
+                            return new Conn(l);
+                        });
             }
             host.dialed.clear();
             for (Conn c : new ArrayList<>(conns.values())) {
@@ -341,15 +417,35 @@
                 host.pass(20);
             }
             for (Client c : clients) {
-                check(c.line == null || c.line.closed || c.out == null, "a client waits for ever: " + c.out);
+                check(
+                        c.line == null || c.line.closed || c.out == null,
+                        "a client waits for ever: " + c.out);
             }
             effects.forEach((write, times) -> check(times == 1, "TWICE: " + write));
-            promised.forEach(write -> check(!effects.containsKey(write), "REFUSED: " + write + " was promised to be kept nowhere, and is"));
+            promised.forEach(
+                    write ->
+                            check(
+                                    !effects.containsKey(write),
+                                    "REFUSED: "
+                                            + write
+                                            + " was promised to be kept nowhere, and is"));
             for (Server s : service.servers.values()) {
-                long held = clients.stream().filter(c -> c.line != null && !c.line.closed && c.state == 'T').count();
+                long held =
+                        clients.stream()
+                                .filter(c -> c.line != null && !c.line.closed && c.state == 'T')
+                                .count();
                 check(s.out == 0, s.id + " counts " + s.out + " that are out");
-                check(s.all.stream().allMatch(c -> c.oldest() == Long.MAX_VALUE), s.id + " has a connection whose answer is awaited for ever");
-                check(s.all.size() - s.idle.size() <= held, s.id + " has " + s.all.size() + " connections, " + s.idle.size() + " at rest");
+                check(
+                        s.all.stream().allMatch(c -> c.oldest() == Long.MAX_VALUE),
+                        s.id + " has a connection whose answer is awaited for ever");
+                check(
+                        s.all.size() - s.idle.size() <= held,
+                        s.id
+                                + " has "
+                                + s.all.size()
+                                + " connections, "
+                                + s.idle.size()
+                                + " at rest");
                 check(s.dialing == 0, s.id + " counts " + s.dialing + " that are dialed");
             }
         }
--- a/src/test/java/dillfront/front/ConnectionTest.java
+++ b/src/test/java/dillfront/front/ConnectionTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client's session, a connection to one database server, and what that one may answer: to whom it goes, and what is sent again. */
+/**
+ * A client's session, a connection to one database server, and what that one may answer: to whom it
+ * goes, and what is sent again.
+ */
 class ConnectionTest {
 
     private final ScriptedHost host = new ScriptedHost();
@@ -24,13 +27,34 @@
 
     @BeforeEach
     void open() throws Configuration.Invalid {
-        Settings settings = new Settings("f", "z", "r", Map.of("z", "r"), "10.0.0.1", "10.0.0.1:80", "10.0.0.1:81", null, 7_440,
-                List.of(), true, null, 0, 1_200, 7_000, 6_000, null);
+        Settings settings =
+                new Settings(
+                        "f",
+                        "z",
+                        "r",
+                        Map.of("z", "r"),
+                        "10.0.0.1",
+                        "10.0.0.1:80",
+                        "10.0.0.1:81",
+                        null,
+                        7_440,
+                        List.of(),
+                        true,
+                        null,
+                        0,
+                        1_200,
+                        7_000,
+                        6_000,
+                        null);
         front = new Front(host, settings);
         front.start();
-        front.configured(Configuration.read(("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
-                + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
-                + "'connection_limit':100}]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8)));
+        front.configured(
+                Configuration.read(
+                        ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
+                                        + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
+                                        + "'connection_limit':100}]}")
+                                .replace('\'', '"')
+                                .getBytes(StandardCharsets.UTF_8)));
         service = front.service("s");
         service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.9:1", "z"));
         service.primary = "i-1";
@@ -78,10 +102,16 @@
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(other));
     }
 
-    /** Guards against words of a server that lie in a connection at rest, and are handed to whoever asks there next. */
+    /**
+     * Guards against words of a server that lie in a connection at rest, and are handed to whoever
+     * asks there next.
+     */
     @Test
     void whatIsSaidUnaskedIsNobodysAnswer() {
-        for (String unasked : new String[] {"ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"}) {
+        for (String unasked :
+                new String[] {
+                    "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
+                }) {
             client.say("QUERY a1 WRITE k d");
             ScriptedHost.Line line = server();
             line.say("COMPLETE s1", "READY I 1.2");
@@ -107,21 +137,37 @@
         assertFalse(line.sent.toString().contains("QUERY"), line.sent.toString());
     }
 
-    /** Guards against half an answer, or a second one, behind which the next statement on the connection would get this one's. */
+    /**
+     * Guards against half an answer, or a second one, behind which the next statement on the
+     * connection would get this one's.
+     */
     @Test
     void halfAnAnswerAndASecondEndTheConnection() {
-        for (String[] bad : new String[][] {{"ROW r", "READY I 1.2"}, {"READY I 1.2"}, {"COMPLETE s", "COMPLETE t"},
-            {"ERROR BUSY x", "COMPLETE t"}, {"COMPLETE s", "ROW r"}, {"NOTHING of the wire"}}) {
+        for (String[] bad :
+                new String[][] {
+                    {"ROW r", "READY I 1.2"},
+                    {"READY I 1.2"},
+                    {"COMPLETE s", "COMPLETE t"},
+                    {"ERROR BUSY x", "COMPLETE t"},
+                    {"COMPLETE s", "ROW r"},
+                    {"NOTHING of the wire"}
+                }) {
             client.say("QUERY a1 WRITE k d");
             ScriptedHost.Line line = server();
             line.say(bad);
             assertTrue(line.closed, String.join(", ", bad));
-            assertEquals("ERROR UNCERTAIN the connection ended", client.sent.get(0), String.join(", ", bad));
+            assertEquals(
+                    "ERROR UNCERTAIN the connection ended",
+                    client.sent.get(0),
+                    String.join(", ", bad));
             answer(client);
         }
     }
 
-    /** Guards against a write that runs twice: where its connection was reset, nobody can say whether it ran. */
+    /**
+     * Guards against a write that runs twice: where its connection was reset, nobody can say
+     * whether it ran.
+     */
     @Test
     void aWriteThatWasResetIsNotSentAgain() {
         client.say("QUERY a1 WRITE k d");
@@ -129,7 +175,9 @@
         host.pass(3_000);
         assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
         for (ScriptedHost.Line line : host.dialed) {
-            assertEquals(line == host.dialed.get(0) ? 1 : 0, line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
+            assertEquals(
+                    line == host.dialed.get(0) ? 1 : 0,
+                    line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
 
@@ -176,7 +224,10 @@
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
     }
 
-    /** Guards against connections that nobody has any more, because the answer to this front's own word was lost. */
+    /**
+     * Guards against connections that nobody has any more, because the answer to this front's own
+     * word was lost.
+     */
     @Test
     void aWordOfItsOwnThatIsNeverAnsweredIsGivenUp() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
@@ -188,7 +239,9 @@
         assertEquals("QUERY - ROLLBACK", line.last());
         host.pass(2_500);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
-        assertTrue(service.servers.get("i-1").all.stream().allMatch(c -> c.oldest() == Long.MAX_VALUE));
+        assertTrue(
+                service.servers.get("i-1").all.stream()
+                        .allMatch(c -> c.oldest() == Long.MAX_VALUE));
     }
 
     /** The same for the opening of a transaction: at the server it would stay open. */
--- a/src/test/java/dillfront/front/FloorsTest.java
+++ b/src/test/java/dillfront/front/FloorsTest.java
@@ -23,7 +23,10 @@
         assertEquals(new Position(1, 5), floors.since(0));
     }
 
-    /** Of all that were learnt since, the least will do: each of them holds what was acknowledged before. */
+    /**
+     * Of all that were learnt since, the least will do: each of them holds what was acknowledged
+     * before.
+     */
     @Test
     void theLeastThatIsYoungEnough() {
         floors.led(new Position(1, 5), 100);
@@ -49,7 +52,9 @@
             }
             int moment = Math.max(1, ms - random.nextInt(2_000));
             Position floor = many.since(moment);
-            assertTrue(floor == null || floor.number() >= number[moment], () -> "a floor below what was there");
+            assertTrue(
+                    floor == null || floor.number() >= number[moment],
+                    () -> "a floor below what was there");
         }
     }
 }
--- a/src/test/java/dillfront/front/NewsTest.java
+++ b/src/test/java/dillfront/front/NewsTest.java
@@ -20,7 +20,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** A front among control processes that are played by hand: some know more than others, some are gone, some are alone. */
+/**
+ * A front among control processes that are played by hand: some know more than others, some are
+ * gone, some are alone.
+ */
 class NewsTest {
 
     /** One control process, and what it answers. */
@@ -28,11 +31,15 @@
         final String ip;
         boolean there = true;
         boolean alone;
+
         /** It says nothing at all, to a dial neither. */
         boolean dark;
+
         long version = -1;
+
         /** What it sends in the place of the configuration, where not null. */
         byte[] instead;
+
         List<Object> places;
         int dialed;
         int asked;
@@ -69,11 +76,13 @@
                 }
             }
             boolean waits = !alone && has >= version;
-            host.at(waits ? 600 : 1, () -> {
-                if (to.open && there && !dark) {
-                    to.ear.message(Pack.write(out));
-                }
-            });
+            host.at(
+                    waits ? 600 : 1,
+                    () -> {
+                        if (to.open && there && !dark) {
+                            to.ear.message(Pack.write(out));
+                        }
+                    });
         }
     }
 
@@ -90,15 +99,17 @@
 
         @Override
         public void send(byte[] message) {
-            host.at(1, () -> {
-                try {
-                    if (open && to.there && !to.dark) {
-                        to.answer(this, Pack.read(message));
-                    }
-                } catch (Pack.Bad bad) {
-                    throw new AssertionError(bad);
-                }
-            });
+            host.at(
+                    1,
+                    () -> {
+                        try {
+                            if (open && to.there && !to.dark) {
+                                to.answer(this, Pack.read(message));
+                            }
+                        } catch (Pack.Bad bad) {
+                            throw new AssertionError(bad);
+                        }
+                    });
         }
 
         @Override
@@ -125,19 +136,23 @@
             if (to != null && to.there && !to.dark) {
                 to.dialed++;
                 to.link = link;
-                at(1, () -> {
-                    if (link.open) {
-                        ear.opened(link);
-                    }
-                });
+                at(
+                        1,
+                        () -> {
+                            if (link.open) {
+                                ear.opened(link);
+                            }
+                        });
             } else {
                 note("none at " + address);
-                at(to != null && to.dark ? timeoutMs : 1, () -> {
-                    if (link.open) {
-                        link.open = false;
-                        ear.closed("refused");
-                    }
-                });
+                at(
+                        to != null && to.dark ? timeoutMs : 1,
+                        () -> {
+                            if (link.open) {
+                                link.open = false;
+                                ear.closed("refused");
+                            }
+                        });
             }
             return link;
         }
@@ -162,18 +177,43 @@
         for (String seed : seeds) {
             all.add(seed + ":8002");
         }
-        return new Settings("front-1", "a", "ra", Map.of("a", "ra", "b", "rb"), "10.0.1.1", "10.0.1.1:8000", "10.0.1.1:8001", null, 7400,
-                all, true, null, 1, 1_200, 7_000, 6_000, null);
+        return new Settings(
+                "front-1",
+                "a",
+                "ra",
+                Map.of("a", "ra", "b", "rb"),
+                "10.0.1.1",
+                "10.0.1.1:8000",
+                "10.0.1.1:8001",
+                null,
+                7400,
+                all,
+                true,
+                null,
+                1,
+                1_200,
+                7_000,
+                6_000,
+                null);
     }
 
     private void configuration(long version, int routes) {
         StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"name\":\"r").append(i).append("\",\"host_name\":\"h").append(i)
-                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":").append(i == version % routes ? 1_000 + version : 800)
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"r")
+                    .append(i)
+                    .append("\",\"host_name\":\"h")
+                    .append(i)
+                    .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
+                    .append(i == version % routes ? 1_000 + version : 800)
                     .append(",\"service\":\"s\"}");
         }
-        bodies.put(version, text.append("],\"services\":[{\"name\":\"s\"}]}").toString().getBytes(StandardCharsets.UTF_8));
+        bodies.put(
+                version,
+                text.append("],\"services\":[{\"name\":\"s\"}]}")
+                        .toString()
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     private static Map<String, Object> place(String ip, String zone, boolean silent) {
@@ -197,8 +237,13 @@
         assertEquals(2, front.version());
         assertArrayEquals(bodies.get(2L), front.configuration().body());
         assertEquals(0, asks.stream().filter(in -> in.bit("cw")).count());
-        assertEquals(List.of(Delta.digest(new byte[0]), Delta.digest(bodies.get(1L)), Delta.digest(bodies.get(2L))),
-                asks.stream().filter(in -> in.has("cd")).map(in -> in.number("cd", -1)).toList(), "told where it has changed");
+        assertEquals(
+                List.of(
+                        Delta.digest(new byte[0]),
+                        Delta.digest(bodies.get(1L)),
+                        Delta.digest(bodies.get(2L))),
+                asks.stream().filter(in -> in.has("cd")).map(in -> in.number("cd", -1)).toList(),
+                "told where it has changed");
         // Of another base, as of a number that had another content here.
         a.instead = Delta.of(bodies.get(1L), bodies.get(3L));
         a.version = 3;
@@ -210,10 +255,16 @@
         a.version = 4;
         until(4_000);
         assertArrayEquals(bodies.get(4L), front.configuration().body());
-        assertEquals(2, asks.stream().filter(in -> in.bit("cw")).count(), "asked for whole once, and no more");
+        assertEquals(
+                2,
+                asks.stream().filter(in -> in.bit("cw")).count(),
+                "asked for whole once, and no more");
     }
 
-    /** Processes that are behind, ahead, alone or gone at any moment: what the front has only goes forward, and is what was sent. */
+    /**
+     * Processes that are behind, ahead, alone or gone at any moment: what the front has only goes
+     * forward, and is what was sent.
+     */
     @Test
     void itNeverGoesBackWhicheverProcessItAsks() {
         for (long v = 1; v <= 40; v++) {
@@ -223,7 +274,8 @@
             SplittableRandom random = new SplittableRandom(seed);
             sources.clear();
             host = new Net();
-            List<Source> all = List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
+            List<Source> all =
+                    List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
             Front front = new Front(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
             front.start();
             long last = -1;
@@ -239,27 +291,35 @@
                         }
                     }
                     case 2 -> one.dark = random.nextInt(3) == 0;
-                    default -> one.version = Math.min(40, Math.max(one.version, 0) + 1 + random.nextInt(2));
+                    default ->
+                            one.version =
+                                    Math.min(40, Math.max(one.version, 0) + 1 + random.nextInt(2));
                 }
                 until(now() + random.nextInt(400));
-                assertTrue(front.version() >= last, "seed " + seed + ": " + front.version() + " after " + last);
+                assertTrue(
+                        front.version() >= last,
+                        "seed " + seed + ": " + front.version() + " after " + last);
                 last = front.version();
                 if (last >= 0) {
                     assertArrayEquals(bodies.get(last), front.configuration().body());
                 }
             }
-            all.forEach(s -> {
-                s.alone = false;
-                s.there = true;
-                s.dark = false;
-                s.version = 40;
-            });
+            all.forEach(
+                    s -> {
+                        s.alone = false;
+                        s.there = true;
+                        s.dark = false;
+                        s.version = 40;
+                    });
             until(now() + 4_000);
             assertEquals(40, front.version(), "seed " + seed);
         }
     }
 
-    /** One that is out of contact is left within a moment; where all are, they are asked again, and not without pause. */
+    /**
+     * One that is out of contact is left within a moment; where all are, they are asked again, and
+     * not without pause.
+     */
     @Test
     void whoeverIsAloneIsLeftAtOnce() {
         configuration(1, 3);
@@ -308,7 +368,12 @@
             was.link.ear.closed("broken");
             long from = now();
             until(now() + 50);
-            assertTrue(next.asked > 0, "at " + from + ": " + log().subList(Math.max(0, log().size() - 10), log().size()));
+            assertTrue(
+                    next.asked > 0,
+                    "at "
+                            + from
+                            + ": "
+                            + log().subList(Math.max(0, log().size() - 10), log().size()));
             was = next;
         }
         // All that it was told of are gone, and one of the seeds is back.
@@ -318,10 +383,15 @@
         sources.get("10.0.0.1:7400").there = true;
         int asked = sources.get("10.0.0.1:7400").asked;
         until(now() + 3_000);
-        assertTrue(sources.get("10.0.0.1:7400").asked > asked, log().subList(log().size() - 40, log().size()).toString());
+        assertTrue(
+                sources.get("10.0.0.1:7400").asked > asked,
+                log().subList(log().size() - 40, log().size()).toString());
     }
 
-    /** The seeds of a settings file that was read again count at once, and those of the former no more. */
+    /**
+     * The seeds of a settings file that was read again count at once, and those of the former no
+     * more.
+     */
     @Test
     void otherSeedsAreTakenOver() {
         configuration(1, 3);
@@ -338,10 +408,15 @@
         c.link.open = false;
         c.link.ear.closed("broken");
         until(9_000);
-        assertTrue(log().subList(from, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")), log().subList(from, log().size()).toString());
+        assertTrue(
+                log().subList(from, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")),
+                log().subList(from, log().size()).toString());
     }
 
-    /** One in its own region is asked where it is heard, but not again at once where it had to be left. */
+    /**
+     * One in its own region is asked where it is heard, but not again at once where it had to be
+     * left.
+     */
     @Test
     void theNearIsAskedAndIfItFailsLeftForAWhile() {
         configuration(1, 3);
@@ -366,7 +441,10 @@
         assertEquals(2, near.dialed);
     }
 
-    /** A configuration of a form that it does not know: what it has stays, and it does not ask without end. */
+    /**
+     * A configuration of a form that it does not know: what it has stays, and it does not ask
+     * without end.
+     */
     @Test
     void whatItCannotReadIsNotAskedForWithoutPause() {
         configuration(1, 3);
@@ -382,7 +460,9 @@
         until(11_000);
         assertEquals(1, front.version());
         assertTrue(a.asked - asked < 14, "asked " + (a.asked - asked) + " times in 10 s");
-        assertTrue(log().stream().anyMatch(l -> l.contains("configuration 2 not understood")), log().toString());
+        assertTrue(
+                log().stream().anyMatch(l -> l.contains("configuration 2 not understood")),
+                log().toString());
         a.version = 3;
         until(13_000);
         assertEquals(3, front.version());
--- a/src/test/java/dillfront/front/SessionTest.java
+++ b/src/test/java/dillfront/front/SessionTest.java
@@ -22,25 +22,36 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Sessions of one front between clients and database servers that are played by hand: what is sent where, and how often. */
+/**
+ * Sessions of one front between clients and database servers that are played by hand: what is sent
+ * where, and how often.
+ */
 class SessionTest {
 
     private static final int TIMEOUT = 1_000;
 
-    /** A database server: it answers by the page, unless the test has it be silent, cut or say something else. */
+    /**
+     * A database server: it answers by the page, unless the test has it be silent, cut or say
+     * something else.
+     */
     private final class Node {
         final String id;
         final String address;
         long term = 1;
         long number = 5;
         boolean leads;
+
         /** What is out for ever. */
         Predicate<String> mute = text -> false;
+
         /** What has its connection end, once the statement has come. */
         Predicate<String> cuts = text -> false;
+
         final Map<String, String> says = new HashMap<>();
+
         /** All statements, without their ids, each with the number of its connection. */
         final List<String> heard = new ArrayList<>();
+
         final List<Wire> open = new ArrayList<>();
         int connections;
 
@@ -105,12 +116,25 @@
             switch (verb) {
                 case "BEGIN" -> state = 'T';
                 case "COMMIT", "ROLLBACK" -> state = 'I';
-                default -> { }
+                default -> {}
             }
-            to.number += verb.equals("WRITE") || verb.equals("COMMIT") || text.startsWith("EXECUTE W") ? 1 : 0;
+            to.number +=
+                    verb.equals("WRITE") || verb.equals("COMMIT") || text.startsWith("EXECUTE W")
+                            ? 1
+                            : 0;
             String at = "READY " + state + " " + to.term + "." + to.number;
             if (verb.equals("STATUS")) {
-                answer("ROW " + (to.leads ? "primary " : "replica ") + to.term + " " + to.term + "." + to.number + " 0 0 0 1", "COMPLETE -", at);
+                answer(
+                        "ROW "
+                                + (to.leads ? "primary " : "replica ")
+                                + to.term
+                                + " "
+                                + to.term
+                                + "."
+                                + to.number
+                                + " 0 0 0 1",
+                        "COMPLETE -",
+                        at);
             } else if (verb.equals("READ")) {
                 answer("ROW x", "COMPLETE " + to.id + text.hashCode(), at);
             } else {
@@ -120,11 +144,13 @@
 
         private void answer(String... lines) {
             for (String line : lines) {
-                host.at(1, () -> {
-                    if (!over) {
-                        ear.message(line.getBytes(StandardCharsets.ISO_8859_1));
-                    }
-                });
+                host.at(
+                        1,
+                        () -> {
+                            if (!over) {
+                                ear.message(line.getBytes(StandardCharsets.ISO_8859_1));
+                            }
+                        });
             }
         }
 
@@ -140,7 +166,9 @@
         }
     }
 
-    /** A control process that answers each question at once, or after a while where nothing is new. */
+    /**
+     * A control process that answers each question at once, or after a while where nothing is new.
+     */
     private final class Control implements Host.Link {
         private final Host.Ear ear;
         private boolean over;
@@ -159,21 +187,25 @@
             } catch (Pack.Bad bad) {
                 throw new IllegalStateException(bad);
             }
-            host.at(late ? 2_000 : answered < news ? 1 : 300, () -> {
-                if (answered < news || late) {
-                    answered = news;
-                    out.put("b", late ? "left" : "boot");
-                    out.put("r", news);
-                    out.put("m", new ArrayList<>(members));
-                }
-                out.put("p", List.of(Map.of("s", "db", "k", record, "p", primary, "m", moving)));
-                if (sure) {
-                    out.put("su", 3_000L);
-                }
-                if (!over || late) {
-                    ear.message(Pack.write(out));
-                }
-            });
+            host.at(
+                    late ? 2_000 : answered < news ? 1 : 300,
+                    () -> {
+                        if (answered < news || late) {
+                            answered = news;
+                            out.put("b", late ? "left" : "boot");
+                            out.put("r", news);
+                            out.put("m", new ArrayList<>(members));
+                        }
+                        out.put(
+                                "p",
+                                List.of(Map.of("s", "db", "k", record, "p", primary, "m", moving)));
+                        if (sure) {
+                            out.put("su", 3_000L);
+                        }
+                        if (!over || late) {
+                            ear.message(Pack.write(out));
+                        }
+                    });
         }
 
         @Override
@@ -187,15 +219,16 @@
         }
     }
 
-    private final ManualHost host = new ManualHost() {
-        @Override
-        public Link dial(String address, Form form, int timeoutMs, Ear ear) {
-            Node to = nodes.get(address);
-            Link link = to != null ? new Wire(ear, to) : new Control(ear);
-            at(1, () -> ear.opened(link));
-            return link;
-        }
-    };
+    private final ManualHost host =
+            new ManualHost() {
+                @Override
+                public Link dial(String address, Form form, int timeoutMs, Ear ear) {
+                    Node to = nodes.get(address);
+                    Link link = to != null ? new Wire(ear, to) : new Control(ear);
+                    at(1, () -> ear.opened(link));
+                    return link;
+                }
+            };
     private final Map<String, Node> nodes = new TreeMap<>();
     private final List<Object> members = new ArrayList<>();
     private long news = 1;
@@ -204,8 +237,13 @@
     private String primary = "p";
     private boolean moving;
     private boolean sure = true;
-    /** Control answers only after the front has left it, and the answer is there though the connection was closed. */
+
+    /**
+     * Control answers only after the front has left it, and the answer is there though the
+     * connection was closed.
+     */
     private boolean slow;
+
     private final List<String> boots = new ArrayList<>();
     private final Node p = new Node("p", "10.0.1.1:1");
     private final Node r = new Node("r", "10.0.1.2:1");
@@ -216,24 +254,70 @@
         p.leads = true;
         member(p, "ready");
         member(r, "ready");
-        Settings settings = new Settings("front", "a", "ra", Map.of("a", "ra"), "10.0.0.9", "10.0.0.9:1", null, null, 7_400,
-                List.of("10.0.0.1:2"), true, null, 1, 1_200, 3_500, 6_000, null);
+        Settings settings =
+                new Settings(
+                        "front",
+                        "a",
+                        "ra",
+                        Map.of("a", "ra"),
+                        "10.0.0.9",
+                        "10.0.0.9:1",
+                        null,
+                        null,
+                        7_400,
+                        List.of("10.0.0.1:2"),
+                        true,
+                        null,
+                        1,
+                        1_200,
+                        3_500,
+                        6_000,
+                        null);
         front = new Front(host, settings);
-        front.configured(Configuration.read(("{\"revision_number\":1,\"routes\":["
-                + route("new", "primary", 0) + "," + route("old", "bounded_staleness", 1_500) + "],\"services\":[{\"name\":\"db\","
-                + "\"connection_limit\":60,\"synchronous_replicas\":1}],\"limits\":{\"transaction_idle_ms\":30000}}")
-                .getBytes(StandardCharsets.UTF_8)));
+        front.configured(
+                Configuration.read(
+                        ("{\"revision_number\":1,\"routes\":["
+                                        + route("new", "primary", 0)
+                                        + ","
+                                        + route("old", "bounded_staleness", 1_500)
+                                        + "],\"services\":[{\"name\":\"db\","
+                                        + "\"connection_limit\":60,\"synchronous_replicas\":1}],\"limits\":{\"transaction_idle_ms\":30000}}")
+                                .getBytes(StandardCharsets.UTF_8)));
         front.start();
         pass(50);
     }
 
     private static String route(String host, String kind, long stale) {
-        return "{\"name\":\"" + host + "\",\"host_name\":\"" + host + "\",\"path_prefix\":\"/\",\"route_kind\":\"" + kind + "\",\"timeout_ms\":"
-                + TIMEOUT + ",\"target_latency_ms\":300,\"priority\":1,\"service\":\"db\",\"max_attempts\":2,\"max_staleness_ms\":" + stale + "}";
+        return "{\"name\":\""
+                + host
+                + "\",\"host_name\":\""
+                + host
+                + "\",\"path_prefix\":\"/\",\"route_kind\":\""
+                + kind
+                + "\",\"timeout_ms\":"
+                + TIMEOUT
+                + ",\"target_latency_ms\":300,\"priority\":1,\"service\":\"db\",\"max_attempts\":2,\"max_staleness_ms\":"
+                + stale
+                + "}";
     }
 
     private void member(Node n, String state) {
-        members.add(Map.of("i", n.id, "v", "db", "a", n.address, "z", "a", "st", state, "ro", n.leads ? "primary" : "replica", "q", 1L));
+        members.add(
+                Map.of(
+                        "i",
+                        n.id,
+                        "v",
+                        "db",
+                        "a",
+                        n.address,
+                        "z",
+                        "a",
+                        "st",
+                        state,
+                        "ro",
+                        n.leads ? "primary" : "replica",
+                        "q",
+                        1L));
         news++;
     }
 
@@ -256,7 +340,8 @@
         }
 
         void ask(String text) {
-            session.message(("QUERY " + ++asked + " " + text).getBytes(StandardCharsets.ISO_8859_1));
+            session.message(
+                    ("QUERY " + ++asked + " " + text).getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Asks, and gives the answer's first word, or the error's code, once it is there. */
@@ -264,7 +349,11 @@
             got.clear();
             ask(text);
             pass(100);
-            return got.isEmpty() ? "nothing" : got.get(0).startsWith("ERROR") ? got.get(0).split(" ")[1] : got.get(0).split(" ")[0];
+            return got.isEmpty()
+                    ? "nothing"
+                    : got.get(0).startsWith("ERROR")
+                            ? got.get(0).split(" ")[1]
+                            : got.get(0).split(" ")[0];
         }
 
         @Override
@@ -284,7 +373,9 @@
     }
 
     private void answers(String expected, Caller of) {
-        assertTrue(of.got.stream().anyMatch(l -> l.startsWith(expected)), expected + " among " + of.got);
+        assertTrue(
+                of.got.stream().anyMatch(l -> l.startsWith(expected)),
+                expected + " among " + of.got);
     }
 
     // ---- what may not be sent twice
@@ -372,7 +463,10 @@
         assertEquals(before + 1, p.connections);
     }
 
-    /** The client is gone, and its answer never comes: the connection ends, and the server is not taken for silent for ever. */
+    /**
+     * The client is gone, and its answer never comes: the connection ends, and the server is not
+     * taken for silent for ever.
+     */
     @Test
     void whatIsNeverAnsweredEndsItsConnection() {
         for (String muted : List.of("READ k", "BEGIN", "ROLLBACK")) {
@@ -389,7 +483,9 @@
             c.session.closed("gone");
             pass(3_000);
             p.mute = text -> false;
-            assertTrue(p.open.stream().noneMatch(w -> w.state != 'I'), muted + ": " + p.open.size() + " stay open");
+            assertTrue(
+                    p.open.stream().noneMatch(w -> w.state != 'I'),
+                    muted + ": " + p.open.size() + " stay open");
             assertEquals(0, front.service("db").servers.get("p").out, muted);
             Caller next = new Caller("new");
             assertEquals("ROW", next.asks("READ k"), muted);
@@ -399,7 +495,10 @@
 
     // ---- how old a read may be
 
-    /** A router that lost the lead still answers a COMMIT that wrote nothing: its position says nothing of the newest. */
+    /**
+     * A router that lost the lead still answers a COMMIT that wrote nothing: its position says
+     * nothing of the newest.
+     */
     @Test
     void aCommitThatWroteNothingSaysNothingOfTheLog() {
         Caller c = new Caller("new");
@@ -433,7 +532,9 @@
         p.leads = true;
         assertEquals("ROW", c.asks("READ k"));
         int at = p.heard.size();
-        assertTrue(p.heard.get(at - 1).endsWith("READ k") && p.heard.get(at - 2).endsWith("STATUS"), p.heard.toString());
+        assertTrue(
+                p.heard.get(at - 1).endsWith("READ k") && p.heard.get(at - 2).endsWith("STATUS"),
+                p.heard.toString());
     }
 
     @Test
@@ -485,7 +586,10 @@
         assertEquals(1, p.count("WRITE l d"));
     }
 
-    /** A front is in touch 4 s after it was told, and what is in touch sends nothing too late: its time is over by then. */
+    /**
+     * A front is in touch 4 s after it was told, and what is in touch sends nothing too late: its
+     * time is over by then.
+     */
     @Test
     void aPrimaryThatDrainsIsLeftWithinTheTimeInWhichAFrontIsNotInTouch() {
         drains(p);
@@ -520,7 +624,9 @@
         // Another front's commits are in the log as well by then.
         p.says.put("WRITE k d", "COMPLETE s\nREADY I 1.9");
         c.asks("WRITE k d");
-        assertEquals(new Acknowledged(new Position(1, 6), new Position(1, 9)), front.service("db").acknowledged);
+        assertEquals(
+                new Acknowledged(new Position(1, 6), new Position(1, 9)),
+                front.service("db").acknowledged);
         p.cuts = text -> text.startsWith("WRITE other");
         c.asks("WRITE other d");
         assertEquals(new Position(1, 9), front.service("db").acknowledged.most());
@@ -534,7 +640,7 @@
         Caller c = new Caller("new");
         c.asks("BEGIN");
         p.mute = text -> text.startsWith("READ slow");
-        front.leave(() -> { });
+        front.leave(() -> {});
         pass(2_900);
         c.got.clear();
         c.ask("READ slow");
@@ -548,11 +654,14 @@
         assertEquals("closed", c.got.get(c.got.size() - 1));
     }
 
-    /** The platform takes up to two misses, and then some, to see that it is not ready: who comes until then is served once. */
+    /**
+     * The platform takes up to two misses, and then some, to see that it is not ready: who comes
+     * until then is served once.
+     */
     @Test
     void whoComesWhileTheFrontEndsIsServedOnce() {
         new Caller("new");
-        front.leave(() -> { });
+        front.leave(() -> {});
         assertFalse(front.ready());
         pass(2_500);
         Caller c = new Caller("new");
@@ -568,7 +677,7 @@
     void whoComesTooLateIsSentElsewhere() {
         Caller held = new Caller("new");
         p.mute = text -> text.startsWith("READ slow");
-        front.leave(() -> { });
+        front.leave(() -> {});
         pass(2_900);
         held.ask("READ slow");
         pass(300);
@@ -587,7 +696,10 @@
         assertTrue(ended[0]);
     }
 
-    /** Each front would say so at once, of what none of them does better, and replicas serve meanwhile. */
+    /**
+     * Each front would say so at once, of what none of them does better, and replicas serve
+     * meanwhile.
+     */
     @Test
     void aMoveOfThePrimaryDoesNotMakeItUnready() {
         assertTrue(front.ready());
--- a/src/test/java/dillfront/front/StatementTest.java
+++ b/src/test/java/dillfront/front/StatementTest.java
@@ -27,8 +27,28 @@
 
     @Test
     void whatItHasNot() {
-        for (String bad : new String[] {"", " ", "READ", "READ ", "READ a b", "WRITE a", "WRITE a ", "BEGIN WRITE", "BEGIN ", "COMMIT now",
-            "SET a", "PREPARE s", "PREPARE s LOOK q", "PREPARE s READ", "PREPARE s READ q r", "EXECUTE s", "read a", "AFTER 1.2 READ a", "STATUS"}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    " ",
+                    "READ",
+                    "READ ",
+                    "READ a b",
+                    "WRITE a",
+                    "WRITE a ",
+                    "BEGIN WRITE",
+                    "BEGIN ",
+                    "COMMIT now",
+                    "SET a",
+                    "PREPARE s",
+                    "PREPARE s LOOK q",
+                    "PREPARE s READ",
+                    "PREPARE s READ q r",
+                    "EXECUTE s",
+                    "read a",
+                    "AFTER 1.2 READ a",
+                    "STATUS"
+                }) {
             assertEquals("MALFORMED||", read(bad), bad);
         }
     }
--- a/src/test/java/dillfront/gossip/CrowdTest.java
+++ b/src/test/java/dillfront/gossip/CrowdTest.java
@@ -19,10 +19,16 @@
     private Crowd crowd;
 
     private Crowd crowd(int count, long seed) {
-        crowd = new Crowd(count, Tuning.USUAL, time, seed, (at, claim, age) -> {
-            heard.add(at);
-            crowd.instances[at].gossip.passOn(claim, claim.origin());
-        });
+        crowd =
+                new Crowd(
+                        count,
+                        Tuning.USUAL,
+                        time,
+                        seed,
+                        (at, claim, age) -> {
+                            heard.add(at);
+                            crowd.instances[at].gossip.passOn(claim, claim.origin());
+                        });
         crowd.start();
         return crowd;
     }
@@ -63,7 +69,8 @@
             until(40 + i);
         }
         // What is in the bucket at first, and what flows in.
-        assertTrue(crowd.bytes() <= Tuning.USUAL.bytesPerSecond() * (70 + 3), "sent " + crowd.bytes());
+        assertTrue(
+                crowd.bytes() <= Tuning.USUAL.bytesPerSecond() * (70 + 3), "sent " + crowd.bytes());
         for (Crowd.Instance one : crowd.instances) {
             assertTrue(one.gossip.spreading() <= 64);
         }
@@ -117,7 +124,8 @@
         one.at();
         one.gossip.claim(2, Symptom.HUNG, 1, Duration.ZERO);
         until(time.now().toSeconds() + 2);
-        assertEquals(19, heard.size(), "its words count, though an earlier life used their numbers");
+        assertEquals(
+                19, heard.size(), "its words count, though an earlier life used their numbers");
     }
 
     @Test
@@ -153,11 +161,17 @@
 
     @Test
     void clocksDiffer() {
-        crowd = new Crowd(12, Tuning.USUAL, time, 8, (at, claim, age) -> {
-            heard.add(at);
-            assertTrue(age.compareTo(Duration.ofSeconds(1)) < 0, "age " + age);
-            crowd.instances[at].gossip.passOn(claim, claim.origin());
-        });
+        crowd =
+                new Crowd(
+                        12,
+                        Tuning.USUAL,
+                        time,
+                        8,
+                        (at, claim, age) -> {
+                            heard.add(at);
+                            assertTrue(age.compareTo(Duration.ofSeconds(1)) < 0, "age " + age);
+                            crowd.instances[at].gossip.passOn(claim, claim.origin());
+                        });
         for (Crowd.Instance one : crowd.instances) {
             one.clock = Duration.ofSeconds(one.index - 6);
         }
@@ -203,12 +217,23 @@
             weighs[i] = new Hearsay(Tuning.USUAL, weighs.length);
             weighs[i].nodes(8);
         }
-        crowd = new Crowd(weighs.length, Tuning.USUAL, time, 11, (at, claim, age) -> {
-            weighs[at].at(time.now());
-            if (weighs[at].heard(claim.origin(), (int) claim.subject(), Symptom.values()[claim.detail()], age, claim.since())) {
-                crowd.instances[at].gossip.passOn(claim, claim.origin());
-            }
-        });
+        crowd =
+                new Crowd(
+                        weighs.length,
+                        Tuning.USUAL,
+                        time,
+                        11,
+                        (at, claim, age) -> {
+                            weighs[at].at(time.now());
+                            if (weighs[at].heard(
+                                    claim.origin(),
+                                    (int) claim.subject(),
+                                    Symptom.values()[claim.detail()],
+                                    age,
+                                    claim.since())) {
+                                crowd.instances[at].gossip.passOn(claim, claim.origin());
+                            }
+                        });
         crowd.start();
         until(10);
         for (Crowd.Instance one : crowd.instances) {
@@ -219,7 +244,8 @@
             until(s);
             for (int i = 0; i < 8; i++) {
                 crowd.instances[i].at();
-                crowd.instances[i].gossip.claim(1 + i % 2, Symptom.HUNG, 1, Duration.ofSeconds(s - 11));
+                crowd.instances[i].gossip.claim(
+                        1 + i % 2, Symptom.HUNG, 1, Duration.ofSeconds(s - 11));
             }
         }
         assertTrue(weighs[18].doubted(1) && !weighs[18].doubted(2));
@@ -243,7 +269,14 @@
     @Test
     void tablesStayWithinTheirBoundsAllDay() {
         Tuning slow = new Tuning(Duration.ofSeconds(10), 3000, 1200, 1, Duration.ofSeconds(50));
-        crowd = new Crowd(10, slow, time, 12, (at, claim, age) -> crowd.instances[at].gossip.passOn(claim, claim.origin()));
+        crowd =
+                new Crowd(
+                        10,
+                        slow,
+                        time,
+                        12,
+                        (at, claim, age) ->
+                                crowd.instances[at].gossip.passOn(claim, claim.origin()));
         crowd.start();
         int most = 0;
         long node = 0;
@@ -272,7 +305,7 @@
         until(30);
         double first = crowd.bytes();
         Time again = new Time();
-        Crowd second = new Crowd(30, Tuning.USUAL, again, 10, (at, claim, age) -> { });
+        Crowd second = new Crowd(30, Tuning.USUAL, again, 10, (at, claim, age) -> {});
         second.start();
         again.until(Duration.ofSeconds(30));
         assertEquals(first, second.bytes());
--- a/src/test/java/dillfront/host/DataLossTest.java
+++ b/src/test/java/dillfront/host/DataLossTest.java
@@ -19,7 +19,8 @@
         return new Acknowledged(at(least), at(most));
     }
 
-    private final DataLoss loss = DataLoss.of(7, at("1.10"), known("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
+    private final DataLoss loss =
+            DataLoss.of(7, at("1.10"), known("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
 
     @Test
     void onlyWhatWasShownIsGivenUp() {
@@ -56,7 +57,14 @@
     void itsTextSaysAll() {
         DataLoss some = loss.leads(at("1.40"));
         assertEquals(some, DataLoss.of(some.toString()));
-        for (String bad : new String[] {"", "7 1.10 1.70 1.72 1.10", "x 1.10 1.70 1.72 1.10 1.72", "7 1 1.70 1.72 1.10 1.72", "7 1.10 1.70 1.72 1.10 1.72 %"}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    "7 1.10 1.70 1.72 1.10",
+                    "x 1.10 1.70 1.72 1.10 1.72",
+                    "7 1 1.70 1.72 1.10 1.72",
+                    "7 1.10 1.70 1.72 1.10 1.72 %"
+                }) {
             assertNull(DataLoss.of(bad), bad);
         }
     }
--- a/src/test/java/dillfront/host/DeltaTest.java
+++ b/src/test/java/dillfront/host/DeltaTest.java
@@ -13,7 +13,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Texts of an operator's form, texts of no form, and deltas that were cut, spoilt or made for another base. */
+/**
+ * Texts of an operator's form, texts of no form, and deltas that were cut, spoilt or made for
+ * another base.
+ */
 class DeltaTest {
 
     private static byte[] bytes(String text) {
@@ -21,14 +24,29 @@
     }
 
     private static String route(int number, int timeout) {
-        return "{\"name\":\"r-" + Integer.toHexString(number * 7919) + "\",\"host_name\":\"host" + number + "\",\"path_prefix\":\"/\","
-                + "\"route_kind\":\"read_your_writes\",\"timeout_ms\":" + timeout + ",\"target_latency_ms\":600,\"priority\":2,"
-                + "\"service\":\"s" + number % 40 + "\",\"max_attempts\":2,\"max_staleness_ms\":2500,\"note\":\"" + "n".repeat(200) + "\"}";
+        return "{\"name\":\"r-"
+                + Integer.toHexString(number * 7919)
+                + "\",\"host_name\":\"host"
+                + number
+                + "\",\"path_prefix\":\"/\","
+                + "\"route_kind\":\"read_your_writes\",\"timeout_ms\":"
+                + timeout
+                + ",\"target_latency_ms\":600,\"priority\":2,"
+                + "\"service\":\"s"
+                + number % 40
+                + "\",\"max_attempts\":2,\"max_staleness_ms\":2500,\"note\":\""
+                + "n".repeat(200)
+                + "\"}";
     }
 
     private static byte[] configuration(long version, List<String> routes) {
-        return bytes("{\"revision_number\":" + version + ",\"routes\":[" + String.join(",", routes) + "],\"services\":[{\"name\":\"s0\"}],"
-                + "\"limits\":{\"idle_timeout_ms\":15000,\"transaction_idle_ms\":3000}}");
+        return bytes(
+                "{\"revision_number\":"
+                        + version
+                        + ",\"routes\":["
+                        + String.join(",", routes)
+                        + "],\"services\":[{\"name\":\"s0\"}],"
+                        + "\"limits\":{\"idle_timeout_ms\":15000,\"transaction_idle_ms\":3000}}");
     }
 
     private static byte[] both(byte[] base, byte[] next) throws Delta.Bad {
@@ -37,25 +55,42 @@
         assertArrayEquals(next, Delta.apply(base, delta));
         assertArrayEquals(before, base);
         assertArrayEquals(delta, Delta.of(base, next), "the same once more");
-        assertTrue(delta.length <= next.length + 32, delta.length + " for a text of " + next.length);
+        assertTrue(
+                delta.length <= next.length + 32, delta.length + " for a text of " + next.length);
         return delta;
     }
 
     @Test
     void textsOfAnyFormComeBackAsTheyWere() throws Exception {
-        String[] texts = {"", "}", "{}", "}".repeat(70_000), "a".repeat(70_000), "{\"a\":1}", "{\"a\":1},{\"a\":2},{\"a\":1}",
-            "é}".repeat(100), "\u0000}\u0000".repeat(50)};
+        String[] texts = {
+            "",
+            "}",
+            "{}",
+            "}".repeat(70_000),
+            "a".repeat(70_000),
+            "{\"a\":1}",
+            "{\"a\":1},{\"a\":2},{\"a\":1}",
+            "é}".repeat(100),
+            "\u0000}\u0000".repeat(50)
+        };
         for (String base : texts) {
             for (String next : texts) {
                 both(bytes(base), bytes(next));
             }
         }
         both(new byte[Delta.MOST], new byte[Delta.MOST]);
-        assertThrows(IllegalArgumentException.class, () -> Delta.of(new byte[0], new byte[Delta.MOST + 1]));
-        assertThrows(IllegalArgumentException.class, () -> Delta.of(new byte[Delta.MOST + 1], new byte[0]));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> Delta.of(new byte[0], new byte[Delta.MOST + 1]));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> Delta.of(new byte[Delta.MOST + 1], new byte[0]));
     }
 
-    /** Texts out of few letters, so that pieces are alike, and each the last with parts changed, moved, doubled or taken out. */
+    /**
+     * Texts out of few letters, so that pieces are alike, and each the last with parts changed,
+     * moved, doubled or taken out.
+     */
     @Test
     void anyChangeOfAnyTextComesBackAsItWasMade() throws Exception {
         for (long seed = 1; seed <= 400; seed++) {
@@ -69,14 +104,24 @@
                 int from = random.nextInt(next.length + 1);
                 int to = from + random.nextInt(next.length - from + 1);
                 byte[] part = Arrays.copyOfRange(next, from, to);
-                byte[] rest = join(Arrays.copyOf(next, from), Arrays.copyOfRange(next, to, next.length));
+                byte[] rest =
+                        join(Arrays.copyOf(next, from), Arrays.copyOfRange(next, to, next.length));
                 int at = random.nextInt(rest.length + 1);
-                next = switch (random.nextInt(4)) {
-                    case 0 -> rest;
-                    case 1 -> join(Arrays.copyOf(rest, at), part, Arrays.copyOfRange(rest, at, rest.length));
-                    case 2 -> join(next, part);
-                    default -> join(Arrays.copyOf(rest, at), bytes("}x" + seed), Arrays.copyOfRange(rest, at, rest.length));
-                };
+                next =
+                        switch (random.nextInt(4)) {
+                            case 0 -> rest;
+                            case 1 ->
+                                    join(
+                                            Arrays.copyOf(rest, at),
+                                            part,
+                                            Arrays.copyOfRange(rest, at, rest.length));
+                            case 2 -> join(next, part);
+                            default ->
+                                    join(
+                                            Arrays.copyOf(rest, at),
+                                            bytes("}x" + seed),
+                                            Arrays.copyOfRange(rest, at, rest.length));
+                        };
             }
             both(base, next);
         }
@@ -117,7 +162,14 @@
                         routes.add(at, route(1_000 + v * 3 + k, 900));
                         grown++;
                     }
-                    default -> routes.set(at, routes.get(at).replaceAll("\"timeout_ms\":\\d+", "\"timeout_ms\":" + (700 + random.nextInt(500))));
+                    default ->
+                            routes.set(
+                                    at,
+                                    routes.get(at)
+                                            .replaceAll(
+                                                    "\"timeout_ms\":\\d+",
+                                                    "\"timeout_ms\":"
+                                                            + (700 + random.nextInt(500))));
                 }
             }
             byte[] next = configuration(v, routes);
@@ -147,7 +199,9 @@
     /** Whatever became of a delta on its way: it makes the text it was made for, or none. */
     @Test
     void aDeltaThatIsSpoiltMakesNoText() throws Exception {
-        List<String> routes = new ArrayList<>(List.of(route(1, 800), route(2, 800), route(3, 800), route(4, 800)));
+        List<String> routes =
+                new ArrayList<>(
+                        List.of(route(1, 800), route(2, 800), route(3, 800), route(4, 800)));
         byte[] base = configuration(7, routes);
         Collections.swap(routes, 0, 2);
         routes.add(route(9, 1));
--- a/src/test/java/dillfront/host/HttpDoorTest.java
+++ b/src/test/java/dillfront/host/HttpDoorTest.java
@@ -23,16 +23,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each call on a connection gets its own answer, in its turn, whatever becomes of those before and behind it. */
+/**
+ * Each call on a connection gets its own answer, in its turn, whatever becomes of those before and
+ * behind it.
+ */
 class HttpDoorTest {
 
     private static final int LARGE = 300_000;
 
     private final NettyHost host = new NettyHost(1);
+
     /** What was called, in order; the body stands behind the path. */
     private final BlockingQueue<String> called = new LinkedBlockingQueue<>();
+
     /** Answers that the test holds back, by path. */
-    private final List<CompletableFuture<Host.Answer>> held = Collections.synchronizedList(new ArrayList<>());
+    private final List<CompletableFuture<Host.Answer>> held =
+            Collections.synchronizedList(new ArrayList<>());
+
     private String at;
     private Socket client;
 
@@ -46,7 +53,10 @@
     @AfterEach
     void close() throws Exception {
         client.close();
-        host.loop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(3, TimeUnit.SECONDS);
+        host.loop()
+                .parent()
+                .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+                .await(3, TimeUnit.SECONDS);
     }
 
     private static String free() throws IOException {
@@ -56,7 +66,8 @@
     }
 
     private static Socket connect(String to) throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(to.substring(10)));
+        Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(to.substring(10)));
         socket.setSoTimeout(8_000);
         return socket;
     }
@@ -89,14 +100,21 @@
     }
 
     private static void until(String what, BooleanSupplier is) throws InterruptedException {
-        for (long end = System.nanoTime() + 10_000_000_000L; !is.getAsBoolean();) {
+        for (long end = System.nanoTime() + 10_000_000_000L; !is.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "waited 10 s in vain until " + what);
             Thread.sleep(2);
         }
     }
 
     private static String post(String path, String more, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: h\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: h\r\n"
+                + more
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     private static String get(String path) {
@@ -127,17 +145,23 @@
         String status = text.split(" ")[1];
         String length = text.replaceAll("(?is).*content-length: (\\d+).*", "$1");
         byte[] body = in.readNBytes(length.equals(text) ? 0 : Integer.parseInt(length));
-        return status.equals("200") ? status + " " + new String(body, StandardCharsets.US_ASCII).trim() : status;
+        return status.equals("200")
+                ? status + " " + new String(body, StandardCharsets.US_ASCII).trim()
+                : status;
     }
 
-    /** Guards against an answer that its caller would take for that of another call, and against a read that overtakes an order. */
+    /**
+     * Guards against an answer that its caller would take for that of another call, and against a
+     * read that overtakes an order.
+     */
     @Test
     void callsAreDoneAndAnsweredInTheirOrder() throws Exception {
         send(post("/held", "", "1") + post("/held", "", "2") + get("/b"));
         for (int i = 0; i < 2; i++) {
             int before = i + 1;
             until("the next is called", () -> called.size() == before);
-            assertEquals(before, calledAfterTwoTurns(), "begun before the one ahead of it was answered");
+            assertEquals(
+                    before, calledAfterTwoTurns(), "begun before the one ahead of it was answered");
             complete(i, answer("answer " + i));
             assertEquals("200 answer " + i, hear());
         }
@@ -145,10 +169,15 @@
         assertEquals("[/held1, /held2, /b]", called.toString());
     }
 
-    /** Guards against a 413 that overtakes: the order before it, which was valid, would be given up for good. */
+    /**
+     * Guards against a 413 that overtakes: the order before it, which was valid, would be given up
+     * for good.
+     */
     @Test
     void aBodyThatIsTooLongIsRefusedInItsTurn() throws Exception {
-        send(post("/held", "", "1") + "POST /long HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n");
+        send(
+                post("/held", "", "1")
+                        + "POST /long HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n");
         until("the first is called", () -> called.size() == 1);
         client.getOutputStream().write(new byte[1_048_577]);
         complete(0, answer("first"));
@@ -161,7 +190,9 @@
     /** The same where the length is not known before. */
     @Test
     void soIsOneThatGrowsTooLong() throws Exception {
-        send(post("/held", "", "1") + "POST /long HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n");
+        send(
+                post("/held", "", "1")
+                        + "POST /long HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n");
         client.getOutputStream().write(new byte[0x100001]);
         send("\r\n0\r\n\r\n" + get("/b"));
         until("the first is called", () -> called.size() >= 1);
@@ -170,10 +201,15 @@
         assertEquals("[/held1, /b]", called.toString());
     }
 
-    /** Guards against a body that is waved on while an earlier call is open, and against a count that it puts out of step. */
+    /**
+     * Guards against a body that is waved on while an earlier call is open, and against a count
+     * that it puts out of step.
+     */
     @Test
     void aBodyIsAskedForInItsTurn() throws Exception {
-        send(post("/held", "", "1") + "POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
+        send(
+                post("/held", "", "1")
+                        + "POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
         until("the first is called", () -> called.size() == 1);
         complete(0, answer("first"));
         assertEquals("200 first", hear());
@@ -185,7 +221,9 @@
         // The answer to HEAD has no body: it must be taken for none but that one.
         send("xHEAD /h HTTP/1.1\r\nHost: h\r\n\r\n" + get("/c"));
         assertEquals("200 /b", hear());
-        String rest = new String(client.getInputStream().readNBytes(1), StandardCharsets.US_ASCII) + until("/c");
+        String rest =
+                new String(client.getInputStream().readNBytes(1), StandardCharsets.US_ASCII)
+                        + until("/c");
         assertTrue(rest.matches("(?s)HTTP/1.1 200.*\r\n\r\nHTTP/1.1 200.*\r\n\r\n/c"), rest);
     }
 
@@ -204,12 +242,17 @@
         until("it is called", () -> called.size() == 1);
         complete(0, new Host.Answer(307, new byte[0], "http://10.0.0.4:8080/held"));
         String head = until("\r\n\r\n");
-        assertTrue(head.matches("(?is)HTTP/1.1 307 .*\r\nlocation: http://10.0.0.4:8080/held\r\n.*"), head);
+        assertTrue(
+                head.matches("(?is)HTTP/1.1 307 .*\r\nlocation: http://10.0.0.4:8080/held\r\n.*"),
+                head);
         send(get("/b"));
         assertEquals("200 /b", hear());
     }
 
-    /** Guards against a fault of one call that takes the others on its connection along, or leaves them waiting for ever. */
+    /**
+     * Guards against a fault of one call that takes the others on its connection along, or leaves
+     * them waiting for ever.
+     */
     @Test
     void aFaultIsThatCallsAlone() throws Exception {
         for (String bad : new String[] {"/fault", "/deep", "/none"}) {
@@ -218,16 +261,25 @@
             send(post("/held", "", "1") + get(bad) + get("/b"));
             until("the first is called", () -> called.size() == 1);
             complete(0, answer("first"));
-            assertEquals(List.of("200 first", "500", "200 /b"), List.of(hear(), hear(), hear()), bad);
+            assertEquals(
+                    List.of("200 first", "500", "200 /b"), List.of(hear(), hear(), hear()), bad);
         }
         called.clear();
         send(post("/held", "", "1") + get("/b"));
         until("the first is called", () -> called.size() == 1);
-        host.loop().execute(() -> held.get(held.size() - 1).completeExceptionally(new IllegalStateException("no majority")));
+        host.loop()
+                .execute(
+                        () ->
+                                held.get(held.size() - 1)
+                                        .completeExceptionally(
+                                                new IllegalStateException("no majority")));
         assertEquals(List.of("503", "200 /b"), List.of(hear(), hear()));
     }
 
-    /** Guards against a call that is never answered, and against all behind it that wait for its turn. */
+    /**
+     * Guards against a call that is never answered, and against all behind it that wait for its
+     * turn.
+     */
     @Test
     void aCallWithoutAnAnswerHoldsUpTheOthersForAWhileOnly() throws Exception {
         String second = free();
@@ -242,14 +294,18 @@
         assertEquals("200 /c", hear());
     }
 
-    /** Guards against a caller who asks on and on and reads nothing: 40 MB are all that a control process has. */
+    /**
+     * Guards against a caller who asks on and on and reads nothing: 40 MB are all that a control
+     * process has.
+     */
     @Test
     void whoReadsNothingIsNotReadEither() throws Exception {
         send(get("/large").repeat(100));
         until("some are called", () -> called.size() >= 2);
         // What the sockets take between them, and a megabyte in the process.
         int most = 12_000_000 / LARGE;
-        assertTrue(calledAfterTwoTurns() <= most, called.size() + " calls whose answers nobody read");
+        assertTrue(
+                calledAfterTwoTurns() <= most, called.size() + " calls whose answers nobody read");
         for (int i = 0; i < 100; i++) {
             assertEquals("200", hear().substring(0, 3));
         }
@@ -265,7 +321,10 @@
         return called.size();
     }
 
-    /** Guards against an order that is carried out though its caller was told that no more calls are taken. */
+    /**
+     * Guards against an order that is carried out though its caller was told that no more calls are
+     * taken.
+     */
     @Test
     void whatFollowsTheLastCallIsNone() throws Exception {
         send(post("/a", "Connection: close\r\n", "") + post("/b", "", ""));
@@ -279,10 +338,15 @@
         assertEquals("[/a, /held]", called.toString());
     }
 
-    /** Guards against a half body that is taken for a whole one, and against an answer that finds another caller. */
+    /**
+     * Guards against a half body that is taken for a whole one, and against an answer that finds
+     * another caller.
+     */
     @Test
     void whenTheCallerGoesItsAnswersGoNowhere() throws Exception {
-        send(post("/held", "", "1") + "POST /half HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{}");
+        send(
+                post("/held", "", "1")
+                        + "POST /half HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{}");
         until("the first is called", () -> called.size() == 1);
         client.setSoLinger(true, 0);
         client.close();
--- a/src/test/java/dillfront/host/ManualHost.java
+++ b/src/test/java/dillfront/host/ManualHost.java
@@ -8,16 +8,24 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
-/** A machine whose time passes when the test says so, and which reaches nobody unless the test has it reach someone. */
+/**
+ * A machine whose time passes when the test says so, and which reaches nobody unless the test has
+ * it reach someone.
+ */
 public class ManualHost implements Host {
 
-    private record Event(long at, long order, Runnable run) { }
+    private record Event(long at, long order, Runnable run) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() != b.at()
+                                    ? Long.compare(a.at(), b.at())
+                                    : Long.compare(a.order(), b.order()));
     private final SplittableRandom random = new SplittableRandom(3);
     private long now;
     private long order;
+
     /** What was noted, each with its time. */
     public final List<String> log = new ArrayList<>();
 
@@ -43,11 +51,13 @@
     @Override
     public Timer after(long ms, Runnable run) {
         boolean[] off = new boolean[1];
-        at(ms, () -> {
-            if (!off[0]) {
-                run.run();
-            }
-        });
+        at(
+                ms,
+                () -> {
+                    if (!off[0]) {
+                        run.run();
+                    }
+                });
         return () -> off[0] = true;
     }
 
@@ -73,7 +83,8 @@
     }
 
     @Override
-    public CompletableFuture<Answer> post(String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+    public CompletableFuture<Answer> post(
+            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
         return CompletableFuture.failedFuture(new IllegalStateException("refused"));
     }
 
--- a/src/test/java/dillfront/host/PostTest.java
+++ b/src/test/java/dillfront/host/PostTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A call of the platform has a connection of its own: what came back there, whole and in time, is its answer, and nothing else. */
+/**
+ * A call of the platform has a connection of its own: what came back there, whole and in time, is
+ * its answer, and nothing else.
+ */
 class PostTest {
 
     private final NettyHost host = new NettyHost(1);
@@ -34,14 +37,25 @@
     @AfterEach
     void close() throws Exception {
         platform.close();
-        host.loop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(3, TimeUnit.SECONDS);
+        host.loop()
+                .parent()
+                .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+                .await(3, TimeUnit.SECONDS);
     }
 
     private CompletableFuture<Host.Answer> post(int timeoutMs) {
-        return host.post("127.0.0.1:" + platform.getLocalPort(), "/promotion", "{}", Map.of("Dillfront-Fence-Number", "7"), timeoutMs);
+        return host.post(
+                "127.0.0.1:" + platform.getLocalPort(),
+                "/promotion",
+                "{}",
+                Map.of("Dillfront-Fence-Number", "7"),
+                timeoutMs);
     }
 
-    /** What becomes of a call that is answered with these bytes, after which the connection is closed. */
+    /**
+     * What becomes of a call that is answered with these bytes, after which the connection is
+     * closed.
+     */
     private String answeredWith(String bytes) throws Exception {
         CompletableFuture<Host.Answer> is = post(5_000);
         try (Socket call = platform.accept()) {
@@ -72,14 +86,19 @@
         assertEquals("409", answeredWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
         assertEquals("none", answeredWith(""));
         assertEquals("none", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}"));
-        assertEquals("none", answeredWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
+        assertEquals(
+                "none",
+                answeredWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
         assertEquals("none", answeredWith("no HTTP at all\r\n\r\n"));
     }
 
     /** Guards against a word on the way that is taken for the answer. */
     @Test
     void whatComesBeforeTheAnswerIsNone() throws Exception {
-        assertEquals("409", answeredWith("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals(
+                "409",
+                answeredWith(
+                        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
     }
 
     @Test
@@ -92,21 +111,27 @@
         }
     }
 
-    /** Guards against a call that leaves once the process runs again, though its time was over while it stood still. */
+    /**
+     * Guards against a call that leaves once the process runs again, though its time was over while
+     * it stood still.
+     */
     @Test
     void whatWasNotSentInTimeIsNotSentAtAll() throws Exception {
         CompletableFuture<Host.Answer> is = new CompletableFuture<>();
         BlockingQueue<Boolean> accepted = new LinkedBlockingQueue<>();
-        host.loop().execute(() -> {
-            post(100).whenComplete((answer, fault) -> is.complete(answer));
-            // The process stands still from before it is connected until its time is over.
-            try {
-                accepted.poll(8, TimeUnit.SECONDS);
-                Thread.sleep(200);
-            } catch (InterruptedException over) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        host.loop()
+                .execute(
+                        () -> {
+                            post(100).whenComplete((answer, fault) -> is.complete(answer));
+                            // The process stands still from before it is connected until its time
+                            // is over.
+                            try {
+                                accepted.poll(8, TimeUnit.SECONDS);
+                                Thread.sleep(200);
+                            } catch (InterruptedException over) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         try (Socket call = platform.accept()) {
             accepted.add(true);
             assertEquals(-1, call.getInputStream().read(), "something was sent after its time");
--- a/src/test/java/dillfront/host/ReadersTest.java
+++ b/src/test/java/dillfront/host/ReadersTest.java
@@ -17,19 +17,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Configurations, settings, messages: what is good is read, what is not is named, and no bytes do anything else. */
+/**
+ * Configurations, settings, messages: what is good is read, what is not is named, and no bytes do
+ * anything else.
+ */
 class ReadersTest {
 
-    private static final String GOOD = "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'bounded_staleness',"
-            + "'timeout_ms':800,'target_latency_ms':300,'priority':1,'service':'s','max_attempts':2,'max_staleness_ms':1500}],"
-            + "'services':[{'name':'s','connection_limit':68,'synchronous_replicas':1}],'limits':{'transaction_idle_ms':2000}}";
+    private static final String GOOD =
+            "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'bounded_staleness',"
+                    + "'timeout_ms':800,'target_latency_ms':300,'priority':1,'service':'s','max_attempts':2,'max_staleness_ms':1500}],"
+                    + "'services':[{'name':'s','connection_limit':68,'synchronous_replicas':1}],'limits':{'transaction_idle_ms':2000}}";
 
     private static byte[] bytes(String text) {
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
     private static String fault(String text) {
-        return assertThrows(Configuration.Invalid.class, () -> Configuration.read(bytes(text))).getMessage();
+        return assertThrows(Configuration.Invalid.class, () -> Configuration.read(bytes(text)))
+                .getMessage();
     }
 
     @Test
@@ -43,13 +48,25 @@
 
     @Test
     void whatIsInvalidIsNamedWithItsPlace() {
-        assertEquals("routes[0].service: no service is named 'x'", fault(GOOD.replace("'service':'s'", "'service':'x'")));
-        assertEquals("routes[0].timeout_ms: 0 is no whole number from 1 to 86400000", fault(GOOD.replace("800", "0")));
-        assertEquals("routes[0].route_kind: 'any' is unknown", fault(GOOD.replace("bounded_staleness", "any")));
+        assertEquals(
+                "routes[0].service: no service is named 'x'",
+                fault(GOOD.replace("'service':'s'", "'service':'x'")));
+        assertEquals(
+                "routes[0].timeout_ms: 0 is no whole number from 1 to 86400000",
+                fault(GOOD.replace("800", "0")));
+        assertEquals(
+                "routes[0].route_kind: 'any' is unknown",
+                fault(GOOD.replace("bounded_staleness", "any")));
         String route = GOOD.substring(GOOD.indexOf("{'name':'r'"), GOOD.indexOf("],'services'"));
-        assertEquals("routes[1]: a second route for host 'h' and prefix '/'", fault(GOOD.replace(route, route + "," + route.replace("'r'", "'q'"))));
-        assertEquals("routes[1].name: 'r' stands twice", fault(GOOD.replace(route, route + "," + route.replace("'h'", "'i'"))));
-        assertEquals("revision_number: 7.5 is no whole number from 0 to 9223372036854775807", fault(GOOD.replace(":7,", ":7.5,")));
+        assertEquals(
+                "routes[1]: a second route for host 'h' and prefix '/'",
+                fault(GOOD.replace(route, route + "," + route.replace("'r'", "'q'"))));
+        assertEquals(
+                "routes[1].name: 'r' stands twice",
+                fault(GOOD.replace(route, route + "," + route.replace("'h'", "'i'"))));
+        assertEquals(
+                "revision_number: 7.5 is no whole number from 0 to 9223372036854775807",
+                fault(GOOD.replace(":7,", ":7.5,")));
         assertEquals("services: no list", fault(GOOD.replace("services'", "others'")));
         assertEquals("the body is no object", fault("[]"));
     }
@@ -83,7 +100,20 @@
 
     @Test
     void aMessageComesBackAsItWas() throws Pack.Bad {
-        Pack.Fields is = Pack.read(Pack.write(Map.of("n", 5, "t", "text", "b", true, "y", new byte[] {1, 2}, "l", List.of(Map.of("i", "x")))));
+        Pack.Fields is =
+                Pack.read(
+                        Pack.write(
+                                Map.of(
+                                        "n",
+                                        5,
+                                        "t",
+                                        "text",
+                                        "b",
+                                        true,
+                                        "y",
+                                        new byte[] {1, 2},
+                                        "l",
+                                        List.of(Map.of("i", "x")))));
         assertEquals(5, is.number("n", 0));
         assertEquals("text", is.text("t"));
         assertTrue(is.bit("b"));
@@ -99,7 +129,17 @@
         for (int kind : new int[] {0xc6, 0xdb, 0xdd, 0xdf}) {
             byte[] claims = {(byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
             assertThrows(Pack.Bad.class, () -> Pack.read(claims), Integer.toHexString(kind));
-            byte[] within = {(byte) 0x81, (byte) 0xa1, 'n', (byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
+            byte[] within = {
+                (byte) 0x81,
+                (byte) 0xa1,
+                'n',
+                (byte) kind,
+                127,
+                (byte) 255,
+                (byte) 255,
+                (byte) 255,
+                1
+            };
             assertThrows(Pack.Bad.class, () -> Pack.read(within), Integer.toHexString(kind));
         }
     }
@@ -109,29 +149,40 @@
     void aMessageOfTooManyPartsIsNone() {
         List<Object> nothing = java.util.Collections.nCopies(200_000, null);
         byte[] many = Pack.write(Map.of("l", java.util.Collections.nCopies(40, nothing)));
-        assertTrue(assertThrows(Pack.Bad.class, () -> Pack.read(many)).getMessage().contains("too many"));
+        assertTrue(
+                assertThrows(Pack.Bad.class, () -> Pack.read(many))
+                        .getMessage()
+                        .contains("too many"));
     }
 
     @Test
     void settingsAndWhatIsWrongWithThem(@TempDir Path dir) throws IOException, Settings.Bad {
-        String good = "{'node_name':'n','zone_name':'a','region':'r','ip_address':'10.0.0.1','zones':{'a':'r','b':'q'},'new':1,"
-                + "'listen_addresses':{'front_address':'10.0.0.1:80','readiness_address':'10.0.0.1:81'},'internal_port_range':[7440,7455],"
-                + "'seed_addresses':['10.0.0.2:90'],'bounds':{'grace_period_s':6.5},'data_directory':null,'cloud_api':null}";
+        String good =
+                "{'node_name':'n','zone_name':'a','region':'r','ip_address':'10.0.0.1','zones':{'a':'r','b':'q'},'new':1,"
+                        + "'listen_addresses':{'front_address':'10.0.0.1:80','readiness_address':'10.0.0.1:81'},'internal_port_range':[7440,7455],"
+                        + "'seed_addresses':['10.0.0.2:90'],'bounds':{'grace_period_s':6.5},'data_directory':null,'cloud_api':null}";
         Path file = dir.resolve("node.json");
         Files.write(file, bytes(good));
         Settings is = Settings.read(file);
         assertEquals(6_500, is.grace());
         assertEquals("10.0.0.2:7440", is.innerOf(is.seedIps().get(0)));
         assertTrue(is.near("a") && !is.near("b") && is.platform() == null);
-        String[][] bad = {{"'n',", "5,", "node_name: no text"}, {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is no IP:PORT"},
-            {"[7440,7455]", "7440", "internal_port_range: no list of ports"}, {"'bounds'", "'others'", "bounds: no object"}};
+        String[][] bad = {
+            {"'n',", "5,", "node_name: no text"},
+            {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is no IP:PORT"},
+            {"[7440,7455]", "7440", "internal_port_range: no list of ports"},
+            {"'bounds'", "'others'", "bounds: no object"}
+        };
         for (String[] one : bad) {
             Files.write(file, bytes(good.replace(one[0], one[1])));
             String said = assertThrows(Settings.Bad.class, () -> Settings.read(file)).getMessage();
             assertEquals(file + ": " + one[2], said);
         }
         Files.write(file, bytes(good.substring(0, 60)));
-        assertTrue(assertThrows(Settings.Bad.class, () -> Settings.read(file)).getMessage().contains("line 1"));
+        assertTrue(
+                assertThrows(Settings.Bad.class, () -> Settings.read(file))
+                        .getMessage()
+                        .contains("line 1"));
         assertThrows(Settings.Bad.class, () -> Settings.read(dir.resolve("none")));
     }
 
@@ -148,6 +199,8 @@
         }
         assertTrue(out.toString(StandardCharsets.UTF_8).lines().count() < 40, "bounded");
         ring.wrong(70_000, "later");
-        assertTrue(out.toString(StandardCharsets.UTF_8).contains("left out"), "what was lost is counted");
+        assertTrue(
+                out.toString(StandardCharsets.UTF_8).contains("left out"),
+                "what was lost is counted");
     }
 }
--- a/src/test/java/dillfront/host/ScriptedHost.java
+++ b/src/test/java/dillfront/host/ScriptedHost.java
@@ -13,7 +13,7 @@
 /** A machine whose time goes on by the test's word, and whose connections are the test's. */
 public final class ScriptedHost implements Host {
 
-    private record Event(long at, long order, Runnable run) { }
+    private record Event(long at, long order, Runnable run) {}
 
     /** One end of a connection: what the program sent there, and what the test says to it. */
     public static final class Line implements Link {
@@ -72,8 +72,12 @@
         }
     }
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() != b.at()
+                                    ? Long.compare(a.at(), b.at())
+                                    : Long.compare(a.order(), b.order()));
     private final SplittableRandom random = new SplittableRandom(1);
     private long order;
     private long now = 1_000;
@@ -91,7 +95,10 @@
         now = end;
     }
 
-    /** The process stands still for so long: what was due meanwhile comes only after what the test says next. */
+    /**
+     * The process stands still for so long: what was due meanwhile comes only after what the test
+     * says next.
+     */
     public void freeze(long ms) {
         now += ms;
     }
@@ -108,11 +115,15 @@
     @Override
     public Timer after(long ms, Runnable run) {
         boolean[] off = new boolean[1];
-        events.add(new Event(now + Math.max(0, ms), order++, () -> {
-            if (!off[0]) {
-                run.run();
-            }
-        }));
+        events.add(
+                new Event(
+                        now + Math.max(0, ms),
+                        order++,
+                        () -> {
+                            if (!off[0]) {
+                                run.run();
+                            }
+                        }));
         return () -> off[0] = true;
     }
 
@@ -123,7 +134,8 @@
     }
 
     @Override
-    public CompletableFuture<Answer> post(String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+    public CompletableFuture<Answer> post(
+            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
         return new CompletableFuture<>();
     }
 
--- a/src/test/java/dillfront/identity/GateTest.java
+++ b/src/test/java/dillfront/identity/GateTest.java
@@ -25,7 +25,12 @@
     }
 
     private static Principal billing(double rate, int atOnce) {
-        return new Principal("billing-7", 3, new Rights(List.of(Rule.of(true, 1, "r", Rule.ANY, "hotel-7/", "rule 1"))), rate, atOnce);
+        return new Principal(
+                "billing-7",
+                3,
+                new Rights(List.of(Rule.of(true, 1, "r", Rule.ANY, "hotel-7/", "rule 1"))),
+                rate,
+                atOnce);
     }
 
     private static Policy policy(Set<String> keys, Set<String> revoked, Principal... principals) {
@@ -135,7 +140,11 @@
         // A clock that is stepped back brings nobody back who is out by the span since the start.
         gate.at(Duration.ofSeconds(DAY.toSeconds() + 1), UNIX.plusSeconds(5));
         assertEquals(Refusal.EXPIRED, take(one));
-        assertEquals(Refusal.EXPIRED, gate.enter(new Gate.Credential("billing-7", "k1", "t3", UNIX.plusSeconds(9), UNIX.plus(DAY))));
+        assertEquals(
+                Refusal.EXPIRED,
+                gate.enter(
+                        new Gate.Credential(
+                                "billing-7", "k1", "t3", UNIX.plusSeconds(9), UNIX.plus(DAY))));
     }
 
     @Test
@@ -176,7 +185,15 @@
             Principal one = new Principal("p" + i, -1, Rights.NONE, 0, 0);
             gate.read(policy(Set.of("k" + i), Set.of(), one));
             at(1 + 40 * i);
-            ((Gate.Session) gate.enter(new Gate.Credential("p" + i, "k" + i, "t", UNIX, UNIX.plus(DAY.multipliedBy(9))))).leave();
+            ((Gate.Session)
+                            gate.enter(
+                                    new Gate.Credential(
+                                            "p" + i,
+                                            "k" + i,
+                                            "t",
+                                            UNIX,
+                                            UNIX.plus(DAY.multipliedBy(9)))))
+                    .leave();
         }
         assertTrue(gate.used() <= 2, "rows " + gate.used());
     }
@@ -195,8 +212,12 @@
             assertTrue(penalty.wait("10.0.0.1", "billing-7").compareTo(before) > 0);
             before = penalty.wait("10.0.0.1", "billing-7");
         }
-        assertEquals(Duration.ZERO, penalty.wait("10.0.0.1", "tablet-3"), "another behind the same address");
-        assertEquals(Duration.ZERO, penalty.wait("10.0.0.2", "billing-7"), "the same name elsewhere");
+        assertEquals(
+                Duration.ZERO,
+                penalty.wait("10.0.0.1", "tablet-3"),
+                "another behind the same address");
+        assertEquals(
+                Duration.ZERO, penalty.wait("10.0.0.2", "billing-7"), "the same name elsewhere");
         penalty.right("10.0.0.1", "billing-7");
         assertEquals(Duration.ZERO, penalty.wait("10.0.0.1", "billing-7"));
         // Many names from one address, each once: the address pays in the end.
--- a/src/test/java/dillfront/identity/RightsTest.java
+++ b/src/test/java/dillfront/identity/RightsTest.java
@@ -18,25 +18,43 @@
         return KeyBytes.of(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static final Rights HOTEL = new Rights(List.of(Rule.of(true, 0b0111, "r", Rule.ANY, "hotel-7/", "rule 1"),
-            Rule.of(true, 0b1000, "w", 2, "hotel-7/bar/", "rule 2"), Rule.of(false, Rule.ALL, "rw", Rule.ANY, "hotel-7/safe", "rule 3"),
-            Rule.of(true, 0b0010, "r", Rule.ANY, "", "rule 4")));
+    private static final Rights HOTEL =
+            new Rights(
+                    List.of(
+                            Rule.of(true, 0b0111, "r", Rule.ANY, "hotel-7/", "rule 1"),
+                            Rule.of(true, 0b1000, "w", 2, "hotel-7/bar/", "rule 2"),
+                            Rule.of(false, Rule.ALL, "rw", Rule.ANY, "hotel-7/safe", "rule 3"),
+                            Rule.of(true, 0b0010, "r", Rule.ANY, "", "rule 4")));
 
     @Test
     void prefixesAndTheirNeighbours() {
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(0, false, 0, key("hotel-7/rooms")));
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(0, false, 0, key("hotel-7/")));
-        for (String neighbour : List.of("hotel-7", "hotel-70/rooms", "hotel-8/", "hotel-7.", "hotel-6/", "Hotel-7/", " hotel-7/", "", "hotel-7\u0000/")) {
+        for (String neighbour :
+                List.of(
+                        "hotel-7",
+                        "hotel-70/rooms",
+                        "hotel-8/",
+                        "hotel-7.",
+                        "hotel-6/",
+                        "Hotel-7/",
+                        " hotel-7/",
+                        "",
+                        "hotel-7\u0000/")) {
             assertEquals(Verdict.NO_RULE, HOTEL.verdict(0, false, 0, key(neighbour)), neighbour);
         }
     }
 
     @Test
     void typesAccessAndGroups() {
-        assertEquals(Verdict.NO_RULE, HOTEL.verdict(0, true, 0, key("hotel-7/rooms")), "reads are allowed, not writes");
+        assertEquals(
+                Verdict.NO_RULE,
+                HOTEL.verdict(0, true, 0, key("hotel-7/rooms")),
+                "reads are allowed, not writes");
         assertEquals(Verdict.NO_RULE, HOTEL.verdict(3, false, 2, key("hotel-7/bar/1")));
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(3, true, 2, key("hotel-7/bar/1")));
-        assertEquals(Verdict.NO_RULE, HOTEL.verdict(3, true, 1, key("hotel-7/bar/1")), "another group");
+        assertEquals(
+                Verdict.NO_RULE, HOTEL.verdict(3, true, 1, key("hotel-7/bar/1")), "another group");
         assertEquals(Verdict.NO_RULE, HOTEL.verdict(40, false, 0, key("hotel-7/")), "no such type");
         assertEquals(Verdict.NO_RULE, HOTEL.verdict(-1, false, 0, key("hotel-7/")));
     }
@@ -65,8 +83,16 @@
         SplittableRandom chance = new SplittableRandom(seed);
         List<Rule> rules = new ArrayList<>();
         for (int i = chance.nextInt(40); i > 0; i--) {
-            rules.add(Rule.of(chance.nextInt(4) > 0, chance.nextInt(8) == 0 ? Rule.ALL : 1 << chance.nextInt(4) | 1 << chance.nextInt(32),
-                    List.of("r", "w", "rw").get(chance.nextInt(3)), chance.nextInt(3) - 1, some(chance, 5), "rule " + i));
+            rules.add(
+                    Rule.of(
+                            chance.nextInt(4) > 0,
+                            chance.nextInt(8) == 0
+                                    ? Rule.ALL
+                                    : 1 << chance.nextInt(4) | 1 << chance.nextInt(32),
+                            List.of("r", "w", "rw").get(chance.nextInt(3)),
+                            chance.nextInt(3) - 1,
+                            some(chance, 5),
+                            "rule " + i));
         }
         Rights rights = new Rights(rules);
         for (int i = 0; i < 60; i++) {
@@ -74,7 +100,9 @@
             boolean write = chance.nextBoolean();
             int group = chance.nextInt(3);
             KeyBytes key = key(some(chance, 8));
-            assertEquals(rights.plainly(type, write, group, key), rights.verdict(type, write, group, key));
+            assertEquals(
+                    rights.plainly(type, write, group, key),
+                    rights.verdict(type, write, group, key));
         }
     }
 }
--- a/src/test/java/dillfront/identity/SharesTest.java
+++ b/src/test/java/dillfront/identity/SharesTest.java
@@ -105,7 +105,9 @@
                 assertTrue(all <= whole);
                 double own = tenant < 0 ? 0 : whole * weights[tenant] / sum;
                 // Refused within its own part only while others still hold what was lent to them.
-                assertTrue(took || some.out(tenant) + 1 > own || kept > 0, "out " + some.out(tenant) + " of " + own);
+                assertTrue(
+                        took || some.out(tenant) + 1 > own || kept > 0,
+                        "out " + some.out(tenant) + " of " + own);
             }
         }
     }
--- a/src/test/java/dillfront/lab/ControlWorldsTest.java
+++ b/src/test/java/dillfront/lab/ControlWorldsTest.java
@@ -15,46 +15,63 @@
 
 class ControlWorldsTest {
 
-    /** While its promise to another was on its way to the disk, a voter went on with the one before, and said so: two held the lease. */
+    /**
+     * While its promise to another was on its way to the disk, a voter went on with the one before,
+     * and said so: two held the lease.
+     */
     @Test
     void aVoterThatTurnsToAnotherGoesOnWithNobody() {
-        String steps = "MESSAGE 1 2, MESSAGE 2 1, TIME 600 0, DISK 1 0, CRASH 1 0, START 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 2, MESSAGE 2 1, "
-                + "TIME 250 0, DISK 0 0, DISK 0 0, DISK 1 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 1 0, "
-                + "MESSAGE 1 2, MESSAGE 2 1, TIME 1000 0, DISK 1 0, ".repeat(3)
-                + "MESSAGE 1 2, MESSAGE 0 2, MESSAGE 2 0, DISK 2 0, DISK 2 0, MESSAGE 2 1";
+        String steps =
+                "MESSAGE 1 2, MESSAGE 2 1, TIME 600 0, DISK 1 0, CRASH 1 0, START 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 2, MESSAGE 2 1, "
+                        + "TIME 250 0, DISK 0 0, DISK 0 0, DISK 1 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 1 0, "
+                        + "MESSAGE 1 2, MESSAGE 2 1, TIME 1000 0, DISK 1 0, ".repeat(3)
+                        + "MESSAGE 1 2, MESSAGE 0 2, MESSAGE 2 0, DISK 2 0, DISK 2 0, MESSAGE 2 1";
         ControlWorld world = ControlWorlds.played(ControlWorlds.LEASE, 1, steps);
         assertNull(world.broken);
         assertTrue(world.processes[1].lease.holds());
-        assertNotNull(ControlWorlds.played(ControlWorlds.LEASE, Defence.LEASE_TURNS, 1, steps).broken);
+        assertNotNull(
+                ControlWorlds.played(ControlWorlds.LEASE, Defence.LEASE_TURNS, 1, steps).broken);
     }
 
-    /** The founder's first ballot was told before it was on its disk, and was used for another set after a loss of power. */
+    /**
+     * The founder's first ballot was told before it was on its disk, and was used for another set
+     * after a loss of power.
+     */
     @Test
     void theFirstBallotIsOnTheDiskBeforeItIsTold() {
-        ControlWorld world = ControlWorlds.played(ControlWorlds.FOUNDED, 1,
-                "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, DISK 1 0, CRASH 0 0, START 0 0, MESSAGE 0 2, MESSAGE 2 0, "
-                        + "CRASH 1 0, EMPTY 1 0, START 1 0, MESSAGE 0 1, MESSAGE 1 0, DISK 0 0");
+        ControlWorld world =
+                ControlWorlds.played(
+                        ControlWorlds.FOUNDED,
+                        1,
+                        "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, DISK 1 0, CRASH 0 0, START 0 0, MESSAGE 0 2, MESSAGE 2 0, "
+                                + "CRASH 1 0, EMPTY 1 0, START 1 0, MESSAGE 0 1, MESSAGE 1 0, DISK 0 0");
         assertNull(world.broken);
     }
 
-    /** Two that had been members read by the majority of their former set, which knew that it was dropped, and nothing that came after. */
+    /**
+     * Two that had been members read by the majority of their former set, which knew that it was
+     * dropped, and nothing that came after.
+     */
     @Test
     void aMajorityOfADroppedSetIsNoneForReads() {
-        ControlWorld world = ControlWorlds.played(ControlWorlds.SETS, 0,
-                "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 1 3, "
-                        + "DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, "
-                        + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
-                        + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, MESSAGE 3 1, TIME 50 0, ORDER 0 8, DISK 0 0, MESSAGE 0 3, DISK 3 0, "
-                        + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 1 2, TIME 250 0, DISK 2 0, "
-                        + "MESSAGE 2 1, DISK 1 0, MESSAGE 1 2");
+        ControlWorld world =
+                ControlWorlds.played(
+                        ControlWorlds.SETS,
+                        0,
+                        "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, MESSAGE 1 3, "
+                                + "DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, "
+                                + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
+                                + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, MESSAGE 3 1, TIME 50 0, ORDER 0 8, DISK 0 0, MESSAGE 0 3, DISK 3 0, "
+                                + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 1 2, TIME 250 0, DISK 2 0, "
+                                + "MESSAGE 2 1, DISK 1 0, MESSAGE 1 2");
         assertNull(world.broken);
         assertEquals(1, world.newest().configuration().version());
         assertEquals(3, world.processes[2].register.decided().epoch());
     }
 
     /**
-     * Two asked for one number in the same moment, and one got it: the other asked for higher ones for ever, which nobody could promise,
-     * and never supported the holder.
+     * Two asked for one number in the same moment, and one got it: the other asked for higher ones
+     * for ever, which nobody could promise, and never supported the holder.
      */
     @Test
     void whoLostATieSupportsTheHolder() {
@@ -77,7 +94,10 @@
         assertNull(world.broken);
     }
 
-    /** The loser is killed with its own promise taken back: it asks for none of the numbers again that it asked for before. */
+    /**
+     * The loser is killed with its own promise taken back: it asks for none of the numbers again
+     * that it asked for before.
+     */
     @Test
     void whatWasAskedForIsNeverAskedForAgain() {
         ControlWorld world = tie(ControlWorlds.LEASE);
@@ -89,7 +109,9 @@
         crash(world, 0);
         rounds(world, 6_000);
         assertTrue(world.processes[1].lease.holds() || world.processes[2].lease.holds());
-        assertTrue(Math.max(world.processes[1].lease.number(), world.processes[2].lease.number()) > asked);
+        assertTrue(
+                Math.max(world.processes[1].lease.number(), world.processes[2].lease.number())
+                        > asked);
         assertNull(world.broken);
     }
 
@@ -124,10 +146,17 @@
         assertNull(world.broken);
     }
 
-    /** Process 0 holds the lease by the promise of 2; 1 asked for the same number in the same moment. */
+    /**
+     * Process 0 holds the lease by the promise of 2; 1 asked for the same number in the same
+     * moment.
+     */
     private static ControlWorld tie(ControlWorld.Scene scene) {
-        ControlWorld world = ControlWorlds.played(scene, 1, "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 0 0, DISK 1 0, "
-                + "MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0");
+        ControlWorld world =
+                ControlWorlds.played(
+                        scene,
+                        1,
+                        "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 0 0, DISK 1 0, "
+                                + "MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0");
         assertTrue(world.processes[0].lease.holds());
         assertEquals(world.processes[0].lease.number(), world.processes[1].lease.promised());
         assertEquals(world.processes[1].id, world.processes[1].lease.promisedTo());
@@ -148,7 +177,7 @@
     private void rounds(ControlWorld world, long ms) {
         written = 0;
         int n = world.processes.length;
-        for (long until = world.now + ms; world.now < until;) {
+        for (long until = world.now + ms; world.now < until; ) {
             for (int i = 0; i < n; i++) {
                 for (int j = 0; j < n; j++) {
                     take(world, Kind.MESSAGE, i, j);
@@ -172,45 +201,82 @@
         return can;
     }
 
-    /** A word that was meant for the life before raised how far a table is known, without its rows: a drain was acknowledged that one disk had. */
+    /**
+     * A word that was meant for the life before raised how far a table is known, without its rows:
+     * a drain was acknowledged that one disk had.
+     */
     @Test
     void aWordForTheLifeBeforeRaisesNothing() {
-        needs(Defence.ROWS_WITHOUT_GAP, ControlWorlds.SERVED, 0, "SERVER 1 1, DISK 1 0, MESSAGE 1 0, MESSAGE 0 1, CRASH 0 0, START 0 0, MESSAGE 1 0, MESSAGE 0 1");
+        needs(
+                Defence.ROWS_WITHOUT_GAP,
+                ControlWorlds.SERVED,
+                0,
+                "SERVER 1 1, DISK 1 0, MESSAGE 1 0, MESSAGE 0 1, CRASH 0 0, START 0 0, MESSAGE 1 0, MESSAGE 0 1");
     }
 
-    /** Two records of one word went to the disk one after the other, by name; the number of the first stood for both. */
+    /**
+     * Two records of one word went to the disk one after the other, by name; the number of the
+     * first stood for both.
+     */
     @Test
     void recordsOfOneWordGoTogether() {
-        needs(Defence.RECORDS_TOGETHER, ControlWorlds.SERVED, 0, "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 1, RECORD 0 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0");
+        needs(
+                Defence.RECORDS_TOGETHER,
+                ControlWorlds.SERVED,
+                0,
+                "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 1, RECORD 0 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0");
     }
 
-    /** A member that came back without its disk was told what is newer than that disk had, and said that it has all before. */
+    /**
+     * A member that came back without its disk was told what is newer than that disk had, and said
+     * that it has all before.
+     */
     @Test
     void recordsForADiskThatIsGoneAreNotTaken() {
-        needs(Defence.RECORDS_WITHOUT_GAP, ControlWorlds.SERVED, 0, "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0, EMPTY 1 0, "
-                + "RECORD 0 1, START 1 0, MESSAGE 0 1, DISK 1 0");
+        needs(
+                Defence.RECORDS_WITHOUT_GAP,
+                ControlWorlds.SERVED,
+                0,
+                "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0, EMPTY 1 0, "
+                        + "RECORD 0 1, START 1 0, MESSAGE 0 1, DISK 1 0");
     }
 
-    /** A member that did not know that it goes acknowledged a drain by one that had agreed before it had it: the set after that lacked it. */
+    /**
+     * A member that did not know that it goes acknowledged a drain by one that had agreed before it
+     * had it: the set after that lacked it.
+     */
     @Test
     void whatIsKeptUnderANewerSetAcknowledgesNothing() {
-        ControlWorld world = needs(Defence.ROWS_UNDER_EPOCH, ControlWorlds.SERVED_SETS, 0, "MESSAGE 0 2, MESSAGE 2 0, MESSAGE 3 0, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, "
-                + "MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, "
-                + "DISK 2 0, MESSAGE 2 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 2, DISK 0 0, MESSAGE 0 1, DISK 2 0");
+        ControlWorld world =
+                needs(
+                        Defence.ROWS_UNDER_EPOCH,
+                        ControlWorlds.SERVED_SETS,
+                        0,
+                        "MESSAGE 0 2, MESSAGE 2 0, MESSAGE 3 0, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, "
+                                + "MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, "
+                                + "DISK 2 0, MESSAGE 2 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 2, DISK 0 0, MESSAGE 0 1, DISK 2 0");
         assertEquals(3, world.newest().epoch());
     }
 
-    /** The lease was out of hand while a set grew, and came back under its number: numbers within it began anew. */
+    /**
+     * The lease was out of hand while a set grew, and came back under its number: numbers within it
+     * began anew.
+     */
     @Test
     void aLeaseThatComesBackGoesOnWithItsNumbers() {
-        needs(Defence.NUMBERS_ONCE, ControlWorlds.DUTY_SETS, 0, "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, MESSAGE 4 1, TIME 250 0, TIME 250 0, "
-                + "DISK 1 0, CRASH 0 1, MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, START 0 0, RECORD 1 1, DISK 1 0, RECORD 1 0, DISK 1 0, MESSAGE 3 1, "
-                + "MESSAGE 1 0, MESSAGE 0 3, MESSAGE 3 4, DISK 0 0, SETS 1 9, DISK 4 0, DISK 1 0, MESSAGE 1 0, SETS 1 31, DISK 0 0, MESSAGE 0 1, "
-                + "DISK 1 0, MESSAGE 1 4, DISK 4 0, MESSAGE 1 4, DISK 4 0, MESSAGE 4 1");
+        needs(
+                Defence.NUMBERS_ONCE,
+                ControlWorlds.DUTY_SETS,
+                0,
+                "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, MESSAGE 4 1, TIME 250 0, TIME 250 0, "
+                        + "DISK 1 0, CRASH 0 1, MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, START 0 0, RECORD 1 1, DISK 1 0, RECORD 1 0, DISK 1 0, MESSAGE 3 1, "
+                        + "MESSAGE 1 0, MESSAGE 0 3, MESSAGE 3 4, DISK 0 0, SETS 1 9, DISK 4 0, DISK 1 0, MESSAGE 1 0, SETS 1 31, DISK 0 0, MESSAGE 0 1, "
+                        + "DISK 1 0, MESSAGE 1 4, DISK 4 0, MESSAGE 1 4, DISK 4 0, MESSAGE 4 1");
     }
 
     /** By these steps nothing breaks, and without the defence something does. */
-    private static ControlWorld needs(Defence defence, ControlWorld.Scene scene, long seed, String steps) {
+    private static ControlWorld needs(
+            Defence defence, ControlWorld.Scene scene, long seed, String steps) {
         assertNotNull(ControlWorlds.played(scene, defence, seed, steps).broken);
         ControlWorld world = ControlWorlds.played(scene, seed, steps);
         assertNull(world.broken);
@@ -220,27 +286,59 @@
     /** All there is up to these depths. */
     @Test
     void allHolds() {
-        whole(ControlWorlds.explore(ControlWorlds.DUEL, ControlWorlds.DUEL_BEGINS, null, 7, 100_000), 6_000);
-        whole(ControlWorlds.explore(ControlWorlds.LOSS, ControlWorlds.LOSS_BEGINS, null, 5, 100_000), 9_000);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.DUEL, ControlWorlds.DUEL_BEGINS, null, 7, 100_000),
+                6_000);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.LOSS, ControlWorlds.LOSS_BEGINS, null, 5, 100_000),
+                9_000);
         whole(ControlWorlds.explore(ControlWorlds.FIRST, "", null, 5, 100_000), 5_000);
     }
 
-    /** A member's replacement, from its begin and from where the joint value is under way; with servers and records, too. */
+    /**
+     * A member's replacement, from its begin and from where the joint value is under way; with
+     * servers and records, too.
+     */
     @Test
     void replacementHolds() {
-        whole(ControlWorlds.explore(ControlWorlds.REPLACED, ControlWorlds.REPLACED_BEGINS, null, 3, 100_000), 2_000);
-        whole(ControlWorlds.explore(ControlWorlds.JOINT, ControlWorlds.REPLACED_BY_ONE, null, 3, 100_000), 2_500);
-        whole(ControlWorlds.explore(ControlWorlds.JOINT, ControlWorlds.REPLACED_BY_OLD, null, 3, 100_000), 2_200);
-        whole(ControlWorlds.explore(ControlWorlds.JOINT, ControlWorlds.REPLACED_SETTLING, null, 3, 100_000), 1_000);
-        whole(ControlWorlds.explore(ControlWorlds.KEPT, ControlWorlds.KEPT_BEGINS, null, 3, 100_000), 2_200);
-        whole(ControlWorlds.explore(ControlWorlds.KEPT_SETS, ControlWorlds.KEPT_JOINT, null, 3, 100_000), 4_000);
-        whole(ControlWorlds.explore(ControlWorlds.KEPT_SETS, ControlWorlds.KEPT_SETTLING, null, 3, 100_000), 1_700);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.REPLACED, ControlWorlds.REPLACED_BEGINS, null, 3, 100_000),
+                2_000);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.JOINT, ControlWorlds.REPLACED_BY_ONE, null, 3, 100_000),
+                2_500);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.JOINT, ControlWorlds.REPLACED_BY_OLD, null, 3, 100_000),
+                2_200);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.JOINT, ControlWorlds.REPLACED_SETTLING, null, 3, 100_000),
+                1_000);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.KEPT, ControlWorlds.KEPT_BEGINS, null, 3, 100_000),
+                2_200);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.KEPT_SETS, ControlWorlds.KEPT_JOINT, null, 3, 100_000),
+                4_000);
+        whole(
+                ControlWorlds.explore(
+                        ControlWorlds.KEPT_SETS, ControlWorlds.KEPT_SETTLING, null, 3, 100_000),
+                1_700);
     }
 
     /** Steps that begin an exploration and cannot be would leave it about something else. */
     @Test
     void beginsAsItSays() {
-        assertThrows(IllegalArgumentException.class, () -> ControlWorlds.explore(ControlWorlds.DUEL, "SETS 0 3", null, 1, 10));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> ControlWorlds.explore(ControlWorlds.DUEL, "SETS 0 3", null, 1, 10));
     }
 
     private static void whole(ControlWorlds.Found found, int least) {
--- a/src/test/java/dillfront/lab/DarkTest.java
+++ b/src/test/java/dillfront/lab/DarkTest.java
@@ -5,10 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A fleet that comes back cold as a whole, in virtual time: no node falls over, and none waits until it is warm. */
+/**
+ * A fleet that comes back cold as a whole, in virtual time: no node falls over, and none waits
+ * until it is warm.
+ */
 class DarkTest {
 
-    private static Dark.Case of(int routers, double load, int tries, double surge, double late, long seed) {
+    private static Dark.Case of(
+            int routers, double load, int tries, double surge, double late, long seed) {
         return new Dark.Case(routers, 4, 4, load, 0.2, 2, tries, surge, 0, late, late, seed);
     }
 
@@ -17,9 +21,12 @@
         for (int routers : new int[] {1, 10, 100}) {
             for (double load : new double[] {0.3, 1.0}) {
                 for (long seed = 0; seed < 4; seed++) {
-                    // Clients that ask thrice, and three times the usual in the first second; half of all late, or none.
+                    // Clients that ask thrice, and three times the usual in the first second; half
+                    // of all late, or none.
                     Dark.Outcome outcome = Dark.play(of(routers, load, 3, 3, seed % 2 * 0.5, seed));
-                    assertTrue(outcome.peak() < 0.8, routers + " routers, load " + load + ", seed " + seed + ": " + outcome);
+                    assertTrue(
+                            outcome.peak() < 0.8,
+                            routers + " routers, load " + load + ", seed " + seed + ": " + outcome);
                 }
             }
         }
@@ -35,13 +42,32 @@
         }
     }
 
-    /** Guards against a crowd that power brings back at once, is declined at once, and comes again at once. */
+    /**
+     * Guards against a crowd that power brings back at once, is declined at once, and comes again
+     * at once.
+     */
     @Test
     void theSecondWaveIsFlat() {
         for (int routers : new int[] {10, 100}) {
             for (long seed = 0; seed < 6; seed++) {
-                Dark.Outcome outcome = Dark.play(new Dark.Case(routers, 4, 4, 0.3 + 0.2 * (seed % 4), 0.2, 2, 3, 1, 1, 0, 0, seed));
-                assertTrue(outcome.wave() < 2 && outcome.peak() < 0.8, routers + " routers, seed " + seed + ": " + outcome);
+                Dark.Outcome outcome =
+                        Dark.play(
+                                new Dark.Case(
+                                        routers,
+                                        4,
+                                        4,
+                                        0.3 + 0.2 * (seed % 4),
+                                        0.2,
+                                        2,
+                                        3,
+                                        1,
+                                        1,
+                                        0,
+                                        0,
+                                        seed));
+                assertTrue(
+                        outcome.wave() < 2 && outcome.peak() < 0.8,
+                        routers + " routers, seed " + seed + ": " + outcome);
             }
         }
     }
