--- a/src/test/java/dillfront/lab/HistoryTest.java
+++ b/src/test/java/dillfront/lab/HistoryTest.java
@@ -246,7 +246,10 @@
                     call.number = 1 + random.nextInt(3);
                     call.digest = random.nextInt(3) == 0 ? "y" : "x";
                     calls.add(call);
-                    open.add(call.read ? one.begin(0, "a") : one.begin(0, "a", call.number, call.digest));
+                    open.add(
+                            call.read
+                                    ? one.begin(0, "a")
+                                    : one.begin(0, "a", call.number, call.digest));
                 } else {
                     int id = open.remove(random.nextInt(open.size()));
                     Call call = calls.get(id);
@@ -260,9 +263,13 @@
                         call.outcome = Outcome.ACKNOWLEDGED;
                     } else {
                         int dice = random.nextInt(6);
-                        call.outcome = dice < 3 ? Outcome.ACKNOWLEDGED : dice < 4 ? Outcome.REFUSED : Outcome.UNKNOWN;
+                        call.outcome =
+                                dice < 3
+                                        ? Outcome.ACKNOWLEDGED
+                                        : dice < 4 ? Outcome.REFUSED : Outcome.UNKNOWN;
                         one.end(id, 0, call.outcome);
-                        call.ended = call.outcome == Outcome.UNKNOWN ? Integer.MAX_VALUE : call.ended;
+                        call.ended =
+                                call.outcome == Outcome.UNKNOWN ? Integer.MAX_VALUE : call.ended;
                     }
                 }
             }
@@ -270,7 +277,9 @@
             good += fine ? 1 : 0;
             assertEquals(fine, one.check() == null, "seed " + seed + ": " + one.check());
         }
-        assertTrue(good > runs / 20 && good < runs * 19 / 20, good + " of " + runs + " were linearizable");
+        assertTrue(
+                good > runs / 20 && good < runs * 19 / 20,
+                good + " of " + runs + " were linearizable");
     }
 
     private static final class Call {
@@ -282,7 +291,8 @@
         Outcome outcome;
     }
 
-    private static boolean tried(List<Call> left, long held, String digest, Map<Long, String> bound) {
+    private static boolean tried(
+            List<Call> left, long held, String digest, Map<Long, String> bound) {
         int earliest = Integer.MAX_VALUE;
         boolean over = true;
         for (Call call : left) {
@@ -299,14 +309,18 @@
             List<Call> rest = new ArrayList<>(left);
             rest.remove(call);
             if (call.read) {
-                if (call.number == held && call.digest.equals(digest) && tried(rest, held, digest, bound)) {
+                if (call.number == held
+                        && call.digest.equals(digest)
+                        && tried(rest, held, digest, bound)) {
                     return true;
                 }
                 continue;
             }
             String is = bound.get(call.number);
             boolean same = is == null || is.equals(call.digest);
-            if (call.outcome == Outcome.REFUSED ? same : call.outcome == Outcome.ACKNOWLEDGED && !same) {
+            if (call.outcome == Outcome.REFUSED
+                    ? same
+                    : call.outcome == Outcome.ACKNOWLEDGED && !same) {
                 continue;
             }
             Map<Long, String> then = new HashMap<>(bound);
--- a/src/test/java/dillfront/lab/SmallTest.java
+++ b/src/test/java/dillfront/lab/SmallTest.java
@@ -8,11 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Every order of what can happen in a small world: the rules hold, and each planted fault is found. */
+/**
+ * Every order of what can happen in a small world: the rules hold, and each planted fault is found.
+ */
 class SmallTest {
 
     /** As deep as all orders can be gone through in some ten seconds. */
     private static final int DEPTH = 6;
+
     private static final int MOST = 160_000;
 
     @Test
--- a/src/test/java/dillfront/lab/WorldTest.java
+++ b/src/test/java/dillfront/lab/WorldTest.java
@@ -14,8 +14,19 @@
     private static final int SEEDS = 7;
 
     private static World.Outcome play(double rate, boolean gossip, World.Lie lie, long seed) {
-        return World.play(new World.Script(20, 2, 4, rate, 0, Duration.ofSeconds(4), Duration.ofSeconds(4),
-                Duration.ofSeconds(11), gossip, lie, seed));
+        return World.play(
+                new World.Script(
+                        20,
+                        2,
+                        4,
+                        rate,
+                        0,
+                        Duration.ofSeconds(4),
+                        Duration.ofSeconds(4),
+                        Duration.ofSeconds(11),
+                        gossip,
+                        lie,
+                        seed));
     }
 
     @Test
@@ -28,7 +39,8 @@
         }
         on.sort(null);
         off.sort(null);
-        assertTrue(3 * on.get(SEEDS / 2) <= off.get(SEEDS / 2), "with " + on + " ms, without " + off);
+        assertTrue(
+                3 * on.get(SEEDS / 2) <= off.get(SEEDS / 2), "with " + on + " ms, without " + off);
     }
 
     @Test
@@ -43,7 +55,9 @@
                 doubts += on.doubts();
                 without += play(20, false, World.Lie.NONE, seed).value();
             }
-            assertTrue(with >= without * 0.999, lie + ": " + with / SEEDS + " with, " + without / SEEDS + " without");
+            assertTrue(
+                    with >= without * 0.999,
+                    lie + ": " + with / SEEDS + " with, " + without / SEEDS + " without");
             assertEquals(0, doubts, "no node that is well is doubted");
         }
     }
--- a/src/test/java/dillfront/lab/rig/AskedTest.java
+++ b/src/test/java/dillfront/lab/rig/AskedTest.java
@@ -15,24 +15,33 @@
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What routers that talk tell each other of writes that may have run: one that is gone, one without its disk, one that lies. */
+/**
+ * What routers that talk tell each other of writes that may have run: one that is gone, one without
+ * its disk, one that lies.
+ */
 class AskedTest extends Losses {
 
     private void begin(int routers, int peers) throws Exception {
-        begin(Rig.Plan.of(routers, 1, 3).work(USUAL).operator((set, r) -> {
-            try {
-                return talks(set, r, routers, peers);
-            } catch (Exception bad) {
-                throw new IllegalStateException(bad);
-            }
-        }));
+        begin(
+                Rig.Plan.of(routers, 1, 3)
+                        .work(USUAL)
+                        .operator(
+                                (set, r) -> {
+                                    try {
+                                        return talks(set, r, routers, peers);
+                                    } catch (Exception bad) {
+                                        throw new IllegalStateException(bad);
+                                    }
+                                }));
     }
 
-    /** A write of this router runs, its client gives up unheard, and the group has forgotten it by then. */
+    /**
+     * A write of this router runs, its client gives up unheard, and the group has forgotten it by
+     * then.
+     */
     private void inDoubt(int r, String key) throws Exception {
         load.stop();
         rig.settle();
@@ -45,7 +54,10 @@
         status(r, "it is in doubt", said -> said.contains("in_doubt=1 "));
     }
 
-    /** Guards against a client that goes to another router, once its own is gone; also where that one was cut off for a while. */
+    /**
+     * Guards against a client that goes to another router, once its own is gone; also where that
+     * one was cut off for a while.
+     */
     @Test
     void anotherRouterMeetsTheDoubtOfOneThatIsGone() throws Exception {
         begin(3, 3);
@@ -67,7 +79,10 @@
         judge(true);
     }
 
-    /** Guards against a disk that is gone with the power: others tell what this router had told them. */
+    /**
+     * Guards against a disk that is gone with the power: others tell what this router had told
+     * them.
+     */
     @Test
     void oneThatLostItsDiskHearsWhatItHadSaid() throws Exception {
         begin(2, 2);
@@ -87,7 +102,10 @@
         judge(true);
     }
 
-    /** Guards against an agent that lags: what two others were told binds, what one alone says does not. */
+    /**
+     * Guards against an agent that lags: what two others were told binds, what one alone says does
+     * not.
+     */
     @Test
     void whatOthersListsHaveClosedIsClosedWhereTheAgentLags() throws Exception {
         begin(4, 4);
@@ -96,15 +114,22 @@
         rig.agent(2, 0).upTo(41);
         rig.agent(3, 0).upTo(41);
         rig.stage().run(() -> rig.catalogue().change(rig.catalogue().entry("s-2").is("draining")));
-        rig.stage().await("router 1 has heard", () -> rig.heard(rig.router(1).life() + "<a0") == 42);
+        rig.stage()
+                .await("router 1 has heard", () -> rig.heard(rig.router(1).life() + "<a0") == 42);
         status(1, "it is closed", said -> said.contains("closings=1 "));
         // One witness: it may lie.
-        status(0, "one says so, and nothing is closed", said -> said.contains("closings=0 witnesses=1 "));
+        status(
+                0,
+                "one says so, and nothing is closed",
+                said -> said.contains("closings=0 witnesses=1 "));
         otherWritesGoThrough(0);
         status(0, "still nothing is closed", said -> said.contains("closings=0 witnesses=1 "));
         rig.agent(2, 0).upTo(Long.MAX_VALUE);
         status(0, "two say so", said -> said.contains("closings=1 witnesses=2 "));
-        rig.router(0).awaitLine("that s-2 is closed", l -> l.contains("closed-elsewhere id=s-2 generation=42 latest_here=41"));
+        rig.router(0)
+                .awaitLine(
+                        "that s-2 is closed",
+                        l -> l.contains("closed-elsewhere id=s-2 generation=42 latest_here=41"));
         String life = rig.router(0).life();
         // What was on its way then has come; from here on nothing does.
         load.stop();
@@ -116,21 +141,37 @@
         rig.agent(0, 0).upTo(Long.MAX_VALUE);
         rig.agent(3, 0).upTo(Long.MAX_VALUE);
         rig.stage().run(() -> rig.catalogue().change(rig.catalogue().entry("s-2").is("ready")));
-        rig.stage().await("router 0 has heard", () -> rig.heard(rig.router(0).life() + "<a0") == 43);
+        rig.stage()
+                .await("router 0 has heard", () -> rig.heard(rig.router(0).life() + "<a0") == 43);
         status(0, "its own list opens it again", said -> said.contains("closings=0 "));
         judge(true);
     }
 
-    /** One that says that it has everything in doubt is not heard; one that says it of some costs those alone. */
+    /**
+     * One that says that it has everything in doubt is not heard; one that says it of some costs
+     * those alone.
+     */
     @Test
     void oneThatDoubtsEverythingHoldsNothingBack() throws Exception {
         begin(1, 2);
         Ring ring = new Ring();
         for (int p = 0; p < 2; p++) {
-            ring.key(ring.add("r" + p, socket(p)), hex(p), Duration.ZERO, Duration.ofDays(1_000_000));
+            ring.key(
+                    ring.add("r" + p, socket(p)),
+                    hex(p),
+                    Duration.ZERO,
+                    Duration.ofDays(1_000_000));
         }
         long unix = System.currentTimeMillis();
-        Codec codec = new Codec(ring, 1, Ring.id(Ring.raw(key(1).getPublic())), key(1).getPrivate(), socket(1), 1200, unix * 1000);
+        Codec codec =
+                new Codec(
+                        ring,
+                        1,
+                        Ring.id(Ring.raw(key(1).getPublic())),
+                        key(1).getPrivate(),
+                        socket(1),
+                        1200,
+                        unix * 1000);
         long[] all = new long[128];
         Arrays.fill(all, -1L);
         long[] some = new long[128];
@@ -140,7 +181,11 @@
                 for (int about = 0; about < 2; about++) {
                     ByteBuf out = Unpooled.buffer();
                     codec.write(out, 0, 7, 9, about, says, Duration.ofMillis(unix));
-                    liar.send(new DatagramPacket(out.array(), out.readableBytes(), rig.hubs(List.of()).get(0).address()));
+                    liar.send(
+                            new DatagramPacket(
+                                    out.array(),
+                                    out.readableBytes(),
+                                    rig.hubs(List.of()).get(0).address()));
                 }
             }
         }
--- a/src/test/java/dillfront/lab/rig/Losses.java
+++ b/src/test/java/dillfront/lab/rig/Losses.java
@@ -23,12 +23,16 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.AfterEach;
 
-/** A rig that loses its power: how its scenes begin, what they wait for, and how they are judged. */
+/**
+ * A rig that loses its power: how its scenes begin, what they wait for, and how they are judged.
+ */
 abstract class Losses {
 
     static final int ROUTERS = 4;
+
     /** Far longer than a test may wait: who serves, serves from cold nodes. */
     static final Node.Work ALWAYS_COLD = new Node.Work(2, 5000, 0.2, 3_600_000, 2, 1000);
+
     static final Node.Work USUAL = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
 
     Rig rig;
@@ -113,7 +117,8 @@
     /** Writes by keys of their own, until one is committed: nodes may be cold. */
     void otherWritesGoThrough(int r) throws Exception {
         int other = 0;
-        while (!how(rig.ask(r, "move", 0, "other-" + r + "-" + ++other, 1500)).equals("committed")) {
+        while (!how(rig.ask(r, "move", 0, "other-" + r + "-" + ++other, 1500))
+                .equals("committed")) {
             assertTrue(other < 100, "no other write goes through");
         }
     }
@@ -121,15 +126,24 @@
     /** The operator's file of a router that remembers, and can be asked how far it is. */
     String remembers(Rig set, int r) {
         doors[r] = Stage.free(100 + r);
-        return "memory(folder = \"" + set.folder().resolve("m" + r) + "\")\ndoubts(keeps = \"600s\")\ncontrol(\""
-                + doors[r].getHostString() + ":" + doors[r].getPort() + "\")\n";
+        return "memory(folder = \""
+                + set.folder().resolve("m" + r)
+                + "\")\ndoubts(keeps = \"600s\")\ncontrol(\""
+                + doors[r].getHostString()
+                + ":"
+                + doors[r].getPort()
+                + "\")\n";
     }
 
     private final List<KeyPair> keys = new ArrayList<>();
     private final List<InetSocketAddress> sockets = new ArrayList<>();
 
-    /** The same, for one of so many that talk to each other; the last of them may be no router, but whoever has its key. */
-    String talks(Rig set, int r, int routers, int peers) throws IOException, GeneralSecurityException {
+    /**
+     * The same, for one of so many that talk to each other; the last of them may be no router, but
+     * whoever has its key.
+     */
+    String talks(Rig set, int r, int routers, int peers)
+            throws IOException, GeneralSecurityException {
         if (keys.isEmpty()) {
             for (int p = 0; p < peers; p++) {
                 keys.add(KeyPairGenerator.getInstance("Ed25519").generateKeyPair());
@@ -139,11 +153,27 @@
         List<Hub> hubs = set.hubs(sockets.subList(0, routers));
         Path key = set.folder().resolve("key" + r);
         Files.writeString(key, KeyFile.text(keys.get(r).getPrivate()));
-        StringBuilder text = new StringBuilder(remembers(set, r)).append("gossip(key = \"" + key + "\", public = \"" + hex(r)
-                + "\", period = \"200ms\", liars = " + (peers < 3 ? 0 : 1) + ", bytes_per_second = 20000, bind = \"" + text(sockets.get(r)) + "\")\n");
+        StringBuilder text =
+                new StringBuilder(remembers(set, r))
+                        .append(
+                                "gossip(key = \""
+                                        + key
+                                        + "\", public = \""
+                                        + hex(r)
+                                        + "\", period = \"200ms\", liars = "
+                                        + (peers < 3 ? 0 : 1)
+                                        + ", bytes_per_second = 20000, bind = \""
+                                        + text(sockets.get(r))
+                                        + "\")\n");
         for (int p = 0; p < peers; p++) {
-            text.append("peer(\"r" + p + "\", address = \"" + text(p < routers ? hubs.get(p).address() : sockets.get(p))
-                    + "\", keys = [\"" + hex(p) + "\"])\n");
+            text.append(
+                    "peer(\"r"
+                            + p
+                            + "\", address = \""
+                            + text(p < routers ? hubs.get(p).address() : sockets.get(p))
+                            + "\", keys = [\""
+                            + hex(p)
+                            + "\"])\n");
         }
         return text.toString();
     }
@@ -167,8 +197,12 @@
     /** Until this router says such a thing of itself. */
     void status(int r, String what, Predicate<String> such) throws InterruptedException {
         String said = asked(r, "status\n");
-        for (long until = System.nanoTime() + 30_000_000_000L; !such.test(said); said = asked(r, "status\n")) {
-            assertTrue(System.nanoTime() < until, "router " + r + " never said that " + what + ": " + said);
+        for (long until = System.nanoTime() + 30_000_000_000L;
+                !such.test(said);
+                said = asked(r, "status\n")) {
+            assertTrue(
+                    System.nanoTime() < until,
+                    "router " + r + " never said that " + what + ": " + said);
             Thread.sleep(5);
         }
     }
--- a/src/test/java/dillfront/lab/rig/PowerTest.java
+++ b/src/test/java/dillfront/lab/rig/PowerTest.java
@@ -9,10 +9,16 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** All lose power in one moment, under load, and come back in this order or that; the five rules hold over all of it. */
+/**
+ * All lose power in one moment, under load, and come back in this order or that; the five rules
+ * hold over all of it.
+ */
 class PowerTest extends Losses {
 
-    /** Guards against routers that wait for a warm node to show what one can do, where there is none. */
+    /**
+     * Guards against routers that wait for a warm node to show what one can do, where there is
+     * none.
+     */
     @Test
     void aFleetThatIsColdAsAWholeIsServedFrom() throws Exception {
         begin(ALWAYS_COLD);
@@ -89,7 +95,10 @@
         judge();
     }
 
-    /** Guards against a drain that is forgotten with the power, where discovery itself comes back older than it was. */
+    /**
+     * Guards against a drain that is forgotten with the power, where discovery itself comes back
+     * older than it was.
+     */
     @Test
     void aNodeThatDrainedStaysClosedInTheNextLife() throws Exception {
         begin(Rig.Plan.of(ROUTERS, 2, 3).work(USUAL).operator(this::remembers));
@@ -97,8 +106,14 @@
         rig.stage().run(() -> rig.catalogue().change(rig.catalogue().entry("s-5").is("gone")));
         for (int r = 0; r < ROUTERS; r++) {
             int who = r;
-            rig.stage().await("router " + r + " has heard", () -> rig.heard(rig.router(who).life() + "<a0") == 43);
-            status(r, "closings are kept", said -> said.contains("closings=2 ") && said.contains(" waiting=0 "));
+            rig.stage()
+                    .await(
+                            "router " + r + " has heard",
+                            () -> rig.heard(rig.router(who).life() + "<a0") == 43);
+            status(
+                    r,
+                    "closings are kept",
+                    said -> said.contains("closings=2 ") && said.contains(" waiting=0 "));
         }
         rig.cut();
         // The nodes never went down: they are not newly started, so no list opens them by that.
@@ -114,7 +129,10 @@
         judge(true);
     }
 
-    /** Guards against what holds only where recovery comes to its end: power goes again in each of its states. */
+    /**
+     * Guards against what holds only where recovery comes to its end: power goes again in each of
+     * its states.
+     */
     @Test
     void powerGoesAgainInEachStateOfRecovery() throws Exception {
         begin(Rig.Plan.of(2, 1, 3).work(ALWAYS_COLD).operator(this::remembers));
@@ -128,13 +146,26 @@
                 rig.routers().forEach(Router::kill);
                 rig.agent(0, 0).close();
                 rig.agent(1, 0).close();
-                rig.stage().run(() -> rig.nodes().forEach(n -> rig.catalogue().change(rig.catalogue().entry(n.id()).startedAt(0))));
+                rig.stage()
+                        .run(
+                                () ->
+                                        rig.nodes()
+                                                .forEach(
+                                                        n ->
+                                                                rig.catalogue()
+                                                                        .change(
+                                                                                rig.catalogue()
+                                                                                        .entry(
+                                                                                                n
+                                                                                                        .id())
+                                                                                        .startedAt(
+                                                                                                0))));
                 rig.nodes().forEach(Node::warm);
             } else {
                 rig.cut();
             }
             switch (state) {
-                case "dark" -> { }
+                case "dark" -> {}
                 case "contested" -> back(0, "s-1", "s-2");
                 case "known" -> {
                     back(0, "s-0");
@@ -142,24 +173,38 @@
                     back(20_000, "s-1", "s-2");
                 }
                 case "covered" -> back(0, "s-0", "s-1", "s-2");
-                default -> { }
+                default -> {}
             }
             agent(0);
             agent(1);
             routers(0, 1);
             for (int r = 0; r < 2; r++) {
-                status(r, "its group is " + state, said -> said.replace("\"", "").contains("groups 0=" + state));
+                status(
+                        r,
+                        "its group is " + state,
+                        said -> said.replace("\"", "").contains("groups 0=" + state));
             }
-            // A session that wrote before any of it: its reads wait for nodes that have what it wrote, and the auditor looks.
+            // A session that wrote before any of it: its reads wait for nodes that have what it
+            // wrote, and the auditor looks.
             for (int r = 0; r < 2; r++) {
                 int who = r;
-                rig.stage().run(() -> rig.router(who).caller().ask("own", 0, "token", 1000, wrote, null));
+                rig.stage()
+                        .run(
+                                () ->
+                                        rig.router(who)
+                                                .caller()
+                                                .ask("own", 0, "token", 1000, wrote, null));
             }
-            status(0, "what was lost", said -> said.contains(switch (state) {
-                case "dark" -> "loss=unsure";
-                case "warm" -> "loss=router";
-                default -> "loss=all";
-            }));
+            status(
+                    0,
+                    "what was lost",
+                    said ->
+                            said.contains(
+                                    switch (state) {
+                                        case "dark" -> "loss=unsure";
+                                        case "warm" -> "loss=router";
+                                        default -> "loss=all";
+                                    }));
         }
         served(20, 0, 1);
         judge(true);
--- a/src/test/java/dillfront/lab/rig/RemembersTest.java
+++ b/src/test/java/dillfront/lab/rig/RemembersTest.java
@@ -12,10 +12,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What a router keeps for its next life: writes that may have run, who led, and what it does where its disk fails. */
+/**
+ * What a router keeps for its next life: writes that may have run, who led, and what it does where
+ * its disk fails.
+ */
 class RemembersTest extends Losses {
 
-    /** This write runs, and nobody hears of it: with nothing else out, nodes' answers to this router are held from now on. */
+    /**
+     * This write runs, and nobody hears of it: with nothing else out, nodes' answers to this router
+     * are held from now on.
+     */
     private void runsUnheard(int r, String key, long waitMs) {
         load.stop();
         rig.settle();
@@ -32,7 +38,10 @@
         rig.stage().await("the group forgot " + key, () -> !rig.groups().get(0).remembers(key));
     }
 
-    /** Guards against a write that has its effect again, by the client's own repeat, after all have lost power. */
+    /**
+     * Guards against a write that has its effect again, by the client's own repeat, after all have
+     * lost power.
+     */
     @Test
     void aWriteThatMayHaveRunIsNotSentAgainInTheNextLife() throws Exception {
         begin(Rig.Plan.of(2, 1, 3).work(USUAL).operator(this::remembers));
@@ -48,7 +57,8 @@
         served(5, 0, 1);
         // Other writes go through, once there is room: their nodes are cold.
         otherWritesGoThrough(0);
-        // A client that comes inside the window cannot be told from one that comes after it: no clock counted the outage.
+        // A client that comes inside the window cannot be told from one that comes after it: no
+        // clock counted the outage.
         assertEquals("rolled-back", how(rig.ask(0, "move", 0, "held-1", 1500)));
         forgotten("held-1");
         assertEquals("rolled-back", how(rig.ask(0, "move", 0, "held-1", 1500)));
@@ -57,7 +67,10 @@
         judge(true);
     }
 
-    /** Within one life: inside the window a repeat goes to its group, which drops it; past it, it is never sent. */
+    /**
+     * Within one life: inside the window a repeat goes to its group, which drops it; past it, it is
+     * never sent.
+     */
     @Test
     void aRepeatGoesOnlyInsideItsWindow() throws Exception {
         begin(Rig.Plan.of(1, 1, 3).work(USUAL).operator((set, r) -> "doubts()\n"));
@@ -77,13 +90,19 @@
         judge();
     }
 
-    /** Guards against a former primary that is back first, believes in itself, and is the one that the old list names. */
+    /**
+     * Guards against a former primary that is back first, believes in itself, and is the one that
+     * the old list names.
+     */
     @Test
     void whoClaimsAgainstTheFormerPrimaryWaitsForHim() throws Exception {
         begin(Rig.Plan.of(2, 1, 3).work(USUAL).operator(this::remembers));
         rig.groups().get(0).lead(rig.node("s-1"));
         for (int r = 0; r < 2; r++) {
-            status(r, "s-1 leads, and is remembered", said -> said.contains("leaders=\"0:s-1\"") && said.contains(" waiting=0 "));
+            status(
+                    r,
+                    "s-1 leads, and is remembered",
+                    said -> said.contains("leaders=\"0:s-1\"") && said.contains(" waiting=0 "));
         }
         rig.cut();
         rig.node("s-0").leads(true);
@@ -111,20 +130,37 @@
         judge(true);
     }
 
-    /** A file system as full as can be made without a mount: no file of that process may be longer. */
+    /**
+     * A file system as full as can be made without a mount: no file of that process may be longer.
+     */
     @Test
     void whoseDiskIsFullDeclinesWhatItCannotKeep() throws Exception {
         List<String> own = Rig.own();
         String quoted = String.join(" ", own.stream().map(a -> "'" + a + "'").toList());
-        begin(Rig.Plan.of(2, 1, 3).work(USUAL).operator(this::remembers).command(List.of("sh", "-c",
-                "if [ $LB_NAME = r1 ]; then ulimit -f 1; fi; exec " + quoted.replace("'-XX:+UseSerialGC'", "'-XX:+UseSerialGC' -XX:-UsePerfData"))));
+        begin(
+                Rig.Plan.of(2, 1, 3)
+                        .work(USUAL)
+                        .operator(this::remembers)
+                        .command(
+                                List.of(
+                                        "sh",
+                                        "-c",
+                                        "if [ $LB_NAME = r1 ]; then ulimit -f 1; fi; exec "
+                                                + quoted.replace(
+                                                        "'-XX:+UseSerialGC'",
+                                                        "'-XX:+UseSerialGC' -XX:-UsePerfData"))));
         load.stop();
         rig.settle();
         rig.nodes().forEach(n -> rig.link(1, n.id()).ways(Relay.Way.PASS, Relay.Way.HOLD));
         // More out at once than its file has room for.
-        List<CompletableFuture<Happening.Answered>> many = IntStream.range(0, 40).mapToObj(i -> rig.ask(1, "move", 0, "many-" + i, 1500))
-                .toList();
-        rig.router(1).awaitLine("that its disk failed", l -> l.contains("memory-failed") && l.contains("memory.log"));
+        List<CompletableFuture<Happening.Answered>> many =
+                IntStream.range(0, 40)
+                        .mapToObj(i -> rig.ask(1, "move", 0, "many-" + i, 1500))
+                        .toList();
+        rig.router(1)
+                .awaitLine(
+                        "that its disk failed",
+                        l -> l.contains("memory-failed") && l.contains("memory.log"));
         assertEquals("declined", how(rig.ask(1, "move", 0, "late-1", 1500)));
         assertEquals(0, rig.count("late-1")[0]);
         heard(1);
--- a/src/test/java/dillfront/lab/rig/SiteTest.java
+++ b/src/test/java/dillfront/lab/rig/SiteTest.java
@@ -5,11 +5,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A site of three that is lost to real routers: in silence, with resets, to one of them alone. They tell which, and serve. */
+/**
+ * A site of three that is lost to real routers: in silence, with resets, to one of them alone. They
+ * tell which, and serve.
+ */
 class SiteTest extends Losses {
 
     /** Two groups, a member of each at each site. */
-    private static final List<List<String>> AT = List.of(List.of("s-0", "s-3"), List.of("s-1", "s-4"), List.of("s-2", "s-5"));
+    private static final List<List<String>> AT =
+            List.of(List.of("s-0", "s-3"), List.of("s-1", "s-4"), List.of("s-2", "s-5"));
 
     private void says(int r, String what) throws InterruptedException {
         status(r, what, said -> said.contains(what));
@@ -27,8 +31,11 @@
 
     @Test
     void whatIsLostIsToldByOnesOwnEvidence() throws Exception {
-        begin(Rig.Plan.of(3, 2, 3).work(new Node.Work(2, 5000, 0.2, 3000, 2, 1000)).zones("a", "b", "c").operator((set, r) ->
-                remembers(set, r) + "sites()\n"));
+        begin(
+                Rig.Plan.of(3, 2, 3)
+                        .work(new Node.Work(2, 5000, 0.2, 3000, 2, 1000))
+                        .zones("a", "b", "c")
+                        .operator((set, r) -> remembers(set, r) + "sites()\n"));
         for (int r = 0; r < 3; r++) {
             says(r, "sites self=joined a=well b=well c=well");
         }
@@ -63,7 +70,9 @@
         cut(0, 1, false);
         cut(0, 2, false);
         says(0, "sites self=joined a=well b=well c=well");
-        assertTrue(rig.router(0).lines().stream().anyMatch(l -> l.contains("INFO site self=island")), rig.router(0).lines().toString());
+        assertTrue(
+                rig.router(0).lines().stream().anyMatch(l -> l.contains("INFO site self=island")),
+                rig.router(0).lines().toString());
         judge(true);
     }
 }
--- a/src/test/java/dillfront/lab/rig/WordsTest.java
+++ b/src/test/java/dillfront/lab/rig/WordsTest.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Several routers as processes, and words of the operators and of discovery that are lost, late, old or out of order. */
+/**
+ * Several routers as processes, and words of the operators and of discovery that are lost, late,
+ * old or out of order.
+ */
 class WordsTest {
 
     private static final int ROUTERS = 3;
@@ -16,11 +19,17 @@
 
     /** Which agent a router was last moved to. */
     private final int[] at = new int[ROUTERS];
+
     private Rig rig;
 
-    /** A shell that starts the program with this signal ignored, as nohup and others do, and leaves one process. */
+    /**
+     * A shell that starts the program with this signal ignored, as nohup and others do, and leaves
+     * one process.
+     */
     private static List<String> ignoring(String signal, List<String> command) {
-        List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", "trap '' " + signal + "; exec \"$0\" \"$@\""));
+        List<String> all =
+                new ArrayList<>(
+                        List.of("/bin/sh", "-c", "trap '' " + signal + "; exec \"$0\" \"$@\""));
         all.addAll(command);
         return all;
     }
@@ -35,11 +44,16 @@
         return router.lines().stream().filter(l -> l.contains(part)).count();
     }
 
-    /** Guards against a word that is lost since whoever started the router had the signal ignored. */
+    /**
+     * Guards against a word that is lost since whoever started the router had the signal ignored.
+     */
     @Test
     void aSignalThatWasIgnoredIsRestoredOrWarnedOf() throws Exception {
         try (Rig plain = new Rig(Rig.Plan.of(1, 1, 2).command(ignoring("HUP TERM", Rig.own())));
-                Rig mended = new Rig(Rig.Plan.of(1, 1, 2).command(ignoring("HUP TERM", restored(Rig.own()))))) {
+                Rig mended =
+                        new Rig(
+                                Rig.Plan.of(1, 1, 2)
+                                        .command(ignoring("HUP TERM", restored(Rig.own()))))) {
             plain.start();
             mended.start();
             assertEquals(2, counted(plain.router(0), "signal-ignored"), "told of both");
@@ -66,16 +80,23 @@
             Caller first = slow.router(0).caller();
             slow.stage().run(() -> first.ask("any", 0, "16-warm", 8000, 0, null));
             slow.settle();
-            // Both members take it and say nothing until well past the 3.5 s that once were the end.
+            // Both members take it and say nothing until well past the 3.5 s that once were the
+            // end.
             slow.nodes().forEach(n -> n.mood(Node.Mood.HANGS));
             slow.stage().run(() -> first.ask("move", 0, "k1", 6000, 0, null));
-            slow.stage().await("the write is out", () -> slow.nodes().stream().mapToLong(n -> n.statements).sum() == 2);
+            slow.stage()
+                    .await(
+                            "the write is out",
+                            () -> slow.nodes().stream().mapToLong(n -> n.statements).sum() == 2);
             slow.router(0).signal("TERM");
             slow.router(0).awaitLine("stopping", l -> l.contains(" stopping "));
             // New ones still come; the other router's clients notice nothing.
             slow.stage().run(() -> first.ask("fresh", 0, "16-late", 5000, 0, null));
             slow.router(0).end();
-            assertEquals(0, counted(slow.router(0), "stopped-with-work"), slow.router(0).lines().toString());
+            assertEquals(
+                    0,
+                    counted(slow.router(0), "stopped-with-work"),
+                    slow.router(0).lines().toString());
             assertTrue(counted(slow.router(0), " counters ") == 1, "its last line");
             slow.settle();
             Audit audit = Audit.of(slow.stage().record());
@@ -84,7 +105,10 @@
         }
     }
 
-    /** Guards against a breach that is none: the stage had no core, and a statement and the answer behind it lie unread together. */
+    /**
+     * Guards against a breach that is none: the stage had no core, and a statement and the answer
+     * behind it lie unread together.
+     */
     @Test
     void whatWasSentBeforeAnAnswerIsRecordedBeforeIt() throws Exception {
         try (Rig one = new Rig(Rig.Plan.of(1, 1, 2))) {
@@ -96,14 +120,16 @@
                 one.settle();
             }
             one.nodes().forEach(n -> n.mood(Node.Mood.HANGS));
-            one.stage().run(() -> {
-                caller.ask("any", 0, "16-hangs", 500, 0, null);
-                try {
-                    Thread.sleep(700);
-                } catch (InterruptedException stopped) {
-                    throw new IllegalStateException(stopped);
-                }
-            });
+            one.stage()
+                    .run(
+                            () -> {
+                                caller.ask("any", 0, "16-hangs", 500, 0, null);
+                                try {
+                                    Thread.sleep(700);
+                                } catch (InterruptedException stopped) {
+                                    throw new IllegalStateException(stopped);
+                                }
+                            });
             one.settle();
             one.router(0).end();
             Audit audit = Audit.of(one.stage().record());
@@ -113,8 +139,9 @@
     }
 
     /**
-     * Hundreds of rounds by a seed: each is a word of the operators or of discovery that comes in one of the ways that go wrong,
-     * under load; it ends once each router has shown that it knows. Nothing may go to a node that a router has heard to drain.
+     * Hundreds of rounds by a seed: each is a word of the operators or of discovery that comes in
+     * one of the ways that go wrong, under load; it ends once each router has shown that it knows.
+     * Nothing may go to a node that a router has heard to drain.
      */
     @Test
     void noWordThatClosesANodeIsLost() throws Exception {
@@ -138,21 +165,36 @@
             set.routers().forEach(Router::end);
             Audit audit = Audit.of(set.stage().record());
             assertEquals(List.of(), audit.breaches().stream().limit(5).toList());
-            assertTrue(audit.ended("committed") > audit.asked() / 2, audit.ended("committed") + " of " + audit.asked());
+            assertTrue(
+                    audit.ended("committed") > audit.asked() / 2,
+                    audit.ended("committed") + " of " + audit.asked());
             for (int kind : seen) {
                 assertTrue(kind > 0, "each kind was played");
             }
         }
     }
 
-    /** Until this router has shown, at the agent that it is at, that it knows the latest that this agent knows. */
+    /**
+     * Until this router has shown, at the agent that it is at, that it knows the latest that this
+     * agent knows.
+     */
     private void knows(int r) {
         String life = rig.router(r).life() + "<a" + at[r];
         try {
-            rig.stage().await(life + " knows the list", () -> rig.heard(life) >= rig.catalogue().latest().generation());
+            rig.stage()
+                    .await(
+                            life + " knows the list",
+                            () -> rig.heard(life) >= rig.catalogue().latest().generation());
         } catch (IllegalStateException never) {
-            throw new IllegalStateException(never.getMessage() + "; it knows " + rig.heard(life) + " of "
-                    + rig.catalogue().latest().generation() + ", and said " + rig.router(r).lines(), never);
+            throw new IllegalStateException(
+                    never.getMessage()
+                            + "; it knows "
+                            + rig.heard(life)
+                            + " of "
+                            + rig.catalogue().latest().generation()
+                            + ", and said "
+                            + rig.router(r).lines(),
+                    never);
         }
     }
 
@@ -161,11 +203,14 @@
         Catalogue catalogue = rig.catalogue();
         switch (kind) {
             case 0 -> rig.stage().run(() -> catalogue.change(toggled(id)));
-            case 1 -> rig.stage().run(() -> {
-                // Two changes in the same millisecond.
-                catalogue.change(toggled(id));
-                catalogue.change(toggled("s-" + (node + 1) % 8));
-            });
+            case 1 ->
+                    rig.stage()
+                            .run(
+                                    () -> {
+                                        // Two changes in the same millisecond.
+                                        catalogue.change(toggled(id));
+                                        catalogue.change(toggled("s-" + (node + 1) % 8));
+                                    });
             case 2 -> move(r, true, false);
             case 3 -> move(r, false, false);
             case 4 -> move(r, true, true);
@@ -182,7 +227,8 @@
                 rig.router(r).signal("CONT");
             }
             case 8 -> {
-                // Connections to the node hang as they come up, while it leaves the list and another takes its row.
+                // Connections to the node hang as they come up, while it leaves the list and
+                // another takes its row.
                 rig.link(r, id).ways(Relay.Way.PASS, Relay.Way.HOLD);
                 for (int i = 0; i < 3; i++) {
                     rig.stage().run(() -> catalogue.change(toggled(id)));
@@ -204,7 +250,10 @@
         }
     }
 
-    /** Discovery moves, told by the signal or by the file alone; the new one knows less at first, or the list changes meanwhile. */
+    /**
+     * Discovery moves, told by the signal or by the file alone; the new one knows less at first, or
+     * the list changes meanwhile.
+     */
     private void move(int r, boolean signal, boolean older) {
         int next = rig.addAgent(r);
         long before = rig.stage().call(() -> rig.catalogue().latest().generation());
@@ -229,13 +278,18 @@
         rig.agent(r, next).upTo(Long.MAX_VALUE);
     }
 
-    /** What is ready drains; what drains is gone; what is gone is back, started anew. The first two of a group stay. */
+    /**
+     * What is ready drains; what drains is gone; what is gone is back, started anew. The first two
+     * of a group stay.
+     */
     private Catalogue.Entry toggled(String id) {
         Catalogue.Entry e = rig.catalogue().entry(id);
         Catalogue.Entry first = rig.catalogue().upTo(0).entries().get(id);
         if (Integer.parseInt(id.substring(2)) % 4 < 2) {
             return e;
         }
-        return e == null ? first.startedAt(System.currentTimeMillis()) : e.is(e.lifecycle().equals("ready") ? "draining" : "gone");
+        return e == null
+                ? first.startedAt(System.currentTimeMillis())
+                : e.is(e.lifecycle().equals("ready") ? "draining" : "gone");
     }
 }
--- a/src/test/java/dillfront/lab/whole/AuditTest.java
+++ b/src/test/java/dillfront/lab/whole/AuditTest.java
@@ -35,7 +35,9 @@
     }
 
     private void found(String rule) {
-        assertTrue(day.breaches().stream().anyMatch(b -> b.startsWith(rule)), rule + " among " + day.breaches());
+        assertTrue(
+                day.breaches().stream().anyMatch(b -> b.startsWith(rule)),
+                rule + " among " + day.breaches());
     }
 
     @Test
@@ -135,14 +137,18 @@
         found("DRAIN");
     }
 
-    /** Guards the stand-in: a promoted replica leads with what it had, and what was not received is cut back elsewhere. */
+    /**
+     * Guards the stand-in: a promoted replica leads with what it had, and what was not received is
+     * cut back elsewhere.
+     */
     @Test
     void aPromotionCutsBack() {
         wrote("a", 1, primary, replica, database.servers.get(2));
         wrote("b", 2, primary);
         database.promote(replica.id);
         day.sim.until(1_000);
-        assertTrue(replica.leads && !primary.leads && primary.log.size() == 1, primary.log.toString());
+        assertTrue(
+                replica.leads && !primary.leads && primary.log.size() == 1, primary.log.toString());
         assertTrue(day.breaches().isEmpty(), day.breaches().toString());
     }
 
@@ -156,34 +162,66 @@
         say(heard, "CONNECT db0-primary me", "QUERY");
         say(heard, "CONNECT db0-primary me", "QUERY - READ k");
         say(heard, "CONNECT db0-primary me", "QUERY 1 READ k\nQUERY 2 READ k");
-        say(heard, "CONNECT db0-primary me", "QUERY 1 SING", "QUERY 2 COMMIT", "QUERY 3 EXECUTE p k", "QUERY 4 SET a b", "GOODBYE");
-        assertTrue(heard.equals(List.of(
-                "ERROR NODATABASE nosuch", "closed", "ERROR MALFORMED no word that fits here", "closed",
-                "READY I -", "ERROR MALFORMED QUERY id text", "closed", "READY I -", "ERROR MALFORMED QUERY id text", "closed",
-                "READY I -", "ERROR MALFORMED a control character", "closed",
-                "READY I -", "ERROR MALFORMED no statement", "READY I -", "ERROR MALFORMED no transaction", "READY I -",
-                "ERROR UNKNOWN p", "READY I -", "COMPLETE -", "READY I -", "closed")), heard.toString());
+        say(
+                heard,
+                "CONNECT db0-primary me",
+                "QUERY 1 SING",
+                "QUERY 2 COMMIT",
+                "QUERY 3 EXECUTE p k",
+                "QUERY 4 SET a b",
+                "GOODBYE");
+        assertTrue(
+                heard.equals(
+                        List.of(
+                                "ERROR NODATABASE nosuch",
+                                "closed",
+                                "ERROR MALFORMED no word that fits here",
+                                "closed",
+                                "READY I -",
+                                "ERROR MALFORMED QUERY id text",
+                                "closed",
+                                "READY I -",
+                                "ERROR MALFORMED QUERY id text",
+                                "closed",
+                                "READY I -",
+                                "ERROR MALFORMED a control character",
+                                "closed",
+                                "READY I -",
+                                "ERROR MALFORMED no statement",
+                                "READY I -",
+                                "ERROR MALFORMED no transaction",
+                                "READY I -",
+                                "ERROR UNKNOWN p",
+                                "READY I -",
+                                "COMPLETE -",
+                                "READY I -",
+                                "closed")),
+                heard.toString());
     }
 
     private void say(List<String> heard, String... lines) {
-        day.clients.dial(day.front(0).ip + ":" + Day.FRONT, Host.Form.LINES, 500, new Host.Ear() {
-            @Override
-            public void opened(Host.Link link) {
-                for (String line : lines) {
-                    link.send(Sim.bytes(line));
-                }
-            }
-
-            @Override
-            public void message(byte[] message) {
-                heard.add(Sim.text(message));
-            }
-
-            @Override
-            public void closed(String why) {
-                heard.add("closed");
-            }
-        });
+        day.clients.dial(
+                day.front(0).ip + ":" + Day.FRONT,
+                Host.Form.LINES,
+                500,
+                new Host.Ear() {
+                    @Override
+                    public void opened(Host.Link link) {
+                        for (String line : lines) {
+                            link.send(Sim.bytes(line));
+                        }
+                    }
+
+                    @Override
+                    public void message(byte[] message) {
+                        heard.add(Sim.text(message));
+                    }
+
+                    @Override
+                    public void closed(String why) {
+                        heard.add("closed");
+                    }
+                });
         day.sim.until(day.sim.millis() + 200);
     }
 }
--- a/src/test/java/dillfront/lab/whole/ConfigAuditTest.java
+++ b/src/test/java/dillfront/lab/whole/ConfigAuditTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The auditor of control state finds each harm that the letter names, and takes what is right for right. */
+/**
+ * The auditor of control state finds each harm that the letter names, and takes what is right for
+ * right.
+ */
 class ConfigAuditTest {
 
     private final Day day = new Day(1, 1, 1, 0, 10_000);
@@ -30,7 +33,9 @@
     }
 
     private void found(String what) {
-        assertTrue(day.breaches().stream().anyMatch(x -> x.contains(what)), what + " among " + day.breaches());
+        assertTrue(
+                day.breaches().stream().anyMatch(x -> x.contains(what)),
+                what + " among " + day.breaches());
     }
 
     private void nothingFound() {
--- a/src/test/java/dillfront/lab/whole/RecordedMessages.java
+++ b/src/test/java/dillfront/lab/whole/RecordedMessages.java
@@ -18,9 +18,10 @@
 import java.util.TreeSet;
 
 /**
- * Plays simulated days and records what the processes send. The files under src/test/resources/messages were written by
- * {@link #main} on revision 6ff1719, before the code was renamed and split; they are written anew only where a change of the
- * protocol or of the decisions is meant.
+ * Plays simulated days and records what the processes send. The files under
+ * src/test/resources/messages were written by {@link #main} on revision 6ff1719, before the code
+ * was renamed and split; they are written anew only where a change of the protocol or of the
+ * decisions is meant.
  */
 final class RecordedMessages {
 
@@ -47,17 +48,22 @@
         return days;
     }
 
-    /** Plays the day; a digest over the time, the ends and the bytes of each message, and how many there were. */
+    /**
+     * Plays the day; a digest over the time, the ends and the bytes of each message, and how many
+     * there were.
+     */
     static String digest(Day day, Sim.Tap also) {
         MessageDigest digest = sha256();
         long[] count = new long[1];
-        day.sim.tap = (from, to, kind, message) -> {
-            count[0]++;
-            digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.sim.micros()));
-            digest.update((from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
-            digest.update(message);
-            also.sent(from, to, kind, message);
-        };
+        day.sim.tap =
+                (from, to, kind, message) -> {
+                    count[0]++;
+                    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.sim.micros()));
+                    digest.update(
+                            (from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
+                    digest.update(message);
+                    also.sent(from, to, kind, message);
+                };
         day.play();
         return count[0] + " " + HexFormat.of().formatHex(digest.digest());
     }
@@ -70,7 +76,10 @@
         }
     }
 
-    /** The fields of a message with the kind of each value, as a path from the outermost; what is repeated stands once. */
+    /**
+     * The fields of a message with the kind of each value, as a path from the outermost; what is
+     * repeated stands once.
+     */
     static TreeSet<String> shape(Object value, String path) {
         TreeSet<String> shape = new TreeSet<>();
         if (value instanceof Map<?, ?> map) {
@@ -90,14 +99,20 @@
             new TreeMap<>(map).forEach((name, one) -> parts.add(name + "=" + text(one)));
             return "{" + String.join(", ", parts) + "}";
         } else if (value instanceof List<?> list) {
-            return "[" + String.join(", ", list.stream().map(RecordedMessages::text).toList()) + "]";
+            return "["
+                    + String.join(", ", list.stream().map(RecordedMessages::text).toList())
+                    + "]";
         } else if (value instanceof byte[] bytes) {
             return "b64:" + Base64.getEncoder().encodeToString(bytes);
         }
-        return value instanceof String text ? "'" + text.replace("\n", "\\n") + "'" : String.valueOf(value);
+        return value instanceof String text
+                ? "'" + text.replace("\n", "\\n") + "'"
+                : String.valueOf(value);
     }
 
-    /** The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine. */
+    /**
+     * The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine.
+     */
     static final class Texts implements Sim.Tap {
 
         private final Map<String, String> firsts = new TreeMap<>();
@@ -109,9 +124,14 @@
             }
             String text = new String(message, StandardCharsets.ISO_8859_1);
             boolean line = kind.equals("LINES");
-            String first = line ? text.replaceAll("[ \r\n].*", "") : kind.replaceAll("(/[A-Za-z]+\\.[A-Za-z]+).*", "$1");
+            String first =
+                    line
+                            ? text.replaceAll("[ \r\n].*", "")
+                            : kind.replaceAll("(/[A-Za-z]+\\.[A-Za-z]+).*", "$1");
             String ends = machines(from) + ">" + machines(to);
-            firsts.putIfAbsent(ends + " " + first, ends + " " + (line ? "" : kind + " ") + text.replace("\r\n", "\\r\\n"));
+            firsts.putIfAbsent(
+                    ends + " " + first,
+                    ends + " " + (line ? "" : kind + " ") + text.replace("\r\n", "\\r\\n"));
         }
 
         private static String machines(String name) {
@@ -129,20 +149,47 @@
         List<String> digests = new ArrayList<>();
         List<String> examples = new ArrayList<>();
         TreeSet<String> seen = new TreeSet<>();
-        days().forEach((name, day) -> digests.add(name + " " + digest(day, (from, to, kind, message) -> {
-            texts.sent(from, to, kind, message);
-            if (kind.equals("FRAMES")) {
-                try {
-                    Map<String, Object> fields = Pack.read(message).all();
-                    String ends = from.replaceAll("-.*", "") + ">" + to.replaceAll("-.*", "");
-                    if (seen.addAll(shape(fields, ends))) {
-                        examples.add(ends + " " + Base64.getEncoder().encodeToString(message) + " " + text(fields));
-                    }
-                } catch (Pack.Bad bad) {
-                    throw new IllegalStateException(bad);
-                }
-            }
-        })));
+        days().forEach(
+                        (name, day) ->
+                                digests.add(
+                                        name
+                                                + " "
+                                                + digest(
+                                                        day,
+                                                        (from, to, kind, message) -> {
+                                                            texts.sent(from, to, kind, message);
+                                                            if (kind.equals("FRAMES")) {
+                                                                try {
+                                                                    Map<String, Object> fields =
+                                                                            Pack.read(message)
+                                                                                    .all();
+                                                                    String ends =
+                                                                            from.replaceAll(
+                                                                                            "-.*",
+                                                                                            "")
+                                                                                    + ">"
+                                                                                    + to.replaceAll(
+                                                                                            "-.*",
+                                                                                            "");
+                                                                    if (seen.addAll(
+                                                                            shape(fields, ends))) {
+                                                                        examples.add(
+                                                                                ends
+                                                                                        + " "
+                                                                                        + Base64
+                                                                                                .getEncoder()
+                                                                                                .encodeToString(
+                                                                                                        message)
+                                                                                        + " "
+                                                                                        + text(
+                                                                                                fields));
+                                                                    }
+                                                                } catch (Pack.Bad bad) {
+                                                                    throw new IllegalStateException(
+                                                                            bad);
+                                                                }
+                                                            }
+                                                        })));
         Files.createDirectories(FOLDER);
         Files.write(DIGESTS, digests);
         Files.write(EXAMPLES, examples);
--- a/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
@@ -12,10 +12,16 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What the processes of the whole system say to each other is what they said before the code was renamed and split. */
+/**
+ * What the processes of the whole system say to each other is what they said before the code was
+ * renamed and split.
+ */
 class RecordedMessagesTest {
 
-    /** Each byte, each moment and each decision of these days, HTTP calls and the lines of the wire among them. */
+    /**
+     * Each byte, each moment and each decision of these days, HTTP calls and the lines of the wire
+     * among them.
+     */
     @Test
     void daysSendTheSameMessages() throws IOException {
         Map<String, String> expected = new TreeMap<>();
@@ -28,7 +34,9 @@
         Map<String, String> actual = new TreeMap<>();
         RecordedMessages.Texts texts = new RecordedMessages.Texts();
         days.forEach((name, day) -> actual.put(name, RecordedMessages.digest(day, texts)));
-        assertEquals(String.join("\n", Files.readAllLines(RecordedMessages.TEXTS)), String.join("\n", texts.lines()));
+        assertEquals(
+                String.join("\n", Files.readAllLines(RecordedMessages.TEXTS)),
+                String.join("\n", texts.lines()));
         assertEquals(expected, actual);
     }
 
@@ -41,7 +49,8 @@
             byte[] message = Base64.getDecoder().decode(part[1]);
             Map<String, Object> fields = Pack.read(message).all();
             assertEquals(part[2], RecordedMessages.text(fields));
-            // The codec keeps no order of names on reading, so what it writes is compared once read again.
+            // The codec keeps no order of names on reading, so what it writes is compared once read
+            // again.
             assertEquals(part[2], RecordedMessages.text(Pack.read(Pack.write(fields)).all()));
         }
     }
--- a/src/test/java/dillfront/list/ListTest.java
+++ b/src/test/java/dillfront/list/ListTest.java
@@ -33,7 +33,10 @@
             for (String piece : pieces) {
                 answers.add(bytes(piece));
                 for (ByteBuf body = answers.next(); body != null; body = answers.next()) {
-                    seen.append(answers.status()).append(" '").append(body.toString(StandardCharsets.UTF_8)).append("' ");
+                    seen.append(answers.status())
+                            .append(" '")
+                            .append(body.toString(StandardCharsets.UTF_8))
+                            .append("' ");
                     body.release();
                 }
             }
@@ -46,14 +49,17 @@
 
     @Test
     void answers() throws IOException {
-        String two = "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 3\r\n\r\n{a}HTTP/1.1 503 No\r\ncontent-length:0\r\n\r\n";
+        String two =
+                "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 3\r\n\r\n{a}HTTP/1.1 503 No\r\ncontent-length:0\r\n\r\n";
         String whole = parse(two);
         trace.append(whole);
         for (int at = 1; at < two.length(); at++) {
             assertEquals(whole, parse(two.substring(0, at), two.substring(at)), "cut at " + at);
         }
         assertEquals(whole, parse(two.split("")), "byte by byte");
-        trace.append(parse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{a}\r\n0\r\n\r\n"));
+        trace.append(
+                parse(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{a}\r\n0\r\n\r\n"));
         trace.append(parse("HTTP/1.1 200 OK\r\n\r\n{a}"));
         trace.append(parse("HTTP/1.1 200 OK\r\nContent-Length: 3x\r\n\r\n{a}"));
         trace.append(parse("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n{a}"));
@@ -67,15 +73,30 @@
     @Test
     void machinesThatAreReplacedAllDayNeedNoMoreIndices() throws IOException {
         MemberList list = new MemberList(Setup.read(new Tree()), new Clock(), new Log(System.err));
-        String entry = "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
+        String entry =
+                "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
         StringBuilder seen = new StringBuilder();
         for (int day = 0; day < 1000; day++) {
-            String change = day % 10 == 9 ? String.format(entry, day, "ready") : String.format(entry, day, "ready") + ","
-                    + String.format(entry, day - 1, "gone");
-            List<Member> members = list.read(Tree.parse(new ByteArrayInputStream(("{'generation':1,'reset':" + (day % 10 == 9)
-                    + ",'instances':[" + change + "]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
+            String change =
+                    day % 10 == 9
+                            ? String.format(entry, day, "ready")
+                            : String.format(entry, day, "ready")
+                                    + ","
+                                    + String.format(entry, day - 1, "gone");
+            List<Member> members =
+                    list.read(
+                            Tree.parse(
+                                    new ByteArrayInputStream(
+                                            ("{'generation':1,'reset':"
+                                                            + (day % 10 == 9)
+                                                            + ",'instances':["
+                                                            + change
+                                                            + "]}")
+                                                    .replace('\'', '"')
+                                                    .getBytes(StandardCharsets.UTF_8))));
             if (day < 3) {
-                members.forEach(m -> seen.append(m.row().node()).append(m.row().standing()).append(' '));
+                members.forEach(
+                        m -> seen.append(m.row().node()).append(m.row().standing()).append(' '));
             }
             // What was out at index 0 never ends; all others are given back a day late.
             int later = day;
@@ -89,18 +110,40 @@
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         Setup setup = Setup.read(new Tree());
         MemberList list = new MemberList(setup, new Clock(), new Log(new PrintStream(lines, true)));
-        String entry = "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
-                + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
-        String text = "{'generation':41,'reset':true,'instances':[" + entry + "," + entry.replace("s-1", "s-2")
-                .replace("'ready'", "'draining'").replace("leader", "follower") + ","
-                + entry.replace("ready", "asleep") + "," + entry.replace("10.1.0.18:5432", "db.example:5432") + ","
-                + entry.replace("5432", "99999") + "," + entry.replace("'s-1'", "7") + ",5,"
-                + entry.replace("ready", "gone") + "]}";
-        List<Member> members = list.read(Tree.parse(new ByteArrayInputStream(
-                text.replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
+        String entry =
+                "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
+                        + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
+        String text =
+                "{'generation':41,'reset':true,'instances':["
+                        + entry
+                        + ","
+                        + entry.replace("s-1", "s-2")
+                                .replace("'ready'", "'draining'")
+                                .replace("leader", "follower")
+                        + ","
+                        + entry.replace("ready", "asleep")
+                        + ","
+                        + entry.replace("10.1.0.18:5432", "db.example:5432")
+                        + ","
+                        + entry.replace("5432", "99999")
+                        + ","
+                        + entry.replace("'s-1'", "7")
+                        + ",5,"
+                        + entry.replace("ready", "gone")
+                        + "]}";
+        List<Member> members =
+                list.read(
+                        Tree.parse(
+                                new ByteArrayInputStream(
+                                        text.replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
         members.forEach(m -> trace.append(m).append('\n'));
-        trace.append("group 3: ").append(list.mayHave(3)).append(", group 4: ").append(list.mayHave(4)).append('\n');
-        lines.toString(StandardCharsets.UTF_8).lines()
+        trace.append("group 3: ")
+                .append(list.mayHave(3))
+                .append(", group 4: ")
+                .append(list.mayHave(4))
+                .append('\n');
+        lines.toString(StandardCharsets.UTF_8)
+                .lines()
                 .forEach(line -> trace.append(line.substring(line.indexOf("WARN"))).append('\n'));
         Scene.compare("list", trace);
     }
--- a/src/test/java/dillfront/memory/MemoryTest.java
+++ b/src/test/java/dillfront/memory/MemoryTest.java
@@ -25,31 +25,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Power that goes at any write, a disk that is full, a file that is cut, spoilt, another's, held or no such file. */
+/**
+ * Power that goes at any write, a disk that is full, a file that is cut, spoilt, another's, held or
+ * no such file.
+ */
 class MemoryTest {
 
     private static final int SECTOR = 512;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(lines, true));
 
     /**
-     * A disk in the test's hands: of what was written since the last sync any sector may be lost, and of names that were made,
-     * changed or removed since the last sync of the folder any by itself. A call may fail, with what it was to do done or not.
+     * A disk in the test's hands: of what was written since the last sync any sector may be lost,
+     * and of names that were made, changed or removed since the last sync of the folder any by
+     * itself. A call may fail, with what it was to do done or not.
      */
     private static final class Lossy implements Disk {
 
         private final Map<String, byte[]> files = new TreeMap<>();
         private final Map<String, Integer> synced = new HashMap<>();
+
         /** What else may be found under a name after a loss of power; null for no file. */
         private final Map<String, List<byte[]>> former = new TreeMap<>();
-        private Runnable each = () -> { };
+
+        private Runnable each = () -> {};
+
         /** So many bytes may be written from now on. */
         private long room = Long.MAX_VALUE;
-        /** How many calls go well before one fails; and whether that one did its work all the same. */
+
+        /**
+         * How many calls go well before one fails; and whether that one did its work all the same.
+         */
         private int fine = Integer.MAX_VALUE;
+
         private boolean done;
         private long written;
 
@@ -154,40 +164,48 @@
         }
 
         @Override
-        public void close() { }
+        public void close() {}
 
-        /** What may be found after a loss of power now; all of it where there is little, else by chance. */
+        /**
+         * What may be found after a loss of power now; all of it where there is little, else by
+         * chance.
+         */
         List<Map<String, byte[]>> after(SplittableRandom chance) {
             List<Map<String, byte[]>> all = new ArrayList<>();
             for (Map<String, byte[]> names : names()) {
                 all.add(names);
-                synced.forEach((name, from) -> {
-                    byte[] now = files.get(name);
-                    if (names.get(name) != now) {
-                        return;
-                    }
-                    int first = from / SECTOR;
-                    int sectors = (now.length + SECTOR - 1) / SECTOR - first;
-                    for (int subset = 0; subset < 1 << Math.min(sectors, 5); subset++) {
-                        byte[] disk = now.clone();
-                        int end = 0;
-                        for (int k = 0; k < sectors; k++) {
-                            boolean there = sectors <= 5 ? (subset >> k & 1) != 0 : chance.nextBoolean();
-                            int at = Math.max(from, (first + k) * SECTOR);
-                            int to = Math.min(now.length, (first + k + 1) * SECTOR);
-                            if (!there) {
-                                Arrays.fill(disk, at, to, (byte) 0);
+                synced.forEach(
+                        (name, from) -> {
+                            byte[] now = files.get(name);
+                            if (names.get(name) != now) {
+                                return;
                             }
-                            end = there ? to : end;
-                        }
-                        // Zeros to the end, or a length that was not written either.
-                        for (byte[] one : List.of(disk, Arrays.copyOf(disk, Math.max(from, end)))) {
-                            Map<String, byte[]> found = new TreeMap<>(names);
-                            found.put(name, one);
-                            all.add(found);
-                        }
-                    }
-                });
+                            int first = from / SECTOR;
+                            int sectors = (now.length + SECTOR - 1) / SECTOR - first;
+                            for (int subset = 0; subset < 1 << Math.min(sectors, 5); subset++) {
+                                byte[] disk = now.clone();
+                                int end = 0;
+                                for (int k = 0; k < sectors; k++) {
+                                    boolean there =
+                                            sectors <= 5
+                                                    ? (subset >> k & 1) != 0
+                                                    : chance.nextBoolean();
+                                    int at = Math.max(from, (first + k) * SECTOR);
+                                    int to = Math.min(now.length, (first + k + 1) * SECTOR);
+                                    if (!there) {
+                                        Arrays.fill(disk, at, to, (byte) 0);
+                                    }
+                                    end = there ? to : end;
+                                }
+                                // Zeros to the end, or a length that was not written either.
+                                for (byte[] one :
+                                        List.of(disk, Arrays.copyOf(disk, Math.max(from, end)))) {
+                                    Map<String, byte[]> found = new TreeMap<>(names);
+                                    found.put(name, one);
+                                    all.add(found);
+                                }
+                            }
+                        });
             }
             return all;
         }
@@ -195,19 +213,20 @@
         /** Every way in which the names may be found, each by itself as it is or as it was. */
         private List<Map<String, byte[]>> names() {
             List<Map<String, byte[]>> all = new ArrayList<>(List.of(new TreeMap<>(files)));
-            former.forEach((name, was) -> {
-                for (Map<String, byte[]> one : new ArrayList<>(all)) {
-                    for (byte[] file : was) {
-                        Map<String, byte[]> other = new TreeMap<>(one);
-                        if (file == null) {
-                            other.remove(name);
-                        } else {
-                            other.put(name, file);
+            former.forEach(
+                    (name, was) -> {
+                        for (Map<String, byte[]> one : new ArrayList<>(all)) {
+                            for (byte[] file : was) {
+                                Map<String, byte[]> other = new TreeMap<>(one);
+                                if (file == null) {
+                                    other.remove(name);
+                                } else {
+                                    other.put(name, file);
+                                }
+                                all.add(other);
+                            }
                         }
-                        all.add(other);
-                    }
-                }
-            });
+                    });
             return all;
         }
     }
@@ -217,8 +236,9 @@
     }
 
     /**
-     * Power goes at each write, sync and change of names, and of what is not synced any sectors are lost. What the next life finds
-     * is all that was said to be kept, or that and the next put, whole; and it can go on from there, also if power goes again.
+     * Power goes at each write, sync and change of names, and of what is not synced any sectors are
+     * lost. What the next life finds is all that was said to be kept, or that and the next put,
+     * whole; and it can go on from there, also if power goes again.
      */
     @Test
     void powerGoesAtEachWriteAndAnySubsetOfUnsyncedSectorsIsLost() throws Exception {
@@ -227,26 +247,46 @@
         Shelf shelf = Shelf.open(disk, "m", "r1");
         List<String> may = new ArrayList<>();
         int[] looked = new int[1];
-        disk.each = () -> disk.after(chance).forEach(files -> {
-            looked[0]++;
-            try {
-                Lossy next = new Lossy(files);
-                Shelf again = Shelf.open(next, "m", "r1");
-                assertTrue(may.contains(state(again)), "at look " + looked[0] + ": " + state(again) + " of " + may);
-                again.put(Map.of("after", "this"), Map.of());
-                assertEquals(state(again), state(Shelf.open(next, "m", "r1")));
-                assertTrue(again.fault() == null || !again.isAside(), again.fault());
-            } catch (Shelf.Broken bad) {
-                throw new AssertionError("at look " + looked[0], bad);
-            }
-        });
+        disk.each =
+                () ->
+                        disk.after(chance)
+                                .forEach(
+                                        files -> {
+                                            looked[0]++;
+                                            try {
+                                                Lossy next = new Lossy(files);
+                                                Shelf again = Shelf.open(next, "m", "r1");
+                                                assertTrue(
+                                                        may.contains(state(again)),
+                                                        "at look "
+                                                                + looked[0]
+                                                                + ": "
+                                                                + state(again)
+                                                                + " of "
+                                                                + may);
+                                                again.put(Map.of("after", "this"), Map.of());
+                                                assertEquals(
+                                                        state(again),
+                                                        state(Shelf.open(next, "m", "r1")));
+                                                assertTrue(
+                                                        again.fault() == null || !again.isAside(),
+                                                        again.fault());
+                                            } catch (Shelf.Broken bad) {
+                                                throw new AssertionError(
+                                                        "at look " + looked[0], bad);
+                                            }
+                                        });
         Map<String, String> texts = new TreeMap<>();
         Map<Long, Long> numbers = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
             Map<String, String> named = new HashMap<>();
             Map<Long, Long> numbered = new HashMap<>();
             for (int k = 0; k <= chance.nextInt(4); k++) {
-                named.put("s-" + chance.nextInt(40), chance.nextInt(4) == 0 ? "" : "DRAINING 0 " + i + "x".repeat(chance.nextInt(300)));
+                named.put(
+                        "s-" + chance.nextInt(40),
+                        chance.nextInt(4) == 0
+                                ? ""
+                                : "DRAINING 0 " + i + "x".repeat(chance.nextInt(300)));
                 numbered.put((long) chance.nextInt(60), chance.nextInt(3) == 0 ? null : (long) i);
             }
             may.clear();
@@ -261,7 +301,10 @@
         assertTrue(looked[0] > 3000, "looked at " + looked[0] + " disks");
     }
 
-    /** A disk that is full, for any length of what still fits, loses nothing that was kept, and works on once there is room. */
+    /**
+     * A disk that is full, for any length of what still fits, loses nothing that was kept, and
+     * works on once there is room.
+     */
     @Test
     void aDiskThatIsFullLosesNothing() throws Exception {
         for (int room = 0; room < 300; room += 7) {
@@ -286,9 +329,9 @@
     }
 
     /**
-     * Any one call of the disk fails, with its work done or not, at any moment of many puts, and the disk works again. Whatever
-     * moment power goes at, the next life finds all that was said to be kept, with or without what was not, and never a file that
-     * is called damaged.
+     * Any one call of the disk fails, with its work done or not, at any moment of many puts, and
+     * the disk works again. Whatever moment power goes at, the next life finds all that was said to
+     * be kept, with or without what was not, and never a file that is called damaged.
      */
     @Test
     void anyCallOfTheDiskMayFailOnce() throws Exception {
@@ -301,26 +344,47 @@
                 Shelf shelf = Shelf.open(disk, "m", "r1");
                 List<String> may = new ArrayList<>();
                 int now = call;
-                disk.each = () -> {
-                    // Where nothing has failed, or that is long ago, the test above has looked.
-                    for (Map<String, byte[]> files : disk.fine > 2 || disk.fine < -8 ? List.<Map<String, byte[]>>of() : disk.after(chance)) {
-                        looked[0]++;
-                        try {
-                            Shelf again = Shelf.open(new Lossy(files), "m", "r1");
-                            assertTrue(may.contains(state(again)), "call " + now + " " + done + ": " + state(again).length() + " of " + may.size());
-                            assertTrue(!again.isAside(), "call " + now + " " + done + ": " + again.fault());
-                        } catch (Shelf.Broken bad) {
-                            throw new AssertionError("call " + now, bad);
-                        }
-                    }
-                };
+                disk.each =
+                        () -> {
+                            // Where nothing has failed, or that is long ago, the test above has
+                            // looked.
+                            for (Map<String, byte[]> files :
+                                    disk.fine > 2 || disk.fine < -8
+                                            ? List.<Map<String, byte[]>>of()
+                                            : disk.after(chance)) {
+                                looked[0]++;
+                                try {
+                                    Shelf again = Shelf.open(new Lossy(files), "m", "r1");
+                                    assertTrue(
+                                            may.contains(state(again)),
+                                            "call "
+                                                    + now
+                                                    + " "
+                                                    + done
+                                                    + ": "
+                                                    + state(again).length()
+                                                    + " of "
+                                                    + may.size());
+                                    assertTrue(
+                                            !again.isAside(),
+                                            "call " + now + " " + done + ": " + again.fault());
+                                } catch (Shelf.Broken bad) {
+                                    throw new AssertionError("call " + now, bad);
+                                }
+                            }
+                        };
                 disk.fine = call;
                 disk.done = done;
                 Map<String, String> is = new TreeMap<>();
                 may.add(is + " {}");
                 for (int i = 0; i < 40; i++) {
                     // Large texts, so that the file is written anew now and then.
-                    Map<String, String> put = Map.of("s-" + i % 3, i + "x".repeat(chance.nextInt(12_000)), "n", "" + i);
+                    Map<String, String> put =
+                            Map.of(
+                                    "s-" + i % 3,
+                                    i + "x".repeat(chance.nextInt(12_000)),
+                                    "n",
+                                    "" + i);
                     Map<String, String> next = new TreeMap<>(is);
                     next.putAll(put);
                     may.add(next + " {}");
@@ -335,14 +399,19 @@
                         assertEquals(is + " {}", state(shelf));
                     }
                 }
-                assertTrue(may.contains(state(Shelf.open(new Lossy(disk.files), "m", "r1"))), "call " + call + " " + done);
+                assertTrue(
+                        may.contains(state(Shelf.open(new Lossy(disk.files), "m", "r1"))),
+                        "call " + call + " " + done);
             }
         }
         assertTrue(failed[0] > 100, failed[0] + " puts failed");
         assertTrue(looked[0] > 4_000, "looked at " + looked[0] + " disks");
     }
 
-    /** Of a damaged file a process relies on nothing, in no later life either, wherever it ended while it found that out. */
+    /**
+     * Of a damaged file a process relies on nothing, in no later life either, wherever it ended
+     * while it found that out.
+     */
     @Test
     void ofADamagedFileNothingIsReliedOn() throws Exception {
         Lossy disk = new Lossy(Map.of());
@@ -357,18 +426,23 @@
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
             Lossy next = new Lossy(Map.of(Shelf.FILE, bad));
-            next.each = () -> next.after(chance).forEach(files -> {
-                try {
-                    Keep again = Keep.on(new Lossy(files), "m", "r1");
-                    assertEquals(Map.of(), again.all());
-                } catch (Keep.Broken broken) {
-                    throw new AssertionError(broken);
-                }
-            });
+            next.each =
+                    () ->
+                            next.after(chance)
+                                    .forEach(
+                                            files -> {
+                                                try {
+                                                    Keep again =
+                                                            Keep.on(new Lossy(files), "m", "r1");
+                                                    assertEquals(Map.of(), again.all());
+                                                } catch (Keep.Broken broken) {
+                                                    throw new AssertionError(broken);
+                                                }
+                                            });
             Keep found = Keep.on(next, "m", "r1");
             assertTrue(found.damaged(), "at " + at);
             assertEquals(Map.of(), found.all());
-            next.each = () -> { };
+            next.each = () -> {};
             found.put(Map.of("id", "another"));
             Keep later = Keep.on(new Lossy(next.files), "m", "r1");
             assertTrue(!later.damaged());
@@ -376,15 +450,20 @@
             damaged++;
         }
         assertTrue(damaged > 100, damaged + " places");
-        // A first record that is torn or spoilt: it was synced before the file had its name, so it is no torn tail either.
+        // A first record that is torn or spoilt: it was synced before the file had its name, so it
+        // is no torn tail either.
         Lossy fresh = new Lossy(Map.of());
         Keep.on(fresh, "m", "r1");
         byte[] first = fresh.files.get(Shelf.FILE);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
-            assertTrue(Keep.on(new Lossy(Map.of(Shelf.FILE, bad)), "m", "r1").damaged(), "at " + at);
-            assertTrue(Keep.on(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(first, at))), "m", "r1").damaged(), "cut at " + at);
+            assertTrue(
+                    Keep.on(new Lossy(Map.of(Shelf.FILE, bad)), "m", "r1").damaged(), "at " + at);
+            assertTrue(
+                    Keep.on(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(first, at))), "m", "r1")
+                            .damaged(),
+                    "cut at " + at);
         }
         // A file of its head alone: its first record was synced with it, so it is not a torn tail.
         Keep head = Keep.on(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(good, 19))), "m", "r1");
@@ -400,13 +479,19 @@
         Keep keep = Keep.on(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
         keep.put(Map.of("a", longest));
-        assertThrows(IllegalArgumentException.class, () -> keep.put(Map.of("b", "1", "a", longest + "x")));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> keep.put(Map.of("b", "1", "a", longest + "x")));
         assertThrows(IllegalArgumentException.class, () -> keep.put(Map.of(longest + "x", "1")));
         keep.put(Map.of("c", "2"));
-        assertEquals(Map.of("a", longest, "c", "2"), Keep.on(new Lossy(disk.files), "m", "r1").all());
+        assertEquals(
+                Map.of("a", longest, "c", "2"), Keep.on(new Lossy(disk.files), "m", "r1").all());
     }
 
-    /** A byte that goes bad: what was before it holds, the file as it was is set aside; a bad tail alone is cut. */
+    /**
+     * A byte that goes bad: what was before it holds, the file as it was is set aside; a bad tail
+     * alone is cut.
+     */
     @Test
     void whatIsSpoiltIsFoundAndWhatWasBeforeItHolds() throws Exception {
         Lossy disk = new Lossy(Map.of());
@@ -427,12 +512,17 @@
                 assertEquals(found.isAside(), next.files.containsKey("memory.broken"), "at " + at);
                 last = found.isAside() ? last : Math.min(last, at);
             } catch (Shelf.Broken format) {
-                assertTrue(format.getMessage().startsWith("m/memory.log is of format"), format.getMessage());
+                assertTrue(
+                        format.getMessage().startsWith("m/memory.log is of format"),
+                        format.getMessage());
             }
         }
-        assertTrue(last > good.length - 60, "a torn tail is the last record alone, not what begins at " + last);
+        assertTrue(
+                last > good.length - 60,
+                "a torn tail is the last record alone, not what begins at " + last);
         for (int cut = 0; cut < good.length; cut++) {
-            Shelf found = Shelf.open(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(good, cut))), "m", "r1");
+            Shelf found =
+                    Shelf.open(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(good, cut))), "m", "r1");
             assertTrue(found.all().size() < 8, "cut at " + cut);
         }
     }
@@ -460,13 +550,24 @@
         first.closed("s-2", Standing.GONE, 0, 43);
         first.closed("s-3", Standing.GONE, 0, 44);
         first.opened("s-3");
-        Operator.BadOperator held = assertThrows(Operator.BadOperator.class, () -> Memory.open(folder, "r1", log, Runnable::run));
+        Operator.BadOperator held =
+                assertThrows(
+                        Operator.BadOperator.class,
+                        () -> Memory.open(folder, "r1", log, Runnable::run));
         assertTrue(held.getMessage().contains("another process holds"), held.getMessage());
         first.close();
-        Operator.BadOperator other = assertThrows(Operator.BadOperator.class, () -> Memory.open(folder, "r2", log, Runnable::run));
-        assertTrue(other.getMessage().contains("is that of router 'r1', and this is 'r2'"), other.getMessage());
+        Operator.BadOperator other =
+                assertThrows(
+                        Operator.BadOperator.class,
+                        () -> Memory.open(folder, "r2", log, Runnable::run));
+        assertTrue(
+                other.getMessage().contains("is that of router 'r1', and this is 'r2'"),
+                other.getMessage());
         Memory second = Memory.open(folder, "r1", log, Runnable::run);
-        assertEquals(Set.of(new Memory.Closing("s-1", Standing.DRAINING, 7, 42), new Memory.Closing("s-2", Standing.GONE, 0, 43)),
+        assertEquals(
+                Set.of(
+                        new Memory.Closing("s-1", Standing.DRAINING, 7, 42),
+                        new Memory.Closing("s-2", Standing.GONE, 0, 43)),
                 Set.copyOf(second.closings()));
         second.close();
     }
@@ -479,10 +580,15 @@
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "set aside");
-        assertTrue(lines.toString(StandardCharsets.UTF_8).contains("memory-broken fault=\"" + folder.resolve(Shelf.FILE)),
+        assertTrue(
+                lines.toString(StandardCharsets.UTF_8)
+                        .contains("memory-broken fault=\"" + folder.resolve(Shelf.FILE)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
-        Operator.BadOperator none = assertThrows(Operator.BadOperator.class, () -> Memory.open(file, "r1", log, Runnable::run));
+        Operator.BadOperator none =
+                assertThrows(
+                        Operator.BadOperator.class,
+                        () -> Memory.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
 }
--- a/src/test/java/dillfront/memory/StoredMemoryTest.java
+++ b/src/test/java/dillfront/memory/StoredMemoryTest.java
@@ -15,26 +15,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The memory of a router that revision 6ff1719 wrote (src/test/resources/stored/router) is read in full. */
+/**
+ * The memory of a router that revision 6ff1719 wrote (src/test/resources/stored/router) is read in
+ * full.
+ */
 class StoredMemoryTest {
 
     private static final long KEY = 0x1122334455667L;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
 
     private Memory open(int missing) throws Exception {
         byte[] bytes = Files.readAllBytes(Path.of("src/test/resources/stored/router/memory.log"));
         Files.write(folder.resolve("memory.log"), Arrays.copyOf(bytes, bytes.length - missing));
-        return Memory.open(folder, "router-1", new Log(new PrintStream(lines, true)), Runnable::run);
+        return Memory.open(
+                folder, "router-1", new Log(new PrintStream(lines, true)), Runnable::run);
     }
 
     @Test
     void memoryIsReadInFull() throws Exception {
         Memory memory = open(0);
         assertEquals(30, memory.closings().size());
-        Memory.Closing one = memory.closings().stream().filter(c -> c.id().equals("n-7")).findFirst().orElseThrow();
+        Memory.Closing one =
+                memory.closings().stream()
+                        .filter(c -> c.id().equals("n-7"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(new Memory.Closing("n-7", Standing.GONE, 7_000, 14), one);
         assertEquals(Map.of(3, "n-5", 12, "n-7"), memory.leaders());
         TreeSet<Long> expected = new TreeSet<>();
--- a/src/test/java/dillfront/peers/CodecTest.java
+++ b/src/test/java/dillfront/peers/CodecTest.java
@@ -21,7 +21,10 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** Datagrams as they are, and as they should not be: what comes never throws, and is taken only from who signed it. */
+/**
+ * Datagrams as they are, and as they should not be: what comes never throws, and is taken only from
+ * who signed it.
+ */
 class CodecTest {
 
     private static final Duration UNIX = Duration.ofSeconds(1_790_000_000L);
@@ -67,12 +70,27 @@
     }
 
     private Codec codec(int self, KeyPair pair) {
-        return new Codec(ring, self, Ring.id(Ring.raw(pair.getPublic())), pair.getPrivate(), ring.address(self), DATAGRAM,
+        return new Codec(
+                ring,
+                self,
+                Ring.id(Ring.raw(pair.getPublic())),
+                pair.getPrivate(),
+                ring.address(self),
+                DATAGRAM,
                 1000);
     }
 
     private static Word claim(int origin, int number, Duration said) {
-        return Word.of(origin, 2, number, Kind.CLAIM, 0x1122334455667788L, 1, 7, Duration.ofMillis(250), said);
+        return Word.of(
+                origin,
+                2,
+                number,
+                Kind.CLAIM,
+                0x1122334455667788L,
+                1,
+                7,
+                Duration.ofMillis(250),
+                said);
     }
 
     private static ByteBuf write(Codec by, int to, Codec.Form form, Duration unix, Word... words) {
@@ -84,34 +102,77 @@
     private String read(Codec by, ByteBuf bytes, Duration unix) {
         trace.clear();
         int before = bytes.readableBytes();
-        by.read(bytes, now, unix, new Codec.Reader() {
-            @Override
-            public void closed(int from, int incarnation, Duration sent, long[] words) {
-                trace.add(ring.name(from) + " closed " + java.util.Arrays.toString(words));
-            }
-
-            @Override
-            public void doubts(int from, int incarnation, Duration sent, int life, int about, long[] digest) {
-                trace.add(ring.name(from) + "." + incarnation + " life " + life + " doubts of " + ring.name(about) + " "
-                        + java.util.Arrays.toString(digest));
-            }
-
-            @Override
-            public void read(int from, int incarnation, Duration sent, Codec.Form form, int probe, int about, List<Word> words) {
-                trace.add(ring.name(from) + "." + incarnation + " " + form + " " + probe + " about " + about + " words "
-                        + words.stream().map(w -> ring.name(w.origin()) + " " + w.kind() + " " + w.subject()).toList());
-            }
-
-            @Override
-            public void at(int peer, int incarnation, InetSocketAddress address) {
-                trace.add(ring.name(peer) + " is at " + address.getPort());
-            }
-
-            @Override
-            public void dropped(Drop why) {
-                trace.add(why.toString());
-            }
-        });
+        by.read(
+                bytes,
+                now,
+                unix,
+                new Codec.Reader() {
+                    @Override
+                    public void closed(int from, int incarnation, Duration sent, long[] words) {
+                        trace.add(ring.name(from) + " closed " + java.util.Arrays.toString(words));
+                    }
+
+                    @Override
+                    public void doubts(
+                            int from,
+                            int incarnation,
+                            Duration sent,
+                            int life,
+                            int about,
+                            long[] digest) {
+                        trace.add(
+                                ring.name(from)
+                                        + "."
+                                        + incarnation
+                                        + " life "
+                                        + life
+                                        + " doubts of "
+                                        + ring.name(about)
+                                        + " "
+                                        + java.util.Arrays.toString(digest));
+                    }
+
+                    @Override
+                    public void read(
+                            int from,
+                            int incarnation,
+                            Duration sent,
+                            Codec.Form form,
+                            int probe,
+                            int about,
+                            List<Word> words) {
+                        trace.add(
+                                ring.name(from)
+                                        + "."
+                                        + incarnation
+                                        + " "
+                                        + form
+                                        + " "
+                                        + probe
+                                        + " about "
+                                        + about
+                                        + " words "
+                                        + words.stream()
+                                                .map(
+                                                        w ->
+                                                                ring.name(w.origin())
+                                                                        + " "
+                                                                        + w.kind()
+                                                                        + " "
+                                                                        + w.subject())
+                                                .toList());
+                    }
+
+                    @Override
+                    public void at(int peer, int incarnation, InetSocketAddress address) {
+                        trace.add(ring.name(peer) + " is at " + address.getPort());
+                    }
+
+                    @Override
+                    public void dropped(Drop why) {
+                        trace.add(why.toString());
+                    }
+                });
         assertEquals(before, bytes.readableBytes(), "the buffer stays the caller's");
         return String.join("; ", trace);
     }
@@ -122,7 +183,8 @@
         Word claim = bob.seal(claim(1, 2, UNIX));
         ByteBuf bytes = write(bob, 0, Codec.Form.PING, UNIX, alive, claim);
         assertEquals(Codec.bytes(2) - Codec.BELOW, bytes.readableBytes());
-        assertEquals("r1 is at 7002; r1.2 PING 77 about -1 words [r1 ALIVE 1, r1 CLAIM 1234605616436508552]",
+        assertEquals(
+                "r1 is at 7002; r1.2 PING 77 about -1 words [r1 ALIVE 1, r1 CLAIM 1234605616436508552]",
                 read(alice, bytes, UNIX));
         assertEquals("REPLAY", read(alice, bytes, UNIX), "the same again");
         assertEquals("NOT_MINE", read(carol, bytes, UNIX), "to another");
@@ -144,7 +206,10 @@
         assertEquals("FORM", read(alice, doubts(bob, 2, 5), UNIX), "of a third one");
         assertEquals("FORM", read(alice, doubts(bob, -1, 5), UNIX), "of nobody");
         ByteBuf cut = doubts(bob, 1, 5, 6);
-        assertEquals("FORM", read(alice, cut.slice(0, cut.readableBytes() - 8), UNIX), "a part is missing");
+        assertEquals(
+                "FORM",
+                read(alice, cut.slice(0, cut.readableBytes() - 8), UNIX),
+                "a part is missing");
         ByteBuf spoilt = doubts(bob, 1, 5, 6);
         spoilt.setByte(Codec.HEAD + 3, 1);
         assertEquals("SIGNATURE", read(alice, spoilt, UNIX));
@@ -154,22 +219,28 @@
         closed = Unpooled.buffer();
         bob.write(closed, 0, 2, new long[] {1, 42}, UNIX);
         assertEquals("FORM", read(alice, closed, UNIX), "two parts of three");
-        assertEquals(Codec.doubtBytes(Codec.mostParts(DATAGRAM)) - Codec.BELOW <= DATAGRAM, true, "the largest fits");
+        assertEquals(
+                Codec.doubtBytes(Codec.mostParts(DATAGRAM)) - Codec.BELOW <= DATAGRAM,
+                true,
+                "the largest fits");
     }
 
     @Example
     void passesOnWhatAnotherSigned() {
         Word claim = bob.seal(claim(1, 2, UNIX));
-        assertEquals("r2.2 PUSH 77 about -1 words [r1 CLAIM 1234605616436508552]",
+        assertEquals(
+                "r2.2 PUSH 77 about -1 words [r1 CLAIM 1234605616436508552]",
                 read(alice, write(carol, 0, Codec.Form.PUSH, UNIX, claim), UNIX));
         // In another's name: signed by its own key, with the other's put in front.
         byte[] forged = carol.seal(claim(2, 3, UNIX)).sealed();
         System.arraycopy(claim.sealed(), 0, forged, 0, 8);
-        assertEquals("WORD; r2.2 PUSH 77 about -1 words []",
+        assertEquals(
+                "WORD; r2.2 PUSH 77 about -1 words []",
                 read(alice, write(carol, 0, Codec.Form.PUSH, UNIX, claim.sealed(forged)), UNIX));
         // That another has left, or is there: only it can say so.
         Word leaves = carol.seal(Word.of(2, 2, 9, Kind.LEAVING, 1, 0, 0, Duration.ZERO, UNIX));
-        assertEquals("WORD; r2.2 PUSH 77 about -1 words []",
+        assertEquals(
+                "WORD; r2.2 PUSH 77 about -1 words []",
                 read(alice, write(carol, 0, Codec.Form.PUSH, UNIX, leaves), UNIX));
     }
 
@@ -179,7 +250,9 @@
         bytes.setLong(4, Ring.id(Ring.raw(KEYS[1].getPublic())));
         assertEquals("SIGNATURE", read(alice, bytes, UNIX));
         // And it does not hide what the other says then.
-        assertEquals("r1.2 PING 77 about -1 words []", read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX));
+        assertEquals(
+                "r1.2 PING 77 about -1 words []",
+                read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX));
     }
 
     @Example
@@ -189,8 +262,12 @@
         now = now.plus(DAY);
         assertEquals("CLOCK", read(alice, bytes, UNIX.plus(DAY)));
         // The word alone, passed on by another today.
-        assertEquals("WORD; r2.2 PUSH 77 about -1 words []",
-                read(alice, write(carol, 0, Codec.Form.PUSH, UNIX.plus(DAY), claim), UNIX.plus(DAY)));
+        assertEquals(
+                "WORD; r2.2 PUSH 77 about -1 words []",
+                read(
+                        alice,
+                        write(carol, 0, Codec.Form.PUSH, UNIX.plus(DAY), claim),
+                        UNIX.plus(DAY)));
     }
 
     @Example
@@ -199,17 +276,31 @@
         assertEquals("KEY", read(alice, write(next, 0, Codec.Form.PING, UNIX), UNIX), "not yet");
         Duration later = UNIX.plus(DAY);
         now = now.plus(DAY);
-        assertEquals("r1.2 PING 77 about -1 words []", read(alice, write(next, 0, Codec.Form.PING, later), later));
+        assertEquals(
+                "r1.2 PING 77 about -1 words []",
+                read(alice, write(next, 0, Codec.Form.PING, later), later));
         // Both, at once, and in any order.
-        Codec old = new Codec(ring, 1, Ring.id(Ring.raw(KEYS[1].getPublic())), KEYS[1].getPrivate(), ring.address(1),
-                DATAGRAM, 2000);
-        assertEquals("r1.2 PING 77 about -1 words []", read(alice, write(old, 0, Codec.Form.PING, later), later));
+        Codec old =
+                new Codec(
+                        ring,
+                        1,
+                        Ring.id(Ring.raw(KEYS[1].getPublic())),
+                        KEYS[1].getPrivate(),
+                        ring.address(1),
+                        DATAGRAM,
+                        2000);
+        assertEquals(
+                "r1.2 PING 77 about -1 words []",
+                read(alice, write(old, 0, Codec.Form.PING, later), later));
         Ring without = new Ring();
         without.add("r0", null);
         without.add("r1", null);
         without.key(1, hex(KEYS[1]), Duration.ZERO, later);
         Codec strict = new Codec(without, 0, 0, KEYS[0].getPrivate(), ring.address(0), DATAGRAM, 1);
-        assertEquals("KEY", read(strict, write(old, 0, Codec.Form.PING, later), later), "its time is over");
+        assertEquals(
+                "KEY",
+                read(strict, write(old, 0, Codec.Form.PING, later), later),
+                "its time is over");
     }
 
     @Example
@@ -234,7 +325,9 @@
             checked += read(alice, junk, UNIX).equals("FLOOD") ? 0 : 1;
         }
         assertTrue(checked <= 130, "checked " + checked);
-        assertTrue(read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX).startsWith("r1.2 PING"), "others are heard");
+        assertTrue(
+                read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX).startsWith("r1.2 PING"),
+                "others are heard");
     }
 
     @Property(tries = 300, seed = "11")
@@ -252,12 +345,21 @@
 
     @Property(tries = 150, seed = "12")
     void oneBitOffIsNothing(@ForAll @IntRange(max = 8 * 343 - 1) int bit) {
-        ByteBuf bytes = write(bob, 0, Codec.Form.PUSH, UNIX, bob.seal(claim(1, 2, UNIX)), carol.seal(claim(2, 2, UNIX)));
+        ByteBuf bytes =
+                write(
+                        bob,
+                        0,
+                        Codec.Form.PUSH,
+                        UNIX,
+                        bob.seal(claim(1, 2, UNIX)),
+                        carol.seal(claim(2, 2, UNIX)));
         now = now.plusSeconds(5);
         assertEquals(343, bytes.readableBytes());
         bytes.setByte(bit / 8, bytes.getByte(bit / 8) ^ 1 << bit % 8);
         String seen = read(alice, bytes, UNIX);
-        assertTrue(List.of("FORM", "NOT_MINE", "KEY", "CLOCK", "REPLAY", "SIGNATURE").contains(seen), bit + ": " + seen);
+        assertTrue(
+                List.of("FORM", "NOT_MINE", "KEY", "CLOCK", "REPLAY", "SIGNATURE").contains(seen),
+                bit + ": " + seen);
     }
 
     @Property(tries = 60, seed = "13")
@@ -268,38 +370,86 @@
     }
 
     @Property(tries = 100, seed = "14")
-    void wordsComeAsTheyWere(@ForAll @IntRange(max = 1 << 30) int incarnation, @ForAll @IntRange(max = 1 << 30) int number,
-            @ForAll long subject, @ForAll @IntRange(max = 3) int symptom, @ForAll @IntRange(max = 30_000) int evidence,
-            @ForAll @LongRange(max = 1_000_000) long sinceMs, @ForAll @LongRange(min = -29_000, max = 29_000) long offMs) {
+    void wordsComeAsTheyWere(
+            @ForAll @IntRange(max = 1 << 30) int incarnation,
+            @ForAll @IntRange(max = 1 << 30) int number,
+            @ForAll long subject,
+            @ForAll @IntRange(max = 3) int symptom,
+            @ForAll @IntRange(max = 30_000) int evidence,
+            @ForAll @LongRange(max = 1_000_000) long sinceMs,
+            @ForAll @LongRange(min = -29_000, max = 29_000) long offMs) {
         now = now.plusSeconds(5);
-        Word word = bob.seal(Word.of(1, incarnation, number, Kind.CLAIM, subject, symptom, evidence,
-                Duration.ofMillis(sinceMs), UNIX.plusMillis(offMs)));
+        Word word =
+                bob.seal(
+                        Word.of(
+                                1,
+                                incarnation,
+                                number,
+                                Kind.CLAIM,
+                                subject,
+                                symptom,
+                                evidence,
+                                Duration.ofMillis(sinceMs),
+                                UNIX.plusMillis(offMs)));
         List<Word> got = new ArrayList<>();
-        alice.read(write(bob, 0, Codec.Form.PUSH, UNIX, word), now, UNIX, new Codec.Reader() {
-            @Override
-            public void closed(int from, int incarnation, Duration sent, long[] words) {
-                trace.add(ring.name(from) + " closed " + java.util.Arrays.toString(words));
-            }
-
-            @Override
-            public void doubts(int from, int incarnation, Duration sent, int life, int about, long[] digest) { }
-
-            @Override
-            public void read(int from, int its, Duration sent, Codec.Form form, int probe, int about, List<Word> words) {
-                got.addAll(words);
-            }
-
-            @Override
-            public void at(int peer, int its, InetSocketAddress address) { }
-
-            @Override
-            public void dropped(Drop why) {
-                throw new AssertionError(why);
-            }
-        });
+        alice.read(
+                write(bob, 0, Codec.Form.PUSH, UNIX, word),
+                now,
+                UNIX,
+                new Codec.Reader() {
+                    @Override
+                    public void closed(int from, int incarnation, Duration sent, long[] words) {
+                        trace.add(ring.name(from) + " closed " + java.util.Arrays.toString(words));
+                    }
+
+                    @Override
+                    public void doubts(
+                            int from,
+                            int incarnation,
+                            Duration sent,
+                            int life,
+                            int about,
+                            long[] digest) {}
+
+                    @Override
+                    public void read(
+                            int from,
+                            int its,
+                            Duration sent,
+                            Codec.Form form,
+                            int probe,
+                            int about,
+                            List<Word> words) {
+                        got.addAll(words);
+                    }
+
+                    @Override
+                    public void at(int peer, int its, InetSocketAddress address) {}
+
+                    @Override
+                    public void dropped(Drop why) {
+                        throw new AssertionError(why);
+                    }
+                });
         Word same = got.get(0);
-        assertEquals(List.of(1, incarnation, number, subject, symptom, evidence, word.since(), word.said()),
-                List.of(same.origin(), same.incarnation(), same.number(), same.subject(), same.detail(), same.evidence(),
-                        same.since(), same.said()));
+        assertEquals(
+                List.of(
+                        1,
+                        incarnation,
+                        number,
+                        subject,
+                        symptom,
+                        evidence,
+                        word.since(),
+                        word.said()),
+                List.of(
+                        same.origin(),
+                        same.incarnation(),
+                        same.number(),
+                        same.subject(),
+                        same.detail(),
+                        same.evidence(),
+                        same.since(),
+                        same.said()));
     }
 }
--- a/src/test/java/dillfront/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/pgwire/KeyTest.java
@@ -11,7 +11,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** What rights are asked about is what a node reads as the key: all between the quotes, byte for byte. */
+/**
+ * What rights are asked about is what a node reads as the key: all between the quotes, byte for
+ * byte.
+ */
 class KeyTest {
 
     private static final String BEFORE = "SELECT body FROM objects WHERE oid = '";
@@ -26,8 +29,10 @@
         ByteBuf message = Unpooled.buffer().writeZero(7);
         message.readerIndex(7);
         message.writeByte('Q').writeInt(0);
-        message.writeBytes(BEFORE.getBytes(StandardCharsets.US_ASCII)).writeBytes(key)
-                .writeBytes(BEHIND.getBytes(StandardCharsets.US_ASCII)).writeByte(0);
+        message.writeBytes(BEFORE.getBytes(StandardCharsets.US_ASCII))
+                .writeBytes(key)
+                .writeBytes(BEHIND.getBytes(StandardCharsets.US_ASCII))
+                .writeByte(0);
         message.setInt(8, message.readableBytes() - 1);
         boolean plain = key.length > 0;
         for (byte b : key) {
--- a/src/test/java/dillfront/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/pgwire/PgwireTest.java
@@ -9,7 +9,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The cutter of messages and the parser of statements, fed whole, in pieces and with what is out of form. */
+/**
+ * The cutter of messages and the parser of statements, fed whole, in pieces and with what is out of
+ * form.
+ */
 class PgwireTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -26,7 +29,8 @@
             for (ByteBuf piece : pieces) {
                 frames.add(piece);
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
-                    seen.append(message.readableBytes()).append(untyped ? "startup " : (char) message.getByte(0) + " ");
+                    seen.append(message.readableBytes())
+                            .append(untyped ? "startup " : (char) message.getByte(0) + " ");
                     if (untyped) {
                         frames.typed();
                         untyped = false;
@@ -45,24 +49,39 @@
     @Test
     void messagesAreCutWhereverTheyAreSplit() throws IOException {
         ByteBuf all = Messages.startup(Unpooled.buffer(), "worker", "catalog");
-        all.writeBytes(query("")).writeBytes(query("SELECT 1")).writeBytes(Messages.ready(Unpooled.buffer()));
+        all.writeBytes(query(""))
+                .writeBytes(query("SELECT 1"))
+                .writeBytes(Messages.ready(Unpooled.buffer()));
         String whole = cut(true, all.copy());
         trace.append("whole: ").append(whole).append('\n');
         for (int at = 1; at < all.readableBytes(); at++) {
-            assertEquals(whole, cut(true, all.copy(0, at), all.copy(at, all.readableBytes() - at)), "cut at " + at);
+            assertEquals(
+                    whole,
+                    cut(true, all.copy(0, at), all.copy(at, all.readableBytes() - at)),
+                    "cut at " + at);
         }
         ByteBuf[] bytes = new ByteBuf[all.readableBytes()];
         for (int i = 0; i < bytes.length; i++) {
             bytes[i] = all.copy(i, 1);
         }
         assertEquals(whole, cut(true, bytes), "byte by byte");
-        trace.append("short startup: ").append(cut(true, Unpooled.buffer().writeInt(7).writeInt(0))).append('\n');
-        trace.append("long startup: ").append(cut(true, Unpooled.buffer().writeInt(10_001).writeInt(0))).append('\n');
-        trace.append("length 3: ").append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(3))).append('\n');
-        trace.append("negative: ").append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(-1))).append('\n');
-        trace.append("longest: ").append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST)))
+        trace.append("short startup: ")
+                .append(cut(true, Unpooled.buffer().writeInt(7).writeInt(0)))
                 .append('\n');
-        trace.append("longer: ").append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST + 1)))
+        trace.append("long startup: ")
+                .append(cut(true, Unpooled.buffer().writeInt(10_001).writeInt(0)))
+                .append('\n');
+        trace.append("length 3: ")
+                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(3)))
+                .append('\n');
+        trace.append("negative: ")
+                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(-1)))
+                .append('\n');
+        trace.append("longest: ")
+                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST)))
+                .append('\n');
+        trace.append("longer: ")
+                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST + 1)))
                 .append('\n');
         Scene.compare("messages", trace);
     }
@@ -76,8 +95,11 @@
         ByteBuf first = frames.next();
         frames.add(two.copy(14, two.readableBytes() - 14));
         ByteBuf second = frames.next();
-        assertEquals("first|second", first.toString(5, 5, StandardCharsets.US_ASCII) + "|"
-                + second.toString(5, 6, StandardCharsets.US_ASCII));
+        assertEquals(
+                "first|second",
+                first.toString(5, 5, StandardCharsets.US_ASCII)
+                        + "|"
+                        + second.toString(5, 6, StandardCharsets.US_ASCII));
         assertEquals(0, frames.waiting());
         first.release();
         second.release();
@@ -86,25 +108,58 @@
 
     @Test
     void statements() throws IOException {
-        String read = "SELECT body FROM objects WHERE oid = '7f3a' /* id=9b,c=basket,d=480,cluster=2 */";
-        String write = "INSERT INTO objects (oid, body) VALUES ('7f3a', '\\x9f03') RETURNING body "
-                + "/* id=9b,c=order,d=480,k=5c0f,cluster=2 */";
-        String[] cases = {read, write, read.replace("cluster=2", "cluster=2,after=1767225600123,r=1,new=x"),
-            read.replace("d=480", "d=0"), read.replace("7f3a", ""), read.replace("SELECT", "select"),
-            read + ";", read.replace(" */", ""), read.replace("id=9b,", ""), read.replace("c=basket,", ""),
-            read.replace("d=480,", ""), read.replace("cluster=2", "cluster=two"), read.replace("d=480", "d=-1"),
-            read.replace("d=480", "d=99999999999999999999"), read.replace("d=480", "d="), read.replace("d=480", "d"),
-            read.replace("id=9b", "id="), read.replace("body FROM", "secret FROM"), "DROP TABLE objects", "",
-            write.replace("9f03", "9f0"), write.replace("9f03", "9g03"), write.replace("9f03", ""),
-            read.replace("'7f3a'", "'7f'''"), read.replace("/* ", "/* /* ")};
+        String read =
+                "SELECT body FROM objects WHERE oid = '7f3a' /* id=9b,c=basket,d=480,cluster=2 */";
+        String write =
+                "INSERT INTO objects (oid, body) VALUES ('7f3a', '\\x9f03') RETURNING body "
+                        + "/* id=9b,c=order,d=480,k=5c0f,cluster=2 */";
+        String[] cases = {
+            read,
+            write,
+            read.replace("cluster=2", "cluster=2,after=1767225600123,r=1,new=x"),
+            read.replace("d=480", "d=0"),
+            read.replace("7f3a", ""),
+            read.replace("SELECT", "select"),
+            read + ";",
+            read.replace(" */", ""),
+            read.replace("id=9b,", ""),
+            read.replace("c=basket,", ""),
+            read.replace("d=480,", ""),
+            read.replace("cluster=2", "cluster=two"),
+            read.replace("d=480", "d=-1"),
+            read.replace("d=480", "d=99999999999999999999"),
+            read.replace("d=480", "d="),
+            read.replace("d=480", "d"),
+            read.replace("id=9b", "id="),
+            read.replace("body FROM", "secret FROM"),
+            "DROP TABLE objects",
+            "",
+            write.replace("9f03", "9f0"),
+            write.replace("9f03", "9g03"),
+            write.replace("9f03", ""),
+            read.replace("'7f3a'", "'7f'''"),
+            read.replace("/* ", "/* /* ")
+        };
         for (String text : cases) {
             trace.append(text).append("\n   ");
             ByteBuf message = query(text);
             try {
                 Statement s = Statement.read(message);
-                trace.append(s.write ? "write" : "read").append(" type ").append(s.type).append(" wait ").append(s.waitMs)
-                        .append(" group ").append(s.group).append(" after ").append(s.afterMs).append(" digits ")
-                        .append(message.toString(s.waitFrom, s.waitTo - s.waitFrom, StandardCharsets.US_ASCII));
+                trace.append(s.write ? "write" : "read")
+                        .append(" type ")
+                        .append(s.type)
+                        .append(" wait ")
+                        .append(s.waitMs)
+                        .append(" group ")
+                        .append(s.group)
+                        .append(" after ")
+                        .append(s.afterMs)
+                        .append(" digits ")
+                        .append(
+                                message.toString(
+                                        s.waitFrom,
+                                        s.waitTo - s.waitFrom,
+                                        StandardCharsets.US_ASCII));
             } catch (BadStatement bad) {
                 trace.append(bad.getMessage());
             }
@@ -114,7 +169,8 @@
         // Cut short anywhere, it is out of form, never half a txn.
         for (int length = 0; length < write.length(); length++) {
             ByteBuf message = query(write.substring(0, length));
-            org.junit.jupiter.api.Assertions.assertThrows(BadStatement.class, () -> Statement.read(message));
+            org.junit.jupiter.api.Assertions.assertThrows(
+                    BadStatement.class, () -> Statement.read(message));
         }
     }
 }
--- a/src/test/java/dillfront/programs/Control.java
+++ b/src/test/java/dillfront/programs/Control.java
@@ -23,7 +23,7 @@
 final class Control {
 
     /** What came back: 0 where no whole answer did. */
-    record Answer(int status, String body) { }
+    record Answer(int status, String body) {}
 
     private static final Answer NONE = new Answer(0, "");
     private static final Set<Integer> GIVEN = new HashSet<>();
@@ -48,7 +48,8 @@
     static synchronized int[] ports() throws IOException {
         while (true) {
             try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"));
-                    ServerSocket two = new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"))) {
+                    ServerSocket two =
+                            new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"))) {
                 if (GIVEN.add(one.getLocalPort()) & GIVEN.add(two.getLocalPort())) {
                     return new int[] {one.getLocalPort(), two.getLocalPort()};
                 }
@@ -60,25 +61,50 @@
         Files.createDirectories(folder.resolve("data"));
         JsonArray all = Json.array().asArray();
         seeds.forEach(seed -> all.add(seed.ip + ":" + control));
-        JsonObject settings = Json.object().add("node_name", "core-" + ip).add("ip_address", ip).add("zone_name", ip).add("region", "r")
-                .add("zones", Json.object().add(ip, "r")).add("listen_addresses", Json.object().add("control_address", ip + ":" + control))
-                .add("internal_port_range", Json.array(inner, inner + 9)).add("seed_addresses", all).add("first_start", first)
-                .add("data_directory", folder.resolve("data").toString()).add("tolerated_losses", Json.object().add("machines", 1))
-                .add("heartbeat_interval_ms", 300).add("bounds", Json.object()).add("cloud_api", Json.object().add("address", platform));
+        JsonObject settings =
+                Json.object()
+                        .add("node_name", "core-" + ip)
+                        .add("ip_address", ip)
+                        .add("zone_name", ip)
+                        .add("region", "r")
+                        .add("zones", Json.object().add(ip, "r"))
+                        .add(
+                                "listen_addresses",
+                                Json.object().add("control_address", ip + ":" + control))
+                        .add("internal_port_range", Json.array(inner, inner + 9))
+                        .add("seed_addresses", all)
+                        .add("first_start", first)
+                        .add("data_directory", folder.resolve("data").toString())
+                        .add("tolerated_losses", Json.object().add("machines", 1))
+                        .add("heartbeat_interval_ms", 300)
+                        .add("bounds", Json.object())
+                        .add("cloud_api", Json.object().add("address", platform));
         Path file = folder.resolve("node.json");
         Files.writeString(file, settings.toString());
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Djava.net.preferIPv4Stack=true", "-cp",
-                System.getProperty("java.class.path"), "dillfront.cli.Main", "control-plane");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx64m",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Djava.net.preferIPv4Stack=true",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "dillfront.cli.Main",
+                        "control-plane");
         builder.environment().put("DILLFRONT_SETTINGS", file.toString());
-        builder.redirectErrorStream(true).redirectOutput(folder.resolve("log." + ++starts).toFile());
+        builder.redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log." + ++starts).toFile());
         process = builder.start();
     }
 
-    /** A process that is to stop does so thread by thread, some time after it was told: that is waited for. */
+    /**
+     * A process that is to stop does so thread by thread, some time after it was told: that is
+     * waited for.
+     */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
-        for (long end = System.nanoTime() + 10_000_000_000L; name.equals("STOP") && !stopped();) {
+        for (long end = System.nanoTime() + 10_000_000_000L; name.equals("STOP") && !stopped(); ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("it does not stop");
             }
@@ -132,8 +158,16 @@
     }
 
     static byte[] request(String method, String path, String body, boolean last) {
-        return (method + " " + path + " HTTP/1.1\r\nHost: control\r\n" + (last ? "Connection: close\r\n" : "")
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII);
+        return (method
+                        + " "
+                        + path
+                        + " HTTP/1.1\r\nHost: control\r\n"
+                        + (last ? "Connection: close\r\n" : "")
+                        + "Content-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body)
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     Answer call(String method, String path, String body) {
@@ -159,7 +193,11 @@
             String text = head.toString(StandardCharsets.US_ASCII);
             int length = Integer.parseInt(text.replaceAll("(?is).*content-length: (\\d+).*", "$1"));
             byte[] body = socket.getInputStream().readNBytes(length);
-            return body.length < length ? NONE : new Answer(Integer.parseInt(text.split(" ")[1]), new String(body, StandardCharsets.UTF_8));
+            return body.length < length
+                    ? NONE
+                    : new Answer(
+                            Integer.parseInt(text.split(" ")[1]),
+                            new String(body, StandardCharsets.UTF_8));
         } catch (IOException | NumberFormatException none) {
             return NONE;
         }
@@ -183,7 +221,12 @@
         StringBuilder all = new StringBuilder();
         for (int i = 1; i <= starts; i++) {
             try {
-                all.append("---- ").append(ip).append(", start ").append(i).append('\n').append(Files.readString(folder.resolve("log." + i)));
+                all.append("---- ")
+                        .append(ip)
+                        .append(", start ")
+                        .append(i)
+                        .append('\n')
+                        .append(Files.readString(folder.resolve("log." + i)));
             } catch (IOException none) {
                 all.append(none);
             }
--- a/src/test/java/dillfront/programs/RealControlTest.java
+++ b/src/test/java/dillfront/programs/RealControlTest.java
@@ -40,13 +40,13 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Three real control processes on loopback, and each of five harms brought about once: a process out of contact, two orders
- * under one number, a loss right after a repair, one that is far behind, and calls that share a connection.
+ * Three real control processes on loopback, and each of five harms brought about once: a process
+ * out of contact, two orders under one number, a loss right after a repair, one that is far behind,
+ * and calls that share a connection.
  */
 class RealControlTest {
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private final List<Control> all = new ArrayList<>();
     private Control a;
     private Control b;
@@ -79,12 +79,17 @@
         }
         up(seeds);
         acknowledged(configuration(1, 500), seeds);
-        until("all three answer a read", () -> seeds.stream().allMatch(one -> one.read().status() == 200));
+        until(
+                "all three answer a read",
+                () -> seeds.stream().allMatch(one -> one.read().status() == 200));
     }
 
     /** What a machine under load takes until programs run is no part of any scene. */
     private void up(List<Control> started) throws Exception {
-        until(60, "programs run: " + started.size(), () -> started.stream().noneMatch(one -> one.status().isEmpty()));
+        until(
+                60,
+                "programs run: " + started.size(),
+                () -> started.stream().noneMatch(one -> one.status().isEmpty()));
     }
 
     @AfterEach
@@ -99,7 +104,13 @@
 
     private String told() {
         StringBuilder text = new StringBuilder();
-        all.forEach(one -> text.append(one.ip).append(' ').append(one.runs() ? one.status() : "down").append('\n').append(one.log()));
+        all.forEach(
+                one ->
+                        text.append(one.ip)
+                                .append(' ')
+                                .append(one.runs() ? one.status() : "down")
+                                .append('\n')
+                                .append(one.log()));
         return text.toString();
     }
 
@@ -108,32 +119,45 @@
     }
 
     private void until(long seconds, String what, Callable<Boolean> is) throws Exception {
-        for (long end = System.nanoTime() + seconds * 1_000_000_000L; !is.call();) {
+        for (long end = System.nanoTime() + seconds * 1_000_000_000L; !is.call(); ) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("waited " + seconds + " s in vain until " + what + "\n" + told());
+                throw new AssertionError(
+                        "waited " + seconds + " s in vain until " + what + "\n" + told());
             }
             Thread.sleep(20);
         }
     }
 
     private static String configuration(long version, int timeout) {
-        return ("{'revision_number':" + version + ",'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
-                + "'timeout_ms':" + timeout + ",'service':'db'}],'services':[{'name':'db','connection_limit':50,"
-                + "'synchronous_replicas':1}]}").replace('\'', '"');
+        return ("{'revision_number':"
+                        + version
+                        + ",'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
+                        + "'timeout_ms':"
+                        + timeout
+                        + ",'service':'db'}],'services':[{'name':'db','connection_limit':50,"
+                        + "'synchronous_replicas':1}]}")
+                .replace('\'', '"');
     }
 
     private static long version(Control.Answer of) {
         return Json.parse(of.body()).asObject().getLong("revision_number", -1);
     }
 
-    /** As an operator does: again, to one after the other, until it is acknowledged; no answer may be a refusal. */
+    /**
+     * As an operator does: again, to one after the other, until it is acknowledged; no answer may
+     * be a refusal.
+     */
     private void acknowledged(String order, List<Control> at) throws Exception {
         int[] next = new int[1];
-        until("an order is acknowledged by one of " + at.size(), () -> {
-            int status = at.get(next[0]++ % at.size()).replace(order).status();
-            assertTrue(status < 400 || status >= 500, () -> status + " for a valid order\n" + told());
-            return status == 200;
-        });
+        until(
+                "an order is acknowledged by one of " + at.size(),
+                () -> {
+                    int status = at.get(next[0]++ % at.size()).replace(order).status();
+                    assertTrue(
+                            status < 400 || status >= 500,
+                            () -> status + " for a valid order\n" + told());
+                    return status == 200;
+                });
     }
 
     /** That one itself acknowledges it within some tries, each without a refusal. */
@@ -143,7 +167,10 @@
 
     // ---- 1: out of contact
 
-    /** Guards against a process that runs, and answers, but reaches no other: what it says is not current. */
+    /**
+     * Guards against a process that runs, and answers, but reaches no other: what it says is not
+     * current.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void withoutAMajorityNothingIsConfirmedRefusedOrHandedOut() throws Exception {
@@ -158,23 +185,34 @@
             reads.add(a.read().status());
         }
         for (int status : orders) {
-            assertTrue(status == 0 || status == 503 || status == 307, "orders at the cut-off one: " + orders);
+            assertTrue(
+                    status == 0 || status == 503 || status == 307,
+                    "orders at the cut-off one: " + orders);
         }
         for (int status : reads) {
-            assertTrue(status == 0 || status == 503 || status == 307, "reads at the cut-off one: " + reads);
+            assertTrue(
+                    status == 0 || status == 503 || status == 307,
+                    "reads at the cut-off one: " + reads);
         }
         assertTrue(orders.size() >= 3, "it answers within a second each: " + orders);
         b.signal("CONT");
         c.signal("CONT");
         acknowledged(configuration(1_000, 700), List.of(b, c, a));
-        until("a read at the one that was cut off is the newest", () -> {
-            Control.Answer is = a.read();
-            assertTrue(is.status() == 503 || is.status() == 0 || version(is) == 1_000, is.body());
-            return is.status() == 200;
-        });
+        until(
+                "a read at the one that was cut off is the newest",
+                () -> {
+                    Control.Answer is = a.read();
+                    assertTrue(
+                            is.status() == 503 || is.status() == 0 || version(is) == 1_000,
+                            is.body());
+                    return is.status() == 200;
+                });
     }
 
-    /** Relays between all three, by who dials and whom: each knows the others by an inner port that is only its own. */
+    /**
+     * Relays between all three, by who dials and whom: each knows the others by an inner port that
+     * is only its own.
+     */
     private Map<String, Relay> foundBehindRelays() throws Exception {
         int[] inner = {0, Control.ports()[0], Control.ports()[0], Control.ports()[0]};
         for (int i = 1; i <= 3; i++) {
@@ -187,7 +225,11 @@
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
                 if (i != j) {
-                    relays.put(i + ">" + j, new Relay(new InetSocketAddress("127.0.77." + j, inner[i]), new InetSocketAddress("127.0.77." + j, inner[j])));
+                    relays.put(
+                            i + ">" + j,
+                            new Relay(
+                                    new InetSocketAddress("127.0.77." + j, inner[i]),
+                                    new InetSocketAddress("127.0.77." + j, inner[j])));
                 }
             }
         }
@@ -195,7 +237,10 @@
         return relays;
     }
 
-    /** Guards against a process that the network cuts off while it runs, wholly or one way, and its callers still reach it. */
+    /**
+     * Guards against a process that the network cuts off while it runs, wholly or one way, and its
+     * callers still reach it.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void whoIsCutOffByTheNetworkConfirmsRefusesAndHandsOutNothing() throws Exception {
@@ -204,13 +249,14 @@
             int version = 1;
             for (boolean[] lost : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
                 String what = "its words are lost: " + lost[0] + ", those to it: " + lost[1];
-                relays.forEach((way, relay) -> {
-                    if (way.startsWith("1")) {
-                        relay.lose(lost[0], lost[1]);
-                    } else if (way.endsWith("1")) {
-                        relay.lose(lost[1], lost[0]);
-                    }
-                });
+                relays.forEach(
+                        (way, relay) -> {
+                            if (way.startsWith("1")) {
+                                relay.lose(lost[0], lost[1]);
+                            } else if (way.endsWith("1")) {
+                                relay.lose(lost[1], lost[0]);
+                            }
+                        });
                 long from = System.nanoTime();
                 int newest = version + 2;
                 acknowledged(configuration(newest, 500 + newest), List.of(b, c));
@@ -218,21 +264,38 @@
                 long last = from;
                 while (last - from < 2_400_000_000L) {
                     last = System.nanoTime();
-                    for (Control.Answer is : List.of(a.replace(configuration(version + 1, 600 + version)), a.read())) {
+                    for (Control.Answer is :
+                            List.of(
+                                    a.replace(configuration(version + 1, 600 + version)),
+                                    a.read())) {
                         answers.add(is.status());
-                        assertTrue(is.status() == 503 || is.status() == 307, () -> what + ": " + answers + "\n" + told());
+                        assertTrue(
+                                is.status() == 503 || is.status() == 307,
+                                () -> what + ": " + answers + "\n" + told());
                     }
                 }
                 long asked = System.nanoTime();
                 assertEquals(307, a.read().status(), what);
                 long took = (System.nanoTime() - asked) / 1_000_000;
-                assertTrue(a.status().contains(" alone ") && took < 500, what + ": it knows by now, and says so at once: " + took + " ms, " + a.status());
+                assertTrue(
+                        a.status().contains(" alone ") && took < 500,
+                        what
+                                + ": it knows by now, and says so at once: "
+                                + took
+                                + " ms, "
+                                + a.status());
                 relays.values().forEach(Relay::heal);
-                until("a read at the one that was cut off is the newest; " + what, () -> {
-                    Control.Answer is = a.read();
-                    assertTrue(is.status() == 503 || is.status() == 307 || version(is) == newest, is.status() + " " + is.body());
-                    return is.status() == 200;
-                });
+                until(
+                        "a read at the one that was cut off is the newest; " + what,
+                        () -> {
+                            Control.Answer is = a.read();
+                            assertTrue(
+                                    is.status() == 503
+                                            || is.status() == 307
+                                            || version(is) == newest,
+                                    is.status() + " " + is.body());
+                            return is.status() == 200;
+                        });
                 version = newest + 1;
                 acknowledged(configuration(version, 500 + version), a);
             }
@@ -243,7 +306,10 @@
         }
     }
 
-    /** Guards against old state from a process that stood still and does not know it yet: the calls lay in its sockets. */
+    /**
+     * Guards against old state from a process that stood still and does not know it yet: the calls
+     * lay in its sockets.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void whoStoodStillAnswersNothingOld() throws Exception {
@@ -263,50 +329,66 @@
         a.signal("CONT");
         for (Socket read : waiting) {
             Control.Answer is = Control.hear(read);
-            assertTrue(is.status() == 0 || is.status() == 503 || is.status() == 307 || version(is) == 6, is.status() + " " + is.body());
+            assertTrue(
+                    is.status() == 0
+                            || is.status() == 503
+                            || is.status() == 307
+                            || version(is) == 6,
+                    is.status() + " " + is.body());
             read.close();
         }
-        until("it answers a read with the newest", () -> {
-            Control.Answer is = a.read();
-            assertTrue(is.status() != 200 || version(is) == 6, is.body());
-            return is.status() == 200;
-        });
+        until(
+                "it answers a read with the newest",
+                () -> {
+                    Control.Answer is = a.read();
+                    assertTrue(is.status() != 200 || version(is) == 6, is.body());
+                    return is.status() == 200;
+                });
     }
 
     // ---- 1 and 5: an old lease
 
     /** One call of the platform. */
-    private record Call(long fence, String holder, String instance) { }
+    private record Call(long fence, String holder, String instance) {}
 
-    /** The platform, and three hollow servers of one service: what they were told, in the order in which it came. */
+    /**
+     * The platform, and three hollow servers of one service: what they were told, in the order in
+     * which it came.
+     */
     private final class Cloud implements AutoCloseable {
         final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final NettyHost host = new NettyHost(7);
         final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
         final List<String> words = Collections.synchronizedList(new ArrayList<>());
+
         /** The next call, and all of whoever makes it, are not answered before this is over. */
         final AtomicReference<CountDownLatch> holds = new AtomicReference<>();
+
         private String unanswered = "";
         private final String[] addresses = new String[4];
         volatile int leads = 1;
+
         /** The term that a PAUSE named, by server, until it is resumed or another is promoted. */
         private final long[] paused = new long[4];
+
         volatile boolean firstIsDead;
         private volatile long fence;
 
         Cloud() throws IOException {
-            Thread thread = new Thread(() -> {
-                while (!door.isClosed()) {
-                    try {
-                        Socket socket = door.accept();
-                        Thread one = new Thread(() -> meet(socket));
-                        one.setDaemon(true);
-                        one.start();
-                    } catch (IOException closed) {
-                        return;
-                    }
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                while (!door.isClosed()) {
+                                    try {
+                                        Socket socket = door.accept();
+                                        Thread one = new Thread(() -> meet(socket));
+                                        one.setDaemon(true);
+                                        one.start();
+                                    } catch (IOException closed) {
+                                        return;
+                                    }
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
             for (int i = 1; i <= 3; i++) {
@@ -324,14 +406,22 @@
 
         private void meet(Socket socket) {
             try (socket) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.US_ASCII));
                 long number = -1;
                 String holder = "";
                 int length = 0;
-                for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+                for (String line = in.readLine();
+                        line != null && !line.isEmpty();
+                        line = in.readLine()) {
                     String value = line.substring(line.indexOf(':') + 1).strip();
                     String name = line.toLowerCase(java.util.Locale.ROOT);
-                    number = name.startsWith("dillfront-fence-number:") ? Long.parseLong(value) : number;
+                    number =
+                            name.startsWith("dillfront-fence-number:")
+                                    ? Long.parseLong(value)
+                                    : number;
                     holder = name.startsWith("dillfront-duty-holder:") ? value : holder;
                     length = name.startsWith("content-length:") ? Integer.parseInt(value) : length;
                 }
@@ -340,7 +430,8 @@
                 while (read < length) {
                     read += in.read(body, read, length - read);
                 }
-                String instance = Json.parse(new String(body)).asObject().getString("instance_id", "");
+                String instance =
+                        Json.parse(new String(body)).asObject().getString("instance_id", "");
                 CountDownLatch held;
                 int status;
                 synchronized (this) {
@@ -357,7 +448,10 @@
                 if (held != null) {
                     held.await();
                 }
-                socket.getOutputStream().write(("HTTP/1.1 " + status + " is\r\nContent-Length: 2\r\n\r\n{}").getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write(
+                                ("HTTP/1.1 " + status + " is\r\nContent-Length: 2\r\n\r\n{}")
+                                        .getBytes(StandardCharsets.US_ASCII));
             } catch (IOException | InterruptedException over) {
                 // Whoever called has gone.
             }
@@ -365,16 +459,32 @@
 
         /** Each beats at all control processes, for as long as it lives. */
         void beats(int number, long sequence) {
-            host.after(200, () -> {
-                if (number != 1 || !firstIsDead) {
-                    String body = Json.object().add("service", "db").add("address", addresses[number]).add("zone_name", "z").add("state", "ready")
-                            .add("database_role", leads == number ? "primary" : "replica").add("call_sequence", sequence).toString();
-                    for (Control one : List.of(a, b, c)) {
-                        host.post(one.ip + ":" + ports[0], "/Instances.Heartbeat/i-" + number, body, Map.of(), 1_000);
-                    }
-                }
-                beats(number, sequence + 1);
-            });
+            host.after(
+                    200,
+                    () -> {
+                        if (number != 1 || !firstIsDead) {
+                            String body =
+                                    Json.object()
+                                            .add("service", "db")
+                                            .add("address", addresses[number])
+                                            .add("zone_name", "z")
+                                            .add("state", "ready")
+                                            .add(
+                                                    "database_role",
+                                                    leads == number ? "primary" : "replica")
+                                            .add("call_sequence", sequence)
+                                            .toString();
+                            for (Control one : List.of(a, b, c)) {
+                                host.post(
+                                        one.ip + ":" + ports[0],
+                                        "/Instances.Heartbeat/i-" + number,
+                                        body,
+                                        Map.of(),
+                                        1_000);
+                            }
+                        }
+                        beats(number, sequence + 1);
+                    });
         }
 
         private final class Server implements Host.Ear {
@@ -399,13 +509,22 @@
                 }
                 long held;
                 synchronized (Cloud.this) {
-                    paused[number] = line.startsWith("QUERY - PAUSE ") ? Long.parseLong(line.substring(14))
-                            : line.equals("QUERY - RESUME") ? 0 : paused[number];
+                    paused[number] =
+                            line.startsWith("QUERY - PAUSE ")
+                                    ? Long.parseLong(line.substring(14))
+                                    : line.equals("QUERY - RESUME") ? 0 : paused[number];
                     held = paused[number];
                 }
                 if (!line.equals("GOODBYE")) {
-                    link.send((line.startsWith("CONNECT") ? "READY I 1.1" : "ROW " + (leads == number ? "primary" : "replica")
-                            + " 1 1.1 " + held + " 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1").getBytes(StandardCharsets.US_ASCII));
+                    link.send(
+                            (line.startsWith("CONNECT")
+                                            ? "READY I 1.1"
+                                            : "ROW "
+                                                    + (leads == number ? "primary" : "replica")
+                                                    + " 1 1.1 "
+                                                    + held
+                                                    + " 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1")
+                                    .getBytes(StandardCharsets.US_ASCII));
                 }
             }
 
@@ -440,7 +559,10 @@
         return status.replaceAll(".* (promised=\\d+ to=\\S+) .*", "$1");
     }
 
-    /** Guards against a holder that stood still in the midst of a promotion, and goes on with it under its old lease. */
+    /**
+     * Guards against a holder that stood still in the midst of a promotion, and goes on with it
+     * under its old lease.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void anOldLeaseActsNoMore() throws Exception {
@@ -450,25 +572,44 @@
             for (int i = 1; i <= 3; i++) {
                 cloud.beats(i, 1);
             }
-            until("the first is recorded as the primary", () -> {
-                String status = all.stream().map(Control::status).filter(RealControlTest::holds).findFirst().orElse("");
-                return leads(1, status);
-            });
+            until(
+                    "the first is recorded as the primary",
+                    () -> {
+                        String status =
+                                all.stream()
+                                        .map(Control::status)
+                                        .filter(RealControlTest::holds)
+                                        .findFirst()
+                                        .orElse("");
+                        return leads(1, status);
+                    });
             CountDownLatch held = new CountDownLatch(1);
             int before = cloud.calls.size();
             cloud.holds.set(held);
             cloud.firstIsDead = true;
-            until("the platform has a call that it does not answer", () -> cloud.calls.size() > before);
+            until(
+                    "the platform has a call that it does not answer",
+                    () -> cloud.calls.size() > before);
             // Whoever called holds the lease: the call's fence is a number within it.
             Call first = cloud.calls.get(before);
-            Control old = all.stream().filter(one -> first.holder().equals("core-" + one.ip)).findFirst().orElseThrow();
+            Control old =
+                    all.stream()
+                            .filter(one -> first.holder().equals("core-" + one.ip))
+                            .findFirst()
+                            .orElseThrow();
             old.signal("STOP");
             List<Call> open = List.copyOf(cloud.calls);
-            assertTrue(open.subList(before, open.size()).stream().allMatch(first::equals), "more than one call, and sent again: " + open);
+            assertTrue(
+                    open.subList(before, open.size()).stream().allMatch(first::equals),
+                    "more than one call, and sent again: " + open);
             assertEquals(1, cloud.leads, "the call is not carried out when its caller is stopped");
             List<Control> others = all.stream().filter(one -> one != old).toList();
-            until("another has named a primary, and it leads", () -> cloud.leads != 1
-                    && others.stream().allMatch(one -> leads(cloud.leads, one.status())));
+            until(
+                    "another has named a primary, and it leads",
+                    () ->
+                            cloud.leads != 1
+                                    && others.stream()
+                                            .allMatch(one -> leads(cloud.leads, one.status())));
             acknowledged(configuration(5, 900), others);
             int calls = cloud.calls.size();
             int words = cloud.words.size();
@@ -476,55 +617,119 @@
             // What the platform said then comes only now.
             held.countDown();
             old.signal("CONT");
-            // Not the highest number that anyone had promised a moment before: that may be one to itself, which came to nothing.
-            until("the old holder has promised the newer lease to its holder, and knows of the primary", () -> {
-                String newer = others.stream().map(Control::status).filter(RealControlTest::holds).findFirst().orElse("");
-                String is = old.status();
-                return !newer.isEmpty() && !holds(is) && promise(is).equals(promise(newer)) && leads(leads, is);
-            });
+            // Not the highest number that anyone had promised a moment before: that may be one to
+            // itself, which came to nothing.
+            until(
+                    "the old holder has promised the newer lease to its holder, and knows of the primary",
+                    () -> {
+                        String newer =
+                                others.stream()
+                                        .map(Control::status)
+                                        .filter(RealControlTest::holds)
+                                        .findFirst()
+                                        .orElse("");
+                        String is = old.status();
+                        return !newer.isEmpty()
+                                && !holds(is)
+                                && promise(is).equals(promise(newer))
+                                && leads(leads, is);
+                    });
             Control.Answer read = old.read();
             assertTrue(read.status() != 200 || version(read) == 5, read.body());
             List<Call> made = List.copyOf(cloud.calls);
             List<String> said = List.copyOf(cloud.words).subList(words, cloud.words.size());
-            assertTrue(made.subList(calls, made.size()).stream().noneMatch(call -> call.holder().equals("core-" + old.ip)), "made " + made);
-            assertTrue(said.stream().noneMatch(word -> word.contains(" PAUSE ") || word.contains(" STEPDOWN ")), "said " + said);
+            assertTrue(
+                    made.subList(calls, made.size()).stream()
+                            .noneMatch(call -> call.holder().equals("core-" + old.ip)),
+                    "made " + made);
+            assertTrue(
+                    said.stream()
+                            .noneMatch(
+                                    word ->
+                                            word.contains(" PAUSE ")
+                                                    || word.contains(" STEPDOWN ")),
+                    "said " + said);
             for (int i = 1; i < made.size(); i++) {
                 Call is = made.get(i);
                 assertTrue(is.fence() >= made.get(i - 1).fence(), "a fence that falls: " + made);
-                assertTrue(made.stream().noneMatch(other -> other.fence() == is.fence() && !other.holder().equals(is.holder())), "one fence, two holders: " + made);
+                assertTrue(
+                        made.stream()
+                                .noneMatch(
+                                        other ->
+                                                other.fence() == is.fence()
+                                                        && !other.holder().equals(is.holder())),
+                        "one fence, two holders: " + made);
             }
             assertEquals(leads, cloud.leads);
         }
     }
 
-    /** A data plane that knows of acknowledged commits which no replica has: it says so once, and is gone. */
+    /**
+     * A data plane that knows of acknowledged commits which no replica has: it says so once, and is
+     * gone.
+     */
     private void tellsOfCommits(Cloud cloud, Control to) {
-        cloud.host.loop().execute(() -> cloud.host.dial(to.ip + ":" + ports[1], Host.Form.FRAMES, 1_000, new Host.Ear() {
-            @Override
-            public void opened(Host.Link link) {
-                link.send(Pack.write(Map.of("t", "news", "n", "front", "q", 1, "b", "", "r", 0, "c", -1,
-                        "s", List.of(Map.of("s", "db", "p", "i-1", "h", 0, "o", 0, "a", "1.5 1.6")))));
-            }
+        cloud.host
+                .loop()
+                .execute(
+                        () ->
+                                cloud.host.dial(
+                                        to.ip + ":" + ports[1],
+                                        Host.Form.FRAMES,
+                                        1_000,
+                                        new Host.Ear() {
+                                            @Override
+                                            public void opened(Host.Link link) {
+                                                link.send(
+                                                        Pack.write(
+                                                                Map.of(
+                                                                        "t",
+                                                                        "news",
+                                                                        "n",
+                                                                        "front",
+                                                                        "q",
+                                                                        1,
+                                                                        "b",
+                                                                        "",
+                                                                        "r",
+                                                                        0,
+                                                                        "c",
+                                                                        -1,
+                                                                        "s",
+                                                                        List.of(
+                                                                                Map.of(
+                                                                                        "s", "db",
+                                                                                        "p", "i-1",
+                                                                                        "h", 0, "o",
+                                                                                        0, "a",
+                                                                                        "1.5 1.6")))));
+                                            }
 
-            @Override
-            public void message(byte[] message) {
-                // It does not ask again.
-            }
+                                            @Override
+                                            public void message(byte[] message) {
+                                                // It does not ask again.
+                                            }
 
-            @Override
-            public void closed(String why) {
-                // Nor come again.
-            }
-        }));
+                                            @Override
+                                            public void closed(String why) {
+                                                // Nor come again.
+                                            }
+                                        }));
     }
 
     private static JsonObject lacking(Control at) {
         Control.Answer is = at.call("GET", "/status", "");
-        JsonArray all = is.status() == 200 ? Json.parse(is.body()).asObject().get("lacking").asArray() : Json.array().asArray();
+        JsonArray all =
+                is.status() == 200
+                        ? Json.parse(is.body()).asObject().get("lacking").asArray()
+                        : Json.array().asArray();
         return all.isEmpty() ? null : all.get(0).asObject();
     }
 
-    /** A person gives up commits that only the lost primary had; the holder is killed as soon as it is accepted. */
+    /**
+     * A person gives up commits that only the lost primary had; the holder is killed as soon as it
+     * is accepted.
+     */
     @Test
     void whatAPersonGaveUpTheNextHolderGoesOnWith() throws Exception {
         try (Cloud cloud = new Cloud()) {
@@ -533,52 +738,102 @@
             for (int i = 1; i <= 3; i++) {
                 cloud.beats(i, 1);
             }
-            until("the first is recorded as the primary", () -> {
-                Control holder = holder();
-                return holder != null && holder.status().matches(".*db primary=i-1(?! moving).*");
-            });
+            until(
+                    "the first is recorded as the primary",
+                    () -> {
+                        Control holder = holder();
+                        return holder != null
+                                && holder.status().matches(".*db primary=i-1(?! moving).*");
+                    });
             all.forEach(one -> tellsOfCommits(cloud, one));
-            Control.Answer early = a.call("POST", "/Services.AcceptDataLoss", "{'service':'db','move':'7','log_position':'1.1','least_acknowledged':'1.5',"
-                    .replace('\'', '"') + "\"most_acknowledged\":\"1.6\"}");
+            Control.Answer early =
+                    a.call(
+                            "POST",
+                            "/Services.AcceptDataLoss",
+                            "{'service':'db','move':'7','log_position':'1.1','least_acknowledged':'1.5',"
+                                            .replace('\'', '"')
+                                    + "\"most_acknowledged\":\"1.6\"}");
             assertEquals(409, early.status(), early.body());
             cloud.firstIsDead = true;
-            until("each says what is lacking", () -> all.stream().allMatch(one -> lacking(one) != null));
+            until(
+                    "each says what is lacking",
+                    () -> all.stream().allMatch(one -> lacking(one) != null));
             int calls = cloud.calls.size();
             JsonObject shown = lacking(a);
-            assertEquals("1.1 1.5 1.6", shown.getString("log_position", "") + " " + shown.getString("least_acknowledged", "") + " "
-                    + shown.getString("most_acknowledged", ""));
-            until("its holder says so in a line", () -> {
-                Control holder = holder();
-                return holder != null && holder.status().contains(" lacking=1.5..1.6 longest_log=1.1");
-            });
+            assertEquals(
+                    "1.1 1.5 1.6",
+                    shown.getString("log_position", "")
+                            + " "
+                            + shown.getString("least_acknowledged", "")
+                            + " "
+                            + shown.getString("most_acknowledged", ""));
+            until(
+                    "its holder says so in a line",
+                    () -> {
+                        Control holder = holder();
+                        return holder != null
+                                && holder.status().contains(" lacking=1.5..1.6 longest_log=1.1");
+                    });
             Control old = holder();
             Control other = all.stream().filter(one -> one != old).findFirst().orElseThrow();
-            for (String wrong : new String[] {"move", "log_position", "least_acknowledged", "most_acknowledged"}) {
-                JsonObject not = Json.parse(shown.toString()).asObject().set(wrong, wrong.equals("move") ? "7" : "1.2");
-                assertEquals(409, other.call("POST", "/Services.AcceptDataLoss", not.toString()).status(), not.toString());
+            for (String wrong :
+                    new String[] {
+                        "move", "log_position", "least_acknowledged", "most_acknowledged"
+                    }) {
+                JsonObject not =
+                        Json.parse(shown.toString())
+                                .asObject()
+                                .set(wrong, wrong.equals("move") ? "7" : "1.2");
+                assertEquals(
+                        409,
+                        other.call("POST", "/Services.AcceptDataLoss", not.toString()).status(),
+                        not.toString());
             }
             assertEquals(calls, cloud.calls.size(), "nobody is named yet");
-            until("it is accepted, at one that does not hold the duty", () -> {
-                int status = other.call("POST", "/Services.AcceptDataLoss", shown.toString()).status();
-                assertTrue(status == 200 || status == 503, status + "\n" + told());
-                return status == 200;
-            });
+            until(
+                    "it is accepted, at one that does not hold the duty",
+                    () -> {
+                        int status =
+                                other.call("POST", "/Services.AcceptDataLoss", shown.toString())
+                                        .status();
+                        assertTrue(status == 200 || status == 503, status + "\n" + told());
+                        return status == 200;
+                    });
             old.kill();
-            until("another leads", () -> cloud.leads != 1
-                    && other.status().matches(".*db primary=i-" + cloud.leads + "(?! moving).*"));
+            until(
+                    "another leads",
+                    () ->
+                            cloud.leads != 1
+                                    && other.status()
+                                            .matches(
+                                                    ".*db primary=i-"
+                                                            + cloud.leads
+                                                            + "(?! moving).*"));
             for (Control one : all) {
-                until("it is accepted where it was, and at the other", () -> {
-                    int status = one == old ? 200 : one.call("POST", "/Services.AcceptDataLoss", shown.toString()).status();
-                    assertTrue(status == 200 || status == 503, status + "\n" + told());
-                    return status == 200;
-                });
+                until(
+                        "it is accepted where it was, and at the other",
+                        () -> {
+                            int status =
+                                    one == old
+                                            ? 200
+                                            : one.call(
+                                                            "POST",
+                                                            "/Services.AcceptDataLoss",
+                                                            shown.toString())
+                                                    .status();
+                            assertTrue(status == 200 || status == 503, status + "\n" + told());
+                            return status == 200;
+                        });
             }
         }
     }
 
     // ---- 2: one number
 
-    /** Guards against two contents under one number, each confirmed; and against an order that is refused when it comes again. */
+    /**
+     * Guards against two contents under one number, each confirmed; and against an order that is
+     * refused when it comes again.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void oneNumberHasOneContentAndIsAcknowledgedForEver() throws Exception {
@@ -593,18 +848,27 @@
                 Future<Control.Answer> second = two.submit(() -> b.replace(other));
                 int statusOne = first.get(5, TimeUnit.SECONDS).status();
                 int statusOther = second.get(5, TimeUnit.SECONDS).status();
-                assertTrue(statusOne != 200 || statusOther != 200, "both are confirmed under " + v + "\n" + told());
+                assertTrue(
+                        statusOne != 200 || statusOther != 200,
+                        "both are confirmed under " + v + "\n" + told());
                 String decided = statusOne == 200 ? one : statusOther == 200 ? other : null;
                 if (decided != null) {
                     refused++;
                     int number = v;
-                    // It may say that it can't tell just now, but nothing else than what was decided.
-                    until("the third reads what was decided under " + v, () -> {
-                        Control.Answer is = c.read();
-                        assertTrue(is.status() != 200 || is.body().equals(decided), () -> "in force under " + number + ": " + is.body());
-                        assertTrue(is.status() < 400 || is.status() >= 500, () -> is.status() + " " + is.body());
-                        return is.status() == 200;
-                    });
+                    // It may say that it can't tell just now, but nothing else than what was
+                    // decided.
+                    until(
+                            "the third reads what was decided under " + v,
+                            () -> {
+                                Control.Answer is = c.read();
+                                assertTrue(
+                                        is.status() != 200 || is.body().equals(decided),
+                                        () -> "in force under " + number + ": " + is.body());
+                                assertTrue(
+                                        is.status() < 400 || is.status() >= 500,
+                                        () -> is.status() + " " + is.body());
+                                return is.status() == 200;
+                            });
                 }
             }
         } finally {
@@ -614,7 +878,8 @@
         // The answer is lost on its way: nobody hears it.
         String order = configuration(50, 800);
         try (Socket lost = a.connect()) {
-            lost.getOutputStream().write(Control.request("POST", "/Configuration.Replace", order, true));
+            lost.getOutputStream()
+                    .write(Control.request("POST", "/Configuration.Replace", order, true));
             lost.setSoLinger(true, 0);
         }
         acknowledged(order, b);
@@ -632,11 +897,13 @@
             acknowledged(configuration(51, 801), one);
         }
         for (Control one : all) {
-            until("it reads the newest, which an older one sent again has not changed", () -> {
-                Control.Answer is = one.read();
-                assertTrue(is.status() != 200 || version(is) == 51, is.body());
-                return is.status() == 200;
-            });
+            until(
+                    "it reads the newest, which an older one sent again has not changed",
+                    () -> {
+                        Control.Answer is = one.read();
+                        assertTrue(is.status() != 200 || version(is) == 51, is.body());
+                        return is.status() == 200;
+                    });
         }
     }
 
@@ -654,10 +921,16 @@
     private static boolean memberOf(Control one, Control says) {
         String status = says.status();
         String own = one.status();
-        return memberOf(one.ip, status) && !status.contains(" outgoing=") && !own.isEmpty() && !own.contains(" learner");
+        return memberOf(one.ip, status)
+                && !status.contains(" outgoing=")
+                && !own.isEmpty()
+                && !own.contains(" learner");
     }
 
-    /** Guards against a repair that leaves a majority that is none: the next loss comes as soon as the repaired one counts. */
+    /**
+     * Guards against a repair that leaves a majority that is none: the next loss comes as soon as
+     * the repaired one counts.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void theNextLossRightAfterARepairIsBorne() throws Exception {
@@ -669,34 +942,53 @@
         acknowledged(configuration(3, 503), List.of(a, b));
         c.start(false, List.of(a, b, c));
         up(List.of(c));
-        until("the one whose disk was lost is a member again, as another", () -> memberOf(c, a) && memberOf(c, b)
-                && !a.status().contains(was));
+        until(
+                "the one whose disk was lost is a member again, as another",
+                () -> memberOf(c, a) && memberOf(c, b) && !a.status().contains(was));
         assertEquals(3, members(a));
         a.kill();
         acknowledged(configuration(4, 504), List.of(b, c));
-        until("both read what was acknowledged", () -> b.read().body().equals(configuration(4, 504)) && c.read().body().equals(configuration(4, 504)));
+        until(
+                "both read what was acknowledged",
+                () ->
+                        b.read().body().equals(configuration(4, 504))
+                                && c.read().body().equals(configuration(4, 504)));
         // Another machine takes the place of the one that is gone; only the living are told to it.
         Control d = control(4);
         d.start(false, List.of(b, c));
         up(List.of(d));
         // Each by one look at its status: the set without the first one counts alone.
-        until("the new machine is a member, and the one that is gone is none", () -> memberOf(d, c) && List.of(b, c).stream().map(Control::status)
-                .allMatch(is -> memberOf(d.ip, is) && !memberOf(a.ip, is) && !is.contains(" outgoing=")));
-        // Both have accepted that; the repair is over once it is known to be decided where somebody stays who knows it.
+        until(
+                "the new machine is a member, and the one that is gone is none",
+                () ->
+                        memberOf(d, c)
+                                && List.of(b, c).stream()
+                                        .map(Control::status)
+                                        .allMatch(
+                                                is ->
+                                                        memberOf(d.ip, is)
+                                                                && !memberOf(a.ip, is)
+                                                                && !is.contains(" outgoing=")));
+        // Both have accepted that; the repair is over once it is known to be decided where somebody
+        // stays who knows it.
         until("the repair is known to be over", () -> c.read().status() == 200);
         b.kill();
         acknowledged(configuration(5, 505), List.of(c, d));
         for (Control one : List.of(c, d)) {
-            until("the two that are left read it", () -> one.read().body().equals(configuration(5, 505)));
+            until(
+                    "the two that are left read it",
+                    () -> one.read().body().equals(configuration(5, 505)));
         }
         // The first one comes back with its disk, and with what it knew when it went.
         a.start(false, List.of(a, b, c));
         up(List.of(a));
-        until("who was away reads the newest, and never an older one", () -> {
-            Control.Answer is = a.read();
-            assertTrue(is.status() != 200 || version(is) == 5, is.body());
-            return is.status() == 200;
-        });
+        until(
+                "who was away reads the newest, and never an older one",
+                () -> {
+                    Control.Answer is = a.read();
+                    assertTrue(is.status() != 200 || version(is) == 5, is.body());
+                    return is.status() == 200;
+                });
     }
 
     // ---- 4: far behind
@@ -711,10 +1003,12 @@
         List<Future<?>> orders = new ArrayList<>();
         for (int v = 2; v <= 101; v++) {
             String order = configuration(v, 500 + v);
-            orders.add(operators.submit(() -> {
-                acknowledged(order, List.of(a, b));
-                return null;
-            }));
+            orders.add(
+                    operators.submit(
+                            () -> {
+                                acknowledged(order, List.of(a, b));
+                                return null;
+                            }));
         }
         operators.shutdown();
         for (Future<?> order : orders) {
@@ -722,11 +1016,13 @@
         }
         c.start(false, List.of(a, b, c));
         long from = System.nanoTime();
-        until("it reads the newest, and never an older one", () -> {
-            Control.Answer is = c.read();
-            assertTrue(is.status() != 200 || version(is) == 101, is.body());
-            return is.status() == 200;
-        });
+        until(
+                "it reads the newest, and never an older one",
+                () -> {
+                    Control.Answer is = c.read();
+                    assertTrue(is.status() != 200 || version(is) == 101, is.body());
+                    return is.status() == 200;
+                });
         long took = (System.nanoTime() - from) / 1_000_000;
         assertTrue(took < 6_000, took + " ms until it read the newest");
         a.kill();
@@ -735,21 +1031,40 @@
 
     // ---- 5: calls on one connection
 
-    /** Guards against an answer that finds another call than its own, on one connection and beside others. */
+    /**
+     * Guards against an answer that finds another call than its own, on one connection and beside
+     * others.
+     */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void callsOnOneConnectionGetTheirOwnAnswersInOrder() throws Exception {
         found();
         acknowledged(configuration(2, 502), a);
-        try (Socket one = a.connect(); Socket other = a.connect()) {
-            byte[] long1 = Control.request("POST", "/Configuration.Replace", "x".repeat(1 << 20) + "x", false);
-            for (byte[] next : List.of(Control.request("POST", "/Configuration.Replace", configuration(3, 503), false),
-                    Control.request("GET", "/none", "", false), Control.request("POST", "/Configuration.Replace", "{", false),
-                    long1, Control.request("GET", "/status", "", false), Control.request("POST", "/Configuration.Replace", configuration(2, 502), false),
-                    Control.request("DELETE", "/Configuration.Read", "", false), Control.request("GET", "/Configuration.Read", "", true),
-                    Control.request("POST", "/Configuration.Replace", configuration(9, 509), true))) {
+        try (Socket one = a.connect();
+                Socket other = a.connect()) {
+            byte[] long1 =
+                    Control.request(
+                            "POST", "/Configuration.Replace", "x".repeat(1 << 20) + "x", false);
+            for (byte[] next :
+                    List.of(
+                            Control.request(
+                                    "POST", "/Configuration.Replace", configuration(3, 503), false),
+                            Control.request("GET", "/none", "", false),
+                            Control.request("POST", "/Configuration.Replace", "{", false),
+                            long1,
+                            Control.request("GET", "/status", "", false),
+                            Control.request(
+                                    "POST", "/Configuration.Replace", configuration(2, 502), false),
+                            Control.request("DELETE", "/Configuration.Read", "", false),
+                            Control.request("GET", "/Configuration.Read", "", true),
+                            Control.request(
+                                    "POST",
+                                    "/Configuration.Replace",
+                                    configuration(9, 509),
+                                    true))) {
                 one.getOutputStream().write(next);
-                other.getOutputStream().write(Control.request("GET", "/Configuration.Read", "", false));
+                other.getOutputStream()
+                        .write(Control.request("GET", "/Configuration.Read", "", false));
             }
             List<Integer> statuses = new ArrayList<>();
             Control.Answer read = null;
--- a/src/test/java/dillfront/programs/Relay.java
+++ b/src/test/java/dillfront/programs/Relay.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BooleanSupplier;
 
-/** Stands at the address by which one process knows another: passes bytes on to that one and back, or loses them, each way by itself. */
+/**
+ * Stands at the address by which one process knows another: passes bytes on to that one and back,
+ * or loses them, each way by itself.
+ */
 final class Relay implements AutoCloseable {
 
     private final ServerSocket door = new ServerSocket();
@@ -20,17 +23,18 @@
     Relay(InetSocketAddress at, InetSocketAddress target) throws IOException {
         this.target = target;
         door.bind(at);
-        thread(() -> {
-            while (!door.isClosed()) {
-                try {
-                    Socket near = door.accept();
-                    open.add(near);
-                    thread(() -> meet(near));
-                } catch (IOException closed) {
-                    return;
-                }
-            }
-        });
+        thread(
+                () -> {
+                    while (!door.isClosed()) {
+                        try {
+                            Socket near = door.accept();
+                            open.add(near);
+                            thread(() -> meet(near));
+                        } catch (IOException closed) {
+                            return;
+                        }
+                    }
+                });
     }
 
     private static void thread(Runnable work) {
@@ -65,7 +69,9 @@
     private void pump(Socket from, Socket to, BooleanSupplier lost) {
         byte[] bytes = new byte[1 << 16];
         try {
-            for (int read = from.getInputStream().read(bytes); read >= 0; read = from.getInputStream().read(bytes)) {
+            for (int read = from.getInputStream().read(bytes);
+                    read >= 0;
+                    read = from.getInputStream().read(bytes)) {
                 synchronized (this) {
                     if (!lost.getAsBoolean()) {
                         to.getOutputStream().write(bytes, 0, read);
--- a/src/test/java/dillfront/recovery/DoubtsTest.java
+++ b/src/test/java/dillfront/recovery/DoubtsTest.java
@@ -17,7 +17,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What is kept in mind of txns that may have run, what is told of it, and how far groups have come back. */
+/**
+ * What is kept in mind of txns that may have run, what is told of it, and how far groups have come
+ * back.
+ */
 class DoubtsTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -47,8 +50,15 @@
 
     private void shows(String what, Doubts doubts, long key) {
         Duration ran = doubts.ran(key);
-        trace.append(String.format("%-46s may have run %s; %d in doubt of %d\n", what, ran == null ? "never"
-                : ran.isNegative() ? "long ago" : "at " + ran.toMillis(), doubts.doubted(), doubts.size()));
+        trace.append(
+                String.format(
+                        "%-46s may have run %s; %d in doubt of %d\n",
+                        what,
+                        ran == null
+                                ? "never"
+                                : ran.isNegative() ? "long ago" : "at " + ran.toMillis(),
+                        doubts.doubted(),
+                        doubts.size()));
     }
 
     @Test
@@ -74,8 +84,11 @@
         shows("one from an earlier life", doubts, 9);
         doubts.over(9, ms(100));
         disk.able = false;
-        trace.append("the disk fails: 2 is ").append(doubts.take(2, ms(110)) ? "taken" : "not taken").append(", 9, which is kept, is ")
-                .append(doubts.take(9, ms(110)) ? "taken" : "not taken").append('\n');
+        trace.append("the disk fails: 2 is ")
+                .append(doubts.take(2, ms(110)) ? "taken" : "not taken")
+                .append(", 9, which is kept, is ")
+                .append(doubts.take(9, ms(110)) ? "taken" : "not taken")
+                .append('\n');
         disk.able = true;
         doubts.over(9, ms(120));
         for (long key = 2; key < 6; key++) {
@@ -94,7 +107,10 @@
         Scene.compare("doubts", trace);
     }
 
-    /** What is put in is found, whatever it is and however much of it there is, and it survives the wire. */
+    /**
+     * What is put in is found, whatever it is and however much of it there is, and it survives the
+     * wire.
+     */
     @Property(tries = 200)
     void aDigestHoldsWhatWasPutIn(@ForAll @Size(max = 300) List<Long> keys) {
         Digest told = Digest.read(Digest.of(keys, 128).words());
@@ -112,7 +128,8 @@
         }
         Digest full = Digest.of(keys, 128);
         assertEquals(128, full.words().length);
-        assertTrue(full.mayHold(keys.get(1999)) && !full.mayHold(keys.get(0)), "the latest are told");
+        assertTrue(
+                full.mayHold(keys.get(1999)) && !full.mayHold(keys.get(0)), "the latest are told");
         int seem = 0;
         for (int i = 0; i < 100_000; i++) {
             seem += full.mayHold(chance.nextLong()) ? 1 : 0;
@@ -143,29 +160,50 @@
 
     private void at(long when, String what, Groups groups) {
         groups.beat(ms(when));
-        trace.append(String.format("%5d %-46s %-10s loss %s, sure %.2f, to n0 %s, to n1 %s\n", when, what, groups.states().get(4), groups.loss(),
-                groups.sure(), groups.mayWrite(0, ms(when)) ? "may" : "waits", groups.mayWrite(1, ms(when)) ? "may" : "waits"));
+        trace.append(
+                String.format(
+                        "%5d %-46s %-10s loss %s, sure %.2f, to n0 %s, to n1 %s\n",
+                        when,
+                        what,
+                        groups.states().get(4),
+                        groups.loss(),
+                        groups.sure(),
+                        groups.mayWrite(0, ms(when)) ? "may" : "waits",
+                        groups.mayWrite(1, ms(when)) ? "may" : "waits"));
     }
 
     @Test
     void aGroupComesBackState() throws IOException {
-        Groups groups = new Groups(ms(0), ms(250), ms(8000), new Groups.Listener() {
-            @Override
-            public void changed(int group, Groups.State from, Groups.State to) {
-                trace.append("      ").append(from).append(" to ").append(to).append('\n');
-            }
-
-            @Override
-            public void leads(int group, String node) {
-                trace.append("      ").append(node).append(" leads, and is remembered\n");
-            }
-        });
+        Groups groups =
+                new Groups(
+                        ms(0),
+                        ms(250),
+                        ms(8000),
+                        new Groups.Listener() {
+                            @Override
+                            public void changed(int group, Groups.State from, Groups.State to) {
+                                trace.append("      ")
+                                        .append(from)
+                                        .append(" to ")
+                                        .append(to)
+                                        .append('\n');
+                            }
+
+                            @Override
+                            public void leads(int group, String node) {
+                                trace.append("      ")
+                                        .append(node)
+                                        .append(" leads, and is remembered\n");
+                            }
+                        });
         groups.recall(4, "n1");
         groups.listed(0, "n0", 4, null, true);
         groups.listed(1, "n1", 4, null, true);
         groups.listed(2, "n2", 4, null, true);
         at(10, "the list of the configuration", groups);
-        assertFalse(groups.mayWrite(0, ms(100_000)), "while all is dark no time runs against the one that led before");
+        assertFalse(
+                groups.mayWrite(0, ms(100_000)),
+                "while all is dark no time runs against the one that led before");
         groups.discovery(true);
         for (int n = 0; n < 3; n++) {
             groups.listed(n, "n" + n, 4, ms(100), true);
@@ -185,13 +223,18 @@
         groups.heard(2, PRIMARY, ms(9200), ms(9200));
         at(9200, "n2 took over; within a life its word counts", groups);
         trace.append("the one that led before is gone for good, and still listed:\n");
-        Groups other = new Groups(ms(0), ms(250), ms(8000), new Groups.Listener() {
-            @Override
-            public void changed(int group, Groups.State from, Groups.State to) { }
-
-            @Override
-            public void leads(int group, String node) { }
-        });
+        Groups other =
+                new Groups(
+                        ms(0),
+                        ms(250),
+                        ms(8000),
+                        new Groups.Listener() {
+                            @Override
+                            public void changed(int group, Groups.State from, Groups.State to) {}
+
+                            @Override
+                            public void leads(int group, String node) {}
+                        });
         other.recall(4, "n1");
         other.listed(0, "n0", 4, null, true);
         other.listed(1, "n1", 4, null, true);
