--- a/src/test/java/dillfront/site/SitesTest.java
+++ b/src/test/java/dillfront/site/SitesTest.java
@@ -15,23 +15,32 @@
     private final StringBuilder trace = new StringBuilder();
     private long now;
     private int changes;
-    private final Sites sites = new Sites("a", Duration.ofMillis(250), new Sites.Listener() {
-        @Override
-        public void changed(String site, Sites.State from, Sites.State to) {
-            changes++;
-            trace.append(String.format("%6d   %s from %s to %s\n", now, site, from, to));
-        }
+    private final Sites sites =
+            new Sites(
+                    "a",
+                    Duration.ofMillis(250),
+                    new Sites.Listener() {
+                        @Override
+                        public void changed(String site, Sites.State from, Sites.State to) {
+                            changes++;
+                            trace.append(
+                                    String.format("%6d   %s from %s to %s\n", now, site, from, to));
+                        }
 
-        @Override
-        public void changed(Sites.Self from, Sites.Self to) {
-            trace.append(String.format("%6d   this router from %s to %s\n", now, from, to));
-        }
-    });
+                        @Override
+                        public void changed(Sites.Self from, Sites.Self to) {
+                            trace.append(
+                                    String.format(
+                                            "%6d   this router from %s to %s\n", now, from, to));
+                        }
+                    });
 
     private void sees(String what, String site, Health... health) {
         trace.append(String.format("%6d %s\n", now, what));
         for (int i = 0; i < 2; i++) {
-            sites.seen((site.charAt(0) - 'a') * 2 + i, new Sight(health[i % health.length], Duration.ZERO, 0));
+            sites.seen(
+                    (site.charAt(0) - 'a') * 2 + i,
+                    new Sight(health[i % health.length], Duration.ZERO, 0));
         }
     }
 
@@ -52,7 +61,10 @@
         to(100);
     }
 
-    /** Guards against a site that is well again and stays lost, because a router with few txns asks there now and then only. */
+    /**
+     * Guards against a site that is well again and stays lost, because a router with few txns asks
+     * there now and then only.
+     */
     @Test
     void oneThatIsAskedNowAndThenComesBack() {
         begin();
--- a/src/test/java/dillfront/tokens/TokensTest.java
+++ b/src/test/java/dillfront/tokens/TokensTest.java
@@ -40,7 +40,10 @@
 
     private static ECKey ec(String id) {
         try {
-            return new ECKeyGenerator(Curve.P_256).keyID(id).algorithm(JWSAlgorithm.ES256).generate();
+            return new ECKeyGenerator(Curve.P_256)
+                    .keyID(id)
+                    .algorithm(JWSAlgorithm.ES256)
+                    .generate();
         } catch (com.nimbusds.jose.JOSEException none) {
             throw new IllegalStateException(none);
         }
@@ -55,15 +58,24 @@
     }
 
     private static Tokens tokens() throws Exception {
-        return new Tokens(new JWKSet(List.of(EC.toPublicJWK(), RSA.toPublicJWK())).toString(), "depot", "dillfront");
+        return new Tokens(
+                new JWKSet(List.of(EC.toPublicJWK(), RSA.toPublicJWK())).toString(),
+                "depot",
+                "dillfront");
     }
 
     private static JWTClaimsSet.Builder claims() {
-        return new JWTClaimsSet.Builder().subject("billing-7").issuer("depot").audience("dillfront").jwtID("t-1")
-                .notBeforeTime(new Date(1_000_000)).expirationTime(new Date(2_000_000));
+        return new JWTClaimsSet.Builder()
+                .subject("billing-7")
+                .issuer("depot")
+                .audience("dillfront")
+                .jwtID("t-1")
+                .notBeforeTime(new Date(1_000_000))
+                .expirationTime(new Date(2_000_000));
     }
 
-    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner by) throws Exception {
+    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner by)
+            throws Exception {
         SignedJWT jwt = new SignedJWT(header, claims);
         jwt.sign(by);
         return jwt.serialize();
@@ -78,47 +90,100 @@
     }
 
     private static String base64(String text) {
-        return Base64.getUrlEncoder().withoutPadding().encodeToString(text.getBytes(StandardCharsets.UTF_8));
+        return Base64.getUrlEncoder()
+                .withoutPadding()
+                .encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void saysWhoItIs() throws Exception {
-        Gate.Credential said = tokens().read(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
-        assertEquals("billing-7 k1 t-1 PT16M40S PT33M20S", said.principal() + " " + said.key() + " " + said.id() + " "
-                + said.notBefore() + " " + said.expires());
-        assertEquals("k2", tokens().read(sign(new JWSHeader.Builder(JWSAlgorithm.RS256).keyID("k2").build(), claims().build(),
-                new RSASSASigner(RSA))).key());
+        Gate.Credential said =
+                tokens().read(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
+        assertEquals(
+                "billing-7 k1 t-1 PT16M40S PT33M20S",
+                said.principal()
+                        + " "
+                        + said.key()
+                        + " "
+                        + said.id()
+                        + " "
+                        + said.notBefore()
+                        + " "
+                        + said.expires());
+        assertEquals(
+                "k2",
+                tokens().read(
+                                sign(
+                                        new JWSHeader.Builder(JWSAlgorithm.RS256)
+                                                .keyID("k2")
+                                                .build(),
+                                        claims().build(),
+                                        new RSASSASigner(RSA)))
+                        .key());
         assertEquals(Set.of("k1", "k2"), tokens().ids());
     }
 
     @Test
     void theAlgorithmIsTheKeys() throws Exception {
         String claims = claims().build().toString();
-        assertTrue(fault(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".").startsWith("no signed token"));
+        assertTrue(
+                fault(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
+                        .startsWith("no signed token"));
         // The public key as a shared secret.
         byte[] secret = EC.toPublicJWK().toJSONString().getBytes(StandardCharsets.UTF_8);
-        assertEquals("the key is for ES256, the token says HS256", fault(sign(new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("k1")
-                .build(), claims().build(), new MACSigner(secret))));
-        assertEquals("the key is for RS256, the token says PS256", fault(sign(new JWSHeader.Builder(JWSAlgorithm.PS256).keyID("k2")
-                .build(), claims().build(), new RSASSASigner(RSA))));
+        assertEquals(
+                "the key is for ES256, the token says HS256",
+                fault(
+                        sign(
+                                new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("k1").build(),
+                                claims().build(),
+                                new MACSigner(secret))));
+        assertEquals(
+                "the key is for RS256, the token says PS256",
+                fault(
+                        sign(
+                                new JWSHeader.Builder(JWSAlgorithm.PS256).keyID("k2").build(),
+                                claims().build(),
+                                new RSASSASigner(RSA))));
     }
 
     @Test
     void othersKeysAndHeaders() throws Exception {
-        assertEquals("the signature is not right", fault(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
-        assertEquals("signed by no key of ours", fault(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
-        assertEquals("signed by no key of ours", fault(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
-        assertEquals("critical headers, of which none is known here", fault(sign(es256().criticalParams(Set.of("exp2"))
-                .customParam("exp2", 1).build(), claims().build(), new ECDSASigner(EC))));
+        assertEquals(
+                "the signature is not right",
+                fault(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
+        assertEquals(
+                "signed by no key of ours",
+                fault(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
+        assertEquals(
+                "signed by no key of ours",
+                fault(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
+        assertEquals(
+                "critical headers, of which none is known here",
+                fault(
+                        sign(
+                                es256().criticalParams(Set.of("exp2"))
+                                        .customParam("exp2", 1)
+                                        .build(),
+                                claims().build(),
+                                new ECDSASigner(EC))));
     }
 
     @Test
     void whatItSaysMustBeAllThere() throws Exception {
         ECDSASigner by = new ECDSASigner(EC);
-        assertEquals("another issuer", fault(sign(es256().build(), claims().issuer("depot2").build(), by)));
-        assertEquals("for another audience", fault(sign(es256().build(), claims().audience("other").build(), by)));
-        assertEquals("lacks sub, exp or jti", fault(sign(es256().build(), claims().jwtID(null).build(), by)));
-        assertEquals("lacks sub, exp or jti", fault(sign(es256().build(), claims().expirationTime(null).build(), by)));
+        assertEquals(
+                "another issuer",
+                fault(sign(es256().build(), claims().issuer("depot2").build(), by)));
+        assertEquals(
+                "for another audience",
+                fault(sign(es256().build(), claims().audience("other").build(), by)));
+        assertEquals(
+                "lacks sub, exp or jti",
+                fault(sign(es256().build(), claims().jwtID(null).build(), by)));
+        assertEquals(
+                "lacks sub, exp or jti",
+                fault(sign(es256().build(), claims().expirationTime(null).build(), by)));
     }
 
     @Test
@@ -126,8 +191,13 @@
         assertEquals("longer than 8192 characters", fault("a".repeat(1 << 20)));
         for (String open : List.of("[", "{\"a\":")) {
             String deep = open.repeat(400);
-            assertTrue(fault(base64("{\"alg\":\"ES256\",\"kid\":\"k1\",\"x\":" + deep) + "." + base64(deep) + ".AAAA")
-                    .startsWith("no signed token"));
+            assertTrue(
+                    fault(
+                                    base64("{\"alg\":\"ES256\",\"kid\":\"k1\",\"x\":" + deep)
+                                            + "."
+                                            + base64(deep)
+                                            + ".AAAA")
+                            .startsWith("no signed token"));
         }
         assertTrue(fault("").startsWith("no signed token"));
         assertTrue(fault("a.b.c").startsWith("no signed token"));
@@ -135,25 +205,53 @@
 
     @Test
     void keySets() {
-        for (Map.Entry<String, String> one : Map.of("", "no key set", "{\"keys\":[]}", "a key set without keys",
-                "{\"keys\":[{\"kty\":\"oct\",\"kid\":\"a\",\"alg\":\"HS256\",\"k\":\"AAAA\"}]}", "key 'a' is a secret",
-                EC.toPublicJWK().toJSONString(), "no key set", "{\"keys\":[" + EC.toJSONString() + "]}", "key 'k1' is a secret",
-                "{\"keys\":[" + EC.toPublicJWK().toJSONString().replace("ES256", "RS256") + "]}", "key 'k1' is of no kind that RS256 needs",
-                "{\"keys\":[" + EC.toPublicJWK().toJSONString().replace("\"alg\":\"ES256\"", "\"use\":\"sig\"") + "]}", "key 'k1' has no alg",
-                "{\"keys\":[" + EC.toPublicJWK().toJSONString().substring(0, 60), "no key set").entrySet()) {
-            String fault = assertThrows(Tokens.BadToken.class, () -> new Tokens(one.getKey(), "depot", "dillfront")).getMessage();
+        for (Map.Entry<String, String> one :
+                Map.of(
+                                "",
+                                "no key set",
+                                "{\"keys\":[]}",
+                                "a key set without keys",
+                                "{\"keys\":[{\"kty\":\"oct\",\"kid\":\"a\",\"alg\":\"HS256\",\"k\":\"AAAA\"}]}",
+                                "key 'a' is a secret",
+                                EC.toPublicJWK().toJSONString(),
+                                "no key set",
+                                "{\"keys\":[" + EC.toJSONString() + "]}",
+                                "key 'k1' is a secret",
+                                "{\"keys\":["
+                                        + EC.toPublicJWK().toJSONString().replace("ES256", "RS256")
+                                        + "]}",
+                                "key 'k1' is of no kind that RS256 needs",
+                                "{\"keys\":["
+                                        + EC.toPublicJWK()
+                                                .toJSONString()
+                                                .replace("\"alg\":\"ES256\"", "\"use\":\"sig\"")
+                                        + "]}",
+                                "key 'k1' has no alg",
+                                "{\"keys\":[" + EC.toPublicJWK().toJSONString().substring(0, 60),
+                                "no key set")
+                        .entrySet()) {
+            String fault =
+                    assertThrows(
+                                    Tokens.BadToken.class,
+                                    () -> new Tokens(one.getKey(), "depot", "dillfront"))
+                            .getMessage();
             assertTrue(fault.startsWith(one.getValue()), fault);
         }
     }
 
     @Property(tries = 200, seed = "41")
-    void oneLetterOffIsNothing(@ForAll @IntRange(min = 0, max = 100_000) int place, @ForAll @IntRange(min = 1, max = 63) int by)
+    void oneLetterOffIsNothing(
+            @ForAll @IntRange(min = 0, max = 100_000) int place,
+            @ForAll @IntRange(min = 1, max = 63) int by)
             throws Exception {
         String letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
         String token = sign(es256().build(), claims().build(), new ECDSASigner(EC));
         int at = place % (token.length() - 1);
         int was = letters.indexOf(token.charAt(at));
-        String changed = token.substring(0, at) + (was < 0 ? "A" : letters.charAt((was + by) % 64)) + token.substring(at + 1);
+        String changed =
+                token.substring(0, at)
+                        + (was < 0 ? "A" : letters.charAt((was + by) % 64))
+                        + token.substring(at + 1);
         assertThrows(Tokens.BadToken.class, () -> tokens().read(changed));
     }
 }
