--- a/src/main/java/dillfront/Decide.java
+++ b/src/main/java/dillfront/Decide.java
@@ -397,6 +397,9 @@
     /** When a node that gave this router no connection last showed that it was up. */
     private Duration scarceAt = NEVER;
 
+    /**
+     * @param set the deployment's settings; the outlet gets every decision, at once or later
+     */
     public Decide(Settings set, Outlet outlet, RandomGenerator chance) {
         this.outlet = outlet;
         this.chance = chance;
@@ -436,6 +439,7 @@
         gather();
     }
 
+    /** Moves the clock; calls that follow happen at this time. */
     public void at(Duration clock) {
         now = clock;
         if (!awake) {
@@ -457,6 +461,7 @@
 
     // ---- the member list
 
+    /** Takes a member list: the complete one, or only what has changed. */
     public void list(boolean whole, List<NodeRow> rows) {
         if (whole) {
             nodes.forEach(
@@ -1253,6 +1258,7 @@
 
     // ---- the beat
 
+    /** Runs what was due by now; the adapter calls it at the time that it was asked to. */
     public void woken() {
         if (now.compareTo(beatAt.plus(beat)) < 0) {
             return;
@@ -1394,6 +1400,7 @@
         return true;
     }
 
+    /** Takes the outcome of a health check. */
     public void probed(int node, boolean answered, Report report) {
         Node n = nodes.get(node);
         n.probing = false;
--- a/src/main/java/dillfront/bench/Counts.java
+++ b/src/main/java/dillfront/bench/Counts.java
@@ -156,6 +156,7 @@
         }
     }
 
+    /** Prints one line of results. */
     public static void main(String[] args) throws Exception {
         int status = 1;
         try {
--- a/src/main/java/dillfront/bench/IdentityMeasure.java
+++ b/src/main/java/dillfront/bench/IdentityMeasure.java
@@ -176,6 +176,7 @@
         return spans[spans.length / 2];
     }
 
+    /** Prints a line of results for each number of rules. */
     public static void main(String[] args) {
         row(10);
         Row some = row(1000);
--- a/src/main/java/dillfront/bench/Relay.java
+++ b/src/main/java/dillfront/bench/Relay.java
@@ -24,6 +24,7 @@
 
     private Relay() {}
 
+    /** Relays connections byte for byte; the arguments are the two addresses. */
     public static void main(String[] args) throws Exception {
         String config =
                 Files.readString(Path.of(System.getenv("LB_CONFIG")), StandardCharsets.US_ASCII);
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -21,6 +21,7 @@
 
     private Main() {}
 
+    /** Runs the subcommand and ends the process with its exit code. */
     public static void main(String[] args) {
         if (args.length != 1
                 || !List.of(
--- a/src/main/java/dillfront/clients/Clients.java
+++ b/src/main/java/dillfront/clients/Clients.java
@@ -104,6 +104,7 @@
         callers = who;
     }
 
+    /** Listens on this address. */
     public ChannelFuture open(InetSocketAddress address) {
         ChannelFuture bound =
                 Sockets.listen(
--- a/src/main/java/dillfront/config/Setup.java
+++ b/src/main/java/dillfront/config/Setup.java
@@ -29,6 +29,9 @@
         Duration idle,
         boolean reports) {
 
+    /**
+     * @throws BadConfig with the key and the fault
+     */
     public static Setup read(Tree setup) {
         Tree family = setup.tree("familyInfo");
         Map<String, Integer> zones = index(setup.list("zones"));
--- a/src/main/java/dillfront/config/Tree.java
+++ b/src/main/java/dillfront/config/Tree.java
@@ -70,6 +70,7 @@
         return values.get(name) instanceof Tree tree ? tree : new Tree();
     }
 
+    /** The objects of a list that has to be there. */
     public List<Tree> trees(String name) {
         List<Tree> trees = new ArrayList<>();
         for (Object one : list(name)) {
--- a/src/main/java/dillfront/core/Core.java
+++ b/src/main/java/dillfront/core/Core.java
@@ -133,6 +133,9 @@
     /** Who waits until the disks of a majority have the table as far as this. */
     private final List<Waits> waits = new ArrayList<>();
 
+    /**
+     * @param store the disk; it may refuse writes, which are tried again
+     */
     public Core(Host host, Settings settings, Store store) {
         this.host = host;
         this.settings = settings;
--- a/src/main/java/dillfront/core/Lease.java
+++ b/src/main/java/dillfront/core/Lease.java
@@ -126,6 +126,7 @@
         this.core = core;
     }
 
+    /** Restores what the disk holds; what was promised may still be in use. */
     public void load(Map<String, String> kept) {
         promised = Long.parseLong(kept.getOrDefault("promised", "0"));
         promisedTo = kept.getOrDefault("promised-to", "");
@@ -342,6 +343,7 @@
         return until;
     }
 
+    /** Whether this process holds the lease now. */
     public boolean holds() {
         long until = until();
         boolean is = core.now() < until;
@@ -358,6 +360,7 @@
         giveUp();
     }
 
+    /** Advances timers: asks for the lease, goes on with it, or gives it up. */
     public void look() {
         long now = core.now();
         boolean unfit = leaving || core.stalledFor() > DISK_MS;
--- a/src/main/java/dillfront/daemon/Daemon.java
+++ b/src/main/java/dillfront/daemon/Daemon.java
@@ -102,6 +102,7 @@
         this(config, Operator.NONE, log);
     }
 
+    /** Binds the parts of one router; nothing listens before start(). */
     public Daemon(Config config, Operator operator, Log log) {
         this.config = config;
         this.operator = operator;
--- a/src/main/java/dillfront/daemon/Rehearsal.java
+++ b/src/main/java/dillfront/daemon/Rehearsal.java
@@ -35,6 +35,7 @@
 
     private Rehearsal() {}
 
+    /** Runs one router against itself for a moment, so that the classes it needs are loaded. */
     public static void run(Log log) throws IOException, BadConfig {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/main/java/dillfront/drill/Drill.java
+++ b/src/main/java/dillfront/drill/Drill.java
@@ -30,6 +30,9 @@
     /** Sixteen numbers, used again and again. */
     private final Map<Integer, List<Tree>> tables = new HashMap<>();
 
+    /**
+     * @param in the simulator's events; out gets a reply to each batch
+     */
     public Drill(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
         json = factory.createParser(in);
--- a/src/main/java/dillfront/drill/Event.java
+++ b/src/main/java/dillfront/drill/Event.java
@@ -74,14 +74,25 @@
     }
 
     private void clear() {
-        kind = qos = account = node = null;
-        who = buffer = scope = -1;
-        timeUs = corr = user = durationUs = stand = seed = ending = 0;
-        expiresInUs = -1;
+        kind = null;
+        qos = null;
+        account = null;
+        node = null;
+        who = -1;
+        buffer = -1;
+        scope = -1;
         corr = -1;
+        expiresInUs = -1;
         timeUs = Long.MIN_VALUE;
-        partitionNo = lastWriteMs = Double.NaN;
-        finished = hasUser = false;
+        user = 0;
+        durationUs = 0;
+        stand = 0;
+        seed = 0;
+        ending = 0;
+        partitionNo = Double.NaN;
+        lastWriteMs = Double.NaN;
+        finished = false;
+        hasUser = false;
         report = Report.NOTHING;
         setup = null;
         rows = null;
--- a/src/main/java/dillfront/exchange/Exchange.java
+++ b/src/main/java/dillfront/exchange/Exchange.java
@@ -31,6 +31,9 @@
     private boolean answered;
     private boolean over;
 
+    /**
+     * @param asker gets the answer; it owns the buffers that it is given
+     */
     public Exchange(
             Desk desk, int slot, Statement statement, ByteBuf message, Asker asker, long key) {
         this.desk = desk;
@@ -84,6 +87,7 @@
 
     // ---- from the client side
 
+    /** The client's connection is gone; an answer is not delivered any more. */
     public void left() {
         if (answered) {
             return;
--- a/src/main/java/dillfront/gossip/Gossip.java
+++ b/src/main/java/dillfront/gossip/Gossip.java
@@ -277,6 +277,7 @@
         send(about, Budget.Use.PROBE, words -> post.ping(about, mine, words));
     }
 
+    /** A direct probe was acknowledged by this instance, in this incarnation. */
     public void acked(int from, int its) {
         if (its == probe && !answered && probed >= 0) {
             answered = true;
@@ -381,6 +382,7 @@
 
     // ---- the clock
 
+    /** Runs what was due by now. */
     public void woken() {
         if (wokenAt != null) {
             Duration gap = now.minus(wokenAt);
--- a/src/main/java/dillfront/host/Deflate.java
+++ b/src/main/java/dillfront/host/Deflate.java
@@ -21,6 +21,7 @@
 
     private Deflate() {}
 
+    /** The text, compressed. */
     public static byte[] of(byte[] text) {
         Deflater deflater = new Deflater();
         try {
--- a/src/main/java/dillfront/host/Pack.java
+++ b/src/main/java/dillfront/host/Pack.java
@@ -30,6 +30,9 @@
 
     private Pack() {}
 
+    /**
+     * @throws IllegalArgumentException where a value has no form in a message
+     */
     public static byte[] write(Map<String, ?> message) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             write(out, message);
@@ -193,6 +196,7 @@
             return rows;
         }
 
+        /** The elements of a list as texts; empty where there is no list. */
         public List<String> texts(String name) {
             List<String> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
--- a/src/main/java/dillfront/identity/Gate.java
+++ b/src/main/java/dillfront/identity/Gate.java
@@ -252,6 +252,7 @@
             shares.done(takenFor);
         }
 
+        /** The client's connection is gone. */
         public void leave() {
             use.sessions--;
             if (use.sessions == 0
--- a/src/main/java/dillfront/identity/KeyBytes.java
+++ b/src/main/java/dillfront/identity/KeyBytes.java
@@ -7,6 +7,7 @@
 
     byte at(int index);
 
+    /** A copy of these bytes as a map key. */
     static KeyBytes of(byte[] bytes) {
         return new KeyBytes() {
             @Override
--- a/src/main/java/dillfront/identity/Rights.java
+++ b/src/main/java/dillfront/identity/Rights.java
@@ -72,6 +72,7 @@
 
     private final Node[] tries;
 
+    /** Indexes the rules by principal and key prefix. */
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
         TreeMap<Integer, Node> named = new TreeMap<>();
--- a/src/main/java/dillfront/identity/Rule.java
+++ b/src/main/java/dillfront/identity/Rule.java
@@ -27,6 +27,9 @@
     /** Types have indices below this. */
     public static final int TYPES = 32;
 
+    /**
+     * @throws IllegalArgumentException where the rule contradicts itself
+     */
     public Rule {
         prefix = prefix.clone();
         if (prefix.length > 255) {
--- a/src/main/java/dillfront/identity/Shares.java
+++ b/src/main/java/dillfront/identity/Shares.java
@@ -108,6 +108,7 @@
         return taken + 1 <= whole + 1e-9;
     }
 
+    /** A transaction of this tenant has ended. */
     public void done(int tenant) {
         int row = row(tenant);
         if (out[row] > 0) {
--- a/src/main/java/dillfront/lab/CapacityMeasure.java
+++ b/src/main/java/dillfront/lab/CapacityMeasure.java
@@ -69,6 +69,7 @@
     private record Row(
             int fronts, double bytes, double messages, double share, long configMs, double mb) {}
 
+    /** Prints a line of results for each number of data planes. */
     public static void main(String[] args) throws Exception {
         List<Row> rows = new ArrayList<>();
         for (int fronts : new int[] {50, 200, 800}) {
--- a/src/main/java/dillfront/lab/ChangesMeasure.java
+++ b/src/main/java/dillfront/lab/ChangesMeasure.java
@@ -60,6 +60,7 @@
                         jar);
     }
 
+    /** Prints one line of results; a full run takes one to two minutes. */
     public static void main(String[] args) throws Exception {
         ChangesMeasure one = new ChangesMeasure(args.length > 0 ? args[0] : "target/dillfront.jar");
         try {
--- a/src/main/java/dillfront/lab/Crowd.java
+++ b/src/main/java/dillfront/lab/Crowd.java
@@ -191,6 +191,7 @@
     private final Ear ear;
     private final RandomGenerator chance;
 
+    /** So many instances that all know each other from the start. */
     public Crowd(int count, Tuning tuning, Time time, long seed, Ear ear) {
         this.tuning = tuning;
         this.time = time;
--- a/src/main/java/dillfront/lab/PowerMeasure.java
+++ b/src/main/java/dillfront/lab/PowerMeasure.java
@@ -47,6 +47,7 @@
 
     private PowerMeasure() {}
 
+    /** Prints one line of results. */
     public static void main(String[] args) throws Exception {
         ExecutorService rigs = Executors.newFixedThreadPool(RIGS + 1);
         List<Future<Losses>> fleets = new ArrayList<>();
--- a/src/main/java/dillfront/lab/SiteMeasure.java
+++ b/src/main/java/dillfront/lab/SiteMeasure.java
@@ -57,6 +57,7 @@
         return took[ESTATES / 2];
     }
 
+    /** Prints one line of results. */
     public static void main(String[] args) {
         ms(50);
         double greedy = 0;
--- a/src/main/java/dillfront/lab/SystemMeasure.java
+++ b/src/main/java/dillfront/lab/SystemMeasure.java
@@ -24,6 +24,10 @@
         return day;
     }
 
+    /**
+     * With an argument, tells one seed in full; else plays days for some 45 s and prints one line
+     * of results.
+     */
     public static void main(String[] args) {
         if (args.length > 0) {
             Day day = play(Long.parseLong(args[0]));
--- a/src/main/java/dillfront/lab/rig/Agent.java
+++ b/src/main/java/dillfront/lab/rig/Agent.java
@@ -44,6 +44,7 @@
     /** What each life of a router was told of: to name those that a whole list leaves out. */
     private final Map<String, Set<String>> named = new HashMap<>();
 
+    /** Serves discovery for this cluster. */
     public Agent(Stage stage, String name, Catalogue catalogue, ToIntFunction<String> plain) {
         this.stage = stage;
         this.name = name;
--- a/src/main/java/dillfront/lab/rig/Happening.java
+++ b/src/main/java/dillfront/lab/rig/Happening.java
@@ -13,6 +13,7 @@
      */
     record Started(String life) implements Happening {}
 
+    /** What is to be done to the rig. */
     record Ended(String life, boolean killed) implements Happening {}
 
     /**
--- a/src/main/java/dillfront/lab/rig/Load.java
+++ b/src/main/java/dillfront/lab/rig/Load.java
@@ -29,6 +29,9 @@
         this(rig, seed, gapMicros, 1500);
     }
 
+    /**
+     * @param gapMicros between two transactions; waitMs is what a client allows one
+     */
     public Load(Rig rig, long seed, long gapMicros, long waitMs) {
         this.rig = rig;
         this.waitMs = waitMs;
@@ -36,6 +39,7 @@
         gapNanos = gapMicros * 1000;
     }
 
+    /** Sends from now on. */
     public void start() {
         rig.stage()
                 .run(
--- a/src/main/java/dillfront/lab/rig/Node.java
+++ b/src/main/java/dillfront/lab/rig/Node.java
@@ -86,6 +86,7 @@
     public record Work(
             int cores, long micros, double coldFrom, long coldMs, double tipMultiple, long tipMs) {}
 
+    /** A node of this group that listens at once. */
     public Node(Stage stage, String id, Group group, boolean leads, Work work) {
         this.stage = stage;
         this.id = id;
--- a/src/main/java/dillfront/lab/rig/Rig.java
+++ b/src/main/java/dillfront/lab/rig/Rig.java
@@ -43,6 +43,7 @@
             UnaryOperator<String> settings,
             BiFunction<Rig, Integer, String> operator) {
 
+        /** So many routers, groups, and members a group. */
         public static Plan of(int routers, int groups, int members) {
             return new Plan(
                     routers,
@@ -56,6 +57,7 @@
                     null);
         }
 
+        /** The same plan over these zones, in turn. */
         public Plan zones(String... names) {
             return new Plan(
                     routers,
--- a/src/main/java/dillfront/lab/rig/Router.java
+++ b/src/main/java/dillfront/lab/rig/Router.java
@@ -129,6 +129,7 @@
         }
     }
 
+    /** Waits until the router has written such a line, and fails after the usual time. */
     public void awaitLine(String what, Predicate<String> such) {
         long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
         while (lines().stream().noneMatch(such)) {
--- a/src/main/java/dillfront/lab/rig/Stage.java
+++ b/src/main/java/dillfront/lab/rig/Stage.java
@@ -164,6 +164,7 @@
         }
     }
 
+    /** Runs this on the stage's event loop and waits for it. */
     public void run(Runnable what) {
         call(
                 () -> {
--- a/src/main/java/dillfront/lab/whole/ControlCounts.java
+++ b/src/main/java/dillfront/lab/whole/ControlCounts.java
@@ -49,6 +49,7 @@
         acknowledgeMs.addAll(of.acknowledgeMs);
     }
 
+    /** Adds what was counted elsewhere. */
     public void add(ControlCounts other) {
         losses += other.losses;
         acknowledged += other.acknowledged;
--- a/src/main/java/dillfront/list/HttpAnswers.java
+++ b/src/main/java/dillfront/list/HttpAnswers.java
@@ -117,6 +117,7 @@
         return number;
     }
 
+    /** Releases what has not been read to its end. */
     public void release() {
         if (held != null) {
             held.release();
--- a/src/main/java/dillfront/list/Watch.java
+++ b/src/main/java/dillfront/list/Watch.java
@@ -87,6 +87,7 @@
         this.listener = listener;
     }
 
+    /** Connects to discovery and keeps asking until close(). */
     public void start() {
         if (!closed && (asking == null || asking.over || asking == former)) {
             asking = new Asking(generation);
@@ -131,6 +132,7 @@
         return answered;
     }
 
+    /** Closes the connection and stops all timers. */
     public void close() {
         closed = true;
         for (Asking one : new Asking[] {former, asking}) {
--- a/src/main/java/dillfront/log/Counters.java
+++ b/src/main/java/dillfront/log/Counters.java
@@ -39,6 +39,7 @@
         ended[result.ordinal()]++;
     }
 
+    /** Writes every counter as one log line. */
     public void print(Log log) {
         Object[] line = new Object[2 * (20 + ended.length)];
         int at = 0;
--- a/src/main/java/dillfront/memory/Memory.java
+++ b/src/main/java/dillfront/memory/Memory.java
@@ -337,6 +337,7 @@
         return status;
     }
 
+    /** Writes what still waits, for a second at the most, and closes the folder. */
     public void close() {
         synchronized (waiting) {
             over = true;
--- a/src/main/java/dillfront/memory/Shelf.java
+++ b/src/main/java/dillfront/memory/Shelf.java
@@ -388,14 +388,15 @@
     /** Bytes of a text in UTF-8. */
     private static int size(String text) {
         int size = text.length();
-        for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
+        int i = 0;
+        while (i < text.length()) {
+            char c = text.charAt(i++);
             if (c >= 0x80) {
                 // Each half of a pair counts for two; one that stands alone is written as '?'.
                 boolean pair =
                         Character.isHighSurrogate(c)
-                                && i + 1 < text.length()
-                                && Character.isLowSurrogate(text.charAt(i + 1));
+                                && i < text.length()
+                                && Character.isLowSurrogate(text.charAt(i));
                 size += pair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
                 i += pair ? 1 : 0;
             }
--- a/src/main/java/dillfront/operator/Operator.java
+++ b/src/main/java/dillfront/operator/Operator.java
@@ -586,6 +586,7 @@
         return file == null || file.isEmpty() ? NONE : read(Path.of(file));
     }
 
+    /** Reads and checks the operator's file. */
     public static Operator read(Path file) throws BadOperator {
         try {
             return read(file.toString(), Files.readString(file));
--- a/src/main/java/dillfront/peers/Neighbours.java
+++ b/src/main/java/dillfront/peers/Neighbours.java
@@ -84,6 +84,7 @@
         hearsay.nodes(nodes.size());
     }
 
+    /** Forgets what others claimed of this node. */
     public void forget(int node) {
         if (node < rows.size() && rows.get(node) != null) {
             nodes.remove(rows.get(node).key);
--- a/src/main/java/dillfront/pgwire/Frames.java
+++ b/src/main/java/dillfront/pgwire/Frames.java
@@ -78,6 +78,7 @@
         return held == null ? 0 : held.readableBytes();
     }
 
+    /** Releases what has not been read to its end. */
     public void release() {
         if (held != null) {
             held.release();
--- a/src/main/java/dillfront/pgwire/Messages.java
+++ b/src/main/java/dillfront/pgwire/Messages.java
@@ -87,6 +87,7 @@
         out.writeByte(0);
     }
 
+    /** Appends a StartupMessage of version 3.0. */
     public static ByteBuf startup(ByteBuf out, String user, String database) {
         int start = out.writerIndex();
         out.writeInt(0).writeInt(VERSION);
--- a/src/main/java/dillfront/programs/Rehearsal.java
+++ b/src/main/java/dillfront/programs/Rehearsal.java
@@ -26,6 +26,7 @@
 
     private Rehearsal() {}
 
+    /** Runs both programs once and exercises the paths that a first client takes. */
     public static void run() throws IOException, Settings.Bad, Keep.Broken {
         Path folder = Files.createTempDirectory("rehearsal");
         int[] port = new int[4];
--- a/src/main/java/dillfront/recovery/Groups.java
+++ b/src/main/java/dillfront/recovery/Groups.java
@@ -168,6 +168,7 @@
         }
     }
 
+    /** Forgets a node that no list names any more. */
     public void forget(int node) {
         if (node < rows.size() && rows.get(node) != null) {
             place(rows.get(node).group).members.remove(rows.get(node));
@@ -253,6 +254,7 @@
 
     // ---- the beat
 
+    /** Advances the state of each group by what is known now. */
     public void beat(Duration now) {
         places.forEach(
                 (group, place) -> {
@@ -313,6 +315,7 @@
 
     // ---- what may be asked
 
+    /** The state of each group, by its number. */
     public Map<Integer, State> states() {
         Map<Integer, State> states = new TreeMap<>();
         places.forEach(
--- a/src/main/java/dillfront/recovery/Others.java
+++ b/src/main/java/dillfront/recovery/Others.java
@@ -103,6 +103,7 @@
         return said != null && said.digest.mayHold(key);
     }
 
+    /** Forgets what has expired by now. */
     public void expire(Duration now) {
         for (Iterator<Row> all = rows.iterator(); all.hasNext(); ) {
             Row row = all.next();
--- a/src/main/java/dillfront/script/Script.java
+++ b/src/main/java/dillfront/script/Script.java
@@ -58,6 +58,9 @@
             return named.remove(name);
         }
 
+        /**
+         * @throws ScriptError where the value is no text
+         */
         public String text(String name, String otherwise) throws ScriptError {
             Object value = take(name);
             if (value != null && !(value instanceof String)) {
@@ -66,6 +69,9 @@
             return value == null ? otherwise : (String) value;
         }
 
+        /**
+         * @throws ScriptError where the value is no whole number
+         */
         public long number(String name, long otherwise) throws ScriptError {
             Object value = take(name);
             if (value != null && !(value instanceof Long)) {
@@ -74,6 +80,9 @@
             return value == null ? otherwise : (Long) value;
         }
 
+        /**
+         * @throws ScriptError where the value is no list
+         */
         public List<?> list(String name) throws ScriptError {
             Object value = take(name);
             if (value != null && !(value instanceof List)) {
@@ -82,6 +91,9 @@
             return value == null ? List.of() : (List<?>) value;
         }
 
+        /**
+         * @throws ScriptError where the call has an argument that nobody read
+         */
         public void done() throws ScriptError {
             if (taken < placed.size()) {
                 throw new ScriptError(at, "too many arguments for '" + at.text() + "'");
--- a/src/main/java/dillfront/servers/Call.java
+++ b/src/main/java/dillfront/servers/Call.java
@@ -148,7 +148,9 @@
             release(row);
             release(completion);
         }
-        description = row = completion = null;
+        description = null;
+        row = null;
+        completion = null;
         over(
                 result,
                 Duration.ofNanos(System.nanoTime() - startedNanos),
--- a/src/main/java/dillfront/servers/Fleet.java
+++ b/src/main/java/dillfront/servers/Fleet.java
@@ -345,7 +345,8 @@
         Duration position = null;
         Role role = null;
         int end = message.writerIndex() - 1;
-        for (int i = at; i < end; i++) {
+        int i = at;
+        while (i < end) {
             int name = i;
             boolean named = true;
             while (i < end && message.getByte(i) != '=') {
@@ -357,7 +358,8 @@
             boolean plain = named && i + 1 < end && message.getByte(i + 1) != ',';
             int length = 0;
             boolean rest = false;
-            for (i++; i < end && message.getByte(i) != ','; i++, length++) {
+            i++;
+            while (i < end && message.getByte(i) != ',') {
                 int digit = message.getByte(i) - '0';
                 if (digit == '.' - '0' && places < 0) {
                     places = 0;
@@ -369,6 +371,8 @@
                 } else {
                     rest |= digit > 0;
                 }
+                i++;
+                length++;
             }
             for (int k = Math.max(places, 0); k < 3; k++) {
                 thousandths *= 10;
@@ -382,6 +386,7 @@
             } else if (own && message.getByte(name + 1) == '0') {
                 position = position(thousandths - 1);
             }
+            i++;
         }
         return new Report(position, role);
     }
--- a/src/main/java/dillfront/site/Sites.java
+++ b/src/main/java/dillfront/site/Sites.java
@@ -24,6 +24,7 @@
  */
 public final class Sites {
 
+    /** What is held of a site. */
     public enum State {
         /** Nothing is known that tells it from a site that is well. */
         UNKNOWN,
@@ -114,6 +115,7 @@
         dial = dialTime;
     }
 
+    /** A member list names this node at this site. */
     public void listed(int node, String site, boolean ready) {
         while (rows.size() <= node) {
             rows.add(null);
@@ -140,6 +142,7 @@
         }
     }
 
+    /** Judges the sites anew; called at the interval that the settings give. */
     public void beat(Duration now) {
         places.forEach(
                 (site, place) -> {
--- a/src/test/java/dillfront/host/ScriptedHost.java
+++ b/src/test/java/dillfront/host/ScriptedHost.java
@@ -42,6 +42,7 @@
             }
         }
 
+        /** The connection breaks. */
         public void reset() {
             if (!closed) {
                 closed = true;
