--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -6,13 +6,13 @@
 import dillfront.daemon.Rehearsal;
 import dillfront.drill.BadInput;
 import dillfront.drill.Drill;
-import dillfront.host.Settings;
+import dillfront.host.NodeSettings;
 import dillfront.log.Log;
 import dillfront.log.Silence;
 import dillfront.memory.Keep;
 import dillfront.operator.Operator;
-import dillfront.programs.ControlPlane;
-import dillfront.programs.DataPlane;
+import dillfront.programs.ControlPlaneProgram;
+import dillfront.programs.DataPlaneProgram;
 import java.io.IOException;
 import java.util.List;
 
@@ -50,11 +50,11 @@
                 Silence.over(log);
                 Rehearsal.run(log);
             } else if (args[0].equals("data-plane")) {
-                DataPlane.run(() -> Settings.of(System.getenv()));
+                DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
             } else if (args[0].equals("control-plane")) {
-                ControlPlane.run(() -> Settings.of(System.getenv()));
+                ControlPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
             } else if (args[0].equals("rehearse-system")) {
-                dillfront.programs.Rehearsal.run();
+                dillfront.programs.WarmUp.run();
                 System.exit(0);
             } else {
                 new Drill(System.in, System.out).run();
@@ -65,7 +65,7 @@
         } catch (Operator.BadOperator bad) {
             System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
             System.exit(1);
-        } catch (Settings.Bad | Keep.Broken bad) {
+        } catch (NodeSettings.InvalidSettingsException | Keep.Broken bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
         } catch (BadInput bad) {
--- a/src/main/java/dillfront/cli/WholeSystem.java
+++ b/src/main/java/dillfront/cli/WholeSystem.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.ParseException;
 import dillfront.config.Address;
 import dillfront.host.Configuration;
-import dillfront.host.Settings;
+import dillfront.host.NodeSettings;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
@@ -56,23 +56,23 @@
         @Override
         public Integer call() {
             try {
-                Settings is = Settings.read(file);
+                NodeSettings is = NodeSettings.read(file);
                 System.out.println(
                         file
                                 + ": "
-                                + is.name()
+                                + is.nodeName()
                                 + " in "
-                                + is.zone()
+                                + is.zoneName()
                                 + ", "
-                                + (is.front() != null
-                                        ? "front " + is.front()
-                                        : is.control() != null
-                                                ? "control " + is.control()
+                                + (is.frontAddress() != null
+                                        ? "front " + is.frontAddress()
+                                        : is.controlAddress() != null
+                                                ? "control " + is.controlAddress()
                                                 : "serves nothing")
                                 + ", seeds "
-                                + is.seeds());
+                                + is.seedAddresses());
                 return 0;
-            } catch (Settings.Bad bad) {
+            } catch (NodeSettings.InvalidSettingsException bad) {
                 return Commands.fault(bad.getMessage());
             }
         }
@@ -90,18 +90,18 @@
         @Override
         public Integer call() {
             try {
-                Configuration is = Configuration.read(Files.readAllBytes(file));
+                Configuration is = Configuration.parse(Files.readAllBytes(file));
                 System.out.println(
                         file
                                 + ": version "
-                                + is.version()
+                                + is.revision()
                                 + ", "
-                                + is.size()
+                                + is.routeCount()
                                 + " routes, "
                                 + is.services().size()
                                 + " services");
                 return 0;
-            } catch (Configuration.Invalid bad) {
+            } catch (Configuration.InvalidConfigurationException bad) {
                 return Commands.fault(file + ": " + bad.getMessage());
             } catch (IOException bad) {
                 return Commands.fault(file + ": cannot be read: " + bad.getMessage());
--- a/src/main/java/dillfront/core/Ballot.java
+++ b/src/main/java/dillfront/core/Ballot.java
@@ -11,20 +11,20 @@
         return rounds != 0 ? rounds : proposer.compareTo(other.proposer);
     }
 
-    boolean above(Ballot other) {
+    boolean isAbove(Ballot other) {
         return compareTo(other) > 0;
     }
 
-    static Ballot highest(Ballot a, Ballot b) {
-        return a.above(b) ? a : b;
+    static Ballot max(Ballot a, Ballot b) {
+        return a.isAbove(b) ? a : b;
     }
 
-    String kept() {
+    String encode() {
         return round + " " + proposer;
     }
 
     /** As it stands on the disk or in a message; NONE for an empty text. */
-    public static Ballot of(String text) {
+    public static Ballot parse(String text) {
         int blank = text.indexOf(' ');
         return blank < 0
                 ? NONE
@@ -33,6 +33,6 @@
 
     @Override
     public String toString() {
-        return kept();
+        return encode();
     }
 }
--- a/src/main/java/dillfront/core/Core.java
+++ b/src/main/java/dillfront/core/ControlNode.java
@@ -4,12 +4,12 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import dillfront.host.Acknowledged;
+import dillfront.host.AcknowledgedCommits;
 import dillfront.host.Configuration;
-import dillfront.host.Host;
-import dillfront.host.HttpDoor;
-import dillfront.host.Pack;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.HttpServerHandler;
+import dillfront.host.MessageCodec;
+import dillfront.host.NodeSettings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
  * One control process. It and its like tell each other what they have, often and at once where
  * something changed; there is no log and no leader. One loop calls all of it.
  */
-public final class Core implements Lease.Ground<Peer> {
+public final class ControlNode implements LeaseManager.Context<ControlPeer> {
 
     private static final long TICK_MS = 400;
     private static final long LOOK_MS = 50;
@@ -82,28 +82,28 @@
     private static final int MOST_BEATS = 60_000;
     private static final int MOST_PEERS = 32;
 
-    final Host host;
-    final Settings settings;
-    final Members members = new Members();
-    final Table table = new Table(this, members);
-    final Records records = new Records(this);
-    final Register register;
-    final Lease lease;
-    final Askers askers;
-    final Duty duty;
-    final DataLosses losses;
-    private final Store store;
+    final Environment host;
+    final NodeSettings settings;
+    final ServerRegistry registry = new ServerRegistry();
+    final RegistryReplication registryReplication = new RegistryReplication(this, registry);
+    final PrimaryRecords records = new PrimaryRecords(this);
+    final ReplicatedRegister register;
+    final LeaseManager lease;
+    final DataPlaneSubscriptions subscriptions;
+    final FailoverCoordinator failover;
+    final DataLossManager dataLosses;
+    private final StateStore store;
     private final String boot;
 
     /** The seeds of the first start of all; empty where this process began later. */
     private String firstSeeds = "";
 
-    private final TreeMap<String, Peer> peers = new TreeMap<>();
+    private final TreeMap<String, ControlPeer> peers = new TreeMap<>();
 
     /**
      * Those that beat here, the last one first; one that beat again stands there twice for a while.
      */
-    private final ArrayDeque<Member> beats = new ArrayDeque<>();
+    private final ArrayDeque<DatabaseServer> beats = new ArrayDeque<>();
 
     private String id = "";
 
@@ -111,7 +111,7 @@
     private boolean named;
 
     private boolean leaving;
-    private final Settling settling = new Settling();
+    private final ReconfigurationBarrier settling = new ReconfigurationBarrier();
     private TreeSet<String> changesTo = new TreeSet<>();
     private boolean poked;
     private long pokedAt = -TOGETHER_MS;
@@ -136,28 +136,28 @@
     /**
      * @param store the disk; it may refuse writes, which are tried again
      */
-    public Core(Host host, Settings settings, Store store) {
+    public ControlNode(Environment host, NodeSettings settings, StateStore store) {
         this.host = host;
         this.settings = settings;
-        this.store = new Durable(host, store);
-        boot = Long.toHexString(host.chance().nextLong());
-        register = new Register(this);
-        lease = new Lease(this);
-        askers = new Askers(this);
-        duty = new Duty(this);
-        losses = new DataLosses(this);
+        this.store = new RetryingStateStore(host, store);
+        boot = Long.toHexString(host.random().nextLong());
+        register = new ReplicatedRegister(this);
+        lease = new LeaseManager(this);
+        subscriptions = new DataPlaneSubscriptions(this);
+        failover = new FailoverCoordinator(this);
+        dataLosses = new DataLossManager(this);
     }
 
     /** Takes over what the disk holds, and begins. */
-    public void start() throws Configuration.Invalid {
-        started = host.now();
-        Map<String, String> kept = store.all();
+    public void start() throws Configuration.InvalidConfigurationException {
+        started = host.nowMillis();
+        Map<String, String> kept = store.initialState();
         id = kept.getOrDefault("id", "");
         if (id.isEmpty()) {
             // An empty disk, or a damaged one: whoever was here before, this is another.
-            id = ip() + "/" + Long.toHexString(host.chance().nextLong());
-            firstSeeds = settings.first() ? sortedSeeds() : "";
-            store(Map.of("id", id, "first-seeds", firstSeeds))
+            id = ip() + "/" + Long.toHexString(host.random().nextLong());
+            firstSeeds = settings.firstStart() ? sortedSeeds() : "";
+            persist(Map.of("id", id, "first-seeds", firstSeeds))
                     .thenRun(
                             () -> {
                                 named = true;
@@ -167,13 +167,13 @@
             named = true;
             firstSeeds = kept.getOrDefault("first-seeds", "");
         }
-        register.load(kept);
-        table.load(kept, started);
-        records.load(kept);
+        register.restore(kept);
+        registryReplication.restore(kept, started);
+        records.restore(kept);
         fronts = Integer.parseInt(kept.getOrDefault("fronts", "1"));
         frontsAt = started;
-        lease.load(kept);
-        seeds(settings.seedIps());
+        lease.restore(kept);
+        addSeeds(settings.seedIps());
         found();
         tick();
         look();
@@ -189,7 +189,7 @@
     }
 
     /** Where others may be found, by the settings. */
-    public void seeds(List<String> ips) {
+    public void addSeeds(List<String> ips) {
         ips.forEach(this::peer);
     }
 
@@ -201,36 +201,33 @@
             peers.values()
                     .removeIf(
                             p ->
-                                    !member(p.id)
-                                            && host.now() - Math.max(p.heard, started)
+                                    !isMember(p.id)
+                                            && host.nowMillis()
+                                                            - Math.max(p.lastContactMillis, started)
                                                     > FORGOTTEN_MS);
         }
         if (peers.size() < MOST_PEERS) {
-            peers.put(ip, new Peer(ip));
+            peers.put(ip, new ControlPeer(ip));
         }
     }
 
     // ---- what its parts ask
 
     String ip() {
-        return settings.ip();
+        return settings.ipAddress();
     }
 
     String boot() {
         return boot;
     }
 
-    Iterable<Peer> peers() {
-        return peers.values();
-    }
-
     /**
      * Where control processes are, each with its zone, and whether it is heard; those that are come
      * first.
      */
     List<Object> places() {
         List<Object> places = new ArrayList<>();
-        places.add(new TreeMap<>(Map.of("i", ip(), "z", settings.zone())));
+        places.add(new TreeMap<>(Map.of("i", ip(), "z", settings.zoneName())));
         peers.values().stream()
                 .filter(this::touch)
                 .forEach(p -> places.add(new TreeMap<>(Map.of("i", p.ip, "z", p.zone))));
@@ -241,7 +238,7 @@
     }
 
     @Override
-    public String self() {
+    public String selfId() {
         return id;
     }
 
@@ -250,65 +247,67 @@
     }
 
     @Override
-    public long now() {
-        return host.now();
+    public long nowMillis() {
+        return host.nowMillis();
     }
 
     @Override
-    public long chance(long below) {
-        return host.chance().nextLong(below);
+    public long randomBelow(long below) {
+        return host.random().nextLong(below);
     }
 
     @Override
-    public void tell() {
+    public void broadcast() {
         poke();
     }
 
     @Override
-    public boolean holds() {
-        return duty.settled();
+    public boolean holdsLease() {
+        return failover.settled();
     }
 
     /** A newer value is decided: members and configuration. */
     @Override
-    public void decided(Value value) {
-        value.members().forEach(member -> peer(Value.ip(member)));
+    public void onDecided(RegisterValue value) {
+        value.members().forEach(member -> peer(RegisterValue.ipOf(member)));
         news();
     }
 
     /** The number of the set of members that this process goes by; 0 before there is one. */
     @Override
     public long epoch() {
-        return register.held() == null ? 0 : register.held().epoch();
+        return register.acceptedValue() == null ? 0 : register.acceptedValue().epoch();
     }
 
     @Override
-    public boolean member(String of) {
-        Value is = register.held();
+    public boolean isMember(String of) {
+        RegisterValue is = register.acceptedValue();
         return is != null && (is.members().contains(of) || is.outgoing().contains(of));
     }
 
     /** Whether its own word counts. */
     @Override
-    public boolean votes() {
-        return member(id);
+    public boolean isVoter() {
+        return isMember(id);
     }
 
     @Override
-    public int rank() {
-        return register.held() == null ? 0 : register.held().members().headSet(id).size();
+    public int memberRank() {
+        return register.acceptedValue() == null
+                ? 0
+                : register.acceptedValue().members().headSet(id).size();
     }
 
-    private Peer peerOf(String of) {
-        Peer p = peers.get(Value.ip(of));
+    private ControlPeer peerOf(String of) {
+        ControlPeer p = peers.get(RegisterValue.ipOf(of));
         return p != null && p.id.equals(of) ? p : null;
     }
 
     /** Whether a majority of each set in force has this, itself where it says so. */
-    boolean quorum(boolean itself, Predicate<Peer> other) {
-        Value is = register.held();
+    boolean quorum(boolean itself, Predicate<ControlPeer> other) {
+        RegisterValue is = register.acceptedValue();
         return is != null
-                && is.quorum(
+                && is.isQuorum(
                         of ->
                                 of.equals(id)
                                         ? itself
@@ -316,51 +315,52 @@
     }
 
     @Override
-    public long reached(long itself, ToLongFunction<? super Peer> moment) {
-        Value is = register.held();
+    public long quorumReached(long itself, ToLongFunction<? super ControlPeer> moment) {
+        RegisterValue is = register.acceptedValue();
         return is == null
-                ? Lease.NEVER
-                : is.reached(
+                ? LeaseManager.NEVER
+                : is.quorumReached(
                         of ->
                                 of.equals(id)
                                         ? itself
                                         : peerOf(of) == null
-                                                ? Lease.NEVER
+                                                ? LeaseManager.NEVER
                                                 : moment.applyAsLong(peerOf(of)));
     }
 
     @Override
-    public Iterable<Peer> voters() {
+    public Iterable<ControlPeer> peers() {
         return peers.values();
     }
 
     @Override
-    public long stalledFor() {
-        return store.stalledFor();
+    public long diskStalledMillis() {
+        return store.stalledMillis();
     }
 
-    boolean touch(Peer p) {
-        return host.now() - p.heard < TOUCH_MS;
+    boolean touch(ControlPeer p) {
+        return host.nowMillis() - p.lastContactMillis < TOUCH_MS;
     }
 
     /** No majority has answered it of late: it may know less than others do. */
     @Override
-    public boolean alone() {
-        return reached(host.now(), p -> p.echo) < host.now() - TOUCH_MS;
+    public boolean isIsolated() {
+        return quorumReached(host.nowMillis(), p -> p.lastAckSentMillis)
+                < host.nowMillis() - TOUCH_MS;
     }
 
     @Override
-    public CompletableFuture<Void> store(Map<String, String> texts) {
+    public CompletableFuture<Void> persist(Map<String, String> texts) {
         return store.put(texts);
     }
 
-    Lead lead(String service) {
-        return records.of(service);
+    PrimaryRecord lead(String service) {
+        return records.get(service);
     }
 
     /** Takes a record in where it is newer. */
-    void lead(Lead next) {
-        if (records.take(next)) {
+    void lead(PrimaryRecord next) {
+        if (records.merge(next)) {
             news();
             poke();
         }
@@ -372,7 +372,7 @@
             suspects = now;
             suspectsAt++;
             news();
-            if (duty.settled()) {
+            if (failover.settled()) {
                 poke();
             }
         }
@@ -387,8 +387,8 @@
     }
 
     private void keep() {
-        table.keep(
-                peers.values().stream().map(p -> p.table).toList(),
+        registryReplication.persist(
+                peers.values().stream().map(p -> p.registryProgress).toList(),
                 () -> {
                     acknowledge();
                     poke();
@@ -397,10 +397,10 @@
 
     /** For how long from now it is sure that no other leads than the records say. */
     long sureFor() {
-        if (duty.settled()) {
-            return Math.min(SURE_MS, lease.until() - host.now() + PAST_MS);
+        if (failover.settled()) {
+            return Math.min(SURE_MS, lease.validUntilMillis() - host.nowMillis() + PAST_MS);
         }
-        return sureUntil - host.now();
+        return sureUntil - host.nowMillis();
     }
 
     int fronts() {
@@ -414,12 +414,12 @@
     void news() {
         if (!telling) {
             telling = true;
-            host.after(
-                    Math.max(0, toldAt + TOGETHER_MS - host.now()),
+            host.schedule(
+                    Math.max(0, toldAt + TOGETHER_MS - host.nowMillis()),
                     () -> {
                         telling = false;
-                        toldAt = host.now();
-                        askers.news();
+                        toldAt = host.nowMillis();
+                        subscriptions.publish();
                     });
         }
     }
@@ -430,67 +430,69 @@
     void poke() {
         if (!poked) {
             poked = true;
-            host.after(
-                    Math.max(0, pokedAt + TOGETHER_MS - host.now()),
+            host.schedule(
+                    Math.max(0, pokedAt + TOGETHER_MS - host.nowMillis()),
                     () -> {
                         poked = false;
-                        pokedAt = host.now();
+                        pokedAt = host.nowMillis();
                         peers.values().forEach(this::tell);
                     });
         }
     }
 
     private void tick() {
-        host.after(TICK_MS, this::tick);
-        int asking = askers.count();
-        for (Peer p : peers.values()) {
-            if (p.up && host.now() - Math.max(p.echo, p.upAt) > DEAF_MS) {
+        host.schedule(TICK_MS, this::tick);
+        int asking = subscriptions.activeCount();
+        for (ControlPeer p : peers.values()) {
+            if (p.connected
+                    && host.nowMillis() - Math.max(p.lastAckSentMillis, p.connectedAtMillis)
+                            > DEAF_MS) {
                 // What is on its way there may wait for seconds behind what a cut has swallowed.
-                leave(p);
+                shutDown(p);
             }
-            if (!p.up && host.now() >= p.dialAt) {
+            if (!p.connected && host.nowMillis() >= p.connectAtMillis) {
                 dial(p);
             }
             if (touch(p)) {
-                asking += p.fronts;
+                asking += p.dataPlanes;
             }
         }
         // Fewer are believed only after a while: those that start again come back to their
         // connections.
         int many = Math.max(1, asking);
         if (many >= fronts) {
-            frontsAt = host.now();
+            frontsAt = host.nowMillis();
         }
-        if (many > fronts || many < fronts && host.now() - frontsAt > FEWER_MS) {
+        if (many > fronts || many < fronts && host.nowMillis() - frontsAt > FEWER_MS) {
             fronts = many;
-            frontsAt = host.now();
-            store(Map.of("fronts", Integer.toString(fronts)));
+            frontsAt = host.nowMillis();
+            persist(Map.of("fronts", Integer.toString(fronts)));
         }
         peers.values().forEach(this::tell);
-        register.retain(of -> peerOf(of) != null);
-        if (members.expire(host.now(), ENDED_MS)) {
+        register.retainPeers(of -> peerOf(of) != null);
+        if (registry.expireLeaving(host.nowMillis(), ENDED_MS)) {
             news();
         }
     }
 
     private void look() {
-        host.after(LOOK_MS, this::look);
-        if (host.now() - lookedAt > LATE_MS) {
+        host.schedule(LOOK_MS, this::look);
+        if (host.nowMillis() - lookedAt > LATE_MS) {
             // Whoever was away himself has no ground to call others silent.
-            duty.away();
-            awayAt = host.now();
+            failover.away();
+            awayAt = host.nowMillis();
         }
-        lookedAt = host.now();
+        lookedAt = host.nowMillis();
         noticeContact();
-        boolean is = alone();
-        if (is != wasAlone && host.now() > started + TOUCH_MS) {
+        boolean is = isIsolated();
+        if (is != wasAlone && host.nowMillis() > started + TOUCH_MS) {
             wasAlone = is;
-            host.wrong(
+            host.warn(
                     is ? "no majority of control processes is heard" : "a majority is heard again");
         }
-        lease.look();
-        duty.look();
-        register.look();
+        lease.poll();
+        failover.poll();
+        register.poll();
         found();
         change();
         acknowledge();
@@ -499,9 +501,9 @@
 
     /** Whoever waits here is told at once that contact is there, or gone. */
     private void noticeContact() {
-        if (alone() == inContact) {
+        if (isIsolated() == inContact) {
             inContact = !inContact;
-            askers.news();
+            subscriptions.publish();
         }
     }
 
@@ -513,7 +515,7 @@
         List<String> ips = new ArrayList<>(new TreeSet<>(settings.seedIps()));
         if (!firstStart()
                 || !named
-                || !register.blank()
+                || !register.isBlank()
                 || ips.isEmpty()
                 || !ips.get(0).equals(ip())) {
             return;
@@ -521,163 +523,173 @@
         TreeSet<String> ids = new TreeSet<>();
         ids.add(id);
         for (String ip : ips) {
-            Peer p = peers.get(ip);
-            if (p != null && p.fresh && p.echo >= started) {
+            ControlPeer p = peers.get(ip);
+            if (p != null && p.firstStart && p.lastAckSentMillis >= started) {
                 ids.add(p.id);
             }
         }
         if (ids.size() == ips.size()) {
-            host.note("founded by " + ids);
-            register.found(ids);
+            host.trace("founded by " + ids);
+            register.bootstrap(ids);
         }
     }
 
     /** Who counts, as the holder of the lease sees it. */
     private void change() {
-        Value is = register.decided();
-        if (is == null || !duty.settled() || !register.highest().equals(register.decidedBallot())) {
+        RegisterValue is = register.decidedValue();
+        if (is == null
+                || !failover.settled()
+                || !register.highestKnownBallot().equals(register.decidedBallot())) {
             return;
         }
-        if (!is.joint()) {
-            settling.none();
-            List<Membership.Process> seen = new ArrayList<>();
-            seen.add(new Membership.Process(id, settings.zone(), 0, true, leaving));
-            for (Peer p : peers.values()) {
+        if (!is.isJoint()) {
+            settling.reset();
+            List<MembershipPolicy.Candidate> seen = new ArrayList<>();
+            seen.add(new MembershipPolicy.Candidate(id, settings.zoneName(), 0, true, leaving));
+            for (ControlPeer p : peers.values()) {
                 if (!p.id.isEmpty()) {
-                    long silent = host.now() - Math.max(Math.max(p.heard, started), awayAt);
+                    long silent =
+                            host.nowMillis()
+                                    - Math.max(Math.max(p.lastContactMillis, started), awayAt);
                     boolean near =
-                            p.echo > host.now() - TOUCH_MS
+                            p.lastAckSentMillis > host.nowMillis() - TOUCH_MS
                                     && p.epoch == is.epoch()
-                                    && p.record >= records.newest()
-                                    && register.acceptedBy(p.id).equals(register.decidedBallot());
-                    seen.add(new Membership.Process(p.id, p.zone, silent, near, p.leaving));
+                                    && p.recordNumber >= records.newestNumber()
+                                    && register.acceptedBallotOf(p.id)
+                                            .equals(register.decidedBallot());
+                    seen.add(new MembershipPolicy.Candidate(p.id, p.zone, silent, near, p.leaving));
                 }
             }
             for (String member : is.members()) {
                 if (peerOf(member) == null && !member.equals(id)) {
-                    long silent = host.now() - Math.max(started, awayAt);
+                    long silent = host.nowMillis() - Math.max(started, awayAt);
                     boolean another =
-                            peers.containsKey(Value.ip(member))
-                                    && !peers.get(Value.ip(member)).id.isEmpty();
+                            peers.containsKey(RegisterValue.ipOf(member))
+                                    && !peers.get(RegisterValue.ipOf(member)).id.isEmpty();
                     seen.add(
-                            new Membership.Process(
+                            new MembershipPolicy.Candidate(
                                     member, "", another ? Long.MAX_VALUE : silent, false, false));
                 }
             }
-            TreeSet<String> next = Membership.next(is.members(), seen, settings.losses());
+            TreeSet<String> next =
+                    MembershipPolicy.nextMembers(
+                            is.members(), seen, settings.toleratedMachineLosses());
             if (next.equals(is.members())) {
                 changesTo = next;
             } else {
                 if (!next.equals(changesTo)) {
-                    host.wrong("members " + is.members() + " to " + next);
+                    host.warn("members " + is.members() + " to " + next);
                     changesTo = next;
                 }
-                register.members(is.epoch(), next);
+                register.proposeMembers(is.epoch(), next);
             }
             return;
         }
         // All that the old set had when it agreed to the joint one is known here; then the new one
         // has it on its disks.
         Ballot joint = register.decidedBallot();
-        if (settling.may(
+        if (settling.canFinish(
                 is,
                 joint,
-                of -> register.acceptedBy(of).equals(joint),
-                table.changes(),
-                records.newest(),
+                of -> register.acceptedBallotOf(of).equals(joint),
+                registryReplication.version(),
+                records.newestNumber(),
                 this::onDisk)) {
-            register.settle(is.epoch());
+            register.proposeFinalMembers(is.epoch());
         }
     }
 
     private boolean onDisk(String of, long change, long record) {
         return of.equals(id)
-                ? table.durable() >= change && records.durable() >= record
+                ? registryReplication.durableVersion() >= change
+                        && records.durableNumber() >= record
                 : peerOf(of) != null
-                        && table.kept(peerOf(of).table) >= change
-                        && peerOf(of).record >= record;
-    }
-
-    private void leave(Peer p) {
-        p.link.close();
-        p.up = false;
-        p.dialAt = host.now() + REDIAL_MS;
-    }
-
-    private void dial(Peer p) {
-        p.dialAt = host.now() + DIAL_MS + REDIAL_MS;
-        p.dialing = true;
-        p.dialedAt = host.now();
-        p.up = false;
-        long mine = ++p.dials;
-        p.link =
-                host.dial(
-                        settings.innerOf(p.ip),
-                        Host.Form.FRAMES,
+                        && registryReplication.durableVersionOf(peerOf(of).registryProgress)
+                                >= change
+                        && peerOf(of).recordNumber >= record;
+    }
+
+    private void shutDown(ControlPeer p) {
+        p.connection.close();
+        p.connected = false;
+        p.connectAtMillis = host.nowMillis() + REDIAL_MS;
+    }
+
+    private void dial(ControlPeer p) {
+        p.connectAtMillis = host.nowMillis() + DIAL_MS + REDIAL_MS;
+        p.connecting = true;
+        p.connectStartedMillis = host.nowMillis();
+        p.connected = false;
+        long mine = ++p.connectAttempts;
+        p.connection =
+                host.connect(
+                        settings.internalAddressOf(p.ip),
+                        Environment.Framing.FRAMES,
                         DIAL_MS,
-                        new Host.Ear() {
+                        new Environment.ConnectionListener() {
                             @Override
-                            public void opened(Host.Link link) {
-                                if (mine != p.dials) {
+                            public void onOpen(Environment.Connection link) {
+                                if (mine != p.connectAttempts) {
                                     return;
                                 }
-                                p.link = link;
-                                p.up = true;
-                                p.dialing = false;
-                                p.upAt = host.now();
-                                p.toldAt = host.now() - 2 * settings.beat();
-                                p.placesTold = "";
-                                register.again(p.id);
+                                p.connection = link;
+                                p.connected = true;
+                                p.connecting = false;
+                                p.connectedAtMillis = host.nowMillis();
+                                p.heartbeatsSentUpToMillis =
+                                        host.nowMillis() - 2 * settings.heartbeatIntervalMillis();
+                                p.addressesSent = "";
+                                register.onConnectionReset(p.id);
                                 tell(p);
                             }
 
                             @Override
-                            public void message(byte[] message) {
+                            public void onMessage(byte[] message) {
                                 // Words come on the other's own connection.
                             }
 
                             @Override
-                            public void closed(String why) {
-                                if (mine == p.dials) {
-                                    p.up = false;
-                                    p.dialing = false;
-                                    p.dialAt = host.now() + REDIAL_MS;
+                            public void onClose(String why) {
+                                if (mine == p.connectAttempts) {
+                                    p.connected = false;
+                                    p.connecting = false;
+                                    p.connectAtMillis = host.nowMillis() + REDIAL_MS;
                                 }
                             }
                         });
     }
 
-    private void tell(Peer p) {
-        if (!p.up || !named) {
+    private void tell(ControlPeer p) {
+        if (!p.connected || !named) {
             return;
         }
-        if (p.link.waiting() > 1 << 20) {
-            leave(p);
+        if (p.connection.pendingBytes() > 1 << 20) {
+            shutDown(p);
             return;
         }
-        long now = host.now();
+        long now = host.nowMillis();
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("t", "word");
         out.put("i", ip());
-        out.put("z", settings.zone());
+        out.put("z", settings.zoneName());
         out.put("b", boot);
         out.put("n", now);
-        out.put("e", p.itsNow);
-        out.put("eb", p.boot);
+        out.put("e", p.peerClockMillis);
+        out.put("eb", p.incarnation);
         out.put("id", id);
         out.put("ep", epoch());
         if (!p.id.isEmpty()) {
-            out.put("rg", register.say(p.id));
+            out.put("rg", register.messageTo(p.id));
         }
-        if (register.blank() && firstStart()) {
+        if (register.isBlank() && firstStart()) {
             out.put("fs", true);
         }
         if (leaving) {
             out.put("lv", true);
         }
-        if (lease.given() > 0) {
-            out.put("rl", lease.given());
-            out.put("rh", lease.gaveUpHeld());
+        if (lease.abandonedNumber() > 0) {
+            out.put("rl", lease.abandonedNumber());
+            out.put("rh", lease.abandonedWasHeld());
         }
         List<String> places = new ArrayList<>();
         peers.values()
@@ -687,49 +699,49 @@
                                 places.add(o.ip);
                             }
                         });
-        if (!places.toString().equals(p.placesTold)) {
-            p.placesTold = places.toString();
+        if (!places.toString().equals(p.addressesSent)) {
+            p.addressesSent = places.toString();
             out.put("pl", places);
         }
-        table.say(out, p.table);
+        registryReplication.writeTo(out, p.registryProgress);
         List<Object> alive = new ArrayList<>();
-        for (Member m : beats) {
-            if (m.heardHere < p.toldAt) {
+        for (DatabaseServer m : beats) {
+            if (m.lastDirectHeartbeatMillis < p.heartbeatsSentUpToMillis) {
                 break;
             }
             alive.add(m.id);
-            alive.add(now - m.heardHere);
-            alive.add(m.sequence);
+            alive.add(now - m.lastDirectHeartbeatMillis);
+            alive.add(m.callSequence);
         }
         if (!alive.isEmpty()) {
             out.put("al", alive);
         }
-        p.toldAt = now + 1;
-        out.put("p", lease.promised());
+        p.heartbeatsSentUpToMillis = now + 1;
+        out.put("p", lease.promisedNumber());
         out.put("pt", lease.promisedTo());
-        out.put("pg", lease.granted());
-        if (lease.formerUntil() > now) {
-            out.put("pf", lease.formerUntil() - now);
+        out.put("pg", lease.grantedAtMillis());
+        if (lease.formerLeaseEndMillis() > now) {
+            out.put("pf", lease.formerLeaseEndMillis() - now);
         }
-        out.put("w", lease.wanted());
-        records.say(out, p.record);
+        out.put("w", lease.requestedNumber());
+        records.writeTo(out, p.recordNumber);
         List<Object> cleared = new ArrayList<>();
         List<Object> sights = new ArrayList<>();
-        for (Lead lead : records.all()) {
-            if (lead.moving() && askers.cleared(lead.number())) {
+        for (PrimaryRecord lead : records.all()) {
+            if (lead.moving() && subscriptions.allHaveRecord(lead.number())) {
                 cleared.add(lead.service());
                 cleared.add(lead.number());
             }
-            Sight seen = askers.sight(lead.service(), lead.primary());
-            if (seen.lost() > 0 || lead.moving()) {
+            PrimaryObservation seen = subscriptions.observation(lead.service(), lead.primary());
+            if (seen.unreachable() > 0 || lead.moving()) {
                 sights.add(
                         List.of(
                                 lead.service(),
                                 lead.primary(),
-                                seen.well(),
-                                seen.lost(),
-                                seen.open(),
-                                askers.acknowledged(lead.service()).toString()));
+                                seen.reachable(),
+                                seen.unreachable(),
+                                seen.openTransactions(),
+                                subscriptions.acknowledgedCommits(lead.service()).toString()));
             }
         }
         if (!cleared.isEmpty()) {
@@ -738,129 +750,131 @@
         if (!sights.isEmpty()) {
             out.put("s", sights);
         }
-        if (duty.settled()) {
+        if (failover.settled()) {
             out.put("h", true);
-            out.put("hl", lease.until() - now);
+            out.put("hl", lease.validUntilMillis() - now);
         }
-        losses.tell(out);
-        out.put("f", askers.count());
-        if (duty.settled() && !suspects.isEmpty()) {
+        dataLosses.tell(out);
+        out.put("f", subscriptions.activeCount());
+        if (failover.settled() && !suspects.isEmpty()) {
             out.put("sq", suspects());
         }
-        p.link.send(Pack.write(out));
+        p.connection.send(MessageCodec.encode(out));
     }
 
     /** A word of another control process. */
-    private void heard(Pack.Fields in) {
-        String ip = in.text("i");
+    private void heard(MessageCodec.Fields in) {
+        String ip = in.string("i");
         peer(ip);
-        Peer p = peers.get(ip);
+        ControlPeer p = peers.get(ip);
         if (p == null) {
             return;
         }
-        long now = host.now();
-        if (in.text("id").isEmpty()) {
+        long now = host.nowMillis();
+        if (in.string("id").isEmpty()) {
             return;
         }
-        if (in.text("b").equals(p.boot) && in.number("n", 0) < p.itsNow) {
+        if (in.string("b").equals(p.incarnation) && in.number("n", 0) < p.peerClockMillis) {
             // Older than what it said last.
             return;
         }
-        if (!in.text("b").equals(p.boot) || !in.text("id").equals(p.id)) {
-            p.boot = in.text("b");
-            p.earlier = p.heard;
+        if (!in.string("b").equals(p.incarnation) || !in.string("id").equals(p.id)) {
+            p.incarnation = in.string("b");
+            p.formerIncarnationContactMillis = p.lastContactMillis;
             // An answer at once, on a connection to this life: it counts nobody whom it has not
             // heard answer, and what went out
             // to its life before may hang for long.
-            if (p.up && p.earlier > started || p.dialing && host.now() - p.dialedAt > HANGS_MS) {
-                p.link.close();
+            if (p.connected && p.formerIncarnationContactMillis > started
+                    || p.connecting && host.nowMillis() - p.connectStartedMillis > HANGS_MS) {
+                p.connection.close();
                 dial(p);
             }
             poke();
-            p.id = in.text("id");
-            p.table = new Progress();
-            p.promised = 0;
+            p.id = in.string("id");
+            p.registryProgress = new ReplicationProgress();
+            p.promisedNumber = 0;
             p.promisedTo = "";
-            p.wanted = 0;
-            p.echo = Long.MIN_VALUE / 2;
-            p.record = -1;
-            p.cleared.clear();
+            p.requestedNumber = 0;
+            p.lastAckSentMillis = Long.MIN_VALUE / 2;
+            p.recordNumber = -1;
+            p.clearedRecords.clear();
         }
-        p.heard = now;
-        if (!p.up && !p.dialing) {
+        p.lastContactMillis = now;
+        if (!p.connected && !p.connecting) {
             // It is there: whoever waits for the next tick hears no answer before.
             dial(p);
         }
-        p.zone = in.text("z");
-        p.itsNow = in.number("n", 0);
-        boolean ours = in.text("eb").equals(boot);
+        p.zone = in.string("z");
+        p.peerClockMillis = in.number("n", 0);
+        boolean ours = in.string("eb").equals(boot);
         if (ours) {
-            p.echo = Math.max(p.echo, in.number("e", Long.MIN_VALUE / 2));
+            p.lastAckSentMillis = Math.max(p.lastAckSentMillis, in.number("e", Long.MIN_VALUE / 2));
         }
-        boolean changed = table.hear(in, p.table, ours);
-        List<String> alive = in.texts("al");
+        boolean changed = registryReplication.receive(in, p.registryProgress, ours);
+        List<String> alive = in.strings("al");
         for (int i = 0; i + 2 < alive.size(); i += 3) {
-            Member m = members.get(alive.get(i));
+            DatabaseServer m = registry.get(alive.get(i));
             if (m != null) {
-                m.heard = Math.max(m.heard, now - Long.parseLong(alive.get(i + 1)));
-                m.sequence = Math.max(m.sequence, Long.parseLong(alive.get(i + 2)));
+                m.lastHeardMillis =
+                        Math.max(m.lastHeardMillis, now - Long.parseLong(alive.get(i + 1)));
+                m.callSequence = Math.max(m.callSequence, Long.parseLong(alive.get(i + 2)));
             }
         }
         p.epoch = in.number("ep", 0);
-        p.fresh = in.bit("fs");
-        p.leaving = in.bit("lv");
-        in.texts("pl").forEach(this::peer);
+        p.firstStart = in.flag("fs");
+        p.leaving = in.flag("lv");
+        in.strings("pl").forEach(this::peer);
         if (in.all().get("rg") instanceof Map<?, ?> map) {
             @SuppressWarnings("unchecked")
             Map<String, Object> fields = (Map<String, Object>) map;
             try {
-                register.hear(p.id, new Pack.Fields(fields));
-            } catch (Configuration.Invalid never) {
-                host.wrong(
-                        "a configuration of " + ip + " is not understood: " + never.getMessage());
+                register.receive(p.id, new MessageCodec.Fields(fields));
+            } catch (Configuration.InvalidConfigurationException never) {
+                host.warn("a configuration of " + ip + " is not understood: " + never.getMessage());
             }
         }
-        p.promised = in.number("p", 0);
-        p.promisedTo = in.text("pt");
-        p.granted = in.number("pg", Lease.NEVER);
-        p.wanted = in.number("w", 0);
-        p.formerUntil = in.number("pf", 0) > 0 ? now + in.number("pf", 0) : Lease.NEVER;
-        p.record = in.number("k", -1);
-        if (records.hear(in)) {
+        p.promisedNumber = in.number("p", 0);
+        p.promisedTo = in.string("pt");
+        p.grantedAtMillis = in.number("pg", LeaseManager.NEVER);
+        p.requestedNumber = in.number("w", 0);
+        p.formerLeaseEndMillis =
+                in.number("pf", 0) > 0 ? now + in.number("pf", 0) : LeaseManager.NEVER;
+        p.recordNumber = in.number("k", -1);
+        if (records.receive(in)) {
             news();
             poke();
         }
-        List<String> cleared = in.texts("cl");
-        p.cleared.clear();
+        List<String> cleared = in.strings("cl");
+        p.clearedRecords.clear();
         for (int i = 0; i + 1 < cleared.size(); i += 2) {
-            p.cleared.put(cleared.get(i), Long.parseLong(cleared.get(i + 1)));
+            p.clearedRecords.put(cleared.get(i), Long.parseLong(cleared.get(i + 1)));
         }
-        p.sights.clear();
+        p.observations.clear();
         Object seen = in.all().get("s");
         if (seen instanceof List<?> list) {
             for (Object one : list) {
                 if (one instanceof List<?> row && row.size() == 6) {
-                    p.sights.put(
+                    p.observations.put(
                             String.valueOf(row.get(0)),
-                            new Sight(
+                            new PrimaryObservation(
                                     String.valueOf(row.get(1)),
                                     ((Number) row.get(2)).intValue(),
                                     ((Number) row.get(3)).intValue(),
                                     ((Number) row.get(4)).intValue()));
-                    askers.acknowledged(
+                    subscriptions.acknowledgedCommits(
                             String.valueOf(row.get(0)),
-                            Acknowledged.of(String.valueOf(row.get(5))));
+                            AcknowledgedCommits.parse(String.valueOf(row.get(5))));
                 }
             }
         }
-        p.fronts = (int) in.number("f", 0);
-        if (in.bit("h")) {
-            suspects(new TreeSet<>(in.texts("sq")));
+        p.dataPlanes = (int) in.number("f", 0);
+        if (in.flag("h")) {
+            suspects(new TreeSet<>(in.strings("sq")));
         }
-        losses.heard(in, ours);
-        lease.wants(p, p.wanted, p.itsNow);
-        lease.released(p, in.number("rl", 0), in.bit("rh"));
-        if (in.bit("h") && ours && p.promised >= lease.promised()) {
+        dataLosses.heard(in, ours);
+        lease.onRequest(p, p.requestedNumber, p.peerClockMillis);
+        lease.onRelease(p, in.number("rl", 0), in.flag("rh"));
+        if (in.flag("h") && ours && p.promisedNumber >= lease.promisedNumber()) {
             // Dated from before the holder looked at its clock: it ends no later than by that
             // one's.
             long left = Math.min(SURE_MS, in.number("hl", -PAST_MS) + PAST_MS);
@@ -872,8 +886,8 @@
             keep();
         }
         noticeContact();
-        register.look();
-        duty.look();
+        register.poll();
+        failover.poll();
         acknowledge();
     }
 
@@ -881,38 +895,45 @@
      * Ends in order: what only this process holds is on the disks of others first, a set that has
      * enough without it goes on without it, and the lease goes back before its time.
      */
-    public void leave(Runnable end) {
+    public void shutDown(Runnable end) {
         if (leaving) {
             return;
         }
         leaving = true;
-        host.note("leaves");
+        host.trace("leaves");
         peers.values().forEach(this::tell);
-        leave(end, host.now() + Math.min(HAND_OVER_MS, settings.grace() / 2));
+        shutDown(end, host.nowMillis() + Math.min(HAND_OVER_MS, settings.gracePeriodMillis() / 2));
     }
 
-    private void leave(Runnable end, long until) {
-        Value is = register.held();
+    private void shutDown(Runnable end, long until) {
+        RegisterValue is = register.acceptedValue();
         boolean others =
                 is == null
-                        || !votes()
-                        || is.quorum(
+                        || !isVoter()
+                        || is.isQuorum(
                                 of ->
                                         of.equals(id)
-                                                || onDisk(of, members.changes(), records.durable())
-                                                        && register.acceptedBy(of)
+                                                || onDisk(
+                                                                of,
+                                                                registry.version(),
+                                                                records.durableNumber())
+                                                        && register.acceptedBallotOf(of)
                                                                         .compareTo(
-                                                                                register.accepted())
+                                                                                register
+                                                                                        .acceptedBallot())
                                                                 >= 0);
-        boolean stays = is != null && votes() && is.members().size() > 2 * settings.losses() + 1;
-        if (host.now() < until && (!others || stays)) {
+        boolean stays =
+                is != null
+                        && isVoter()
+                        && is.members().size() > 2 * settings.toleratedMachineLosses() + 1;
+        if (host.nowMillis() < until && (!others || stays)) {
             change();
-            host.after(TOGETHER_MS, () -> leave(end, until));
+            host.schedule(TOGETHER_MS, () -> shutDown(end, until));
             return;
         }
-        lease.leave();
+        lease.resign();
         peers.values().forEach(this::tell);
-        host.after(LAST_WORD_MS, end);
+        host.schedule(LAST_WORD_MS, end);
     }
 
     // ---- what a majority has heard
@@ -930,7 +951,12 @@
         if (waits.isEmpty()) {
             return;
         }
-        long agreed = reached(table.durable(), p -> table.kept(p.table, p.epoch, epoch()));
+        long agreed =
+                quorumReached(
+                        registryReplication.durableVersion(),
+                        p ->
+                                registryReplication.acknowledgedVersionOf(
+                                        p.registryProgress, p.epoch, epoch()));
         List<Waits> over = new ArrayList<>();
         waits.removeIf(w -> w.done().isDone() || w.change() <= agreed && over.add(w));
         over.forEach(w -> w.done().complete(null));
@@ -947,12 +973,12 @@
     }
 
     private void contact(long since, CompletableFuture<Void> done) {
-        if (reached(host.now(), p -> p.echo) >= since) {
+        if (quorumReached(host.nowMillis(), p -> p.lastAckSentMillis) >= since) {
             done.complete(null);
-        } else if (alone()) {
+        } else if (isIsolated()) {
             done.completeExceptionally(new IllegalStateException(NOBODY));
         } else {
-            host.after(TOGETHER_MS, () -> contact(since, done));
+            host.schedule(TOGETHER_MS, () -> contact(since, done));
         }
     }
 
@@ -963,61 +989,64 @@
     private CompletableFuture<Configuration> read() {
         CompletableFuture<Configuration> done = new CompletableFuture<>();
         peers.values().forEach(this::tell);
-        read(host.now(), new Reading(), done);
+        read(host.nowMillis(), new QuorumRead(), done);
         return done;
     }
 
-    private void read(long from, Reading reading, CompletableFuture<Configuration> done) {
+    private void read(long from, QuorumRead reading, CompletableFuture<Configuration> done) {
         if (done.isDone()) {
             return;
         }
-        if (alone()) {
+        if (isIsolated()) {
             done.completeExceptionally(new IllegalStateException(NOBODY));
             return;
         }
         Configuration is =
-                reading.look(
+                reading.poll(
                         register,
-                        of -> of.equals(id) || peerOf(of) != null && peerOf(of).echo >= from);
+                        of ->
+                                of.equals(id)
+                                        || peerOf(of) != null
+                                                && peerOf(of).lastAckSentMillis >= from);
         if (is != null) {
             done.complete(is);
         } else {
-            host.after(TOGETHER_MS, () -> read(from, reading, done));
+            host.schedule(TOGETHER_MS, () -> read(from, reading, done));
         }
     }
 
     // ---- the doors
 
     /** Whoever connects to the inner port: other control processes and fronts. */
-    public Host.Ear accept() {
-        return new Host.Ear() {
-            private Host.Link link;
+    public Environment.ConnectionListener accept() {
+        return new Environment.ConnectionListener() {
+            private Environment.Connection link;
 
             @Override
-            public void opened(Host.Link opened) {
+            public void onOpen(Environment.Connection opened) {
                 link = opened;
             }
 
             @Override
-            public void message(byte[] message) {
+            public void onMessage(byte[] message) {
                 try {
-                    Pack.Fields in = Pack.read(message);
-                    if (in.text("t").equals("word")) {
+                    MessageCodec.Fields in = MessageCodec.decode(message);
+                    if (in.string("t").equals("word")) {
                         heard(in);
-                    } else if (in.text("t").equals("news")) {
-                        askers.asked(link, in);
+                    } else if (in.string("t").equals("news")) {
+                        subscriptions.onPoll(link, in);
                     }
-                } catch (Pack.Bad
+                } catch (MessageCodec.MalformedMessageException
                         | ClassCastException
                         | NumberFormatException
                         | NullPointerException bad) {
-                    host.wrong("a message that is none: " + bad.getMessage());
+                    host.warn("a message that is none: " + bad.getMessage());
                     link.close();
                 }
             }
 
             @Override
-            public void closed(String why) {
+            public void onClose(String why) {
                 // It comes again.
             }
         };
@@ -1027,51 +1056,54 @@
     private static final String LEAVE = "/Instances.Leave/";
 
     /** The calls of database servers and operators. */
-    public CompletableFuture<Host.Answer> call(String method, String path, byte[] body) {
+    public CompletableFuture<Environment.HttpResponse> handle(
+            String method, String path, byte[] body) {
         boolean post = method.equals("POST");
         if (path.startsWith(BEAT)) {
             return post ? beat(path.substring(BEAT.length()), body) : said(405, "POST only");
         } else if (path.startsWith(LEAVE)) {
-            return post ? leave(path.substring(LEAVE.length())) : said(405, "POST only");
+            return post ? shutDown(path.substring(LEAVE.length())) : said(405, "POST only");
         } else if (path.equals("/Configuration.Replace")) {
             return post ? replace(path, body) : said(405, "POST only");
         } else if (path.equals("/Configuration.Read")) {
             return method.equals("GET") ? answerRead(path) : said(405, "GET only");
         }
-        if (path.equals(DataLosses.ACCEPT)) {
-            return !post ? said(405, "POST only") : losses.accept(body, !alone() && !leaving);
+        if (path.equals(DataLossManager.ACCEPT)) {
+            return !post
+                    ? said(405, "POST only")
+                    : dataLosses.accept(body, !isIsolated() && !leaving);
         }
         if (path.equals("/status")) {
             return CompletableFuture.completedFuture(
-                    new Host.Answer(
+                    new Environment.HttpResponse(
                             200,
                             Json.object()
                                     .add("status", status())
-                                    .add("lacking", losses.shown())
+                                    .add("lacking", dataLosses.shown())
                                     .toString()
                                     .getBytes(StandardCharsets.UTF_8)));
         }
         return said(404, "no such call");
     }
 
-    static CompletableFuture<Host.Answer> said(int status, String fault) {
-        return CompletableFuture.completedFuture(HttpDoor.said(status, fault));
+    static CompletableFuture<Environment.HttpResponse> said(int status, String fault) {
+        return CompletableFuture.completedFuture(HttpServerHandler.errorResponse(status, fault));
     }
 
     static final String NOBODY = "no majority of control processes is heard; ask another";
-    private static final Host.Answer FINE =
-            new Host.Answer(200, "{}".getBytes(StandardCharsets.UTF_8));
+    private static final Environment.HttpResponse FINE =
+            new Environment.HttpResponse(200, "{}".getBytes(StandardCharsets.UTF_8));
 
     /**
      * It can decide nothing: no majority answers it, it is about to end, or its disk stands still.
      */
     private boolean unfit() {
-        return alone() || leaving || store.stalledFor() > ANSWER_MS;
+        return isIsolated() || leaving || store.stalledMillis() > ANSWER_MS;
     }
 
     /** 503 where another call here may do better. */
-    private Host.Answer failed(String path, String fault) {
-        return unfit() ? elsewhere(path) : HttpDoor.said(503, fault);
+    private Environment.HttpResponse failed(String path, String fault) {
+        return unfit() ? elsewhere(path) : HttpServerHandler.errorResponse(503, fault);
     }
 
     /**
@@ -1081,48 +1113,56 @@
      * picks may; two that are cut off send him back and forth twice, and no further. Servers are
      * not sent on: they go on by themselves at once, and a second is most of what a beat has.
      */
-    private Host.Answer elsewhere(String path) {
-        List<Peer> able = new ArrayList<>();
-        long last = peers.values().stream().mapToLong(p -> p.heard).max().orElse(Long.MIN_VALUE);
-        Value is = register.held();
-        for (Peer p : peers.values()) {
+    private Environment.HttpResponse elsewhere(String path) {
+        List<ControlPeer> able = new ArrayList<>();
+        long last =
+                peers.values().stream()
+                        .mapToLong(p -> p.lastContactMillis)
+                        .max()
+                        .orElse(Long.MIN_VALUE);
+        RegisterValue is = register.acceptedValue();
+        for (ControlPeer p : peers.values()) {
             boolean member =
-                    is == null || is.members().stream().anyMatch(of -> Value.ip(of).equals(p.ip));
+                    is == null
+                            || is.members().stream()
+                                    .anyMatch(of -> RegisterValue.ipOf(of).equals(p.ip));
             if (last >= started
-                    ? !p.leaving && p.heard > last - TOUCH_MS
-                    : member && host.now() > started + TOUCH_MS) {
+                    ? !p.leaving && p.lastContactMillis > last - TOUCH_MS
+                    : member && host.nowMillis() > started + TOUCH_MS) {
                 able.add(p);
             }
         }
         if (able.isEmpty()) {
-            return HttpDoor.said(503, NOBODY);
+            return HttpServerHandler.errorResponse(503, NOBODY);
         }
         String to =
-                able.get(host.chance().nextInt(able.size())).ip
-                        + settings.control().substring(settings.control().lastIndexOf(':'));
-        return new Host.Answer(307, HttpDoor.said(307, NOBODY).body(), "http://" + to + path);
+                able.get(host.random().nextInt(able.size())).ip
+                        + settings.controlAddress()
+                                .substring(settings.controlAddress().lastIndexOf(':'));
+        return new Environment.HttpResponse(
+                307, HttpServerHandler.errorResponse(307, NOBODY).body(), "http://" + to + path);
     }
 
     /** An answer once this is done, or 503 where it is not done in time. */
-    CompletableFuture<Host.Answer> once(
-            CompletableFuture<?> done, long ms, Supplier<Host.Answer> answer) {
-        return once(done, ms, answer, fault -> HttpDoor.said(503, fault));
+    CompletableFuture<Environment.HttpResponse> once(
+            CompletableFuture<?> done, long ms, Supplier<Environment.HttpResponse> answer) {
+        return once(done, ms, answer, fault -> HttpServerHandler.errorResponse(503, fault));
     }
 
     /** An answer once this is done, or another where it fails or is not done in time. */
-    private CompletableFuture<Host.Answer> once(
+    private CompletableFuture<Environment.HttpResponse> once(
             CompletableFuture<?> done,
             long ms,
-            Supplier<Host.Answer> answer,
-            Function<String, Host.Answer> otherwise) {
-        CompletableFuture<Host.Answer> out = new CompletableFuture<>();
+            Supplier<Environment.HttpResponse> answer,
+            Function<String, Environment.HttpResponse> otherwise) {
+        CompletableFuture<Environment.HttpResponse> out = new CompletableFuture<>();
         done.whenComplete(
                 (is, fault) ->
                         out.complete(
                                 fault == null
                                         ? answer.get()
                                         : otherwise.apply(fault.getMessage())));
-        host.after(
+        host.schedule(
                 ms,
                 () -> {
                     if (out.complete(otherwise.apply("no majority in time"))) {
@@ -1132,7 +1172,7 @@
         return out;
     }
 
-    private CompletableFuture<Host.Answer> beat(String id, byte[] body) {
+    private CompletableFuture<Environment.HttpResponse> beat(String id, byte[] body) {
         Map<String, Object> row = new HashMap<>();
         try {
             JsonObject in = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
@@ -1146,38 +1186,42 @@
         } catch (ParseException | UnsupportedOperationException | NumberFormatException bad) {
             return said(400, String.valueOf(bad.getMessage()));
         }
-        if (alone() || leaving) {
+        if (isIsolated() || leaving) {
             // Whoever is heard by a majority is to hear it.
             return said(503, NOBODY);
         }
-        Member before = members.get(id);
+        DatabaseServer before = registry.get(id);
         // One that was sent before another that is known here says nothing of now.
-        boolean late = before != null && (long) row.get("q") < before.sequence;
-        boolean changed = members.merge(new Pack.Fields(row), late ? before.heard : host.now());
-        Member m = members.get(id);
+        boolean late = before != null && (long) row.get("q") < before.callSequence;
+        boolean changed =
+                registry.merge(
+                        new MessageCodec.Fields(row),
+                        late ? before.lastHeardMillis : host.nowMillis());
+        DatabaseServer m = registry.get(id);
         if (m == null) {
             return said(400, "no id in the path");
         }
         if (before == null) {
-            members.succeeds(m);
+            registry.replacePredecessors(m);
         }
         if (!late) {
-            m.heardHere = host.now();
+            m.lastDirectHeartbeatMillis = host.nowMillis();
             beats.addFirst(m);
         }
         while (!beats.isEmpty()
-                && (host.now() - beats.getLast().heardHere > 3 * settings.beat()
+                && (host.nowMillis() - beats.getLast().lastDirectHeartbeatMillis
+                                > 3 * settings.heartbeatIntervalMillis()
                         || beats.size() > MOST_BEATS)) {
             beats.removeLast();
         }
         if (changed) {
             news();
             poke();
-            duty.look();
+            failover.poll();
         }
         // That it drains binds everybody, so a majority must know before it is told so.
-        return m.draining()
-                ? once(majorityHas(m.changed), BEAT_ANSWER_MS, () -> FINE)
+        return m.isDraining()
+                ? once(majorityHas(m.changeNumber), BEAT_ANSWER_MS, () -> FINE)
                 : CompletableFuture.completedFuture(FINE);
     }
 
@@ -1189,29 +1233,29 @@
         return is.asString();
     }
 
-    private CompletableFuture<Host.Answer> leave(String id) {
-        if (alone() || leaving) {
+    private CompletableFuture<Environment.HttpResponse> shutDown(String id) {
+        if (isIsolated() || leaving) {
             return said(503, NOBODY);
         }
         if (id.isEmpty()) {
             return said(400, "no id in the path");
         }
         // Also where it is not known here: others may know it, and all are to.
-        long before = members.changes();
-        Member m = members.leaves(id);
-        if (members.changes() > before) {
+        long before = registry.version();
+        DatabaseServer m = registry.markLeaving(id);
+        if (registry.version() > before) {
             news();
             poke();
-            duty.look();
+            failover.poll();
         }
-        return once(majorityHas(m.changed), BEAT_ANSWER_MS, () -> FINE);
+        return once(majorityHas(m.changeNumber), BEAT_ANSWER_MS, () -> FINE);
     }
 
-    private CompletableFuture<Host.Answer> replace(String path, byte[] body) {
+    private CompletableFuture<Environment.HttpResponse> replace(String path, byte[] body) {
         Configuration next;
         try {
-            next = Configuration.read(body);
-        } catch (Configuration.Invalid bad) {
+            next = Configuration.parse(body);
+        } catch (Configuration.InvalidConfigurationException bad) {
             return said(400, bad.getMessage());
         }
         if (unfit()) {
@@ -1219,28 +1263,28 @@
         }
         // Also what was decided before, or is only heard to be, is said on the ground of a
         // majority's answer just now.
-        CompletableFuture<Value.Outcome> order = register.order(next);
-        CompletableFuture<Value.Outcome> done =
+        CompletableFuture<RegisterValue.Outcome> order = register.propose(next);
+        CompletableFuture<RegisterValue.Outcome> done =
                 order.thenCompose(
-                        outcome -> contact(host.now() - FRESH_MS).thenApply(is -> outcome));
+                        outcome -> contact(host.nowMillis() - FRESH_MS).thenApply(is -> outcome));
         // One that is given up here is proposed no more, unless it is under way.
         done.whenComplete((is, fault) -> order.cancel(false));
         return once(
                 done,
                 ANSWER_MS,
                 () ->
-                        done.join() == Value.Outcome.CONFLICT
-                                ? HttpDoor.said(
+                        done.join() == RegisterValue.Outcome.CONFLICT
+                                ? HttpServerHandler.errorResponse(
                                         409,
                                         "revision_number "
-                                                + next.version()
+                                                + next.revision()
                                                 + " has another content")
                                 : FINE,
                 fault -> failed(path, fault));
     }
 
-    private CompletableFuture<Host.Answer> answerRead(String path) {
-        if (alone() || leaving) {
+    private CompletableFuture<Environment.HttpResponse> answerRead(String path) {
+        if (isIsolated() || leaving) {
             return CompletableFuture.completedFuture(elsewhere(path));
         }
         CompletableFuture<Configuration> done = read();
@@ -1249,8 +1293,8 @@
                 ANSWER_MS,
                 () ->
                         done.join() == Configuration.NONE
-                                ? HttpDoor.said(503, "no configuration yet")
-                                : new Host.Answer(200, done.join().body()),
+                                ? HttpServerHandler.errorResponse(503, "no configuration yet")
+                                : new Environment.HttpResponse(200, done.join().body()),
                 fault -> failed(path, fault));
     }
 
@@ -1258,28 +1302,32 @@
     public String status() {
         StringBuilder line =
                 new StringBuilder("version=")
-                        .append(register.committed().version())
+                        .append(register.committedConfiguration().revision())
                         .append(" held=")
                         .append(
-                                register.held() == null
+                                register.acceptedValue() == null
                                         ? -1
-                                        : register.held().configuration().version())
+                                        : register.acceptedValue().configuration().revision())
                         .append(" epoch=")
                         .append(epoch())
                         .append(" members=")
-                        .append(register.held() == null ? "none" : register.held().members())
                         .append(
-                                register.held() != null && register.held().joint()
-                                        ? " outgoing=" + register.held().outgoing()
+                                register.acceptedValue() == null
+                                        ? "none"
+                                        : register.acceptedValue().members())
+                        .append(
+                                register.acceptedValue() != null
+                                                && register.acceptedValue().isJoint()
+                                        ? " outgoing=" + register.acceptedValue().outgoing()
                                         : "")
-                        .append(votes() ? "" : " learner")
-                        .append(alone() ? " alone" : "")
+                        .append(isVoter() ? "" : " learner")
+                        .append(isIsolated() ? " alone" : "")
                         .append(leaving ? " leaving" : "")
                         .append(" lease=")
                         .append(lease.number())
-                        .append(lease.holds() ? " held" : "")
+                        .append(lease.isHeld() ? " held" : "")
                         .append(" promised=")
-                        .append(lease.promised())
+                        .append(lease.promisedNumber())
                         .append(" to=")
                         .append(lease.promisedTo())
                         .append(" fronts=")
@@ -1292,7 +1340,7 @@
                                         .append(" primary=")
                                         .append(l.primary())
                                         .append(l.moving() ? " moving" : "")
-                                        .append(losses.status(l.service())));
+                                        .append(dataLosses.status(l.service())));
         return line.toString();
     }
 }
--- a/src/main/java/dillfront/core/Peer.java
+++ b/src/main/java/dillfront/core/ControlPeer.java
@@ -1,40 +1,40 @@
 package dillfront.core;
 
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Another control process, as its last word told of it. */
-final class Peer implements Lease.Voter {
+final class ControlPeer implements LeaseManager.Voter {
 
     final String ip;
     String zone = "";
-    Host.Link link;
-    boolean up;
-    boolean dialing;
-    long dialedAt;
-    long dials;
-    long dialAt;
-    long upAt;
+    Environment.Connection connection;
+    boolean connected;
+    boolean connecting;
+    long connectStartedMillis;
+    long connectAttempts;
+    long connectAtMillis;
+    long connectedAtMillis;
 
     /** Beats that were heard here before this were told to it. */
-    long toldAt;
+    long heartbeatsSentUpToMillis;
 
     /** Its life, and its clock when it last spoke; that goes back to it with the next word. */
-    String boot = "";
+    String incarnation = "";
 
-    long itsNow;
+    long peerClockMillis;
 
     /** This one's clock when that word was sent which its last word answers. */
-    long echo = Long.MIN_VALUE / 2;
+    long lastAckSentMillis = Long.MIN_VALUE / 2;
 
-    long heard = Long.MIN_VALUE / 2;
+    long lastContactMillis = Long.MIN_VALUE / 2;
 
     /** The same of its life before this one: what that told fronts, this one does not know. */
-    long earlier = Long.MIN_VALUE / 2;
+    long formerIncarnationContactMillis = Long.MIN_VALUE / 2;
 
     /** How far each has the other's table of servers, in its present life. */
-    Progress table = new Progress();
+    ReplicationProgress registryProgress = new ReplicationProgress();
 
     /** The id of the process that was heard there last; empty before. */
     String id = "";
@@ -45,29 +45,29 @@
     /**
      * It belongs to no set and has nothing on its disk, and neither was there ever a system before.
      */
-    boolean fresh;
+    boolean firstStart;
 
     boolean leaving;
-    String placesTold = "";
-    long promised;
+    String addressesSent = "";
+    long promisedNumber;
     String promisedTo = "";
-    long granted = Lease.NEVER;
+    long grantedAtMillis = LeaseManager.NEVER;
 
     /** The number of the lease that it asks for, or holds. */
-    long wanted;
+    long requestedNumber;
 
     /** What those that had its promise before may have said of their lease is over by then. */
-    long formerUntil = Lease.NEVER;
+    long formerLeaseEndMillis = LeaseManager.NEVER;
 
-    long record = -1;
+    long recordNumber = -1;
 
     /** Records that all of its fronts have, by service. */
-    final Map<String, Long> cleared = new HashMap<>();
+    final Map<String, Long> clearedRecords = new HashMap<>();
 
-    final Map<String, Sight> sights = new HashMap<>();
-    int fronts;
+    final Map<String, PrimaryObservation> observations = new HashMap<>();
+    int dataPlanes;
 
-    Peer(String ip) {
+    ControlPeer(String ip) {
         this.ip = ip;
     }
 
@@ -82,8 +82,8 @@
     }
 
     @Override
-    public long promised() {
-        return promised;
+    public long promisedNumber() {
+        return promisedNumber;
     }
 
     @Override
@@ -92,22 +92,22 @@
     }
 
     @Override
-    public long granted() {
-        return granted;
+    public long grantedAtMillis() {
+        return grantedAtMillis;
     }
 
     @Override
-    public long wanted() {
-        return wanted;
+    public long requestedNumber() {
+        return requestedNumber;
     }
 
     @Override
-    public long formerUntil() {
-        return formerUntil;
+    public long formerLeaseEndMillis() {
+        return formerLeaseEndMillis;
     }
 
     @Override
-    public long heard() {
-        return heard;
+    public long lastContactMillis() {
+        return lastContactMillis;
     }
 }
--- a/src/main/java/dillfront/core/Askers.java
+++ b/src/main/java/dillfront/core/DataPlaneSubscriptions.java
@@ -1,8 +1,8 @@
 package dillfront.core;
 
-import dillfront.host.Acknowledged;
-import dillfront.host.Host;
-import dillfront.host.Pack;
+import dillfront.host.AcknowledgedCommits;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * The fronts that ask this control process for news: each question waits until there is some, or a
  * while.
  */
-final class Askers {
+final class DataPlaneSubscriptions {
 
     private static final long HOLD_MS = 600;
 
@@ -25,8 +25,8 @@
     private static final int MOST = 6_000;
 
     /** One front, over all the connections it has had here. */
-    private static final class Asker {
-        Host.Link link;
+    private static final class Subscription {
+        Environment.Connection link;
         long question;
         long heard;
         boolean waits;
@@ -53,85 +53,85 @@
 
         long record = -1;
         long suspects = -1;
-        final Map<String, Sight> sights = new HashMap<>();
+        final Map<String, PrimaryObservation> sights = new HashMap<>();
     }
 
-    private final Core core;
-    private final TreeMap<String, Asker> fronts = new TreeMap<>();
+    private final ControlNode core;
+    private final TreeMap<String, Subscription> fronts = new TreeMap<>();
 
     /**
      * By service: what any front ever told of acknowledged commits, here or at another control
      * process.
      */
-    private final Map<String, Acknowledged> acknowledged = new HashMap<>();
+    private final Map<String, AcknowledgedCommits> acknowledged = new HashMap<>();
 
-    private final Versions versions = new Versions();
+    private final ConfigurationHistory versions = new ConfigurationHistory();
 
-    Askers(Core core) {
+    DataPlaneSubscriptions(ControlNode core) {
         this.core = core;
     }
 
-    void asked(Host.Link link, Pack.Fields in) {
-        String name = in.text("n");
+    void onPoll(Environment.Connection link, MessageCodec.Fields in) {
+        String name = in.string("n");
         if (name.isEmpty() || fronts.size() >= MOST && !fronts.containsKey(name)) {
             return;
         }
-        Asker a = fronts.computeIfAbsent(name, n -> new Asker());
+        Subscription a = fronts.computeIfAbsent(name, n -> new Subscription());
         if (a.link != link) {
             a.link = link;
             a.places = List.of();
         }
         a.question = in.number("q", 0);
-        a.heard = core.host.now();
+        a.heard = core.host.nowMillis();
         a.waits = true;
-        a.boot = in.text("b");
+        a.boot = in.string("b");
         a.has = in.number("r", 0);
         a.version = in.number("c", -1);
         a.digest = in.number("cd", a.digest);
-        a.wantsWhole = in.bit("cw");
-        a.patient = in.bit("hw");
+        a.wantsWhole = in.flag("cw");
+        a.patient = in.flag("hw");
         int lost = 0;
-        for (Sight seen : a.sights.values()) {
-            lost += seen.lost();
+        for (PrimaryObservation seen : a.sights.values()) {
+            lost += seen.unreachable();
         }
         long had = a.record;
         a.record = in.number("k", -1);
         a.suspects = in.number("sn", -1);
-        Map<String, Sight> saw = new HashMap<>(a.sights);
+        Map<String, PrimaryObservation> saw = new HashMap<>(a.sights);
         a.sights.clear();
         boolean news = false;
         boolean waited = false;
         List<Object> suspected = core.suspects();
-        for (Pack.Fields row : in.list("s")) {
-            String service = row.text("s");
+        for (MessageCodec.Fields row : in.maps("s")) {
+            String service = row.string("s");
             long sees = row.number("h", 0);
-            acknowledged(service, Acknowledged.of(row.text("a")));
+            acknowledgedCommits(service, AcknowledgedCommits.parse(row.string("a")));
             a.sights.put(
                     service,
-                    new Sight(
-                            row.text("p"),
+                    new PrimaryObservation(
+                            row.string("p"),
                             sees > 0 ? 1 : 0,
                             sees < 0 ? 1 : 0,
                             (int) Math.max(0, Math.min(1 << 20, row.number("o", 0)))));
             lost -= sees < 0 ? 1 : 0;
-            Lead lead = core.lead(service);
+            PrimaryRecord lead = core.lead(service);
             news |= sees < 0 || lead == null || lead.moving() || suspected.contains(service);
             // Whoever holds the duty waits for just this.
-            Sight before = saw.get(service);
+            PrimaryObservation before = saw.get(service);
             waited |=
                     lead != null
                             && lead.moving()
                             && (had < lead.number() && a.record >= lead.number()
                                     || before != null
-                                            && before.open() > 0
-                                            && a.sights.get(service).open() == 0);
+                                            && before.openTransactions() > 0
+                                            && a.sights.get(service).openTransactions() == 0);
         }
         if (lost != 0 || waited) {
             core.poke();
         }
         long question = a.question;
         if (!answer(a)) {
-            core.host.after(
+            core.host.schedule(
                     HOLD_MS,
                     () -> {
                         if (a.waits && a.question == question) {
@@ -140,7 +140,7 @@
                     });
         }
         if (news) {
-            core.duty.look();
+            core.failover.poll();
         }
     }
 
@@ -148,16 +148,16 @@
      * Whether this front lacks anything, and has been told so. Out of contact with a majority it is
      * told that, and no more.
      */
-    private boolean answer(Asker a) {
-        if (core.alone() && a.patient) {
+    private boolean answer(Subscription a) {
+        if (core.isIsolated() && a.patient) {
             return false;
         }
         boolean lacks =
-                core.alone()
+                core.isIsolated()
                         || !a.boot.equals(core.boot())
-                        || a.has < core.members.changes()
-                        || a.version < core.register.committed().version()
-                        || a.record < core.records.newest()
+                        || a.has < core.registry.version()
+                        || a.version < core.register.committedConfiguration().revision()
+                        || a.record < core.records.newestNumber()
                         || a.suspects != core.suspectsAt()
                                 && (a.suspects >= 0 || !core.suspects().isEmpty());
         if (lacks) {
@@ -166,34 +166,34 @@
         return lacks;
     }
 
-    private void send(Asker a) {
+    private void send(Subscription a) {
         a.waits = false;
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("q", a.question);
-        if (core.alone()) {
+        if (core.isIsolated()) {
             // What it has may be old by now: another is to be asked, of those that it knows of.
             out.put("alone", true);
             out.put("cp", core.places());
-            a.link.send(Pack.write(out));
+            a.link.send(MessageCodec.encode(out));
             return;
         }
         boolean whole = !a.boot.equals(core.boot());
-        if (whole || a.has < core.members.changes()) {
+        if (whole || a.has < core.registry.version()) {
             out.put("b", core.boot());
-            out.put("r", core.members.changes());
+            out.put("r", core.registry.version());
             out.put("w", whole);
-            out.put("m", core.members.since(whole ? -1 : a.has));
+            out.put("m", core.registry.rowsSince(whole ? -1 : a.has));
         }
-        versions.decided(core.register.committed());
-        if (a.version < versions.newest().version()) {
-            byte[] delta = a.wantsWhole ? null : versions.since(a.version, a.digest);
-            out.put("cv", versions.newest().version());
-            out.put(delta == null ? "cz" : "cx", delta == null ? versions.whole() : delta);
+        versions.append(core.register.committedConfiguration());
+        if (a.version < versions.newest().revision()) {
+            byte[] delta = a.wantsWhole ? null : versions.deltaFrom(a.version, a.digest);
+            out.put("cv", versions.newest().revision());
+            out.put(delta == null ? "cz" : "cx", delta == null ? versions.compressed() : delta);
         }
         List<Object> records = new ArrayList<>();
-        for (Lead lead : core.records.all()) {
+        for (PrimaryRecord lead : core.records.all()) {
             if (a.record < lead.number()) {
-                records.add(lead.row());
+                records.add(lead.toRow());
             }
         }
         if (!records.isEmpty()) {
@@ -208,20 +208,20 @@
         if (sure > 0) {
             out.put("su", sure);
             // It counts from its question, which was before now.
-            a.sureTill = Math.max(a.sureTill, core.host.now() + sure);
+            a.sureTill = Math.max(a.sureTill, core.host.nowMillis() + sure);
         }
         List<Object> places = core.places();
         if (!places.equals(a.places)) {
             a.places = places;
             out.put("cp", places);
         }
-        a.link.send(Pack.write(out));
+        a.link.send(MessageCodec.encode(out));
     }
 
     /** There is news: whoever waits and lacks it is answered. */
-    void news() {
-        versions.decided(core.register.committed());
-        for (Asker a : fronts.values()) {
+    void publish() {
+        versions.append(core.register.committedConfiguration());
+        for (Subscription a : fronts.values()) {
             if (a.waits) {
                 answer(a);
             }
@@ -229,9 +229,9 @@
     }
 
     /** Whether all who ask here have this record, or hold nothing sure against it. */
-    boolean cleared(long record) {
-        long now = core.host.now();
-        for (Asker a : fronts.values()) {
+    boolean allHaveRecord(long record) {
+        long now = core.host.nowMillis();
+        for (Subscription a : fronts.values()) {
             if (a.sureTill > now && a.record < record) {
                 return false;
             }
@@ -239,35 +239,35 @@
         return true;
     }
 
-    Sight sight(String service, String primary) {
-        Sight all = new Sight(primary, 0, 0, 0);
-        long now = core.host.now();
-        for (Asker a : fronts.values()) {
-            Sight one = a.sights.get(service);
+    PrimaryObservation observation(String service, String primary) {
+        PrimaryObservation all = new PrimaryObservation(primary, 0, 0, 0);
+        long now = core.host.nowMillis();
+        for (Subscription a : fronts.values()) {
+            PrimaryObservation one = a.sights.get(service);
             if (one != null && one.primary().equals(primary) && now - a.heard < 1_500) {
-                all = all.plus(one);
+                all = all.merge(one);
             }
         }
         return all;
     }
 
-    Acknowledged acknowledged(String service) {
-        return acknowledged.getOrDefault(service, Acknowledged.NONE);
+    AcknowledgedCommits acknowledgedCommits(String service) {
+        return acknowledged.getOrDefault(service, AcknowledgedCommits.NONE);
     }
 
-    void acknowledged(String service, Acknowledged also) {
-        if (!also.equals(Acknowledged.NONE)
+    void acknowledgedCommits(String service, AcknowledgedCommits also) {
+        if (!also.equals(AcknowledgedCommits.NONE)
                 && (acknowledged.size() < MOST || acknowledged.containsKey(service))) {
-            acknowledged.merge(service, also, Acknowledged::and);
+            acknowledged.merge(service, also, AcknowledgedCommits::merge);
         }
     }
 
     /** How many ask here. */
-    int count() {
-        long now = core.host.now();
+    int activeCount() {
+        long now = core.host.nowMillis();
         fronts.values().removeIf(a -> now - a.heard > FORGOTTEN_MS);
         int count = 0;
-        for (Asker a : fronts.values()) {
+        for (Subscription a : fronts.values()) {
             count += now - a.heard < COUNTED_MS ? 1 : 0;
         }
         return count;
--- a/src/main/java/dillfront/core/Member.java
+++ b/src/main/java/dillfront/core/DatabaseServer.java
@@ -1,16 +1,16 @@
 package dillfront.core;
 
-import dillfront.host.Pack;
+import dillfront.host.MessageCodec;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** One database server, as its beats tell of it. */
-final class Member {
+final class DatabaseServer {
 
     final String id;
     final String service;
     String address;
-    String zone;
+    String zoneName;
 
     /** "ready", "draining", "leaving" or "left"; it only goes on in this order. */
     String state = "ready";
@@ -18,26 +18,26 @@
     String role = "";
 
     /** Of its last call that counted. */
-    long sequence = -1;
+    long callSequence = -1;
 
     /** When it was last heard by any control process, on this one's clock. */
-    long heard;
+    long lastHeardMillis;
 
     /** And by this one itself. */
-    long heardHere = Long.MIN_VALUE / 2;
+    long lastDirectHeartbeatMillis = Long.MIN_VALUE / 2;
 
     /** Since when this process knows that it leaves; -1 where it does not. */
-    long leavingFrom = -1;
+    long leavingSinceMillis = -1;
 
     /** The change of the table in which it was last changed. */
-    long changed;
+    long changeNumber;
 
-    Member(String id, String service) {
+    DatabaseServer(String id, String service) {
         this.id = id;
         this.service = service;
     }
 
-    static int rank(String state) {
+    static int stateRank(String state) {
         return switch (state) {
             case "left" -> 3;
             case "leaving" -> 2;
@@ -47,70 +47,72 @@
     }
 
     /** It is gone, and its log with it. */
-    boolean left() {
+    boolean hasLeft() {
         return state.equals("left");
     }
 
     /** It said that it will end, by either word, and serves on until then. */
-    boolean draining() {
-        return state.equals("draining") || leaving();
+    boolean isDraining() {
+        return state.equals("draining") || isLeaving();
     }
 
     /** It said so by its leave, without a word of draining before; no more may be heard of it. */
-    boolean leaving() {
+    boolean isLeaving() {
         return state.equals("leaving");
     }
 
-    boolean leads() {
+    boolean isPrimary() {
         return role.equals("primary");
     }
 
-    Map<String, Object> row() {
+    Map<String, Object> toRow() {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("i", id);
         row.put("v", service);
         row.put("a", address);
-        row.put("z", zone);
+        row.put("z", zoneName);
         row.put("st", state);
         row.put("ro", role);
-        row.put("q", sequence);
+        row.put("q", callSequence);
         return row;
     }
 
     /** As it is kept on the disk. */
-    String kept() {
-        return String.join("\n", service, address, zone, state, role, Long.toString(sequence));
+    String encode() {
+        return String.join(
+                "\n", service, address, zoneName, state, role, Long.toString(callSequence));
     }
 
-    static Member kept(String id, String text) {
+    static DatabaseServer decode(String id, String text) {
         String[] part = text.split("\n", -1);
         if (part.length != 6) {
             return null;
         }
-        Member m = new Member(id, part[0]);
+        DatabaseServer m = new DatabaseServer(id, part[0]);
         m.address = part[1];
-        m.zone = part[2];
+        m.zoneName = part[2];
         m.state = part[3];
         m.role = part[4];
-        m.sequence = Long.parseLong(part[5]);
+        m.callSequence = Long.parseLong(part[5]);
         return m;
     }
 
     /**
      * @return whether anything changed that others must know
      */
-    boolean merge(Pack.Fields row, boolean back) {
+    boolean merge(MessageCodec.Fields row, boolean back) {
         boolean changes = false;
         long from = row.number("q", -1);
-        if (from >= sequence || address == null) {
-            sequence = Math.max(sequence, from);
-            changes = !row.text("a").equals(address) || !row.text("ro").equals(role);
-            address = row.text("a");
-            zone = row.text("z");
-            role = row.text("ro");
+        if (from >= callSequence || address == null) {
+            callSequence = Math.max(callSequence, from);
+            changes = !row.string("a").equals(address) || !row.string("ro").equals(role);
+            address = row.string("a");
+            zoneName = row.string("z");
+            role = row.string("ro");
         }
-        if (rank(row.text("st")) > rank(state) || back && !row.text("st").equals(state)) {
-            state = row.text("st");
+        if (stateRank(row.string("st")) > stateRank(state)
+                || back && !row.string("st").equals(state)) {
+            state = row.string("st");
             changes = true;
         }
         return changes;
--- a/src/main/java/dillfront/core/Duty.java
+++ b/src/main/java/dillfront/core/FailoverCoordinator.java
@@ -1,10 +1,10 @@
 package dillfront.core;
 
 import com.eclipsesource.json.Json;
-import dillfront.host.Acknowledged;
+import dillfront.host.AcceptedDataLoss;
+import dillfront.host.AcknowledgedCommits;
 import dillfront.host.Configuration;
-import dillfront.host.DataLoss;
-import dillfront.host.Position;
+import dillfront.host.LogPosition;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * only when no acknowledged commit can be missing from its log, and no front can still take another
  * for the primary.
  */
-final class Duty {
+final class FailoverCoordinator {
 
     private static final long PROBE_MS = 500;
 
@@ -128,7 +128,7 @@
 
     /** A service on its way to another primary. */
     private static final class Move {
-        Lead lead;
+        PrimaryRecord lead;
         final boolean planned;
         final long since;
 
@@ -141,7 +141,7 @@
         boolean busy;
         long again;
         boolean stepped;
-        Position last;
+        LogPosition last;
         long steppedAt;
         boolean forced;
         boolean paused;
@@ -156,14 +156,14 @@
         long lacksFrom = -1;
 
         /** What no log that is left holds; null while that is not so. */
-        DataLosses.Lack lack;
+        DataLossManager.MissingCommits lack;
 
         /** Whoever leads is asked how far its log reaches. */
         boolean measuring;
 
         long toldLackAt = Long.MIN_VALUE / 2;
         long toldWaitAt = Long.MIN_VALUE / 2;
-        final Map<String, Question.Row> rows = new TreeMap<>();
+        final Map<String, ServerQuery.ServerStatus> rows = new TreeMap<>();
         final TreeSet<String> asking = new TreeSet<>();
         final Map<String, Long> askAgain = new TreeMap<>();
 
@@ -197,16 +197,16 @@
         /** When calls of earlier holders were known to be fenced off. */
         long fencedAt = Long.MIN_VALUE / 2;
 
-        Move(Lead lead, boolean planned, boolean inherited, long since) {
+        Move(PrimaryRecord lead, boolean planned, boolean inherited, long since) {
             this.lead = lead;
             this.planned = planned;
             this.inherited = inherited;
-            paused = lead.paused() || inherited;
+            paused = lead.replicationPaused() || inherited;
             this.since = since;
         }
     }
 
-    private final Core core;
+    private final ControlNode core;
     private final Map<String, Watch> watches = new TreeMap<>();
     private final Map<String, Move> moves = new TreeMap<>();
 
@@ -216,24 +216,24 @@
     private long heldFrom;
     private boolean taken;
     private long awayAt = Long.MIN_VALUE / 2;
-    private final Numbers numbers;
+    private final FencingTokens numbers;
 
-    Duty(Core core) {
+    FailoverCoordinator(ControlNode core) {
         this.core = core;
-        numbers = new Numbers(core);
+        numbers = new FencingTokens(core);
     }
 
     /** This process holds the lease and knows all that earlier holders recorded. */
     boolean settled() {
-        return taken && core.lease.holds() && core.lease.number() == held;
+        return taken && core.lease.isHeld() && core.lease.number() == held;
     }
 
     private long now() {
-        return core.host.now();
+        return core.host.nowMillis();
     }
 
-    void look() {
-        if (!core.lease.holds()) {
+    void poll() {
+        if (!core.lease.isHeld()) {
             if (held != 0) {
                 held = 0;
                 taken = false;
@@ -245,7 +245,7 @@
         if (held != core.lease.number()) {
             held = core.lease.number();
             heldFrom = now();
-            numbers.of(held);
+            numbers.startLease(held);
             taken = false;
             moves.clear();
             watches.clear();
@@ -255,16 +255,16 @@
             return;
         }
         TreeSet<String> suspected = new TreeSet<>();
-        for (String service : core.members.services()) {
+        for (String service : core.registry.services()) {
             Move move = moves.get(service);
             if (move != null) {
                 go(move);
             } else {
-                Lead lead = core.lead(service);
+                PrimaryRecord lead = core.lead(service);
                 if (lead == null) {
                     begin(service);
                 } else {
-                    if (lead.paused()) {
+                    if (lead.replicationPaused()) {
                         resume(lead);
                     }
                     if (watch(lead)) {
@@ -281,12 +281,13 @@
      * and is recorded anew.
      */
     private void take() {
-        if (!core.quorum(true, p -> core.records.covers(p.echo >= heldFrom, p.record))) {
+        if (!core.quorum(
+                true, p -> core.records.covers(p.lastAckSentMillis >= heldFrom, p.recordNumber))) {
             return;
         }
         taken = true;
-        List<Lead> mine = core.records.anew(this::number);
-        for (Lead lead : mine) {
+        List<PrimaryRecord> mine = core.records.renumberAll(this::number);
+        for (PrimaryRecord lead : mine) {
             if (lead.moving()) {
                 moves.put(lead.service(), new Move(lead, false, true, now()));
             }
@@ -305,10 +306,11 @@
         return watches.computeIfAbsent(service, s -> new Watch());
     }
 
-    private Member leader(String service) {
-        Member leads = null;
-        for (Member m : core.members.of(service)) {
-            if (m.leads() && now() - m.heard < 3 * core.settings.beat()) {
+    private DatabaseServer leader(String service) {
+        DatabaseServer leads = null;
+        for (DatabaseServer m : core.registry.serversOf(service)) {
+            if (m.isPrimary()
+                    && now() - m.lastHeardMillis < 3 * core.settings.heartbeatIntervalMillis()) {
                 if (leads != null) {
                     return null;
                 }
@@ -324,12 +326,12 @@
      */
     private void begin(String service) {
         Watch w = watchOf(service);
-        Member leads = leader(service);
+        DatabaseServer leads = leader(service);
         if (leads == null || w.calling || now() < w.refusedUntil) {
             return;
         }
-        if (core.settings.first() && held == (1L << Lease.WITHIN) + 1) {
-            core.lead(new Lead(service, number(), leads.id, false, false));
+        if (core.settings.firstStart() && held == (1L << LeaseManager.NUMBER_BITS) + 1) {
+            core.lead(new PrimaryRecord(service, number(), leads.id, false, false));
             return;
         }
         w.calling = true;
@@ -343,7 +345,9 @@
                                     && core.lead(service) == null
                                     && (fault == null && status == 200 || unheard)) {
                                 w.misses = 0;
-                                core.lead(new Lead(service, number(), leads.id, false, true));
+                                core.lead(
+                                        new PrimaryRecord(
+                                                service, number(), leads.id, false, true));
                             }
                         });
     }
@@ -357,64 +361,68 @@
         String json = Json.object().add("service", service).add("instance_id", id).toString();
         return core.host
                 .post(
-                        core.settings.platform(),
+                        core.settings.platformAddress(),
                         "/promotion",
                         json,
                         Map.of(
                                 "Dillfront-Duty-Holder",
-                                core.settings.name(),
+                                core.settings.nodeName(),
                                 "Dillfront-Fence-Number",
                                 Long.toString(fence)),
                         (int) PLATFORM_MS)
-                .thenApply(dillfront.host.Host.Answer::status);
+                .thenApply(dillfront.host.Environment.HttpResponse::status);
     }
 
     // ---- a primary that leads
 
     /** Whether it is suspected. */
-    private boolean watch(Lead lead) {
-        Member m = core.members.get(lead.primary());
+    private boolean watch(PrimaryRecord lead) {
+        DatabaseServer m = core.registry.get(lead.primary());
         Watch w = watchOf(lead.service());
-        Member says = leader(lead.service());
+        DatabaseServer says = leader(lead.service());
         if (says != null
                 && !says.id.equals(lead.primary())
-                && (m == null || m.left() || !m.leads())) {
+                && (m == null || m.hasLeft() || !m.isPrimary())) {
             // Promoted by a call of an earlier holder that arrived late: so it is.
-            core.lead(new Lead(lead.service(), number(), says.id, false, lead.paused()));
+            core.lead(
+                    new PrimaryRecord(
+                            lead.service(), number(), says.id, false, lead.replicationPaused()));
             return false;
         }
-        if (m == null || m.left()) {
+        if (m == null || m.hasLeft()) {
             move(lead, false);
             return false;
         }
-        if (m.draining()) {
+        if (m.isDraining()) {
             handOver(lead, m);
         }
-        Sight seen = seen(lead.service(), lead.primary());
+        PrimaryObservation seen = seen(lead.service(), lead.primary());
         boolean quiet = silent(m);
-        boolean suspect = quiet || seen.lost() > 0 && seen.lost() >= seen.well();
+        boolean suspect = quiet || seen.unreachable() > 0 && seen.unreachable() >= seen.reachable();
         if (!suspect) {
             w.misses = 0;
-            return seen.lost() > 0;
+            return seen.unreachable() > 0;
         }
         if (w.probing || now() < w.probedAt + PROBE_GAP_MS) {
             return true;
         }
         w.probing = true;
         w.probedAt = now();
-        Question.ask(core, m, SUSPECT_MS, null)
+        ServerQuery.ask(core, m, SUSPECT_MS, null)
                 .whenComplete(
                         (row, fault) -> {
                             w.probing = false;
                             w.probedAt = now();
                             boolean alive =
                                     fault == null
-                                            || fault instanceof Question.Unanswered u && u.alive;
+                                            || fault instanceof ServerQuery.NoResponseException u
+                                                    && u.serverAlive;
                             w.misses = alive ? 0 : w.misses + 1;
-                            Sight sees = seen(lead.service(), lead.primary());
+                            PrimaryObservation sees = seen(lead.service(), lead.primary());
                             boolean others =
-                                    sees.lost() > sees.well() || sees.well() == 0 && silent(m);
-                            int enough = sees.lost() >= 2 && sees.well() == 0 ? 1 : 2;
+                                    sees.unreachable() > sees.reachable()
+                                            || sees.reachable() == 0 && silent(m);
+                            int enough = sees.unreachable() >= 2 && sees.reachable() == 0 ? 1 : 2;
                             if (w.misses >= enough
                                     && others
                                     && settled()
@@ -426,8 +434,9 @@
     }
 
     /** It missed two beats and more, and not because this process was away. */
-    private boolean silent(Member m) {
-        return now() - Math.max(m.heard, awayAt) > core.settings.beat() * 5 / 2;
+    private boolean silent(DatabaseServer m) {
+        return now() - Math.max(m.lastHeardMillis, awayAt)
+                > core.settings.heartbeatIntervalMillis() * 5 / 2;
     }
 
     /** This process itself was away until now. */
@@ -435,12 +444,12 @@
         awayAt = now();
     }
 
-    private Sight seen(String service, String primary) {
-        Sight all = core.askers.sight(service, primary);
-        for (Peer p : core.peers()) {
-            Sight one = p.sights.get(service);
+    private PrimaryObservation seen(String service, String primary) {
+        PrimaryObservation all = core.subscriptions.observation(service, primary);
+        for (ControlPeer p : core.peers()) {
+            PrimaryObservation one = p.observations.get(service);
             if (core.touch(p) && one != null && one.primary().equals(primary)) {
-                all = all.plus(one);
+                all = all.merge(one);
             }
         }
         return all;
@@ -450,13 +459,13 @@
      * One that drains leads on until another, which stays, has received all that it had when it was
      * asked.
      */
-    private void handOver(Lead lead, Member from) {
+    private void handOver(PrimaryRecord lead, DatabaseServer from) {
         Watch w = watchOf(lead.service());
-        List<Member> heirs = new ArrayList<>();
-        for (Member m : core.members.of(lead.service())) {
+        List<DatabaseServer> heirs = new ArrayList<>();
+        for (DatabaseServer m : core.registry.serversOf(lead.service())) {
             if (!m.id.equals(lead.primary())
-                    && !m.draining()
-                    && now() - m.heard < 2 * core.settings.beat()) {
+                    && !m.isDraining()
+                    && now() - m.lastHeardMillis < 2 * core.settings.heartbeatIntervalMillis()) {
                 heirs.add(m);
             }
         }
@@ -464,7 +473,7 @@
             return;
         }
         w.comparing = true;
-        Question.ask(core, from, PROBE_MS, null)
+        ServerQuery.ask(core, from, PROBE_MS, null)
                 .whenComplete(
                         (has, fault) -> {
                             w.comparing = false;
@@ -473,8 +482,8 @@
                             if (fault != null) {
                                 return;
                             }
-                            for (Member heir : heirs) {
-                                Question.ask(core, heir, PROBE_MS, null)
+                            for (DatabaseServer heir : heirs) {
+                                ServerQuery.ask(core, heir, PROBE_MS, null)
                                         .whenComplete(
                                                 (row, none) -> {
                                                     if (none == null
@@ -490,44 +499,48 @@
 
     // ---- a service that moves
 
-    private void move(Lead lead, boolean planned) {
+    private void move(PrimaryRecord lead, boolean planned) {
         watchOf(lead.service()).misses = 0;
-        Lead moving = lead.moves(number());
+        PrimaryRecord moving = lead.startMove(number());
         core.lead(moving);
         moves.put(lead.service(), new Move(moving, planned, false, now()));
         if (planned) {
-            core.host.note("move " + lead.service() + " from " + lead.primary() + " planned");
+            core.host.trace("move " + lead.service() + " from " + lead.primary() + " planned");
         } else {
-            core.host.wrong("move " + lead.service() + " from " + lead.primary() + " lost");
+            core.host.warn("move " + lead.service() + " from " + lead.primary() + " lost");
         }
         core.poke();
     }
 
     private boolean mayAct() {
-        return settled() && core.lease.until() - now() > LEFT_MS;
+        return settled() && core.lease.validUntilMillis() - now() > LEFT_MS;
     }
 
     /** A majority of control processes has the record. */
     private boolean recorded(Move m) {
         return core.quorum(
-                core.records.durable() >= m.lead.number(), p -> p.record >= m.lead.number());
+                core.records.durableNumber() >= m.lead.number(),
+                p -> p.recordNumber >= m.lead.number());
     }
 
     /** No front takes the old one for sure any more: each has said so, or its time is over. */
     private boolean cleared(Move m) {
         // Of earlier holders nothing is sure for longer than this past the end of their lease.
-        long former = Math.max(heldFrom, core.lease.formerUntil()) + Core.PAST_MS + 100;
-        long over = now() - Core.SURE_MS - 100;
-        if (now() < former || !core.askers.cleared(m.lead.number()) && m.since > over) {
+        long former =
+                Math.max(heldFrom, core.lease.formerLeaseEndMillis()) + ControlNode.PAST_MS + 100;
+        long over = now() - ControlNode.SURE_MS - 100;
+        if (now() < former
+                || !core.subscriptions.allHaveRecord(m.lead.number()) && m.since > over) {
             return false;
         }
-        for (Peer p : core.peers()) {
+        for (ControlPeer p : core.peers()) {
             // What it passes on as sure, it asked for in a word that was heard here; with the last
             // of them that is over too. So
             // it is with what it passed on in an earlier life, of which it cannot say that its
             // fronts have heard since.
-            boolean told = p.cleared.getOrDefault(m.lead.service(), -1L) >= m.lead.number();
-            if (!told && Math.min(p.heard, m.since) > over || Math.min(p.earlier, m.since) > over) {
+            boolean told = p.clearedRecords.getOrDefault(m.lead.service(), -1L) >= m.lead.number();
+            if (!told && Math.min(p.lastContactMillis, m.since) > over
+                    || Math.min(p.formerIncarnationContactMillis, m.since) > over) {
                 return false;
             }
         }
@@ -539,11 +552,11 @@
             return;
         }
         String service = m.lead.service();
-        Member from = core.members.get(m.lead.primary());
-        Member leads = leader(service);
+        DatabaseServer from = core.registry.get(m.lead.primary());
+        DatabaseServer leads = leader(service);
         if (leads != null
                 && !leads.id.equals(m.lead.primary())
-                && (from == null || from.left() || !from.leads())) {
+                && (from == null || from.hasLeft() || !from.isPrimary())) {
             settle(m, leads.id);
         }
         if (moves.get(service) != m
@@ -562,7 +575,9 @@
         switch (m.step) {
             case CLEAR:
                 boolean quiet =
-                        !m.planned || cleared(m) && seen(service, m.lead.primary()).open() == 0;
+                        !m.planned
+                                || cleared(m)
+                                        && seen(service, m.lead.primary()).openTransactions() == 0;
                 if (quiet || now() > m.since + OPEN_MS) {
                     // Nothing is to be waited for before the next step.
                     m.step = Step.STOP;
@@ -585,7 +600,7 @@
         }
     }
 
-    private void stop(Move m, Member from) {
+    private void stop(Move m, DatabaseServer from) {
         if (m.planned && !m.forced) {
             stepDown(m, from);
         } else {
@@ -594,27 +609,27 @@
     }
 
     /** A primary that drains stops of its own will; what it had last is what the next must have. */
-    private void stepDown(Move m, Member from) {
+    private void stepDown(Move m, DatabaseServer from) {
         if (m.busy || now() < m.again) {
             return;
         }
-        if (from == null || from.left()) {
+        if (from == null || from.hasLeft()) {
             m.forced = true;
             return;
         }
         if (!m.stepped) {
             m.busy = true;
-            Question.ask(core, from, PROBE_MS, row -> "STEPDOWN " + row.next())
+            ServerQuery.ask(core, from, PROBE_MS, row -> "STEPDOWN " + row.nextTerm())
                     .whenComplete(
                             (row, fault) -> {
                                 m.busy = false;
                                 m.again = now() + AGAIN_MS;
-                                if (fault == null && !row.leads()) {
+                                if (fault == null && !row.isPrimary()) {
                                     m.stepped = true;
                                     m.steppedAt = now();
                                     m.last = row.position();
                                     m.again = 0;
-                                    look();
+                                    poll();
                                 } else if (now() > m.since + CATCH_UP_MS) {
                                     m.forced = true;
                                 }
@@ -626,10 +641,10 @@
             m.rows.clear();
             return;
         }
-        for (Member r : core.members.of(m.lead.service())) {
+        for (DatabaseServer r : core.registry.serversOf(m.lead.service())) {
             if (r.id.equals(m.lead.primary())
-                    || r.draining()
-                    || now() - r.heard > 2 * core.settings.beat()) {
+                    || r.isDraining()
+                    || now() - r.lastHeardMillis > 2 * core.settings.heartbeatIntervalMillis()) {
                 continue;
             }
             ask(
@@ -649,27 +664,28 @@
 
     private void ask(
             Move m,
-            Member to,
+            DatabaseServer to,
             long gap,
-            java.util.function.Function<Question.Row, String> then,
-            java.util.function.Consumer<Question.Row> got) {
+            java.util.function.Function<ServerQuery.ServerStatus, String> then,
+            java.util.function.Consumer<ServerQuery.ServerStatus> got) {
         if (m.asking.contains(to.id) || now() < m.askAgain.getOrDefault(to.id, 0L)) {
             return;
         }
         m.asking.add(to.id);
-        Question.ask(core, to, PROBE_MS, then)
+        ServerQuery.ask(core, to, PROBE_MS, then)
                 .whenComplete(
                         (row, fault) -> {
                             m.asking.remove(to.id);
                             m.askAgain.put(to.id, now() + gap);
                             boolean alive =
                                     fault == null
-                                            || fault instanceof Question.Unanswered u && u.alive;
+                                            || fault instanceof ServerQuery.NoResponseException u
+                                                    && u.serverAlive;
                             m.unanswered.put(
                                     to.id, alive ? 0 : m.unanswered.getOrDefault(to.id, 0) + 1);
                             if (fault == null && moves.get(m.lead.service()) == m) {
                                 got.accept(row);
-                                look();
+                                poll();
                             }
                         });
     }
@@ -678,15 +694,15 @@
      * Each replica's log is stopped, so that nothing can be acknowledged behind the choice; the old
      * one may turn out to live.
      */
-    private void pause(Move m, Member from) {
-        if (from != null && !from.left()) {
+    private void pause(Move m, DatabaseServer from) {
+        if (from != null && !from.hasLeft()) {
             ask(
                     m,
                     from,
                     AGAIN_MS,
                     null,
                     row -> {
-                        if (row.leads() && !m.stepped) {
+                        if (row.isPrimary() && !m.stepped) {
                             lives(m, from);
                         } else {
                             m.rows.put(from.id, row);
@@ -698,7 +714,7 @@
         }
         boolean all = true;
         int replicas = 0;
-        for (Member r : core.members.of(m.lead.service())) {
+        for (DatabaseServer r : core.registry.serversOf(m.lead.service())) {
             if (r.id.equals(m.lead.primary())) {
                 continue;
             }
@@ -706,9 +722,11 @@
             if (m.rows.containsKey(r.id)) {
                 continue;
             }
-            long goneFor = (from == null ? now() : Math.max(from.heard, m.since)) - r.heard;
-            boolean ended = r.leaving() && m.unanswered.getOrDefault(r.id, 0) >= ENDED_AFTER;
-            if (goneFor > LONG_SILENT_MS && !r.leaving() || givenUp(m, r)) {
+            long goneFor =
+                    (from == null ? now() : Math.max(from.lastHeardMillis, m.since))
+                            - r.lastHeardMillis;
+            boolean ended = r.isLeaving() && m.unanswered.getOrDefault(r.id, 0) >= ENDED_AFTER;
+            if (goneFor > LONG_SILENT_MS && !r.isLeaving() || givenUp(m, r)) {
                 continue;
             }
             all &= ended;
@@ -719,9 +737,9 @@
                     AGAIN_MS,
                     row -> pauses(m, row),
                     row -> {
-                        if (row.leads()) {
+                        if (row.isPrimary()) {
                             settle(m, r.id);
-                        } else if (row.held() != 0) {
+                        } else if (row.pauseTerm() != 0) {
                             m.rows.put(r.id, row);
                         } else {
                             // It knows of no later term, but its service does: that one is passed
@@ -733,7 +751,7 @@
         }
         if (m.stepped
                 && from != null
-                && !from.left()
+                && !from.hasLeft()
                 && !silent(from)
                 && !m.rows.containsKey(from.id)) {
             // It runs, and has all.
@@ -747,19 +765,19 @@
         if (now() > m.since + TELL_WAIT_MS && now() > m.toldWaitAt + LONG_SILENT_MS) {
             m.toldWaitAt = now();
             List<String> waited = new ArrayList<>();
-            core.members.of(m.lead.service()).forEach(r -> waited.add(r.id));
+            core.registry.serversOf(m.lead.service()).forEach(r -> waited.add(r.id));
             waited.removeAll(m.rows.keySet());
-            core.host.note(
+            core.host.trace(
                     "move " + m.lead.service() + ": not stopped yet, or out of reach: " + waited);
         }
     }
 
     /** A person said that this move does not wait for it; it does once that one is heard again. */
-    private boolean givenUp(Move m, Member r) {
-        DataLoss loss = m.lead.loss();
+    private boolean givenUp(Move m, DatabaseServer r) {
+        AcceptedDataLoss loss = m.lead.acceptedLoss();
         return loss != null
-                && loss.move() == m.lead.move()
-                && loss.servers().contains(r.id)
+                && loss.moveNumber() == m.lead.moveNumber()
+                && loss.unreachableServers().contains(r.id)
                 && silent(r);
     }
 
@@ -769,57 +787,61 @@
      */
     private void outOfReach(Move m) {
         List<String> silent = new ArrayList<>();
-        for (Member r : core.members.of(m.lead.service())) {
+        for (DatabaseServer r : core.registry.serversOf(m.lead.service())) {
             if (r.id.equals(m.lead.primary()) || m.rows.containsKey(r.id) || givenUp(m, r)) {
                 continue;
             }
-            if (now() - Math.max(r.heard, awayAt) < LONG_SILENT_MS) {
-                m.lack = m.lack == null || m.lack.servers().isEmpty() ? m.lack : null;
+            if (now() - Math.max(r.lastHeardMillis, awayAt) < LONG_SILENT_MS) {
+                m.lack = m.lack == null || m.lack.unreachableServers().isEmpty() ? m.lack : null;
                 return;
             }
             silent.add(r.id);
         }
-        Position furthest = null;
-        for (Map.Entry<String, Question.Row> one : m.rows.entrySet()) {
-            Member r = core.members.get(one.getKey());
+        LogPosition furthest = null;
+        for (Map.Entry<String, ServerQuery.ServerStatus> one : m.rows.entrySet()) {
+            DatabaseServer r = core.registry.get(one.getKey());
             furthest =
-                    r == null || r.left()
+                    r == null || r.hasLeft()
                             ? furthest
-                            : Position.later(furthest, one.getValue().position());
+                            : LogPosition.max(furthest, one.getValue().position());
         }
         if (furthest != null && !silent.isEmpty()) {
             m.lack =
-                    new DataLosses.Lack(
+                    new DataLossManager.MissingCommits(
                             m.lead.service(),
-                            m.lead.move(),
+                            m.lead.moveNumber(),
                             furthest,
                             known(m),
                             silent,
                             m.lead.primary(),
-                            m.lack == null ? now() : m.lack.since());
+                            m.lack == null ? now() : m.lack.sinceMillis());
         }
     }
 
     /** What is known to be acknowledged, without what a person gave up. */
-    private Acknowledged known(Move m) {
-        Acknowledged known = core.askers.acknowledged(m.lead.service());
+    private AcknowledgedCommits known(Move m) {
+        AcknowledgedCommits known = core.subscriptions.acknowledgedCommits(m.lead.service());
         if (m.last != null) {
-            known = known.and(new Acknowledged(Position.NONE, m.last));
+            known = known.merge(new AcknowledgedCommits(LogPosition.NONE, m.last));
         }
-        return m.lead.loss() == null ? known : m.lead.loss().without(known);
+        return m.lead.acceptedLoss() == null ? known : m.lead.acceptedLoss().exclude(known);
     }
 
     /**
      * Above the newest term of the service, which a replica that received nothing for long does not
      * know itself.
      */
-    private String pauses(Move m, Question.Row row) {
+    private String pauses(Move m, ServerQuery.ServerStatus row) {
         m.term =
                 Math.max(
                         m.term,
                         Math.max(
-                                row.next(),
-                                core.askers.acknowledged(m.lead.service()).most().term() + 1));
+                                row.nextTerm(),
+                                core.subscriptions
+                                                .acknowledgedCommits(m.lead.service())
+                                                .upperBound()
+                                                .term()
+                                        + 1));
         return moves.get(m.lead.service()) == m && mayAct() ? "PAUSE " + m.term : null;
     }
 
@@ -827,9 +849,9 @@
      * It was not lost: replicas receive again, and it goes on leading; a call of an earlier holder
      * is fenced off before.
      */
-    private void lives(Move m, Member from) {
+    private void lives(Move m, DatabaseServer from) {
         if (m.step == Step.STOP || m.step == Step.CHOOSE) {
-            core.host.note("move " + m.lead.service() + ": " + from.id + " lives");
+            core.host.trace("move " + m.lead.service() + ": " + from.id + " lives");
             settle(m, from.id);
         }
     }
@@ -872,42 +894,42 @@
         return m.inherited && now() < m.fencedAt + PROMOTES_MS;
     }
 
-    private static String resumes(Question.Row row) {
-        return row.held() != 0 ? "RESUME" : null;
+    private static String resumes(ServerQuery.ServerStatus row) {
+        return row.pauseTerm() != 0 ? "RESUME" : null;
     }
 
     /**
      * Each replica is told at once, and again until it has said that it receives when no PAUSE can
      * be on its way any more; before that is recorded, the next holder goes on with it.
      */
-    private void resume(Lead lead) {
+    private void resume(PrimaryRecord lead) {
         Watch w = watchOf(lead.service());
         if (w.resuming != lead.number()) {
             w.resuming = lead.number();
             w.resumingFrom = now();
             w.askAgain.clear();
             w.paused.clear();
-            core.members.of(lead.service()).forEach(r -> w.paused.add(r.id));
+            core.registry.serversOf(lead.service()).forEach(r -> w.paused.add(r.id));
             w.paused.remove(lead.primary());
         }
-        w.paused.removeIf(id -> core.members.get(id) == null || core.members.get(id).left());
+        w.paused.removeIf(id -> core.registry.get(id) == null || core.registry.get(id).hasLeft());
         if (w.paused.isEmpty()) {
-            core.lead(lead.leads(number(), lead.primary(), false, lead.loss()));
+            core.lead(lead.finishMove(number(), lead.primary(), false, lead.acceptedLoss()));
             return;
         }
         for (String id : w.paused) {
-            Member r = core.members.get(id);
+            DatabaseServer r = core.registry.get(id);
             if (w.asking.contains(id) || now() < w.askAgain.getOrDefault(id, 0L) || silent(r)) {
                 continue;
             }
             w.asking.add(id);
             long asked = now();
             long last = w.resumingFrom + ON_ITS_WAY_MS;
-            Question.ask(core, r, 2 * PROBE_MS, Duty::resumes)
+            ServerQuery.ask(core, r, 2 * PROBE_MS, FailoverCoordinator::resumes)
                     .whenComplete(
                             (row, fault) -> {
                                 w.asking.remove(id);
-                                boolean receives = fault == null && row.held() == 0;
+                                boolean receives = fault == null && row.pauseTerm() == 0;
                                 w.askAgain.put(
                                         id, receives ? Math.max(last, now()) : now() + RESUME_MS);
                                 if (receives && asked >= last && w.resuming == lead.number()) {
@@ -922,10 +944,10 @@
      * case the old primary reaches them though nobody here reaches it; then they are stopped and
      * looked at again.
      */
-    private void lacks(Move m, Position furthest, Acknowledged known) {
+    private void lacks(Move m, LogPosition furthest, AcknowledgedCommits known) {
         if (now() - m.toldLackAt > LONG_SILENT_MS) {
             m.toldLackAt = now();
-            core.host.wrong(
+            core.host.warn(
                     "move "
                             + m.lead.service()
                             + ": the longest log that is left ends at "
@@ -940,18 +962,18 @@
         // Past that only commits can be missing that were under way together; that is waited for no
         // longer than UNSURE_MS.
         m.lack =
-                furthest.covers(known.least())
+                furthest.covers(known.lowerBound())
                         ? null
-                        : new DataLosses.Lack(
+                        : new DataLossManager.MissingCommits(
                                 m.lead.service(),
-                                m.lead.move(),
+                                m.lead.moveNumber(),
                                 furthest,
                                 known,
                                 List.of(),
                                 m.lead.primary(),
-                                m.lack == null ? now() : m.lack.since());
-        for (Member r : core.members.of(m.lead.service())) {
-            Question.ask(core, r, PROBE_MS, Duty::resumes);
+                                m.lack == null ? now() : m.lack.sinceMillis());
+        for (DatabaseServer r : core.registry.serversOf(m.lead.service())) {
+            ServerQuery.ask(core, r, PROBE_MS, FailoverCoordinator::resumes);
         }
         m.rows.clear();
         m.step = Step.STOP;
@@ -963,15 +985,16 @@
      * Whether this log may be named: it lacks no acknowledged commit that any front in touch, or
      * gone since, knows of.
      */
-    private boolean holdsAll(Move m, Position furthest, Acknowledged known) {
-        Configuration.Service is = core.register.committed().services().get(m.lead.service());
-        if (is != null && is.synchronous() == 0) {
+    private boolean holdsAll(Move m, LogPosition furthest, AcknowledgedCommits known) {
+        Configuration.Service is =
+                core.register.committedConfiguration().services().get(m.lead.service());
+        if (is != null && is.synchronousReplicas() == 0) {
             return true;
         }
-        if (!furthest.covers(known.least())) {
+        if (!furthest.covers(known.lowerBound())) {
             return false;
         }
-        if (furthest.covers(known.most()) || m.last == null && !misses(m)) {
+        if (furthest.covers(known.upperBound()) || m.last == null && !misses(m)) {
             return true;
         }
         m.lacksFrom = m.lacksFrom < 0 ? now() : m.lacksFrom;
@@ -983,11 +1006,13 @@
      * those that were asked.
      */
     private boolean misses(Move m) {
-        for (Member r : core.members.all()) {
+        for (DatabaseServer r : core.registry.all()) {
             if (r.service.equals(m.lead.service())
                     && !r.id.equals(m.lead.primary())
                     && !m.rows.containsKey(r.id)
-                    && (!r.left() || m.since - r.heard < 3 * core.settings.beat())) {
+                    && (!r.hasLeft()
+                            || m.since - r.lastHeardMillis
+                                    < 3 * core.settings.heartbeatIntervalMillis())) {
                 return true;
             }
         }
@@ -995,8 +1020,8 @@
     }
 
     /** What services wait for that have no log left with all that was acknowledged. */
-    List<DataLosses.Lack> lacking() {
-        List<DataLosses.Lack> all = new ArrayList<>();
+    List<DataLossManager.MissingCommits> lacking() {
+        List<DataLossManager.MissingCommits> all = new ArrayList<>();
         moves.values().stream().filter(m -> m.lack != null).forEach(m -> all.add(m.lack));
         return all;
     }
@@ -1005,57 +1030,62 @@
      * A person gives up what no log that is left holds: recorded first, like all that the next
      * holder must go on with.
      */
-    void giveUp(DataLosses.Lack shown) {
+    void giveUp(DataLossManager.MissingCommits shown) {
         Move m = moves.get(shown.service());
-        if (!settled() || m == null || m.lack == null || !m.lack.same(shown)) {
+        if (!settled() || m == null || m.lack == null || !m.lack.matches(shown)) {
             return;
         }
-        DataLoss given =
-                DataLoss.of(
-                        shown.move(), shown.log(), shown.lacked(), shown.servers(), m.lead.loss());
-        core.host.wrong(
+        AcceptedDataLoss given =
+                AcceptedDataLoss.accept(
+                        shown.moveNumber(),
+                        shown.longestLogEnd(),
+                        shown.acknowledged(),
+                        shown.unreachableServers(),
+                        m.lead.acceptedLoss());
+        core.host.warn(
                 "data loss accepted: "
                         + m.lead.service()
                         + " goes on from "
-                        + shown.log()
+                        + shown.longestLogEnd()
                         + ", acknowledged was "
-                        + shown.lacked()
+                        + shown.acknowledged()
                         + "; "
                         + m.lead.primary()
                         + " is given up"
-                        + (shown.servers().isEmpty()
+                        + (shown.unreachableServers().isEmpty()
                                 ? ""
-                                : ", and what these have, out of reach: " + shown.servers()));
+                                : ", and what these have, out of reach: "
+                                        + shown.unreachableServers()));
         m.lack = null;
-        m.lead = m.lead.without(number(), given);
+        m.lead = m.lead.withAcceptedLoss(number(), given);
         core.lead(m.lead);
         core.poke();
     }
 
-    private void choose(Move m, Member from) {
+    private void choose(Move m, DatabaseServer from) {
         String best = null;
-        Position furthest = null;
+        LogPosition furthest = null;
         boolean bestDrains = false;
-        for (Map.Entry<String, Question.Row> one : m.rows.entrySet()) {
-            Member r = core.members.get(one.getKey());
-            if (r == null || r.left() || m.refused.contains(r.id)) {
+        for (Map.Entry<String, ServerQuery.ServerStatus> one : m.rows.entrySet()) {
+            DatabaseServer r = core.registry.get(one.getKey());
+            if (r == null || r.hasLeft() || m.refused.contains(r.id)) {
                 continue;
             }
             int further = furthest == null ? 1 : one.getValue().position().compareTo(furthest);
-            if (further > 0 || further == 0 && bestDrains && !r.draining()) {
+            if (further > 0 || further == 0 && bestDrains && !r.isDraining()) {
                 best = r.id;
                 furthest = one.getValue().position();
-                bestDrains = r.draining();
+                bestDrains = r.isDraining();
             }
         }
         for (String id : m.refused) {
             // One that is not running, and may hold more than the others: it is waited for.
-            Question.Row row = m.rows.get(id);
+            ServerQuery.ServerStatus row = m.rows.get(id);
             if (best != null && row != null && row.position().compareTo(furthest) > 0) {
                 best = null;
             }
         }
-        Acknowledged known = known(m);
+        AcknowledgedCommits known = known(m);
         if (best != null && !holdsAll(m, furthest, known)) {
             m.refused.clear();
             lacks(m, furthest, known);
@@ -1072,7 +1102,7 @@
         m.lack = null;
         m.target = best;
         m.fence = number();
-        m.claimed = core.members.get(best).leads();
+        m.claimed = core.registry.get(best).isPrimary();
         m.step = Step.NAME;
         call(m);
     }
@@ -1084,7 +1114,7 @@
         m.busy = true;
         m.named = true;
         m.namedAt = now();
-        core.host.note("name " + m.lead.service() + " " + m.target + " fence " + m.fence);
+        core.host.trace("name " + m.lead.service() + " " + m.target + " fence " + m.fence);
         name(m.lead.service(), m.target, m.fence)
                 .whenComplete(
                         (status, fault) -> {
@@ -1102,14 +1132,14 @@
     }
 
     private void wait(Move m) {
-        Member target = core.members.get(m.target);
-        if (target == null || target.left() || now() > m.namedAt + NO_LEAD_MS) {
+        DatabaseServer target = core.registry.get(m.target);
+        if (target == null || target.hasLeft() || now() > m.namedAt + NO_LEAD_MS) {
             // The platform is asked again: that it is not running is the only ground to choose
             // another.
             m.step = Step.NAME;
             return;
         }
-        if (target.leads() && !m.claimed) {
+        if (target.isPrimary() && !m.claimed) {
             done(m, target.id);
         } else if (now() >= m.again) {
             ask(
@@ -1118,7 +1148,7 @@
                     LEAD_GAP_MS,
                     null,
                     row -> {
-                        if (row.leads()) {
+                        if (row.isPrimary()) {
                             done(m, target.id);
                         }
                     });
@@ -1129,16 +1159,16 @@
         if (m.measuring || moves.get(m.lead.service()) != m || !settled()) {
             return;
         }
-        DataLoss loss = m.lead.loss();
-        Member leads = core.members.get(primary);
-        if (loss == null || !loss.any()) {
+        AcceptedDataLoss loss = m.lead.acceptedLoss();
+        DatabaseServer leads = core.registry.get(primary);
+        if (loss == null || !loss.losesCommits()) {
             done(m, primary, loss);
         } else if (leads == null) {
-            done(m, primary, loss.leads(loss.until()));
+            done(m, primary, loss.withLeaderAt(loss.lostUpTo()));
         } else {
             // What it holds is not given up; where that is not heard, nothing is.
             m.measuring = true;
-            Question.ask(core, leads, PROBE_MS, null)
+            ServerQuery.ask(core, leads, PROBE_MS, null)
                     .whenComplete(
                             (row, fault) -> {
                                 m.measuring = false;
@@ -1146,20 +1176,20 @@
                                     done(
                                             m,
                                             primary,
-                                            loss.leads(
-                                                    fault == null && row.leads()
+                                            loss.withLeaderAt(
+                                                    fault == null && row.isPrimary()
                                                             ? row.position()
-                                                            : loss.until()));
+                                                            : loss.lostUpTo()));
                                 }
                             });
         }
     }
 
-    private void done(Move m, String primary, DataLoss loss) {
+    private void done(Move m, String primary, AcceptedDataLoss loss) {
         moves.remove(m.lead.service());
-        core.host.note(
+        core.host.trace(
                 "lead " + m.lead.service() + " " + primary + " after " + (now() - m.since) + " ms");
-        Lead leads = m.lead.leads(number(), primary, m.paused, loss);
+        PrimaryRecord leads = m.lead.finishMove(number(), primary, m.paused, loss);
         core.lead(leads);
         core.poke();
         if (m.paused) {
--- a/src/main/java/dillfront/core/Settling.java
+++ b/src/main/java/dillfront/core/ReconfigurationBarrier.java
@@ -6,24 +6,24 @@
  * When the new one of two sets may go on alone: once a majority of it has on its disks all that a
  * majority of each had when it accepted the joint value. Its holder has heard that from them.
  */
-public final class Settling {
+public final class ReconfigurationBarrier {
 
     /** What a process has on its disk. */
-    public interface Disks {
+    public interface DurableState {
 
-        boolean has(String id, long change, long record);
+        boolean includes(String id, long change, long record);
     }
 
     /**
      * The ballot that made two sets count, and the holder's table when a majority of each had that.
      */
-    private Ballot joint = Ballot.NONE;
+    private Ballot jointBallot = Ballot.NONE;
 
-    private long mark = -1;
+    private long registryVersion = -1;
 
     /** One set counts. */
-    public void none() {
-        mark = -1;
+    public void reset() {
+        registryVersion = -1;
     }
 
     /**
@@ -32,17 +32,18 @@
      * @param change of the holder's table, now
      * @param record the newest that the holder knows
      */
-    public boolean may(
-            Value is,
+    public boolean canFinish(
+            RegisterValue is,
             Ballot ballot,
             Predicate<String> accepted,
             long change,
             long record,
-            Disks disks) {
-        if (!ballot.equals(joint) || mark < 0) {
-            joint = ballot;
-            mark = is.quorum(accepted) ? change : -1;
+            DurableState disks) {
+        if (!ballot.equals(jointBallot) || registryVersion < 0) {
+            jointBallot = ballot;
+            registryVersion = is.isQuorum(accepted) ? change : -1;
         }
-        return mark >= 0 && is.settled().quorum(of -> disks.has(of, mark, record));
+        return registryVersion >= 0
+                && is.withoutOutgoing().isQuorum(of -> disks.includes(of, registryVersion, record));
     }
 }
--- a/src/main/java/dillfront/core/Value.java
+++ b/src/main/java/dillfront/core/RegisterValue.java
@@ -17,54 +17,55 @@
  * @param epoch one more with each change of the sets
  * @param members ids of the processes whose disks count
  * @param outgoing the set before, while both count (joint); else empty
- * @param dropped the outgoing set of the joint value that this one follows: it has to accept this
+ * @param retired the outgoing set of the joint value that this one follows: it has to accept this
  *     one still; else empty
- * @param past numbers of configurations that were decided, the newest ones, each with the digest of
- *     its content
+ * @param revisionDigests numbers of configurations that were decided, the newest ones, each with
+ *     the digest of its content
  */
-public record Value(
+public record RegisterValue(
         long epoch,
         SortedSet<String> members,
         SortedSet<String> outgoing,
-        SortedSet<String> dropped,
+        SortedSet<String> retired,
         Configuration configuration,
-        SortedMap<Long, Long> past) {
+        SortedMap<Long, Long> revisionDigests) {
 
-    private static final int MOST_PAST = 512;
-    private static final SortedSet<String> NOBODY =
+    private static final int MAX_DIGESTS = 512;
+    private static final SortedSet<String> NO_MEMBERS =
             Collections.unmodifiableSortedSet(new TreeSet<>());
 
     /** What became of an order, by a decided value. */
     public enum Outcome {
         /** It is in force, or was, or was overtaken. */
-        TAKEN,
+        ACCEPTED,
         /** Its number has another content. */
         CONFLICT,
         /** Nothing is decided of it. */
-        OPEN
+        PENDING
     }
 
     /** The first value of a system. */
-    static Value founded(SortedSet<String> members) {
-        return new Value(1, members, NOBODY, NOBODY, Configuration.NONE, new TreeMap<>());
+    static RegisterValue initial(SortedSet<String> members) {
+        return new RegisterValue(
+                1, members, NO_MEMBERS, NO_MEMBERS, Configuration.NONE, new TreeMap<>());
     }
 
     static long digest(Configuration of) {
         return of.digest();
     }
 
-    public boolean joint() {
+    public boolean isJoint() {
         return !outgoing.isEmpty();
     }
 
     /** Whether those with this are a majority of each set that is in force. */
-    public boolean quorum(Predicate<String> has) {
+    public boolean isQuorum(Predicate<String> has) {
         return majority(members, has) && (outgoing.isEmpty() || majority(outgoing, has));
     }
 
     /** Whether they are enough for this value to be decided: also of the set that it drops. */
-    public boolean decidedBy(Predicate<String> accepted) {
-        return quorum(accepted) && (dropped.isEmpty() || majority(dropped, accepted));
+    public boolean isDecidedBy(Predicate<String> accepted) {
+        return isQuorum(accepted) && (retired.isEmpty() || majority(retired, accepted));
     }
 
     private static boolean majority(SortedSet<String> of, Predicate<String> has) {
@@ -76,12 +77,12 @@
     }
 
     /** The latest moment that a majority of each set has reached. */
-    public long reached(ToLongFunction<String> moment) {
-        long all = reached(members, moment);
-        return outgoing.isEmpty() ? all : Math.min(all, reached(outgoing, moment));
+    public long quorumReached(ToLongFunction<String> moment) {
+        long all = quorumReached(members, moment);
+        return outgoing.isEmpty() ? all : Math.min(all, quorumReached(outgoing, moment));
     }
 
-    private static long reached(SortedSet<String> of, ToLongFunction<String> moment) {
+    private static long quorumReached(SortedSet<String> of, ToLongFunction<String> moment) {
         long[] moments = of.stream().mapToLong(moment).sorted().toArray();
         return moments.length == 0
                 ? Long.MIN_VALUE
@@ -89,78 +90,83 @@
     }
 
     /** An order: above what is held it takes its place; a number has one content for ever. */
-    Value with(Configuration order) {
-        if (past.containsKey(order.version())) {
+    RegisterValue withConfiguration(Configuration order) {
+        if (revisionDigests.containsKey(order.revision())) {
             return this;
         }
-        SortedMap<Long, Long> next = pastWith(Map.of(order.version(), digest(order)));
-        if (order.version() > configuration.version()) {
-            return new Value(epoch, members, outgoing, dropped, order, next);
+        SortedMap<Long, Long> next = mergedDigests(Map.of(order.revision(), digest(order)));
+        if (order.revision() > configuration.revision()) {
+            return new RegisterValue(epoch, members, outgoing, retired, order, next);
         }
         // Overtaken before anything was decided under its number: from now on this is its content.
-        return next.containsKey(order.version())
-                ? new Value(epoch, members, outgoing, dropped, configuration, next)
+        return next.containsKey(order.revision())
+                ? new RegisterValue(epoch, members, outgoing, retired, configuration, next)
                 : this;
     }
 
-    SortedMap<Long, Long> pastWith(Map<Long, Long> more) {
-        TreeMap<Long, Long> next = new TreeMap<>(past);
+    SortedMap<Long, Long> mergedDigests(Map<Long, Long> more) {
+        TreeMap<Long, Long> next = new TreeMap<>(revisionDigests);
         next.putAll(more);
-        while (next.size() > MOST_PAST) {
+        while (next.size() > MAX_DIGESTS) {
             next.pollFirstEntry();
         }
         return next;
     }
 
     /** The same, as if this number had never had a content. */
-    Value without(long version) {
-        TreeMap<Long, Long> left = new TreeMap<>(past);
+    RegisterValue withoutRevision(long version) {
+        TreeMap<Long, Long> left = new TreeMap<>(revisionDigests);
         left.remove(version);
-        return new Value(epoch, members, outgoing, dropped, configuration, left);
+        return new RegisterValue(epoch, members, outgoing, retired, configuration, left);
     }
 
     /** What this value, decided, says of an order. */
     public Outcome outcome(Configuration order) {
-        Long digest = past.get(order.version());
+        Long digest = revisionDigests.get(order.revision());
         if (digest != null) {
-            return digest == digest(order) ? Outcome.TAKEN : Outcome.CONFLICT;
+            return digest == digest(order) ? Outcome.ACCEPTED : Outcome.CONFLICT;
         }
-        boolean forgotten = past.size() == MOST_PAST && order.version() < past.firstKey();
-        return forgotten && order.version() < configuration.version()
-                ? Outcome.TAKEN
-                : Outcome.OPEN;
+        boolean forgotten =
+                revisionDigests.size() == MAX_DIGESTS
+                        && order.revision() < revisionDigests.firstKey();
+        return forgotten && order.revision() < configuration.revision()
+                ? Outcome.ACCEPTED
+                : Outcome.PENDING;
     }
 
     /** The step to another set: both count. */
-    Value towards(SortedSet<String> next) {
-        return new Value(epoch + 1, next, members, NOBODY, configuration, past);
+    RegisterValue jointWith(SortedSet<String> next) {
+        return new RegisterValue(
+                epoch + 1, next, members, NO_MEMBERS, configuration, revisionDigests);
     }
 
     /** The step after it: the new one alone. */
-    Value settled() {
-        return new Value(epoch + 1, members, NOBODY, outgoing, configuration, past);
+    RegisterValue withoutOutgoing() {
+        return new RegisterValue(
+                epoch + 1, members, NO_MEMBERS, outgoing, configuration, revisionDigests);
     }
 
     /** The same, where all that dropped a set is known to be decided. */
-    Value clean() {
-        return dropped.isEmpty()
+    RegisterValue withoutRetired() {
+        return retired.isEmpty()
                 ? this
-                : new Value(epoch, members, outgoing, NOBODY, configuration, past);
+                : new RegisterValue(
+                        epoch, members, outgoing, NO_MEMBERS, configuration, revisionDigests);
     }
 
     /** Ids from a text that holds them between commas. */
-    static SortedSet<String> ids(String text) {
+    static SortedSet<String> parseIds(String text) {
         return text.isEmpty()
-                ? NOBODY
+                ? NO_MEMBERS
                 : Collections.unmodifiableSortedSet(new TreeSet<>(Arrays.asList(text.split(","))));
     }
 
-    static String text(SortedSet<String> ids) {
+    static String formatIds(SortedSet<String> ids) {
         return String.join(",", ids);
     }
 
     /** The address in an id. */
-    static String ip(String id) {
+    static String ipOf(String id) {
         int slash = id.indexOf('/');
         return slash < 0 ? id : id.substring(0, slash);
     }
--- a/src/main/java/dillfront/core/Progress.java
+++ b/src/main/java/dillfront/core/ReplicationProgress.java
@@ -5,15 +5,15 @@
  * named by its number of changes, which begins anew with each life of its process: so does this,
  * with each life of the other.
  */
-public final class Progress {
+public final class ReplicationProgress {
 
     /** How far the other has this one's table: in memory, and on its disk. */
-    long knows;
+    long peerVersion;
 
-    long kept;
+    long peerDurableVersion;
 
     /** How far this one has the other's: in memory, and on the disk. */
-    long known;
+    long knownVersion;
 
-    long stored;
+    long knownDurableVersion;
 }
--- a/src/main/java/dillfront/core/Durable.java
+++ b/src/main/java/dillfront/core/RetryingStateStore.java
@@ -1,6 +1,6 @@
 package dillfront.core;
 
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,50 +14,50 @@
  * stays behind what was given to it. Puts that come while one is under way go together in the next,
  * whole. One loop calls all of it.
  */
-public final class Durable implements Store {
+public final class RetryingStateStore implements StateStore {
 
-    private static final long PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 2_000;
+    private static final long RETRY_MS = 100;
+    private static final long MAX_RETRY_MS = 2_000;
 
     /**
      * So many may wait for the disk; the texts of one that is refused beyond that are kept all the
      * same.
      */
-    private static final int MOST_WAITING = 10_000;
+    private static final int MAX_QUEUED = 10_000;
 
-    private record Waiting(long since, CompletableFuture<Void> done) {}
+    private record PendingWrite(long sinceMillis, CompletableFuture<Void> done) {}
 
-    private final Host host;
-    private final Store disk;
+    private final Environment environment;
+    private final StateStore disk;
 
     /** What the disk was not given yet, or refused. */
-    private TreeMap<String, String> texts = new TreeMap<>();
+    private TreeMap<String, String> pending = new TreeMap<>();
 
     /** What is on the disk for sure: it is not written once more. */
-    private final Map<String, String> kept;
+    private final Map<String, String> durable;
 
-    private List<Waiting> waiting = new ArrayList<>();
+    private List<PendingWrite> queued = new ArrayList<>();
 
     /** Who waits for what is under way. */
-    private List<Waiting> under = new ArrayList<>();
+    private List<PendingWrite> inFlight = new ArrayList<>();
 
     private boolean writing;
     private int failures;
 
     /** Where the last try failed: when it did. */
-    private long failedAt;
+    private long failedAtMillis;
 
-    private Host.Timer again;
+    private Environment.Timer retryTimer;
 
-    public Durable(Host host, Store disk) {
-        this.host = host;
+    public RetryingStateStore(Environment host, StateStore disk) {
+        this.environment = host;
         this.disk = disk;
-        kept = new HashMap<>(disk.all());
+        durable = new HashMap<>(disk.initialState());
     }
 
     @Override
-    public Map<String, String> all() {
-        return disk.all();
+    public Map<String, String> initialState() {
+        return disk.initialState();
     }
 
     /**
@@ -68,7 +68,7 @@
     public CompletableFuture<Void> put(Map<String, String> next) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         for (Map.Entry<String, String> one : next.entrySet()) {
-            if (Math.max(one.getKey().length(), one.getValue().length()) > LONGEST) {
+            if (Math.max(one.getKey().length(), one.getValue().length()) > MAX_TEXT_LENGTH) {
                 // The disk will never take it, and what comes later is not to wait for that.
                 done.completeExceptionally(
                         new IllegalArgumentException(
@@ -79,11 +79,11 @@
                 return done;
             }
         }
-        texts.putAll(next);
-        if (waiting.size() + under.size() >= MOST_WAITING) {
+        pending.putAll(next);
+        if (queued.size() + inFlight.size() >= MAX_QUEUED) {
             done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
         } else {
-            waiting.add(new Waiting(host.now(), done));
+            queued.add(new PendingWrite(environment.nowMillis(), done));
         }
         write();
         return done;
@@ -91,48 +91,48 @@
 
     /** Since when the oldest of what is not there yet has waited. */
     @Override
-    public long stalledFor() {
-        List<Waiting> oldest = under.isEmpty() ? waiting : under;
-        return oldest.isEmpty() ? 0 : host.now() - oldest.get(0).since();
+    public long stalledMillis() {
+        List<PendingWrite> oldest = inFlight.isEmpty() ? queued : inFlight;
+        return oldest.isEmpty() ? 0 : environment.nowMillis() - oldest.get(0).sinceMillis();
     }
 
     private void write() {
-        if (writing || texts.isEmpty() && waiting.isEmpty()) {
+        if (writing || pending.isEmpty() && queued.isEmpty()) {
             return;
         }
-        if (failures > 0 && host.now() < failedAt + PAUSE_MS) {
-            later(failedAt + PAUSE_MS - host.now());
+        if (failures > 0 && environment.nowMillis() < failedAtMillis + RETRY_MS) {
+            retryAfter(failedAtMillis + RETRY_MS - environment.nowMillis());
             return;
         }
-        if (again != null) {
-            again.cancel();
-            again = null;
+        if (retryTimer != null) {
+            retryTimer.cancel();
+            retryTimer = null;
         }
         writing = true;
-        under.addAll(waiting);
-        waiting = new ArrayList<>();
-        TreeMap<String, String> given = texts;
-        texts = new TreeMap<>();
-        given.entrySet().removeIf(one -> one.getValue().equals(kept.get(one.getKey())));
+        inFlight.addAll(queued);
+        queued = new ArrayList<>();
+        TreeMap<String, String> given = pending;
+        pending = new TreeMap<>();
+        given.entrySet().removeIf(one -> one.getValue().equals(durable.get(one.getKey())));
         (given.isEmpty() ? CompletableFuture.<Void>completedFuture(null) : disk.put(given))
                 .whenComplete(
                         (is, fault) -> {
                             writing = false;
                             if (fault != null) {
-                                refused(given);
+                                onFailure(given);
                                 return;
                             }
                             failures = 0;
                             given.forEach(
                                     (name, text) -> {
                                         if (text.isEmpty()) {
-                                            kept.remove(name);
+                                            durable.remove(name);
                                         } else {
-                                            kept.put(name, text);
+                                            durable.put(name, text);
                                         }
                                     });
-                            List<Waiting> over = under;
-                            under = new ArrayList<>();
+                            List<PendingWrite> over = inFlight;
+                            inFlight = new ArrayList<>();
                             over.forEach(w -> w.done().complete(null));
                             write();
                         });
@@ -142,24 +142,24 @@
      * What was given waits again, but for names that have a newer text; whether the disk has it is
      * not known.
      */
-    private void refused(Map<String, String> given) {
-        given.forEach(texts::putIfAbsent);
-        kept.keySet().removeAll(given.keySet());
-        failedAt = host.now();
+    private void onFailure(Map<String, String> given) {
+        given.forEach(pending::putIfAbsent);
+        durable.keySet().removeAll(given.keySet());
+        failedAtMillis = environment.nowMillis();
         failures++;
-        later(Math.min(LONGEST_PAUSE_MS, PAUSE_MS << Math.min(failures - 1, 10)));
+        retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures - 1, 10)));
     }
 
     /** The next try, in the place of any that was set. */
-    private void later(long ms) {
-        if (again != null) {
-            again.cancel();
+    private void retryAfter(long ms) {
+        if (retryTimer != null) {
+            retryTimer.cancel();
         }
-        again =
-                host.after(
+        retryTimer =
+                environment.schedule(
                         ms,
                         () -> {
-                            again = null;
+                            retryTimer = null;
                             write();
                         });
     }
--- a/src/main/java/dillfront/core/Defence.java
+++ b/src/main/java/dillfront/core/SafetyRule.java
@@ -4,7 +4,7 @@
  * What keeps the control side sound, each by name, so that a small world can be run without one and
  * shown to break.
  */
-public enum Defence {
+public enum SafetyRule {
     /** A promise is on the disk before it is told. */
     PROMISE_ON_DISK,
     /** What is accepted is on the disk before it is told. */
--- a/src/main/java/dillfront/core/Store.java
+++ b/src/main/java/dillfront/core/StateStore.java
@@ -4,16 +4,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /** The disk of a control process: texts under names. */
-public interface Store {
+public interface StateStore {
 
     /**
      * A text has at most so many letters; a disk may hold it in two bytes of length, with up to
      * three a letter.
      */
-    int LONGEST = 0xffff / 3;
+    int MAX_TEXT_LENGTH = 0xffff / 3;
 
     /** What was there at the start. */
-    Map<String, String> all();
+    Map<String, String> initialState();
 
     /**
      * Completes on the loop once all of it is on the disk, in the order of the calls; fails where
@@ -22,7 +22,7 @@
     CompletableFuture<Void> put(Map<String, String> texts);
 
     /** For how long what was given to the disk has been waiting for it, in milliseconds. */
-    default long stalledFor() {
+    default long stalledMillis() {
         return 0;
     }
 }
--- a/src/main/java/dillfront/front/Connection.java
+++ b/src/main/java/dillfront/front/Connection.java
@@ -1,8 +1,8 @@
 package dillfront.front;
 
-import dillfront.host.Answers;
-import dillfront.host.Host;
-import dillfront.host.Position;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
+import dillfront.host.ServerResponseReader;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * One connection to a database server. Whoever holds it asks one thing at a time; what must hold
  * before, the session's values and prepared names, goes ahead of it in the same write.
  */
-final class Connection implements Host.Ear {
+final class Connection implements Environment.ConnectionListener {
 
     /** What an asking ended with. */
     interface Ended {
@@ -31,7 +31,7 @@
                 String code,
                 String text,
                 char state,
-                Position position);
+                LogPosition position);
     }
 
     private record Ask(Ended ended, long at, long until) {}
@@ -47,8 +47,8 @@
 
     final Server server;
     boolean held;
-    private Host.Link link;
-    private final Answers answers = new Answers();
+    private Environment.Connection link;
+    private final ServerResponseReader answers = new ServerResponseReader();
     private boolean over;
 
     /** As the last answer said. */
@@ -64,26 +64,28 @@
 
     void dial() {
         server.front.counts.dialed++;
-        link = server.host().dial(server.address, Host.Form.LINES, Server.DIAL_MS, this);
+        link =
+                server.host()
+                        .connect(server.address, Environment.Framing.LINES, Server.DIAL_MS, this);
         server.host()
-                .after(
+                .schedule(
                         Server.DIAL_MS,
                         () -> {
-                            if (!answers.connected() && !over) {
-                                closed("silent");
+                            if (!answers.isConnected() && !over) {
+                                onClose("silent");
                                 link.close();
                             }
                         });
     }
 
     @Override
-    public void opened(Host.Link opened) {
+    public void onOpen(Environment.Connection opened) {
         link = opened;
         send(
                 "CONNECT "
                         + server.service.name
                         + " "
-                        + server.front.settings.name()
+                        + server.front.settings.nodeName()
                         + " "
                         + server.id);
     }
@@ -132,18 +134,18 @@
                                 cut("out of step");
                             }
                         },
-                        server.host().now(),
+                        server.host().nowMillis(),
                         Long.MAX_VALUE));
     }
 
     private void asked(Ask ask) {
         asks.add(ask);
-        answers.asked();
+        answers.expectResponse();
     }
 
     /** Asks this front's own word, with nothing ahead of it. */
     void ask(String line, Ended ended) {
-        ask(null, null, "-", line, server.host().now() + OWN_MS, ended);
+        ask(null, null, "-", line, server.host().nowMillis() + OWN_MS, ended);
     }
 
     /**
@@ -173,7 +175,7 @@
             ended.ended(List.of(), null, "UNSENT", "", 'I', null);
             return;
         }
-        asked(new Ask(ended, server.host().now(), until));
+        asked(new Ask(ended, server.host().nowMillis(), until));
         server.out += rested ? 1 : 0;
         send(out.toString());
     }
@@ -202,24 +204,24 @@
     }
 
     @Override
-    public void message(byte[] bytes) {
+    public void onMessage(byte[] bytes) {
         server.heard();
-        boolean started = answers.connected();
-        Answers.Answer is;
+        boolean started = answers.isConnected();
+        ServerResponseReader.ServerResponse is;
         try {
             is = answers.read(bytes);
-        } catch (Answers.OutOfStep bad) {
-            server.host().note("left a connection to " + server.id + ": " + bad.getMessage());
+        } catch (ServerResponseReader.ProtocolViolationException bad) {
+            server.host().trace("left a connection to " + server.id + ": " + bad.getMessage());
             cut(bad.getMessage());
             return;
         }
         if (is == null) {
             return;
         }
-        state = is.state();
-        server.seen = Position.later(server.seen, is.position());
-        if (!started && is.code() != null) {
-            cut(is.code());
+        state = is.transactionStatus();
+        server.seen = LogPosition.max(server.seen, is.logPosition());
+        if (!started && is.errorCode() != null) {
+            cut(is.errorCode());
         } else if (!started) {
             server.dialing--;
             server.free(this);
@@ -229,14 +231,20 @@
                 server.out = Math.max(0, server.out - 1);
             }
             ask.ended()
-                    .ended(is.rows(), is.stamp(), is.code(), is.text(), is.state(), is.position());
+                    .ended(
+                            is.rows(),
+                            is.completionTag(),
+                            is.errorCode(),
+                            is.errorMessage(),
+                            is.transactionStatus(),
+                            is.logPosition());
         }
     }
 
     /** Ends it from this side, as broken: all that is out is answered so. */
     void cut(String why) {
         if (!over) {
-            closed(why);
+            onClose(why);
             link.close();
         }
     }
@@ -250,12 +258,12 @@
     }
 
     @Override
-    public void closed(String why) {
+    public void onClose(String why) {
         if (over) {
             return;
         }
         over = true;
-        boolean was = answers.connected();
+        boolean was = answers.isConnected();
         if (!was) {
             server.dialing--;
         }
--- a/src/main/java/dillfront/front/Floors.java
+++ b/src/main/java/dillfront/front/Floors.java
@@ -1,6 +1,6 @@
 package dillfront.front;
 
-import dillfront.host.Position;
+import dillfront.host.LogPosition;
 import java.util.ArrayDeque;
 
 /**
@@ -15,7 +15,7 @@
 
     private static final int MOST = 128;
 
-    private record Floor(Position position, long at) {}
+    private record Floor(LogPosition position, long at) {}
 
     private final ArrayDeque<Floor> floors = new ArrayDeque<>();
     private long spacing = 20;
@@ -28,7 +28,7 @@
     /**
      * A primary that was asked at this moment, and led when it answered, had its log up to here.
      */
-    void led(Position position, long asked) {
+    void led(LogPosition position, long asked) {
         Floor last = floors.peekLast();
         if (position == null || last != null && asked < last.at() + spacing) {
             return;
@@ -43,8 +43,8 @@
      * The least position that holds all that was acknowledged before this moment; null where that
      * is not known.
      */
-    Position since(long moment) {
-        Position least = null;
+    LogPosition since(long moment) {
+        LogPosition least = null;
         for (Floor floor : floors) {
             if (floor.at() >= moment && (least == null || floor.position().compareTo(least) < 0)) {
                 least = floor.position();
--- a/src/main/java/dillfront/front/Front.java
+++ b/src/main/java/dillfront/front/Front.java
@@ -1,8 +1,8 @@
 package dillfront.front;
 
 import dillfront.host.Configuration;
-import dillfront.host.Host;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -39,8 +39,8 @@
         public long verified;
     }
 
-    final Host host;
-    public Settings settings;
+    final Environment host;
+    public NodeSettings settings;
     final News news;
     public final Counts counts = new Counts();
     private final TreeMap<String, Service> services = new TreeMap<>();
@@ -52,7 +52,7 @@
     private boolean mayEnd;
     private Runnable end = () -> {};
 
-    public Front(Host host, Settings settings) {
+    public Front(Environment host, NodeSettings settings) {
         this.host = host;
         this.settings = settings;
         news = new News(this);
@@ -64,13 +64,13 @@
     }
 
     /** Other settings: only where control is found is taken over while it runs. */
-    public void settings(Settings next) {
+    public void settings(NodeSettings next) {
         settings = next;
         news.seeds();
     }
 
     private void look() {
-        host.after(LOOK_MS, this::look);
+        host.schedule(LOOK_MS, this::look);
         for (Service service : services.values()) {
             for (Server s : new ArrayList<>(service.servers.values())) {
                 s.tryAgain();
@@ -87,7 +87,7 @@
 
     /** The version of the configuration that is in force here; -1 for none. */
     public long version() {
-        return configuration.version();
+        return configuration.revision();
     }
 
     public Configuration configuration() {
@@ -96,11 +96,13 @@
 
     /** A higher version binds from each session's next transaction on; a lower one never. */
     void configured(Configuration next) {
-        if (next.version() <= configuration.version()) {
+        if (next.revision() <= configuration.revision()) {
             return;
         }
         configuration = next;
-        next.services().values().forEach(is -> service(is.name()).connections = is.connections());
+        next.services()
+                .values()
+                .forEach(is -> service(is.name()).connections = is.connectionLimit());
     }
 
     Service service(String name) {
@@ -142,7 +144,7 @@
     }
 
     /** A client is there. */
-    public Host.Ear accept() {
+    public Environment.ConnectionListener accept() {
         Session session = new Session(this);
         sessions.add(session);
         counts.sessions++;
@@ -177,33 +179,33 @@
         }
         leaving = true;
         end = done;
-        long half = settings.grace() / 2;
-        host.after(
+        long half = settings.gracePeriodMillis() / 2;
+        host.schedule(
                 Math.min(CLOSES_MS, half * 3 / 4),
                 () -> {
                     leftAll = true;
                     new ArrayList<>(sessions).forEach(Session::leaveAtRest);
                 });
-        host.after(
+        host.schedule(
                 Math.min(SENT_MS, half),
                 () -> {
                     mayEnd = true;
                     endsWhereNobodyIs();
                 });
-        host.after(
+        host.schedule(
                 half,
                 () -> {
                     endsNow = true;
                     new ArrayList<>(sessions).forEach(Session::leaveNow);
                 });
-        host.after(settings.grace() * 5 / 6, end);
+        host.schedule(settings.gracePeriodMillis() * 5 / 6, end);
     }
 
     /** One line for operators and logs. */
     public String status() {
         StringBuilder line =
                 new StringBuilder("version=")
-                        .append(configuration.version())
+                        .append(configuration.revision())
                         .append(" sessions=")
                         .append(sessions.size())
                         .append(" fronts=")
--- a/src/main/java/dillfront/front/News.java
+++ b/src/main/java/dillfront/front/News.java
@@ -1,11 +1,11 @@
 package dillfront.front;
 
+import dillfront.host.AcceptedDataLoss;
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
 import dillfront.host.Configuration;
-import dillfront.host.DataLoss;
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
-import dillfront.host.Host;
-import dillfront.host.Pack;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,7 +18,7 @@
  * contact with a majority itself; what it has never goes back with that. A configuration comes as
  * what turns the one it has into the newest, or whole where that does not fit.
  */
-final class News implements Host.Ear {
+final class News implements Environment.ConnectionListener {
 
     /** A question is out no longer than it may be held and a little. */
     private static final int DIAL_MS = 700;
@@ -70,7 +70,7 @@
     /** Sources left since one had news. */
     private int tries;
 
-    private Host.Link link;
+    private Environment.Connection link;
     private boolean up;
     private boolean telling;
     private long asked;
@@ -79,7 +79,7 @@
     private long losesAt = -LOSES_MS;
 
     private long question;
-    private Host.Timer silence;
+    private Environment.Timer silence;
 
     /**
      * A question was sent and nothing came since: silence counts from the first such, whatever is
@@ -151,12 +151,12 @@
     /** When it was left, where it is not to be gone back to by choice yet. */
     private long leftAt(String ip) {
         Left is = left.get(ip);
-        return is != null && is.until() > front.host.now() ? is.at() : Long.MIN_VALUE;
+        return is != null && is.until() > front.host.nowMillis() ? is.at() : Long.MIN_VALUE;
     }
 
     private void dial() {
         if (sources.isEmpty()) {
-            front.host.after(PAUSE_MS, this::dial);
+            front.host.schedule(PAUSE_MS, this::dial);
             return;
         }
         // The first in the list that was not left of late; else the one that was left first.
@@ -166,31 +166,31 @@
         }
         source = ip;
         up = false;
-        Host.Link[] mine = new Host.Link[1];
+        Environment.Connection[] mine = new Environment.Connection[1];
         mine[0] =
-                front.host.dial(
-                        front.settings.innerOf(ip),
-                        Host.Form.FRAMES,
+                front.host.connect(
+                        front.settings.internalAddressOf(ip),
+                        Environment.Framing.FRAMES,
                         DIAL_MS,
-                        new Host.Ear() {
+                        new Environment.ConnectionListener() {
                             @Override
-                            public void opened(Host.Link opened) {
-                                News.this.opened(opened);
+                            public void onOpen(Environment.Connection opened) {
+                                News.this.onOpen(opened);
                             }
 
                             @Override
-                            public void message(byte[] message) {
+                            public void onMessage(byte[] message) {
                                 // What a source that was left said meanwhile answers no question of
                                 // now.
                                 if (link == mine[0]) {
-                                    News.this.message(message);
+                                    News.this.onMessage(message);
                                 }
                             }
 
                             @Override
-                            public void closed(String why) {
+                            public void onClose(String why) {
                                 if (link == mine[0] || mine[0] == null) {
-                                    News.this.closed(why);
+                                    News.this.onClose(why);
                                 }
                             }
                         });
@@ -202,7 +202,7 @@
         if (silence != null) {
             silence.cancel();
         }
-        silence = front.host.after(ms, () -> next("silent"));
+        silence = front.host.schedule(ms, () -> next("silent"));
     }
 
     /** To the next source. */
@@ -213,18 +213,18 @@
         if (link != null) {
             link.close();
         }
-        front.host.note("news: left " + source + ", " + why);
+        front.host.trace("news: left " + source + ", " + why);
         if (sources.contains(source)) {
             left.put(
                     source,
                     new Left(
-                            front.host.now(),
-                            front.host.now() + (why.equals(ALONE) ? ALONE_MS : STAY_MS)));
+                            front.host.nowMillis(),
+                            front.host.nowMillis() + (why.equals(ALONE) ? ALONE_MS : STAY_MS)));
         }
         up = false;
         tries++;
         int rounds = tries / Math.max(1, sources.size());
-        front.host.after(
+        front.host.schedule(
                 tries % Math.max(1, sources.size()) == 0
                         ? PAUSE_MS * Math.min(rounds, MOST_PAUSES)
                         : 1,
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void opened(Host.Link opened) {
+    public void onOpen(Environment.Connection opened) {
         link = opened;
         up = true;
         outstanding = false;
@@ -241,21 +241,21 @@
     }
 
     @Override
-    public void closed(String why) {
+    public void onClose(String why) {
         next(why);
     }
 
     private void ask() {
-        asked = front.host.now();
+        asked = front.host.nowMillis();
         question++;
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("t", "news");
-        out.put("n", front.settings.name());
-        out.put("z", front.settings.zone());
+        out.put("n", front.settings.nodeName());
+        out.put("z", front.settings.zoneName());
         out.put("q", question);
         out.put("b", boot);
         out.put("r", has);
-        out.put("c", front.configuration().version());
+        out.put("c", front.configuration().revision());
         if (!digestTold) {
             digestTold = true;
             out.put("cd", front.configuration().digest());
@@ -291,7 +291,7 @@
             losesAt = also ? asked : losesAt;
             out.put("s", sights);
         }
-        link.send(Pack.write(out));
+        link.send(MessageCodec.encode(out));
         if (!outstanding) {
             outstanding = true;
             watch(SILENT_MS);
@@ -305,8 +305,8 @@
     void tell() {
         if (!telling) {
             telling = true;
-            front.host.after(
-                    Math.max(0, asked + TOGETHER_MS - front.host.now()),
+            front.host.schedule(
+                    Math.max(0, asked + TOGETHER_MS - front.host.nowMillis()),
                     () -> {
                         telling = false;
                         if (up) {
@@ -317,11 +317,11 @@
     }
 
     @Override
-    public void message(byte[] bytes) {
-        Pack.Fields in;
+    public void onMessage(byte[] bytes) {
+        MessageCodec.Fields in;
         try {
-            in = Pack.read(bytes);
-        } catch (Pack.Bad bad) {
+            in = MessageCodec.decode(bytes);
+        } catch (MessageCodec.MalformedMessageException bad) {
             next("bad");
             return;
         }
@@ -331,13 +331,13 @@
             outstanding = false;
         }
         if (in.has("b")) {
-            boolean whole = in.bit("w");
-            boot = in.text("b");
+            boolean whole = in.flag("w");
+            boot = in.string("b");
             has = in.number("r", 0);
             List<String> named = new ArrayList<>();
-            for (Pack.Fields row : in.list("m")) {
+            for (MessageCodec.Fields row : in.maps("m")) {
                 member(row);
-                named.add(row.text("i"));
+                named.add(row.string("i"));
             }
             if (whole) {
                 for (Service s : front.services()) {
@@ -353,34 +353,34 @@
             }
         }
         configured(in);
-        for (Pack.Fields row : in.list("p")) {
-            Service s = front.service(row.text("s"));
+        for (MessageCodec.Fields row : in.maps("p")) {
+            Service s = front.service(row.string("s"));
             record = Math.max(record, row.number("k", 0));
             if (row.number("k", 0) > s.record) {
                 s.record = row.number("k", 0);
-                s.primary = row.text("p");
-                s.moving = row.bit("m");
-                s.loss = DataLoss.of(row.text("dl"));
+                s.primary = row.string("p");
+                s.moving = row.flag("m");
+                s.loss = AcceptedDataLoss.parse(row.string("dl"));
                 s.changed();
             }
         }
         if (in.has("sn")) {
             suspectsAt = in.number("sn", 0);
-            suspects = in.texts("sq");
+            suspects = in.strings("sq");
         }
         if (in.has("cp")) {
             // Whoever is out of contact may know fewer: what it knows of besides comes behind the
             // rest.
-            boolean besides = in.bit("alone");
+            boolean besides = in.flag("alone");
             List<Place> told = besides ? new ArrayList<>(places) : new ArrayList<>();
-            for (Pack.Fields p : in.list("cp")) {
+            for (MessageCodec.Fields p : in.maps("cp")) {
                 if (!besides
-                        || places.stream().noneMatch(known -> known.ip().equals(p.text("i")))) {
+                        || places.stream().noneMatch(known -> known.ip().equals(p.string("i")))) {
                     told.add(
                             new Place(
-                                    p.text("i"),
-                                    front.settings.near(p.text("z")),
-                                    besides || p.bit("s")));
+                                    p.string("i"),
+                                    front.settings.isSameRegion(p.string("z")),
+                                    besides || p.flag("s")));
                 }
             }
             places = told;
@@ -393,7 +393,7 @@
             if (sure > 0) {
                 sureUntil = Math.max(sureUntil, asked + sure);
             }
-            if (in.bit("alone")) {
+            if (in.flag("alone")) {
                 // It has lost the others: it may know less than they do.
                 next(ALONE);
                 return;
@@ -404,7 +404,7 @@
                 // What crosses regions costs, and is heard later.
                 next(near + " is nearer");
             } else if (in.number("cv", -1) == unread && unread >= 0) {
-                front.host.after(
+                front.host.schedule(
                         UNREAD_MS,
                         () -> {
                             if (up && q == question) {
@@ -436,39 +436,42 @@
      * Takes a newer configuration over; an older one, or what turns an older one into another,
      * changes nothing.
      */
-    private void configured(Pack.Fields in) {
+    private void configured(MessageCodec.Fields in) {
         long version = in.number("cv", -1);
-        if (version <= front.configuration().version()) {
+        if (version <= front.configuration().revision()) {
             return;
         }
         try {
             byte[] delta = in.bytes("cx");
             byte[] whole = in.bytes("cz");
             Configuration next =
-                    Configuration.read(
+                    Configuration.parse(
                             delta != null
-                                    ? Delta.apply(front.configuration().body(), delta)
-                                    : Deflate.back(
-                                            whole == null ? new byte[0] : whole, Delta.MOST));
+                                    ? BinaryDelta.apply(front.configuration().body(), delta)
+                                    : Compression.decompress(
+                                            whole == null ? new byte[0] : whole,
+                                            BinaryDelta.MAX_BYTES));
             front.configured(next);
             digestTold = false;
             wantsWhole = false;
             unread = -1;
-        } catch (Delta.Bad other) {
-            front.host.note("news: version " + version + " asked for whole, " + other.getMessage());
+        } catch (BinaryDelta.InvalidDeltaException other) {
+            front.host.trace(
+                    "news: version " + version + " asked for whole, " + other.getMessage());
             wantsWhole = true;
-        } catch (Deflate.Bad | Configuration.Invalid never) {
+        } catch (Compression.CorruptDataException
+                | Configuration.InvalidConfigurationException never) {
             // The control plane took it, so it is of a form that this text does not know: what is
             // held stays.
             unread = version;
-            front.host.wrong("configuration " + version + " not understood: " + never.getMessage());
+            front.host.warn("configuration " + version + " not understood: " + never.getMessage());
         }
     }
 
-    private void member(Pack.Fields row) {
-        String id = row.text("i");
-        String state = row.text("st");
-        if (row.text("v").isEmpty()) {
+    private void member(MessageCodec.Fields row) {
+        String id = row.string("i");
+        String state = row.string("st");
+        if (row.string("v").isEmpty()) {
             // Who told this knows no more of it than that it leaves.
             for (Service any : front.services()) {
                 if (any.servers.containsKey(id)) {
@@ -477,17 +480,17 @@
             }
             return;
         }
-        Service s = front.service(row.text("v"));
+        Service s = front.service(row.string("v"));
         Server is = s.servers.get(id);
         if (state.equals("left")) {
             leaves(s, is, state);
             return;
         }
         if (is == null) {
-            is = new Server(front, s, id, row.text("a"), row.text("z"));
+            is = new Server(front, s, id, row.string("a"), row.string("z"));
             s.servers.put(id, is);
         }
-        is.leads = row.text("ro").equals("primary");
+        is.leads = row.string("ro").equals("primary");
         leaves(s, is, state);
         s.changed();
     }
--- a/src/main/java/dillfront/front/Server.java
+++ b/src/main/java/dillfront/front/Server.java
@@ -1,7 +1,7 @@
 package dillfront.front;
 
-import dillfront.host.Host;
-import dillfront.host.Position;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
@@ -51,7 +51,7 @@
     boolean leads;
 
     /** How far its log was at the least, by any of its answers. */
-    Position seen;
+    LogPosition seen;
 
     final List<Connection> idle = new ArrayList<>();
     final List<Connection> all = new ArrayList<>();
@@ -78,8 +78,8 @@
         this.id = id;
         this.address = address;
         this.zone = zone;
-        near = front.settings.near(zone);
-        heardAt = front.host.now();
+        near = front.settings.isSameRegion(zone);
+        heardAt = front.host.nowMillis();
     }
 
     /** Whether new work may go there: a drained or silent one gets none. */
@@ -100,11 +100,12 @@
         for (Connection c : all) {
             oldest = Math.min(oldest, c.oldest());
         }
-        return oldest != Long.MAX_VALUE && front.host.now() - Math.max(oldest, heardAt) > SILENT_MS;
+        return oldest != Long.MAX_VALUE
+                && front.host.nowMillis() - Math.max(oldest, heardAt) > SILENT_MS;
     }
 
     void heard() {
-        heardAt = front.host.now();
+        heardAt = front.host.nowMillis();
         if (downSince >= 0) {
             downSince = -1;
             retry = RETRY_MS;
@@ -113,7 +114,7 @@
     }
 
     void lagging() {
-        laggingUntil = front.host.now() + lagFor;
+        laggingUntil = front.host.nowMillis() + lagFor;
         lagFor = Math.min(800, lagFor * 2);
     }
 
@@ -149,7 +150,7 @@
     /** No more connections than its part, and no more dials than are waited for. */
     private void grow() {
         waiters.removeIf(w -> !w.wants());
-        long now = front.host.now();
+        long now = front.host.nowMillis();
         while (!gone
                 && dialing < waiters.size()
                 && all.size() < front.connectionsEach(service)
@@ -171,7 +172,7 @@
 
     /** Looks whether it is back, where it was out of reach. */
     void tryAgain() {
-        if (downSince >= 0 && dialing == 0 && front.host.now() >= tryAt && !leaves()) {
+        if (downSince >= 0 && dialing == 0 && front.host.nowMillis() >= tryAt && !leaves()) {
             dialing++;
             Connection fresh = new Connection(this);
             all.add(fresh);
@@ -198,7 +199,7 @@
      */
     void leaveOverdue() {
         if (out > 0) {
-            long now = front.host.now();
+            long now = front.host.nowMillis();
             new ArrayList<>(all).forEach(c -> c.overdue(now));
         }
     }
@@ -231,7 +232,7 @@
     void ended(Connection c, boolean started, String why) {
         all.remove(c);
         idle.remove(c);
-        long now = front.host.now();
+        long now = front.host.nowMillis();
         if (!started) {
             if (why.equals("TOOMANY")) {
                 fullUntil = now + 200;
@@ -251,7 +252,7 @@
                 downSince = now;
                 service.changed();
             }
-            tryAt = now + retry + front.host.chance().nextInt((int) retry);
+            tryAt = now + retry + front.host.random().nextInt((int) retry);
             retry = Math.min(RETRY_MOST_MS, retry * 2);
             if (dialing == 0) {
                 drop("down");
@@ -284,7 +285,7 @@
      */
     void drain() {
         draining = true;
-        drainedAt = front.host.now();
+        drainedAt = front.host.nowMillis();
         if (service.primary() != this) {
             new ArrayList<>(idle).forEach(Connection::close);
             drop("draining");
@@ -293,7 +294,7 @@
 
     /** It drains, and what reached it now could be too late. */
     boolean drained() {
-        return draining && front.host.now() > drainedAt + front.settings.drain();
+        return draining && front.host.nowMillis() > drainedAt + front.settings.drainMillis();
     }
 
     /**
@@ -309,10 +310,10 @@
         if (downSince >= 0 || silent()) {
             return -1;
         }
-        return front.host.now() - heardAt < SILENT_MS && !all.isEmpty() ? 1 : 0;
+        return front.host.nowMillis() - heardAt < SILENT_MS && !all.isEmpty() ? 1 : 0;
     }
 
-    Host host() {
+    Environment host() {
         return front.host;
     }
 }
--- a/src/main/java/dillfront/front/Service.java
+++ b/src/main/java/dillfront/front/Service.java
@@ -1,8 +1,8 @@
 package dillfront.front;
 
-import dillfront.host.Acknowledged;
-import dillfront.host.DataLoss;
-import dillfront.host.Position;
+import dillfront.host.AcceptedDataLoss;
+import dillfront.host.AcknowledgedCommits;
+import dillfront.host.LogPosition;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -32,10 +32,10 @@
     int openAtPrimary;
 
     /** Of the commits whose answers came here. */
-    Acknowledged acknowledged = Acknowledged.NONE;
+    AcknowledgedCommits acknowledged = AcknowledgedCommits.NONE;
 
     /** What a person gave up, as the record says; null for nothing. */
-    DataLoss loss;
+    AcceptedDataLoss loss;
 
     private final List<Runnable> waiting = new ArrayList<>();
 
@@ -78,7 +78,7 @@
 
     /** That it leads is sure until then, whatever else happens. */
     boolean sure(Server s) {
-        return !moving && s.id.equals(primary) && front.host.now() < front.news.sureUntil();
+        return !moving && s.id.equals(primary) && front.host.nowMillis() < front.news.sureUntil();
     }
 
     /**
@@ -88,11 +88,11 @@
      *
      * @param without those that were tried
      */
-    Server replica(Position need, List<Server> without) {
+    Server replica(LogPosition need, List<Server> without) {
         Server lead = primary();
         Server best = null;
         double least = Double.MAX_VALUE;
-        long now = front.host.now();
+        long now = front.host.nowMillis();
         boolean near =
                 lead != null
                         && lead.near
@@ -140,11 +140,11 @@
             despaired = false;
             return true;
         }
-        long now = front.host.now();
+        long now = front.host.nowMillis();
         leaderlessFrom = leaderlessFrom < 0 ? now : leaderlessFrom;
-        boolean hope = now - leaderlessFrom < HOPE_BEATS * front.settings.beat();
+        boolean hope = now - leaderlessFrom < HOPE_BEATS * front.settings.heartbeatIntervalMillis();
         if (!hope && !despaired) {
-            front.host.wrong(
+            front.host.warn(
                     "no primary of "
                             + name
                             + " for "
@@ -183,8 +183,8 @@
     }
 
     /** What a read has to wait for, of what it would: no log has what was given up. */
-    Position without(Position need) {
-        return loss == null ? need : loss.without(need);
+    LogPosition without(LogPosition need) {
+        return loss == null ? need : loss.exclude(need);
     }
 
     /**
@@ -192,12 +192,12 @@
      * what it acknowledges stands past that all the same, in a later term, and is not given up with
      * it.
      */
-    void acknowledged(Server by, Position before, Position answered) {
-        Position behind =
-                loss != null && loss.any() && by.id.equals(primary)
-                        ? Position.later(before, loss.until())
+    void acknowledged(Server by, LogPosition before, LogPosition answered) {
+        LogPosition behind =
+                loss != null && loss.losesCommits() && by.id.equals(primary)
+                        ? LogPosition.max(before, loss.lostUpTo())
                         : before;
-        acknowledged = acknowledged.and(Acknowledged.of(behind, answered));
+        acknowledged = acknowledged.merge(AcknowledgedCommits.ofResponse(behind, answered));
     }
 
     /** Runs once something has changed that whoever waits should look at. */
