--- a/src/main/java/dillfront/front/Session.java
+++ b/src/main/java/dillfront/front/Session.java
@@ -1,10 +1,10 @@
 package dillfront.front;
 
 import dillfront.host.Configuration;
-import dillfront.host.Configuration.Kind;
+import dillfront.host.Configuration.ReadConsistency;
 import dillfront.host.Configuration.Route;
-import dillfront.host.Host;
-import dillfront.host.Position;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * statement runs; its values and prepared names are kept here and replayed there. One thing is
  * asked at a time; what comes ahead waits.
  */
-final class Session implements Host.Ear {
+final class Session implements Environment.ConnectionListener {
 
     private static final int MOST_AHEAD = 32;
     private static final int MOST_NAMES = 400;
@@ -40,7 +40,7 @@
     private abstract class Work {
         final String id;
         final Route route;
-        final long since = front.host.now();
+        final long since = front.host.nowMillis();
         int tries;
         final List<Server> tried = new ArrayList<>();
         Connection on;
@@ -56,12 +56,12 @@
         }
 
         long patience() {
-            return since + (long) (route.timeout() * PATIENCE);
+            return since + (long) (route.timeoutMillis() * PATIENCE);
         }
 
         abstract boolean mayReplica();
 
-        abstract void got(Service service, Server server, Connection connection, Position need);
+        abstract void got(Service service, Server server, Connection connection, LogPosition need);
 
         /** There is no server for it now. */
         abstract void nowhere(Service service);
@@ -72,7 +72,7 @@
         /** Takes a connection, now or later, of a server where it may run. */
         void take() {
             Service service = front.service(route.service());
-            Position need = mayReplica() ? need(service) : null;
+            LogPosition need = mayReplica() ? need(service) : null;
             Server replica = mayReplica() ? service.replica(need, tried) : null;
             Server server = replica == null ? usablePrimary(service) : replica;
             if (server == null) {
@@ -109,12 +109,14 @@
         }
 
         /** What a log must hold for its reads; null where that is not known. */
-        private Position need(Service service) {
-            Position floor = service.floors.since(since - route.stale());
+        private LogPosition need(Service service) {
+            LogPosition floor = service.floors.since(since - route.maxStalenessMillis());
             return floor == null
                     ? null
                     : service.without(
-                            route.kind() == Kind.OWN ? Position.later(floor, token) : floor);
+                            route.consistency() == ReadConsistency.READ_YOUR_WRITES
+                                    ? LogPosition.max(floor, token)
+                                    : floor);
         }
 
         /**
@@ -156,7 +158,7 @@
         /** What waits until it is open. */
         Job first;
 
-        Host.Timer rest;
+        Environment.Timer rest;
 
         Txn(boolean reads, String id, Route route) {
             super(id, route);
@@ -165,11 +167,11 @@
 
         @Override
         boolean mayReplica() {
-            return reads && route.kind() != Kind.PRIMARY;
+            return reads && route.consistency() != ReadConsistency.PRIMARY;
         }
 
         @Override
-        void got(Service service, Server from, Connection connection, Position need) {
+        void got(Service service, Server from, Connection connection, LogPosition need) {
             begin(this, service, from, connection, need);
         }
 
@@ -195,28 +197,28 @@
         String shape;
 
         boolean writes;
-        Host.Timer limit;
+        Environment.Timer limit;
         Runnable again;
 
         Job(String id, String text, Statement statement, Route route) {
             super(id, route);
             this.text = text;
             this.statement = statement;
-            until = since + route.timeout() - EARLY_MS;
+            until = since + route.timeoutMillis() - EARLY_MS;
         }
 
         /** Its client was answered before, or is gone. */
         long overdue() {
-            return since + route.timeout();
+            return since + route.timeoutMillis();
         }
 
         @Override
         boolean mayReplica() {
-            return !writes && route.kind() != Kind.PRIMARY;
+            return !writes && route.consistency() != ReadConsistency.PRIMARY;
         }
 
         @Override
-        void got(Service service, Server server, Connection connection, Position need) {
+        void got(Service service, Server server, Connection connection, LogPosition need) {
             send(this, service, server, connection, need);
         }
 
@@ -231,7 +233,7 @@
                 await(service, this);
             } else {
                 tried.add(server);
-                front.host.after(
+                front.host.schedule(
                         0,
                         () -> {
                             if (wanted()) {
@@ -243,11 +245,11 @@
     }
 
     private final Front front;
-    private Host.Link client;
+    private Environment.Connection client;
     private String database;
     private final Map<String, String> values = new HashMap<>();
     private final Map<String, String> prepared = new HashMap<>();
-    private Position token;
+    private LogPosition token;
     private Txn txn;
 
     /** The transaction failed: its end rolls back. */
@@ -273,14 +275,14 @@
     }
 
     @Override
-    public void opened(Host.Link link) {
+    public void onOpen(Environment.Connection link) {
         client = link;
     }
 
     // ---- what the client says
 
     @Override
-    public void message(byte[] bytes) {
+    public void onMessage(byte[] bytes) {
         for (byte b : bytes) {
             if (b >= 0 && b < ' ' && b != '\t') {
                 refuse("MALFORMED", "a control character");
@@ -445,8 +447,8 @@
             of.rest.cancel();
         }
         of.rest =
-                front.host.after(
-                        front.configuration().transactionIdle(),
+                front.host.schedule(
+                        front.configuration().transactionIdleMillis(),
                         () -> {
                             if (txn == of && job == null && !failed) {
                                 failed = true;
@@ -552,8 +554,8 @@
         job = next;
         asked = true;
         next.limit =
-                front.host.after(
-                        Math.max(1, next.until - front.host.now()), () -> timeIsOver(next));
+                front.host.schedule(
+                        Math.max(1, next.until - front.host.nowMillis()), () -> timeIsOver(next));
         if (txn != null) {
             if (txn.on != null) {
                 inside(txn, next);
@@ -581,7 +583,7 @@
         }
     }
 
-    private void answer(Job of, List<String> rows, String stamp, Position position) {
+    private void answer(Job of, List<String> rows, String stamp, LogPosition position) {
         over(of);
         front.counts.served++;
         StringBuilder out = new StringBuilder();
@@ -615,7 +617,12 @@
         if (txn != null) {
             endsFailed();
         }
-        fail(of, "BUSY", "not run; come back in " + Math.max(50, of.route.aim() / 2) + " ms");
+        fail(
+                of,
+                "BUSY",
+                "not run; come back in "
+                        + Math.max(50, of.route.targetLatencyMillis() / 2)
+                        + " ms");
     }
 
     /** What is open at the server is rolled back; the client's own end of it is still to come. */
@@ -658,7 +665,7 @@
         }
         on.cut("time-out");
         of.over = false;
-        fail(of, "TIMEOUT", "no answer in " + of.route.timeout() + " ms");
+        fail(of, "TIMEOUT", "no answer in " + of.route.timeoutMillis() + " ms");
     }
 
     // ---- one statement by itself
@@ -670,7 +677,7 @@
 
     /** Until something changes, as long as there is patience; then it is refused at once. */
     private void await(Service service, Job of) {
-        if (front.host.now() >= of.patience() || !service.hopeful()) {
+        if (front.host.nowMillis() >= of.patience() || !service.hopeful()) {
             busy(of);
             return;
         }
@@ -685,8 +692,9 @@
         service.await(of.again);
     }
 
-    private void send(Job of, Service service, Server server, Connection on, Position need) {
-        boolean after = !of.writes && of.route.kind() != Kind.PRIMARY && need != null;
+    private void send(Job of, Service service, Server server, Connection on, LogPosition need) {
+        boolean after =
+                !of.writes && of.route.consistency() != ReadConsistency.PRIMARY && need != null;
         if (of.writes || after || service.sure(server)) {
             sendNow(of, service, server, on, after ? need : null);
         } else {
@@ -696,7 +704,7 @@
                     () -> sendNow(of, service, server, on, null),
                     () -> {
                         of.on = null;
-                        if (of.tries++ < 3 && front.host.now() < of.patience()) {
+                        if (of.tries++ < 3 && front.host.nowMillis() < of.patience()) {
                             later(of, of::take);
                         } else {
                             busy(of);
@@ -705,10 +713,10 @@
         }
     }
 
-    private void sendNow(Job of, Service service, Server server, Connection on, Position after) {
+    private void sendNow(Job of, Service service, Server server, Connection on, LogPosition after) {
         of.on = on;
-        long sent = front.host.now();
-        Position before = server.seen;
+        long sent = front.host.nowMillis();
+        LogPosition before = server.seen;
         String line = (after == null ? "" : "AFTER " + after + " ") + line(of);
         on.ask(
                 values,
@@ -733,7 +741,7 @@
                             return;
                         }
                         if (of.writes) {
-                            token = Position.later(token, position);
+                            token = LogPosition.max(token, position);
                         }
                         answer(of, rows, stamp, position);
                         return;
@@ -747,8 +755,8 @@
     }
 
     private void paced(Server server, Job of, long sent) {
-        double usual = Math.max(1, of.route.aim() / 12.0);
-        double is = Math.min(8, Math.max(0.5, (front.host.now() - sent) / usual));
+        double usual = Math.max(1, of.route.targetLatencyMillis() / 12.0);
+        double is = Math.min(8, Math.max(0.5, (front.host.nowMillis() - sent) / usual));
         server.pace += 0.1 * (Math.max(1, is) - server.pace);
     }
 
@@ -764,8 +772,8 @@
     }
 
     private void later(Job of, Runnable run) {
-        front.host.after(
-                BUSY_PAUSE_MS + front.host.chance().nextInt(20),
+        front.host.schedule(
+                BUSY_PAUSE_MS + front.host.random().nextInt(20),
                 () -> {
                     if (!of.over && !over) {
                         run.run();
@@ -775,7 +783,7 @@
 
     /** It came to nothing: again where that is allowed, else the client is told. */
     private void failed(Job of, Service service, Server server, String code, String text) {
-        boolean patient = front.host.now() < of.patience();
+        boolean patient = front.host.nowMillis() < of.patience();
         boolean notRun = true;
         switch (code) {
             case "BUSY":
@@ -815,7 +823,7 @@
                 notRun = false;
                 if (!of.writes) {
                     of.tried.add(server);
-                    if (patient && of.tries++ < Math.max(1, of.route.attempts())) {
+                    if (patient && of.tries++ < Math.max(1, of.route.maxAttempts())) {
                         of.take();
                         return;
                     }
@@ -848,7 +856,7 @@
      */
     private void openLater(Txn of, Service service) {
         long until = of.first != null ? of.first.patience() : of.patience();
-        if (front.host.now() >= until || of.first != null && !service.hopeful()) {
+        if (front.host.nowMillis() >= until || of.first != null && !service.hopeful()) {
             of.opening = false;
             if (of.first != null) {
                 busy(of.first);
@@ -859,27 +867,27 @@
         service.await(() -> open(of));
     }
 
-    private void begin(Txn of, Service service, Server server, Connection on, Position need) {
+    private void begin(Txn of, Service service, Server server, Connection on, LogPosition need) {
         if (!of.reads || need != null || service.sure(server)) {
             beginNow(of, service, server, on, need);
         } else {
             of.verify(
                     on,
                     () -> beginNow(of, service, server, on, null),
-                    () -> front.host.after(BUSY_PAUSE_MS, () -> openLater(of, service)));
+                    () -> front.host.schedule(BUSY_PAUSE_MS, () -> openLater(of, service)));
         }
     }
 
-    private void beginNow(Txn of, Service service, Server server, Connection on, Position need) {
+    private void beginNow(Txn of, Service service, Server server, Connection on, LogPosition need) {
         String line =
                 (need == null ? "" : "AFTER " + need + " ") + (of.reads ? "BEGIN READ" : "BEGIN");
-        long sent = front.host.now();
+        long sent = front.host.nowMillis();
         on.ask(
                 values,
                 null,
                 of.id,
                 line,
-                sent + of.route.timeout(),
+                sent + of.route.timeoutMillis(),
                 (rows, stamp, code, text, state, position) -> {
                     if (of.over || over) {
                         release(on, on.over() ? 'I' : state);
@@ -899,14 +907,14 @@
                     }
                     of.tried.add(server);
                     of.tries++;
-                    front.host.after(
+                    front.host.schedule(
                             code.equals("LAGGING") ? 0 : BUSY_PAUSE_MS,
                             () -> {
                                 if (of.over || over) {
                                     return;
                                 }
                                 long until = of.first != null ? of.first.patience() : of.patience();
-                                if (front.host.now() >= until) {
+                                if (front.host.nowMillis() >= until) {
                                     openLater(of, service);
                                 } else {
                                     open(of);
@@ -940,8 +948,8 @@
         asked.on = on;
         of.ran = true;
         of.wrote = wrote;
-        long sent = front.host.now();
-        Position before = on.server.seen;
+        long sent = front.host.nowMillis();
+        LogPosition before = on.server.seen;
         // Values may have been set within the transaction; what would need a RESET cannot come
         // here.
         on.ask(
@@ -966,7 +974,7 @@
                         }
                         if (commit) {
                             if (of.wrote) {
-                                token = Position.later(token, position);
+                                token = LogPosition.max(token, position);
                             }
                             txn = null;
                             if (of.rest != null) {
@@ -981,7 +989,7 @@
                     boolean cut = code.equals("CUT") || unsent;
                     if (code.equals("BUSY")
                             && state == 'T'
-                            && front.host.now() < asked.patience()) {
+                            && front.host.nowMillis() < asked.patience()) {
                         later(asked, () -> inside(of, asked));
                         return;
                     }
@@ -1005,7 +1013,7 @@
                                     || cut;
                     if (first
                             && promised
-                            && front.host.now() < asked.patience()
+                            && front.host.nowMillis() < asked.patience()
                             && asked.tries++ < 4) {
                         if (cut || code.equals("READONLY")) {
                             of.tried.add(on.server);
@@ -1033,7 +1041,7 @@
         }
         of.first = asked;
         of.opening = true;
-        front.host.after(in, () -> open(of));
+        front.host.schedule(in, () -> open(of));
     }
 
     // ---- the end
@@ -1041,8 +1049,8 @@
     private void say(String lines) {
         if (!over) {
             client.send(lines.getBytes(StandardCharsets.ISO_8859_1));
-            if (client.waiting() > MOST_UNREAD) {
-                closed("reads nothing");
+            if (client.pendingBytes() > MOST_UNREAD) {
+                onClose("reads nothing");
                 client.close();
             }
         }
@@ -1050,14 +1058,14 @@
 
     private void end() {
         if (!over) {
-            Host.Link link = client;
-            closed("ended");
+            Environment.Connection link = client;
+            onClose("ended");
             link.close();
         }
     }
 
     @Override
-    public void closed(String why) {
+    public void onClose(String why) {
         if (over) {
             return;
         }
--- a/src/main/java/dillfront/host/Delta.java
+++ b/src/main/java/dillfront/host/BinaryDelta.java
@@ -19,29 +19,29 @@
  *
  * Lengths and numbers are of seven bits a byte, the lowest first; sums are four bytes, big-endian.
  */
-public final class Delta {
+public final class BinaryDelta {
 
     /** This is no delta, or not one of this base. */
-    public static final class Bad extends Exception {
+    public static final class InvalidDeltaException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String fault) {
+        InvalidDeltaException(String fault) {
             super(fault);
         }
     }
 
     /** No text is longer: a message of the system's own, which holds a whole one, is not either. */
-    public static final int MOST = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
-    private static final byte FORM = 1;
+    private static final byte FORMAT_VERSION = 1;
 
     /** No piece is shorter, but for the last, so that their number is bounded. */
-    private static final int LEAST_PIECE = 16;
+    private static final int MIN_CHUNK = 16;
 
     /** A run is not worth its own numbers below. */
-    private static final int LEAST_RUN = 8;
+    private static final int MIN_COPY = 8;
 
-    private Delta() {}
+    private BinaryDelta() {}
 
     public static long digest(byte[] text) {
         CRC32C crc = new CRC32C();
@@ -54,21 +54,21 @@
      *
      * @throws IllegalArgumentException where one is longer than any text may be
      */
-    public static byte[] of(byte[] base, byte[] next) {
-        if (base.length > MOST || next.length > MOST) {
+    public static byte[] create(byte[] base, byte[] next) {
+        if (base.length > MAX_BYTES || next.length > MAX_BYTES) {
             throw new IllegalArgumentException(
                     "a text of " + Math.max(base.length, next.length) + " bytes");
         }
-        return new Writer(base, next).write();
+        return new Encoder(base, next).encode();
     }
 
     /** One text, cut; where each piece begins, and the end. */
-    private static int[] pieces(byte[] text) {
-        int[] from = new int[text.length / LEAST_PIECE + 2];
+    private static int[] chunkBounds(byte[] text) {
+        int[] from = new int[text.length / MIN_CHUNK + 2];
         int count = 1;
         for (int i = 0; i < text.length; i++) {
             if ((text[i] == '}' || text[i] == '[')
-                    && i + 1 - from[count - 1] >= LEAST_PIECE
+                    && i + 1 - from[count - 1] >= MIN_CHUNK
                     && i + 1 < text.length) {
                 from[count++] = i + 1;
             }
@@ -77,37 +77,37 @@
         return Arrays.copyOf(from, count);
     }
 
-    private static final class Writer {
+    private static final class Encoder {
 
         private final byte[] base;
-        private final byte[] next;
-        private final int[] olds;
+        private final byte[] target;
+        private final int[] baseChunks;
 
         /**
          * Pieces of the base by their content: one more than the number of the first, at the place
          * of its hash or behind it.
          */
-        private final int[] table;
+        private final int[] chunkIndex;
 
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
         /** The run that is not written yet, and the bytes of the text that wait before it. */
-        private int runFrom;
+        private int copyStart;
 
-        private int runEnd;
-        private int bytesFrom;
-        private int bytesEnd;
-        private int lastEnd;
+        private int copyEnd;
+        private int literalStart;
+        private int literalEnd;
+        private int lastCopyEnd;
 
-        Writer(byte[] base, byte[] next) {
+        Encoder(byte[] base, byte[] next) {
             this.base = base;
-            this.next = next;
-            olds = pieces(base);
-            table = new int[Integer.highestOneBit(olds.length) * 4];
-            for (int k = 0; k < olds.length - 1; k++) {
-                int slot = slot(base, olds[k], olds[k + 1]);
-                if (table[slot] == 0) {
-                    table[slot] = k + 1;
+            this.target = next;
+            baseChunks = chunkBounds(base);
+            chunkIndex = new int[Integer.highestOneBit(baseChunks.length) * 4];
+            for (int k = 0; k < baseChunks.length - 1; k++) {
+                int slot = slot(base, baseChunks[k], baseChunks[k + 1]);
+                if (chunkIndex[slot] == 0) {
+                    chunkIndex[slot] = k + 1;
                 }
             }
         }
@@ -119,35 +119,41 @@
                 hash = (hash ^ text[i]) * 0x9E3779B97F4A7C15L;
                 hash ^= hash >>> 29;
             }
-            int slot = (int) (hash >>> 32) & table.length - 1;
-            while (table[slot] != 0
+            int slot = (int) (hash >>> 32) & chunkIndex.length - 1;
+            while (chunkIndex[slot] != 0
                     && !Arrays.equals(
-                            base, olds[table[slot] - 1], olds[table[slot]], text, from, to)) {
-                slot = slot + 1 & table.length - 1;
+                            base,
+                            baseChunks[chunkIndex[slot] - 1],
+                            baseChunks[chunkIndex[slot]],
+                            text,
+                            from,
+                            to)) {
+                slot = slot + 1 & chunkIndex.length - 1;
             }
             return slot;
         }
 
-        byte[] write() {
-            out.write(FORM);
-            head(base);
-            head(next);
-            int[] news = pieces(next);
+        byte[] encode() {
+            out.write(FORMAT_VERSION);
+            writeHeader(base);
+            writeHeader(target);
+            int[] news = chunkBounds(target);
             // The piece of the base that is expected next, as nothing has moved.
             int at = 0;
             for (int k = 0; k < news.length - 1; k++) {
                 int from = news[k];
                 int to = news[k + 1];
-                if (at >= olds.length - 1
-                        || !Arrays.equals(base, olds[at], olds[at + 1], next, from, to)) {
-                    int found = table[slot(next, from, to)] - 1;
+                if (at >= baseChunks.length - 1
+                        || !Arrays.equals(
+                                base, baseChunks[at], baseChunks[at + 1], target, from, to)) {
+                    int found = chunkIndex[slot(target, from, to)] - 1;
                     if (found < 0) {
-                        at += changed(at, from, to) ? 1 : 0;
+                        at += addChangedChunk(at, from, to) ? 1 : 0;
                         continue;
                     }
                     at = found;
                 }
-                run(olds[at], olds[at + 1]);
+                addCopy(baseChunks[at], baseChunks[at + 1]);
                 at++;
             }
             flush();
@@ -155,69 +161,69 @@
         }
 
         /** A piece of its own: what it has in common with the one that stood here, at both ends. */
-        private boolean changed(int at, int from, int to) {
-            int first = at < olds.length - 1 ? olds[at] : base.length;
-            int last = at < olds.length - 1 ? olds[at + 1] : base.length;
+        private boolean addChangedChunk(int at, int from, int to) {
+            int first = at < baseChunks.length - 1 ? baseChunks[at] : base.length;
+            int last = at < baseChunks.length - 1 ? baseChunks[at + 1] : base.length;
             int same = Math.min(to - from, last - first);
-            int before = Arrays.mismatch(base, first, first + same, next, from, from + same);
+            int before = Arrays.mismatch(base, first, first + same, target, from, from + same);
             before = before < 0 ? same : before;
             int behind = 0;
-            while (behind < same - before && base[last - 1 - behind] == next[to - 1 - behind]) {
+            while (behind < same - before && base[last - 1 - behind] == target[to - 1 - behind]) {
                 behind++;
             }
-            before = before < LEAST_RUN ? 0 : before;
-            behind = behind < LEAST_RUN ? 0 : behind;
-            run(first, first + before);
-            bytes(from + before, to - behind);
-            run(last - behind, last);
+            before = before < MIN_COPY ? 0 : before;
+            behind = behind < MIN_COPY ? 0 : behind;
+            addCopy(first, first + before);
+            addLiteral(from + before, to - behind);
+            addCopy(last - behind, last);
             return before + behind > 0;
         }
 
-        private void run(int from, int to) {
+        private void addCopy(int from, int to) {
             if (from == to) {
                 return;
             }
-            if (bytesFrom == bytesEnd && runEnd == from && runFrom < runEnd) {
-                runEnd = to;
+            if (literalStart == literalEnd && copyEnd == from && copyStart < copyEnd) {
+                copyEnd = to;
                 return;
             }
             flush();
-            runFrom = from;
-            runEnd = to;
+            copyStart = from;
+            copyEnd = to;
         }
 
-        private void bytes(int from, int to) {
+        private void addLiteral(int from, int to) {
             if (from == to) {
                 return;
             }
-            if (bytesFrom == bytesEnd) {
-                bytesFrom = from;
+            if (literalStart == literalEnd) {
+                literalStart = from;
             }
-            bytesEnd = to;
+            literalEnd = to;
         }
 
         /** A run and the bytes behind it. */
         private void flush() {
-            if (runFrom < runEnd) {
-                number((runEnd - runFrom) * 2 + 1);
-                int way = runFrom - lastEnd;
-                number(way >= 0 ? way * 2 : -way * 2 - 1);
-                lastEnd = runEnd;
-                runFrom = runEnd;
+            if (copyStart < copyEnd) {
+                writeVarint((copyEnd - copyStart) * 2 + 1);
+                int way = copyStart - lastCopyEnd;
+                writeVarint(way >= 0 ? way * 2 : -way * 2 - 1);
+                lastCopyEnd = copyEnd;
+                copyStart = copyEnd;
             }
-            if (bytesFrom < bytesEnd) {
-                number((bytesEnd - bytesFrom) * 2);
-                out.write(next, bytesFrom, bytesEnd - bytesFrom);
-                bytesFrom = bytesEnd;
+            if (literalStart < literalEnd) {
+                writeVarint((literalEnd - literalStart) * 2);
+                out.write(target, literalStart, literalEnd - literalStart);
+                literalStart = literalEnd;
             }
         }
 
-        private void head(byte[] text) {
-            number(text.length);
+        private void writeHeader(byte[] text) {
+            writeVarint(text.length);
             out.writeBytes(ByteBuffer.allocate(4).putInt((int) digest(text)).array());
         }
 
-        private void number(int is) {
+        private void writeVarint(int is) {
             int rest = is;
             for (; rest > 0x7f; rest >>>= 7) {
                 out.write(rest & 0x7f | 0x80);
@@ -231,57 +237,59 @@
      *
      * @throws Bad where it is of another base, or damaged: then there is no text at all
      */
-    public static byte[] apply(byte[] base, byte[] delta) throws Bad {
+    public static byte[] apply(byte[] base, byte[] delta) throws InvalidDeltaException {
         ByteBuffer in = ByteBuffer.wrap(delta);
-        if (!in.hasRemaining() || in.get() != FORM) {
-            throw new Bad("no delta of a form that is known");
+        if (!in.hasRemaining() || in.get() != FORMAT_VERSION) {
+            throw new InvalidDeltaException("no delta of a form that is known");
         }
-        if (number(in) != base.length || sum(in) != (int) digest(base)) {
-            throw new Bad("a delta of another base");
+        if (readVarint(in) != base.length || readChecksum(in) != (int) digest(base)) {
+            throw new InvalidDeltaException("a delta of another base");
         }
-        int length = number(in);
-        int sum = sum(in);
-        if (length > MOST) {
-            throw new Bad("a text of " + length + " bytes");
+        int length = readVarint(in);
+        int sum = readChecksum(in);
+        if (length > MAX_BYTES) {
+            throw new InvalidDeltaException("a text of " + length + " bytes");
         }
         byte[] text = new byte[length];
         int at = 0;
         int lastEnd = 0;
         while (in.hasRemaining()) {
-            int step = number(in);
+            int step = readVarint(in);
             int size = step >>> 1;
             if (size == 0 || size > length - at) {
-                throw new Bad("a step of " + size + " bytes at " + at + " of " + length);
+                throw new InvalidDeltaException(
+                        "a step of " + size + " bytes at " + at + " of " + length);
             }
             if ((step & 1) != 0) {
-                int way = number(in);
+                int way = readVarint(in);
                 int from = lastEnd + ((way & 1) == 0 ? way >>> 1 : -(way + 1 >>> 1));
                 if (from < 0 || from > base.length - size) {
-                    throw new Bad("a run from " + from + " on, of " + size + " bytes");
+                    throw new InvalidDeltaException(
+                            "a run from " + from + " on, of " + size + " bytes");
                 }
                 System.arraycopy(base, from, text, at, size);
                 lastEnd = from + size;
             } else if (size > in.remaining()) {
-                throw new Bad("ends within its bytes");
+                throw new InvalidDeltaException("ends within its bytes");
             } else {
                 in.get(text, at, size);
             }
             at += size;
         }
         if (at != length || sum != (int) digest(text)) {
-            throw new Bad("what it makes is not the text it was made for");
+            throw new InvalidDeltaException("what it makes is not the text it was made for");
         }
         return text;
     }
 
-    private static int sum(ByteBuffer in) throws Bad {
+    private static int readChecksum(ByteBuffer in) throws InvalidDeltaException {
         if (in.remaining() < 4) {
-            throw new Bad("ends within its head");
+            throw new InvalidDeltaException("ends within its head");
         }
         return in.getInt();
     }
 
-    private static int number(ByteBuffer in) throws Bad {
+    private static int readVarint(ByteBuffer in) throws InvalidDeltaException {
         int is = 0;
         for (int shift = 0; shift < 28; shift += 7) {
             if (!in.hasRemaining()) {
@@ -293,6 +301,6 @@
                 return is;
             }
         }
-        throw new Bad("a number that does not end");
+        throw new InvalidDeltaException("a number that does not end");
     }
 }
--- a/src/main/java/dillfront/host/Deflate.java
+++ b/src/main/java/dillfront/host/Compression.java
@@ -6,29 +6,29 @@
 import java.util.zip.Inflater;
 
 /** Texts made shorter for a link, and back. */
-public final class Deflate {
+public final class Compression {
 
     /** These are no deflated bytes, or more comes of them than any text has. */
-    public static final class Bad extends Exception {
+    public static final class CorruptDataException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String fault) {
+        CorruptDataException(String fault) {
             super(fault);
         }
     }
 
-    private static final int PART = 1 << 13;
+    private static final int BUFFER_BYTES = 1 << 13;
 
-    private Deflate() {}
+    private Compression() {}
 
     /** The text, compressed. */
-    public static byte[] of(byte[] text) {
+    public static byte[] compress(byte[] text) {
         Deflater deflater = new Deflater();
         try {
             deflater.setInput(text);
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 8 + 64);
-            byte[] part = new byte[PART];
+            byte[] part = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
                 out.write(part, 0, deflater.deflate(part));
             }
@@ -44,29 +44,29 @@
      * @param most bytes that it may have
      * @throws Bad where it is damaged, goes on behind its end, or is longer
      */
-    public static byte[] back(byte[] deflated, int most) throws Bad {
+    public static byte[] decompress(byte[] deflated, int most) throws CorruptDataException {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(deflated);
             ByteArrayOutputStream out =
                     new ByteArrayOutputStream(Math.min(most, deflated.length * 4 + 64));
-            byte[] part = new byte[PART];
+            byte[] part = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int got = inflater.inflate(part);
                 if (got == 0 && !inflater.finished()) {
-                    throw new Bad("ends before its end");
+                    throw new CorruptDataException("ends before its end");
                 }
                 if (got > most - out.size()) {
-                    throw new Bad("more than " + most + " bytes come of it");
+                    throw new CorruptDataException("more than " + most + " bytes come of it");
                 }
                 out.write(part, 0, got);
             }
             if (inflater.getRemaining() > 0) {
-                throw new Bad("goes on behind its end");
+                throw new CorruptDataException("goes on behind its end");
             }
             return out.toByteArray();
         } catch (DataFormatException bad) {
-            throw new Bad("damaged: " + bad.getMessage());
+            throw new CorruptDataException("damaged: " + bad.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/dillfront/host/Configuration.java
+++ b/src/main/java/dillfront/host/Configuration.java
@@ -18,79 +18,79 @@
 public final class Configuration {
 
     /** It is not valid: where, and what is wrong there. */
-    public static final class Invalid extends Exception {
+    public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Invalid(String fault) {
+        InvalidConfigurationException(String fault) {
             super(fault);
         }
     }
 
     /** Which reads a route lets a replica serve. */
-    public enum Kind {
+    public enum ReadConsistency {
         PRIMARY,
-        BOUNDED,
-        OWN
+        BOUNDED_STALENESS,
+        READ_YOUR_WRITES
     }
 
     /**
      * One route. Times in milliseconds.
      *
-     * @param stale how old a read may be, where it need not be the newest
+     * @param maxStalenessMillis how old a read may be, where it need not be the newest
      */
     public record Route(
             String name,
-            String host,
-            Kind kind,
-            long timeout,
-            long aim,
+            String database,
+            ReadConsistency consistency,
+            long timeoutMillis,
+            long targetLatencyMillis,
             long priority,
             String service,
-            long attempts,
-            long stale) {}
+            long maxAttempts,
+            long maxStalenessMillis) {}
 
     /** One service; synchronous: how many replicas have a commit before it is answered. */
-    public record Service(String name, int connections, int synchronous) {}
+    public record Service(String name, int connectionLimit, int synchronousReplicas) {}
 
     public static final Configuration NONE = new Configuration(-1, new byte[0]);
 
-    private final long version;
+    private final long revision;
     private final byte[] body;
     private final long digest;
     private final Map<String, Route> routes = new HashMap<>();
     private final Map<String, Service> services = new HashMap<>();
-    private long transactionIdle = 3_000;
+    private long transactionIdleMillis = 3_000;
 
     private Configuration(long version, byte[] body) {
-        this.version = version;
+        this.revision = version;
         this.body = body;
-        digest = Delta.digest(body);
+        digest = BinaryDelta.digest(body);
     }
 
     /**
      * @throws Invalid with the place and the fault
      */
-    public static Configuration read(byte[] body) throws Invalid {
+    public static Configuration parse(byte[] body) throws InvalidConfigurationException {
         String text;
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException bad) {
-            throw new Invalid("the body is not UTF-8");
+            throw new InvalidConfigurationException("the body is not UTF-8");
         }
         JsonObject all;
         try {
             all = Json.parse(text).asObject();
         } catch (ParseException cut) {
-            throw new Invalid(
+            throw new InvalidConfigurationException(
                     "line "
                             + cut.getLocation().line
                             + ", column "
                             + cut.getLocation().column
                             + ": no whole JSON");
         } catch (UnsupportedOperationException other) {
-            throw new Invalid("the body is no object");
+            throw new InvalidConfigurationException("the body is no object");
         } catch (StackOverflowError deep) {
-            throw new Invalid("the body is nested too deep");
+            throw new InvalidConfigurationException("the body is nested too deep");
         }
         Configuration is =
                 new Configuration(
@@ -112,7 +112,8 @@
                                             (long) Integer.MAX_VALUE),
                             (int) number(row, place, "synchronous_replicas", 0, 1000, 0L));
             if (is.services.put(service.name(), service) != null) {
-                throw new Invalid(place + ".name: '" + service.name() + "' stands twice");
+                throw new InvalidConfigurationException(
+                        place + ".name: '" + service.name() + "' stands twice");
             }
         }
         Set<String> places = new HashSet<>();
@@ -122,13 +123,14 @@
             String place = "routes[" + at++ + "]";
             JsonObject row = object(one, place);
             String kind = text(row, place, "route_kind");
-            Kind known =
+            ReadConsistency known =
                     switch (kind) {
-                        case "primary" -> Kind.PRIMARY;
-                        case "bounded_staleness" -> Kind.BOUNDED;
-                        case "read_your_writes" -> Kind.OWN;
+                        case "primary" -> ReadConsistency.PRIMARY;
+                        case "bounded_staleness" -> ReadConsistency.BOUNDED_STALENESS;
+                        case "read_your_writes" -> ReadConsistency.READ_YOUR_WRITES;
                         default ->
-                                throw new Invalid(place + ".route_kind: '" + kind + "' is unknown");
+                                throw new InvalidConfigurationException(
+                                        place + ".route_kind: '" + kind + "' is unknown");
                     };
             String prefix = row.get("path_prefix") == null ? "/" : text(row, place, "path_prefix");
             Route route =
@@ -143,26 +145,27 @@
                             number(row, place, "max_attempts", 0, 1_000_000, 1L),
                             number(row, place, "max_staleness_ms", 0, 86_400_000, 0L));
             if (!is.services.containsKey(route.service())) {
-                throw new Invalid(
+                throw new InvalidConfigurationException(
                         place + ".service: no service is named '" + route.service() + "'");
             }
-            if (!places.add(route.host() + " " + prefix)) {
-                throw new Invalid(
+            if (!places.add(route.database() + " " + prefix)) {
+                throw new InvalidConfigurationException(
                         place
                                 + ": a second route for host '"
-                                + route.host()
+                                + route.database()
                                 + "' and prefix '"
                                 + prefix
                                 + "'");
             }
             if (!names.add(route.name())) {
-                throw new Invalid(place + ".name: '" + route.name() + "' stands twice");
+                throw new InvalidConfigurationException(
+                        place + ".name: '" + route.name() + "' stands twice");
             }
-            is.routes.put(route.host(), route);
+            is.routes.put(route.database(), route);
         }
         JsonValue limits = all.get("limits");
         if (limits != null) {
-            is.transactionIdle =
+            is.transactionIdleMillis =
                     number(
                             object(limits, "limits"),
                             "limits",
@@ -174,32 +177,35 @@
         return is;
     }
 
-    private static Iterable<JsonValue> array(JsonObject in, String name) throws Invalid {
+    private static Iterable<JsonValue> array(JsonObject in, String name)
+            throws InvalidConfigurationException {
         JsonValue is = in.get(name);
         if (is == null || !is.isArray()) {
-            throw new Invalid(name + ": no list");
+            throw new InvalidConfigurationException(name + ": no list");
         }
         return is.asArray();
     }
 
-    private static JsonObject object(JsonValue is, String place) throws Invalid {
+    private static JsonObject object(JsonValue is, String place)
+            throws InvalidConfigurationException {
         if (!is.isObject()) {
-            throw new Invalid(place + ": no object");
+            throw new InvalidConfigurationException(place + ": no object");
         }
         return is.asObject();
     }
 
-    private static String text(JsonObject in, String place, String name) throws Invalid {
+    private static String text(JsonObject in, String place, String name)
+            throws InvalidConfigurationException {
         JsonValue is = in.get(name);
         if (is == null || !is.isString() || is.asString().isEmpty()) {
-            throw new Invalid(place + "." + name + ": no text");
+            throw new InvalidConfigurationException(place + "." + name + ": no text");
         }
         return is.asString();
     }
 
     private static long number(
             JsonObject in, String place, String name, long least, long most, Long otherwise)
-            throws Invalid {
+            throws InvalidConfigurationException {
         JsonValue is = in.get(name);
         if (is == null && otherwise != null) {
             return otherwise;
@@ -208,17 +214,17 @@
         try {
             double number = is == null || !is.isNumber() ? Double.NaN : is.asDouble();
             if (!(number >= least && number <= most) || number != Math.rint(number)) {
-                throw new Invalid(
+                throw new InvalidConfigurationException(
                         where + ": " + is + " is no whole number from " + least + " to " + most);
             }
             return number > 1L << 52 ? Long.parseLong(is.toString()) : (long) number;
         } catch (NumberFormatException bad) {
-            throw new Invalid(where + ": " + is + " is no number");
+            throw new InvalidConfigurationException(where + ": " + is + " is no number");
         }
     }
 
-    public long version() {
-        return version;
+    public long revision() {
+        return revision;
     }
 
     /** As the operator sent it. */
@@ -240,12 +246,12 @@
         return services;
     }
 
-    public int size() {
+    public int routeCount() {
         return routes.size();
     }
 
     /** How long a transaction may rest, in milliseconds. */
-    public long transactionIdle() {
-        return transactionIdle;
+    public long transactionIdleMillis() {
+        return transactionIdleMillis;
     }
 }
--- a/src/main/java/dillfront/host/Host.java
+++ b/src/main/java/dillfront/host/Environment.java
@@ -8,10 +8,10 @@
  * connections, chance. The programs' own parts know nothing else, so that they run the same on
  * sockets and in simulated time. All calls and all answers on the program's one loop.
  */
-public interface Host {
+public interface Environment {
 
     /** How messages are cut out of a connection's bytes. */
-    enum Form {
+    enum Framing {
         /** Lines that end in CR LF, of the wire. */
         LINES,
         /** Four bytes of length before each, between the system's own processes. */
@@ -19,7 +19,7 @@
     }
 
     /** One connection. */
-    interface Link {
+    interface Connection {
 
         /** One message, without what ends or precedes it. Nothing happens on a closed link. */
         void send(byte[] message);
@@ -28,18 +28,18 @@
         void close();
 
         /** Bytes that wait to go out. */
-        long waiting();
+        long pendingBytes();
     }
 
     /** Hears what happens on one connection. */
-    interface Ear {
+    interface ConnectionListener {
 
-        void opened(Link link);
+        void onOpen(Connection link);
 
-        void message(byte[] message);
+        void onMessage(byte[] message);
 
         /** Once, whatever ended it; also where it was never opened. Not after one's own close(). */
-        void closed(String why);
+        void onClose(String why);
     }
 
     /** A timer that was set. */
@@ -52,33 +52,33 @@
      *
      * @param location where the caller is to ask instead; null where he has his answer
      */
-    record Answer(int status, byte[] body, String location) {
+    record HttpResponse(int status, byte[] body, String location) {
 
-        public Answer(int status, byte[] body) {
+        public HttpResponse(int status, byte[] body) {
             this(status, body, null);
         }
     }
 
     /** Milliseconds of a clock that never goes back, from a zero of its own. */
-    long now();
+    long nowMillis();
 
-    Timer after(long ms, Runnable run);
+    Timer schedule(long ms, Runnable run);
 
-    Link dial(String address, Form form, int timeoutMs, Ear ear);
+    Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear);
 
     /** A POST with a JSON body; the future fails where no whole answer came within the time. */
-    CompletableFuture<Answer> post(
+    CompletableFuture<HttpResponse> post(
             String address,
             String path,
             String json,
             java.util.Map<String, String> headers,
             int timeoutMs);
 
-    RandomGenerator chance();
+    RandomGenerator random();
 
     /** Keeps this in memory, to go out with the next that is wrong. */
-    void note(String event);
+    void trace(String event);
 
     /** Something is wrong: it goes out, with what was noted before. */
-    void wrong(String event);
+    void warn(String event);
 }
--- a/src/main/java/dillfront/host/HttpDoor.java
+++ b/src/main/java/dillfront/host/HttpServerHandler.java
@@ -28,65 +28,68 @@
  * once sees them done in that order. Bodies, silence, the time of a call and answers that nobody
  * reads are bounded; what is sent beyond that stays in the socket.
  */
-public final class HttpDoor extends Ears {
+public final class HttpServerHandler extends Ears {
 
-    private static final int LONGEST_BODY = 1 << 20;
-    private static final int SILENT_S = 60;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int IDLE_TIMEOUT_S = 60;
 
     /** Above all that a call may take by itself. */
-    static final long LONGEST_MS = 10_000;
+    static final long MAX_HANDLING_MS = 10_000;
 
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What is called, and what it answers. */
-    public interface Calls {
-        CompletableFuture<Host.Answer> call(String method, String path, byte[] body);
+    public interface HttpEndpoint {
+        CompletableFuture<Environment.HttpResponse> call(String method, String path, byte[] body);
     }
 
-    private final Host host;
-    private final Calls calls;
-    private final long longestMs;
+    private final Environment environment;
+    private final HttpEndpoint endpoint;
+    private final long timeoutMillis;
     private ChannelHandlerContext ctx;
 
     /** The call that is not answered yet; null where none is. */
-    private Turn turn;
+    private Exchange current;
 
     /** What was read meanwhile. */
-    private final ArrayDeque<HttpObject> ahead = new ArrayDeque<>();
+    private final ArrayDeque<HttpObject> pendingParts = new ArrayDeque<>();
 
     /** The call that is being read. */
-    private HttpRequest head;
+    private HttpRequest currentRequest;
 
     private ByteBuf body;
 
     /** After a call that is the last one, or no HTTP: whatever follows is no call. */
-    private boolean ends;
+    private boolean lastRequest;
 
-    HttpDoor(Host host, Calls calls, long longestMs) {
-        this.host = host;
-        this.calls = calls;
-        this.longestMs = longestMs;
+    HttpServerHandler(Environment host, HttpEndpoint calls, long longestMs) {
+        this.environment = host;
+        this.endpoint = calls;
+        this.timeoutMillis = longestMs;
     }
 
     /** One call's turn to be answered: once, and not after the connection is over. */
-    private final class Turn {
+    private final class Exchange {
         private final boolean last;
-        private final Host.Timer limit;
+        private final Environment.Timer timeout;
 
-        Turn(boolean last) {
+        Exchange(boolean last) {
             this.last = last;
-            turn = this;
-            limit =
-                    host.after(
-                            longestMs,
-                            () -> answer(said(503, "no answer in " + longestMs + " ms")));
+            current = this;
+            timeout =
+                    environment.schedule(
+                            timeoutMillis,
+                            () ->
+                                    respond(
+                                            errorResponse(
+                                                    503, "no answer in " + timeoutMillis + " ms")));
         }
 
-        void answer(Host.Answer is) {
-            if (turn == this) {
-                limit.cancel();
-                turn = null;
+        void respond(Environment.HttpResponse is) {
+            if (current == this) {
+                timeout.cancel();
+                current = null;
                 write(is, last);
             }
         }
@@ -99,38 +102,39 @@
                 .addBefore(
                         ctx.name(),
                         "silence",
-                        new IdleStateHandler(true, 0, 0, SILENT_S, TimeUnit.SECONDS));
+                        new IdleStateHandler(true, 0, 0, IDLE_TIMEOUT_S, TimeUnit.SECONDS));
         ctx.pipeline().addBefore(ctx.name(), "codec", new HttpServerCodec());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object in) {
-        ahead.add((HttpObject) in);
-        goOn();
+        pendingParts.add((HttpObject) in);
+        readNext();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         // Not at once: it may be an answer that is just being written.
-        ctx.channel().eventLoop().execute(this::goOn);
+        ctx.channel().eventLoop().execute(this::readNext);
     }
 
-    private void goOn() {
-        while (!ahead.isEmpty() && (ends || turn == null && ctx.channel().isWritable())) {
-            HttpObject next = ahead.poll();
+    private void readNext() {
+        while (!pendingParts.isEmpty()
+                && (lastRequest || current == null && ctx.channel().isWritable())) {
+            HttpObject next = pendingParts.poll();
             try {
                 read(next);
             } finally {
                 ReferenceCountUtil.release(next);
             }
         }
-        if (ctx.channel().config().isAutoRead() != ahead.isEmpty()) {
-            ctx.channel().config().setAutoRead(ahead.isEmpty());
+        if (ctx.channel().config().isAutoRead() != pendingParts.isEmpty()) {
+            ctx.channel().config().setAutoRead(pendingParts.isEmpty());
         }
     }
 
     private void read(HttpObject part) {
-        if (ends) {
+        if (lastRequest) {
             return;
         }
         if (part.decoderResult().isFailure()) {
@@ -138,28 +142,28 @@
             return;
         }
         if (part instanceof HttpRequest request) {
-            begin(request);
+            startRequest(request);
         }
-        if (part instanceof HttpContent content && head != null) {
-            if (body.readableBytes() + content.content().readableBytes() > LONGEST_BODY) {
+        if (part instanceof HttpContent content && currentRequest != null) {
+            if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
                 refuse(
                         413,
-                        "a body of more than " + LONGEST_BODY + " bytes",
-                        !HttpUtil.isKeepAlive(head));
+                        "a body of more than " + MAX_BODY_BYTES + " bytes",
+                        !HttpUtil.isKeepAlive(currentRequest));
                 return;
             }
             body.writeBytes(content.content());
             if (part instanceof LastHttpContent) {
-                call();
+                dispatch();
             }
         }
     }
 
-    private void begin(HttpRequest request) {
-        head = request;
+    private void startRequest(HttpRequest request) {
+        currentRequest = request;
         body = Unpooled.buffer(256);
         String expected = request.headers().get("Expect");
-        boolean large = HttpUtil.getContentLength(request, 0L) > LONGEST_BODY;
+        boolean large = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
         if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
             // Whether its body comes all the same, nobody can say: what follows is not read as
             // calls.
@@ -167,7 +171,7 @@
         } else if (large) {
             refuse(
                     413,
-                    "a body of more than " + LONGEST_BODY + " bytes",
+                    "a body of more than " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
         } else if (expected != null) {
             // Not through the codec, which would take it for the answer.
@@ -177,40 +181,41 @@
 
     /** The rest of its body, if any, is passed over. */
     private void refuse(int status, String why, boolean last) {
-        head = null;
+        currentRequest = null;
         body = null;
-        ends = last;
-        new Turn(last).answer(said(status, why));
+        lastRequest = last;
+        new Exchange(last).respond(errorResponse(status, why));
     }
 
-    private void call() {
-        HttpRequest request = head;
-        head = null;
-        ends = !HttpUtil.isKeepAlive(request);
-        Turn its = new Turn(ends);
+    private void dispatch() {
+        HttpRequest request = currentRequest;
+        currentRequest = null;
+        lastRequest = !HttpUtil.isKeepAlive(request);
+        Exchange its = new Exchange(lastRequest);
         byte[] all = new byte[body.readableBytes()];
         body.readBytes(all);
         body = null;
         String uri = request.uri();
         int query = uri.indexOf('?');
         try {
-            calls.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
+            endpoint.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
                     .whenComplete(
                             (is, fault) ->
-                                    its.answer(
+                                    its.respond(
                                             fault != null
-                                                    ? said(503, String.valueOf(fault.getMessage()))
+                                                    ? errorResponse(
+                                                            503, String.valueOf(fault.getMessage()))
                                                     : is == null || is.body() == null
-                                                            ? said(500, "no answer")
+                                                            ? errorResponse(500, "no answer")
                                                             : is));
         } catch (RuntimeException | StackOverflowError fault) {
             // This call alone pays for it, not those beside it on the connection.
-            wrong(fault);
-            its.answer(said(500, "fault in " + request.method().name()));
+            reportFault(fault);
+            its.respond(errorResponse(500, "fault in " + request.method().name()));
         }
     }
 
-    private void write(Host.Answer is, boolean last) {
+    private void write(Environment.HttpResponse is, boolean last) {
         DefaultFullHttpResponse out =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -229,9 +234,9 @@
         if (last) {
             sent.addListener(ChannelFutureListener.CLOSE);
         }
-        if (!ahead.isEmpty()) {
+        if (!pendingParts.isEmpty()) {
             // Not at once: an answer may come while the next call is being read.
-            ctx.channel().eventLoop().execute(this::goOn);
+            ctx.channel().eventLoop().execute(this::readNext);
         }
     }
 
@@ -247,8 +252,8 @@
     }
 
     /** An answer that says what was wrong. */
-    public static Host.Answer said(int status, String fault) {
-        return new Host.Answer(
+    public static Environment.HttpResponse errorResponse(int status, String fault) {
+        return new Environment.HttpResponse(
                 status,
                 com.eclipsesource.json.Json.object()
                         .add("error_message", fault)
@@ -258,17 +263,17 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        ends = true;
-        if (turn != null) {
-            turn.limit.cancel();
-            turn = null;
+        lastRequest = true;
+        if (current != null) {
+            current.timeout.cancel();
+            current = null;
         }
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
+        pendingParts.forEach(ReferenceCountUtil::release);
+        pendingParts.clear();
     }
 
-    private void wrong(Throwable fault) {
-        host.wrong(
+    private void reportFault(Throwable fault) {
+        environment.warn(
                 "fault on a call: "
                         + fault
                         + " at "
@@ -278,7 +283,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            wrong(cause);
+            reportFault(cause);
         }
         ctx.close();
     }
--- a/src/main/java/dillfront/host/Position.java
+++ b/src/main/java/dillfront/host/LogPosition.java
@@ -4,46 +4,46 @@
  * A place in the log of a database: TERM.NUMBER. Those of a later term are behind all of an earlier
  * one.
  */
-public record Position(long term, long number) implements Comparable<Position> {
+public record LogPosition(long term, long index) implements Comparable<LogPosition> {
 
-    public static final Position NONE = new Position(0, 0);
+    public static final LogPosition NONE = new LogPosition(0, 0);
 
     /**
      * @return null where the text is no position
      */
-    public static Position of(String text) {
+    public static LogPosition parse(String text) {
         int dot = text.indexOf('.');
         if (dot < 1 || dot == text.length() - 1 || text.length() > 40) {
             return null;
         }
         try {
-            Position is =
-                    new Position(
+            LogPosition is =
+                    new LogPosition(
                             Long.parseLong(text.substring(0, dot)),
                             Long.parseLong(text.substring(dot + 1)));
-            return is.term < 0 || is.number < 0 ? null : is;
+            return is.term < 0 || is.index < 0 ? null : is;
         } catch (NumberFormatException none) {
             return null;
         }
     }
 
     @Override
-    public int compareTo(Position other) {
+    public int compareTo(LogPosition other) {
         return term != other.term
                 ? Long.compare(term, other.term)
-                : Long.compare(number, other.number);
+                : Long.compare(index, other.index);
     }
 
-    public boolean covers(Position other) {
+    public boolean covers(LogPosition other) {
         return compareTo(other) >= 0;
     }
 
-    public static Position later(Position a, Position b) {
+    public static LogPosition max(LogPosition a, LogPosition b) {
         return a == null || b != null && b.compareTo(a) > 0 ? b : a;
     }
 
     @Override
     public String toString() {
-        return term + "." + number;
+        return term + "." + index;
     }
 }
--- a/src/main/java/dillfront/host/Pack.java
+++ b/src/main/java/dillfront/host/MessageCodec.java
@@ -11,29 +11,29 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Messages between the system's own processes: maps of short names, in MessagePack. */
-public final class Pack {
+public final class MessageCodec {
 
-    private static final int DEEPEST = 8;
-    private static final int MOST = 1 << 18;
+    private static final int MAX_DEPTH = 8;
+    private static final int MAX_ELEMENTS = 1 << 18;
 
     /** Of all lists and maps of a message together. */
-    private static final int MOST_PARTS = 1 << 20;
+    private static final int MAX_TOTAL_ELEMENTS = 1 << 20;
 
     /** A message that is none: what was wrong with it. */
-    public static final class Bad extends Exception {
+    public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String fault) {
+        MalformedMessageException(String fault) {
             super(fault);
         }
     }
 
-    private Pack() {}
+    private MessageCodec() {}
 
     /**
      * @throws IllegalArgumentException where a value has no form in a message
      */
-    public static byte[] write(Map<String, ?> message) {
+    public static byte[] encode(Map<String, ?> message) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             write(out, message);
             return out.toByteArray();
@@ -73,17 +73,17 @@
     /**
      * @throws Bad where the bytes are no map of this form, or hold more than any message does
      */
-    public static Fields read(byte[] bytes) throws Bad {
+    public static Fields decode(byte[] bytes) throws MalformedMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            Object all = new Reading(in, bytes.length).read(0);
+            Object all = new Decoder(in, bytes.length).read(0);
             if (!(all instanceof Map<?, ?>) || in.hasNext()) {
-                throw new Bad("no map, or more than one value");
+                throw new MalformedMessageException("no map, or more than one value");
             }
             @SuppressWarnings("unchecked")
             Map<String, Object> fields = (Map<String, Object>) all;
             return new Fields(fields);
         } catch (IOException | RuntimeException bad) {
-            throw new Bad("no MessagePack of ours: " + bad);
+            throw new MalformedMessageException("no MessagePack of ours: " + bad);
         }
     }
 
@@ -91,30 +91,30 @@
      * A message that is being read: what it claims to hold is checked before there is room made for
      * it.
      */
-    private static final class Reading {
+    private static final class Decoder {
         private final MessageUnpacker in;
         private final int length;
-        private int parts;
+        private int elements;
 
-        Reading(MessageUnpacker in, int length) {
+        Decoder(MessageUnpacker in, int length) {
             this.in = in;
             this.length = length;
         }
 
-        private int size(int claimed, int bytesEach) throws Bad {
-            parts += claimed;
-            if (claimed < 0 || claimed > MOST || parts > MOST_PARTS) {
-                throw new Bad("too many parts: " + claimed);
+        private int size(int claimed, int bytesEach) throws MalformedMessageException {
+            elements += claimed;
+            if (claimed < 0 || claimed > MAX_ELEMENTS || elements > MAX_TOTAL_ELEMENTS) {
+                throw new MalformedMessageException("too many parts: " + claimed);
             }
             if ((long) claimed * bytesEach > length - in.getTotalReadBytes()) {
-                throw new Bad("more parts than bytes: " + claimed);
+                throw new MalformedMessageException("more parts than bytes: " + claimed);
             }
             return claimed;
         }
 
-        Object read(int depth) throws IOException, Bad {
-            if (depth > DEEPEST) {
-                throw new Bad("too deep");
+        Object read(int depth) throws IOException, MalformedMessageException {
+            if (depth > MAX_DEPTH) {
+                throw new MalformedMessageException("too deep");
             }
             switch (in.getNextFormat().getValueType()) {
                 case NIL:
@@ -130,7 +130,8 @@
                     {
                         int size = in.unpackBinaryHeader();
                         if (size < 0 || size > length - in.getTotalReadBytes()) {
-                            throw new Bad("more bytes than there are: " + size);
+                            throw new MalformedMessageException(
+                                    "more bytes than there are: " + size);
                         }
                         return in.readPayload(size);
                     }
@@ -153,7 +154,7 @@
                         return map;
                     }
                 default:
-                    throw new Bad("a value of no kind that is used");
+                    throw new MalformedMessageException("a value of no kind that is used");
             }
         }
     }
@@ -165,11 +166,11 @@
             return all.get(name) instanceof Long is ? is : otherwise;
         }
 
-        public String text(String name) {
+        public String string(String name) {
             return all.get(name) instanceof String is ? is : "";
         }
 
-        public boolean bit(String name) {
+        public boolean flag(String name) {
             return Boolean.TRUE.equals(all.get(name));
         }
 
@@ -182,7 +183,7 @@
         }
 
         /** The maps in a list; what is no map is passed over. */
-        public List<Fields> list(String name) {
+        public List<Fields> maps(String name) {
             List<Fields> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
                 for (Object one : list) {
@@ -197,7 +198,7 @@
         }
 
         /** The elements of a list as texts; empty where there is no list. */
-        public List<String> texts(String name) {
+        public List<String> strings(String name) {
             List<String> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
                 list.forEach(one -> rows.add(String.valueOf(one)));
--- a/src/main/java/dillfront/host/NettyHost.java
+++ b/src/main/java/dillfront/host/NettyEnvironment.java
@@ -39,93 +39,94 @@
 import java.util.random.RandomGenerator;
 
 /** The machine as it is: sockets on one event loop. */
-public final class NettyHost implements Host {
+public final class NettyEnvironment implements Environment {
 
     /** The longest message of the wire, and of the system's own processes. */
-    private static final int LONGEST_LINE = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static final int LONGEST_FRAME = 1 << 23;
-    private static final InetSocketAddress NOWHERE =
+    private static final int MAX_FRAME_BYTES = 1 << 23;
+    private static final InetSocketAddress UNREACHABLE =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final int BACKLOG = 512;
-    private static final WriteBufferWaterMark MARK = new WriteBufferWaterMark(1 << 17, 1 << 20);
+    private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS =
+            new WriteBufferWaterMark(1 << 17, 1 << 20);
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final EventLoop loop = group.next();
-    private final long zero = System.nanoTime();
-    private final RandomGenerator chance;
+    private final EventLoop eventLoop = group.next();
+    private final long startNanos = System.nanoTime();
+    private final RandomGenerator random;
 
-    private final Ring ring;
+    private final RingLog ringLog;
 
-    public NettyHost(long seed) {
-        this(seed, new Ring(System.err, "dillfront"));
+    public NettyEnvironment(long seed) {
+        this(seed, new RingLog(System.err, "dillfront"));
     }
 
-    public NettyHost(long seed, Ring ring) {
-        this.ring = ring;
-        chance = new SplittableRandom(seed);
+    public NettyEnvironment(long seed, RingLog ring) {
+        this.ringLog = ring;
+        random = new SplittableRandom(seed);
     }
 
-    public EventLoop loop() {
-        return loop;
+    public EventLoop eventLoop() {
+        return eventLoop;
     }
 
     @Override
-    public long now() {
-        return (System.nanoTime() - zero) / 1_000_000;
+    public long nowMillis() {
+        return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     @Override
-    public Timer after(long ms, Runnable run) {
-        Future<?> timer = loop.schedule(run, Math.max(0, ms), TimeUnit.MILLISECONDS);
+    public Timer schedule(long ms, Runnable run) {
+        Future<?> timer = eventLoop.schedule(run, Math.max(0, ms), TimeUnit.MILLISECONDS);
         return () -> timer.cancel(false);
     }
 
     @Override
-    public RandomGenerator chance() {
-        return chance;
+    public RandomGenerator random() {
+        return random;
     }
 
     @Override
-    public void note(String event) {
-        ring.note(now(), event);
+    public void trace(String event) {
+        ringLog.record(nowMillis(), event);
     }
 
     @Override
-    public void wrong(String event) {
-        ring.wrong(now(), event);
+    public void warn(String event) {
+        ringLog.warn(nowMillis(), event);
     }
 
     static InetSocketAddress address(String text) {
         InetSocketAddress is = Address.parse(text);
         // Refused like a dead one: whoever told of it told wrong.
-        return is == null ? NOWHERE : is;
+        return is == null ? UNREACHABLE : is;
     }
 
     /** One connection's end of the program's side. */
-    private final class Line extends Ears implements Link {
+    private final class NettyConnection extends Ears implements Connection {
 
-        private final Form form;
-        private final Ear ear;
+        private final Framing framing;
+        private final ConnectionListener listener;
         private Channel channel;
         private boolean open;
-        private boolean over;
+        private boolean closed;
 
-        Line(Form form, Ear ear) {
-            this.form = form;
-            this.ear = ear;
+        NettyConnection(Framing form, ConnectionListener ear) {
+            this.framing = form;
+            this.listener = ear;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             ByteToMessageDecoder cutter =
-                    form == Form.LINES
+                    framing == Framing.LINES
                             ? new DelimiterBasedFrameDecoder(
-                                    LONGEST_LINE,
+                                    MAX_LINE_BYTES,
                                     true,
                                     true,
                                     Unpooled.wrappedBuffer(new byte[] {13, 10}))
-                            : new LengthFieldBasedFrameDecoder(LONGEST_FRAME, 0, 4, 0, 4, true);
+                            : new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4, true);
             ctx.pipeline().addBefore(ctx.name(), "cut", cutter);
         }
 
@@ -133,8 +134,8 @@
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             open = true;
-            if (!over) {
-                ear.opened(this);
+            if (!closed) {
+                listener.onOpen(this);
             }
         }
 
@@ -144,39 +145,39 @@
             byte[] message = new byte[bytes.readableBytes()];
             bytes.readBytes(message);
             bytes.release();
-            if (!over) {
-                ear.message(message);
+            if (!closed) {
+                listener.onMessage(message);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end("closed");
+            closeWith("closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException) && !(cause instanceof TooLongFrameException)) {
-                wrong("fault on a connection: " + cause + " at " + cause.getStackTrace()[0]);
+                warn("fault on a connection: " + cause + " at " + cause.getStackTrace()[0]);
             }
-            end(cause instanceof TooLongFrameException ? "too long" : "broken");
+            closeWith(cause instanceof TooLongFrameException ? "too long" : "broken");
             ctx.close();
         }
 
-        void end(String why) {
-            if (!over) {
-                over = true;
-                ear.closed(why);
+        void closeWith(String why) {
+            if (!closed) {
+                closed = true;
+                listener.onClose(why);
             }
         }
 
         @Override
         public void send(byte[] message) {
-            if (!open || over) {
+            if (!open || closed) {
                 return;
             }
             ByteBuf out = channel.alloc().buffer(message.length + 4);
-            if (form == Form.FRAMES) {
+            if (framing == Framing.FRAMES) {
                 out.writeInt(message.length).writeBytes(message);
             } else {
                 out.writeBytes(message).writeByte(13).writeByte(10);
@@ -186,7 +187,7 @@
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
             if (channel != null) {
                 channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
@@ -194,7 +195,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return channel == null || channel.unsafe().outboundBuffer() == null
                     ? 0
                     : channel.unsafe().outboundBuffer().totalPendingWriteBytes();
@@ -202,18 +203,18 @@
     }
 
     @Override
-    public Link dial(String address, Form form, int timeoutMs, Ear ear) {
-        Line line = new Line(form, ear);
-        ChannelFuture opening = Sockets.connect(loop, address(address), line, timeoutMs);
+    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
+        NettyConnection line = new NettyConnection(form, ear);
+        ChannelFuture opening = Sockets.connect(eventLoop, address(address), line, timeoutMs);
         if (opening == null) {
-            loop.execute(() -> line.end("no descriptor"));
+            eventLoop.execute(() -> line.closeWith("no descriptor"));
             return line;
         }
         line.channel = opening.channel();
         opening.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        line.end(
+                        line.closeWith(
                                 done.cause() instanceof java.net.ConnectException
                                                 && !(done.cause()
                                                         instanceof
@@ -226,41 +227,43 @@
     }
 
     /** A door for the wire or for the system's own processes. */
-    public void listen(String at, Form form, Function<Host, Ear> each) throws IOException {
+    public void listen(String at, Framing form, Function<Environment, ConnectionListener> each)
+            throws IOException {
         bind(
                 () ->
                         Sockets.listen(
-                                loop,
+                                eventLoop,
                                 address(at),
                                 BACKLOG,
-                                MARK,
-                                () -> new Line(form, each.apply(this))),
+                                WRITE_BUFFER_LIMITS,
+                                () -> new NettyConnection(form, each.apply(this))),
                 at);
     }
 
     /** A door for HTTP. */
-    public void serve(String at, HttpDoor.Calls calls) throws IOException {
-        serve(at, calls, HttpDoor.LONGEST_MS);
+    public void serveHttp(String at, HttpServerHandler.HttpEndpoint calls) throws IOException {
+        serveHttp(at, calls, HttpServerHandler.MAX_HANDLING_MS);
     }
 
     /**
      * @param longestMs a call that is not answered by then is answered so
      */
-    void serve(String at, HttpDoor.Calls calls, long longestMs) throws IOException {
+    void serveHttp(String at, HttpServerHandler.HttpEndpoint calls, long longestMs)
+            throws IOException {
         bind(
                 () ->
                         Sockets.listen(
-                                loop,
+                                eventLoop,
                                 address(at),
                                 BACKLOG,
-                                MARK,
-                                () -> new HttpDoor(this, calls, longestMs)),
+                                WRITE_BUFFER_LIMITS,
+                                () -> new HttpServerHandler(this, calls, longestMs)),
                 at);
     }
 
     /** Doors are made on the loop. */
     private void bind(Supplier<ChannelFuture> door, String at) throws IOException {
-        Future<ChannelFuture> made = loop.submit(door::get);
+        Future<ChannelFuture> made = eventLoop.submit(door::get);
         try {
             ChannelFuture bound = made.get(5, TimeUnit.SECONDS);
             if (!bound.awaitUninterruptibly(5_000) || !bound.isSuccess()) {
@@ -272,11 +275,11 @@
     }
 
     @Override
-    public CompletableFuture<Answer> post(
+    public CompletableFuture<HttpResponse> post(
             String address, String path, String json, Map<String, String> headers, int timeoutMs) {
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
-        if (!loop.inEventLoop()) {
-            loop.execute(
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
+        if (!eventLoop.inEventLoop()) {
+            eventLoop.execute(
                     () ->
                             post(address, path, json, headers, timeoutMs)
                                     .whenComplete(
@@ -289,7 +292,7 @@
                                             }));
             return answer;
         }
-        long until = now() + timeoutMs;
+        long until = nowMillis() + timeoutMs;
         Ears ears =
                 new Ears() {
                     @Override
@@ -301,7 +304,7 @@
 
                     @Override
                     public void channelActive(ChannelHandlerContext ctx) {
-                        if (now() >= until) {
+                        if (nowMillis() >= until) {
                             // This process stood still: what it asks for was decided long ago, and
                             // given up.
                             answer.completeExceptionally(
@@ -335,7 +338,7 @@
                             } else {
                                 byte[] body = new byte[is.content().readableBytes()];
                                 is.content().readBytes(body);
-                                answer.complete(new Answer(is.status().code(), body));
+                                answer.complete(new HttpResponse(is.status().code(), body));
                             }
                         } finally {
                             is.release();
@@ -354,7 +357,7 @@
                         ctx.close();
                     }
                 };
-        ChannelFuture opening = Sockets.connect(loop, address(address), ears, timeoutMs);
+        ChannelFuture opening = Sockets.connect(eventLoop, address(address), ears, timeoutMs);
         if (opening == null) {
             answer.completeExceptionally(new IOException("no descriptor is left"));
             return answer;
@@ -365,7 +368,7 @@
                         answer.completeExceptionally(done.cause());
                     }
                 });
-        loop.schedule(
+        eventLoop.schedule(
                 () -> {
                     answer.completeExceptionally(
                             new IOException("no answer in " + timeoutMs + " ms"));
--- a/src/main/java/dillfront/host/Settings.java
+++ b/src/main/java/dillfront/host/NodeSettings.java
@@ -16,65 +16,67 @@
  * What a process is told by its settings file; fields that are not known are passed over. Times in
  * milliseconds.
  *
- * @param front where clients come in; null where this process serves none
- * @param inner the first of the ports for what the system's processes say to one another
- * @param seeds addresses of machines that serve control
- * @param folder where the disk is; null where there is none
- * @param losses how many machines that count may be lost at once
- * @param drain for how long, from when it was told, a data plane goes on with a primary that
+ * @param frontAddress where clients come in; null where this process serves none
+ * @param internalPort the first of the ports for what the system's processes say to one another
+ * @param seedAddresses addresses of machines that serve control
+ * @param dataDirectory where the disk is; null where there is none
+ * @param toleratedMachineLosses how many machines that count may be lost at once
+ * @param drainMillis for how long, from when it was told, a data plane goes on with a primary that
  *     drains: its last work there comes well before the server's time is over, and before a data
  *     plane that was told late counts as in touch
- * @param platform null where there is none
+ * @param platformAddress null where there is none
  */
-public record Settings(
-        String name,
-        String zone,
+public record NodeSettings(
+        String nodeName,
+        String zoneName,
         String region,
-        java.util.Map<String, String> regions,
-        String ip,
-        String front,
-        String ready,
-        String control,
-        int inner,
-        List<String> seeds,
-        boolean first,
-        String folder,
-        int losses,
-        long beat,
-        long drain,
-        long grace,
-        String platform) {
+        java.util.Map<String, String> regionsByZone,
+        String ipAddress,
+        String frontAddress,
+        String readinessAddress,
+        String controlAddress,
+        int internalPort,
+        List<String> seedAddresses,
+        boolean firstStart,
+        String dataDirectory,
+        int toleratedMachineLosses,
+        long heartbeatIntervalMillis,
+        long drainMillis,
+        long gracePeriodMillis,
+        String platformAddress) {
 
     /** The file cannot be used: which, where in it, and why. */
-    public static final class Bad extends Exception {
+    public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public Bad(String fault) {
+        public InvalidSettingsException(String fault) {
             super(fault);
         }
     }
 
     public static final String VARIABLE = "DILLFRONT_SETTINGS";
-    private static final String USUAL = "/etc/dillfront/node.json";
+    private static final String DEFAULT_PATH = "/etc/dillfront/node.json";
 
     /**
      * @throws Bad with the file, the place and the fault
      */
-    public static Settings of(java.util.Map<String, String> variables) throws Bad {
-        return read(Path.of(variables.getOrDefault(VARIABLE, USUAL)));
+    public static NodeSettings fromEnvironment(java.util.Map<String, String> variables)
+            throws InvalidSettingsException {
+        return read(Path.of(variables.getOrDefault(VARIABLE, DEFAULT_PATH)));
     }
 
     /**
      * @throws Bad with the file, the place and the fault
      */
-    public static Settings read(Path file) throws Bad {
+    public static NodeSettings read(Path file) throws InvalidSettingsException {
         JsonObject all;
         try {
             all = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
         } catch (IOException | UnsupportedOperationException bad) {
-            throw new Bad(file + ": " + bad);
+            throw new InvalidSettingsException(file + ": " + bad);
         } catch (ParseException cut) {
-            throw new Bad(file + ", line " + cut.getLocation().line + ": " + cut.getMessage());
+            throw new InvalidSettingsException(
+                    file + ", line " + cut.getLocation().line + ": " + cut.getMessage());
         }
         try {
             JsonObject listen = object(all, "listen_addresses");
@@ -87,7 +89,7 @@
                     || !ports.isArray()
                     || ports.asArray().isEmpty()
                     || !ports.asArray().get(0).isNumber()) {
-                throw new Bad("internal_port_range: no list of ports");
+                throw new InvalidSettingsException("internal_port_range: no list of ports");
             }
             List<String> seeds = new ArrayList<>();
             if (all.get("seed_addresses") != null) {
@@ -96,7 +98,7 @@
                 }
             }
             JsonValue platform = all.get("cloud_api");
-            return new Settings(
+            return new NodeSettings(
                     text(all, "node_name"),
                     text(all, "zone_name"),
                     all.getString("region", ""),
@@ -118,36 +120,37 @@
                     platform == null || platform.isNull()
                             ? null
                             : optional(platform.asObject(), "address"));
-        } catch (Bad bad) {
-            throw new Bad(file + ": " + bad.getMessage());
+        } catch (InvalidSettingsException bad) {
+            throw new InvalidSettingsException(file + ": " + bad.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException bad) {
-            throw new Bad(file + ": a field of another kind: " + bad.getMessage());
+            throw new InvalidSettingsException(
+                    file + ": a field of another kind: " + bad.getMessage());
         }
     }
 
-    private static long drain(JsonObject bounds) throws Bad {
+    private static long drain(JsonObject bounds) throws InvalidSettingsException {
         return Math.min(
                 number(bounds, "drain_ms", 7_000) * 2 / 3,
                 number(bounds, "in_touch_ms", 4_000) * 7 / 8);
     }
 
-    private static JsonObject object(JsonObject in, String name) throws Bad {
+    private static JsonObject object(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || !is.isObject()) {
-            throw new Bad(name + ": no object");
+            throw new InvalidSettingsException(name + ": no object");
         }
         return is.asObject();
     }
 
-    private static String text(JsonObject in, String name) throws Bad {
+    private static String text(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || !is.isString() || is.asString().isEmpty()) {
-            throw new Bad(name + ": no text");
+            throw new InvalidSettingsException(name + ": no text");
         }
         return is.asString();
     }
 
-    private static String optional(JsonObject in, String name) throws Bad {
+    private static String optional(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || is.isNull()) {
             return null;
@@ -156,37 +159,38 @@
         return name.endsWith("address") ? address(text, name) : text;
     }
 
-    private static String address(String text, String place) throws Bad {
+    private static String address(String text, String place) throws InvalidSettingsException {
         if (Address.parse(text) == null) {
-            throw new Bad(place + ": '" + text + "' is no IP:PORT");
+            throw new InvalidSettingsException(place + ": '" + text + "' is no IP:PORT");
         }
         return text;
     }
 
-    private static long number(JsonObject in, String name, long otherwise) throws Bad {
+    private static long number(JsonObject in, String name, long otherwise)
+            throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null) {
             return otherwise;
         }
         if (!is.isNumber() || !(is.asDouble() > 0 && is.asDouble() < 1e9)) {
-            throw new Bad(name + ": " + is + " is no number above 0");
+            throw new InvalidSettingsException(name + ": " + is + " is no number above 0");
         }
         return Math.round(is.asDouble());
     }
 
     /** Where the machine of this address hears the system's own processes. */
-    public String innerOf(String ip) {
-        return ip + ":" + inner;
+    public String internalAddressOf(String ip) {
+        return ip + ":" + internalPort;
     }
 
     /** The machines of the seeds. */
     public List<String> seedIps() {
         List<String> ips = new ArrayList<>();
-        seeds.forEach(seed -> ips.add(seed.substring(0, seed.lastIndexOf(':'))));
+        seedAddresses.forEach(seed -> ips.add(seed.substring(0, seed.lastIndexOf(':'))));
         return ips;
     }
 
-    public boolean near(String otherZone) {
-        return region.equals(regions.getOrDefault(otherZone, ""));
+    public boolean isSameRegion(String otherZone) {
+        return region.equals(regionsByZone.getOrDefault(otherZone, ""));
     }
 }
--- a/src/main/java/dillfront/host/Answers.java
+++ b/src/main/java/dillfront/host/ServerResponseReader.java
@@ -10,46 +10,46 @@
  * it is not, nobody can say any more whose the following ones are, and the connection is to be
  * left.
  */
-public final class Answers {
+public final class ServerResponseReader {
 
     /**
      * One whole answer.
      *
-     * @param stamp null where it failed
-     * @param code null where it was a success
-     * @param state I, T or E
+     * @param completionTag null where it failed
+     * @param errorCode null where it was a success
+     * @param transactionStatus I, T or E
      */
-    public record Answer(
+    public record ServerResponse(
             List<String> rows,
-            String stamp,
-            String code,
-            String text,
-            char state,
-            Position position) {}
+            String completionTag,
+            String errorCode,
+            String errorMessage,
+            char transactionStatus,
+            LogPosition logPosition) {}
 
     /** A line that is not the next of an answer that is due. */
-    public static final class OutOfStep extends Exception {
+    public static final class ProtocolViolationException extends Exception {
         private static final long serialVersionUID = 1;
 
-        OutOfStep(String why) {
+        ProtocolViolationException(String why) {
             super(why);
         }
     }
 
-    private int due;
+    private int outstanding;
     private boolean connected;
     private List<String> rows = new ArrayList<>();
-    private String stamp;
-    private String code;
-    private String text = "";
+    private String completionTag;
+    private String errorCode;
+    private String errorMessage = "";
 
     /** One more answer is due: CONNECT's is from the start. */
-    public void asked() {
-        due++;
+    public void expectResponse() {
+        outstanding++;
     }
 
     /** Whether CONNECT was answered with READY. */
-    public boolean connected() {
+    public boolean isConnected() {
         return connected;
     }
 
@@ -59,63 +59,65 @@
      * @return the answer that it ends; null where there is more to come. CONNECT's is a READY
      *     alone, or an ERROR alone
      */
-    public Answer read(byte[] bytes) throws OutOfStep {
+    public ServerResponse read(byte[] bytes) throws ProtocolViolationException {
         String line = new String(bytes, StandardCharsets.ISO_8859_1);
         int blank = line.indexOf(' ');
         String word = blank < 0 ? line : line.substring(0, blank);
         String rest = blank < 0 ? "" : line.substring(blank + 1);
-        if (connected && due == 0) {
-            throw new OutOfStep("an answer to nothing: " + word);
+        if (connected && outstanding == 0) {
+            throw new ProtocolViolationException("an answer to nothing: " + word);
         }
-        boolean decided = stamp != null || code != null;
+        boolean decided = completionTag != null || errorCode != null;
         switch (word) {
             case "ROW":
                 if (!connected || decided) {
-                    throw new OutOfStep("a row out of place");
+                    throw new ProtocolViolationException("a row out of place");
                 }
                 rows.add(rest);
                 return null;
             case "COMPLETE":
                 if (!connected || decided) {
-                    throw new OutOfStep("a second end of an answer");
+                    throw new ProtocolViolationException("a second end of an answer");
                 }
-                stamp = rest;
+                completionTag = rest;
                 return null;
             case "ERROR":
                 {
                     if (decided) {
-                        throw new OutOfStep("a second end of an answer");
+                        throw new ProtocolViolationException("a second end of an answer");
                     }
                     int gap = rest.indexOf(' ');
-                    code = gap < 0 ? rest : rest.substring(0, gap);
-                    text = gap < 0 ? "" : rest.substring(gap + 1);
-                    return connected ? null : take('I', null);
+                    errorCode = gap < 0 ? rest : rest.substring(0, gap);
+                    errorMessage = gap < 0 ? "" : rest.substring(gap + 1);
+                    return connected ? null : finish('I', null);
                 }
             case "READY":
                 {
                     if (connected ? !decided : decided) {
-                        throw new OutOfStep("half an answer");
+                        throw new ProtocolViolationException("half an answer");
                     }
                     char state = rest.isEmpty() ? '?' : rest.charAt(0);
                     int gap = rest.indexOf(' ');
-                    Position position = gap < 0 ? null : Position.of(rest.substring(gap + 1));
+                    LogPosition position =
+                            gap < 0 ? null : LogPosition.parse(rest.substring(gap + 1));
                     if (connected) {
-                        due--;
+                        outstanding--;
                     }
                     connected = true;
-                    return take(state, position);
+                    return finish(state, position);
                 }
             default:
-                throw new OutOfStep("no word of the wire");
+                throw new ProtocolViolationException("no word of the wire");
         }
     }
 
-    private Answer take(char state, Position position) {
-        Answer is = new Answer(rows, stamp, code, text, state, position);
+    private ServerResponse finish(char state, LogPosition position) {
+        ServerResponse is =
+                new ServerResponse(rows, completionTag, errorCode, errorMessage, state, position);
         rows = new ArrayList<>();
-        stamp = null;
-        code = null;
-        text = "";
+        completionTag = null;
+        errorCode = null;
+        errorMessage = "";
         return is;
     }
 }
--- a/src/main/java/dillfront/lab/CapacityMeasure.java
+++ b/src/main/java/dillfront/lab/CapacityMeasure.java
@@ -3,12 +3,12 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonValue;
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
 import dillfront.host.Configuration;
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
-import dillfront.host.Host;
-import dillfront.host.NettyHost;
-import dillfront.host.Pack;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
+import dillfront.host.NettyEnvironment;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
     private static final int CHANGES = 5;
     private static final int TRIES = 60;
 
-    private final NettyHost host = new NettyHost(1);
+    private final NettyEnvironment host = new NettyEnvironment(1);
     private final ControlProcesses processes =
             new ControlProcesses(
                     "capacity",
@@ -99,16 +99,16 @@
     }
 
     /** Leads, and does nothing. */
-    private static final class Server implements Host.Ear {
-        private Host.Link link;
+    private static final class Server implements Environment.ConnectionListener {
+        private Environment.Connection link;
 
         @Override
-        public void opened(Host.Link opened) {
+        public void onOpen(Environment.Connection opened) {
             link = opened;
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             String line = new String(message, StandardCharsets.US_ASCII);
             link.send(
                     (line.startsWith("CONNECT")
@@ -118,17 +118,17 @@
         }
 
         @Override
-        public void closed(String why) {
+        public void onClose(String why) {
             // It comes again.
         }
     }
 
     private Row run() throws Exception {
-        host.listen("0.0.0.0:" + HOLLOW, Host.Form.LINES, h -> new Server());
+        host.listen("0.0.0.0:" + HOLLOW, Environment.Framing.LINES, h -> new Server());
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(1_500);
         configure(1).get(10, TimeUnit.SECONDS);
-        host.loop()
+        host.eventLoop()
                 .submit(
                         () -> {
                             for (int i = 0; i < fronts; i++) {
@@ -141,7 +141,7 @@
                                             "127.1." + d + "." + (10 + s) + ":" + HOLLOW,
                                             "db" + d,
                                             s == 0,
-                                            host.chance().nextInt((int) BEAT_MS));
+                                            host.random().nextInt((int) BEAT_MS));
                                 }
                             }
                         })
@@ -171,7 +171,7 @@
         return new Row(fronts, bytesEach, messagesEach, share, took.get(took.size() - 1), mb);
     }
 
-    private CompletableFuture<Host.Answer> configure(long version) {
+    private CompletableFuture<Environment.HttpResponse> configure(long version) {
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
         for (int d = 0; d < databases; d++) {
@@ -195,13 +195,13 @@
                         .add("revision_number", version)
                         .add("routes", routes)
                         .add("services", services);
-        CompletableFuture<Host.Answer> taken = new CompletableFuture<>();
+        CompletableFuture<Environment.HttpResponse> taken = new CompletableFuture<>();
         send(body.toString(), TRIES, taken);
         return taken;
     }
 
     /** As an operator does: one that got no clear answer goes again as it was. */
-    private void send(String body, int tries, CompletableFuture<Host.Answer> taken) {
+    private void send(String body, int tries, CompletableFuture<Environment.HttpResponse> taken) {
         host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000)
                 .whenComplete(
                         (is, fault) -> {
@@ -213,13 +213,13 @@
                                                 ? new IllegalStateException("status " + is.status())
                                                 : fault);
                             } else {
-                                host.after(100, () -> send(body, tries - 1, taken));
+                                host.schedule(100, () -> send(body, tries - 1, taken));
                             }
                         });
     }
 
     private void beats(String id, String address, String service, boolean leads, long in) {
-        host.after(
+        host.schedule(
                 in,
                 () -> {
                     String body =
@@ -229,10 +229,10 @@
                                     .add("zone_name", "z")
                                     .add("state", "ready")
                                     .add("database_role", leads ? "primary" : "replica")
-                                    .add("call_sequence", host.now())
+                                    .add("call_sequence", host.nowMillis())
                                     .toString();
                     host.post(
-                            processes.control(host.chance().nextInt(IPS.length)),
+                            processes.control(host.random().nextInt(IPS.length)),
                             "/Instances.Heartbeat/" + id,
                             body,
                             Map.of(),
@@ -242,9 +242,9 @@
     }
 
     /** A front that asks for news, and keeps nothing but what it has. */
-    private final class Front implements Host.Ear {
+    private final class Front implements Environment.ConnectionListener {
         private final int number;
-        private Host.Link link;
+        private Environment.Connection link;
         private String boot = "";
         private long has;
         private long question;
@@ -258,11 +258,11 @@
         }
 
         void dial() {
-            link = host.dial(processes.inner(number), Host.Form.FRAMES, 1_000, this);
+            link = host.connect(processes.inner(number), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
-        public void opened(Host.Link opened) {
+        public void onOpen(Environment.Connection opened) {
             link = opened;
             ask();
         }
@@ -277,66 +277,69 @@
             out.put("c", versions[number]);
             if (!told) {
                 told = true;
-                out.put("cd", Delta.digest(body));
+                out.put("cd", BinaryDelta.digest(body));
             }
             out.put("k", record);
             out.put("sn", suspects);
-            byte[] message = Pack.write(out);
+            byte[] message = MessageCodec.encode(out);
             bytes.addAndGet(message.length + 4L);
             messages.incrementAndGet();
             link.send(message);
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             bytes.addAndGet(message.length + 4L);
             messages.incrementAndGet();
             try {
-                Pack.Fields in = Pack.read(message);
+                MessageCodec.Fields in = MessageCodec.decode(message);
                 if (in.has("b")) {
-                    boot = in.text("b");
+                    boot = in.string("b");
                     has = in.number("r", 0);
                 }
                 suspects = in.number("sn", suspects);
-                in.list("p").forEach(row -> record = Math.max(record, row.number("k", 0)));
+                in.maps("p").forEach(row -> record = Math.max(record, row.number("k", 0)));
                 if (in.has("cb")) {
                     // Of a text that sends each configuration whole.
                     body = in.bytes("cb");
-                    versions[number] = Configuration.read(body).version();
+                    versions[number] = Configuration.parse(body).revision();
                     if (waiting.decrementAndGet() == 0) {
                         everywhere.complete(null);
                     }
                 } else if (in.has("cv")) {
                     body =
                             in.has("cx")
-                                    ? Delta.apply(body, in.bytes("cx"))
-                                    : Deflate.back(in.bytes("cz"), Delta.MOST);
+                                    ? BinaryDelta.apply(body, in.bytes("cx"))
+                                    : Compression.decompress(in.bytes("cz"), BinaryDelta.MAX_BYTES);
                     versions[number] = in.number("cv", -1);
                     told = false;
                     if (waiting.decrementAndGet() == 0) {
                         everywhere.complete(null);
                     }
                 }
-                if (in.number("q", -1) == question && in.bit("alone")) {
+                if (in.number("q", -1) == question && in.flag("alone")) {
                     // A real one would go on to another; this one asks the same again.
-                    host.after(100, this::ask);
+                    host.schedule(100, this::ask);
                 } else if (in.number("q", -1) == question) {
                     ask();
                 }
-            } catch (Pack.Bad | Delta.Bad | Deflate.Bad | Configuration.Invalid bad) {
+            } catch (MessageCodec.MalformedMessageException
+                    | BinaryDelta.InvalidDeltaException
+                    | Compression.CorruptDataException
+                    | Configuration.InvalidConfigurationException bad) {
                 throw new IllegalStateException(bad);
             }
         }
 
         @Override
-        public void closed(String why) {
-            host.after(200, this::dial);
+        public void onClose(String why) {
+            host.schedule(200, this::dial);
         }
     }
 
     private void end() throws IOException, InterruptedException {
         processes.end();
-        host.loop()
+        host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/lab/ChangesMeasure.java
+++ b/src/main/java/dillfront/lab/ChangesMeasure.java
@@ -2,11 +2,11 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
-import dillfront.host.Host;
-import dillfront.host.NettyHost;
-import dillfront.host.Pack;
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
+import dillfront.host.NettyEnvironment;
 import dillfront.memory.Keep;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -37,7 +37,7 @@
     private static final int AWAY = 600;
     private static final long WITHIN_MS = 30_000;
 
-    private final NettyHost host = new NettyHost(1);
+    private final NettyEnvironment host = new NettyEnvironment(1);
     private final ControlProcesses processes;
     private final AtomicLong heard = new AtomicLong();
     private final AtomicLong has = new AtomicLong(-1);
@@ -78,7 +78,7 @@
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(2_500);
         configure();
-        host.loop().submit(() -> new Front().dial()).get();
+        host.eventLoop().submit(() -> new Front().dial()).get();
         await(() -> has.get() == version);
         long front = heard.get();
         long read = processes.io(1, "rchar");
@@ -228,7 +228,7 @@
         long from = System.nanoTime();
         for (int tries = 0; tries < 50; tries++) {
             try {
-                Host.Answer answer =
+                Environment.HttpResponse answer =
                         host.post(
                                         processes.control(tries % 2),
                                         "/Configuration.Replace",
@@ -249,8 +249,8 @@
     }
 
     /** Asks the second process, which takes no orders here, and keeps the bytes alone. */
-    private final class Front implements Host.Ear {
-        private Host.Link link;
+    private final class Front implements Environment.ConnectionListener {
+        private Environment.Connection link;
         private String boot = "";
         private long table;
         private long question;
@@ -259,11 +259,11 @@
         private boolean told;
 
         void dial() {
-            link = host.dial(processes.inner(1), Host.Form.FRAMES, 1_000, this);
+            link = host.connect(processes.inner(1), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
-        public void opened(Host.Link opened) {
+        public void onOpen(Environment.Connection opened) {
             link = opened;
             ask();
         }
@@ -278,19 +278,19 @@
             out.put("c", has.get());
             if (!told) {
                 told = true;
-                out.put("cd", Delta.digest(body));
+                out.put("cd", BinaryDelta.digest(body));
             }
             out.put("sn", suspects);
-            link.send(Pack.write(out));
+            link.send(MessageCodec.encode(out));
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             heard.addAndGet(message.length + 4L);
             try {
-                Pack.Fields in = Pack.read(message);
+                MessageCodec.Fields in = MessageCodec.decode(message);
                 if (in.has("b")) {
-                    boot = in.text("b");
+                    boot = in.string("b");
                     table = in.number("r", 0);
                 }
                 suspects = in.number("sn", suspects);
@@ -298,9 +298,10 @@
                         in.has("cb")
                                 ? in.bytes("cb")
                                 : in.has("cx")
-                                        ? Delta.apply(body, in.bytes("cx"))
+                                        ? BinaryDelta.apply(body, in.bytes("cx"))
                                         : in.has("cz")
-                                                ? Deflate.back(in.bytes("cz"), Delta.MOST)
+                                                ? Compression.decompress(
+                                                        in.bytes("cz"), BinaryDelta.MAX_BYTES)
                                                 : body;
                 if (next != body) {
                     body = next;
@@ -310,25 +311,27 @@
                                     .asObject()
                                     .getLong("revision_number", -1));
                 }
-                if (in.bit("alone")) {
-                    host.after(100, this::ask);
+                if (in.flag("alone")) {
+                    host.schedule(100, this::ask);
                 } else if (in.number("q", -1) == question) {
                     ask();
                 }
-            } catch (Pack.Bad | Delta.Bad | Deflate.Bad bad) {
+            } catch (MessageCodec.MalformedMessageException
+                    | BinaryDelta.InvalidDeltaException
+                    | Compression.CorruptDataException bad) {
                 throw new IllegalStateException(bad);
             }
         }
 
         @Override
-        public void closed(String why) {
-            host.after(200, this::dial);
+        public void onClose(String why) {
+            host.schedule(200, this::dial);
         }
     }
 
     private void end() throws IOException, InterruptedException {
         processes.end();
-        host.loop()
+        host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/lab/ControlWorld.java
+++ b/src/main/java/dillfront/lab/ControlWorld.java
@@ -1,19 +1,19 @@
 package dillfront.lab;
 
 import dillfront.core.Ballot;
-import dillfront.core.Defence;
-import dillfront.core.Lead;
-import dillfront.core.Lease;
-import dillfront.core.Numbers;
-import dillfront.core.Progress;
-import dillfront.core.Reading;
-import dillfront.core.Records;
-import dillfront.core.Register;
-import dillfront.core.Settling;
-import dillfront.core.Table;
-import dillfront.core.Value;
+import dillfront.core.FencingTokens;
+import dillfront.core.LeaseManager;
+import dillfront.core.PrimaryRecord;
+import dillfront.core.PrimaryRecords;
+import dillfront.core.QuorumRead;
+import dillfront.core.ReconfigurationBarrier;
+import dillfront.core.RegisterValue;
+import dillfront.core.RegistryReplication;
+import dillfront.core.ReplicatedRegister;
+import dillfront.core.ReplicationProgress;
+import dillfront.core.SafetyRule;
 import dillfront.host.Configuration;
-import dillfront.host.Pack;
+import dillfront.host.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -30,10 +30,10 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A few control processes by their real {@link Register}, {@link Lease}, {@link Records}, {@link
- * Table} and {@link Settling}, two operators, database servers, their disks and what lies between
- * them, all of it moved by steps that are chosen from outside. After each step it is looked at
- * whether all still holds:
+ * A few control processes by their real {@link ReplicatedRegister}, {@link LeaseManager}, {@link
+ * PrimaryRecords}, {@link Table} and {@link ReconfigurationBarrier}, two operators, database
+ * servers, their disks and what lies between them, all of it moved by steps that are chosen from
+ * outside. After each step it is looked at whether all still holds:
  *
  * <ul>
  *   <li>one ballot has one value; values that enough disks accepted are one line: past numbers keep
@@ -167,7 +167,7 @@
     private static final int[] TIMES = {10, 50, 250, 1_000};
 
     final Scene scene;
-    private final Defence without;
+    private final SafetyRule without;
     private final long seed;
     final Process[] processes;
     final List<Step> steps = new ArrayList<>();
@@ -177,11 +177,11 @@
     private final boolean[][] cut;
     private final Asked[] asked = new Asked[OPERATORS];
     private final int[] left;
-    private final TreeMap<Ballot, Value> values = new TreeMap<>();
+    private final TreeMap<Ballot, RegisterValue> values = new TreeMap<>();
     private final TreeMap<Ballot, TreeSet<String>> accepted = new TreeMap<>();
 
     /** What enough disks accepted. */
-    private final TreeMap<Ballot, Value> chosen = new TreeMap<>();
+    private final TreeMap<Ballot, RegisterValue> chosen = new TreeMap<>();
 
     private final TreeMap<String, Boolean> answered = new TreeMap<>();
     private final TreeMap<Long, String> fences = new TreeMap<>();
@@ -217,7 +217,7 @@
     private static final class Read {
         final int operation;
         final long token;
-        final Reading reading = new Reading();
+        final QuorumRead reading = new QuorumRead();
 
         Read(int operation, long token) {
             this.operation = operation;
@@ -225,7 +225,7 @@
         }
     }
 
-    ControlWorld(Scene scene, Defence without, long seed) {
+    ControlWorld(Scene scene, SafetyRule without, long seed) {
         this.scene = scene;
         this.without = without;
         this.seed = seed;
@@ -271,7 +271,7 @@
         return "10.0.0." + index;
     }
 
-    private boolean lacks(Defence defence) {
+    private boolean lacks(SafetyRule defence) {
         return without == defence;
     }
 
@@ -284,14 +284,14 @@
                 number + "/" + by,
                 key -> {
                     try {
-                        return Configuration.read(
+                        return Configuration.parse(
                                 ("{\"revision_number\":"
                                                 + number
                                                 + ",\"by\":"
                                                 + by
                                                 + ",\"services\":[],\"routes\":[]}")
                                         .getBytes(StandardCharsets.UTF_8));
-                    } catch (Configuration.Invalid never) {
+                    } catch (Configuration.InvalidConfigurationException never) {
                         throw new IllegalStateException(never);
                     }
                 });
@@ -342,9 +342,9 @@
             case SETS:
                 return up && p.changes(step.b);
             case SERVER:
-                return up && p.register.held() != null;
+                return up && p.register.acceptedValue() != null;
             case RECORD:
-                return up && p.taken && p.holds();
+                return up && p.taken && p.holdsLease();
             case CUT:
                 return step.a != step.b && !cut[step.a][step.b];
             case JOIN:
@@ -381,7 +381,7 @@
             case JOIN -> {
                 cut[step.a][step.b] = false;
                 if (processes[step.a].register != null) {
-                    processes[step.a].register.again(processes[step.b].id);
+                    processes[step.a].register.onConnectionReset(processes[step.b].id);
                 }
             }
             default -> throw new IllegalStateException();
@@ -402,10 +402,10 @@
         }
         accepted.forEach(
                 (ballot, by) -> {
-                    Value value = values.get(ballot);
+                    RegisterValue value = values.get(ballot);
                     if (value != null
                             && !chosen.containsKey(ballot)
-                            && value.decidedBy(by::contains)) {
+                            && value.isDecidedBy(by::contains)) {
                         choose(ballot, value);
                     }
                 });
@@ -499,12 +499,12 @@
         told.add("asks " + operator + " " + one.content);
         processes[at]
                 .register
-                .order(content)
+                .propose(content)
                 .whenComplete(
                         (outcome, fault) -> {
                             if (asked[operator] == one && fault == null) {
                                 asked[operator] = null;
-                                boolean taken = outcome == Value.Outcome.TAKEN;
+                                boolean taken = outcome == RegisterValue.Outcome.ACCEPTED;
                                 history.end(
                                         one.operation,
                                         now,
@@ -532,14 +532,17 @@
             }
             return;
         }
-        Value newest = chosen.lastEntry().getValue();
+        RegisterValue newest = chosen.lastEntry().getValue();
         answered.forEach(
                 (content, taken) -> {
                     String[] parts = content.split("/");
                     Configuration is =
                             content(Long.parseLong(parts[0]), Integer.parseInt(parts[1]));
-                    Value.Outcome outcome = newest.outcome(is);
-                    if (outcome != (taken ? Value.Outcome.TAKEN : Value.Outcome.CONFLICT)) {
+                    RegisterValue.Outcome outcome = newest.outcome(is);
+                    if (outcome
+                            != (taken
+                                    ? RegisterValue.Outcome.ACCEPTED
+                                    : RegisterValue.Outcome.CONFLICT)) {
                         breaks(
                                 "order "
                                         + content
@@ -553,35 +556,35 @@
                 });
     }
 
-    private static String text(Value of) {
+    private static String text(RegisterValue of) {
         return "epoch "
                 + of.epoch()
                 + " of "
                 + of.members()
                 + (of.outgoing().isEmpty() ? "" : " and " + of.outgoing())
-                + (of.dropped().isEmpty() ? "" : " without " + of.dropped())
+                + (of.retired().isEmpty() ? "" : " without " + of.retired())
                 + " number "
-                + of.configuration().version()
+                + of.configuration().revision()
                 + "/"
                 + digest(of.configuration())
                 + " past "
-                + of.past();
+                + of.revisionDigests();
     }
 
     private void observe(Process p) {
-        Ballot ballot = p.register.accepted();
+        Ballot ballot = p.register.acceptedBallot();
         if (!ballot.equals(p.seen)) {
             p.seen = ballot;
-            known(ballot, p.register.held());
+            known(ballot, p.register.acceptedValue());
             accepted.computeIfAbsent(ballot, b -> new TreeSet<>()).add(p.id);
         }
         if (!p.register.decidedBallot().equals(p.seenDecided)) {
-            known(p.register.decidedBallot(), p.register.decided());
+            known(p.register.decidedBallot(), p.register.decidedValue());
         }
     }
 
-    private void known(Ballot ballot, Value value) {
-        Value other = values.putIfAbsent(ballot, value);
+    private void known(Ballot ballot, RegisterValue value) {
+        RegisterValue other = values.putIfAbsent(ballot, value);
         if (other != null && !text(other).equals(text(value))) {
             breaks("two values under ballot " + ballot + ": " + text(other) + "; " + text(value));
         }
@@ -597,10 +600,10 @@
                                 + " takes for decided what is not: "
                                 + decided
                                 + " "
-                                + text(p.register.decided()));
+                                + text(p.register.decidedValue()));
             }
         }
-        if (scene.lease && p.lease.holds()) {
+        if (scene.lease && p.lease.isHeld()) {
             String life = p.id + " life " + p.life;
             if (!fences.isEmpty() && p.lease.number() < fences.lastKey()) {
                 breaks(
@@ -610,16 +613,16 @@
                                 + fences.lastKey());
             }
             if (!fences.containsKey(p.lease.number())
-                    && Math.max(now, p.lease.formerUntil()) < spokenUntil) {
+                    && Math.max(now, p.lease.formerLeaseEndMillis()) < spokenUntil) {
                 breaks(
                         "the lease is "
                                 + life
                                 + "'s, who may think that what was said before is over by "
-                                + p.lease.formerUntil()
+                                + p.lease.formerLeaseEndMillis()
                                 + ", not "
                                 + spokenUntil);
             }
-            spokenUntil = Math.max(spokenUntil, p.lease.until());
+            spokenUntil = Math.max(spokenUntil, p.lease.validUntilMillis());
             if (!life.equals(fences.computeIfAbsent(p.lease.number(), n -> life))) {
                 breaks(
                         "the lease's number "
@@ -632,9 +635,9 @@
         }
     }
 
-    private void choose(Ballot ballot, Value value) {
-        Map.Entry<Ballot, Value> lower = chosen.lowerEntry(ballot);
-        Map.Entry<Ballot, Value> higher = chosen.higherEntry(ballot);
+    private void choose(Ballot ballot, RegisterValue value) {
+        Map.Entry<Ballot, RegisterValue> lower = chosen.lowerEntry(ballot);
+        Map.Entry<Ballot, RegisterValue> higher = chosen.higherEntry(ballot);
         chosen.put(ballot, value);
         String fault = lower == null ? null : follows(lower.getValue(), value);
         fault = fault == null && higher != null ? follows(value, higher.getValue()) : fault;
@@ -645,7 +648,7 @@
     }
 
     /** Null where this value may be the next one, or one after a few of the same sets. */
-    private String follows(Value before, Value after) {
+    private String follows(RegisterValue before, RegisterValue after) {
         String both = text(before) + ", then " + text(after);
         boolean steps =
                 after.epoch() == before.epoch()
@@ -653,22 +656,22 @@
                         && after.outgoing().equals(before.outgoing());
         boolean joins =
                 after.epoch() == before.epoch() + 1
-                        && !before.joint()
+                        && !before.isJoint()
                         && after.outgoing().equals(before.members());
         boolean drops =
                 after.epoch() == before.epoch() + 1
-                        && before.joint()
-                        && !after.joint()
+                        && before.isJoint()
+                        && !after.isJoint()
                         && after.members().equals(before.members());
         // Without a defence only what does harm counts, not that the steps are others.
         boolean harmless = without != null && after.epoch() > before.epoch();
         if (!steps && !joins && !drops && !harmless) {
             return "sets: " + both;
         }
-        if (!after.past().entrySet().containsAll(before.past().entrySet())) {
+        if (!after.revisionDigests().entrySet().containsAll(before.revisionDigests().entrySet())) {
             return "numbers: " + both;
         }
-        long rises = after.configuration().version() - before.configuration().version();
+        long rises = after.configuration().revision() - before.configuration().revision();
         return rises < 0
                         || rises == 0
                                 && !digest(before.configuration())
@@ -680,7 +683,7 @@
     private void holders() {
         Process holder = null;
         for (Process p : processes) {
-            if (scene.lease && p.register != null && p.lease.holds()) {
+            if (scene.lease && p.register != null && p.lease.isHeld()) {
                 if (holder != null) {
                     breaks(
                             "two hold the lease: "
@@ -724,9 +727,9 @@
 
     /** None of those that are there and lack it are a majority of the sets in force. */
     private void everyMajority(Predicate<Process> has, String what) {
-        Value is = newest();
+        RegisterValue is = newest();
         if (is != null
-                && is.quorum(
+                && is.isQuorum(
                         of ->
                                 Arrays.stream(processes)
                                         .anyMatch(
@@ -739,7 +742,7 @@
     }
 
     /** The value in force, for whoever looks from outside. */
-    Value newest() {
+    RegisterValue newest() {
         return chosen.isEmpty() ? null : chosen.lastEntry().getValue();
     }
 
@@ -799,7 +802,7 @@
     // ---- a process
 
     /** Another process, as its last message told; as {@code core.Peer}. */
-    private static final class View implements Lease.Voter {
+    private static final class View implements LeaseManager.Voter {
         String id = "";
         int life = -1;
         long itsNow;
@@ -807,15 +810,15 @@
         long epoch;
         long promised;
         String promisedTo = "";
-        long granted = Lease.NEVER;
+        long granted = LeaseManager.NEVER;
         long wanted;
-        long heard = Lease.NEVER;
-        long formerUntil = Lease.NEVER;
+        long heard = LeaseManager.NEVER;
+        long formerUntil = LeaseManager.NEVER;
         boolean fresh;
         boolean answers;
         long itsToken;
         long token = -1;
-        Progress table = new Progress();
+        ReplicationProgress table = new ReplicationProgress();
         long record = -1;
 
         @Override
@@ -829,7 +832,7 @@
         }
 
         @Override
-        public long promised() {
+        public long promisedNumber() {
             return promised;
         }
 
@@ -839,22 +842,22 @@
         }
 
         @Override
-        public long granted() {
+        public long grantedAtMillis() {
             return granted;
         }
 
         @Override
-        public long wanted() {
+        public long requestedNumber() {
             return wanted;
         }
 
         @Override
-        public long formerUntil() {
+        public long formerLeaseEndMillis() {
             return formerUntil;
         }
 
         @Override
-        public long heard() {
+        public long lastContactMillis() {
             return heard;
         }
     }
@@ -863,7 +866,7 @@
     private record Waits(String server, int rank, long change) {}
 
     /** One control process: what {@code core.Core} does around register and lease, and no more. */
-    final class Process implements Lease.Ground<View> {
+    final class Process implements LeaseManager.Context<View> {
         private static final long LOOK_MS = 50;
         final int index;
         final TreeMap<String, String> disk = new TreeMap<>();
@@ -877,9 +880,9 @@
         String id = "";
 
         /** Null while it is down. */
-        Register register;
+        ReplicatedRegister register;
 
-        Lease lease;
+        LeaseManager lease;
 
         /** To whom there is something to say that was not yet said. */
         final boolean[] news = new boolean[scene.processes];
@@ -890,9 +893,9 @@
         Ballot seen = Ballot.NONE;
         Ballot seenDecided = Ballot.NONE;
         private long chances;
-        Table table;
-        Records records;
-        Settling settling;
+        RegistryReplication table;
+        PrimaryRecords records;
+        ReconfigurationBarrier settling;
 
         /**
          * The lease under which it has the duty, since when, and whether it knows what earlier
@@ -902,7 +905,7 @@
 
         long heldFrom;
         boolean taken;
-        Numbers given;
+        FencingTokens given;
 
         /**
          * What was acknowledged to servers when the lease began: later words are for whoever has
@@ -924,7 +927,7 @@
         void start() {
             life++;
             if (disk.isEmpty() || !disk.containsKey("id")) {
-                disk.put("id", ip(index) + "/" + (lacks(Defence.NEW_ID) ? 0 : empties));
+                disk.put("id", ip(index) + "/" + (lacks(SafetyRule.NEW_ID) ? 0 : empties));
             }
             id = disk.get("id");
             writes.clear();
@@ -936,21 +939,21 @@
             readings = new ArrayList<>();
             seen = Ballot.NONE;
             seenDecided = Ballot.NONE;
-            Register fresh = new Register(this);
-            lease = new Lease(this);
+            ReplicatedRegister fresh = new ReplicatedRegister(this);
+            lease = new LeaseManager(this);
             try {
-                fresh.load(new TreeMap<>(disk));
-            } catch (Configuration.Invalid bad) {
+                fresh.restore(new TreeMap<>(disk));
+            } catch (Configuration.InvalidConfigurationException bad) {
                 breaks(id + " cannot read its disk: " + bad.getMessage());
             }
             register = fresh;
-            lease.load(new TreeMap<>(disk));
-            table = new Table(this);
-            records = new Records(this);
-            settling = new Settling();
-            table.load(new TreeMap<>(disk), now);
-            records.load(new TreeMap<>(disk));
-            given = new Numbers(this);
+            lease.restore(new TreeMap<>(disk));
+            table = new RegistryReplication(this);
+            records = new PrimaryRecords(this);
+            settling = new ReconfigurationBarrier();
+            table.restore(new TreeMap<>(disk), now);
+            records.restore(new TreeMap<>(disk));
+            given = new FencingTokens(this);
             held = 0;
             taken = false;
             waits.clear();
@@ -996,14 +999,14 @@
 
         void look(boolean time) {
             if (time && scene.lease) {
-                lease.look();
+                lease.poll();
             }
-            register.look();
+            register.poll();
             found();
             readings();
             if (scene.duty()) {
                 duty();
-                table.keep(
+                table.persist(
                         Arrays.stream(views).map(v -> v.table).toList(),
                         () -> Arrays.fill(news, true));
                 acknowledge();
@@ -1012,7 +1015,7 @@
 
         /** As {@code core.Core.found}. */
         private void found() {
-            if (!scene.first || index != 0 || !register.blank()) {
+            if (!scene.first || index != 0 || !register.isBlank()) {
                 return;
             }
             TreeSet<String> ids = new TreeSet<>();
@@ -1023,8 +1026,8 @@
                 }
             }
             if (ids.size() == scene.members
-                    || lacks(Defence.FOUNDER_HEARS_ALL) && ids.size() > scene.members / 2) {
-                register.found(ids);
+                    || lacks(SafetyRule.FOUNDER_HEARS_ALL) && ids.size() > scene.members / 2) {
+                register.bootstrap(ids);
             }
         }
 
@@ -1041,36 +1044,36 @@
             out.put("id", id);
             out.put("ep", epoch());
             if (!v.id.isEmpty()) {
-                out.put("rg", register.say(v.id));
+                out.put("rg", register.messageTo(v.id));
             }
-            out.put("fs", scene.first && register.blank());
+            out.put("fs", scene.first && register.isBlank());
             out.put("tk", token);
             out.put("te", v.itsToken);
-            out.put("p", lease.promised());
+            out.put("p", lease.promisedNumber());
             out.put("pt", lease.promisedTo());
-            out.put("pg", lease.granted());
-            out.put("w", lease.wanted());
-            out.put("pf", Math.max(0, lease.formerUntil() - now));
-            out.put("rl", lease.given());
-            out.put("rh", lease.gaveUpHeld());
+            out.put("pg", lease.grantedAtMillis());
+            out.put("w", lease.requestedNumber());
+            out.put("pf", Math.max(0, lease.formerLeaseEndMillis() - now));
+            out.put("rl", lease.abandonedNumber());
+            out.put("rh", lease.abandonedWasHeld());
             if (scene.duty()) {
-                table.say(out, v.table);
-                records.say(out, v.record);
+                table.writeTo(out, v.table);
+                records.writeTo(out, v.record);
             }
             return out;
         }
 
         /** As {@code core.Core.heard}. */
         void hear(Map<String, Object> message) {
-            Pack.Fields in = new Pack.Fields(message);
+            MessageCodec.Fields in = new MessageCodec.Fields(message);
             View v = views[(int) in.number("i", 0)];
             int from = (int) in.number("b", 0);
             if (from == v.life && in.number("n", 0) < v.itsNow) {
                 return;
             }
-            if (from != v.life || !in.text("id").equals(v.id)) {
+            if (from != v.life || !in.string("id").equals(v.id)) {
                 v.life = from;
-                v.id = in.text("id");
+                v.id = in.string("id");
                 v.promised = 0;
                 v.promisedTo = "";
                 v.wanted = 0;
@@ -1078,46 +1081,46 @@
                 v.answers = false;
                 v.token = -1;
                 v.itsToken = 0;
-                v.table = new Progress();
+                v.table = new ReplicationProgress();
                 v.record = -1;
             }
             v.itsNow = in.number("n", 0);
             v.itsToken = Math.max(v.itsToken, in.number("tk", 0));
-            boolean ours = in.number("eb", -1) == life && in.text("eid").equals(id);
+            boolean ours = in.number("eb", -1) == life && in.string("eid").equals(id);
             if (ours) {
                 v.echo = Math.max(v.echo, in.number("e", 0));
                 v.token = Math.max(v.token, in.number("te", 0));
                 v.answers = true;
             }
-            if (scene.duty() && table.hear(in, v.table, ours)) {
+            if (scene.duty() && table.receive(in, v.table, ours)) {
                 Arrays.fill(news, true);
             }
             v.epoch = in.number("ep", 0);
-            v.fresh = in.bit("fs");
+            v.fresh = in.flag("fs");
             if (in.all().get("rg") instanceof Map<?, ?> map) {
                 @SuppressWarnings("unchecked")
                 Map<String, Object> fields = (Map<String, Object>) map;
                 try {
-                    register.hear(v.id, new Pack.Fields(fields));
-                } catch (Configuration.Invalid bad) {
+                    register.receive(v.id, new MessageCodec.Fields(fields));
+                } catch (Configuration.InvalidConfigurationException bad) {
                     breaks("a message is not understood: " + bad.getMessage());
                 }
             }
             v.promised = in.number("p", 0);
-            v.promisedTo = in.text("pt");
-            v.granted = in.number("pg", Lease.NEVER);
+            v.promisedTo = in.string("pt");
+            v.granted = in.number("pg", LeaseManager.NEVER);
             v.wanted = in.number("w", 0);
             v.heard = now;
-            v.formerUntil = in.number("pf", 0) > 0 ? now + in.number("pf", 0) : Lease.NEVER;
+            v.formerUntil = in.number("pf", 0) > 0 ? now + in.number("pf", 0) : LeaseManager.NEVER;
             if (scene.duty()) {
                 v.record = in.number("k", -1);
-                if (records.hear(in)) {
+                if (records.receive(in)) {
                     Arrays.fill(news, true);
                 }
             }
             if (scene.lease) {
-                lease.wants(v, v.wanted, v.itsNow);
-                lease.released(v, in.number("rl", 0), in.bit("rh"));
+                lease.onRequest(v, v.wanted, v.itsNow);
+                lease.onRelease(v, in.number("rl", 0), in.flag("rh"));
             }
         }
 
@@ -1130,9 +1133,9 @@
         private void readings() {
             for (Read one : List.copyOf(readings)) {
                 Configuration got =
-                        lacks(Defence.FRESH_MAJORITY) && register.decided() != null
-                                ? register.committed()
-                                : one.reading.look(
+                        lacks(SafetyRule.FRESH_MAJORITY) && register.decidedValue() != null
+                                ? register.committedConfiguration()
+                                : one.reading.poll(
                                         register,
                                         of ->
                                                 of.equals(id)
@@ -1140,8 +1143,8 @@
                                                                 && view(of).token >= one.token);
                 if (got != null) {
                     readings.remove(one);
-                    history.end(one.operation, now, got.version(), digest(got));
-                    told.add(index + " reads " + got.version() + "/" + digest(got));
+                    history.end(one.operation, now, got.revision(), digest(got));
+                    told.add(index + " reads " + got.revision() + "/" + digest(got));
                     ended = true;
                 }
             }
@@ -1159,11 +1162,11 @@
         }
 
         boolean changes(int mask) {
-            Value is = base();
-            if (is == null || !holds() || scene.duty() && !taken) {
+            RegisterValue is = base();
+            if (is == null || !holdsLease() || scene.duty() && !taken) {
                 return false;
             }
-            if (is.joint()) {
+            if (is.isJoint()) {
                 return mask == 0 && (!scene.duty() || settles(is));
             }
             return mask != 0
@@ -1171,32 +1174,37 @@
                     && !set(mask).equals(is.members());
         }
 
-        private Value base() {
-            return lacks(Defence.SETS_ON_DECIDED) ? register.held() : register.decided();
+        private RegisterValue base() {
+            return lacks(SafetyRule.SETS_ON_DECIDED)
+                    ? register.acceptedValue()
+                    : register.decidedValue();
         }
 
         void sets(int mask) {
             if (mask == 0) {
-                register.settle(base().epoch());
+                register.proposeFinalMembers(base().epoch());
             } else {
-                register.members(base().epoch(), set(mask));
+                register.proposeMembers(base().epoch(), set(mask));
             }
         }
 
         /** As {@code core.Core.change}. */
-        private boolean settles(Value is) {
+        private boolean settles(RegisterValue is) {
             Ballot joint = register.decidedBallot();
-            return settling.may(
+            return settling.canFinish(
                     is,
                     joint,
-                    of -> register.acceptedBy(of).equals(joint),
-                    table.changes(),
-                    records.newest(),
+                    of -> register.acceptedBallotOf(of).equals(joint),
+                    table.version(),
+                    records.newestNumber(),
                     (of, change, record) ->
                             has(
                                     of,
-                                    table.durable() >= change && records.durable() >= record,
-                                    v -> table.kept(v.table) >= change && v.record >= record));
+                                    table.durableVersion() >= change
+                                            && records.durableNumber() >= record,
+                                    v ->
+                                            table.durableVersionOf(v.table) >= change
+                                                    && v.record >= record));
         }
 
         private boolean has(String of, boolean itself, Predicate<View> other) {
@@ -1204,27 +1212,27 @@
         }
 
         private boolean quorum(boolean itself, Predicate<View> other) {
-            Value is = register.held();
-            return is != null && is.quorum(of -> has(of, itself, other));
+            RegisterValue is = register.acceptedValue();
+            return is != null && is.isQuorum(of -> has(of, itself, other));
         }
 
         // ---- the duty
 
         /** As {@code core.Duty.look} and {@code take}. */
         private void duty() {
-            long number = !holds() || !votes() ? 0 : scene.lease ? lease.number() : life + 1;
+            long number = !holdsLease() || !isVoter() ? 0 : scene.lease ? lease.number() : life + 1;
             if (held != number) {
                 held = number;
                 heldFrom = now;
                 began = new TreeMap<>(acknowledged);
                 if (held != 0) {
-                    given.of(held);
+                    given.startLease(held);
                 }
                 taken = false;
             }
-            boolean one = register.decided() != null && !register.decided().joint();
+            boolean one = register.decidedValue() != null && !register.decidedValue().isJoint();
             if (one) {
-                settling.none();
+                settling.reset();
             }
             if (held != 0
                     && !taken
@@ -1237,7 +1245,7 @@
                 taken = true;
                 began.forEach(
                         (server, rank) -> {
-                            if (STATES.indexOf(table.state(server)) < rank) {
+                            if (STATES.indexOf(table.stateOf(server)) < rank) {
                                 breaks(
                                         id
                                                 + " takes the duty over and does not know that "
@@ -1246,31 +1254,32 @@
                                                 + STATES.get(rank));
                             }
                         });
-                records.anew(given::next);
+                records.renumberAll(given::next);
             }
-            if (taken && register.decided() != null && register.decided().joint()) {
+            if (taken && register.decidedValue() != null && register.decidedValue().isJoint()) {
                 // Looked at often: the mark is set as soon as it may be.
-                settles(register.decided());
+                settles(register.decidedValue());
             }
         }
 
         void record(String service) {
             long number = given.next();
-            records.take(new Lead(service, number, "of " + number, false, false));
+            records.merge(new PrimaryRecord(service, number, "of " + number, false, false));
         }
 
         /** What it recorded and a majority has, it may act on; what was acted on it knows. */
         void mayAct() {
-            for (Lead lead : records.all()) {
+            for (PrimaryRecord lead : records.all()) {
                 long number = lead.number();
                 if (number >> 20 == held
-                        && quorum(records.durable() >= number, v -> v.record >= number)) {
+                        && quorum(records.durableNumber() >= number, v -> v.record >= number)) {
                     acted.merge(lead.service(), number, Math::max);
                 }
             }
             acted.forEach(
                     (service, number) -> {
-                        if (records.of(service) == null || records.of(service).number() < number) {
+                        if (records.get(service) == null
+                                || records.get(service).number() < number) {
                             breaks(
                                     id
                                             + " has the duty and does not know record "
@@ -1293,20 +1302,20 @@
                 row.put("st", STATES.get(state));
                 row.put("ro", "replica");
                 row.put("q", ++calls);
-                table.merge(new Pack.Fields(row), now);
-            } else if (table.changed(name) < 0 && lacks(Defence.ROWS_OF_LEAVES)) {
+                table.merge(new MessageCodec.Fields(row), now);
+            } else if (table.changeNumberOf(name) < 0 && lacks(SafetyRule.ROWS_OF_LEAVES)) {
                 acknowledged.merge(name, state, Math::max);
                 return;
             } else {
-                table.leaves(name);
+                table.markLeaving(name);
             }
             awaits(name);
         }
 
         private void awaits(String name) {
-            int is = STATES.indexOf(table.state(name));
+            int is = STATES.indexOf(table.stateOf(name));
             if (is > 0) {
-                waits.add(new Waits(name, is, table.changed(name)));
+                waits.add(new Waits(name, is, table.changeNumberOf(name)));
             }
             Arrays.fill(news, true);
         }
@@ -1314,7 +1323,10 @@
         /** As {@code core.Core.acknowledge}. */
         private void acknowledge() {
             if (!waits.isEmpty()) {
-                long agreed = reached(table.durable(), v -> table.kept(v.table, v.epoch, epoch()));
+                long agreed =
+                        quorumReached(
+                                table.durableVersion(),
+                                v -> table.acknowledgedVersionOf(v.table, v.epoch, epoch()));
                 for (Waits one : List.copyOf(waits)) {
                     if (one.change <= agreed) {
                         waits.remove(one);
@@ -1328,13 +1340,13 @@
         void onlyForward() {
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
-                int rank = STATES.indexOf(table.state(server));
+                int rank = STATES.indexOf(table.stateOf(server));
                 if (rows.getOrDefault(server, -1) > rank) {
-                    breaks(server + " is " + table.state(server) + " again at " + id);
+                    breaks(server + " is " + table.stateOf(server) + " again at " + id);
                 }
                 rows.put(server, rank);
             }
-            for (Lead lead : records.all()) {
+            for (PrimaryRecord lead : records.all()) {
                 if (numbers.getOrDefault(lead.service(), -1L) > lead.number()) {
                     breaks(lead.service() + " has record " + lead.number() + " again at " + id);
                 }
@@ -1353,11 +1365,11 @@
         void claims() {
             acted.forEach(
                     (service, number) -> {
-                        if (records.durable() >= number && recordOnDisk(service) < number) {
+                        if (records.durableNumber() >= number && recordOnDisk(service) < number) {
                             breaks(
                                     id
                                             + " says that it has record "
-                                            + records.durable()
+                                            + records.durableNumber()
                                             + " and all before, and lacks "
                                             + number
                                             + " of "
@@ -1366,14 +1378,14 @@
                     });
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
-                int rank = STATES.indexOf(table.state(server));
-                long change = table.changed(server);
+                int rank = STATES.indexOf(table.stateOf(server));
+                long change = table.changeNumberOf(server);
                 for (int other = 0; change >= 0 && other < views.length; other++) {
                     Process p = processes[other];
                     if (other != index
                             && p.id.equals(views[other].id)
                             && p.disk.containsKey("id")
-                            && table.kept(views[other].table) >= change
+                            && table.durableVersionOf(views[other].table) >= change
                             && p.onDisk(server) < rank) {
                         breaks(
                                 id
@@ -1412,38 +1424,40 @@
         // ---- what register and lease ask
 
         @Override
-        public String self() {
+        public String selfId() {
             return id;
         }
 
         @Override
-        public long now() {
+        public long nowMillis() {
             return now;
         }
 
         @Override
-        public CompletableFuture<Void> store(Map<String, String> texts) {
+        public CompletableFuture<Void> persist(Map<String, String> texts) {
             Write write = new Write(texts, new CompletableFuture<>());
             writes.add(write);
             boolean ballot =
                     texts.containsKey("promised-ballot") && !texts.containsKey("accepted-ballot");
-            boolean own = ballot && Ballot.of(texts.get("promised-ballot")).proposer().equals(id);
+            boolean own =
+                    ballot && Ballot.parse(texts.get("promised-ballot")).proposer().equals(id);
             boolean early =
-                    lacks(Defence.BALLOT_ON_DISK) && own
-                            || lacks(Defence.PROMISE_ON_DISK) && ballot && !own
-                            || lacks(Defence.ACCEPTED_ON_DISK)
+                    lacks(SafetyRule.BALLOT_ON_DISK) && own
+                            || lacks(SafetyRule.PROMISE_ON_DISK) && ballot && !own
+                            || lacks(SafetyRule.ACCEPTED_ON_DISK)
                                     && texts.containsKey("accepted-ballot")
-                            || lacks(Defence.LEASE_ON_DISK) && texts.containsKey("promised")
-                            || lacks(Defence.ROWS_ON_DISK)
+                            || lacks(SafetyRule.LEASE_ON_DISK) && texts.containsKey("promised")
+                            || lacks(SafetyRule.ROWS_ON_DISK)
                                     && texts.keySet().stream()
                                             .anyMatch(name -> name.startsWith("server:"))
-                            || lacks(Defence.RECORDS_ON_DISK)
+                            || lacks(SafetyRule.RECORDS_ON_DISK)
                                     && texts.keySet().stream()
                                             .anyMatch(name -> name.startsWith("lead:"));
             if (early) {
                 if (texts.containsKey("accepted-ballot")) {
                     accepted.computeIfAbsent(
-                                    Ballot.of(texts.get("accepted-ballot")), b -> new TreeSet<>())
+                                    Ballot.parse(texts.get("accepted-ballot")),
+                                    b -> new TreeSet<>())
                             .add(id);
                 }
                 write.done.complete(null);
@@ -1452,18 +1466,18 @@
         }
 
         @Override
-        public void tell() {
+        public void broadcast() {
             // When is chosen from outside.
             Arrays.fill(news, true);
         }
 
         @Override
-        public void decided(Value value) {
+        public void onDecided(RegisterValue value) {
             // Seen after the step.
         }
 
         @Override
-        public long chance(long below) {
+        public long randomBelow(long below) {
             long mixed =
                     seed * 0x9E3779B97F4A7C15L
                             + index * 0xBF58476D1CE4E5B9L
@@ -1473,64 +1487,68 @@
         }
 
         @Override
-        public boolean holds() {
-            return lacks(Defence.SETS_BY_HOLDER) || (scene.lease ? lease.holds() : index == 0);
+        public boolean holdsLease() {
+            return lacks(SafetyRule.SETS_BY_HOLDER) || (scene.lease ? lease.isHeld() : index == 0);
         }
 
         @Override
-        public boolean without(Defence defence) {
+        public boolean isDisabled(SafetyRule defence) {
             return lacks(defence);
         }
 
         @Override
         public long epoch() {
-            return register == null || register.held() == null ? 0 : register.held().epoch();
+            return register == null || register.acceptedValue() == null
+                    ? 0
+                    : register.acceptedValue().epoch();
         }
 
         @Override
-        public boolean member(String of) {
-            Value is = register.held();
+        public boolean isMember(String of) {
+            RegisterValue is = register.acceptedValue();
             return is != null && (is.members().contains(of) || is.outgoing().contains(of));
         }
 
         @Override
-        public boolean votes() {
-            return member(id);
+        public boolean isVoter() {
+            return isMember(id);
         }
 
         @Override
-        public boolean alone() {
-            return reached(now, v -> v.echo) < now - 1_300;
+        public boolean isIsolated() {
+            return quorumReached(now, v -> v.echo) < now - 1_300;
         }
 
         @Override
-        public int rank() {
-            return register.held() == null ? 0 : register.held().members().headSet(id).size();
+        public int memberRank() {
+            return register.acceptedValue() == null
+                    ? 0
+                    : register.acceptedValue().members().headSet(id).size();
         }
 
         @Override
-        public long stalledFor() {
+        public long diskStalledMillis() {
             return 0;
         }
 
         @Override
-        public Iterable<View> voters() {
+        public Iterable<View> peers() {
             List<View> others = new ArrayList<>(Arrays.asList(views));
             others.remove(index);
             return others;
         }
 
         @Override
-        public long reached(long itself, ToLongFunction<? super View> moment) {
-            Value is = register.held();
+        public long quorumReached(long itself, ToLongFunction<? super View> moment) {
+            RegisterValue is = register.acceptedValue();
             return is == null
-                    ? Lease.NEVER
-                    : is.reached(
+                    ? LeaseManager.NEVER
+                    : is.quorumReached(
                             of ->
                                     of.equals(id)
                                             ? itself
                                             : view(of) == null
-                                                    ? Lease.NEVER
+                                                    ? LeaseManager.NEVER
                                                     : moment.applyAsLong(view(of)));
         }
     }
--- a/src/main/java/dillfront/lab/ControlWorlds.java
+++ b/src/main/java/dillfront/lab/ControlWorlds.java
@@ -1,6 +1,6 @@
 package dillfront.lab;
 
-import dillfront.core.Defence;
+import dillfront.core.SafetyRule;
 import dillfront.lab.ControlWorld.Kind;
 import dillfront.lab.ControlWorld.Scene;
 import dillfront.lab.ControlWorld.Step;
@@ -40,8 +40,8 @@
             long worlds,
             long steps,
             String broken,
-            TreeMap<Defence, String> caught,
-            List<Defence> missed) {}
+            TreeMap<SafetyRule, String> caught,
+            List<SafetyRule> missed) {}
 
     /**
      * States that were looked at, the deepest path to one, whether there was no more to see, and
@@ -496,44 +496,44 @@
                     new Begun("kept settling", KEPT_SETS, KEPT_SETTLING));
 
     /** Where a defence is missed soonest; any walk finds the others. */
-    private static final Map<Defence, List<Walk>> NEAREST =
+    private static final Map<SafetyRule, List<Walk>> NEAREST =
             Map.ofEntries(
-                    Map.entry(Defence.PROMISE_ON_DISK, List.of(PROMISED)),
-                    Map.entry(Defence.BALLOT_ON_DISK, List.of(OFFERED)),
-                    Map.entry(Defence.SETS_ON_DECIDED, List.of(UNDECIDED)),
-                    Map.entry(Defence.JOINT_MAJORITIES, List.of(CHANGING)),
-                    Map.entry(Defence.PROMISE_KEPT, List.of(DUELLING)),
-                    Map.entry(Defence.SETS_BY_HOLDER, List.of(SEVERAL)),
-                    Map.entry(Defence.OLDER_EPOCHS, List.of(OVER)),
-                    Map.entry(Defence.FOUNDER_HEARS_ALL, List.of(FOUNDING)),
-                    Map.entry(Defence.NEW_ID, List.of(EMPTIED)),
-                    Map.entry(Defence.READ_BY_ITS_SETS, List.of(DROPPED)),
-                    Map.entry(Defence.ROWS_ON_DISK, SERVING),
-                    Map.entry(Defence.ROWS_OF_THIS_LIFE, List.of(AGAIN)),
-                    Map.entry(Defence.ROWS_WITHOUT_GAP, List.of(AGAIN)),
-                    Map.entry(Defence.ROWS_FORWARD, SERVING),
-                    Map.entry(Defence.ROWS_UNDER_EPOCH, List.of(JOINED)),
-                    Map.entry(Defence.ROWS_OF_LEAVES, SERVING),
-                    Map.entry(Defence.RECORDS_ON_DISK, SERVING),
-                    Map.entry(Defence.RECORDS_TOGETHER, List.of(RECORDED)),
-                    Map.entry(Defence.RECORDS_WITHOUT_GAP, List.of(EMPTIED_RECORD)),
-                    Map.entry(Defence.RECORDS_FORWARD, List.of(RECORDED)),
-                    Map.entry(Defence.RECORDS_OF_MAJORITY, List.of(AGAIN)),
-                    Map.entry(Defence.NUMBERS_ONCE, List.of(GROWING)),
-                    Map.entry(Defence.LEASE_TURNS, List.of(TURNING)),
-                    Map.entry(Defence.LEASE_ON_DISK, List.of(LEASING)),
-                    Map.entry(Defence.LEASE_AFTER_START, List.of(LEASING)),
-                    Map.entry(Defence.LEASE_FROM_ASKED, List.of(LEASING)),
-                    Map.entry(Defence.LEASE_PROMISE_STANDS, List.of(LEASING)),
-                    Map.entry(Defence.LEASE_NEVER_HELD, List.of(GIVEN_UP)),
-                    Map.entry(Defence.LEASE_FORMER, List.of(LEASING)),
-                    Map.entry(Defence.LEASE_NUMBERS_RISE, List.of(VOTED)),
-                    Map.entry(Defence.LEASE_ASKED_ONCE, List.of(LOST)));
+                    Map.entry(SafetyRule.PROMISE_ON_DISK, List.of(PROMISED)),
+                    Map.entry(SafetyRule.BALLOT_ON_DISK, List.of(OFFERED)),
+                    Map.entry(SafetyRule.SETS_ON_DECIDED, List.of(UNDECIDED)),
+                    Map.entry(SafetyRule.JOINT_MAJORITIES, List.of(CHANGING)),
+                    Map.entry(SafetyRule.PROMISE_KEPT, List.of(DUELLING)),
+                    Map.entry(SafetyRule.SETS_BY_HOLDER, List.of(SEVERAL)),
+                    Map.entry(SafetyRule.OLDER_EPOCHS, List.of(OVER)),
+                    Map.entry(SafetyRule.FOUNDER_HEARS_ALL, List.of(FOUNDING)),
+                    Map.entry(SafetyRule.NEW_ID, List.of(EMPTIED)),
+                    Map.entry(SafetyRule.READ_BY_ITS_SETS, List.of(DROPPED)),
+                    Map.entry(SafetyRule.ROWS_ON_DISK, SERVING),
+                    Map.entry(SafetyRule.ROWS_OF_THIS_LIFE, List.of(AGAIN)),
+                    Map.entry(SafetyRule.ROWS_WITHOUT_GAP, List.of(AGAIN)),
+                    Map.entry(SafetyRule.ROWS_FORWARD, SERVING),
+                    Map.entry(SafetyRule.ROWS_UNDER_EPOCH, List.of(JOINED)),
+                    Map.entry(SafetyRule.ROWS_OF_LEAVES, SERVING),
+                    Map.entry(SafetyRule.RECORDS_ON_DISK, SERVING),
+                    Map.entry(SafetyRule.RECORDS_TOGETHER, List.of(RECORDED)),
+                    Map.entry(SafetyRule.RECORDS_WITHOUT_GAP, List.of(EMPTIED_RECORD)),
+                    Map.entry(SafetyRule.RECORDS_FORWARD, List.of(RECORDED)),
+                    Map.entry(SafetyRule.RECORDS_OF_MAJORITY, List.of(AGAIN)),
+                    Map.entry(SafetyRule.NUMBERS_ONCE, List.of(GROWING)),
+                    Map.entry(SafetyRule.LEASE_TURNS, List.of(TURNING)),
+                    Map.entry(SafetyRule.LEASE_ON_DISK, List.of(LEASING)),
+                    Map.entry(SafetyRule.LEASE_AFTER_START, List.of(LEASING)),
+                    Map.entry(SafetyRule.LEASE_FROM_ASKED, List.of(LEASING)),
+                    Map.entry(SafetyRule.LEASE_PROMISE_STANDS, List.of(LEASING)),
+                    Map.entry(SafetyRule.LEASE_NEVER_HELD, List.of(GIVEN_UP)),
+                    Map.entry(SafetyRule.LEASE_FORMER, List.of(LEASING)),
+                    Map.entry(SafetyRule.LEASE_NUMBERS_RISE, List.of(VOTED)),
+                    Map.entry(SafetyRule.LEASE_ASKED_ONCE, List.of(LOST)));
 
     private ControlWorlds() {}
 
     /** All states up to this depth from where these steps lead, nearest first. */
-    static Found explore(Scene scene, String first, Defence without, int depth, int most) {
+    static Found explore(Scene scene, String first, SafetyRule without, int depth, int most) {
         return explore(scene, first, without, depth, most, false);
     }
 
@@ -544,7 +544,7 @@
      *     deeper, and not all there is
      */
     static Found explore(
-            Scene scene, String first, Defence without, int depth, int most, boolean terse) {
+            Scene scene, String first, SafetyRule without, int depth, int most, boolean terse) {
         Set<Long> seen = new HashSet<>();
         ArrayDeque<Step[]> next =
                 new ArrayDeque<>(Collections.singleton(steps(first).toArray(new Step[0])));
@@ -589,7 +589,8 @@
         return hash;
     }
 
-    private static ControlWorld played(Scene scene, Defence without, long seed, List<Step> steps) {
+    private static ControlWorld played(
+            Scene scene, SafetyRule without, long seed, List<Step> steps) {
         ControlWorld world = new ControlWorld(scene, without, seed);
         for (Step step : steps) {
             if (world.broken == null && world.can(step)) {
@@ -605,7 +606,7 @@
     }
 
     /** The same without this defence. */
-    static ControlWorld played(Scene scene, Defence without, long seed, String steps) {
+    static ControlWorld played(Scene scene, SafetyRule without, long seed, String steps) {
         return played(scene, without, seed, steps(steps));
     }
 
@@ -665,7 +666,7 @@
     /**
      * One random walk: in spells, in which some links and disks are quick and others do nothing.
      */
-    static ControlWorld walk(Walk walk, Defence without, long seed) {
+    static ControlWorld walk(Walk walk, SafetyRule without, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] weights = weights(walk.scene, random);
         walk.more.forEach((kind, factor) -> weights[kind.ordinal()] *= factor);
@@ -771,7 +772,7 @@
      * The same break with as few of the steps as may be: those that can be left out are left out,
      * later ones first.
      */
-    static ControlWorld shortest(Scene scene, Defence without, long seed, ControlWorld broken) {
+    static ControlWorld shortest(Scene scene, SafetyRule without, long seed, ControlWorld broken) {
         List<Step> steps = new ArrayList<>(broken.steps);
         ControlWorld best = broken;
         for (int size = Math.max(1, steps.size() / 2); size > 0; size = size > 1 ? size / 2 : 0) {
@@ -798,7 +799,7 @@
      * Walks without this defence until one breaks; null where none does in the walks or the time
      * that there is.
      */
-    static String hunt(Defence without, long seed, int most, long until) {
+    static String hunt(SafetyRule without, long seed, int most, long until) {
         List<Walk> walks = without == null ? WALKS : NEAREST.getOrDefault(without, WALKS);
         for (int i = 0; i < most && System.nanoTime() < until; i++) {
             Walk walk = walks.get(i % walks.size());
@@ -846,8 +847,8 @@
                 steps += one.get().depth;
                 broken = broken == null ? one.get().broken : broken;
             }
-            TreeMap<Defence, String> caught = new TreeMap<>();
-            List<Defence> missed = List.of(Defence.values());
+            TreeMap<SafetyRule, String> caught = new TreeMap<>();
+            List<SafetyRule> missed = List.of(SafetyRule.values());
             // Whatever was missed is tried again with the time that others left.
             for (long pass = 0;
                     !missed.isEmpty() && (pass == 0 || System.nanoTime() - begun < budget);
@@ -863,12 +864,12 @@
         }
     }
 
-    private static Map<Defence, String> caught(
-            List<Defence> which, long seed, long end, ExecutorService by)
+    private static Map<SafetyRule, String> caught(
+            List<SafetyRule> which, long seed, long end, ExecutorService by)
             throws InterruptedException, ExecutionException {
-        Map<Defence, Future<String>> hunts = new LinkedHashMap<>();
+        Map<SafetyRule, Future<String>> hunts = new LinkedHashMap<>();
         AtomicInteger left = new AtomicInteger(which.size());
-        for (Defence one : which) {
+        for (SafetyRule one : which) {
             hunts.put(
                     one,
                     by.submit(
@@ -885,8 +886,8 @@
                                                                 THREADS, left.getAndDecrement()));
                             }));
         }
-        Map<Defence, String> caught = new TreeMap<>();
-        for (Map.Entry<Defence, Future<String>> one : hunts.entrySet()) {
+        Map<SafetyRule, String> caught = new TreeMap<>();
+        for (Map.Entry<SafetyRule, Future<String>> one : hunts.entrySet()) {
             if (one.getValue().get() != null) {
                 caught.put(one.getKey(), one.getValue().get());
             }
@@ -941,11 +942,11 @@
             return;
         }
         if (args.length > 2) {
-            for (Defence one :
+            for (SafetyRule one :
                     args[2].equals("EACH")
-                            ? Defence.values()
-                            : new Defence[] {
-                                args[2].equals("ALL") ? null : Defence.valueOf(args[2])
+                            ? SafetyRule.values()
+                            : new SafetyRule[] {
+                                args[2].equals("ALL") ? null : SafetyRule.valueOf(args[2])
                             }) {
                 long begun = System.nanoTime();
                 String trace = hunt(one, seed, Integer.MAX_VALUE, begun + budget * 1_000_000);
@@ -970,7 +971,7 @@
                 "worlds="
                         + result.worlds
                         + " defences="
-                        + Defence.values().length
+                        + SafetyRule.values().length
                         + " defences_caught="
                         + result.caught.size());
         if (result.broken != null) {
--- a/src/main/java/dillfront/lab/Dump.java
+++ b/src/main/java/dillfront/lab/Dump.java
@@ -28,7 +28,7 @@
         if (what == null) {
             out.append('-');
         } else if (what instanceof Configuration one) {
-            out.append(one.version())
+            out.append(one.revision())
                     .append('/')
                     .append(new String(one.body(), StandardCharsets.UTF_8));
         } else if (what instanceof byte[] bytes) {
--- a/src/main/java/dillfront/lab/whole/Audit.java
+++ b/src/main/java/dillfront/lab/whole/Audit.java
@@ -1,6 +1,6 @@
 package dillfront.lab.whole;
 
-import dillfront.host.Position;
+import dillfront.host.LogPosition;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -47,13 +47,13 @@
     final Map<String, Database> databases = new HashMap<>();
     final List<String> breaches = new ArrayList<>();
 
-    private record Acknowledgement(long at, Position position) {}
+    private record Acknowledgement(long at, LogPosition position) {}
 
     /** Commits that were acknowledged to clients, by database, in the order of time. */
     private final Map<String, List<Acknowledgement>> acknowledged = new HashMap<>();
 
     /** A person's call to give up what a log that ends here lacks, up to there. */
-    record Given(String database, Position log, Position until) {}
+    record Given(String database, LogPosition log, LogPosition until) {}
 
     /** Those that may have been carried out, and may count for the next promotion. */
     private final List<Given> given = new ArrayList<>();
@@ -95,7 +95,7 @@
     /** A client had the answer of a write or commit that wrote. */
     long acknowledge(String database, String id) {
         Database db = databases.get(database);
-        Position at = null;
+        LogPosition at = null;
         for (Database.Server s : db.servers) {
             for (int i = s.log.size() - 1; i >= 0 && i > s.log.size() - 400; i--) {
                 if (s.log.get(i).write.equals(id)) {
@@ -114,7 +114,7 @@
         acknowledged
                 .computeIfAbsent(database, d -> new ArrayList<>())
                 .add(new Acknowledgement(sim.micros(), at));
-        return at.number();
+        return at.index();
     }
 
     /** A client's call got the row or the stamp of another. */
@@ -127,7 +127,7 @@
         long most = 0;
         for (Acknowledgement one : acknowledged.getOrDefault(database, List.of())) {
             if (one.at() < before) {
-                most = Math.max(most, one.position().number());
+                most = Math.max(most, one.position().index());
             }
         }
         return most;
@@ -177,7 +177,7 @@
             }
             // Within a transaction it sees what its first statement saw, and this stand-in shows
             // the newest at each.
-            if (at.appliedPosition().number() < need) {
+            if (at.appliedPosition().index() < need) {
                 staleReads++;
                 breach(
                         "STALE",
@@ -200,7 +200,7 @@
         String database = to.id.substring(0, to.id.indexOf('-'));
         giveUp(database, to.position());
         long need = needed(database, Long.MAX_VALUE);
-        if (to.position().number() < need) {
+        if (to.position().index() < need) {
             lost++;
             breach(
                     "LOST",
@@ -213,7 +213,7 @@
     }
 
     /** A person's call is on its way. */
-    Given gives(String database, Position log, Position until) {
+    Given gives(String database, LogPosition log, LogPosition until) {
         Given is = new Given(database, log, until);
         given.add(is);
         return is;
@@ -228,12 +228,12 @@
      * A log that ends here leads: what it lacks, and a person gave up, is counted and missed no
      * more. All else is.
      */
-    private void giveUp(String database, Position end) {
+    private void giveUp(String database, LogPosition end) {
         List<Acknowledgement> all = acknowledged.computeIfAbsent(database, d -> new ArrayList<>());
         int before = all.size();
         all.removeIf(
                 a ->
-                        a.position().number() > end.number()
+                        a.position().index() > end.index()
                                 && given.stream()
                                         .anyMatch(
                                                 g ->
@@ -246,8 +246,8 @@
             givenUp += before - all.size();
             tries.values().stream()
                     .filter(t -> t.database.equals(database))
-                    .forEach(t -> t.token = Math.min(t.token, end.number()));
-            forgets.accept(database, end.number());
+                    .forEach(t -> t.token = Math.min(t.token, end.index()));
+            forgets.accept(database, end.index());
         }
     }
 
--- a/src/main/java/dillfront/lab/whole/Client.java
+++ b/src/main/java/dillfront/lab/whole/Client.java
@@ -1,6 +1,6 @@
 package dillfront.lab.whole;
 
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,7 +10,7 @@
 /**
  * One client session that asks one operation after the other, each again where the page lets it.
  */
-final class Client implements Host.Ear {
+final class Client implements Environment.ConnectionListener {
 
     private static final List<String> PROMISES =
             List.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
@@ -25,7 +25,7 @@
     final Map<String, String> values = new TreeMap<>();
     final Map<String, String> prepared = new HashMap<>();
     long token;
-    private Host.Link link;
+    private Environment.Connection link;
     private boolean ready;
     private boolean open;
     private long life;
@@ -70,7 +70,7 @@
             day.sim.after(100, this::retryConnect);
             return;
         }
-        link = day.clients.dial(to.ip + ":" + Day.FRONT, Host.Form.LINES, 1_000, this);
+        link = day.clients.connect(to.ip + ":" + Day.FRONT, Environment.Framing.LINES, 1_000, this);
         day.sim.after(
                 2_000,
                 () -> {
@@ -181,13 +181,13 @@
     }
 
     @Override
-    public void opened(Host.Link opened) {
+    public void onOpen(Environment.Connection opened) {
         link = opened;
         link.send(Sim.bytes("CONNECT " + host + " c" + number));
     }
 
     @Override
-    public void message(byte[] message) {
+    public void onMessage(byte[] message) {
         String line = Sim.text(message);
         if (line.startsWith("READY ")) {
             if (!ready) {
@@ -290,7 +290,7 @@
     }
 
     @Override
-    public void closed(String why) {
+    public void onClose(String why) {
         gone(!why.isEmpty());
     }
 
--- a/src/main/java/dillfront/lab/whole/ControlMachine.java
+++ b/src/main/java/dillfront/lab/whole/ControlMachine.java
@@ -1,13 +1,13 @@
 package dillfront.lab.whole;
 
-import dillfront.core.Core;
+import dillfront.core.ControlNode;
 
 /** A machine with a control process and a disk. */
 final class ControlMachine {
 
     final Sim.Machine machine;
     final Disk disk;
-    Core core;
+    ControlNode core;
 
     /** When its process last began. */
     long startedAt;
--- a/src/main/java/dillfront/lab/whole/Controls.java
+++ b/src/main/java/dillfront/lab/whole/Controls.java
@@ -1,9 +1,9 @@
 package dillfront.lab.whole;
 
-import dillfront.core.Core;
+import dillfront.core.ControlNode;
 import dillfront.host.Configuration;
-import dillfront.host.Host;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import java.net.URI;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
 
     private final Day day;
     private final Sim sim;
-    private final BiFunction<Sim.Machine, Boolean, Settings> settings;
+    private final BiFunction<Sim.Machine, Boolean, NodeSettings> settings;
     private final TreeMap<String, ControlMachine> all = new TreeMap<>();
     private final ArrayDeque<Listed> lists = new ArrayDeque<>();
 
@@ -52,7 +52,7 @@
     /** The one that acted or acknowledged last. */
     private String acted = "";
 
-    Controls(Day day, int many, BiFunction<Sim.Machine, Boolean, Settings> settings) {
+    Controls(Day day, int many, BiFunction<Sim.Machine, Boolean, NodeSettings> settings) {
         this.day = day;
         this.sim = day.sim;
         this.settings = settings;
@@ -141,7 +141,7 @@
     }
 
     /** What was answered in the end, by whom, and when that one was asked. */
-    record Answered(Host.Answer answer, ControlMachine by, long askedAt) {}
+    record Answered(Environment.HttpResponse answer, ControlMachine by, long askedAt) {}
 
     /** A call as all make it: a 307 is followed twice, and each that is asked is given so long. */
     CompletableFuture<Answered> call(
@@ -223,14 +223,14 @@
         event();
         c.machine.up();
         c.startedAt = sim.millis();
-        Core core = new Core(c.machine, settings.apply(c.machine, first), c.disk);
+        ControlNode core = new ControlNode(c.machine, settings.apply(c.machine, first), c.disk);
         c.core = core;
         c.machine.listen(INNER, h -> core.accept());
-        c.machine.serve(HTTP, (method, path, body, headers) -> core.call(method, path, body));
+        c.machine.serve(HTTP, (method, path, body, headers) -> core.handle(method, path, body));
         day.configAudit.started(c);
         try {
             core.start();
-        } catch (Configuration.Invalid bad) {
+        } catch (Configuration.InvalidConfigurationException bad) {
             day.audit.breach("FAULT", c.machine.name + " does not start: " + bad.getMessage());
         }
     }
@@ -391,8 +391,8 @@
         if (c.core == null) {
             ends.run();
         } else {
-            Core core = c.core;
-            c.machine.enter(() -> core.leave(ends));
+            ControlNode core = c.core;
+            c.machine.enter(() -> core.shutDown(ends));
             sim.after(GRACE_MS, ends);
         }
     }
--- a/src/main/java/dillfront/lab/whole/DataLossCalls.java
+++ b/src/main/java/dillfront/lab/whole/DataLossCalls.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import dillfront.host.Position;
+import dillfront.host.LogPosition;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -112,13 +112,16 @@
         send(more, how, 0);
         for (String name :
                 new String[] {"log_position", "least_acknowledged", "most_acknowledged"}) {
-            Position is = Position.of(lacking.getString(name, ""));
-            send(with(lacking, name, new Position(is.term(), is.number() + 1).toString()), how, 0);
+            LogPosition is = LogPosition.parse(lacking.getString(name, ""));
+            send(
+                    with(lacking, name, new LogPosition(is.term(), is.index() + 1).toString()),
+                    how,
+                    0);
             send(
                     with(
                             lacking,
                             name,
-                            new Position(is.term(), Math.max(0, is.number() - 1)).toString()),
+                            new LogPosition(is.term(), Math.max(0, is.index() - 1)).toString()),
                     how,
                     0);
         }
@@ -130,11 +133,11 @@
         Audit.Given given =
                 day.audit.gives(
                         service,
-                        Position.of(body.getString("log_position", "")),
+                        LogPosition.parse(body.getString("log_position", "")),
                         // Of what others have that are out of reach nobody knows how far it goes.
                         body.get("out_of_reach").asArray().isEmpty()
-                                ? Position.of(body.getString("most_acknowledged", ""))
-                                : new Position(Long.MAX_VALUE, 0));
+                                ? LogPosition.parse(body.getString("most_acknowledged", ""))
+                                : new LogPosition(Long.MAX_VALUE, 0));
         person.call(
                         "POST",
                         to.machine.ip + ":" + Controls.HTTP,
--- a/src/main/java/dillfront/lab/whole/Database.java
+++ b/src/main/java/dillfront/lab/whole/Database.java
@@ -1,7 +1,7 @@
 package dillfront.lab.whole;
 
-import dillfront.host.Host;
-import dillfront.host.Position;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,11 +16,11 @@
 
     /** One commit: its place, which try wrote it, and when it was acknowledged; -1 for not. */
     static final class Commit {
-        final Position at;
+        final LogPosition at;
         final String write;
         long acknowledged = -1;
 
-        Commit(Position at, String write) {
+        Commit(LogPosition at, String write) {
             this.at = at;
             this.write = write;
         }
@@ -166,12 +166,12 @@
             roleTold.run();
         }
 
-        Position position() {
-            return log.isEmpty() ? new Position(1, 0) : log.get(log.size() - 1).at;
+        LogPosition position() {
+            return log.isEmpty() ? new LogPosition(1, 0) : log.get(log.size() - 1).at;
         }
 
-        Position appliedPosition() {
-            return applied == 0 ? new Position(1, 0) : log.get(applied - 1).at;
+        LogPosition appliedPosition() {
+            return applied == 0 ? new LogPosition(1, 0) : log.get(applied - 1).at;
         }
 
         void cutBack(int to) {
@@ -226,7 +226,7 @@
 
         private void begin(double ms, Runnable done) {
             busy++;
-            machine.after(
+            machine.schedule(
                     Math.round(ms),
                     () -> {
                         busy--;
@@ -254,7 +254,7 @@
                 if (log.stream().anyMatch(c -> c.write.equals(write))) {
                     watch.again(this, write);
                 }
-                last = new Commit(new Position(term, position().number() + 1), write);
+                last = new Commit(new LogPosition(term, position().index() + 1), write);
                 log.add(last);
             }
             applied = log.size();
@@ -301,9 +301,9 @@
     }
 
     /** A connection at a server. */
-    final class Connection implements Host.Ear {
+    final class Connection implements Environment.ConnectionListener {
         final Server server;
-        private Host.Link link;
+        private Environment.Connection link;
         private boolean started;
         private boolean over;
         final Map<String, String> values = new TreeMap<>();
@@ -323,13 +323,13 @@
         }
 
         @Override
-        public void opened(Host.Link opened) {
+        public void onOpen(Environment.Connection opened) {
             link = opened;
             server.connections++;
         }
 
         @Override
-        public void closed(String why) {
+        public void onClose(String why) {
             if (!over) {
                 over = true;
                 server.connections--;
@@ -342,11 +342,11 @@
 
         private void end() {
             link.close();
-            closed("ended");
+            onClose("ended");
         }
 
         @Override
-        public void message(byte[] message) {
+        public void onMessage(byte[] message) {
             ahead.add(Sim.text(message));
             next();
         }
@@ -406,10 +406,10 @@
 
         private void query(String id, String all) {
             String text = all;
-            Position after = null;
+            LogPosition after = null;
             if (text.startsWith("AFTER ")) {
                 String[] part = Sim.words(text, 3);
-                after = Position.of(part[1]);
+                after = LogPosition.parse(part[1]);
                 text = part[2];
             }
             String[] part = Sim.words(text, 4);
@@ -487,7 +487,7 @@
             done("-");
         }
 
-        private void run(String id, String text, String[] part, Position after) {
+        private void run(String id, String text, String[] part, LogPosition after) {
             String shape = part[0].equals("EXECUTE") ? prepared.get(part[1]) : null;
             boolean commit = part[0].equals("COMMIT");
             boolean write = part[0].equals("WRITE") || shape != null && shape.startsWith("WRITE");
--- a/src/main/java/dillfront/lab/whole/Day.java
+++ b/src/main/java/dillfront/lab/whole/Day.java
@@ -4,8 +4,8 @@
 import com.eclipsesource.json.JsonObject;
 import dillfront.front.Front;
 import dillfront.host.Configuration;
-import dillfront.host.Host;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -163,7 +163,7 @@
 
     private void beats(Database db, Database.Server s) {
         int life = s.machine.life;
-        s.machine.after(
+        s.machine.schedule(
                 sim.random.nextInt((int) BEAT_MS),
                 new Runnable() {
                     @Override
@@ -172,7 +172,7 @@
                             if (!s.quiet) {
                                 beat(db, s, false, 0);
                             }
-                            s.machine.after(BEAT_MS, this);
+                            s.machine.schedule(BEAT_MS, this);
                         }
                     }
                 });
@@ -193,7 +193,7 @@
                 json,
                 is -> {
                     if (!is) {
-                        s.machine.after(50L * (tries + 1), () -> beat(db, s, leaves, tries + 1));
+                        s.machine.schedule(50L * (tries + 1), () -> beat(db, s, leaves, tries + 1));
                     } else if (drains) {
                         audit.drained.putIfAbsent(s.id, sim.micros());
                     }
@@ -225,17 +225,18 @@
                                 acknowledged.accept(fault == null && is.answer().status() == 200));
     }
 
-    private CompletableFuture<Host.Answer> promotion(
+    private CompletableFuture<Environment.HttpResponse> promotion(
             String method, String path, byte[] body, Map<String, String> headers) {
         if (platformDown) {
             return new CompletableFuture<>();
         }
         platformCalls++;
         if (sim.millis() < platformBusyUntil) {
-            return CompletableFuture.completedFuture(new Host.Answer(429, new byte[0]));
+            return CompletableFuture.completedFuture(
+                    new Environment.HttpResponse(429, new byte[0]));
         }
         if (sim.millis() < platformSlowUntil) {
-            CompletableFuture<Host.Answer> late = new CompletableFuture<>();
+            CompletableFuture<Environment.HttpResponse> late = new CompletableFuture<>();
             sim.at(
                     platformSlowUntil * 1_000,
                     () -> promotion(method, path, body, headers).thenAccept(late::complete));
@@ -250,21 +251,23 @@
         story.add(
                 sim.millis() + " platform: " + in.getString("instance_id", "") + " fence " + fence);
         if (fence < seen[0]) {
-            return CompletableFuture.completedFuture(new Host.Answer(409, new byte[0]));
+            return CompletableFuture.completedFuture(
+                    new Environment.HttpResponse(409, new byte[0]));
         }
         seen[0] = fence;
         boolean done = databases.get(service).promote(in.getString("instance_id", ""));
-        return CompletableFuture.completedFuture(new Host.Answer(done ? 200 : 409, new byte[0]));
+        return CompletableFuture.completedFuture(
+                new Environment.HttpResponse(done ? 200 : 409, new byte[0]));
     }
 
     // ---- the system's machines
 
-    private Settings settings(Sim.Machine m, boolean control, boolean first) {
+    private NodeSettings settings(Sim.Machine m, boolean control, boolean first) {
         Map<String, String> regions = new HashMap<>();
         for (String zone : ZONES) {
             regions.put(zone, "r" + zone);
         }
-        return new Settings(
+        return new NodeSettings(
                 m.name,
                 m.zone,
                 "r" + m.zone,
@@ -313,7 +316,7 @@
                     f.machine.name,
                     f.machine.life,
                     touch,
-                    has.version(),
+                    has.revision(),
                     has == f.had ? f.digest : ConfigAudit.digest(has.body()));
             if (has != f.had) {
                 f.had = has;
@@ -521,7 +524,7 @@
                         String late = said(db, s);
                         s.quiet = true;
                         beat(db, s, true, 0);
-                        s.machine.after(
+                        s.machine.schedule(
                                 3_000,
                                 () -> send(s, "/Instances.Heartbeat/" + s.id, late, is -> {}));
                     } else {
--- a/src/main/java/dillfront/lab/whole/Disk.java
+++ b/src/main/java/dillfront/lab/whole/Disk.java
@@ -1,6 +1,6 @@
 package dillfront.lab.whole;
 
-import dillfront.core.Store;
+import dillfront.core.StateStore;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * What is on a machine's disk: synced with every put that was answered. Of those under way at the
  * end of a process or of the power, the first few may be there, though nobody was told.
  */
-final class Disk implements Store {
+final class Disk implements StateStore {
 
     private static final double SYNC_MS = 3;
 
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public Map<String, String> all() {
+    public Map<String, String> initialState() {
         return new HashMap<>(kept);
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public long stalledFor() {
+    public long stalledMillis() {
         return queue.isEmpty() ? 0 : sim.millis() - queue.peek().at();
     }
 
--- a/src/main/java/dillfront/lab/whole/Orders.java
+++ b/src/main/java/dillfront/lab/whole/Orders.java
@@ -346,9 +346,9 @@
                             try {
                                 day.configAudit.read(
                                         reading,
-                                        Configuration.read(body).version(),
+                                        Configuration.parse(body).revision(),
                                         ConfigAudit.digest(body));
-                            } catch (Configuration.Invalid bad) {
+                            } catch (Configuration.InvalidConfigurationException bad) {
                                 day.audit.breach("CONFIG", bad.getMessage());
                             }
                         });
