--- a/src/main/java/dillfront/lab/whole/Sim.java
+++ b/src/main/java/dillfront/lab/whole/Sim.java
@@ -1,6 +1,6 @@
 package dillfront.lab.whole;
 
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -132,12 +132,12 @@
 
     /** What a machine offers on one of its ports. */
     interface Http {
-        CompletableFuture<Host.Answer> call(
+        CompletableFuture<Environment.HttpResponse> call(
                 String method, String path, byte[] body, Map<String, String> headers);
     }
 
     /** A machine with one process. */
-    final class Machine implements Host {
+    final class Machine implements Environment {
         final String name;
         final String zone;
         final String ip;
@@ -147,7 +147,8 @@
         boolean dark;
 
         int life;
-        private final Map<Integer, Function<Host, Ear>> doors = new HashMap<>();
+        private final Map<Integer, Function<Environment, ConnectionListener>> doors =
+                new HashMap<>();
         private final Map<Integer, Http> calls = new HashMap<>();
         private final List<Line> lines = new ArrayList<>();
         private final RandomGenerator chance;
@@ -170,7 +171,7 @@
             machines.add(this);
         }
 
-        void listen(int port, Function<Host, Ear> each) {
+        void listen(int port, Function<Environment, ConnectionListener> each) {
             doors.put(port, each);
         }
 
@@ -258,12 +259,12 @@
         }
 
         @Override
-        public long now() {
+        public long nowMillis() {
             return zero + millis();
         }
 
         @Override
-        public Timer after(long ms, Runnable run) {
+        public Timer schedule(long ms, Runnable run) {
             int mine = life;
             boolean[] off = new boolean[1];
             Sim.this.after(
@@ -282,18 +283,18 @@
         }
 
         @Override
-        public RandomGenerator chance() {
+        public RandomGenerator random() {
             return chance;
         }
 
         @Override
-        public void note(String event) {
+        public void trace(String event) {
             told.add(millis() + " " + name + " " + event);
         }
 
         @Override
-        public void wrong(String event) {
-            note(event);
+        public void warn(String event) {
+            trace(event);
         }
 
         boolean reaches(Machine to) {
@@ -301,13 +302,14 @@
         }
 
         @Override
-        public Link dial(String address, Form form, int timeoutMs, Ear ear) {
+        public Connection connect(
+                String address, Framing form, int timeoutMs, ConnectionListener ear) {
             Line near = new Line(this, form, ear);
             int colon = address.lastIndexOf(':');
             Machine to = listeners.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             lines.add(near);
-            after(
+            schedule(
                     timeoutMs,
                     () -> {
                         if (near.other == null && !near.over) {
@@ -323,7 +325,8 @@
                         if (!reaches(to) || cutWay(to, this) || near.over) {
                             return;
                         }
-                        Function<Host, Ear> door = to.up ? to.doors.get(port) : null;
+                        Function<Environment, ConnectionListener> door =
+                                to.up ? to.doors.get(port) : null;
                         if (door == null) {
                             Sim.this.after(way(this, to), () -> near.end("refused"));
                             return;
@@ -334,7 +337,7 @@
                         to.enter(
                                 () -> {
                                     far.ear = door.apply(to);
-                                    far.ear.opened(far);
+                                    far.ear.onOpen(far);
                                 });
                         int mine = life;
                         Sim.this.after(
@@ -345,7 +348,7 @@
                                         enter(
                                                 () -> {
                                                     if (!near.over) {
-                                                        near.ear.opened(near);
+                                                        near.ear.onOpen(near);
                                                     }
                                                 });
                                     } else {
@@ -357,7 +360,7 @@
         }
 
         @Override
-        public CompletableFuture<Answer> post(
+        public CompletableFuture<HttpResponse> post(
                 String address,
                 String path,
                 String json,
@@ -372,20 +375,20 @@
                     timeoutMs);
         }
 
-        CompletableFuture<Answer> call(
+        CompletableFuture<HttpResponse> call(
                 String method,
                 String address,
                 String path,
                 byte[] body,
                 Map<String, String> headers,
                 int timeoutMs) {
-            CompletableFuture<Answer> answer = new CompletableFuture<>();
+            CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
             int colon = address.lastIndexOf(':');
             Machine to = listeners.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             int mine = life;
             tap.sent(name, address, method + " " + path + " " + new TreeMap<>(headers), body);
-            after(
+            schedule(
                     timeoutMs,
                     () ->
                             answer.completeExceptionally(
@@ -434,7 +437,7 @@
                                                                                                                 fault
                                                                                                                                 == null
                                                                                                                         ? is
-                                                                                                                        : new Answer(
+                                                                                                                        : new HttpResponse(
                                                                                                                                 503,
                                                                                                                                 new byte
                                                                                                                                         [0])));
@@ -448,10 +451,10 @@
     }
 
     /** One end of a connection. Messages come in the order they were sent. */
-    final class Line implements Host.Link {
+    final class Line implements Environment.Connection {
         final Machine at;
-        final Host.Form form;
-        private Host.Ear ear;
+        final Environment.Framing form;
+        private Environment.ConnectionListener ear;
         Line other;
         boolean over;
         private long lastAt;
@@ -459,7 +462,7 @@
         /** What a cut holds up, in order. */
         private final ArrayDeque<Runnable> held = new ArrayDeque<>();
 
-        Line(Machine at, Host.Form form, Host.Ear ear) {
+        Line(Machine at, Environment.Framing form, Environment.ConnectionListener ear) {
             this.at = at;
             this.form = form;
             this.ear = ear;
@@ -471,7 +474,7 @@
                         if (!over) {
                             over = true;
                             at.lines.remove(this);
-                            ear.closed(why);
+                            ear.onClose(why);
                         }
                     });
         }
@@ -530,11 +533,11 @@
             }
             Line far = other;
             tap.sent(at.name, far.at.name, form.name(), message);
-            if (form == Host.Form.FRAMES) {
+            if (form == Environment.Framing.FRAMES) {
                 pass(
                         () -> {
                             if (!far.over) {
-                                far.ear.message(message);
+                                far.ear.onMessage(message);
                             }
                         });
                 return;
@@ -544,7 +547,7 @@
                 pass(
                         () -> {
                             if (!far.over) {
-                                far.ear.message(one);
+                                far.ear.onMessage(one);
                             }
                         });
             }
@@ -565,7 +568,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
     }
--- a/src/main/java/dillfront/programs/ControlPlane.java
+++ b/src/main/java/dillfront/programs/ControlPlaneProgram.java
@@ -1,13 +1,13 @@
 package dillfront.programs;
 
-import dillfront.core.Core;
-import dillfront.core.Store;
+import dillfront.core.ControlNode;
+import dillfront.core.StateStore;
 import dillfront.daemon.Signals;
 import dillfront.host.Configuration;
-import dillfront.host.Host;
-import dillfront.host.NettyHost;
-import dillfront.host.Ring;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.NettyEnvironment;
+import dillfront.host.NodeSettings;
+import dillfront.host.RingLog;
 import dillfront.log.Log;
 import dillfront.memory.Keep;
 import java.io.IOException;
@@ -18,14 +18,18 @@
 import java.util.concurrent.Executors;
 
 /** The program that knows the servers, holds the configuration, and decides who leads. */
-public final class ControlPlane {
+public final class ControlPlaneProgram {
 
-    private ControlPlane() {}
+    private ControlPlaneProgram() {}
 
     /** The disk on a thread of its own, for a write holds up whoever makes it. */
-    private record Disk(
-            Keep keep, Map<String, String> all, ExecutorService writer, NettyHost host, Log log)
-            implements Store {
+    private record DiskStateStore(
+            Keep keep,
+            Map<String, String> initialState,
+            ExecutorService writer,
+            NettyEnvironment host,
+            Log log)
+            implements StateStore {
 
         @Override
         public CompletableFuture<Void> put(Map<String, String> texts) {
@@ -34,9 +38,9 @@
                     () -> {
                         try {
                             keep.put(texts);
-                            host.loop().execute(() -> done.complete(null));
+                            host.eventLoop().execute(() -> done.complete(null));
                         } catch (Keep.Broken | IllegalArgumentException bad) {
-                            host.loop()
+                            host.eventLoop()
                                     .execute(
                                             () -> {
                                                 log.warn("disk", "fault", bad.getMessage());
@@ -51,15 +55,15 @@
     /**
      * @throws Settings.Bad with the file, the place and the fault
      */
-    public static void run(DataPlane.Reading reading)
-            throws Settings.Bad, IOException, Keep.Broken {
-        Settings settings = reading.read();
+    public static void run(DataPlaneProgram.SettingsSource reading)
+            throws NodeSettings.InvalidSettingsException, IOException, Keep.Broken {
+        NodeSettings settings = reading.read();
         Log log = new Log(System.err);
-        if (settings.control() == null || settings.folder() == null) {
-            throw new Settings.Bad(
+        if (settings.controlAddress() == null || settings.dataDirectory() == null) {
+            throw new NodeSettings.InvalidSettingsException(
                     "no control_address or no data_directory, which a control plane needs");
         }
-        Keep keep = Keep.open(Path.of(settings.folder()), "control-plane");
+        Keep keep = Keep.open(Path.of(settings.dataDirectory()), "control-plane");
         Map<String, String> all = keep.all();
         if (keep.damaged()) {
             // What was promised may be gone with the damaged part: as with an empty disk, others
@@ -67,10 +71,10 @@
             log.warn("disk", "fault", "damaged; what it held is not relied on");
             all = Map.of();
         }
-        NettyHost host =
-                new NettyHost(
-                        System.nanoTime() ^ settings.name().hashCode(),
-                        new Ring(System.err, settings.name()));
+        NettyEnvironment host =
+                new NettyEnvironment(
+                        System.nanoTime() ^ settings.nodeName().hashCode(),
+                        new RingLog(System.err, settings.nodeName()));
         ExecutorService writer =
                 Executors.newSingleThreadExecutor(
                         run -> {
@@ -78,24 +82,30 @@
                             thread.setDaemon(true);
                             return thread;
                         });
-        Core core = new Core(host, settings, new Disk(keep, all, writer, host, log));
+        ControlNode core =
+                new ControlNode(host, settings, new DiskStateStore(keep, all, writer, host, log));
         Signals.on(
                 "TERM",
-                () -> host.loop().execute(() -> core.leave(() -> Runtime.getRuntime().halt(0))),
+                () ->
+                        host.eventLoop()
+                                .execute(() -> core.shutDown(() -> Runtime.getRuntime().halt(0))),
                 log);
         Signals.on("HUP", () -> reread(reading, core, host, log), log);
         Signals.on(
                 "USR2",
-                () -> host.loop().execute(() -> log.info("status", "line", core.status())),
+                () -> host.eventLoop().execute(() -> log.info("status", "line", core.status())),
                 log);
-        host.listen(settings.innerOf(settings.ip()), Host.Form.FRAMES, h -> core.accept());
-        host.serve(settings.control(), core::call);
-        host.loop()
+        host.listen(
+                settings.internalAddressOf(settings.ipAddress()),
+                Environment.Framing.FRAMES,
+                h -> core.accept());
+        host.serveHttp(settings.controlAddress(), core::handle);
+        host.eventLoop()
                 .execute(
                         () -> {
                             try {
                                 core.start();
-                            } catch (Configuration.Invalid bad) {
+                            } catch (Configuration.InvalidConfigurationException bad) {
                                 log.warn("disk", "fault", bad.getMessage());
                                 Runtime.getRuntime().halt(1);
                             }
@@ -105,23 +115,27 @@
                 "program",
                 "control-plane",
                 "name",
-                settings.name(),
+                settings.nodeName(),
                 "zone",
-                settings.zone(),
+                settings.zoneName(),
                 "seeds",
-                settings.seeds());
+                settings.seedAddresses());
     }
 
     /**
      * Seeds may be others now; all else waits for the next start. A file that cannot be used
      * changes nothing.
      */
-    private static void reread(DataPlane.Reading reading, Core core, NettyHost host, Log log) {
+    private static void reread(
+            DataPlaneProgram.SettingsSource reading,
+            ControlNode core,
+            NettyEnvironment host,
+            Log log) {
         try {
-            Settings next = reading.read();
-            host.loop().execute(() -> core.seeds(next.seedIps()));
-            log.info("settings", "seeds", next.seeds());
-        } catch (Settings.Bad bad) {
+            NodeSettings next = reading.read();
+            host.eventLoop().execute(() -> core.addSeeds(next.seedIps()));
+            log.info("settings", "seeds", next.seedAddresses());
+        } catch (NodeSettings.InvalidSettingsException bad) {
             log.warn("settings", "fault", bad.getMessage());
         }
     }
--- a/src/main/java/dillfront/programs/DataPlane.java
+++ b/src/main/java/dillfront/programs/DataPlaneProgram.java
@@ -3,87 +3,90 @@
 import com.eclipsesource.json.Json;
 import dillfront.daemon.Signals;
 import dillfront.front.Front;
-import dillfront.host.Host;
-import dillfront.host.HttpDoor;
-import dillfront.host.NettyHost;
-import dillfront.host.Ring;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.HttpServerHandler;
+import dillfront.host.NettyEnvironment;
+import dillfront.host.NodeSettings;
+import dillfront.host.RingLog;
 import dillfront.log.Log;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 
 /** The program that carries the traffic: clients' sessions onto connections to database servers. */
-public final class DataPlane {
+public final class DataPlaneProgram {
 
-    private DataPlane() {}
+    private DataPlaneProgram() {}
 
     /** Reads the settings, and again on SIGHUP. */
-    public interface Reading {
-        Settings read() throws Settings.Bad;
+    public interface SettingsSource {
+        NodeSettings read() throws NodeSettings.InvalidSettingsException;
     }
 
     /**
      * @throws Settings.Bad with the file, the place and the fault
      */
-    public static void run(Reading reading) throws Settings.Bad, IOException {
+    public static void run(SettingsSource reading)
+            throws NodeSettings.InvalidSettingsException, IOException {
         Log log = new Log(System.err);
-        Settings settings = reading.read();
-        if (settings.front() == null || settings.ready() == null) {
-            throw new Settings.Bad(
+        NodeSettings settings = reading.read();
+        if (settings.frontAddress() == null || settings.readinessAddress() == null) {
+            throw new NodeSettings.InvalidSettingsException(
                     "listen_addresses: no front_address or no readiness_address, which a data plane needs");
         }
-        NettyHost host =
-                new NettyHost(
-                        System.nanoTime() ^ settings.name().hashCode(),
-                        new Ring(System.err, settings.name()));
+        NettyEnvironment host =
+                new NettyEnvironment(
+                        System.nanoTime() ^ settings.nodeName().hashCode(),
+                        new RingLog(System.err, settings.nodeName()));
         Front front = new Front(host, settings);
         Signals.on(
                 "TERM",
-                () -> host.loop().execute(() -> front.leave(() -> Runtime.getRuntime().halt(0))),
+                () ->
+                        host.eventLoop()
+                                .execute(() -> front.leave(() -> Runtime.getRuntime().halt(0))),
                 log);
-        Signals.on("HUP", () -> host.loop().execute(() -> again(front, reading, log)), log);
+        Signals.on("HUP", () -> host.eventLoop().execute(() -> again(front, reading, log)), log);
         Signals.on(
                 "USR2",
-                () -> host.loop().execute(() -> log.info("status", "line", front.status())),
+                () -> host.eventLoop().execute(() -> log.info("status", "line", front.status())),
                 log);
-        host.serve(
-                settings.ready(),
+        host.serveHttp(
+                settings.readinessAddress(),
                 (method, path, body) ->
                         CompletableFuture.completedFuture(
                                 path.equals("/status")
-                                        ? new Host.Answer(
+                                        ? new Environment.HttpResponse(
                                                 200,
                                                 Json.object()
                                                         .add("status", front.status())
                                                         .toString()
                                                         .getBytes(StandardCharsets.UTF_8))
                                         : !path.equals("/readiness")
-                                                ? HttpDoor.said(
+                                                ? HttpServerHandler.errorResponse(
                                                         404,
                                                         "/readiness and /status are answered here")
-                                                : new Host.Answer(
+                                                : new Environment.HttpResponse(
                                                         front.ready() ? 200 : 503,
                                                         "{}".getBytes(StandardCharsets.UTF_8))));
-        host.listen(settings.front(), Host.Form.LINES, h -> front.accept());
-        host.loop().execute(front::start);
+        host.listen(settings.frontAddress(), Environment.Framing.LINES, h -> front.accept());
+        host.eventLoop().execute(front::start);
         log.info(
                 "start",
                 "program",
                 "data-plane",
                 "name",
-                settings.name(),
+                settings.nodeName(),
                 "zone",
-                settings.zone(),
+                settings.zoneName(),
                 "seeds",
-                settings.seeds());
+                settings.seedAddresses());
     }
 
-    private static void again(Front front, Reading reading, Log log) {
+    private static void again(Front front, SettingsSource reading, Log log) {
         try {
             front.settings(reading.read());
-            log.info("settings", "seeds", front.settings.seeds());
-        } catch (Settings.Bad bad) {
+            log.info("settings", "seeds", front.settings.seedAddresses());
+        } catch (NodeSettings.InvalidSettingsException bad) {
             log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
         }
     }
--- a/src/main/java/dillfront/programs/Rehearsal.java
+++ b/src/main/java/dillfront/programs/WarmUp.java
@@ -2,8 +2,8 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import dillfront.host.NettyHost;
-import dillfront.host.Settings;
+import dillfront.host.NettyEnvironment;
+import dillfront.host.NodeSettings;
 import dillfront.memory.Keep;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -20,14 +20,15 @@
  * a client that is told so. The build runs this and keeps the classes that were loaded, so that a
  * process that starts again serves sooner.
  */
-public final class Rehearsal {
+public final class WarmUp {
 
-    private static final int WITHIN_MS = 5_000;
+    private static final int TIMEOUT_MS = 5_000;
 
-    private Rehearsal() {}
+    private WarmUp() {}
 
     /** Runs both programs once and exercises the paths that a first client takes. */
-    public static void run() throws IOException, Settings.Bad, Keep.Broken {
+    public static void run()
+            throws IOException, NodeSettings.InvalidSettingsException, Keep.Broken {
         Path folder = Files.createTempDirectory("rehearsal");
         int[] port = new int[4];
         for (int i = 0; i < port.length; i++) {
@@ -66,9 +67,9 @@
                                         .add("front_address", "127.0.0.1:" + port[2])
                                         .add("readiness_address", "127.0.0.1:" + port[3]))
                         .toString());
-        ControlPlane.run(() -> Settings.read(core));
-        DataPlane.run(() -> Settings.read(front));
-        NettyHost host = new NettyHost(1);
+        ControlPlaneProgram.run(() -> NodeSettings.read(core));
+        DataPlaneProgram.run(() -> NodeSettings.read(front));
+        NettyEnvironment host = new NettyEnvironment(1);
         JsonObject configuration =
                 Json.object()
                         .add("revision_number", 1)
@@ -91,7 +92,7 @@
                                                 Json.object()
                                                         .add("name", "s")
                                                         .add("connection_limit", 20)));
-        say(host, control, "/Configuration.Replace", configuration);
+        post(host, control, "/Configuration.Replace", configuration);
         JsonObject beat =
                 Json.object()
                         .add("service", "s")
@@ -100,8 +101,8 @@
                         .add("state", "ready")
                         .add("database_role", "primary")
                         .add("call_sequence", 1);
-        say(host, control, "/Instances.Heartbeat/i-1", beat);
-        say(host, "127.0.0.1:" + port[3], "/readiness", Json.object());
+        post(host, control, "/Instances.Heartbeat/i-1", beat);
+        post(host, "127.0.0.1:" + port[3], "/readiness", Json.object());
         for (int tries = 0; tries < 50; tries++) {
             String heard = client(port[2]);
             if (heard.contains("ERROR BUSY")) {
@@ -110,9 +111,9 @@
         }
     }
 
-    private static void say(NettyHost host, String to, String path, JsonObject body) {
+    private static void post(NettyEnvironment host, String to, String path, JsonObject body) {
         try {
-            host.post(to, path, body.toString(), Map.of(), WITHIN_MS).join();
+            host.post(to, path, body.toString(), Map.of(), TIMEOUT_MS).join();
         } catch (CompletionException none) {
             System.err.println("rehearsal: " + path + ": " + none.getCause());
         }
@@ -120,7 +121,7 @@
 
     private static String client(int port) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout(WITHIN_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream()
                     .write(
                             ("CONNECT h w\r\nQUERY 1 SET a b\r\nQUERY 2 PREPARE p READ q\r\nQUERY 3 EXECUTE p k\r\n"
--- a/src/test/java/dillfront/core/Alone.java
+++ b/src/test/java/dillfront/core/Alone.java
@@ -1,7 +1,7 @@
 package dillfront.core;
 
-import dillfront.host.Host;
-import dillfront.host.Settings;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -21,12 +21,12 @@
     private Alone() {}
 
     /** Started, with nothing on its disk, and everything kept at once and forgotten. */
-    static Core start(Host host, String... others) throws Exception {
+    static ControlNode start(Environment host, String... others) throws Exception {
         return start(
                 host,
-                new Store() {
+                new StateStore() {
                     @Override
-                    public Map<String, String> all() {
+                    public Map<String, String> initialState() {
                         return Map.of();
                     }
 
@@ -38,13 +38,14 @@
                 others);
     }
 
-    static Core start(Host host, Store store, String... others) throws Exception {
+    static ControlNode start(Environment host, StateStore store, String... others)
+            throws Exception {
         List<String> seeds =
                 Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
-        Core core =
-                new Core(
+        ControlNode core =
+                new ControlNode(
                         host,
-                        new Settings(
+                        new NodeSettings(
                                 "core-1",
                                 "a",
                                 "ra",
--- a/src/test/java/dillfront/core/AskersTest.java
+++ b/src/test/java/dillfront/core/AskersTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
-import dillfront.host.Host;
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
+import dillfront.host.Environment;
 import dillfront.host.ManualHost;
-import dillfront.host.Pack;
+import dillfront.host.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,17 +26,17 @@
 class AskersTest {
 
     private final ManualHost host = new ManualHost();
-    private final List<Pack.Fields> answers = new ArrayList<>();
+    private final List<MessageCodec.Fields> answers = new ArrayList<>();
 
-    private Host.Ear front(Core core) {
-        Host.Ear ear = core.accept();
-        ear.opened(
-                new Host.Link() {
+    private Environment.ConnectionListener front(ControlNode core) {
+        Environment.ConnectionListener ear = core.accept();
+        ear.onOpen(
+                new Environment.Connection() {
                     @Override
                     public void send(byte[] message) {
                         try {
-                            answers.add(Pack.read(message));
-                        } catch (Pack.Bad bad) {
+                            answers.add(MessageCodec.decode(message));
+                        } catch (MessageCodec.MalformedMessageException bad) {
                             throw new AssertionError(bad);
                         }
                     }
@@ -47,22 +47,23 @@
                     }
 
                     @Override
-                    public long waiting() {
+                    public long pendingBytes() {
                         return 0;
                     }
                 });
         return ear;
     }
 
-    private Pack.Fields ask(Host.Ear ear, long question, Object... fields) {
+    private MessageCodec.Fields ask(
+            Environment.ConnectionListener ear, long question, Object... fields) {
         Map<String, Object> out =
                 new HashMap<>(Map.of("t", "news", "n", "front-1", "q", question, "b", "", "c", -1));
         for (int i = 0; i < fields.length; i += 2) {
             out.put((String) fields[i], fields[i + 1]);
         }
         answers.clear();
-        ear.message(Pack.write(out));
-        host.until(host.now() + 700);
+        ear.onMessage(MessageCodec.encode(out));
+        host.until(host.nowMillis() + 700);
         assertEquals(1, answers.size());
         assertEquals(question, answers.get(0).number("q", -1));
         return answers.get(0);
@@ -85,27 +86,29 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private void configure(Core core, long version) {
-        CompletableFuture<Host.Answer> answer =
-                core.call("POST", "/Configuration.Replace", configuration(version));
-        host.until(host.now() + 1_000);
+    private void configure(ControlNode core, long version) {
+        CompletableFuture<Environment.HttpResponse> answer =
+                core.handle("POST", "/Configuration.Replace", configuration(version));
+        host.until(host.nowMillis() + 1_000);
         assertEquals(200, answer.join().status());
     }
 
     @Test
     void aFrontThatHasAVersionIsToldWhatChanged() throws Exception {
-        Core core = Alone.start(host);
-        Host.Ear front = front(core);
+        ControlNode core = Alone.start(host);
+        Environment.ConnectionListener front = front(core);
         configure(core, 1);
-        Pack.Fields first = ask(front, 1);
-        assertArrayEquals(configuration(1), Deflate.back(first.bytes("cz"), Delta.MOST));
+        MessageCodec.Fields first = ask(front, 1);
+        assertArrayEquals(
+                configuration(1), Compression.decompress(first.bytes("cz"), BinaryDelta.MAX_BYTES));
         assertEquals(1, first.number("cv", -1));
         for (long v = 2; v <= 6; v++) {
             configure(core, v);
         }
-        long digest = Delta.digest(configuration(2));
-        Pack.Fields second = ask(front, 2, "c", 2L, "cd", digest);
-        assertArrayEquals(configuration(6), Delta.apply(configuration(2), second.bytes("cx")));
+        long digest = BinaryDelta.digest(configuration(2));
+        MessageCodec.Fields second = ask(front, 2, "c", 2L, "cd", digest);
+        assertArrayEquals(
+                configuration(6), BinaryDelta.apply(configuration(2), second.bytes("cx")));
         assertNull(second.bytes("cz"));
         assertTrue(second.bytes("cx").length < 100, second.bytes("cx").length + " bytes");
         // The digest is said once; it holds until another is said.
@@ -114,16 +117,16 @@
         assertTrue(
                 ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
                 "another content under this number");
-        assertTrue(ask(front, 6, "c", 1L, "cd", Delta.digest(configuration(1))).has("cx"));
-        Pack.Fields none =
-                ask(front, 7, "c", 6L, "b", second.text("b"), "r", second.number("r", 0));
+        assertTrue(ask(front, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
+        MessageCodec.Fields none =
+                ask(front, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
         assertEquals(
                 Set.of("q", "f", "su"),
                 subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
                 none.all().toString());
     }
 
-    private static Set<String> subset(Pack.Fields of, String... names) {
+    private static Set<String> subset(MessageCodec.Fields of, String... names) {
         Set<String> there = new java.util.TreeSet<>(Set.of(names));
         there.retainAll(of.all().keySet());
         return there;
@@ -135,9 +138,9 @@
      */
     @Test
     void outOfContactItHandsOutNothing() throws Exception {
-        Core core = Alone.start(host, "10.0.0.2", "10.0.0.3");
-        Host.Ear front = front(core);
-        core.call(
+        ControlNode core = Alone.start(host, "10.0.0.2", "10.0.0.3");
+        Environment.ConnectionListener front = front(core);
+        core.handle(
                 "POST",
                 "/Instances.Heartbeat/i-1",
                 ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
@@ -145,7 +148,8 @@
                         .getBytes(StandardCharsets.UTF_8));
         host.until(3_000);
         answers.clear();
-        front.message(Pack.write(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
+        front.onMessage(
+                MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
         assertEquals(1, answers.size(), "at once");
         assertEquals(
                 Map.of(
@@ -161,8 +165,8 @@
                 answers.get(0).all());
         // One that knows nobody better waits for contact, and no longer than for news.
         answers.clear();
-        front.message(
-                Pack.write(
+        front.onMessage(
+                MessageCodec.encode(
                         Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
         host.until(3_500);
         assertEquals(0, answers.size());
@@ -178,8 +182,8 @@
      */
     @Test
     void aHolderSaysSureNoLongerThanItsLeaseAndALittle() throws Exception {
-        Core core = Alone.start(host);
-        Host.Ear front = front(core);
+        ControlNode core = Alone.start(host);
+        Environment.ConnectionListener front = front(core);
         configure(core, 1);
         assertEquals(2_850, ask(front, 1).number("su", 0));
     }
@@ -190,10 +194,10 @@
      */
     @Test
     void whatAHolderSaysIsSureIsPassedOnWithWhatIsLeftOfItsLease() throws Exception {
-        Core core = Alone.start(host, "10.0.0.2");
-        Host.Ear other = core.accept();
+        ControlNode core = Alone.start(host, "10.0.0.2");
+        Environment.ConnectionListener other = core.accept();
         host.until(5_000);
-        long now = host.now();
+        long now = host.nowMillis();
         holderSays(core, other, 1, now - 300, 1_000);
         assertEquals(1_000 + 600 - 300, core.sureFor());
         host.until(now + 200);
@@ -206,9 +210,14 @@
         assertEquals(3_000 - 200, core.sureFor());
     }
 
-    private static void holderSays(Core core, Host.Ear ear, long clock, long echo, long left) {
-        ear.message(
-                Pack.write(
+    private static void holderSays(
+            ControlNode core,
+            Environment.ConnectionListener ear,
+            long clock,
+            long echo,
+            long left) {
+        ear.onMessage(
+                MessageCodec.encode(
                         Map.of(
                                 "t",
                                 "word",
--- a/src/test/java/dillfront/core/ControlCallsTest.java
+++ b/src/test/java/dillfront/core/ControlCallsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Host;
-import dillfront.host.Pack;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
 import dillfront.host.ScriptedHost;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -51,7 +51,7 @@
 
     private final ScriptedHost host = new ScriptedHost();
     private final SplittableRandom random = new SplittableRandom(8_241);
-    private Core core;
+    private ControlNode core;
 
     @BeforeEach
     void start() throws Exception {
@@ -65,7 +65,7 @@
     }
 
     private int call(String method, String path, byte[] body) {
-        CompletableFuture<Host.Answer> is = core.call(method, path, body);
+        CompletableFuture<Environment.HttpResponse> is = core.handle(method, path, body);
         for (int i = 0; i < 50 && !is.isDone(); i++) {
             host.pass(100);
         }
@@ -107,7 +107,7 @@
             "/Instances.Leave/i-9",
             "/",
             "/Configuration.Read",
-            DataLosses.ACCEPT,
+            DataLossManager.ACCEPT,
             "/Instances.Heartbeat/" + "x".repeat(5_000),
             "/Instances.Heartbeat/i\n1"
         };
@@ -121,7 +121,7 @@
                                     bytes(
                                             path.contains("Beat") || path.contains("Instances")
                                                     ? BEAT
-                                                    : path.equals(DataLosses.ACCEPT)
+                                                    : path.equals(DataLossManager.ACCEPT)
                                                             ? LOSS
                                                             : GOOD));
             String method = methods[random.nextInt(methods.length)];
@@ -226,16 +226,18 @@
         return is;
     }
 
-    private void hears(Core of, String ip, boolean leaving) {
+    private void hears(ControlNode of, String ip, boolean leaving) {
         Map<String, Object> word = word();
         word.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
-        ScriptedHost.Line line = new ScriptedHost.Line("peer", Host.Form.FRAMES, of.accept());
+        ScriptedHost.Line line =
+                new ScriptedHost.Line("peer", Environment.Framing.FRAMES, of.accept());
         line.open();
-        line.say(new String(Pack.write(word), StandardCharsets.ISO_8859_1));
+        line.say(new String(MessageCodec.encode(word), StandardCharsets.ISO_8859_1));
     }
 
-    private static Host.Answer answer(Core of, String method, String path, String body) {
-        return of.call(method, path, bytes(body)).join();
+    private static Environment.HttpResponse answer(
+            ControlNode of, String method, String path, String body) {
+        return of.handle(method, path, bytes(body)).join();
     }
 
     /**
@@ -245,7 +247,7 @@
      */
     @Test
     void outOfContactItSendsOrdersOnToWhoeverItHeardLast() throws Exception {
-        Core cut = Alone.start(host, "10.0.0.2", "10.0.0.3");
+        ControlNode cut = Alone.start(host, "10.0.0.2", "10.0.0.3");
         assertEquals(
                 503,
                 answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
@@ -253,7 +255,7 @@
         host.pass(2_000);
         Set<String> seeds = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
-            Host.Answer order = answer(cut, "POST", "/Configuration.Replace", GOOD);
+            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
             seeds.add(order.status() + " " + order.location());
         }
         assertEquals(
@@ -264,12 +266,12 @@
         hears(cut, "10.0.0.3", false);
         host.pass(20_000);
         for (int i = 0; i < 20; i++) {
-            Host.Answer order = answer(cut, "POST", "/Configuration.Replace", GOOD);
+            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
             assertEquals(
                     "307 http://10.0.0.3:8002/Configuration.Replace",
                     order.status() + " " + order.location());
         }
-        Host.Answer read = answer(cut, "GET", "/Configuration.Read", "");
+        Environment.HttpResponse read = answer(cut, "GET", "/Configuration.Read", "");
         assertEquals(
                 "307 http://10.0.0.3:8002/Configuration.Read",
                 read.status() + " " + read.location());
@@ -279,7 +281,7 @@
         hears(cut, "10.0.0.2", false);
         hears(cut, "10.0.0.3", true);
         host.pass(20_000);
-        Host.Answer later = answer(cut, "POST", "/Configuration.Replace", GOOD);
+        Environment.HttpResponse later = answer(cut, "POST", "/Configuration.Replace", GOOD);
         assertEquals(
                 "307 http://10.0.0.2:8002/Configuration.Replace",
                 later.status() + " " + later.location());
@@ -337,9 +339,10 @@
                 message.put("t", type);
             }
             Map<String, Object> said = message;
-            byte[] bytes = Pack.write(said);
+            byte[] bytes = MessageCodec.encode(said);
             byte[] sent = random.nextInt(4) == 0 ? spoilt(bytes) : bytes;
-            ScriptedHost.Line line = new ScriptedHost.Line("peer", Host.Form.FRAMES, core.accept());
+            ScriptedHost.Line line =
+                    new ScriptedHost.Line("peer", Environment.Framing.FRAMES, core.accept());
             line.open();
             line.say(new String(sent, StandardCharsets.ISO_8859_1));
             line.reset();
@@ -349,9 +352,10 @@
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
                 200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
-        ScriptedHost.Line front = new ScriptedHost.Line("front", Host.Form.FRAMES, core.accept());
+        ScriptedHost.Line front =
+                new ScriptedHost.Line("front", Environment.Framing.FRAMES, core.accept());
         front.open();
-        front.say(new String(Pack.write(question()), StandardCharsets.ISO_8859_1));
+        front.say(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
         host.pass(1_000);
         assertEquals(1, front.sent.size(), "a question is answered");
     }
--- a/src/test/java/dillfront/core/DurableTest.java
+++ b/src/test/java/dillfront/core/DurableTest.java
@@ -25,7 +25,7 @@
     private final ManualHost host = new ManualHost();
 
     /** Takes 3 ms, or as the test says. */
-    private final class Hand implements Store {
+    private final class Hand implements StateStore {
         final TreeMap<String, String> there = new TreeMap<>();
         final List<Map<String, String>> given = new ArrayList<>();
         long takes = 3;
@@ -38,7 +38,7 @@
         private CompletableFuture<Void> hung;
 
         @Override
-        public Map<String, String> all() {
+        public Map<String, String> initialState() {
             return new HashMap<>(there);
         }
 
@@ -76,7 +76,7 @@
     @Test
     void whatWasRefusedGoesWithTheNext() {
         Hand disk = new Hand();
-        Durable store = new Durable(host, disk);
+        RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
         CompletableFuture<Void> first = store.put(Map.of("a", "1", "b", "1"));
         host.until(20);
@@ -94,46 +94,46 @@
     @Test
     void whatWasRefusedIsTriedAgainByItselfAndEverMoreSeldom() {
         Hand disk = new Hand();
-        Durable store = new Durable(host, disk);
+        RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
         CompletableFuture<Void> put = store.put(Map.of("a", "1"));
         host.until(60_000);
         assertTrue(disk.given.size() > 25 && disk.given.size() < 40, disk.given.size() + " tries");
-        assertEquals(60_000, store.stalledFor());
+        assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
         // However many puts come, it is tried ten times a second at most.
         int before = disk.given.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
-            host.until(host.now() + 5);
+            host.until(host.nowMillis() + 5);
         }
         assertTrue(disk.given.size() - before < 55, disk.given.size() - before + " tries in 5 s");
         disk.refuses = false;
-        host.until(host.now() + 2_100);
+        host.until(host.nowMillis() + 2_100);
         assertTrue(put.isDone());
         assertEquals(Map.of("a", "999"), disk.there);
-        assertEquals(0, store.stalledFor());
+        assertEquals(0, store.stalledMillis());
     }
 
     @Test
     void howLongTheDiskHangsIsKnownAndItGoesOnBehind() {
         Hand disk = new Hand();
-        Durable store = new Durable(host, disk);
-        assertEquals(0, store.stalledFor());
+        RetryingStateStore store = new RetryingStateStore(host, disk);
+        assertEquals(0, store.stalledMillis());
         disk.hangs = true;
         List<Integer> over = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             int number = i;
             store.put(Map.of("n", "" + i)).thenRun(() -> over.add(number));
-            host.until(host.now() + 1_000);
+            host.until(host.nowMillis() + 1_000);
         }
-        assertEquals(5_000, store.stalledFor());
+        assertEquals(5_000, store.stalledMillis());
         assertEquals(1, disk.given.size());
         disk.hangs = false;
         disk.end(disk.given.get(0), true, false);
         assertEquals(List.of(0), over);
-        assertEquals(4_000, store.stalledFor(), "of the next that waits");
-        host.until(host.now() + 4);
+        assertEquals(4_000, store.stalledMillis(), "of the next that waits");
+        host.until(host.nowMillis() + 4);
         assertEquals(List.of(0, 1, 2, 3, 4), over);
         assertEquals(Map.of("n", "4"), disk.there);
         assertEquals(2, disk.given.size(), "what waited went together");
@@ -147,7 +147,7 @@
     void whatIsThereIsNotWrittenAgain() {
         Hand disk = new Hand();
         disk.there.put("a", "1");
-        Durable store = new Durable(host, disk);
+        RetryingStateStore store = new RetryingStateStore(host, disk);
         assertTrue(store.put(Map.of("a", "1")).isDone());
         assertEquals(0, disk.given.size());
         store.put(Map.of("a", "1", "b", "1", "c", ""));
@@ -170,10 +170,12 @@
     @Test
     void whatNoDiskTakesIsRefusedAndHoldsUpNobody() {
         Hand disk = new Hand();
-        Durable store = new Durable(host, disk);
+        RetryingStateStore store = new RetryingStateStore(host, disk);
         assertTrue(
-                store.put(Map.of("a", "x".repeat(Store.LONGEST + 1))).isCompletedExceptionally());
-        CompletableFuture<Void> fits = store.put(Map.of("a", "x".repeat(Store.LONGEST)));
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH + 1)))
+                        .isCompletedExceptionally());
+        CompletableFuture<Void> fits =
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH)));
         host.until(10);
         assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
         disk.hangs = true;
@@ -197,11 +199,11 @@
     @Test
     void aRecordThatTheDiskRefusedIsThereLater() throws Exception {
         Hand disk = new Hand();
-        Core core = Alone.start(host, disk);
+        ControlNode core = Alone.start(host, disk);
         host.until(8_000);
         for (int i = 1; i <= 6; i++) {
             disk.refuses = i <= 1;
-            core.call(
+            core.handle(
                     "POST",
                     "/Instances.Heartbeat/i-1",
                     ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
@@ -209,7 +211,7 @@
                                     + i
                                     + "}")
                             .getBytes(StandardCharsets.UTF_8));
-            host.until(host.now() + 500);
+            host.until(host.nowMillis() + 500);
             assertTrue(i > 1 || !disk.there.containsKey("lead:s"));
         }
         assertTrue(core.status().contains(" | s primary=i-1"), core.status());
@@ -233,7 +235,7 @@
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Hand disk = new Hand();
-            Durable store = new Durable(host, disk);
+            RetryingStateStore store = new RetryingStateStore(host, disk);
             TreeMap<String, Integer> newest = new TreeMap<>();
             List<Integer> told = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
@@ -262,10 +264,10 @@
                     disk.done = random.nextBoolean();
                 }
                 disk.takes = random.nextInt(40);
-                host.until(host.now() + random.nextInt(60));
+                host.until(host.nowMillis() + random.nextInt(60));
             }
             disk.refuses = false;
-            host.until(host.now() + 4_200);
+            host.until(host.nowMillis() + 4_200);
             assertEquals(150, told.size(), "seed " + seed);
             for (int i = 0; i < 150; i++) {
                 assertEquals(i, told.get(i), "seed " + seed);
--- a/src/test/java/dillfront/core/LeadTest.java
+++ b/src/test/java/dillfront/core/LeadTest.java
@@ -3,50 +3,54 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import dillfront.host.Acknowledged;
-import dillfront.host.DataLoss;
-import dillfront.host.Pack;
-import dillfront.host.Position;
+import dillfront.host.AcceptedDataLoss;
+import dillfront.host.AcknowledgedCommits;
+import dillfront.host.LogPosition;
+import dillfront.host.MessageCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What was recorded of a service is the same on a disk, and at another process. */
 class LeadTest {
 
-    private final DataLoss loss =
-            DataLoss.of(
+    private final AcceptedDataLoss loss =
+            AcceptedDataLoss.accept(
                     5,
-                    new Position(1, 10),
-                    new Acknowledged(new Position(1, 70), new Position(1, 72)),
+                    new LogPosition(1, 10),
+                    new AcknowledgedCommits(new LogPosition(1, 70), new LogPosition(1, 72)),
                     List.of("i\n3"),
                     null);
 
-    private static Lead passed(Lead of) throws Pack.Bad {
-        assertEquals(of, Lead.kept(of.service(), of.kept()));
-        return Lead.of(Pack.read(Pack.write(of.row())));
+    private static PrimaryRecord passed(PrimaryRecord of)
+            throws MessageCodec.MalformedMessageException {
+        assertEquals(of, PrimaryRecord.decode(of.service(), of.encode()));
+        return PrimaryRecord.fromRow(MessageCodec.decode(MessageCodec.encode(of.toRow())));
     }
 
     @Test
-    void allOfItIsPassedOnAndKept() throws Pack.Bad {
-        Lead one = new Lead("db", 3, "i-1", false, true);
+    void allOfItIsPassedOnAndKept() throws MessageCodec.MalformedMessageException {
+        PrimaryRecord one = new PrimaryRecord("db", 3, "i-1", false, true);
         assertEquals(one, passed(one));
-        Lead moving = one.moves(5);
+        PrimaryRecord moving = one.startMove(5);
         assertEquals(moving, passed(moving));
-        assertEquals(5, moving.move());
-        Lead given = moving.again(8).without(9, loss);
+        assertEquals(5, moving.moveNumber());
+        PrimaryRecord given = moving.renumbered(8).withAcceptedLoss(9, loss);
         assertEquals(given, passed(given));
-        assertEquals(5, given.move(), "it is the same move under the next holder");
-        Lead leads = given.leads(10, "i-2", false, loss);
+        assertEquals(5, given.moveNumber(), "it is the same move under the next holder");
+        PrimaryRecord leads = given.finishMove(10, "i-2", false, loss);
         assertEquals(leads, passed(leads));
-        assertEquals(0, leads.move());
-        assertEquals(loss, leads.moves(12).loss());
+        assertEquals(0, leads.moveNumber());
+        assertEquals(loss, leads.startMove(12).acceptedLoss());
     }
 
     @Test
     void textsOfBeforeAreRead() {
-        assertEquals(new Lead("db", 3, "i-1", true, true), Lead.kept("db", "3\ni-1\ntrue"));
         assertEquals(
-                new Lead("db", 3, "i-1", false, false), Lead.kept("db", "3\ni-1\nfalse\nfalse"));
-        assertNull(Lead.kept("db", "3\ni-1"));
+                new PrimaryRecord("db", 3, "i-1", true, true),
+                PrimaryRecord.decode("db", "3\ni-1\ntrue"));
+        assertEquals(
+                new PrimaryRecord("db", 3, "i-1", false, false),
+                PrimaryRecord.decode("db", "3\ni-1\nfalse\nfalse"));
+        assertNull(PrimaryRecord.decode("db", "3\ni-1"));
     }
 }
--- a/src/test/java/dillfront/core/LeavesTest.java
+++ b/src/test/java/dillfront/core/LeavesTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Host;
-import dillfront.host.Pack;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
+import dillfront.host.NodeSettings;
 import dillfront.host.ScriptedHost;
-import dillfront.host.Settings;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
@@ -25,7 +25,7 @@
 
     private final ScriptedHost host = new ScriptedHost();
     private final Map<String, String> disk = new TreeMap<>();
-    private Core core;
+    private ControlNode core;
 
     /** Writes that were made while the disk stood still. */
     private boolean stands;
@@ -34,8 +34,8 @@
 
     @BeforeEach
     void start() throws Exception {
-        Settings settings =
-                new Settings(
+        NodeSettings settings =
+                new NodeSettings(
                         "c",
                         "z",
                         "r",
@@ -54,12 +54,12 @@
                         6_000,
                         null);
         core =
-                new Core(
+                new ControlNode(
                         host,
                         settings,
-                        new Store() {
+                        new StateStore() {
                             @Override
-                            public Map<String, String> all() {
+                            public Map<String, String> initialState() {
                                 return disk;
                             }
 
@@ -74,8 +74,8 @@
         host.pass(6_000);
     }
 
-    private CompletableFuture<Host.Answer> call(String path, String body) {
-        return core.call("POST", path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private CompletableFuture<Environment.HttpResponse> call(String path, String body) {
+        return core.handle("POST", path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     private void beat(String id, String state, String role, long sequence) {
@@ -97,14 +97,14 @@
         return answered(call("/Instances.Leave/" + id, "{}"));
     }
 
-    private int answered(CompletableFuture<Host.Answer> call) {
+    private int answered(CompletableFuture<Environment.HttpResponse> call) {
         host.pass(500);
         assertTrue(call.isDone(), "an answer within half a second");
         return call.join().status();
     }
 
-    private static Pack.Fields row(String id, String service, String state, long sequence) {
-        return new Pack.Fields(
+    private static MessageCodec.Fields row(String id, String service, String state, long sequence) {
+        return new MessageCodec.Fields(
                 new HashMap<>(
                         Map.of(
                                 "i",
@@ -127,11 +127,11 @@
     void oneThatNeverDrainedServesOnAndCounts() {
         beat("i-1", "ready", "primary", 4);
         assertEquals(200, leave("i-1"));
-        Member m = core.members.get("i-1");
-        assertTrue(m.draining() && !m.left(), m.state);
-        assertEquals(List.of(m), core.members.of("s"));
+        DatabaseServer m = core.registry.get("i-1");
+        assertTrue(m.isDraining() && !m.hasLeft(), m.state);
+        assertEquals(List.of(m), core.registry.serversOf("s"));
         assertEquals(200, leave("i-1"));
-        assertFalse(m.left(), "its leave may come twice, as its answer may be lost");
+        assertFalse(m.hasLeft(), "its leave may come twice, as its answer may be lost");
     }
 
     @Test
@@ -139,8 +139,8 @@
         beat("i-1", "ready", "replica", 4);
         beat("i-1", "draining", "replica", 5);
         assertEquals(200, leave("i-1"));
-        assertTrue(core.members.get("i-1").left());
-        assertEquals(List.of(), core.members.of("s"));
+        assertTrue(core.registry.get("i-1").hasLeft());
+        assertEquals(List.of(), core.registry.serversOf("s"));
     }
 
     @Test
@@ -150,32 +150,32 @@
         beat("i-1", "ready", "replica", 3);
         beat("i-1", "ready", "replica", 9);
         beat("i-1", "draining", "replica", 10);
-        assertEquals("leaving", core.members.get("i-1").state);
-        core.members.merge(row("i-1", "s", "ready", 12), 0);
-        assertEquals("leaving", core.members.get("i-1").state);
+        assertEquals("leaving", core.registry.get("i-1").state);
+        core.registry.merge(row("i-1", "s", "ready", 12), 0);
+        assertEquals("leaving", core.registry.get("i-1").state);
     }
 
     @Test
     void theLeaveOfOneThatIsNotKnownStands() {
         assertEquals(200, leave("i-7"));
         beat("i-7", "ready", "primary", 4);
-        Member m = core.members.get("i-7");
+        DatabaseServer m = core.registry.get("i-7");
         assertEquals("s", m.service);
         assertEquals("10.0.0.9:80", m.address);
-        assertTrue(m.draining(), "a beat that was on its way does not undo it");
+        assertTrue(m.isDraining(), "a beat that was on its way does not undo it");
     }
 
     @Test
     void itIsToldToThoseThatKnowIt() throws Exception {
         leave("i-7");
-        Members other = new Members();
+        ServerRegistry other = new ServerRegistry();
         other.merge(row("i-7", "s", "ready", 4), 0);
-        for (Object told : core.members.since(0)) {
+        for (Object told : core.registry.rowsSince(0)) {
             @SuppressWarnings("unchecked")
             Map<String, Object> fields = (Map<String, Object>) told;
-            assertTrue(other.merge(Pack.read(Pack.write(fields)), 0));
+            assertTrue(other.merge(MessageCodec.decode(MessageCodec.encode(fields)), 0));
         }
-        assertTrue(other.get("i-7").draining());
+        assertTrue(other.get("i-7").isDraining());
         assertEquals("s", other.get("i-7").service);
         assertEquals("10.0.0.9:80", other.get("i-7").address);
     }
@@ -184,29 +184,29 @@
     void itIsAcknowledgedOnceTheDiskHasIt() {
         stands = true;
         writes = new CompletableFuture<>();
-        CompletableFuture<Host.Answer> call = call("/Instances.Leave/i-7", "{}");
+        CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
         host.pass(500);
         assertFalse(call.isDone(), "not on a disk yet");
         writes.complete(null);
         host.pass(200);
         assertEquals(200, call.join().status());
-        Members again = new Members();
-        again.load(disk, 0);
+        ServerRegistry again = new ServerRegistry();
+        again.restore(disk, 0);
         again.merge(row("i-7", "s", "ready", 4), 0);
-        assertTrue(again.get("i-7").draining(), "the next life knows it too");
+        assertTrue(again.get("i-7").isDraining(), "the next life knows it too");
     }
 
     @Test
     void aBeatThatComesLateSaysNothingOfNow() {
         beat("i-1", "ready", "replica", 4);
-        long heard = core.members.get("i-1").heard;
+        long heard = core.registry.get("i-1").lastHeardMillis;
         host.pass(3_000);
         beat("i-1", "ready", "primary", 3);
-        Member m = core.members.get("i-1");
-        assertEquals(heard, m.heard);
+        DatabaseServer m = core.registry.get("i-1");
+        assertEquals(heard, m.lastHeardMillis);
         assertEquals("replica", m.role);
         beat("i-1", "ready", "replica", 5);
-        assertTrue(m.heard > heard);
+        assertTrue(m.lastHeardMillis > heard);
     }
 
     @Test
@@ -214,9 +214,9 @@
         beat("i-1", "ready", "replica", 4);
         leave("i-1");
         host.pass(25_000);
-        assertFalse(core.members.get("i-1").left(), "it may serve on for many seconds");
+        assertFalse(core.registry.get("i-1").hasLeft(), "it may serve on for many seconds");
         host.pass(10_000);
-        assertTrue(core.members.get("i-1").left());
+        assertTrue(core.registry.get("i-1").hasLeft());
     }
 
     @Test
--- a/src/test/java/dillfront/core/MembershipTest.java
+++ b/src/test/java/dillfront/core/MembershipTest.java
@@ -46,7 +46,7 @@
             from the zone that has fewest         | 1 | a b c     | a-nz1 b-nz2 c-nz2 d-nz2 e-nz1 f-nz3 | a b c f
             """)
     void next(String name, int losses, String members, String seen, String expected) {
-        List<Membership.Process> processes = new ArrayList<>();
+        List<MembershipPolicy.Candidate> processes = new ArrayList<>();
         for (String one : seen.trim().split(" +")) {
             int dash = one.indexOf('-');
             String id = dash < 0 ? one : one.substring(0, dash);
@@ -54,7 +54,7 @@
             int silent = what.indexOf('s');
             int zone = what.indexOf('z');
             processes.add(
-                    new Membership.Process(
+                    new MembershipPolicy.Candidate(
                             id,
                             zone < 0 ? "" : what.substring(zone),
                             silent < 0
@@ -67,7 +67,7 @@
         }
         assertEquals(
                 new TreeSet<>(List.of(expected.trim().split(" +"))),
-                Membership.next(
+                MembershipPolicy.nextMembers(
                         new TreeSet<>(List.of(members.trim().split(" +"))), processes, losses));
     }
 }
--- a/src/test/java/dillfront/core/QuestionTest.java
+++ b/src/test/java/dillfront/core/QuestionTest.java
@@ -19,20 +19,21 @@
     private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
 
     private final ScriptedHost host = new ScriptedHost();
-    private Core core;
-    private final Member to = new Member("i-1", "db");
+    private ControlNode core;
+    private final DatabaseServer to = new DatabaseServer("i-1", "db");
 
     @BeforeEach
     void holder() throws Exception {
         core = Alone.start(host);
         host.pass(Alone.HOLDS_MS);
-        assertTrue(core.lease.holds(), "alone, it holds the lease");
+        assertTrue(core.lease.isHeld(), "alone, it holds the lease");
         to.address = "10.0.0.9:5432";
     }
 
     private ScriptedHost.Line ask(
-            Function<Question.Row, String> then, CompletableFuture<Question.Row> into) {
-        Question.ask(core, to, 500, then)
+            Function<ServerQuery.ServerStatus, String> then,
+            CompletableFuture<ServerQuery.ServerStatus> into) {
+        ServerQuery.ask(core, to, 500, then)
                 .whenComplete(
                         (row, fault) -> {
                             if (fault == null) {
@@ -47,7 +48,7 @@
         return line;
     }
 
-    private static String fault(CompletableFuture<Question.Row> of) {
+    private static String fault(CompletableFuture<ServerQuery.ServerStatus> of) {
         assertTrue(of.isDone(), "nothing came of it");
         try {
             return "answered " + of.join();
@@ -58,15 +59,15 @@
 
     @Test
     void theSecondWordsOwnAnswerCounts() {
-        CompletableFuture<Question.Row> is = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "PAUSE " + row.next(), is);
+        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
         line.say("READY I -");
         assertEquals("QUERY - STATUS", line.last());
         line.say(REPLICA, "COMPLETE -", "READY I 3.7");
         assertEquals("QUERY - PAUSE 4", line.last());
         assertFalse(is.isDone());
         line.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
-        assertEquals(9, is.join().position().number());
+        assertEquals(9, is.join().position().index());
         assertTrue(line.closed);
     }
 
@@ -75,14 +76,14 @@
      */
     @Test
     void whatIsNoAnswerToItCountsForNothing() {
-        CompletableFuture<Question.Row> early = new CompletableFuture<>();
+        CompletableFuture<ServerQuery.ServerStatus> early = new CompletableFuture<>();
         ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
         assertTrue(fault(early).contains("row out of place"), fault(early));
-        CompletableFuture<Question.Row> half = new CompletableFuture<>();
+        CompletableFuture<ServerQuery.ServerStatus> half = new CompletableFuture<>();
         ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
         assertTrue(fault(half).contains("half an answer"), fault(half));
-        CompletableFuture<Question.Row> twice = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "PAUSE " + row.next(), twice);
+        CompletableFuture<ServerQuery.ServerStatus> twice = new CompletableFuture<>();
+        ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
         line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
         assertTrue(fault(twice).contains("half an answer"), fault(twice));
     }
@@ -91,17 +92,18 @@
     void aRefusalEndsItAndTellsWhetherItLives() {
         for (String[] one :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
-            CompletableFuture<Question.Row> is = new CompletableFuture<>();
+            CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
             ask(null, is).say(one[0]);
             is.exceptionally(
                     fault -> {
                         assertEquals(
-                                Boolean.parseBoolean(one[1]), ((Question.Unanswered) fault).alive);
+                                Boolean.parseBoolean(one[1]),
+                                ((ServerQuery.NoResponseException) fault).serverAlive);
                         return null;
                     });
             assertTrue(is.isCompletedExceptionally());
         }
-        CompletableFuture<Question.Row> busy = new CompletableFuture<>();
+        CompletableFuture<ServerQuery.ServerStatus> busy = new CompletableFuture<>();
         ScriptedHost.Line line = ask(row -> "PAUSE 4", busy);
         line.say("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
@@ -114,8 +116,8 @@
      */
     @Test
     void whoWasAwayTooLongSaysNoSecondWord() {
-        CompletableFuture<Question.Row> is = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "STEPDOWN " + row.next(), is);
+        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        ScriptedHost.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
         line.say("READY I -");
         host.freeze(20_000);
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
@@ -126,14 +128,14 @@
     /** The same where its time is not over, but the lease is. */
     @Test
     void withoutTheLeaseThereIsNoSecondWord() {
-        CompletableFuture<Question.Row> is = new CompletableFuture<>();
-        Question.ask(core, to, 60_000, row -> "STEPDOWN " + row.next())
+        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        ServerQuery.ask(core, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
                 .whenComplete((row, fault) -> is.complete(row));
         ScriptedHost.Line line = host.lastDialed();
         line.open();
         line.say("READY I -");
-        core.lease.leave();
-        assertFalse(core.lease.holds());
+        core.lease.resign();
+        assertFalse(core.lease.isHeld());
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
                 line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
@@ -143,7 +145,7 @@
     /** An answer after its time finds nobody; the connection is left. */
     @Test
     void anAnswerAfterItsTimeIsNone() {
-        CompletableFuture<Question.Row> is = new CompletableFuture<>();
+        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
         ScriptedHost.Line line = ask(null, is);
         line.say("READY I -");
         host.pass(600);
--- a/src/test/java/dillfront/core/StoredStateTest.java
+++ b/src/test/java/dillfront/core/StoredStateTest.java
@@ -39,12 +39,12 @@
         return keep.all();
     }
 
-    private static Core start(Map<String, String> texts) throws Exception {
+    private static ControlNode start(Map<String, String> texts) throws Exception {
         return Alone.start(
                 new ManualHost(),
-                new Store() {
+                new StateStore() {
                     @Override
-                    public Map<String, String> all() {
+                    public Map<String, String> initialState() {
                         return texts;
                     }
 
@@ -55,25 +55,26 @@
                 });
     }
 
-    private static String server(Core core, String id) {
-        Member server = core.members.get(id);
-        return server.service + " " + server.zone + " " + server.state + " " + server.role;
+    private static String server(ControlNode core, String id) {
+        DatabaseServer server = core.registry.get(id);
+        return server.service + " " + server.zoneName + " " + server.state + " " + server.role;
     }
 
     private void readsAll(String disk, String id, long asked) throws Exception {
         Map<String, String> texts = open(copy(disk));
-        Core core = start(texts);
+        ControlNode core = start(texts);
         assertEquals(id, core.id());
-        Value value = core.register.held();
+        RegisterValue value = core.register.acceptedValue();
         assertEquals(3, value.epoch());
-        assertEquals(Value.ids(String.join(",", FIRST, SECOND, THIRD)), value.members());
-        assertFalse(value.joint());
-        assertEquals(7, value.configuration().version());
-        assertEquals(141, value.configuration().size());
-        assertEquals(507, value.configuration().route("h140").timeout());
-        assertEquals("[1, 3, 5, 7]", value.past().keySet().toString());
-        assertEquals(value.configuration().digest(), value.past().get(7L));
-        assertEquals(1_048_577, core.lease.promised());
+        assertEquals(
+                RegisterValue.parseIds(String.join(",", FIRST, SECOND, THIRD)), value.members());
+        assertFalse(value.isJoint());
+        assertEquals(7, value.configuration().revision());
+        assertEquals(141, value.configuration().routeCount());
+        assertEquals(507, value.configuration().route("h140").timeoutMillis());
+        assertEquals("[1, 3, 5, 7]", value.revisionDigests().keySet().toString());
+        assertEquals(value.configuration().digest(), value.revisionDigests().get(7L));
+        assertEquals(1_048_577, core.lease.promisedNumber());
         assertEquals(SECOND, core.lease.promisedTo());
         assertEquals("orders-1", core.lead("orders").primary());
         assertEquals("accounts-1", core.lead("accounts").primary());
--- a/src/test/java/dillfront/core/VersionsTest.java
+++ b/src/test/java/dillfront/core/VersionsTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
 import dillfront.host.Configuration;
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,7 +21,7 @@
 class VersionsTest {
 
     private static Configuration configuration(long version, int routes, long salt)
-            throws Configuration.Invalid {
+            throws Configuration.InvalidConfigurationException {
         StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",")
@@ -33,7 +33,7 @@
                     .append(i == version % routes ? 1_000 + version : 800)
                     .append(",\"service\":\"s\"}");
         }
-        return Configuration.read(
+        return Configuration.parse(
                 text.append("],\"services\":[{\"name\":\"s\"}]}")
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
@@ -41,46 +41,49 @@
 
     @Test
     void whoeverIsAFewBehindGetsWhatChanged() throws Exception {
-        Versions versions = new Versions();
+        ConfigurationHistory versions = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
         for (long v = 1; v <= 200; v++) {
             all.add(configuration(3 * v, 300, 0));
-            versions.decided(all.get(all.size() - 1));
+            versions.append(all.get(all.size() - 1));
         }
         Configuration newest = all.get(199);
         for (int i = 0; i < 199; i++) {
             Configuration is = all.get(i);
-            byte[] delta = versions.since(is.version(), is.digest());
-            assertEquals(i >= 199 - 64, delta != null, "of version " + is.version());
+            byte[] delta = versions.deltaFrom(is.revision(), is.digest());
+            assertEquals(i >= 199 - 64, delta != null, "of version " + is.revision());
             if (delta != null) {
-                assertArrayEquals(newest.body(), Delta.apply(is.body(), delta));
+                assertArrayEquals(newest.body(), BinaryDelta.apply(is.body(), delta));
                 assertSame(
                         delta,
-                        versions.since(is.version(), is.digest()),
+                        versions.deltaFrom(is.revision(), is.digest()),
                         "made once for all who ask");
                 assertTrue(
                         delta.length < 60 + 30 * (199 - i),
                         delta.length + " bytes for " + (199 - i) + " changes");
             }
             assertNull(
-                    versions.since(is.version(), is.digest() + 1),
+                    versions.deltaFrom(is.revision(), is.digest() + 1),
                     "another content under this number");
-            assertNull(versions.since(is.version() + 1, is.digest()), "a number that never was");
+            assertNull(
+                    versions.deltaFrom(is.revision() + 1, is.digest()), "a number that never was");
         }
-        assertNull(versions.since(newest.version(), newest.digest()));
-        assertNull(versions.since(-1, Configuration.NONE.digest()));
-        assertArrayEquals(newest.body(), Deflate.back(versions.whole(), Delta.MOST));
-        assertSame(versions.whole(), versions.whole());
+        assertNull(versions.deltaFrom(newest.revision(), newest.digest()));
+        assertNull(versions.deltaFrom(-1, Configuration.NONE.digest()));
+        assertArrayEquals(
+                newest.body(),
+                Compression.decompress(versions.compressed(), BinaryDelta.MAX_BYTES));
+        assertSame(versions.compressed(), versions.compressed());
         // What is no newer changes nothing.
-        versions.decided(all.get(7));
-        versions.decided(configuration(600, 3, 1));
+        versions.append(all.get(7));
+        versions.append(configuration(600, 3, 1));
         assertSame(newest, versions.newest());
     }
 
     /** Where all is new each time, little is kept, and the whole goes out. */
     @Test
     void whatHasNothingInCommonIsNotKept() throws Exception {
-        Versions versions = new Versions();
+        ConfigurationHistory versions = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
         for (int v = 1; v <= 40; v++) {
             byte[] noise = new byte[150_000];
@@ -89,17 +92,19 @@
                 noise[i] = (byte) ('a' + random.nextInt(26));
             }
             all.add(
-                    Configuration.read(
+                    Configuration.parse(
                             ("{\"revision_number\":"
                                             + v
                                             + ",\"routes\":[],\"services\":[],\"x\":\""
                                             + new String(noise, StandardCharsets.US_ASCII)
                                             + "\"}")
                                     .getBytes(StandardCharsets.UTF_8)));
-            versions.decided(all.get(v - 1));
+            versions.append(all.get(v - 1));
         }
         long known =
-                all.stream().filter(c -> versions.since(c.version(), c.digest()) != null).count();
+                all.stream()
+                        .filter(c -> versions.deltaFrom(c.revision(), c.digest()) != null)
+                        .count();
         assertEquals(0, known, "no change is shorter than the whole, deflated");
     }
 
@@ -107,26 +112,32 @@
     void whatIsDeflatedComesBackOrIsFoundDamaged() throws Exception {
         for (String text : new String[] {"", "a", "{}".repeat(40_000)}) {
             byte[] is = text.getBytes(StandardCharsets.UTF_8);
-            byte[] small = Deflate.of(is);
-            assertArrayEquals(is, Deflate.back(small, is.length));
+            byte[] small = Compression.compress(is);
+            assertArrayEquals(is, Compression.decompress(small, is.length));
             for (int cut = 0; cut < small.length; cut++) {
                 byte[] part = Arrays.copyOf(small, cut);
-                assertThrows(Deflate.Bad.class, () -> Deflate.back(part, is.length));
+                assertThrows(
+                        Compression.CorruptDataException.class,
+                        () -> Compression.decompress(part, is.length));
             }
             assertThrows(
-                    Deflate.Bad.class,
-                    () -> Deflate.back(Arrays.copyOf(small, small.length + 1), is.length));
+                    Compression.CorruptDataException.class,
+                    () ->
+                            Compression.decompress(
+                                    Arrays.copyOf(small, small.length + 1), is.length));
             for (int at = 0; at < small.length; at++) {
                 byte[] bad = small.clone();
                 bad[at] ^= 4;
                 try {
-                    assertArrayEquals(is, Deflate.back(bad, is.length), "at " + at);
-                } catch (Deflate.Bad found) {
+                    assertArrayEquals(is, Compression.decompress(bad, is.length), "at " + at);
+                } catch (Compression.CorruptDataException found) {
                     assertTrue(!found.getMessage().isEmpty());
                 }
             }
             if (is.length > 0) {
-                assertThrows(Deflate.Bad.class, () -> Deflate.back(small, is.length - 1));
+                assertThrows(
+                        Compression.CorruptDataException.class,
+                        () -> Compression.decompress(small, is.length - 1));
             }
         }
     }
--- a/src/test/java/dillfront/front/AcceptedLossTest.java
+++ b/src/test/java/dillfront/front/AcceptedLossTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.host.Acknowledged;
-import dillfront.host.DataLoss;
+import dillfront.host.AcceptedDataLoss;
+import dillfront.host.AcknowledgedCommits;
+import dillfront.host.LogPosition;
 import dillfront.host.ManualHost;
-import dillfront.host.Position;
-import dillfront.host.Settings;
+import dillfront.host.NodeSettings;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
@@ -22,8 +22,8 @@
     private Server leads;
     private Server another;
 
-    private static Position at(String text) {
-        return Position.of(text);
+    private static LogPosition at(String text) {
+        return LogPosition.parse(text);
     }
 
     @BeforeEach
@@ -31,7 +31,7 @@
         Front front =
                 new Front(
                         new ManualHost(),
-                        new Settings(
+                        new NodeSettings(
                                 "f",
                                 "z",
                                 "r",
@@ -55,8 +55,12 @@
         service.acknowledged(another, at("1.69"), at("1.72"));
         service.primary = "i-2";
         service.loss =
-                DataLoss.of(
-                        7, at("1.10"), new Acknowledged(at("1.70"), at("1.72")), List.of(), null);
+                AcceptedDataLoss.accept(
+                        7,
+                        at("1.10"),
+                        new AcknowledgedCommits(at("1.70"), at("1.72")),
+                        List.of(),
+                        null);
     }
 
     /** Guards against a session that waits for ever for its own write, which is in no log. */
@@ -76,22 +80,22 @@
     @Test
     void whatTheNextPrimaryAcknowledgesIsPastWhatIsGone() {
         service.acknowledged(leads, at("1.10"), at("2.11"));
-        assertEquals(at("1.73"), service.acknowledged.least());
+        assertEquals(at("1.73"), service.acknowledged.lowerBound());
         assertEquals(
                 service.acknowledged,
-                service.loss.without(service.acknowledged),
+                service.loss.exclude(service.acknowledged),
                 "not given up with the rest");
         service.acknowledged(leads, at("2.11"), at("2.12"));
-        assertEquals(at("2.12"), service.acknowledged.least());
+        assertEquals(at("2.12"), service.acknowledged.lowerBound());
     }
 
     @Test
     void noOthersAnswerIsTakenForThat() {
-        Acknowledged before = service.acknowledged;
+        AcknowledgedCommits before = service.acknowledged;
         service.acknowledged(another, at("1.20"), at("1.21"));
         assertEquals(before, service.acknowledged);
-        service.loss = service.loss.leads(at("1.72"));
+        service.loss = service.loss.withLeaderAt(at("1.72"));
         service.acknowledged(leads, at("1.72"), at("1.73"));
-        assertEquals(at("1.73"), service.acknowledged.least(), "the old log goes on");
+        assertEquals(at("1.73"), service.acknowledged.lowerBound(), "the old log goes on");
     }
 }
--- a/src/test/java/dillfront/front/CallersTest.java
+++ b/src/test/java/dillfront/front/CallersTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.host.Configuration;
-import dillfront.host.Host;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import dillfront.host.ScriptedHost;
-import dillfront.host.Settings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -81,13 +81,13 @@
         int cut;
         boolean calm;
 
-        Day(long seed) throws Configuration.Invalid {
+        Day(long seed) throws Configuration.InvalidConfigurationException {
             this.seed = seed;
             random = new SplittableRandom(seed);
             front =
                     new Front(
                             host,
-                            new Settings(
+                            new NodeSettings(
                                     "f",
                                     "z",
                                     "r",
@@ -107,7 +107,7 @@
                                     null));
             front.start();
             front.configured(
-                    Configuration.read(
+                    Configuration.parse(
                             ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                             + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
                                             + "'route_kind':'bounded_staleness','max_staleness_ms':1000,'timeout_ms':800,'target_latency_ms':300,'service':'s',"
@@ -260,7 +260,7 @@
 
         void ask(Client c) {
             if (c.line == null || c.line.closed) {
-                c.line = new ScriptedHost.Line("client", Host.Form.LINES, front.accept());
+                c.line = new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
                 c.line.open();
                 c.heard = 0;
                 c.out = null;
@@ -303,7 +303,7 @@
             c.stamp = null;
             c.code = null;
             asked.put(id, c);
-            story.add(host.now() + " client " + clients.indexOf(c) + " " + id + " " + text);
+            story.add(host.nowMillis() + " client " + clients.indexOf(c) + " " + id + " " + text);
             if (text.startsWith("SET ")) {
                 c.values.put(text.split(" ")[1], text.split(" ")[2]);
             }
@@ -336,7 +336,7 @@
             String id = c.out;
             c.out = null;
             story.add(
-                    host.now()
+                    host.nowMillis()
                             + " client "
                             + clients.indexOf(c)
                             + " "
@@ -452,7 +452,8 @@
     }
 
     @Test
-    void eachClientGetsItsOwnAndNothingRunsTwice() throws Configuration.Invalid {
+    void eachClientGetsItsOwnAndNothingRunsTwice()
+            throws Configuration.InvalidConfigurationException {
         int served = 0;
         int cut = 0;
         for (int seed = 1; seed <= DAYS; seed++) {
--- a/src/test/java/dillfront/front/ConnectionTest.java
+++ b/src/test/java/dillfront/front/ConnectionTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.host.Configuration;
-import dillfront.host.Host;
+import dillfront.host.Environment;
+import dillfront.host.NodeSettings;
 import dillfront.host.ScriptedHost;
-import dillfront.host.Settings;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -26,9 +26,9 @@
     private ScriptedHost.Line client;
 
     @BeforeEach
-    void open() throws Configuration.Invalid {
-        Settings settings =
-                new Settings(
+    void open() throws Configuration.InvalidConfigurationException {
+        NodeSettings settings =
+                new NodeSettings(
                         "f",
                         "z",
                         "r",
@@ -49,7 +49,7 @@
         front = new Front(host, settings);
         front.start();
         front.configured(
-                Configuration.read(
+                Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
                                         + "'connection_limit':100}]}")
@@ -63,7 +63,8 @@
     }
 
     private ScriptedHost.Line client() {
-        ScriptedHost.Line line = new ScriptedHost.Line("client", Host.Form.LINES, front.accept());
+        ScriptedHost.Line line =
+                new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
         line.open();
         line.say("CONNECT h me");
         assertEquals("READY I -", line.last());
--- a/src/test/java/dillfront/front/FloorsTest.java
+++ b/src/test/java/dillfront/front/FloorsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Position;
+import dillfront.host.LogPosition;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -17,10 +17,10 @@
     @Test
     void withoutAWordOfThePrimarySinceThatMomentNothingIsKnown() {
         assertNull(floors.since(0));
-        floors.led(new Position(1, 5), 100);
+        floors.led(new LogPosition(1, 5), 100);
         assertNull(floors.since(101));
-        assertEquals(new Position(1, 5), floors.since(100));
-        assertEquals(new Position(1, 5), floors.since(0));
+        assertEquals(new LogPosition(1, 5), floors.since(100));
+        assertEquals(new LogPosition(1, 5), floors.since(0));
     }
 
     /**
@@ -29,11 +29,11 @@
      */
     @Test
     void theLeastThatIsYoungEnough() {
-        floors.led(new Position(1, 5), 100);
-        floors.led(new Position(1, 9), 200);
-        floors.led(new Position(2, 3), 300);
-        assertEquals(new Position(1, 9), floors.since(150));
-        assertEquals(new Position(2, 3), floors.since(250));
+        floors.led(new LogPosition(1, 5), 100);
+        floors.led(new LogPosition(1, 9), 200);
+        floors.led(new LogPosition(2, 3), 300);
+        assertEquals(new LogPosition(1, 9), floors.since(150));
+        assertEquals(new LogPosition(2, 3), floors.since(250));
     }
 
     /** Guards against a floor that lacks a commit, whatever was forgotten on the way. */
@@ -48,12 +48,12 @@
             log += random.nextInt(3) == 0 ? 1 : 0;
             number[ms] = log;
             if (random.nextInt(4) == 0) {
-                many.led(new Position(1, log), ms);
+                many.led(new LogPosition(1, log), ms);
             }
             int moment = Math.max(1, ms - random.nextInt(2_000));
-            Position floor = many.since(moment);
+            LogPosition floor = many.since(moment);
             assertTrue(
-                    floor == null || floor.number() >= number[moment],
+                    floor == null || floor.index() >= number[moment],
                     () -> "a floor below what was there");
         }
     }
--- a/src/test/java/dillfront/front/NewsTest.java
+++ b/src/test/java/dillfront/front/NewsTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillfront.host.BinaryDelta;
+import dillfront.host.Compression;
 import dillfront.host.Configuration;
-import dillfront.host.Deflate;
-import dillfront.host.Delta;
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import dillfront.host.ManualHost;
-import dillfront.host.Pack;
-import dillfront.host.Settings;
+import dillfront.host.MessageCodec;
+import dillfront.host.NodeSettings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -50,9 +50,9 @@
             sources.put(ip + ":7400", this);
         }
 
-        void answer(Fake to, Pack.Fields in) {
+        void answer(Fake to, MessageCodec.Fields in) {
             asked++;
-            host.note(ip);
+            host.trace(ip);
             Map<String, Object> out = new HashMap<>();
             out.put("q", in.number("q", 0));
             long has = in.number("c", -1);
@@ -63,12 +63,12 @@
                 if (has < version) {
                     byte[] base = bodies.get(has);
                     out.put("cv", version);
-                    if (instead != null && !in.bit("cw")) {
+                    if (instead != null && !in.flag("cw")) {
                         out.put("cx", instead);
-                    } else if (base != null && !in.bit("cw")) {
-                        out.put("cx", Delta.of(base, bodies.get(version)));
+                    } else if (base != null && !in.flag("cw")) {
+                        out.put("cx", BinaryDelta.create(base, bodies.get(version)));
                     } else {
-                        out.put("cz", Deflate.of(bodies.get(version)));
+                        out.put("cz", Compression.compress(bodies.get(version)));
                     }
                 }
                 if (places != null) {
@@ -80,19 +80,19 @@
                     waits ? 600 : 1,
                     () -> {
                         if (to.open && there && !dark) {
-                            to.ear.message(Pack.write(out));
+                            to.ear.onMessage(MessageCodec.encode(out));
                         }
                     });
         }
     }
 
     /** The front's end of a connection. */
-    private final class Fake implements Host.Link {
-        final Host.Ear ear;
+    private final class Fake implements Environment.Connection {
+        final Environment.ConnectionListener ear;
         final Source to;
         boolean open = true;
 
-        Fake(Host.Ear ear, Source to) {
+        Fake(Environment.ConnectionListener ear, Source to) {
             this.ear = ear;
             this.to = to;
         }
@@ -104,9 +104,9 @@
                     () -> {
                         try {
                             if (open && to.there && !to.dark) {
-                                to.answer(this, Pack.read(message));
+                                to.answer(this, MessageCodec.decode(message));
                             }
-                        } catch (Pack.Bad bad) {
+                        } catch (MessageCodec.MalformedMessageException bad) {
                             throw new AssertionError(bad);
                         }
                     });
@@ -118,19 +118,20 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
     }
 
     private final Map<String, Source> sources = new TreeMap<>();
-    private final List<Pack.Fields> asks = new ArrayList<>();
+    private final List<MessageCodec.Fields> asks = new ArrayList<>();
     private final TreeMap<Long, byte[]> bodies = new TreeMap<>();
 
     private final class Net extends ManualHost {
 
         @Override
-        public Link dial(String address, Form form, int timeoutMs, Ear ear) {
+        public Connection connect(
+                String address, Framing form, int timeoutMs, ConnectionListener ear) {
             Source to = sources.get(address);
             Fake link = new Fake(ear, to);
             if (to != null && to.there && !to.dark) {
@@ -140,17 +141,17 @@
                         1,
                         () -> {
                             if (link.open) {
-                                ear.opened(link);
+                                ear.onOpen(link);
                             }
                         });
             } else {
-                note("none at " + address);
+                trace("none at " + address);
                 at(
                         to != null && to.dark ? timeoutMs : 1,
                         () -> {
                             if (link.open) {
                                 link.open = false;
-                                ear.closed("refused");
+                                ear.onClose("refused");
                             }
                         });
             }
@@ -161,7 +162,7 @@
     private ManualHost host = new Net();
 
     private long now() {
-        return host.now();
+        return host.nowMillis();
     }
 
     private void until(long ms) {
@@ -172,12 +173,12 @@
         return host.log;
     }
 
-    private static Settings settings(String... seeds) {
+    private static NodeSettings settings(String... seeds) {
         List<String> all = new ArrayList<>();
         for (String seed : seeds) {
             all.add(seed + ":8002");
         }
-        return new Settings(
+        return new NodeSettings(
                 "front-1",
                 "a",
                 "ra",
@@ -236,28 +237,28 @@
         until(2_000);
         assertEquals(2, front.version());
         assertArrayEquals(bodies.get(2L), front.configuration().body());
-        assertEquals(0, asks.stream().filter(in -> in.bit("cw")).count());
+        assertEquals(0, asks.stream().filter(in -> in.flag("cw")).count());
         assertEquals(
                 List.of(
-                        Delta.digest(new byte[0]),
-                        Delta.digest(bodies.get(1L)),
-                        Delta.digest(bodies.get(2L))),
+                        BinaryDelta.digest(new byte[0]),
+                        BinaryDelta.digest(bodies.get(1L)),
+                        BinaryDelta.digest(bodies.get(2L))),
                 asks.stream().filter(in -> in.has("cd")).map(in -> in.number("cd", -1)).toList(),
                 "told where it has changed");
         // Of another base, as of a number that had another content here.
-        a.instead = Delta.of(bodies.get(1L), bodies.get(3L));
+        a.instead = BinaryDelta.create(bodies.get(1L), bodies.get(3L));
         a.version = 3;
         until(3_000);
         assertEquals(3, front.version());
         assertArrayEquals(bodies.get(3L), front.configuration().body());
-        assertEquals(1, asks.stream().filter(in -> in.bit("cw")).count());
+        assertEquals(1, asks.stream().filter(in -> in.flag("cw")).count());
         a.instead = new byte[] {1, 2, 3};
         a.version = 4;
         until(4_000);
         assertArrayEquals(bodies.get(4L), front.configuration().body());
         assertEquals(
                 2,
-                asks.stream().filter(in -> in.bit("cw")).count(),
+                asks.stream().filter(in -> in.flag("cw")).count(),
                 "asked for whole once, and no more");
     }
 
@@ -287,7 +288,7 @@
                         one.there = !one.there;
                         if (!one.there && one.link != null && one.link.open) {
                             one.link.open = false;
-                            one.link.ear.closed("broken");
+                            one.link.ear.onClose("broken");
                         }
                     }
                     case 2 -> one.dark = random.nextInt(3) == 0;
@@ -365,7 +366,7 @@
             until(now() + 1_300);
             was.there = false;
             was.link.open = false;
-            was.link.ear.closed("broken");
+            was.link.ear.onClose("broken");
             long from = now();
             until(now() + 50);
             assertTrue(
@@ -379,7 +380,7 @@
         // All that it was told of are gone, and one of the seeds is back.
         was.there = false;
         was.link.open = false;
-        was.link.ear.closed("broken");
+        was.link.ear.onClose("broken");
         sources.get("10.0.0.1:7400").there = true;
         int asked = sources.get("10.0.0.1:7400").asked;
         until(now() + 3_000);
@@ -406,7 +407,7 @@
         int from = log().size();
         c.there = false;
         c.link.open = false;
-        c.link.ear.closed("broken");
+        c.link.ear.onClose("broken");
         until(9_000);
         assertTrue(
                 log().subList(from, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")),
@@ -466,6 +467,8 @@
         a.version = 3;
         until(13_000);
         assertEquals(3, front.version());
-        assertEquals(Configuration.Kind.PRIMARY, front.configuration().route("h0").kind());
+        assertEquals(
+                Configuration.ReadConsistency.PRIMARY,
+                front.configuration().route("h0").consistency());
     }
 }
--- a/src/test/java/dillfront/front/SessionTest.java
+++ b/src/test/java/dillfront/front/SessionTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Acknowledged;
+import dillfront.host.AcknowledgedCommits;
 import dillfront.host.Configuration;
-import dillfront.host.Host;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
 import dillfront.host.ManualHost;
-import dillfront.host.Pack;
-import dillfront.host.Position;
-import dillfront.host.Settings;
+import dillfront.host.MessageCodec;
+import dillfront.host.NodeSettings;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -67,14 +67,14 @@
     }
 
     /** The front's end of a connection to a server. */
-    private final class Wire implements Host.Link {
-        final Host.Ear ear;
+    private final class Wire implements Environment.Connection {
+        final Environment.ConnectionListener ear;
         final Node to;
         final int number;
         char state = 'I';
         boolean over;
 
-        Wire(Host.Ear ear, Node to) {
+        Wire(Environment.ConnectionListener ear, Node to) {
             this.ear = ear;
             this.to = to;
             number = ++to.connections;
@@ -104,7 +104,7 @@
             if (to.cuts.test(text)) {
                 over = true;
                 to.open.remove(this);
-                host.at(1, () -> ear.closed("broken"));
+                host.at(1, () -> ear.onClose("broken"));
                 return;
             }
             String verb = text.startsWith("AFTER ") ? text.split(" ")[2] : text.split(" ")[0];
@@ -148,7 +148,7 @@
                         1,
                         () -> {
                             if (!over) {
-                                ear.message(line.getBytes(StandardCharsets.ISO_8859_1));
+                                ear.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
                             }
                         });
             }
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
     }
@@ -169,11 +169,11 @@
     /**
      * A control process that answers each question at once, or after a while where nothing is new.
      */
-    private final class Control implements Host.Link {
-        private final Host.Ear ear;
+    private final class Control implements Environment.Connection {
+        private final Environment.ConnectionListener ear;
         private boolean over;
 
-        Control(Host.Ear ear) {
+        Control(Environment.ConnectionListener ear) {
             this.ear = ear;
         }
 
@@ -182,9 +182,9 @@
             Map<String, Object> out = new HashMap<>();
             boolean late = slow;
             try {
-                out.put("q", Pack.read(message).number("q", 0));
-                boots.add(Pack.read(message).text("b"));
-            } catch (Pack.Bad bad) {
+                out.put("q", MessageCodec.decode(message).number("q", 0));
+                boots.add(MessageCodec.decode(message).string("b"));
+            } catch (MessageCodec.MalformedMessageException bad) {
                 throw new IllegalStateException(bad);
             }
             host.at(
@@ -203,7 +203,7 @@
                             out.put("su", 3_000L);
                         }
                         if (!over || late) {
-                            ear.message(Pack.write(out));
+                            ear.onMessage(MessageCodec.encode(out));
                         }
                     });
         }
@@ -214,7 +214,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
     }
@@ -222,10 +222,11 @@
     private final ManualHost host =
             new ManualHost() {
                 @Override
-                public Link dial(String address, Form form, int timeoutMs, Ear ear) {
+                public Connection connect(
+                        String address, Framing form, int timeoutMs, ConnectionListener ear) {
                     Node to = nodes.get(address);
-                    Link link = to != null ? new Wire(ear, to) : new Control(ear);
-                    at(1, () -> ear.opened(link));
+                    Connection link = to != null ? new Wire(ear, to) : new Control(ear);
+                    at(1, () -> ear.onOpen(link));
                     return link;
                 }
             };
@@ -254,8 +255,8 @@
         p.leads = true;
         member(p, "ready");
         member(r, "ready");
-        Settings settings =
-                new Settings(
+        NodeSettings settings =
+                new NodeSettings(
                         "front",
                         "a",
                         "ra",
@@ -275,7 +276,7 @@
                         null);
         front = new Front(host, settings);
         front.configured(
-                Configuration.read(
+                Configuration.parse(
                         ("{\"revision_number\":1,\"routes\":["
                                         + route("new", "primary", 0)
                                         + ","
@@ -322,25 +323,26 @@
     }
 
     private void pass(long ms) {
-        host.until(host.now() + ms);
+        host.until(host.nowMillis() + ms);
     }
 
     /** A client, and the lines that it was sent. */
-    private final class Caller implements Host.Link {
+    private final class Caller implements Environment.Connection {
         final Session session = (Session) front.accept();
         final List<String> got = new ArrayList<>();
         final List<String> welcome;
         private int asked;
 
         Caller(String database) {
-            session.opened(this);
-            session.message(("CONNECT " + database + " me").getBytes(StandardCharsets.ISO_8859_1));
+            session.onOpen(this);
+            session.onMessage(
+                    ("CONNECT " + database + " me").getBytes(StandardCharsets.ISO_8859_1));
             welcome = List.copyOf(got);
             got.clear();
         }
 
         void ask(String text) {
-            session.message(
+            session.onMessage(
                     ("QUERY " + ++asked + " " + text).getBytes(StandardCharsets.ISO_8859_1));
         }
 
@@ -367,7 +369,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
     }
@@ -480,7 +482,7 @@
                 c.ask("READ " + (muted.equals("READ k") ? "k" : "other"));
                 pass(20);
             }
-            c.session.closed("gone");
+            c.session.onClose("gone");
             pass(3_000);
             p.mute = text -> false;
             assertTrue(
@@ -489,7 +491,7 @@
             assertEquals(0, front.service("db").servers.get("p").out, muted);
             Caller next = new Caller("new");
             assertEquals("ROW", next.asks("READ k"), muted);
-            next.session.closed("gone");
+            next.session.onClose("gone");
         }
     }
 
@@ -507,7 +509,7 @@
         pass(200);
         p.leads = false;
         p.number = 2;
-        long from = host.now();
+        long from = host.nowMillis();
         assertEquals("COMPLETE", c.asks("COMMIT"));
         assertEquals(null, front.service("db").floors.since(from));
     }
@@ -625,11 +627,11 @@
         p.says.put("WRITE k d", "COMPLETE s\nREADY I 1.9");
         c.asks("WRITE k d");
         assertEquals(
-                new Acknowledged(new Position(1, 6), new Position(1, 9)),
+                new AcknowledgedCommits(new LogPosition(1, 6), new LogPosition(1, 9)),
                 front.service("db").acknowledged);
         p.cuts = text -> text.startsWith("WRITE other");
         c.asks("WRITE other d");
-        assertEquals(new Position(1, 9), front.service("db").acknowledged.most());
+        assertEquals(new LogPosition(1, 9), front.service("db").acknowledged.upperBound());
     }
 
     // ---- the front's own end
--- a/src/test/java/dillfront/host/DataLossTest.java
+++ b/src/test/java/dillfront/host/DataLossTest.java
@@ -11,52 +11,57 @@
 /** What a person gave up counts for what he was shown, and for nothing before or behind it. */
 class DataLossTest {
 
-    private static Position at(String text) {
-        return Position.of(text);
+    private static LogPosition at(String text) {
+        return LogPosition.parse(text);
     }
 
-    private static Acknowledged known(String least, String most) {
-        return new Acknowledged(at(least), at(most));
+    private static AcknowledgedCommits known(String least, String most) {
+        return new AcknowledgedCommits(at(least), at(most));
     }
 
-    private final DataLoss loss =
-            DataLoss.of(7, at("1.10"), known("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
+    private final AcceptedDataLoss loss =
+            AcceptedDataLoss.accept(
+                    7, at("1.10"), known("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
 
     @Test
     void onlyWhatWasShownIsGivenUp() {
-        assertEquals(at("1.9"), loss.without(at("1.9")));
-        assertEquals(at("1.10"), loss.without(at("1.11")));
-        assertEquals(at("1.10"), loss.without(at("1.72")));
-        assertEquals(at("1.73"), loss.without(at("1.73")), "newer than what was shown");
-        assertEquals(at("2.11"), loss.without(at("2.11")), "of the next primary");
-        assertNull(loss.without((Position) null));
-        assertEquals(known("1.10", "1.73"), loss.without(known("1.70", "1.73")));
+        assertEquals(at("1.9"), loss.exclude(at("1.9")));
+        assertEquals(at("1.10"), loss.exclude(at("1.11")));
+        assertEquals(at("1.10"), loss.exclude(at("1.72")));
+        assertEquals(at("1.73"), loss.exclude(at("1.73")), "newer than what was shown");
+        assertEquals(at("2.11"), loss.exclude(at("2.11")), "of the next primary");
+        assertNull(loss.exclude((LogPosition) null));
+        assertEquals(known("1.10", "1.73"), loss.exclude(known("1.70", "1.73")));
     }
 
     @Test
     void whatTheNextPrimaryHasIsNot() {
-        DataLoss some = loss.leads(at("1.40"));
-        assertEquals(at("1.40"), some.without(at("1.70")));
-        assertEquals(at("1.30"), some.without(at("1.30")));
-        assertTrue(some.any());
-        assertFalse(loss.leads(at("1.72")).any(), "the old one leads on");
-        assertEquals(at("1.70"), loss.leads(at("1.72")).without(at("1.70")));
-        assertEquals(at("1.10"), loss.leads(at("1.5")).kept(), "never less than what was shown");
+        AcceptedDataLoss some = loss.withLeaderAt(at("1.40"));
+        assertEquals(at("1.40"), some.exclude(at("1.70")));
+        assertEquals(at("1.30"), some.exclude(at("1.30")));
+        assertTrue(some.losesCommits());
+        assertFalse(loss.withLeaderAt(at("1.72")).losesCommits(), "the old one leads on");
+        assertEquals(at("1.70"), loss.withLeaderAt(at("1.72")).exclude(at("1.70")));
+        assertEquals(
+                at("1.10"),
+                loss.withLeaderAt(at("1.5")).keptUpTo(),
+                "never less than what was shown");
     }
 
     @Test
     void aSecondLossGoesOnFromTheFirst() {
-        DataLoss second = DataLoss.of(9, at("1.8"), known("1.10", "1.10"), List.of(), loss);
-        assertEquals(at("1.8"), second.without(at("1.72")));
-        assertTrue(second.same(9, at("1.8"), known("1.10", "1.10"), List.of()));
-        assertFalse(second.same(7, at("1.8"), known("1.10", "1.10"), List.of()));
-        assertFalse(second.same(9, at("1.8"), known("1.10", "1.10"), List.of("i-3")));
+        AcceptedDataLoss second =
+                AcceptedDataLoss.accept(9, at("1.8"), known("1.10", "1.10"), List.of(), loss);
+        assertEquals(at("1.8"), second.exclude(at("1.72")));
+        assertTrue(second.matches(9, at("1.8"), known("1.10", "1.10"), List.of()));
+        assertFalse(second.matches(7, at("1.8"), known("1.10", "1.10"), List.of()));
+        assertFalse(second.matches(9, at("1.8"), known("1.10", "1.10"), List.of("i-3")));
     }
 
     @Test
     void itsTextSaysAll() {
-        DataLoss some = loss.leads(at("1.40"));
-        assertEquals(some, DataLoss.of(some.toString()));
+        AcceptedDataLoss some = loss.withLeaderAt(at("1.40"));
+        assertEquals(some, AcceptedDataLoss.parse(some.toString()));
         for (String bad :
                 new String[] {
                     "",
@@ -65,7 +70,7 @@
                     "7 1 1.70 1.72 1.10 1.72",
                     "7 1.10 1.70 1.72 1.10 1.72 %"
                 }) {
-            assertNull(DataLoss.of(bad), bad);
+            assertNull(AcceptedDataLoss.parse(bad), bad);
         }
     }
 }
--- a/src/test/java/dillfront/host/DeltaTest.java
+++ b/src/test/java/dillfront/host/DeltaTest.java
@@ -49,12 +49,12 @@
                         + "\"limits\":{\"idle_timeout_ms\":15000,\"transaction_idle_ms\":3000}}");
     }
 
-    private static byte[] both(byte[] base, byte[] next) throws Delta.Bad {
+    private static byte[] both(byte[] base, byte[] next) throws BinaryDelta.InvalidDeltaException {
         byte[] before = base.clone();
-        byte[] delta = Delta.of(base, next);
-        assertArrayEquals(next, Delta.apply(base, delta));
+        byte[] delta = BinaryDelta.create(base, next);
+        assertArrayEquals(next, BinaryDelta.apply(base, delta));
         assertArrayEquals(before, base);
-        assertArrayEquals(delta, Delta.of(base, next), "the same once more");
+        assertArrayEquals(delta, BinaryDelta.create(base, next), "the same once more");
         assertTrue(
                 delta.length <= next.length + 32, delta.length + " for a text of " + next.length);
         return delta;
@@ -78,13 +78,13 @@
                 both(bytes(base), bytes(next));
             }
         }
-        both(new byte[Delta.MOST], new byte[Delta.MOST]);
+        both(new byte[BinaryDelta.MAX_BYTES], new byte[BinaryDelta.MAX_BYTES]);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Delta.of(new byte[0], new byte[Delta.MOST + 1]));
+                () -> BinaryDelta.create(new byte[0], new byte[BinaryDelta.MAX_BYTES + 1]));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Delta.of(new byte[Delta.MOST + 1], new byte[0]));
+                () -> BinaryDelta.create(new byte[BinaryDelta.MAX_BYTES + 1], new byte[0]));
     }
 
     /**
@@ -206,11 +206,14 @@
         Collections.swap(routes, 0, 2);
         routes.add(route(9, 1));
         byte[] next = configuration(8, routes);
-        byte[] delta = Delta.of(base, next);
-        assertEquals(Delta.digest(next), Delta.digest(Delta.apply(base, delta)));
+        byte[] delta = BinaryDelta.create(base, next);
+        assertEquals(BinaryDelta.digest(next), BinaryDelta.digest(BinaryDelta.apply(base, delta)));
         for (int at = 0; at < delta.length; at++) {
             byte[] cut = Arrays.copyOf(delta, at);
-            assertThrows(Delta.Bad.class, () -> Delta.apply(base, cut), "cut at " + at);
+            assertThrows(
+                    BinaryDelta.InvalidDeltaException.class,
+                    () -> BinaryDelta.apply(base, cut),
+                    "cut at " + at);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] bad = delta.clone();
                 bad[at] ^= (byte) (1 << bit);
@@ -219,9 +222,12 @@
         }
         byte[] other = base.clone();
         other[60] ^= 1;
-        assertThrows(Delta.Bad.class, () -> Delta.apply(other, delta));
-        assertThrows(Delta.Bad.class, () -> Delta.apply(next, delta));
-        assertThrows(Delta.Bad.class, () -> Delta.apply(new byte[0], delta));
+        assertThrows(
+                BinaryDelta.InvalidDeltaException.class, () -> BinaryDelta.apply(other, delta));
+        assertThrows(BinaryDelta.InvalidDeltaException.class, () -> BinaryDelta.apply(next, delta));
+        assertThrows(
+                BinaryDelta.InvalidDeltaException.class,
+                () -> BinaryDelta.apply(new byte[0], delta));
         for (long seed = 1; seed <= 20_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] bad = seed % 2 == 0 ? delta.clone() : new byte[random.nextInt(60)];
@@ -232,13 +238,15 @@
         }
         // A length that no text has is refused before there is room for it.
         byte[] huge = {1, 0, 0, 0, 0, 0, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x7f, 0, 0, 0, 0};
-        assertThrows(Delta.Bad.class, () -> Delta.apply(new byte[0], huge));
+        assertThrows(
+                BinaryDelta.InvalidDeltaException.class,
+                () -> BinaryDelta.apply(new byte[0], huge));
     }
 
     private static void spoilt(byte[] base, byte[] bad, byte[] next) {
         try {
-            assertArrayEquals(next, Delta.apply(base, bad));
-        } catch (Delta.Bad found) {
+            assertArrayEquals(next, BinaryDelta.apply(base, bad));
+        } catch (BinaryDelta.InvalidDeltaException found) {
             assertTrue(!found.getMessage().isEmpty());
         }
     }
--- a/src/test/java/dillfront/host/HttpDoorTest.java
+++ b/src/test/java/dillfront/host/HttpDoorTest.java
@@ -31,13 +31,13 @@
 
     private static final int LARGE = 300_000;
 
-    private final NettyHost host = new NettyHost(1);
+    private final NettyEnvironment host = new NettyEnvironment(1);
 
     /** What was called, in order; the body stands behind the path. */
     private final BlockingQueue<String> called = new LinkedBlockingQueue<>();
 
     /** Answers that the test holds back, by path. */
-    private final List<CompletableFuture<Host.Answer>> held =
+    private final List<CompletableFuture<Environment.HttpResponse>> held =
             Collections.synchronizedList(new ArrayList<>());
 
     private String at;
@@ -46,14 +46,14 @@
     @BeforeEach
     void open() throws IOException {
         at = free();
-        host.serve(at, this::call);
+        host.serveHttp(at, this::call);
         client = connect(at);
     }
 
     @AfterEach
     void close() throws Exception {
         client.close();
-        host.loop()
+        host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
@@ -72,7 +72,8 @@
         return socket;
     }
 
-    private CompletableFuture<Host.Answer> call(String method, String path, byte[] body) {
+    private CompletableFuture<Environment.HttpResponse> call(
+            String method, String path, byte[] body) {
         called.add(path + new String(body, StandardCharsets.US_ASCII));
         switch (path) {
             case "/held":
@@ -85,18 +86,19 @@
             case "/none":
                 return CompletableFuture.completedFuture(null);
             case "/large":
-                return CompletableFuture.completedFuture(new Host.Answer(200, new byte[LARGE]));
+                return CompletableFuture.completedFuture(
+                        new Environment.HttpResponse(200, new byte[LARGE]));
             default:
                 return CompletableFuture.completedFuture(answer(path));
         }
     }
 
-    private static Host.Answer answer(String text) {
-        return new Host.Answer(200, text.getBytes(StandardCharsets.US_ASCII));
+    private static Environment.HttpResponse answer(String text) {
+        return new Environment.HttpResponse(200, text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void complete(int which, Host.Answer with) {
-        host.loop().execute(() -> held.get(which).complete(with));
+    private void complete(int which, Environment.HttpResponse with) {
+        host.eventLoop().execute(() -> held.get(which).complete(with));
     }
 
     private static void until(String what, BooleanSupplier is) throws InterruptedException {
@@ -240,7 +242,7 @@
     void whereToAskInsteadIsSaid() throws Exception {
         send(post("/held", "", "1"));
         until("it is called", () -> called.size() == 1);
-        complete(0, new Host.Answer(307, new byte[0], "http://10.0.0.4:8080/held"));
+        complete(0, new Environment.HttpResponse(307, new byte[0], "http://10.0.0.4:8080/held"));
         String head = until("\r\n\r\n");
         assertTrue(
                 head.matches("(?is)HTTP/1.1 307 .*\r\nlocation: http://10.0.0.4:8080/held\r\n.*"),
@@ -267,7 +269,7 @@
         called.clear();
         send(post("/held", "", "1") + get("/b"));
         until("the first is called", () -> called.size() == 1);
-        host.loop()
+        host.eventLoop()
                 .execute(
                         () ->
                                 held.get(held.size() - 1)
@@ -283,7 +285,7 @@
     @Test
     void aCallWithoutAnAnswerHoldsUpTheOthersForAWhileOnly() throws Exception {
         String second = free();
-        host.serve(second, this::call, 150);
+        host.serveHttp(second, this::call, 150);
         client.close();
         client = connect(second);
         send(post("/held", "", "1") + get("/b"));
@@ -315,7 +317,7 @@
     private int calledAfterTwoTurns() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> turn = new CompletableFuture<>();
-            host.after(20, () -> turn.complete(null));
+            host.schedule(20, () -> turn.complete(null));
             turn.get(5, TimeUnit.SECONDS);
         }
         return called.size();
--- a/src/test/java/dillfront/host/ManualHost.java
+++ b/src/test/java/dillfront/host/ManualHost.java
@@ -12,7 +12,7 @@
  * A machine whose time passes when the test says so, and which reaches nobody unless the test has
  * it reach someone.
  */
-public class ManualHost implements Host {
+public class ManualHost implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMillis() {
         return now;
     }
 
     @Override
-    public Timer after(long ms, Runnable run) {
+    public Timer schedule(long ms, Runnable run) {
         boolean[] off = new boolean[1];
         at(
                 ms,
@@ -62,9 +62,9 @@
     }
 
     @Override
-    public Link dial(String address, Form form, int timeoutMs, Ear ear) {
-        at(1, () -> ear.closed("refused"));
-        return new Link() {
+    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
+        at(1, () -> ear.onClose("refused"));
+        return new Connection() {
             @Override
             public void send(byte[] message) {
                 // Nobody hears it.
@@ -76,30 +76,30 @@
             }
 
             @Override
-            public long waiting() {
+            public long pendingBytes() {
                 return 0;
             }
         };
     }
 
     @Override
-    public CompletableFuture<Answer> post(
+    public CompletableFuture<HttpResponse> post(
             String address, String path, String json, Map<String, String> headers, int timeoutMs) {
         return CompletableFuture.failedFuture(new IllegalStateException("refused"));
     }
 
     @Override
-    public RandomGenerator chance() {
+    public RandomGenerator random() {
         return random;
     }
 
     @Override
-    public void note(String event) {
+    public void trace(String event) {
         log.add(now + " " + event);
     }
 
     @Override
-    public void wrong(String event) {
+    public void warn(String event) {
         log.add(now + " wrong: " + event);
     }
 }
--- a/src/test/java/dillfront/host/PostTest.java
+++ b/src/test/java/dillfront/host/PostTest.java
@@ -25,7 +25,7 @@
  */
 class PostTest {
 
-    private final NettyHost host = new NettyHost(1);
+    private final NettyEnvironment host = new NettyEnvironment(1);
     private ServerSocket platform;
 
     @BeforeEach
@@ -37,13 +37,13 @@
     @AfterEach
     void close() throws Exception {
         platform.close();
-        host.loop()
+        host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
     }
 
-    private CompletableFuture<Host.Answer> post(int timeoutMs) {
+    private CompletableFuture<Environment.HttpResponse> post(int timeoutMs) {
         return host.post(
                 "127.0.0.1:" + platform.getLocalPort(),
                 "/promotion",
@@ -57,7 +57,7 @@
      * closed.
      */
     private String answeredWith(String bytes) throws Exception {
-        CompletableFuture<Host.Answer> is = post(5_000);
+        CompletableFuture<Environment.HttpResponse> is = post(5_000);
         try (Socket call = platform.accept()) {
             String head = request(call);
             assertTrue(head.contains("ence-number: 7") || head.contains("ence-Number: 7"), head);
@@ -103,7 +103,7 @@
 
     @Test
     void anAnswerAfterItsTimeIsNone() throws Exception {
-        CompletableFuture<Host.Answer> is = post(200);
+        CompletableFuture<Environment.HttpResponse> is = post(200);
         try (Socket call = platform.accept()) {
             request(call);
             assertThrows(ExecutionException.class, () -> is.get(8, TimeUnit.SECONDS));
@@ -117,9 +117,9 @@
      */
     @Test
     void whatWasNotSentInTimeIsNotSentAtAll() throws Exception {
-        CompletableFuture<Host.Answer> is = new CompletableFuture<>();
+        CompletableFuture<Environment.HttpResponse> is = new CompletableFuture<>();
         BlockingQueue<Boolean> accepted = new LinkedBlockingQueue<>();
-        host.loop()
+        host.eventLoop()
                 .execute(
                         () -> {
                             post(100).whenComplete((answer, fault) -> is.complete(answer));
--- a/src/test/java/dillfront/host/ReadersTest.java
+++ b/src/test/java/dillfront/host/ReadersTest.java
@@ -33,17 +33,19 @@
     }
 
     private static String fault(String text) {
-        return assertThrows(Configuration.Invalid.class, () -> Configuration.read(bytes(text)))
+        return assertThrows(
+                        Configuration.InvalidConfigurationException.class,
+                        () -> Configuration.parse(bytes(text)))
                 .getMessage();
     }
 
     @Test
-    void aConfiguration() throws Configuration.Invalid {
-        Configuration is = Configuration.read(bytes(GOOD));
-        assertEquals(7, is.version());
-        assertEquals(1_500, is.route("h").stale());
-        assertEquals(2_000, is.transactionIdle());
-        assertEquals(68, is.services().get("s").connections());
+    void aConfiguration() throws Configuration.InvalidConfigurationException {
+        Configuration is = Configuration.parse(bytes(GOOD));
+        assertEquals(7, is.revision());
+        assertEquals(1_500, is.route("h").maxStalenessMillis());
+        assertEquals(2_000, is.transactionIdleMillis());
+        assertEquals(68, is.services().get("s").connectionLimit());
     }
 
     @Test
@@ -76,7 +78,9 @@
         byte[] all = bytes(GOOD);
         for (int length = 0; length < all.length; length++) {
             byte[] cut = java.util.Arrays.copyOf(all, length);
-            assertThrows(Configuration.Invalid.class, () -> Configuration.read(cut));
+            assertThrows(
+                    Configuration.InvalidConfigurationException.class,
+                    () -> Configuration.parse(cut));
         }
     }
 
@@ -86,23 +90,23 @@
         spoilt[Math.floorMod(at, spoilt.length)] = value;
         for (byte[] any : List.of(bytes, spoilt)) {
             try {
-                Configuration.read(any);
-            } catch (Configuration.Invalid named) {
+                Configuration.parse(any);
+            } catch (Configuration.InvalidConfigurationException named) {
                 assertTrue(!named.getMessage().isEmpty());
             }
             try {
-                Pack.read(any);
-            } catch (Pack.Bad named) {
+                MessageCodec.decode(any);
+            } catch (MessageCodec.MalformedMessageException named) {
                 assertTrue(!named.getMessage().isEmpty());
             }
         }
     }
 
     @Test
-    void aMessageComesBackAsItWas() throws Pack.Bad {
-        Pack.Fields is =
-                Pack.read(
-                        Pack.write(
+    void aMessageComesBackAsItWas() throws MessageCodec.MalformedMessageException {
+        MessageCodec.Fields is =
+                MessageCodec.decode(
+                        MessageCodec.encode(
                                 Map.of(
                                         "n",
                                         5,
@@ -115,12 +119,14 @@
                                         "l",
                                         List.of(Map.of("i", "x")))));
         assertEquals(5, is.number("n", 0));
-        assertEquals("text", is.text("t"));
-        assertTrue(is.bit("b"));
+        assertEquals("text", is.string("t"));
+        assertTrue(is.flag("b"));
         assertEquals(2, is.bytes("y").length);
-        assertEquals("x", is.list("l").get(0).text("i"));
+        assertEquals("x", is.maps("l").get(0).string("i"));
         assertEquals(9, is.number("t", 9), "a field of another kind is as none");
-        assertThrows(Pack.Bad.class, () -> Pack.read(new byte[] {(byte) 0xdf, 127, 127, 127, 127}));
+        assertThrows(
+                MessageCodec.MalformedMessageException.class,
+                () -> MessageCodec.decode(new byte[] {(byte) 0xdf, 127, 127, 127, 127}));
     }
 
     /** Guards against a few bytes that ask for more memory than there is: the process would end. */
@@ -128,7 +134,10 @@
     void aMessageThatClaimsMoreThanItHasIsNone() {
         for (int kind : new int[] {0xc6, 0xdb, 0xdd, 0xdf}) {
             byte[] claims = {(byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
-            assertThrows(Pack.Bad.class, () -> Pack.read(claims), Integer.toHexString(kind));
+            assertThrows(
+                    MessageCodec.MalformedMessageException.class,
+                    () -> MessageCodec.decode(claims),
+                    Integer.toHexString(kind));
             byte[] within = {
                 (byte) 0x81,
                 (byte) 0xa1,
@@ -140,7 +149,10 @@
                 (byte) 255,
                 1
             };
-            assertThrows(Pack.Bad.class, () -> Pack.read(within), Integer.toHexString(kind));
+            assertThrows(
+                    MessageCodec.MalformedMessageException.class,
+                    () -> MessageCodec.decode(within),
+                    Integer.toHexString(kind));
         }
     }
 
@@ -148,25 +160,28 @@
     @Test
     void aMessageOfTooManyPartsIsNone() {
         List<Object> nothing = java.util.Collections.nCopies(200_000, null);
-        byte[] many = Pack.write(Map.of("l", java.util.Collections.nCopies(40, nothing)));
+        byte[] many = MessageCodec.encode(Map.of("l", java.util.Collections.nCopies(40, nothing)));
         assertTrue(
-                assertThrows(Pack.Bad.class, () -> Pack.read(many))
+                assertThrows(
+                                MessageCodec.MalformedMessageException.class,
+                                () -> MessageCodec.decode(many))
                         .getMessage()
                         .contains("too many"));
     }
 
     @Test
-    void settingsAndWhatIsWrongWithThem(@TempDir Path dir) throws IOException, Settings.Bad {
+    void settingsAndWhatIsWrongWithThem(@TempDir Path dir)
+            throws IOException, NodeSettings.InvalidSettingsException {
         String good =
                 "{'node_name':'n','zone_name':'a','region':'r','ip_address':'10.0.0.1','zones':{'a':'r','b':'q'},'new':1,"
                         + "'listen_addresses':{'front_address':'10.0.0.1:80','readiness_address':'10.0.0.1:81'},'internal_port_range':[7440,7455],"
                         + "'seed_addresses':['10.0.0.2:90'],'bounds':{'grace_period_s':6.5},'data_directory':null,'cloud_api':null}";
         Path file = dir.resolve("node.json");
         Files.write(file, bytes(good));
-        Settings is = Settings.read(file);
-        assertEquals(6_500, is.grace());
-        assertEquals("10.0.0.2:7440", is.innerOf(is.seedIps().get(0)));
-        assertTrue(is.near("a") && !is.near("b") && is.platform() == null);
+        NodeSettings is = NodeSettings.read(file);
+        assertEquals(6_500, is.gracePeriodMillis());
+        assertEquals("10.0.0.2:7440", is.internalAddressOf(is.seedIps().get(0)));
+        assertTrue(is.isSameRegion("a") && !is.isSameRegion("b") && is.platformAddress() == null);
         String[][] bad = {
             {"'n',", "5,", "node_name: no text"},
             {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is no IP:PORT"},
@@ -175,30 +190,38 @@
         };
         for (String[] one : bad) {
             Files.write(file, bytes(good.replace(one[0], one[1])));
-            String said = assertThrows(Settings.Bad.class, () -> Settings.read(file)).getMessage();
+            String said =
+                    assertThrows(
+                                    NodeSettings.InvalidSettingsException.class,
+                                    () -> NodeSettings.read(file))
+                            .getMessage();
             assertEquals(file + ": " + one[2], said);
         }
         Files.write(file, bytes(good.substring(0, 60)));
         assertTrue(
-                assertThrows(Settings.Bad.class, () -> Settings.read(file))
+                assertThrows(
+                                NodeSettings.InvalidSettingsException.class,
+                                () -> NodeSettings.read(file))
                         .getMessage()
                         .contains("line 1"));
-        assertThrows(Settings.Bad.class, () -> Settings.read(dir.resolve("none")));
+        assertThrows(
+                NodeSettings.InvalidSettingsException.class,
+                () -> NodeSettings.read(dir.resolve("none")));
     }
 
     @Test
     void theRingGoesOutOnceSomethingIsWrong() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Ring ring = new Ring(new PrintStream(out, true), "n");
-        ring.note(1, "a");
+        RingLog ring = new RingLog(new PrintStream(out, true), "n");
+        ring.record(1, "a");
         assertEquals(0, out.size());
-        ring.wrong(2, "b");
+        ring.warn(2, "b");
         assertEquals("n 1 a\nn 2 b\n", out.toString(StandardCharsets.UTF_8));
         for (int i = 0; i < 1_000; i++) {
-            ring.wrong(3, "c");
+            ring.warn(3, "c");
         }
         assertTrue(out.toString(StandardCharsets.UTF_8).lines().count() < 40, "bounded");
-        ring.wrong(70_000, "later");
+        ring.warn(70_000, "later");
         assertTrue(
                 out.toString(StandardCharsets.UTF_8).contains("left out"),
                 "what was lost is counted");
--- a/src/test/java/dillfront/host/ScriptedHost.java
+++ b/src/test/java/dillfront/host/ScriptedHost.java
@@ -11,33 +11,33 @@
 import java.util.random.RandomGenerator;
 
 /** A machine whose time goes on by the test's word, and whose connections are the test's. */
-public final class ScriptedHost implements Host {
+public final class ScriptedHost implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
     /** One end of a connection: what the program sent there, and what the test says to it. */
-    public static final class Line implements Link {
+    public static final class Line implements Connection {
         public final String address;
         public final List<String> sent = new ArrayList<>();
         public boolean closed;
-        private final Form form;
-        private final Ear ear;
+        private final Framing form;
+        private final ConnectionListener ear;
 
-        public Line(String address, Form form, Ear ear) {
+        public Line(String address, Framing form, ConnectionListener ear) {
             this.address = address;
             this.form = form;
             this.ear = ear;
         }
 
         public void open() {
-            ear.opened(this);
+            ear.onOpen(this);
         }
 
         /** Lines, as they come one after the other; none once the program has closed. */
         public void say(String... lines) {
             for (String line : lines) {
                 if (!closed) {
-                    ear.message(line.getBytes(StandardCharsets.ISO_8859_1));
+                    ear.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         }
@@ -46,7 +46,7 @@
         public void reset() {
             if (!closed) {
                 closed = true;
-                ear.closed("broken");
+                ear.onClose("broken");
             }
         }
 
@@ -54,7 +54,8 @@
         public void send(byte[] message) {
             if (!closed) {
                 String text = new String(message, StandardCharsets.ISO_8859_1);
-                sent.addAll(form == Form.LINES ? Arrays.asList(text.split("\r\n")) : List.of(text));
+                sent.addAll(
+                        form == Framing.LINES ? Arrays.asList(text.split("\r\n")) : List.of(text));
             }
         }
 
@@ -64,7 +65,7 @@
         }
 
         @Override
-        public long waiting() {
+        public long pendingBytes() {
             return 0;
         }
 
@@ -109,12 +110,12 @@
     }
 
     @Override
-    public long now() {
+    public long nowMillis() {
         return now;
     }
 
     @Override
-    public Timer after(long ms, Runnable run) {
+    public Timer schedule(long ms, Runnable run) {
         boolean[] off = new boolean[1];
         events.add(
                 new Event(
@@ -129,29 +130,29 @@
     }
 
     @Override
-    public Link dial(String address, Form form, int timeoutMs, Ear ear) {
+    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
         dialed.add(new Line(address, form, ear));
         return lastDialed();
     }
 
     @Override
-    public CompletableFuture<Answer> post(
+    public CompletableFuture<HttpResponse> post(
             String address, String path, String json, Map<String, String> headers, int timeoutMs) {
         return new CompletableFuture<>();
     }
 
     @Override
-    public RandomGenerator chance() {
+    public RandomGenerator random() {
         return random;
     }
 
     @Override
-    public void note(String event) {
+    public void trace(String event) {
         noted.add(event);
     }
 
     @Override
-    public void wrong(String event) {
+    public void warn(String event) {
         noted.add(event);
     }
 }
--- a/src/test/java/dillfront/lab/ControlWorldsTest.java
+++ b/src/test/java/dillfront/lab/ControlWorldsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.core.Defence;
+import dillfront.core.SafetyRule;
 import dillfront.lab.ControlWorld.Kind;
 import dillfront.lab.ControlWorld.Step;
 import org.junit.jupiter.api.Test;
@@ -28,9 +28,9 @@
                         + "MESSAGE 1 2, MESSAGE 0 2, MESSAGE 2 0, DISK 2 0, DISK 2 0, MESSAGE 2 1";
         ControlWorld world = ControlWorlds.played(ControlWorlds.LEASE, 1, steps);
         assertNull(world.broken);
-        assertTrue(world.processes[1].lease.holds());
+        assertTrue(world.processes[1].lease.isHeld());
         assertNotNull(
-                ControlWorlds.played(ControlWorlds.LEASE, Defence.LEASE_TURNS, 1, steps).broken);
+                ControlWorlds.played(ControlWorlds.LEASE, SafetyRule.LEASE_TURNS, 1, steps).broken);
     }
 
     /**
@@ -65,8 +65,8 @@
                                 + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 1 2, TIME 250 0, DISK 2 0, "
                                 + "MESSAGE 2 1, DISK 1 0, MESSAGE 1 2");
         assertNull(world.broken);
-        assertEquals(1, world.newest().configuration().version());
-        assertEquals(3, world.processes[2].register.decided().epoch());
+        assertEquals(1, world.newest().configuration().revision());
+        assertEquals(3, world.processes[2].register.decidedValue().epoch());
     }
 
     /**
@@ -79,17 +79,17 @@
         rounds(world, 1_200);
         ControlWorld.Process holder = world.processes[0];
         ControlWorld.Process other = world.processes[1];
-        assertTrue(holder.lease.holds());
+        assertTrue(holder.lease.isHeld());
         assertEquals((1 << 20) + 1, holder.lease.number());
-        assertEquals(0, other.lease.wanted());
+        assertEquals(0, other.lease.requestedNumber());
         assertEquals(holder.id, other.lease.promisedTo());
-        assertEquals(holder.lease.number(), other.lease.promised());
+        assertEquals(holder.lease.number(), other.lease.promisedNumber());
         // Nobody's disk is troubled any more, and another loss ends nothing.
         rounds(world, 5_000);
         assertEquals(0, written);
         crash(world, 2);
         rounds(world, 5_000);
-        assertTrue(holder.lease.holds());
+        assertTrue(holder.lease.isHeld());
         assertEquals((1 << 20) + 1, holder.lease.number());
         assertNull(world.broken);
     }
@@ -108,7 +108,7 @@
         take(world, Kind.START, 1, 0);
         crash(world, 0);
         rounds(world, 6_000);
-        assertTrue(world.processes[1].lease.holds() || world.processes[2].lease.holds());
+        assertTrue(world.processes[1].lease.isHeld() || world.processes[2].lease.isHeld());
         assertTrue(
                 Math.max(world.processes[1].lease.number(), world.processes[2].lease.number())
                         > asked);
@@ -131,14 +131,16 @@
         take(world, Kind.TIME, 600, 0);
         writes(world, 0);
         writes(world, 1);
-        assertEquals(world.processes[0].lease.wanted(), world.processes[1].lease.wanted());
+        assertEquals(
+                world.processes[0].lease.requestedNumber(),
+                world.processes[1].lease.requestedNumber());
         take(world, Kind.MESSAGE, 1, 4);
         writes(world, 4);
         assertEquals(world.processes[1].id, world.processes[4].lease.promisedTo());
         take(world, Kind.JOIN, 2, 0);
         take(world, Kind.JOIN, 2, 1);
         rounds(world, 3_000);
-        assertTrue(world.processes[0].lease.holds());
+        assertTrue(world.processes[0].lease.isHeld());
         assertEquals((1 << 20) + 1, world.processes[0].lease.number());
         for (ControlWorld.Process p : world.processes) {
             assertEquals(world.processes[0].id, p.lease.promisedTo());
@@ -157,8 +159,8 @@
                         1,
                         "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 0 0, DISK 1 0, "
                                 + "MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0");
-        assertTrue(world.processes[0].lease.holds());
-        assertEquals(world.processes[0].lease.number(), world.processes[1].lease.promised());
+        assertTrue(world.processes[0].lease.isHeld());
+        assertEquals(world.processes[0].lease.number(), world.processes[1].lease.promisedNumber());
         assertEquals(world.processes[1].id, world.processes[1].lease.promisedTo());
         return world;
     }
@@ -208,7 +210,7 @@
     @Test
     void aWordForTheLifeBeforeRaisesNothing() {
         needs(
-                Defence.ROWS_WITHOUT_GAP,
+                SafetyRule.ROWS_WITHOUT_GAP,
                 ControlWorlds.SERVED,
                 0,
                 "SERVER 1 1, DISK 1 0, MESSAGE 1 0, MESSAGE 0 1, CRASH 0 0, START 0 0, MESSAGE 1 0, MESSAGE 0 1");
@@ -221,7 +223,7 @@
     @Test
     void recordsOfOneWordGoTogether() {
         needs(
-                Defence.RECORDS_TOGETHER,
+                SafetyRule.RECORDS_TOGETHER,
                 ControlWorlds.SERVED,
                 0,
                 "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 1, RECORD 0 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0");
@@ -234,7 +236,7 @@
     @Test
     void recordsForADiskThatIsGoneAreNotTaken() {
         needs(
-                Defence.RECORDS_WITHOUT_GAP,
+                SafetyRule.RECORDS_WITHOUT_GAP,
                 ControlWorlds.SERVED,
                 0,
                 "MESSAGE 0 1, MESSAGE 1 0, RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0, EMPTY 1 0, "
@@ -249,7 +251,7 @@
     void whatIsKeptUnderANewerSetAcknowledgesNothing() {
         ControlWorld world =
                 needs(
-                        Defence.ROWS_UNDER_EPOCH,
+                        SafetyRule.ROWS_UNDER_EPOCH,
                         ControlWorlds.SERVED_SETS,
                         0,
                         "MESSAGE 0 2, MESSAGE 2 0, MESSAGE 3 0, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, "
@@ -265,7 +267,7 @@
     @Test
     void aLeaseThatComesBackGoesOnWithItsNumbers() {
         needs(
-                Defence.NUMBERS_ONCE,
+                SafetyRule.NUMBERS_ONCE,
                 ControlWorlds.DUTY_SETS,
                 0,
                 "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, MESSAGE 4 1, TIME 250 0, TIME 250 0, "
@@ -276,7 +278,7 @@
 
     /** By these steps nothing breaks, and without the defence something does. */
     private static ControlWorld needs(
-            Defence defence, ControlWorld.Scene scene, long seed, String steps) {
+            SafetyRule defence, ControlWorld.Scene scene, long seed, String steps) {
         assertNotNull(ControlWorlds.played(scene, defence, seed, steps).broken);
         ControlWorld world = ControlWorlds.played(scene, seed, steps);
         assertNull(world.broken);
@@ -354,8 +356,8 @@
 
     /** Without it something breaks, and by the same steps nothing does with it. */
     @ParameterizedTest
-    @EnumSource(Defence.class)
-    void eachDefenceIsNeeded(Defence one) {
+    @EnumSource(SafetyRule.class)
+    void eachDefenceIsNeeded(SafetyRule one) {
         assertNotNull(ControlWorlds.hunt(one, 1, 60_000, Long.MAX_VALUE), one.name());
     }
 }
--- a/src/test/java/dillfront/lab/whole/AuditTest.java
+++ b/src/test/java/dillfront/lab/whole/AuditTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Host;
-import dillfront.host.Position;
+import dillfront.host.Environment;
+import dillfront.host.LogPosition;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -16,7 +16,7 @@
     private final Database.Server replica = database.servers.get(1);
 
     private void wrote(String id, long number, Database.Server... at) {
-        Database.Commit commit = new Database.Commit(new Position(1, number), id);
+        Database.Commit commit = new Database.Commit(new LogPosition(1, number), id);
         for (Database.Server s : at) {
             s.log.add(commit);
             s.applied = s.log.size();
@@ -80,13 +80,13 @@
         wrote("w", 2, primary);
         day.audit.acknowledge("db0", "v");
         day.audit.acknowledge("db0", "w");
-        Audit.Given refused = day.audit.gives("db0", new Position(1, 1), new Position(1, 2));
+        Audit.Given refused = day.audit.gives("db0", new LogPosition(1, 1), new LogPosition(1, 2));
         day.audit.refused(refused);
-        day.audit.gives("db0", new Position(1, 0), new Position(1, 1));
+        day.audit.gives("db0", new LogPosition(1, 0), new LogPosition(1, 1));
         day.audit.promoted(replica);
         found("LOST");
         day.audit.breaches.clear();
-        day.audit.gives("db0", new Position(1, 1), new Position(1, 2));
+        day.audit.gives("db0", new LogPosition(1, 1), new LogPosition(1, 2));
         day.audit.promoted(replica);
         assertTrue(day.breaches().isEmpty() && day.givenUp() == 1, day.breaches().toString());
         // It counted once; the next loss is another.
@@ -100,7 +100,7 @@
     void aLossThatIsOverIsNotGivenUpAnyMore() {
         wrote("w", 1, primary);
         day.audit.acknowledge("db0", "w");
-        day.audit.gives("db0", new Position(1, 0), new Position(1, 2));
+        day.audit.gives("db0", new LogPosition(1, 0), new LogPosition(1, 2));
         wrote("x", 2, primary);
         day.audit.acknowledge("db0", "x");
         day.audit.promoted(replica);
@@ -200,25 +200,25 @@
     }
 
     private void say(List<String> heard, String... lines) {
-        day.clients.dial(
+        day.clients.connect(
                 day.front(0).ip + ":" + Day.FRONT,
-                Host.Form.LINES,
+                Environment.Framing.LINES,
                 500,
-                new Host.Ear() {
+                new Environment.ConnectionListener() {
                     @Override
-                    public void opened(Host.Link link) {
+                    public void onOpen(Environment.Connection link) {
                         for (String line : lines) {
                             link.send(Sim.bytes(line));
                         }
                     }
 
                     @Override
-                    public void message(byte[] message) {
+                    public void onMessage(byte[] message) {
                         heard.add(Sim.text(message));
                     }
 
                     @Override
-                    public void closed(String why) {
+                    public void onClose(String why) {
                         heard.add("closed");
                     }
                 });
--- a/src/test/java/dillfront/lab/whole/ConfigAuditTest.java
+++ b/src/test/java/dillfront/lab/whole/ConfigAuditTest.java
@@ -180,7 +180,7 @@
         day.audit.runs(primary, database.new Connection(primary), "w", "WRITE k d", true);
         nothingFound();
         day.audit.runs(primary, database.new Connection(primary), "w", "WRITE k d", true);
-        client.message(Sim.bytes("ROW rother"));
+        client.onMessage(Sim.bytes("ROW rother"));
         assertEquals(1, day.control().sentTwice);
         assertEquals(1, day.control().wrongCaller);
     }
--- a/src/test/java/dillfront/lab/whole/RecordedMessages.java
+++ b/src/test/java/dillfront/lab/whole/RecordedMessages.java
@@ -1,6 +1,6 @@
 package dillfront.lab.whole;
 
-import dillfront.host.Pack;
+import dillfront.host.MessageCodec;
 import dillfront.lab.ControlMeasure;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -161,7 +161,8 @@
                                                             if (kind.equals("FRAMES")) {
                                                                 try {
                                                                     Map<String, Object> fields =
-                                                                            Pack.read(message)
+                                                                            MessageCodec.decode(
+                                                                                            message)
                                                                                     .all();
                                                                     String ends =
                                                                             from.replaceAll(
@@ -184,7 +185,10 @@
                                                                                         + text(
                                                                                                 fields));
                                                                     }
-                                                                } catch (Pack.Bad bad) {
+                                                                } catch (
+                                                                        MessageCodec
+                                                                                        .MalformedMessageException
+                                                                                bad) {
                                                                     throw new IllegalStateException(
                                                                             bad);
                                                                 }
--- a/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Pack;
+import dillfront.host.MessageCodec;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.Base64;
@@ -47,11 +47,13 @@
         for (String line : lines) {
             String[] part = line.split(" ", 3);
             byte[] message = Base64.getDecoder().decode(part[1]);
-            Map<String, Object> fields = Pack.read(message).all();
+            Map<String, Object> fields = MessageCodec.decode(message).all();
             assertEquals(part[2], RecordedMessages.text(fields));
             // The codec keeps no order of names on reading, so what it writes is compared once read
             // again.
-            assertEquals(part[2], RecordedMessages.text(Pack.read(Pack.write(fields)).all()));
+            assertEquals(
+                    part[2],
+                    RecordedMessages.text(MessageCodec.decode(MessageCodec.encode(fields)).all()));
         }
     }
 }
--- a/src/test/java/dillfront/lab/whole/SimTest.java
+++ b/src/test/java/dillfront/lab/whole/SimTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Host;
+import dillfront.host.Environment;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,13 +18,13 @@
     private final Sim.Machine a = sim.new Machine("a", "a", "10.0.0.1");
     private final Sim.Machine b = sim.new Machine("b", "b", "10.0.0.2");
     private final List<String> heard = new ArrayList<>();
-    private Host.Link link;
-    private Host.Link far;
+    private Environment.Connection link;
+    private Environment.Connection far;
 
-    private Host.Ear ear(String who) {
-        return new Host.Ear() {
+    private Environment.ConnectionListener ear(String who) {
+        return new Environment.ConnectionListener() {
             @Override
-            public void opened(Host.Link opened) {
+            public void onOpen(Environment.Connection opened) {
                 if (who.equals("a")) {
                     link = opened;
                 } else {
@@ -33,12 +33,12 @@
             }
 
             @Override
-            public void message(byte[] message) {
+            public void onMessage(byte[] message) {
                 heard.add(who + " " + Sim.text(message));
             }
 
             @Override
-            public void closed(String why) {
+            public void onClose(String why) {
                 heard.add(who + " closed");
             }
         };
@@ -46,7 +46,7 @@
 
     private void connect() {
         b.listen(1, h -> ear("b"));
-        a.dial("10.0.0.2:1", Host.Form.FRAMES, 500, ear("a"));
+        a.connect("10.0.0.2:1", Environment.Framing.FRAMES, 500, ear("a"));
         sim.until(100);
     }
 
@@ -94,15 +94,15 @@
     @Test
     void aPausedProcessHearsAllOfItLaterAndItsClockHasGoneOn() {
         connect();
-        long was = b.now();
+        long was = b.nowMillis();
         b.freeze(1_000);
         link.send(Sim.bytes("one"));
-        b.after(1, () -> heard.add("timer"));
+        b.schedule(1, () -> heard.add("timer"));
         sim.until(1_050);
         assertEquals(List.of(), heard);
         sim.until(1_200);
         assertEquals(List.of("timer", "b one"), heard);
-        assertEquals(1_100, b.now() - was);
+        assertEquals(1_100, b.nowMillis() - was);
     }
 
     @Test
@@ -119,7 +119,7 @@
             disk.cutShort();
             sim.until(sim.millis() + 20);
             assertFalse(two.isDone() || three.isDone());
-            Map<String, String> all = disk.all();
+            Map<String, String> all = disk.initialState();
             assertTrue(all.containsKey("one"));
             assertTrue(all.containsKey("two") || !all.containsKey("three"));
             assertTrue(all.containsKey("two") != all.containsKey("gone"));
@@ -137,11 +137,11 @@
         sim.until(900);
         assertFalse(waits.isDone());
         sim.until(1_100);
-        assertTrue(waits.isDone() && disk.all().containsKey("one"));
+        assertTrue(waits.isDone() && disk.initialState().containsKey("one"));
         disk.refuse(true);
         CompletableFuture<Void> refused = disk.put(Map.of("two", "1"));
         sim.until(1_200);
-        assertTrue(refused.isCompletedExceptionally() && !disk.all().containsKey("two"));
+        assertTrue(refused.isCompletedExceptionally() && !disk.initialState().containsKey("two"));
         disk.refuse(false);
         CompletableFuture<Void> again = disk.put(Map.of("two", "1"));
         sim.until(1_300);
--- a/src/test/java/dillfront/programs/RealControlTest.java
+++ b/src/test/java/dillfront/programs/RealControlTest.java
@@ -7,9 +7,9 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import dillfront.host.Host;
-import dillfront.host.NettyHost;
-import dillfront.host.Pack;
+import dillfront.host.Environment;
+import dillfront.host.MessageCodec;
+import dillfront.host.NettyEnvironment;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -357,7 +357,7 @@
      */
     private final class Cloud implements AutoCloseable {
         final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final NettyHost host = new NettyHost(7);
+        final NettyEnvironment host = new NettyEnvironment(7);
         final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
         final List<String> words = Collections.synchronizedList(new ArrayList<>());
 
@@ -396,7 +396,7 @@
                     addresses[i] = "127.0.0.1:" + free.getLocalPort();
                 }
                 int number = i;
-                host.listen(addresses[i], Host.Form.LINES, h -> new Server(number));
+                host.listen(addresses[i], Environment.Framing.LINES, h -> new Server(number));
             }
         }
 
@@ -459,7 +459,7 @@
 
         /** Each beats at all control processes, for as long as it lives. */
         void beats(int number, long sequence) {
-            host.after(
+            host.schedule(
                     200,
                     () -> {
                         if (number != 1 || !firstIsDead) {
@@ -487,21 +487,21 @@
                     });
         }
 
-        private final class Server implements Host.Ear {
+        private final class Server implements Environment.ConnectionListener {
             private final int number;
-            private Host.Link link;
+            private Environment.Connection link;
 
             Server(int number) {
                 this.number = number;
             }
 
             @Override
-            public void opened(Host.Link opened) {
+            public void onOpen(Environment.Connection opened) {
                 link = opened;
             }
 
             @Override
-            public void message(byte[] message) {
+            public void onMessage(byte[] message) {
                 String line = new String(message, StandardCharsets.US_ASCII);
                 words.add(number + " " + line);
                 if (number == 1 && firstIsDead) {
@@ -529,7 +529,7 @@
             }
 
             @Override
-            public void closed(String why) {
+            public void onClose(String why) {
                 // It comes again.
             }
         }
@@ -537,7 +537,7 @@
         @Override
         public void close() throws IOException {
             door.close();
-            host.loop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+            host.eventLoop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -670,18 +670,18 @@
      */
     private void tellsOfCommits(Cloud cloud, Control to) {
         cloud.host
-                .loop()
+                .eventLoop()
                 .execute(
                         () ->
-                                cloud.host.dial(
+                                cloud.host.connect(
                                         to.ip + ":" + ports[1],
-                                        Host.Form.FRAMES,
+                                        Environment.Framing.FRAMES,
                                         1_000,
-                                        new Host.Ear() {
+                                        new Environment.ConnectionListener() {
                                             @Override
-                                            public void opened(Host.Link link) {
+                                            public void onOpen(Environment.Connection link) {
                                                 link.send(
-                                                        Pack.write(
+                                                        MessageCodec.encode(
                                                                 Map.of(
                                                                         "t",
                                                                         "news",
@@ -706,12 +706,12 @@
                                             }
 
                                             @Override
-                                            public void message(byte[] message) {
+                                            public void onMessage(byte[] message) {
                                                 // It does not ask again.
                                             }
 
                                             @Override
-                                            public void closed(String why) {
+                                            public void onClose(String why) {
                                                 // Nor come again.
                                             }
                                         }));
