--- a/Makefile
+++ b/Makefile
@@ -33,36 +33,36 @@
 	test -e target/before/$(BEFORE) || { rm -rf target/before && mkdir -p target/before && \
 	    git archive $(BEFORE) | tar -x -C target/before && (cd target/before && $(call deployed,build)) && \
 	    touch target/before/$(BEFORE); }
-	java -cp target/dillfront.jar dillfront.bench.Cost . target/before
+	java -cp target/dillfront.jar dillfront.benchmark.Cost . target/before
 
 # What gossip brings, what it costs, and what a liar can do, in virtual time and once on loopback; under 50 s.
 measure-gossip: build
-	java -Xmx1g -cp target/dillfront.jar dillfront.lab.GossipMeasure
+	java -Xmx1g -cp target/dillfront.jar dillfront.simulation.GossipMeasure
 
 # What a verdict on a txn costs, by the index and by a plain list; under 50 s.
 measure-identity: build
-	java -cp target/dillfront.jar dillfront.bench.IdentityMeasure
+	java -cp target/dillfront.jar dillfront.benchmark.IdentityMeasure
 
 # Power lost by all at once: real processes, and the return of a cold fleet in virtual time; under 50 s.
 measure-power: build
-	java -cp target/dillfront.jar dillfront.lab.PowerMeasure
+	java -cp target/dillfront.jar dillfront.simulation.PowerMeasure
 
 # The plans for lost sites: how long they take, and what a greedy order loses against them.
 measure-site: build
-	java -cp target/dillfront.jar dillfront.lab.SiteMeasure
+	java -cp target/dillfront.jar dillfront.simulation.SiteMeasure
 
 # Some hundreds of random days of the whole system in simulated time; SEED=n tells one of them in full. Under 50 s.
 measure-system: build
-	java -Xmx1g -cp target/dillfront.jar dillfront.lab.SystemMeasure $(SEED)
+	java -Xmx1g -cp target/dillfront.jar dillfront.simulation.SystemMeasure $(SEED)
 
 # The worst days of control state in simulated time, and the small worlds of its agreement; SEED=n tells one day in full. Under 50 s.
 measure-control: build
-	java -Xmx1g -cp target/dillfront.jar dillfront.lab.ControlMeasure $(SEED)
+	java -Xmx1g -cp target/dillfront.jar dillfront.simulation.ControlMeasure $(SEED)
 
 # What the control plane spends and says with 50, 200 and 800 hollow fronts; real control processes; under 50 s.
 measure-capacity: build
-	java -Xmx1g -cp target/dillfront.jar dillfront.lab.CapacityMeasure
+	java -Xmx1g -cp target/dillfront.jar dillfront.simulation.CapacityMeasure
 
 # Bytes for each of 200 changes of 300 routes, and a process that was away for 600; real control processes; one to two minutes.
 measure-changes: build
-	java -Xmx512m -cp target/dillfront.jar dillfront.lab.ChangesMeasure
+	java -Xmx512m -cp target/dillfront.jar dillfront.simulation.ChangesMeasure
--- a/src/main/java/dillfront/bench/Cost.java
+++ b/src/main/java/dillfront/benchmark/Cost.java
@@ -1,4 +1,4 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -161,7 +161,7 @@
                 relay.get(2)
                         .replace(
                                 "-jar target/dillfront.jar serve",
-                                "-cp target/dillfront.jar dillfront.bench.Relay"));
+                                "-cp target/dillfront.jar dillfront.benchmark.Relay"));
         List<Taken> ofNow = new ArrayList<>();
         List<Taken> ofBefore = new ArrayList<>();
         List<Taken> ofRelay = new ArrayList<>();
--- a/src/main/java/dillfront/bench/Counts.java
+++ b/src/main/java/dillfront/benchmark/Counts.java
@@ -1,9 +1,9 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import com.sun.management.ThreadMXBean;
-import dillfront.config.Config;
-import dillfront.daemon.Daemon;
-import dillfront.log.Log;
+import dillfront.common.logging.Log;
+import dillfront.router.Daemon;
+import dillfront.router.config.Config;
 import io.netty.buffer.PoolArenaMetric;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.ByteArrayInputStream;
--- a/src/main/java/dillfront/bench/Drive.java
+++ b/src/main/java/dillfront/benchmark/Drive.java
@@ -1,4 +1,4 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/dillfront/bench/IdentityMeasure.java
+++ b/src/main/java/dillfront/benchmark/IdentityMeasure.java
@@ -1,12 +1,12 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
-import dillfront.identity.Gate;
-import dillfront.identity.KeyBytes;
-import dillfront.identity.Policy;
-import dillfront.identity.Principal;
-import dillfront.identity.Refusal;
-import dillfront.identity.Rights;
-import dillfront.identity.Rule;
+import dillfront.router.identity.Gate;
+import dillfront.router.identity.KeyBytes;
+import dillfront.router.identity.Policy;
+import dillfront.router.identity.Principal;
+import dillfront.router.identity.Refusal;
+import dillfront.router.identity.Rights;
+import dillfront.router.identity.Rule;
 import java.lang.management.ManagementFactory;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
--- a/src/main/java/dillfront/bench/Relay.java
+++ b/src/main/java/dillfront/benchmark/Relay.java
@@ -1,4 +1,4 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/dillfront/bench/StandIns.java
+++ b/src/main/java/dillfront/benchmark/StandIns.java
@@ -1,11 +1,11 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
-import dillfront.lab.rig.Agent;
-import dillfront.lab.rig.Catalogue;
-import dillfront.lab.rig.Group;
-import dillfront.lab.rig.Node;
-import dillfront.lab.rig.Stage;
-import dillfront.pgwire.Messages;
+import dillfront.router.pgwire.Messages;
+import dillfront.simulation.processes.Agent;
+import dillfront.simulation.processes.Catalogue;
+import dillfront.simulation.processes.Group;
+import dillfront.simulation.processes.Node;
+import dillfront.simulation.processes.Stage;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.Closeable;
--- a/src/main/java/dillfront/programs/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -1,15 +1,15 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
-import dillfront.core.ControlNode;
-import dillfront.core.StateStore;
-import dillfront.daemon.Signals;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.NettyEnvironment;
-import dillfront.host.NodeSettings;
-import dillfront.host.RingLog;
-import dillfront.log.Log;
-import dillfront.memory.Keep;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.environment.RingLog;
+import dillfront.common.logging.Log;
+import dillfront.common.storage.Keep;
+import dillfront.controlplane.ControlNode;
+import dillfront.controlplane.storage.StateStore;
+import dillfront.router.Signals;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/main/java/dillfront/programs/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -1,14 +1,14 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
 import com.eclipsesource.json.Json;
-import dillfront.daemon.Signals;
-import dillfront.front.Front;
-import dillfront.host.Environment;
-import dillfront.host.HttpServerHandler;
-import dillfront.host.NettyEnvironment;
-import dillfront.host.NodeSettings;
-import dillfront.host.RingLog;
-import dillfront.log.Log;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.HttpServerHandler;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.environment.RingLog;
+import dillfront.common.logging.Log;
+import dillfront.dataplane.Front;
+import dillfront.router.Signals;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/dillfront/programs/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -1,10 +1,10 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import dillfront.host.NettyEnvironment;
-import dillfront.host.NodeSettings;
-import dillfront.memory.Keep;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.storage.Keep;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/Commands.java
@@ -1,9 +1,9 @@
 package dillfront.cli;
 
-import dillfront.config.Address;
-import dillfront.operator.Operator;
-import dillfront.peers.KeyFile;
-import dillfront.peers.Ring;
+import dillfront.common.network.Address;
+import dillfront.router.operator.Operator;
+import dillfront.router.peers.KeyFile;
+import dillfront.router.peers.Ring;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -1,18 +1,18 @@
 package dillfront.cli;
 
-import dillfront.config.BadConfig;
-import dillfront.config.Config;
-import dillfront.daemon.Daemon;
-import dillfront.daemon.Rehearsal;
-import dillfront.drill.BadInput;
-import dillfront.drill.Drill;
-import dillfront.host.NodeSettings;
-import dillfront.log.Log;
-import dillfront.log.Silence;
-import dillfront.memory.Keep;
-import dillfront.operator.Operator;
-import dillfront.programs.ControlPlaneProgram;
-import dillfront.programs.DataPlaneProgram;
+import dillfront.bootstrap.ControlPlaneProgram;
+import dillfront.bootstrap.DataPlaneProgram;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.logging.Log;
+import dillfront.common.logging.Silence;
+import dillfront.common.storage.Keep;
+import dillfront.router.Daemon;
+import dillfront.router.Rehearsal;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Config;
+import dillfront.router.operator.Operator;
+import dillfront.routing.simulator.BadInput;
+import dillfront.routing.simulator.Drill;
 import java.io.IOException;
 import java.util.List;
 
@@ -54,7 +54,7 @@
             } else if (args[0].equals("control-plane")) {
                 ControlPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
             } else if (args[0].equals("rehearse-system")) {
-                dillfront.programs.WarmUp.run();
+                dillfront.bootstrap.WarmUp.run();
                 System.exit(0);
             } else {
                 new Drill(System.in, System.out).run();
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/Site.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.config.BadConfig;
-import dillfront.config.Tree;
-import dillfront.plan.Estate;
-import dillfront.plan.Lists;
-import dillfront.plan.Plan;
-import dillfront.plan.Planner;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Tree;
+import dillfront.router.plan.Estate;
+import dillfront.router.plan.Lists;
+import dillfront.router.plan.Plan;
+import dillfront.router.plan.Planner;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.StringWriter;
--- a/src/main/java/dillfront/cli/WholeSystem.java
+++ b/src/main/java/dillfront/cli/WholeSystem.java
@@ -2,9 +2,9 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.ParseException;
-import dillfront.config.Address;
-import dillfront.host.Configuration;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.network.Address;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
--- a/src/main/java/dillfront/host/Configuration.java
+++ b/src/main/java/dillfront/common/config/Configuration.java
@@ -1,9 +1,10 @@
-package dillfront.host;
+package dillfront.common.config;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
+import dillfront.common.message.BinaryDelta;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/dillfront/host/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -1,10 +1,10 @@
-package dillfront.host;
+package dillfront.common.config;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import dillfront.config.Address;
+import dillfront.common.network.Address;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/dillfront/host/AcceptedDataLoss.java
+++ b/src/main/java/dillfront/common/database/AcceptedDataLoss.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.database;
 
 import java.net.URLDecoder;
 import java.net.URLEncoder;
--- a/src/main/java/dillfront/host/AcknowledgedCommits.java
+++ b/src/main/java/dillfront/common/database/AcknowledgedCommits.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.database;
 
 /**
  * What is known of a service's acknowledged commits. An answer tells how far the log was when it
--- a/src/main/java/dillfront/host/LogPosition.java
+++ b/src/main/java/dillfront/common/database/LogPosition.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.database;
 
 /**
  * A place in the log of a database: TERM.NUMBER. Those of a later term are behind all of an earlier
--- a/src/main/java/dillfront/host/Environment.java
+++ b/src/main/java/dillfront/common/environment/Environment.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.environment;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
--- a/src/main/java/dillfront/host/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -1,6 +1,6 @@
-package dillfront.host;
+package dillfront.common.environment;
 
-import dillfront.sockets.Ears;
+import dillfront.common.network.Ears;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
--- a/src/main/java/dillfront/host/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -1,8 +1,8 @@
-package dillfront.host;
+package dillfront.common.environment;
 
-import dillfront.config.Address;
-import dillfront.sockets.Ears;
-import dillfront.sockets.Sockets;
+import dillfront.common.network.Address;
+import dillfront.common.network.Ears;
+import dillfront.common.network.Sockets;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/dillfront/log/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -1,6 +1,6 @@
-package dillfront.log;
+package dillfront.common.logging;
 
-import dillfront.port.Result;
+import dillfront.routing.api.Result;
 
 /** What one router took in, sent and answered; and what it holds now, all zero once it is idle. */
 public final class Counters {
--- a/src/main/java/dillfront/log/Log.java
+++ b/src/main/java/dillfront/common/logging/Log.java
@@ -1,4 +1,4 @@
-package dillfront.log;
+package dillfront.common.logging;
 
 import java.io.PrintStream;
 import java.time.Instant;
--- a/src/main/java/dillfront/log/Silence.java
+++ b/src/main/java/dillfront/common/logging/Silence.java
@@ -1,4 +1,4 @@
-package dillfront.log;
+package dillfront.common.logging;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.InternalLogger;
--- a/src/main/java/dillfront/host/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.message;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/dillfront/config/Address.java
+++ b/src/main/java/dillfront/common/network/Address.java
@@ -1,4 +1,4 @@
-package dillfront.config;
+package dillfront.common.network;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/dillfront/sockets/Ears.java
+++ b/src/main/java/dillfront/common/network/Ears.java
@@ -1,4 +1,4 @@
-package dillfront.sockets;
+package dillfront.common.network;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
--- a/src/main/java/dillfront/sockets/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -1,4 +1,4 @@
-package dillfront.sockets;
+package dillfront.common.network;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
--- a/src/main/java/dillfront/memory/Disk.java
+++ b/src/main/java/dillfront/common/storage/Disk.java
@@ -1,4 +1,4 @@
-package dillfront.memory;
+package dillfront.common.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -15,7 +15,7 @@
  * A folder as a memory needs it. What was written may be lost with the power until it is synced,
  * each part of it by itself.
  */
-interface Disk extends AutoCloseable {
+public interface Disk extends AutoCloseable {
 
     /** Null where there is no such file. */
     byte[] read(String name) throws IOException;
@@ -59,7 +59,7 @@
         /**
          * @throws Shelf.Held where another process has it
          */
-        Folder(Path folder) throws IOException, Shelf.Held {
+        public Folder(Path folder) throws IOException, Shelf.Held {
             this.folder = folder;
             Path there = folder.toAbsolutePath();
             while (!Files.exists(there)) {
--- a/src/main/java/dillfront/memory/Keep.java
+++ b/src/main/java/dillfront/common/storage/Keep.java
@@ -1,4 +1,4 @@
-package dillfront.memory;
+package dillfront.common.storage;
 
 import java.nio.file.Path;
 import java.util.Map;
@@ -35,7 +35,8 @@
         }
     }
 
-    static Keep on(Disk disk, String where, String owner) throws Broken {
+    /** Opens the store on any disk, as tests do. */
+    public static Keep on(Disk disk, String where, String owner) throws Broken {
         try {
             return new Keep(Shelf.open(disk, where, owner, true));
         } catch (Shelf.Broken bad) {
--- a/src/main/java/dillfront/memory/Shelf.java
+++ b/src/main/java/dillfront/common/storage/Shelf.java
@@ -1,4 +1,4 @@
-package dillfront.memory;
+package dillfront.common.storage;
 
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
@@ -28,10 +28,10 @@
  * Numbers are big-endian. The first record holds all that was there, and under "" the name of the
  * router it belongs to.
  */
-final class Shelf {
+public final class Shelf {
 
     /** The file cannot be used, or not now: which, where and why. */
-    static final class Broken extends Exception {
+    public static final class Broken extends Exception {
         private static final long serialVersionUID = 1;
 
         Broken(String fault) {
@@ -40,7 +40,7 @@
     }
 
     /** Another process has the folder. */
-    static final class Held extends Exception {
+    public static final class Held extends Exception {
         private static final long serialVersionUID = 1;
 
         Held(String fault) {
@@ -48,7 +48,7 @@
         }
     }
 
-    static final String FILE = "memory.log";
+    public static final String FILE = "memory.log";
     private static final String NEXT = "memory.next";
     private static final String ASIDE = "memory.broken";
     private static final Pattern FORMAT = Pattern.compile("dillfront memory (\\d+)\n");
@@ -106,7 +106,7 @@
      * @throws Broken where the file is another router's or of a format that this program does not
      *     know, or cannot be read
      */
-    static Shelf open(Disk disk, String where, String owner) throws Broken {
+    public static Shelf open(Disk disk, String where, String owner) throws Broken {
         return open(disk, where, owner, false);
     }
 
@@ -114,7 +114,7 @@
      * @param whole of a file of which more than a torn tail is wrong nothing is taken over, in no
      *     later life either
      */
-    static Shelf open(Disk disk, String where, String owner, boolean whole) throws Broken {
+    public static Shelf open(Disk disk, String where, String owner, boolean whole) throws Broken {
         Shelf shelf = new Shelf(disk, where);
         try {
             shelf.read(owner, whole);
@@ -271,12 +271,12 @@
     }
 
     /** More than a torn tail was wrong, and the file as it was lies beside. */
-    boolean isAside() {
+    public boolean isAside() {
         return aside;
     }
 
     /** What was wrong with the file that was found; null where nothing was. */
-    String fault() {
+    public String fault() {
         return cut == null ? null : where + ": " + cut;
     }
 
@@ -289,7 +289,7 @@
      * @throws IllegalArgumentException where a name or a text is longer than the form can hold;
      *     nothing is written then
      */
-    void put(Map<String, String> named, Map<Long, Long> numbered) throws Broken {
+    public void put(Map<String, String> named, Map<Long, Long> numbered) throws Broken {
         int size = size(named, numbered);
         try {
             if (tailDoubtful) {
@@ -435,17 +435,17 @@
     }
 
     /** Texts by their names. */
-    Map<String, String> all() {
+    public Map<String, String> all() {
         Map<String, String> all = new HashMap<>(texts);
         all.remove(OWNER);
         return all;
     }
 
-    Map<Long, Long> numbers() {
+    public Map<Long, Long> numbers() {
         return new HashMap<>(numbers);
     }
 
-    void close() {
+    public void close() {
         disk.close();
     }
 
--- a/src/main/java/dillfront/core/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -1,15 +1,31 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.HttpServerHandler;
-import dillfront.host.MessageCodec;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.HttpServerHandler;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.consensus.Ballot;
+import dillfront.controlplane.consensus.MembershipPolicy;
+import dillfront.controlplane.consensus.QuorumRead;
+import dillfront.controlplane.consensus.ReconfigurationBarrier;
+import dillfront.controlplane.consensus.RegisterValue;
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.failover.PrimaryObservation;
+import dillfront.controlplane.failover.PrimaryRecord;
+import dillfront.controlplane.failover.PrimaryRecords;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.registry.RegistryReplication;
+import dillfront.controlplane.registry.ReplicationProgress;
+import dillfront.controlplane.registry.ServerRegistry;
+import dillfront.controlplane.storage.RetryingStateStore;
+import dillfront.controlplane.storage.StateStore;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -36,7 +52,7 @@
     private static final long LATE_MS = 300;
 
     /** One that was not heard for so long is out of touch. */
-    static final long TOUCH_MS = 1_300;
+    public static final long TOUCH_MS = 1_300;
 
     /** What a majority answered so long ago is fresh: two ticks, and the way there and back. */
     private static final long FRESH_MS = 850;
--- a/src/main/java/dillfront/core/ControlPeer.java
+++ b/src/main/java/dillfront/controlplane/ControlPeer.java
@@ -1,6 +1,9 @@
-package dillfront.core;
+package dillfront.controlplane;
 
-import dillfront.host.Environment;
+import dillfront.common.environment.Environment;
+import dillfront.controlplane.failover.PrimaryObservation;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.registry.ReplicationProgress;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/dillfront/core/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/DataLossManager.java
@@ -1,14 +1,15 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.ParseException;
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
-import dillfront.host.MessageCodec;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.failover.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/dillfront/core/DataPlaneSubscriptions.java
+++ b/src/main/java/dillfront/controlplane/DataPlaneSubscriptions.java
@@ -1,8 +1,11 @@
-package dillfront.core;
+package dillfront.controlplane;
 
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.environment.Environment;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.failover.PrimaryObservation;
+import dillfront.controlplane.failover.PrimaryRecord;
+import dillfront.controlplane.subscription.ConfigurationHistory;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/dillfront/core/FailoverCoordinator.java
+++ b/src/main/java/dillfront/controlplane/FailoverCoordinator.java
@@ -1,10 +1,15 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import com.eclipsesource.json.Json;
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.Configuration;
-import dillfront.host.LogPosition;
+import dillfront.common.config.Configuration;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.controlplane.failover.PrimaryObservation;
+import dillfront.controlplane.failover.PrimaryRecord;
+import dillfront.controlplane.lease.FencingTokens;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.registry.DatabaseServer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -370,7 +375,7 @@
                                 "Dillfront-Fence-Number",
                                 Long.toString(fence)),
                         (int) PLATFORM_MS)
-                .thenApply(dillfront.host.Environment.HttpResponse::status);
+                .thenApply(dillfront.common.environment.Environment.HttpResponse::status);
     }
 
     // ---- a primary that leads
--- a/src/main/java/dillfront/core/ServerQuery.java
+++ b/src/main/java/dillfront/controlplane/ServerQuery.java
@@ -1,8 +1,9 @@
-package dillfront.core;
+package dillfront.controlplane;
 
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
-import dillfront.host.ServerResponseReader;
+import dillfront.common.database.LogPosition;
+import dillfront.common.database.ServerResponseReader;
+import dillfront.common.environment.Environment;
+import dillfront.controlplane.registry.DatabaseServer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
--- a/src/main/java/dillfront/core/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
 /** The number of a proposal: rounds go first, and no two proposers share one. NONE is below all. */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
--- a/src/main/java/dillfront/core/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  * most one comes and at most one goes. Nobody goes for good by this: one that was away and comes
  * back is taken in again.
  */
-final class MembershipPolicy {
+public final class MembershipPolicy {
 
     /**
      * More disks cost more to ask than they bear losses; but as many as the losses that are to be
@@ -37,13 +37,13 @@
      * @param caughtUp it is heard both ways, and holds what is decided
      * @param leaving it said that it ends
      */
-    record Candidate(
+    public record Candidate(
             String id, String zone, long silentMillis, boolean caughtUp, boolean leaving) {}
 
     private MembershipPolicy() {}
 
     /** The next set; the same one where nothing is to be changed. */
-    static TreeSet<String> nextMembers(
+    public static TreeSet<String> nextMembers(
             SortedSet<String> members, List<Candidate> seen, int losses) {
         TreeSet<String> next = new TreeSet<>(members);
         Map<String, Integer> zones = new TreeMap<>();
--- a/src/main/java/dillfront/core/QuorumRead.java
+++ b/src/main/java/dillfront/controlplane/consensus/QuorumRead.java
@@ -1,6 +1,6 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
 import java.util.function.Predicate;
 
 /**
--- a/src/main/java/dillfront/core/ReconfigurationBarrier.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReconfigurationBarrier.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
 import java.util.function.Predicate;
 
--- a/src/main/java/dillfront/core/RegisterValue.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
@@ -1,6 +1,6 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.Map;
@@ -155,7 +155,7 @@
     }
 
     /** Ids from a text that holds them between commas. */
-    static SortedSet<String> parseIds(String text) {
+    public static SortedSet<String> parseIds(String text) {
         return text.isEmpty()
                 ? NO_MEMBERS
                 : Collections.unmodifiableSortedSet(new TreeSet<>(Arrays.asList(text.split(","))));
@@ -166,7 +166,7 @@
     }
 
     /** The address in an id. */
-    static String ipOf(String id) {
+    public static String ipOf(String id) {
         int slash = id.indexOf('/');
         return slash < 0 ? id : id.substring(0, slash);
     }
--- a/src/main/java/dillfront/core/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -1,9 +1,9 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
-import dillfront.host.MessageCodec;
+import dillfront.common.config.Configuration;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dillfront/core/SafetyRule.java
+++ b/src/main/java/dillfront/controlplane/consensus/SafetyRule.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
 /**
  * What keeps the control side sound, each by name, so that a small world can be run without one and
--- a/src/main/java/dillfront/core/PrimaryRecord.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryRecord.java
@@ -1,7 +1,7 @@
-package dillfront.core;
+package dillfront.controlplane.failover;
 
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.MessageCodec;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.message.MessageCodec;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -40,23 +40,24 @@
     }
 
     /** It begins to move. */
-    PrimaryRecord startMove(long next) {
+    public PrimaryRecord startMove(long next) {
         return new PrimaryRecord(
                 service, next, primary, true, replicationPaused, next, acceptedLoss);
     }
 
     /** While it moves, a person has given commits up. */
-    PrimaryRecord withAcceptedLoss(long next, AcceptedDataLoss given) {
+    public PrimaryRecord withAcceptedLoss(long next, AcceptedDataLoss given) {
         return new PrimaryRecord(
                 service, next, primary, moving, replicationPaused, moveNumber, given);
     }
 
     /** This one leads, with what is still given up then. */
-    PrimaryRecord finishMove(long next, String id, boolean held, AcceptedDataLoss given) {
+    public PrimaryRecord finishMove(long next, String id, boolean held, AcceptedDataLoss given) {
         return new PrimaryRecord(service, next, id, false, held, 0, given);
     }
 
-    Map<String, Object> toRow() {
+    /** The fields of this record in a message between control processes. */
+    public Map<String, Object> toRow() {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("s", service);
         row.put("k", number);
--- a/src/main/java/dillfront/core/PrimaryRecords.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryRecords.java
@@ -1,6 +1,8 @@
-package dillfront.core;
+package dillfront.controlplane.failover;
 
-import dillfront.host.MessageCodec;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.consensus.SafetyRule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/dillfront/core/FencingTokens.java
+++ b/src/main/java/dillfront/controlplane/lease/FencingTokens.java
@@ -1,4 +1,7 @@
-package dillfront.core;
+package dillfront.controlplane.lease;
+
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.consensus.SafetyRule;
 
 /**
  * Numbers for what the holder of a lease does, at the platform (fencing tokens) and in records: the
--- a/src/main/java/dillfront/core/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -1,5 +1,8 @@
-package dillfront.core;
+package dillfront.controlplane.lease;
 
+import dillfront.controlplane.ControlNode;
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.consensus.SafetyRule;
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
@@ -68,7 +71,7 @@
     static final long DURATION_MS = 2_500;
 
     /** Bits for the numbers within an epoch. */
-    static final int NUMBER_BITS = 20;
+    public static final int NUMBER_BITS = 20;
 
     private static final long HOLDER_MARGIN_MS = 250;
     private static final long STAGGER_MS = 250;
@@ -376,7 +379,7 @@
     }
 
     /** From now on it is not wanted here any more. */
-    void resign() {
+    public void resign() {
         resigning = true;
         abandon();
     }
--- a/src/main/java/dillfront/core/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -1,38 +1,38 @@
-package dillfront.core;
+package dillfront.controlplane.registry;
 
-import dillfront.host.MessageCodec;
+import dillfront.common.message.MessageCodec;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** One database server, as its beats tell of it. */
-final class DatabaseServer {
+public final class DatabaseServer {
 
-    final String id;
-    final String service;
-    String address;
-    String zoneName;
+    public final String id;
+    public final String service;
+    public String address;
+    public String zoneName;
 
     /** "ready", "draining", "leaving" or "left"; it only goes on in this order. */
-    String state = "ready";
+    public String state = "ready";
 
-    String role = "";
+    public String role = "";
 
     /** Of its last call that counted. */
-    long callSequence = -1;
+    public long callSequence = -1;
 
     /** When it was last heard by any control process, on this one's clock. */
-    long lastHeardMillis;
+    public long lastHeardMillis;
 
     /** And by this one itself. */
-    long lastDirectHeartbeatMillis = Long.MIN_VALUE / 2;
+    public long lastDirectHeartbeatMillis = Long.MIN_VALUE / 2;
 
     /** Since when this process knows that it leaves; -1 where it does not. */
     long leavingSinceMillis = -1;
 
     /** The change of the table in which it was last changed. */
-    long changeNumber;
+    public long changeNumber;
 
-    DatabaseServer(String id, String service) {
+    public DatabaseServer(String id, String service) {
         this.id = id;
         this.service = service;
     }
@@ -47,21 +47,21 @@
     }
 
     /** It is gone, and its log with it. */
-    boolean hasLeft() {
+    public boolean hasLeft() {
         return state.equals("left");
     }
 
     /** It said that it will end, by either word, and serves on until then. */
-    boolean isDraining() {
+    public boolean isDraining() {
         return state.equals("draining") || isLeaving();
     }
 
     /** It said so by its leave, without a word of draining before; no more may be heard of it. */
-    boolean isLeaving() {
+    public boolean isLeaving() {
         return state.equals("leaving");
     }
 
-    boolean isPrimary() {
+    public boolean isPrimary() {
         return role.equals("primary");
     }
 
--- a/src/main/java/dillfront/core/RegistryReplication.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
@@ -1,6 +1,8 @@
-package dillfront.core;
+package dillfront.controlplane.registry;
 
-import dillfront.host.MessageCodec;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.consensus.SafetyRule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +24,7 @@
 
     private boolean persisting;
 
-    RegistryReplication(ReplicatedRegister.Context ground, ServerRegistry members) {
+    public RegistryReplication(ReplicatedRegister.Context ground, ServerRegistry members) {
         this.context = ground;
         this.registry = members;
     }
--- a/src/main/java/dillfront/core/ReplicationProgress.java
+++ b/src/main/java/dillfront/controlplane/registry/ReplicationProgress.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.registry;
 
 /**
  * How far two processes have each other's table of servers, as one of them sees it. A table is
--- a/src/main/java/dillfront/core/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -1,6 +1,6 @@
-package dillfront.core;
+package dillfront.controlplane.registry;
 
-import dillfront.host.MessageCodec;
+import dillfront.common.message.MessageCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * The table of all database servers. Every change has a number, so that others ask only for what
  * they lack.
  */
-final class ServerRegistry {
+public final class ServerRegistry {
 
     /**
      * Rows of those that left are kept so that a late word does not bring them back; so many at the
@@ -39,27 +39,28 @@
     /** Rows go back too, as only a small world has it. */
     private final boolean acceptsOlderRows;
 
-    ServerRegistry() {
+    public ServerRegistry() {
         this(false);
     }
 
-    ServerRegistry(boolean back) {
+    public ServerRegistry(boolean back) {
         this.acceptsOlderRows = back;
     }
 
-    DatabaseServer get(String id) {
+    public DatabaseServer get(String id) {
         return servers.get(id);
     }
 
-    long version() {
+    public long version() {
         return version;
     }
 
-    Iterable<DatabaseServer> all() {
+    public Iterable<DatabaseServer> all() {
         return servers.values();
     }
 
-    List<DatabaseServer> serversOf(String service) {
+    /** The servers of this service that have not left. */
+    public List<DatabaseServer> serversOf(String service) {
         List<DatabaseServer> of = new ArrayList<>();
         for (DatabaseServer m : serversByService.getOrDefault(service, EMPTY).values()) {
             if (!m.hasLeft()) {
@@ -69,7 +70,7 @@
         return of;
     }
 
-    Iterable<String> services() {
+    public Iterable<String> services() {
         return serversByService.keySet();
     }
 
@@ -95,7 +96,7 @@
     }
 
     /** What the disk held, at the start. */
-    void restore(Map<String, String> kept, long now) {
+    public void restore(Map<String, String> kept, long now) {
         kept.forEach(
                 (name, text) -> {
                     DatabaseServer m =
@@ -126,7 +127,7 @@
     }
 
     /** Takes a row in, from a beat or from another control process; whether it changed anything. */
-    boolean merge(MessageCodec.Fields row, long heard) {
+    public boolean merge(MessageCodec.Fields row, long heard) {
         String id = row.string("i");
         String service = row.string("v");
         if (id.isEmpty()
@@ -161,7 +162,7 @@
      * That the new one has its log is not said; one that left took it along, and the new one
      * copies. Only a server's own call says so, never hearsay, which may be late.
      */
-    boolean replacePredecessors(DatabaseServer fresh) {
+    public boolean replacePredecessors(DatabaseServer fresh) {
         boolean any = false;
         for (DatabaseServer m : serversOf(fresh.service)) {
             boolean same = m != fresh && m.address.equals(fresh.address);
@@ -175,7 +176,7 @@
      * long as one that drains. That of a server that is not known here, and may be elsewhere, is
      * kept like any other, so that no late beat undoes it.
      */
-    DatabaseServer markLeaving(String id) {
+    public DatabaseServer markLeaving(String id) {
         DatabaseServer is = servers.get(id);
         if (is == null) {
             is = new DatabaseServer(id, "");
@@ -195,7 +196,7 @@
     /**
      * Those that left so long ago that they have surely ended, and were not heard since, are gone.
      */
-    boolean expireLeaving(long now, long after) {
+    public boolean expireLeaving(long now, long after) {
         boolean any = false;
         for (String id : List.copyOf(leaving)) {
             DatabaseServer m = servers.get(id);
@@ -241,7 +242,7 @@
     }
 
     /** What changed since. */
-    List<Object> rowsSince(long change) {
+    public List<Object> rowsSince(long change) {
         List<Object> out = new ArrayList<>();
         for (DatabaseServer m : byChange.tailMap(change, false).values()) {
             out.add(m.toRow());
--- a/src/main/java/dillfront/core/StateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/StateStore.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.storage;
 
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/dillfront/core/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -1,8 +1,8 @@
-package dillfront.core;
+package dillfront.controlplane.subscription;
 
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
 import java.util.ArrayDeque;
 import java.util.TreeMap;
 
@@ -11,7 +11,7 @@
  * newest. Of those before only what turns each into the one before it is kept, so that hundreds of
  * changes take little room. What is made for one asker serves all others.
  */
-final class ConfigurationHistory {
+public final class ConfigurationHistory {
 
     private static final int MAX_STEPS = 64;
     private static final int MAX_DELTA_BYTES = 1 << 19;
@@ -31,7 +31,7 @@
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
 
     /** This one is decided; one that is no newer than what is known changes nothing. */
-    void append(Configuration next) {
+    public void append(Configuration next) {
         if (next.revision() <= newest.revision()) {
             return;
         }
@@ -52,12 +52,12 @@
         deltas.clear();
     }
 
-    Configuration newest() {
+    public Configuration newest() {
         return newest;
     }
 
     /** The newest, deflated. */
-    byte[] compressed() {
+    public byte[] compressed() {
         if (compressed == null) {
             compressed = Compression.compress(newest.body());
         }
@@ -65,7 +65,7 @@
     }
 
     /** What turns this one into the newest; null where only the whole serves. */
-    byte[] deltaFrom(long version, long digest) {
+    public byte[] deltaFrom(long version, long digest) {
         if (version >= newest.revision()) {
             return null;
         }
--- a/src/main/java/dillfront/front/Connection.java
+++ b/src/main/java/dillfront/dataplane/Connection.java
@@ -1,8 +1,8 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
-import dillfront.host.ServerResponseReader;
+import dillfront.common.database.LogPosition;
+import dillfront.common.database.ServerResponseReader;
+import dillfront.common.environment.Environment;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/front/Floors.java
+++ b/src/main/java/dillfront/dataplane/Floors.java
@@ -1,6 +1,6 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
 import java.util.ArrayDeque;
 
 /**
--- a/src/main/java/dillfront/front/Front.java
+++ b/src/main/java/dillfront/dataplane/Front.java
@@ -1,8 +1,8 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
--- a/src/main/java/dillfront/front/News.java
+++ b/src/main/java/dillfront/dataplane/News.java
@@ -1,11 +1,11 @@
-package dillfront.front;
-
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
+package dillfront.dataplane;
+
+import dillfront.common.config.Configuration;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.environment.Environment;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/dillfront/front/Server.java
+++ b/src/main/java/dillfront/dataplane/Server.java
@@ -1,7 +1,7 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
--- a/src/main/java/dillfront/front/Service.java
+++ b/src/main/java/dillfront/dataplane/Service.java
@@ -1,8 +1,8 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.LogPosition;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
--- a/src/main/java/dillfront/front/Session.java
+++ b/src/main/java/dillfront/dataplane/Session.java
@@ -1,10 +1,10 @@
-package dillfront.front;
+package dillfront.dataplane;
 
-import dillfront.host.Configuration;
-import dillfront.host.Configuration.ReadConsistency;
-import dillfront.host.Configuration.Route;
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.Configuration.ReadConsistency;
+import dillfront.common.config.Configuration.Route;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/front/Statement.java
+++ b/src/main/java/dillfront/dataplane/Statement.java
@@ -1,4 +1,4 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 /** The text of a client's QUERY, as far as the front must know it. */
 record Statement(Verb verb, String name, String rest) {
--- a/src/main/java/dillfront/daemon/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -1,16 +1,16 @@
-package dillfront.daemon;
-
-import dillfront.clients.Clients;
-import dillfront.config.BadConfig;
-import dillfront.config.Clock;
-import dillfront.config.Config;
-import dillfront.config.Setup;
-import dillfront.config.Tree;
-import dillfront.list.Rereading;
-import dillfront.list.Watch;
-import dillfront.log.Counters;
-import dillfront.log.Log;
-import dillfront.operator.Operator;
+package dillfront.router;
+
+import dillfront.common.logging.Counters;
+import dillfront.common.logging.Log;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Clock;
+import dillfront.router.config.Config;
+import dillfront.router.config.Setup;
+import dillfront.router.config.Tree;
+import dillfront.router.discovery.Rereading;
+import dillfront.router.discovery.Watch;
+import dillfront.router.frontend.Clients;
+import dillfront.router.operator.Operator;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
--- a/src/main/java/dillfront/daemon/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -1,20 +1,20 @@
-package dillfront.daemon;
-
-import dillfront.config.Setup;
-import dillfront.list.Member;
-import dillfront.log.Log;
-import dillfront.memory.Memory;
-import dillfront.port.NodeRow;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Sight;
-import dillfront.port.Standing;
-import dillfront.recovery.Doubts;
-import dillfront.recovery.Groups;
-import dillfront.recovery.Others;
-import dillfront.site.Sites;
+package dillfront.router;
+
+import dillfront.common.logging.Log;
+import dillfront.router.config.Setup;
+import dillfront.router.discovery.Member;
+import dillfront.router.memory.Memory;
+import dillfront.router.recovery.Doubts;
+import dillfront.router.recovery.Groups;
+import dillfront.router.recovery.Others;
+import dillfront.router.site.Sites;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Sight;
+import dillfront.routing.api.Standing;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/dillfront/daemon/Rehearsal.java
+++ b/src/main/java/dillfront/router/Rehearsal.java
@@ -1,9 +1,9 @@
-package dillfront.daemon;
+package dillfront.router;
 
-import dillfront.config.BadConfig;
-import dillfront.config.Config;
-import dillfront.log.Log;
-import dillfront.pgwire.Messages;
+import dillfront.common.logging.Log;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Config;
+import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.ByteArrayInputStream;
--- a/src/main/java/dillfront/daemon/Signals.java
+++ b/src/main/java/dillfront/router/Signals.java
@@ -1,6 +1,6 @@
-package dillfront.daemon;
+package dillfront.router;
 
-import dillfront.log.Log;
+import dillfront.common.logging.Log;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/dillfront/daemon/Status.java
+++ b/src/main/java/dillfront/router/Status.java
@@ -1,4 +1,4 @@
-package dillfront.daemon;
+package dillfront.router;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/dillfront/control/Control.java
+++ b/src/main/java/dillfront/router/admin/Control.java
@@ -1,8 +1,8 @@
-package dillfront.control;
+package dillfront.router.admin;
 
-import dillfront.log.Log;
-import dillfront.sockets.Ears;
-import dillfront.sockets.Sockets;
+import dillfront.common.logging.Log;
+import dillfront.common.network.Ears;
+import dillfront.common.network.Sockets;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
--- a/src/main/java/dillfront/servers/Call.java
+++ b/src/main/java/dillfront/router/backend/Call.java
@@ -1,10 +1,10 @@
-package dillfront.servers;
+package dillfront.router.backend;
 
-import dillfront.exchange.Answer;
-import dillfront.pgwire.Messages;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
+import dillfront.router.exchange.Answer;
+import dillfront.router.pgwire.Messages;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
--- a/src/main/java/dillfront/servers/Connection.java
+++ b/src/main/java/dillfront/router/backend/Connection.java
@@ -1,12 +1,12 @@
-package dillfront.servers;
+package dillfront.router.backend;
 
-import dillfront.pgwire.BadFrame;
-import dillfront.pgwire.Frames;
-import dillfront.pgwire.Messages;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.sockets.Ears;
-import dillfront.sockets.Sockets;
+import dillfront.common.network.Ears;
+import dillfront.common.network.Sockets;
+import dillfront.router.pgwire.BadFrame;
+import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.Messages;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/dillfront/servers/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -1,16 +1,16 @@
-package dillfront.servers;
-
-import dillfront.config.Clock;
-import dillfront.config.Setup;
-import dillfront.exchange.Exchange;
-import dillfront.exchange.Submitter;
-import dillfront.log.Counters;
-import dillfront.log.Log;
-import dillfront.pace.Pace;
-import dillfront.pgwire.Messages;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
+package dillfront.router.backend;
+
+import dillfront.common.logging.Counters;
+import dillfront.common.logging.Log;
+import dillfront.router.config.Clock;
+import dillfront.router.config.Setup;
+import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.Submitter;
+import dillfront.router.pace.Pace;
+import dillfront.router.pgwire.Messages;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
--- a/src/main/java/dillfront/servers/Pool.java
+++ b/src/main/java/dillfront/router/backend/Pool.java
@@ -1,6 +1,6 @@
-package dillfront.servers;
+package dillfront.router.backend;
 
-import dillfront.port.Result;
+import dillfront.routing.api.Result;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Iterator;
--- a/src/main/java/dillfront/servers/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -1,10 +1,10 @@
-package dillfront.servers;
+package dillfront.router.backend;
 
-import dillfront.exchange.Answer;
-import dillfront.exchange.Exchange;
-import dillfront.pgwire.Statement;
-import dillfront.port.Report;
-import dillfront.port.Result;
+import dillfront.router.exchange.Answer;
+import dillfront.router.exchange.Exchange;
+import dillfront.router.pgwire.Statement;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/dillfront/config/BadConfig.java
+++ b/src/main/java/dillfront/router/config/BadConfig.java
@@ -1,4 +1,4 @@
-package dillfront.config;
+package dillfront.router.config;
 
 /** The configuration cannot be used; the message names the fault. */
 public final class BadConfig extends Exception {
--- a/src/main/java/dillfront/config/Checks.java
+++ b/src/main/java/dillfront/router/config/Checks.java
@@ -1,4 +1,4 @@
-package dillfront.config;
+package dillfront.router.config;
 
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/dillfront/config/Clock.java
+++ b/src/main/java/dillfront/router/config/Clock.java
@@ -1,4 +1,4 @@
-package dillfront.config;
+package dillfront.router.config;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/dillfront/config/Config.java
+++ b/src/main/java/dillfront/router/config/Config.java
@@ -1,5 +1,6 @@
-package dillfront.config;
+package dillfront.router.config;
 
+import dillfront.common.network.Address;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
--- a/src/main/java/dillfront/config/Setup.java
+++ b/src/main/java/dillfront/router/config/Setup.java
@@ -1,10 +1,10 @@
-package dillfront.config;
+package dillfront.router.config;
 
-import dillfront.Decide;
-import dillfront.port.Effect;
-import dillfront.port.Read;
-import dillfront.port.Settings;
-import dillfront.port.TxnType;
+import dillfront.routing.Decide;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.TxnType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/dillfront/config/Tree.java
+++ b/src/main/java/dillfront/router/config/Tree.java
@@ -1,4 +1,4 @@
-package dillfront.config;
+package dillfront.router.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/dillfront/list/BadHttp.java
+++ b/src/main/java/dillfront/router/discovery/BadHttp.java
@@ -1,4 +1,4 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
 /** The answer cannot be read, nor what comes behind it. */
 public final class BadHttp extends Exception {
--- a/src/main/java/dillfront/list/Closings.java
+++ b/src/main/java/dillfront/router/discovery/Closings.java
@@ -1,6 +1,6 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
-import dillfront.port.Standing;
+import dillfront.routing.api.Standing;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/dillfront/list/HttpAnswers.java
+++ b/src/main/java/dillfront/router/discovery/HttpAnswers.java
@@ -1,4 +1,4 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/dillfront/list/Member.java
+++ b/src/main/java/dillfront/router/discovery/Member.java
@@ -1,6 +1,6 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
-import dillfront.port.NodeRow;
+import dillfront.routing.api.NodeRow;
 import java.net.InetSocketAddress;
 
 /**
--- a/src/main/java/dillfront/list/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -1,12 +1,12 @@
-package dillfront.list;
-
-import dillfront.config.Address;
-import dillfront.config.Clock;
-import dillfront.config.Setup;
-import dillfront.config.Tree;
-import dillfront.log.Log;
-import dillfront.port.NodeRow;
-import dillfront.port.Standing;
+package dillfront.router.discovery;
+
+import dillfront.common.logging.Log;
+import dillfront.common.network.Address;
+import dillfront.router.config.Clock;
+import dillfront.router.config.Setup;
+import dillfront.router.config.Tree;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Standing;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/list/Rereading.java
+++ b/src/main/java/dillfront/router/discovery/Rereading.java
@@ -1,4 +1,4 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/list/Watch.java
+++ b/src/main/java/dillfront/router/discovery/Watch.java
@@ -1,10 +1,10 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
-import dillfront.config.Tree;
-import dillfront.log.Counters;
-import dillfront.log.Log;
-import dillfront.sockets.Ears;
-import dillfront.sockets.Sockets;
+import dillfront.common.logging.Counters;
+import dillfront.common.logging.Log;
+import dillfront.common.network.Ears;
+import dillfront.common.network.Sockets;
+import dillfront.router.config.Tree;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/dillfront/list/Witnesses.java
+++ b/src/main/java/dillfront/router/discovery/Witnesses.java
@@ -1,4 +1,4 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/dillfront/exchange/Desk.java
+++ b/src/main/java/dillfront/router/exchange/Desk.java
@@ -1,8 +1,8 @@
-package dillfront.exchange;
+package dillfront.router.exchange;
 
-import dillfront.pgwire.Statement;
-import dillfront.port.Report;
-import dillfront.port.Result;
+import dillfront.router.pgwire.Statement;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
 import io.netty.buffer.ByteBuf;
 import java.time.Duration;
 
--- a/src/main/java/dillfront/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -1,9 +1,9 @@
-package dillfront.exchange;
+package dillfront.router.exchange;
 
-import dillfront.pgwire.Statement;
-import dillfront.port.Handle;
-import dillfront.port.Report;
-import dillfront.port.Result;
+import dillfront.router.pgwire.Statement;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
 import io.netty.buffer.ByteBuf;
 import java.time.Duration;
 
--- a/src/main/java/dillfront/exchange/Submitter.java
+++ b/src/main/java/dillfront/router/exchange/Submitter.java
@@ -1,4 +1,4 @@
-package dillfront.exchange;
+package dillfront.router.exchange;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/clients/Callers.java
+++ b/src/main/java/dillfront/router/frontend/Callers.java
@@ -1,7 +1,7 @@
-package dillfront.clients;
+package dillfront.router.frontend;
 
-import dillfront.identity.Gate;
-import dillfront.identity.Refusal;
+import dillfront.router.identity.Gate;
+import dillfront.router.identity.Refusal;
 import io.netty.channel.ChannelHandler;
 import java.time.Duration;
 
--- a/src/main/java/dillfront/clients/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -1,16 +1,16 @@
-package dillfront.clients;
-
-import dillfront.exchange.Answer;
-import dillfront.exchange.Asker;
-import dillfront.exchange.Exchange;
-import dillfront.identity.Gate;
-import dillfront.identity.Refusal;
-import dillfront.pgwire.BadFrame;
-import dillfront.pgwire.BadStatement;
-import dillfront.pgwire.Frames;
-import dillfront.pgwire.Messages;
-import dillfront.pgwire.Statement;
-import dillfront.sockets.Ears;
+package dillfront.router.frontend;
+
+import dillfront.common.network.Ears;
+import dillfront.router.exchange.Answer;
+import dillfront.router.exchange.Asker;
+import dillfront.router.exchange.Exchange;
+import dillfront.router.identity.Gate;
+import dillfront.router.identity.Refusal;
+import dillfront.router.pgwire.BadFrame;
+import dillfront.router.pgwire.BadStatement;
+import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.Messages;
+import dillfront.router.pgwire.Statement;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/dillfront/clients/Clients.java
+++ b/src/main/java/dillfront/router/frontend/Clients.java
@@ -1,11 +1,11 @@
-package dillfront.clients;
-
-import dillfront.config.Clock;
-import dillfront.exchange.Desk;
-import dillfront.log.Counters;
-import dillfront.log.Log;
-import dillfront.pace.Pace;
-import dillfront.sockets.Sockets;
+package dillfront.router.frontend;
+
+import dillfront.common.logging.Counters;
+import dillfront.common.logging.Log;
+import dillfront.common.network.Sockets;
+import dillfront.router.config.Clock;
+import dillfront.router.exchange.Desk;
+import dillfront.router.pace.Pace;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/dillfront/gossip/Budget.java
+++ b/src/main/java/dillfront/router/gossip/Budget.java
@@ -1,6 +1,6 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
-import static dillfront.port.Spans.seconds;
+import static dillfront.routing.api.Spans.seconds;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/gossip/Gossip.java
+++ b/src/main/java/dillfront/router/gossip/Gossip.java
@@ -1,6 +1,6 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
-import static dillfront.port.Spans.times;
+import static dillfront.routing.api.Spans.times;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/gossip/Hearsay.java
+++ b/src/main/java/dillfront/router/gossip/Hearsay.java
@@ -1,8 +1,8 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
-import static dillfront.port.Spans.times;
+import static dillfront.routing.api.Spans.times;
 
-import dillfront.port.Sight;
+import dillfront.routing.api.Sight;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dillfront/gossip/Kind.java
+++ b/src/main/java/dillfront/router/gossip/Kind.java
@@ -1,4 +1,4 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 /**
  * What a word is about: its origin's being there or leaving, another instance's silence, or a
--- a/src/main/java/dillfront/gossip/Rumours.java
+++ b/src/main/java/dillfront/router/gossip/Rumours.java
@@ -1,4 +1,4 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/gossip/Skew.java
+++ b/src/main/java/dillfront/router/gossip/Skew.java
@@ -1,4 +1,4 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 import java.time.Duration;
 import java.util.Arrays;
--- a/src/main/java/dillfront/gossip/Symptom.java
+++ b/src/main/java/dillfront/router/gossip/Symptom.java
@@ -1,4 +1,4 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 /** What an instance saw of a node by itself. WELL takes an earlier claim back. */
 public enum Symptom {
--- a/src/main/java/dillfront/identity/Gate.java
+++ b/src/main/java/dillfront/router/identity/Gate.java
@@ -1,6 +1,6 @@
-package dillfront.identity;
+package dillfront.router.identity;
 
-import static dillfront.port.Spans.seconds;
+import static dillfront.routing.api.Spans.seconds;
 
 import java.time.Duration;
 import java.util.HashMap;
--- a/src/main/java/dillfront/identity/KeyBytes.java
+++ b/src/main/java/dillfront/router/identity/KeyBytes.java
@@ -1,4 +1,4 @@
-package dillfront.identity;
+package dillfront.router.identity;
 
 /** The key of a txn, byte for byte as the node will read it; nothing is copied. */
 public interface KeyBytes {
--- a/src/main/java/dillfront/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -1,4 +1,4 @@
-package dillfront.identity;
+package dillfront.router.identity;
 
 import java.time.Duration;
 import java.util.Map;
--- a/src/main/java/dillfront/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -1,10 +1,12 @@
-package dillfront.memory;
-
-import dillfront.list.Closings;
-import dillfront.log.Log;
-import dillfront.operator.Operator;
-import dillfront.port.Standing;
-import dillfront.recovery.Doubts;
+package dillfront.router.memory;
+
+import dillfront.common.logging.Log;
+import dillfront.common.storage.Disk;
+import dillfront.common.storage.Shelf;
+import dillfront.router.discovery.Closings;
+import dillfront.router.operator.Operator;
+import dillfront.router.recovery.Doubts;
+import dillfront.routing.api.Standing;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/operator/Operator.java
+++ b/src/main/java/dillfront/router/operator/Operator.java
@@ -1,17 +1,17 @@
-package dillfront.operator;
-
-import dillfront.config.Address;
-import dillfront.gossip.Tuning;
-import dillfront.identity.Policy;
-import dillfront.identity.Principal;
-import dillfront.identity.Rights;
-import dillfront.identity.Rule;
-import dillfront.identity.Shares;
-import dillfront.peers.KeyFile;
-import dillfront.peers.Ring;
-import dillfront.recovery.Doubts;
-import dillfront.script.Script;
-import dillfront.script.ScriptError;
+package dillfront.router.operator;
+
+import dillfront.common.network.Address;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.identity.Policy;
+import dillfront.router.identity.Principal;
+import dillfront.router.identity.Rights;
+import dillfront.router.identity.Rule;
+import dillfront.router.identity.Shares;
+import dillfront.router.peers.KeyFile;
+import dillfront.router.peers.Ring;
+import dillfront.router.recovery.Doubts;
+import dillfront.router.script.Script;
+import dillfront.router.script.ScriptError;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/dillfront/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/Pace.java
@@ -1,6 +1,6 @@
-package dillfront.pace;
+package dillfront.router.pace;
 
-import static dillfront.port.Spans.times;
+import static dillfront.routing.api.Spans.times;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/peers/Codec.java
+++ b/src/main/java/dillfront/router/peers/Codec.java
@@ -1,8 +1,8 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
-import dillfront.gossip.Kind;
-import dillfront.gossip.Skew;
-import dillfront.gossip.Word;
+import dillfront.router.gossip.Kind;
+import dillfront.router.gossip.Skew;
+import dillfront.router.gossip.Word;
 import io.netty.buffer.ByteBuf;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -412,7 +412,8 @@
                 || since < 0
                 || said < 0
                 || kind == Kind.CLAIM
-                        && (detail < 0 || detail >= dillfront.gossip.Symptom.values().length)) {
+                        && (detail < 0
+                                || detail >= dillfront.router.gossip.Symptom.values().length)) {
             return null;
         }
         byte[] bytes = java.util.Arrays.copyOfRange(all, at, at + WORD);
--- a/src/main/java/dillfront/peers/Datagrams.java
+++ b/src/main/java/dillfront/router/peers/Datagrams.java
@@ -1,11 +1,11 @@
-package dillfront.peers;
-
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Post;
-import dillfront.gossip.Tuning;
-import dillfront.gossip.Word;
-import dillfront.log.Log;
-import dillfront.sockets.Ears;
+package dillfront.router.peers;
+
+import dillfront.common.logging.Log;
+import dillfront.common.network.Ears;
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Post;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.gossip.Word;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOption;
--- a/src/main/java/dillfront/peers/Drop.java
+++ b/src/main/java/dillfront/router/peers/Drop.java
@@ -1,4 +1,4 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 /** Why a datagram or a word was not taken, in the order of the looks at it. */
 public enum Drop {
--- a/src/main/java/dillfront/peers/KeyFile.java
+++ b/src/main/java/dillfront/router/peers/KeyFile.java
@@ -1,4 +1,4 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 import java.security.GeneralSecurityException;
 import java.security.KeyFactory;
--- a/src/main/java/dillfront/peers/Neighbours.java
+++ b/src/main/java/dillfront/router/peers/Neighbours.java
@@ -1,12 +1,12 @@
-package dillfront.peers;
-
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Hearsay;
-import dillfront.gossip.Symptom;
-import dillfront.gossip.Tuning;
-import dillfront.gossip.Witness;
-import dillfront.gossip.Word;
-import dillfront.port.Sight;
+package dillfront.router.peers;
+
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Hearsay;
+import dillfront.router.gossip.Symptom;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.gossip.Witness;
+import dillfront.router.gossip.Word;
+import dillfront.routing.api.Sight;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/dillfront/peers/Ring.java
+++ b/src/main/java/dillfront/router/peers/Ring.java
@@ -1,4 +1,4 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/dillfront/peers/Standing.java
+++ b/src/main/java/dillfront/router/peers/Standing.java
@@ -1,10 +1,10 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Hearsay;
-import dillfront.gossip.Members;
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Hearsay;
+import dillfront.router.gossip.Members;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/peers/Telling.java
+++ b/src/main/java/dillfront/router/peers/Telling.java
@@ -1,9 +1,9 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
-import dillfront.list.Witnesses;
-import dillfront.recovery.Digest;
-import dillfront.recovery.Doubts;
-import dillfront.recovery.Others;
+import dillfront.router.discovery.Witnesses;
+import dillfront.router.recovery.Digest;
+import dillfront.router.recovery.Doubts;
+import dillfront.router.recovery.Others;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/peers/Window.java
+++ b/src/main/java/dillfront/router/peers/Window.java
@@ -1,4 +1,4 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 import java.time.Duration;
 import java.util.Arrays;
--- a/src/main/java/dillfront/pgwire/BadFrame.java
+++ b/src/main/java/dillfront/router/pgwire/BadFrame.java
@@ -1,4 +1,4 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
 /** The peer does not speak the protocol; the connection cannot go on. */
 public final class BadFrame extends Exception {
--- a/src/main/java/dillfront/pgwire/BadStatement.java
+++ b/src/main/java/dillfront/router/pgwire/BadStatement.java
@@ -1,4 +1,4 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
 /** A query that is not in the clients' form; the connection can go on. */
 public final class BadStatement extends Exception {
--- a/src/main/java/dillfront/pgwire/Frames.java
+++ b/src/main/java/dillfront/router/pgwire/Frames.java
@@ -1,4 +1,4 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
 import io.netty.buffer.ByteBuf;
 
--- a/src/main/java/dillfront/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -1,6 +1,6 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
-import dillfront.identity.KeyBytes;
+import dillfront.router.identity.KeyBytes;
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/dillfront/plan/Estate.java
+++ b/src/main/java/dillfront/router/plan/Estate.java
@@ -1,4 +1,4 @@
-package dillfront.plan;
+package dillfront.router.plan;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/plan/Lists.java
+++ b/src/main/java/dillfront/router/plan/Lists.java
@@ -1,7 +1,7 @@
-package dillfront.plan;
+package dillfront.router.plan;
 
-import dillfront.config.BadConfig;
-import dillfront.config.Tree;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Tree;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/dillfront/plan/Plan.java
+++ b/src/main/java/dillfront/router/plan/Plan.java
@@ -1,4 +1,4 @@
-package dillfront.plan;
+package dillfront.router.plan;
 
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/dillfront/recovery/Digest.java
+++ b/src/main/java/dillfront/router/recovery/Digest.java
@@ -1,4 +1,4 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/recovery/Groups.java
+++ b/src/main/java/dillfront/router/recovery/Groups.java
@@ -1,6 +1,6 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
-import dillfront.port.Role;
+import dillfront.routing.api.Role;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,9 +15,9 @@
  *
  * <p>Guards against a former primary that is back first after a loss of power and still believes in
  * itself, or that an old list names: what it takes is lost to the group. Within a life {@link
- * dillfront.Decide} believes the latest word, as nodes that hang must not hold a group. Harm: where
- * the one that led is gone for good, and still listed, writes of its group wait for that time once,
- * and clients are told to come back.
+ * dillfront.routing.Decide} believes the latest word, as nodes that hang must not hold a group.
+ * Harm: where the one that led is gone for good, and still listed, writes of its group wait for
+ * that time once, and clients are told to come back.
  *
  * <p>Pure: the caller has the clock, and feeds each word once. Rows are as many as lists name nodes
  * and groups.
--- a/src/main/java/dillfront/recovery/Others.java
+++ b/src/main/java/dillfront/router/recovery/Others.java
@@ -1,4 +1,4 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/recovery/Reckoning.java
+++ b/src/main/java/dillfront/router/recovery/Reckoning.java
@@ -1,7 +1,7 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
-import static dillfront.port.Spans.seconds;
-import static dillfront.port.Spans.times;
+import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Spans.times;
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
--- a/src/main/java/dillfront/recovery/Trust.java
+++ b/src/main/java/dillfront/router/recovery/Trust.java
@@ -1,6 +1,6 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
-import dillfront.recovery.Groups.State;
+import dillfront.router.recovery.Groups.State;
 import java.util.EnumMap;
 import java.util.Map;
 
--- a/src/main/java/dillfront/script/Parser.java
+++ b/src/main/java/dillfront/router/script/Parser.java
@@ -1,6 +1,6 @@
-package dillfront.script;
+package dillfront.router.script;
 
-import dillfront.script.Token.Kind;
+import dillfront.router.script.Token.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/dillfront/script/ScriptError.java
+++ b/src/main/java/dillfront/router/script/ScriptError.java
@@ -1,4 +1,4 @@
-package dillfront.script;
+package dillfront.router.script;
 
 /** What is wrong with a script, and where: lines and columns count from one. */
 public final class ScriptError extends Exception {
--- a/src/main/java/dillfront/script/Token.java
+++ b/src/main/java/dillfront/router/script/Token.java
@@ -1,4 +1,4 @@
-package dillfront.script;
+package dillfront.router.script;
 
 /**
  * One word of a script.
--- a/src/main/java/dillfront/script/Tree.java
+++ b/src/main/java/dillfront/router/script/Tree.java
@@ -1,4 +1,4 @@
-package dillfront.script;
+package dillfront.router.script;
 
 import java.util.List;
 
--- a/src/main/java/dillfront/site/Sites.java
+++ b/src/main/java/dillfront/router/site/Sites.java
@@ -1,8 +1,8 @@
-package dillfront.site;
+package dillfront.router.site;
 
-import static dillfront.port.Spans.later;
+import static dillfront.routing.api.Spans.later;
 
-import dillfront.port.Sight;
+import dillfront.routing.api.Sight;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/tokens/Tokens.java
+++ b/src/main/java/dillfront/router/tokens/Tokens.java
@@ -1,4 +1,4 @@
-package dillfront.tokens;
+package dillfront.router.tokens;
 
 import com.nimbusds.jose.JOSEException;
 import com.nimbusds.jose.JWSAlgorithm;
@@ -11,7 +11,7 @@
 import com.nimbusds.jose.jwk.RSAKey;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.identity.Gate;
+import dillfront.router.identity.Gate;
 import java.text.ParseException;
 import java.time.Duration;
 import java.util.Date;
--- a/src/main/java/dillfront/Decide.java
+++ b/src/main/java/dillfront/routing/Decide.java
@@ -1,25 +1,25 @@
-package dillfront;
-
-import static dillfront.port.Spans.earlier;
-import static dillfront.port.Spans.later;
-import static dillfront.port.Spans.ratio;
-import static dillfront.port.Spans.seconds;
-import static dillfront.port.Spans.times;
-
-import dillfront.port.Effect;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Read;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Sight;
-import dillfront.port.Spans;
-import dillfront.port.Standing;
-import dillfront.port.TxnType;
-import dillfront.recovery.Reckoning;
+package dillfront.routing;
+
+import static dillfront.routing.api.Spans.earlier;
+import static dillfront.routing.api.Spans.later;
+import static dillfront.routing.api.Spans.ratio;
+import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Spans.times;
+
+import dillfront.router.recovery.Reckoning;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Sight;
+import dillfront.routing.api.Spans;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dillfront/port/Effect.java
+++ b/src/main/java/dillfront/routing/api/Effect.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 /** What a second run of a txn would do. */
 public enum Effect {
--- a/src/main/java/dillfront/port/Handle.java
+++ b/src/main/java/dillfront/routing/api/Handle.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/port/Read.java
+++ b/src/main/java/dillfront/routing/api/Read.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 /**
  * How current the data must be that a txn type is answered from; a write goes to the primary alone.
--- a/src/main/java/dillfront/port/Result.java
+++ b/src/main/java/dillfront/routing/api/Result.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 /** How a submission ended. */
 public enum Result {
--- a/src/main/java/dillfront/port/Role.java
+++ b/src/main/java/dillfront/routing/api/Role.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 /** What a node said it was. */
 public enum Role {
--- a/src/main/java/dillfront/port/Standing.java
+++ b/src/main/java/dillfront/routing/api/Standing.java
@@ -1,4 +1,4 @@
-package dillfront.port;
+package dillfront.routing.api;
 
 /** What the member list says of a node. */
 public enum Standing {
--- a/src/main/java/dillfront/drill/BadInput.java
+++ b/src/main/java/dillfront/routing/simulator/BadInput.java
@@ -1,4 +1,4 @@
-package dillfront.drill;
+package dillfront.routing.simulator;
 
 /** The input is not the simulator's wire; the message names the line and the fault. */
 public final class BadInput extends Exception {
--- a/src/main/java/dillfront/drill/Drill.java
+++ b/src/main/java/dillfront/routing/simulator/Drill.java
@@ -1,4 +1,4 @@
-package dillfront.drill;
+package dillfront.routing.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.exc.InputCoercionException;
 import com.fasterxml.jackson.core.util.MinimalPrettyPrinter;
-import dillfront.config.Tree;
+import dillfront.router.config.Tree;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/dillfront/drill/Event.java
+++ b/src/main/java/dillfront/routing/simulator/Event.java
@@ -1,11 +1,11 @@
-package dillfront.drill;
+package dillfront.routing.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import dillfront.config.Tree;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
+import dillfront.router.config.Tree;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/drill/Instance.java
+++ b/src/main/java/dillfront/routing/simulator/Instance.java
@@ -1,15 +1,15 @@
-package dillfront.drill;
+package dillfront.routing.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.Decide;
-import dillfront.config.Setup;
-import dillfront.config.Tree;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Standing;
+import dillfront.router.config.Setup;
+import dillfront.router.config.Tree;
+import dillfront.routing.Decide;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Standing;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
--- a/src/main/java/dillfront/lab/CapacityMeasure.java
+++ b/src/main/java/dillfront/simulation/CapacityMeasure.java
@@ -1,14 +1,14 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonValue;
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
-import dillfront.host.NettyEnvironment;
+import dillfront.common.config.Configuration;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/lab/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -1,13 +1,13 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
-import dillfront.host.NettyEnvironment;
-import dillfront.memory.Keep;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
+import dillfront.common.storage.Keep;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/dillfront/lab/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -1,7 +1,7 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.lab.whole.ControlCounts;
-import dillfront.lab.whole.Day;
+import dillfront.simulation.system.ControlCounts;
+import dillfront.simulation.system.Day;
 import java.util.Collections;
 import java.util.List;
 import java.util.TreeMap;
--- a/src/main/java/dillfront/lab/ControlProcesses.java
+++ b/src/main/java/dillfront/simulation/ControlProcesses.java
@@ -1,4 +1,4 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
--- a/src/main/java/dillfront/lab/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -1,19 +1,19 @@
-package dillfront.lab;
-
-import dillfront.core.Ballot;
-import dillfront.core.FencingTokens;
-import dillfront.core.LeaseManager;
-import dillfront.core.PrimaryRecord;
-import dillfront.core.PrimaryRecords;
-import dillfront.core.QuorumRead;
-import dillfront.core.ReconfigurationBarrier;
-import dillfront.core.RegisterValue;
-import dillfront.core.RegistryReplication;
-import dillfront.core.ReplicatedRegister;
-import dillfront.core.ReplicationProgress;
-import dillfront.core.SafetyRule;
-import dillfront.host.Configuration;
-import dillfront.host.MessageCodec;
+package dillfront.simulation;
+
+import dillfront.common.config.Configuration;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.consensus.Ballot;
+import dillfront.controlplane.consensus.QuorumRead;
+import dillfront.controlplane.consensus.ReconfigurationBarrier;
+import dillfront.controlplane.consensus.RegisterValue;
+import dillfront.controlplane.consensus.ReplicatedRegister;
+import dillfront.controlplane.consensus.SafetyRule;
+import dillfront.controlplane.failover.PrimaryRecord;
+import dillfront.controlplane.failover.PrimaryRecords;
+import dillfront.controlplane.lease.FencingTokens;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.registry.RegistryReplication;
+import dillfront.controlplane.registry.ReplicationProgress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/lab/ControlWorlds.java
+++ b/src/main/java/dillfront/simulation/ControlWorlds.java
@@ -1,9 +1,9 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.core.SafetyRule;
-import dillfront.lab.ControlWorld.Kind;
-import dillfront.lab.ControlWorld.Scene;
-import dillfront.lab.ControlWorld.Step;
+import dillfront.controlplane.consensus.SafetyRule;
+import dillfront.simulation.ControlWorld.Kind;
+import dillfront.simulation.ControlWorld.Scene;
+import dillfront.simulation.ControlWorld.Step;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dillfront/lab/Crowd.java
+++ b/src/main/java/dillfront/simulation/Crowd.java
@@ -1,10 +1,10 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Post;
-import dillfront.gossip.Tuning;
-import dillfront.gossip.Word;
-import dillfront.peers.Codec;
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Post;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.gossip.Word;
+import dillfront.router.peers.Codec;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,8 +13,8 @@
 
 /**
  * Instances that gossip in virtual time over a network that loses, doubles, delays and parts. Sizes
- * are those of the wire (dillfront.peers.Codec), signatures are taken as right: words here are
- * objects that nobody can change.
+ * are those of the wire (dillfront.router.peers.Codec), signatures are taken as right: words here
+ * are objects that nobody can change.
  */
 public final class Crowd {
 
--- a/src/main/java/dillfront/lab/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -1,17 +1,17 @@
-package dillfront.lab;
-
-import dillfront.Decide;
-import dillfront.port.Effect;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Read;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Standing;
-import dillfront.port.TxnType;
+package dillfront.simulation;
+
+import dillfront.routing.Decide;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/dillfront/lab/Dump.java
+++ b/src/main/java/dillfront/simulation/Dump.java
@@ -1,6 +1,6 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
--- a/src/main/java/dillfront/lab/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -1,7 +1,7 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.gossip.Symptom;
-import dillfront.gossip.Tuning;
+import dillfront.router.gossip.Symptom;
+import dillfront.router.gossip.Tuning;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/lab/History.java
+++ b/src/main/java/dillfront/simulation/History.java
@@ -1,4 +1,4 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/main/java/dillfront/lab/Loopback.java
+++ b/src/main/java/dillfront/simulation/Loopback.java
@@ -1,10 +1,10 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Tuning;
-import dillfront.log.Log;
-import dillfront.peers.Datagrams;
-import dillfront.peers.Ring;
+import dillfront.common.logging.Log;
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.peers.Datagrams;
+import dillfront.router.peers.Ring;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.PrintStream;
--- a/src/main/java/dillfront/lab/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -1,14 +1,14 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.lab.rig.Audit;
-import dillfront.lab.rig.Load;
-import dillfront.lab.rig.Mix;
-import dillfront.lab.rig.Node;
-import dillfront.lab.rig.Rig;
-import dillfront.lab.rig.Router;
-import dillfront.log.Log;
-import dillfront.memory.Memory;
-import dillfront.port.Standing;
+import dillfront.common.logging.Log;
+import dillfront.router.memory.Memory;
+import dillfront.routing.api.Standing;
+import dillfront.simulation.processes.Audit;
+import dillfront.simulation.processes.Load;
+import dillfront.simulation.processes.Mix;
+import dillfront.simulation.processes.Node;
+import dillfront.simulation.processes.Rig;
+import dillfront.simulation.processes.Router;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
--- a/src/main/java/dillfront/lab/SiteMeasure.java
+++ b/src/main/java/dillfront/simulation/SiteMeasure.java
@@ -1,8 +1,8 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.plan.Estate;
-import dillfront.plan.Plan;
-import dillfront.plan.Planner;
+import dillfront.router.plan.Estate;
+import dillfront.router.plan.Plan;
+import dillfront.router.plan.Planner;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/dillfront/lab/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -1,19 +1,19 @@
-package dillfront.lab;
-
-import dillfront.Decide;
-import dillfront.list.Closings;
-import dillfront.port.Effect;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Read;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Standing;
-import dillfront.port.TxnType;
-import dillfront.recovery.Doubts;
+package dillfront.simulation;
+
+import dillfront.router.discovery.Closings;
+import dillfront.router.recovery.Doubts;
+import dillfront.routing.Decide;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/lab/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -1,6 +1,6 @@
-package dillfront.lab;
+package dillfront.simulation;
 
-import dillfront.lab.whole.Day;
+import dillfront.simulation.system.Day;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/main/java/dillfront/lab/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,25 +1,25 @@
-package dillfront.lab;
-
-import static dillfront.port.Spans.seconds;
-
-import dillfront.Decide;
-import dillfront.gossip.Gossip;
-import dillfront.gossip.Symptom;
-import dillfront.gossip.Tuning;
-import dillfront.peers.Neighbours;
-import dillfront.peers.Ring;
-import dillfront.port.Effect;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Read;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Sight;
-import dillfront.port.Standing;
-import dillfront.port.TxnType;
+package dillfront.simulation;
+
+import static dillfront.routing.api.Spans.seconds;
+
+import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.Symptom;
+import dillfront.router.gossip.Tuning;
+import dillfront.router.peers.Neighbours;
+import dillfront.router.peers.Ring;
+import dillfront.routing.Decide;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Sight;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/dillfront/lab/rig/Happening.java
+++ b/src/main/java/dillfront/simulation/processes/Happening.java
@@ -1,4 +1,4 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
 /**
  * One thing that happened in a rig, as its stand-ins saw it; in one list, in one order. Times are
--- a/src/main/java/dillfront/lab/rig/Hub.java
+++ b/src/main/java/dillfront/simulation/processes/Hub.java
@@ -1,6 +1,6 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
-import dillfront.sockets.Ears;
+import dillfront.common.network.Ears;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.socket.DatagramPacket;
--- a/src/main/java/dillfront/lab/rig/Load.java
+++ b/src/main/java/dillfront/simulation/processes/Load.java
@@ -1,4 +1,4 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/dillfront/lab/rig/Node.java
+++ b/src/main/java/dillfront/simulation/processes/Node.java
@@ -1,9 +1,9 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
-import dillfront.pgwire.BadFrame;
-import dillfront.pgwire.Frames;
-import dillfront.pgwire.Messages;
-import dillfront.sockets.Ears;
+import dillfront.common.network.Ears;
+import dillfront.router.pgwire.BadFrame;
+import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/dillfront/lab/rig/Relay.java
+++ b/src/main/java/dillfront/simulation/processes/Relay.java
@@ -1,7 +1,7 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
-import dillfront.sockets.Ears;
-import dillfront.sockets.Sockets;
+import dillfront.common.network.Ears;
+import dillfront.common.network.Sockets;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
--- a/src/main/java/dillfront/lab/whole/Audit.java
+++ b/src/main/java/dillfront/simulation/system/Audit.java
@@ -1,6 +1,6 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/dillfront/lab/whole/Client.java
+++ b/src/main/java/dillfront/simulation/system/Client.java
@@ -1,6 +1,6 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.host.Environment;
+import dillfront.common.environment.Environment;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/dillfront/lab/whole/ConfigAudit.java
+++ b/src/main/java/dillfront/simulation/system/ConfigAudit.java
@@ -1,6 +1,6 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.lab.History;
+import dillfront.simulation.History;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/dillfront/lab/whole/ControlCounts.java
+++ b/src/main/java/dillfront/simulation/system/ControlCounts.java
@@ -1,4 +1,4 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dillfront/lab/whole/ControlMachine.java
+++ b/src/main/java/dillfront/simulation/system/ControlMachine.java
@@ -1,6 +1,6 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.core.ControlNode;
+import dillfront.controlplane.ControlNode;
 
 /** A machine with a control process and a disk. */
 final class ControlMachine {
--- a/src/main/java/dillfront/lab/whole/Controls.java
+++ b/src/main/java/dillfront/simulation/system/Controls.java
@@ -1,9 +1,9 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.core.ControlNode;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.controlplane.ControlNode;
 import java.net.URI;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/lab/whole/DataLossCalls.java
+++ b/src/main/java/dillfront/simulation/system/DataLossCalls.java
@@ -1,9 +1,9 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/dillfront/lab/whole/Database.java
+++ b/src/main/java/dillfront/simulation/system/Database.java
@@ -1,7 +1,7 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/dillfront/lab/whole/Day.java
+++ b/src/main/java/dillfront/simulation/system/Day.java
@@ -1,11 +1,11 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import dillfront.front.Front;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.dataplane.Front;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/dillfront/lab/whole/Disk.java
+++ b/src/main/java/dillfront/simulation/system/Disk.java
@@ -1,6 +1,6 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.core.StateStore;
+import dillfront.controlplane.storage.StateStore;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/dillfront/lab/whole/Orders.java
+++ b/src/main/java/dillfront/simulation/system/Orders.java
@@ -1,8 +1,8 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/dillfront/bench/CountsTest.java
+++ b/src/test/java/dillfront/benchmark/CountsTest.java
@@ -1,4 +1,4 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/dillfront/bench/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -1,4 +1,4 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,11 +13,11 @@
 import com.nimbusds.jose.jwk.gen.ECKeyGenerator;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.config.Config;
-import dillfront.daemon.Daemon;
-import dillfront.log.Log;
-import dillfront.operator.Operator;
-import dillfront.pgwire.Messages;
+import dillfront.common.logging.Log;
+import dillfront.router.Daemon;
+import dillfront.router.config.Config;
+import dillfront.router.operator.Operator;
+import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.ByteArrayInputStream;
--- a/src/test/java/dillfront/bench/SideTest.java
+++ b/src/test/java/dillfront/benchmark/SideTest.java
@@ -1,14 +1,14 @@
-package dillfront.bench;
+package dillfront.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.config.Config;
-import dillfront.daemon.Daemon;
-import dillfront.log.Log;
-import dillfront.operator.Operator;
-import dillfront.peers.KeyFile;
-import dillfront.peers.Ring;
+import dillfront.common.logging.Log;
+import dillfront.router.Daemon;
+import dillfront.router.config.Config;
+import dillfront.router.operator.Operator;
+import dillfront.router.peers.KeyFile;
+import dillfront.router.peers.Ring;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/dillfront/programs/Control.java
+++ b/src/test/java/dillfront/bootstrap/Control.java
@@ -1,4 +1,4 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
--- a/src/test/java/dillfront/programs/RealControlTest.java
+++ b/src/test/java/dillfront/bootstrap/RealControlTest.java
@@ -1,4 +1,4 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -7,9 +7,9 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
-import dillfront.host.NettyEnvironment;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.NettyEnvironment;
+import dillfront.common.message.MessageCodec;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/test/java/dillfront/programs/Relay.java
+++ b/src/test/java/dillfront/bootstrap/Relay.java
@@ -1,4 +1,4 @@
-package dillfront.programs;
+package dillfront.bootstrap;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/test/java/dillfront/host/ReadersTest.java
+++ b/src/test/java/dillfront/common/config/ReadersTest.java
@@ -1,9 +1,11 @@
-package dillfront.host;
+package dillfront.common.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dillfront.common.environment.RingLog;
+import dillfront.common.message.MessageCodec;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/dillfront/host/DataLossTest.java
+++ b/src/test/java/dillfront/common/database/DataLossTest.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.database;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/dillfront/host/PostTest.java
+++ b/src/test/java/dillfront/common/environment/PostTest.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.environment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/dillfront/host/ScriptedHost.java
+++ b/src/test/java/dillfront/common/environment/ScriptedHost.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.environment;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/dillfront/host/DeltaTest.java
+++ b/src/test/java/dillfront/common/message/DeltaTest.java
@@ -1,4 +1,4 @@
-package dillfront.host;
+package dillfront.common.message;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/dillfront/core/Alone.java
+++ b/src/test/java/dillfront/controlplane/Alone.java
@@ -1,7 +1,8 @@
-package dillfront.core;
+package dillfront.controlplane;
 
-import dillfront.host.Environment;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.controlplane.storage.StateStore;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -11,7 +12,7 @@
  * One control process by itself, as tests begin with it; others that its settings name are not
  * there.
  */
-final class Alone {
+public final class Alone {
 
     static final String IP = "10.0.0.1";
 
@@ -21,7 +22,7 @@
     private Alone() {}
 
     /** Started, with nothing on its disk, and everything kept at once and forgotten. */
-    static ControlNode start(Environment host, String... others) throws Exception {
+    public static ControlNode start(Environment host, String... others) throws Exception {
         return start(
                 host,
                 new StateStore() {
@@ -38,7 +39,8 @@
                 others);
     }
 
-    static ControlNode start(Environment host, StateStore store, String... others)
+    /** Started on this disk. */
+    public static ControlNode start(Environment host, StateStore store, String... others)
             throws Exception {
         List<String> seeds =
                 Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
--- a/src/test/java/dillfront/core/AskersTest.java
+++ b/src/test/java/dillfront/controlplane/AskersTest.java
@@ -1,15 +1,15 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Environment;
-import dillfront.host.ManualHost;
-import dillfront.host.MessageCodec;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ManualHost;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/core/ControlCallsTest.java
+++ b/src/test/java/dillfront/controlplane/ControlCallsTest.java
@@ -1,11 +1,11 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
-import dillfront.host.ScriptedHost;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ScriptedHost;
+import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/core/LeavesTest.java
+++ b/src/test/java/dillfront/controlplane/LeavesTest.java
@@ -1,13 +1,16 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Environment;
-import dillfront.host.MessageCodec;
-import dillfront.host.NodeSettings;
-import dillfront.host.ScriptedHost;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ScriptedHost;
+import dillfront.common.message.MessageCodec;
+import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.registry.ServerRegistry;
+import dillfront.controlplane.storage.StateStore;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/dillfront/core/QuestionTest.java
+++ b/src/test/java/dillfront/controlplane/QuestionTest.java
@@ -1,10 +1,11 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.ScriptedHost;
+import dillfront.common.environment.ScriptedHost;
+import dillfront.controlplane.registry.DatabaseServer;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.function.Function;
--- a/src/test/java/dillfront/core/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -1,11 +1,14 @@
-package dillfront.core;
+package dillfront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.ManualHost;
-import dillfront.memory.Keep;
+import dillfront.common.environment.ManualHost;
+import dillfront.common.storage.Keep;
+import dillfront.controlplane.consensus.RegisterValue;
+import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.storage.StateStore;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/dillfront/core/MembershipTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipTest.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/dillfront/core/LeadTest.java
+++ b/src/test/java/dillfront/controlplane/failover/LeadTest.java
@@ -1,12 +1,12 @@
-package dillfront.core;
+package dillfront.controlplane.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.LogPosition;
-import dillfront.host.MessageCodec;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.common.message.MessageCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/dillfront/core/DurableTest.java
+++ b/src/test/java/dillfront/controlplane/storage/DurableTest.java
@@ -1,10 +1,12 @@
-package dillfront.core;
+package dillfront.controlplane.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.ManualHost;
+import dillfront.common.environment.ManualHost;
+import dillfront.controlplane.Alone;
+import dillfront.controlplane.ControlNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/core/VersionsTest.java
+++ b/src/test/java/dillfront/controlplane/subscription/VersionsTest.java
@@ -1,4 +1,4 @@
-package dillfront.core;
+package dillfront.controlplane.subscription;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
+import dillfront.common.config.Configuration;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/dillfront/front/AcceptedLossTest.java
+++ b/src/test/java/dillfront/dataplane/AcceptedLossTest.java
@@ -1,12 +1,12 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.host.AcceptedDataLoss;
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.LogPosition;
-import dillfront.host.ManualHost;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.ManualHost;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
--- a/src/test/java/dillfront/front/ConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ConnectionTest.java
@@ -1,13 +1,13 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.NodeSettings;
-import dillfront.host.ScriptedHost;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ScriptedHost;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/dillfront/front/FloorsTest.java
+++ b/src/test/java/dillfront/dataplane/FloorsTest.java
@@ -1,10 +1,10 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/dillfront/front/NewsTest.java
+++ b/src/test/java/dillfront/dataplane/NewsTest.java
@@ -1,16 +1,16 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.BinaryDelta;
-import dillfront.host.Compression;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.ManualHost;
-import dillfront.host.MessageCodec;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ManualHost;
+import dillfront.common.message.BinaryDelta;
+import dillfront.common.message.Compression;
+import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/front/SessionTest.java
+++ b/src/test/java/dillfront/dataplane/SessionTest.java
@@ -1,17 +1,17 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.AcknowledgedCommits;
-import dillfront.host.Configuration;
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
-import dillfront.host.ManualHost;
-import dillfront.host.MessageCodec;
-import dillfront.host.NodeSettings;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
+import dillfront.common.environment.ManualHost;
+import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/front/StatementTest.java
+++ b/src/test/java/dillfront/dataplane/StatementTest.java
@@ -1,4 +1,4 @@
-package dillfront.front;
+package dillfront.dataplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/dillfront/daemon/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -1,14 +1,14 @@
-package dillfront.daemon;
+package dillfront.router;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.Scene;
-import dillfront.config.BadConfig;
-import dillfront.config.Config;
-import dillfront.log.Log;
-import dillfront.pgwire.Messages;
+import dillfront.common.logging.Log;
+import dillfront.router.config.BadConfig;
+import dillfront.router.config.Config;
+import dillfront.router.pgwire.Messages;
+import dillfront.routing.Scene;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/dillfront/list/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -1,12 +1,12 @@
-package dillfront.list;
+package dillfront.router.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.Scene;
-import dillfront.config.Clock;
-import dillfront.config.Setup;
-import dillfront.config.Tree;
-import dillfront.log.Log;
+import dillfront.common.logging.Log;
+import dillfront.router.config.Clock;
+import dillfront.router.config.Setup;
+import dillfront.router.config.Tree;
+import dillfront.routing.Scene;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.ByteArrayInputStream;
--- a/src/test/java/dillfront/gossip/CrowdTest.java
+++ b/src/test/java/dillfront/router/gossip/CrowdTest.java
@@ -1,10 +1,10 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.lab.Crowd;
-import dillfront.lab.Time;
+import dillfront.simulation.Crowd;
+import dillfront.simulation.Time;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/dillfront/gossip/HearsayTest.java
+++ b/src/test/java/dillfront/router/gossip/HearsayTest.java
@@ -1,11 +1,11 @@
-package dillfront.gossip;
+package dillfront.router.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.port.Sight;
-import dillfront.port.Sight.Health;
+import dillfront.routing.api.Sight;
+import dillfront.routing.api.Sight.Health;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/dillfront/identity/GateTest.java
+++ b/src/test/java/dillfront/router/identity/GateTest.java
@@ -1,4 +1,4 @@
-package dillfront.identity;
+package dillfront.router.identity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/dillfront/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -1,8 +1,8 @@
-package dillfront.identity;
+package dillfront.router.identity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.identity.Rights.Verdict;
+import dillfront.router.identity.Rights.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/dillfront/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -1,12 +1,15 @@
-package dillfront.memory;
+package dillfront.router.memory;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.log.Log;
-import dillfront.operator.Operator;
-import dillfront.port.Standing;
+import dillfront.common.logging.Log;
+import dillfront.common.storage.Disk;
+import dillfront.common.storage.Keep;
+import dillfront.common.storage.Shelf;
+import dillfront.router.operator.Operator;
+import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/dillfront/memory/StoredMemoryTest.java
+++ b/src/test/java/dillfront/router/memory/StoredMemoryTest.java
@@ -1,10 +1,10 @@
-package dillfront.memory;
+package dillfront.router.memory;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.log.Log;
-import dillfront.port.Standing;
+import dillfront.common.logging.Log;
+import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
--- a/src/test/java/dillfront/operator/OperatorTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorTest.java
@@ -1,11 +1,11 @@
-package dillfront.operator;
+package dillfront.router.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dillfront.peers.Ring;
+import dillfront.router.peers.Ring;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.KeyPairGenerator;
--- a/src/test/java/dillfront/peers/CodecTest.java
+++ b/src/test/java/dillfront/router/peers/CodecTest.java
@@ -1,10 +1,10 @@
-package dillfront.peers;
+package dillfront.router.peers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.gossip.Kind;
-import dillfront.gossip.Word;
+import dillfront.router.gossip.Kind;
+import dillfront.router.gossip.Word;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.InetSocketAddress;
--- a/src/test/java/dillfront/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -1,4 +1,4 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/dillfront/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -1,8 +1,8 @@
-package dillfront.pgwire;
+package dillfront.router.pgwire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.Scene;
+import dillfront.routing.Scene;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
--- a/src/test/java/dillfront/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/PlannerTest.java
@@ -1,11 +1,11 @@
-package dillfront.plan;
+package dillfront.router.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.Scene;
-import dillfront.plan.Estate.Kind;
-import dillfront.plan.Estate.Node;
+import dillfront.router.plan.Estate.Kind;
+import dillfront.router.plan.Estate.Node;
+import dillfront.routing.Scene;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/test/java/dillfront/recovery/DoubtsTest.java
+++ b/src/test/java/dillfront/router/recovery/DoubtsTest.java
@@ -1,12 +1,12 @@
-package dillfront.recovery;
+package dillfront.router.recovery;
 
-import static dillfront.port.Role.PRIMARY;
-import static dillfront.port.Role.REPLICA;
+import static dillfront.routing.api.Role.PRIMARY;
+import static dillfront.routing.api.Role.REPLICA;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.Scene;
+import dillfront.routing.Scene;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/test/java/dillfront/script/ScriptTest.java
+++ b/src/test/java/dillfront/router/script/ScriptTest.java
@@ -1,4 +1,4 @@
-package dillfront.script;
+package dillfront.router.script;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/dillfront/site/SitesTest.java
+++ b/src/test/java/dillfront/router/site/SitesTest.java
@@ -1,10 +1,10 @@
-package dillfront.site;
+package dillfront.router.site;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.Scene;
-import dillfront.port.Sight;
-import dillfront.port.Sight.Health;
+import dillfront.routing.Scene;
+import dillfront.routing.api.Sight;
+import dillfront.routing.api.Sight.Health;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dillfront/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokensTest.java
@@ -1,4 +1,4 @@
-package dillfront.tokens;
+package dillfront.router.tokens;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,7 +19,7 @@
 import com.nimbusds.jose.jwk.gen.RSAKeyGenerator;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.identity.Gate;
+import dillfront.router.identity.Gate;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Date;
--- a/src/test/java/dillfront/DecideTest.java
+++ b/src/test/java/dillfront/routing/DecideTest.java
@@ -1,19 +1,19 @@
-package dillfront;
-
-import static dillfront.Scene.ANY;
-import static dillfront.Scene.FRESH;
-import static dillfront.Scene.MOVE;
-import static dillfront.Scene.ONCE;
-import static dillfront.Scene.OWN;
-import static dillfront.Scene.VIEW;
-import static dillfront.Scene.ms;
-import static dillfront.Scene.row;
-import static dillfront.port.Role.PRIMARY;
-import static dillfront.port.Role.REPLICA;
-
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Standing;
+package dillfront.routing;
+
+import static dillfront.routing.Scene.ANY;
+import static dillfront.routing.Scene.FRESH;
+import static dillfront.routing.Scene.MOVE;
+import static dillfront.routing.Scene.ONCE;
+import static dillfront.routing.Scene.OWN;
+import static dillfront.routing.Scene.VIEW;
+import static dillfront.routing.Scene.ms;
+import static dillfront.routing.Scene.row;
+import static dillfront.routing.api.Role.PRIMARY;
+import static dillfront.routing.api.Role.REPLICA;
+
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Standing;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dillfront/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -1,8 +1,8 @@
-package dillfront;
+package dillfront.routing;
 
-import static dillfront.Scene.ms;
+import static dillfront.routing.Scene.ms;
 
-import dillfront.pace.Pace;
+import dillfront.router.pace.Pace;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dillfront/Scene.java
+++ b/src/test/java/dillfront/routing/Scene.java
@@ -1,19 +1,19 @@
-package dillfront;
+package dillfront.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import dillfront.port.Effect;
-import dillfront.port.Handle;
-import dillfront.port.NodeRow;
-import dillfront.port.Outlet;
-import dillfront.port.Read;
-import dillfront.port.Report;
-import dillfront.port.Result;
-import dillfront.port.Role;
-import dillfront.port.Settings;
-import dillfront.port.Standing;
-import dillfront.port.TxnType;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/dillfront/drill/DrillTest.java
+++ b/src/test/java/dillfront/routing/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package dillfront.drill;
+package dillfront.routing.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/dillfront/lab/ControlWorldsTest.java
+++ b/src/test/java/dillfront/simulation/ControlWorldsTest.java
@@ -1,4 +1,4 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.core.SafetyRule;
-import dillfront.lab.ControlWorld.Kind;
-import dillfront.lab.ControlWorld.Step;
+import dillfront.controlplane.consensus.SafetyRule;
+import dillfront.simulation.ControlWorld.Kind;
+import dillfront.simulation.ControlWorld.Step;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/dillfront/lab/DarkTest.java
+++ b/src/test/java/dillfront/simulation/DarkTest.java
@@ -1,4 +1,4 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/dillfront/lab/HistoryTest.java
+++ b/src/test/java/dillfront/simulation/HistoryTest.java
@@ -1,4 +1,4 @@
-package dillfront.lab;
+package dillfront.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.lab.History.Outcome;
+import dillfront.simulation.History.Outcome;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/dillfront/lab/rig/AskedTest.java
+++ b/src/test/java/dillfront/simulation/processes/AskedTest.java
@@ -1,11 +1,11 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.peers.Codec;
-import dillfront.peers.Ring;
+import dillfront.router.peers.Codec;
+import dillfront.router.peers.Ring;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.DatagramPacket;
--- a/src/test/java/dillfront/lab/rig/AuditTest.java
+++ b/src/test/java/dillfront/simulation/processes/AuditTest.java
@@ -1,17 +1,17 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.Scene;
-import dillfront.lab.rig.Happening.Answered;
-import dillfront.lab.rig.Happening.Asked;
-import dillfront.lab.rig.Happening.Ended;
-import dillfront.lab.rig.Happening.Heard;
-import dillfront.lab.rig.Happening.Pressed;
-import dillfront.lab.rig.Happening.Ran;
-import dillfront.lab.rig.Happening.Read;
-import dillfront.lab.rig.Happening.Sent;
-import dillfront.lab.rig.Happening.Told;
+import dillfront.routing.Scene;
+import dillfront.simulation.processes.Happening.Answered;
+import dillfront.simulation.processes.Happening.Asked;
+import dillfront.simulation.processes.Happening.Ended;
+import dillfront.simulation.processes.Happening.Heard;
+import dillfront.simulation.processes.Happening.Pressed;
+import dillfront.simulation.processes.Happening.Ran;
+import dillfront.simulation.processes.Happening.Read;
+import dillfront.simulation.processes.Happening.Sent;
+import dillfront.simulation.processes.Happening.Told;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/dillfront/lab/rig/Losses.java
+++ b/src/test/java/dillfront/simulation/processes/Losses.java
@@ -1,10 +1,10 @@
-package dillfront.lab.rig;
+package dillfront.simulation.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.peers.KeyFile;
-import dillfront.peers.Ring;
+import dillfront.router.peers.KeyFile;
+import dillfront.router.peers.Ring;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
--- a/src/test/java/dillfront/lab/whole/AuditTest.java
+++ b/src/test/java/dillfront/simulation/system/AuditTest.java
@@ -1,9 +1,9 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Environment;
-import dillfront.host.LogPosition;
+import dillfront.common.database.LogPosition;
+import dillfront.common.environment.Environment;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/dillfront/lab/whole/ConfigAuditTest.java
+++ b/src/test/java/dillfront/simulation/system/ConfigAuditTest.java
@@ -1,4 +1,4 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/dillfront/lab/whole/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -1,7 +1,7 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
-import dillfront.host.MessageCodec;
-import dillfront.lab.ControlMeasure;
+import dillfront.common.message.MessageCodec;
+import dillfront.simulation.ControlMeasure;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/dillfront/lab/whole/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -1,9 +1,9 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.MessageCodec;
+import dillfront.common.message.MessageCodec;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.Base64;
--- a/src/test/java/dillfront/lab/whole/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -1,9 +1,9 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.lab.ControlMeasure;
+import dillfront.simulation.ControlMeasure;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/dillfront/lab/whole/SimTest.java
+++ b/src/test/java/dillfront/simulation/system/SimTest.java
@@ -1,10 +1,10 @@
-package dillfront.lab.whole;
+package dillfront.simulation.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.host.Environment;
+import dillfront.common.environment.Environment;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
