--- a/src/main/java/dillfront/common/message/MessageCodec.java
+++ b/src/main/java/dillfront/common/message/MessageCodec.java
@@ -23,7 +23,7 @@
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        MalformedMessageException(String fault) {
+        public MalformedMessageException(String fault) {
             super(fault);
         }
     }
@@ -182,15 +182,37 @@
             return all.get(name) != null;
         }
 
+        /** The fields of a map; null where there is none under this name. */
+        public Fields map(String name) {
+            return all.get(name) instanceof Map<?, ?> map ? new Fields(checked(map)) : null;
+        }
+
+        @SuppressWarnings("unchecked")
+        private static Map<String, Object> checked(Map<?, ?> map) {
+            // The decoder makes no maps with other keys.
+            return (Map<String, Object>) map;
+        }
+
         /** The maps in a list; what is no map is passed over. */
         public List<Fields> maps(String name) {
             List<Fields> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
                 for (Object one : list) {
                     if (one instanceof Map<?, ?> map) {
-                        @SuppressWarnings("unchecked")
-                        Map<String, Object> fields = (Map<String, Object>) map;
-                        rows.add(new Fields(fields));
+                        rows.add(new Fields(checked(map)));
+                    }
+                }
+            }
+            return rows;
+        }
+
+        /** The lists in a list; what is no list is passed over. */
+        public List<List<?>> lists(String name) {
+            List<List<?>> rows = new ArrayList<>();
+            if (all.get(name) instanceof List<?> list) {
+                for (Object one : list) {
+                    if (one instanceof List<?> row) {
+                        rows.add(row);
                     }
                 }
             }
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -0,0 +1,272 @@
+package dillfront.controlplane;
+
+import dillfront.common.config.Configuration;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.protocol.PrimaryRecord;
+import dillfront.controlplane.failover.DataLossManager;
+import dillfront.controlplane.failover.FailoverCoordinator;
+import dillfront.controlplane.failover.PrimaryCertainty;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.peer.PeerMessage;
+import dillfront.controlplane.peer.PeerMessage.DataPlaneReport;
+import dillfront.controlplane.peer.PeerMessage.ForwardedHeartbeat;
+import dillfront.controlplane.peer.PeerMessage.Header;
+import dillfront.controlplane.peer.PeerMessage.HolderStatus;
+import dillfront.controlplane.peer.PeerMessage.ServiceObservation;
+import dillfront.controlplane.peer.PeerMessageCodec;
+import dillfront.controlplane.peer.PeerState;
+import dillfront.controlplane.peer.PeerTable;
+import dillfront.controlplane.primary.PrimaryObservation;
+import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.registry.RegistryReplication;
+import dillfront.controlplane.state.ControlState;
+import dillfront.controlplane.subscription.DataPlaneSubscriptions;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Makes the messages to the peers, and takes theirs. */
+final class PeerMessenger {
+
+    /** A peer that reads so little is left and connected to again. */
+    private static final long MAX_PENDING_BYTES = 1 << 20;
+
+    private final ControlState state;
+    private final ProcessIdentity identity;
+    private final PeerTable peers;
+    private final RegistryReplication registryReplication;
+    private final DataPlaneSubscriptions subscriptions;
+    private final FailoverCoordinator failover;
+    private final DataLossManager dataLoss;
+    private final PrimaryCertainty certainty;
+    private final RecentHeartbeats heartbeats;
+    private long startedMillis;
+    private boolean leaving;
+
+    PeerMessenger(
+            ControlState state,
+            ProcessIdentity identity,
+            PeerTable peers,
+            RegistryReplication registryReplication,
+            DataPlaneSubscriptions subscriptions,
+            FailoverCoordinator failover,
+            DataLossManager dataLoss,
+            PrimaryCertainty certainty,
+            RecentHeartbeats heartbeats) {
+        this.state = state;
+        this.identity = identity;
+        this.peers = peers;
+        this.registryReplication = registryReplication;
+        this.subscriptions = subscriptions;
+        this.failover = failover;
+        this.dataLoss = dataLoss;
+        this.certainty = certainty;
+        this.heartbeats = heartbeats;
+    }
+
+    void start() {
+        startedMillis = state.nowMillis();
+    }
+
+    /** This process ends: peers are told so from now on. */
+    void onLeaving() {
+        leaving = true;
+    }
+
+    // ---- sending
+
+    /** A connection to this peer was made. */
+    void onConnected(PeerState peer) {
+        state.register().onConnectionReset(peer.id());
+        send(peer);
+    }
+
+    void sendToAll() {
+        peers.all().forEach(this::send);
+    }
+
+    private void send(PeerState peer) {
+        if (!peer.link().isConnected() || !identity.isDurable()) {
+            return;
+        }
+        if (peer.link().pendingBytes() > MAX_PENDING_BYTES) {
+            peer.link().disconnect();
+            return;
+        }
+        peer.link().send(PeerMessageCodec.encode(messageTo(peer)));
+    }
+
+    private PeerMessage messageTo(PeerState peer) {
+        long now = state.nowMillis();
+        Header header =
+                new Header(
+                        state.settings().ipAddress(),
+                        state.settings().zoneName(),
+                        identity.incarnation(),
+                        now,
+                        peer.clockMillis(),
+                        peer.incarnation(),
+                        identity.id(),
+                        state.cluster().epoch(),
+                        state.register().isBlank() && identity.isFirstStart(),
+                        leaving);
+        List<ForwardedHeartbeat> forwarded =
+                heartbeats.since(peer.heartbeatsForwardedMillis(), now);
+        peer.heartbeatsForwardedMillis(now + 1);
+        return new PeerMessage(
+                header,
+                peer.id().isEmpty() ? null : state.register().messageTo(peer.id()),
+                state.lease().message(),
+                changedAddresses(peer),
+                registryReplication.messageTo(peer.registryProgress()),
+                forwarded,
+                state.records().messageTo(peer.recordNumber()),
+                dataPlaneReport(),
+                failover.isActing()
+                        ? new HolderStatus(
+                                state.lease().validUntilMillis() - now, state.suspects().services())
+                        : null,
+                dataLoss.report());
+    }
+
+    /** The peers that are in contact; null where that one was told so before. */
+    private List<String> changedAddresses(PeerState peer) {
+        List<String> addresses = new ArrayList<>();
+        for (PeerState other : peers.all()) {
+            if (state.cluster().isInContact(other)) {
+                addresses.add(other.ip());
+            }
+        }
+        return peer.addressesChanged(addresses.toString()) ? addresses : null;
+    }
+
+    private DataPlaneReport dataPlaneReport() {
+        Map<String, Long> cleared = new LinkedHashMap<>();
+        List<ServiceObservation> observations = new ArrayList<>();
+        for (PrimaryRecord record : state.records().all()) {
+            if (record.moving() && subscriptions.allHaveRecord(record.number())) {
+                cleared.put(record.service(), record.number());
+            }
+            PrimaryObservation seen = subscriptions.observation(record.service(), record.primary());
+            if (seen.unreachable() > 0 || record.moving()) {
+                AcknowledgedCommits acknowledged =
+                        state.acknowledgedCommits().get(record.service());
+                observations.add(new ServiceObservation(record.service(), seen, acknowledged));
+            }
+        }
+        return new DataPlaneReport(cleared, observations, subscriptions.activeCount());
+    }
+
+    // ---- receiving
+
+    /** What became of a message. */
+    enum Received {
+        /** It is older than what the peer said last, or of a process without an id. */
+        IGNORED,
+        TAKEN,
+        /** And it changed the server table. */
+        REGISTRY_CHANGED
+    }
+
+    /** Takes a peer's message. */
+    Received receive(PeerMessage message) {
+        Header header = message.header();
+        peers.discover(header.ip());
+        PeerState peer = peers.at(header.ip());
+        boolean sameIncarnation = peer != null && header.incarnation().equals(peer.incarnation());
+        if (peer == null
+                || header.id().isEmpty()
+                || sameIncarnation && header.clockMillis() < peer.clockMillis()) {
+            return Received.IGNORED;
+        }
+        if (!sameIncarnation || !header.id().equals(peer.id())) {
+            onNewIncarnation(peer, header);
+        }
+        peer.lease().contact(state.nowMillis());
+        if (!peer.link().isConnected() && !peer.link().isConnecting()) {
+            // It is there: if it waited for the next tick, it would get no answer before.
+            peer.link().connect();
+        }
+        boolean answersThis = header.echoIncarnation().equals(identity.incarnation());
+        peer.onHeader(header, answersThis);
+        boolean changed =
+                registryReplication.receive(
+                        message.registry(), peer.registryProgress(), answersThis);
+        message.heartbeats().forEach(this::takeHeartbeat);
+        peer.onMembership(header);
+        if (message.addresses() != null) {
+            message.addresses().forEach(peers::discover);
+        }
+        receiveRegister(peer, message);
+        peer.lease().update(message.lease(), state.nowMillis());
+        peer.recordNumber(message.records().durableNumber());
+        if (state.records().receive(message.records())) {
+            state.requestUpdates();
+        }
+        receiveDataPlanes(peer, message.dataPlanes());
+        receiveHolder(peer, message, answersThis);
+        return changed ? Received.REGISTRY_CHANGED : Received.TAKEN;
+    }
+
+    private void onNewIncarnation(PeerState peer, Header header) {
+        peer.onNewIncarnation(header.incarnation(), header.id());
+        // An answer at once, on a connection to this incarnation: it counts nobody that it has not
+        // heard answer, and what went out to its former incarnation may hang for long.
+        boolean wasInContact = peer.formerIncarnationContactMillis() > startedMillis;
+        if (peer.link().isConnected() && wasInContact || peer.link().hasStaleConnect()) {
+            peer.link().replace();
+        }
+        state.peerUpdates().request();
+    }
+
+    private void takeHeartbeat(ForwardedHeartbeat heartbeat) {
+        DatabaseServer server = state.registry().get(heartbeat.serverId());
+        if (server != null) {
+            server.onForwardedHeartbeat(
+                    state.nowMillis() - heartbeat.ageMillis(), heartbeat.callSequence());
+        }
+    }
+
+    private void receiveRegister(PeerState peer, PeerMessage message) {
+        if (message.register() == null) {
+            return;
+        }
+        try {
+            state.register().receive(peer.id(), message.register());
+        } catch (Configuration.InvalidConfigurationException bad) {
+            state.environment()
+                    .warn(
+                            "configuration-not-understood from="
+                                    + peer.ip()
+                                    + " fault="
+                                    + bad.getMessage());
+        }
+    }
+
+    private void receiveDataPlanes(PeerState peer, DataPlaneReport report) {
+        peer.onDataPlanes(report);
+        for (ServiceObservation one : report.observations()) {
+            state.acknowledgedCommits().merge(one.service(), one.acknowledged());
+        }
+    }
+
+    private void receiveHolder(PeerState peer, PeerMessage message, boolean answersThis) {
+        HolderStatus holder = message.holder();
+        LeaseManager lease = state.lease();
+        if (holder != null) {
+            state.suspects().replace(holder.suspects());
+        }
+        long promised = message.lease().promisedNumber();
+        dataLoss.receive(message.dataLoss(), holder != null && answersThis, promised);
+        lease.onRequest(peer.lease(), message.lease().requestedNumber(), peer.clockMillis());
+        lease.onRelease(
+                peer.lease(),
+                message.lease().abandonedNumber(),
+                message.lease().abandonedWasHeld());
+        if (holder != null && answersThis && promised >= lease.promisedNumber()) {
+            certainty.onHolderMessage(
+                    message.header().echoClockMillis(), holder.leaseRemainingMillis());
+        }
+    }
+}
--- a/src/main/java/dillfront/controlplane/consensus/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -1,6 +1,11 @@
 package dillfront.controlplane.consensus;
 
-/** The number of a proposal: rounds go first, and no two proposers share one. NONE is below all. */
+/**
+ * The number of a round of agreement. Rounds are compared first, then proposers, so no two
+ * proposers share a ballot. {@link #NONE} is below all.
+ *
+ * @param proposer the id of the process that leads the round
+ */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
 
     public static final Ballot NONE = new Ballot(0, "");
@@ -19,11 +24,17 @@
         return a.isAbove(b) ? a : b;
     }
 
+    /** The form on disk and in messages. */
     String encode() {
         return round + " " + proposer;
     }
 
-    /** As it stands on the disk or in a message; NONE for an empty text. */
+    /**
+     * Reads what {@link #encode} made.
+     *
+     * @return {@link #NONE} for a text without a blank, the empty one among them
+     * @throws NumberFormatException where the round is no number
+     */
     public static Ballot parse(String text) {
         int blank = text.indexOf(' ');
         return blank < 0
--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -9,32 +9,38 @@
 import java.util.TreeSet;
 
 /**
- * Which processes are to be members, as the holder of the lease sees them. One step at a time: at
- * most one comes and at most one goes. Nobody goes for good by this: one that was away and comes
- * back is taken in again.
+ * Which processes are to be members, as the lease holder sees them. One step at a time: at most one
+ * joins and at most one leaves. None leaves for good by this: one that was away and comes back is
+ * taken in again.
  */
 public final class MembershipPolicy {
 
     /**
-     * More disks cost more to ask than they bear losses; but as many as the losses that are to be
-     * borne want.
+     * More members cost more messages than they bear losses; there may be more where the tolerated
+     * losses want it.
      */
     static final int MAX_MEMBERS = 7;
 
     private static final int MIN_MEMBERS = 3;
 
-    /** Silent for so long, it gives its place to another. */
+    /** A member that was silent for so long gives its place to another process. */
     static final long REPLACE_AFTER_MS = 1_500;
 
-    /** And without another, so that those that are left are not held up by two that are gone. */
+    /**
+     * And is removed without a replacement after so long, so that the remaining members are not
+     * held up by two that are gone.
+     */
     static final long REMOVE_AFTER_MS = 30_000;
 
+    /** The silence of a member at whose address another process answers. */
+    public static final long REPLACED = Long.MAX_VALUE;
+
     /**
      * A process, a member or not.
      *
-     * @param silentMillis for how many milliseconds nothing came from it; Long.MAX_VALUE where
-     *     another is at its address
-     * @param caughtUp it is heard both ways, and holds what is decided
+     * @param silentMillis for how long nothing came from it; {@link #REPLACED} where another
+     *     process is at its address
+     * @param caughtUp it answers, and holds all that is decided
      * @param leaving it said that it ends
      */
     public record Candidate(
@@ -42,56 +48,76 @@
 
     private MembershipPolicy() {}
 
-    /** The next set; the same one where nothing is to be changed. */
-    public static TreeSet<String> nextMembers(
-            SortedSet<String> members, List<Candidate> seen, int losses) {
+    /**
+     * The next members; the same ones where nothing is to be changed.
+     *
+     * @param candidates all processes that are known, each member among them
+     * @param toleratedLosses how many members may be lost at once
+     */
+    public static SortedSet<String> nextMembers(
+            SortedSet<String> members, List<Candidate> candidates, int toleratedLosses) {
         TreeSet<String> next = new TreeSet<>(members);
-        Map<String, Integer> zones = new TreeMap<>();
-        List<Candidate> learners = new ArrayList<>();
-        Candidate worst = null;
-        for (Candidate p : seen) {
-            boolean in = members.contains(p.id());
-            if (in) {
-                zones.merge(p.zone(), 1, Integer::sum);
-                worst = worst == null || removalPriority(p) > removalPriority(worst) ? p : worst;
-            } else if (p.caughtUp() && !p.leaving()) {
-                learners.add(p);
-            }
-        }
-        learners.sort(
-                Comparator.<Candidate>comparingInt(p -> zones.getOrDefault(p.zone(), 0))
-                        .thenComparing(Candidate::id));
-        boolean goes = worst != null && removalPriority(worst) > REPLACE_AFTER_MS;
-        for (Candidate p : learners) {
-            if (worst != null
-                    && worst.silentMillis() == Long.MAX_VALUE
-                    && RegisterValue.ipOf(worst.id()).equals(RegisterValue.ipOf(p.id()))) {
-                next.remove(worst.id());
-                next.add(p.id());
-                return next;
+        Candidate worst = worstMember(members, candidates);
+        List<Candidate> learners = learners(members, candidates);
+        if (worst != null && worst.silentMillis() == REPLACED) {
+            for (Candidate learner : learners) {
+                if (RegisterValue.ipOf(worst.id()).equals(RegisterValue.ipOf(learner.id()))) {
+                    next.remove(worst.id());
+                    next.add(learner.id());
+                    return next;
+                }
             }
         }
-        if (!learners.isEmpty()
-                && (goes || members.size() < Math.max(MAX_MEMBERS, 2 * losses + 1))) {
+        boolean replaces = worst != null && removalPriority(worst) > REPLACE_AFTER_MS;
+        int enough = 2 * toleratedLosses + 1;
+        if (!learners.isEmpty() && (replaces || members.size() < Math.max(MAX_MEMBERS, enough))) {
             next.add(learners.get(0).id());
-            if (goes) {
+            if (replaces) {
                 next.remove(worst.id());
             }
             return next;
         }
-        boolean spare = members.size() > 2 * losses + 1;
+        boolean spare = members.size() > enough;
         boolean gone =
                 worst != null
                         && worst.silentMillis() > REMOVE_AFTER_MS
                         && members.size() > MIN_MEMBERS;
-        if (goes && (spare || gone)) {
+        if (replaces && (spare || gone)) {
             next.remove(worst.id());
         }
         return next;
     }
 
-    /** How much there is for its going. */
-    private static long removalPriority(Candidate p) {
-        return p.leaving() ? Long.MAX_VALUE - 1 : p.silentMillis();
+    private static Candidate worstMember(SortedSet<String> members, List<Candidate> candidates) {
+        Candidate worst = null;
+        for (Candidate candidate : candidates) {
+            if (members.contains(candidate.id())
+                    && (worst == null || removalPriority(candidate) > removalPriority(worst))) {
+                worst = candidate;
+            }
+        }
+        return worst;
+    }
+
+    /** Processes that could become members; those of zones with few members first. */
+    private static List<Candidate> learners(SortedSet<String> members, List<Candidate> candidates) {
+        Map<String, Integer> membersByZone = new TreeMap<>();
+        List<Candidate> learners = new ArrayList<>();
+        for (Candidate candidate : candidates) {
+            if (members.contains(candidate.id())) {
+                membersByZone.merge(candidate.zone(), 1, Integer::sum);
+            } else if (candidate.caughtUp() && !candidate.leaving()) {
+                learners.add(candidate);
+            }
+        }
+        learners.sort(
+                Comparator.<Candidate>comparingInt(
+                                learner -> membersByZone.getOrDefault(learner.zone(), 0))
+                        .thenComparing(Candidate::id));
+        return learners;
+    }
+
+    private static long removalPriority(Candidate candidate) {
+        return candidate.leaving() ? REPLACED - 1 : candidate.silentMillis();
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/ReconfigurationBarrier.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReconfigurationBarrier.java
@@ -3,47 +3,51 @@
 import java.util.function.Predicate;
 
 /**
- * When the new one of two sets may go on alone: once a majority of it has on its disks all that a
- * majority of each had when it accepted the joint value. Its holder has heard that from them.
+ * When the second step of a change of members may be made: once a majority of the new members has
+ * on its disks all of the server table and the primary records that a majority of both sets had
+ * when it accepted the joint value. The lease holder knows that from their messages.
  */
 public final class ReconfigurationBarrier {
 
-    /** What a process has on its disk. */
+    /** What processes have on their disks. */
     public interface DurableState {
 
-        boolean includes(String id, long change, long record);
+        /** Whether that process has the table up to this version and this record. */
+        boolean includes(String id, long registryVersion, long recordNumber);
     }
 
-    /**
-     * The ballot that made two sets count, and the holder's table when a majority of each had that.
-     */
+    private static final long UNKNOWN = -1;
+
+    /** The ballot of the joint value, and the holder's table when a majority of both had that. */
     private Ballot jointBallot = Ballot.NONE;
 
-    private long registryVersion = -1;
+    private long registryVersion = UNKNOWN;
 
-    /** One set counts. */
+    /** One set of members is in force. */
     public void reset() {
-        registryVersion = -1;
+        registryVersion = UNKNOWN;
     }
 
     /**
-     * @param ballot under which the joint value is decided
-     * @param accepted whether that process is known to have accepted it
-     * @param change of the holder's table, now
-     * @param record the newest that the holder knows
+     * @param joint the joint value
+     * @param ballot under which it is decided
+     * @param hasAccepted whether that process is known to have accepted it
+     * @param currentVersion of the holder's table
+     * @param newestRecord that the holder knows
      */
     public boolean canFinish(
-            RegisterValue is,
+            RegisterValue joint,
             Ballot ballot,
-            Predicate<String> accepted,
-            long change,
-            long record,
-            DurableState disks) {
-        if (!ballot.equals(jointBallot) || registryVersion < 0) {
+            Predicate<String> hasAccepted,
+            long currentVersion,
+            long newestRecord,
+            DurableState durable) {
+        if (!ballot.equals(jointBallot) || registryVersion == UNKNOWN) {
             jointBallot = ballot;
-            registryVersion = is.isQuorum(accepted) ? change : -1;
+            registryVersion = joint.isQuorum(hasAccepted) ? currentVersion : UNKNOWN;
         }
-        return registryVersion >= 0
-                && is.withoutOutgoing().isQuorum(of -> disks.includes(of, registryVersion, record));
+        return registryVersion != UNKNOWN
+                && joint.withoutOutgoing()
+                        .isQuorum(id -> durable.includes(id, registryVersion, newestRecord));
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
@@ -12,14 +12,14 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What the register holds: the set of members and the configuration, one value.
+ * What the register holds: the members and the configuration, as one value.
  *
- * @param epoch one more with each change of the sets
+ * @param epoch one more with each change of the members
  * @param members ids of the processes whose disks count
- * @param outgoing the set before, while both count (joint); else empty
- * @param retired the outgoing set of the joint value that this one follows: it has to accept this
- *     one still; else empty
- * @param revisionDigests numbers of configurations that were decided, the newest ones, each with
+ * @param outgoing the members before, while both sets are in force (a joint value); else empty
+ * @param retired the outgoing members of the joint value that this one follows: a majority of them
+ *     still has to accept this value; else empty
+ * @param revisionDigests revisions of configurations that were decided, the newest ones, each with
  *     the digest of its content
  */
 public record RegisterValue(
@@ -33,12 +33,13 @@
     private static final int MAX_DIGESTS = 512;
     private static final SortedSet<String> NO_MEMBERS =
             Collections.unmodifiableSortedSet(new TreeSet<>());
+    private static final char ID_SEPARATOR = '/';
 
-    /** What became of an order, by a decided value. */
+    /** What became of a proposed configuration, by a decided value. */
     public enum Outcome {
-        /** It is in force, or was, or was overtaken. */
+        /** It is in force, or was, or was overtaken by a higher revision. */
         ACCEPTED,
-        /** Its number has another content. */
+        /** Its revision has another content. */
         CONFLICT,
         /** Nothing is decided of it. */
         PENDING
@@ -50,103 +51,104 @@
                 1, members, NO_MEMBERS, NO_MEMBERS, Configuration.NONE, new TreeMap<>());
     }
 
-    static long digest(Configuration of) {
-        return of.digest();
-    }
-
+    /** Whether two sets of members are in force. */
     public boolean isJoint() {
         return !outgoing.isEmpty();
     }
 
-    /** Whether those with this are a majority of each set that is in force. */
-    public boolean isQuorum(Predicate<String> has) {
-        return majority(members, has) && (outgoing.isEmpty() || majority(outgoing, has));
+    /** Whether these processes are a majority of each set of members in force. */
+    public boolean isQuorum(Predicate<String> included) {
+        return isMajority(members, included)
+                && (outgoing.isEmpty() || isMajority(outgoing, included));
     }
 
-    /** Whether they are enough for this value to be decided: also of the set that it drops. */
+    /** Whether these acceptors are enough for this value to be decided. */
     public boolean isDecidedBy(Predicate<String> accepted) {
-        return isQuorum(accepted) && (retired.isEmpty() || majority(retired, accepted));
+        return isQuorum(accepted) && (retired.isEmpty() || isMajority(retired, accepted));
     }
 
-    private static boolean majority(SortedSet<String> of, Predicate<String> has) {
+    private static boolean isMajority(SortedSet<String> members, Predicate<String> included) {
         int count = 0;
-        for (String id : of) {
-            count += has.test(id) ? 1 : 0;
+        for (String id : members) {
+            count += included.test(id) ? 1 : 0;
         }
-        return count > of.size() / 2;
+        return count > members.size() / 2;
     }
 
-    /** The latest moment that a majority of each set has reached. */
-    public long quorumReached(ToLongFunction<String> moment) {
-        long all = quorumReached(members, moment);
-        return outgoing.isEmpty() ? all : Math.min(all, quorumReached(outgoing, moment));
+    /** The highest value of this quantity that a majority of each set of members has reached. */
+    public long quorumReached(ToLongFunction<String> quantity) {
+        long reached = majorityReached(members, quantity);
+        return outgoing.isEmpty()
+                ? reached
+                : Math.min(reached, majorityReached(outgoing, quantity));
     }
 
-    private static long quorumReached(SortedSet<String> of, ToLongFunction<String> moment) {
-        long[] moments = of.stream().mapToLong(moment).sorted().toArray();
-        return moments.length == 0
-                ? Long.MIN_VALUE
-                : moments[moments.length - 1 - moments.length / 2];
+    private static long majorityReached(
+            SortedSet<String> members, ToLongFunction<String> quantity) {
+        long[] sorted = members.stream().mapToLong(quantity).sorted().toArray();
+        return sorted.length == 0 ? Long.MIN_VALUE : sorted[sorted.length - 1 - sorted.length / 2];
     }
 
-    /** An order: above what is held it takes its place; a number has one content for ever. */
-    RegisterValue withConfiguration(Configuration order) {
-        if (revisionDigests.containsKey(order.revision())) {
+    /** With this configuration where its revision is the highest; a revision has one content. */
+    RegisterValue withConfiguration(Configuration proposed) {
+        long revision = proposed.revision();
+        if (revisionDigests.containsKey(revision)) {
             return this;
         }
-        SortedMap<Long, Long> next = mergedDigests(Map.of(order.revision(), digest(order)));
-        if (order.revision() > configuration.revision()) {
-            return new RegisterValue(epoch, members, outgoing, retired, order, next);
+        SortedMap<Long, Long> digests = mergedDigests(Map.of(revision, proposed.digest()));
+        if (revision > configuration.revision()) {
+            return new RegisterValue(epoch, members, outgoing, retired, proposed, digests);
         }
-        // Overtaken before anything was decided under its number: from now on this is its content.
-        return next.containsKey(order.revision())
-                ? new RegisterValue(epoch, members, outgoing, retired, configuration, next)
+        // Overtaken before anything was decided under its revision: from now on this is its
+        // content.
+        return digests.containsKey(revision)
+                ? new RegisterValue(epoch, members, outgoing, retired, configuration, digests)
                 : this;
     }
 
     SortedMap<Long, Long> mergedDigests(Map<Long, Long> more) {
-        TreeMap<Long, Long> next = new TreeMap<>(revisionDigests);
-        next.putAll(more);
-        while (next.size() > MAX_DIGESTS) {
-            next.pollFirstEntry();
+        TreeMap<Long, Long> digests = new TreeMap<>(revisionDigests);
+        digests.putAll(more);
+        while (digests.size() > MAX_DIGESTS) {
+            digests.pollFirstEntry();
         }
-        return next;
+        return digests;
     }
 
-    /** The same, as if this number had never had a content. */
-    RegisterValue withoutRevision(long version) {
-        TreeMap<Long, Long> left = new TreeMap<>(revisionDigests);
-        left.remove(version);
-        return new RegisterValue(epoch, members, outgoing, retired, configuration, left);
+    /** As if this revision never had a content. */
+    RegisterValue withoutRevision(long revision) {
+        TreeMap<Long, Long> digests = new TreeMap<>(revisionDigests);
+        digests.remove(revision);
+        return new RegisterValue(epoch, members, outgoing, retired, configuration, digests);
     }
 
-    /** What this value, decided, says of an order. */
-    public Outcome outcome(Configuration order) {
-        Long digest = revisionDigests.get(order.revision());
+    /** What this value, decided, says of a proposed configuration. */
+    public Outcome outcome(Configuration proposed) {
+        Long digest = revisionDigests.get(proposed.revision());
         if (digest != null) {
-            return digest == digest(order) ? Outcome.ACCEPTED : Outcome.CONFLICT;
+            return digest == proposed.digest() ? Outcome.ACCEPTED : Outcome.CONFLICT;
         }
-        boolean forgotten =
+        boolean isForgotten =
                 revisionDigests.size() == MAX_DIGESTS
-                        && order.revision() < revisionDigests.firstKey();
-        return forgotten && order.revision() < configuration.revision()
+                        && proposed.revision() < revisionDigests.firstKey();
+        return isForgotten && proposed.revision() < configuration.revision()
                 ? Outcome.ACCEPTED
                 : Outcome.PENDING;
     }
 
-    /** The step to another set: both count. */
+    /** The first step to other members: both sets are in force. */
     RegisterValue jointWith(SortedSet<String> next) {
         return new RegisterValue(
                 epoch + 1, next, members, NO_MEMBERS, configuration, revisionDigests);
     }
 
-    /** The step after it: the new one alone. */
+    /** The second step: the new members alone. */
     RegisterValue withoutOutgoing() {
         return new RegisterValue(
                 epoch + 1, members, NO_MEMBERS, outgoing, configuration, revisionDigests);
     }
 
-    /** The same, where all that dropped a set is known to be decided. */
+    /** The same, once the value that retired the former members is known to be decided. */
     RegisterValue withoutRetired() {
         return retired.isEmpty()
                 ? this
@@ -165,9 +167,14 @@
         return String.join(",", ids);
     }
 
+    /** The id of a process: its address, and what tells it from others that were there before. */
+    public static String id(String ip, String suffix) {
+        return ip + ID_SEPARATOR + suffix;
+    }
+
     /** The address in an id. */
     public static String ipOf(String id) {
-        int slash = id.indexOf('/');
-        return slash < 0 ? id : id.substring(0, slash);
+        int separator = id.indexOf(ID_SEPARATOR);
+        return separator < 0 ? id : id.substring(0, separator);
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -1,15 +1,9 @@
 package dillfront.controlplane.consensus;
 
 import dillfront.common.config.Configuration;
-import dillfront.common.message.BinaryDelta;
-import dillfront.common.message.Compression;
-import dillfront.common.message.MessageCodec;
-import java.nio.charset.StandardCharsets;
+import dillfront.controlplane.consensus.RegisterMessage.EncodedValue;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collections;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedSet;
@@ -19,14 +13,22 @@
 import java.util.function.Predicate;
 
 /**
- * One value, agreed on by ballots: the members and the configuration (CASPaxos). This is one
- * process's part in it, as acceptor, proposer and learner. It says what it holds in each message,
- * so a message that is lost, repeated or old does no harm; what it promised or accepted is on its
- * disk before it says so.
+ * One value, the members and the configuration, agreed on by ballots without a log or a leader
+ * (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). An object of this
+ * class is one process's part in it: acceptor, proposer and learner.
+ *
+ * <p>Invariants: what it promised or accepted is on its disk before it says so; nothing is accepted
+ * below what was promised; a proposer offers the value of the highest ballot that any acceptor of a
+ * majority had accepted, or a change of it; members change only on top of a value that is known to
+ * be decided, in two steps, and while two sets of members are in force a majority of each is
+ * needed.
+ *
+ * <p>Each message holds all that the process has to say, so one that is lost, repeated or late does
+ * no harm. Called on one thread.
  */
 public final class ReplicatedRegister {
 
-    /** What it needs of the process that it is part of. */
+    /** What the register needs of the process that it is part of. */
     public interface Context {
 
         /** The id of this process. */
@@ -35,29 +37,29 @@
         /** Milliseconds of a steady clock. */
         long nowMillis();
 
-        /** Completes once it is on the disk, in the order of the calls. */
+        /**
+         * Writes texts under names; completes once they are on the disk, in the order of the calls.
+         */
         CompletableFuture<Void> persist(Map<String, String> texts);
 
-        /** There is something to say to the others. */
+        /** There is something new to say to the peers. */
         void broadcast();
 
         /** A newer value is known to be decided. */
         void onDecided(RegisterValue value);
 
-        /** A number from 0 to below this. */
-        long randomBelow(long below);
+        /** A random number from 0 to below this. */
+        long randomBelow(long bound);
 
-        /** Whether this process holds the lease, without which no set is changed. */
+        /** Whether this process holds the lease, without which no members are changed. */
         boolean holdsLease();
 
-        /** Whether it does without this, as only a small world does to show what breaks. */
-        default boolean isDisabled(SafetyRule defence) {
+        /** Whether a safety rule is left out; only model checks do so, to show what breaks. */
+        default boolean isDisabled(SafetyRule rule) {
             return false;
         }
     }
 
-    private static final int CHUNK_CHARS = 16_000;
-
     /** While another's ballot is under way, one's own waits so long. */
     private static final long HOLD_OFF_MS = 150;
 
@@ -67,16 +69,13 @@
     /** What was accepted and is not decided is proposed again after so long. */
     private static final long RECOVERY_DELAY_MS = 250;
 
-    /**
-     * Who lacks a decided value is sent it by others than its proposer after so long; and again
-     * after this.
-     */
+    /** A peer that lacks a decided value is sent it by others than its proposer after so long. */
     private static final long CATCH_UP_DELAY_MS = 300;
 
     private static final long RESEND_MS = 350;
     private static final int MAX_PROPOSALS = 256;
 
-    /** What another process said last; each field only ever rises. */
+    /** What a peer said last; each ballot only ever rises. */
     private static final class PeerState {
         Ballot promisedBallot = Ballot.NONE;
         Ballot acceptedBallot = Ballot.NONE;
@@ -89,20 +88,32 @@
 
         RegisterValue value;
 
-        /** Up to which of this process's values it has. */
+        /** The last of this process's values that it received. */
         Ballot receivedBallot = Ballot.NONE;
 
         Ballot sentBallot = Ballot.NONE;
         long sentAtMillis;
+
+        /** Whether it offers a value that has arrived here. */
+        boolean offersValue() {
+            return proposalHasValue && valueBallot.equals(proposalBallot);
+        }
     }
 
     private enum Phase {
         NONE,
+        /** The own promise is being written. */
         PERSIST_BALLOT,
         PREPARE,
         ACCEPT
     }
 
+    /**
+     * A change of the members that the lease holder wants.
+     *
+     * @param epoch of the value that it is meant for
+     * @param members the next set; null for the second step, which ends a joint set
+     */
     private record MembershipStep(long epoch, SortedSet<String> members) {}
 
     private record Proposal(
@@ -110,100 +121,71 @@
 
     private final Context context;
     private final TreeMap<String, PeerState> peers = new TreeMap<>();
+    private final RegisterStorage storage = new RegisterStorage();
+    private final ValueEncoder encoder = new ValueEncoder();
 
-    /** On the disk. */
+    // The acceptor's state, as it is on the disk.
     private Ballot promisedBallot = Ballot.NONE;
-
     private Ballot acceptedBallot = Ballot.NONE;
     private RegisterValue acceptedValue;
-    private boolean persisting;
     private long acceptedAtMillis;
+    private boolean persisting;
+
+    // The learner's state.
     private Ballot decidedBallot = Ballot.NONE;
     private RegisterValue decidedValue;
-    private int chunkCount;
+
+    // The proposer's state.
     private Ballot ownBallot = Ballot.NONE;
     private Phase phase = Phase.NONE;
     private RegisterValue baseValue;
     private RegisterValue proposedValue;
     private int lostRounds;
     private long proposeAtMillis;
+    private long recoverAtMillis = -1;
     private final List<Proposal> proposals = new ArrayList<>();
-
-    /**
-     * What the sets are to become: the epoch that this is meant for, and the next members; null for
-     * the second step.
-     */
     private MembershipStep membershipStep;
 
-    private long recoverAtMillis = -1;
+    public ReplicatedRegister(Context context) {
+        this.context = context;
+    }
 
     /**
-     * The newest value that was told, as it went to those who have another; by the ballot of that.
+     * Takes over what the disk holds, at the start.
+     *
+     * @throws Configuration.InvalidConfigurationException where the configuration on it is of a
+     *     form that this version does not know
      */
-    private Ballot encodedBallot = Ballot.NONE;
-
-    private final TreeMap<Ballot, Map<String, Object>> encodedValues = new TreeMap<>();
-
-    public ReplicatedRegister(Context ground) {
-        this.context = ground;
-    }
-
-    /** From the disk, at the start. */
-    public void restore(Map<String, String> kept)
+    public void restore(Map<String, String> texts)
             throws Configuration.InvalidConfigurationException {
-        promisedBallot = Ballot.parse(kept.getOrDefault("promised-ballot", ""));
-        acceptedBallot = Ballot.parse(kept.getOrDefault("accepted-ballot", ""));
-        chunkCount = Integer.parseInt(kept.getOrDefault("pieces", "0"));
-        if (acceptedBallot == Ballot.NONE) {
-            return;
-        }
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < chunkCount; i++) {
-            text.append(kept.getOrDefault("piece" + i, ""));
-        }
-        Configuration configuration =
-                text.length() == 0
-                        ? Configuration.NONE
-                        : Configuration.parse(text.toString().getBytes(StandardCharsets.UTF_8));
-        TreeMap<Long, Long> past = new TreeMap<>();
-        for (String one : kept.getOrDefault("past", "").split(",")) {
-            int colon = one.indexOf(':');
-            if (colon > 0) {
-                past.put(
-                        Long.parseLong(one.substring(0, colon)),
-                        Long.parseLong(one.substring(colon + 1)));
-            }
-        }
-        acceptedValue =
-                new RegisterValue(
-                        Long.parseLong(kept.getOrDefault("epoch", "0")),
-                        RegisterValue.parseIds(kept.getOrDefault("members", "")),
-                        RegisterValue.parseIds(kept.getOrDefault("outgoing", "")),
-                        RegisterValue.parseIds(kept.getOrDefault("dropped", "")),
-                        configuration,
-                        past);
+        RegisterStorage.AcceptorState state = storage.restore(texts);
+        promisedBallot = state.promised();
+        acceptedBallot = state.accepted();
+        acceptedValue = state.value();
     }
 
-    boolean isDisabled(SafetyRule defence) {
-        return context.isDisabled(defence);
+    boolean isDisabled(SafetyRule rule) {
+        return context.isDisabled(rule);
     }
 
-    // ---- what its process asks
+    // ---- queries
 
     /** What is accepted here, decided or not; null before there is a system. */
     public RegisterValue acceptedValue() {
         return acceptedValue;
     }
 
-    /** The newest that is known to be decided; null where nothing is. */
+    /** The newest value that is known to be decided; null where none is. */
     public RegisterValue decidedValue() {
         return decidedValue;
     }
 
+    /** The ballot of {@link #decidedValue}. */
     public Ballot decidedBallot() {
         return decidedBallot;
     }
 
+    /** The ballot of {@link #acceptedValue}. */
     public Ballot acceptedBallot() {
         return acceptedBallot;
     }
@@ -213,33 +195,33 @@
         return decidedValue == null ? Configuration.NONE : decidedValue.configuration();
     }
 
-    /**
-     * Nothing is accepted or promised here: a disk that was empty, and nobody has said anything
-     * yet.
-     */
+    /** Whether the disk was empty and nothing was promised or accepted since. */
     public boolean isBlank() {
-        return acceptedValue == null && promisedBallot == Ballot.NONE && !persisting;
+        return acceptedValue == null && promisedBallot.equals(Ballot.NONE) && !persisting;
     }
 
-    /** The highest ballot that anybody was heard to have accepted. */
+    /** The highest ballot that any process is known to have accepted. */
     public Ballot highestKnownBallot() {
         Ballot highest = acceptedBallot;
-        for (PeerState v : peers.values()) {
-            highest = Ballot.max(highest, Ballot.max(v.acceptedBallot, v.decidedBallot));
+        for (PeerState peer : peers.values()) {
+            highest = Ballot.max(highest, Ballot.max(peer.acceptedBallot, peer.decidedBallot));
         }
         return highest;
     }
 
-    /** What that process has accepted, as far as was heard. */
+    /** The ballot that this process is known to have accepted. */
     public Ballot acceptedBallotOf(String id) {
-        return id.equals(context.selfId())
-                ? acceptedBallot
-                : peers.containsKey(id) ? peers.get(id).acceptedBallot : Ballot.NONE;
+        if (id.equals(context.selfId())) {
+            return acceptedBallot;
+        }
+        return peers.containsKey(id) ? peers.get(id).acceptedBallot : Ballot.NONE;
     }
 
+    // ---- requests
+
     /**
-     * The first value of all, under the first ballot, offered once it is on this disk; only the
-     * founder calls this.
+     * Offers the first value of all under the first ballot, once it is on this disk. Only the
+     * process that begins a new system calls this.
      */
     public void bootstrap(SortedSet<String> members) {
         Ballot ballot = new Ballot(1, context.selfId());
@@ -256,245 +238,164 @@
     }
 
     /**
-     * Completes with what became of it, once that is decided; fails at once where too many wait.
+     * Proposes a configuration.
+     *
+     * @return completes with what became of it once that is decided; fails with {@link
+     *     IllegalStateException} at once where too many wait
      */
-    public CompletableFuture<RegisterValue.Outcome> propose(Configuration content) {
-        CompletableFuture<RegisterValue.Outcome> done = new CompletableFuture<>();
+    public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
+        CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
         if (proposals.size() >= MAX_PROPOSALS) {
-            done.completeExceptionally(new IllegalStateException("too many orders wait"));
-            return done;
+            result.completeExceptionally(new IllegalStateException("too many proposals wait"));
+            return result;
         }
-        proposals.add(new Proposal(content, done));
+        proposals.add(new Proposal(configuration, result));
         completeProposals();
         poll();
-        return done;
+        return result;
     }
 
     /**
-     * Another set of members, as the first of two steps; passed over where the holder or the epoch
-     * is another by then.
+     * Proposes other members, as the first of two steps. Passed over where another process holds
+     * the lease, or the epoch is another, by the time that it could be decided.
      */
-    public void proposeMembers(long epoch, SortedSet<String> next) {
+    public void proposeMembers(long epoch, SortedSet<String> members) {
         membershipStep =
-                new MembershipStep(epoch, Collections.unmodifiableSortedSet(new TreeSet<>(next)));
+                new MembershipStep(
+                        epoch, Collections.unmodifiableSortedSet(new TreeSet<>(members)));
         poll();
     }
 
-    /** The second step: the new set alone. */
+    /** Proposes the second step: the new members alone. */
     public void proposeFinalMembers(long epoch) {
         membershipStep = new MembershipStep(epoch, null);
         poll();
     }
 
-    /** Called often: timers. */
+    /** Advances timers; called often. */
     public void poll() {
         long now = context.nowMillis();
-        proposals.removeIf(o -> o.result().isDone());
-        boolean open = acceptedValue != null && highestKnownBallot().isAbove(decidedBallot);
-        recoverAtMillis =
-                !open
-                        ? -1
-                        : recoverAtMillis < 0
-                                ? now + RECOVERY_DELAY_MS + context.randomBelow(RECOVERY_DELAY_MS)
-                                : recoverAtMillis;
-        boolean stuck =
-                open && now > recoverAtMillis && acceptedValue.members().contains(context.selfId());
-        boolean wants = !proposals.isEmpty() || membershipStep != null || stuck;
-        if (phase == Phase.NONE
-                && wants
-                && acceptedValue != null
-                && !persisting
-                && now >= proposeAtMillis) {
+        proposals.removeIf(proposal -> proposal.result().isDone());
+        boolean undecided = acceptedValue != null && highestKnownBallot().isAbove(decidedBallot);
+        if (!undecided) {
+            recoverAtMillis = -1;
+        } else if (recoverAtMillis < 0) {
+            recoverAtMillis = now + RECOVERY_DELAY_MS + context.randomBelow(RECOVERY_DELAY_MS);
+        }
+        boolean recovers =
+                undecided
+                        && now > recoverAtMillis
+                        && acceptedValue.members().contains(context.selfId());
+        boolean wanted = !proposals.isEmpty() || membershipStep != null || recovers;
+        boolean able = phase == Phase.NONE && acceptedValue != null && !persisting;
+        if (wanted && able && now >= proposeAtMillis) {
             startRound();
         }
     }
 
     // ---- messages
 
-    /** What goes into a message to that process. */
-    public Map<String, Object> messageTo(String to) {
-        PeerState v = peers.computeIfAbsent(to, id -> new PeerState());
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("pb", promisedBallot.encode());
-        out.put("ab", acceptedBallot.encode());
-        out.put("db", decidedBallot.encode());
-        out.put("hv", v.valueBallot.encode());
-        boolean asks = phase == Phase.PREPARE || phase == Phase.ACCEPT;
-        if (asks) {
-            out.put("wb", ownBallot.encode());
-            out.put("wa", phase == Phase.ACCEPT);
-        }
+    /** What this process says of the register to that one. */
+    public RegisterMessage messageTo(String peerId) {
+        PeerState peer = peers.computeIfAbsent(peerId, id -> new PeerState());
+        boolean proposes = phase == Phase.PREPARE || phase == Phase.ACCEPT;
         boolean offers = phase == Phase.ACCEPT;
         Ballot ballot = offers ? ownBallot : acceptedBallot;
-        RegisterValue is = offers ? proposedValue : acceptedValue;
-        if (is != null && needsValue(v, ballot, offers)) {
-            long now = context.nowMillis();
-            if (!v.sentBallot.equals(ballot) || now - v.sentAtMillis > RESEND_MS) {
-                // Against what it has, once; where that did not help, whole.
-                RegisterValue has = v.sentBallot.equals(ballot) ? null : valueOf(v.acceptedBallot);
-                out.put("vb", ballot.encode());
-                out.put(
-                        "v",
-                        encodeValue(ballot, is, has == null ? Ballot.NONE : v.acceptedBallot, has));
-                v.sentBallot = ballot;
-                v.sentAtMillis = now;
-            }
-        }
-        return out;
+        RegisterValue value = offers ? proposedValue : acceptedValue;
+        EncodedValue encoded = null;
+        if (value != null && needsValue(peer, ballot, offers) && maySend(peer, ballot)) {
+            // Against what it has, once; where that did not help, whole.
+            RegisterValue base =
+                    peer.sentBallot.equals(ballot) ? null : valueOf(peer.acceptedBallot);
+            encoded =
+                    encoder.encode(
+                            ballot, value, base == null ? Ballot.NONE : peer.acceptedBallot, base);
+            peer.sentBallot = ballot;
+            peer.sentAtMillis = context.nowMillis();
+        }
+        return new RegisterMessage(
+                promisedBallot,
+                acceptedBallot,
+                decidedBallot,
+                peer.valueBallot,
+                proposes ? ownBallot : Ballot.NONE,
+                offers,
+                encoded == null ? Ballot.NONE : ballot,
+                encoded);
+    }
+
+    private boolean needsValue(PeerState peer, Ballot ballot, boolean offers) {
+        boolean has =
+                ballot.equals(peer.acceptedBallot)
+                        || ballot.equals(peer.receivedBallot)
+                        || peer.decidedBallot.compareTo(ballot) >= 0;
+        if (has || offers) {
+            return !has;
+        }
+        boolean isNewer = ballot.isAbove(peer.acceptedBallot);
+        boolean prepares =
+                peer.proposalBallot.equals(promisedBallot) && !peer.proposalHasValue && isNewer;
+        boolean behind = isNewer && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
+        return prepares || behind;
     }
 
-    /** What was sent to it may be lost: its connection is another. */
-    public void onConnectionReset(String to) {
-        PeerState v = peers.get(to);
-        if (v != null) {
-            v.sentBallot = Ballot.NONE;
-        }
+    private boolean maySend(PeerState peer, Ballot ballot) {
+        return !peer.sentBallot.equals(ballot)
+                || context.nowMillis() - peer.sentAtMillis > RESEND_MS;
     }
 
-    private boolean needsValue(PeerState v, Ballot ballot, boolean offers) {
-        if (ballot.equals(v.acceptedBallot)
-                || ballot.equals(v.receivedBallot)
-                || v.decidedBallot.compareTo(ballot) >= 0) {
-            return false;
-        }
-        if (offers) {
-            return true;
+    /** What was sent to this peer may be lost: its connection is another. */
+    public void onConnectionReset(String peerId) {
+        PeerState peer = peers.get(peerId);
+        if (peer != null) {
+            peer.sentBallot = Ballot.NONE;
         }
-        boolean prepares =
-                v.proposalBallot.equals(promisedBallot)
-                        && !v.proposalHasValue
-                        && ballot.isAbove(v.acceptedBallot);
-        boolean behind =
-                ballot.isAbove(v.acceptedBallot)
-                        && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
-        return prepares || behind;
-    }
-
-    /** How a value goes to whoever has that other one; what is made for one serves all. */
-    private Map<String, Object> encodeValue(
-            Ballot ballot, RegisterValue of, Ballot than, RegisterValue other) {
-        if (!ballot.equals(encodedBallot)) {
-            encodedBallot = ballot;
-            encodedValues.clear();
-        }
-        return encodedValues.computeIfAbsent(
-                than,
-                t -> {
-                    Map<String, Object> row = new LinkedHashMap<>();
-                    row.put("e", of.epoch());
-                    row.put("m", RegisterValue.formatIds(of.members()));
-                    row.put("o", RegisterValue.formatIds(of.outgoing()));
-                    row.put("x", RegisterValue.formatIds(of.retired()));
-                    // The other may have numbers that were never decided, or with another content:
-                    // then the past goes whole.
-                    boolean rises =
-                            other != null
-                                    && other.mergedDigests(of.revisionDigests())
-                                            .equals(of.revisionDigests());
-                    List<Object> past = new ArrayList<>();
-                    of.revisionDigests()
-                            .forEach(
-                                    (version, digest) -> {
-                                        if (!rises
-                                                || !digest.equals(
-                                                        other.revisionDigests().get(version))) {
-                                            past.add(version);
-                                            past.add(digest);
-                                        }
-                                    });
-                    row.put("p", past);
-                    row.put("pr", rises);
-                    if (other == null) {
-                        row.put("cz", Compression.compress(of.configuration().body()));
-                    } else {
-                        row.put("b", than.encode());
-                        if (!Arrays.equals(
-                                of.configuration().body(), other.configuration().body())) {
-                            row.put(
-                                    "cx",
-                                    BinaryDelta.create(
-                                            other.configuration().body(),
-                                            of.configuration().body()));
-                        }
-                    }
-                    return row;
-                });
     }
 
-    /** Null where it says what it is by another value that is not known here. */
-    private RegisterValue decodeValue(MessageCodec.Fields row)
-            throws Configuration.InvalidConfigurationException {
-        RegisterValue other = row.has("b") ? valueOf(Ballot.parse(row.string("b"))) : null;
-        if (row.has("b") && other == null) {
-            return null;
-        }
-        TreeMap<Long, Long> past = new TreeMap<>();
-        List<String> numbers = row.strings("p");
-        for (int i = 0; i + 1 < numbers.size(); i += 2) {
-            past.put(Long.parseLong(numbers.get(i)), Long.parseLong(numbers.get(i + 1)));
-        }
-        Configuration configuration = other == null ? Configuration.NONE : other.configuration();
-        try {
-            byte[] body =
-                    row.has("cx")
-                            ? BinaryDelta.apply(configuration.body(), row.bytes("cx"))
-                            : other == null
-                                    ? Compression.decompress(row.bytes("cz"), BinaryDelta.MAX_BYTES)
-                                    : null;
-            configuration =
-                    body == null
-                            ? configuration
-                            : body.length == 0 ? Configuration.NONE : Configuration.parse(body);
-        } catch (BinaryDelta.InvalidDeltaException | Compression.CorruptDataException bad) {
-            return null;
-        }
-        return new RegisterValue(
-                row.number("e", 0),
-                RegisterValue.parseIds(row.string("m")),
-                RegisterValue.parseIds(row.string("o")),
-                RegisterValue.parseIds(row.string("x")),
-                configuration,
-                row.flag("pr") && other != null ? other.mergedDigests(past) : past);
-    }
-
-    /** A message of that process; an old one changes nothing. */
-    public void receive(String from, MessageCodec.Fields in)
+    /**
+     * Takes a message of that peer; an old one changes nothing.
+     *
+     * @throws Configuration.InvalidConfigurationException where its value holds a configuration of
+     *     a form that this version does not know
+     */
+    public void receive(String peerId, RegisterMessage message)
             throws Configuration.InvalidConfigurationException {
-        PeerState v = peers.computeIfAbsent(from, id -> new PeerState());
-        v.promisedBallot = Ballot.max(v.promisedBallot, Ballot.parse(in.string("pb")));
-        v.acceptedBallot = Ballot.max(v.acceptedBallot, Ballot.parse(in.string("ab")));
-        v.decidedBallot = Ballot.max(v.decidedBallot, Ballot.parse(in.string("db")));
-        v.receivedBallot = Ballot.max(v.receivedBallot, Ballot.parse(in.string("hv")));
-        Ballot wants = Ballot.parse(in.string("wb"));
-        if (wants.isAbove(v.proposalBallot)) {
-            v.proposalBallot = wants;
-            v.proposalHasValue = in.flag("wa");
-        } else if (wants.equals(v.proposalBallot)) {
-            v.proposalHasValue |= in.flag("wa");
-        }
-        Ballot ballot = Ballot.parse(in.string("vb"));
-        if (ballot.isAbove(v.valueBallot) && in.has("v")) {
-            Object row = in.all().get("v");
-            if (row instanceof Map<?, ?> map) {
-                @SuppressWarnings("unchecked")
-                Map<String, Object> fields = (Map<String, Object>) map;
-                RegisterValue is = decodeValue(new MessageCodec.Fields(fields));
-                v.value = is == null ? v.value : is;
-                v.valueBallot = is == null ? v.valueBallot : ballot;
+        PeerState peer = peers.computeIfAbsent(peerId, id -> new PeerState());
+        peer.promisedBallot = Ballot.max(peer.promisedBallot, message.promised());
+        peer.acceptedBallot = Ballot.max(peer.acceptedBallot, message.accepted());
+        peer.decidedBallot = Ballot.max(peer.decidedBallot, message.decided());
+        peer.receivedBallot = Ballot.max(peer.receivedBallot, message.received());
+        if (message.proposal().isAbove(peer.proposalBallot)) {
+            peer.proposalBallot = message.proposal();
+            peer.proposalHasValue = message.proposalHasValue();
+        } else if (message.proposal().equals(peer.proposalBallot)) {
+            peer.proposalHasValue |= message.proposalHasValue();
+        }
+        if (message.value() != null && message.valueBallot().isAbove(peer.valueBallot)) {
+            RegisterValue value = decode(message.value());
+            if (value != null) {
+                peer.value = value;
+                peer.valueBallot = message.valueBallot();
             }
         }
         advance();
     }
 
-    /** Whoever is no longer there is forgotten, unless it is a member. */
-    public void retainPeers(Predicate<String> there) {
-        peers.keySet()
-                .removeIf(
-                        id ->
-                                !there.test(id)
-                                        && (acceptedValue == null
-                                                || !acceptedValue.members().contains(id)
-                                                        && !acceptedValue.outgoing().contains(id)));
+    /** Null where the value is told by its difference from one that is not known here. */
+    private RegisterValue decode(EncodedValue encoded)
+            throws Configuration.InvalidConfigurationException {
+        RegisterValue base = encoded.isWhole() ? null : valueOf(encoded.base());
+        return encoded.isWhole() || base != null ? ValueEncoder.decode(encoded, base) : null;
+    }
+
+    /** Forgets peers that are not known any more and are no members. */
+    public void retainPeers(Predicate<String> isKnown) {
+        peers.keySet().removeIf(id -> !isKnown.test(id) && !isMember(id));
+    }
+
+    private boolean isMember(String id) {
+        return acceptedValue != null
+                && (acceptedValue.members().contains(id) || acceptedValue.outgoing().contains(id));
     }
 
     private void advance() {
@@ -503,7 +404,7 @@
         runProposer();
     }
 
-    /** The value of a ballot, where this process has it from anywhere. */
+    /** The value of a ballot, where this process has it from anywhere; else null. */
     private RegisterValue valueOf(Ballot ballot) {
         if (ballot.equals(acceptedBallot)) {
             return acceptedValue;
@@ -514,9 +415,9 @@
         if (ballot.equals(ownBallot) && phase == Phase.ACCEPT) {
             return proposedValue;
         }
-        for (PeerState v : peers.values()) {
-            if (ballot.equals(v.valueBallot)) {
-                return v.value;
+        for (PeerState peer : peers.values()) {
+            if (ballot.equals(peer.valueBallot)) {
+                return peer.value;
             }
         }
         return null;
@@ -525,58 +426,63 @@
     // ---- learner
 
     private void learnFromPeers() {
-        Ballot best = decidedBallot;
-        for (PeerState v : peers.values()) {
-            if (v.decidedBallot.isAbove(best) && valueOf(v.decidedBallot) != null) {
-                best = v.decidedBallot;
+        Ballot newest = decidedBallot;
+        for (PeerState peer : peers.values()) {
+            if (peer.decidedBallot.isAbove(newest) && valueOf(peer.decidedBallot) != null) {
+                newest = peer.decidedBallot;
             }
         }
-        List<Ballot> seen = new ArrayList<>();
-        seen.add(acceptedBallot);
-        peers.values().forEach(v -> seen.add(v.acceptedBallot));
-        for (Ballot ballot : seen) {
-            if (ballot.isAbove(best)) {
-                RegisterValue is = valueOf(ballot);
-                if (is != null && is.isDecidedBy(id -> hasAccepted(id, ballot))) {
-                    best = ballot;
+        List<Ballot> candidates = new ArrayList<>();
+        candidates.add(acceptedBallot);
+        peers.values().forEach(peer -> candidates.add(peer.acceptedBallot));
+        for (Ballot ballot : candidates) {
+            if (ballot.isAbove(newest)) {
+                RegisterValue value = valueOf(ballot);
+                if (value != null && value.isDecidedBy(id -> hasAccepted(id, ballot))) {
+                    newest = ballot;
                 }
             }
         }
-        if (best.isAbove(decidedBallot)) {
-            learn(best, valueOf(best));
+        if (newest.isAbove(decidedBallot)) {
+            learn(newest, valueOf(newest));
         }
     }
 
-    private void learn(Ballot ballot, RegisterValue is) {
+    private void learn(Ballot ballot, RegisterValue value) {
         if (!ballot.isAbove(decidedBallot)) {
             return;
         }
         decidedBallot = ballot;
-        decidedValue = is;
+        decidedValue = value;
         if (!ballot.proposer().equals(context.selfId())) {
             proposeAtMillis =
                     Math.min(
                             proposeAtMillis, context.nowMillis() + context.randomBelow(BACKOFF_MS));
         }
         if (ballot.isAbove(acceptedBallot) && !persisting) {
-            // What is decided may be taken over whatever was promised: it cannot be undone.
-            accept(ballot, is);
+            // What is decided may be accepted whatever was promised: it cannot be undone.
+            accept(ballot, value);
         }
         completeProposals();
-        context.onDecided(is);
+        context.onDecided(value);
         context.broadcast();
     }
 
     private void completeProposals() {
-        RegisterValue by =
+        RegisterValue value =
                 context.isDisabled(SafetyRule.ANSWER_BY_DECIDED) ? acceptedValue : decidedValue;
-        if (by == null) {
+        if (value == null) {
             return;
         }
-        List<Proposal> over = new ArrayList<>();
-        proposals.removeIf(
-                o -> by.outcome(o.configuration()) != RegisterValue.Outcome.PENDING && over.add(o));
-        over.forEach(o -> o.result().complete(by.outcome(o.configuration())));
+        List<Proposal> completed = new ArrayList<>();
+        for (Proposal proposal : proposals) {
+            if (value.outcome(proposal.configuration()) != RegisterValue.Outcome.PENDING) {
+                completed.add(proposal);
+            }
+        }
+        proposals.removeAll(completed);
+        completed.forEach(
+                proposal -> proposal.result().complete(value.outcome(proposal.configuration())));
     }
 
     // ---- acceptor
@@ -589,110 +495,82 @@
             accept(decidedBallot, decidedValue);
             return;
         }
-        Ballot best = promisedBallot;
-        PeerState of = null;
-        for (PeerState v : peers.values()) {
-            boolean offer = v.proposalHasValue && v.valueBallot.equals(v.proposalBallot);
-            boolean news =
-                    v.proposalBallot.isAbove(best)
-                            || context.isDisabled(SafetyRule.PROMISE_KEPT)
-                                    && offer
-                                    && v.proposalBallot.isAbove(acceptedBallot)
-                            || of == null
-                                    && v.proposalBallot.equals(best)
-                                    && offer
-                                    && v.proposalBallot.isAbove(acceptedBallot);
-            if (news && (offer || !v.proposalHasValue)) {
-                best = v.proposalBallot;
-                of = v;
-            }
-        }
-        if (of == null) {
+        PeerState proposer = highestProposer();
+        if (proposer == null) {
             return;
         }
-        if (of.proposalHasValue) {
-            accept(of.proposalBallot, of.value);
+        if (proposer.proposalHasValue) {
+            accept(proposer.proposalBallot, proposer.value);
         } else {
-            promise(of.proposalBallot);
+            promise(proposer.proposalBallot);
         }
         proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + HOLD_OFF_MS);
     }
 
+    /**
+     * The peer whose round is to be answered, by its ballot and what was promised; null for none.
+     */
+    private PeerState highestProposer() {
+        Ballot highest = promisedBallot;
+        PeerState proposer = null;
+        for (PeerState peer : peers.values()) {
+            boolean acceptable = peer.offersValue() && peer.proposalBallot.isAbove(acceptedBallot);
+            boolean isHigher = peer.proposalBallot.isAbove(highest);
+            boolean belowPromise = context.isDisabled(SafetyRule.PROMISE_KEPT) && acceptable;
+            boolean promisedBefore =
+                    proposer == null && peer.proposalBallot.equals(highest) && acceptable;
+            if ((isHigher || belowPromise || promisedBefore)
+                    && (peer.offersValue() || !peer.proposalHasValue)) {
+                highest = peer.proposalBallot;
+                proposer = peer;
+            }
+        }
+        return proposer;
+    }
+
     private CompletableFuture<Void> promise(Ballot ballot) {
         return persist(
-                Map.of("promised-ballot", ballot.encode()),
+                RegisterStorage.promise(ballot),
                 () -> promisedBallot = Ballot.max(promisedBallot, ballot));
     }
 
-    private CompletableFuture<Void> accept(Ballot ballot, RegisterValue is) {
-        Map<String, String> record = new HashMap<>();
-        record.put("promised-ballot", Ballot.max(promisedBallot, ballot).encode());
-        record.put("accepted-ballot", ballot.encode());
-        record.put("epoch", Long.toString(is.epoch()));
-        record.put("members", RegisterValue.formatIds(is.members()));
-        record.put("outgoing", RegisterValue.formatIds(is.outgoing()));
-        record.put("dropped", RegisterValue.formatIds(is.retired()));
-        StringBuilder past = new StringBuilder();
-        is.revisionDigests()
-                .forEach(
-                        (version, digest) ->
-                                past.append(version).append(':').append(digest).append(','));
-        record.put("past", past.toString());
-        int before = chunkCount;
-        if (acceptedValue == null || is.configuration() != acceptedValue.configuration()) {
-            addChunks(record, new String(is.configuration().body(), StandardCharsets.UTF_8));
-        }
+    private CompletableFuture<Void> accept(Ballot ballot, RegisterValue value) {
+        int chunksBefore = storage.chunkCount();
+        Ballot promised = Ballot.max(promisedBallot, ballot);
         CompletableFuture<Void> done =
                 persist(
-                        record,
+                        storage.acceptance(promised, ballot, value, acceptedValue),
                         () -> {
                             promisedBallot = Ballot.max(promisedBallot, ballot);
                             acceptedBallot = ballot;
-                            acceptedValue = is;
+                            acceptedValue = value;
                             acceptedAtMillis = context.nowMillis();
                         });
         done.exceptionally(
                 fault -> {
-                    chunkCount = Math.max(before, chunkCount);
+                    storage.onWriteFailed(chunksBefore);
                     return null;
                 });
         return done;
     }
 
-    private void addChunks(Map<String, String> record, String text) {
-        int count = 0;
-        for (int at = 0; at < text.length(); count++) {
-            int end = Math.min(text.length(), at + CHUNK_CHARS);
-            if (end < text.length() && Character.isHighSurrogate(text.charAt(end - 1))) {
-                end--;
-            }
-            record.put("piece" + count, text.substring(at, end));
-            at = end;
-        }
-        for (int i = count; i < chunkCount; i++) {
-            record.put("piece" + i, "");
-        }
-        chunkCount = count;
-        record.put("pieces", Integer.toString(count));
-    }
-
     /**
-     * One write at a time; what was heard meanwhile is looked at once it is done. Nothing is said
-     * before.
+     * One write at a time. Nothing is said before it is done; what was received meanwhile is looked
+     * at then.
      */
-    private CompletableFuture<Void> persist(Map<String, String> record, Runnable then) {
+    private CompletableFuture<Void> persist(Map<String, String> texts, Runnable onDurable) {
         persisting = true;
-        CompletableFuture<Void> done = context.persist(record);
-        return done.whenComplete(
-                (is, fault) -> {
-                    persisting = false;
-                    if (fault == null) {
-                        then.run();
-                        context.broadcast();
-                        advance();
-                        poll();
-                    }
-                });
+        return context.persist(texts)
+                .whenComplete(
+                        (done, fault) -> {
+                            persisting = false;
+                            if (fault == null) {
+                                onDurable.run();
+                                context.broadcast();
+                                advance();
+                                poll();
+                            }
+                        });
     }
 
     // ---- proposer
@@ -702,20 +580,17 @@
                 Math.max(
                         promisedBallot.round(),
                         Math.max(acceptedBallot.round(), ownBallot.round()));
-        for (PeerState v : peers.values()) {
-            round =
-                    Math.max(
-                            round,
-                            Math.max(
-                                    v.promisedBallot.round(),
-                                    Math.max(v.acceptedBallot.round(), v.proposalBallot.round())));
-        }
-        ownBallot = new Ballot(round + 1, context.selfId());
+        for (PeerState peer : peers.values()) {
+            round = Math.max(round, peer.promisedBallot.round());
+            round = Math.max(round, peer.acceptedBallot.round());
+            round = Math.max(round, peer.proposalBallot.round());
+        }
+        Ballot ballot = new Ballot(round + 1, context.selfId());
+        ownBallot = ballot;
         phase = Phase.PERSIST_BALLOT;
-        Ballot ballot = ownBallot;
         promise(ballot)
                 .whenComplete(
-                        (is, fault) -> {
+                        (done, fault) -> {
                             if (!ballot.equals(ownBallot) || phase != Phase.PERSIST_BALLOT) {
                                 return;
                             }
@@ -733,27 +608,21 @@
     private void abandonRound() {
         phase = Phase.NONE;
         lostRounds = Math.min(lostRounds + 1, MAX_BACKOFF_DOUBLINGS);
-        proposeAtMillis =
-                Math.max(
-                        proposeAtMillis,
-                        context.nowMillis()
-                                + BACKOFF_MS
-                                + context.randomBelow(BACKOFF_MS << lostRounds));
+        long backoff = BACKOFF_MS + context.randomBelow(BACKOFF_MS << lostRounds);
+        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + backoff);
     }
 
     private void runProposer() {
         if (phase != Phase.PREPARE && phase != Phase.ACCEPT) {
             return;
         }
-        boolean beaten = promisedBallot.isAbove(ownBallot);
-        for (PeerState v : peers.values()) {
-            beaten |= v.promisedBallot.isAbove(ownBallot);
+        boolean preempted = promisedBallot.isAbove(ownBallot);
+        for (PeerState peer : peers.values()) {
+            preempted |= peer.promisedBallot.isAbove(ownBallot);
         }
-        if (beaten) {
+        if (preempted) {
             abandonRound();
-            return;
-        }
-        if (phase == Phase.PREPARE) {
+        } else if (phase == Phase.PREPARE) {
             onPromises();
         } else {
             onAcceptances();
@@ -761,49 +630,31 @@
     }
 
     private boolean hasPromised(String id) {
-        return id.equals(context.selfId())
-                ? promisedBallot.equals(ownBallot)
-                : peers.containsKey(id) && peers.get(id).promisedBallot.equals(ownBallot);
+        if (id.equals(context.selfId())) {
+            return promisedBallot.equals(ownBallot);
+        }
+        return peers.containsKey(id) && peers.get(id).promisedBallot.equals(ownBallot);
     }
 
     private void onPromises() {
         Ballot highest = acceptedBallot;
-        for (Map.Entry<String, PeerState> one : peers.entrySet()) {
-            if (hasPromised(one.getKey()) && !context.isDisabled(SafetyRule.HIGHEST_ACCEPTED)) {
-                highest = Ballot.max(highest, one.getValue().acceptedBallot);
+        for (Map.Entry<String, PeerState> peer : peers.entrySet()) {
+            if (hasPromised(peer.getKey()) && !context.isDisabled(SafetyRule.HIGHEST_ACCEPTED)) {
+                highest = Ballot.max(highest, peer.getValue().acceptedBallot);
             }
         }
-        RegisterValue follows = valueOf(highest);
-        boolean promises =
+        RegisterValue base = valueOf(highest);
+        boolean majority =
                 context.isDisabled(SafetyRule.PROMISES_OF_MAJORITY)
-                        || follows != null && follows.isQuorum(this::hasPromised);
-        if (follows == null || persisting || !promises) {
+                        || base != null && base.isQuorum(this::hasPromised);
+        if (base == null || persisting || !majority) {
             return;
         }
-        boolean known =
-                highest.equals(decidedBallot) || context.isDisabled(SafetyRule.SETS_ON_DECIDED);
-        RegisterValue next = known ? follows.withoutRetired() : follows;
-        for (Proposal order : proposals) {
-            next = order.result().isDone() ? next : apply(next, order.configuration());
-        }
-        if (known && membershipStep != null) {
-            boolean may =
-                    context.holdsLease()
-                            && membershipStep.epoch() == next.epoch()
-                            && next.isJoint() == (membershipStep.members() == null);
-            next =
-                    !may
-                            ? next
-                            : next.isJoint()
-                                    ? leaveJoint(next)
-                                    : enterJoint(next, membershipStep.members());
-            membershipStep = null;
-        }
-        baseValue = follows;
-        proposedValue = next;
+        baseValue = base;
+        proposedValue = nextValue(base, highest.equals(decidedBallot));
         phase = Phase.ACCEPT;
         context.broadcast();
-        accept(ownBallot, next)
+        accept(ownBallot, proposedValue)
                 .exceptionally(
                         fault -> {
                             abandonRound();
@@ -811,43 +662,65 @@
                         });
     }
 
-    private RegisterValue apply(RegisterValue into, Configuration order) {
-        return (context.isDisabled(SafetyRule.ONE_CONTENT)
-                        ? into.withoutRevision(order.revision())
-                        : into)
-                .withConfiguration(order);
+    /** The base with all proposals that wait, and a change of members where that may be made. */
+    private RegisterValue nextValue(RegisterValue base, boolean baseIsDecided) {
+        boolean mayChangeMembers = baseIsDecided || context.isDisabled(SafetyRule.SETS_ON_DECIDED);
+        RegisterValue next = mayChangeMembers ? base.withoutRetired() : base;
+        for (Proposal proposal : proposals) {
+            if (!proposal.result().isDone()) {
+                next = withConfiguration(next, proposal.configuration());
+            }
+        }
+        if (mayChangeMembers && membershipStep != null) {
+            next = withMembershipStep(next, membershipStep);
+            membershipStep = null;
+        }
+        return next;
     }
 
-    private RegisterValue enterJoint(RegisterValue on, SortedSet<String> next) {
-        return context.isDisabled(SafetyRule.JOINT_MAJORITIES)
-                ? on.jointWith(next).withoutOutgoing().withoutRetired()
-                : on.jointWith(next);
+    private RegisterValue withConfiguration(RegisterValue value, Configuration configuration) {
+        RegisterValue base =
+                context.isDisabled(SafetyRule.ONE_CONTENT)
+                        ? value.withoutRevision(configuration.revision())
+                        : value;
+        return base.withConfiguration(configuration);
     }
 
-    private RegisterValue leaveJoint(RegisterValue joint) {
-        return context.isDisabled(SafetyRule.OLDER_EPOCHS)
-                ? joint.withoutOutgoing().withoutRetired()
-                : joint.withoutOutgoing();
+    private RegisterValue withMembershipStep(RegisterValue value, MembershipStep membership) {
+        boolean isFinalStep = membership.members() == null;
+        if (!context.holdsLease()
+                || membership.epoch() != value.epoch()
+                || value.isJoint() != isFinalStep) {
+            return value;
+        }
+        if (!isFinalStep) {
+            RegisterValue joint = value.jointWith(membership.members());
+            return context.isDisabled(SafetyRule.JOINT_MAJORITIES)
+                    ? joint.withoutOutgoing().withoutRetired()
+                    : joint;
+        }
+        RegisterValue alone = value.withoutOutgoing();
+        return context.isDisabled(SafetyRule.OLDER_EPOCHS) ? alone.withoutRetired() : alone;
     }
 
     private boolean hasAccepted(String id, Ballot ballot) {
-        Ballot is = acceptedBallotOf(id);
-        return is.equals(ballot) || context.isDisabled(SafetyRule.ONE_BALLOT) && is.isAbove(ballot);
+        Ballot accepted = acceptedBallotOf(id);
+        return accepted.equals(ballot)
+                || context.isDisabled(SafetyRule.ONE_BALLOT) && accepted.isAbove(ballot);
     }
 
     private void onAcceptances() {
         Ballot ballot = ownBallot;
-        if (proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))
-                && (context.isDisabled(SafetyRule.OLDER_EPOCHS)
-                        || baseValue.isQuorum(id -> hasAccepted(id, ballot)))) {
+        boolean byBase =
+                context.isDisabled(SafetyRule.OLDER_EPOCHS)
+                        || baseValue.isQuorum(id -> hasAccepted(id, ballot));
+        if (byBase && proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))) {
             phase = Phase.NONE;
             lostRounds = 0;
             learn(ballot, proposedValue);
-            // Whoever waits for this one to end goes first.
-            proposeAtMillis =
-                    Math.max(
-                            proposeAtMillis,
-                            context.nowMillis() + BACKOFF_MS + context.randomBelow(BACKOFF_MS));
+            // A proposer that waits for this round to end goes first.
+            long pause = BACKOFF_MS + context.randomBelow(BACKOFF_MS);
+            proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + pause);
             poll();
         }
     }
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -0,0 +1,377 @@
+package dillfront.controlplane.failover;
+
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.LogPosition;
+import dillfront.common.protocol.PrimaryRecord;
+import dillfront.controlplane.failover.MoveState.Step;
+import dillfront.controlplane.failover.PlatformClient.PromotionResult;
+import dillfront.controlplane.peer.PeerState;
+import dillfront.controlplane.primary.MissingCommits;
+import dillfront.controlplane.registry.DatabaseServer;
+import java.util.List;
+
+/**
+ * One service on its way to another primary, by the steps of {@link MoveState.Step}: a failover, or
+ * a planned move away from a primary that drains.
+ *
+ * <p>Invariants: nothing is done before a majority has the record of the move; a successor is
+ * chosen only once no data plane can take the old primary for the present one; once the platform
+ * was called for a successor, no other is, until the platform says that the call is not carried
+ * out.
+ */
+final class PrimaryMove {
+
+    /** Keeps the moves that are under way. */
+    interface Owner {
+
+        boolean isActive(PrimaryMove move);
+
+        /** The move ended with this record. */
+        void onCompleted(PrimaryMove move, PrimaryRecord record);
+
+        /** Something has changed: all moves are to be looked at. */
+        void poll();
+    }
+
+    /** Open transactions may end before a planned move, for so long. */
+    private static final long OPEN_TRANSACTIONS_MS = 900;
+
+    /** What was certain to data planes is over so long after its time. */
+    private static final long CERTAINTY_MARGIN_MS = 100;
+
+    /** From the platform's acceptance until the successor is asked whether it leads. */
+    private static final long PRIMARY_QUERY_AFTER_MS = 350;
+
+    private static final long PRIMARY_QUERY_GAP_MS = 150;
+
+    /** A successor that does not lead by then: the platform is called again. */
+    private static final long PRIMARY_TIMEOUT_MS = 4_000;
+
+    /** The platform takes some hundred milliseconds from a call to the new primary. */
+    private static final long PLATFORM_DELAY_MS = 1_500;
+
+    private final FailoverContext context;
+    private final Owner owner;
+    private final MoveState state;
+    private final MoveQueries queries;
+    private final ReplicationStop stop;
+    private final SuccessorChoice choice;
+
+    /** After calls of an earlier holder were fenced off, servers were asked anew. */
+    private boolean restartedAfterFence;
+
+    /**
+     * @param inherited the move was found as an earlier lease holder left it
+     */
+    PrimaryMove(
+            FailoverContext context,
+            Owner owner,
+            PrimaryRecord record,
+            boolean planned,
+            boolean inherited) {
+        this.context = context;
+        this.owner = owner;
+        state = new MoveState(record, planned, inherited, context.now());
+        queries = new MoveQueries(context, this::isActive, owner::poll);
+        stop = new ReplicationStop(context, state, queries, this::onPrimaryFound, owner::poll);
+        choice = new SuccessorChoice(context, state);
+    }
+
+    String service() {
+        return state.service();
+    }
+
+    PrimaryRecord record() {
+        return state.record;
+    }
+
+    /** What no log that is left holds; null while that is not so. */
+    MissingCommits missingCommits() {
+        return state.missing;
+    }
+
+    private boolean isActive() {
+        return owner.isActive(this);
+    }
+
+    /** Advances the move; called often. */
+    void poll() {
+        if (!context.mayAct() || !isRecorded() || state.measuring) {
+            return;
+        }
+        DatabaseServer primary = context.server(state.record.primary());
+        DatabaseServer reported = context.reportedPrimary(service());
+        if (reported != null
+                && !reported.id().equals(state.record.primary())
+                && (!FailoverContext.isPresent(primary) || !primary.isPrimary())) {
+            onPrimaryFound(reported.id());
+        }
+        if (!isActive() || state.measuring || !state.isPromoting() && mayPlatformStillPromote()) {
+            // It is over, or as good as over: no other server is promoted.
+            return;
+        }
+        if (state.fenced && !restartedAfterFence && !state.isPromoting()) {
+            // What was heard of logs and primaries may be outdated, now that the earlier holder's
+            // call is carried out.
+            restartedAfterFence = true;
+            state.restartStopping();
+        }
+        runStep(primary);
+    }
+
+    private void runStep(DatabaseServer primary) {
+        switch (state.step) {
+            case DRAIN_TRANSACTIONS:
+                if (areTransactionsDrained()) {
+                    state.step = Step.STOP_REPLICATION;
+                    stop.poll(primary);
+                }
+                break;
+            case STOP_REPLICATION:
+                stop.poll(primary);
+                break;
+            case CHOOSE_SUCCESSOR:
+                if (isCleared()) {
+                    choice.poll();
+                    if (state.step == Step.PROMOTE) {
+                        promote();
+                    }
+                }
+                break;
+            case PROMOTE:
+                promote();
+                break;
+            case AWAIT_PRIMARY:
+                awaitPrimary();
+                break;
+            default:
+                throw new IllegalStateException("step " + state.step);
+        }
+    }
+
+    /** Whether a majority of control processes has the record. */
+    private boolean isRecorded() {
+        long number = state.record.number();
+        return context.state()
+                .cluster()
+                .isQuorum(
+                        context.state().records().durableNumber() >= number,
+                        peer -> peer.recordNumber() >= number);
+    }
+
+    private boolean areTransactionsDrained() {
+        if (context.now() > state.sinceMillis + OPEN_TRANSACTIONS_MS || !state.planned) {
+            return true;
+        }
+        return isCleared()
+                && context.observation(service(), state.record.primary()).openTransactions() == 0;
+    }
+
+    /**
+     * Whether no data plane takes the old primary for certain any more: each has said so, or its
+     * time is over.
+     */
+    private boolean isCleared() {
+        // Of earlier lease holders nothing is certain for longer than this past their lease's end.
+        long formerCertaintyEnd =
+                Math.max(context.leaseStartMillis(), context.state().lease().formerLeaseEndMillis())
+                        + PrimaryCertainty.AFTER_LEASE_MS
+                        + CERTAINTY_MARGIN_MS;
+        long expired = context.now() - PrimaryCertainty.MAX_MS - CERTAINTY_MARGIN_MS;
+        if (context.now() < formerCertaintyEnd
+                || state.sinceMillis > expired
+                        && !context.dataPlanes().allHaveRecord(state.record.number())) {
+            return false;
+        }
+        for (PeerState peer : context.state().cluster().peers()) {
+            if (!isClearedAt(peer, expired)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /**
+     * What a peer passes on as certain, it asked for in a message that came here; with the last of
+     * them that is over too. So it is with what it passed on in an earlier incarnation, of which it
+     * cannot say that its data planes have heard since.
+     */
+    private boolean isClearedAt(PeerState peer, long expired) {
+        boolean told = peer.clearedRecord(service()) >= state.record.number();
+        return (told || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
+                && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
+    }
+
+    // ---- promoting
+
+    private void promote() {
+        if (state.busy || context.now() < state.retryMillis || !context.mayAct()) {
+            return;
+        }
+        state.busy = true;
+        state.promotionCalled = true;
+        state.promotedMillis = context.now();
+        context.environment()
+                .trace(
+                        "promote service="
+                                + service()
+                                + " server="
+                                + state.successor
+                                + " fencing_token="
+                                + state.fencingToken);
+        context.platform()
+                .promote(service(), state.successor, state.fencingToken)
+                .whenComplete(this::onPromoted);
+    }
+
+    private void onPromoted(PromotionResult result, Throwable fault) {
+        state.busy = false;
+        state.retryMillis = context.now() + FailoverContext.RETRY_MS;
+        if (fault != null) {
+            return;
+        }
+        if (result == PromotionResult.ACCEPTED) {
+            state.step = Step.AWAIT_PRIMARY;
+            state.retryMillis = context.now() + PRIMARY_QUERY_AFTER_MS;
+        } else if (result == PromotionResult.REJECTED) {
+            state.promotionCalled = false;
+            state.rejected.add(state.successor);
+            state.step = Step.CHOOSE_SUCCESSOR;
+        }
+    }
+
+    private void awaitPrimary() {
+        DatabaseServer successor = context.server(state.successor);
+        if (!FailoverContext.isPresent(successor)
+                || context.now() > state.promotedMillis + PRIMARY_TIMEOUT_MS) {
+            // The platform is asked again: only where it does not run another may be chosen.
+            state.step = Step.PROMOTE;
+        } else if (successor.isPrimary() && !state.reportedBefore) {
+            complete(successor.id());
+        } else if (context.now() >= state.retryMillis) {
+            queries.ask(
+                    successor,
+                    PRIMARY_QUERY_GAP_MS,
+                    null,
+                    status -> {
+                        if (status.isPrimary()) {
+                            complete(successor.id());
+                        }
+                    });
+        }
+    }
+
+    // ---- ending
+
+    /**
+     * This server leads, whoever made it so. Not while another is promoted: what it acknowledged
+     * would be lost once that one leads. And where an earlier lease holder may have called the
+     * platform, its call is fenced off first, while data planes still hold what they have; what the
+     * platform had begun by then is waited for: that this server leads now is no proof that it
+     * will.
+     */
+    private void onPrimaryFound(String serverId) {
+        if (state.busy || state.promotionCalled && !serverId.equals(state.successor)) {
+            return;
+        }
+        if (state.inherited && !state.fenced) {
+            fenceOff(serverId);
+        } else if (!mayPlatformStillPromote()) {
+            complete(serverId);
+        }
+    }
+
+    private void fenceOff(String serverId) {
+        if (context.now() < state.fenceRetryMillis) {
+            return;
+        }
+        state.busy = true;
+        context.platform()
+                .promote(service(), serverId, context.nextToken())
+                .whenComplete(
+                        (result, fault) -> {
+                            state.busy = false;
+                            state.fenceRetryMillis = context.now() + FailoverContext.RETRY_MS;
+                            state.fenced = fault == null && result == PromotionResult.ACCEPTED;
+                            state.fencedMillis = state.fenced ? context.now() : state.fencedMillis;
+                            if (state.fenced && isActive() && context.isActing()) {
+                                onPrimaryFound(serverId);
+                            }
+                        });
+    }
+
+    /** The platform may still carry out what an earlier lease holder asked for. */
+    private boolean mayPlatformStillPromote() {
+        return state.inherited && context.now() < state.fencedMillis + PLATFORM_DELAY_MS;
+    }
+
+    private void complete(String primaryId) {
+        if (state.measuring || !isActive() || !context.isActing()) {
+            return;
+        }
+        AcceptedDataLoss loss = state.record.acceptedLoss();
+        DatabaseServer primary = context.server(primaryId);
+        if (loss == null || !loss.losesCommits()) {
+            complete(primaryId, loss);
+        } else if (primary == null) {
+            complete(primaryId, loss.withLeaderAt(loss.lostUpTo()));
+        } else {
+            measure(primary, loss);
+        }
+    }
+
+    /** What the primary holds is not given up; where that is not known, nothing is. */
+    private void measure(DatabaseServer primary, AcceptedDataLoss loss) {
+        state.measuring = true;
+        context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
+                .whenComplete(
+                        (status, fault) -> {
+                            state.measuring = false;
+                            if (isActive() && context.isActing()) {
+                                boolean known = fault == null && status.isPrimary();
+                                LogPosition end = known ? status.position() : loss.lostUpTo();
+                                complete(primary.id(), loss.withLeaderAt(end));
+                            }
+                        });
+    }
+
+    private void complete(String primaryId, AcceptedDataLoss loss) {
+        context.environment()
+                .trace(
+                        "primary service="
+                                + service()
+                                + " server="
+                                + primaryId
+                                + " after_ms="
+                                + (context.now() - state.sinceMillis));
+        owner.onCompleted(
+                this,
+                state.record.finishMove(
+                        context.nextToken(), primaryId, state.replicationPaused, loss));
+    }
+
+    /**
+     * An operator gives commits up: the move goes on without them, and without who may have them.
+     */
+    void acceptDataLoss(AcceptedDataLoss loss) {
+        List<String> givenUp = loss.unreachableServers();
+        context.environment()
+                .warn(
+                        "data-loss-accepted service="
+                                + service()
+                                + " log_end="
+                                + loss.logEnd()
+                                + " acknowledged="
+                                + loss.acknowledged().lowerBound()
+                                + ".."
+                                + loss.acknowledged().upperBound()
+                                + " given_up_primary="
+                                + state.record.primary()
+                                + " given_up_servers="
+                                + givenUp);
+        state.missing = null;
+        state.record = state.record.withAcceptedLoss(context.nextToken(), loss);
+        context.record(state.record);
+        context.state().peerUpdates().request();
+    }
+}
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -0,0 +1,100 @@
+package dillfront.controlplane.failover;
+
+import dillfront.common.protocol.PrimaryRecord;
+import dillfront.controlplane.registry.DatabaseServer;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * Has the replicas of one service receive again, once a primary leads it. Each is told at once, and
+ * again until it has said that it receives at a moment when no PAUSE can be on its way any more.
+ * Until that is recorded, the next lease holder goes on with it.
+ */
+final class ReplicaResumer {
+
+    private static final long RETRY_MS = 500;
+
+    /** A command that was on its way when a move ended has arrived, or never does, by then. */
+    private static final long COMMAND_IN_FLIGHT_MS = 3_500;
+
+    private static final long NONE = -1;
+
+    private final FailoverContext context;
+
+    /** The number of the record under which replicas are resumed. */
+    private long recordNumber = NONE;
+
+    private long sinceMillis;
+
+    /** Ids of replicas that have not confirmed yet. */
+    private final TreeSet<String> paused = new TreeSet<>();
+
+    private final TreeSet<String> queried = new TreeSet<>();
+    private final Map<String, Long> queryAgainMillis = new TreeMap<>();
+
+    ReplicaResumer(FailoverContext context) {
+        this.context = context;
+    }
+
+    /** The command for a replica with this status; null for none. */
+    static String resumeCommand(ServerStatus status) {
+        return status.isPaused() ? "RESUME" : null;
+    }
+
+    /** Goes on with it; called often while the record says that replicas may be paused. */
+    void poll(PrimaryRecord record) {
+        if (recordNumber != record.number()) {
+            start(record);
+        }
+        paused.removeIf(id -> !FailoverContext.isPresent(context.server(id)));
+        if (paused.isEmpty()) {
+            context.record(
+                    record.finishMove(
+                            context.nextToken(), record.primary(), false, record.acceptedLoss()));
+            return;
+        }
+        for (String id : paused) {
+            DatabaseServer replica = context.server(id);
+            if (!queried.contains(id)
+                    && context.now() >= queryAgainMillis.getOrDefault(id, 0L)
+                    && !context.isSilent(replica)) {
+                resume(record, replica);
+            }
+        }
+    }
+
+    private void start(PrimaryRecord record) {
+        recordNumber = record.number();
+        sinceMillis = context.now();
+        queryAgainMillis.clear();
+        paused.clear();
+        for (DatabaseServer server : context.state().registry().serversOf(record.service())) {
+            paused.add(server.id());
+        }
+        paused.remove(record.primary());
+    }
+
+    private void resume(PrimaryRecord record, DatabaseServer replica) {
+        String id = replica.id();
+        queried.add(id);
+        long askedMillis = context.now();
+        long confirmedFrom = sinceMillis + COMMAND_IN_FLIGHT_MS;
+        context.query(replica, 2 * FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand)
+                .whenComplete(
+                        (status, fault) -> {
+                            queried.remove(id);
+                            boolean receives = fault == null && !status.isPaused();
+                            queryAgainMillis.put(
+                                    id,
+                                    receives
+                                            ? Math.max(confirmedFrom, context.now())
+                                            : context.now() + RETRY_MS);
+                            if (receives
+                                    && askedMillis >= confirmedFrom
+                                    && recordNumber == record.number()) {
+                                paused.remove(id);
+                            }
+                        });
+    }
+}
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
@@ -0,0 +1,305 @@
+package dillfront.controlplane.failover;
+
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.LogPosition;
+import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.primary.MissingCommits;
+import dillfront.controlplane.registry.DatabaseServer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Stops replication of a service that moves, so that nothing can be acknowledged behind the choice
+ * of the successor. In a planned move the primary steps down of its own will; else each replica is
+ * paused, and the old primary may turn out to live.
+ */
+final class ReplicationStop {
+
+    /** What follows where a server turns out to lead. */
+    interface PrimaryFound {
+
+        void onPrimaryFound(String serverId);
+    }
+
+    /**
+     * A replica gets so long to receive what the old primary had last, before the longest log is
+     * taken as it is.
+     */
+    private static final long CATCH_UP_MS = 2_500;
+
+    private static final long CATCH_UP_QUERY_GAP_MS = 60;
+
+    /** A server that was silent for so long before its primary was lost is not waited for. */
+    private static final long LONG_SILENT_MS = 10_000;
+
+    /** A server that announced its leave has ended where so many queries got no answer. */
+    private static final int ENDED_AFTER_QUERIES = 2;
+
+    private static final long LOG_WAIT_AFTER_MS = 1_000;
+
+    private final FailoverContext context;
+    private final MoveState move;
+    private final MoveQueries queries;
+    private final PrimaryFound primaryFound;
+    private final Runnable poll;
+    private long waitLoggedMillis = LeaseManager.NEVER;
+
+    ReplicationStop(
+            FailoverContext context,
+            MoveState move,
+            MoveQueries queries,
+            PrimaryFound primaryFound,
+            Runnable poll) {
+        this.context = context;
+        this.move = move;
+        this.queries = queries;
+        this.primaryFound = primaryFound;
+        this.poll = poll;
+    }
+
+    /**
+     * Goes on with it.
+     *
+     * @param primary the old one; null where it is not known any more
+     */
+    void poll(DatabaseServer primary) {
+        if (!move.planned || move.forced) {
+            pauseReplicas(primary);
+        } else if (move.busy || context.now() < move.retryMillis) {
+            return;
+        } else if (!FailoverContext.isPresent(primary)) {
+            move.forced = true;
+        } else if (!move.steppedDown) {
+            stepDown(primary);
+        } else {
+            awaitCatchUp();
+        }
+    }
+
+    // ---- a planned move
+
+    private void stepDown(DatabaseServer primary) {
+        move.busy = true;
+        context.query(
+                        primary,
+                        FailoverContext.QUERY_TIMEOUT_MS,
+                        status -> "STEPDOWN " + status.nextTerm())
+                .whenComplete(
+                        (status, fault) -> {
+                            move.busy = false;
+                            move.retryMillis = context.now() + FailoverContext.RETRY_MS;
+                            if (fault == null && !status.isPrimary()) {
+                                move.steppedDown = true;
+                                move.steppedDownMillis = context.now();
+                                move.finalPosition = status.position();
+                                move.retryMillis = 0;
+                                poll.run();
+                            } else if (context.now() > move.sinceMillis + CATCH_UP_MS) {
+                                move.forced = true;
+                            }
+                        });
+    }
+
+    /** What the old primary had last is what the successor must have. */
+    private void awaitCatchUp() {
+        if (context.now() > move.steppedDownMillis + CATCH_UP_MS) {
+            move.forced = true;
+            move.statuses.clear();
+            return;
+        }
+        for (DatabaseServer replica : replicas()) {
+            boolean quiet =
+                    context.now() - replica.lastHeardMillis()
+                            > 2 * context.heartbeatIntervalMillis();
+            if (!replica.isDraining() && !quiet) {
+                queries.ask(
+                        replica,
+                        CATCH_UP_QUERY_GAP_MS,
+                        null,
+                        status -> onCatchUpStatus(replica, status));
+            }
+        }
+    }
+
+    private void onCatchUpStatus(DatabaseServer replica, ServerStatus status) {
+        if (status.position().covers(move.finalPosition)
+                && move.step == MoveState.Step.STOP_REPLICATION) {
+            move.statuses.clear();
+            move.statuses.put(replica.id(), status);
+            move.step = MoveState.Step.CHOOSE_SUCCESSOR;
+        }
+    }
+
+    // ---- a failover
+
+    private void pauseReplicas(DatabaseServer primary) {
+        boolean primaryPresent = FailoverContext.isPresent(primary);
+        if (primaryPresent) {
+            queries.ask(
+                    primary,
+                    FailoverContext.RETRY_MS,
+                    null,
+                    status -> onPrimaryStatus(primary, status));
+        }
+        if (context.now() < move.retryMillis) {
+            return;
+        }
+        boolean complete = true;
+        List<DatabaseServer> replicas = replicas();
+        for (DatabaseServer replica : replicas) {
+            complete &= isStopped(replica, primary);
+        }
+        boolean awaitsPrimary =
+                move.steppedDown
+                        && primaryPresent
+                        && !context.isSilent(primary)
+                        && !move.statuses.containsKey(primary.id());
+        if (complete && !awaitsPrimary && !replicas.isEmpty() && !move.statuses.isEmpty()) {
+            move.step = MoveState.Step.CHOOSE_SUCCESSOR;
+            return;
+        }
+        findMissingCommits();
+        logWait();
+    }
+
+    private void onPrimaryStatus(DatabaseServer primary, ServerStatus status) {
+        if (!status.isPrimary() || move.steppedDown) {
+            move.statuses.put(primary.id(), status);
+        } else if (!move.isPromoting() && move.step != MoveState.Step.DRAIN_TRANSACTIONS) {
+            // It was not lost: it goes on leading, and replicas receive again.
+            context.environment()
+                    .trace("primary-alive service=" + move.service() + " primary=" + primary.id());
+            primaryFound.onPrimaryFound(primary.id());
+        }
+    }
+
+    /** Whether this replica needs not be waited for; else it is paused. */
+    private boolean isStopped(DatabaseServer replica, DatabaseServer primary) {
+        if (move.statuses.containsKey(replica.id())) {
+            return true;
+        }
+        long lostMillis =
+                primary == null
+                        ? context.now()
+                        : Math.max(primary.lastHeardMillis(), move.sinceMillis);
+        boolean longSilent = lostMillis - replica.lastHeardMillis() > LONG_SILENT_MS;
+        if (longSilent && !replica.isLeaving() || isGivenUp(replica)) {
+            return true;
+        }
+        boolean hasEnded =
+                replica.isLeaving() && queries.unanswered(replica.id()) >= ENDED_AFTER_QUERIES;
+        move.replicationPaused = true;
+        queries.ask(
+                replica,
+                FailoverContext.RETRY_MS,
+                this::pauseCommand,
+                status -> onReplicaStatus(replica, status));
+        return hasEnded;
+    }
+
+    /**
+     * The PAUSE is above the newest term of the service, which a replica that received nothing for
+     * long does not know itself.
+     */
+    private String pauseCommand(ServerStatus status) {
+        long acknowledgedTerm =
+                context.state().acknowledgedCommits().get(move.service()).upperBound().term();
+        move.pauseTerm =
+                Math.max(move.pauseTerm, Math.max(status.nextTerm(), acknowledgedTerm + 1));
+        return queries.isActive() && context.mayAct() ? "PAUSE " + move.pauseTerm : null;
+    }
+
+    private void onReplicaStatus(DatabaseServer replica, ServerStatus status) {
+        if (status.isPrimary()) {
+            primaryFound.onPrimaryFound(replica.id());
+        } else if (status.isPaused()) {
+            move.statuses.put(replica.id(), status);
+        } else {
+            // It knows of no later term, but its service does: that one is passed over until it is
+            // high enough.
+            move.pauseTerm++;
+            queries.allowAtOnce(replica);
+        }
+    }
+
+    /**
+     * An operator said that this move does not wait for it; it does once that one is heard again.
+     */
+    private boolean isGivenUp(DatabaseServer replica) {
+        AcceptedDataLoss loss = move.record.acceptedLoss();
+        return loss != null
+                && loss.moveNumber() == move.record.moveNumber()
+                && loss.unreachableServers().contains(replica.id())
+                && context.isSilent(replica);
+    }
+
+    /**
+     * Where all servers that can be heard are stopped, and others that may have more were silent
+     * for long, it is for an operator to give those up.
+     */
+    private void findMissingCommits() {
+        List<String> unreachable = new ArrayList<>();
+        for (DatabaseServer replica : replicas()) {
+            if (move.statuses.containsKey(replica.id()) || isGivenUp(replica)) {
+                continue;
+            }
+            long heardMillis = Math.max(replica.lastHeardMillis(), context.resumedMillis());
+            if (context.now() - heardMillis < LONG_SILENT_MS) {
+                boolean isOutdated =
+                        move.missing != null && !move.missing.unreachableServers().isEmpty();
+                move.missing = isOutdated ? null : move.missing;
+                return;
+            }
+            unreachable.add(replica.id());
+        }
+        LogPosition longest = longestLog();
+        if (longest != null && !unreachable.isEmpty()) {
+            move.missing =
+                    new MissingCommits(
+                            move.service(),
+                            move.record.moveNumber(),
+                            longest,
+                            move.acknowledged(context.state().acknowledgedCommits()),
+                            unreachable,
+                            move.record.primary(),
+                            move.missing == null ? context.now() : move.missing.sinceMillis());
+        }
+    }
+
+    private LogPosition longestLog() {
+        LogPosition longest = null;
+        for (Map.Entry<String, ServerStatus> one : move.statuses.entrySet()) {
+            if (FailoverContext.isPresent(context.server(one.getKey()))) {
+                longest = LogPosition.max(longest, one.getValue().position());
+            }
+        }
+        return longest;
+    }
+
+    private void logWait() {
+        if (context.now() > move.sinceMillis + LOG_WAIT_AFTER_MS
+                && context.now() > waitLoggedMillis + LONG_SILENT_MS) {
+            waitLoggedMillis = context.now();
+            List<String> awaited = new ArrayList<>();
+            context.state()
+                    .registry()
+                    .serversOf(move.service())
+                    .forEach(server -> awaited.add(server.id()));
+            awaited.removeAll(move.statuses.keySet());
+            context.environment()
+                    .trace(
+                            "replicas-not-stopped service="
+                                    + move.service()
+                                    + " awaited="
+                                    + awaited);
+        }
+    }
+
+    private List<DatabaseServer> replicas() {
+        List<DatabaseServer> replicas =
+                new ArrayList<>(context.state().registry().serversOf(move.service()));
+        replicas.removeIf(server -> server.id().equals(move.record.primary()));
+        return replicas;
+    }
+}
--- a/src/main/java/dillfront/controlplane/lease/FencingTokens.java
+++ b/src/main/java/dillfront/controlplane/lease/FencingTokens.java
@@ -4,9 +4,9 @@
 import dillfront.controlplane.consensus.SafetyRule;
 
 /**
- * Numbers for what the holder of a lease does, at the platform (fencing tokens) and in records: the
- * lease's own above, and within it one more each time. None is given twice, also where the lease
- * was out of hand for a moment and came back under its number.
+ * Fencing tokens of a lease holder, for calls to the platform and for primary records: the lease's
+ * number in the upper bits, and below it one more each time. None is given twice, also where the
+ * lease was lost for a moment and came back under its number.
  */
 public final class FencingTokens {
 
@@ -14,11 +14,11 @@
     private long leaseNumber;
     private long issued;
 
-    public FencingTokens(ReplicatedRegister.Context ground) {
-        this.context = ground;
+    public FencingTokens(ReplicatedRegister.Context context) {
+        this.context = context;
     }
 
-    /** From now on they are of this lease. */
+    /** Tokens are of this lease from now on. */
     public void startLease(long number) {
         if (number != leaseNumber || context.isDisabled(SafetyRule.NUMBERS_ONCE)) {
             issued = 0;
@@ -26,6 +26,7 @@
         leaseNumber = number;
     }
 
+    /** The next token: above all that were given before. */
     public long next() {
         return (leaseNumber << LeaseManager.NUMBER_BITS) + ++issued;
     }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -1,153 +1,178 @@
 package dillfront.controlplane.lease;
 
-import dillfront.controlplane.ControlNode;
 import dillfront.controlplane.consensus.ReplicatedRegister;
 import dillfront.controlplane.consensus.SafetyRule;
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
 /**
- * Who does the duty. A number is promised to one process by each voter, on its disk before it says
- * so, so a majority's promise makes it that one's alone for ever; it is also the fencing token. Its
- * upper part is the epoch of the set of members under which it was asked for, so that no two sets
- * give out the same. A process asks for a number in one life, for one time, and once it is on its
- * disk. What it gave up without having held it binds nobody: numbers of holders rise, those of
- * candidates need not. The holder counts its time from before it asked, each voter from when it
- * promised: the holder's ends first.
+ * The lease for the one singleton role of the control plane, the failover coordinator.
+ *
+ * <p>Each member promises a number to one process at a time, on its disk before it says so; a
+ * majority's promise makes the number that process's alone for ever, and the upper part of its
+ * fencing tokens. The upper bits of a number are the epoch of the members under which it was asked
+ * for, so no two sets of members give out the same. A process asks for a number in one incarnation
+ * and once. A number that was given up without having been held binds nobody: numbers of holders
+ * rise, those of candidates need not.
+ *
+ * <p>The holder counts its time from before it asked, each member from when it promised, so the
+ * holder's ends first. Called on one thread; the clock is the process's own steady one.
  */
 public final class LeaseManager {
 
-    /** What it needs of the process that it is part of, which knows others as these. */
-    public interface Context<V extends Voter> extends ReplicatedRegister.Context {
+    /** What the lease needs of the process that it is part of. */
+    public interface Context extends ReplicatedRegister.Context {
 
-        /** The number of the set of members that it goes by. */
+        /** The epoch of the members that this process goes by; 0 before there are any. */
         long epoch();
 
+        /** Whether this is the id of a member. */
         boolean isMember(String id);
 
+        /** Whether this process is a member. */
         boolean isVoter();
 
-        /** No majority has answered it of late. */
+        /** Whether no majority has answered this process of late. */
         boolean isIsolated();
 
-        /** Its place among the members. */
+        /** The place of this process among the members, from 0. */
         int memberRank();
 
-        /** For how long its disk has done nothing, with work to do. */
+        /** For how long the disk has done nothing though there was work for it. */
         long diskStalledMillis();
 
-        Iterable<V> peers();
+        /** All peers that are known, members or not. */
+        Iterable<? extends Voter> peers();
 
-        /** The latest moment that a majority of each set in force has reached. */
-        long quorumReached(long itself, ToLongFunction<? super V> moment);
+        /**
+         * The highest value of a quantity that a majority of each set of members has reached.
+         *
+         * @param own the quantity of this process
+         */
+        long quorumReached(long own, ToLongFunction<Voter> quantity);
     }
 
-    /** Another process, as its last message told of it. */
+    /** A peer, by its last message. */
     public interface Voter {
 
+        /** Empty before the first message. */
         String id();
 
+        /** The epoch of the members that it goes by. */
         long epoch();
 
+        /** What it promised last; 0 for nothing. */
         long promisedNumber();
 
+        /** The id of the process that has its promise. */
         String promisedTo();
 
         /**
-         * This one's clock when it sent the last message that the promise was given for or held on.
+         * The clock of the process that has the promise when that sent the last message by which
+         * the promise was given or prolonged.
          */
         long grantedAtMillis();
 
-        /** The number that it wants or holds itself; 0 for none. */
+        /** What it asks for, or holds; 0 for nothing. */
         long requestedNumber();
 
-        /** This one's clock when it was heard last. */
+        /** This process's clock when the last message came. */
         long lastContactMillis();
 
         /** As {@link LeaseManager#formerLeaseEndMillis}, by its last message. */
         long formerLeaseEndMillis();
     }
 
-    static final long DURATION_MS = 2_500;
+    /** How long a promise binds. */
+    public static final long DURATION_MS = 2_500;
 
-    /** Bits for the numbers within an epoch. */
+    /** Bits of a number below the epoch, and of a fencing token below the number. */
     public static final int NUMBER_BITS = 20;
 
+    /** A moment that is earlier than all others. */
+    public static final long NEVER = Long.MIN_VALUE / 2;
+
+    /** A peer that was silent for so long is taken for gone. */
+    public static final long CONTACT_MS = 1_300;
+
+    /** The holder's time ends so much earlier than its members' promises. */
     private static final long HOLDER_MARGIN_MS = 250;
+
+    /** Candidates begin one after the other, by their rank. */
     private static final long STAGGER_MS = 250;
 
-    /** A holder whose disk has done nothing for so long leaves the duty to others. */
+    /** A holder whose disk has done nothing for so long leaves the role to others. */
     private static final long MAX_DISK_STALL_MS = 1_000;
 
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    private static final String PROMISED = "promised";
+    private static final String PROMISED_TO = "promised-to";
+    private static final String PROMISED_ABOVE = "promised-above";
+    private static final String ASKED = "asked";
 
-    private final Context<?> context;
+    private final Context context;
 
-    /** What this process promised, as it is on its disk. */
+    // What this process promised, as it is on its disk.
     private long promisedNumber;
-
     private String promisedTo = "";
     private long promisedUntilMillis;
 
+    /** No number up to this is promised: some process may have held it. On the disk. */
+    private long promiseFloor;
+
+    /** The process that has the promise said that it never held that number, and never will. */
+    private boolean promiseNeverHeld;
+
+    /** The clock of the process that has the promise, in its last message that was granted. */
+    private long grantedAtMillis = NEVER;
+
     /**
-     * Until when the one that has the promise may have said that its lease runs, however soon that
-     * ended; and so of all promises before.
+     * Until when the process that has the promise may have said that its lease runs, however soon
+     * that ended.
      */
     private long currentLeaseEndMillis = NEVER;
 
+    /** The same of all that had the promise before. */
     private long formerLeaseEndMillis = NEVER;
 
-    /** The clock of the one that has the promise, in the last message of it that was granted. */
-    private long grantedAtMillis = NEVER;
-
-    /** No number up to this is promised any more: some process may have held it. On the disk. */
-    private long promiseFloor;
+    private boolean persisting;
 
-    /** The one that has the promise said that it never held that number, and never will. */
-    private boolean promiseNeverHeld;
+    // What this process asks for itself.
+    /** What it asks for, or holds; 0 for nothing. */
+    private long ownNumber;
 
-    /** The highest number that it ever asked for, in any life. On the disk. */
+    /** The highest number that it ever asked for, in any incarnation. On the disk. */
     private long lastRequestedNumber;
 
-    /** What it wants or holds itself; 0 for nothing. */
-    private long ownNumber;
+    /** The last number that it asked for and gave up; it never asks for it again. */
+    private long abandonedNumber;
 
-    /** The number that it held last in this life. */
+    /** The number that it held last in this incarnation, and the epoch then. */
     private long lastHeldNumber;
 
-    /** The epoch under which it was held last. */
     private long lastHeldEpoch;
-
-    private boolean persisting;
     private long requestAtMillis;
     private boolean resigning;
 
-    /** The last number that it asked for and gave up; it never asks for it again. */
-    private long abandonedNumber;
-
-    public LeaseManager(Context<?> core) {
-        this.context = core;
+    public LeaseManager(Context context) {
+        this.context = context;
     }
 
-    /** Restores what the disk holds; what was promised may still be in use. */
-    public void restore(Map<String, String> kept) {
-        promisedNumber = Long.parseLong(kept.getOrDefault("promised", "0"));
-        promisedTo = kept.getOrDefault("promised-to", "");
+    /**
+     * Takes over what the disk holds, at the start. What was promised may still be in use, but for
+     * what was promised to this process: that ended with its former incarnation.
+     */
+    public void restore(Map<String, String> texts) {
+        promisedNumber = Long.parseLong(texts.getOrDefault(PROMISED, "0"));
+        promisedTo = texts.getOrDefault(PROMISED_TO, "");
         promiseFloor =
-                Long.parseLong(kept.getOrDefault("promised-above", Long.toString(promisedNumber)));
+                Long.parseLong(texts.getOrDefault(PROMISED_ABOVE, Long.toString(promisedNumber)));
+        boolean toSelf = promisedTo.equals(context.selfId());
         lastRequestedNumber =
                 Long.parseLong(
-                        kept.getOrDefault(
-                                "asked",
-                                promisedTo.equals(context.selfId())
-                                        ? Long.toString(promisedNumber)
-                                        : "0"));
-        // What ran when this process ended may still run, but for its own: that ended with it.
-        boolean runs =
-                promisedNumber > 0
-                        && !promisedTo.equals(context.selfId())
-                        && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
-        promisedUntilMillis = context.nowMillis() + (runs ? DURATION_MS : 0);
+                        texts.getOrDefault(ASKED, toSelf ? Long.toString(promisedNumber) : "0"));
+        boolean mayRun =
+                promisedNumber > 0 && !toSelf && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
+        promisedUntilMillis = context.nowMillis() + (mayRun ? DURATION_MS : 0);
         requestAtMillis = promisedUntilMillis;
         if (promisedNumber > 0) {
             currentLeaseEndMillis = context.nowMillis() + DURATION_MS;
@@ -155,61 +180,140 @@
         }
     }
 
+    // ---- queries
+
+    /** What this process promised last; 0 for nothing. */
     public long promisedNumber() {
         return promisedNumber;
     }
 
-    /** The id of the process that has this voter's promise. */
+    /** The id of the process that has this member's promise. */
     public String promisedTo() {
         return promisedTo;
     }
 
-    public long grantedAtMillis() {
-        return grantedAtMillis;
-    }
-
-    /** What it asks of others: on its disk by then, so it asks for that in no later life. */
+    /** What it asks of others; on its disk by then, so it asks for that in no later incarnation. */
     public long requestedNumber() {
-        return promisedNumber == ownNumber && promisedTo.equals(context.selfId()) ? ownNumber : 0;
+        return hasOwnPromise() ? ownNumber : 0;
     }
 
-    /** The number of the lease, which is the fencing token's upper part. */
+    /** The number of the lease that it asks for or holds; 0 for none. */
     public long number() {
         return ownNumber;
     }
 
+    /** What it asked for and gave up; 0 for nothing. Whoever promised it that is free again. */
+    public long abandonedNumber() {
+        return abandonedNumber;
+    }
+
+    /** Whether it held the lease by the number that it gave up. */
+    public boolean abandonedWasHeld() {
+        return abandonedNumber == lastHeldNumber;
+    }
+
+    /** What this process says of the lease in a message that is sent now. */
+    public LeaseMessage message() {
+        return new LeaseMessage(
+                promisedNumber,
+                promisedTo,
+                grantedAtMillis,
+                Math.max(0, formerLeaseEndMillis() - context.nowMillis()),
+                requestedNumber(),
+                abandonedNumber,
+                abandonedWasHeld());
+    }
+
+    private boolean hasOwnPromise() {
+        return promisedNumber == ownNumber && promisedTo.equals(context.selfId());
+    }
+
+    /** Until when this process holds the lease, by its own clock; -1 where it does not. */
+    public long validUntilMillis() {
+        if (ownNumber == 0 || !hasOwnPromise() || !context.isVoter()) {
+            return -1;
+        }
+        long now = context.nowMillis();
+        // A member that promised is bound for the whole duration from when it was asked, also where
+        // the members have changed since.
+        long grantedAt = context.quorumReached(now, peer -> grantedToSelfAt(peer, now));
+        return grantedAt + DURATION_MS - HOLDER_MARGIN_MS;
+    }
+
+    private long grantedToSelfAt(Voter peer, long now) {
+        if (peer.promisedNumber() != ownNumber || !peer.promisedTo().equals(context.selfId())) {
+            return NEVER;
+        }
+        return context.isDisabled(SafetyRule.LEASE_FROM_ASKED) ? now : peer.grantedAtMillis();
+    }
+
+    /**
+     * Until when those that had this member's promise before, or that of others by whom this
+     * process holds the lease, may have said that theirs runs: it may have been given back sooner,
+     * or have ended with its process.
+     */
+    public long formerLeaseEndMillis() {
+        long end = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
+        for (Voter peer : context.peers()) {
+            if (promisedNumber == ownNumber
+                    && peer.promisedNumber() == ownNumber
+                    && peer.promisedTo().equals(context.selfId())) {
+                end = Math.max(end, peer.formerLeaseEndMillis());
+            }
+        }
+        return end;
+    }
+
+    /** Whether this process holds the lease now. */
+    public boolean isHeld() {
+        long until = validUntilMillis();
+        boolean held = context.nowMillis() < until;
+        if (held) {
+            lastHeldNumber = ownNumber;
+            currentLeaseEndMillis = Math.max(currentLeaseEndMillis, until);
+        }
+        return held;
+    }
+
+    // ---- as a member
+
     /**
-     * Another wants this number, or goes on with it. What comes under an older epoch counts for
+     * A peer asks for this number, or goes on with it. What comes under an older epoch counts for
      * nothing.
      *
-     * @param asked its clock when it asked
+     * @param askedAtMillis the peer's clock when it asked
      */
-    public void onRequest(Voter p, long number, long asked) {
-        boolean turns = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
-        boolean late = p.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
-        if (!context.isVoter() || turns || number <= 0 || late || !context.isMember(p.id())) {
+    public void onRequest(Voter peer, long number, long askedAtMillis) {
+        boolean busy = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
+        boolean outdated =
+                peer.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
+        if (!context.isVoter() || busy || number <= 0 || outdated || !context.isMember(peer.id())) {
             // Also what is promised to it no longer runs on while another's promise is on its way
             // to the disk.
             return;
         }
         long now = context.nowMillis();
-        if (number == promisedNumber && p.id().equals(promisedTo)) {
+        if (number == promisedNumber && peer.id().equals(promisedTo)) {
             promisedUntilMillis = now + DURATION_MS;
             currentLeaseEndMillis = promisedUntilMillis;
-            grantedAtMillis = Math.max(grantedAtMillis, asked);
+            grantedAtMillis = Math.max(grantedAtMillis, askedAtMillis);
             promiseNeverHeld = false;
         } else if (!persisting
                 && number > (promiseBinds() ? promisedNumber : promiseFloor)
-                && (now >= promisedUntilMillis
-                        || p.id().equals(promisedTo)
-                        || promisedTo.equals(context.selfId()) && !isHeld()
-                        || context.isDisabled(SafetyRule.LEASE_PROMISE_STANDS))) {
-            // What was promised to oneself and came to nothing binds nobody else: candidates of one
-            // moment would wait for each other for ever.
-            promise(number, p.id(), asked);
+                && mayPromiseTo(peer, now)) {
+            promise(number, peer.id(), askedAtMillis);
         }
     }
 
+    private boolean mayPromiseTo(Voter peer, long now) {
+        // What was promised to oneself and came to nothing binds nobody else: candidates of one
+        // moment would wait for each other for ever.
+        return now >= promisedUntilMillis
+                || peer.id().equals(promisedTo)
+                || promisedTo.equals(context.selfId()) && !isHeld()
+                || context.isDisabled(SafetyRule.LEASE_PROMISE_STANDS);
+    }
+
     /** Whether the number that is promised here may have been held, or may yet be. */
     private boolean promiseBinds() {
         if (!promisedTo.equals(context.selfId())) {
@@ -222,11 +326,12 @@
     }
 
     /**
-     * The one that has the promise gives it back before its time, be it that it held the lease by
-     * it or never did.
+     * The process that has the promise gives it back before its time.
+     *
+     * @param wasHeld whether it held the lease by it
      */
-    public void onRelease(Voter p, long number, boolean wasHeld) {
-        if (number == 0 || number != promisedNumber || !p.id().equals(promisedTo)) {
+    public void onRelease(Voter peer, long number, boolean wasHeld) {
+        if (number == 0 || number != promisedNumber || !peer.id().equals(promisedTo)) {
             return;
         }
         promiseNeverHeld |= !wasHeld;
@@ -239,152 +344,100 @@
         }
     }
 
-    /** What it asked for and gave up: whoever promised it that is free again; 0 for nothing. */
-    public long abandonedNumber() {
-        return abandonedNumber;
-    }
-
-    /** Whether it held the lease by that. */
-    public boolean abandonedWasHeld() {
-        return abandonedNumber == lastHeldNumber;
-    }
-
-    private void abandon() {
-        abandonedNumber = Math.max(abandonedNumber, requestedNumber());
-        ownNumber = 0;
-    }
-
-    /**
-     * Whether a majority is bound to another, which is heard and goes on with it. To ask then is in
-     * vain, and each number that is asked for keeps this voter from that one.
-     */
-    private boolean anotherIsElected() {
-        long from = context.nowMillis() - ControlNode.TOUCH_MS;
-        for (Voter p : context.peers()) {
-            if (p.requestedNumber() > 0
-                    && p.lastContactMillis() > from
-                    && context.quorumReached(
-                                    promisedTo(promisedNumber, promisedTo, p)
-                                            ? context.nowMillis()
-                                            : NEVER,
-                                    v ->
-                                            promisedTo(v.promisedNumber(), v.promisedTo(), p)
-                                                    ? v.lastContactMillis()
-                                                    : NEVER)
-                            > from) {
-                return true;
-            }
-        }
-        return false;
-    }
-
-    private static boolean promisedTo(long number, String to, Voter p) {
-        return number == p.requestedNumber() && to.equals(p.id());
-    }
-
-    private void promise(long number, String to, long asked) {
+    private void promise(long number, String to, long askedAtMillis) {
         persisting = true;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
-        long above =
-                context.isDisabled(SafetyRule.LEASE_NUMBERS_RISE)
-                        ? 0
-                        : promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
-        context.persist(
-                        Map.of(
-                                "promised",
-                                Long.toString(number),
-                                "promised-to",
-                                to,
-                                "promised-above",
-                                Long.toString(above),
-                                "asked",
-                                Long.toString(lastRequestedNumber)))
+        long floor = nextFloor();
+        Map<String, String> texts =
+                Map.of(
+                        PROMISED,
+                        Long.toString(number),
+                        PROMISED_TO,
+                        to,
+                        PROMISED_ABOVE,
+                        Long.toString(floor),
+                        ASKED,
+                        Long.toString(lastRequestedNumber));
+        context.persist(texts)
                 .whenComplete(
                         (done, fault) -> {
                             persisting = false;
                             if (fault == null) {
-                                if (!to.equals(context.selfId())) {
-                                    // Whoever asked for one himself has lost, or lost it; to go on
-                                    // asking would bind those that promised it.
-                                    abandon();
-                                }
-                                promisedNumber = number;
-                                promisedTo = to;
-                                promiseFloor = above;
-                                promiseNeverHeld = false;
-                                formerLeaseEndMillis =
-                                        Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
-                                // One's own counts from when it is held.
-                                currentLeaseEndMillis =
-                                        to.equals(context.selfId())
-                                                ? NEVER
-                                                : context.nowMillis() + DURATION_MS;
-                                grantedAtMillis = asked;
-                                promisedUntilMillis = context.nowMillis() + DURATION_MS;
-                                context.broadcast();
+                                onPromised(number, to, floor, askedAtMillis);
                             }
                         });
     }
 
-    /** Until when this process holds it, on its own clock; in the past where it does not. */
-    public long validUntilMillis() {
-        if (ownNumber == 0
-                || promisedNumber != ownNumber
-                || !promisedTo.equals(context.selfId())
-                || !context.isVoter()) {
-            return -1;
+    private long nextFloor() {
+        if (context.isDisabled(SafetyRule.LEASE_NUMBERS_RISE)) {
+            return 0;
         }
-        long now = context.nowMillis();
-        // Whoever promised is bound for the whole span from when he was asked, also where the set
-        // has changed since.
-        return context.quorumReached(
-                        now,
-                        p ->
-                                p.promisedNumber() != ownNumber
-                                                || !p.promisedTo().equals(context.selfId())
-                                        ? NEVER
-                                        : context.isDisabled(SafetyRule.LEASE_FROM_ASKED)
-                                                ? now
-                                                : p.grantedAtMillis())
-                + DURATION_MS
-                - HOLDER_MARGIN_MS;
+        return promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
     }
 
-    /**
-     * Until when those that had this voter's promise before, or that of others by whom this one
-     * holds the lease, may have said that theirs runs: it may have been given back sooner, or have
-     * ended with its process.
-     */
-    public long formerLeaseEndMillis() {
-        long until = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
-        for (Voter p : context.peers()) {
-            boolean counts =
-                    promisedNumber == ownNumber
-                            && p.promisedNumber() == ownNumber
-                            && p.promisedTo().equals(context.selfId());
-            until = counts ? Math.max(until, p.formerLeaseEndMillis()) : until;
+    private void onPromised(long number, String to, long floor, long askedAtMillis) {
+        boolean toSelf = to.equals(context.selfId());
+        if (!toSelf) {
+            // If it asked itself, it has lost; to go on would bind the members that promised it.
+            abandon();
         }
-        return until;
+        promisedNumber = number;
+        promisedTo = to;
+        promiseFloor = floor;
+        promiseNeverHeld = false;
+        formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
+        // The own lease counts from when it is held.
+        currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
+        grantedAtMillis = askedAtMillis;
+        promisedUntilMillis = context.nowMillis() + DURATION_MS;
+        context.broadcast();
     }
 
-    /** Whether this process holds the lease now. */
-    public boolean isHeld() {
-        long until = validUntilMillis();
-        boolean is = context.nowMillis() < until;
-        if (is) {
-            lastHeldNumber = ownNumber;
-            currentLeaseEndMillis = Math.max(currentLeaseEndMillis, until);
-        }
-        return is;
+    // ---- as a candidate or holder
+
+    private void abandon() {
+        abandonedNumber = Math.max(abandonedNumber, requestedNumber());
+        ownNumber = 0;
     }
 
-    /** From now on it is not wanted here any more. */
+    /** Gives the lease back and asks for it no more: this process is about to end. */
     public void resign() {
         resigning = true;
         abandon();
     }
 
-    /** Advances timers: asks for the lease, goes on with it, or gives it up. */
+    /**
+     * Whether a majority is bound to a peer that goes on with its lease and is in contact. To ask
+     * then is in vain, and each number that is asked for keeps this member from that peer.
+     */
+    private boolean anotherIsElected() {
+        long since = context.nowMillis() - CONTACT_MS;
+        for (Voter peer : context.peers()) {
+            if (peer.requestedNumber() > 0
+                    && peer.lastContactMillis() > since
+                    && majorityPromised(peer) > since) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** When a majority was last known to have its promise given to this peer. */
+    private long majorityPromised(Voter peer) {
+        long own = isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER;
+        return context.quorumReached(
+                own,
+                voter ->
+                        isPromiseTo(voter.promisedNumber(), voter.promisedTo(), peer)
+                                ? voter.lastContactMillis()
+                                : NEVER);
+    }
+
+    private static boolean isPromiseTo(long number, String to, Voter peer) {
+        return number == peer.requestedNumber() && to.equals(peer.id());
+    }
+
+    /** Advances timers: asks for the lease, goes on with it, or gives it up. Called often. */
     public void poll() {
         long now = context.nowMillis();
         boolean unfit = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
@@ -394,24 +447,22 @@
             return;
         }
         if (ownNumber > 0 && ownNumber == lastHeldNumber) {
-            // It ended: another number next time, so that whoever saw this one pass is not asked to
-            // take it again.
+            // It ended: another number next time, so that a member that saw this one pass is not
+            // asked to take it again.
             abandon();
-            // Another set is asked at once: nobody else may be promised anything before this one's
-            // time is over.
+            // Other members are asked at once: none may promise anything before this lease's time
+            // is over.
             requestAtMillis = lastHeldEpoch == context.epoch() ? now + DURATION_MS : now;
         }
         if (context.isIsolated() && !persisting) {
-            // Whoever hears nobody cannot win, and binds those that hear him.
+            // Without contact it cannot win, and binds those that hear it.
             abandon();
         }
         if (!context.isVoter() || context.isIsolated() || persisting || unfit) {
-            // Whoever had it last goes first: nobody who promised waits for others.
-            boolean last = promisedTo.equals(context.selfId()) && !unfit;
-            requestAtMillis =
-                    Math.max(
-                            requestAtMillis,
-                            last ? now : now + STAGGER_MS * (1 + context.memberRank()));
+            // The one that had it last goes first: no member that promised it waits for others.
+            boolean wasLast = promisedTo.equals(context.selfId()) && !unfit;
+            long earliest = wasLast ? now : now + STAGGER_MS * (1 + context.memberRank());
+            requestAtMillis = Math.max(requestAtMillis, earliest);
             return;
         }
         if (now < promisedUntilMillis && !promisedTo.equals(context.selfId())) {
@@ -423,22 +474,23 @@
             requestAtMillis = Math.max(requestAtMillis, now + context.memberRank() * STAGGER_MS);
             return;
         }
-        if (now < requestAtMillis) {
-            return;
+        if (now >= requestAtMillis) {
+            request(now);
         }
+    }
+
+    private void request(long now) {
         abandon();
         long highest =
-                Math.max(
-                        context.isDisabled(SafetyRule.LEASE_ASKED_ONCE)
-                                ? promisedNumber
-                                : Math.max(promisedNumber, lastRequestedNumber),
-                        context.epoch() << NUMBER_BITS);
-        for (Voter p : context.peers()) {
-            // What no set that may be in force can have given out is a spoilt message's.
-            highest =
-                    p.promisedNumber() >> NUMBER_BITS > context.epoch() + 1
-                            ? highest
-                            : Math.max(highest, p.promisedNumber());
+                context.isDisabled(SafetyRule.LEASE_ASKED_ONCE)
+                        ? promisedNumber
+                        : Math.max(promisedNumber, lastRequestedNumber);
+        highest = Math.max(highest, context.epoch() << NUMBER_BITS);
+        for (Voter peer : context.peers()) {
+            // What no members that may be in force can have given out is a damaged message's.
+            if (peer.promisedNumber() >> NUMBER_BITS <= context.epoch() + 1) {
+                highest = Math.max(highest, peer.promisedNumber());
+            }
         }
         requestAtMillis = now + 4 * STAGGER_MS + context.randomBelow(STAGGER_MS * 2);
         lastRequestedNumber = highest + 1;
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/primary/RecordsMessage.java
@@ -0,0 +1,37 @@
+package dillfront.controlplane.primary;
+
+import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.PrimaryRecord;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * What a process says of the primary records to a peer.
+ *
+ * @param durableNumber the newest record that the sender has on its disk with all before it
+ * @param records those that the peer lacks
+ * @param fromNumber up to which record the peer said that it has them; -1 without records
+ */
+public record RecordsMessage(long durableNumber, List<PrimaryRecord> records, long fromNumber) {
+
+    private static final String DURABLE_NUMBER = "k";
+    private static final String RECORDS = "l";
+    private static final String FROM_NUMBER = "lf";
+
+    /** Adds this to the fields of a message. */
+    public void writeTo(Map<String, Object> fields) {
+        fields.put(DURABLE_NUMBER, durableNumber);
+        if (!records.isEmpty()) {
+            fields.put(RECORDS, records.stream().map(PrimaryRecord::toFields).toList());
+            fields.put(FROM_NUMBER, fromNumber);
+        }
+    }
+
+    /** Reads what {@link #writeTo} made. */
+    public static RecordsMessage fromFields(MessageCodec.Fields fields) {
+        return new RecordsMessage(
+                fields.number(DURABLE_NUMBER, -1),
+                fields.maps(RECORDS).stream().map(PrimaryRecord::fromFields).toList(),
+                fields.number(FROM_NUMBER, -1));
+    }
+}
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -1,120 +1,209 @@
 package dillfront.controlplane.registry;
 
-import dillfront.common.message.MessageCodec;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import dillfront.common.protocol.ServerRow;
+import dillfront.common.protocol.ServerState;
 
-/** One database server, as its beats tell of it. */
+/** One database server, as its heartbeats tell of it. Changed by {@link ServerRegistry} alone. */
 public final class DatabaseServer {
 
-    public final String id;
-    public final String service;
-    public String address;
-    public String zoneName;
+    private static final int STORED_PARTS = 6;
+    private static final long UNKNOWN = -1;
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** "ready", "draining", "leaving" or "left"; it only goes on in this order. */
-    public String state = "ready";
+    private final String id;
+    private final String service;
 
-    public String role = "";
+    /** Null before the first heartbeat, with the zone. */
+    private String address;
 
-    /** Of its last call that counted. */
-    public long callSequence = -1;
+    private String zoneName;
+    private ServerState state = ServerState.READY;
+    private String role = "";
+    private long callSequence = UNKNOWN;
+    private long lastHeardMillis;
+    private long lastDirectHeartbeatMillis = NEVER;
+    private long leavingSinceMillis = UNKNOWN;
+    private long changeNumber;
 
-    /** When it was last heard by any control process, on this one's clock. */
-    public long lastHeardMillis;
+    DatabaseServer(String id, String service) {
+        this.id = id;
+        this.service = service;
+    }
 
-    /** And by this one itself. */
-    public long lastDirectHeartbeatMillis = Long.MIN_VALUE / 2;
+    // ---- queries
 
-    /** Since when this process knows that it leaves; -1 where it does not. */
-    long leavingSinceMillis = -1;
+    public String id() {
+        return id;
+    }
 
-    /** The change of the table in which it was last changed. */
-    public long changeNumber;
+    /** Empty where only its leave call was received. */
+    public String service() {
+        return service;
+    }
 
-    public DatabaseServer(String id, String service) {
-        this.id = id;
-        this.service = service;
+    public String address() {
+        return address;
+    }
+
+    public String zoneName() {
+        return zoneName;
+    }
+
+    public ServerState state() {
+        return state;
+    }
+
+    /** As it reported it. */
+    public String role() {
+        return role;
+    }
+
+    /** The number of its last call that counted; -1 for none. */
+    public long callSequence() {
+        return callSequence;
+    }
+
+    /** When any control process last heard it, by this process's clock. */
+    public long lastHeardMillis() {
+        return lastHeardMillis;
     }
 
-    static int stateRank(String state) {
-        return switch (state) {
-            case "left" -> 3;
-            case "leaving" -> 2;
-            case "draining" -> 1;
-            default -> 0;
-        };
+    /** When this process last received a heartbeat of it; long ago where it never did. */
+    public long lastDirectHeartbeatMillis() {
+        return lastDirectHeartbeatMillis;
+    }
+
+    /** The version of the registry in which it was last changed. */
+    public long changeNumber() {
+        return changeNumber;
     }
 
     /** It is gone, and its log with it. */
     public boolean hasLeft() {
-        return state.equals("left");
+        return state == ServerState.LEFT;
     }
 
-    /** It said that it will end, by either word, and serves on until then. */
+    /** It announced its end, by either call, and serves on until then. */
     public boolean isDraining() {
-        return state.equals("draining") || isLeaving();
+        return state == ServerState.DRAINING || isLeaving();
     }
 
-    /** It said so by its leave, without a word of draining before; no more may be heard of it. */
+    /** It announced its end by its leave call, without draining before. */
     public boolean isLeaving() {
-        return state.equals("leaving");
+        return state == ServerState.LEAVING;
     }
 
+    /** It reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals("primary");
+        return role.equals(ServerRow.PRIMARY);
     }
 
-    Map<String, Object> toRow() {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("i", id);
-        row.put("v", service);
-        row.put("a", address);
-        row.put("z", zoneName);
-        row.put("st", state);
-        row.put("ro", role);
-        row.put("q", callSequence);
-        return row;
+    /** The row of a message. */
+    public ServerRow toRow() {
+        return new ServerRow(id, service, address, zoneName, state, role, callSequence);
     }
 
-    /** As it is kept on the disk. */
-    String encode() {
-        return String.join(
-                "\n", service, address, zoneName, state, role, Long.toString(callSequence));
+    // ---- changes
+
+    /** A heartbeat came here now. */
+    public void onDirectHeartbeat(long nowMillis) {
+        lastDirectHeartbeatMillis = nowMillis;
     }
 
-    static DatabaseServer decode(String id, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length != 6) {
-            return null;
-        }
-        DatabaseServer m = new DatabaseServer(id, part[0]);
-        m.address = part[1];
-        m.zoneName = part[2];
-        m.state = part[3];
-        m.role = part[4];
-        m.callSequence = Long.parseLong(part[5]);
-        return m;
+    /** Another control process received this call of it. */
+    public void onForwardedHeartbeat(long heardMillis, long sequence) {
+        heardAt(heardMillis);
+        callSequence = Math.max(callSequence, sequence);
+    }
+
+    void heardAt(long millis) {
+        lastHeardMillis = Math.max(lastHeardMillis, millis);
+    }
+
+    /** It was on the disk when this process started: its silence counts from then. */
+    void restoredAt(long millis) {
+        lastHeardMillis = millis;
+    }
+
+    void changeNumber(long number) {
+        changeNumber = number;
+    }
+
+    void state(ServerState next) {
+        state = next;
+    }
+
+    long leavingSinceMillis() {
+        return leavingSinceMillis;
+    }
+
+    void leavingSinceMillis(long millis) {
+        leavingSinceMillis = millis;
+    }
+
+    /** Only the leave call of it was received: nothing else is known. */
+    void knownByLeaveAlone() {
+        address = "";
+        zoneName = "";
+    }
+
+    /** What was heard of its end before its first heartbeat stands. */
+    void takeOverEnd(DatabaseServer placeholder) {
+        state = placeholder.state;
+        leavingSinceMillis = placeholder.leavingSinceMillis;
     }
 
     /**
+     * Takes a row over where it is newer.
+     *
+     * @param acceptsOlderState an earlier state replaces a later one; only model checks do so
      * @return whether anything changed that others must know
      */
-    boolean merge(MessageCodec.Fields row, boolean back) {
+    boolean merge(ServerRow row, boolean acceptsOlderState) {
         boolean changes = false;
-        long from = row.number("q", -1);
-        if (from >= callSequence || address == null) {
-            callSequence = Math.max(callSequence, from);
-            changes = !row.string("a").equals(address) || !row.string("ro").equals(role);
-            address = row.string("a");
-            zoneName = row.string("z");
-            role = row.string("ro");
+        if (row.callSequence() >= callSequence || address == null) {
+            callSequence = Math.max(callSequence, row.callSequence());
+            changes = !row.address().equals(address) || !row.role().equals(role);
+            address = row.address();
+            zoneName = row.zoneName();
+            role = row.role();
         }
-        if (stateRank(row.string("st")) > stateRank(state)
-                || back && !row.string("st").equals(state)) {
-            state = row.string("st");
+        if (row.state().isAfter(state) || acceptsOlderState && row.state() != state) {
+            state = row.state();
             changes = true;
         }
         return changes;
     }
+
+    // ---- the form on disk
+
+    String encode() {
+        return String.join(
+                "\n",
+                service,
+                address,
+                zoneName,
+                state.wireName(),
+                role,
+                Long.toString(callSequence));
+    }
+
+    /**
+     * Reads what {@link #encode} made.
+     *
+     * @return null where the text is no server
+     */
+    static DatabaseServer decode(String id, String text) {
+        String[] part = text.split("\n", -1);
+        if (part.length != STORED_PARTS) {
+            return null;
+        }
+        DatabaseServer server = new DatabaseServer(id, part[0]);
+        server.address = part[1];
+        server.zoneName = part[2];
+        server.state = ServerState.parse(part[3]);
+        server.role = part[4];
+        server.callSequence = Long.parseLong(part[5]);
+        return server;
+    }
 }
--- a/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
@@ -1,6 +1,6 @@
 package dillfront.controlplane.registry;
 
-import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.ServerRow;
 import dillfront.controlplane.consensus.ReplicatedRegister;
 import dillfront.controlplane.consensus.SafetyRule;
 import java.util.ArrayList;
@@ -8,146 +8,145 @@
 import java.util.Map;
 
 /**
- * The table of servers as processes tell each other of it: what of it goes into a word, how far
- * each has that of the other, and how far it is on the disk. Rows only go forward, so a word that
- * is lost, repeated or old does no harm.
+ * Brings the server table to the disk and to the peers. Peers exchange the rows that changed, and
+ * tell each other how far they have them in memory and on disk: what a server was acknowledged is
+ * on the disks of a majority before.
  */
 public final class RegistryReplication {
 
-    private record PeerVersion(ReplicationProgress progress, long known) {}
+    private record KnownVersion(ReplicationProgress progress, long version) {}
 
     private final ReplicatedRegister.Context context;
     private final ServerRegistry registry;
-
-    /** The change that the disk has. */
     private long durableVersion;
-
     private boolean persisting;
 
-    public RegistryReplication(ReplicatedRegister.Context ground, ServerRegistry members) {
-        this.context = ground;
-        this.registry = members;
+    public RegistryReplication(ReplicatedRegister.Context context, ServerRegistry registry) {
+        this.context = context;
+        this.registry = registry;
     }
 
-    public RegistryReplication(ReplicatedRegister.Context ground) {
-        this(ground, new ServerRegistry(ground.isDisabled(SafetyRule.ROWS_FORWARD)));
+    /** With a registry of its own, as the model check needs it. */
+    public RegistryReplication(ReplicatedRegister.Context context) {
+        this(context, new ServerRegistry(context.isDisabled(SafetyRule.ROWS_FORWARD)));
     }
 
-    /** What the disk held, at the start. */
-    public void restore(Map<String, String> kept, long now) {
-        registry.restore(kept, now);
+    /** Takes over what the disk held, at the start. */
+    public void restore(Map<String, String> texts, long nowMillis) {
+        registry.restore(texts, nowMillis);
         durableVersion = registry.version();
     }
 
+    /** The version of the table in memory. */
     public long version() {
         return registry.version();
     }
 
+    /** The version of the table that is on the disk. */
     public long durableVersion() {
         return durableVersion;
     }
 
     /**
-     * It goes to the disk behind what happens: a restart then begins with it, and servers tell
-     * again anyway.
+     * Writes what changed behind what happens: a restart then begins with it, and servers report
+     * again anyway. One write at a time.
+     *
+     * @param peers the progress with all peers, whose tables go to the disk with this one
+     * @param onDurable runs once more of the table is on the disk
      */
-    public void persist(List<ReplicationProgress> others, Runnable then) {
+    public void persist(List<ReplicationProgress> peers, Runnable onDurable) {
         if (persisting) {
             return;
         }
         if (registry.version() == durableVersion) {
-            others.forEach(p -> p.knownDurableVersion = p.knownVersion);
+            peers.forEach(peer -> peer.knownDurableVersion = peer.knownVersion);
             return;
         }
         persisting = true;
-        long upTo = registry.version();
-        List<PeerVersion> heard = new ArrayList<>();
-        others.forEach(p -> heard.add(new PeerVersion(p, p.knownVersion)));
+        long version = registry.version();
+        List<KnownVersion> known = new ArrayList<>();
+        peers.forEach(peer -> known.add(new KnownVersion(peer, peer.knownVersion)));
         context.persist(registry.encodeSince(durableVersion))
                 .whenComplete(
                         (done, fault) -> {
                             persisting = false;
                             if (fault == null) {
-                                durableVersion = upTo;
-                                heard.forEach(
-                                        h ->
-                                                h.progress.knownDurableVersion =
-                                                        Math.max(
-                                                                h.progress.knownDurableVersion,
-                                                                h.known));
-                                then.run();
+                                durableVersion = version;
+                                known.forEach(RegistryReplication::becameDurable);
+                                onDurable.run();
                             }
                         });
     }
 
-    /** What goes into a word to that process. */
-    public void writeTo(Map<String, Object> out, ReplicationProgress to) {
-        out.put("r", registry.version());
-        out.put("mf", to.peerVersion);
-        out.put("a", to.knownVersion);
-        out.put("ak", to.knownDurableVersion);
-        List<Object> rows = registry.rowsSince(to.peerVersion);
-        if (!rows.isEmpty()) {
-            out.put("m", rows);
-        }
+    private static void becameDurable(KnownVersion known) {
+        ReplicationProgress progress = known.progress();
+        progress.knownDurableVersion = Math.max(progress.knownDurableVersion, known.version());
+    }
+
+    /** What is said of the table to that peer. */
+    public RegistryMessage messageTo(ReplicationProgress peer) {
+        return new RegistryMessage(
+                registry.version(),
+                peer.peerVersion,
+                peer.knownVersion,
+                peer.knownDurableVersion,
+                registry.rowsSince(peer.peerVersion));
     }
 
     /**
-     * A word of that process.
+     * Takes a peer's message.
      *
-     * @param ours what it says that it has is of this life
+     * @param ofThisIncarnation what the peer says that it has is of this incarnation's table
      * @return whether anything changed
      */
-    public boolean receive(MessageCodec.Fields in, ReplicationProgress from, boolean ours) {
-        boolean counts = ours || context.isDisabled(SafetyRule.ROWS_OF_THIS_LIFE);
-        from.peerVersion = counts ? in.number("a", 0) : 0;
-        from.peerDurableVersion = counts ? in.number("ak", 0) : 0;
+    public boolean receive(
+            RegistryMessage message, ReplicationProgress peer, boolean ofThisIncarnation) {
+        boolean counts = ofThisIncarnation || context.isDisabled(SafetyRule.ROWS_OF_THIS_LIFE);
+        peer.peerVersion = counts ? message.knownVersion() : 0;
+        peer.peerDurableVersion = counts ? message.knownDurableVersion() : 0;
         boolean changed = false;
-        for (MessageCodec.Fields row : in.maps("m")) {
+        for (ServerRow row : message.rows()) {
             changed |= registry.merge(row, 0);
         }
-        if (in.number("mf", 0) <= from.knownVersion
+        // Rows that begin behind what is known here were meant for an earlier incarnation, which
+        // knew more.
+        if (message.fromVersion() <= peer.knownVersion
                 || context.isDisabled(SafetyRule.ROWS_WITHOUT_GAP)) {
-            // Else it was meant for a life before this one, which knew more.
-            from.knownVersion = Math.max(from.knownVersion, in.number("r", 0));
+            peer.knownVersion = Math.max(peer.knownVersion, message.version());
         }
         return changed;
     }
 
-    /** How far that process has this table on its disk. */
-    public long durableVersionOf(ReplicationProgress by) {
-        return by.peerDurableVersion;
+    /** Up to which version that peer has this table on its disk. */
+    public long durableVersionOf(ReplicationProgress peer) {
+        return peer.peerDurableVersion;
     }
 
     /**
-     * The same, as far as it counts for an acknowledgement under the set that is gone by here: what
-     * it has on its disk while it goes by a newer set may be missing in what that one was settled
-     * with.
+     * The same, as far as it counts for an acknowledgement under the members that this process goes
+     * by: what a peer has on its disk while it goes by newer members may be missing in what those
+     * took over.
      */
-    public long acknowledgedVersionOf(ReplicationProgress by, long itsEpoch, long epoch) {
-        return itsEpoch <= epoch || context.isDisabled(SafetyRule.ROWS_UNDER_EPOCH)
-                ? by.peerDurableVersion
+    public long acknowledgedVersionOf(ReplicationProgress peer, long peerEpoch, long epoch) {
+        return peerEpoch <= epoch || context.isDisabled(SafetyRule.ROWS_UNDER_EPOCH)
+                ? peer.peerDurableVersion
                 : 0;
     }
 
-    /** A call of a server itself; whether it changed anything. */
-    public boolean merge(MessageCodec.Fields row, long now) {
-        return registry.merge(row, now);
-    }
+    // ---- the table itself, for the model check
 
-    public void markLeaving(String server) {
-        registry.markLeaving(server);
+    /** Takes a server's own call; whether it changed anything. */
+    public boolean merge(ServerRow row, long nowMillis) {
+        return registry.merge(row, nowMillis);
     }
 
-    /** The change that made this row what it is; -1 where there is none. */
-    public long changeNumberOf(String server) {
-        DatabaseServer is = registry.get(server);
-        return is == null ? -1 : is.changeNumber;
+    /** Takes a server's leave call. */
+    public void markLeaving(String serverId) {
+        registry.markLeaving(serverId);
     }
 
-    /** Empty where there is no such row. */
-    public String stateOf(String server) {
-        DatabaseServer is = registry.get(server);
-        return is == null ? "" : is.state;
+    /** The server of this id; null where it is not known. */
+    public DatabaseServer get(String serverId) {
+        return registry.get(serverId);
     }
 }
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -1,252 +1,266 @@
 package dillfront.controlplane.registry;
 
-import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.ServerRow;
+import dillfront.common.protocol.ServerState;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * The table of all database servers. Every change has a number, so that others ask only for what
- * they lack.
+ * All database servers that are known. Each change has a number, the version of the registry after
+ * it, so that others ask only for what they lack. Rows of servers that left are kept, so that a
+ * late message does not bring them back.
  */
 public final class ServerRegistry {
 
-    /**
-     * Rows of those that left are kept so that a late word does not bring them back; so many at the
-     * most.
-     */
     private static final int MAX_SERVERS = 20_000;
-
-    private static final TreeMap<String, DatabaseServer> EMPTY = new TreeMap<>();
     private static final String STORAGE_PREFIX = "server:";
 
     private final TreeMap<String, DatabaseServer> servers = new TreeMap<>();
     private final TreeMap<String, TreeMap<String, DatabaseServer>> serversByService =
             new TreeMap<>();
 
-    /** By the change that made them what they are, so that whoever lacks a few is told of a few. */
+    /** By the change that made them what they are. */
     private final TreeMap<Long, DatabaseServer> byChange = new TreeMap<>();
 
+    /** Rows that were dropped and still stand on the disk. */
     private final TreeSet<String> evicted = new TreeSet<>();
 
-    /** Those that said that they leave, and may serve on. */
+    /** Ids of servers that announced their end by their leave call, and may serve on. */
     private final TreeSet<String> leaving = new TreeSet<>();
 
-    private long version;
-
-    /** Rows go back too, as only a small world has it. */
     private final boolean acceptsOlderRows;
+    private long version;
 
     public ServerRegistry() {
         this(false);
     }
 
-    public ServerRegistry(boolean back) {
-        this.acceptsOlderRows = back;
+    /**
+     * @param acceptsOlderRows an earlier state replaces a later one; only model checks do so
+     */
+    ServerRegistry(boolean acceptsOlderRows) {
+        this.acceptsOlderRows = acceptsOlderRows;
     }
 
+    // ---- queries
+
+    /** The server of this id; null where it is not known. */
     public DatabaseServer get(String id) {
         return servers.get(id);
     }
 
+    /** How many changes there were in this incarnation. */
     public long version() {
         return version;
     }
 
+    /** All servers, also those that left. */
     public Iterable<DatabaseServer> all() {
         return servers.values();
     }
 
-    /** The servers of this service that have not left. */
+    /** The servers of this service that have not left, by their ids. */
     public List<DatabaseServer> serversOf(String service) {
-        List<DatabaseServer> of = new ArrayList<>();
-        for (DatabaseServer m : serversByService.getOrDefault(service, EMPTY).values()) {
-            if (!m.hasLeft()) {
-                of.add(m);
+        List<DatabaseServer> present = new ArrayList<>();
+        for (DatabaseServer server : allOf(service).values()) {
+            if (!server.hasLeft()) {
+                present.add(server);
             }
         }
-        return of;
+        return present;
     }
 
-    public Iterable<String> services() {
-        return serversByService.keySet();
+    private Map<String, DatabaseServer> allOf(String service) {
+        TreeMap<String, DatabaseServer> all = serversByService.get(service);
+        return all == null ? Collections.emptyMap() : all;
     }
 
-    private void recordChange(DatabaseServer m) {
-        byChange.remove(m.changeNumber);
-        m.changeNumber = ++version;
-        byChange.put(m.changeNumber, m);
-        if (m.isLeaving()) {
-            leaving.add(m.id);
-        } else {
-            leaving.remove(m.id);
-        }
+    /** The names of all services that have or had a server. */
+    public Iterable<String> services() {
+        return serversByService.keySet();
     }
 
-    private void add(DatabaseServer m) {
-        if (!servers.containsKey(m.id) && servers.size() >= MAX_SERVERS) {
-            evictOldest();
+    /** The rows that changed after this version. */
+    public List<ServerRow> rowsSince(long since) {
+        List<ServerRow> rows = new ArrayList<>();
+        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
+            rows.add(server.toRow());
         }
-        servers.put(m.id, m);
-        if (!m.service.isEmpty()) {
-            serversByService.computeIfAbsent(m.service, s -> new TreeMap<>()).put(m.id, m);
-        }
-    }
-
-    /** What the disk held, at the start. */
-    public void restore(Map<String, String> kept, long now) {
-        kept.forEach(
-                (name, text) -> {
-                    DatabaseServer m =
-                            name.startsWith(STORAGE_PREFIX)
-                                    ? DatabaseServer.decode(
-                                            name.substring(STORAGE_PREFIX.length()), text)
-                                    : null;
-                    if (m != null) {
-                        m.lastHeardMillis = now;
-                        add(m);
-                        recordChange(m);
-                    }
-                });
+        return rows;
     }
 
-    /**
-     * What has changed since, as it goes to the disk; of those that left too, so that no late
-     * message brings one back.
-     */
-    Map<String, String> encodeSince(long since) {
-        Map<String, String> kept = new TreeMap<>();
-        for (DatabaseServer m : byChange.tailMap(since, false).values()) {
-            kept.put(STORAGE_PREFIX + m.id, m.encode());
-        }
-        evicted.forEach(id -> kept.putIfAbsent(STORAGE_PREFIX + id, ""));
-        evicted.clear();
-        return kept;
-    }
+    // ---- changes
 
-    /** Takes a row in, from a beat or from another control process; whether it changed anything. */
-    public boolean merge(MessageCodec.Fields row, long heard) {
-        String id = row.string("i");
-        String service = row.string("v");
-        if (id.isEmpty()
-                || service.isEmpty()
-                        && DatabaseServer.stateRank(row.string("st"))
-                                < DatabaseServer.stateRank("leaving")) {
+    /** Takes a row over, from a heartbeat or a control process; whether it changed anything. */
+    public boolean merge(ServerRow row, long heardMillis) {
+        if (row.id().isEmpty() || row.service().isEmpty() && !isLeavingOrLeft(row.state())) {
             return false;
         }
-        DatabaseServer is = servers.get(id);
-        boolean fresh = is == null || is.service.isEmpty() && !service.isEmpty();
-        if (fresh) {
-            DatabaseServer before = is;
-            is = new DatabaseServer(id, service);
-            if (before != null) {
-                // Its leave was heard before it was: that stands.
-                is.state = before.state;
-                is.leavingSinceMillis = before.leavingSinceMillis;
-                byChange.remove(before.changeNumber);
+        DatabaseServer server = servers.get(row.id());
+        boolean isNew = server == null || server.service().isEmpty() && !row.service().isEmpty();
+        if (isNew) {
+            DatabaseServer placeholder = server;
+            server = new DatabaseServer(row.id(), row.service());
+            if (placeholder != null) {
+                server.takeOverEnd(placeholder);
+                byChange.remove(placeholder.changeNumber());
             }
-            add(is);
+            add(server);
         }
-        is.lastHeardMillis = Math.max(is.lastHeardMillis, heard);
-        if (is.merge(row, acceptsOlderRows) || fresh) {
-            recordChange(is);
+        server.heardAt(heardMillis);
+        if (server.merge(row, acceptsOlderRows) || isNew) {
+            recordChange(server);
             return true;
         }
         return false;
     }
 
+    private static boolean isLeavingOrLeft(ServerState state) {
+        return state.isAfter(ServerState.DRAINING);
+    }
+
     /**
      * A new server has this one's address: whichever of the same service had it before is gone.
-     * That the new one has its log is not said; one that left took it along, and the new one
-     * copies. Only a server's own call says so, never hearsay, which may be late.
+     * Only a server's own call says so, no message of another process, which may be late.
      */
-    public boolean replacePredecessors(DatabaseServer fresh) {
-        boolean any = false;
-        for (DatabaseServer m : serversOf(fresh.service)) {
-            boolean same = m != fresh && m.address.equals(fresh.address);
-            any |= same && markLeft(m.id);
+    public boolean replacePredecessors(DatabaseServer successor) {
+        boolean changed = false;
+        for (DatabaseServer server : serversOf(successor.service())) {
+            boolean isPredecessor =
+                    server != successor && server.address().equals(successor.address());
+            changed |= isPredecessor && markLeft(server.id());
         }
-        return any;
+        return changed;
     }
 
     /**
-     * It said that it leaves. One that said before that it drains ends now; any other serves on as
-     * long as one that drains. That of a server that is not known here, and may be elsewhere, is
-     * kept like any other, so that no late beat undoes it.
+     * Takes a server's leave call. One that drained before ends now; any other serves on as long as
+     * one that drains. The call of a server that is not known here is kept like any other, so that
+     * no late heartbeat undoes it.
      */
     public DatabaseServer markLeaving(String id) {
-        DatabaseServer is = servers.get(id);
-        if (is == null) {
-            is = new DatabaseServer(id, "");
-            is.address = "";
-            is.zoneName = "";
-            add(is);
-        }
-        if (is.state.equals("draining")) {
+        DatabaseServer server = servers.get(id);
+        if (server == null) {
+            server = new DatabaseServer(id, "");
+            server.knownByLeaveAlone();
+            add(server);
+        }
+        if (server.state() == ServerState.DRAINING) {
             markLeft(id);
-        } else if (DatabaseServer.stateRank(is.state) < DatabaseServer.stateRank("leaving")) {
-            is.state = "leaving";
-            recordChange(is);
+        } else if (ServerState.LEAVING.isAfter(server.state())) {
+            server.state(ServerState.LEAVING);
+            recordChange(server);
         }
-        return is;
+        return server;
     }
 
     /**
-     * Those that left so long ago that they have surely ended, and were not heard since, are gone.
+     * Servers that announced their end so long ago that they have surely ended, and were not heard
+     * since, have left.
      */
-    public boolean expireLeaving(long now, long after) {
-        boolean any = false;
+    public boolean expireLeaving(long nowMillis, long afterMillis) {
+        boolean changed = false;
         for (String id : List.copyOf(leaving)) {
-            DatabaseServer m = servers.get(id);
-            if (m.leavingSinceMillis < 0) {
-                m.leavingSinceMillis = now;
-            } else if (now - Math.max(m.leavingSinceMillis, m.lastHeardMillis) > after) {
-                any |= markLeft(id);
+            DatabaseServer server = servers.get(id);
+            if (server.leavingSinceMillis() < 0) {
+                server.leavingSinceMillis(nowMillis);
+            } else if (nowMillis - Math.max(server.leavingSinceMillis(), server.lastHeardMillis())
+                    > afterMillis) {
+                changed |= markLeft(id);
             }
         }
-        return any;
+        return changed;
     }
 
-    boolean markLeft(String id) {
-        DatabaseServer is = servers.get(id);
-        if (is == null || is.hasLeft()) {
+    private boolean markLeft(String id) {
+        DatabaseServer server = servers.get(id);
+        if (server == null || server.hasLeft()) {
             return false;
         }
-        is.state = "left";
-        recordChange(is);
+        server.state(ServerState.LEFT);
+        recordChange(server);
         return true;
     }
 
+    private void recordChange(DatabaseServer server) {
+        byChange.remove(server.changeNumber());
+        server.changeNumber(++version);
+        byChange.put(server.changeNumber(), server);
+        if (server.isLeaving()) {
+            leaving.add(server.id());
+        } else {
+            leaving.remove(server.id());
+        }
+    }
+
+    private void add(DatabaseServer server) {
+        if (!servers.containsKey(server.id()) && servers.size() >= MAX_SERVERS) {
+            evictOldest();
+        }
+        servers.put(server.id(), server);
+        if (!server.service().isEmpty()) {
+            serversByService
+                    .computeIfAbsent(server.service(), name -> new TreeMap<>())
+                    .put(server.id(), server);
+        }
+    }
+
+    /** Drops the row that changed longest ago, of those that left or are not known otherwise. */
     private void evictOldest() {
         DatabaseServer oldest = null;
-        for (DatabaseServer m : servers.values()) {
-            if ((m.hasLeft() || m.service.isEmpty())
-                    && (oldest == null || m.changeNumber < oldest.changeNumber)) {
-                oldest = m;
+        for (DatabaseServer server : servers.values()) {
+            if ((server.hasLeft() || server.service().isEmpty())
+                    && (oldest == null || server.changeNumber() < oldest.changeNumber())) {
+                oldest = server;
             }
         }
-        if (oldest != null) {
-            servers.remove(oldest.id);
-            evicted.add(oldest.id);
-            leaving.remove(oldest.id);
-            byChange.remove(oldest.changeNumber);
-            TreeMap<String, DatabaseServer> same =
-                    serversByService.getOrDefault(oldest.service, EMPTY);
-            same.remove(oldest.id);
-            if (same.isEmpty()) {
-                serversByService.remove(oldest.service);
+        if (oldest == null) {
+            return;
+        }
+        servers.remove(oldest.id());
+        evicted.add(oldest.id());
+        leaving.remove(oldest.id());
+        byChange.remove(oldest.changeNumber());
+        TreeMap<String, DatabaseServer> ofService = serversByService.get(oldest.service());
+        if (ofService != null) {
+            ofService.remove(oldest.id());
+            if (ofService.isEmpty()) {
+                serversByService.remove(oldest.service());
             }
         }
     }
 
-    /** What changed since. */
-    public List<Object> rowsSince(long change) {
-        List<Object> out = new ArrayList<>();
-        for (DatabaseServer m : byChange.tailMap(change, false).values()) {
-            out.add(m.toRow());
+    // ---- the form on disk
+
+    /** Takes over what the disk held, at the start. */
+    public void restore(Map<String, String> texts, long nowMillis) {
+        texts.forEach(
+                (name, text) -> {
+                    if (!name.startsWith(STORAGE_PREFIX)) {
+                        return;
+                    }
+                    DatabaseServer server =
+                            DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), text);
+                    if (server != null) {
+                        server.restoredAt(nowMillis);
+                        add(server);
+                        recordChange(server);
+                    }
+                });
+    }
+
+    /** What changed after this version, as it goes to the disk; a dropped row is an empty text. */
+    Map<String, String> encodeSince(long since) {
+        Map<String, String> texts = new TreeMap<>();
+        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
+            texts.put(STORAGE_PREFIX + server.id(), server.encode());
         }
-        return out;
+        evicted.forEach(id -> texts.putIfAbsent(STORAGE_PREFIX + id, ""));
+        evicted.clear();
+        return texts;
     }
 }
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -7,95 +7,104 @@
 import java.util.TreeMap;
 
 /**
- * The newest decided configuration and those before it, for whoever holds one of them and wants the
- * newest. Of those before only what turns each into the one before it is kept, so that hundreds of
- * changes take little room. What is made for one asker serves all others.
+ * The newest decided configuration and those before it, for data planes that have one of them and
+ * want the newest. Of those before only the delta back from its successor is kept, so that hundreds
+ * of changes take little room. A delta that was made for one data plane serves all others.
  */
-public final class ConfigurationHistory {
+final class ConfigurationHistory {
 
     private static final int MAX_STEPS = 64;
     private static final int MAX_DELTA_BYTES = 1 << 19;
+    private static final byte[] NONE = new byte[0];
 
-    /** One that was the newest: what turns the one after it into it. */
+    /**
+     * A configuration that was the newest.
+     *
+     * @param reverseDelta what turns its successor into it
+     */
     private record Step(long revision, long digest, byte[] reverseDelta) {}
 
+    /** The newest step first. */
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
+
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
+
+    /** The newest configuration, compressed; null until it is asked for. */
     private byte[] compressed;
 
-    /**
-     * What turns a version into the newest; empty where that is not known, or no shorter than the
-     * whole.
-     */
+    /** By revision, the delta to the newest; {@link #NONE} where the whole is no longer. */
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
 
-    /** This one is decided; one that is no newer than what is known changes nothing. */
-    public void append(Configuration next) {
-        if (next.revision() <= newest.revision()) {
+    /** This configuration is decided; one that is not newer changes nothing. */
+    void append(Configuration decided) {
+        if (decided.revision() <= newest.revision()) {
             return;
         }
         if (newest != Configuration.NONE) {
-            Step last =
-                    new Step(
-                            newest.revision(),
-                            newest.digest(),
-                            BinaryDelta.create(next.body(), newest.body()));
-            steps.addFirst(last);
-            deltaBytes += last.reverseDelta().length;
+            byte[] reverseDelta = BinaryDelta.create(decided.body(), newest.body());
+            steps.addFirst(new Step(newest.revision(), newest.digest(), reverseDelta));
+            deltaBytes += reverseDelta.length;
             while (steps.size() > MAX_STEPS || deltaBytes > MAX_DELTA_BYTES) {
                 deltaBytes -= steps.removeLast().reverseDelta().length;
             }
         }
-        newest = next;
+        newest = decided;
         compressed = null;
         deltas.clear();
     }
 
-    public Configuration newest() {
+    Configuration newest() {
         return newest;
     }
 
-    /** The newest, deflated. */
-    public byte[] compressed() {
+    /** The newest configuration, compressed. */
+    byte[] compressed() {
         if (compressed == null) {
             compressed = Compression.compress(newest.body());
         }
         return compressed;
     }
 
-    /** What turns this one into the newest; null where only the whole serves. */
-    public byte[] deltaFrom(long version, long digest) {
-        if (version >= newest.revision()) {
+    /**
+     * What turns a configuration into the newest.
+     *
+     * @return null where only the whole serves
+     */
+    byte[] deltaFrom(long revision, long digest) {
+        if (revision >= newest.revision()) {
             return null;
         }
-        Step from = null;
-        for (Step p : steps) {
-            if (p.revision() <= version) {
-                from = p;
-                break;
-            }
-        }
-        if (from == null || from.revision() != version || from.digest() != digest) {
+        Step step = newestStepUpTo(revision);
+        if (step == null || step.revision() != revision || step.digest() != digest) {
             return null;
         }
-        byte[] delta = deltas.computeIfAbsent(version, v -> buildDelta(v));
+        byte[] delta = deltas.computeIfAbsent(revision, this::buildDelta);
         return delta.length == 0 ? null : delta;
     }
 
-    private byte[] buildDelta(long version) {
+    private Step newestStepUpTo(long revision) {
+        for (Step step : steps) {
+            if (step.revision() <= revision) {
+                return step;
+            }
+        }
+        return null;
+    }
+
+    private byte[] buildDelta(long revision) {
         byte[] body = newest.body();
         try {
-            for (Step p : steps) {
-                body = BinaryDelta.apply(body, p.reverseDelta());
-                if (p.revision() == version) {
+            for (Step step : steps) {
+                body = BinaryDelta.apply(body, step.reverseDelta());
+                if (step.revision() == revision) {
                     break;
                 }
             }
-        } catch (BinaryDelta.InvalidDeltaException never) {
-            throw new IllegalStateException(never);
+        } catch (BinaryDelta.InvalidDeltaException impossible) {
+            throw new IllegalStateException(impossible);
         }
         byte[] delta = BinaryDelta.create(body, newest.body());
-        return delta.length < compressed().length ? delta : new byte[0];
+        return delta.length < compressed().length ? delta : NONE;
     }
 }
