--- /dev/null
+++ b/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
@@ -0,0 +1,304 @@
+package dillfront.controlplane.subscription;
+
+import dillfront.common.config.Configuration;
+import dillfront.common.environment.Environment;
+import dillfront.common.protocol.PrimaryRecord;
+import dillfront.common.protocol.SubscriptionCodec;
+import dillfront.common.protocol.SubscriptionRequest;
+import dillfront.common.protocol.SubscriptionRequest.PrimaryView;
+import dillfront.common.protocol.SubscriptionResponse;
+import dillfront.common.protocol.SubscriptionResponse.ConfigurationUpdate;
+import dillfront.common.protocol.SubscriptionResponse.ControlAddress;
+import dillfront.common.protocol.SubscriptionResponse.RegistryUpdate;
+import dillfront.common.protocol.SubscriptionResponse.SuspectsUpdate;
+import dillfront.controlplane.primary.DataPlaneObservations;
+import dillfront.controlplane.primary.PrimaryObservation;
+import dillfront.controlplane.state.ControlState;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The data planes that poll this control process: each request waits until there is something that
+ * the data plane lacks, or for a while. Called on one thread.
+ */
+public final class DataPlaneSubscriptions implements DataPlaneObservations {
+
+    /** What the subscriptions need of the rest of the process. */
+    public interface Source {
+
+        /** Tells this process from its earlier incarnations. */
+        String incarnation();
+
+        /** Where control processes are, this one first. */
+        List<ControlAddress> controlAddresses();
+
+        /** For how long it is certain that no server leads other than the records say. */
+        long certainMillis();
+
+        /** How many data planes share the connection limits. */
+        int dataPlaneCount();
+
+        /** A data plane sees something that a failover may wait for. */
+        void onPrimaryObserved();
+    }
+
+    private static final long MAX_WAIT_MS = 600;
+
+    /** A data plane that has not polled for so long is not counted, nor is what it saw. */
+    private static final long ACTIVE_MS = 1_500;
+
+    private static final long FORGET_AFTER_MS = 60_000;
+    private static final int MAX_SUBSCRIPTIONS = 6_000;
+    private static final int MAX_OPEN_TRANSACTIONS = 1 << 20;
+
+    private final ControlState state;
+    private final Source source;
+    private final TreeMap<String, Subscription> subscriptions = new TreeMap<>();
+    private final ConfigurationHistory configurations = new ConfigurationHistory();
+
+    public DataPlaneSubscriptions(ControlState state, Source source) {
+        this.state = state;
+        this.source = source;
+    }
+
+    // ---- requests
+
+    /** Takes a request that came on this connection. */
+    public void onRequest(Environment.Connection connection, SubscriptionRequest request) {
+        String name = request.nodeName();
+        boolean fits = subscriptions.size() < MAX_SUBSCRIPTIONS || subscriptions.containsKey(name);
+        if (name.isEmpty() || !fits) {
+            return;
+        }
+        Subscription subscription = subscriptions.computeIfAbsent(name, node -> new Subscription());
+        long formerRecord =
+                subscription.request() == null ? -1 : subscription.request().recordNumber();
+        subscription.onRequest(request, connection, state.nowMillis());
+        boolean relevant = takeObservations(subscription, formerRecord);
+        if (!respondIfBehind(subscription)) {
+            long id = request.requestId();
+            state.environment()
+                    .schedule(
+                            MAX_WAIT_MS,
+                            () -> {
+                                if (subscription.isWaitingFor(id)) {
+                                    respond(subscription);
+                                }
+                            });
+        }
+        if (relevant) {
+            source.onPrimaryObserved();
+        }
+    }
+
+    /**
+     * Takes over what the data plane sees of primaries; peers are told at once where a lease holder
+     * may wait for just that.
+     *
+     * @param formerRecord the newest record that the data plane had before
+     * @return whether a failover may wait for it
+     */
+    private boolean takeObservations(Subscription subscription, long formerRecord) {
+        SubscriptionRequest request = subscription.request();
+        Map<String, PrimaryObservation> former = new HashMap<>(subscription.observations());
+        int unreachableBefore = subscription.unreachablePrimaries();
+        subscription.observations().clear();
+        boolean relevant = false;
+        boolean awaited = false;
+        List<String> suspects = state.suspects().services();
+        int unreachableNow = 0;
+        for (PrimaryView view : request.primaries()) {
+            String service = view.service();
+            state.acknowledgedCommits().merge(service, view.acknowledged());
+            PrimaryObservation seen = observation(view);
+            subscription.observations().put(service, seen);
+            unreachableNow += seen.unreachable();
+            PrimaryRecord record = state.records().get(service);
+            boolean moving = record != null && record.moving();
+            relevant |=
+                    seen.unreachable() > 0
+                            || record == null
+                            || moving
+                            || suspects.contains(service);
+            awaited |=
+                    moving
+                            && (learnedOf(record, formerRecord, request)
+                                    || drained(former.get(service), seen));
+        }
+        if (unreachableBefore != unreachableNow || awaited) {
+            state.peerUpdates().request();
+        }
+        return relevant;
+    }
+
+    private static boolean learnedOf(
+            PrimaryRecord record, long formerRecord, SubscriptionRequest request) {
+        return formerRecord < record.number() && request.recordNumber() >= record.number();
+    }
+
+    private static boolean drained(PrimaryObservation former, PrimaryObservation seen) {
+        return former != null && former.openTransactions() > 0 && seen.openTransactions() == 0;
+    }
+
+    private static PrimaryObservation observation(PrimaryView view) {
+        return new PrimaryObservation(
+                view.primary(),
+                view.reachability() > 0 ? 1 : 0,
+                view.reachability() < 0 ? 1 : 0,
+                (int) Math.max(0, Math.min(MAX_OPEN_TRANSACTIONS, view.openTransactions())));
+    }
+
+    // ---- responses
+
+    /** There is something new: data planes that wait and lack it are answered. */
+    public void publish() {
+        configurations.append(state.register().committedConfiguration());
+        for (Subscription subscription : subscriptions.values()) {
+            if (subscription.isWaiting()) {
+                respondIfBehind(subscription);
+            }
+        }
+    }
+
+    /**
+     * Answers a data plane that lacks anything; whether it did. Out of contact with a majority it
+     * is told that, and no more.
+     */
+    private boolean respondIfBehind(Subscription subscription) {
+        boolean isolated = state.cluster().isIsolated();
+        if (isolated && subscription.request().waitsForQuorum()) {
+            return false;
+        }
+        boolean behind = isolated || isBehind(subscription.request());
+        if (behind) {
+            respond(subscription);
+        }
+        return behind;
+    }
+
+    private boolean isBehind(SubscriptionRequest has) {
+        boolean suspectsChanged =
+                has.suspectsVersion() != state.suspects().version()
+                        && (has.suspectsVersion() >= 0 || !state.suspects().services().isEmpty());
+        return !has.incarnation().equals(source.incarnation())
+                || has.registryVersion() < state.registry().version()
+                || has.configurationRevision()
+                        < state.register().committedConfiguration().revision()
+                || has.recordNumber() < state.records().newestNumber()
+                || suspectsChanged;
+    }
+
+    private void respond(Subscription subscription) {
+        subscription.respond(SubscriptionCodec.encode(response(subscription)));
+    }
+
+    private SubscriptionResponse response(Subscription subscription) {
+        SubscriptionRequest has = subscription.request();
+        if (state.cluster().isIsolated()) {
+            // What this process has may be old by now: another is to be asked, of those it knows.
+            return SubscriptionResponse.isolated(has.requestId(), source.controlAddresses());
+        }
+        RegistryUpdate registry = registryUpdate(has);
+        ConfigurationUpdate configuration = configurationUpdate(subscription);
+        List<PrimaryRecord> records = new ArrayList<>();
+        for (PrimaryRecord record : state.records().all()) {
+            if (has.recordNumber() < record.number()) {
+                records.add(record);
+            }
+        }
+        SuspectsUpdate suspects =
+                has.suspectsVersion() == state.suspects().version()
+                        ? null
+                        : new SuspectsUpdate(
+                                state.suspects().version(), state.suspects().services());
+        long certain = source.certainMillis();
+        if (certain > 0) {
+            // For the data plane it counts from its request, which was before now.
+            subscription.certainUntil(state.nowMillis() + certain);
+        }
+        List<ControlAddress> addresses = source.controlAddresses();
+        return new SubscriptionResponse(
+                has.requestId(),
+                false,
+                registry,
+                configuration,
+                records,
+                suspects,
+                source.dataPlaneCount(),
+                Math.max(0, certain),
+                subscription.addressesChanged(addresses) ? addresses : null);
+    }
+
+    /** Null where the data plane has all. */
+    private RegistryUpdate registryUpdate(SubscriptionRequest has) {
+        boolean complete = !has.incarnation().equals(source.incarnation());
+        if (!complete && has.registryVersion() >= state.registry().version()) {
+            return null;
+        }
+        return new RegistryUpdate(
+                source.incarnation(),
+                state.registry().version(),
+                complete,
+                state.registry().rowsSince(complete ? -1 : has.registryVersion()));
+    }
+
+    /** Null where the data plane has the newest. */
+    private ConfigurationUpdate configurationUpdate(Subscription subscription) {
+        SubscriptionRequest has = subscription.request();
+        configurations.append(state.register().committedConfiguration());
+        Configuration newest = configurations.newest();
+        if (has.configurationRevision() >= newest.revision()) {
+            return null;
+        }
+        byte[] delta =
+                has.fullConfiguration()
+                        ? null
+                        : configurations.deltaFrom(
+                                has.configurationRevision(), subscription.configurationDigest());
+        return new ConfigurationUpdate(
+                newest.revision(), delta, delta == null ? configurations.compressed() : null);
+    }
+
+    // ---- what data planes have and see
+
+    @Override
+    public boolean allHaveRecord(long recordNumber) {
+        long now = state.nowMillis();
+        for (Subscription subscription : subscriptions.values()) {
+            if (subscription.mayContradict(recordNumber, now)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    @Override
+    public PrimaryObservation observation(String service, String primary) {
+        PrimaryObservation all = PrimaryObservation.none(primary);
+        for (Subscription subscription : subscriptions.values()) {
+            PrimaryObservation seen = subscription.observations().get(service);
+            if (seen != null && seen.primary().equals(primary) && isActive(subscription)) {
+                all = all.merge(seen);
+            }
+        }
+        return all;
+    }
+
+    private boolean isActive(Subscription subscription) {
+        return state.nowMillis() - subscription.lastRequestMillis() < ACTIVE_MS;
+    }
+
+    /** How many data planes poll here. */
+    public int activeCount() {
+        long now = state.nowMillis();
+        subscriptions.values().removeIf(one -> now - one.lastRequestMillis() > FORGET_AFTER_MS);
+        int count = 0;
+        for (Subscription subscription : subscriptions.values()) {
+            count += isActive(subscription) ? 1 : 0;
+        }
+        return count;
+    }
+}
--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -1,17 +1,24 @@
 package dillfront.simulation;
 
 import dillfront.common.config.Configuration;
-import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.PrimaryRecord;
+import dillfront.common.protocol.ServerRow;
+import dillfront.common.protocol.ServerState;
 import dillfront.controlplane.consensus.Ballot;
 import dillfront.controlplane.consensus.QuorumRead;
 import dillfront.controlplane.consensus.ReconfigurationBarrier;
+import dillfront.controlplane.consensus.RegisterMessage;
 import dillfront.controlplane.consensus.RegisterValue;
 import dillfront.controlplane.consensus.ReplicatedRegister;
 import dillfront.controlplane.consensus.SafetyRule;
-import dillfront.controlplane.failover.PrimaryRecord;
-import dillfront.controlplane.failover.PrimaryRecords;
 import dillfront.controlplane.lease.FencingTokens;
 import dillfront.controlplane.lease.LeaseManager;
+import dillfront.controlplane.lease.LeaseMessage;
+import dillfront.controlplane.lease.PeerLease;
+import dillfront.controlplane.primary.PrimaryRecords;
+import dillfront.controlplane.primary.RecordsMessage;
+import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.registry.RegistryMessage;
 import dillfront.controlplane.registry.RegistryReplication;
 import dillfront.controlplane.registry.ReplicationProgress;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +26,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedSet;
@@ -208,7 +214,7 @@
     /** What did not hold first. */
     String broken;
 
-    private record Sent(int from, int to, Map<String, Object> message) {}
+    private record Sent(int from, int to, Message message) {}
 
     private record Asked(int operation, int at, String content) {}
 
@@ -778,7 +784,7 @@
                 dump.add(p.writes.stream().map(Write::texts).toList())
                         .add(p.register)
                         .add(p.lease)
-                        .add(p.views)
+                        .add(p.peers)
                         .add(p.token)
                         .add(p.readings);
                 if (scene.duty()) {
@@ -801,64 +807,39 @@
 
     // ---- a process
 
-    /** Another process, as its last message told; as {@code core.Peer}. */
-    private static final class View implements LeaseManager.Voter {
-        String id = "";
+    /** What one process says to another. */
+    private record Message(
+            int from,
+            int life,
+            long clock,
+            long echoClock,
+            int echoLife,
+            String echoId,
+            String id,
+            long epoch,
+            RegisterMessage register,
+            boolean firstStart,
+            long token,
+            long echoToken,
+            LeaseMessage lease,
+            RegistryMessage registry,
+            RecordsMessage records) {}
+
+    /** Another process, as its last message told. */
+    private static final class Peer {
+        final PeerLease lease = new PeerLease();
         int life = -1;
-        long itsNow;
-        long echo = Long.MIN_VALUE / 2;
-        long epoch;
-        long promised;
-        String promisedTo = "";
-        long granted = LeaseManager.NEVER;
-        long wanted;
-        long heard = LeaseManager.NEVER;
-        long formerUntil = LeaseManager.NEVER;
-        boolean fresh;
+        long clock;
+        long lastAnsweredSend = LeaseManager.NEVER;
+        boolean firstStart;
         boolean answers;
         long itsToken;
         long token = -1;
-        ReplicationProgress table = new ReplicationProgress();
-        long record = -1;
-
-        @Override
-        public String id() {
-            return id;
-        }
-
-        @Override
-        public long epoch() {
-            return epoch;
-        }
-
-        @Override
-        public long promisedNumber() {
-            return promised;
-        }
-
-        @Override
-        public String promisedTo() {
-            return promisedTo;
-        }
-
-        @Override
-        public long grantedAtMillis() {
-            return granted;
-        }
-
-        @Override
-        public long requestedNumber() {
-            return wanted;
-        }
+        ReplicationProgress registryProgress = new ReplicationProgress();
+        long recordNumber = -1;
 
-        @Override
-        public long formerLeaseEndMillis() {
-            return formerUntil;
-        }
-
-        @Override
-        public long lastContactMillis() {
-            return heard;
+        String id() {
+            return lease.id();
         }
     }
 
@@ -866,7 +847,7 @@
     private record Waits(String server, int rank, long change) {}
 
     /** One control process: what {@code core.Core} does around register and lease, and no more. */
-    final class Process implements LeaseManager.Context<View> {
+    final class Process implements LeaseManager.Context {
         private static final long LOOK_MS = 50;
         final int index;
         final TreeMap<String, String> disk = new TreeMap<>();
@@ -887,7 +868,7 @@
         /** To whom there is something to say that was not yet said. */
         final boolean[] news = new boolean[scene.processes];
 
-        View[] views;
+        Peer[] peers;
         long token;
         List<Read> readings;
         Ballot seen = Ballot.NONE;
@@ -931,9 +912,9 @@
             }
             id = disk.get("id");
             writes.clear();
-            views = new View[scene.processes];
-            for (int i = 0; i < views.length; i++) {
-                views[i] = new View();
+            peers = new Peer[scene.processes];
+            for (int i = 0; i < peers.length; i++) {
+                peers[i] = new Peer();
             }
             token = 0;
             readings = new ArrayList<>();
@@ -1007,7 +988,7 @@
             if (scene.duty()) {
                 duty();
                 table.persist(
-                        Arrays.stream(views).map(v -> v.table).toList(),
+                        Arrays.stream(peers).map(v -> v.registryProgress).toList(),
                         () -> Arrays.fill(news, true));
                 acknowledge();
             }
@@ -1021,8 +1002,8 @@
             TreeSet<String> ids = new TreeSet<>();
             ids.add(id);
             for (int i = 0; i < scene.members; i++) {
-                if (i != index && views[i].fresh && views[i].answers) {
-                    ids.add(views[i].id);
+                if (i != index && peers[i].firstStart && peers[i].answers) {
+                    ids.add(peers[i].id());
                 }
             }
             if (ids.size() == scene.members
@@ -1031,96 +1012,77 @@
             }
         }
 
-        Map<String, Object> say(int to) {
+        Message say(int to) {
             news[to] = false;
-            View v = views[to];
-            Map<String, Object> out = new LinkedHashMap<>();
-            out.put("i", (long) index);
-            out.put("b", (long) life);
-            out.put("n", now);
-            out.put("e", v.itsNow);
-            out.put("eb", (long) v.life);
-            out.put("eid", v.id);
-            out.put("id", id);
-            out.put("ep", epoch());
-            if (!v.id.isEmpty()) {
-                out.put("rg", register.messageTo(v.id));
-            }
-            out.put("fs", scene.first && register.isBlank());
-            out.put("tk", token);
-            out.put("te", v.itsToken);
-            out.put("p", lease.promisedNumber());
-            out.put("pt", lease.promisedTo());
-            out.put("pg", lease.grantedAtMillis());
-            out.put("w", lease.requestedNumber());
-            out.put("pf", Math.max(0, lease.formerLeaseEndMillis() - now));
-            out.put("rl", lease.abandonedNumber());
-            out.put("rh", lease.abandonedWasHeld());
-            if (scene.duty()) {
-                table.writeTo(out, v.table);
-                records.writeTo(out, v.record);
-            }
-            return out;
-        }
-
-        /** As {@code core.Core.heard}. */
-        void hear(Map<String, Object> message) {
-            MessageCodec.Fields in = new MessageCodec.Fields(message);
-            View v = views[(int) in.number("i", 0)];
-            int from = (int) in.number("b", 0);
-            if (from == v.life && in.number("n", 0) < v.itsNow) {
+            Peer peer = peers[to];
+            return new Message(
+                    index,
+                    life,
+                    now,
+                    peer.clock,
+                    peer.life,
+                    peer.id(),
+                    id,
+                    epoch(),
+                    peer.id().isEmpty() ? null : register.messageTo(peer.id()),
+                    scene.first && register.isBlank(),
+                    token,
+                    peer.itsToken,
+                    lease.message(),
+                    scene.duty() ? table.messageTo(peer.registryProgress) : null,
+                    scene.duty() ? records.messageTo(peer.recordNumber) : null);
+        }
+
+        void hear(Message message) {
+            Peer peer = peers[message.from()];
+            if (message.life() == peer.life && message.clock() < peer.clock) {
                 return;
             }
-            if (from != v.life || !in.string("id").equals(v.id)) {
-                v.life = from;
-                v.id = in.string("id");
-                v.promised = 0;
-                v.promisedTo = "";
-                v.wanted = 0;
-                v.echo = Long.MIN_VALUE / 2;
-                v.answers = false;
-                v.token = -1;
-                v.itsToken = 0;
-                v.table = new ReplicationProgress();
-                v.record = -1;
+            if (message.life() != peer.life || !message.id().equals(peer.id())) {
+                peer.life = message.life();
+                peer.lease.reset(message.id());
+                peer.lastAnsweredSend = LeaseManager.NEVER;
+                peer.answers = false;
+                peer.token = -1;
+                peer.itsToken = 0;
+                peer.registryProgress = new ReplicationProgress();
+                peer.recordNumber = -1;
             }
-            v.itsNow = in.number("n", 0);
-            v.itsToken = Math.max(v.itsToken, in.number("tk", 0));
-            boolean ours = in.number("eb", -1) == life && in.string("eid").equals(id);
-            if (ours) {
-                v.echo = Math.max(v.echo, in.number("e", 0));
-                v.token = Math.max(v.token, in.number("te", 0));
-                v.answers = true;
+            peer.clock = message.clock();
+            peer.itsToken = Math.max(peer.itsToken, message.token());
+            boolean answersThis = message.echoLife() == life && message.echoId().equals(id);
+            if (answersThis) {
+                peer.lastAnsweredSend = Math.max(peer.lastAnsweredSend, message.echoClock());
+                peer.token = Math.max(peer.token, message.echoToken());
+                peer.answers = true;
             }
-            if (scene.duty() && table.receive(in, v.table, ours)) {
+            if (scene.duty()
+                    && table.receive(message.registry(), peer.registryProgress, answersThis)) {
                 Arrays.fill(news, true);
             }
-            v.epoch = in.number("ep", 0);
-            v.fresh = in.flag("fs");
-            if (in.all().get("rg") instanceof Map<?, ?> map) {
-                @SuppressWarnings("unchecked")
-                Map<String, Object> fields = (Map<String, Object>) map;
+            peer.lease.epoch(message.epoch());
+            peer.firstStart = message.firstStart();
+            if (message.register() != null) {
                 try {
-                    register.receive(v.id, new MessageCodec.Fields(fields));
+                    register.receive(peer.id(), message.register());
                 } catch (Configuration.InvalidConfigurationException bad) {
                     breaks("a message is not understood: " + bad.getMessage());
                 }
             }
-            v.promised = in.number("p", 0);
-            v.promisedTo = in.string("pt");
-            v.granted = in.number("pg", LeaseManager.NEVER);
-            v.wanted = in.number("w", 0);
-            v.heard = now;
-            v.formerUntil = in.number("pf", 0) > 0 ? now + in.number("pf", 0) : LeaseManager.NEVER;
+            peer.lease.update(message.lease(), now);
+            peer.lease.contact(now);
             if (scene.duty()) {
-                v.record = in.number("k", -1);
-                if (records.receive(in)) {
+                peer.recordNumber = message.records().durableNumber();
+                if (records.receive(message.records())) {
                     Arrays.fill(news, true);
                 }
             }
             if (scene.lease) {
-                lease.onRequest(v, v.wanted, v.itsNow);
-                lease.onRelease(v, in.number("rl", 0), in.flag("rh"));
+                lease.onRequest(peer.lease, message.lease().requestedNumber(), peer.clock);
+                lease.onRelease(
+                        peer.lease,
+                        message.lease().abandonedNumber(),
+                        message.lease().abandonedWasHeld());
             }
         }
 
@@ -1139,8 +1101,8 @@
                                         register,
                                         of ->
                                                 of.equals(id)
-                                                        || view(of) != null
-                                                                && view(of).token >= one.token);
+                                                        || peer(of) != null
+                                                                && peer(of).token >= one.token);
                 if (got != null) {
                     readings.remove(one);
                     history.end(one.operation, now, got.revision(), digest(got));
@@ -1153,7 +1115,7 @@
         private SortedSet<String> set(int mask) {
             TreeSet<String> set = new TreeSet<>();
             for (int i = 0; i < scene.processes; i++) {
-                String known = i == index ? id : views[i].id;
+                String known = i == index ? id : peers[i].id();
                 if ((mask >> i & 1) == 1 && !known.isEmpty()) {
                     set.add(known);
                 }
@@ -1203,15 +1165,15 @@
                                     table.durableVersion() >= change
                                             && records.durableNumber() >= record,
                                     v ->
-                                            table.durableVersionOf(v.table) >= change
-                                                    && v.record >= record));
+                                            table.durableVersionOf(v.registryProgress) >= change
+                                                    && v.recordNumber >= record));
         }
 
-        private boolean has(String of, boolean itself, Predicate<View> other) {
-            return of.equals(id) ? itself : view(of) != null && other.test(view(of));
+        private boolean has(String of, boolean itself, Predicate<Peer> other) {
+            return of.equals(id) ? itself : peer(of) != null && other.test(peer(of));
         }
 
-        private boolean quorum(boolean itself, Predicate<View> other) {
+        private boolean quorum(boolean itself, Predicate<Peer> other) {
             RegisterValue is = register.acceptedValue();
             return is != null && is.isQuorum(of -> has(of, itself, other));
         }
@@ -1240,12 +1202,14 @@
                             true,
                             v ->
                                     records.covers(
-                                            scene.lease ? v.echo >= heldFrom : v.answers,
-                                            v.record))) {
+                                            scene.lease
+                                                    ? v.lastAnsweredSend >= heldFrom
+                                                    : v.answers,
+                                            v.recordNumber))) {
                 taken = true;
                 began.forEach(
                         (server, rank) -> {
-                            if (STATES.indexOf(table.stateOf(server)) < rank) {
+                            if (STATES.indexOf(stateOf(server)) < rank) {
                                 breaks(
                                         id
                                                 + " takes the duty over and does not know that "
@@ -1272,7 +1236,8 @@
             for (PrimaryRecord lead : records.all()) {
                 long number = lead.number();
                 if (number >> 20 == held
-                        && quorum(records.durableNumber() >= number, v -> v.record >= number)) {
+                        && quorum(
+                                records.durableNumber() >= number, v -> v.recordNumber >= number)) {
                     acted.merge(lead.service(), number, Math::max);
                 }
             }
@@ -1294,16 +1259,17 @@
         void server(int server, int state) {
             String name = "d" + server;
             if (state < 2) {
-                Map<String, Object> row = new HashMap<>();
-                row.put("i", name);
-                row.put("v", "s" + server);
-                row.put("a", "x");
-                row.put("z", "z");
-                row.put("st", STATES.get(state));
-                row.put("ro", "replica");
-                row.put("q", ++calls);
-                table.merge(new MessageCodec.Fields(row), now);
-            } else if (table.changeNumberOf(name) < 0 && lacks(SafetyRule.ROWS_OF_LEAVES)) {
+                table.merge(
+                        new ServerRow(
+                                name,
+                                "s" + server,
+                                "x",
+                                "z",
+                                ServerState.parse(STATES.get(state)),
+                                "replica",
+                                ++calls),
+                        now);
+            } else if (changeNumberOf(name) < 0 && lacks(SafetyRule.ROWS_OF_LEAVES)) {
                 acknowledged.merge(name, state, Math::max);
                 return;
             } else {
@@ -1312,10 +1278,22 @@
             awaits(name);
         }
 
+        /** The change that made this row what it is; -1 where there is none. */
+        private long changeNumberOf(String server) {
+            DatabaseServer row = table.get(server);
+            return row == null ? -1 : row.changeNumber();
+        }
+
+        /** Empty where there is no such row. */
+        private String stateOf(String server) {
+            DatabaseServer row = table.get(server);
+            return row == null ? "" : row.state().wireName();
+        }
+
         private void awaits(String name) {
-            int is = STATES.indexOf(table.stateOf(name));
+            int is = STATES.indexOf(stateOf(name));
             if (is > 0) {
-                waits.add(new Waits(name, is, table.changeNumberOf(name)));
+                waits.add(new Waits(name, is, changeNumberOf(name)));
             }
             Arrays.fill(news, true);
         }
@@ -1324,9 +1302,11 @@
         private void acknowledge() {
             if (!waits.isEmpty()) {
                 long agreed =
-                        quorumReached(
+                        reached(
                                 table.durableVersion(),
-                                v -> table.acknowledgedVersionOf(v.table, v.epoch, epoch()));
+                                v ->
+                                        table.acknowledgedVersionOf(
+                                                v.registryProgress, v.lease.epoch(), epoch()));
                 for (Waits one : List.copyOf(waits)) {
                     if (one.change <= agreed) {
                         waits.remove(one);
@@ -1340,9 +1320,9 @@
         void onlyForward() {
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
-                int rank = STATES.indexOf(table.stateOf(server));
+                int rank = STATES.indexOf(stateOf(server));
                 if (rows.getOrDefault(server, -1) > rank) {
-                    breaks(server + " is " + table.stateOf(server) + " again at " + id);
+                    breaks(server + " is " + stateOf(server) + " again at " + id);
                 }
                 rows.put(server, rank);
             }
@@ -1378,14 +1358,14 @@
                     });
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
-                int rank = STATES.indexOf(table.stateOf(server));
-                long change = table.changeNumberOf(server);
-                for (int other = 0; change >= 0 && other < views.length; other++) {
+                int rank = STATES.indexOf(stateOf(server));
+                long change = changeNumberOf(server);
+                for (int other = 0; change >= 0 && other < peers.length; other++) {
                     Process p = processes[other];
                     if (other != index
-                            && p.id.equals(views[other].id)
+                            && p.id.equals(peers[other].id())
                             && p.disk.containsKey("id")
-                            && table.durableVersionOf(views[other].table) >= change
+                            && table.durableVersionOf(peers[other].registryProgress) >= change
                             && p.onDisk(server) < rank) {
                         breaks(
                                 id
@@ -1412,9 +1392,9 @@
             return text == null ? -1 : Long.parseLong(text.split("\n")[0]);
         }
 
-        private View view(String of) {
-            for (View v : views) {
-                if (v.id.equals(of)) {
+        private Peer peer(String of) {
+            for (Peer v : peers) {
+                if (v.id().equals(of)) {
                     return v;
                 }
             }
@@ -1516,7 +1496,7 @@
 
         @Override
         public boolean isIsolated() {
-            return quorumReached(now, v -> v.echo) < now - 1_300;
+            return reached(now, v -> v.lastAnsweredSend) < now - 1_300;
         }
 
         @Override
@@ -1532,24 +1512,34 @@
         }
 
         @Override
-        public Iterable<View> peers() {
-            List<View> others = new ArrayList<>(Arrays.asList(views));
-            others.remove(index);
+        public Iterable<? extends LeaseManager.Voter> peers() {
+            List<PeerLease> others = new ArrayList<>();
+            for (int i = 0; i < peers.length; i++) {
+                if (i != index) {
+                    others.add(peers[i].lease);
+                }
+            }
             return others;
         }
 
         @Override
-        public long quorumReached(long itself, ToLongFunction<? super View> moment) {
-            RegisterValue is = register.acceptedValue();
-            return is == null
-                    ? LeaseManager.NEVER
-                    : is.quorumReached(
-                            of ->
-                                    of.equals(id)
-                                            ? itself
-                                            : view(of) == null
-                                                    ? LeaseManager.NEVER
-                                                    : moment.applyAsLong(view(of)));
+        public long quorumReached(long own, ToLongFunction<LeaseManager.Voter> quantity) {
+            return reached(own, peer -> quantity.applyAsLong(peer.lease));
+        }
+
+        private long reached(long own, ToLongFunction<Peer> quantity) {
+            RegisterValue value = register.acceptedValue();
+            if (value == null) {
+                return LeaseManager.NEVER;
+            }
+            return value.quorumReached(
+                    of -> {
+                        if (of.equals(id)) {
+                            return own;
+                        }
+                        Peer peer = peer(of);
+                        return peer == null ? LeaseManager.NEVER : quantity.applyAsLong(peer);
+                    });
         }
     }
 }
--- a/src/test/java/dillfront/controlplane/failover/LeadTest.java
+++ b/src/test/java/dillfront/common/protocol/PrimaryRecordTest.java
@@ -1,4 +1,4 @@
-package dillfront.controlplane.failover;
+package dillfront.common.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What was recorded of a service is the same on a disk, and at another process. */
-class LeadTest {
+class PrimaryRecordTest {
 
     private final AcceptedDataLoss loss =
             AcceptedDataLoss.accept(
@@ -24,7 +24,7 @@
     private static PrimaryRecord passed(PrimaryRecord of)
             throws MessageCodec.MalformedMessageException {
         assertEquals(of, PrimaryRecord.decode(of.service(), of.encode()));
-        return PrimaryRecord.fromRow(MessageCodec.decode(MessageCodec.encode(of.toRow())));
+        return PrimaryRecord.fromFields(MessageCodec.decode(MessageCodec.encode(of.toFields())));
     }
 
     @Test
--- a/src/test/java/dillfront/controlplane/Alone.java
+++ b/src/test/java/dillfront/controlplane/Alone.java
@@ -2,6 +2,7 @@
 
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
+import dillfront.controlplane.lease.LeaseManager;
 import dillfront.controlplane.storage.StateStore;
 import java.util.List;
 import java.util.Map;
@@ -17,10 +18,15 @@
     static final String IP = "10.0.0.1";
 
     /** When it surely holds the lease, where it is the only one. */
-    static final long HOLDS_MS = 6_000;
+    public static final long HOLDS_MS = 6_000;
 
     private Alone() {}
 
+    /** The lease of this process. */
+    public static LeaseManager leaseOf(ControlNode node) {
+        return node.state().lease();
+    }
+
     /** Started, with nothing on its disk, and everything kept at once and forgotten. */
     public static ControlNode start(Environment host, String... others) throws Exception {
         return start(
--- a/src/test/java/dillfront/controlplane/ControlCallsTest.java
+++ b/src/test/java/dillfront/controlplane/ControlCallsTest.java
@@ -51,6 +51,7 @@
 
     private final ScriptedHost host = new ScriptedHost();
     private final SplittableRandom random = new SplittableRandom(8_241);
+    private static final String ACCEPT_DATA_LOSS = "/Services.AcceptDataLoss";
     private ControlNode core;
 
     @BeforeEach
@@ -107,7 +108,7 @@
             "/Instances.Leave/i-9",
             "/",
             "/Configuration.Read",
-            DataLossManager.ACCEPT,
+            ACCEPT_DATA_LOSS,
             "/Instances.Heartbeat/" + "x".repeat(5_000),
             "/Instances.Heartbeat/i\n1"
         };
@@ -121,9 +122,7 @@
                                     bytes(
                                             path.contains("Beat") || path.contains("Instances")
                                                     ? BEAT
-                                                    : path.equals(DataLossManager.ACCEPT)
-                                                            ? LOSS
-                                                            : GOOD));
+                                                    : path.equals(ACCEPT_DATA_LOSS) ? LOSS : GOOD));
             String method = methods[random.nextInt(methods.length)];
             int status = call(method, path, body);
             assertTrue(
--- a/src/test/java/dillfront/controlplane/LeavesTest.java
+++ b/src/test/java/dillfront/controlplane/LeavesTest.java
@@ -8,11 +8,12 @@
 import dillfront.common.environment.Environment;
 import dillfront.common.environment.ScriptedHost;
 import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.ServerRow;
+import dillfront.common.protocol.ServerState;
 import dillfront.controlplane.registry.DatabaseServer;
 import dillfront.controlplane.registry.ServerRegistry;
 import dillfront.controlplane.storage.StateStore;
 import java.nio.charset.StandardCharsets;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -106,33 +107,18 @@
         return call.join().status();
     }
 
-    private static MessageCodec.Fields row(String id, String service, String state, long sequence) {
-        return new MessageCodec.Fields(
-                new HashMap<>(
-                        Map.of(
-                                "i",
-                                id,
-                                "v",
-                                service,
-                                "a",
-                                "10.0.0.9:80",
-                                "z",
-                                "z",
-                                "st",
-                                state,
-                                "ro",
-                                "replica",
-                                "q",
-                                sequence)));
+    private static ServerRow row(String id, String service, String state, long sequence) {
+        return new ServerRow(
+                id, service, "10.0.0.9:80", "z", ServerState.parse(state), "replica", sequence);
     }
 
     @Test
     void oneThatNeverDrainedServesOnAndCounts() {
         beat("i-1", "ready", "primary", 4);
         assertEquals(200, leave("i-1"));
-        DatabaseServer m = core.registry.get("i-1");
-        assertTrue(m.isDraining() && !m.hasLeft(), m.state);
-        assertEquals(List.of(m), core.registry.serversOf("s"));
+        DatabaseServer m = core.state().registry().get("i-1");
+        assertTrue(m.isDraining() && !m.hasLeft(), m.state().wireName());
+        assertEquals(List.of(m), core.state().registry().serversOf("s"));
         assertEquals(200, leave("i-1"));
         assertFalse(m.hasLeft(), "its leave may come twice, as its answer may be lost");
     }
@@ -142,8 +128,8 @@
         beat("i-1", "ready", "replica", 4);
         beat("i-1", "draining", "replica", 5);
         assertEquals(200, leave("i-1"));
-        assertTrue(core.registry.get("i-1").hasLeft());
-        assertEquals(List.of(), core.registry.serversOf("s"));
+        assertTrue(core.state().registry().get("i-1").hasLeft());
+        assertEquals(List.of(), core.state().registry().serversOf("s"));
     }
 
     @Test
@@ -153,18 +139,18 @@
         beat("i-1", "ready", "replica", 3);
         beat("i-1", "ready", "replica", 9);
         beat("i-1", "draining", "replica", 10);
-        assertEquals("leaving", core.registry.get("i-1").state);
-        core.registry.merge(row("i-1", "s", "ready", 12), 0);
-        assertEquals("leaving", core.registry.get("i-1").state);
+        assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
+        core.state().registry().merge(row("i-1", "s", "ready", 12), 0);
+        assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
     }
 
     @Test
     void theLeaveOfOneThatIsNotKnownStands() {
         assertEquals(200, leave("i-7"));
         beat("i-7", "ready", "primary", 4);
-        DatabaseServer m = core.registry.get("i-7");
-        assertEquals("s", m.service);
-        assertEquals("10.0.0.9:80", m.address);
+        DatabaseServer m = core.state().registry().get("i-7");
+        assertEquals("s", m.service());
+        assertEquals("10.0.0.9:80", m.address());
         assertTrue(m.isDraining(), "a beat that was on its way does not undo it");
     }
 
@@ -173,14 +159,13 @@
         leave("i-7");
         ServerRegistry other = new ServerRegistry();
         other.merge(row("i-7", "s", "ready", 4), 0);
-        for (Object told : core.registry.rowsSince(0)) {
-            @SuppressWarnings("unchecked")
-            Map<String, Object> fields = (Map<String, Object>) told;
-            assertTrue(other.merge(MessageCodec.decode(MessageCodec.encode(fields)), 0));
+        for (ServerRow told : core.state().registry().rowsSince(0)) {
+            byte[] message = MessageCodec.encode(told.toFields());
+            assertTrue(other.merge(ServerRow.fromFields(MessageCodec.decode(message)), 0));
         }
         assertTrue(other.get("i-7").isDraining());
-        assertEquals("s", other.get("i-7").service);
-        assertEquals("10.0.0.9:80", other.get("i-7").address);
+        assertEquals("s", other.get("i-7").service());
+        assertEquals("10.0.0.9:80", other.get("i-7").address());
     }
 
     @Test
@@ -202,14 +187,14 @@
     @Test
     void aBeatThatComesLateSaysNothingOfNow() {
         beat("i-1", "ready", "replica", 4);
-        long heard = core.registry.get("i-1").lastHeardMillis;
+        long heard = core.state().registry().get("i-1").lastHeardMillis();
         host.pass(3_000);
         beat("i-1", "ready", "primary", 3);
-        DatabaseServer m = core.registry.get("i-1");
-        assertEquals(heard, m.lastHeardMillis);
-        assertEquals("replica", m.role);
+        DatabaseServer m = core.state().registry().get("i-1");
+        assertEquals(heard, m.lastHeardMillis());
+        assertEquals("replica", m.role());
         beat("i-1", "ready", "replica", 5);
-        assertTrue(m.lastHeardMillis > heard);
+        assertTrue(m.lastHeardMillis() > heard);
     }
 
     @Test
@@ -217,9 +202,10 @@
         beat("i-1", "ready", "replica", 4);
         leave("i-1");
         host.pass(25_000);
-        assertFalse(core.registry.get("i-1").hasLeft(), "it may serve on for many seconds");
+        assertFalse(
+                core.state().registry().get("i-1").hasLeft(), "it may serve on for many seconds");
         host.pass(10_000);
-        assertTrue(core.registry.get("i-1").hasLeft());
+        assertTrue(core.state().registry().get("i-1").hasLeft());
     }
 
     @Test
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -59,15 +59,21 @@
     }
 
     private static String server(ControlNode core, String id) {
-        DatabaseServer server = core.registry.get(id);
-        return server.service + " " + server.zoneName + " " + server.state + " " + server.role;
+        DatabaseServer server = core.state().registry().get(id);
+        return server.service()
+                + " "
+                + server.zoneName()
+                + " "
+                + server.state().wireName()
+                + " "
+                + server.role();
     }
 
     private void readsAll(String disk, String id, long asked) throws Exception {
         Map<String, String> texts = open(copy(disk));
         ControlNode core = start(texts);
-        assertEquals(id, core.id());
-        RegisterValue value = core.register.acceptedValue();
+        assertEquals(id, core.state().cluster().selfId());
+        RegisterValue value = core.state().register().acceptedValue();
         assertEquals(3, value.epoch());
         assertEquals(
                 RegisterValue.parseIds(String.join(",", FIRST, SECOND, THIRD)), value.members());
@@ -77,11 +83,11 @@
         assertEquals(507, value.configuration().route("h140").timeoutMillis());
         assertEquals("[1, 3, 5, 7]", value.revisionDigests().keySet().toString());
         assertEquals(value.configuration().digest(), value.revisionDigests().get(7L));
-        assertEquals(1_048_577, core.lease.promisedNumber());
-        assertEquals(SECOND, core.lease.promisedTo());
-        assertEquals("orders-1", core.lead("orders").primary());
-        assertEquals("accounts-1", core.lead("accounts").primary());
-        assertFalse(core.lead("orders").moving());
+        assertEquals(1_048_577, core.state().lease().promisedNumber());
+        assertEquals(SECOND, core.state().lease().promisedTo());
+        assertEquals("orders-1", core.state().records().get("orders").primary());
+        assertEquals("accounts-1", core.state().records().get("accounts").primary());
+        assertFalse(core.state().records().get("orders").moving());
         assertEquals("orders 127.0.78.1 ready primary", server(core, "orders-1"));
         assertEquals("orders 127.0.78.2 ready replica", server(core, "orders-2"));
         assertEquals("orders 127.0.78.3 left replica", server(core, "orders-3"));
--- a/src/test/java/dillfront/controlplane/QuestionTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -1,11 +1,16 @@
-package dillfront.controlplane;
+package dillfront.controlplane.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.environment.ScriptedHost;
+import dillfront.common.protocol.ServerRow;
+import dillfront.common.protocol.ServerState;
+import dillfront.controlplane.Alone;
+import dillfront.controlplane.lease.LeaseManager;
 import dillfront.controlplane.registry.DatabaseServer;
+import dillfront.controlplane.registry.ServerRegistry;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.function.Function;
@@ -15,26 +20,29 @@
 /**
  * STATUS and the word that follows from it: whose answer counts, and when nothing is said any more.
  */
-class QuestionTest {
+class ServerQueryTest {
 
     private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
 
     private final ScriptedHost host = new ScriptedHost();
-    private ControlNode core;
-    private final DatabaseServer to = new DatabaseServer("i-1", "db");
+    private LeaseManager lease;
+    private DatabaseServer to;
 
     @BeforeEach
     void holder() throws Exception {
-        core = Alone.start(host);
+        lease = Alone.leaseOf(Alone.start(host));
         host.pass(Alone.HOLDS_MS);
-        assertTrue(core.lease.isHeld(), "alone, it holds the lease");
-        to.address = "10.0.0.9:5432";
+        assertTrue(lease.isHeld(), "alone, it holds the lease");
+        ServerRegistry registry = new ServerRegistry();
+        registry.merge(
+                new ServerRow("i-1", "db", "10.0.0.9:5432", "z", ServerState.READY, "replica", 1),
+                0);
+        to = registry.get("i-1");
     }
 
     private ScriptedHost.Line ask(
-            Function<ServerQuery.ServerStatus, String> then,
-            CompletableFuture<ServerQuery.ServerStatus> into) {
-        ServerQuery.ask(core, to, 500, then)
+            Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
+        ServerQuery.send(host, lease, to, 500, then)
                 .whenComplete(
                         (row, fault) -> {
                             if (fault == null) {
@@ -49,7 +57,7 @@
         return line;
     }
 
-    private static String fault(CompletableFuture<ServerQuery.ServerStatus> of) {
+    private static String fault(CompletableFuture<ServerStatus> of) {
         assertTrue(of.isDone(), "nothing came of it");
         try {
             return "answered " + of.join();
@@ -60,7 +68,7 @@
 
     @Test
     void theSecondWordsOwnAnswerCounts() {
-        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
         ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
         line.say("READY I -");
         assertEquals("QUERY - STATUS", line.last());
@@ -77,13 +85,13 @@
      */
     @Test
     void whatIsNoAnswerToItCountsForNothing() {
-        CompletableFuture<ServerQuery.ServerStatus> early = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> early = new CompletableFuture<>();
         ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
         assertTrue(fault(early).contains("row out of place"), fault(early));
-        CompletableFuture<ServerQuery.ServerStatus> half = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> half = new CompletableFuture<>();
         ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
         assertTrue(fault(half).contains("half an answer"), fault(half));
-        CompletableFuture<ServerQuery.ServerStatus> twice = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
         ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
         line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
         assertTrue(fault(twice).contains("half an answer"), fault(twice));
@@ -93,18 +101,18 @@
     void aRefusalEndsItAndTellsWhetherItLives() {
         for (String[] one :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
-            CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+            CompletableFuture<ServerStatus> is = new CompletableFuture<>();
             ask(null, is).say(one[0]);
             is.exceptionally(
                     fault -> {
                         assertEquals(
                                 Boolean.parseBoolean(one[1]),
-                                ((ServerQuery.NoResponseException) fault).serverAlive);
+                                ((ServerQueryException) fault).isServerAlive());
                         return null;
                     });
             assertTrue(is.isCompletedExceptionally());
         }
-        CompletableFuture<ServerQuery.ServerStatus> busy = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
         ScriptedHost.Line line = ask(row -> "PAUSE 4", busy);
         line.say("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
@@ -117,7 +125,7 @@
      */
     @Test
     void whoWasAwayTooLongSaysNoSecondWord() {
-        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
         ScriptedHost.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
         line.say("READY I -");
         host.freeze(20_000);
@@ -129,14 +137,14 @@
     /** The same where its time is not over, but the lease is. */
     @Test
     void withoutTheLeaseThereIsNoSecondWord() {
-        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
-        ServerQuery.ask(core, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
+        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
+        ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
                 .whenComplete((row, fault) -> is.complete(row));
         ScriptedHost.Line line = host.lastDialed();
         line.open();
         line.say("READY I -");
-        core.lease.resign();
-        assertFalse(core.lease.isHeld());
+        lease.resign();
+        assertFalse(lease.isHeld());
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
                 line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
@@ -146,7 +154,7 @@
     /** An answer after its time finds nobody; the connection is left. */
     @Test
     void anAnswerAfterItsTimeIsNone() {
-        CompletableFuture<ServerQuery.ServerStatus> is = new CompletableFuture<>();
+        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
         ScriptedHost.Line line = ask(null, is);
         line.say("READY I -");
         host.pass(600);
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -1,9 +1,12 @@
 package dillfront.simulation.system;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.message.MessageCodec;
+import dillfront.common.protocol.SubscriptionCodec;
+import dillfront.controlplane.peer.PeerMessageCodec;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.Base64;
@@ -40,20 +43,29 @@
         assertEquals(expected, actual);
     }
 
+    /** Each codec reads the bytes of earlier versions, and writes the same bytes again. */
     @Test
-    void recordedMessagesAreReadAsWritten() throws Exception {
+    void recordedMessagesAreReadAndWrittenAlike() throws Exception {
         List<String> lines = Files.readAllLines(RecordedMessages.EXAMPLES);
         assertTrue(lines.size() > 20, "examples: " + lines.size());
         for (String line : lines) {
             String[] part = line.split(" ", 3);
             byte[] message = Base64.getDecoder().decode(part[1]);
-            Map<String, Object> fields = MessageCodec.decode(message).all();
-            assertEquals(part[2], RecordedMessages.text(fields));
-            // The codec keeps no order of names on reading, so what it writes is compared once read
-            // again.
-            assertEquals(
-                    part[2],
-                    RecordedMessages.text(MessageCodec.decode(MessageCodec.encode(fields)).all()));
+            MessageCodec.Fields fields = MessageCodec.decode(message);
+            assertEquals(part[2], RecordedMessages.text(fields.all()));
+            assertArrayEquals(message, passed(part[0], message, fields), part[2]);
         }
     }
+
+    private static byte[] passed(String ends, byte[] message, MessageCodec.Fields fields)
+            throws MessageCodec.MalformedMessageException {
+        return switch (ends) {
+            case "core>core" ->
+                    PeerMessageCodec.encode(PeerMessageCodec.decode(fields, fields.number("n", 0)));
+            case "front>core" -> SubscriptionCodec.encode(SubscriptionCodec.decodeRequest(fields));
+            case "core>front" ->
+                    SubscriptionCodec.encode(SubscriptionCodec.decodeResponse(message));
+            default -> throw new AssertionError(ends);
+        };
+    }
 }
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -79,7 +79,7 @@
         Day calm = primaryIsBack(15_000, "configure");
         long leads =
                 calm.told().stream()
-                        .filter(l -> l.contains(" lead db0 "))
+                        .filter(l -> l.contains(" primary service=db0 "))
                         .mapToLong(l -> Long.parseLong(l.split(" ")[0]))
                         .max()
                         .orElseThrow();
@@ -189,12 +189,12 @@
         TreeSet<String> planned = new TreeSet<>();
         for (String line : day.told()) {
             String[] w = line.split(" ");
-            if (w[2].equals("move") && line.endsWith(" planned")) {
+            if (w[2].equals("planned-move")) {
                 planned.add(w[3]);
-            } else if (w[2].equals("move") && line.endsWith(" lost")) {
+            } else if (w[2].equals("failover")) {
                 planned.remove(w[3]);
-            } else if (w[2].equals("lead") && planned.remove(w[3])) {
-                all.add(Long.parseLong(w[6]));
+            } else if (w[2].equals("primary") && planned.remove(w[3])) {
+                all.add(Long.parseLong(w[5].substring("after_ms=".length())));
             }
         }
         return all;
