--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -7,7 +7,7 @@
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.environment.RingLog;
 import dillfront.common.logging.Log;
-import dillfront.dataplane.Front;
+import dillfront.dataplane.DataPlaneNode;
 import dillfront.router.Signals;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -38,12 +38,12 @@
                 new NettyEnvironment(
                         System.nanoTime() ^ settings.nodeName().hashCode(),
                         new RingLog(System.err, settings.nodeName()));
-        Front front = new Front(host, settings);
+        DataPlaneNode front = new DataPlaneNode(host, settings);
         Signals.on(
                 "TERM",
                 () ->
                         host.eventLoop()
-                                .execute(() -> front.leave(() -> Runtime.getRuntime().halt(0))),
+                                .execute(() -> front.shutDown(() -> Runtime.getRuntime().halt(0))),
                 log);
         Signals.on("HUP", () -> host.eventLoop().execute(() -> again(front, reading, log)), log);
         Signals.on(
@@ -66,7 +66,7 @@
                                                         404,
                                                         "/readiness and /status are answered here")
                                                 : new Environment.HttpResponse(
-                                                        front.ready() ? 200 : 503,
+                                                        front.isReady() ? 200 : 503,
                                                         "{}".getBytes(StandardCharsets.UTF_8))));
         host.listen(settings.frontAddress(), Environment.Framing.LINES, h -> front.accept());
         host.eventLoop().execute(front::start);
@@ -82,10 +82,10 @@
                 settings.seedAddresses());
     }
 
-    private static void again(Front front, SettingsSource reading, Log log) {
+    private static void again(DataPlaneNode front, SettingsSource reading, Log log) {
         try {
-            front.settings(reading.read());
-            log.info("settings", "seeds", front.settings.seedAddresses());
+            front.updateSettings(reading.read());
+            log.info("settings", "seeds", front.settings().seedAddresses());
         } catch (NodeSettings.InvalidSettingsException bad) {
             log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
         }
--- /dev/null
+++ b/src/main/java/dillfront/dataplane/DatabaseService.java
@@ -0,0 +1,284 @@
+package dillfront.dataplane;
+
+import dillfront.common.database.AcceptedDataLoss;
+import dillfront.common.database.AcknowledgedCommits;
+import dillfront.common.database.LogPosition;
+import dillfront.common.protocol.PrimaryRecord;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * One service: its servers, which of them is the primary, and what is known of its log. Decides
+ * which server takes a read.
+ */
+final class DatabaseService {
+
+    private static final double MAX_SPILL_TOKENS = 4;
+
+    /** The share of reads that may go to the primary though a replica could serve them. */
+    private static final double SPILL_PER_READ = 0.25;
+
+    /** The same where the primary is in the own region and no replica is. */
+    private static final double SPILL_PER_READ_WITHOUT_LOCAL_REPLICA = 0.6;
+
+    /** How much busier a server in the own region may be than one in another. */
+    private static final double REMOTE_REGION_PENALTY = 2;
+
+    /** What a primary must be less busy by to take what a replica could. */
+    private static final double PRIMARY_PENALTY = 1;
+
+    /** A primary that answers this much slower than usual takes no spilled reads. */
+    private static final double MAX_SPILL_SLOWDOWN = 1.5;
+
+    /** A move takes no longer than so many heartbeats of the servers; else nobody knows. */
+    private static final double MAX_MOVE_HEARTBEATS = 2;
+
+    private static final long NONE = -1;
+
+    final String name;
+    final DataPlaneNode node;
+
+    /** By id, so that every order is the same each time. */
+    final TreeMap<String, ServerPool> servers = new TreeMap<>();
+
+    final ReadPositionFloors floors = new ReadPositionFloors();
+
+    /** The primary by the newest record; empty where there is none. */
+    String primary = "";
+
+    boolean moving;
+    int connectionLimit = Integer.MAX_VALUE;
+
+    /** Transactions that are open at the primary. */
+    int openTransactions;
+
+    /** Of the commits whose answers came here. */
+    AcknowledgedCommits acknowledged = AcknowledgedCommits.NONE;
+
+    /** The number of the newest record; -1 for none. */
+    private long recordNumber = NONE;
+
+    /** What an operator gave up, as the record says; null for nothing. */
+    private AcceptedDataLoss acceptedLoss;
+
+    /** Reads that may go to the primary though a replica could serve them. */
+    private double spillTokens = MAX_SPILL_TOKENS;
+
+    private long noPrimarySinceMillis = NONE;
+    private boolean reportedHopeless;
+
+    /** What the control plane was last told of the primary. */
+    private int reportedReachability;
+
+    private final List<Runnable> waiters = new ArrayList<>();
+
+    DatabaseService(DataPlaneNode node, String name) {
+        this.node = node;
+        this.name = name;
+    }
+
+    // ---- what the control plane says
+
+    /** Takes a primary record over where it is newer. */
+    void onRecord(PrimaryRecord record) {
+        if (record.number() > recordNumber) {
+            recordNumber = record.number();
+            primary = record.primary();
+            moving = record.moving();
+            acceptedLoss = record.acceptedLoss();
+            notifyWaiters();
+        }
+    }
+
+    /** There are no servers but these. */
+    void retainServers(Set<String> ids) {
+        for (ServerPool server : List.copyOf(servers.values())) {
+            if (!ids.contains(server.id)) {
+                server.remove();
+                servers.remove(server.id);
+            }
+        }
+    }
+
+    // ---- the primary
+
+    /** The server to write to; null while none is known, or a move is under way. */
+    ServerPool primary() {
+        if (moving) {
+            return null;
+        }
+        ServerPool server = recordNumber < 0 ? reportedPrimary() : servers.get(primary);
+        return server == null || server.removed || server.isDrainOver() ? null : server;
+    }
+
+    /** The primary where it answers; else null. */
+    ServerPool reachablePrimary() {
+        ServerPool server = primary();
+        return server == null || !server.isReachable() ? null : server;
+    }
+
+    /**
+     * Before there is a record: the server that reports it itself, which is no more than a guess.
+     */
+    private ServerPool reportedPrimary() {
+        ServerPool reported = null;
+        for (ServerPool server : servers.values()) {
+            if (server.reportsPrimary) {
+                if (reported != null) {
+                    return null;
+                }
+                reported = server;
+            }
+        }
+        return reported;
+    }
+
+    /** Whether it is certain that this server leads, whatever else happens. */
+    boolean isCertainPrimary(ServerPool server) {
+        return !moving
+                && server.id.equals(primary)
+                && node.environment.nowMillis() < node.controlPlane.certainUntilMillis();
+    }
+
+    /**
+     * Whether a primary may be there soon; else what needs one is refused at once, and not held for
+     * its time.
+     */
+    boolean expectsPrimarySoon() {
+        if (reachablePrimary() != null) {
+            noPrimarySinceMillis = NONE;
+            reportedHopeless = false;
+            return true;
+        }
+        long now = node.environment.nowMillis();
+        noPrimarySinceMillis = noPrimarySinceMillis < 0 ? now : noPrimarySinceMillis;
+        long missingMillis = now - noPrimarySinceMillis;
+        boolean expected =
+                missingMillis < MAX_MOVE_HEARTBEATS * node.settings.heartbeatIntervalMillis();
+        if (!expected && !reportedHopeless) {
+            node.environment.warn(
+                    "no-primary service="
+                            + name
+                            + " for_ms="
+                            + missingMillis
+                            + " recorded="
+                            + primary
+                            + (moving ? " moving" : ""));
+        }
+        reportedHopeless = !expected;
+        return expected;
+    }
+
+    /** Whether the primary is seen otherwise than the control plane was told. */
+    boolean reachabilityChanged() {
+        ServerPool server = servers.get(primary);
+        int reachability = server == null ? 0 : server.reachability();
+        boolean changed = reachability < 0 != reportedReachability < 0;
+        reportedReachability = reachability;
+        return changed;
+    }
+
+    /** A replica leaves and takes its log along: what was acknowledged is told meanwhile. */
+    boolean hasLeavingServer() {
+        for (ServerPool server : servers.values()) {
+            if (server.draining) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    // ---- reads
+
+    /**
+     * The server for a read that a replica may serve: the least busy of those that should have what
+     * it needs; a bounded share goes to the primary, while that is less busy still.
+     *
+     * @param position what its log must hold; null where that is not known
+     * @param tried servers that were tried before
+     * @return null where no replica will do
+     */
+    ServerPool selectForRead(LogPosition position, List<ServerPool> tried) {
+        ServerPool leader = primary();
+        spillTokens = Math.min(MAX_SPILL_TOKENS, spillTokens + spillPerRead(leader));
+        ServerPool best = null;
+        double leastCost = Double.MAX_VALUE;
+        for (ServerPool server : servers.values()) {
+            boolean isLeader = server == leader;
+            boolean eligible = isLeader ? maySpill(server, position) : mayServe(server, position);
+            if (server.isUsable() && !tried.contains(server) && eligible) {
+                double cost = cost(server) + (isLeader ? PRIMARY_PENALTY : 0);
+                if (cost < leastCost) {
+                    leastCost = cost;
+                    best = server;
+                }
+            }
+        }
+        if (best != null && best == leader && position != null) {
+            spillTokens -= 1;
+        }
+        return best;
+    }
+
+    private double spillPerRead(ServerPool leader) {
+        boolean onlyLeaderIsLocal =
+                leader != null
+                        && leader.isLocalRegion
+                        && servers.values().stream()
+                                .noneMatch(s -> s != leader && s.isLocalRegion && s.isUsable());
+        return onlyLeaderIsLocal ? SPILL_PER_READ_WITHOUT_LOCAL_REPLICA : SPILL_PER_READ;
+    }
+
+    private boolean mayServe(ServerPool replica, LogPosition position) {
+        return position != null && replica.laggingUntilMillis <= node.environment.nowMillis();
+    }
+
+    private boolean maySpill(ServerPool leader, LogPosition position) {
+        return position == null || spillTokens >= 1 && leader.slowdown <= MAX_SPILL_SLOWDOWN;
+    }
+
+    private static double cost(ServerPool server) {
+        return (server.busyConnections + 0.5) * server.slowdown
+                + (server.isLocalRegion ? 0 : REMOTE_REGION_PENALTY);
+    }
+
+    /** What a read has to wait for, of what it would: no log has what was given up. */
+    LogPosition withoutAcceptedLoss(LogPosition position) {
+        return acceptedLoss == null ? position : acceptedLoss.exclude(position);
+    }
+
+    /**
+     * This server answered a commit. Behind a loss its log may be shorter than what was given up;
+     * what it acknowledges stands past that all the same, in a later term, and is not given up with
+     * it.
+     *
+     * @param before how far its log was known to be when the commit was sent
+     */
+    void onAcknowledged(ServerPool server, LogPosition before, LogPosition answered) {
+        boolean behindLoss =
+                acceptedLoss != null && acceptedLoss.losesCommits() && server.id.equals(primary);
+        LogPosition from = behindLoss ? LogPosition.max(before, acceptedLoss.lostUpTo()) : before;
+        acknowledged = acknowledged.merge(AcknowledgedCommits.ofResponse(from, answered));
+    }
+
+    // ---- who waits for a change
+
+    /** Runs once something has changed that a waiting statement should look at. */
+    void addWaiter(Runnable waiter) {
+        waiters.add(waiter);
+    }
+
+    void removeWaiter(Runnable waiter) {
+        waiters.remove(waiter);
+    }
+
+    void notifyWaiters() {
+        if (!waiters.isEmpty()) {
+            List<Runnable> notified = new ArrayList<>(waiters);
+            waiters.clear();
+            notified.forEach(Runnable::run);
+        }
+    }
+}
--- a/src/main/java/dillfront/dataplane/Floors.java
+++ b/src/main/java/dillfront/dataplane/ReadPositionFloors.java
@@ -11,30 +11,30 @@
  * <p>Guards against a read that lacks another router's commit: the position goes along as AFTER, so
  * the node itself refuses.
  */
-final class Floors {
+final class ReadPositionFloors {
 
-    private static final int MOST = 128;
+    private static final int MAX_FLOORS = 128;
 
-    private record Floor(LogPosition position, long at) {}
+    private record Floor(LogPosition position, long atMillis) {}
 
     private final ArrayDeque<Floor> floors = new ArrayDeque<>();
-    private long spacing = 20;
+    private long spacingMillis = 20;
 
     /** How old a read may be at the most, in milliseconds, over the routes that are there. */
-    void reach(long ms) {
-        spacing = Math.max(5, ms / (MOST / 2));
+    void maxStaleness(long ms) {
+        spacingMillis = Math.max(5, ms / (MAX_FLOORS / 2));
     }
 
     /**
      * A primary that was asked at this moment, and led when it answered, had its log up to here.
      */
-    void led(LogPosition position, long asked) {
+    void onPrimaryPosition(LogPosition position, long asked) {
         Floor last = floors.peekLast();
-        if (position == null || last != null && asked < last.at() + spacing) {
+        if (position == null || last != null && asked < last.atMillis() + spacingMillis) {
             return;
         }
         floors.addLast(new Floor(position, asked));
-        if (floors.size() > MOST) {
+        if (floors.size() > MAX_FLOORS) {
             floors.removeFirst();
         }
     }
@@ -43,10 +43,11 @@
      * The least position that holds all that was acknowledged before this moment; null where that
      * is not known.
      */
-    LogPosition since(long moment) {
+    LogPosition positionSince(long moment) {
         LogPosition least = null;
         for (Floor floor : floors) {
-            if (floor.at() >= moment && (least == null || floor.position().compareTo(least) < 0)) {
+            if (floor.atMillis() >= moment
+                    && (least == null || floor.position().compareTo(least) < 0)) {
                 least = floor.position();
             }
         }
--- a/src/main/java/dillfront/dataplane/Statement.java
+++ b/src/main/java/dillfront/dataplane/Statement.java
@@ -1,7 +1,7 @@
 package dillfront.dataplane;
 
 /** The text of a client's QUERY, as far as the front must know it. */
-record Statement(Verb verb, String name, String rest) {
+record Statement(Verb verb, String name, String arguments) {
 
     enum Verb {
         BEGIN,
@@ -17,9 +17,9 @@
         MALFORMED
     }
 
-    private static final Statement BAD = new Statement(Verb.MALFORMED, "", "");
+    private static final Statement MALFORMED = new Statement(Verb.MALFORMED, "", "");
 
-    static Statement of(String text) {
+    static Statement parse(String text) {
         int blank = text.indexOf(' ');
         String word = blank < 0 ? text : text.substring(0, blank);
         String rest = blank < 0 ? "" : text.substring(blank + 1);
@@ -27,41 +27,41 @@
             case "BEGIN":
                 return rest.isEmpty() && blank < 0
                         ? new Statement(Verb.BEGIN, "", "")
-                        : rest.equals("READ") ? new Statement(Verb.BEGIN_READ, "", "") : BAD;
+                        : rest.equals("READ") ? new Statement(Verb.BEGIN_READ, "", "") : MALFORMED;
             case "COMMIT":
-                return blank < 0 ? new Statement(Verb.COMMIT, "", "") : BAD;
+                return blank < 0 ? new Statement(Verb.COMMIT, "", "") : MALFORMED;
             case "ROLLBACK":
-                return blank < 0 ? new Statement(Verb.ROLLBACK, "", "") : BAD;
+                return blank < 0 ? new Statement(Verb.ROLLBACK, "", "") : MALFORMED;
             case "READ":
-                return one(rest) ? new Statement(Verb.READ, "", rest) : BAD;
+                return isOneWord(rest) ? new Statement(Verb.READ, "", rest) : MALFORMED;
             case "WRITE":
-                return two(rest) ? new Statement(Verb.WRITE, "", rest) : BAD;
+                return isTwoWords(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
             case "SET":
-                return two(rest) ? named(Verb.SET, rest) : BAD;
+                return isTwoWords(rest) ? named(Verb.SET, rest) : MALFORMED;
             case "PREPARE":
                 {
-                    Statement is = two(rest) ? named(Verb.PREPARE, rest) : BAD;
-                    int gap = is.rest().indexOf(' ');
+                    Statement is = isTwoWords(rest) ? named(Verb.PREPARE, rest) : MALFORMED;
+                    int gap = is.arguments().indexOf(' ');
                     boolean shaped =
                             gap > 0
-                                    && (is.rest().startsWith("READ ")
-                                            || is.rest().startsWith("WRITE "));
-                    return shaped && one(is.rest().substring(gap + 1)) ? is : BAD;
+                                    && (is.arguments().startsWith("READ ")
+                                            || is.arguments().startsWith("WRITE "));
+                    return shaped && isOneWord(is.arguments().substring(gap + 1)) ? is : MALFORMED;
                 }
             case "EXECUTE":
-                return two(rest) ? named(Verb.EXECUTE, rest) : BAD;
+                return isTwoWords(rest) ? named(Verb.EXECUTE, rest) : MALFORMED;
             case "DEALLOCATE":
-                return one(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : BAD;
+                return isOneWord(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : MALFORMED;
             default:
-                return BAD;
+                return MALFORMED;
         }
     }
 
-    private static boolean one(String rest) {
+    private static boolean isOneWord(String rest) {
         return !rest.isEmpty() && rest.indexOf(' ') < 0;
     }
 
-    private static boolean two(String rest) {
+    private static boolean isTwoWords(String rest) {
         return rest.indexOf(' ') > 0 && rest.indexOf(' ') < rest.length() - 1;
     }
 
--- a/src/main/java/dillfront/simulation/system/Day.java
+++ b/src/main/java/dillfront/simulation/system/Day.java
@@ -5,7 +5,7 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.dataplane.Front;
+import dillfront.dataplane.DataPlaneNode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,7 +29,7 @@
 
     private static final class FrontMachine {
         Sim.Machine machine;
-        Front front;
+        DataPlaneNode front;
 
         /** Since when nothing has happened to it. */
         long calmFrom;
@@ -290,7 +290,7 @@
     private void startFront(FrontMachine f, boolean first) {
         f.machine.up();
         f.calmFrom = sim.millis();
-        Front front = new Front(f.machine, settings(f.machine, false, first));
+        DataPlaneNode front = new DataPlaneNode(f.machine, settings(f.machine, false, first));
         f.front = front;
         f.machine.listen(FRONT, h -> front.accept());
         front.start();
@@ -329,7 +329,7 @@
     Sim.Machine front(int number) {
         List<Sim.Machine> ready = new ArrayList<>();
         for (FrontMachine f : fronts.values()) {
-            if (f.machine.up && f.front.ready()) {
+            if (f.machine.up && f.front.isReady()) {
                 ready.add(f.machine);
             }
         }
@@ -341,7 +341,7 @@
         boolean all = true;
         for (FrontMachine f : fronts.values()) {
             boolean counts = f.machine.up && f.calmFrom < acknowledged - Controls.IN_TOUCH_MS;
-            all &= !counts || f.front.version() >= of;
+            all &= !counts || f.front.configurationRevision() >= of;
         }
         if (all) {
             audit.configMs.add(sim.millis() - acknowledged);
@@ -559,7 +559,7 @@
     void reseed() {
         fronts.values().stream()
                 .filter(f -> f.machine.up)
-                .forEach(f -> f.front.settings(settings(f.machine, false, false)));
+                .forEach(f -> f.front.updateSettings(settings(f.machine, false, false)));
     }
 
     private void front(String key, boolean power, long forMs) {
@@ -729,7 +729,7 @@
                     say("SIGTERM " + w[1]);
                     f.calmFrom = Long.MAX_VALUE / 2;
                     if (f.machine.up) {
-                        f.front.leave(
+                        f.front.shutDown(
                                 () -> {
                                     f.machine.down(false);
                                     back(f, 300);
--- a/src/test/java/dillfront/dataplane/AcceptedLossTest.java
+++ b/src/test/java/dillfront/dataplane/AcceptedLossTest.java
@@ -7,6 +7,7 @@
 import dillfront.common.database.AcknowledgedCommits;
 import dillfront.common.database.LogPosition;
 import dillfront.common.environment.ManualHost;
+import dillfront.common.protocol.PrimaryRecord;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
@@ -18,9 +19,10 @@
  */
 class AcceptedLossTest {
 
-    private Service service;
-    private Server leads;
-    private Server another;
+    private DatabaseService service;
+    private AcceptedDataLoss loss;
+    private ServerPool leads;
+    private ServerPool another;
 
     private static LogPosition at(String text) {
         return LogPosition.parse(text);
@@ -28,8 +30,8 @@
 
     @BeforeEach
     void lost() {
-        Front front =
-                new Front(
+        DataPlaneNode front =
+                new DataPlaneNode(
                         new ManualHost(),
                         new NodeSettings(
                                 "f",
@@ -49,28 +51,32 @@
                                 7_000,
                                 6_000,
                                 null));
-        service = new Service(front, "db");
-        another = new Server(front, service, "i-1", "10.0.0.8:1", "z");
-        leads = new Server(front, service, "i-2", "10.0.0.9:1", "z");
-        service.acknowledged(another, at("1.69"), at("1.72"));
-        service.primary = "i-2";
-        service.loss =
+        service = new DatabaseService(front, "db");
+        another = new ServerPool(front, service, "i-1", "10.0.0.8:1", "z");
+        leads = new ServerPool(front, service, "i-2", "10.0.0.9:1", "z");
+        service.onAcknowledged(another, at("1.69"), at("1.72"));
+        loss =
                 AcceptedDataLoss.accept(
                         7,
                         at("1.10"),
                         new AcknowledgedCommits(at("1.70"), at("1.72")),
                         List.of(),
                         null);
+        record(1, loss);
+    }
+
+    private void record(long number, AcceptedDataLoss accepted) {
+        service.onRecord(new PrimaryRecord("db", number, "i-2", false, false, 0, accepted));
     }
 
     /** Guards against a session that waits for ever for its own write, which is in no log. */
     @Test
     void aReadDoesNotWaitForWhatIsGone() {
-        assertEquals(at("1.10"), service.without(at("1.70")));
-        assertEquals(at("1.9"), service.without(at("1.9")));
-        assertEquals(at("1.73"), service.without(at("1.73")));
-        service.loss = null;
-        assertEquals(at("1.70"), service.without(at("1.70")));
+        assertEquals(at("1.10"), service.withoutAcceptedLoss(at("1.70")));
+        assertEquals(at("1.9"), service.withoutAcceptedLoss(at("1.9")));
+        assertEquals(at("1.73"), service.withoutAcceptedLoss(at("1.73")));
+        record(2, null);
+        assertEquals(at("1.70"), service.withoutAcceptedLoss(at("1.70")));
     }
 
     /**
@@ -79,23 +85,23 @@
      */
     @Test
     void whatTheNextPrimaryAcknowledgesIsPastWhatIsGone() {
-        service.acknowledged(leads, at("1.10"), at("2.11"));
+        service.onAcknowledged(leads, at("1.10"), at("2.11"));
         assertEquals(at("1.73"), service.acknowledged.lowerBound());
         assertEquals(
                 service.acknowledged,
-                service.loss.exclude(service.acknowledged),
+                loss.exclude(service.acknowledged),
                 "not given up with the rest");
-        service.acknowledged(leads, at("2.11"), at("2.12"));
+        service.onAcknowledged(leads, at("2.11"), at("2.12"));
         assertEquals(at("2.12"), service.acknowledged.lowerBound());
     }
 
     @Test
     void noOthersAnswerIsTakenForThat() {
         AcknowledgedCommits before = service.acknowledged;
-        service.acknowledged(another, at("1.20"), at("1.21"));
+        service.onAcknowledged(another, at("1.20"), at("1.21"));
         assertEquals(before, service.acknowledged);
-        service.loss = service.loss.withLeaderAt(at("1.72"));
-        service.acknowledged(leads, at("1.72"), at("1.73"));
+        record(2, loss.withLeaderAt(at("1.72")));
+        service.onAcknowledged(leads, at("1.72"), at("1.73"));
         assertEquals(at("1.73"), service.acknowledged.lowerBound(), "the old log goes on");
     }
 }
--- a/src/test/java/dillfront/dataplane/CallersTest.java
+++ b/src/test/java/dillfront/dataplane/CallersTest.java
@@ -6,6 +6,7 @@
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
 import dillfront.common.environment.ScriptedHost;
+import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -68,8 +69,8 @@
         final long seed;
         final SplittableRandom random;
         final ScriptedHost host = new ScriptedHost();
-        final Front front;
-        final Service service;
+        final DataPlaneNode front;
+        final DatabaseService service;
         final Map<ScriptedHost.Line, Conn> conns = new LinkedHashMap<>();
         final List<Client> clients = new ArrayList<>();
         final Map<String, Client> asked = new HashMap<>();
@@ -85,7 +86,7 @@
             this.seed = seed;
             random = new SplittableRandom(seed);
             front =
-                    new Front(
+                    new DataPlaneNode(
                             host,
                             new NodeSettings(
                                     "f",
@@ -106,7 +107,7 @@
                                     6_000,
                                     null));
             front.start();
-            front.configured(
+            front.onConfiguration(
                     Configuration.parse(
                             ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                             + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
@@ -115,10 +116,9 @@
                                     .replace('\'', '"')
                                     .getBytes(StandardCharsets.UTF_8)));
             service = front.service("s");
-            service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.8:1", "z"));
-            service.servers.put("i-2", new Server(front, service, "i-2", "10.0.0.9:1", "z"));
-            service.primary = "i-1";
-            service.record = 1;
+            service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.8:1", "z"));
+            service.servers.put("i-2", new ServerPool(front, service, "i-2", "10.0.0.9:1", "z"));
+            service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(new Client());
             }
@@ -429,24 +429,27 @@
                                     "REFUSED: "
                                             + write
                                             + " was promised to be kept nowhere, and is"));
-            for (Server s : service.servers.values()) {
+            for (ServerPool s : service.servers.values()) {
                 long held =
                         clients.stream()
                                 .filter(c -> c.line != null && !c.line.closed && c.state == 'T')
                                 .count();
-                check(s.out == 0, s.id + " counts " + s.out + " that are out");
                 check(
-                        s.all.stream().allMatch(c -> c.oldest() == Long.MAX_VALUE),
+                        s.busyConnections == 0,
+                        s.id + " counts " + s.busyConnections + " that are out");
+                check(
+                        s.connections.stream()
+                                .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE),
                         s.id + " has a connection whose answer is awaited for ever");
                 check(
-                        s.all.size() - s.idle.size() <= held,
+                        s.connections.size() - s.idle.size() <= held,
                         s.id
                                 + " has "
-                                + s.all.size()
+                                + s.connections.size()
                                 + " connections, "
                                 + s.idle.size()
                                 + " at rest");
-                check(s.dialing == 0, s.id + " counts " + s.dialing + " that are dialed");
+                check(s.connecting == 0, s.id + " counts " + s.connecting + " that are dialed");
             }
         }
     }
--- a/src/test/java/dillfront/dataplane/ConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ConnectionTest.java
@@ -8,6 +8,7 @@
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
 import dillfront.common.environment.ScriptedHost;
+import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -21,8 +22,8 @@
 class ConnectionTest {
 
     private final ScriptedHost host = new ScriptedHost();
-    private Front front;
-    private Service service;
+    private DataPlaneNode front;
+    private DatabaseService service;
     private ScriptedHost.Line client;
 
     @BeforeEach
@@ -46,9 +47,9 @@
                         7_000,
                         6_000,
                         null);
-        front = new Front(host, settings);
+        front = new DataPlaneNode(host, settings);
         front.start();
-        front.configured(
+        front.onConfiguration(
                 Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
@@ -56,9 +57,8 @@
                                 .replace('\'', '"')
                                 .getBytes(StandardCharsets.UTF_8)));
         service = front.service("s");
-        service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.9:1", "z"));
-        service.primary = "i-1";
-        service.record = 1;
+        service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.9:1", "z"));
+        service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
         client = client();
     }
 
@@ -241,8 +241,8 @@
         host.pass(2_500);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertTrue(
-                service.servers.get("i-1").all.stream()
-                        .allMatch(c -> c.oldest() == Long.MAX_VALUE));
+                service.servers.get("i-1").connections.stream()
+                        .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE));
     }
 
     /** The same for the opening of a transaction: at the server it would stay open. */
@@ -254,7 +254,7 @@
         host.pass(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
         assertTrue(line.closed, "its answer was lost, and the connection with it");
-        assertEquals(0, service.servers.get("i-1").out);
+        assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
@@ -268,6 +268,6 @@
         assertFalse(line.closed, "what runs is heard to its end");
         host.pass(1_000);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
-        assertEquals(0, service.servers.get("i-1").out);
+        assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 }
--- a/src/test/java/dillfront/dataplane/FloorsTest.java
+++ b/src/test/java/dillfront/dataplane/FloorsTest.java
@@ -12,15 +12,15 @@
 
 class FloorsTest {
 
-    private final Floors floors = new Floors();
+    private final ReadPositionFloors floors = new ReadPositionFloors();
 
     @Test
     void withoutAWordOfThePrimarySinceThatMomentNothingIsKnown() {
-        assertNull(floors.since(0));
-        floors.led(new LogPosition(1, 5), 100);
-        assertNull(floors.since(101));
-        assertEquals(new LogPosition(1, 5), floors.since(100));
-        assertEquals(new LogPosition(1, 5), floors.since(0));
+        assertNull(floors.positionSince(0));
+        floors.onPrimaryPosition(new LogPosition(1, 5), 100);
+        assertNull(floors.positionSince(101));
+        assertEquals(new LogPosition(1, 5), floors.positionSince(100));
+        assertEquals(new LogPosition(1, 5), floors.positionSince(0));
     }
 
     /**
@@ -29,29 +29,29 @@
      */
     @Test
     void theLeastThatIsYoungEnough() {
-        floors.led(new LogPosition(1, 5), 100);
-        floors.led(new LogPosition(1, 9), 200);
-        floors.led(new LogPosition(2, 3), 300);
-        assertEquals(new LogPosition(1, 9), floors.since(150));
-        assertEquals(new LogPosition(2, 3), floors.since(250));
+        floors.onPrimaryPosition(new LogPosition(1, 5), 100);
+        floors.onPrimaryPosition(new LogPosition(1, 9), 200);
+        floors.onPrimaryPosition(new LogPosition(2, 3), 300);
+        assertEquals(new LogPosition(1, 9), floors.positionSince(150));
+        assertEquals(new LogPosition(2, 3), floors.positionSince(250));
     }
 
     /** Guards against a floor that lacks a commit, whatever was forgotten on the way. */
     @Property(tries = 200)
     void aFloorIsNeverBelowWhatWasAcknowledged(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Floors many = new Floors();
-        many.reach(1 + random.nextInt(3_000));
+        ReadPositionFloors many = new ReadPositionFloors();
+        many.maxStaleness(1 + random.nextInt(3_000));
         long[] number = new long[4_000];
         long log = 0;
         for (int ms = 1; ms < number.length; ms++) {
             log += random.nextInt(3) == 0 ? 1 : 0;
             number[ms] = log;
             if (random.nextInt(4) == 0) {
-                many.led(new LogPosition(1, log), ms);
+                many.onPrimaryPosition(new LogPosition(1, log), ms);
             }
             int moment = Math.max(1, ms - random.nextInt(2_000));
-            LogPosition floor = many.since(moment);
+            LogPosition floor = many.positionSince(moment);
             assertTrue(
                     floor == null || floor.index() >= number[moment],
                     () -> "a floor below what was there");
--- a/src/test/java/dillfront/dataplane/NewsTest.java
+++ b/src/test/java/dillfront/dataplane/NewsTest.java
@@ -229,13 +229,13 @@
         }
         Source a = new Source("10.0.0.1");
         a.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         a.version = 2;
         until(2_000);
-        assertEquals(2, front.version());
+        assertEquals(2, front.configurationRevision());
         assertArrayEquals(bodies.get(2L), front.configuration().body());
         assertEquals(0, asks.stream().filter(in -> in.flag("cw")).count());
         assertEquals(
@@ -249,7 +249,7 @@
         a.instead = BinaryDelta.create(bodies.get(1L), bodies.get(3L));
         a.version = 3;
         until(3_000);
-        assertEquals(3, front.version());
+        assertEquals(3, front.configurationRevision());
         assertArrayEquals(bodies.get(3L), front.configuration().body());
         assertEquals(1, asks.stream().filter(in -> in.flag("cw")).count());
         a.instead = new byte[] {1, 2, 3};
@@ -277,7 +277,8 @@
             host = new Net();
             List<Source> all =
                     List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
-            Front front = new Front(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
+            DataPlaneNode front =
+                    new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
             front.start();
             long last = -1;
             for (int step = 1; step <= 120; step++) {
@@ -298,9 +299,9 @@
                 }
                 until(now() + random.nextInt(400));
                 assertTrue(
-                        front.version() >= last,
-                        "seed " + seed + ": " + front.version() + " after " + last);
-                last = front.version();
+                        front.configurationRevision() >= last,
+                        "seed " + seed + ": " + front.configurationRevision() + " after " + last);
+                last = front.configurationRevision();
                 if (last >= 0) {
                     assertArrayEquals(bodies.get(last), front.configuration().body());
                 }
@@ -313,7 +314,7 @@
                         s.version = 40;
                     });
             until(now() + 4_000);
-            assertEquals(40, front.version(), "seed " + seed);
+            assertEquals(40, front.configurationRevision(), "seed " + seed);
         }
     }
 
@@ -328,10 +329,10 @@
         Source b = new Source("10.0.0.2");
         a.alone = true;
         b.version = 1;
-        Front front = new Front(host, settings("10.0.0.1", "10.0.0.2"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
         front.start();
         until(20);
-        assertEquals(1, front.version(), log().toString());
+        assertEquals(1, front.configurationRevision(), log().toString());
         b.alone = true;
         int before = a.asked + b.asked;
         until(20_000);
@@ -349,7 +350,7 @@
         configuration(1, 3);
         Source was = new Source("10.0.0.1");
         was.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         for (int i = 2; i <= 60; i++) {
@@ -396,14 +397,14 @@
     @Test
     void otherSeedsAreTakenOver() {
         configuration(1, 3);
-        Front front = new Front(host, settings("10.0.0.1", "10.0.0.2"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
         front.start();
         until(5_000);
         Source c = new Source("10.0.0.3");
         c.version = 1;
-        front.settings(settings("10.0.0.3"));
+        front.updateSettings(settings("10.0.0.3"));
         until(5_500);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         int from = log().size();
         c.there = false;
         c.link.open = false;
@@ -427,7 +428,7 @@
         near.version = 1;
         far.places = List.of(place("10.0.0.1", "b", false), place("10.0.0.2", "a", false));
         near.places = far.places;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         assertTrue(near.asked > 0, log().toString());
@@ -453,20 +454,20 @@
         configuration(3, 3);
         Source a = new Source("10.0.0.1");
         a.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         a.version = 2;
         int asked = a.asked;
         until(11_000);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         assertTrue(a.asked - asked < 14, "asked " + (a.asked - asked) + " times in 10 s");
         assertTrue(
-                log().stream().anyMatch(l -> l.contains("configuration 2 not understood")),
+                log().stream().anyMatch(l -> l.contains("configuration-not-understood revision=2")),
                 log().toString());
         a.version = 3;
         until(13_000);
-        assertEquals(3, front.version());
+        assertEquals(3, front.configurationRevision());
         assertEquals(
                 Configuration.ReadConsistency.PRIMARY,
                 front.configuration().route("h0").consistency());
--- a/src/test/java/dillfront/dataplane/SessionTest.java
+++ b/src/test/java/dillfront/dataplane/SessionTest.java
@@ -248,7 +248,7 @@
     private final List<String> boots = new ArrayList<>();
     private final Node p = new Node("p", "10.0.1.1:1");
     private final Node r = new Node("r", "10.0.1.2:1");
-    private Front front;
+    private DataPlaneNode front;
 
     @BeforeEach
     void start() throws Exception {
@@ -274,8 +274,8 @@
                         3_500,
                         6_000,
                         null);
-        front = new Front(host, settings);
-        front.configured(
+        front = new DataPlaneNode(host, settings);
+        front.onConfiguration(
                 Configuration.parse(
                         ("{\"revision_number\":1,\"routes\":["
                                         + route("new", "primary", 0)
@@ -328,7 +328,7 @@
 
     /** A client, and the lines that it was sent. */
     private final class Caller implements Environment.Connection {
-        final Session session = (Session) front.accept();
+        final ClientSession session = (ClientSession) front.accept();
         final List<String> got = new ArrayList<>();
         final List<String> welcome;
         private int asked;
@@ -488,7 +488,7 @@
             assertTrue(
                     p.open.stream().noneMatch(w -> w.state != 'I'),
                     muted + ": " + p.open.size() + " stay open");
-            assertEquals(0, front.service("db").servers.get("p").out, muted);
+            assertEquals(0, front.service("db").servers.get("p").busyConnections, muted);
             Caller next = new Caller("new");
             assertEquals("ROW", next.asks("READ k"), muted);
             next.session.onClose("gone");
@@ -511,7 +511,7 @@
         p.number = 2;
         long from = host.nowMillis();
         assertEquals("COMPLETE", c.asks("COMMIT"));
-        assertEquals(null, front.service("db").floors.since(from));
+        assertEquals(null, front.service("db").floors.positionSince(from));
     }
 
     /** Out of touch with control: a former primary does not even run what must be the newest. */
@@ -642,7 +642,7 @@
         Caller c = new Caller("new");
         c.asks("BEGIN");
         p.mute = text -> text.startsWith("READ slow");
-        front.leave(() -> {});
+        front.shutDown(() -> {});
         pass(2_900);
         c.got.clear();
         c.ask("READ slow");
@@ -663,8 +663,8 @@
     @Test
     void whoComesWhileTheFrontEndsIsServedOnce() {
         new Caller("new");
-        front.leave(() -> {});
-        assertFalse(front.ready());
+        front.shutDown(() -> {});
+        assertFalse(front.isReady());
         pass(2_500);
         Caller c = new Caller("new");
         assertEquals(List.of("READY I -"), c.welcome);
@@ -679,7 +679,7 @@
     void whoComesTooLateIsSentElsewhere() {
         Caller held = new Caller("new");
         p.mute = text -> text.startsWith("READ slow");
-        front.leave(() -> {});
+        front.shutDown(() -> {});
         pass(2_900);
         held.ask("READ slow");
         pass(300);
@@ -691,7 +691,7 @@
     @Test
     void theFrontStaysUntilNobodyIsSentThereAnyMore() {
         boolean[] ended = new boolean[1];
-        front.leave(() -> ended[0] = true);
+        front.shutDown(() -> ended[0] = true);
         pass(2_900);
         assertFalse(ended[0], "a client may still be sent here");
         pass(400);
@@ -704,11 +704,11 @@
      */
     @Test
     void aMoveOfThePrimaryDoesNotMakeItUnready() {
-        assertTrue(front.ready());
+        assertTrue(front.isReady());
         moving = true;
         record++;
         pass(400);
         assertEquals("nothing", new Caller("new").asks("READ k"), "it moves");
-        assertTrue(front.ready());
+        assertTrue(front.isReady());
     }
 }
--- a/src/test/java/dillfront/dataplane/StatementTest.java
+++ b/src/test/java/dillfront/dataplane/StatementTest.java
@@ -9,8 +9,8 @@
 class StatementTest {
 
     private static String read(String text) {
-        Statement is = Statement.of(text);
-        return is.verb() + "|" + is.name() + "|" + is.rest();
+        Statement is = Statement.parse(text);
+        return is.verb() + "|" + is.name() + "|" + is.arguments();
     }
 
     @Test
@@ -55,8 +55,8 @@
 
     @Property(tries = 2_000)
     void anyTextIsReadOrRefused(@ForAll String text) {
-        Statement.of(text);
-        Statement.of("EXECUTE " + text);
-        Statement.of("PREPARE " + text);
+        Statement.parse(text);
+        Statement.parse("EXECUTE " + text);
+        Statement.parse("PREPARE " + text);
     }
 }
