--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -2,114 +2,54 @@
 
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
+import dillfront.common.config.NodeSettings.InvalidSettingsException;
 import dillfront.common.environment.Environment;
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.environment.RingLog;
 import dillfront.common.logging.Log;
-import dillfront.common.storage.Keep;
+import dillfront.common.storage.TextStore;
 import dillfront.controlplane.ControlNode;
-import dillfront.controlplane.storage.StateStore;
 import dillfront.router.Signals;
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Map;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
 
-/** The program that knows the servers, holds the configuration, and decides who leads. */
+/** The program that knows the servers, holds the configuration, and decides on failovers. */
 public final class ControlPlaneProgram {
 
-    private ControlPlaneProgram() {}
-
-    /** The disk on a thread of its own, for a write holds up whoever makes it. */
-    private record DiskStateStore(
-            Keep keep,
-            Map<String, String> initialState,
-            ExecutorService writer,
-            NettyEnvironment host,
-            Log log)
-            implements StateStore {
+    /** The name of the program in its folder, which no other program may use. */
+    private static final String STORE_OWNER = "control-plane";
 
-        @Override
-        public CompletableFuture<Void> put(Map<String, String> texts) {
-            CompletableFuture<Void> done = new CompletableFuture<>();
-            writer.execute(
-                    () -> {
-                        try {
-                            keep.put(texts);
-                            host.eventLoop().execute(() -> done.complete(null));
-                        } catch (Keep.Broken | IllegalArgumentException bad) {
-                            host.eventLoop()
-                                    .execute(
-                                            () -> {
-                                                log.warn("disk", "fault", bad.getMessage());
-                                                done.completeExceptionally(bad);
-                                            });
-                        }
-                    });
-            return done;
-        }
-    }
+    private ControlPlaneProgram() {}
 
     /**
-     * @throws Settings.Bad with the file, the place and the fault
+     * Starts a control process; it runs until SIGTERM.
+     *
+     * @throws InvalidSettingsException with the file, the place and the fault
+     * @throws IOException where an address cannot be listened on
+     * @throws TextStore.StorageException where the data directory cannot be used
      */
-    public static void run(DataPlaneProgram.SettingsSource reading)
-            throws NodeSettings.InvalidSettingsException, IOException, Keep.Broken {
-        NodeSettings settings = reading.read();
+    public static void run(SettingsSource source)
+            throws InvalidSettingsException, IOException, TextStore.StorageException {
+        NodeSettings settings = source.read();
         Log log = new Log(System.err);
         if (settings.controlAddress() == null || settings.dataDirectory() == null) {
-            throw new NodeSettings.InvalidSettingsException(
+            throw new InvalidSettingsException(
                     "no control_address or no data_directory, which a control plane needs");
         }
-        Keep keep = Keep.open(Path.of(settings.dataDirectory()), "control-plane");
-        Map<String, String> all = keep.all();
-        if (keep.damaged()) {
-            // What was promised may be gone with the damaged part: as with an empty disk, others
-            // are asked first.
-            log.warn("disk", "fault", "damaged; what it held is not relied on");
-            all = Map.of();
-        }
-        NettyEnvironment host =
+        TextStore store = TextStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
+        NettyEnvironment environment =
                 new NettyEnvironment(
                         System.nanoTime() ^ settings.nodeName().hashCode(),
                         new RingLog(System.err, settings.nodeName()));
-        ExecutorService writer =
-                Executors.newSingleThreadExecutor(
-                        run -> {
-                            Thread thread = new Thread(run, "disk");
-                            thread.setDaemon(true);
-                            return thread;
-                        });
-        ControlNode core =
-                new ControlNode(host, settings, new DiskStateStore(keep, all, writer, host, log));
-        Signals.on(
-                "TERM",
-                () ->
-                        host.eventLoop()
-                                .execute(() -> core.shutDown(() -> Runtime.getRuntime().halt(0))),
-                log);
-        Signals.on("HUP", () -> reread(reading, core, host, log), log);
-        Signals.on(
-                "USR2",
-                () -> host.eventLoop().execute(() -> log.info("status", "line", core.status())),
-                log);
-        host.listen(
+        ControlNode node =
+                new ControlNode(environment, settings, new FileStateStore(store, environment, log));
+        handleSignals(node, environment, source, log);
+        environment.listen(
                 settings.internalAddressOf(settings.ipAddress()),
                 Environment.Framing.FRAMES,
-                h -> core.accept());
-        host.serveHttp(settings.controlAddress(), core::handle);
-        host.eventLoop()
-                .execute(
-                        () -> {
-                            try {
-                                core.start();
-                            } catch (Configuration.InvalidConfigurationException bad) {
-                                log.warn("disk", "fault", bad.getMessage());
-                                Runtime.getRuntime().halt(1);
-                            }
-                        });
+                accepted -> node.accept());
+        environment.serveHttp(settings.controlAddress(), node::handle);
+        environment.eventLoop().execute(() -> start(node, log));
         log.info(
                 "start",
                 "program",
@@ -122,20 +62,45 @@
                 settings.seedAddresses());
     }
 
+    private static void start(ControlNode node, Log log) {
+        try {
+            node.start();
+        } catch (Configuration.InvalidConfigurationException bad) {
+            log.warn("disk", "fault", bad.getMessage());
+            Runtime.getRuntime().halt(1);
+        }
+    }
+
+    private static void handleSignals(
+            ControlNode node, NettyEnvironment environment, SettingsSource source, Log log) {
+        Signals.on(
+                "TERM",
+                () ->
+                        environment
+                                .eventLoop()
+                                .execute(() -> node.shutDown(() -> Runtime.getRuntime().halt(0))),
+                log);
+        Signals.on("HUP", () -> reloadSettings(source, node, environment, log), log);
+        Signals.on(
+                "USR2",
+                () ->
+                        environment
+                                .eventLoop()
+                                .execute(() -> log.info("status", "line", node.status())),
+                log);
+    }
+
     /**
-     * Seeds may be others now; all else waits for the next start. A file that cannot be used
+     * The seeds may be others now; all else waits for the next start. A file that cannot be used
      * changes nothing.
      */
-    private static void reread(
-            DataPlaneProgram.SettingsSource reading,
-            ControlNode core,
-            NettyEnvironment host,
-            Log log) {
+    private static void reloadSettings(
+            SettingsSource source, ControlNode node, NettyEnvironment environment, Log log) {
         try {
-            NodeSettings next = reading.read();
-            host.eventLoop().execute(() -> core.addSeeds(next.seedIps()));
+            NodeSettings next = source.read();
+            environment.eventLoop().execute(() -> node.addSeeds(next.seedIps()));
             log.info("settings", "seeds", next.seedAddresses());
-        } catch (NodeSettings.InvalidSettingsException bad) {
+        } catch (InvalidSettingsException bad) {
             log.warn("settings", "fault", bad.getMessage());
         }
     }
--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -2,7 +2,9 @@
 
 import com.eclipsesource.json.Json;
 import dillfront.common.config.NodeSettings;
+import dillfront.common.config.NodeSettings.InvalidSettingsException;
 import dillfront.common.environment.Environment;
+import dillfront.common.environment.Environment.HttpResponse;
 import dillfront.common.environment.HttpServerHandler;
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.environment.RingLog;
@@ -16,60 +18,38 @@
 /** The program that carries the traffic: clients' sessions onto connections to database servers. */
 public final class DataPlaneProgram {
 
-    private DataPlaneProgram() {}
+    private static final int OK = 200;
+    private static final int NOT_FOUND = 404;
+    private static final int UNAVAILABLE = 503;
 
-    /** Reads the settings, and again on SIGHUP. */
-    public interface SettingsSource {
-        NodeSettings read() throws NodeSettings.InvalidSettingsException;
-    }
+    private DataPlaneProgram() {}
 
     /**
-     * @throws Settings.Bad with the file, the place and the fault
+     * Starts a data plane; it runs until SIGTERM.
+     *
+     * @throws InvalidSettingsException with the file, the place and the fault
+     * @throws IOException where an address cannot be listened on
      */
-    public static void run(SettingsSource reading)
-            throws NodeSettings.InvalidSettingsException, IOException {
+    public static void run(SettingsSource source) throws InvalidSettingsException, IOException {
         Log log = new Log(System.err);
-        NodeSettings settings = reading.read();
+        NodeSettings settings = source.read();
         if (settings.frontAddress() == null || settings.readinessAddress() == null) {
-            throw new NodeSettings.InvalidSettingsException(
-                    "listen_addresses: no front_address or no readiness_address, which a data plane needs");
+            throw new InvalidSettingsException(
+                    "listen_addresses: no front_address or no readiness_address, which a data plane"
+                            + " needs");
         }
-        NettyEnvironment host =
+        NettyEnvironment environment =
                 new NettyEnvironment(
                         System.nanoTime() ^ settings.nodeName().hashCode(),
                         new RingLog(System.err, settings.nodeName()));
-        DataPlaneNode front = new DataPlaneNode(host, settings);
-        Signals.on(
-                "TERM",
-                () ->
-                        host.eventLoop()
-                                .execute(() -> front.shutDown(() -> Runtime.getRuntime().halt(0))),
-                log);
-        Signals.on("HUP", () -> host.eventLoop().execute(() -> again(front, reading, log)), log);
-        Signals.on(
-                "USR2",
-                () -> host.eventLoop().execute(() -> log.info("status", "line", front.status())),
-                log);
-        host.serveHttp(
+        DataPlaneNode node = new DataPlaneNode(environment, settings);
+        handleSignals(node, environment, source, log);
+        environment.serveHttp(
                 settings.readinessAddress(),
-                (method, path, body) ->
-                        CompletableFuture.completedFuture(
-                                path.equals("/status")
-                                        ? new Environment.HttpResponse(
-                                                200,
-                                                Json.object()
-                                                        .add("status", front.status())
-                                                        .toString()
-                                                        .getBytes(StandardCharsets.UTF_8))
-                                        : !path.equals("/readiness")
-                                                ? HttpServerHandler.errorResponse(
-                                                        404,
-                                                        "/readiness and /status are answered here")
-                                                : new Environment.HttpResponse(
-                                                        front.isReady() ? 200 : 503,
-                                                        "{}".getBytes(StandardCharsets.UTF_8))));
-        host.listen(settings.frontAddress(), Environment.Framing.LINES, h -> front.accept());
-        host.eventLoop().execute(front::start);
+                (method, path, body) -> CompletableFuture.completedFuture(respond(node, path)));
+        environment.listen(
+                settings.frontAddress(), Environment.Framing.LINES, accepted -> node.accept());
+        environment.eventLoop().execute(node::start);
         log.info(
                 "start",
                 "program",
@@ -82,11 +62,49 @@
                 settings.seedAddresses());
     }
 
-    private static void again(DataPlaneNode front, SettingsSource reading, Log log) {
+    private static HttpResponse respond(DataPlaneNode node, String path) {
+        return switch (path) {
+            case "/status" -> {
+                String body = Json.object().add("status", node.status()).toString();
+                yield new HttpResponse(OK, body.getBytes(StandardCharsets.UTF_8));
+            }
+            case "/readiness" ->
+                    new HttpResponse(
+                            node.isReady() ? OK : UNAVAILABLE,
+                            "{}".getBytes(StandardCharsets.UTF_8));
+            default ->
+                    HttpServerHandler.errorResponse(
+                            NOT_FOUND, "/readiness and /status are answered here");
+        };
+    }
+
+    private static void handleSignals(
+            DataPlaneNode node, NettyEnvironment environment, SettingsSource source, Log log) {
+        Signals.on(
+                "TERM",
+                () ->
+                        environment
+                                .eventLoop()
+                                .execute(() -> node.shutDown(() -> Runtime.getRuntime().halt(0))),
+                log);
+        Signals.on(
+                "HUP",
+                () -> environment.eventLoop().execute(() -> reloadSettings(node, source, log)),
+                log);
+        Signals.on(
+                "USR2",
+                () ->
+                        environment
+                                .eventLoop()
+                                .execute(() -> log.info("status", "line", node.status())),
+                log);
+    }
+
+    private static void reloadSettings(DataPlaneNode node, SettingsSource source, Log log) {
         try {
-            front.updateSettings(reading.read());
-            log.info("settings", "seeds", front.settings().seedAddresses());
-        } catch (NodeSettings.InvalidSettingsException bad) {
+            node.updateSettings(source.read());
+            log.info("settings", "seeds", node.settings().seedAddresses());
+        } catch (InvalidSettingsException bad) {
             log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
         }
     }
--- a/src/main/java/dillfront/common/config/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -74,9 +74,9 @@
             all = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
         } catch (IOException | UnsupportedOperationException bad) {
             throw new InvalidSettingsException(file + ": " + bad);
-        } catch (ParseException cut) {
+        } catch (ParseException bad) {
             throw new InvalidSettingsException(
-                    file + ", line " + cut.getLocation().line + ": " + cut.getMessage());
+                    file + ", line " + bad.getLocation().line + ": " + bad.getMessage());
         }
         try {
             JsonObject listen = object(all, "listen_addresses");
@@ -99,27 +99,27 @@
             }
             JsonValue platform = all.get("cloud_api");
             return new NodeSettings(
-                    text(all, "node_name"),
-                    text(all, "zone_name"),
+                    requiredText(all, "node_name"),
+                    requiredText(all, "zone_name"),
                     all.getString("region", ""),
                     regions,
-                    text(all, "ip_address"),
-                    optional(listen, "front_address"),
-                    optional(listen, "readiness_address"),
-                    optional(listen, "control_address"),
+                    requiredText(all, "ip_address"),
+                    optionalText(listen, "front_address"),
+                    optionalText(listen, "readiness_address"),
+                    optionalText(listen, "control_address"),
                     ports.asArray().get(0).asInt(),
                     List.copyOf(seeds),
                     all.getBoolean("first_start", false),
-                    optional(all, "data_directory"),
+                    optionalText(all, "data_directory"),
                     all.get("tolerated_losses") == null
                             ? 0
                             : Math.max(0, object(all, "tolerated_losses").getInt("machines", 0)),
                     number(all, "heartbeat_interval_ms", 1_200),
-                    drain(bounds),
+                    drainMillis(bounds),
                     Math.round(bounds.getDouble("grace_period_s", 6) * 1_000),
                     platform == null || platform.isNull()
                             ? null
-                            : optional(platform.asObject(), "address"));
+                            : optionalText(platform.asObject(), "address"));
         } catch (InvalidSettingsException bad) {
             throw new InvalidSettingsException(file + ": " + bad.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException bad) {
@@ -128,7 +128,7 @@
         }
     }
 
-    private static long drain(JsonObject bounds) throws InvalidSettingsException {
+    private static long drainMillis(JsonObject bounds) throws InvalidSettingsException {
         return Math.min(
                 number(bounds, "drain_ms", 7_000) * 2 / 3,
                 number(bounds, "in_touch_ms", 4_000) * 7 / 8);
@@ -142,7 +142,7 @@
         return is.asObject();
     }
 
-    private static String text(JsonObject in, String name) throws InvalidSettingsException {
+    private static String requiredText(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || !is.isString() || is.asString().isEmpty()) {
             throw new InvalidSettingsException(name + ": no text");
@@ -150,12 +150,12 @@
         return is.asString();
     }
 
-    private static String optional(JsonObject in, String name) throws InvalidSettingsException {
+    private static String optionalText(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || is.isNull()) {
             return null;
         }
-        String text = text(in, name);
+        String text = requiredText(in, name);
         return name.endsWith("address") ? address(text, name) : text;
     }
 
--- a/src/main/java/dillfront/common/database/LogPosition.java
+++ b/src/main/java/dillfront/common/database/LogPosition.java
@@ -17,11 +17,11 @@
             return null;
         }
         try {
-            LogPosition is =
+            LogPosition position =
                     new LogPosition(
                             Long.parseLong(text.substring(0, dot)),
                             Long.parseLong(text.substring(dot + 1)));
-            return is.term < 0 || is.index < 0 ? null : is;
+            return position.term < 0 || position.index < 0 ? null : position;
         } catch (NumberFormatException none) {
             return null;
         }
--- a/src/main/java/dillfront/common/database/ServerResponseReader.java
+++ b/src/main/java/dillfront/common/database/ServerResponseReader.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * A database server's lines on one connection, put together to answers. The wire tells answers
- * apart by nothing but their order, so each line must be the next of the answer that is due; where
- * it is not, nobody can say any more whose the following ones are, and the connection is to be
- * left.
+ * Reads the responses of a database server on one connection from its lines. The protocol tells
+ * responses apart by nothing but their order, so each line must be the next of the response that is
+ * due; where it is not, nobody can say whose the following ones are, and the connection is to be
+ * closed.
  */
 public final class ServerResponseReader {
 
     /**
-     * One whole answer.
+     * One complete response.
      *
      * @param completionTag null where it failed
      * @param errorCode null where it was a success
@@ -27,7 +27,7 @@
             char transactionStatus,
             LogPosition logPosition) {}
 
-    /** A line that is not the next of an answer that is due. */
+    /** A line that is not the next of a response that is due. */
     public static final class ProtocolViolationException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -43,7 +43,7 @@
     private String errorCode;
     private String errorMessage = "";
 
-    /** One more answer is due: CONNECT's is from the start. */
+    /** One more response is due: that of CONNECT is from the start. */
     public void expectResponse() {
         outstanding++;
     }
@@ -56,50 +56,50 @@
     /**
      * Takes one line.
      *
-     * @return the answer that it ends; null where there is more to come. CONNECT's is a READY
-     *     alone, or an ERROR alone
+     * @return the response that it ends; null where there is more to come. That of CONNECT is a
+     *     READY alone, or an ERROR alone
      */
     public ServerResponse read(byte[] bytes) throws ProtocolViolationException {
         String line = new String(bytes, StandardCharsets.ISO_8859_1);
         int blank = line.indexOf(' ');
-        String word = blank < 0 ? line : line.substring(0, blank);
+        String keyword = blank < 0 ? line : line.substring(0, blank);
         String rest = blank < 0 ? "" : line.substring(blank + 1);
         if (connected && outstanding == 0) {
-            throw new ProtocolViolationException("an answer to nothing: " + word);
+            throw new ProtocolViolationException("an answer to nothing: " + keyword);
         }
-        boolean decided = completionTag != null || errorCode != null;
-        switch (word) {
+        boolean hasResult = completionTag != null || errorCode != null;
+        switch (keyword) {
             case "ROW":
-                if (!connected || decided) {
+                if (!connected || hasResult) {
                     throw new ProtocolViolationException("a row out of place");
                 }
                 rows.add(rest);
                 return null;
             case "COMPLETE":
-                if (!connected || decided) {
+                if (!connected || hasResult) {
                     throw new ProtocolViolationException("a second end of an answer");
                 }
                 completionTag = rest;
                 return null;
             case "ERROR":
                 {
-                    if (decided) {
+                    if (hasResult) {
                         throw new ProtocolViolationException("a second end of an answer");
                     }
-                    int gap = rest.indexOf(' ');
-                    errorCode = gap < 0 ? rest : rest.substring(0, gap);
-                    errorMessage = gap < 0 ? "" : rest.substring(gap + 1);
+                    int blankAt = rest.indexOf(' ');
+                    errorCode = blankAt < 0 ? rest : rest.substring(0, blankAt);
+                    errorMessage = blankAt < 0 ? "" : rest.substring(blankAt + 1);
                     return connected ? null : finish('I', null);
                 }
             case "READY":
                 {
-                    if (connected ? !decided : decided) {
+                    if (connected ? !hasResult : hasResult) {
                         throw new ProtocolViolationException("half an answer");
                     }
                     char state = rest.isEmpty() ? '?' : rest.charAt(0);
-                    int gap = rest.indexOf(' ');
+                    int blankAt = rest.indexOf(' ');
                     LogPosition position =
-                            gap < 0 ? null : LogPosition.parse(rest.substring(gap + 1));
+                            blankAt < 0 ? null : LogPosition.parse(rest.substring(blankAt + 1));
                     if (connected) {
                         outstanding--;
                     }
--- a/src/main/java/dillfront/common/environment/Environment.java
+++ b/src/main/java/dillfront/common/environment/Environment.java
@@ -1,56 +1,65 @@
 package dillfront.common.environment;
 
+import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
 /**
  * What a program of the system needs of the machine it runs on: a steady clock, timers,
- * connections, chance. The programs' own parts know nothing else, so that they run the same on
- * sockets and in simulated time. All calls and all answers on the program's one loop.
+ * connections, random numbers, an event log. The programs know nothing else of the machine, so they
+ * run the same on sockets and in simulated time. All calls and all callbacks are on the program's
+ * one thread.
  */
 public interface Environment {
 
     /** How messages are cut out of a connection's bytes. */
     enum Framing {
-        /** Lines that end in CR LF, of the wire. */
+        /** Lines that end in CR LF, as database servers and clients speak. */
         LINES,
-        /** Four bytes of length before each, between the system's own processes. */
+        /** Four bytes of length before each message, between the system's own processes. */
         FRAMES
     }
 
     /** One connection. */
     interface Connection {
 
-        /** One message, without what ends or precedes it. Nothing happens on a closed link. */
+        /** Sends one message, without its framing. Does nothing on a closed connection. */
         void send(byte[] message);
 
-        /** Whatever was sent goes out first. */
+        /** Closes it once all that was sent has gone out. */
         void close();
 
-        /** Bytes that wait to go out. */
+        /** Bytes that were sent and have not gone out yet. */
         long pendingBytes();
     }
 
-    /** Hears what happens on one connection. */
+    /** Receives what happens on one connection. */
     interface ConnectionListener {
 
-        void onOpen(Connection link);
+        void onOpen(Connection connection);
 
+        /**
+         * @param message without its framing
+         */
         void onMessage(byte[] message);
 
-        /** Once, whatever ended it; also where it was never opened. Not after one's own close(). */
-        void onClose(String why);
+        /**
+         * Called once, whatever ended the connection, also where it was never opened; but not after
+         * its own {@link Connection#close}.
+         */
+        void onClose(String reason);
     }
 
     /** A timer that was set. */
     interface Timer {
+
         void cancel();
     }
 
     /**
-     * What an HTTP server answered.
+     * An HTTP response.
      *
-     * @param location where the caller is to ask instead; null where he has his answer
+     * @param location where the caller is redirected to; null for nowhere
      */
     record HttpResponse(int status, byte[] body, String location) {
 
@@ -62,23 +71,34 @@
     /** Milliseconds of a clock that never goes back, from a zero of its own. */
     long nowMillis();
 
-    Timer schedule(long ms, Runnable run);
+    /** Runs a task after a delay. */
+    Timer schedule(long delayMillis, Runnable task);
 
-    Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear);
+    /**
+     * Connects to an address, IP:PORT.
+     *
+     * @return the connection, which is not open yet: the listener is told
+     */
+    Connection connect(
+            String address, Framing framing, int timeoutMillis, ConnectionListener listener);
 
-    /** A POST with a JSON body; the future fails where no whole answer came within the time. */
+    /**
+     * Sends a POST with a JSON body.
+     *
+     * @return fails where no complete response came within the time
+     */
     CompletableFuture<HttpResponse> post(
             String address,
             String path,
             String json,
-            java.util.Map<String, String> headers,
-            int timeoutMs);
+            Map<String, String> headers,
+            int timeoutMillis);
 
     RandomGenerator random();
 
-    /** Keeps this in memory, to go out with the next that is wrong. */
+    /** Keeps an event in memory; it is written out with the next warning. */
     void trace(String event);
 
-    /** Something is wrong: it goes out, with what was noted before. */
+    /** Writes out a warning, with the events before it. */
     void warn(String event);
 }
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -1,6 +1,6 @@
 package dillfront.common.environment;
 
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
@@ -28,7 +28,7 @@
  * once sees them done in that order. Bodies, silence, the time of a call and answers that nobody
  * reads are bounded; what is sent beyond that stays in the socket.
  */
-public final class HttpServerHandler extends Ears {
+public final class HttpServerHandler extends TerminalHandler {
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int IDLE_TIMEOUT_S = 60;
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -1,8 +1,8 @@
 package dillfront.common.environment;
 
 import dillfront.common.network.Address;
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -16,17 +16,9 @@
 import io.netty.handler.codec.DelimiterBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.TooLongFrameException;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
@@ -38,10 +30,9 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** The machine as it is: sockets on one event loop. */
+/** The machine as it is: sockets on one event loop, the system's clock, a log on a stream. */
 public final class NettyEnvironment implements Environment {
 
-    /** The longest message of the wire, and of the system's own processes. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
     private static final int MAX_FRAME_BYTES = 1 << 23;
@@ -56,14 +47,14 @@
     private final long startNanos = System.nanoTime();
     private final RandomGenerator random;
 
-    private final RingLog ringLog;
+    private final RingLog eventLog;
 
     public NettyEnvironment(long seed) {
         this(seed, new RingLog(System.err, "dillfront"));
     }
 
     public NettyEnvironment(long seed, RingLog ring) {
-        this.ringLog = ring;
+        this.eventLog = ring;
         random = new SplittableRandom(seed);
     }
 
@@ -89,22 +80,22 @@
 
     @Override
     public void trace(String event) {
-        ringLog.record(nowMillis(), event);
+        eventLog.record(nowMillis(), event);
     }
 
     @Override
     public void warn(String event) {
-        ringLog.warn(nowMillis(), event);
+        eventLog.warn(nowMillis(), event);
     }
 
     static InetSocketAddress address(String text) {
         InetSocketAddress is = Address.parse(text);
-        // Refused like a dead one: whoever told of it told wrong.
+        // Connecting there is refused, as at a machine that is down.
         return is == null ? UNREACHABLE : is;
     }
 
-    /** One connection's end of the program's side. */
-    private final class NettyConnection extends Ears implements Connection {
+    /** One connection. */
+    private final class NettyConnection extends TerminalHandler implements Connection {
 
         private final Framing framing;
         private final ConnectionListener listener;
@@ -226,7 +217,12 @@
         return line;
     }
 
-    /** A door for the wire or for the system's own processes. */
+    /**
+     * Listens for connections of this framing.
+     *
+     * @param at IP:PORT
+     * @throws IOException where that cannot be
+     */
     public void listen(String at, Framing form, Function<Environment, ConnectionListener> each)
             throws IOException {
         bind(
@@ -240,7 +236,12 @@
                 at);
     }
 
-    /** A door for HTTP. */
+    /**
+     * Serves HTTP.
+     *
+     * @param at IP:PORT
+     * @throws IOException where that cannot be
+     */
     public void serveHttp(String at, HttpServerHandler.HttpEndpoint calls) throws IOException {
         serveHttp(at, calls, HttpServerHandler.MAX_HANDLING_MS);
     }
@@ -261,7 +262,7 @@
                 at);
     }
 
-    /** Doors are made on the loop. */
+    /** Server sockets are made on the event loop. */
     private void bind(Supplier<ChannelFuture> door, String at) throws IOException {
         Future<ChannelFuture> made = eventLoop.submit(door::get);
         try {
@@ -276,106 +277,17 @@
 
     @Override
     public CompletableFuture<HttpResponse> post(
-            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
-        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        if (!eventLoop.inEventLoop()) {
-            eventLoop.execute(
-                    () ->
-                            post(address, path, json, headers, timeoutMs)
-                                    .whenComplete(
-                                            (is, fault) -> {
-                                                if (fault == null) {
-                                                    answer.complete(is);
-                                                } else {
-                                                    answer.completeExceptionally(fault);
-                                                }
-                                            }));
-            return answer;
-        }
-        long until = nowMillis() + timeoutMs;
-        Ears ears =
-                new Ears() {
-                    @Override
-                    public void handlerAdded(ChannelHandlerContext ctx) {
-                        ctx.pipeline().addBefore(ctx.name(), "codec", new HttpClientCodec());
-                        ctx.pipeline()
-                                .addBefore(ctx.name(), "whole", new HttpObjectAggregator(1 << 16));
-                    }
-
-                    @Override
-                    public void channelActive(ChannelHandlerContext ctx) {
-                        if (nowMillis() >= until) {
-                            // This process stood still: what it asks for was decided long ago, and
-                            // given up.
-                            answer.completeExceptionally(
-                                    new IOException("not sent in " + timeoutMs + " ms"));
-                            ctx.close();
-                            return;
-                        }
-                        ByteBuf body =
-                                Unpooled.wrappedBuffer(json.getBytes(StandardCharsets.UTF_8));
-                        DefaultFullHttpRequest request =
-                                new DefaultFullHttpRequest(
-                                        HttpVersion.HTTP_1_1, HttpMethod.POST, path, body);
-                        request.headers()
-                                .set("Host", address)
-                                .set("Content-Type", "application/json")
-                                .set("Content-Length", body.readableBytes())
-                                .set("Connection", "close");
-                        headers.forEach(request.headers()::set);
-                        ctx.writeAndFlush(request);
-                    }
-
-                    @Override
-                    public void channelRead(ChannelHandlerContext ctx, Object in) {
-                        FullHttpResponse is = (FullHttpResponse) in;
-                        try {
-                            if (is.decoderResult().isFailure()) {
-                                answer.completeExceptionally(new IOException("no whole answer"));
-                            } else if (is.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                                // The answer is still to come.
-                                return;
-                            } else {
-                                byte[] body = new byte[is.content().readableBytes()];
-                                is.content().readBytes(body);
-                                answer.complete(new HttpResponse(is.status().code(), body));
-                            }
-                        } finally {
-                            is.release();
-                        }
-                        ctx.close();
-                    }
-
-                    @Override
-                    public void channelInactive(ChannelHandlerContext ctx) {
-                        answer.completeExceptionally(new IOException("closed without an answer"));
-                    }
-
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        answer.completeExceptionally(cause);
-                        ctx.close();
-                    }
-                };
-        ChannelFuture opening = Sockets.connect(eventLoop, address(address), ears, timeoutMs);
-        if (opening == null) {
-            answer.completeExceptionally(new IOException("no descriptor is left"));
-            return answer;
+            String address,
+            String path,
+            String json,
+            Map<String, String> headers,
+            int timeoutMillis) {
+        HttpPost post = new HttpPost(this, address, path, json, headers, timeoutMillis);
+        if (eventLoop.inEventLoop()) {
+            post.send();
+        } else {
+            eventLoop.execute(post::send);
         }
-        opening.addListener(
-                done -> {
-                    if (!done.isSuccess()) {
-                        answer.completeExceptionally(done.cause());
-                    }
-                });
-        eventLoop.schedule(
-                () -> {
-                    answer.completeExceptionally(
-                            new IOException("no answer in " + timeoutMs + " ms"));
-                    opening.channel().close();
-                },
-                timeoutMs,
-                TimeUnit.MILLISECONDS);
-        return answer;
+        return post.response();
     }
 }
--- a/src/main/java/dillfront/common/message/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -137,24 +137,29 @@
             out.write(FORMAT_VERSION);
             writeHeader(base);
             writeHeader(target);
-            int[] news = chunkBounds(target);
+            int[] targetChunks = chunkBounds(target);
             // The piece of the base that is expected next, as nothing has moved.
-            int at = 0;
-            for (int k = 0; k < news.length - 1; k++) {
-                int from = news[k];
-                int to = news[k + 1];
-                if (at >= baseChunks.length - 1
+            int expected = 0;
+            for (int k = 0; k < targetChunks.length - 1; k++) {
+                int from = targetChunks[k];
+                int to = targetChunks[k + 1];
+                if (expected >= baseChunks.length - 1
                         || !Arrays.equals(
-                                base, baseChunks[at], baseChunks[at + 1], target, from, to)) {
+                                base,
+                                baseChunks[expected],
+                                baseChunks[expected + 1],
+                                target,
+                                from,
+                                to)) {
                     int found = chunkIndex[slot(target, from, to)] - 1;
                     if (found < 0) {
-                        at += addChangedChunk(at, from, to) ? 1 : 0;
+                        expected += addChangedChunk(expected, from, to) ? 1 : 0;
                         continue;
                     }
-                    at = found;
+                    expected = found;
                 }
-                addCopy(baseChunks[at], baseChunks[at + 1]);
-                at++;
+                addCopy(baseChunks[expected], baseChunks[expected + 1]);
+                expected++;
             }
             flush();
             return out.toByteArray();
@@ -164,19 +169,19 @@
         private boolean addChangedChunk(int at, int from, int to) {
             int first = at < baseChunks.length - 1 ? baseChunks[at] : base.length;
             int last = at < baseChunks.length - 1 ? baseChunks[at + 1] : base.length;
-            int same = Math.min(to - from, last - first);
-            int before = Arrays.mismatch(base, first, first + same, target, from, from + same);
-            before = before < 0 ? same : before;
-            int behind = 0;
-            while (behind < same - before && base[last - 1 - behind] == target[to - 1 - behind]) {
-                behind++;
+            int common = Math.min(to - from, last - first);
+            int prefix = Arrays.mismatch(base, first, first + common, target, from, from + common);
+            prefix = prefix < 0 ? common : prefix;
+            int suffix = 0;
+            while (suffix < common - prefix && base[last - 1 - suffix] == target[to - 1 - suffix]) {
+                suffix++;
             }
-            before = before < MIN_COPY ? 0 : before;
-            behind = behind < MIN_COPY ? 0 : behind;
-            addCopy(first, first + before);
-            addLiteral(from + before, to - behind);
-            addCopy(last - behind, last);
-            return before + behind > 0;
+            prefix = prefix < MIN_COPY ? 0 : prefix;
+            suffix = suffix < MIN_COPY ? 0 : suffix;
+            addCopy(first, first + prefix);
+            addLiteral(from + prefix, to - suffix);
+            addCopy(last - suffix, last);
+            return prefix + suffix > 0;
         }
 
         private void addCopy(int from, int to) {
--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -41,25 +41,25 @@
     /**
      * The text again.
      *
-     * @param most bytes that it may have
+     * @param maxBytes bytes that it may have
      * @throws Bad where it is damaged, goes on behind its end, or is longer
      */
-    public static byte[] decompress(byte[] deflated, int most) throws CorruptDataException {
+    public static byte[] decompress(byte[] deflated, int maxBytes) throws CorruptDataException {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(deflated);
             ByteArrayOutputStream out =
-                    new ByteArrayOutputStream(Math.min(most, deflated.length * 4 + 64));
+                    new ByteArrayOutputStream(Math.min(maxBytes, deflated.length * 4 + 64));
             byte[] part = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int got = inflater.inflate(part);
-                if (got == 0 && !inflater.finished()) {
+                int count = inflater.inflate(part);
+                if (count == 0 && !inflater.finished()) {
                     throw new CorruptDataException("ends before its end");
                 }
-                if (got > most - out.size()) {
-                    throw new CorruptDataException("more than " + most + " bytes come of it");
+                if (count > maxBytes - out.size()) {
+                    throw new CorruptDataException("more than " + maxBytes + " bytes come of it");
                 }
-                out.write(part, 0, got);
+                out.write(part, 0, count);
             }
             if (inflater.getRemaining() > 0) {
                 throw new CorruptDataException("goes on behind its end");
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -25,7 +25,7 @@
      * is left.
      */
     public static ChannelFuture connect(
-            EventLoop loop, InetSocketAddress to, Ears ears, int timeoutMs) {
+            EventLoop loop, InetSocketAddress to, TerminalHandler ears, int timeoutMs) {
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
@@ -46,12 +46,12 @@
             InetSocketAddress at,
             int backlog,
             WriteBufferWaterMark mark,
-            Supplier<Ears> each) {
+            Supplier<TerminalHandler> each) {
         NioServerSocketChannel door = new NioServerSocketChannel();
         door.config().setBacklog(backlog).setReuseAddress(true);
         door.pipeline()
                 .addLast(
-                        new Ears() {
+                        new TerminalHandler() {
                             @Override
                             public void channelRead(ChannelHandlerContext ctx, Object accepted) {
                                 NioSocketChannel client = (NioSocketChannel) accepted;
--- a/src/main/java/dillfront/common/network/Ears.java
+++ b/src/main/java/dillfront/common/network/TerminalHandler.java
@@ -4,11 +4,10 @@
 import io.netty.channel.ChannelInboundHandler;
 
 /**
- * A handler that hears all and passes nothing on: the only one of its channel. Netty's own adapter
- * marks by annotations what may be skipped, and the first of them that is read costs the start a
- * proxy class.
+ * The last handler of a channel: it passes nothing on. Netty's own adapter marks by annotations
+ * what may be skipped, and reading the first of them costs the start of the process a proxy class.
  */
-public abstract class Ears implements ChannelInboundHandler {
+public abstract class TerminalHandler implements ChannelInboundHandler {
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {}
@@ -37,7 +36,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {}
 
-    /** Netty's word against it is meant for handlers of what goes out. */
+    /** Deprecated by Netty for outbound handlers only. */
     @Override
     @SuppressWarnings("deprecation")
     public abstract void exceptionCaught(ChannelHandlerContext ctx, Throwable cause)
--- a/src/main/java/dillfront/common/storage/Shelf.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -12,10 +12,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * Texts under names, and numbers under numbers, in one file that survives the end of the process
- * and of power at any byte. Each put is one record, written and synced before the next, so that a
- * loss takes the last one alone, whole. Once the file is several times what is in it, all that is
- * in it goes into a new one, which takes its place at once. All calls from one thread.
+ * A log file that holds texts under names, and numbers under numbers, and survives the end of the
+ * process and of power at any byte. Each put is one record, written and synced before the next, so
+ * that a loss takes the last one alone, and all of it. Once the file is several times as long as
+ * what is live in it, all that is live goes into a new one, which replaces it atomically. All calls
+ * from one thread.
  *
  * <pre>
  *   file    "dillfront memory 2\n"  records
@@ -28,166 +29,172 @@
  * Numbers are big-endian. The first record holds all that was there, and under "" the name of the
  * router it belongs to.
  */
-public final class Shelf {
+public final class CompactingLog {
 
-    /** The file cannot be used, or not now: which, where and why. */
-    public static final class Broken extends Exception {
+    /** The file cannot be used, or not now: which, where and why. A put may be tried again. */
+    public static final class UnusableLogException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Broken(String fault) {
+        UnusableLogException(String fault) {
             super(fault);
         }
     }
 
-    /** Another process has the folder. */
-    public static final class Held extends Exception {
+    /** Another process has locked the folder. */
+    public static final class LockedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Held(String fault) {
+        LockedException(String fault) {
             super(fault);
         }
     }
 
     public static final String FILE = "memory.log";
-    private static final String NEXT = "memory.next";
-    private static final String ASIDE = "memory.broken";
+    private static final String NEXT_FILE = "memory.next";
+    private static final String DAMAGED_FILE = "memory.broken";
     private static final Pattern FORMAT = Pattern.compile("dillfront memory (\\d+)\n");
-    private static final byte[] HEAD = "dillfront memory 2\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int BEFORE_BODY = 8;
-    private static final int LEAST_BODY = 16;
+    private static final byte[] HEADER = "dillfront memory 2\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int RECORD_HEADER_BYTES = 8;
+    private static final int MIN_BODY_BYTES = 16;
     private static final String OWNER = "";
 
     /**
      * The file may be so many times as long as what is in it, or so long, before it is written
      * anew.
      */
-    private static final int TIMES = 4;
+    private static final int MAX_GROWTH = 4;
 
-    private static final int LEAST = 1 << 16;
+    private static final int MIN_COMPACTION_BYTES = 1 << 16;
 
-    /** Bytes of a name, and of a text: its length has two of them. */
-    static final int LONGEST = 0xffff;
+    /** Of a name, and of a text: its length has two bytes. */
+    static final int MAX_TEXT_BYTES = 0xffff;
 
-    private final Disk disk;
-    private final String where;
+    private final StorageFolder disk;
+    private final String path;
     private final Map<String, String> texts = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
 
     /** Of the file, as far as it is good; and of a new one with the same in it. */
     private long length;
 
-    private long live;
-    private long record;
-    private String cut;
-    private boolean aside;
+    private long liveBytes;
+    private long recordNumber;
+    private String damage;
+    private boolean movedAside;
 
     /** A write failed: what is behind the good part is not known. */
-    private boolean tailDoubtful;
+    private boolean tailUncertain;
 
     /**
      * A change of names failed: which file has the name, and which will have it after a loss of
      * power, is not known.
      */
-    private boolean namesDoubtful;
+    private boolean namesUncertain;
 
     /** Where it could not be written anew, that is tried again at this length. */
-    private long dueAt;
+    private long compactAtLength;
 
-    private Shelf(Disk disk, String where) {
+    private CompactingLog(StorageFolder disk, String where) {
         this.disk = disk;
-        this.where = where + "/" + FILE;
+        this.path = where + "/" + FILE;
     }
 
     /**
-     * Opens what is there, or begins.
+     * Opens the log that is there, or begins one.
      *
-     * @param where the folder, for what is said of it
+     * @param folder its name, for messages
      * @param owner the router's name
      * @throws Broken where the file is another router's or of a format that this program does not
      *     know, or cannot be read
      */
-    public static Shelf open(Disk disk, String where, String owner) throws Broken {
-        return open(disk, where, owner, false);
+    public static CompactingLog open(StorageFolder disk, String folder, String owner)
+            throws UnusableLogException {
+        return open(disk, folder, owner, false);
     }
 
     /**
-     * @param whole of a file of which more than a torn tail is wrong nothing is taken over, in no
-     *     later life either
+     * As above.
+     *
+     * @param discardIfDamaged of a file of which more than a torn tail is damaged nothing is taken
+     *     over, in no later incarnation either
      */
-    public static Shelf open(Disk disk, String where, String owner, boolean whole) throws Broken {
-        Shelf shelf = new Shelf(disk, where);
+    public static CompactingLog open(
+            StorageFolder disk, String folder, String owner, boolean discardIfDamaged)
+            throws UnusableLogException {
+        CompactingLog log = new CompactingLog(disk, folder);
         try {
-            shelf.read(owner, whole);
+            log.read(owner, discardIfDamaged);
         } catch (IOException bad) {
-            throw new Broken(shelf.where + ": " + said(bad));
+            throw new UnusableLogException(log.path + ": " + describe(bad));
         }
-        return shelf;
+        return log;
     }
 
-    private void read(String owner, boolean whole) throws IOException, Broken {
-        disk.delete(NEXT);
+    private void read(String owner, boolean discardIfDamaged)
+            throws IOException, UnusableLogException {
+        disk.delete(NEXT_FILE);
         byte[] all = disk.read(FILE);
         if (all == null) {
             texts.put(OWNER, owner);
-            anew();
+            compact();
             return;
         }
-        int at = HEAD.length;
-        if (all.length < at || !Arrays.equals(all, 0, at, HEAD, 0, at)) {
+        int at = HEADER.length;
+        if (all.length < at || !Arrays.equals(all, 0, at, HEADER, 0, at)) {
             Matcher format =
                     FORMAT.matcher(
                             new String(
                                     all, 0, Math.min(all.length, 32), StandardCharsets.US_ASCII));
             if (format.lookingAt()) {
-                throw new Broken(
-                        where + " is of format " + format.group(1) + ", and this program writes 2");
+                throw new UnusableLogException(
+                        path + " is of format " + format.group(1) + ", and this program writes 2");
             }
-            aside(all, "no memory");
+            moveAside(all, "no memory");
             texts.put(OWNER, owner);
-            anew();
+            compact();
             return;
         }
-        int good = records(all, at);
+        int good = readRecords(all, at);
         String its = texts.putIfAbsent(OWNER, owner);
         if (its != null && !its.equals(owner)) {
-            throw new Broken(
-                    where + " is that of router '" + its + "', and this is '" + owner + "'");
+            throw new UnusableLogException(
+                    path + " is that of router '" + its + "', and this is '" + owner + "'");
         }
         if (good < all.length) {
             String fault = "of " + all.length + " bytes, those from " + good + " on are no record";
-            if (good == at || more(all, good)) {
-                // Not the tail alone: something that was kept is lost, so the rest is kept for
+            if (good == at || hasRecordAfter(all, good)) {
+                // Not the tail alone: something that was durable is lost, so the file is kept for
                 // whoever looks into it.
-                aside(all, fault);
+                moveAside(all, fault);
             } else {
-                cut = fault;
+                damage = fault;
             }
         } else if (good == at) {
-            aside(all, "no record");
+            moveAside(all, "no record");
         }
-        if (aside && whole) {
+        if (movedAside && discardIfDamaged) {
             texts.clear();
             numbers.clear();
             texts.put(OWNER, owner);
         }
         if (good == at || good < all.length) {
-            anew();
+            compact();
         } else {
             length = good;
-            live = HEAD.length + BEFORE_BODY + size(texts, numbers);
+            liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
         }
     }
 
-    /** Takes in all records from here on, and returns where the first is that is none. */
-    private int records(byte[] all, int from) throws Broken {
+    /** Reads all records from here on; returns where the first is that is none. */
+    private int readRecords(byte[] all, int from) throws UnusableLogException {
         int at = from;
         while (true) {
-            int body = body(all, at, at == from ? -1 : record + 1);
+            int body = bodyLength(all, at, at == from ? -1 : recordNumber + 1);
             if (body < 0) {
                 return at;
             }
-            take(ByteBuffer.wrap(all, at + BEFORE_BODY, body));
-            at += BEFORE_BODY + body;
+            readRecord(ByteBuffer.wrap(all, at + RECORD_HEADER_BYTES, body));
+            at += RECORD_HEADER_BYTES + body;
         }
     }
 
@@ -195,39 +202,39 @@
      * How long the body of the record here is; -1 where there is none with this number, or any
      * number where it is negative.
      */
-    private static int body(byte[] all, int at, long number) {
-        if (all.length - at < BEFORE_BODY + LEAST_BODY) {
+    private static int bodyLength(byte[] all, int at, long number) {
+        if (all.length - at < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
             return -1;
         }
         ByteBuffer in = ByteBuffer.wrap(all, at, all.length - at);
         int length = in.getInt();
         int sum = in.getInt();
-        if (length < LEAST_BODY
+        if (length < MIN_BODY_BYTES
                 || length > in.remaining()
                 || number >= 0 && in.getLong(in.position()) != number) {
             return -1;
         }
         CRC32C crc = new CRC32C();
-        crc.update(all, at + BEFORE_BODY, length);
+        crc.update(all, at + RECORD_HEADER_BYTES, length);
         return (int) crc.getValue() == sum ? length : -1;
     }
 
-    /** Whether a whole record lies anywhere behind: then it was synced after what is broken. */
-    private static boolean more(byte[] all, int from) {
+    /** Whether a complete record lies anywhere behind: it was synced after what is damaged. */
+    private static boolean hasRecordAfter(byte[] all, int from) {
         for (int at = from + 1; at < all.length; at++) {
-            if (body(all, at, -1) >= 0) {
+            if (bodyLength(all, at, -1) >= 0) {
                 return true;
             }
         }
         return false;
     }
 
-    private void take(ByteBuffer in) throws Broken {
+    private void readRecord(ByteBuffer in) throws UnusableLogException {
         try {
-            record = in.getLong();
+            recordNumber = in.getLong();
             for (int i = in.getInt(); i > 0; i--) {
-                String name = text(in);
-                put(name, text(in));
+                String name = readText(in);
+                put(name, readText(in));
             }
             for (int i = in.getInt(); i > 0; i--) {
                 long key = in.getLong();
@@ -236,11 +243,12 @@
                 put(key, there ? number : null);
             }
         } catch (BufferUnderflowException bad) {
-            throw new Broken(where + ": record " + record + " has a good sum and no form");
+            throw new UnusableLogException(
+                    path + ": record " + recordNumber + " has a good sum and no form");
         }
     }
 
-    private static String text(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
@@ -262,91 +270,95 @@
         }
     }
 
-    private void aside(byte[] all, String fault) throws IOException {
-        aside = true;
-        cut = fault + "; the file as it was is kept as " + ASIDE;
-        disk.delete(ASIDE);
-        disk.append(ASIDE, ByteBuffer.wrap(all));
-        disk.sync(ASIDE);
+    private void moveAside(byte[] all, String fault) throws IOException {
+        movedAside = true;
+        damage = fault + "; the file as it was is kept as " + DAMAGED_FILE;
+        disk.delete(DAMAGED_FILE);
+        disk.append(DAMAGED_FILE, ByteBuffer.wrap(all));
+        disk.sync(DAMAGED_FILE);
     }
 
-    /** More than a torn tail was wrong, and the file as it was lies beside. */
-    public boolean isAside() {
-        return aside;
+    /** Whether more than a torn tail was damaged: the file as it was lies beside. */
+    public boolean isMovedAside() {
+        return movedAside;
     }
 
-    /** What was wrong with the file that was found; null where nothing was. */
+    /** What was damaged of the file that was found; null for nothing. */
     public String fault() {
-        return cut == null ? null : where + ": " + cut;
+        return damage == null ? null : path + ": " + damage;
     }
 
     /**
-     * All of it or nothing is there after a loss of power. Where it fails, all or nothing of it may
-     * be there; what was kept before stays.
+     * Writes texts and numbers: after a loss of power all of them are there, or none. Where it
+     * fails, all or none of them may be there; what was written before stays.
      *
-     * @param named an empty text takes its name out
-     * @param numbered null takes its key out
+     * @param named an empty text removes its name
+     * @param numbered null removes its key
      * @throws IllegalArgumentException where a name or a text is longer than the form can hold;
      *     nothing is written then
      */
-    public void put(Map<String, String> named, Map<Long, Long> numbered) throws Broken {
-        int size = size(named, numbered);
+    public void put(Map<String, String> named, Map<Long, Long> numbered)
+            throws UnusableLogException {
+        int size = bodyBytes(named, numbered);
         try {
-            if (tailDoubtful) {
-                disk.cut(FILE, length);
-                tailDoubtful = false;
+            if (tailUncertain) {
+                disk.truncate(FILE, length);
+                tailUncertain = false;
                 // A disk that is full gets back what is no longer needed, by this put too: as a
                 // whole new file.
-                anewWith(named, numbered);
-            } else if (namesDoubtful) {
-                anewWith(named, numbered);
+                compactWith(named, numbered);
+            } else if (namesUncertain) {
+                compactWith(named, numbered);
             } else {
-                tailDoubtful = true;
-                disk.append(FILE, record(record + 1, size, named, numbered));
+                tailUncertain = true;
+                disk.append(FILE, encodeRecord(recordNumber + 1, size, named, numbered));
                 disk.sync(FILE);
-                tailDoubtful = false;
-                record++;
-                length += BEFORE_BODY + size;
+                tailUncertain = false;
+                recordNumber++;
+                length += RECORD_HEADER_BYTES + size;
                 named.forEach(this::put);
                 numbered.forEach(this::put);
-                grown();
+                compactIfGrown();
             }
         } catch (IOException bad) {
-            throw new Broken(where + ": " + said(bad));
+            throw new UnusableLogException(path + ": " + describe(bad));
         }
     }
 
     /**
-     * Writes the file anew where it has grown long; if that fails, what was put is on the disk all
-     * the same.
+     * Compacts the file where it has grown long; if that fails, what was put is on disk all the
+     * same.
      */
-    private void grown() {
-        if (length <= Math.max(dueAt, Math.max(LEAST, TIMES * live))) {
+    private void compactIfGrown() {
+        if (length
+                <= Math.max(
+                        compactAtLength, Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes))) {
             return;
         }
-        live = HEAD.length + BEFORE_BODY + size(texts, numbers);
-        if (length > Math.max(LEAST, TIMES * live)) {
+        liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
+        if (length > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes)) {
             try {
-                anew();
+                compact();
             } catch (IOException later) {
-                dueAt = length + Math.max(LEAST, live);
+                compactAtLength = length + Math.max(MIN_COMPACTION_BYTES, liveBytes);
             }
         }
     }
 
-    /** All that is here, and this, as a new file. */
-    private void anewWith(Map<String, String> named, Map<Long, Long> numbered) throws IOException {
+    /** Writes all that is live, and this, as a new file. */
+    private void compactWith(Map<String, String> named, Map<Long, Long> numbered)
+            throws IOException {
         Map<String, String> texts = new HashMap<>(this.texts);
         Map<Long, Long> numbers = new HashMap<>(this.numbers);
         named.forEach(this::put);
         numbered.forEach(this::put);
         boolean there = false;
         try {
-            anew();
+            compact();
             there = true;
         } finally {
             if (!there) {
-                tailDoubtful |= !namesDoubtful;
+                tailUncertain |= !namesUncertain;
                 this.texts.clear();
                 this.texts.putAll(texts);
                 this.numbers.clear();
@@ -356,37 +368,36 @@
     }
 
     /**
-     * All that is here into a new file, which then takes the place of the former. Until the folder
-     * is synced either may be there after a loss of power, so nothing is put into the new one
-     * before.
+     * Writes all that is live into a new file, which then replaces the former. Until the folder is
+     * synced either may be there after a loss of power, so nothing is put into the new one before.
      */
-    private void anew() throws IOException {
-        disk.delete(NEXT);
-        int body = size(texts, numbers);
-        disk.append(NEXT, ByteBuffer.wrap(HEAD));
-        disk.append(NEXT, record(record + 1, body, texts, numbers));
-        disk.sync(NEXT);
-        namesDoubtful = true;
-        disk.rename(NEXT, FILE);
-        record++;
-        length = HEAD.length + BEFORE_BODY + body;
-        live = length;
-        dueAt = 0;
+    private void compact() throws IOException {
+        disk.delete(NEXT_FILE);
+        int body = bodyBytes(texts, numbers);
+        disk.append(NEXT_FILE, ByteBuffer.wrap(HEADER));
+        disk.append(NEXT_FILE, encodeRecord(recordNumber + 1, body, texts, numbers));
+        disk.sync(NEXT_FILE);
+        namesUncertain = true;
+        disk.rename(NEXT_FILE, FILE);
+        recordNumber++;
+        length = HEADER.length + RECORD_HEADER_BYTES + body;
+        liveBytes = length;
+        compactAtLength = 0;
         disk.syncNames();
-        namesDoubtful = false;
+        namesUncertain = false;
     }
 
-    /** Bytes of the body of a record with these. */
-    private static int size(Map<String, String> named, Map<Long, Long> numbered) {
-        long size = LEAST_BODY + 17L * numbered.size();
+    /** The length of the body of a record with these. */
+    private static int bodyBytes(Map<String, String> named, Map<Long, Long> numbered) {
+        long size = MIN_BODY_BYTES + 17L * numbered.size();
         for (Map.Entry<String, String> one : named.entrySet()) {
-            size += 4 + size(one.getKey()) + size(one.getValue());
+            size += 4 + textBytes(one.getKey()) + textBytes(one.getValue());
         }
         return Math.toIntExact(size);
     }
 
     /** Bytes of a text in UTF-8. */
-    private static int size(String text) {
+    private static int textBytes(String text) {
         int size = text.length();
         int i = 0;
         while (i < text.length()) {
@@ -401,20 +412,20 @@
                 i += pair ? 1 : 0;
             }
         }
-        if (size > LONGEST) {
+        if (size > MAX_TEXT_BYTES) {
             throw new IllegalArgumentException(
                     "a text of "
                             + size
                             + " bytes, and at most "
-                            + LONGEST
+                            + MAX_TEXT_BYTES
                             + " are kept under a name");
         }
         return size;
     }
 
-    private static ByteBuffer record(
+    private static ByteBuffer encodeRecord(
             long number, int size, Map<String, String> named, Map<Long, Long> numbered) {
-        ByteBuffer out = ByteBuffer.allocate(BEFORE_BODY + size);
+        ByteBuffer out = ByteBuffer.allocate(RECORD_HEADER_BYTES + size);
         out.putInt(size).putInt(0).putLong(number).putInt(named.size());
         for (Map.Entry<String, String> one : named.entrySet()) {
             for (String text : new String[] {one.getKey(), one.getValue()}) {
@@ -429,27 +440,29 @@
                                 .put((byte) (is == null ? 0 : 1))
                                 .putLong(is == null ? 0 : is));
         CRC32C crc = new CRC32C();
-        crc.update(out.array(), BEFORE_BODY, size);
+        crc.update(out.array(), RECORD_HEADER_BYTES, size);
         out.putInt(4, (int) crc.getValue());
         return out.flip();
     }
 
     /** Texts by their names. */
-    public Map<String, String> all() {
+    public Map<String, String> texts() {
         Map<String, String> all = new HashMap<>(texts);
         all.remove(OWNER);
         return all;
     }
 
+    /** Numbers by their keys. */
     public Map<Long, Long> numbers() {
         return new HashMap<>(numbers);
     }
 
+    /** Unlocks the folder. */
     public void close() {
         disk.close();
     }
 
-    private static String said(IOException bad) {
+    private static String describe(IOException bad) {
         String text = String.valueOf(bad.getMessage()).lines().findFirst().orElse("");
         return bad.getClass() == IOException.class
                 ? text
--- a/src/main/java/dillfront/common/storage/Disk.java
+++ b/src/main/java/dillfront/common/storage/StorageFolder.java
@@ -12,87 +12,91 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A folder as a memory needs it. What was written may be lost with the power until it is synced,
- * each part of it by itself.
+ * A folder as {@link CompactingLog} needs it. What was written may be lost with the power until it
+ * is synced, each part of it by itself.
  */
-public interface Disk extends AutoCloseable {
+public interface StorageFolder extends AutoCloseable {
 
-    /** Null where there is no such file. */
+    /** The content of a file; null where there is none. */
     byte[] read(String name) throws IOException;
 
+    /** Appends to a file, which is made where there is none. */
     void append(String name, ByteBuffer bytes) throws IOException;
 
+    /** What was appended to this file survives a loss of power from now on. */
     void sync(String name) throws IOException;
 
-    void cut(String name, long length) throws IOException;
+    /** Cuts a file to this length, and syncs it. */
+    void truncate(String name, long length) throws IOException;
 
     /**
-     * In the place of whatever had that name. After a loss of power it is either so or not, until
-     * the names are synced.
+     * Renames a file, in place of whatever had that name. After a loss of power it is either so or
+     * not, until the names are synced.
      */
     void rename(String from, String to) throws IOException;
 
     void delete(String name) throws IOException;
 
-    /** All files have the names that they have now also after a loss of power. */
+    /** The names of all files survive a loss of power from now on. */
     void syncNames() throws IOException;
 
     @Override
     void close();
 
-    /** A folder of this machine, held by a lock for as long as it is open. */
-    final class Folder implements Disk {
+    /** A folder of this machine, locked for as long as it is open. */
+    final class LocalFolder implements StorageFolder {
 
         private static final String LOCK = "memory.lock";
 
-        /** More than any memory may have. */
-        private static final long MOST = 1 << 28;
+        /** No log is longer. */
+        private static final long MAX_FILE_BYTES = 1 << 28;
 
         private final Path folder;
         private final FileChannel lock;
 
-        /** What was appended to last stays open. */
-        private String name;
+        /** The file that was appended to last stays open. */
+        private String openName;
 
-        private FileChannel open;
+        private FileChannel openChannel;
 
         /**
-         * @throws Shelf.Held where another process has it
+         * @throws Shelf.Held where another process has locked it
          */
-        public Folder(Path folder) throws IOException, Shelf.Held {
+        public LocalFolder(Path folder) throws IOException, CompactingLog.LockedException {
             this.folder = folder;
-            Path there = folder.toAbsolutePath();
-            while (!Files.exists(there)) {
-                there = there.getParent();
+            Path existing = folder.toAbsolutePath();
+            while (!Files.exists(existing)) {
+                existing = existing.getParent();
             }
             Files.createDirectories(folder);
             // A folder that was made is a name in the one above it.
-            for (Path made = folder.toAbsolutePath();
-                    !made.equals(there);
-                    made = made.getParent()) {
-                syncNames(made.getParent());
+            for (Path created = folder.toAbsolutePath();
+                    !created.equals(existing);
+                    created = created.getParent()) {
+                syncNames(created.getParent());
             }
             lock =
                     FileChannel.open(
                             folder.resolve(LOCK),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE);
-            FileLock held;
+            FileLock acquired;
             try {
-                held = lock.tryLock();
+                acquired = lock.tryLock();
             } catch (OverlappingFileLockException here) {
-                held = null;
+                acquired = null;
             }
-            if (held == null) {
+            if (acquired == null) {
                 lock.close();
-                throw new Shelf.Held("another process holds " + folder.resolve(LOCK));
+                throw new CompactingLog.LockedException(
+                        "another process holds " + folder.resolve(LOCK));
             }
         }
 
         @Override
         public byte[] read(String of) throws IOException {
             try {
-                if (Files.size(folder.resolve(of)) > MOST) {
+                if (Files.size(folder.resolve(of)) > MAX_FILE_BYTES) {
                     throw new IOException(
                             folder.resolve(of)
                                     + ": of "
@@ -106,23 +110,23 @@
         }
 
         private FileChannel channel(String of) throws IOException {
-            if (!of.equals(name)) {
-                shut();
-                open =
+            if (!of.equals(openName)) {
+                closeChannel();
+                openChannel =
                         FileChannel.open(
                                 folder.resolve(of),
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.WRITE);
-                name = of;
+                openName = of;
             }
-            return open;
+            return openChannel;
         }
 
-        private void shut() throws IOException {
-            if (open != null) {
-                name = null;
-                open.close();
-                open = null;
+        private void closeChannel() throws IOException {
+            if (openChannel != null) {
+                openName = null;
+                openChannel.close();
+                openChannel = null;
             }
         }
 
@@ -141,14 +145,14 @@
         }
 
         @Override
-        public void cut(String of, long length) throws IOException {
+        public void truncate(String of, long length) throws IOException {
             channel(of).truncate(length);
-            open.force(true);
+            openChannel.force(true);
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
-            shut();
+            closeChannel();
             Files.move(
                     folder.resolve(from),
                     folder.resolve(to),
@@ -169,14 +173,14 @@
 
         @Override
         public void delete(String of) throws IOException {
-            shut();
+            closeChannel();
             Files.deleteIfExists(folder.resolve(of));
         }
 
         @Override
         public void close() {
             try {
-                shut();
+                closeChannel();
                 lock.close();
             } catch (IOException over) {
                 // Nothing is left to be written.
--- /dev/null
+++ b/src/main/java/dillfront/common/storage/TextStore.java
@@ -0,0 +1,75 @@
+package dillfront.common.storage;
+
+import java.nio.file.Path;
+import java.util.Map;
+
+/**
+ * Texts under names, kept in a folder so that each put is there whole or not at all after a loss of
+ * power. From one thread.
+ */
+public final class TextStore {
+
+    /** The folder cannot be used: which, and why. A put may be tried again. */
+    public static final class StorageException extends Exception {
+        private static final long serialVersionUID = 1;
+
+        StorageException(String fault) {
+            super(fault);
+        }
+    }
+
+    private final CompactingLog log;
+
+    private TextStore(CompactingLog shelf) {
+        this.log = shelf;
+    }
+
+    /**
+     * @throws Broken where it cannot be read, or is another's
+     */
+    public static TextStore open(Path folder, String owner) throws StorageException {
+        try {
+            return openOn(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
+        } catch (java.io.IOException | CompactingLog.LockedException bad) {
+            throw new StorageException(folder + ": " + bad.getMessage());
+        }
+    }
+
+    /** Opens the store on any disk, as tests do. */
+    public static TextStore openOn(StorageFolder disk, String where, String owner)
+            throws StorageException {
+        try {
+            return new TextStore(CompactingLog.open(disk, where, owner, true));
+        } catch (CompactingLog.UnusableLogException bad) {
+            throw new StorageException(bad.getMessage());
+        }
+    }
+
+    /**
+     * Whether more than the last record was damaged: what was durable may be gone, so nothing of it
+     * was taken over, and the folder begins anew.
+     */
+    public boolean isDamaged() {
+        return log.isMovedAside();
+    }
+
+    /** All texts by their names. */
+    public Map<String, String> texts() {
+        return log.texts();
+    }
+
+    /**
+     * Returns once it is on the disk; an empty text takes its name out.
+     *
+     * @throws Broken where it may be there or not; what was kept before stays, and the next put
+     *     tries the disk again
+     * @throws IllegalArgumentException where a name or a text has more than 65,535 bytes in UTF-8
+     */
+    public void put(Map<String, String> texts) throws StorageException {
+        try {
+            log.put(texts, Map.of());
+        } catch (CompactingLog.UnusableLogException bad) {
+            throw new StorageException(bad.getMessage());
+        }
+    }
+}
--- a/src/main/java/dillfront/router/admin/Control.java
+++ b/src/main/java/dillfront/router/admin/Control.java
@@ -1,8 +1,8 @@
 package dillfront.router.admin;
 
 import dillfront.common.logging.Log;
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -69,7 +69,7 @@
     }
 
     /** One connection; gives its place back in channelInactive. */
-    private final class Question extends Ears {
+    private final class Question extends TerminalHandler {
 
         private final StringBuilder line = new StringBuilder();
         private ScheduledFuture<?> patience;
--- a/src/main/java/dillfront/router/backend/Connection.java
+++ b/src/main/java/dillfront/router/backend/Connection.java
@@ -1,7 +1,7 @@
 package dillfront.router.backend;
 
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.pgwire.BadFrame;
 import dillfront.router.pgwire.Frames;
 import dillfront.router.pgwire.Messages;
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to a node: opened for a call, then carrying one call at a time. */
-final class Connection extends Ears {
+final class Connection extends TerminalHandler {
 
     private static final byte[] ROLE = ascii("node_role");
     private static final byte[] POSITION = ascii("replay_position");
--- a/src/main/java/dillfront/router/discovery/Watch.java
+++ b/src/main/java/dillfront/router/discovery/Watch.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.config.Tree;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufInputStream;
@@ -143,7 +143,7 @@
     }
 
     /** One connection to discovery. Owns its buffer and its timer; both go back in close(). */
-    private final class Asking extends Ears {
+    private final class Asking extends TerminalHandler {
 
         private final HttpAnswers answers = new HttpAnswers();
         private final InetSocketAddress at = address;
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -1,6 +1,6 @@
 package dillfront.router.frontend;
 
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.exchange.Answer;
 import dillfront.router.exchange.Asker;
 import dillfront.router.exchange.Exchange;
@@ -20,7 +20,7 @@
 import java.time.Duration;
 
 /** One client: queries taken one after another, each answered before the next is looked at. */
-final class ClientConnection extends Ears implements Asker {
+final class ClientConnection extends TerminalHandler implements Asker {
 
     private final Clients clients;
     private final Frames frames = new Frames();
--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -1,8 +1,8 @@
 package dillfront.router.memory;
 
 import dillfront.common.logging.Log;
-import dillfront.common.storage.Disk;
-import dillfront.common.storage.Shelf;
+import dillfront.common.storage.CompactingLog;
+import dillfront.common.storage.StorageFolder;
 import dillfront.router.discovery.Closings;
 import dillfront.router.operator.Operator;
 import dillfront.router.recovery.Doubts;
@@ -76,7 +76,7 @@
     private final Executor loop;
 
     /** The writer's, once it runs. */
-    private final Shelf shelf;
+    private final CompactingLog shelf;
 
     private final List<Closing> closings = new ArrayList<>();
     private final Map<Integer, String> leaders = new HashMap<>();
@@ -102,12 +102,12 @@
     private volatile long commits;
     private volatile long failures;
 
-    private Memory(Path folder, Shelf shelf, Log log, Executor loop) {
+    private Memory(Path folder, CompactingLog shelf, Log log, Executor loop) {
         this.folder = folder;
         this.shelf = shelf;
         this.log = log;
         this.loop = loop;
-        shelf.all()
+        shelf.texts()
                 .forEach(
                         (name, text) -> {
                             String id = name.substring(1);
@@ -135,20 +135,23 @@
      */
     public static Memory open(Path folder, String name, Log log, Executor loop)
             throws Operator.BadOperator {
-        Shelf shelf;
+        CompactingLog shelf;
         try {
-            Disk disk = new Disk.Folder(folder);
+            StorageFolder disk = new StorageFolder.LocalFolder(folder);
             try {
-                shelf = Shelf.open(disk, folder.toString(), name);
-            } catch (Shelf.Broken bad) {
+                shelf = CompactingLog.open(disk, folder.toString(), name);
+            } catch (CompactingLog.UnusableLogException bad) {
                 disk.close();
                 throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
             }
-        } catch (IOException | Shelf.Held bad) {
+        } catch (IOException | CompactingLog.LockedException bad) {
             throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
         }
         if (shelf.fault() != null) {
-            log.warn(shelf.isAside() ? "memory-broken" : "memory-tail-cut", "fault", shelf.fault());
+            log.warn(
+                    shelf.isMovedAside() ? "memory-broken" : "memory-tail-cut",
+                    "fault",
+                    shelf.fault());
         }
         Memory memory = new Memory(folder, shelf, log, loop);
         log.info(
@@ -279,7 +282,7 @@
                 log.info("memory-works-again", "folder", folder);
             }
             return true;
-        } catch (Shelf.Broken bad) {
+        } catch (CompactingLog.UnusableLogException bad) {
             failures++;
             if (!failing) {
                 failing = true;
--- a/src/main/java/dillfront/router/peers/Datagrams.java
+++ b/src/main/java/dillfront/router/peers/Datagrams.java
@@ -1,7 +1,7 @@
 package dillfront.router.peers;
 
 import dillfront.common.logging.Log;
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.gossip.Gossip;
 import dillfront.router.gossip.Post;
 import dillfront.router.gossip.Tuning;
@@ -174,7 +174,7 @@
                         new FixedRecvByteBufAllocator(tuning.datagram() + 1));
         channel.pipeline()
                 .addLast(
-                        new Ears() {
+                        new TerminalHandler() {
                             @Override
                             public void channelRead(ChannelHandlerContext ctx, Object message) {
                                 DatagramPacket packet = (DatagramPacket) message;
--- a/src/main/java/dillfront/simulation/processes/Agent.java
+++ b/src/main/java/dillfront/simulation/processes/Agent.java
@@ -1,6 +1,6 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -125,7 +125,7 @@
         }
     }
 
-    private final class Asker extends Ears {
+    private final class Asker extends TerminalHandler {
 
         private final StringBuilder said = new StringBuilder();
         private ChannelHandlerContext ctx;
--- a/src/main/java/dillfront/simulation/processes/Caller.java
+++ b/src/main/java/dillfront/simulation/processes/Caller.java
@@ -1,7 +1,7 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.pgwire.BadFrame;
 import dillfront.router.pgwire.Frames;
 import dillfront.router.pgwire.Messages;
@@ -101,7 +101,7 @@
     }
 
     /** One connection. */
-    private final class Line extends Ears {
+    private final class Line extends TerminalHandler {
 
         private final Frames frames = new Frames(1 << 22);
         private ChannelHandlerContext ctx;
--- a/src/main/java/dillfront/simulation/processes/Hub.java
+++ b/src/main/java/dillfront/simulation/processes/Hub.java
@@ -1,6 +1,6 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.socket.DatagramPacket;
@@ -54,7 +54,7 @@
                     channel.config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
                     channel.pipeline()
                             .addLast(
-                                    new Ears() {
+                                    new TerminalHandler() {
                                         @Override
                                         public void channelRead(
                                                 ChannelHandlerContext ctx, Object read) {
--- a/src/main/java/dillfront/simulation/processes/Node.java
+++ b/src/main/java/dillfront/simulation/processes/Node.java
@@ -1,6 +1,6 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
+import dillfront.common.network.TerminalHandler;
 import dillfront.router.pgwire.BadFrame;
 import dillfront.router.pgwire.Frames;
 import dillfront.router.pgwire.Messages;
@@ -305,7 +305,7 @@
     }
 
     /** A connection: one statement at a time is answered, as routers send them. */
-    private final class Talk extends Ears {
+    private final class Talk extends TerminalHandler {
 
         private final Frames frames = new Frames();
         private ChannelHandlerContext ctx;
--- a/src/main/java/dillfront/simulation/processes/Relay.java
+++ b/src/main/java/dillfront/simulation/processes/Relay.java
@@ -1,7 +1,7 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
@@ -231,7 +231,7 @@
         }
     }
 
-    private final class Near extends Ears {
+    private final class Near extends TerminalHandler {
 
         private final Link link = new Link();
 
@@ -256,7 +256,7 @@
         }
     }
 
-    private static final class Far extends Ears {
+    private static final class Far extends TerminalHandler {
 
         private final Link link;
 
--- a/src/main/java/dillfront/simulation/processes/Stage.java
+++ b/src/main/java/dillfront/simulation/processes/Stage.java
@@ -1,7 +1,7 @@
 package dillfront.simulation.processes;
 
-import dillfront.common.network.Ears;
 import dillfront.common.network.Sockets;
+import dillfront.common.network.TerminalHandler;
 import io.netty.buffer.UnpooledByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -197,7 +197,7 @@
      * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its
      * port only as the loop next looks at its sockets, so a port that is taken is tried again.
      */
-    Channel listen(int port, Supplier<Ears> each) {
+    Channel listen(int port, Supplier<TerminalHandler> each) {
         long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
         while (true) {
             ChannelFuture bound =
@@ -270,11 +270,11 @@
      * Has the channel use buffers of its own before anything is read, then leaves it to the handler
      * meant.
      */
-    private static final class Unpooled extends Ears {
+    private static final class Unpooled extends TerminalHandler {
 
-        private final Ears meant;
+        private final TerminalHandler meant;
 
-        Unpooled(Ears meant) {
+        Unpooled(TerminalHandler meant) {
             this.meant = meant;
         }
 
--- a/src/test/java/dillfront/bootstrap/Control.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 
 /** One real control process on loopback, with an address and a folder of its own. */
-final class Control {
+final class ControlProcess {
 
     /** What came back: 0 where no whole answer did. */
     record Answer(int status, String body) {}
@@ -36,7 +36,7 @@
     private Process process;
     private int starts;
 
-    Control(String ip, Path folder, int[] ports, String platform) {
+    ControlProcess(String ip, Path folder, int[] ports, String platform) {
         this.ip = ip;
         this.folder = folder.resolve(ip);
         control = ports[0];
@@ -57,7 +57,7 @@
         }
     }
 
-    void start(boolean first, List<Control> seeds) throws IOException {
+    void start(boolean first, List<ControlProcess> seeds) throws IOException {
         Files.createDirectories(folder.resolve("data"));
         JsonArray all = Json.array().asArray();
         seeds.forEach(seed -> all.add(seed.ip + ":" + control));
--- a/src/test/java/dillfront/bootstrap/RealControlTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -44,23 +44,23 @@
  * out of contact, two orders under one number, a loss right after a repair, one that is far behind,
  * and calls that share a connection.
  */
-class RealControlTest {
+class ControlProcessTest {
 
     @TempDir Path dir;
-    private final List<Control> all = new ArrayList<>();
-    private Control a;
-    private Control b;
-    private Control c;
+    private final List<ControlProcess> all = new ArrayList<>();
+    private ControlProcess a;
+    private ControlProcess b;
+    private ControlProcess c;
     private int[] ports;
     private String platform = "127.0.0.1:1";
 
     @BeforeEach
     void ports() throws IOException {
-        ports = Control.ports();
+        ports = ControlProcess.ports();
     }
 
-    private Control control(int number) {
-        Control is = new Control("127.0.77." + number, dir, ports, platform);
+    private ControlProcess control(int number) {
+        ControlProcess is = new ControlProcess("127.0.77." + number, dir, ports, platform);
         all.add(is);
         return is;
     }
@@ -73,8 +73,8 @@
     }
 
     private void begin() throws Exception {
-        List<Control> seeds = List.copyOf(all);
-        for (Control one : seeds) {
+        List<ControlProcess> seeds = List.copyOf(all);
+        for (ControlProcess one : seeds) {
             one.start(true, seeds);
         }
         up(seeds);
@@ -85,7 +85,7 @@
     }
 
     /** What a machine under load takes until programs run is no part of any scene. */
-    private void up(List<Control> started) throws Exception {
+    private void up(List<ControlProcess> started) throws Exception {
         until(
                 60,
                 "programs run: " + started.size(),
@@ -94,7 +94,7 @@
 
     @AfterEach
     void end() throws Exception {
-        for (Control one : all) {
+        for (ControlProcess one : all) {
             if (one.runs()) {
                 one.signal("CONT");
                 one.kill();
@@ -139,7 +139,7 @@
                 .replace('\'', '"');
     }
 
-    private static long version(Control.Answer of) {
+    private static long version(ControlProcess.Answer of) {
         return Json.parse(of.body()).asObject().getLong("revision_number", -1);
     }
 
@@ -147,7 +147,7 @@
      * As an operator does: again, to one after the other, until it is acknowledged; no answer may
      * be a refusal.
      */
-    private void acknowledged(String order, List<Control> at) throws Exception {
+    private void acknowledged(String order, List<ControlProcess> at) throws Exception {
         int[] next = new int[1];
         until(
                 "an order is acknowledged by one of " + at.size(),
@@ -161,7 +161,7 @@
     }
 
     /** That one itself acknowledges it within some tries, each without a refusal. */
-    private void acknowledged(String order, Control at) throws Exception {
+    private void acknowledged(String order, ControlProcess at) throws Exception {
         acknowledged(order, List.of(at));
     }
 
@@ -173,7 +173,7 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void withoutAMajorityNothingIsConfirmedRefusedOrHandedOut() throws Exception {
+    void isolatedProcessNeitherConfirmsNorRefusesNorServes() throws Exception {
         found();
         b.signal("STOP");
         c.signal("STOP");
@@ -201,7 +201,7 @@
         until(
                 "a read at the one that was cut off is the newest",
                 () -> {
-                    Control.Answer is = a.read();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(
                             is.status() == 503 || is.status() == 0 || version(is) == 1_000,
                             is.body());
@@ -213,21 +213,25 @@
      * Relays between all three, by who dials and whom: each knows the others by an inner port that
      * is only its own.
      */
-    private Map<String, Relay> foundBehindRelays() throws Exception {
-        int[] inner = {0, Control.ports()[0], Control.ports()[0], Control.ports()[0]};
+    private Map<String, TcpRelay> foundBehindRelays() throws Exception {
+        int[] inner = {
+            0, ControlProcess.ports()[0], ControlProcess.ports()[0], ControlProcess.ports()[0]
+        };
         for (int i = 1; i <= 3; i++) {
-            all.add(new Control("127.0.77." + i, dir, new int[] {ports[0], inner[i]}, platform));
+            all.add(
+                    new ControlProcess(
+                            "127.0.77." + i, dir, new int[] {ports[0], inner[i]}, platform));
         }
         a = all.get(0);
         b = all.get(1);
         c = all.get(2);
-        Map<String, Relay> relays = new TreeMap<>();
+        Map<String, TcpRelay> relays = new TreeMap<>();
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
                 if (i != j) {
                     relays.put(
                             i + ">" + j,
-                            new Relay(
+                            new TcpRelay(
                                     new InetSocketAddress("127.0.77." + j, inner[i]),
                                     new InetSocketAddress("127.0.77." + j, inner[j])));
                 }
@@ -243,8 +247,8 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void whoIsCutOffByTheNetworkConfirmsRefusesAndHandsOutNothing() throws Exception {
-        Map<String, Relay> relays = foundBehindRelays();
+    void partitionedProcessNeitherConfirmsNorRefusesNorServes() throws Exception {
+        Map<String, TcpRelay> relays = foundBehindRelays();
         try {
             int version = 1;
             for (boolean[] lost : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
@@ -264,7 +268,7 @@
                 long last = from;
                 while (last - from < 2_400_000_000L) {
                     last = System.nanoTime();
-                    for (Control.Answer is :
+                    for (ControlProcess.Answer is :
                             List.of(
                                     a.replace(configuration(version + 1, 600 + version)),
                                     a.read())) {
@@ -284,11 +288,11 @@
                                 + took
                                 + " ms, "
                                 + a.status());
-                relays.values().forEach(Relay::heal);
+                relays.values().forEach(TcpRelay::heal);
                 until(
                         "a read at the one that was cut off is the newest; " + what,
                         () -> {
-                            Control.Answer is = a.read();
+                            ControlProcess.Answer is = a.read();
                             assertTrue(
                                     is.status() == 503
                                             || is.status() == 307
@@ -300,7 +304,7 @@
                 acknowledged(configuration(version, 500 + version), a);
             }
         } finally {
-            for (Relay relay : relays.values()) {
+            for (TcpRelay relay : relays.values()) {
                 relay.close();
             }
         }
@@ -312,13 +316,14 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void whoStoodStillAnswersNothingOld() throws Exception {
+    void pausedProcessAnswersNothingOutdated() throws Exception {
         found();
         a.signal("STOP");
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Socket read = a.connect();
-            read.getOutputStream().write(Control.request("GET", "/Configuration.Read", "", true));
+            read.getOutputStream()
+                    .write(ControlProcess.request("GET", "/Configuration.Read", "", true));
             waiting.add(read);
         }
         for (int v = 2; v <= 6; v++) {
@@ -328,7 +333,7 @@
         until("another holds the lease", () -> holds(b.status()) || holds(c.status()));
         a.signal("CONT");
         for (Socket read : waiting) {
-            Control.Answer is = Control.hear(read);
+            ControlProcess.Answer is = ControlProcess.hear(read);
             assertTrue(
                     is.status() == 0
                             || is.status() == 503
@@ -340,7 +345,7 @@
         until(
                 "it answers a read with the newest",
                 () -> {
-                    Control.Answer is = a.read();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(is.status() != 200 || version(is) == 6, is.body());
                     return is.status() == 200;
                 });
@@ -474,7 +479,7 @@
                                                     leads == number ? "primary" : "replica")
                                             .add("call_sequence", sequence)
                                             .toString();
-                            for (Control one : List.of(a, b, c)) {
+                            for (ControlProcess one : List.of(a, b, c)) {
                                 host.post(
                                         one.ip + ":" + ports[0],
                                         "/Instances.Heartbeat/i-" + number,
@@ -546,7 +551,7 @@
         return status.matches(".* lease=\\d+ held promised=.*");
     }
 
-    private Control holder() {
+    private ControlProcess holder() {
         return all.stream().filter(one -> holds(one.status())).findFirst().orElse(null);
     }
 
@@ -565,7 +570,7 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void anOldLeaseActsNoMore() throws Exception {
+    void expiredLeaseActsNoMore() throws Exception {
         try (Cloud cloud = new Cloud()) {
             platform = cloud.address();
             found();
@@ -577,8 +582,8 @@
                     () -> {
                         String status =
                                 all.stream()
-                                        .map(Control::status)
-                                        .filter(RealControlTest::holds)
+                                        .map(ControlProcess::status)
+                                        .filter(ControlProcessTest::holds)
                                         .findFirst()
                                         .orElse("");
                         return leads(1, status);
@@ -592,7 +597,7 @@
                     () -> cloud.calls.size() > before);
             // Whoever called holds the lease: the call's fence is a number within it.
             Call first = cloud.calls.get(before);
-            Control old =
+            ControlProcess old =
                     all.stream()
                             .filter(one -> first.holder().equals("core-" + one.ip))
                             .findFirst()
@@ -603,7 +608,7 @@
                     open.subList(before, open.size()).stream().allMatch(first::equals),
                     "more than one call, and sent again: " + open);
             assertEquals(1, cloud.leads, "the call is not carried out when its caller is stopped");
-            List<Control> others = all.stream().filter(one -> one != old).toList();
+            List<ControlProcess> others = all.stream().filter(one -> one != old).toList();
             until(
                     "another has named a primary, and it leads",
                     () ->
@@ -624,8 +629,8 @@
                     () -> {
                         String newer =
                                 others.stream()
-                                        .map(Control::status)
-                                        .filter(RealControlTest::holds)
+                                        .map(ControlProcess::status)
+                                        .filter(ControlProcessTest::holds)
                                         .findFirst()
                                         .orElse("");
                         String is = old.status();
@@ -634,7 +639,7 @@
                                 && promise(is).equals(promise(newer))
                                 && leads(leads, is);
                     });
-            Control.Answer read = old.read();
+            ControlProcess.Answer read = old.read();
             assertTrue(read.status() != 200 || version(read) == 5, read.body());
             List<Call> made = List.copyOf(cloud.calls);
             List<String> said = List.copyOf(cloud.words).subList(words, cloud.words.size());
@@ -668,7 +673,7 @@
      * A data plane that knows of acknowledged commits which no replica has: it says so once, and is
      * gone.
      */
-    private void tellsOfCommits(Cloud cloud, Control to) {
+    private void tellsOfCommits(Cloud cloud, ControlProcess to) {
         cloud.host
                 .eventLoop()
                 .execute(
@@ -717,8 +722,8 @@
                                         }));
     }
 
-    private static JsonObject lacking(Control at) {
-        Control.Answer is = at.call("GET", "/status", "");
+    private static JsonObject lacking(ControlProcess at) {
+        ControlProcess.Answer is = at.call("GET", "/status", "");
         JsonArray all =
                 is.status() == 200
                         ? Json.parse(is.body()).asObject().get("lacking").asArray()
@@ -731,7 +736,7 @@
      * is accepted.
      */
     @Test
-    void whatAPersonGaveUpTheNextHolderGoesOnWith() throws Exception {
+    void nextHolderGoesOnWithAcceptedLoss() throws Exception {
         try (Cloud cloud = new Cloud()) {
             platform = cloud.address();
             found();
@@ -741,12 +746,12 @@
             until(
                     "the first is recorded as the primary",
                     () -> {
-                        Control holder = holder();
+                        ControlProcess holder = holder();
                         return holder != null
                                 && holder.status().matches(".*db primary=i-1(?! moving).*");
                     });
             all.forEach(one -> tellsOfCommits(cloud, one));
-            Control.Answer early =
+            ControlProcess.Answer early =
                     a.call(
                             "POST",
                             "/Services.AcceptDataLoss",
@@ -770,12 +775,12 @@
             until(
                     "its holder says so in a line",
                     () -> {
-                        Control holder = holder();
+                        ControlProcess holder = holder();
                         return holder != null
                                 && holder.status().contains(" lacking=1.5..1.6 longest_log=1.1");
                     });
-            Control old = holder();
-            Control other = all.stream().filter(one -> one != old).findFirst().orElseThrow();
+            ControlProcess old = holder();
+            ControlProcess other = all.stream().filter(one -> one != old).findFirst().orElseThrow();
             for (String wrong :
                     new String[] {
                         "move", "log_position", "least_acknowledged", "most_acknowledged"
@@ -809,7 +814,7 @@
                                                     ".*db primary=i-"
                                                             + cloud.leads
                                                             + "(?! moving).*"));
-            for (Control one : all) {
+            for (ControlProcess one : all) {
                 until(
                         "it is accepted where it was, and at the other",
                         () -> {
@@ -836,7 +841,7 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void oneNumberHasOneContentAndIsAcknowledgedForEver() throws Exception {
+    void revisionHasOneContentAndStaysAcknowledged() throws Exception {
         found();
         ExecutorService two = Executors.newFixedThreadPool(2);
         int refused = 0;
@@ -844,8 +849,8 @@
             for (int v = 2; v <= 8; v++) {
                 String one = configuration(v, 1_000 + v);
                 String other = configuration(v, 2_000 + v);
-                Future<Control.Answer> first = two.submit(() -> a.replace(one));
-                Future<Control.Answer> second = two.submit(() -> b.replace(other));
+                Future<ControlProcess.Answer> first = two.submit(() -> a.replace(one));
+                Future<ControlProcess.Answer> second = two.submit(() -> b.replace(other));
                 int statusOne = first.get(5, TimeUnit.SECONDS).status();
                 int statusOther = second.get(5, TimeUnit.SECONDS).status();
                 assertTrue(
@@ -860,7 +865,7 @@
                     until(
                             "the third reads what was decided under " + v,
                             () -> {
-                                Control.Answer is = c.read();
+                                ControlProcess.Answer is = c.read();
                                 assertTrue(
                                         is.status() != 200 || is.body().equals(decided),
                                         () -> "in force under " + number + ": " + is.body());
@@ -879,28 +884,28 @@
         String order = configuration(50, 800);
         try (Socket lost = a.connect()) {
             lost.getOutputStream()
-                    .write(Control.request("POST", "/Configuration.Replace", order, true));
+                    .write(ControlProcess.request("POST", "/Configuration.Replace", order, true));
             lost.setSoLinger(true, 0);
         }
         acknowledged(order, b);
         acknowledged(order, c);
         acknowledged(configuration(51, 801), a);
-        for (Control one : all) {
+        for (ControlProcess one : all) {
             one.kill();
         }
-        for (Control one : all) {
+        for (ControlProcess one : all) {
             one.start(false, List.of(a, b, c));
         }
         up(all);
-        for (Control one : all) {
+        for (ControlProcess one : all) {
             acknowledged(order, one);
             acknowledged(configuration(51, 801), one);
         }
-        for (Control one : all) {
+        for (ControlProcess one : all) {
             until(
                     "it reads the newest, which an older one sent again has not changed",
                     () -> {
-                        Control.Answer is = one.read();
+                        ControlProcess.Answer is = one.read();
                         assertTrue(is.status() != 200 || version(is) == 51, is.body());
                         return is.status() == 200;
                     });
@@ -909,7 +914,7 @@
 
     // ---- 3: a loss right after a repair
 
-    private static long members(Control of) {
+    private static long members(ControlProcess of) {
         String list = of.status().replaceAll(".* members=\\[([^\\]]*)\\].*", "$1");
         return list.isEmpty() ? 0 : Arrays.stream(list.split(", ")).count();
     }
@@ -918,7 +923,7 @@
         return status.matches(".* members=\\[([^\\]]*, )?" + ip.replace(".", "\\.") + "/.*");
     }
 
-    private static boolean memberOf(Control one, Control says) {
+    private static boolean memberOf(ControlProcess one, ControlProcess says) {
         String status = says.status();
         String own = one.status();
         return memberOf(one.ip, status)
@@ -933,7 +938,7 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void theNextLossRightAfterARepairIsBorne() throws Exception {
+    void bearsNextLossRightAfterARepair() throws Exception {
         found();
         acknowledged(configuration(2, 502), List.of(a, b, c));
         String was = c.status().replaceAll(".* members=(\\[[^\\]]*\\]).*", "$1");
@@ -954,7 +959,7 @@
                         b.read().body().equals(configuration(4, 504))
                                 && c.read().body().equals(configuration(4, 504)));
         // Another machine takes the place of the one that is gone; only the living are told to it.
-        Control d = control(4);
+        ControlProcess d = control(4);
         d.start(false, List.of(b, c));
         up(List.of(d));
         // Each by one look at its status: the set without the first one counts alone.
@@ -963,7 +968,7 @@
                 () ->
                         memberOf(d, c)
                                 && List.of(b, c).stream()
-                                        .map(Control::status)
+                                        .map(ControlProcess::status)
                                         .allMatch(
                                                 is ->
                                                         memberOf(d.ip, is)
@@ -974,7 +979,7 @@
         until("the repair is known to be over", () -> c.read().status() == 200);
         b.kill();
         acknowledged(configuration(5, 505), List.of(c, d));
-        for (Control one : List.of(c, d)) {
+        for (ControlProcess one : List.of(c, d)) {
             until(
                     "the two that are left read it",
                     () -> one.read().body().equals(configuration(5, 505)));
@@ -985,7 +990,7 @@
         until(
                 "who was away reads the newest, and never an older one",
                 () -> {
-                    Control.Answer is = a.read();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(is.status() != 200 || version(is) == 5, is.body());
                     return is.status() == 200;
                 });
@@ -996,7 +1001,7 @@
     /** Guards against a member that never catches up, or answers with what it had. */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void whoWasDownDuringAHundredChangesCatchesUp() throws Exception {
+    void catchesUpAfterAHundredChanges() throws Exception {
         found();
         c.kill();
         ExecutorService operators = Executors.newFixedThreadPool(8);
@@ -1019,7 +1024,7 @@
         until(
                 "it reads the newest, and never an older one",
                 () -> {
-                    Control.Answer is = c.read();
+                    ControlProcess.Answer is = c.read();
                     assertTrue(is.status() != 200 || version(is) == 101, is.body());
                     return is.status() == 200;
                 });
@@ -1037,47 +1042,48 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void callsOnOneConnectionGetTheirOwnAnswersInOrder() throws Exception {
+    void answersPipelinedCallsInOrder() throws Exception {
         found();
         acknowledged(configuration(2, 502), a);
         try (Socket one = a.connect();
                 Socket other = a.connect()) {
             byte[] long1 =
-                    Control.request(
+                    ControlProcess.request(
                             "POST", "/Configuration.Replace", "x".repeat(1 << 20) + "x", false);
             for (byte[] next :
                     List.of(
-                            Control.request(
+                            ControlProcess.request(
                                     "POST", "/Configuration.Replace", configuration(3, 503), false),
-                            Control.request("GET", "/none", "", false),
-                            Control.request("POST", "/Configuration.Replace", "{", false),
+                            ControlProcess.request("GET", "/none", "", false),
+                            ControlProcess.request("POST", "/Configuration.Replace", "{", false),
                             long1,
-                            Control.request("GET", "/status", "", false),
-                            Control.request(
+                            ControlProcess.request("GET", "/status", "", false),
+                            ControlProcess.request(
                                     "POST", "/Configuration.Replace", configuration(2, 502), false),
-                            Control.request("DELETE", "/Configuration.Read", "", false),
-                            Control.request("GET", "/Configuration.Read", "", true),
-                            Control.request(
+                            ControlProcess.request("DELETE", "/Configuration.Read", "", false),
+                            ControlProcess.request("GET", "/Configuration.Read", "", true),
+                            ControlProcess.request(
                                     "POST",
                                     "/Configuration.Replace",
                                     configuration(9, 509),
                                     true))) {
                 one.getOutputStream().write(next);
                 other.getOutputStream()
-                        .write(Control.request("GET", "/Configuration.Read", "", false));
+                        .write(ControlProcess.request("GET", "/Configuration.Read", "", false));
             }
             List<Integer> statuses = new ArrayList<>();
-            Control.Answer read = null;
+            ControlProcess.Answer read = null;
             for (int i = 0; i < 8; i++) {
-                read = Control.hear(one);
+                read = ControlProcess.hear(one);
                 statuses.add(read.status());
             }
             assertEquals(List.of(200, 404, 400, 413, 200, 200, 405, 200), statuses);
             assertEquals(configuration(3, 503), read.body());
-            assertEquals(0, Control.hear(one).status(), "nothing is taken behind the last call");
+            assertEquals(
+                    0, ControlProcess.hear(one).status(), "nothing is taken behind the last call");
             long newest = 0;
             for (int i = 0; i < 9; i++) {
-                Control.Answer is = Control.hear(other);
+                ControlProcess.Answer is = ControlProcess.hear(other);
                 assertEquals(200, is.status());
                 assertTrue(version(is) >= newest, "reads on one connection go back");
                 newest = version(is);
--- a/src/test/java/dillfront/bootstrap/Relay.java
+++ b/src/test/java/dillfront/bootstrap/TcpRelay.java
@@ -12,7 +12,7 @@
  * Stands at the address by which one process knows another: passes bytes on to that one and back,
  * or loses them, each way by itself.
  */
-final class Relay implements AutoCloseable {
+final class TcpRelay implements AutoCloseable {
 
     private final ServerSocket door = new ServerSocket();
     private final InetSocketAddress target;
@@ -20,7 +20,7 @@
     private boolean loses;
     private boolean losesBack;
 
-    Relay(InetSocketAddress at, InetSocketAddress target) throws IOException {
+    TcpRelay(InetSocketAddress at, InetSocketAddress target) throws IOException {
         this.target = target;
         door.bind(at);
         thread(
--- a/src/test/java/dillfront/common/config/ReadersTest.java
+++ b/src/test/java/dillfront/common/config/ReadersTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatIsInvalidIsNamedWithItsPlace() {
+    void namesPlaceOfInvalidField() {
         assertEquals(
                 "routes[0].service: no service is named 'x'",
                 fault(GOOD.replace("'service':'s'", "'service':'x'")));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void oneThatIsCutShortAnywhereIsInvalid() {
+    void rejectsConfigurationTruncatedAnywhere() {
         byte[] all = bytes(GOOD);
         for (int length = 0; length < all.length; length++) {
             byte[] cut = java.util.Arrays.copyOf(all, length);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aMessageComesBackAsItWas() throws MessageCodec.MalformedMessageException {
+    void messageRoundTrip() throws MessageCodec.MalformedMessageException {
         MessageCodec.Fields is =
                 MessageCodec.decode(
                         MessageCodec.encode(
@@ -133,7 +133,7 @@
 
     /** Guards against a few bytes that ask for more memory than there is: the process would end. */
     @Test
-    void aMessageThatClaimsMoreThanItHasIsNone() {
+    void rejectsMessageThatClaimsMoreThanItHas() {
         for (int kind : new int[] {0xc6, 0xdb, 0xdd, 0xdf}) {
             byte[] claims = {(byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
             assertThrows(
@@ -160,7 +160,7 @@
 
     /** Guards against lists of lists of nothing, of which a message of 8 MB holds eight million. */
     @Test
-    void aMessageOfTooManyPartsIsNone() {
+    void rejectsMessageOfTooManyElements() {
         List<Object> nothing = java.util.Collections.nCopies(200_000, null);
         byte[] many = MessageCodec.encode(Map.of("l", java.util.Collections.nCopies(40, nothing)));
         assertTrue(
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void theRingGoesOutOnceSomethingIsWrong() {
+    void ringLogIsWrittenOnWarning() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         RingLog ring = new RingLog(new PrintStream(out, true), "n");
         ring.record(1, "a");
--- a/src/test/java/dillfront/common/database/DataLossTest.java
+++ b/src/test/java/dillfront/common/database/AcceptedDataLossTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a person gave up counts for what he was shown, and for nothing before or behind it. */
-class DataLossTest {
+class AcceptedDataLossTest {
 
     private static LogPosition at(String text) {
         return LogPosition.parse(text);
@@ -24,7 +24,7 @@
                     7, at("1.10"), known("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
 
     @Test
-    void onlyWhatWasShownIsGivenUp() {
+    void losesOnlyWhatWasShown() {
         assertEquals(at("1.9"), loss.exclude(at("1.9")));
         assertEquals(at("1.10"), loss.exclude(at("1.11")));
         assertEquals(at("1.10"), loss.exclude(at("1.72")));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatTheNextPrimaryHasIsNot() {
+    void keepsWhatTheNextPrimaryHas() {
         AcceptedDataLoss some = loss.withLeaderAt(at("1.40"));
         assertEquals(at("1.40"), some.exclude(at("1.70")));
         assertEquals(at("1.30"), some.exclude(at("1.30")));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aSecondLossGoesOnFromTheFirst() {
+    void secondLossContinuesTheFirst() {
         AcceptedDataLoss second =
                 AcceptedDataLoss.accept(9, at("1.8"), known("1.10", "1.10"), List.of(), loss);
         assertEquals(at("1.8"), second.exclude(at("1.72")));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void itsTextSaysAll() {
+    void textRoundTrip() {
         AcceptedDataLoss some = loss.withLeaderAt(at("1.40"));
         assertEquals(some, AcceptedDataLoss.parse(some.toString()));
         for (String bad :
--- a/src/test/java/dillfront/common/environment/PostTest.java
+++ b/src/test/java/dillfront/common/environment/HttpPostTest.java
@@ -23,7 +23,7 @@
  * A call of the platform has a connection of its own: what came back there, whole and in time, is
  * its answer, and nothing else.
  */
-class PostTest {
+class HttpPostTest {
 
     private final NettyEnvironment host = new NettyEnvironment(1);
     private ServerSocket platform;
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void onlyAWholeAnswerCounts() throws Exception {
+    void failsOnIncompleteResponse() throws Exception {
         assertEquals("200", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
         assertEquals("409", answeredWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
         assertEquals("none", answeredWith(""));
@@ -94,7 +94,7 @@
 
     /** Guards against a word on the way that is taken for the answer. */
     @Test
-    void whatComesBeforeTheAnswerIsNone() throws Exception {
+    void ignoresInformationalResponses() throws Exception {
         assertEquals(
                 "409",
                 answeredWith(
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void anAnswerAfterItsTimeIsNone() throws Exception {
+    void failsAfterTheTimeout() throws Exception {
         CompletableFuture<Environment.HttpResponse> is = post(200);
         try (Socket call = platform.accept()) {
             request(call);
@@ -116,7 +116,7 @@
      * it stood still.
      */
     @Test
-    void whatWasNotSentInTimeIsNotSentAtAll() throws Exception {
+    void sendsNothingAfterTheTimeout() throws Exception {
         CompletableFuture<Environment.HttpResponse> is = new CompletableFuture<>();
         BlockingQueue<Boolean> accepted = new LinkedBlockingQueue<>();
         host.eventLoop()
--- a/src/test/java/dillfront/common/environment/HttpDoorTest.java
+++ b/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
@@ -27,7 +27,7 @@
  * Each call on a connection gets its own answer, in its turn, whatever becomes of those before and
  * behind it.
  */
-class HttpDoorTest {
+class HttpServerHandlerTest {
 
     private static final int LARGE = 300_000;
 
@@ -157,7 +157,7 @@
      * read that overtakes an order.
      */
     @Test
-    void callsAreDoneAndAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedCallsInOrder() throws Exception {
         send(post("/held", "", "1") + post("/held", "", "2") + get("/b"));
         for (int i = 0; i < 2; i++) {
             int before = i + 1;
@@ -176,7 +176,7 @@
      * for good.
      */
     @Test
-    void aBodyThatIsTooLongIsRefusedInItsTurn() throws Exception {
+    void rejectsTooLongBodyInItsTurn() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /long HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n");
@@ -191,7 +191,7 @@
 
     /** The same where the length is not known before. */
     @Test
-    void soIsOneThatGrowsTooLong() throws Exception {
+    void rejectsChunkedBodyThatGrowsTooLong() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /long HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n");
@@ -208,7 +208,7 @@
      * that it puts out of step.
      */
     @Test
-    void aBodyIsAskedForInItsTurn() throws Exception {
+    void sendsContinueInItsTurn() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
@@ -239,7 +239,7 @@
 
     /** Guards against a caller who is told to ask elsewhere, and not where. */
     @Test
-    void whereToAskInsteadIsSaid() throws Exception {
+    void sendsLocationOfRedirect() throws Exception {
         send(post("/held", "", "1"));
         until("it is called", () -> called.size() == 1);
         complete(0, new Environment.HttpResponse(307, new byte[0], "http://10.0.0.4:8080/held"));
@@ -256,7 +256,7 @@
      * them waiting for ever.
      */
     @Test
-    void aFaultIsThatCallsAlone() throws Exception {
+    void faultFailsItsCallAlone() throws Exception {
         for (String bad : new String[] {"/fault", "/deep", "/none"}) {
             called.clear();
             held.clear();
@@ -283,7 +283,7 @@
      * turn.
      */
     @Test
-    void aCallWithoutAnAnswerHoldsUpTheOthersForAWhileOnly() throws Exception {
+    void timesOutCallWithoutAnswer() throws Exception {
         String second = free();
         host.serveHttp(second, this::call, 150);
         client.close();
@@ -301,7 +301,7 @@
      * process has.
      */
     @Test
-    void whoReadsNothingIsNotReadEither() throws Exception {
+    void stopsReadingFromClientThatReadsNothing() throws Exception {
         send(get("/large").repeat(100));
         until("some are called", () -> called.size() >= 2);
         // What the sockets take between them, and a megabyte in the process.
@@ -328,7 +328,7 @@
      * taken.
      */
     @Test
-    void whatFollowsTheLastCallIsNone() throws Exception {
+    void ignoresWhatFollowsTheLastCall() throws Exception {
         send(post("/a", "Connection: close\r\n", "") + post("/b", "", ""));
         assertEquals(List.of("200 /a", "end"), List.of(hear(), hear()));
         assertEquals("[/a]", called.toString());
@@ -345,7 +345,7 @@
      * another caller.
      */
     @Test
-    void whenTheCallerGoesItsAnswersGoNowhere() throws Exception {
+    void dropsAnswersOfClosedConnection() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /half HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{}");
--- a/src/test/java/dillfront/common/environment/ManualHost.java
+++ b/src/test/java/dillfront/common/environment/ManualEnvironment.java
@@ -12,7 +12,7 @@
  * A machine whose time passes when the test says so, and which reaches nobody unless the test has
  * it reach someone.
  */
-public class ManualHost implements Environment {
+public class ManualEnvironment implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
--- a/src/test/java/dillfront/common/environment/ScriptedHost.java
+++ b/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 
 /** A machine whose time goes on by the test's word, and whose connections are the test's. */
-public final class ScriptedHost implements Environment {
+public final class ScriptedEnvironment implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
--- a/src/test/java/dillfront/common/message/DeltaTest.java
+++ b/src/test/java/dillfront/common/message/BinaryDeltaTest.java
@@ -17,7 +17,7 @@
  * Texts of an operator's form, texts of no form, and deltas that were cut, spoilt or made for
  * another base.
  */
-class DeltaTest {
+class BinaryDeltaTest {
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void textsOfAnyFormComeBackAsTheyWere() throws Exception {
+    void roundTripOfAnyTexts() throws Exception {
         String[] texts = {
             "",
             "}",
@@ -92,7 +92,7 @@
      * moved, doubled or taken out.
      */
     @Test
-    void anyChangeOfAnyTextComesBackAsItWasMade() throws Exception {
+    void roundTripOfAnyChange() throws Exception {
         for (long seed = 1; seed <= 400; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] base = new byte[random.nextInt(3_000)];
@@ -143,7 +143,7 @@
 
     /** 600 changes of 600 routes, some 260 KB: each goes as little more than what changed. */
     @Test
-    void aChangeOfALargeConfigurationIsSmall() throws Exception {
+    void deltaOfOneChangeIsSmall() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/dillfront/controlplane/ControlCallsTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
 import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  * Calls and messages that are spoilt in any way: each is refused or passed over, none does harm,
  * and what follows is served.
  */
-class ControlCallsTest {
+class ControlHttpApiTest {
 
     private static final int TRIES = 4_000;
     private static final String GOOD =
@@ -49,15 +49,15 @@
         List.of(Map.of("i", "q"))
     };
 
-    private final ScriptedHost host = new ScriptedHost();
+    private final ScriptedEnvironment host = new ScriptedEnvironment();
     private final SplittableRandom random = new SplittableRandom(8_241);
     private static final String ACCEPT_DATA_LOSS = "/Services.AcceptDataLoss";
     private ControlNode core;
 
     @BeforeEach
     void start() throws Exception {
-        core = Alone.start(host);
-        host.pass(Alone.HOLDS_MS);
+        core = SingleNode.start(host);
+        host.pass(SingleNode.HOLDS_MS);
         assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD)));
     }
 
@@ -99,7 +99,7 @@
      * nothing.
      */
     @Test
-    void anyBodyIsAnswered() {
+    void answersAnyBody() {
         Set<Integer> usual = Set.of(200, 400, 404, 405, 409, 503);
         String[] paths = {
             "/Configuration.Replace",
@@ -228,8 +228,8 @@
     private void hears(ControlNode of, String ip, boolean leaving) {
         Map<String, Object> word = word();
         word.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
-        ScriptedHost.Line line =
-                new ScriptedHost.Line("peer", Environment.Framing.FRAMES, of.accept());
+        ScriptedEnvironment.Line line =
+                new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, of.accept());
         line.open();
         line.say(new String(MessageCodec.encode(word), StandardCharsets.ISO_8859_1));
     }
@@ -245,8 +245,8 @@
      * that is sent round instead of being refused.
      */
     @Test
-    void outOfContactItSendsOrdersOnToWhoeverItHeardLast() throws Exception {
-        ControlNode cut = Alone.start(host, "10.0.0.2", "10.0.0.3");
+    void redirectsToLastContactedPeerWhileIsolated() throws Exception {
+        ControlNode cut = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
         assertEquals(
                 503,
                 answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
@@ -329,7 +329,7 @@
 
     /** Guards against a message that ends the process, or leaves it deaf to those that follow. */
     @Test
-    void anyMessageIsPassedOverOrEndsItsConnection() {
+    void ignoresOrDisconnectsOnAnyMessage() {
         for (int i = 0; i < TRIES; i++) {
             Map<String, Object> message = random.nextBoolean() ? word() : question();
             Object type = message.get("t");
@@ -340,8 +340,8 @@
             Map<String, Object> said = message;
             byte[] bytes = MessageCodec.encode(said);
             byte[] sent = random.nextInt(4) == 0 ? spoilt(bytes) : bytes;
-            ScriptedHost.Line line =
-                    new ScriptedHost.Line("peer", Environment.Framing.FRAMES, core.accept());
+            ScriptedEnvironment.Line line =
+                    new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, core.accept());
             line.open();
             line.say(new String(sent, StandardCharsets.ISO_8859_1));
             line.reset();
@@ -351,8 +351,8 @@
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
                 200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
-        ScriptedHost.Line front =
-                new ScriptedHost.Line("front", Environment.Framing.FRAMES, core.accept());
+        ScriptedEnvironment.Line front =
+                new ScriptedEnvironment.Line("front", Environment.Framing.FRAMES, core.accept());
         front.open();
         front.say(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
         host.pass(1_000);
--- a/src/test/java/dillfront/controlplane/AskersTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ManualHost;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.common.message.BinaryDelta;
 import dillfront.common.message.Compression;
 import dillfront.common.message.MessageCodec;
@@ -23,9 +23,9 @@
  * What a control process tells fronts: a configuration as what changed, and nothing at all where it
  * is out of contact.
  */
-class AskersTest {
+class DataPlaneSubscriptionsTest {
 
-    private final ManualHost host = new ManualHost();
+    private final ManualEnvironment host = new ManualEnvironment();
     private final List<MessageCodec.Fields> answers = new ArrayList<>();
 
     private Environment.ConnectionListener front(ControlNode core) {
@@ -94,8 +94,8 @@
     }
 
     @Test
-    void aFrontThatHasAVersionIsToldWhatChanged() throws Exception {
-        ControlNode core = Alone.start(host);
+    void sendsDeltaToDataPlaneThatHasAnEarlierRevision() throws Exception {
+        ControlNode core = SingleNode.start(host);
         Environment.ConnectionListener front = front(core);
         configure(core, 1);
         MessageCodec.Fields first = ask(front, 1);
@@ -137,8 +137,8 @@
      * be found, at once.
      */
     @Test
-    void outOfContactItHandsOutNothing() throws Exception {
-        ControlNode core = Alone.start(host, "10.0.0.2", "10.0.0.3");
+    void sendsOnlyAddressesWhileIsolated() throws Exception {
+        ControlNode core = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
         Environment.ConnectionListener front = front(core);
         core.handle(
                 "POST",
@@ -181,8 +181,8 @@
      * 2250 ms from its last question.
      */
     @Test
-    void aHolderSaysSureNoLongerThanItsLeaseAndALittle() throws Exception {
-        ControlNode core = Alone.start(host);
+    void certaintyOfHolderEndsSoonAfterItsLease() throws Exception {
+        ControlNode core = SingleNode.start(host);
         Environment.ConnectionListener front = front(core);
         configure(core, 1);
         assertEquals(2_850, ask(front, 1).number("su", 0));
@@ -193,8 +193,8 @@
      * heard last.
      */
     @Test
-    void whatAHolderSaysIsSureIsPassedOnWithWhatIsLeftOfItsLease() throws Exception {
-        ControlNode core = Alone.start(host, "10.0.0.2");
+    void passesOnCertaintyWithTheRemainingLease() throws Exception {
+        ControlNode core = SingleNode.start(host, "10.0.0.2");
         Environment.ConnectionListener other = core.accept();
         host.until(5_000);
         long now = host.nowMillis();
--- a/src/test/java/dillfront/controlplane/LeavesTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -6,7 +6,7 @@
 
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
 import dillfront.common.message.MessageCodec;
 import dillfront.common.protocol.ServerRow;
 import dillfront.common.protocol.ServerState;
@@ -25,9 +25,9 @@
  * Servers that say that they leave, with or without a word of draining before, and what of them
  * comes late.
  */
-class LeavesTest {
+class ServerLeaveTest {
 
-    private final ScriptedHost host = new ScriptedHost();
+    private final ScriptedEnvironment host = new ScriptedEnvironment();
     private final Map<String, String> disk = new TreeMap<>();
     private ControlNode core;
 
@@ -82,7 +82,7 @@
         return core.handle("POST", path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    private void beat(String id, String state, String role, long sequence) {
+    private void heartbeat(String id, String state, String role, long sequence) {
         assertEquals(
                 200,
                 answered(
@@ -113,8 +113,8 @@
     }
 
     @Test
-    void oneThatNeverDrainedServesOnAndCounts() {
-        beat("i-1", "ready", "primary", 4);
+    void serverThatNeverDrainedServesOnAfterItsLeave() {
+        heartbeat("i-1", "ready", "primary", 4);
         assertEquals(200, leave("i-1"));
         DatabaseServer m = core.state().registry().get("i-1");
         assertTrue(m.isDraining() && !m.hasLeft(), m.state().wireName());
@@ -124,30 +124,30 @@
     }
 
     @Test
-    void oneThatDrainedIsGone() {
-        beat("i-1", "ready", "replica", 4);
-        beat("i-1", "draining", "replica", 5);
+    void drainedServerHasLeftAfterItsLeave() {
+        heartbeat("i-1", "ready", "replica", 4);
+        heartbeat("i-1", "draining", "replica", 5);
         assertEquals(200, leave("i-1"));
         assertTrue(core.state().registry().get("i-1").hasLeft());
         assertEquals(List.of(), core.state().registry().serversOf("s"));
     }
 
     @Test
-    void noBeatBringsItBack() {
-        beat("i-1", "ready", "replica", 4);
+    void heartbeatDoesNotUndoLeave() {
+        heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
-        beat("i-1", "ready", "replica", 3);
-        beat("i-1", "ready", "replica", 9);
-        beat("i-1", "draining", "replica", 10);
+        heartbeat("i-1", "ready", "replica", 3);
+        heartbeat("i-1", "ready", "replica", 9);
+        heartbeat("i-1", "draining", "replica", 10);
         assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
         core.state().registry().merge(row("i-1", "s", "ready", 12), 0);
         assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
     }
 
     @Test
-    void theLeaveOfOneThatIsNotKnownStands() {
+    void keepsLeaveOfUnknownServer() {
         assertEquals(200, leave("i-7"));
-        beat("i-7", "ready", "primary", 4);
+        heartbeat("i-7", "ready", "primary", 4);
         DatabaseServer m = core.state().registry().get("i-7");
         assertEquals("s", m.service());
         assertEquals("10.0.0.9:80", m.address());
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void itIsToldToThoseThatKnowIt() throws Exception {
+    void replicatesLeaveToProcessesThatKnowTheServer() throws Exception {
         leave("i-7");
         ServerRegistry other = new ServerRegistry();
         other.merge(row("i-7", "s", "ready", 4), 0);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void itIsAcknowledgedOnceTheDiskHasIt() {
+    void acknowledgesLeaveOnceItIsOnDisk() {
         stands = true;
         writes = new CompletableFuture<>();
         CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
@@ -185,21 +185,21 @@
     }
 
     @Test
-    void aBeatThatComesLateSaysNothingOfNow() {
-        beat("i-1", "ready", "replica", 4);
+    void lateHeartbeatChangesNothing() {
+        heartbeat("i-1", "ready", "replica", 4);
         long heard = core.state().registry().get("i-1").lastHeardMillis();
         host.pass(3_000);
-        beat("i-1", "ready", "primary", 3);
+        heartbeat("i-1", "ready", "primary", 3);
         DatabaseServer m = core.state().registry().get("i-1");
         assertEquals(heard, m.lastHeardMillis());
         assertEquals("replica", m.role());
-        beat("i-1", "ready", "replica", 5);
+        heartbeat("i-1", "ready", "replica", 5);
         assertTrue(m.lastHeardMillis() > heard);
     }
 
     @Test
-    void oneThatServesOnForVeryLongIsGoneInTheEnd() {
-        beat("i-1", "ready", "replica", 4);
+    void expiresServerLongAfterItsLeave() {
+        heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
         host.pass(25_000);
         assertFalse(
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void withoutAnIdNothingLeaves() {
+    void rejectsLeaveWithoutId() {
         assertEquals(400, leave(""));
     }
 }
--- a/src/test/java/dillfront/controlplane/Alone.java
+++ b/src/test/java/dillfront/controlplane/SingleNode.java
@@ -13,14 +13,14 @@
  * One control process by itself, as tests begin with it; others that its settings name are not
  * there.
  */
-public final class Alone {
+public final class SingleNode {
 
     static final String IP = "10.0.0.1";
 
     /** When it surely holds the lease, where it is the only one. */
     public static final long HOLDS_MS = 6_000;
 
-    private Alone() {}
+    private SingleNode() {}
 
     /** The lease of this process. */
     public static LeaseManager leaseOf(ControlNode node) {
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.common.environment.ManualHost;
-import dillfront.common.storage.Keep;
+import dillfront.common.environment.ManualEnvironment;
+import dillfront.common.storage.TextStore;
 import dillfront.controlplane.consensus.RegisterValue;
 import dillfront.controlplane.registry.DatabaseServer;
 import dillfront.controlplane.storage.StateStore;
@@ -36,15 +36,15 @@
         return Files.copy(STORED.resolve(disk).resolve("memory.log"), copy.resolve("memory.log"));
     }
 
-    private static Map<String, String> open(Path log) throws Keep.Broken {
-        Keep keep = Keep.open(log.getParent(), "control-plane");
-        assertFalse(keep.damaged());
-        return keep.all();
+    private static Map<String, String> open(Path log) throws TextStore.StorageException {
+        TextStore keep = TextStore.open(log.getParent(), "control-plane");
+        assertFalse(keep.isDamaged());
+        return keep.texts();
     }
 
     private static ControlNode start(Map<String, String> texts) throws Exception {
-        return Alone.start(
-                new ManualHost(),
+        return SingleNode.start(
+                new ManualEnvironment(),
                 new StateStore() {
                     @Override
                     public Map<String, String> initialState() {
--- a/src/test/java/dillfront/controlplane/consensus/MembershipTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
@@ -12,7 +12,7 @@
  * Who is to be a member, in one line each: those that are, what is seen of whom, and who is to be
  * one next.
  */
-final class MembershipTest {
+final class MembershipPolicyTest {
 
     /**
      * Seen: id, then z and its zone, s and for how many seconds it has been silent (s* where
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
 import dillfront.common.protocol.ServerRow;
 import dillfront.common.protocol.ServerState;
-import dillfront.controlplane.Alone;
+import dillfront.controlplane.SingleNode;
 import dillfront.controlplane.lease.LeaseManager;
 import dillfront.controlplane.registry.DatabaseServer;
 import dillfront.controlplane.registry.ServerRegistry;
@@ -24,14 +24,14 @@
 
     private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
 
-    private final ScriptedHost host = new ScriptedHost();
+    private final ScriptedEnvironment host = new ScriptedEnvironment();
     private LeaseManager lease;
     private DatabaseServer to;
 
     @BeforeEach
     void holder() throws Exception {
-        lease = Alone.leaseOf(Alone.start(host));
-        host.pass(Alone.HOLDS_MS);
+        lease = SingleNode.leaseOf(SingleNode.start(host));
+        host.pass(SingleNode.HOLDS_MS);
         assertTrue(lease.isHeld(), "alone, it holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
@@ -40,7 +40,7 @@
         to = registry.get("i-1");
     }
 
-    private ScriptedHost.Line ask(
+    private ScriptedEnvironment.Line ask(
             Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
         ServerQuery.send(host, lease, to, 500, then)
                 .whenComplete(
@@ -51,7 +51,7 @@
                                 into.completeExceptionally(fault);
                             }
                         });
-        ScriptedHost.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = host.lastDialed();
         line.open();
         assertEquals("CONNECT db control i-1", line.last());
         return line;
@@ -67,9 +67,9 @@
     }
 
     @Test
-    void theSecondWordsOwnAnswerCounts() {
+    void resultIsTheAnswerOfTheCommand() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
+        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
         line.say("READY I -");
         assertEquals("QUERY - STATUS", line.last());
         line.say(REPLICA, "COMPLETE -", "READY I 3.7");
@@ -84,7 +84,7 @@
      * Guards against a row that was there before anything was asked, and against half an answer.
      */
     @Test
-    void whatIsNoAnswerToItCountsForNothing() {
+    void failsOnAnswersOutOfStep() {
         CompletableFuture<ServerStatus> early = new CompletableFuture<>();
         ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
         assertTrue(fault(early).contains("row out of place"), fault(early));
@@ -92,13 +92,13 @@
         ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
         assertTrue(fault(half).contains("half an answer"), fault(half));
         CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
+        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
         line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
         assertTrue(fault(twice).contains("half an answer"), fault(twice));
     }
 
     @Test
-    void aRefusalEndsItAndTellsWhetherItLives() {
+    void refusalTellsWhetherTheServerIsAlive() {
         for (String[] one :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
             CompletableFuture<ServerStatus> is = new CompletableFuture<>();
@@ -113,7 +113,7 @@
             assertTrue(is.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "PAUSE 4", busy);
+        ScriptedEnvironment.Line line = ask(row -> "PAUSE 4", busy);
         line.say("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
         assertFalse(line.sent.contains("QUERY - PAUSE 4"));
@@ -124,9 +124,9 @@
      * lease.
      */
     @Test
-    void whoWasAwayTooLongSaysNoSecondWord() {
+    void sendsNoCommandAfterAPause() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
+        ScriptedEnvironment.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
         line.say("READY I -");
         host.freeze(20_000);
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
@@ -136,11 +136,11 @@
 
     /** The same where its time is not over, but the lease is. */
     @Test
-    void withoutTheLeaseThereIsNoSecondWord() {
+    void sendsNoCommandWithoutTheLease() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
         ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
                 .whenComplete((row, fault) -> is.complete(row));
-        ScriptedHost.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = host.lastDialed();
         line.open();
         line.say("READY I -");
         lease.resign();
@@ -153,9 +153,9 @@
 
     /** An answer after its time finds nobody; the connection is left. */
     @Test
-    void anAnswerAfterItsTimeIsNone() {
+    void failsAfterTheTimeout() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedHost.Line line = ask(null, is);
+        ScriptedEnvironment.Line line = ask(null, is);
         line.say("READY I -");
         host.pass(600);
         assertEquals("no answer in 500 ms", fault(is));
--- a/src/test/java/dillfront/controlplane/storage/DurableTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.common.environment.ManualHost;
-import dillfront.controlplane.Alone;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.controlplane.ControlNode;
+import dillfront.controlplane.SingleNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,9 +22,9 @@
  * A disk that refuses, hangs, or does what it said it did not: what was given to it gets there, and
  * nobody is told before.
  */
-class DurableTest {
+class RetryingStateStoreTest {
 
-    private final ManualHost host = new ManualHost();
+    private final ManualEnvironment host = new ManualEnvironment();
 
     /** Takes 3 ms, or as the test says. */
     private final class Hand implements StateStore {
@@ -76,7 +76,7 @@
      * has it.
      */
     @Test
-    void whatWasRefusedGoesWithTheNext() {
+    void writesRefusedTextsWithTheNext() {
         Hand disk = new Hand();
         RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatWasRefusedIsTriedAgainByItselfAndEverMoreSeldom() {
+    void retriesRefusedTextsWithBackoff() {
         Hand disk = new Hand();
         RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void howLongTheDiskHangsIsKnownAndItGoesOnBehind() {
+    void reportsStallAndGoesOnAfterwards() {
         Hand disk = new Hand();
         RetryingStateStore store = new RetryingStateStore(host, disk);
         assertEquals(0, store.stalledMillis());
@@ -146,7 +146,7 @@
      * other.
      */
     @Test
-    void whatIsThereIsNotWrittenAgain() {
+    void skipsTextsThatAreOnDisk() {
         Hand disk = new Hand();
         disk.there.put("a", "1");
         RetryingStateStore store = new RetryingStateStore(host, disk);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void whatNoDiskTakesIsRefusedAndHoldsUpNobody() {
+    void rejectsTooLongTextsAndGoesOn() {
         Hand disk = new Hand();
         RetryingStateStore store = new RetryingStateStore(host, disk);
         assertTrue(
@@ -199,9 +199,9 @@
      * no other record follows.
      */
     @Test
-    void aRecordThatTheDiskRefusedIsThereLater() throws Exception {
+    void refusedPrimaryRecordIsOnDiskLater() throws Exception {
         Hand disk = new Hand();
-        ControlNode core = Alone.start(host, disk);
+        ControlNode core = SingleNode.start(host, disk);
         host.until(8_000);
         for (int i = 1; i <= 6; i++) {
             disk.refuses = i <= 1;
@@ -233,7 +233,7 @@
      * the puts, and in the end all have.
      */
     @Test
-    void whoeverWasToldHasItOnTheDisk() {
+    void completesOnlyWhatIsOnDisk() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Hand disk = new Hand();
--- a/src/test/java/dillfront/controlplane/subscription/VersionsTest.java
+++ b/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What fronts that are some versions behind get, and how much of what was is kept for them. */
-class VersionsTest {
+class ConfigurationHistoryTest {
 
     private static Configuration configuration(long version, int routes, long salt)
             throws Configuration.InvalidConfigurationException {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void whoeverIsAFewBehindGetsWhatChanged() throws Exception {
+    void givesDeltaFromRecentRevisions() throws Exception {
         ConfigurationHistory versions = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
         for (long v = 1; v <= 200; v++) {
@@ -82,7 +82,7 @@
 
     /** Where all is new each time, little is kept, and the whole goes out. */
     @Test
-    void whatHasNothingInCommonIsNotKept() throws Exception {
+    void dropsDeltasThatSaveNothing() throws Exception {
         ConfigurationHistory versions = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
         for (int v = 1; v <= 40; v++) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void whatIsDeflatedComesBackOrIsFoundDamaged() throws Exception {
+    void decompressesOrDetectsDamage() throws Exception {
         for (String text : new String[] {"", "a", "{}".repeat(40_000)}) {
             byte[] is = text.getBytes(StandardCharsets.UTF_8);
             byte[] small = Compression.compress(is);
--- a/src/test/java/dillfront/dataplane/AcceptedLossTest.java
+++ b/src/test/java/dillfront/dataplane/AcceptedLossReadsTest.java
@@ -6,7 +6,7 @@
 import dillfront.common.database.AcceptedDataLoss;
 import dillfront.common.database.AcknowledgedCommits;
 import dillfront.common.database.LogPosition;
-import dillfront.common.environment.ManualHost;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.common.protocol.PrimaryRecord;
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
  * What a data plane asks of a log, and tells of one, once a person has given commits up: 1.11 to
  * 1.72 are gone, i-2 leads from 1.10.
  */
-class AcceptedLossTest {
+class AcceptedLossReadsTest {
 
     private DatabaseService service;
     private AcceptedDataLoss loss;
@@ -32,7 +32,7 @@
     void lost() {
         DataPlaneNode front =
                 new DataPlaneNode(
-                        new ManualHost(),
+                        new ManualEnvironment(),
                         new NodeSettings(
                                 "f",
                                 "z",
@@ -71,7 +71,7 @@
 
     /** Guards against a session that waits for ever for its own write, which is in no log. */
     @Test
-    void aReadDoesNotWaitForWhatIsGone() {
+    void readDoesNotWaitForLostCommits() {
         assertEquals(at("1.10"), service.withoutAcceptedLoss(at("1.70")));
         assertEquals(at("1.9"), service.withoutAcceptedLoss(at("1.9")));
         assertEquals(at("1.73"), service.withoutAcceptedLoss(at("1.73")));
@@ -84,7 +84,7 @@
      * its log ended at 1.10.
      */
     @Test
-    void whatTheNextPrimaryAcknowledgesIsPastWhatIsGone() {
+    void acknowledgedCommitsOfNextPrimaryAreBehindTheLoss() {
         service.onAcknowledged(leads, at("1.10"), at("2.11"));
         assertEquals(at("1.73"), service.acknowledged.lowerBound());
         assertEquals(
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void noOthersAnswerIsTakenForThat() {
+    void answersOfOtherServersAreNotMovedBehindTheLoss() {
         AcknowledgedCommits before = service.acknowledged;
         service.onAcknowledged(another, at("1.20"), at("1.21"));
         assertEquals(before, service.acknowledged);
--- a/src/test/java/dillfront/dataplane/SessionTest.java
+++ b/src/test/java/dillfront/dataplane/ClientSessionTest.java
@@ -10,7 +10,7 @@
 import dillfront.common.database.AcknowledgedCommits;
 import dillfront.common.database.LogPosition;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ManualHost;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.common.message.MessageCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
  * Sessions of one front between clients and database servers that are played by hand: what is sent
  * where, and how often.
  */
-class SessionTest {
+class ClientSessionTest {
 
     private static final int TIMEOUT = 1_000;
 
@@ -219,8 +219,8 @@
         }
     }
 
-    private final ManualHost host =
-            new ManualHost() {
+    private final ManualEnvironment host =
+            new ManualEnvironment() {
                 @Override
                 public Connection connect(
                         String address, Framing form, int timeoutMs, ConnectionListener ear) {
@@ -383,7 +383,7 @@
     // ---- what may not be sent twice
 
     @Test
-    void aWriteThatWasCutIsSentOnce() {
+    void writeWhoseConnectionEndsIsSentOnce() {
         p.cuts = text -> text.startsWith("WRITE");
         Caller c = new Caller("new");
         assertEquals("UNCERTAIN", c.asks("WRITE k d"));
@@ -392,7 +392,7 @@
     }
 
     @Test
-    void aWriteThatIsNotAnsweredIsSentOnce() {
+    void writeWithoutAnswerIsSentOnce() {
         p.mute = text -> text.startsWith("WRITE");
         Caller c = new Caller("new");
         c.ask("WRITE k d");
@@ -402,7 +402,7 @@
     }
 
     @Test
-    void aPreparedWriteThatWasCutIsSentOnce() {
+    void preparedWriteWhoseConnectionEndsIsSentOnce() {
         p.cuts = text -> text.startsWith("EXECUTE");
         Caller c = new Caller("new");
         c.asks("PREPARE a WRITE q");
@@ -412,7 +412,7 @@
     }
 
     @Test
-    void aCommitThatWasCutIsSentOnceAndOneThatWroteNothingIsAborted() {
+    void commitWhoseConnectionEndsIsUncertainOrAborted() {
         p.cuts = text -> text.equals("COMMIT");
         Caller c = new Caller("new");
         c.asks("BEGIN");
@@ -427,7 +427,7 @@
     }
 
     @Test
-    void aWriteIsSentAgainOnlyAfterAPromise() {
+    void writeIsRetriedOnlyWhenItDidNotRun() {
         p.says.put("WRITE k d", "ERROR BUSY p\nREADY I 1.5");
         Caller c = new Caller("new");
         c.ask("WRITE k d");
@@ -439,7 +439,7 @@
     }
 
     @Test
-    void aTransactionThatIsCutLaterIsAbortedAndNotPlayedAgain() {
+    void transactionWhoseConnectionEndsLaterIsAborted() {
         Caller c = new Caller("new");
         c.asks("BEGIN");
         c.asks("WRITE a d");
@@ -454,7 +454,7 @@
 
     /** Half an answer: what comes on that connection next could be anybody's. */
     @Test
-    void aConnectionWithHalfAnAnswerIsLeft() {
+    void leavesConnectionWithPartialAnswer() {
         Caller c = new Caller("new");
         c.asks("WRITE first d");
         int before = p.connections;
@@ -470,7 +470,7 @@
      * taken for silent for ever.
      */
     @Test
-    void whatIsNeverAnsweredEndsItsConnection() {
+    void abandonsConnectionWithoutAnswer() {
         for (String muted : List.of("READ k", "BEGIN", "ROLLBACK")) {
             p.mute = text -> text.equals(muted);
             Caller c = new Caller("new");
@@ -502,7 +502,7 @@
      * nothing of the newest.
      */
     @Test
-    void aCommitThatWroteNothingSaysNothingOfTheLog() {
+    void commitWithoutWriteSetsNoReadFloor() {
         Caller c = new Caller("new");
         c.asks("BEGIN");
         c.asks("READ k");
@@ -516,7 +516,7 @@
 
     /** Out of touch with control: a former primary does not even run what must be the newest. */
     @Test
-    void aReadDoesNotRunWhereItIsNotSureThatTheServerLeads() {
+    void readIsNotSentToUncertainPrimary() {
         Caller c = new Caller("new");
         sure = false;
         pass(4_000);
@@ -540,7 +540,7 @@
     }
 
     @Test
-    void whatAControlProcessThatWasLeftSaysIsPassedOver() {
+    void ignoresMessagesOfFormerSource() {
         slow = true;
         pass(400);
         slow = false;
@@ -559,7 +559,7 @@
 
     /** A transaction was opened before; its first statement is what the rule counts. */
     @Test
-    void aFirstStatementDoesNotGoToADrainedServer() {
+    void firstStatementDoesNotGoToDrainedServer() {
         Caller c = new Caller("new");
         c.asks("BEGIN");
         assertEquals(1, p.count("BEGIN"));
@@ -577,7 +577,7 @@
     }
 
     @Test
-    void aTransactionThatRanThereGoesOn() {
+    void startedTransactionStaysOnDrainingServer() {
         Caller c = new Caller("new");
         c.asks("BEGIN");
         c.asks("WRITE k d");
@@ -593,7 +593,7 @@
      * time is over by then.
      */
     @Test
-    void aPrimaryThatDrainsIsLeftWithinTheTimeInWhichAFrontIsNotInTouch() {
+    void drainingPrimaryIsLeftInTime() {
         drains(p);
         pass(3_600);
         Caller c = new Caller("new");
@@ -605,7 +605,7 @@
 
     /** Once another leads, nothing of this front stays on a server that goes on for long. */
     @Test
-    void connectionsToAFormerPrimaryThatDrainsAreLeft() {
+    void closesConnectionsToDrainingFormerPrimary() {
         Caller c = new Caller("new");
         c.asks("WRITE k d");
         drains(p);
@@ -620,7 +620,7 @@
     // ---- what is known of acknowledged commits
 
     @Test
-    void whatWasAcknowledgedIsKnownBetweenTwoPositions() {
+    void knowsBoundsOfAcknowledgedCommits() {
         Caller c = new Caller("new");
         c.asks("READ k");
         // Another front's commits are in the log as well by then.
@@ -638,7 +638,7 @@
 
     /** What runs is heard to its end; then the transaction is told that nothing of it is kept. */
     @Test
-    void aTransactionAtWorkIsToldOnceTheFrontEnds() {
+    void tellsOpenTransactionAtShutdown() {
         Caller c = new Caller("new");
         c.asks("BEGIN");
         p.mute = text -> text.startsWith("READ slow");
@@ -661,7 +661,7 @@
      * until then is served once.
      */
     @Test
-    void whoComesWhileTheFrontEndsIsServedOnce() {
+    void servesLateClientOnce() {
         new Caller("new");
         front.shutDown(() -> {});
         assertFalse(front.isReady());
@@ -676,7 +676,7 @@
 
     /** Its statement would be out when the process ends. */
     @Test
-    void whoComesTooLateIsSentElsewhere() {
+    void rejectsClientThatComesTooLate() {
         Caller held = new Caller("new");
         p.mute = text -> text.startsWith("READ slow");
         front.shutDown(() -> {});
@@ -689,7 +689,7 @@
     }
 
     @Test
-    void theFrontStaysUntilNobodyIsSentThereAnyMore() {
+    void staysUntilThePlatformSendsNoClients() {
         boolean[] ended = new boolean[1];
         front.shutDown(() -> ended[0] = true);
         pass(2_900);
@@ -703,7 +703,7 @@
      * meanwhile.
      */
     @Test
-    void aMoveOfThePrimaryDoesNotMakeItUnready() {
+    void staysReadyDuringAMove() {
         assertTrue(front.isReady());
         moving = true;
         record++;
--- a/src/test/java/dillfront/dataplane/CallersTest.java
+++ b/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
@@ -5,7 +5,7 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
 import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
  * cut or refused: each client gets the answers to what it asked, no write takes effect twice, none
  * that was promised not to, and no connection is left behind.
  */
-class CallersTest {
+class ConcurrentClientsTest {
 
     private static final int DAYS = 150;
     private static final int STEPS = 1_500;
@@ -34,7 +34,7 @@
 
     /** One of the database servers' connections. */
     private static final class Conn {
-        final ScriptedHost.Line line;
+        final ScriptedEnvironment.Line line;
         final boolean primary;
         int done;
         boolean stuck;
@@ -42,7 +42,7 @@
         final Map<String, String> values = new TreeMap<>();
         final List<String> writes = new ArrayList<>();
 
-        Conn(ScriptedHost.Line line) {
+        Conn(ScriptedEnvironment.Line line) {
             this.line = line;
             primary = line.address.equals("10.0.0.8:1");
         }
@@ -50,7 +50,7 @@
 
     /** One client, and what it was told. */
     private static final class Client {
-        ScriptedHost.Line line;
+        ScriptedEnvironment.Line line;
         boolean ready;
         char state = 'I';
         String out;
@@ -68,10 +68,10 @@
     private final class Day {
         final long seed;
         final SplittableRandom random;
-        final ScriptedHost host = new ScriptedHost();
+        final ScriptedEnvironment host = new ScriptedEnvironment();
         final DataPlaneNode front;
         final DatabaseService service;
-        final Map<ScriptedHost.Line, Conn> conns = new LinkedHashMap<>();
+        final Map<ScriptedEnvironment.Line, Conn> conns = new LinkedHashMap<>();
         final List<Client> clients = new ArrayList<>();
         final Map<String, Client> asked = new HashMap<>();
         final Map<String, Integer> effects = new HashMap<>();
@@ -142,7 +142,7 @@
         // ---- the servers
 
         void serve(Conn c) {
-            ScriptedHost.Line line = c.line;
+            ScriptedEnvironment.Line line = c.line;
             if (c.stuck || c.done >= line.sent.size()) {
                 return;
             }
@@ -260,7 +260,9 @@
 
         void ask(Client c) {
             if (c.line == null || c.line.closed) {
-                c.line = new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
+                c.line =
+                        new ScriptedEnvironment.Line(
+                                "client", Environment.Framing.LINES, front.accept());
                 c.line.open();
                 c.heard = 0;
                 c.out = null;
@@ -376,7 +378,7 @@
         }
 
         void step() {
-            for (ScriptedHost.Line line : host.dialed) {
+            for (ScriptedEnvironment.Line line : host.dialed) {
                 conns.computeIfAbsent(
                         line,
                         l -> {
@@ -455,7 +457,7 @@
     }
 
     @Test
-    void eachClientGetsItsOwnAndNothingRunsTwice()
+    void eachClientGetsItsOwnAnswersAndNoWriteRunsTwice()
             throws Configuration.InvalidConfigurationException {
         int served = 0;
         int cut = 0;
--- a/src/test/java/dillfront/dataplane/NewsTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -7,7 +7,7 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ManualHost;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.common.message.BinaryDelta;
 import dillfront.common.message.Compression;
 import dillfront.common.message.MessageCodec;
@@ -24,7 +24,7 @@
  * A front among control processes that are played by hand: some know more than others, some are
  * gone, some are alone.
  */
-class NewsTest {
+class ControlPlaneClientTest {
 
     /** One control process, and what it answers. */
     private final class Source {
@@ -127,7 +127,7 @@
     private final List<MessageCodec.Fields> asks = new ArrayList<>();
     private final TreeMap<Long, byte[]> bodies = new TreeMap<>();
 
-    private final class Net extends ManualHost {
+    private final class Net extends ManualEnvironment {
 
         @Override
         public Connection connect(
@@ -159,7 +159,7 @@
         }
     }
 
-    private ManualHost host = new Net();
+    private ManualEnvironment host = new Net();
 
     private long now() {
         return host.nowMillis();
@@ -223,7 +223,7 @@
 
     /** Whole at first, then what changed; where that does not fit, whole once more. */
     @Test
-    void changesAreAppliedAndTheWholeIsAskedForWhereTheyDoNotFit() {
+    void appliesDeltasAndRequestsFullConfigurationWhereTheyDoNotFit() {
         for (long v = 1; v <= 4; v++) {
             configuration(v, 30);
         }
@@ -267,7 +267,7 @@
      * forward, and is what was sent.
      */
     @Test
-    void itNeverGoesBackWhicheverProcessItAsks() {
+    void neverGoesBackToAnEarlierRevision() {
         for (long v = 1; v <= 40; v++) {
             configuration(v, 10);
         }
@@ -323,7 +323,7 @@
      * not without pause.
      */
     @Test
-    void whoeverIsAloneIsLeftAtOnce() {
+    void leavesIsolatedSourceAtOnce() {
         configuration(1, 3);
         Source a = new Source("10.0.0.1");
         Source b = new Source("10.0.0.2");
@@ -346,7 +346,7 @@
 
     /** Machine after machine is replaced: the list follows, and the seeds stay behind it. */
     @Test
-    void afterManyReplacementsItAsksThoseThatAreThere() {
+    void findsPresentSourcesAfterManyReplacements() {
         configuration(1, 3);
         Source was = new Source("10.0.0.1");
         was.version = 1;
@@ -395,7 +395,7 @@
      * more.
      */
     @Test
-    void otherSeedsAreTakenOver() {
+    void takesOverNewSeeds() {
         configuration(1, 3);
         DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
         front.start();
@@ -420,7 +420,7 @@
      * left.
      */
     @Test
-    void theNearIsAskedAndIfItFailsLeftForAWhile() {
+    void prefersLocalSourceAndAvoidsItForAWhileAfterAFailure() {
         configuration(1, 3);
         Source far = new Source("10.0.0.1");
         Source near = new Source("10.0.0.2");
@@ -448,7 +448,7 @@
      * without end.
      */
     @Test
-    void whatItCannotReadIsNotAskedForWithoutPause() {
+    void pausesBeforeRequestingAnUnreadableConfigurationAgain() {
         configuration(1, 3);
         bodies.put(2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
         configuration(3, 3);
--- a/src/test/java/dillfront/dataplane/FloorsTest.java
+++ b/src/test/java/dillfront/dataplane/ReadPositionFloorsTest.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class FloorsTest {
+class ReadPositionFloorsTest {
 
     private final ReadPositionFloors floors = new ReadPositionFloors();
 
     @Test
-    void withoutAWordOfThePrimarySinceThatMomentNothingIsKnown() {
+    void unknownWithoutAnswerOfThePrimarySince() {
         assertNull(floors.positionSince(0));
         floors.onPrimaryPosition(new LogPosition(1, 5), 100);
         assertNull(floors.positionSince(101));
@@ -28,7 +28,7 @@
      * before.
      */
     @Test
-    void theLeastThatIsYoungEnough() {
+    void lowestPositionThatIsRecentEnough() {
         floors.onPrimaryPosition(new LogPosition(1, 5), 100);
         floors.onPrimaryPosition(new LogPosition(1, 9), 200);
         floors.onPrimaryPosition(new LogPosition(2, 3), 300);
--- a/src/test/java/dillfront/dataplane/ConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -7,7 +7,7 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
 import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -19,12 +19,12 @@
  * A client's session, a connection to one database server, and what that one may answer: to whom it
  * goes, and what is sent again.
  */
-class ConnectionTest {
+class ServerConnectionTest {
 
-    private final ScriptedHost host = new ScriptedHost();
+    private final ScriptedEnvironment host = new ScriptedEnvironment();
     private DataPlaneNode front;
     private DatabaseService service;
-    private ScriptedHost.Line client;
+    private ScriptedEnvironment.Line client;
 
     @BeforeEach
     void open() throws Configuration.InvalidConfigurationException {
@@ -62,9 +62,9 @@
         client = client();
     }
 
-    private ScriptedHost.Line client() {
-        ScriptedHost.Line line =
-                new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
+    private ScriptedEnvironment.Line client() {
+        ScriptedEnvironment.Line line =
+                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, front.accept());
         line.open();
         line.say("CONNECT h me");
         assertEquals("READY I -", line.last());
@@ -72,8 +72,8 @@
         return line;
     }
 
-    private ScriptedHost.Line server() {
-        ScriptedHost.Line line = host.lastDialed();
+    private ScriptedEnvironment.Line server() {
+        ScriptedEnvironment.Line line = host.lastDialed();
         if (line.sent.isEmpty()) {
             line.open();
             assertEquals("CONNECT s f i-1", line.last());
@@ -82,18 +82,18 @@
         return line;
     }
 
-    private List<String> answer(ScriptedHost.Line to) {
+    private List<String> answer(ScriptedEnvironment.Line to) {
         List<String> is = List.copyOf(to.sent);
         to.sent.clear();
         return is;
     }
 
     @Test
-    void anAnswerGoesToWhoAsked() {
+    void answerGoesToItsSender() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 WRITE k d", line.last());
-        ScriptedHost.Line other = client();
+        ScriptedEnvironment.Line other = client();
         other.say("QUERY b1 WRITE k e");
         line.say("COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
@@ -108,18 +108,18 @@
      * asks there next.
      */
     @Test
-    void whatIsSaidUnaskedIsNobodysAnswer() {
+    void unrequestedAnswerEndsTheConnection() {
         for (String unasked :
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedHost.Line line = server();
+            ScriptedEnvironment.Line line = server();
             line.say("COMPLETE s1", "READY I 1.2");
             answer(client);
             line.say(unasked);
             client.say("QUERY a2 WRITE k d");
-            ScriptedHost.Line next = server();
+            ScriptedEnvironment.Line next = server();
             assertTrue(line.closed && next != line, unasked + ": the connection is left");
             next.say("COMPLETE s2", "READY I 1.3");
             assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
@@ -129,9 +129,9 @@
 
     /** Guards against the same while the connection is made. */
     @Test
-    void whatIsSaidBeforeItIsReadyIsNobodysAnswer() {
+    void answerBeforeReadyEndsTheConnection() {
         client.say("QUERY a1 READ k");
-        ScriptedHost.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = host.lastDialed();
         line.open();
         line.say("ROW other", "READY I 1.1");
         assertTrue(line.closed);
@@ -143,7 +143,7 @@
      * connection would get this one's.
      */
     @Test
-    void halfAnAnswerAndASecondEndTheConnection() {
+    void partialOrDuplicateAnswerEndsTheConnection() {
         for (String[] bad :
                 new String[][] {
                     {"ROW r", "READY I 1.2"},
@@ -154,7 +154,7 @@
                     {"NOTHING of the wire"}
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedHost.Line line = server();
+            ScriptedEnvironment.Line line = server();
             line.say(bad);
             assertTrue(line.closed, String.join(", ", bad));
             assertEquals(
@@ -170,12 +170,12 @@
      * whether it ran.
      */
     @Test
-    void aWriteThatWasResetIsNotSentAgain() {
+    void writeIsNotRetriedAfterReset() {
         client.say("QUERY a1 WRITE k d");
         server().reset();
         host.pass(3_000);
         assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedHost.Line line : host.dialed) {
+        for (ScriptedEnvironment.Line line : host.dialed) {
             assertEquals(
                     line == host.dialed.get(0) ? 1 : 0,
                     line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
@@ -184,17 +184,17 @@
 
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
-    void aReadThatWasResetAndAWriteThatDidNotRunAre() {
+    void readAndWriteThatDidNotRunAreRetriedAfterReset() {
         client.say("QUERY a1 READ k");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         leads(line);
         line.reset();
-        ScriptedHost.Line next = server();
+        ScriptedEnvironment.Line next = server();
         leads(next);
         next.say("ROW r", "COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
         client.say("QUERY a2 WRITE k d");
-        ScriptedHost.Line third = server();
+        ScriptedEnvironment.Line third = server();
         third.say("ERROR BUSY later", "READY I 1.2");
         host.pass(60);
         assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
@@ -203,7 +203,7 @@
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedHost.Line line) {
+    private static void leads(ScriptedEnvironment.Line line) {
         assertEquals("QUERY - STATUS", line.last());
         line.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
         assertEquals("QUERY a1 READ k", line.last());
@@ -211,14 +211,14 @@
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
-    void anAnswerAfterItsTimeIsNobodys() {
+    void answerAfterTimeoutGoesToNobody() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         host.pass(800);
         assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
         assertTrue(line.closed);
         client.say("QUERY a2 WRITE k d");
-        ScriptedHost.Line next = server();
+        ScriptedEnvironment.Line next = server();
         line.say("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
         next.say("COMPLETE s2", "READY I 1.3");
@@ -230,9 +230,9 @@
      * word was lost.
      */
     @Test
-    void aWordOfItsOwnThatIsNeverAnsweredIsGivenUp() {
+    void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         line.say("COMPLETE -", "READY T 1.1");
         assertEquals("QUERY a2 WRITE k d", line.last());
         line.say("COMPLETE s1", "READY T 1.1");
@@ -247,9 +247,9 @@
 
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
-    void soIsATransactionWhoseOpeningIsNeverAnswered() {
+    void abandonsConnectionWhoseBeginIsNotAnswered() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 BEGIN", line.last());
         host.pass(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
@@ -259,9 +259,9 @@
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
-    void soIsAStatementThatNobodyWaitsForAnyMore() {
+    void abandonsConnectionOfStatementWithoutClient() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 WRITE k d", line.last());
         client.reset();
         host.pass(500);
--- a/src/test/java/dillfront/dataplane/StatementTest.java
+++ b/src/test/java/dillfront/dataplane/StatementTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void whatThePageHas() {
+    void parsesStatementsOfTheWire() {
         assertEquals("BEGIN||", read("BEGIN"));
         assertEquals("BEGIN_READ||", read("BEGIN READ"));
         assertEquals("READ||1a4", read("READ 1a4"));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatItHasNot() {
+    void rejectsOtherStatements() {
         for (String bad :
                 new String[] {
                     "",
