--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.common.storage.Disk;
-import dillfront.common.storage.Keep;
-import dillfront.common.storage.Shelf;
+import dillfront.common.storage.CompactingLog;
+import dillfront.common.storage.StorageFolder;
+import dillfront.common.storage.TextStore;
 import dillfront.router.operator.Operator;
 import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
@@ -45,7 +45,7 @@
      * and of names that were made, changed or removed since the last sync of the folder any by
      * itself. A call may fail, with what it was to do done or not.
      */
-    private static final class Lossy implements Disk {
+    private static final class Lossy implements StorageFolder {
 
         private final Map<String, byte[]> files = new TreeMap<>();
         private final Map<String, Integer> synced = new HashMap<>();
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public void cut(String name, long length) throws IOException {
+        public void truncate(String name, long length) throws IOException {
             if (works() && files.get(name).length > length) {
                 files.put(name, Arrays.copyOf(files.get(name), (int) length));
                 synced.remove(name);
@@ -234,8 +234,8 @@
         }
     }
 
-    private static String state(Shelf shelf) {
-        return new TreeMap<>(shelf.all()) + " " + new TreeMap<>(shelf.numbers());
+    private static String state(CompactingLog shelf) {
+        return new TreeMap<>(shelf.texts()) + " " + new TreeMap<>(shelf.numbers());
     }
 
     /**
@@ -247,7 +247,7 @@
     void powerGoesAtEachWriteAndAnySubsetOfUnsyncedSectorsIsLost() throws Exception {
         SplittableRandom chance = new SplittableRandom(6);
         Lossy disk = new Lossy(Map.of());
-        Shelf shelf = Shelf.open(disk, "m", "r1");
+        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
         List<String> may = new ArrayList<>();
         int[] looked = new int[1];
         disk.each =
@@ -258,7 +258,8 @@
                                             looked[0]++;
                                             try {
                                                 Lossy next = new Lossy(files);
-                                                Shelf again = Shelf.open(next, "m", "r1");
+                                                CompactingLog again =
+                                                        CompactingLog.open(next, "m", "r1");
                                                 assertTrue(
                                                         may.contains(state(again)),
                                                         "at look "
@@ -270,11 +271,12 @@
                                                 again.put(Map.of("after", "this"), Map.of());
                                                 assertEquals(
                                                         state(again),
-                                                        state(Shelf.open(next, "m", "r1")));
+                                                        state(CompactingLog.open(next, "m", "r1")));
                                                 assertTrue(
-                                                        again.fault() == null || !again.isAside(),
+                                                        again.fault() == null
+                                                                || !again.isMovedAside(),
                                                         again.fault());
-                                            } catch (Shelf.Broken bad) {
+                                            } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
                                                         "at look " + looked[0], bad);
                                             }
@@ -312,7 +314,7 @@
     void aDiskThatIsFullLosesNothing() throws Exception {
         for (int room = 0; room < 300; room += 7) {
             Lossy disk = new Lossy(Map.of());
-            Shelf shelf = Shelf.open(disk, "m", "r1");
+            CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
             shelf.put(Map.of("a", "1"), Map.of(7L, 7L));
             disk.room = room;
             long last = 7;
@@ -321,13 +323,17 @@
                     shelf.put(Map.of(), Map.of(last + 1, 0L));
                     last++;
                 }
-            } catch (Shelf.Broken full) {
+            } catch (CompactingLog.UnusableLogException full) {
                 assertEquals("m/memory.log: No space left on device", full.getMessage());
             }
-            assertEquals(last - 6, Shelf.open(new Lossy(disk.files), "m", "r1").numbers().size());
+            assertEquals(
+                    last - 6,
+                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
             disk.room = 1000;
             shelf.put(Map.of(), Map.of(100L, 0L));
-            assertEquals(last - 5, Shelf.open(new Lossy(disk.files), "m", "r1").numbers().size());
+            assertEquals(
+                    last - 5,
+                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
         }
     }
 
@@ -344,7 +350,7 @@
             for (boolean done : new boolean[] {false, true}) {
                 SplittableRandom chance = new SplittableRandom(call);
                 Lossy disk = new Lossy(Map.of());
-                Shelf shelf = Shelf.open(disk, "m", "r1");
+                CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
                 List<String> may = new ArrayList<>();
                 int now = call;
                 disk.each =
@@ -357,7 +363,8 @@
                                             : disk.after(chance)) {
                                 looked[0]++;
                                 try {
-                                    Shelf again = Shelf.open(new Lossy(files), "m", "r1");
+                                    CompactingLog again =
+                                            CompactingLog.open(new Lossy(files), "m", "r1");
                                     assertTrue(
                                             may.contains(state(again)),
                                             "call "
@@ -369,9 +376,9 @@
                                                     + " of "
                                                     + may.size());
                                     assertTrue(
-                                            !again.isAside(),
+                                            !again.isMovedAside(),
                                             "call " + now + " " + done + ": " + again.fault());
-                                } catch (Shelf.Broken bad) {
+                                } catch (CompactingLog.UnusableLogException bad) {
                                     throw new AssertionError("call " + now, bad);
                                 }
                             }
@@ -397,13 +404,13 @@
                         may.clear();
                         may.add(is + " {}");
                         assertEquals(is + " {}", state(shelf));
-                    } catch (Shelf.Broken bad) {
+                    } catch (CompactingLog.UnusableLogException bad) {
                         failed[0]++;
                         assertEquals(is + " {}", state(shelf));
                     }
                 }
                 assertTrue(
-                        may.contains(state(Shelf.open(new Lossy(disk.files), "m", "r1"))),
+                        may.contains(state(CompactingLog.open(new Lossy(disk.files), "m", "r1"))),
                         "call " + call + " " + done);
             }
         }
@@ -418,68 +425,77 @@
     @Test
     void ofADamagedFileNothingIsReliedOn() throws Exception {
         Lossy disk = new Lossy(Map.of());
-        Keep keep = Keep.on(disk, "m", "r1");
+        TextStore keep = TextStore.openOn(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
             keep.put(Map.of("s-" + i, "promised " + i));
         }
-        byte[] good = disk.files.get(Shelf.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE);
         SplittableRandom chance = new SplittableRandom(9);
         int damaged = 0;
         for (int at = 25; at < good.length - 60; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
-            Lossy next = new Lossy(Map.of(Shelf.FILE, bad));
+            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
             next.each =
                     () ->
                             next.after(chance)
                                     .forEach(
                                             files -> {
                                                 try {
-                                                    Keep again =
-                                                            Keep.on(new Lossy(files), "m", "r1");
-                                                    assertEquals(Map.of(), again.all());
-                                                } catch (Keep.Broken broken) {
+                                                    TextStore again =
+                                                            TextStore.openOn(
+                                                                    new Lossy(files), "m", "r1");
+                                                    assertEquals(Map.of(), again.texts());
+                                                } catch (TextStore.StorageException broken) {
                                                     throw new AssertionError(broken);
                                                 }
                                             });
-            Keep found = Keep.on(next, "m", "r1");
-            assertTrue(found.damaged(), "at " + at);
-            assertEquals(Map.of(), found.all());
+            TextStore found = TextStore.openOn(next, "m", "r1");
+            assertTrue(found.isDamaged(), "at " + at);
+            assertEquals(Map.of(), found.texts());
             next.each = () -> {};
             found.put(Map.of("id", "another"));
-            Keep later = Keep.on(new Lossy(next.files), "m", "r1");
-            assertTrue(!later.damaged());
-            assertEquals(Map.of("id", "another"), later.all());
+            TextStore later = TextStore.openOn(new Lossy(next.files), "m", "r1");
+            assertTrue(!later.isDamaged());
+            assertEquals(Map.of("id", "another"), later.texts());
             damaged++;
         }
         assertTrue(damaged > 100, damaged + " places");
         // A first record that is torn or spoilt: it was synced before the file had its name, so it
         // is no torn tail either.
         Lossy fresh = new Lossy(Map.of());
-        Keep.on(fresh, "m", "r1");
-        byte[] first = fresh.files.get(Shelf.FILE);
+        TextStore.openOn(fresh, "m", "r1");
+        byte[] first = fresh.files.get(CompactingLog.FILE);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    Keep.on(new Lossy(Map.of(Shelf.FILE, bad)), "m", "r1").damaged(), "at " + at);
+                    TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, bad)), "m", "r1")
+                            .isDamaged(),
+                    "at " + at);
             assertTrue(
-                    Keep.on(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(first, at))), "m", "r1")
-                            .damaged(),
+                    TextStore.openOn(
+                                    new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
+                                    "m",
+                                    "r1")
+                            .isDamaged(),
                     "cut at " + at);
         }
         // A file of its head alone: its first record was synced with it, so it is not a torn tail.
-        Keep head = Keep.on(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(good, 19))), "m", "r1");
-        assertTrue(head.damaged());
-        Keep none = Keep.on(new Lossy(Map.of(Shelf.FILE, new byte[0])), "m", "r1");
-        assertTrue(none.damaged());
+        TextStore head =
+                TextStore.openOn(
+                        new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))), "m", "r1");
+        assertTrue(head.isDamaged());
+        TextStore none =
+                TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
+        assertTrue(none.isDamaged());
     }
 
     /** A text that the form cannot hold is refused, and leaves what was kept as it was. */
     @Test
     void aTextThatIsTooLongIsRefused() throws Exception {
         Lossy disk = new Lossy(Map.of());
-        Keep keep = Keep.on(disk, "m", "r1");
+        TextStore keep = TextStore.openOn(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
         keep.put(Map.of("a", longest));
         assertThrows(
@@ -488,7 +504,8 @@
         assertThrows(IllegalArgumentException.class, () -> keep.put(Map.of(longest + "x", "1")));
         keep.put(Map.of("c", "2"));
         assertEquals(
-                Map.of("a", longest, "c", "2"), Keep.on(new Lossy(disk.files), "m", "r1").all());
+                Map.of("a", longest, "c", "2"),
+                TextStore.openOn(new Lossy(disk.files), "m", "r1").texts());
     }
 
     /**
@@ -498,23 +515,24 @@
     @Test
     void whatIsSpoiltIsFoundAndWhatWasBeforeItHolds() throws Exception {
         Lossy disk = new Lossy(Map.of());
-        Shelf shelf = Shelf.open(disk, "m", "r1");
+        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
             shelf.put(Map.of("s-" + i, "DRAINING"), Map.of());
         }
-        byte[] good = disk.files.get(Shelf.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE);
         int last = good.length;
         for (int at = 0; at < good.length; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x40;
-            Lossy next = new Lossy(Map.of(Shelf.FILE, bad));
+            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
             try {
-                Shelf found = Shelf.open(next, "m", "r1");
+                CompactingLog found = CompactingLog.open(next, "m", "r1");
                 assertTrue(found.fault() != null, "at " + at + " nothing was found");
-                assertTrue(found.all().size() < 8, "at " + at);
-                assertEquals(found.isAside(), next.files.containsKey("memory.broken"), "at " + at);
-                last = found.isAside() ? last : Math.min(last, at);
-            } catch (Shelf.Broken format) {
+                assertTrue(found.texts().size() < 8, "at " + at);
+                assertEquals(
+                        found.isMovedAside(), next.files.containsKey("memory.broken"), "at " + at);
+                last = found.isMovedAside() ? last : Math.min(last, at);
+            } catch (CompactingLog.UnusableLogException format) {
                 assertTrue(
                         format.getMessage().startsWith("m/memory.log is of format"),
                         format.getMessage());
@@ -524,22 +542,25 @@
                 last > good.length - 60,
                 "a torn tail is the last record alone, not what begins at " + last);
         for (int cut = 0; cut < good.length; cut++) {
-            Shelf found =
-                    Shelf.open(new Lossy(Map.of(Shelf.FILE, Arrays.copyOf(good, cut))), "m", "r1");
-            assertTrue(found.all().size() < 8, "cut at " + cut);
+            CompactingLog found =
+                    CompactingLog.open(
+                            new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
+                            "m",
+                            "r1");
+            assertTrue(found.texts().size() < 8, "cut at " + cut);
         }
     }
 
     /** What is no longer needed gives its space back: a file under txns does not grow with them. */
     @Test
     void theFileDoesNotGrowWithTheTxns() throws Exception {
-        Shelf shelf = Shelf.open(new Disk.Folder(dir), "m", "r1");
+        CompactingLog shelf = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
         long most = 0;
         for (long i = 0; i < 3000; i++) {
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
             shelf.put(Map.of(), batch);
-            most = Math.max(most, Files.size(dir.resolve(Shelf.FILE)));
+            most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE)));
         }
         shelf.close();
         assertTrue(most > 60_000 && most < 70_000, "the file came to " + most + " bytes");
@@ -578,14 +599,14 @@
     @Test
     void whatIsNoSuchFileIsSetAsideAndNamed() throws Exception {
         Path folder = Files.createDirectories(dir.resolve("r1"));
-        Files.writeString(folder.resolve(Shelf.FILE), "no store at all ".repeat(1000));
+        Files.writeString(folder.resolve(CompactingLog.FILE), "no store at all ".repeat(1000));
         Memory memory = Memory.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "set aside");
         assertTrue(
                 lines.toString(StandardCharsets.UTF_8)
-                        .contains("memory-broken fault=\"" + folder.resolve(Shelf.FILE)),
+                        .contains("memory-broken fault=\"" + folder.resolve(CompactingLog.FILE)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
         Operator.BadOperator none =
