--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 deployed = sh -c "$$(sed -n 's/^$(1) = "\(.*\)"   \#.*/\1/p' deploy/balancer.toml)"
 
 .PHONY: build test lint run clean measure-cost measure-gossip measure-identity measure-power measure-site measure-system measure-control \
-    measure-capacity measure-changes
+    measure-capacity measure-changes measure-upgrade
 
 # The text that a measurement compares with, built into a folder of its own.
 BEFORE ?= 6172edf
@@ -66,3 +66,11 @@
 # Bytes for each of 200 changes of 300 routes, and a process that was away for 600; real control processes; one to two minutes.
 measure-changes: build
 	java -Xmx512m -cp target/dillfront.jar dillfront.simulation.ChangesMeasure
+
+# Real control processes and data planes of the text UPGRADE_FROM and of the present one as one system; under 50 s.
+UPGRADE_FROM ?= 6ff1719
+measure-upgrade: build
+	test -e target/upgrade/$(UPGRADE_FROM) || { rm -rf target/upgrade && mkdir -p target/upgrade && \
+	    git archive $(UPGRADE_FROM) | tar -x -C target/upgrade && (cd target/upgrade && $(call deployed,build)) && \
+	    touch target/upgrade/$(UPGRADE_FROM); }
+	java -cp target/dillfront.jar dillfront.simulation.UpgradeMeasure target/upgrade/target/dillfront.jar target/dillfront.jar
--- /dev/null
+++ b/src/main/java/dillfront/benchmark/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Measurements of what a router costs, and the stand-ins that they need. Begin with {@link
+ * dillfront.benchmark.Cost}.
+ */
+package dillfront.benchmark;
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -93,7 +93,7 @@
                                                         .add("name", "s")
                                                         .add("connection_limit", 20)));
         post(host, control, "/Configuration.Replace", configuration);
-        JsonObject beat =
+        JsonObject heartbeat =
                 Json.object()
                         .add("service", "s")
                         .add("address", "127.0.0.1:1")
@@ -101,11 +101,11 @@
                         .add("state", "ready")
                         .add("database_role", "primary")
                         .add("call_sequence", 1);
-        post(host, control, "/Instances.Heartbeat/i-1", beat);
+        post(host, control, "/Instances.Heartbeat/i-1", heartbeat);
         post(host, "127.0.0.1:" + port[3], "/readiness", Json.object());
-        for (int tries = 0; tries < 50; tries++) {
-            String heard = client(port[2]);
-            if (heard.contains("ERROR BUSY")) {
+        for (int attempts = 0; attempts < 50; attempts++) {
+            String reply = client(port[2]);
+            if (reply.contains("ERROR BUSY")) {
                 break;
             }
         }
--- /dev/null
+++ b/src/main/java/dillfront/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line. Begin with {@link dillfront.cli.Main}. */
+package dillfront.cli;
--- a/src/main/java/dillfront/common/database/AcceptedDataLoss.java
+++ b/src/main/java/dillfront/common/database/AcceptedDataLoss.java
@@ -112,11 +112,15 @@
             return null;
         }
         LogPosition log = LogPosition.parse(part[1]);
-        LogPosition least = LogPosition.parse(part[2]);
-        LogPosition most = LogPosition.parse(part[3]);
+        LogPosition lowerBound = LogPosition.parse(part[2]);
+        LogPosition upperBound = LogPosition.parse(part[3]);
         LogPosition kept = LogPosition.parse(part[4]);
         LogPosition until = LogPosition.parse(part[5]);
-        if (log == null || least == null || most == null || kept == null || until == null) {
+        if (log == null
+                || lowerBound == null
+                || upperBound == null
+                || kept == null
+                || until == null) {
             return null;
         }
         List<String> servers = new ArrayList<>();
@@ -130,7 +134,7 @@
         return new AcceptedDataLoss(
                 Long.parseLong(part[0]),
                 log,
-                new AcknowledgedCommits(least, most),
+                new AcknowledgedCommits(lowerBound, upperBound),
                 servers,
                 kept,
                 until);
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -103,9 +103,9 @@
         private boolean open;
         private boolean closed;
 
-        NettyConnection(Framing form, ConnectionListener ear) {
+        NettyConnection(Framing form, ConnectionListener listener) {
             this.framing = form;
-            this.listener = ear;
+            this.listener = listener;
         }
 
         @Override
@@ -223,7 +223,7 @@
      * @param at IP:PORT
      * @throws IOException where that cannot be
      */
-    public void listen(String at, Framing form, Function<Environment, ConnectionListener> each)
+    public void listen(String at, Framing form, Function<Environment, ConnectionListener> listeners)
             throws IOException {
         bind(
                 () ->
@@ -232,7 +232,7 @@
                                 address(at),
                                 BACKLOG,
                                 WRITE_BUFFER_LIMITS,
-                                () -> new NettyConnection(form, each.apply(this))),
+                                () -> new NettyConnection(form, listeners.apply(this))),
                 at);
     }
 
@@ -263,8 +263,8 @@
     }
 
     /** Server sockets are made on the event loop. */
-    private void bind(Supplier<ChannelFuture> door, String at) throws IOException {
-        Future<ChannelFuture> made = eventLoop.submit(door::get);
+    private void bind(Supplier<ChannelFuture> server, String at) throws IOException {
+        Future<ChannelFuture> made = eventLoop.submit(server::get);
         try {
             ChannelFuture bound = made.get(5, TimeUnit.SECONDS);
             if (!bound.awaitUninterruptibly(5_000) || !bound.isSuccess()) {
--- /dev/null
+++ b/src/main/java/dillfront/common/logging/package-info.java
@@ -0,0 +1,2 @@
+/** Log lines and counters of the router. */
+package dillfront.common.logging;
--- /dev/null
+++ b/src/main/java/dillfront/common/message/package-info.java
@@ -0,0 +1,2 @@
+/** Messages between the system's own processes: MessagePack, compression, deltas. */
+package dillfront.common.message;
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -25,7 +25,7 @@
      * is left.
      */
     public static ChannelFuture connect(
-            EventLoop loop, InetSocketAddress to, TerminalHandler ears, int timeoutMs) {
+            EventLoop loop, InetSocketAddress to, TerminalHandler handler, int timeoutMs) {
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
@@ -33,7 +33,7 @@
             return null;
         }
         channel.config().setTcpNoDelay(true).setConnectTimeoutMillis(timeoutMs);
-        channel.pipeline().addLast(ears);
+        channel.pipeline().addLast(handler);
         ChannelFuture registered = loop.register(channel);
         return registered.isSuccess() ? channel.connect(to) : registered;
     }
--- /dev/null
+++ b/src/main/java/dillfront/common/network/package-info.java
@@ -0,0 +1,2 @@
+/** Sockets on one event loop, and addresses. */
+package dillfront.common.network;
--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -146,10 +146,10 @@
         ConfigurationUpdate configuration = response.configuration();
         if (configuration != null) {
             out.put(NEW_REVISION, configuration.revision());
-            boolean whole = configuration.delta() == null;
+            boolean complete = configuration.delta() == null;
             out.put(
-                    whole ? COMPRESSED : DELTA,
-                    whole ? configuration.compressed() : configuration.delta());
+                    complete ? COMPRESSED : DELTA,
+                    complete ? configuration.compressed() : configuration.delta());
         }
         if (!response.records().isEmpty()) {
             out.put(RECORDS, response.records().stream().map(PrimaryRecord::toFields).toList());
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -159,8 +159,8 @@
     }
 
     private long silentMillis(long lastContactMillis) {
-        long heardMillis = Math.max(lastContactMillis, startedMillis);
-        return state.nowMillis() - Math.max(heardMillis, resumedMillis);
+        long contactMillis = Math.max(lastContactMillis, startedMillis);
+        return state.nowMillis() - Math.max(contactMillis, resumedMillis);
     }
 
     /** The silence of a member that is not known here, or is another process now. */
--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -78,11 +78,11 @@
             return next;
         }
         boolean spare = members.size() > enough;
-        boolean gone =
+        boolean expired =
                 worst != null
                         && worst.silentMillis() > REMOVE_AFTER_MS
                         && members.size() > MIN_MEMBERS;
-        if (replaces && (spare || gone)) {
+        if (replaces && (spare || expired)) {
             next.remove(worst.id());
         }
         return next;
--- a/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
@@ -67,7 +67,7 @@
         private static final String COMPRESSED = "cz";
         private static final String DELTA = "cx";
 
-        boolean isWhole() {
+        boolean isComplete() {
             return base.equals(Ballot.NONE);
         }
 
@@ -79,7 +79,7 @@
             fields.put(RETIRED, retired);
             fields.put(DIGESTS, revisionDigests);
             fields.put(ADDS_DIGESTS, addsDigests);
-            if (isWhole()) {
+            if (isComplete()) {
                 fields.put(COMPRESSED, compressed);
             } else {
                 fields.put(BASE, base.encode());
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -384,8 +384,8 @@
     /** Null where the value is told by its difference from one that is not known here. */
     private RegisterValue decode(EncodedValue encoded)
             throws Configuration.InvalidConfigurationException {
-        RegisterValue base = encoded.isWhole() ? null : valueOf(encoded.base());
-        return encoded.isWhole() || base != null ? ValueEncoder.decode(encoded, base) : null;
+        RegisterValue base = encoded.isComplete() ? null : valueOf(encoded.base());
+        return encoded.isComplete() || base != null ? ValueEncoder.decode(encoded, base) : null;
     }
 
     /** Forgets peers that are not known any more and are no members. */
--- a/src/main/java/dillfront/controlplane/failover/FailoverContext.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverContext.java
@@ -156,13 +156,13 @@
 
     /** It missed two heartbeats and more, and not because this process was paused. */
     boolean isSilent(DatabaseServer server) {
-        return now() - Math.max(server.lastHeardMillis(), resumedMillis)
+        return now() - Math.max(server.lastContactMillis(), resumedMillis)
                 > heartbeatIntervalMillis() * 5 / 2;
     }
 
     /** Whether it was heard within so many heartbeat intervals. */
-    boolean isHeardWithin(DatabaseServer server, int intervals) {
-        return now() - server.lastHeardMillis() < intervals * heartbeatIntervalMillis();
+    boolean isInContactWithin(DatabaseServer server, int intervals) {
+        return now() - server.lastContactMillis() < intervals * heartbeatIntervalMillis();
     }
 
     /**
@@ -171,7 +171,7 @@
     DatabaseServer reportedPrimary(String service) {
         DatabaseServer primary = null;
         for (DatabaseServer server : state.registry().serversOf(service)) {
-            if (server.isPrimary() && isHeardWithin(server, 3)) {
+            if (server.isPrimary() && isInContactWithin(server, 3)) {
                 if (primary != null) {
                     return null;
                 }
--- a/src/main/java/dillfront/controlplane/failover/MoveState.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveState.java
@@ -95,7 +95,7 @@
     boolean fenced;
 
     long fencedMillis = LeaseManager.NEVER;
-    long fenceRetryMillis;
+    long fencingRetryMillis;
 
     MoveState(PrimaryRecord record, boolean planned, boolean inherited, long nowMillis) {
         this.record = record;
--- a/src/main/java/dillfront/controlplane/failover/PlatformClient.java
+++ b/src/main/java/dillfront/controlplane/failover/PlatformClient.java
@@ -12,7 +12,7 @@
     private static final int TIMEOUT_MS = 1_500;
     private static final String PROMOTION_PATH = "/promotion";
     private static final String HOLDER_HEADER = "Dillfront-Duty-Holder";
-    private static final String FENCE_HEADER = "Dillfront-Fence-Number";
+    private static final String FENCING_TOKEN_HEADER = "Dillfront-Fence-Number";
     private static final int OK = 200;
     private static final int CONFLICT = 409;
 
@@ -47,7 +47,7 @@
                 Map.of(
                         HOLDER_HEADER,
                         settings.nodeName(),
-                        FENCE_HEADER,
+                        FENCING_TOKEN_HEADER,
                         Long.toString(fencingToken));
         return environment
                 .post(settings.platformAddress(), PROMOTION_PATH, body, headers, TIMEOUT_MS)
--- a/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
@@ -43,11 +43,12 @@
     /**
      * The lease holder said that its lease runs for so long.
      *
-     * @param askedMillis when this process sent the message that the holder answered: dated from
-     *     before the holder looked at its clock, the certainty ends no later than by the holder's
+     * @param requestedMillis when this process sent the message that the holder answered: dated
+     *     from before the holder looked at its clock, the certainty ends no later than by the
+     *     holder's
      */
-    public void onHolderMessage(long askedMillis, long leaseRemainingMillis) {
+    public void onHolderMessage(long requestedMillis, long leaseRemainingMillis) {
         long remaining = Math.min(MAX_MS, leaseRemainingMillis + AFTER_LEASE_MS);
-        certainUntilMillis = Math.max(certainUntilMillis, askedMillis + remaining);
+        certainUntilMillis = Math.max(certainUntilMillis, requestedMillis + remaining);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -133,7 +133,7 @@
         for (DatabaseServer server : context.state().registry().serversOf(record.service())) {
             if (!server.id().equals(record.primary())
                     && !server.isDraining()
-                    && context.isHeardWithin(server, 2)) {
+                    && context.isInContactWithin(server, 2)) {
                 successors.add(server);
             }
         }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -58,7 +58,7 @@
     private final SuccessorChoice choice;
 
     /** After calls of an earlier holder were fenced off, servers were asked anew. */
-    private boolean restartedAfterFence;
+    private boolean restartedAfterFencing;
 
     /**
      * @param inherited the move was found as an earlier lease holder left it
@@ -110,10 +110,10 @@
             // It is over, or as good as over: no other server is promoted.
             return;
         }
-        if (state.fenced && !restartedAfterFence && !state.isPromoting()) {
+        if (state.fenced && !restartedAfterFencing && !state.isPromoting()) {
             // What was heard of logs and primaries may be outdated, now that the earlier holder's
             // call is carried out.
-            restartedAfterFence = true;
+            restartedAfterFencing = true;
             state.restartStopping();
         }
         runStep(primary);
@@ -197,8 +197,8 @@
      * cannot say that its data planes have heard since.
      */
     private boolean isClearedAt(PeerState peer, long expired) {
-        boolean told = peer.clearedRecord(service()) >= state.record.number();
-        return (told || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
+        boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
+        return (confirmed || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
                 && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
     }
 
@@ -275,14 +275,14 @@
             return;
         }
         if (state.inherited && !state.fenced) {
-            fenceOff(serverId);
+            invalidateFormerCalls(serverId);
         } else if (!mayPlatformStillPromote()) {
             complete(serverId);
         }
     }
 
-    private void fenceOff(String serverId) {
-        if (context.now() < state.fenceRetryMillis) {
+    private void invalidateFormerCalls(String serverId) {
+        if (context.now() < state.fencingRetryMillis) {
             return;
         }
         state.busy = true;
@@ -291,7 +291,7 @@
                 .whenComplete(
                         (result, fault) -> {
                             state.busy = false;
-                            state.fenceRetryMillis = context.now() + FailoverContext.RETRY_MS;
+                            state.fencingRetryMillis = context.now() + FailoverContext.RETRY_MS;
                             state.fenced = fault == null && result == PromotionResult.ACCEPTED;
                             state.fencedMillis = state.fenced ? context.now() : state.fencedMillis;
                             if (state.fenced && isActive() && context.isActing()) {
@@ -354,7 +354,7 @@
      * An operator gives commits up: the move goes on without them, and without who may have them.
      */
     void acceptDataLoss(AcceptedDataLoss loss) {
-        List<String> givenUp = loss.unreachableServers();
+        List<String> excludedServers = loss.unreachableServers();
         context.environment()
                 .warn(
                         "data-loss-accepted service="
@@ -368,7 +368,7 @@
                                 + " given_up_primary="
                                 + state.record.primary()
                                 + " given_up_servers="
-                                + givenUp);
+                                + excludedServers);
         state.missing = null;
         state.record = state.record.withAcceptedLoss(context.nextToken(), loss);
         context.record(state.record);
--- a/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -78,7 +78,7 @@
     private void resume(PrimaryRecord record, DatabaseServer replica) {
         String id = replica.id();
         queried.add(id);
-        long askedMillis = context.now();
+        long sentMillis = context.now();
         long confirmedFrom = sinceMillis + COMMAND_IN_FLIGHT_MS;
         context.query(replica, 2 * FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand)
                 .whenComplete(
@@ -91,7 +91,7 @@
                                             ? Math.max(confirmedFrom, context.now())
                                             : context.now() + RETRY_MS);
                             if (receives
-                                    && askedMillis >= confirmedFrom
+                                    && sentMillis >= confirmedFrom
                                     && recordNumber == record.number()) {
                                 paused.remove(id);
                             }
--- a/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
@@ -31,7 +31,7 @@
     private static final long CATCH_UP_QUERY_GAP_MS = 60;
 
     /** A server that was silent for so long before its primary was lost is not waited for. */
-    private static final long LONG_SILENT_MS = 10_000;
+    private static final long EXPIRED_AFTER_MS = 10_000;
 
     /** A server that announced its leave has ended where so many queries got no answer. */
     private static final int ENDED_AFTER_QUERIES = 2;
@@ -110,7 +110,7 @@
         }
         for (DatabaseServer replica : replicas()) {
             boolean quiet =
-                    context.now() - replica.lastHeardMillis()
+                    context.now() - replica.lastContactMillis()
                             > 2 * context.heartbeatIntervalMillis();
             if (!replica.isDraining() && !quiet) {
                 queries.ask(
@@ -182,9 +182,9 @@
         long lostMillis =
                 primary == null
                         ? context.now()
-                        : Math.max(primary.lastHeardMillis(), move.sinceMillis);
-        boolean longSilent = lostMillis - replica.lastHeardMillis() > LONG_SILENT_MS;
-        if (longSilent && !replica.isLeaving() || isGivenUp(replica)) {
+                        : Math.max(primary.lastContactMillis(), move.sinceMillis);
+        boolean expired = lostMillis - replica.lastContactMillis() > EXPIRED_AFTER_MS;
+        if (expired && !replica.isLeaving() || isExcludedByOperator(replica)) {
             return true;
         }
         boolean hasEnded =
@@ -226,7 +226,7 @@
     /**
      * An operator said that this move does not wait for it; it does once that one is heard again.
      */
-    private boolean isGivenUp(DatabaseServer replica) {
+    private boolean isExcludedByOperator(DatabaseServer replica) {
         AcceptedDataLoss loss = move.record.acceptedLoss();
         return loss != null
                 && loss.moveNumber() == move.record.moveNumber()
@@ -241,11 +241,11 @@
     private void findMissingCommits() {
         List<String> unreachable = new ArrayList<>();
         for (DatabaseServer replica : replicas()) {
-            if (move.statuses.containsKey(replica.id()) || isGivenUp(replica)) {
+            if (move.statuses.containsKey(replica.id()) || isExcludedByOperator(replica)) {
                 continue;
             }
-            long heardMillis = Math.max(replica.lastHeardMillis(), context.resumedMillis());
-            if (context.now() - heardMillis < LONG_SILENT_MS) {
+            long contactMillis = Math.max(replica.lastContactMillis(), context.resumedMillis());
+            if (context.now() - contactMillis < EXPIRED_AFTER_MS) {
                 boolean isOutdated =
                         move.missing != null && !move.missing.unreachableServers().isEmpty();
                 move.missing = isOutdated ? null : move.missing;
@@ -279,7 +279,7 @@
 
     private void logWait() {
         if (context.now() > move.sinceMillis + LOG_WAIT_AFTER_MS
-                && context.now() > waitLoggedMillis + LONG_SILENT_MS) {
+                && context.now() > waitLoggedMillis + EXPIRED_AFTER_MS) {
             waitLoggedMillis = context.now();
             List<String> awaited = new ArrayList<>();
             context.state()
--- a/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
+++ b/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
@@ -122,7 +122,7 @@
         for (DatabaseServer server : context.state().registry().all()) {
             boolean counted =
                     !server.hasLeft()
-                            || move.sinceMillis - server.lastHeardMillis()
+                            || move.sinceMillis - server.lastContactMillis()
                                     < 3 * context.heartbeatIntervalMillis();
             if (counted
                     && server.service().equals(move.service())
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -60,7 +60,7 @@
         } catch (Configuration.InvalidConfigurationException bad) {
             return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
         }
-        if (canDecideNothing()) {
+        if (cannotCommit()) {
             return Responses.completed(redirect(path));
         }
         CompletableFuture<RegisterValue.Outcome> proposal = state.register().propose(configuration);
@@ -158,16 +158,14 @@
     // ---- where this process cannot answer
 
     /** It hears no majority, is about to end, or its disk stands still. */
-    private boolean canDecideNothing() {
+    private boolean cannotCommit() {
         return state.cluster().isIsolated()
                 || isLeaving.getAsBoolean()
                 || store.stalledMillis() > TIMEOUT_MS;
     }
 
     private HttpResponse failure(String path, String message) {
-        return canDecideNothing()
-                ? redirect(path)
-                : Responses.error(Responses.UNAVAILABLE, message);
+        return cannotCommit() ? redirect(path) : Responses.error(Responses.UNAVAILABLE, message);
     }
 
     /**
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -70,7 +70,7 @@
         DatabaseServer known = registry.get(id);
         // A call that was sent before another that is known here says nothing of now.
         boolean late = known != null && row.callSequence() < known.callSequence();
-        boolean changed = registry.merge(row, late ? known.lastHeardMillis() : state.nowMillis());
+        boolean changed = registry.merge(row, late ? known.lastContactMillis() : state.nowMillis());
         DatabaseServer server = registry.get(id);
         if (server == null) {
             return Responses.completedError(Responses.BAD_REQUEST, "no id in the path");
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -107,7 +107,7 @@
     private static final String PROMISED = "promised";
     private static final String PROMISED_TO = "promised-to";
     private static final String PROMISED_ABOVE = "promised-above";
-    private static final String ASKED = "asked";
+    private static final String LAST_REQUESTED = "asked";
 
     private final Context context;
 
@@ -169,7 +169,8 @@
         boolean toSelf = promisedTo.equals(context.selfId());
         lastRequestedNumber =
                 Long.parseLong(
-                        texts.getOrDefault(ASKED, toSelf ? Long.toString(promisedNumber) : "0"));
+                        texts.getOrDefault(
+                                LAST_REQUESTED, toSelf ? Long.toString(promisedNumber) : "0"));
         boolean mayRun =
                 promisedNumber > 0 && !toSelf && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
         promisedUntilMillis = context.nowMillis() + (mayRun ? DURATION_MS : 0);
@@ -281,9 +282,9 @@
      * A peer asks for this number, or goes on with it. What comes under an older epoch counts for
      * nothing.
      *
-     * @param askedAtMillis the peer's clock when it asked
+     * @param requestedAtMillis the peer's clock when it asked
      */
-    public void onRequest(Voter peer, long number, long askedAtMillis) {
+    public void onRequest(Voter peer, long number, long requestedAtMillis) {
         boolean busy = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
         boolean outdated =
                 peer.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
@@ -296,12 +297,12 @@
         if (number == promisedNumber && peer.id().equals(promisedTo)) {
             promisedUntilMillis = now + DURATION_MS;
             currentLeaseEndMillis = promisedUntilMillis;
-            grantedAtMillis = Math.max(grantedAtMillis, askedAtMillis);
+            grantedAtMillis = Math.max(grantedAtMillis, requestedAtMillis);
             promiseNeverHeld = false;
         } else if (!persisting
                 && number > (promiseBinds() ? promisedNumber : promiseFloor)
                 && mayPromiseTo(peer, now)) {
-            promise(number, peer.id(), askedAtMillis);
+            promise(number, peer.id(), requestedAtMillis);
         }
     }
 
@@ -344,7 +345,7 @@
         }
     }
 
-    private void promise(long number, String to, long askedAtMillis) {
+    private void promise(long number, String to, long requestedAtMillis) {
         persisting = true;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
         long floor = nextFloor();
@@ -356,14 +357,14 @@
                         to,
                         PROMISED_ABOVE,
                         Long.toString(floor),
-                        ASKED,
+                        LAST_REQUESTED,
                         Long.toString(lastRequestedNumber));
         context.persist(texts)
                 .whenComplete(
                         (done, fault) -> {
                             persisting = false;
                             if (fault == null) {
-                                onPromised(number, to, floor, askedAtMillis);
+                                onPromised(number, to, floor, requestedAtMillis);
                             }
                         });
     }
@@ -375,7 +376,7 @@
         return promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
     }
 
-    private void onPromised(long number, String to, long floor, long askedAtMillis) {
+    private void onPromised(long number, String to, long floor, long requestedAtMillis) {
         boolean toSelf = to.equals(context.selfId());
         if (!toSelf) {
             // If it asked itself, it has lost; to go on would bind the members that promised it.
@@ -388,7 +389,7 @@
         formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
         // The own lease counts from when it is held.
         currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
-        grantedAtMillis = askedAtMillis;
+        grantedAtMillis = requestedAtMillis;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
         context.broadcast();
     }
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/lease/package-info.java
@@ -0,0 +1,2 @@
+/** The lease for the singleton role, and fencing tokens. */
+package dillfront.controlplane.lease;
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/peer/package-info.java
@@ -0,0 +1,2 @@
+/** The other control processes: connections, messages, and what a majority of them has. */
+package dillfront.controlplane.peer;
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -20,7 +20,7 @@
     private ServerState state = ServerState.READY;
     private String role = "";
     private long callSequence = UNKNOWN;
-    private long lastHeardMillis;
+    private long lastContactMillis;
     private long lastDirectHeartbeatMillis = NEVER;
     private long leavingSinceMillis = UNKNOWN;
     private long changeNumber;
@@ -64,8 +64,8 @@
     }
 
     /** When any control process last heard it, by this process's clock. */
-    public long lastHeardMillis() {
-        return lastHeardMillis;
+    public long lastContactMillis() {
+        return lastContactMillis;
     }
 
     /** When this process last received a heartbeat of it; long ago where it never did. */
@@ -111,18 +111,18 @@
     }
 
     /** Another control process received this call of it. */
-    public void onForwardedHeartbeat(long heardMillis, long sequence) {
-        heardAt(heardMillis);
+    public void onForwardedHeartbeat(long contactMillis, long sequence) {
+        contactAt(contactMillis);
         callSequence = Math.max(callSequence, sequence);
     }
 
-    void heardAt(long millis) {
-        lastHeardMillis = Math.max(lastHeardMillis, millis);
+    void contactAt(long millis) {
+        lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
     /** It was on the disk when this process started: its silence counts from then. */
     void restoredAt(long millis) {
-        lastHeardMillis = millis;
+        lastContactMillis = millis;
     }
 
     void changeNumber(long number) {
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -96,7 +96,7 @@
     // ---- changes
 
     /** Takes a row over, from a heartbeat or a control process; whether it changed anything. */
-    public boolean merge(ServerRow row, long heardMillis) {
+    public boolean merge(ServerRow row, long contactMillis) {
         if (row.id().isEmpty() || row.service().isEmpty() && !isLeavingOrLeft(row.state())) {
             return false;
         }
@@ -111,7 +111,7 @@
             }
             add(server);
         }
-        server.heardAt(heardMillis);
+        server.contactAt(contactMillis);
         if (server.merge(row, acceptsOlderRows) || isNew) {
             recordChange(server);
             return true;
@@ -168,7 +168,7 @@
             DatabaseServer server = servers.get(id);
             if (server.leavingSinceMillis() < 0) {
                 server.leavingSinceMillis(nowMillis);
-            } else if (nowMillis - Math.max(server.leavingSinceMillis(), server.lastHeardMillis())
+            } else if (nowMillis - Math.max(server.leavingSinceMillis(), server.lastContactMillis())
                     > afterMillis) {
                 changed |= markLeft(id);
             }
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/state/package-info.java
@@ -0,0 +1,2 @@
+/** The state of one control process, for the parts that act on it. */
+package dillfront.controlplane.state;
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -9,19 +9,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk that may refuse a write, or take long over it. What it refused is tried again until it is
- * there, together with what came since, the newest text of each name; so what is on the disk never
- * stays behind what was given to it. Puts that come while one is under way go together in the next,
- * whole. One loop calls all of it.
+ * A disk that may refuse a write, or take long over it. Texts that it refused are written again
+ * until they are there, together with what came since, the newest text of each name; so the disk
+ * never stays behind what was given to it. Puts that come while a write is under way go together in
+ * the next. Called on one thread.
  */
 public final class RetryingStateStore implements StateStore {
 
     private static final long RETRY_MS = 100;
     private static final long MAX_RETRY_MS = 2_000;
+    private static final int MAX_DOUBLINGS = 10;
 
     /**
-     * So many may wait for the disk; the texts of one that is refused beyond that are kept all the
-     * same.
+     * So many may wait for the disk; the texts of one that is refused beyond that are written all
+     * the same.
      */
     private static final int MAX_QUEUED = 10_000;
 
@@ -30,27 +31,29 @@
     private final Environment environment;
     private final StateStore disk;
 
-    /** What the disk was not given yet, or refused. */
+    /** Texts that the disk was not given yet, or refused. */
     private TreeMap<String, String> pending = new TreeMap<>();
 
-    /** What is on the disk for sure: it is not written once more. */
+    /** Texts that are on the disk for certain: they are not written once more. */
     private final Map<String, String> durable;
 
+    /** Who waits for the next write, and who for the one that is under way. */
     private List<PendingWrite> queued = new ArrayList<>();
 
-    /** Who waits for what is under way. */
     private List<PendingWrite> inFlight = new ArrayList<>();
-
     private boolean writing;
     private int failures;
 
-    /** Where the last try failed: when it did. */
+    /** When the last write failed. */
     private long failedAtMillis;
 
     private Environment.Timer retryTimer;
 
-    public RetryingStateStore(Environment host, StateStore disk) {
-        this.environment = host;
+    /**
+     * @param disk where the texts go in the end
+     */
+    public RetryingStateStore(Environment environment, StateStore disk) {
+        this.environment = environment;
         this.disk = disk;
         durable = new HashMap<>(disk.initialState());
     }
@@ -61,25 +64,28 @@
     }
 
     /**
-     * Completes once all of it, or what took its place, is on the disk, however often that takes;
-     * in the order of the calls.
+     * Completes once all of these texts, or newer ones of their names, are on the disk, however
+     * often that takes; in the order of the calls. Fails with {@link IllegalArgumentException}
+     * where a text is too long for any disk, and with {@link IllegalStateException} where too many
+     * wait.
      */
     @Override
-    public CompletableFuture<Void> put(Map<String, String> next) {
+    public CompletableFuture<Void> put(Map<String, String> texts) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        for (Map.Entry<String, String> one : next.entrySet()) {
-            if (Math.max(one.getKey().length(), one.getValue().length()) > MAX_TEXT_LENGTH) {
+        for (Map.Entry<String, String> text : texts.entrySet()) {
+            int length = Math.max(text.getKey().length(), text.getValue().length());
+            if (length > MAX_TEXT_LENGTH) {
                 // The disk will never take it, and what comes later is not to wait for that.
                 done.completeExceptionally(
                         new IllegalArgumentException(
                                 "a text of "
-                                        + one.getValue().length()
+                                        + text.getValue().length()
                                         + " letters under "
-                                        + one.getKey()));
+                                        + text.getKey()));
                 return done;
             }
         }
-        pending.putAll(next);
+        pending.putAll(texts);
         if (queued.size() + inFlight.size() >= MAX_QUEUED) {
             done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
         } else {
@@ -89,7 +95,6 @@
         return done;
     }
 
-    /** Since when the oldest of what is not there yet has waited. */
     @Override
     public long stalledMillis() {
         List<PendingWrite> oldest = inFlight.isEmpty() ? queued : inFlight;
@@ -100,67 +105,76 @@
         if (writing || pending.isEmpty() && queued.isEmpty()) {
             return;
         }
-        if (failures > 0 && environment.nowMillis() < failedAtMillis + RETRY_MS) {
-            retryAfter(failedAtMillis + RETRY_MS - environment.nowMillis());
+        long retryInMillis = failedAtMillis + RETRY_MS - environment.nowMillis();
+        if (failures > 0 && retryInMillis > 0) {
+            retryAfter(retryInMillis);
             return;
         }
-        if (retryTimer != null) {
-            retryTimer.cancel();
-            retryTimer = null;
-        }
+        cancelRetry();
         writing = true;
         inFlight.addAll(queued);
         queued = new ArrayList<>();
-        TreeMap<String, String> given = pending;
+        TreeMap<String, String> batch = pending;
         pending = new TreeMap<>();
-        given.entrySet().removeIf(one -> one.getValue().equals(durable.get(one.getKey())));
-        (given.isEmpty() ? CompletableFuture.<Void>completedFuture(null) : disk.put(given))
-                .whenComplete(
-                        (is, fault) -> {
-                            writing = false;
-                            if (fault != null) {
-                                onFailure(given);
-                                return;
-                            }
-                            failures = 0;
-                            given.forEach(
-                                    (name, text) -> {
-                                        if (text.isEmpty()) {
-                                            durable.remove(name);
-                                        } else {
-                                            durable.put(name, text);
-                                        }
-                                    });
-                            List<PendingWrite> over = inFlight;
-                            inFlight = new ArrayList<>();
-                            over.forEach(w -> w.done().complete(null));
-                            write();
-                        });
+        batch.entrySet().removeIf(text -> text.getValue().equals(durable.get(text.getKey())));
+        CompletableFuture<Void> written =
+                batch.isEmpty() ? CompletableFuture.completedFuture(null) : disk.put(batch);
+        written.whenComplete(
+                (done, fault) -> {
+                    writing = false;
+                    if (fault == null) {
+                        onWritten(batch);
+                    } else {
+                        onFailure(batch);
+                    }
+                });
+    }
+
+    private void onWritten(Map<String, String> batch) {
+        failures = 0;
+        batch.forEach(
+                (name, text) -> {
+                    if (text.isEmpty()) {
+                        durable.remove(name);
+                    } else {
+                        durable.put(name, text);
+                    }
+                });
+        List<PendingWrite> completed = inFlight;
+        inFlight = new ArrayList<>();
+        completed.forEach(write -> write.done().complete(null));
+        write();
     }
 
     /**
-     * What was given waits again, but for names that have a newer text; whether the disk has it is
-     * not known.
+     * The batch waits again, but for names that have a newer text; whether the disk has it is not
+     * known.
      */
-    private void onFailure(Map<String, String> given) {
-        given.forEach(pending::putIfAbsent);
-        durable.keySet().removeAll(given.keySet());
+    private void onFailure(Map<String, String> batch) {
+        batch.forEach(pending::putIfAbsent);
+        durable.keySet().removeAll(batch.keySet());
         failedAtMillis = environment.nowMillis();
         failures++;
-        retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << Math.min(failures - 1, 10)));
+        int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
+        retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << doublings));
     }
 
-    /** The next try, in the place of any that was set. */
-    private void retryAfter(long ms) {
-        if (retryTimer != null) {
-            retryTimer.cancel();
-        }
+    /** Sets the next attempt, in place of any that was set. */
+    private void retryAfter(long millis) {
+        cancelRetry();
         retryTimer =
                 environment.schedule(
-                        ms,
+                        millis,
                         () -> {
                             retryTimer = null;
                             write();
                         });
     }
+
+    private void cancelRetry() {
+        if (retryTimer != null) {
+            retryTimer.cancel();
+            retryTimer = null;
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/dillfront/controlplane/subscription/package-info.java
@@ -0,0 +1,2 @@
+/** The data planes that poll a control process. */
+package dillfront.controlplane.subscription;
--- a/src/main/java/dillfront/dataplane/Statement.java
+++ b/src/main/java/dillfront/dataplane/Statement.java
@@ -21,9 +21,9 @@
 
     static Statement parse(String text) {
         int blank = text.indexOf(' ');
-        String word = blank < 0 ? text : text.substring(0, blank);
+        String keyword = blank < 0 ? text : text.substring(0, blank);
         String rest = blank < 0 ? "" : text.substring(blank + 1);
-        switch (word) {
+        switch (keyword) {
             case "BEGIN":
                 return rest.isEmpty() && blank < 0
                         ? new Statement(Verb.BEGIN, "", "")
@@ -33,35 +33,37 @@
             case "ROLLBACK":
                 return blank < 0 ? new Statement(Verb.ROLLBACK, "", "") : MALFORMED;
             case "READ":
-                return isOneWord(rest) ? new Statement(Verb.READ, "", rest) : MALFORMED;
+                return isSingleToken(rest) ? new Statement(Verb.READ, "", rest) : MALFORMED;
             case "WRITE":
-                return isTwoWords(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
+                return isTokenPair(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
             case "SET":
-                return isTwoWords(rest) ? named(Verb.SET, rest) : MALFORMED;
+                return isTokenPair(rest) ? named(Verb.SET, rest) : MALFORMED;
             case "PREPARE":
                 {
-                    Statement is = isTwoWords(rest) ? named(Verb.PREPARE, rest) : MALFORMED;
-                    int gap = is.arguments().indexOf(' ');
+                    Statement statement = isTokenPair(rest) ? named(Verb.PREPARE, rest) : MALFORMED;
+                    int gap = statement.arguments().indexOf(' ');
                     boolean shaped =
                             gap > 0
-                                    && (is.arguments().startsWith("READ ")
-                                            || is.arguments().startsWith("WRITE "));
-                    return shaped && isOneWord(is.arguments().substring(gap + 1)) ? is : MALFORMED;
+                                    && (statement.arguments().startsWith("READ ")
+                                            || statement.arguments().startsWith("WRITE "));
+                    return shaped && isSingleToken(statement.arguments().substring(gap + 1))
+                            ? statement
+                            : MALFORMED;
                 }
             case "EXECUTE":
-                return isTwoWords(rest) ? named(Verb.EXECUTE, rest) : MALFORMED;
+                return isTokenPair(rest) ? named(Verb.EXECUTE, rest) : MALFORMED;
             case "DEALLOCATE":
-                return isOneWord(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : MALFORMED;
+                return isSingleToken(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : MALFORMED;
             default:
                 return MALFORMED;
         }
     }
 
-    private static boolean isOneWord(String rest) {
+    private static boolean isSingleToken(String rest) {
         return !rest.isEmpty() && rest.indexOf(' ') < 0;
     }
 
-    private static boolean isTwoWords(String rest) {
+    private static boolean isTokenPair(String rest) {
         return rest.indexOf(' ') > 0 && rest.indexOf(' ') < rest.length() - 1;
     }
 
--- /dev/null
+++ b/src/main/java/dillfront/router/admin/package-info.java
@@ -0,0 +1,2 @@
+/** Questions to a running router on loopback. */
+package dillfront.router.admin;
--- /dev/null
+++ b/src/main/java/dillfront/router/config/package-info.java
@@ -0,0 +1,2 @@
+/** The router's configuration file, clock and settings. */
+package dillfront.router.config;
--- /dev/null
+++ b/src/main/java/dillfront/router/frontend/package-info.java
@@ -0,0 +1,2 @@
+/** The router's listener and the clients that are connected. */
+package dillfront.router.frontend;
--- /dev/null
+++ b/src/main/java/dillfront/router/memory/package-info.java
@@ -0,0 +1,2 @@
+/** What a router keeps on disk for its next incarnation. */
+package dillfront.router.memory;
--- /dev/null
+++ b/src/main/java/dillfront/router/operator/package-info.java
@@ -0,0 +1,2 @@
+/** The operator's own file. */
+package dillfront.router.operator;
--- /dev/null
+++ b/src/main/java/dillfront/router/pace/package-info.java
@@ -0,0 +1,2 @@
+/** What a router knows of its own delay. */
+package dillfront.router.pace;
--- /dev/null
+++ b/src/main/java/dillfront/router/plan/package-info.java
@@ -0,0 +1,2 @@
+/** Where load goes once sites are lost. Without I/O. */
+package dillfront.router.plan;
--- /dev/null
+++ b/src/main/java/dillfront/router/recovery/package-info.java
@@ -0,0 +1,2 @@
+/** The return of a fleet that was lost as a whole. Without I/O. */
+package dillfront.router.recovery;
--- /dev/null
+++ b/src/main/java/dillfront/router/script/package-info.java
@@ -0,0 +1,2 @@
+/** The language of the operator's own file. */
+package dillfront.router.script;
--- /dev/null
+++ b/src/main/java/dillfront/router/tokens/package-info.java
@@ -0,0 +1,2 @@
+/** Signed tokens of callers. */
+package dillfront.router.tokens;
--- /dev/null
+++ b/src/main/java/dillfront/routing/simulator/package-info.java
@@ -0,0 +1,2 @@
+/** The decisions on the simulator's wire. */
+package dillfront.routing.simulator;
--- a/src/main/java/dillfront/simulation/ControlProcesses.java
+++ b/src/main/java/dillfront/simulation/ControlProcesses.java
@@ -25,7 +25,8 @@
     private final Path folder;
     private final int controlPort;
     private final int innerPort;
-    private final List<String> java;
+    private final List<List<String>> java = new ArrayList<>();
+    private String platform = "127.0.0.1:1";
 
     /**
      * @param java what the JVM is started with, and the program
@@ -35,7 +36,24 @@
         folder = Files.createTempDirectory(measure);
         this.controlPort = controlPort;
         this.innerPort = innerPort;
-        this.java = List.of(java);
+        for (int i = 0; i < IPS.length; i++) {
+            this.java.add(List.of(java));
+        }
+    }
+
+    /** This one is started so from now on. */
+    void java(int which, String... command) {
+        java.set(which, List.of(command));
+    }
+
+    /** How this one was started last, or is next. */
+    List<String> javaOf(int which) {
+        return java.get(which);
+    }
+
+    /** Where the platform is, for those that start from now on. */
+    void platform(String address) {
+        platform = address;
     }
 
     Path folder() {
@@ -80,12 +98,12 @@
                         .add("tolerated_losses", Json.object().add("machines", 1))
                         .add("heartbeat_interval_ms", BEAT_MS)
                         .add("bounds", Json.object())
-                        .add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
+                        .add("cloud_api", Json.object().add("address", platform));
         Path file = folder.resolve(ip + ".json");
         Files.writeString(file, settings.toString());
         List<String> line = new ArrayList<>();
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        line.addAll(java);
+        line.addAll(java.get(which));
         line.add("control-plane");
         ProcessBuilder start = new ProcessBuilder(line);
         start.environment().put("DILLFRONT_SETTINGS", file.toString());
--- a/src/test/java/dillfront/controlplane/ServerLeaveTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -187,14 +187,14 @@
     @Test
     void lateHeartbeatChangesNothing() {
         heartbeat("i-1", "ready", "replica", 4);
-        long heard = core.state().registry().get("i-1").lastHeardMillis();
+        long heard = core.state().registry().get("i-1").lastContactMillis();
         host.pass(3_000);
         heartbeat("i-1", "ready", "primary", 3);
         DatabaseServer m = core.state().registry().get("i-1");
-        assertEquals(heard, m.lastHeardMillis());
+        assertEquals(heard, m.lastContactMillis());
         assertEquals("replica", m.role());
         heartbeat("i-1", "ready", "replica", 5);
-        assertTrue(m.lastHeardMillis() > heard);
+        assertTrue(m.lastContactMillis() > heard);
     }
 
     @Test
