--- a/src/test/java/dillfront/dataplane/CallersTest.java
+++ b/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
@@ -5,7 +5,8 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
+import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,7 +24,7 @@
  * cut or refused: each client gets the answers to what it asked, no write takes effect twice, none
  * that was promised not to, and no connection is left behind.
  */
-class CallersTest {
+class ConcurrentClientsTest {
 
     private static final int DAYS = 150;
     private static final int STEPS = 1_500;
@@ -33,7 +34,7 @@
 
     /** One of the database servers' connections. */
     private static final class Conn {
-        final ScriptedHost.Line line;
+        final ScriptedEnvironment.Line line;
         final boolean primary;
         int done;
         boolean stuck;
@@ -41,7 +42,7 @@
         final Map<String, String> values = new TreeMap<>();
         final List<String> writes = new ArrayList<>();
 
-        Conn(ScriptedHost.Line line) {
+        Conn(ScriptedEnvironment.Line line) {
             this.line = line;
             primary = line.address.equals("10.0.0.8:1");
         }
@@ -49,7 +50,7 @@
 
     /** One client, and what it was told. */
     private static final class Client {
-        ScriptedHost.Line line;
+        ScriptedEnvironment.Line line;
         boolean ready;
         char state = 'I';
         String out;
@@ -67,10 +68,10 @@
     private final class Day {
         final long seed;
         final SplittableRandom random;
-        final ScriptedHost host = new ScriptedHost();
-        final Front front;
-        final Service service;
-        final Map<ScriptedHost.Line, Conn> conns = new LinkedHashMap<>();
+        final ScriptedEnvironment host = new ScriptedEnvironment();
+        final DataPlaneNode front;
+        final DatabaseService service;
+        final Map<ScriptedEnvironment.Line, Conn> conns = new LinkedHashMap<>();
         final List<Client> clients = new ArrayList<>();
         final Map<String, Client> asked = new HashMap<>();
         final Map<String, Integer> effects = new HashMap<>();
@@ -85,7 +86,7 @@
             this.seed = seed;
             random = new SplittableRandom(seed);
             front =
-                    new Front(
+                    new DataPlaneNode(
                             host,
                             new NodeSettings(
                                     "f",
@@ -106,7 +107,7 @@
                                     6_000,
                                     null));
             front.start();
-            front.configured(
+            front.onConfiguration(
                     Configuration.parse(
                             ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                             + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
@@ -115,10 +116,9 @@
                                     .replace('\'', '"')
                                     .getBytes(StandardCharsets.UTF_8)));
             service = front.service("s");
-            service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.8:1", "z"));
-            service.servers.put("i-2", new Server(front, service, "i-2", "10.0.0.9:1", "z"));
-            service.primary = "i-1";
-            service.record = 1;
+            service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.8:1", "z"));
+            service.servers.put("i-2", new ServerPool(front, service, "i-2", "10.0.0.9:1", "z"));
+            service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(new Client());
             }
@@ -142,7 +142,7 @@
         // ---- the servers
 
         void serve(Conn c) {
-            ScriptedHost.Line line = c.line;
+            ScriptedEnvironment.Line line = c.line;
             if (c.stuck || c.done >= line.sent.size()) {
                 return;
             }
@@ -260,7 +260,9 @@
 
         void ask(Client c) {
             if (c.line == null || c.line.closed) {
-                c.line = new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
+                c.line =
+                        new ScriptedEnvironment.Line(
+                                "client", Environment.Framing.LINES, front.accept());
                 c.line.open();
                 c.heard = 0;
                 c.out = null;
@@ -376,7 +378,7 @@
         }
 
         void step() {
-            for (ScriptedHost.Line line : host.dialed) {
+            for (ScriptedEnvironment.Line line : host.dialed) {
                 conns.computeIfAbsent(
                         line,
                         l -> {
@@ -429,30 +431,33 @@
                                     "REFUSED: "
                                             + write
                                             + " was promised to be kept nowhere, and is"));
-            for (Server s : service.servers.values()) {
+            for (ServerPool s : service.servers.values()) {
                 long held =
                         clients.stream()
                                 .filter(c -> c.line != null && !c.line.closed && c.state == 'T')
                                 .count();
-                check(s.out == 0, s.id + " counts " + s.out + " that are out");
                 check(
-                        s.all.stream().allMatch(c -> c.oldest() == Long.MAX_VALUE),
+                        s.busyConnections == 0,
+                        s.id + " counts " + s.busyConnections + " that are out");
+                check(
+                        s.connections.stream()
+                                .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE),
                         s.id + " has a connection whose answer is awaited for ever");
                 check(
-                        s.all.size() - s.idle.size() <= held,
+                        s.connections.size() - s.idle.size() <= held,
                         s.id
                                 + " has "
-                                + s.all.size()
+                                + s.connections.size()
                                 + " connections, "
                                 + s.idle.size()
                                 + " at rest");
-                check(s.dialing == 0, s.id + " counts " + s.dialing + " that are dialed");
+                check(s.connecting == 0, s.id + " counts " + s.connecting + " that are dialed");
             }
         }
     }
 
     @Test
-    void eachClientGetsItsOwnAndNothingRunsTwice()
+    void eachClientGetsItsOwnAnswersAndNoWriteRunsTwice()
             throws Configuration.InvalidConfigurationException {
         int served = 0;
         int cut = 0;
--- a/src/test/java/dillfront/dataplane/NewsTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -7,7 +7,7 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ManualHost;
+import dillfront.common.environment.ManualEnvironment;
 import dillfront.common.message.BinaryDelta;
 import dillfront.common.message.Compression;
 import dillfront.common.message.MessageCodec;
@@ -24,7 +24,7 @@
  * A front among control processes that are played by hand: some know more than others, some are
  * gone, some are alone.
  */
-class NewsTest {
+class ControlPlaneClientTest {
 
     /** One control process, and what it answers. */
     private final class Source {
@@ -127,7 +127,7 @@
     private final List<MessageCodec.Fields> asks = new ArrayList<>();
     private final TreeMap<Long, byte[]> bodies = new TreeMap<>();
 
-    private final class Net extends ManualHost {
+    private final class Net extends ManualEnvironment {
 
         @Override
         public Connection connect(
@@ -159,7 +159,7 @@
         }
     }
 
-    private ManualHost host = new Net();
+    private ManualEnvironment host = new Net();
 
     private long now() {
         return host.nowMillis();
@@ -223,19 +223,19 @@
 
     /** Whole at first, then what changed; where that does not fit, whole once more. */
     @Test
-    void changesAreAppliedAndTheWholeIsAskedForWhereTheyDoNotFit() {
+    void appliesDeltasAndRequestsFullConfigurationWhereTheyDoNotFit() {
         for (long v = 1; v <= 4; v++) {
             configuration(v, 30);
         }
         Source a = new Source("10.0.0.1");
         a.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         a.version = 2;
         until(2_000);
-        assertEquals(2, front.version());
+        assertEquals(2, front.configurationRevision());
         assertArrayEquals(bodies.get(2L), front.configuration().body());
         assertEquals(0, asks.stream().filter(in -> in.flag("cw")).count());
         assertEquals(
@@ -249,7 +249,7 @@
         a.instead = BinaryDelta.create(bodies.get(1L), bodies.get(3L));
         a.version = 3;
         until(3_000);
-        assertEquals(3, front.version());
+        assertEquals(3, front.configurationRevision());
         assertArrayEquals(bodies.get(3L), front.configuration().body());
         assertEquals(1, asks.stream().filter(in -> in.flag("cw")).count());
         a.instead = new byte[] {1, 2, 3};
@@ -267,7 +267,7 @@
      * forward, and is what was sent.
      */
     @Test
-    void itNeverGoesBackWhicheverProcessItAsks() {
+    void neverGoesBackToAnEarlierRevision() {
         for (long v = 1; v <= 40; v++) {
             configuration(v, 10);
         }
@@ -277,7 +277,8 @@
             host = new Net();
             List<Source> all =
                     List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
-            Front front = new Front(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
+            DataPlaneNode front =
+                    new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
             front.start();
             long last = -1;
             for (int step = 1; step <= 120; step++) {
@@ -298,9 +299,9 @@
                 }
                 until(now() + random.nextInt(400));
                 assertTrue(
-                        front.version() >= last,
-                        "seed " + seed + ": " + front.version() + " after " + last);
-                last = front.version();
+                        front.configurationRevision() >= last,
+                        "seed " + seed + ": " + front.configurationRevision() + " after " + last);
+                last = front.configurationRevision();
                 if (last >= 0) {
                     assertArrayEquals(bodies.get(last), front.configuration().body());
                 }
@@ -313,7 +314,7 @@
                         s.version = 40;
                     });
             until(now() + 4_000);
-            assertEquals(40, front.version(), "seed " + seed);
+            assertEquals(40, front.configurationRevision(), "seed " + seed);
         }
     }
 
@@ -322,16 +323,16 @@
      * not without pause.
      */
     @Test
-    void whoeverIsAloneIsLeftAtOnce() {
+    void leavesIsolatedSourceAtOnce() {
         configuration(1, 3);
         Source a = new Source("10.0.0.1");
         Source b = new Source("10.0.0.2");
         a.alone = true;
         b.version = 1;
-        Front front = new Front(host, settings("10.0.0.1", "10.0.0.2"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
         front.start();
         until(20);
-        assertEquals(1, front.version(), log().toString());
+        assertEquals(1, front.configurationRevision(), log().toString());
         b.alone = true;
         int before = a.asked + b.asked;
         until(20_000);
@@ -345,11 +346,11 @@
 
     /** Machine after machine is replaced: the list follows, and the seeds stay behind it. */
     @Test
-    void afterManyReplacementsItAsksThoseThatAreThere() {
+    void findsPresentSourcesAfterManyReplacements() {
         configuration(1, 3);
         Source was = new Source("10.0.0.1");
         was.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         for (int i = 2; i <= 60; i++) {
@@ -394,16 +395,16 @@
      * more.
      */
     @Test
-    void otherSeedsAreTakenOver() {
+    void takesOverNewSeeds() {
         configuration(1, 3);
-        Front front = new Front(host, settings("10.0.0.1", "10.0.0.2"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
         front.start();
         until(5_000);
         Source c = new Source("10.0.0.3");
         c.version = 1;
-        front.settings(settings("10.0.0.3"));
+        front.updateSettings(settings("10.0.0.3"));
         until(5_500);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         int from = log().size();
         c.there = false;
         c.link.open = false;
@@ -419,7 +420,7 @@
      * left.
      */
     @Test
-    void theNearIsAskedAndIfItFailsLeftForAWhile() {
+    void prefersLocalSourceAndAvoidsItForAWhileAfterAFailure() {
         configuration(1, 3);
         Source far = new Source("10.0.0.1");
         Source near = new Source("10.0.0.2");
@@ -427,7 +428,7 @@
         near.version = 1;
         far.places = List.of(place("10.0.0.1", "b", false), place("10.0.0.2", "a", false));
         near.places = far.places;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         assertTrue(near.asked > 0, log().toString());
@@ -447,26 +448,26 @@
      * without end.
      */
     @Test
-    void whatItCannotReadIsNotAskedForWithoutPause() {
+    void pausesBeforeRequestingAnUnreadableConfigurationAgain() {
         configuration(1, 3);
         bodies.put(2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
         configuration(3, 3);
         Source a = new Source("10.0.0.1");
         a.version = 1;
-        Front front = new Front(host, settings("10.0.0.1"));
+        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
         front.start();
         until(1_000);
         a.version = 2;
         int asked = a.asked;
         until(11_000);
-        assertEquals(1, front.version());
+        assertEquals(1, front.configurationRevision());
         assertTrue(a.asked - asked < 14, "asked " + (a.asked - asked) + " times in 10 s");
         assertTrue(
-                log().stream().anyMatch(l -> l.contains("configuration 2 not understood")),
+                log().stream().anyMatch(l -> l.contains("configuration-not-understood revision=2")),
                 log().toString());
         a.version = 3;
         until(13_000);
-        assertEquals(3, front.version());
+        assertEquals(3, front.configurationRevision());
         assertEquals(
                 Configuration.ReadConsistency.PRIMARY,
                 front.configuration().route("h0").consistency());
--- a/src/test/java/dillfront/dataplane/ConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -7,7 +7,8 @@
 import dillfront.common.config.Configuration;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.Environment;
-import dillfront.common.environment.ScriptedHost;
+import dillfront.common.environment.ScriptedEnvironment;
+import dillfront.common.protocol.PrimaryRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -18,12 +19,12 @@
  * A client's session, a connection to one database server, and what that one may answer: to whom it
  * goes, and what is sent again.
  */
-class ConnectionTest {
+class ServerConnectionTest {
 
-    private final ScriptedHost host = new ScriptedHost();
-    private Front front;
-    private Service service;
-    private ScriptedHost.Line client;
+    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private DataPlaneNode front;
+    private DatabaseService service;
+    private ScriptedEnvironment.Line client;
 
     @BeforeEach
     void open() throws Configuration.InvalidConfigurationException {
@@ -46,9 +47,9 @@
                         7_000,
                         6_000,
                         null);
-        front = new Front(host, settings);
+        front = new DataPlaneNode(host, settings);
         front.start();
-        front.configured(
+        front.onConfiguration(
                 Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
@@ -56,15 +57,14 @@
                                 .replace('\'', '"')
                                 .getBytes(StandardCharsets.UTF_8)));
         service = front.service("s");
-        service.servers.put("i-1", new Server(front, service, "i-1", "10.0.0.9:1", "z"));
-        service.primary = "i-1";
-        service.record = 1;
+        service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.9:1", "z"));
+        service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
         client = client();
     }
 
-    private ScriptedHost.Line client() {
-        ScriptedHost.Line line =
-                new ScriptedHost.Line("client", Environment.Framing.LINES, front.accept());
+    private ScriptedEnvironment.Line client() {
+        ScriptedEnvironment.Line line =
+                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, front.accept());
         line.open();
         line.say("CONNECT h me");
         assertEquals("READY I -", line.last());
@@ -72,8 +72,8 @@
         return line;
     }
 
-    private ScriptedHost.Line server() {
-        ScriptedHost.Line line = host.lastDialed();
+    private ScriptedEnvironment.Line server() {
+        ScriptedEnvironment.Line line = host.lastDialed();
         if (line.sent.isEmpty()) {
             line.open();
             assertEquals("CONNECT s f i-1", line.last());
@@ -82,18 +82,18 @@
         return line;
     }
 
-    private List<String> answer(ScriptedHost.Line to) {
+    private List<String> answer(ScriptedEnvironment.Line to) {
         List<String> is = List.copyOf(to.sent);
         to.sent.clear();
         return is;
     }
 
     @Test
-    void anAnswerGoesToWhoAsked() {
+    void answerGoesToItsSender() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 WRITE k d", line.last());
-        ScriptedHost.Line other = client();
+        ScriptedEnvironment.Line other = client();
         other.say("QUERY b1 WRITE k e");
         line.say("COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
@@ -108,18 +108,18 @@
      * asks there next.
      */
     @Test
-    void whatIsSaidUnaskedIsNobodysAnswer() {
+    void unrequestedAnswerEndsTheConnection() {
         for (String unasked :
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedHost.Line line = server();
+            ScriptedEnvironment.Line line = server();
             line.say("COMPLETE s1", "READY I 1.2");
             answer(client);
             line.say(unasked);
             client.say("QUERY a2 WRITE k d");
-            ScriptedHost.Line next = server();
+            ScriptedEnvironment.Line next = server();
             assertTrue(line.closed && next != line, unasked + ": the connection is left");
             next.say("COMPLETE s2", "READY I 1.3");
             assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
@@ -129,9 +129,9 @@
 
     /** Guards against the same while the connection is made. */
     @Test
-    void whatIsSaidBeforeItIsReadyIsNobodysAnswer() {
+    void answerBeforeReadyEndsTheConnection() {
         client.say("QUERY a1 READ k");
-        ScriptedHost.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = host.lastDialed();
         line.open();
         line.say("ROW other", "READY I 1.1");
         assertTrue(line.closed);
@@ -143,7 +143,7 @@
      * connection would get this one's.
      */
     @Test
-    void halfAnAnswerAndASecondEndTheConnection() {
+    void partialOrDuplicateAnswerEndsTheConnection() {
         for (String[] bad :
                 new String[][] {
                     {"ROW r", "READY I 1.2"},
@@ -154,7 +154,7 @@
                     {"NOTHING of the wire"}
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedHost.Line line = server();
+            ScriptedEnvironment.Line line = server();
             line.say(bad);
             assertTrue(line.closed, String.join(", ", bad));
             assertEquals(
@@ -170,12 +170,12 @@
      * whether it ran.
      */
     @Test
-    void aWriteThatWasResetIsNotSentAgain() {
+    void writeIsNotRetriedAfterReset() {
         client.say("QUERY a1 WRITE k d");
         server().reset();
         host.pass(3_000);
         assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedHost.Line line : host.dialed) {
+        for (ScriptedEnvironment.Line line : host.dialed) {
             assertEquals(
                     line == host.dialed.get(0) ? 1 : 0,
                     line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
@@ -184,17 +184,17 @@
 
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
-    void aReadThatWasResetAndAWriteThatDidNotRunAre() {
+    void readAndWriteThatDidNotRunAreRetriedAfterReset() {
         client.say("QUERY a1 READ k");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         leads(line);
         line.reset();
-        ScriptedHost.Line next = server();
+        ScriptedEnvironment.Line next = server();
         leads(next);
         next.say("ROW r", "COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
         client.say("QUERY a2 WRITE k d");
-        ScriptedHost.Line third = server();
+        ScriptedEnvironment.Line third = server();
         third.say("ERROR BUSY later", "READY I 1.2");
         host.pass(60);
         assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
@@ -203,7 +203,7 @@
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedHost.Line line) {
+    private static void leads(ScriptedEnvironment.Line line) {
         assertEquals("QUERY - STATUS", line.last());
         line.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
         assertEquals("QUERY a1 READ k", line.last());
@@ -211,14 +211,14 @@
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
-    void anAnswerAfterItsTimeIsNobodys() {
+    void answerAfterTimeoutGoesToNobody() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         host.pass(800);
         assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
         assertTrue(line.closed);
         client.say("QUERY a2 WRITE k d");
-        ScriptedHost.Line next = server();
+        ScriptedEnvironment.Line next = server();
         line.say("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
         next.say("COMPLETE s2", "READY I 1.3");
@@ -230,9 +230,9 @@
      * word was lost.
      */
     @Test
-    void aWordOfItsOwnThatIsNeverAnsweredIsGivenUp() {
+    void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         line.say("COMPLETE -", "READY T 1.1");
         assertEquals("QUERY a2 WRITE k d", line.last());
         line.say("COMPLETE s1", "READY T 1.1");
@@ -241,33 +241,33 @@
         host.pass(2_500);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertTrue(
-                service.servers.get("i-1").all.stream()
-                        .allMatch(c -> c.oldest() == Long.MAX_VALUE));
+                service.servers.get("i-1").connections.stream()
+                        .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE));
     }
 
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
-    void soIsATransactionWhoseOpeningIsNeverAnswered() {
+    void abandonsConnectionWhoseBeginIsNotAnswered() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 BEGIN", line.last());
         host.pass(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
         assertTrue(line.closed, "its answer was lost, and the connection with it");
-        assertEquals(0, service.servers.get("i-1").out);
+        assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
-    void soIsAStatementThatNobodyWaitsForAnyMore() {
+    void abandonsConnectionOfStatementWithoutClient() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedHost.Line line = server();
+        ScriptedEnvironment.Line line = server();
         assertEquals("QUERY a1 WRITE k d", line.last());
         client.reset();
         host.pass(500);
         assertFalse(line.closed, "what runs is heard to its end");
         host.pass(1_000);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
-        assertEquals(0, service.servers.get("i-1").out);
+        assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 }
