--- a/src/main/java/dillfront/common/database/AcknowledgedCommits.java
+++ b/src/main/java/dillfront/common/database/AcknowledgedCommits.java
@@ -17,15 +17,16 @@
     /**
      * Returns the bounds that follow from one response.
      *
-     * @param before the last known log position when the commit was requested
-     * @param answered the log position in the response; null if it had none
+     * @param requestPosition the last known log position when the commit was requested
+     * @param responsePosition the log position in the response; null if it had none
      */
-    public static AcknowledgedCommits ofResponse(LogPosition before, LogPosition answered) {
-        LogPosition least =
-                before == null
+    public static AcknowledgedCommits ofResponse(
+            LogPosition requestPosition, LogPosition responsePosition) {
+        LogPosition lowerBound =
+                requestPosition == null
                         ? LogPosition.NONE
-                        : new LogPosition(before.term(), before.index() + 1);
-        return new AcknowledgedCommits(least, LogPosition.max(least, answered));
+                        : new LogPosition(requestPosition.term(), requestPosition.index() + 1);
+        return new AcknowledgedCommits(lowerBound, LogPosition.max(lowerBound, responsePosition));
     }
 
     public AcknowledgedCommits merge(AcknowledgedCommits other) {
@@ -41,9 +42,13 @@
 
     /** Parses the output of {@link #toString()}; returns {@link #NONE} for any other text. */
     public static AcknowledgedCommits parse(String text) {
-        int gap = text.indexOf(' ');
-        LogPosition least = gap < 0 ? null : LogPosition.parse(text.substring(0, gap));
-        LogPosition most = gap < 0 ? null : LogPosition.parse(text.substring(gap + 1));
-        return least == null || most == null ? NONE : new AcknowledgedCommits(least, most);
+        int separator = text.indexOf(' ');
+        LogPosition lowerBound =
+                separator < 0 ? null : LogPosition.parse(text.substring(0, separator));
+        LogPosition upperBound =
+                separator < 0 ? null : LogPosition.parse(text.substring(separator + 1));
+        return lowerBound == null || upperBound == null
+                ? NONE
+                : new AcknowledgedCommits(lowerBound, upperBound);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -314,7 +314,7 @@
         if (loss == null || !loss.losesCommits()) {
             complete(primaryId, loss);
         } else if (primary == null) {
-            complete(primaryId, loss.withLeaderAt(loss.lostUpTo()));
+            complete(primaryId, loss.withPrimaryLogEnd(loss.lostUpTo()));
         } else {
             measure(primary, loss);
         }
@@ -330,7 +330,7 @@
                             if (isActive() && context.isActing()) {
                                 boolean known = fault == null && status.isPrimary();
                                 LogPosition end = known ? status.position() : loss.lostUpTo();
-                                complete(primary.id(), loss.withLeaderAt(end));
+                                complete(primary.id(), loss.withPrimaryLogEnd(end));
                             }
                         });
     }
--- a/src/main/java/dillfront/dataplane/ClientSession.java
+++ b/src/main/java/dillfront/dataplane/ClientSession.java
@@ -17,7 +17,7 @@
 final class ClientSession implements Environment.ConnectionListener {
 
     private static final int MAX_PIPELINED = 32;
-    private static final int MAX_NAMES = 400;
+    private static final int MAX_SESSION_NAMES = 400;
 
     /** Limit of the output that a client has not read yet. */
     private static final long MAX_UNREAD_BYTES = 4 << 20;
@@ -26,14 +26,14 @@
      * Lower bound of the delay suggested to a refused client, which is otherwise half of the
      * route's target latency.
      */
-    private static final long MIN_COME_BACK_MS = 50;
+    private static final long MIN_RETRY_AFTER_MS = 50;
 
-    private static final char FAILED = 'E';
+    private static final char IN_FAILED_TRANSACTION = 'E';
 
     private final DataPlaneNode node;
     private final Map<String, String> variables = new HashMap<>();
-    private final Map<String, String> prepared = new HashMap<>();
-    private final ArrayDeque<String> pipelined = new ArrayDeque<>();
+    private final Map<String, String> preparedDefinitions = new HashMap<>();
+    private final ArrayDeque<String> pipelinedLines = new ArrayDeque<>();
     private Environment.Connection client;
 
     /** The database that the client named in CONNECT; null before CONNECT. */
@@ -46,24 +46,24 @@
     private Transaction transaction;
 
     /** Whether the open transaction has failed: COMMIT and ROLLBACK both roll it back. */
-    private boolean failed;
+    private boolean transactionFailed;
 
     /** The running statement; null if there is none. */
-    private StatementExecution running;
+    private StatementExecution runningStatement;
 
     private boolean closed;
 
     // Shutdown of the process.
     private boolean closesWhenIdle;
-    private boolean closesNow;
+    private boolean closesAfterStatement;
 
     /** Whether the client connected after the shutdown began; the session serves one operation. */
-    private boolean lateComer;
+    private boolean acceptedDuringShutdown;
 
     /** Whether CONNECT is rejected, as no operation could complete before the process exits. */
-    private boolean rejectsAll;
+    private boolean rejectsConnect;
 
-    private boolean hasOperated;
+    private boolean hasRunOperation;
 
     ClientSession(DataPlaneNode node) {
         this.node = node;
@@ -92,8 +92,8 @@
     }
 
     /** Returns whether the given transaction is the open one. */
-    boolean isIn(Transaction open) {
-        return transaction == open;
+    boolean isCurrentTransaction(Transaction candidate) {
+        return transaction == candidate;
     }
 
     // ---- client messages
@@ -111,11 +111,11 @@
                 return;
             }
         }
-        if (pipelined.size() >= MAX_PIPELINED) {
+        if (pipelinedLines.size() >= MAX_PIPELINED) {
             closeWithError("MALFORMED", "too much at once");
             return;
         }
-        pipelined.add(new String(line, StandardCharsets.ISO_8859_1));
+        pipelinedLines.add(new String(line, StandardCharsets.ISO_8859_1));
         runNext();
     }
 
@@ -125,23 +125,23 @@
     }
 
     private void runNext() {
-        while (!closed && running == null && !pipelined.isEmpty()) {
-            handle(pipelined.poll());
+        while (!closed && runningStatement == null && !pipelinedLines.isEmpty()) {
+            handle(pipelinedLines.poll());
         }
-        if (closed || running != null) {
+        if (closed || runningStatement != null) {
             return;
         }
-        if (closesWhenIdle && transaction == null && (hasOperated || !lateComer)) {
+        if (closesWhenIdle && transaction == null && (hasRunOperation || !acceptedDuringShutdown)) {
             close();
-        } else if (closesNow) {
-            closeNow();
+        } else if (closesAfterStatement) {
+            closeAfterStatement();
         }
     }
 
     private void handle(String line) {
-        int blank = line.indexOf(' ');
-        String command = blank < 0 ? line : line.substring(0, blank);
-        String arguments = blank < 0 ? "" : line.substring(blank + 1);
+        int separator = line.indexOf(' ');
+        String command = separator < 0 ? line : line.substring(0, separator);
+        String arguments = separator < 0 ? "" : line.substring(separator + 1);
         if (command.equals("CONNECT") && database == null) {
             connect(arguments);
         } else if (command.equals("QUERY") && database != null) {
@@ -154,11 +154,11 @@
     }
 
     private void connect(String arguments) {
-        int gap = arguments.indexOf(' ');
-        String name = gap < 0 ? arguments : arguments.substring(0, gap);
-        if (name.isEmpty() || gap < 0) {
+        int separator = arguments.indexOf(' ');
+        String name = separator < 0 ? arguments : arguments.substring(0, separator);
+        if (name.isEmpty() || separator < 0) {
             closeWithError("MALFORMED", "CONNECT database who");
-        } else if (rejectsAll) {
+        } else if (rejectsConnect) {
             closeWithError("BUSY", "the router ends");
         } else if (node.configuration() == Configuration.NONE) {
             closeWithError("BUSY", "no configuration yet");
@@ -171,21 +171,21 @@
     }
 
     private void query(String arguments) {
-        int gap = arguments.indexOf(' ');
-        if (gap < 1 || gap == arguments.length() - 1 || arguments.startsWith("- ")) {
+        int separator = arguments.indexOf(' ');
+        if (separator < 1 || separator == arguments.length() - 1 || arguments.startsWith("- ")) {
             closeWithError("MALFORMED", "QUERY id text");
         } else {
-            query(arguments.substring(0, gap), arguments.substring(gap + 1));
+            query(arguments.substring(0, separator), arguments.substring(separator + 1));
         }
     }
 
     private void query(String id, String text) {
         node.counters.statements++;
         Statement statement = Statement.parse(text);
-        boolean ends =
+        boolean endsTransaction =
                 statement.verb() == Statement.Verb.COMMIT
                         || statement.verb() == Statement.Verb.ROLLBACK;
-        if (failed && !ends) {
+        if (transactionFailed && !endsTransaction) {
             replyError("MALFORMED", "the transaction failed");
             return;
         }
@@ -207,7 +207,7 @@
     // ---- statements without a server
 
     private void set(Statement statement) {
-        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_NAMES) {
+        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many values");
         } else {
             variables.put(statement.name(), statement.arguments());
@@ -216,16 +216,16 @@
     }
 
     private void prepare(Statement statement) {
-        if (prepared.size() >= MAX_NAMES) {
+        if (preparedDefinitions.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many prepared names");
         } else {
-            prepared.put(statement.name(), statement.arguments());
+            preparedDefinitions.put(statement.name(), statement.arguments());
             replyCompleted();
         }
     }
 
     private void deallocate(Statement statement) {
-        if (prepared.remove(statement.name()) == null) {
+        if (preparedDefinitions.remove(statement.name()) == null) {
             replyError("UNKNOWN", statement.name());
         } else {
             replyCompleted();
@@ -245,19 +245,21 @@
         } else {
             boolean readOnly = statement.verb() == Statement.Verb.BEGIN_READ;
             transaction = new Transaction(this, readOnly, id, route);
-            hasOperated = true;
+            hasRunOperation = true;
             replyCompleted();
             startIdleTimeout(transaction);
             transaction.open();
         }
     }
 
-    private void startIdleTimeout(Transaction of) {
-        of.startIdleTimeout(
+    private void startIdleTimeout(Transaction idleTransaction) {
+        idleTransaction.startIdleTimeout(
                 () -> {
-                    if (transaction == of && running == null && !failed) {
-                        failed = true;
-                        of.release(true);
+                    if (transaction == idleTransaction
+                            && runningStatement == null
+                            && !transactionFailed) {
+                        transactionFailed = true;
+                        idleTransaction.release(true);
                     }
                 });
     }
@@ -274,7 +276,7 @@
     private void commit(String id, String text, Statement statement) {
         if (transaction == null) {
             replyError("MALFORMED", "no transaction");
-        } else if (failed) {
+        } else if (transactionFailed) {
             endTransaction();
             send("ERROR ABORTED the transaction failed\r\nREADY I -");
         } else {
@@ -284,21 +286,21 @@
 
     /** Ends the transaction for the client and rolls it back at the server. */
     private void endTransaction() {
-        Transaction ended = transaction;
-        failed = false;
-        leaveTransaction();
-        ended.release(true);
+        Transaction endedTransaction = transaction;
+        transactionFailed = false;
+        clearTransaction();
+        endedTransaction.release(true);
     }
 
     /** Clears the open transaction. */
-    void leaveTransaction() {
+    void clearTransaction() {
         transaction.cancelIdleTimeout();
         transaction = null;
     }
 
     /** Marks the transaction as failed; the client must still end it. */
     void failTransaction() {
-        failed = true;
+        transactionFailed = true;
     }
 
     // ---- statements for a server
@@ -309,20 +311,20 @@
             replyError("NODATABASE", database);
             return;
         }
-        String shape = null;
+        String preparedDefinition = null;
         if (statement.verb() == Statement.Verb.EXECUTE) {
-            shape = prepared.get(statement.name());
-            if (shape == null) {
+            preparedDefinition = preparedDefinitions.get(statement.name());
+            if (preparedDefinition == null) {
                 replyError("UNKNOWN", statement.name());
                 return;
             }
         }
-        run(new StatementExecution(this, id, text, statement, route, shape));
+        run(new StatementExecution(this, id, text, statement, route, preparedDefinition));
     }
 
     private void run(StatementExecution statement) {
-        running = statement;
-        hasOperated = true;
+        runningStatement = statement;
+        hasRunOperation = true;
         statement.startTimeout(() -> onTimeout(statement));
         if (transaction != null) {
             transaction.run(statement);
@@ -342,17 +344,17 @@
             refuse(statement);
             return;
         }
-        ServerConnection on = statement.connection;
+        ServerConnection serverConnection = statement.connection;
         statement.finished = true;
         if (transaction != null) {
-            failed = true;
-            transaction.abandonConnection();
+            transactionFailed = true;
+            transaction.onConnectionAborting();
             if (statement.isCommit()) {
-                leaveTransaction();
-                failed = false;
+                clearTransaction();
+                transactionFailed = false;
             }
         }
-        on.abort("time-out");
+        serverConnection.abort("time-out");
         statement.finished = false;
         fail(statement, "TIMEOUT", "no answer in " + statement.route.timeoutMillis() + " ms");
     }
@@ -360,8 +362,8 @@
     // ---- replies
 
     private char transactionStatus() {
-        if (failed) {
-            return FAILED;
+        if (transactionFailed) {
+            return IN_FAILED_TRANSACTION;
         }
         return transaction != null ? QueryResult.IN_TRANSACTION : QueryResult.IDLE;
     }
@@ -373,29 +375,29 @@
     /** Sends an error of the data plane itself; an open transaction fails with it. */
     private void replyError(String code, String text) {
         if (transaction != null) {
-            failed = true;
+            transactionFailed = true;
         }
         send("ERROR " + code + " " + text + "\r\nREADY " + transactionStatus() + " -");
     }
 
     private void finish(StatementExecution statement) {
         statement.finish();
-        running = null;
+        runningStatement = null;
     }
 
     /** Sends the result of a completed statement. */
-    void answer(StatementExecution statement, QueryResult result) {
+    void complete(StatementExecution statement, QueryResult result) {
         finish(statement);
         node.counters.completed++;
-        StringBuilder out = new StringBuilder();
-        result.rows().forEach(row -> out.append("ROW ").append(row).append("\r\n"));
-        out.append("COMPLETE ")
+        StringBuilder response = new StringBuilder();
+        result.rows().forEach(row -> response.append("ROW ").append(row).append("\r\n"));
+        response.append("COMPLETE ")
                 .append(result.completionTag())
                 .append("\r\nREADY ")
                 .append(transactionStatus())
                 .append(' ')
                 .append(result.position() == null ? "-" : result.position());
-        send(out.toString());
+        send(response.toString());
         if (transaction != null) {
             startIdleTimeout(transaction);
         }
@@ -417,10 +419,11 @@
     /** Refuses a statement that was not run, with a suggested retry delay. */
     void refuse(StatementExecution statement) {
         if (transaction != null) {
-            transaction.failAtServer();
+            transaction.failAndRollBack();
         }
-        long comeBackMillis = Math.max(MIN_COME_BACK_MS, statement.route.targetLatencyMillis() / 2);
-        fail(statement, "BUSY", "not run; come back in " + comeBackMillis + " ms");
+        long retryAfterMillis =
+                Math.max(MIN_RETRY_AFTER_MS, statement.route.targetLatencyMillis() / 2);
+        fail(statement, "BUSY", "not run; come back in " + retryAfterMillis + " ms");
     }
 
     private void send(String lines) {
@@ -452,15 +455,15 @@
             send("ERROR TOOLARGE a message of more than 1 MiB");
         }
         closed = true;
-        if (running != null) {
-            StatementExecution statement = running;
-            ServerConnection on = statement.connection;
+        if (runningStatement != null) {
+            StatementExecution statement = runningStatement;
+            ServerConnection serverConnection = statement.connection;
             finish(statement);
-            if (transaction != null && on != null) {
+            if (transaction != null && serverConnection != null) {
                 // Closing the connection rolls back the running statement, except for a COMMIT in
                 // progress, which completes or fails at the server.
-                transaction.abandonConnection();
-                on.abort("client closed its connection");
+                transaction.onConnectionAborting();
+                serverConnection.abort("client closed its connection");
             }
         }
         if (transaction != null) {
@@ -472,12 +475,12 @@
     /**
      * Called if the client connected after the shutdown of the process began.
      *
-     * @param tooLateToServe whether no operation could complete before the process exits
+     * @param tooLateForOperation whether no operation could complete before the process exits
      */
-    void onLateStart(boolean tooLateToServe) {
+    void onAcceptedDuringShutdown(boolean tooLateForOperation) {
         closesWhenIdle = true;
-        lateComer = true;
-        rejectsAll = tooLateToServe;
+        acceptedDuringShutdown = true;
+        rejectsConnect = tooLateForOperation;
     }
 
     /** Closes the session once it is idle, as the process shuts down. */
@@ -490,10 +493,10 @@
      * Closes the session at half of the grace period: an open idle transaction is aborted, a
      * running statement is completed first.
      */
-    void closeNow() {
+    void closeAfterStatement() {
         closesWhenIdle = true;
-        closesNow = true;
-        if (running == null) {
+        closesAfterStatement = true;
+        if (runningStatement == null) {
             if (transaction != null) {
                 send("ERROR ABORTED the router ends; nothing of the transaction is kept");
             }
--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -35,7 +35,7 @@
     private static final long RESPONSE_TIMEOUT_MS = 1_400;
 
     /** Changes in the view of the primaries within this time share one request. */
-    private static final long COALESCE_MS = 50;
+    private static final long REQUEST_COALESCING_MS = 50;
 
     /**
      * The interval at which acknowledged commits are reported for services with a draining server.
@@ -43,8 +43,8 @@
      */
     private static final long ACKNOWLEDGED_INTERVAL_MS = 2_000;
 
-    private static final long RECONNECT_MS = 100;
-    private static final int MAX_RECONNECT_PAUSES = 4;
+    private static final long RECONNECT_DELAY_MS = 100;
+    private static final int MAX_RECONNECT_DELAY_FACTOR = 4;
 
     /** A configuration that cannot be parsed is requested again after this delay. */
     private static final long UNREADABLE_RETRY_MS = 1_000;
@@ -55,14 +55,14 @@
     /** The same for a source that reported its isolation from the majority. */
     private static final long ISOLATED_COOLDOWN_MS = 2_000;
 
-    private static final String ISOLATED = "alone";
-    private static final long NONE = -1;
+    private static final String ISOLATED_REASON = "alone";
+    private static final long UNSET = -1;
 
     /**
      * Used until a control process sends the number: the resulting connection share is safe with
      * many data planes.
      */
-    private static final int ASSUMED_DATA_PLANES = 15;
+    private static final int DEFAULT_DATA_PLANES = 15;
 
     private final DataPlaneNode node;
     private final ControlPlaneSources sources;
@@ -79,14 +79,14 @@
      * Whether a request has had no response yet. The time-out counts from the first such request,
      * also if more requests follow.
      */
-    private boolean outstanding;
+    private boolean awaitingResponse;
 
     private boolean updatePending;
     private long requestId;
     private long requestMillis;
 
     /** When the acknowledged commits of services with a draining server were last reported. */
-    private long acknowledgedMillis = -ACKNOWLEDGED_INTERVAL_MS;
+    private long acknowledgedReportMillis = -ACKNOWLEDGED_INTERVAL_MS;
 
     // The state of this data plane, as reported in requests.
     private String incarnation = "";
@@ -98,13 +98,13 @@
     private boolean fullConfiguration;
 
     /** The revision of a configuration that cannot be parsed. */
-    private long unreadableRevision = NONE;
+    private long unreadableRevision = UNSET;
 
-    private long recordNumber = NONE;
+    private long recordNumber = UNSET;
     private List<String> suspects = List.of();
-    private long suspectsVersion = NONE;
-    private long certainUntilMillis = NONE;
-    private int dataPlanes = ASSUMED_DATA_PLANES;
+    private long suspectsVersion = UNSET;
+    private long primariesConfirmedUntilMillis = UNSET;
+    private int dataPlanes = DEFAULT_DATA_PLANES;
 
     ControlPlaneClient(DataPlaneNode node) {
         this.node = node;
@@ -119,14 +119,14 @@
 
     /** Applies the control process addresses of changed settings. */
     void onSettingsChanged() {
-        sources.arrange(node.settings.seedIps());
+        sources.updateOrder(node.settings.seedIps());
     }
 
     /**
      * Until this time, no server other than the recorded primary of a service can be its primary.
      */
-    long certainUntilMillis() {
-        return certainUntilMillis;
+    long primariesConfirmedUntilMillis() {
+        return primariesConfirmedUntilMillis;
     }
 
     /** The number of data planes that share the connection limits, including this one. */
@@ -142,21 +142,21 @@
     // ---- connection
 
     private void connect() {
-        String next = sources.next();
-        if (next == null) {
-            node.environment.schedule(RECONNECT_MS, this::connect);
+        String selected = sources.select();
+        if (selected == null) {
+            node.environment.schedule(RECONNECT_DELAY_MS, this::connect);
             return;
         }
-        source = next;
+        source = selected;
         connected = false;
         Listener listener = new Listener();
-        listener.own =
+        listener.ownConnection =
                 node.environment.connect(
                         node.settings.internalAddressOf(source),
                         Environment.Framing.FRAMES,
                         CONNECT_TIMEOUT_MS,
                         listener);
-        connection = listener.own;
+        connection = listener.ownConnection;
         expectResponseWithin(CONNECT_TIMEOUT_MS + 100);
     }
 
@@ -164,28 +164,28 @@
     private final class Listener implements Environment.ConnectionListener {
 
         /** Null while the connection is being established. */
-        private Environment.Connection own;
+        private Environment.Connection ownConnection;
 
         @Override
         public void onOpen(Environment.Connection opened) {
             connection = opened;
             connected = true;
-            outstanding = false;
+            awaitingResponse = false;
             digestSent = false;
             sendRequest();
         }
 
         @Override
         public void onMessage(byte[] message) {
-            if (connection == own) {
+            if (connection == ownConnection) {
                 receive(message);
             }
         }
 
         @Override
         public void onClose(String reason) {
-            if (connection == own || own == null) {
-                leaveSource(reason);
+            if (connection == ownConnection || ownConnection == null) {
+                switchSource(reason);
             }
         }
     }
@@ -194,11 +194,11 @@
         if (responseTimer != null) {
             responseTimer.cancel();
         }
-        responseTimer = node.environment.schedule(millis, () -> leaveSource("silent"));
+        responseTimer = node.environment.schedule(millis, () -> switchSource("silent"));
     }
 
     /** Closes the connection and connects to the next source. */
-    private void leaveSource(String reason) {
+    private void switchSource(String reason) {
         if (responseTimer != null) {
             responseTimer.cancel();
         }
@@ -206,13 +206,15 @@
             connection.close();
         }
         node.environment.trace("control-plane-left source=" + source + " reason=" + reason);
-        sources.onLeft(source, reason.equals(ISOLATED) ? ISOLATED_COOLDOWN_MS : COOLDOWN_MS);
+        sources.startCooldown(
+                source, reason.equals(ISOLATED_REASON) ? ISOLATED_COOLDOWN_MS : COOLDOWN_MS);
         connected = false;
         failedSources++;
-        int round = Math.max(1, sources.size());
-        boolean roundIsOver = failedSources % round == 0;
-        int pauses = Math.min(failedSources / round, MAX_RECONNECT_PAUSES);
-        node.environment.schedule(roundIsOver ? RECONNECT_MS * pauses : 1, this::connect);
+        int sourceCount = Math.max(1, sources.size());
+        boolean allSourcesFailed = failedSources % sourceCount == 0;
+        int delayFactor = Math.min(failedSources / sourceCount, MAX_RECONNECT_DELAY_FACTOR);
+        node.environment.schedule(
+                allSourcesFailed ? RECONNECT_DELAY_MS * delayFactor : 1, this::connect);
     }
 
     // ---- requests
@@ -226,7 +228,7 @@
             return;
         }
         updatePending = true;
-        long delay = requestMillis + COALESCE_MS - node.environment.nowMillis();
+        long delay = requestMillis + REQUEST_COALESCING_MS - node.environment.nowMillis();
         node.environment.schedule(
                 Math.max(0, delay),
                 () -> {
@@ -241,15 +243,15 @@
         requestMillis = node.environment.nowMillis();
         requestId++;
         connection.send(SubscriptionCodec.encode(request()));
-        if (!outstanding) {
-            outstanding = true;
+        if (!awaitingResponse) {
+            awaitingResponse = true;
             expectResponseWithin(RESPONSE_TIMEOUT_MS);
         }
     }
 
     private SubscriptionRequest request() {
         Configuration configuration = node.configuration();
-        boolean sendsDigest = !digestSent;
+        boolean includesDigest = !digestSent;
         digestSent = true;
         return new SubscriptionRequest(
                 node.settings.nodeName(),
@@ -258,11 +260,11 @@
                 incarnation,
                 registryVersion,
                 configuration.revision(),
-                sendsDigest ? configuration.digest() : null,
+                includesDigest ? configuration.digest() : null,
                 fullConfiguration,
                 // If no other source is left, this one may hold the request while it is isolated
                 // from the majority, and answer afterwards.
-                sources.isLastResort(source),
+                sources.isOnlyAvailable(source),
                 recordNumber,
                 suspectsVersion,
                 primaryViews());
@@ -273,7 +275,8 @@
      * are omitted.
      */
     private List<PrimaryView> primaryViews() {
-        boolean tellsAcknowledged = requestMillis >= acknowledgedMillis + ACKNOWLEDGED_INTERVAL_MS;
+        boolean includesAcknowledged =
+                requestMillis >= acknowledgedReportMillis + ACKNOWLEDGED_INTERVAL_MS;
         List<PrimaryView> views = new ArrayList<>();
         for (DatabaseService service : node.services()) {
             ServerPool primary = service.servers.get(service.primary);
@@ -281,7 +284,7 @@
             if (reachability < 0
                     || service.moving
                     || suspects.contains(service.name)
-                    || tellsAcknowledged && service.hasLeavingServer()) {
+                    || includesAcknowledged && service.hasDrainingServer()) {
                 AcknowledgedCommits acknowledged = service.acknowledged;
                 views.add(
                         new PrimaryView(
@@ -292,8 +295,8 @@
                                 acknowledged));
             }
         }
-        if (!views.isEmpty() && tellsAcknowledged) {
-            acknowledgedMillis = requestMillis;
+        if (!views.isEmpty() && includesAcknowledged) {
+            acknowledgedReportMillis = requestMillis;
         }
         return views;
     }
@@ -304,22 +307,22 @@
         SubscriptionResponse response;
         try {
             response = SubscriptionCodec.decodeResponse(message);
-        } catch (MessageCodec.MalformedMessageException bad) {
-            leaveSource("malformed response");
+        } catch (MessageCodec.MalformedMessageException malformed) {
+            switchSource("malformed response");
             return;
         }
         if (response.requestId() == requestId) {
-            outstanding = false;
+            awaitingResponse = false;
         } else {
             expectResponseWithin(RESPONSE_TIMEOUT_MS);
         }
         if (response.registry() != null) {
-            takeServers(response.registry());
+            applyRegistry(response.registry());
         }
         if (response.configuration() != null) {
-            takeConfiguration(response.configuration());
+            applyConfiguration(response.configuration());
         }
-        response.records().forEach(this::takeRecord);
+        response.records().forEach(this::applyRecord);
         if (response.suspects() != null) {
             suspectsVersion = response.suspects().version();
             suspects = response.suspects().services();
@@ -331,29 +334,31 @@
             dataPlanes = Math.max(1, response.dataPlanes());
         }
         if (response.requestId() == requestId) {
-            goOn(response);
+            continuePolling(response);
         }
     }
 
     /**
      * Sends the next request after a response to the last one, to this source or to a better one.
      */
-    private void goOn(SubscriptionResponse response) {
+    private void continuePolling(SubscriptionResponse response) {
         if (response.certainMillis() > 0) {
-            certainUntilMillis =
-                    Math.max(certainUntilMillis, requestMillis + response.certainMillis());
+            primariesConfirmedUntilMillis =
+                    Math.max(
+                            primariesConfirmedUntilMillis,
+                            requestMillis + response.certainMillis());
         }
         if (response.isolated()) {
             // An isolated source may have older state than the others.
-            leaveSource(ISOLATED);
+            switchSource(ISOLATED_REASON);
             return;
         }
         failedSources = 0;
-        String better = sources.betterThan(source);
+        String betterSource = sources.findBetter(source);
         ConfigurationUpdate configuration = response.configuration();
-        if (better != null) {
+        if (betterSource != null) {
             // Traffic between regions is slower and billed.
-            leaveSource(better + " is nearer");
+            switchSource(betterSource + " is nearer");
         } else if (configuration != null
                 && configuration.revision() == unreadableRevision
                 && unreadableRevision >= 0) {
@@ -370,12 +375,12 @@
         }
     }
 
-    private void takeServers(RegistryUpdate update) {
+    private void applyRegistry(RegistryUpdate update) {
         incarnation = update.incarnation();
         registryVersion = update.version();
         Set<String> present = new TreeSet<>();
         for (ServerRow row : update.servers()) {
-            takeServer(row);
+            applyServer(row);
             present.add(row.id());
         }
         if (update.complete()) {
@@ -383,18 +388,18 @@
         }
     }
 
-    private void takeServer(ServerRow row) {
+    private void applyServer(ServerRow row) {
         if (row.service().isEmpty()) {
             // The control process knows only that the server is leaving, not its service.
             for (DatabaseService service : node.services()) {
-                takeEnd(service, service.servers.get(row.id()), row.state());
+                applyLeaveState(service, service.servers.get(row.id()), row.state());
             }
             return;
         }
         DatabaseService service = node.service(row.service());
         ServerPool server = service.servers.get(row.id());
         if (row.state() == ServerState.LEFT) {
-            takeEnd(service, server, row.state());
+            applyLeaveState(service, server, row.state());
             return;
         }
         if (server == null) {
@@ -402,11 +407,12 @@
             service.servers.put(row.id(), server);
         }
         server.reportsPrimary = row.isPrimary();
-        takeEnd(service, server, row.state());
+        applyLeaveState(service, server, row.state());
         service.notifyWaiters();
     }
 
-    private static void takeEnd(DatabaseService service, ServerPool server, ServerState state) {
+    private static void applyLeaveState(
+            DatabaseService service, ServerPool server, ServerState state) {
         if (server == null) {
             return;
         }
@@ -418,7 +424,7 @@
         }
     }
 
-    private void takeRecord(PrimaryRecord record) {
+    private void applyRecord(PrimaryRecord record) {
         recordNumber = Math.max(recordNumber, record.number());
         node.service(record.service()).onRecord(record);
     }
@@ -427,24 +433,24 @@
      * Applies a configuration with a higher revision; any other update, or a delta to an older
      * revision, is ignored.
      */
-    private void takeConfiguration(ConfigurationUpdate update) {
+    private void applyConfiguration(ConfigurationUpdate update) {
         if (update.revision() <= node.configuration().revision()) {
             return;
         }
         try {
-            node.onConfiguration(Configuration.parse(body(update)));
+            node.onConfiguration(Configuration.parse(decodeBody(update)));
             digestSent = false;
             fullConfiguration = false;
-            unreadableRevision = NONE;
-        } catch (BinaryDelta.InvalidDeltaException otherBase) {
+            unreadableRevision = UNSET;
+        } catch (BinaryDelta.InvalidDeltaException mismatchedDelta) {
             node.environment.trace(
                     "configuration-delta-unfit revision="
                             + update.revision()
                             + " fault="
-                            + otherBase.getMessage());
+                            + mismatchedDelta.getMessage());
             fullConfiguration = true;
         } catch (Compression.CorruptDataException
-                | Configuration.InvalidConfigurationException unreadable) {
+                | Configuration.InvalidConfigurationException invalid) {
             // The control plane has accepted this configuration, so its format is newer than this
             // version. The present configuration stays in force.
             unreadableRevision = update.revision();
@@ -452,11 +458,11 @@
                     "configuration-not-understood revision="
                             + update.revision()
                             + " fault="
-                            + unreadable.getMessage());
+                            + invalid.getMessage());
         }
     }
 
-    private byte[] body(ConfigurationUpdate update)
+    private byte[] decodeBody(ConfigurationUpdate update)
             throws BinaryDelta.InvalidDeltaException, Compression.CorruptDataException {
         if (update.delta() != null) {
             return BinaryDelta.apply(node.configuration().body(), update.delta());
--- a/src/main/java/dillfront/dataplane/ControlPlaneSources.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneSources.java
@@ -9,40 +9,40 @@
 
 /**
  * The control processes that can be polled, in order of preference: the addresses that a control
- * process sent last, then the addresses of the settings; reachable ones before silent ones, and
- * ones of the local region first. An abandoned source is not selected again during its cooldown,
- * unless no other source remains.
+ * process sent last, then the addresses of the settings; reachable ones before unreachable ones,
+ * and ones of the local region first. An abandoned source is not selected again during its
+ * cooldown, unless no other source remains.
  */
 final class ControlPlaneSources {
 
     private static final int MAX_SOURCES = 16;
 
-    private static final int RANKS = 4;
+    private static final int RANK_COUNT = 4;
 
     /** A control process; a lower rank is preferred. */
-    private record Source(String ip, boolean local, boolean silent) {
+    private record Source(String ip, boolean local, boolean unreachable) {
 
         int rank() {
-            return (silent ? 2 : 0) + (local ? 0 : 1);
+            return (unreachable ? 2 : 0) + (local ? 0 : 1);
         }
     }
 
     /**
      * The time in which a source is not selected again.
      *
-     * @param leftMillis when the source was abandoned
+     * @param abandonedMillis when the source was abandoned
      * @param untilMillis when the cooldown ends
      */
-    private record Cooldown(long leftMillis, long untilMillis) {}
+    private record Cooldown(long abandonedMillis, long untilMillis) {}
 
     private final Environment environment;
     private final Predicate<String> isLocalRegion;
 
     /** The sources that a control process sent last. */
-    private List<Source> named = List.of();
+    private List<Source> receivedSources = List.of();
 
     /** All sources in order of preference. */
-    private final List<String> ips = new ArrayList<>();
+    private final List<String> orderedIps = new ArrayList<>();
 
     private final TreeMap<String, Cooldown> cooldowns = new TreeMap<>();
 
@@ -65,47 +65,50 @@
      *     addresses may be out of date
      */
     void update(List<ControlAddress> addresses, boolean isolated, List<String> seeds) {
-        List<Source> next = isolated ? new ArrayList<>(named) : new ArrayList<>();
+        List<Source> updated = isolated ? new ArrayList<>(receivedSources) : new ArrayList<>();
         for (ControlAddress address : addresses) {
-            boolean known = isolated && named.stream().anyMatch(s -> s.ip().equals(address.ip()));
+            boolean known =
+                    isolated
+                            && receivedSources.stream()
+                                    .anyMatch(source -> source.ip().equals(address.ip()));
             if (!known) {
-                next.add(
+                updated.add(
                         new Source(
                                 address.ip(),
                                 isLocalRegion.test(address.zoneName()),
                                 isolated || address.silent()));
             }
         }
-        named = next;
-        arrange(seeds);
+        receivedSources = updated;
+        updateOrder(seeds);
     }
 
     /**
      * Rebuilds the order of preference. Received addresses replace the earlier ones, so that
      * removed control processes do not accumulate.
      */
-    void arrange(List<String> seeds) {
-        ips.clear();
-        for (int rank = 0; rank < RANKS; rank++) {
-            for (Source source : named) {
+    void updateOrder(List<String> seeds) {
+        orderedIps.clear();
+        for (int rank = 0; rank < RANK_COUNT; rank++) {
+            for (Source source : receivedSources) {
                 if (source.rank() == rank
-                        && ips.size() < MAX_SOURCES
-                        && !ips.contains(source.ip())) {
-                    ips.add(source.ip());
+                        && orderedIps.size() < MAX_SOURCES
+                        && !orderedIps.contains(source.ip())) {
+                    orderedIps.add(source.ip());
                 }
             }
         }
-        seeds.stream().filter(ip -> !ips.contains(ip)).forEach(ips::add);
-        cooldowns.keySet().retainAll(ips);
+        seeds.stream().filter(ip -> !orderedIps.contains(ip)).forEach(orderedIps::add);
+        cooldowns.keySet().retainAll(orderedIps);
     }
 
     int size() {
-        return ips.size();
+        return orderedIps.size();
     }
 
     /** Starts the cooldown of an abandoned source. */
-    void onLeft(String ip, long cooldownMillis) {
-        if (ips.contains(ip)) {
+    void startCooldown(String ip, long cooldownMillis) {
+        if (orderedIps.contains(ip)) {
             long now = environment.nowMillis();
             cooldowns.put(ip, new Cooldown(now, now + cooldownMillis));
         }
@@ -115,46 +118,46 @@
      * Returns when a source in cooldown was abandoned; {@code Long.MIN_VALUE} if it is not in
      * cooldown.
      */
-    private long leftMillis(String ip) {
+    private long abandonedMillis(String ip) {
         Cooldown cooldown = cooldowns.get(ip);
         return cooldown != null && cooldown.untilMillis() > environment.nowMillis()
-                ? cooldown.leftMillis()
+                ? cooldown.abandonedMillis()
                 : Long.MIN_VALUE;
     }
 
     private boolean isCoolingDown(String ip) {
-        return leftMillis(ip) != Long.MIN_VALUE;
+        return abandonedMillis(ip) != Long.MIN_VALUE;
     }
 
     /**
      * Returns the first source that is not in cooldown, else the one that was abandoned first; null
      * if there is no source.
      */
-    String next() {
-        String best = ips.isEmpty() ? null : ips.get(0);
-        for (String ip : ips) {
-            best = leftMillis(ip) < leftMillis(best) ? ip : best;
+    String select() {
+        String selected = orderedIps.isEmpty() ? null : orderedIps.get(0);
+        for (String ip : orderedIps) {
+            selected = abandonedMillis(ip) < abandonedMillis(selected) ? ip : selected;
         }
-        return best;
+        return selected;
     }
 
     /** Returns whether all other sources are in cooldown. */
-    boolean isLastResort(String current) {
-        return ips.stream().allMatch(ip -> ip.equals(current) || isCoolingDown(ip));
+    boolean isOnlyAvailable(String currentIp) {
+        return orderedIps.stream().allMatch(ip -> ip.equals(currentIp) || isCoolingDown(ip));
     }
 
     /**
      * Returns a reachable source of the local region if the current one is in another region; else
      * null.
      */
-    String betterThan(String current) {
-        for (Source source : named) {
-            if (source.ip().equals(current) && source.local()) {
+    String findBetter(String currentIp) {
+        for (Source source : receivedSources) {
+            if (source.ip().equals(currentIp) && source.local()) {
                 return null;
             }
         }
-        for (Source source : named) {
-            if (source.local() && !source.silent() && !isCoolingDown(source.ip())) {
+        for (Source source : receivedSources) {
+            if (source.local() && !source.unreachable() && !isCoolingDown(source.ip())) {
                 return source.ip();
             }
         }
--- a/src/main/java/dillfront/dataplane/DataPlaneNode.java
+++ b/src/main/java/dillfront/dataplane/DataPlaneNode.java
@@ -17,22 +17,22 @@
     private static final int RESERVED_CONNECTIONS = 8;
 
     private static final int MIN_CONNECTIONS = 2;
-    private static final long POLL_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
 
     /** The maximum staleness of reads for which primary positions are kept. */
-    private static final long MAX_STALENESS_MS = 3_000;
+    private static final long MAX_READ_STALENESS_MS = 3_000;
 
     /**
      * Delay from SIGTERM to the closing of idle sessions: by then the platform has most likely
      * noticed that the process is not ready.
      */
-    private static final long CLOSE_IDLE_AFTER_MS = 2_300;
+    private static final long CLOSE_IDLE_DELAY_MS = 2_300;
 
     /**
      * Delay from SIGTERM before the process may exit: by then the platform has certainly noticed
      * that the process is not ready. Clients that it routes here before are served.
      */
-    private static final long END_NOT_BEFORE_MS = 3_200;
+    private static final long MIN_SHUTDOWN_MS = 3_200;
 
     /** Counts of events since the start. */
     public static final class Counters {
@@ -61,10 +61,10 @@
 
     // Shutdown of the process.
     private boolean shuttingDown;
-    private boolean closesIdleSessions;
-    private boolean closesAllSessions;
-    private boolean mayEnd;
-    private Runnable onEnd = () -> {};
+    private boolean closingIdleSessions;
+    private boolean closingAllSessions;
+    private boolean exitAllowed;
+    private Runnable onShutdownComplete = () -> {};
 
     public DataPlaneNode(Environment environment, NodeSettings settings) {
         this.environment = environment;
@@ -79,8 +79,8 @@
     }
 
     /** Applies changed settings; at run time, only the control process addresses take effect. */
-    public void updateSettings(NodeSettings next) {
-        settings = next;
+    public void updateSettings(NodeSettings newSettings) {
+        settings = newSettings;
         controlPlane.onSettingsChanged();
     }
 
@@ -93,7 +93,7 @@
     }
 
     private void poll() {
-        environment.schedule(POLL_MS, this::poll);
+        environment.schedule(POLL_INTERVAL_MS, this::poll);
         for (DatabaseService service : services.values()) {
             for (ServerPool server : List.copyOf(service.servers.values())) {
                 server.reconnectIfDue();
@@ -102,7 +102,7 @@
             }
             service.notifyWaiters();
             service.expectsPrimarySoon();
-            if (service.reachabilityChanged()) {
+            if (service.checkReachabilityChange()) {
                 controlPlane.requestUpdate();
             }
         }
@@ -124,12 +124,12 @@
      * Applies a configuration with a higher revision; it takes effect from the next transaction of
      * each session on. An older revision is ignored.
      */
-    void onConfiguration(Configuration next) {
-        if (next.revision() <= configuration.revision()) {
+    void onConfiguration(Configuration newConfiguration) {
+        if (newConfiguration.revision() <= configuration.revision()) {
             return;
         }
-        configuration = next;
-        for (Configuration.Service service : next.services().values()) {
+        configuration = newConfiguration;
+        for (Configuration.Service service : newConfiguration.services().values()) {
             service(service.name()).connectionLimit = service.connectionLimit();
         }
     }
@@ -141,7 +141,7 @@
 
     private DatabaseService createService(String name) {
         DatabaseService service = new DatabaseService(this, name);
-        service.floors.maxStaleness(MAX_STALENESS_MS);
+        service.primaryPositions.setMaxStaleness(MAX_READ_STALENESS_MS);
         return service;
     }
 
@@ -182,22 +182,22 @@
         ClientSession session = new ClientSession(this);
         sessions.add(session);
         counters.sessions++;
-        if (closesIdleSessions) {
-            session.onLateStart(closesAllSessions);
+        if (closingIdleSessions) {
+            session.onAcceptedDuringShutdown(closingAllSessions);
         }
         return session;
     }
 
     void onSessionClosed(ClientSession session) {
         sessions.remove(session);
-        endIfIdle();
+        completeShutdownIfIdle();
     }
 
     // ---- shutdown
 
-    private void endIfIdle() {
-        if (mayEnd && sessions.isEmpty()) {
-            onEnd.run();
+    private void completeShutdownIfIdle() {
+        if (exitAllowed && sessions.isEmpty()) {
+            onShutdownComplete.run();
         }
     }
 
@@ -205,34 +205,36 @@
      * Shuts down in steps. The node reports that it is not ready at once; idle sessions are closed
      * once the platform has noticed that; open transactions may run until half of the grace period.
      *
-     * @param done runs once the process may exit
+     * @param onComplete runs once the process may exit
      */
-    public void shutDown(Runnable done) {
+    public void shutDown(Runnable onComplete) {
         if (shuttingDown) {
             return;
         }
         shuttingDown = true;
-        onEnd = done;
-        long half = settings.gracePeriodMillis() / 2;
-        environment.schedule(Math.min(CLOSE_IDLE_AFTER_MS, half * 3 / 4), this::closeIdleSessions);
-        environment.schedule(Math.min(END_NOT_BEFORE_MS, half), this::allowEnd);
-        environment.schedule(half, this::closeAllSessions);
-        environment.schedule(settings.gracePeriodMillis() * 5 / 6, onEnd);
+        onShutdownComplete = onComplete;
+        long halfGracePeriodMillis = settings.gracePeriodMillis() / 2;
+        environment.schedule(
+                Math.min(CLOSE_IDLE_DELAY_MS, halfGracePeriodMillis * 3 / 4),
+                this::closeIdleSessions);
+        environment.schedule(Math.min(MIN_SHUTDOWN_MS, halfGracePeriodMillis), this::allowExit);
+        environment.schedule(halfGracePeriodMillis, this::closeAllSessions);
+        environment.schedule(settings.gracePeriodMillis() * 5 / 6, onShutdownComplete);
     }
 
     private void closeIdleSessions() {
-        closesIdleSessions = true;
+        closingIdleSessions = true;
         List.copyOf(sessions).forEach(ClientSession::closeWhenIdle);
     }
 
-    private void allowEnd() {
-        mayEnd = true;
-        endIfIdle();
+    private void allowExit() {
+        exitAllowed = true;
+        completeShutdownIfIdle();
     }
 
     private void closeAllSessions() {
-        closesAllSessions = true;
-        List.copyOf(sessions).forEach(ClientSession::closeNow);
+        closingAllSessions = true;
+        List.copyOf(sessions).forEach(ClientSession::closeAfterStatement);
     }
 
     /** Returns one line of status for operators and logs. */
--- a/src/main/java/dillfront/dataplane/DatabaseService.java
+++ b/src/main/java/dillfront/dataplane/DatabaseService.java
@@ -15,29 +15,29 @@
  */
 final class DatabaseService {
 
-    private static final double MAX_SPILL_TOKENS = 4;
+    private static final double MAX_PRIMARY_READ_TOKENS = 4;
 
     /** The maximum share of reads sent to the primary while replicas could serve them. */
-    private static final double SPILL_PER_READ = 0.25;
+    private static final double PRIMARY_READ_TOKENS_PER_READ = 0.25;
 
     /** The same if the primary is the only usable server in the local region. */
-    private static final double SPILL_PER_READ_WITHOUT_LOCAL_REPLICA = 0.6;
+    private static final double PRIMARY_READ_TOKENS_PER_READ_WITHOUT_LOCAL_REPLICA = 0.6;
 
     /** The cost that a server in another region adds, in busy connections. */
-    private static final double REMOTE_REGION_PENALTY = 2;
+    private static final double REMOTE_REGION_COST = 2;
 
     /**
      * The cost that the primary adds for a read that a replica could serve, in busy connections.
      */
-    private static final double PRIMARY_PENALTY = 1;
+    private static final double PRIMARY_COST = 1;
 
     /** A primary with a higher slowdown takes no reads that replicas could serve. */
-    private static final double MAX_SPILL_SLOWDOWN = 1.5;
+    private static final double MAX_PRIMARY_SLOWDOWN = 1.5;
 
     /** A move that takes more heartbeat intervals than this is not expected to complete soon. */
-    private static final double MAX_MOVE_HEARTBEATS = 2;
+    private static final double MAX_MOVE_HEARTBEAT_INTERVALS = 2;
 
-    private static final long NONE = -1;
+    private static final long UNSET = -1;
 
     final String name;
     final DataPlaneNode node;
@@ -45,7 +45,7 @@
     /** Sorted by id, for a deterministic order. */
     final TreeMap<String, ServerPool> servers = new TreeMap<>();
 
-    final ReadPositionFloors floors = new ReadPositionFloors();
+    final PrimaryPositionHistory primaryPositions = new PrimaryPositionHistory();
 
     /** The id of the primary in the newest record; empty if there is none. */
     String primary = "";
@@ -60,18 +60,18 @@
     AcknowledgedCommits acknowledged = AcknowledgedCommits.NONE;
 
     /** The number of the newest record; -1 if there is none. */
-    private long recordNumber = NONE;
+    private long recordNumber = UNSET;
 
     /** The data loss that an operator accepted, from the newest record; null if there is none. */
     private AcceptedDataLoss acceptedLoss;
 
     /** Token bucket of the reads that may go to the primary while replicas could serve them. */
-    private double spillTokens = MAX_SPILL_TOKENS;
+    private double primaryReadTokens = MAX_PRIMARY_READ_TOKENS;
 
-    private long noPrimarySinceMillis = NONE;
-    private boolean reportedHopeless;
+    private long noPrimarySinceMillis = UNSET;
+    private boolean noPrimaryReported;
 
-    /** The reachability of the primary that was last reported to the control plane. */
+    /** The reachability of the primary at the last check. */
     private int reportedReachability;
 
     private final List<Runnable> waiters = new ArrayList<>();
@@ -112,7 +112,7 @@
             return null;
         }
         ServerPool server = recordNumber < 0 ? reportedPrimary() : servers.get(primary);
-        return server == null || server.removed || server.isDrainOver() ? null : server;
+        return server == null || server.removed || server.isDrainTimeOver() ? null : server;
     }
 
     /** Returns the primary if it is reachable; else null. */
@@ -139,10 +139,10 @@
     }
 
     /** Returns whether this server is certain to be the primary at present. */
-    boolean isCertainPrimary(ServerPool server) {
+    boolean isConfirmedPrimary(ServerPool server) {
         return !moving
                 && server.id.equals(primary)
-                && node.environment.nowMillis() < node.controlPlane.certainUntilMillis();
+                && node.environment.nowMillis() < node.controlPlane.primariesConfirmedUntilMillis();
     }
 
     /**
@@ -151,16 +151,17 @@
      */
     boolean expectsPrimarySoon() {
         if (reachablePrimary() != null) {
-            noPrimarySinceMillis = NONE;
-            reportedHopeless = false;
+            noPrimarySinceMillis = UNSET;
+            noPrimaryReported = false;
             return true;
         }
         long now = node.environment.nowMillis();
         noPrimarySinceMillis = noPrimarySinceMillis < 0 ? now : noPrimarySinceMillis;
         long missingMillis = now - noPrimarySinceMillis;
         boolean expected =
-                missingMillis < MAX_MOVE_HEARTBEATS * node.settings.heartbeatIntervalMillis();
-        if (!expected && !reportedHopeless) {
+                missingMillis
+                        < MAX_MOVE_HEARTBEAT_INTERVALS * node.settings.heartbeatIntervalMillis();
+        if (!expected && !noPrimaryReported) {
             node.environment.warn(
                     "no-primary service="
                             + name
@@ -170,12 +171,12 @@
                             + primary
                             + (moving ? " moving" : ""));
         }
-        reportedHopeless = !expected;
+        noPrimaryReported = !expected;
         return expected;
     }
 
-    /** Returns whether the reachability of the primary has changed since the last report. */
-    boolean reachabilityChanged() {
+    /** Returns whether the primary became reachable or unreachable since the last call. */
+    boolean checkReachabilityChange() {
         ServerPool server = servers.get(primary);
         int reachability = server == null ? 0 : server.reachability();
         boolean changed = reachability < 0 != reportedReachability < 0;
@@ -187,7 +188,7 @@
      * Returns whether a server is draining. A replica that leaves takes its log with it, so
      * acknowledged commits are reported meanwhile.
      */
-    boolean hasLeavingServer() {
+    boolean hasDrainingServer() {
         for (ServerPool server : servers.values()) {
             if (server.draining) {
                 return true;
@@ -204,51 +205,64 @@
      * than every replica.
      *
      * @param position what the server's log must cover; null if unknown
-     * @param tried servers that are excluded as they have failed
+     * @param excluded servers that are excluded as they have failed
      * @return null if no server is suitable
      */
-    ServerPool selectForRead(LogPosition position, List<ServerPool> tried) {
-        ServerPool leader = primary();
-        spillTokens = Math.min(MAX_SPILL_TOKENS, spillTokens + spillPerRead(leader));
+    ServerPool selectForRead(LogPosition position, List<ServerPool> excluded) {
+        ServerPool primaryServer = primary();
+        primaryReadTokens =
+                Math.min(
+                        MAX_PRIMARY_READ_TOKENS,
+                        primaryReadTokens + primaryReadTokensPerRead(primaryServer));
         ServerPool best = null;
-        double leastCost = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (ServerPool server : servers.values()) {
-            boolean isLeader = server == leader;
-            boolean eligible = isLeader ? maySpill(server, position) : mayServe(server, position);
-            if (server.isUsable() && !tried.contains(server) && eligible) {
-                double cost = cost(server) + (isLeader ? PRIMARY_PENALTY : 0);
-                if (cost < leastCost) {
-                    leastCost = cost;
+            boolean isPrimary = server == primaryServer;
+            boolean eligible =
+                    isPrimary
+                            ? canReadFromPrimary(server, position)
+                            : canReadFromReplica(server, position);
+            if (server.isUsable() && !excluded.contains(server) && eligible) {
+                double cost = cost(server) + (isPrimary ? PRIMARY_COST : 0);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
                     best = server;
                 }
             }
         }
-        if (best != null && best == leader && position != null) {
-            spillTokens -= 1;
+        if (best != null && best == primaryServer && position != null) {
+            primaryReadTokens -= 1;
         }
         return best;
     }
 
-    private double spillPerRead(ServerPool leader) {
-        boolean onlyLeaderIsLocal =
-                leader != null
-                        && leader.isLocalRegion
+    private double primaryReadTokensPerRead(ServerPool primaryServer) {
+        boolean onlyPrimaryIsLocal =
+                primaryServer != null
+                        && primaryServer.isLocalRegion
                         && servers.values().stream()
-                                .noneMatch(s -> s != leader && s.isLocalRegion && s.isUsable());
-        return onlyLeaderIsLocal ? SPILL_PER_READ_WITHOUT_LOCAL_REPLICA : SPILL_PER_READ;
+                                .noneMatch(
+                                        server ->
+                                                server != primaryServer
+                                                        && server.isLocalRegion
+                                                        && server.isUsable());
+        return onlyPrimaryIsLocal
+                ? PRIMARY_READ_TOKENS_PER_READ_WITHOUT_LOCAL_REPLICA
+                : PRIMARY_READ_TOKENS_PER_READ;
     }
 
-    private boolean mayServe(ServerPool replica, LogPosition position) {
+    private boolean canReadFromReplica(ServerPool replica, LogPosition position) {
         return position != null && replica.laggingUntilMillis <= node.environment.nowMillis();
     }
 
-    private boolean maySpill(ServerPool leader, LogPosition position) {
-        return position == null || spillTokens >= 1 && leader.slowdown <= MAX_SPILL_SLOWDOWN;
+    private boolean canReadFromPrimary(ServerPool primaryServer, LogPosition position) {
+        return position == null
+                || primaryReadTokens >= 1 && primaryServer.slowdown <= MAX_PRIMARY_SLOWDOWN;
     }
 
     private static double cost(ServerPool server) {
         return (server.busyConnections + 0.5) * server.slowdown
-                + (server.isLocalRegion ? 0 : REMOTE_REGION_PENALTY);
+                + (server.isLocalRegion ? 0 : REMOTE_REGION_COST);
     }
 
     /**
@@ -263,13 +277,18 @@
      * shorter than the lost positions; its commits still belong after them, in a later term, and
      * are not part of the loss.
      *
-     * @param before the last known log position when the commit was sent
+     * @param requestPosition the last known log position when the commit was sent
      */
-    void onAcknowledged(ServerPool server, LogPosition before, LogPosition answered) {
-        boolean behindLoss =
+    void onAcknowledged(
+            ServerPool server, LogPosition requestPosition, LogPosition responsePosition) {
+        boolean followsLoss =
                 acceptedLoss != null && acceptedLoss.losesCommits() && server.id.equals(primary);
-        LogPosition from = behindLoss ? LogPosition.max(before, acceptedLoss.lostUpTo()) : before;
-        acknowledged = acknowledged.merge(AcknowledgedCommits.ofResponse(from, answered));
+        LogPosition lowerPosition =
+                followsLoss
+                        ? LogPosition.max(requestPosition, acceptedLoss.lostUpTo())
+                        : requestPosition;
+        acknowledged =
+                acknowledged.merge(AcknowledgedCommits.ofResponse(lowerPosition, responsePosition));
     }
 
     // ---- waiters
--- a/src/main/java/dillfront/dataplane/Execution.java
+++ b/src/main/java/dillfront/dataplane/Execution.java
@@ -16,7 +16,7 @@
     /**
      * The share of a statement's time-out that it may spend waiting for a primary or a connection.
      */
-    private static final double PATIENCE = 0.8;
+    private static final double MAX_WAIT_SHARE_OF_TIMEOUT = 0.8;
 
     final ClientSession session;
     final DataPlaneNode node;
@@ -25,10 +25,10 @@
     final String id;
 
     final Route route;
-    final long sinceMillis;
+    final long receivedMillis;
 
     /** Servers that failed since the last change; they are not tried again. */
-    final List<ServerPool> tried = new ArrayList<>();
+    final List<ServerPool> excludedServers = new ArrayList<>();
 
     int attempts;
 
@@ -43,7 +43,7 @@
         this.id = id;
         this.route = route;
         node = session.node();
-        sinceMillis = now();
+        receivedMillis = now();
     }
 
     final long now() {
@@ -54,17 +54,17 @@
         return node.service(route.service());
     }
 
-    final boolean isWanted() {
+    final boolean isActive() {
         return !finished && !session.isClosed();
     }
 
     /** Returns when the wait for a primary or a connection ends; the statement is refused then. */
-    final long patienceEndMillis() {
-        return sinceMillis + (long) (route.timeoutMillis() * PATIENCE);
+    final long waitDeadlineMillis() {
+        return receivedMillis + (long) (route.timeoutMillis() * MAX_WAIT_SHARE_OF_TIMEOUT);
     }
 
-    final boolean isPatient() {
-        return now() < patienceEndMillis();
+    final boolean hasWaitTimeLeft() {
+        return now() < waitDeadlineMillis();
     }
 
     /** Returns whether the work only reads and its route permits reads from replicas. */
@@ -78,7 +78,7 @@
     abstract void onConnection(ServerPool server, ServerConnection borrowed, LogPosition position);
 
     /** Called if no server is available now. */
-    abstract void onNoServer();
+    abstract void onNoServerAvailable();
 
     /** Called if this server cannot provide a connection. */
     abstract void onServerUnavailable(ServerPool server);
@@ -87,10 +87,11 @@
     final void acquire() {
         DatabaseService service = service();
         LogPosition position = mayUseReplica() ? requiredPosition(service) : null;
-        ServerPool replica = mayUseReplica() ? service.selectForRead(position, tried) : null;
+        ServerPool replica =
+                mayUseReplica() ? service.selectForRead(position, excludedServers) : null;
         ServerPool server = replica == null ? service.reachablePrimary() : replica;
         if (server == null) {
-            onNoServer();
+            onNoServerAvailable();
         } else {
             server.borrow(new ConnectionRequest(server, position));
         }
@@ -98,8 +99,8 @@
 
     private final class ConnectionRequest implements ServerPool.Borrower {
 
-        /** Larger than any start time, so that the route's priority outweighs the waiting time. */
-        private static final long PRIORITY_STEP = 1_000_000_000L;
+        /** Lets the route's priority outweigh the waiting time, as 1e9 ms are more than 11 days. */
+        private static final long PRIORITY_WEIGHT = 1_000_000_000L;
 
         private final ServerPool server;
         private final LogPosition position;
@@ -110,13 +111,13 @@
         }
 
         @Override
-        public boolean isInterested() {
-            return isWanted();
+        public boolean isPending() {
+            return isActive();
         }
 
         @Override
         public long priority() {
-            return route.priority() * PRIORITY_STEP + sinceMillis;
+            return route.priority() * PRIORITY_WEIGHT + receivedMillis;
         }
 
         @Override
@@ -137,13 +138,17 @@
 
     /** Returns the log position that the reads require; null if unknown. */
     private LogPosition requiredPosition(DatabaseService service) {
-        LogPosition floor = service.floors.positionSince(sinceMillis - route.maxStalenessMillis());
-        if (floor == null) {
+        LogPosition stalenessPosition =
+                service.primaryPositions.lowestPositionSince(
+                        receivedMillis - route.maxStalenessMillis());
+        if (stalenessPosition == null) {
             return null;
         }
-        boolean ownWrites = route.consistency() == ReadConsistency.READ_YOUR_WRITES;
+        boolean readsOwnWrites = route.consistency() == ReadConsistency.READ_YOUR_WRITES;
         return service.withoutAcceptedLoss(
-                ownWrites ? LogPosition.max(floor, session.lastWritePosition()) : floor);
+                readsOwnWrites
+                        ? LogPosition.max(stalenessPosition, session.lastWritePosition())
+                        : stalenessPosition);
     }
 
     /**
@@ -151,52 +156,53 @@
      * is not confirmed. A server that was primary after the read's first byte arrived has every
      * commit that was acknowledged before that, even if it loses the role later.
      */
-    final void verifyPrimary(ServerConnection on, Runnable ifPrimary, Runnable otherwise) {
+    final void verifyPrimary(
+            ServerConnection serverConnection, Runnable ifPrimary, Runnable ifNotPrimary) {
         node.counters.primaryChecks++;
-        on.query(
+        serverConnection.query(
                 "STATUS",
                 result -> {
-                    if (isWanted() && showsPrimary(result)) {
+                    if (isActive() && isPrimaryStatus(result)) {
                         ifPrimary.run();
                         return;
                     }
-                    giveBack(on, result);
-                    if (isWanted()) {
-                        otherwise.run();
+                    returnConnection(serverConnection, result);
+                    if (isActive()) {
+                        ifNotPrimary.run();
                     }
                 });
     }
 
-    private static boolean showsPrimary(QueryResult result) {
+    private static boolean isPrimaryStatus(QueryResult result) {
         return result.isCompleted()
                 && !result.rows().isEmpty()
                 && result.rows().get(0).startsWith("primary ");
     }
 
     /** Releases a connection after a response; an open transaction on it is rolled back first. */
-    static void giveBack(ServerConnection on, QueryResult result) {
-        if (on.isClosed()) {
+    static void returnConnection(ServerConnection serverConnection, QueryResult result) {
+        if (serverConnection.isClosed()) {
             return;
         }
         if (result.isIdle()) {
-            on.pool.release(on);
+            serverConnection.pool.release(serverConnection);
         } else {
-            rollBack(on);
+            rollBackAndRelease(serverConnection);
         }
     }
 
     /** Rolls back the open transaction on a connection and releases it. */
-    static void rollBack(ServerConnection on) {
-        on.query(
+    static void rollBackAndRelease(ServerConnection serverConnection) {
+        serverConnection.query(
                 "ROLLBACK",
                 result -> {
-                    if (on.isClosed()) {
+                    if (serverConnection.isClosed()) {
                         return;
                     }
                     if (result.isIdle()) {
-                        on.pool.release(on);
+                        serverConnection.pool.release(serverConnection);
                     } else {
-                        on.abort("rollback failed");
+                        serverConnection.abort("rollback failed");
                     }
                 });
     }
--- a/src/main/java/dillfront/dataplane/ServerPool.java
+++ b/src/main/java/dillfront/dataplane/ServerPool.java
@@ -20,24 +20,24 @@
     /**
      * A server that has sent nothing for this time while a response was due counts as timed out.
      */
-    static final long SILENCE_TIMEOUT_MS = 450;
+    static final long UNRESPONSIVE_TIMEOUT_MS = 450;
 
-    private static final long MIN_BACKOFF_MS = 120;
-    private static final long MAX_BACKOFF_MS = 1_000;
+    private static final long MIN_RECONNECT_BACKOFF_MS = 120;
+    private static final long MAX_RECONNECT_BACKOFF_MS = 1_000;
 
     private static final long MIN_LAG_BACKOFF_MS = 50;
     private static final long MAX_LAG_BACKOFF_MS = 800;
 
     /** The delay before the next connect to a server that refused a connection for its limit. */
-    private static final long FULL_PAUSE_MS = 200;
+    private static final long CONNECTION_LIMIT_DELAY_MS = 200;
 
-    private static final long NONE = -1;
+    private static final long UNSET = -1;
 
     /** A statement or transaction that waits for a connection. */
     interface Borrower {
 
         /** Returns whether a connection is still needed. */
-        boolean isInterested();
+        boolean isPending();
 
         long priority();
 
@@ -67,24 +67,24 @@
     /** The highest log position in the server's responses; null before the first one. */
     LogPosition knownPosition;
 
-    final List<ServerConnection> idle = new ArrayList<>();
+    final List<ServerConnection> idleConnections = new ArrayList<>();
     final List<ServerConnection> connections = new ArrayList<>();
-    private final List<Borrower> waiters = new ArrayList<>();
-    int connecting;
+    private final List<Borrower> waitingBorrowers = new ArrayList<>();
+    int connectsInProgress;
     int busyConnections;
 
     /** The ratio of the response time to the usual one, smoothed; 1 under normal load. */
     double slowdown = 1;
 
-    long lastHeardMillis;
+    long lastResponseMillis;
     long laggingUntilMillis;
     private long lagBackoffMillis = MIN_LAG_BACKOFF_MS;
-    long downSinceMillis = NONE;
+    long downSinceMillis = UNSET;
     private long reconnectAtMillis;
-    private long reconnectBackoffMillis = MIN_BACKOFF_MS;
+    private long reconnectBackoffMillis = MIN_RECONNECT_BACKOFF_MS;
 
     /** Until this time, no connection is opened, as the server has reached its connection limit. */
-    private long fullUntilMillis;
+    private long connectionLimitUntilMillis;
 
     ServerPool(
             DataPlaneNode node, DatabaseService service, String id, String address, String zone) {
@@ -94,7 +94,7 @@
         this.address = address;
         this.zone = zone;
         isLocalRegion = node.settings.isSameRegion(zone);
-        lastHeardMillis = node.environment.nowMillis();
+        lastResponseMillis = node.environment.nowMillis();
     }
 
     /** Returns whether new work may be sent to the server: it is reachable and not draining. */
@@ -116,15 +116,15 @@
             oldest = Math.min(oldest, connection.oldestSentMillis());
         }
         return oldest != Long.MAX_VALUE
-                && node.environment.nowMillis() - Math.max(oldest, lastHeardMillis)
-                        > SILENCE_TIMEOUT_MS;
+                && node.environment.nowMillis() - Math.max(oldest, lastResponseMillis)
+                        > UNRESPONSIVE_TIMEOUT_MS;
     }
 
     void onResponse() {
-        lastHeardMillis = node.environment.nowMillis();
+        lastResponseMillis = node.environment.nowMillis();
         if (downSinceMillis >= 0) {
-            downSinceMillis = NONE;
-            reconnectBackoffMillis = MIN_BACKOFF_MS;
+            downSinceMillis = UNSET;
+            reconnectBackoffMillis = MIN_RECONNECT_BACKOFF_MS;
             service.notifyWaiters();
         }
     }
@@ -134,31 +134,32 @@
         lagBackoffMillis = Math.min(MAX_LAG_BACKOFF_MS, lagBackoffMillis * 2);
     }
 
-    void onCaughtUp() {
+    void decayLagBackoff() {
         lagBackoffMillis = Math.max(MIN_LAG_BACKOFF_MS, lagBackoffMillis - 1);
     }
 
     /** Provides a connection, now or later; prefers the idle one with the lowest setup cost. */
     void borrow(Borrower borrower) {
         ServerConnection best = null;
-        int least = Integer.MAX_VALUE;
-        for (int i = idle.size() - 1; i >= 0 && least > 0; i--) {
-            int cost = idle.get(i).setupCost(borrower.sessionVariables());
-            if (cost < least) {
-                least = cost;
-                best = idle.get(i);
+        int lowestCost = Integer.MAX_VALUE;
+        for (int i = idleConnections.size() - 1; i >= 0 && lowestCost > 0; i--) {
+            int cost = idleConnections.get(i).setupCost(borrower.sessionVariables());
+            if (cost < lowestCost) {
+                lowestCost = cost;
+                best = idleConnections.get(i);
             }
         }
         if (best != null) {
-            idle.remove(best);
+            idleConnections.remove(best);
             borrower.onConnection(best);
             return;
         }
-        int at = waiters.size();
-        while (at > 0 && waiters.get(at - 1).priority() > borrower.priority()) {
-            at--;
+        int position = waitingBorrowers.size();
+        while (position > 0
+                && waitingBorrowers.get(position - 1).priority() > borrower.priority()) {
+            position--;
         }
-        waiters.add(at, borrower);
+        waitingBorrowers.add(position, borrower);
         openConnections();
     }
 
@@ -167,23 +168,23 @@
      * borrowers.
      */
     private void openConnections() {
-        waiters.removeIf(w -> !w.isInterested());
+        waitingBorrowers.removeIf(borrower -> !borrower.isPending());
         long now = node.environment.nowMillis();
         while (!removed
-                && connecting < waiters.size()
+                && connectsInProgress < waitingBorrowers.size()
                 && connections.size() < node.maxConnectionsPerServer(service)
-                && now >= fullUntilMillis) {
-            if (downSinceMillis >= 0 && (now < reconnectAtMillis || connecting > 0)) {
+                && now >= connectionLimitUntilMillis) {
+            if (downSinceMillis >= 0 && (now < reconnectAtMillis || connectsInProgress > 0)) {
                 break;
             }
-            connecting++;
+            connectsInProgress++;
             ServerConnection opened = new ServerConnection(this);
             connections.add(opened);
             opened.connect();
         }
-        if (connecting == 0 && downSinceMillis >= 0) {
+        if (connectsInProgress == 0 && downSinceMillis >= 0) {
             rejectBorrowers("down");
-        } else if (connections.isEmpty() && now < fullUntilMillis) {
+        } else if (connections.isEmpty() && now < connectionLimitUntilMillis) {
             rejectBorrowers("full");
         }
     }
@@ -191,10 +192,10 @@
     /** Checks whether an unreachable server accepts connections again. */
     void reconnectIfDue() {
         if (downSinceMillis >= 0
-                && connecting == 0
+                && connectsInProgress == 0
                 && node.environment.nowMillis() >= reconnectAtMillis
-                && !acceptsNothingNew()) {
-            connecting++;
+                && !rejectsNewWork()) {
+            connectsInProgress++;
             ServerConnection opened = new ServerConnection(this);
             connections.add(opened);
             opened.connect();
@@ -207,10 +208,10 @@
      * run for long, and should keep no connections.
      */
     void closeIdleIfUnusable() {
-        if (!idle.isEmpty() && (acceptsNothingNew() || isTimedOut())) {
-            new ArrayList<>(idle).forEach(ServerConnection::close);
+        if (!idleConnections.isEmpty() && (rejectsNewWork() || isTimedOut())) {
+            new ArrayList<>(idleConnections).forEach(ServerConnection::close);
         }
-        if (acceptsNothingNew()) {
+        if (rejectsNewWork()) {
             rejectBorrowers("leaves");
         }
     }
@@ -219,40 +220,41 @@
     void closeOverdue() {
         if (busyConnections > 0) {
             long now = node.environment.nowMillis();
-            new ArrayList<>(connections).forEach(c -> c.closeIfOverdue(now));
+            new ArrayList<>(connections).forEach(connection -> connection.closeIfOverdue(now));
         }
     }
 
     /** Takes a new or returned connection, and passes it to the next borrower. */
     void release(ServerConnection connection) {
-        if (acceptsNothingNew()) {
+        if (rejectsNewWork()) {
             rejectBorrowers("leaves");
             connection.close();
             return;
         }
-        if (connections.size() > node.maxConnectionsPerServer(service) && waiters.isEmpty()) {
+        if (connections.size() > node.maxConnectionsPerServer(service)
+                && waitingBorrowers.isEmpty()) {
             connection.close();
             return;
         }
-        Iterator<Borrower> next = waiters.iterator();
-        while (next.hasNext()) {
-            Borrower borrower = next.next();
-            next.remove();
-            if (borrower.isInterested()) {
+        Iterator<Borrower> iterator = waitingBorrowers.iterator();
+        while (iterator.hasNext()) {
+            Borrower borrower = iterator.next();
+            iterator.remove();
+            if (borrower.isPending()) {
                 borrower.onConnection(connection);
                 return;
             }
         }
-        idle.add(connection);
+        idleConnections.add(connection);
     }
 
     void onConnectionClosed(ServerConnection connection, boolean wasConnected, String reason) {
         connections.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
         long now = node.environment.nowMillis();
         if (!wasConnected) {
             if (reason.equals("TOOMANY")) {
-                fullUntilMillis = now + FULL_PAUSE_MS;
+                connectionLimitUntilMillis = now + CONNECTION_LIMIT_DELAY_MS;
                 onResponse();
                 if (connections.isEmpty()) {
                     rejectBorrowers("full");
@@ -274,30 +276,30 @@
                     now
                             + reconnectBackoffMillis
                             + node.environment.random().nextInt((int) reconnectBackoffMillis);
-            reconnectBackoffMillis = Math.min(MAX_BACKOFF_MS, reconnectBackoffMillis * 2);
-            if (connecting == 0) {
+            reconnectBackoffMillis = Math.min(MAX_RECONNECT_BACKOFF_MS, reconnectBackoffMillis * 2);
+            if (connectsInProgress == 0) {
                 rejectBorrowers("down");
             }
-        } else if (!waiters.isEmpty()) {
+        } else if (!waitingBorrowers.isEmpty()) {
             openConnections();
         }
     }
 
     /** Rejects all waiting borrowers, so that they select another server. */
     void rejectBorrowers(String reason) {
-        List<Borrower> rejected = new ArrayList<>(waiters);
-        waiters.clear();
+        List<Borrower> rejected = new ArrayList<>(waitingBorrowers);
+        waitingBorrowers.clear();
         rejected.forEach(
-                w -> {
-                    if (w.isInterested()) {
-                        w.onUnavailable(reason);
+                borrower -> {
+                    if (borrower.isPending()) {
+                        borrower.onUnavailable(reason);
                     }
                 });
     }
 
     void remove() {
         removed = true;
-        new ArrayList<>(idle).forEach(ServerConnection::close);
+        new ArrayList<>(idleConnections).forEach(ServerConnection::close);
         rejectBorrowers("gone");
     }
 
@@ -309,13 +311,13 @@
         draining = true;
         drainingSinceMillis = node.environment.nowMillis();
         if (service.primary() != this) {
-            new ArrayList<>(idle).forEach(ServerConnection::close);
+            new ArrayList<>(idleConnections).forEach(ServerConnection::close);
             rejectBorrowers("draining");
         }
     }
 
     /** Returns whether the server is draining and new work could arrive there too late. */
-    boolean isDrainOver() {
+    boolean isDrainTimeOver() {
         return draining
                 && node.environment.nowMillis() > drainingSinceMillis + node.settings.drainMillis();
     }
@@ -324,7 +326,7 @@
      * Returns whether the server is removed, or draining and not used as primary: no new work is
      * sent there.
      */
-    boolean acceptsNothingNew() {
+    boolean rejectsNewWork() {
         return removed || draining && service.primary() != this;
     }
 
@@ -336,7 +338,7 @@
         if (downSinceMillis >= 0 || isTimedOut()) {
             return -1;
         }
-        return node.environment.nowMillis() - lastHeardMillis < SILENCE_TIMEOUT_MS
+        return node.environment.nowMillis() - lastResponseMillis < UNRESPONSIVE_TIMEOUT_MS
                         && !connections.isEmpty()
                 ? 1
                 : 0;
--- a/src/main/java/dillfront/dataplane/StatementExecution.java
+++ b/src/main/java/dillfront/dataplane/StatementExecution.java
@@ -4,20 +4,20 @@
 import dillfront.common.config.Configuration.Route;
 import dillfront.common.database.LogPosition;
 import dillfront.common.environment.Environment;
-import dillfront.dataplane.StatementRetryPolicy.Verdict;
+import dillfront.dataplane.StatementRetryPolicy.RetryDecision;
 
 /** Runs one client statement, on its own or inside the open transaction. */
 final class StatementExecution extends Execution {
 
     /** The response is due this long before the client's time-out, so that it arrives in time. */
-    private static final long ANSWER_MARGIN_MS = 25;
+    private static final long RESPONSE_MARGIN_MS = 25;
 
-    private static final long RETRY_PAUSE_MS = 20;
+    private static final long RETRY_DELAY_MS = 20;
     private static final int RETRY_JITTER_MS = 20;
     private static final int MAX_PRIMARY_CHECKS = 3;
 
     /** The ratio of a route's target latency to the usual latency of a server. */
-    private static final double USUAL_PART_OF_TARGET = 12.0;
+    private static final double TARGET_TO_USUAL_LATENCY_RATIO = 12.0;
 
     private static final double MAX_SLOWDOWN = 8;
     private static final double SLOWDOWN_SMOOTHING = 0.1;
@@ -25,13 +25,13 @@
     final Statement statement;
 
     /** The statement as the client sent it. */
-    private final String text;
+    private final String clientStatement;
 
     /**
      * The definition of the prepared statement that is executed, "READ shape" or "WRITE shape";
      * null if there is none.
      */
-    private final String shape;
+    private final String preparedDefinition;
 
     private final boolean writes;
     private Environment.Timer timeout;
@@ -42,31 +42,32 @@
     /**
      * Creates the execution of a client statement.
      *
-     * @param shape the definition of the prepared statement that is executed; null if there is none
+     * @param preparedDefinition the definition of the prepared statement that is executed; null if
+     *     there is none
      */
     StatementExecution(
             ClientSession session,
             String id,
-            String text,
+            String clientStatement,
             Statement statement,
             Route route,
-            String shape) {
+            String preparedDefinition) {
         super(session, id, route);
-        this.text = text;
+        this.clientStatement = clientStatement;
         this.statement = statement;
-        this.shape = shape;
+        this.preparedDefinition = preparedDefinition;
         writes =
-                shape == null
+                preparedDefinition == null
                         ? statement.verb() == Statement.Verb.WRITE
-                        : shape.startsWith("WRITE ");
+                        : preparedDefinition.startsWith("WRITE ");
     }
 
     boolean writes() {
         return writes;
     }
 
-    String shape() {
-        return shape;
+    String preparedDefinition() {
+        return preparedDefinition;
     }
 
     boolean isCommit() {
@@ -74,24 +75,27 @@
     }
 
     /** Returns the statement text for the server. */
-    String line() {
-        return shape == null
-                ? text
-                : "EXECUTE " + ServerConnection.preparedName(shape) + " " + statement.arguments();
+    String serverStatement() {
+        return preparedDefinition == null
+                ? clientStatement
+                : "EXECUTE "
+                        + ServerConnection.preparedName(preparedDefinition)
+                        + " "
+                        + statement.arguments();
     }
 
     /**
      * Returns when the client's time-out ends. By then the client has a reply or is gone, and a
      * connection without a response is closed.
      */
-    long overdueMillis() {
-        return sinceMillis + route.timeoutMillis();
+    long deadlineMillis() {
+        return receivedMillis + route.timeoutMillis();
     }
 
     /** Starts the time-out of the statement. */
     void startTimeout(Runnable onTimeout) {
-        long untilMillis = overdueMillis() - ANSWER_MARGIN_MS;
-        timeout = node.environment.schedule(Math.max(1, untilMillis - now()), onTimeout);
+        long replyDeadlineMillis = deadlineMillis() - RESPONSE_MARGIN_MS;
+        timeout = node.environment.schedule(Math.max(1, replyDeadlineMillis - now()), onTimeout);
     }
 
     /** Marks the statement as finished; cancels its timer and its waiter. */
@@ -113,22 +117,22 @@
     }
 
     @Override
-    void onNoServer() {
-        awaitChange();
+    void onNoServerAvailable() {
+        awaitServiceChange();
     }
 
     @Override
     void onServerUnavailable(ServerPool server) {
         DatabaseService service = service();
         if (server == service.primary() || server.id.equals(service.primary)) {
-            awaitChange();
+            awaitServiceChange();
             return;
         }
-        tried.add(server);
+        excludedServers.add(server);
         node.environment.schedule(
                 0,
                 () -> {
-                    if (isWanted()) {
+                    if (isActive()) {
                         acquire();
                     }
                 });
@@ -138,16 +142,16 @@
      * Retries after the next change of the service. Refuses the statement if its wait is over or no
      * primary is expected soon.
      */
-    private void awaitChange() {
-        if (!isPatient() || !service().expectsPrimarySoon()) {
+    private void awaitServiceChange() {
+        if (!hasWaitTimeLeft() || !service().expectsPrimarySoon()) {
             session.refuse(this);
             return;
         }
-        tried.clear();
+        excludedServers.clear();
         waiter =
                 () -> {
                     waiter = null;
-                    if (isWanted()) {
+                    if (isActive()) {
                         acquire();
                     }
                 };
@@ -157,7 +161,7 @@
     @Override
     void onConnection(ServerPool server, ServerConnection borrowed, LogPosition position) {
         boolean bounded = mayUseReplica() && position != null;
-        if (writes || bounded || service().isCertainPrimary(server)) {
+        if (writes || bounded || service().isConfirmedPrimary(server)) {
             send(server, borrowed, bounded ? position : null);
             return;
         }
@@ -167,8 +171,8 @@
                 () -> send(server, borrowed, null),
                 () -> {
                     connection = null;
-                    if (attempts++ < MAX_PRIMARY_CHECKS && isPatient()) {
-                        afterPause(this::acquire);
+                    if (attempts++ < MAX_PRIMARY_CHECKS && hasWaitTimeLeft()) {
+                        runAfterRetryDelay(this::acquire);
                     } else {
                         session.refuse(this);
                     }
@@ -178,27 +182,28 @@
     /**
      * Sends the statement.
      *
-     * @param after the server rejects the read until its log covers this position; null for no such
-     *     bound
+     * @param minPosition the server rejects the read until its log covers this position; null for
+     *     no such bound
      */
-    private void send(ServerPool server, ServerConnection on, LogPosition after) {
-        connection = on;
+    private void send(
+            ServerPool server, ServerConnection serverConnection, LogPosition minPosition) {
+        connection = serverConnection;
         long sentMillis = now();
-        LogPosition before = server.knownPosition;
-        on.query(
+        LogPosition requestPosition = server.knownPosition;
+        serverConnection.query(
                 session.variables(),
-                shape,
+                preparedDefinition,
                 id,
-                (after == null ? "" : "AFTER " + after + " ") + line(),
-                overdueMillis(),
+                (minPosition == null ? "" : "AFTER " + minPosition + " ") + serverStatement(),
+                deadlineMillis(),
                 result -> {
                     connection = null;
                     if (result.isCompleted()) {
-                        onCompleted(server, on, sentMillis, before, result);
+                        onCompleted(server, serverConnection, sentMillis, requestPosition, result);
                         return;
                     }
-                    giveBack(on, result);
-                    if (isWanted()) {
+                    returnConnection(serverConnection, result);
+                    if (isActive()) {
                         onFailed(server, result);
                     }
                 });
@@ -206,34 +211,36 @@
 
     private void onCompleted(
             ServerPool server,
-            ServerConnection on,
+            ServerConnection serverConnection,
             long sentMillis,
-            LogPosition before,
+            LogPosition requestPosition,
             QueryResult result) {
-        server.onCaughtUp();
+        server.decayLagBackoff();
         DatabaseService service = service();
-        boolean certain = service.isCertainPrimary(server);
+        boolean confirmedPrimary = service.isConfirmedPrimary(server);
         if (writes) {
-            service.onAcknowledged(server, before, result.position());
+            service.onAcknowledged(server, requestPosition, result.position());
         }
-        if (writes || certain) {
-            service.floors.onPrimaryPosition(result.position(), sentMillis);
+        if (writes || confirmedPrimary) {
+            service.primaryPositions.onPrimaryPosition(result.position(), sentMillis);
         }
-        giveBack(on, result);
-        measure(server, sentMillis);
-        if (!isWanted()) {
+        returnConnection(serverConnection, result);
+        updateSlowdown(server, sentMillis);
+        if (!isActive()) {
             return;
         }
         if (writes) {
             session.onWriteAcknowledged(result.position());
         }
-        session.answer(this, result);
+        session.complete(this, result);
     }
 
-    private void measure(ServerPool server, long sentMillis) {
-        double usual = Math.max(1, route.targetLatencyMillis() / USUAL_PART_OF_TARGET);
-        double slowdown = Math.min(MAX_SLOWDOWN, Math.max(0.5, (now() - sentMillis) / usual));
-        server.slowdown += SLOWDOWN_SMOOTHING * (Math.max(1, slowdown) - server.slowdown);
+    private void updateSlowdown(ServerPool server, long sentMillis) {
+        double usualMillis =
+                Math.max(1, route.targetLatencyMillis() / TARGET_TO_USUAL_LATENCY_RATIO);
+        double latencyRatio =
+                Math.min(MAX_SLOWDOWN, Math.max(0.5, (now() - sentMillis) / usualMillis));
+        server.slowdown += SLOWDOWN_SMOOTHING * (Math.max(1, latencyRatio) - server.slowdown);
     }
 
     /** Handles a failed attempt: retries where that is permitted, else replies with an error. */
@@ -242,16 +249,16 @@
             node.counters.laggingReplies++;
             server.onLagging();
         }
-        Verdict verdict =
-                StatementRetryPolicy.decide(
-                        result, writes, attempts, (int) route.maxAttempts(), isPatient());
-        if (verdict.excludeServer()) {
-            tried.add(server);
+        RetryDecision decision =
+                StatementRetryPolicy.evaluate(
+                        result, writes, attempts, (int) route.maxAttempts(), hasWaitTimeLeft());
+        if (decision.excludeServer()) {
+            excludedServers.add(server);
         }
-        attempts += verdict.countAttempt() ? 1 : 0;
-        switch (verdict.decision()) {
-            case RETRY_AT_ONCE -> acquire();
-            case RETRY_AFTER_PAUSE -> afterPause(this::acquire);
+        attempts += decision.countAttempt() ? 1 : 0;
+        switch (decision.action()) {
+            case RETRY_IMMEDIATELY -> acquire();
+            case RETRY_AFTER_DELAY -> runAfterRetryDelay(this::acquire);
             case REFUSE -> session.refuse(this);
             case UNCERTAIN -> session.fail(this, "UNCERTAIN", "the connection ended");
             case ABORTED -> session.fail(this, "ABORTED", "the connection ended");
@@ -260,12 +267,12 @@
     }
 
     /** Runs an action after the retry delay, unless the statement is finished by then. */
-    void afterPause(Runnable action) {
-        long pause = RETRY_PAUSE_MS + node.environment.random().nextInt(RETRY_JITTER_MS);
+    void runAfterRetryDelay(Runnable action) {
+        long delayMillis = RETRY_DELAY_MS + node.environment.random().nextInt(RETRY_JITTER_MS);
         node.environment.schedule(
-                pause,
+                delayMillis,
                 () -> {
-                    if (isWanted()) {
+                    if (isActive()) {
                         action.run();
                     }
                 });
