--- a/src/main/java/dillfront/dataplane/ClientSession.java
+++ b/src/main/java/dillfront/dataplane/ClientSession.java
@@ -34,7 +34,7 @@
     private final Map<String, String> variables = new HashMap<>();
     private final Map<String, String> preparedDefinitions = new HashMap<>();
     private final ArrayDeque<String> pipelinedLines = new ArrayDeque<>();
-    private Environment.Connection client;
+    private Environment.Connection clientConnection;
 
     /** The database that the client named in CONNECT; null before CONNECT. */
     private String database;
@@ -100,7 +100,7 @@
 
     @Override
     public void onOpen(Environment.Connection connection) {
-        client = connection;
+        clientConnection = connection;
     }
 
     @Override
@@ -428,10 +428,10 @@
 
     private void send(String lines) {
         if (!closed) {
-            client.send(lines.getBytes(StandardCharsets.ISO_8859_1));
-            if (client.pendingBytes() > MAX_UNREAD_BYTES) {
+            clientConnection.send(lines.getBytes(StandardCharsets.ISO_8859_1));
+            if (clientConnection.pendingBytes() > MAX_UNREAD_BYTES) {
                 onClose("output limit exceeded");
-                client.close();
+                clientConnection.close();
             }
         }
     }
@@ -440,7 +440,7 @@
 
     private void close() {
         if (!closed) {
-            Environment.Connection connection = client;
+            Environment.Connection connection = clientConnection;
             onClose("ended");
             connection.close();
         }
--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -69,7 +69,7 @@
     private String source = "-";
 
     /** The number of sources abandoned since the last response. */
-    private int failedSources;
+    private int abandonedSources;
 
     private Environment.Connection connection;
     private boolean connected;
@@ -83,7 +83,7 @@
 
     private boolean updatePending;
     private long requestId;
-    private long requestMillis;
+    private long lastRequestMillis;
 
     /** When the acknowledged commits of services with a draining server were last reported. */
     private long acknowledgedReportMillis = -ACKNOWLEDGED_INTERVAL_MS;
@@ -101,7 +101,7 @@
     private long unreadableRevision = UNSET;
 
     private long recordNumber = UNSET;
-    private List<String> suspects = List.of();
+    private List<String> suspectedServices = List.of();
     private long suspectsVersion = UNSET;
     private long primariesConfirmedUntilMillis = UNSET;
     private int dataPlanes = DEFAULT_DATA_PLANES;
@@ -157,7 +157,7 @@
                         CONNECT_TIMEOUT_MS,
                         listener);
         connection = listener.ownConnection;
-        expectResponseWithin(CONNECT_TIMEOUT_MS + 100);
+        startResponseTimer(CONNECT_TIMEOUT_MS + 100);
     }
 
     /** Ignores messages on a connection that was replaced, as they answer earlier requests. */
@@ -178,7 +178,7 @@
         @Override
         public void onMessage(byte[] message) {
             if (connection == ownConnection) {
-                receive(message);
+                handleResponse(message);
             }
         }
 
@@ -190,7 +190,7 @@
         }
     }
 
-    private void expectResponseWithin(long millis) {
+    private void startResponseTimer(long millis) {
         if (responseTimer != null) {
             responseTimer.cancel();
         }
@@ -209,12 +209,12 @@
         sources.startCooldown(
                 source, reason.equals(ISOLATED_REASON) ? ISOLATED_COOLDOWN_MS : COOLDOWN_MS);
         connected = false;
-        failedSources++;
+        abandonedSources++;
         int sourceCount = Math.max(1, sources.size());
-        boolean allSourcesFailed = failedSources % sourceCount == 0;
-        int delayFactor = Math.min(failedSources / sourceCount, MAX_RECONNECT_DELAY_FACTOR);
+        boolean allSourcesAbandoned = abandonedSources % sourceCount == 0;
+        int delayFactor = Math.min(abandonedSources / sourceCount, MAX_RECONNECT_DELAY_FACTOR);
         node.environment.schedule(
-                allSourcesFailed ? RECONNECT_DELAY_MS * delayFactor : 1, this::connect);
+                allSourcesAbandoned ? RECONNECT_DELAY_MS * delayFactor : 1, this::connect);
     }
 
     // ---- requests
@@ -228,7 +228,7 @@
             return;
         }
         updatePending = true;
-        long delay = requestMillis + REQUEST_COALESCING_MS - node.environment.nowMillis();
+        long delay = lastRequestMillis + REQUEST_COALESCING_MS - node.environment.nowMillis();
         node.environment.schedule(
                 Math.max(0, delay),
                 () -> {
@@ -240,16 +240,16 @@
     }
 
     private void sendRequest() {
-        requestMillis = node.environment.nowMillis();
+        lastRequestMillis = node.environment.nowMillis();
         requestId++;
-        connection.send(SubscriptionCodec.encode(request()));
+        connection.send(SubscriptionCodec.encode(createRequest()));
         if (!awaitingResponse) {
             awaitingResponse = true;
-            expectResponseWithin(RESPONSE_TIMEOUT_MS);
+            startResponseTimer(RESPONSE_TIMEOUT_MS);
         }
     }
 
-    private SubscriptionRequest request() {
+    private SubscriptionRequest createRequest() {
         Configuration configuration = node.configuration();
         boolean includesDigest = !digestSent;
         digestSent = true;
@@ -276,14 +276,14 @@
      */
     private List<PrimaryView> primaryViews() {
         boolean includesAcknowledged =
-                requestMillis >= acknowledgedReportMillis + ACKNOWLEDGED_INTERVAL_MS;
+                lastRequestMillis >= acknowledgedReportMillis + ACKNOWLEDGED_INTERVAL_MS;
         List<PrimaryView> views = new ArrayList<>();
         for (DatabaseService service : node.services()) {
             ServerPool primary = service.servers.get(service.primary);
             int reachability = primary == null ? 0 : primary.reachability();
             if (reachability < 0
                     || service.moving
-                    || suspects.contains(service.name)
+                    || suspectedServices.contains(service.name)
                     || includesAcknowledged && service.hasDrainingServer()) {
                 AcknowledgedCommits acknowledged = service.acknowledged;
                 views.add(
@@ -296,14 +296,14 @@
             }
         }
         if (!views.isEmpty() && includesAcknowledged) {
-            acknowledgedReportMillis = requestMillis;
+            acknowledgedReportMillis = lastRequestMillis;
         }
         return views;
     }
 
     // ---- responses
 
-    private void receive(byte[] message) {
+    private void handleResponse(byte[] message) {
         SubscriptionResponse response;
         try {
             response = SubscriptionCodec.decodeResponse(message);
@@ -314,7 +314,7 @@
         if (response.requestId() == requestId) {
             awaitingResponse = false;
         } else {
-            expectResponseWithin(RESPONSE_TIMEOUT_MS);
+            startResponseTimer(RESPONSE_TIMEOUT_MS);
         }
         if (response.registry() != null) {
             applyRegistry(response.registry());
@@ -325,7 +325,7 @@
         response.records().forEach(this::applyRecord);
         if (response.suspects() != null) {
             suspectsVersion = response.suspects().version();
-            suspects = response.suspects().services();
+            suspectedServices = response.suspects().services();
         }
         if (response.addresses() != null) {
             sources.update(response.addresses(), response.isolated(), node.settings.seedIps());
@@ -346,14 +346,14 @@
             primariesConfirmedUntilMillis =
                     Math.max(
                             primariesConfirmedUntilMillis,
-                            requestMillis + response.certainMillis());
+                            lastRequestMillis + response.certainMillis());
         }
         if (response.isolated()) {
             // An isolated source may have older state than the others.
             switchSource(ISOLATED_REASON);
             return;
         }
-        failedSources = 0;
+        abandonedSources = 0;
         String betterSource = sources.findBetter(source);
         ConfigurationUpdate configuration = response.configuration();
         if (betterSource != null) {
--- a/src/main/java/dillfront/dataplane/DatabaseService.java
+++ b/src/main/java/dillfront/dataplane/DatabaseService.java
@@ -72,7 +72,7 @@
     private boolean noPrimaryReported;
 
     /** The reachability of the primary at the last check. */
-    private int reportedReachability;
+    private int lastReachability;
 
     private final List<Runnable> waiters = new ArrayList<>();
 
@@ -157,30 +157,30 @@
         }
         long now = node.environment.nowMillis();
         noPrimarySinceMillis = noPrimarySinceMillis < 0 ? now : noPrimarySinceMillis;
-        long missingMillis = now - noPrimarySinceMillis;
-        boolean expected =
-                missingMillis
+        long noPrimaryMillis = now - noPrimarySinceMillis;
+        boolean primaryExpected =
+                noPrimaryMillis
                         < MAX_MOVE_HEARTBEAT_INTERVALS * node.settings.heartbeatIntervalMillis();
-        if (!expected && !noPrimaryReported) {
+        if (!primaryExpected && !noPrimaryReported) {
             node.environment.warn(
                     "no-primary service="
                             + name
                             + " for_ms="
-                            + missingMillis
+                            + noPrimaryMillis
                             + " recorded="
                             + primary
                             + (moving ? " moving" : ""));
         }
-        noPrimaryReported = !expected;
-        return expected;
+        noPrimaryReported = !primaryExpected;
+        return primaryExpected;
     }
 
     /** Returns whether the primary became reachable or unreachable since the last call. */
     boolean checkReachabilityChange() {
         ServerPool server = servers.get(primary);
         int reachability = server == null ? 0 : server.reachability();
-        boolean changed = reachability < 0 != reportedReachability < 0;
-        reportedReachability = reachability;
+        boolean changed = reachability < 0 != lastReachability < 0;
+        lastReachability = reachability;
         return changed;
     }
 
--- a/src/test/java/dillfront/common/database/AcceptedDataLossTest.java
+++ b/src/test/java/dillfront/common/database/AcceptedDataLossTest.java
@@ -11,58 +11,65 @@
 /** The acceptance of a data loss covers exactly the commits that the operator was shown. */
 class AcceptedDataLossTest {
 
-    private static LogPosition at(String text) {
+    private static LogPosition position(String text) {
         return LogPosition.parse(text);
     }
 
     private static AcknowledgedCommits commits(String lowerBound, String upperBound) {
-        return new AcknowledgedCommits(at(lowerBound), at(upperBound));
+        return new AcknowledgedCommits(position(lowerBound), position(upperBound));
     }
 
     private final AcceptedDataLoss loss =
             AcceptedDataLoss.accept(
-                    7, at("1.10"), commits("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
+                    7, position("1.10"), commits("1.70", "1.72"), List.of("i 1,2", "i-3"), null);
 
     @Test
     void losesOnlyAcceptedCommits() {
-        assertEquals(at("1.9"), loss.exclude(at("1.9")));
-        assertEquals(at("1.10"), loss.exclude(at("1.11")));
-        assertEquals(at("1.10"), loss.exclude(at("1.72")));
-        assertEquals(at("1.73"), loss.exclude(at("1.73")), "newer than the acknowledged commits");
-        assertEquals(at("2.11"), loss.exclude(at("2.11")), "a commit of the next primary");
+        assertEquals(position("1.9"), loss.exclude(position("1.9")));
+        assertEquals(position("1.10"), loss.exclude(position("1.11")));
+        assertEquals(position("1.10"), loss.exclude(position("1.72")));
+        assertEquals(
+                position("1.73"),
+                loss.exclude(position("1.73")),
+                "newer than the acknowledged commits");
+        assertEquals(
+                position("2.11"), loss.exclude(position("2.11")), "a commit of the next primary");
         assertNull(loss.exclude((LogPosition) null));
         assertEquals(commits("1.10", "1.73"), loss.exclude(commits("1.70", "1.73")));
     }
 
     @Test
     void keepsCommitsOfNextPrimary() {
-        AcceptedDataLoss reduced = loss.withPrimaryLogEnd(at("1.40"));
-        assertEquals(at("1.40"), reduced.exclude(at("1.70")));
-        assertEquals(at("1.30"), reduced.exclude(at("1.30")));
+        AcceptedDataLoss reduced = loss.withPrimaryLogEnd(position("1.40"));
+        assertEquals(position("1.40"), reduced.exclude(position("1.70")));
+        assertEquals(position("1.30"), reduced.exclude(position("1.30")));
         assertTrue(reduced.losesCommits());
         assertFalse(
-                loss.withPrimaryLogEnd(at("1.72")).losesCommits(),
+                loss.withPrimaryLogEnd(position("1.72")).losesCommits(),
                 "the former primary holds all commits");
-        assertEquals(at("1.70"), loss.withPrimaryLogEnd(at("1.72")).exclude(at("1.70")));
         assertEquals(
-                at("1.10"),
-                loss.withPrimaryLogEnd(at("1.5")).keptUpTo(),
+                position("1.70"),
+                loss.withPrimaryLogEnd(position("1.72")).exclude(position("1.70")));
+        assertEquals(
+                position("1.10"),
+                loss.withPrimaryLogEnd(position("1.5")).keptUpTo(),
                 "never below the log end that was shown");
     }
 
     @Test
     void secondLossContinuesTheFirst() {
         AcceptedDataLoss second =
-                AcceptedDataLoss.accept(9, at("1.8"), commits("1.10", "1.10"), List.of(), loss);
-        assertEquals(at("1.8"), second.exclude(at("1.72")));
-        assertTrue(second.matches(9, at("1.8"), commits("1.10", "1.10"), List.of()));
-        assertFalse(second.matches(7, at("1.8"), commits("1.10", "1.10"), List.of()));
-        assertFalse(second.matches(9, at("1.8"), commits("1.10", "1.10"), List.of("i-3")));
+                AcceptedDataLoss.accept(
+                        9, position("1.8"), commits("1.10", "1.10"), List.of(), loss);
+        assertEquals(position("1.8"), second.exclude(position("1.72")));
+        assertTrue(second.matches(9, position("1.8"), commits("1.10", "1.10"), List.of()));
+        assertFalse(second.matches(7, position("1.8"), commits("1.10", "1.10"), List.of()));
+        assertFalse(second.matches(9, position("1.8"), commits("1.10", "1.10"), List.of("i-3")));
     }
 
     @Test
     void parsesItsOwnText() {
-        AcceptedDataLoss reduced = loss.withPrimaryLogEnd(at("1.40"));
+        AcceptedDataLoss reduced = loss.withPrimaryLogEnd(position("1.40"));
         assertEquals(reduced, AcceptedDataLoss.parse(reduced.toString()));
         for (String malformed :
                 new String[] {
--- a/src/test/java/dillfront/dataplane/AcceptedLossReadsTest.java
+++ b/src/test/java/dillfront/dataplane/AcceptedLossReadsTest.java
@@ -24,7 +24,7 @@
     private ServerPool newPrimary;
     private ServerPool formerPrimary;
 
-    private static LogPosition at(String text) {
+    private static LogPosition position(String text) {
         return LogPosition.parse(text);
     }
 
@@ -54,12 +54,12 @@
         service = new DatabaseService(node, "db");
         formerPrimary = new ServerPool(node, service, "i-1", "10.0.0.8:1", "z");
         newPrimary = new ServerPool(node, service, "i-2", "10.0.0.9:1", "z");
-        service.onAcknowledged(formerPrimary, at("1.69"), at("1.72"));
+        service.onAcknowledged(formerPrimary, position("1.69"), position("1.72"));
         loss =
                 AcceptedDataLoss.accept(
                         7,
-                        at("1.10"),
-                        new AcknowledgedCommits(at("1.70"), at("1.72")),
+                        position("1.10"),
+                        new AcknowledgedCommits(position("1.70"), position("1.72")),
                         List.of(),
                         null);
         applyRecord(1, loss);
@@ -74,11 +74,11 @@
      */
     @Test
     void readDoesNotWaitForLostCommits() {
-        assertEquals(at("1.10"), service.withoutAcceptedLoss(at("1.70")));
-        assertEquals(at("1.9"), service.withoutAcceptedLoss(at("1.9")));
-        assertEquals(at("1.73"), service.withoutAcceptedLoss(at("1.73")));
+        assertEquals(position("1.10"), service.withoutAcceptedLoss(position("1.70")));
+        assertEquals(position("1.9"), service.withoutAcceptedLoss(position("1.9")));
+        assertEquals(position("1.73"), service.withoutAcceptedLoss(position("1.73")));
         applyRecord(2, null);
-        assertEquals(at("1.70"), service.withoutAcceptedLoss(at("1.70")));
+        assertEquals(position("1.70"), service.withoutAcceptedLoss(position("1.70")));
     }
 
     /**
@@ -87,25 +87,25 @@
      */
     @Test
     void commitsOfNextPrimaryFollowTheLoss() {
-        service.onAcknowledged(newPrimary, at("1.10"), at("2.11"));
-        assertEquals(at("1.73"), service.acknowledged.lowerBound());
+        service.onAcknowledged(newPrimary, position("1.10"), position("2.11"));
+        assertEquals(position("1.73"), service.acknowledged.lowerBound());
         assertEquals(
                 service.acknowledged,
                 loss.exclude(service.acknowledged),
                 "not part of the accepted loss");
-        service.onAcknowledged(newPrimary, at("2.11"), at("2.12"));
-        assertEquals(at("2.12"), service.acknowledged.lowerBound());
+        service.onAcknowledged(newPrimary, position("2.11"), position("2.12"));
+        assertEquals(position("2.12"), service.acknowledged.lowerBound());
     }
 
     @Test
     void commitsOfOtherServersDoNotFollowTheLoss() {
         AcknowledgedCommits before = service.acknowledged;
-        service.onAcknowledged(formerPrimary, at("1.20"), at("1.21"));
+        service.onAcknowledged(formerPrimary, position("1.20"), position("1.21"));
         assertEquals(before, service.acknowledged);
-        applyRecord(2, loss.withPrimaryLogEnd(at("1.72")));
-        service.onAcknowledged(newPrimary, at("1.72"), at("1.73"));
+        applyRecord(2, loss.withPrimaryLogEnd(position("1.72")));
+        service.onAcknowledged(newPrimary, position("1.72"), position("1.73"));
         assertEquals(
-                at("1.73"),
+                position("1.73"),
                 service.acknowledged.lowerBound(),
                 "the log of the former primary continues");
     }
