--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -308,7 +308,7 @@
         try {
             response = SubscriptionCodec.decodeResponse(message);
         } catch (MessageCodec.MalformedMessageException malformed) {
-            switchSource("malformed response");
+            switchSource("bad");
             return;
         }
         if (response.requestId() == requestId) {
