--- a/src/main/java/dillfront/controlplane/consensus/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -1,8 +1,8 @@
 package dillfront.controlplane.consensus;
 
 /**
- * The number of a round of agreement. Rounds are compared first, then proposers, so no two
- * proposers share a ballot. {@link #NONE} is below all.
+ * Identifies a round. Ballots are ordered by round and then by proposer, so two proposers never
+ * share a ballot. {@link #NONE} is below all others.
  *
  * @param proposer the id of the process that leads the round
  */
@@ -24,16 +24,16 @@
         return a.isAbove(b) ? a : b;
     }
 
-    /** The form on disk and in messages. */
+    /** Returns the text format that is used on disk and in messages. */
     String encode() {
         return round + " " + proposer;
     }
 
     /**
-     * Reads what {@link #encode} made.
+     * Parses the result of {@link #encode}.
      *
-     * @return {@link #NONE} for a text without a blank, the empty one among them
-     * @throws NumberFormatException where the round is no number
+     * @return {@link #NONE} for a text without a space, including the empty text
+     * @throws NumberFormatException if the round is not a number
      */
     public static Ballot parse(String text) {
         int blank = text.indexOf(' ');
--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -9,39 +9,39 @@
 import java.util.TreeSet;
 
 /**
- * Which processes are to be members, as the lease holder sees them. One step at a time: at most one
- * joins and at most one leaves. None leaves for good by this: one that was away and comes back is
- * taken in again.
+ * Computes the next member set on behalf of the lease holder. Each step adds at most one process
+ * and removes at most one. Removal is not permanent: a removed process that is reachable again may
+ * rejoin.
  */
 public final class MembershipPolicy {
 
     /**
-     * More members cost more messages than they bear losses; there may be more where the tolerated
-     * losses want it.
+     * Default upper bound, because each member adds message load. A higher number of tolerated
+     * losses raises the bound.
      */
     static final int MAX_MEMBERS = 7;
 
     private static final int MIN_MEMBERS = 3;
 
-    /** A member that was silent for so long gives its place to another process. */
+    /** Silence after which another process replaces a member. */
     static final long REPLACE_AFTER_MS = 1_500;
 
     /**
-     * And is removed without a replacement after so long, so that the remaining members are not
-     * held up by two that are gone.
+     * Silence after which a member is removed without a replacement, so that two unreachable
+     * members do not block the remaining ones.
      */
     static final long REMOVE_AFTER_MS = 30_000;
 
-    /** The silence of a member at whose address another process answers. */
+    /** The silence of a member whose address is used by another process. */
     public static final long REPLACED = Long.MAX_VALUE;
 
     /**
-     * A process, a member or not.
+     * A process that is or may become a member.
      *
-     * @param silentMillis for how long nothing came from it; {@link #REPLACED} where another
-     *     process is at its address
-     * @param caughtUp it answers, and holds all that is decided
-     * @param leaving it said that it ends
+     * @param silentMillis time since the last message from the process; {@link #REPLACED} if
+     *     another process uses its address
+     * @param caughtUp the process responds and has all decided values
+     * @param leaving the process announced its shutdown
      */
     public record Candidate(
             String id, String zone, long silentMillis, boolean caughtUp, boolean leaving) {}
@@ -49,10 +49,10 @@
     private MembershipPolicy() {}
 
     /**
-     * The next members; the same ones where nothing is to be changed.
+     * Returns the next member set, which equals the current one if no change is needed.
      *
-     * @param candidates all processes that are known, each member among them
-     * @param toleratedLosses how many members may be lost at once
+     * @param candidates all known processes, including all members
+     * @param toleratedLosses the number of members that may fail at the same time
      */
     public static SortedSet<String> nextMembers(
             SortedSet<String> members, List<Candidate> candidates, int toleratedLosses) {
@@ -99,7 +99,10 @@
         return worst;
     }
 
-    /** Processes that could become members; those of zones with few members first. */
+    /**
+     * Returns the processes that may become members, ordered by the number of members in their
+     * zones.
+     */
     private static List<Candidate> learners(SortedSet<String> members, List<Candidate> candidates) {
         Map<String, Integer> membersByZone = new TreeMap<>();
         List<Candidate> learners = new ArrayList<>();
--- a/src/main/java/dillfront/controlplane/consensus/QuorumRead.java
+++ b/src/main/java/dillfront/controlplane/consensus/QuorumRead.java
@@ -4,23 +4,23 @@
 import java.util.function.Predicate;
 
 /**
- * A linearizable read of the configuration. It returns what is decided once a majority of the
- * members of just that value has answered since the read began, and nothing that any of them
- * accepted is above it. A majority of older members does not do: they may have been replaced, and
- * know no more than by whom.
+ * Performs a linearizable read of the configuration. The read returns the decided value once a
+ * majority of the members of that value has answered since the read began and none of them has
+ * accepted a higher ballot. A majority of a former member set is not sufficient: those members may
+ * have been replaced, and may know only their direct successors.
  */
 public final class QuorumRead {
 
-    /** The value whose members were counted, and the ballot that a result must have reached. */
+    /** The value whose members were counted, and the minimum ballot of the result. */
     private RegisterValue countedValue;
 
     private Ballot minimumBallot;
 
     /**
-     * Looks whether the read can end.
+     * Checks whether the read is complete.
      *
-     * @param answered whether the process of this id is this one, or answered a message that was
-     *     sent since the read began
+     * @param answered whether the process with this id is the local one or has answered a message
+     *     that was sent after the read began
      * @return null while the result is not known
      */
     public Configuration poll(ReplicatedRegister register, Predicate<String> answered) {
--- a/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
@@ -7,14 +7,15 @@
 import java.util.Map;
 
 /**
- * What one process says of the register to another: its state as acceptor and learner, the round
- * that it leads as proposer, and a value that the other lacks. A message that is lost, repeated or
- * late does no harm.
+ * Carries one process's register state to a peer: its acceptor and learner state, the round that it
+ * leads as proposer, and a value that the peer lacks. Lost, duplicated and reordered messages are
+ * harmless.
  *
- * @param received the ballot of the last value that came from the addressee
- * @param proposal the ballot of the round that it leads; {@link Ballot#NONE} for none
- * @param proposalHasValue the round is in its accept phase: the value of that ballot is offered
- * @param valueBallot of the value; {@link Ballot#NONE} where there is none
+ * @param received the ballot of the last value received from the addressee
+ * @param proposal the ballot of the round that the sender leads; {@link Ballot#NONE} for none
+ * @param proposalHasValue whether the round is in its accept phase, in which the value of that
+ *     ballot is proposed
+ * @param valueBallot the ballot of the value; {@link Ballot#NONE} if there is no value
  * @param value null for none
  */
 public record RegisterMessage(
@@ -37,14 +38,15 @@
     private static final String VALUE = "v";
 
     /**
-     * A {@link RegisterValue}, whole or by its difference from one that the addressee has.
+     * A {@link RegisterValue}, complete or as a delta to a value that the addressee has.
      *
      * @param revisionDigests pairs of a revision and the digest of its content
-     * @param addsDigests the pairs are those that the base lacks; else they are all
-     * @param base the ballot of the value that this one is told by; {@link Ballot#NONE} for a whole
-     *     one
-     * @param compressed the whole configuration; null where there is a base
-     * @param delta from the base's configuration; null where it is the same, or for a whole value
+     * @param addsDigests whether the pairs are added to those of the base; otherwise they are
+     *     complete
+     * @param base the ballot of the base value; {@link Ballot#NONE} for a complete value
+     * @param compressed the complete configuration; null for a delta
+     * @param delta the delta to the base's configuration; null for an unchanged configuration or a
+     *     complete value
      */
     public record EncodedValue(
             long epoch,
@@ -95,7 +97,8 @@
             Ballot base = ballot(fields, BASE);
             byte[] compressed = fields.bytes(COMPRESSED);
             if (base.equals(Ballot.NONE) && compressed == null) {
-                throw new MessageCodec.MalformedMessageException("a value without a configuration");
+                throw new MessageCodec.MalformedMessageException(
+                        "complete register value has no configuration");
             }
             List<Long> digests = new ArrayList<>();
             for (String number : fields.strings(DIGESTS)) {
@@ -103,7 +106,7 @@
                     digests.add(Long.parseLong(number));
                 } catch (NumberFormatException bad) {
                     throw new MessageCodec.MalformedMessageException(
-                            "a digest that is no number: " + number);
+                            "revision digest is not a number: " + number);
                 }
             }
             return new EncodedValue(
@@ -119,7 +122,7 @@
         }
     }
 
-    /** The fields of a message. */
+    /** Encodes the message as fields. */
     public Map<String, Object> toFields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(PROMISED, promised.encode());
@@ -138,9 +141,9 @@
     }
 
     /**
-     * Reads what {@link #toFields} made.
+     * Decodes the result of {@link #toFields}.
      *
-     * @throws MessageCodec.MalformedMessageException where a ballot or a value is none
+     * @throws MessageCodec.MalformedMessageException if a ballot or the value is malformed
      */
     public static RegisterMessage fromFields(MessageCodec.Fields fields)
             throws MessageCodec.MalformedMessageException {
@@ -161,7 +164,7 @@
         try {
             return Ballot.parse(fields.string(name));
         } catch (NumberFormatException bad) {
-            throw new MessageCodec.MalformedMessageException(name + ": no ballot");
+            throw new MessageCodec.MalformedMessageException(name + " is not a ballot");
         }
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The form in which an acceptor's state stands on disk: texts under names. A configuration is cut
- * into chunks, for a text of the store has a bound.
+ * Converts an acceptor's state to and from the named texts of the state store. A configuration is
+ * split into chunks, because the store limits the length of a text.
  */
 final class RegisterStorage {
 
@@ -23,13 +23,13 @@
     private static final String CHUNK_COUNT = "pieces";
     private static final int CHUNK_CHARS = 16_000;
 
-    /** How many chunks may be on the disk, be it that a write of theirs failed. */
+    /** Upper bound on the number of chunks on disk; a failed write may have stored its chunks. */
     private int chunkCount;
 
     /**
-     * What an acceptor had on its disk.
+     * The restored state of an acceptor.
      *
-     * @param value null where nothing was accepted
+     * @param value null if no value was accepted
      */
     record AcceptorState(Ballot promised, Ballot accepted, RegisterValue value) {}
 
@@ -76,15 +76,15 @@
         return digests;
     }
 
-    /** A promise alone. */
+    /** Returns the texts for a promise. */
     static Map<String, String> promise(Ballot ballot) {
         return Map.of(PROMISED, ballot.encode());
     }
 
     /**
-     * An accepted value with its ballot, which is a promise too.
+     * Returns the texts for an acceptance, which implies a promise for the same ballot.
      *
-     * @param before what is on the disk; a configuration that is the same is not written again
+     * @param before the value on disk; an unchanged configuration is not written again
      */
     Map<String, String> acceptance(
             Ballot promised, Ballot ballot, RegisterValue value, RegisterValue before) {
@@ -130,7 +130,7 @@
         return chunkCount;
     }
 
-    /** A write failed: whether its chunks, or those before, are on the disk is not known. */
+    /** Handles a failed write, after which the disk may hold the new chunks or the former ones. */
     void onWriteFailed(int chunkCountBefore) {
         chunkCount = Math.max(chunkCountBefore, chunkCount);
     }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
@@ -12,15 +12,15 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What the register holds: the members and the configuration, as one value.
+ * The register's value: the member set and the configuration.
  *
- * @param epoch one more with each change of the members
- * @param members ids of the processes whose disks count
- * @param outgoing the members before, while both sets are in force (a joint value); else empty
- * @param retired the outgoing members of the joint value that this one follows: a majority of them
- *     still has to accept this value; else empty
- * @param revisionDigests revisions of configurations that were decided, the newest ones, each with
- *     the digest of its content
+ * @param epoch incremented by each step of a member change
+ * @param members the ids of the processes whose acceptances count
+ * @param outgoing the former members while both sets are in force (a joint value); otherwise empty
+ * @param retired the outgoing members of the preceding joint value, a majority of which must still
+ *     accept this value; otherwise empty
+ * @param revisionDigests the newest decided configuration revisions, each with the digest of its
+ *     content
  */
 public record RegisterValue(
         long epoch,
@@ -35,34 +35,34 @@
             Collections.unmodifiableSortedSet(new TreeSet<>());
     private static final char ID_SEPARATOR = '/';
 
-    /** What became of a proposed configuration, by a decided value. */
+    /** The outcome of a proposed configuration, according to a decided value. */
     public enum Outcome {
-        /** It is in force, or was, or was overtaken by a higher revision. */
+        /** The configuration is or was in force, or was superseded by a higher revision. */
         ACCEPTED,
-        /** Its revision has another content. */
+        /** The revision is already used for another content. */
         CONFLICT,
-        /** Nothing is decided of it. */
+        /** The outcome is not decided yet. */
         PENDING
     }
 
-    /** The first value of a system. */
+    /** Returns the initial value of a new cluster. */
     static RegisterValue initial(SortedSet<String> members) {
         return new RegisterValue(
                 1, members, NO_MEMBERS, NO_MEMBERS, Configuration.NONE, new TreeMap<>());
     }
 
-    /** Whether two sets of members are in force. */
+    /** Returns whether two member sets are in force. */
     public boolean isJoint() {
         return !outgoing.isEmpty();
     }
 
-    /** Whether these processes are a majority of each set of members in force. */
+    /** Returns whether the processes form a majority of each member set in force. */
     public boolean isQuorum(Predicate<String> included) {
         return isMajority(members, included)
                 && (outgoing.isEmpty() || isMajority(outgoing, included));
     }
 
-    /** Whether these acceptors are enough for this value to be decided. */
+    /** Returns whether acceptance by these processes decides this value. */
     public boolean isDecidedBy(Predicate<String> accepted) {
         return isQuorum(accepted) && (retired.isEmpty() || isMajority(retired, accepted));
     }
@@ -75,7 +75,7 @@
         return count > members.size() / 2;
     }
 
-    /** The highest value of this quantity that a majority of each set of members has reached. */
+    /** Returns the highest value that a majority of each member set has reached. */
     public long quorumReached(ToLongFunction<String> quantity) {
         long reached = majorityReached(members, quantity);
         return outgoing.isEmpty()
@@ -89,7 +89,10 @@
         return sorted.length == 0 ? Long.MIN_VALUE : sorted[sorted.length - 1 - sorted.length / 2];
     }
 
-    /** With this configuration where its revision is the highest; a revision has one content. */
+    /**
+     * Returns this value with the configuration if its revision is the highest. A revision that
+     * already has a content keeps that content.
+     */
     RegisterValue withConfiguration(Configuration proposed) {
         long revision = proposed.revision();
         if (revisionDigests.containsKey(revision)) {
@@ -99,8 +102,8 @@
         if (revision > configuration.revision()) {
             return new RegisterValue(epoch, members, outgoing, retired, proposed, digests);
         }
-        // Overtaken before anything was decided under its revision: from now on this is its
-        // content.
+        // A higher revision is in force and no content is decided for this one. Its digest is
+        // recorded, so that the revision cannot get another content.
         return digests.containsKey(revision)
                 ? new RegisterValue(epoch, members, outgoing, retired, configuration, digests)
                 : this;
@@ -115,14 +118,14 @@
         return digests;
     }
 
-    /** As if this revision never had a content. */
+    /** Returns this value without the digest of the revision. */
     RegisterValue withoutRevision(long revision) {
         TreeMap<Long, Long> digests = new TreeMap<>(revisionDigests);
         digests.remove(revision);
         return new RegisterValue(epoch, members, outgoing, retired, configuration, digests);
     }
 
-    /** What this value, decided, says of a proposed configuration. */
+    /** Returns the outcome of a proposed configuration. This value must be decided. */
     public Outcome outcome(Configuration proposed) {
         Long digest = revisionDigests.get(proposed.revision());
         if (digest != null) {
@@ -136,19 +139,22 @@
                 : Outcome.PENDING;
     }
 
-    /** The first step to other members: both sets are in force. */
+    /** Returns the joint value, the first step of a member change. */
     RegisterValue jointWith(SortedSet<String> next) {
         return new RegisterValue(
                 epoch + 1, next, members, NO_MEMBERS, configuration, revisionDigests);
     }
 
-    /** The second step: the new members alone. */
+    /** Returns the value without the outgoing members, the second step of a member change. */
     RegisterValue withoutOutgoing() {
         return new RegisterValue(
                 epoch + 1, members, NO_MEMBERS, outgoing, configuration, revisionDigests);
     }
 
-    /** The same, once the value that retired the former members is known to be decided. */
+    /**
+     * Returns this value without retired members. Permitted once the value that retired them is
+     * known to be decided.
+     */
     RegisterValue withoutRetired() {
         return retired.isEmpty()
                 ? this
@@ -156,7 +162,7 @@
                         epoch, members, outgoing, NO_MEMBERS, configuration, revisionDigests);
     }
 
-    /** Ids from a text that holds them between commas. */
+    /** Parses comma-separated ids. */
     public static SortedSet<String> parseIds(String text) {
         return text.isEmpty()
                 ? NO_MEMBERS
@@ -167,12 +173,15 @@
         return String.join(",", ids);
     }
 
-    /** The id of a process: its address, and what tells it from others that were there before. */
+    /**
+     * Returns the id of a process: its IP address and a suffix that distinguishes it from former
+     * processes at that address.
+     */
     public static String id(String ip, String suffix) {
         return ip + ID_SEPARATOR + suffix;
     }
 
-    /** The address in an id. */
+    /** Returns the IP address of an id. */
     public static String ipOf(String id) {
         int separator = id.indexOf(ID_SEPARATOR);
         return separator < 0 ? id : id.substring(0, separator);
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -13,69 +13,79 @@
 import java.util.function.Predicate;
 
 /**
- * One value, the members and the configuration, agreed on by ballots without a log or a leader
- * (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). An object of this
- * class is one process's part in it: acceptor, proposer and learner.
+ * Replicates one value, the member set and the configuration, with ballots and without a log or a
+ * leader (CASPaxos: Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). An instance
+ * is the acceptor, proposer and learner of one process.
  *
- * <p>Invariants: what it promised or accepted is on its disk before it says so; nothing is accepted
- * below what was promised; a proposer offers the value of the highest ballot that any acceptor of a
- * majority had accepted, or a change of it; members change only on top of a value that is known to
- * be decided, in two steps, and while two sets of members are in force a majority of each is
- * needed.
+ * <p>Invariants: a promise or an acceptance is on disk before the process reports it; an acceptor
+ * accepts nothing below its promised ballot; a proposer proposes the value with the highest ballot
+ * that any acceptor of a majority has accepted, or a change of that value; the member set changes
+ * only on top of a value that is known to be decided, in two steps, and while two member sets are
+ * in force a majority of each is required.
  *
- * <p>Each message holds all that the process has to say, so one that is lost, repeated or late does
- * no harm. Called on one thread.
+ * <p>Each message carries the sender's complete state, so lost, duplicated and reordered messages
+ * are harmless. Not thread-safe: all calls come from one thread.
  */
 public final class ReplicatedRegister {
 
-    /** What the register needs of the process that it is part of. */
+    /** The services that the surrounding process provides to the register. */
     public interface Context {
 
-        /** The id of this process. */
+        /** Returns the id of this process. */
         String selfId();
 
-        /** Milliseconds of a steady clock. */
+        /** Returns the monotonic time in milliseconds. */
         long nowMillis();
 
         /**
-         * Writes texts under names; completes once they are on the disk, in the order of the calls.
+         * Stores texts under their names. Completes once the texts are on disk; writes complete in
+         * the order of the calls.
          */
         CompletableFuture<Void> persist(Map<String, String> texts);
 
-        /** There is something new to say to the peers. */
+        /** Requests that the current state is sent to all peers. */
         void broadcast();
 
-        /** A newer value is known to be decided. */
+        /** Called when a newer value is known to be decided. */
         void onDecided(RegisterValue value);
 
-        /** A random number from 0 to below this. */
+        /** Returns a random number from 0 (inclusive) to the bound (exclusive). */
         long randomBelow(long bound);
 
-        /** Whether this process holds the lease, without which no members are changed. */
+        /**
+         * Returns whether this process holds the lease. Only the lease holder changes the member
+         * set.
+         */
         boolean holdsLease();
 
-        /** Whether a safety rule is left out; only model checks do so, to show what breaks. */
+        /**
+         * Returns whether a safety rule is disabled. Only model checks disable rules, to verify
+         * that the violation is detected.
+         */
         default boolean isDisabled(SafetyRule rule) {
             return false;
         }
     }
 
-    /** While another's ballot is under way, one's own waits so long. */
+    /** Delay of the own next round while another proposer's round is in progress. */
     private static final long HOLD_OFF_MS = 150;
 
     private static final long BACKOFF_MS = 20;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-    /** What was accepted and is not decided is proposed again after so long. */
+    /** Delay after which an accepted but undecided value is proposed again. */
     private static final long RECOVERY_DELAY_MS = 250;
 
-    /** A peer that lacks a decided value is sent it by others than its proposer after so long. */
+    /**
+     * Delay after which processes other than the proposer send a decided value to a peer that lacks
+     * it.
+     */
     private static final long CATCH_UP_DELAY_MS = 300;
 
     private static final long RESEND_MS = 350;
     private static final int MAX_PROPOSALS = 256;
 
-    /** What a peer said last; each ballot only ever rises. */
+    /** The last reported state of a peer. Ballots never decrease. */
     private static final class PeerState {
         Ballot promisedBallot = Ballot.NONE;
         Ballot acceptedBallot = Ballot.NONE;
@@ -83,18 +93,20 @@
         Ballot proposalBallot = Ballot.NONE;
         boolean proposalHasValue;
 
-        /** The value that came last, and its ballot. */
+        /** The last value received from the peer, and its ballot. */
         Ballot valueBallot = Ballot.NONE;
 
         RegisterValue value;
 
-        /** The last of this process's values that it received. */
+        /** The ballot of the last value of this process that the peer received. */
         Ballot receivedBallot = Ballot.NONE;
 
         Ballot sentBallot = Ballot.NONE;
         long sentAtMillis;
 
-        /** Whether it offers a value that has arrived here. */
+        /**
+         * Returns whether the peer is in its accept phase and its proposed value has been received.
+         */
         boolean offersValue() {
             return proposalHasValue && valueBallot.equals(proposalBallot);
         }
@@ -102,17 +114,17 @@
 
     private enum Phase {
         NONE,
-        /** The own promise is being written. */
+        /** The process writes its own promise to disk. */
         PERSIST_BALLOT,
         PREPARE,
         ACCEPT
     }
 
     /**
-     * A change of the members that the lease holder wants.
+     * A member change that the lease holder requests.
      *
-     * @param epoch of the value that it is meant for
-     * @param members the next set; null for the second step, which ends a joint set
+     * @param epoch the epoch of the value that the change applies to
+     * @param members the next member set; null for the second step, which ends a joint set
      */
     private record MembershipStep(long epoch, SortedSet<String> members) {}
 
@@ -124,7 +136,7 @@
     private final RegisterStorage storage = new RegisterStorage();
     private final ValueEncoder encoder = new ValueEncoder();
 
-    // The acceptor's state, as it is on the disk.
+    // The acceptor's state, as stored on disk.
     private Ballot promisedBallot = Ballot.NONE;
     private Ballot acceptedBallot = Ballot.NONE;
     private RegisterValue acceptedValue;
@@ -151,10 +163,10 @@
     }
 
     /**
-     * Takes over what the disk holds, at the start.
+     * Restores the acceptor's state from disk at startup.
      *
-     * @throws Configuration.InvalidConfigurationException where the configuration on it is of a
-     *     form that this version does not know
+     * @throws Configuration.InvalidConfigurationException if this version does not support the
+     *     format of the stored configuration
      */
     public void restore(Map<String, String> texts)
             throws Configuration.InvalidConfigurationException {
@@ -170,37 +182,39 @@
 
     // ---- queries
 
-    /** What is accepted here, decided or not; null before there is a system. */
+    /** Returns the accepted value, decided or not; null before the cluster is bootstrapped. */
     public RegisterValue acceptedValue() {
         return acceptedValue;
     }
 
-    /** The newest value that is known to be decided; null where none is. */
+    /** Returns the newest value that is known to be decided; null for none. */
     public RegisterValue decidedValue() {
         return decidedValue;
     }
 
-    /** The ballot of {@link #decidedValue}. */
+    /** Returns the ballot of {@link #decidedValue}. */
     public Ballot decidedBallot() {
         return decidedBallot;
     }
 
-    /** The ballot of {@link #acceptedValue}. */
+    /** Returns the ballot of {@link #acceptedValue}. */
     public Ballot acceptedBallot() {
         return acceptedBallot;
     }
 
-    /** The newest configuration that is known to be decided. */
+    /** Returns the newest configuration that is known to be decided. */
     public Configuration committedConfiguration() {
         return decidedValue == null ? Configuration.NONE : decidedValue.configuration();
     }
 
-    /** Whether the disk was empty and nothing was promised or accepted since. */
+    /**
+     * Returns whether the disk was empty at startup and no promise or acceptance was made since.
+     */
     public boolean isBlank() {
         return acceptedValue == null && promisedBallot.equals(Ballot.NONE) && !persisting;
     }
 
-    /** The highest ballot that any process is known to have accepted. */
+    /** Returns the highest ballot that any process is known to have accepted. */
     public Ballot highestKnownBallot() {
         Ballot highest = acceptedBallot;
         for (PeerState peer : peers.values()) {
@@ -209,7 +223,7 @@
         return highest;
     }
 
-    /** The ballot that this process is known to have accepted. */
+    /** Returns the highest ballot that the given process is known to have accepted. */
     public Ballot acceptedBallotOf(String id) {
         if (id.equals(context.selfId())) {
             return acceptedBallot;
@@ -220,8 +234,8 @@
     // ---- requests
 
     /**
-     * Offers the first value of all under the first ballot, once it is on this disk. Only the
-     * process that begins a new system calls this.
+     * Proposes the initial value under the first ballot, once the value is on the local disk. Only
+     * the process that bootstraps a new cluster calls this method.
      */
     public void bootstrap(SortedSet<String> members) {
         Ballot ballot = new Ballot(1, context.selfId());
@@ -240,13 +254,13 @@
     /**
      * Proposes a configuration.
      *
-     * @return completes with what became of it once that is decided; fails with {@link
-     *     IllegalStateException} at once where too many wait
+     * @return completes with the outcome once the outcome is decided; fails with {@link
+     *     IllegalStateException} immediately if too many proposals are pending
      */
     public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
         CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
         if (proposals.size() >= MAX_PROPOSALS) {
-            result.completeExceptionally(new IllegalStateException("too many proposals wait"));
+            result.completeExceptionally(new IllegalStateException("too many pending proposals"));
             return result;
         }
         proposals.add(new Proposal(configuration, result));
@@ -256,8 +270,8 @@
     }
 
     /**
-     * Proposes other members, as the first of two steps. Passed over where another process holds
-     * the lease, or the epoch is another, by the time that it could be decided.
+     * Proposes a new member set, as the first of two steps. The step is dropped if this process no
+     * longer holds the lease or the epoch has changed when the round starts its accept phase.
      */
     public void proposeMembers(long epoch, SortedSet<String> members) {
         membershipStep =
@@ -266,13 +280,13 @@
         poll();
     }
 
-    /** Proposes the second step: the new members alone. */
+    /** Proposes the second step of a member change, which removes the outgoing members. */
     public void proposeFinalMembers(long epoch) {
         membershipStep = new MembershipStep(epoch, null);
         poll();
     }
 
-    /** Advances timers; called often. */
+    /** Advances timers and starts a round if one is due. Called periodically. */
     public void poll() {
         long now = context.nowMillis();
         proposals.removeIf(proposal -> proposal.result().isDone());
@@ -295,7 +309,7 @@
 
     // ---- messages
 
-    /** What this process says of the register to that one. */
+    /** Returns the register message for a peer. */
     public RegisterMessage messageTo(String peerId) {
         PeerState peer = peers.computeIfAbsent(peerId, id -> new PeerState());
         boolean proposes = phase == Phase.PREPARE || phase == Phase.ACCEPT;
@@ -304,7 +318,8 @@
         RegisterValue value = offers ? proposedValue : acceptedValue;
         EncodedValue encoded = null;
         if (value != null && needsValue(peer, ballot, offers) && maySend(peer, ballot)) {
-            // Against what it has, once; where that did not help, whole.
+            // The first transmission is a delta to the peer's accepted value; retransmissions are
+            // complete, in case the peer could not apply the delta.
             RegisterValue base =
                     peer.sentBallot.equals(ballot) ? null : valueOf(peer.acceptedBallot);
             encoded =
@@ -344,7 +359,9 @@
                 || context.nowMillis() - peer.sentAtMillis > RESEND_MS;
     }
 
-    /** What was sent to this peer may be lost: its connection is another. */
+    /**
+     * Handles a new connection to a peer: messages in flight on the former connection may be lost.
+     */
     public void onConnectionReset(String peerId) {
         PeerState peer = peers.get(peerId);
         if (peer != null) {
@@ -353,10 +370,10 @@
     }
 
     /**
-     * Takes a message of that peer; an old one changes nothing.
+     * Handles a message from a peer. Outdated messages have no effect.
      *
-     * @throws Configuration.InvalidConfigurationException where its value holds a configuration of
-     *     a form that this version does not know
+     * @throws Configuration.InvalidConfigurationException if this version does not support the
+     *     format of the configuration in the message
      */
     public void receive(String peerId, RegisterMessage message)
             throws Configuration.InvalidConfigurationException {
@@ -381,14 +398,14 @@
         advance();
     }
 
-    /** Null where the value is told by its difference from one that is not known here. */
+    /** Returns null if the value is a delta to a base that is unknown to this process. */
     private RegisterValue decode(EncodedValue encoded)
             throws Configuration.InvalidConfigurationException {
         RegisterValue base = encoded.isComplete() ? null : valueOf(encoded.base());
         return encoded.isComplete() || base != null ? ValueEncoder.decode(encoded, base) : null;
     }
 
-    /** Forgets peers that are not known any more and are no members. */
+    /** Removes the state of peers that are neither known nor members. */
     public void retainPeers(Predicate<String> isKnown) {
         peers.keySet().removeIf(id -> !isKnown.test(id) && !isMember(id));
     }
@@ -404,7 +421,7 @@
         runProposer();
     }
 
-    /** The value of a ballot, where this process has it from anywhere; else null. */
+    /** Returns the value of a ballot if this process has received that value; null otherwise. */
     private RegisterValue valueOf(Ballot ballot) {
         if (ballot.equals(acceptedBallot)) {
             return acceptedValue;
@@ -460,7 +477,8 @@
                             proposeAtMillis, context.nowMillis() + context.randomBelow(BACKOFF_MS));
         }
         if (ballot.isAbove(acceptedBallot) && !persisting) {
-            // What is decided may be accepted whatever was promised: it cannot be undone.
+            // A decided value may be accepted regardless of the promised ballot, because the
+            // decision is final.
             accept(ballot, value);
         }
         completeProposals();
@@ -508,7 +526,8 @@
     }
 
     /**
-     * The peer whose round is to be answered, by its ballot and what was promised; null for none.
+     * Returns the peer whose round this acceptor answers next, by ballot and promise; null for
+     * none.
      */
     private PeerState highestProposer() {
         Ballot highest = promisedBallot;
@@ -555,8 +574,8 @@
     }
 
     /**
-     * One write at a time. Nothing is said before it is done; what was received meanwhile is looked
-     * at then.
+     * Writes to disk, one write at a time. The new state is reported only after the write; messages
+     * received meanwhile are processed then.
      */
     private CompletableFuture<Void> persist(Map<String, String> texts, Runnable onDurable) {
         persisting = true;
@@ -604,7 +623,10 @@
                         });
     }
 
-    /** This ballot is lost or cannot go on: another after a while. */
+    /**
+     * Ends the round after preemption or a failed write. The next round starts after a randomized
+     * backoff.
+     */
     private void abandonRound() {
         phase = Phase.NONE;
         lostRounds = Math.min(lostRounds + 1, MAX_BACKOFF_DOUBLINGS);
@@ -662,7 +684,10 @@
                         });
     }
 
-    /** The base with all proposals that wait, and a change of members where that may be made. */
+    /**
+     * Returns the base value with all pending proposals applied, and with the pending member change
+     * if it is permitted.
+     */
     private RegisterValue nextValue(RegisterValue base, boolean baseIsDecided) {
         boolean mayChangeMembers = baseIsDecided || context.isDisabled(SafetyRule.SETS_ON_DECIDED);
         RegisterValue next = mayChangeMembers ? base.withoutRetired() : base;
@@ -718,7 +743,7 @@
             phase = Phase.NONE;
             lostRounds = 0;
             learn(ballot, proposedValue);
-            // A proposer that waits for this round to end goes first.
+            // Another proposer that waits for this round to end goes first.
             long pause = BACKOFF_MS + context.randomBelow(BACKOFF_MS);
             proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + pause);
             poll();
--- a/src/main/java/dillfront/controlplane/consensus/SafetyRule.java
+++ b/src/main/java/dillfront/controlplane/consensus/SafetyRule.java
@@ -1,103 +1,121 @@
 package dillfront.controlplane.consensus;
 
 /**
- * What keeps the control side sound, each by name, so that a small world can be run without one and
- * shown to break.
+ * The safety rules of the control plane. Model checks disable one rule at a time and verify that
+ * the violation is detected.
  */
 public enum SafetyRule {
-    /** A promise is on the disk before it is told. */
+    /** A promise is on disk before the acceptor reports it. */
     PROMISE_ON_DISK,
-    /** What is accepted is on the disk before it is told. */
+    /** An accepted value is on disk before the acceptor reports it. */
     ACCEPTED_ON_DISK,
-    /** A proposer's ballot is on its disk before it is told, so it is never used twice. */
+    /** A proposer's ballot is on disk before the proposer sends it, so no ballot is used twice. */
     BALLOT_ON_DISK,
-    /** Nothing is accepted below what was promised. */
+    /** An acceptor accepts nothing below its promised ballot. */
     PROMISE_KEPT,
-    /** A value is offered only once a majority has promised. */
+    /** A proposer sends a value only after a majority has promised. */
     PROMISES_OF_MAJORITY,
-    /** A proposer goes on from the value of the highest ballot that was accepted. */
+    /** A proposer builds on the value with the highest accepted ballot. */
     HIGHEST_ACCEPTED,
-    /** Only acceptances of one ballot count together. */
+    /** Only acceptances of the same ballot count towards a majority. */
     ONE_BALLOT,
-    /** Sets change only on top of a decided value. */
+    /** The member set changes only on top of a decided value. */
     SETS_ON_DECIDED,
-    /** Only the holder of the lease changes sets. */
+    /** Only the lease holder changes the member set. */
     SETS_BY_HOLDER,
-    /** While sets change, a majority of each is needed. */
+    /** During a member change, a majority of both sets is required. */
     JOINT_MAJORITIES,
     /**
-     * What is over counts for nothing: the set that goes still accepts the value that drops it, and
-     * asks of an older epoch are refused.
+     * Former epochs do not count: the outgoing set must still accept the value that removes it, and
+     * requests of an older epoch are rejected.
      */
     OLDER_EPOCHS,
-    /** One number has one content for ever. */
+    /** A configuration revision has the same content forever. */
     ONE_CONTENT,
-    /** Orders are answered by what is decided. */
+    /** Configuration requests are answered according to the decided value. */
     ANSWER_BY_DECIDED,
-    /** After a loss of its disk a process is another. */
+    /** A process that lost its disk gets a new id. */
     NEW_ID,
-    /** The founder has heard of every seed that it belongs to nothing. */
+    /**
+     * The bootstrapping process has a reply from every seed that the seed belongs to no cluster.
+     */
     FOUNDER_HEARS_ALL,
-    /** Reads wait for answers of a majority that were asked for after they began. */
+    /** A read waits for a majority to answer messages that were sent after the read began. */
     FRESH_MAJORITY,
-    /** A read counts a majority of the sets of the value that it returns. */
+    /** A read counts a majority of the member sets of the value that the read returns. */
     READ_BY_ITS_SETS,
-    /** A promise of the lease is on the disk before it is told. */
+    /** A lease promise is on disk before the member reports it. */
     LEASE_ON_DISK,
-    /** After a start, whoever had the promise of the lease before may still hold it. */
+    /**
+     * After a restart, a member assumes that the process with its lease promise may still hold the
+     * lease.
+     */
     LEASE_AFTER_START,
-    /** The holder counts from when it asked, not from when it was answered. */
+    /**
+     * The lease holder measures the lease duration from when it sent the request, not from when the
+     * reply arrived.
+     */
     LEASE_FROM_ASKED,
-    /** A voter's promise stands for its time, whoever else asks. */
+    /** A member's lease promise binds for its whole duration, regardless of other requests. */
     LEASE_PROMISE_STANDS,
     /**
-     * While a voter's promise to another is on its way to the disk, it grants nothing more to the
-     * one before.
+     * While a member writes a promise to another candidate, it does not extend its former promise.
      */
     LEASE_TURNS,
-    /** Only a number that was never held binds nobody once it is given up. */
+    /** An abandoned lease number stops binding members only if it was never held. */
     LEASE_NEVER_HELD,
     /**
-     * A voter whose promise binds nobody any more still promises no number up to those that may
-     * have been held before.
+     * A member whose promise no longer binds still rejects all lease numbers up to those that may
+     * have been held.
      */
     LEASE_NUMBERS_RISE,
-    /** What was asked for and given up is never asked for again, in no later life either. */
+    /** An abandoned lease number is never requested again, including after a restart. */
     LEASE_ASKED_ONCE,
     /**
-     * A voter tells until when those before may have said that their lease runs, be it given back
-     * or ended sooner.
+     * A member reports the latest time at which former lease holders may have claimed that their
+     * leases end, even if a lease was released or ended earlier.
      */
     LEASE_FORMER,
-    /** What is said to be kept of the table of servers is on the disk. */
+    /** Registry entries are on disk before the process reports them as durable. */
     ROWS_ON_DISK,
-    /** How far another has this table counts only where it is said of this life. */
+    /**
+     * A registry version reported by a peer counts only if the peer refers to the current
+     * incarnation.
+     */
     ROWS_OF_THIS_LIFE,
     /**
-     * A table is known as far as a word says only where its rows begin at what was known before.
+     * A registry message advances the known version only if its entries start at or before the
+     * version that is already known.
      */
     ROWS_WITHOUT_GAP,
-    /** A server goes from ready to draining to left, and never back. */
+    /** A server's state only moves forward, from ready to draining to left. */
     ROWS_FORWARD,
     /**
-     * A row is acknowledged by what was said to be kept under no newer set than the one gone by.
+     * A durable version reported by a member under a newer epoch than the local one does not count
+     * towards an acknowledgement.
      */
     ROWS_UNDER_EPOCH,
-    /** That a server leaves is kept like all else of it, also where it is not known. */
+    /** A server's leave is stored like its other state, even if the server is unknown. */
     ROWS_OF_LEAVES,
-    /** A record that is said to be kept is on the disk. */
+    /** Primary records are on disk before the process reports them as durable. */
     RECORDS_ON_DISK,
-    /** Records of one word go to the disk together: a number stands for all before it. */
+    /**
+     * The primary records of one message are written together, because a number implies all records
+     * before it.
+     */
     RECORDS_TOGETHER,
-    /** Records are taken in only where they begin at what is known here. */
+    /**
+     * Primary records are applied only if they start at or before the newest record that is already
+     * known.
+     */
     RECORDS_WITHOUT_GAP,
-    /** An older record never takes the place of a newer. */
+    /** An older primary record never replaces a newer one. */
     RECORDS_FORWARD,
     /**
-     * A holder acts once a majority has answered since its lease began, and has nothing that it
-     * lacks.
+     * A lease holder acts only after a majority has answered since its lease began and has no
+     * primary records that the holder lacks.
      */
     RECORDS_OF_MAJORITY,
-    /** A number within a lease is given once. */
+    /** A fencing token is issued only once within a lease. */
     NUMBERS_ONCE
 }
--- a/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
+++ b/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
@@ -10,19 +10,22 @@
 import java.util.TreeMap;
 
 /**
- * Encodes values for messages, against a value that the addressee has where there is one. What was
- * encoded for one peer serves all others that have the same base.
+ * Encodes values for messages, as a delta if the addressee has a known base value. Encodings are
+ * shared by all peers with the same base.
  */
 final class ValueEncoder {
 
     private Ballot encodedBallot = Ballot.NONE;
 
-    /** Encodings of that ballot's value, by the ballot of their base. */
+    /** Encodings of the value with that ballot, by the base's ballot. */
     private final TreeMap<Ballot, EncodedValue> byBase = new TreeMap<>();
 
     /**
-     * @param baseBallot {@link Ballot#NONE} where the addressee has nothing that is known here
-     * @param base the value of that ballot; null for none
+     * Returns the encoded value.
+     *
+     * @param baseBallot {@link Ballot#NONE} if the addressee has no value that is known to this
+     *     process
+     * @param base the value of the base ballot; null for none
      */
     EncodedValue encode(Ballot ballot, RegisterValue value, Ballot baseBallot, RegisterValue base) {
         if (!ballot.equals(encodedBallot)) {
@@ -33,8 +36,8 @@
     }
 
     private static EncodedValue encode(RegisterValue value, Ballot baseBallot, RegisterValue base) {
-        // The base may have revisions that were never decided, or with another content: then all
-        // digests go along.
+        // If the base has revisions that were never decided, or that have another content, all
+        // digests are sent.
         boolean adds =
                 base != null
                         && base.mergedDigests(value.revisionDigests())
@@ -65,12 +68,12 @@
     }
 
     /**
-     * The value again.
+     * Decodes a value.
      *
-     * @param base the value of the encoded value's base; null for a whole one
-     * @return null where it does not fit the base, or is damaged
-     * @throws Configuration.InvalidConfigurationException where its configuration is of a form that
-     *     this version does not know
+     * @param base the value of the encoded value's base ballot; null for a complete value
+     * @return null if the encoded value does not match the base or is damaged
+     * @throws Configuration.InvalidConfigurationException if this version does not support the
+     *     format of the configuration
      */
     static RegisterValue decode(EncodedValue encoded, RegisterValue base)
             throws Configuration.InvalidConfigurationException {
--- a/src/main/java/dillfront/controlplane/consensus/package-info.java
+++ b/src/main/java/dillfront/controlplane/consensus/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The members and the configuration as one replicated value. Begin with {@link
- * dillfront.controlplane.consensus.ReplicatedRegister}.
+ * Replicates the member set and the configuration of the control plane as one value. Begin with
+ * {@link dillfront.controlplane.consensus.ReplicatedRegister}.
  */
 package dillfront.controlplane.consensus;
--- a/src/main/java/dillfront/controlplane/lease/FencingTokens.java
+++ b/src/main/java/dillfront/controlplane/lease/FencingTokens.java
@@ -4,9 +4,9 @@
 import dillfront.controlplane.consensus.SafetyRule;
 
 /**
- * Fencing tokens of a lease holder, for calls to the platform and for primary records: the lease's
- * number in the upper bits, and below it one more each time. None is given twice, also where the
- * lease was lost for a moment and came back under its number.
+ * Issues the fencing tokens of a lease holder for platform calls and primary records. The upper
+ * bits of a token are the lease number, the lower bits a counter. No token is issued twice, even if
+ * the lease is lost temporarily and regained under the same number.
  */
 public final class FencingTokens {
 
@@ -18,7 +18,7 @@
         this.context = context;
     }
 
-    /** Tokens are of this lease from now on. */
+    /** Issues tokens of this lease from now on. */
     public void startLease(long number) {
         if (number != leaseNumber || context.isDisabled(SafetyRule.NUMBERS_ONCE)) {
             issued = 0;
@@ -26,7 +26,7 @@
         leaseNumber = number;
     }
 
-    /** The next token: above all that were given before. */
+    /** Returns the next token, which is above all tokens issued before. */
     public long next() {
         return (leaseNumber << LeaseManager.NUMBER_BITS) + ++issued;
     }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -6,102 +6,108 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The lease for the one singleton role of the control plane, the failover coordinator.
+ * Manages the lease for the failover coordinator, the singleton role of the control plane.
  *
- * <p>Each member promises a number to one process at a time, on its disk before it says so; a
- * majority's promise makes the number that process's alone for ever, and the upper part of its
- * fencing tokens. The upper bits of a number are the epoch of the members under which it was asked
- * for, so no two sets of members give out the same. A process asks for a number in one incarnation
- * and once. A number that was given up without having been held binds nobody: numbers of holders
- * rise, those of candidates need not.
+ * <p>Each member promises a lease number to one process at a time, on disk before the member
+ * reports the promise. Promises of a majority assign the number to that process permanently; the
+ * number forms the upper part of the process's fencing tokens. The upper bits of a number are the
+ * member epoch of the request, so two member sets never assign the same number. A process requests
+ * a number only once and in a single incarnation. An abandoned number that was never held does not
+ * bind members: the numbers of holders increase, those of candidates need not.
  *
- * <p>The holder counts its time from before it asked, each member from when it promised, so the
- * holder's ends first. Called on one thread; the clock is the process's own steady one.
+ * <p>The holder measures its lease from before the request, each member measures its promise from
+ * when it promised, so the holder's lease ends first. Not thread-safe: all calls come from one
+ * thread, and the clock is the process's monotonic clock.
  */
 public final class LeaseManager {
 
-    /** What the lease needs of the process that it is part of. */
+    /** The services that the surrounding process provides to the lease. */
     public interface Context extends ReplicatedRegister.Context {
 
-        /** The epoch of the members that this process goes by; 0 before there are any. */
+        /** Returns the epoch of this process's current members; 0 before there are any. */
         long epoch();
 
-        /** Whether this is the id of a member. */
+        /** Returns whether the id is that of a member. */
         boolean isMember(String id);
 
-        /** Whether this process is a member. */
+        /** Returns whether this process is a member. */
         boolean isVoter();
 
-        /** Whether no majority has answered this process of late. */
+        /** Returns whether this process has had no recent answers from a majority. */
         boolean isIsolated();
 
-        /** The place of this process among the members, from 0. */
+        /** Returns the index of this process among the members, starting at 0. */
         int memberRank();
 
-        /** For how long the disk has done nothing though there was work for it. */
+        /** Returns how long pending disk writes have made no progress. */
         long diskStalledMillis();
 
-        /** All peers that are known, members or not. */
+        /** Returns all known peers, whether members or not. */
         Iterable<? extends Voter> peers();
 
         /**
-         * The highest value of a quantity that a majority of each set of members has reached.
+         * Returns the highest value that a majority of each member set has reached.
          *
-         * @param own the quantity of this process
+         * @param own the value of this process
          */
         long quorumReached(long own, ToLongFunction<Voter> quantity);
     }
 
-    /** A peer, by its last message. */
+    /** The state of a peer according to its last message. */
     public interface Voter {
 
-        /** Empty before the first message. */
+        /** Returns the id of the peer; empty before the first message. */
         String id();
 
-        /** The epoch of the members that it goes by. */
+        /** Returns the epoch of the peer's current members. */
         long epoch();
 
-        /** What it promised last; 0 for nothing. */
+        /** Returns the last number that the peer promised; 0 for none. */
         long promisedNumber();
 
-        /** The id of the process that has its promise. */
+        /** Returns the id of the process that holds the peer's promise. */
         String promisedTo();
 
         /**
-         * The clock of the process that has the promise when that sent the last message by which
-         * the promise was given or prolonged.
+         * Returns the send time of the last message by which the promise was granted or extended,
+         * on the clock of the process that holds the promise.
          */
         long grantedAtMillis();
 
-        /** What it asks for, or holds; 0 for nothing. */
+        /** Returns the number that the peer requests or holds; 0 for none. */
         long requestedNumber();
 
-        /** This process's clock when the last message came. */
+        /** Returns the local time at which the last message from the peer arrived. */
         long lastContactMillis();
 
-        /** As {@link LeaseManager#formerLeaseEndMillis}, by its last message. */
+        /**
+         * Returns {@link LeaseManager#formerLeaseEndMillis} according to the peer's last message.
+         */
         long formerLeaseEndMillis();
     }
 
-    /** How long a promise binds. */
+    /** Duration for which a promise binds a member. */
     public static final long DURATION_MS = 2_500;
 
-    /** Bits of a number below the epoch, and of a fencing token below the number. */
+    /**
+     * The number of bits of a lease number below the epoch, and of a fencing token below the lease
+     * number.
+     */
     public static final int NUMBER_BITS = 20;
 
-    /** A moment that is earlier than all others. */
+    /** A time before all others. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** A peer that was silent for so long is taken for gone. */
+    /** Silence after which a peer counts as unreachable. */
     public static final long CONTACT_MS = 1_300;
 
-    /** The holder's time ends so much earlier than its members' promises. */
+    /** The holder's lease ends earlier than the members' promises by this margin. */
     private static final long HOLDER_MARGIN_MS = 250;
 
-    /** Candidates begin one after the other, by their rank. */
+    /** Delay between the first requests of candidates, which start in the order of their ranks. */
     private static final long STAGGER_MS = 250;
 
-    /** A holder whose disk has done nothing for so long leaves the role to others. */
+    /** Disk stall after which the holder gives up the lease. */
     private static final long MAX_DISK_STALL_MS = 1_000;
 
     private static final String PROMISED = "promised";
@@ -111,42 +117,54 @@
 
     private final Context context;
 
-    // What this process promised, as it is on its disk.
+    // The promise of this process, as stored on disk.
     private long promisedNumber;
     private String promisedTo = "";
     private long promisedUntilMillis;
 
-    /** No number up to this is promised: some process may have held it. On the disk. */
+    /**
+     * Numbers up to this one are not promised, because a process may have held them. Stored on
+     * disk.
+     */
     private long promiseFloor;
 
-    /** The process that has the promise said that it never held that number, and never will. */
+    /**
+     * Whether the process that holds the promise reported that it never held that number and never
+     * will.
+     */
     private boolean promiseNeverHeld;
 
-    /** The clock of the process that has the promise, in its last message that was granted. */
+    /**
+     * The send time of the last granted message, on the clock of the process that holds the
+     * promise.
+     */
     private long grantedAtMillis = NEVER;
 
     /**
-     * Until when the process that has the promise may have said that its lease runs, however soon
-     * that ended.
+     * The latest time at which the process that holds the promise may have claimed that its lease
+     * ends, even if the lease ended earlier.
      */
     private long currentLeaseEndMillis = NEVER;
 
-    /** The same of all that had the promise before. */
+    /** The same for all processes that held the promise before. */
     private long formerLeaseEndMillis = NEVER;
 
     private boolean persisting;
 
-    // What this process asks for itself.
-    /** What it asks for, or holds; 0 for nothing. */
+    // The requests of this process.
+    /** The number that this process requests or holds; 0 for none. */
     private long ownNumber;
 
-    /** The highest number that it ever asked for, in any incarnation. On the disk. */
+    /** The highest number that this process requested in any incarnation. Stored on disk. */
     private long lastRequestedNumber;
 
-    /** The last number that it asked for and gave up; it never asks for it again. */
+    /**
+     * The last number that this process requested and abandoned. An abandoned number is never
+     * requested again.
+     */
     private long abandonedNumber;
 
-    /** The number that it held last in this incarnation, and the epoch then. */
+    /** The last number held in this incarnation, and the epoch at that time. */
     private long lastHeldNumber;
 
     private long lastHeldEpoch;
@@ -158,8 +176,8 @@
     }
 
     /**
-     * Takes over what the disk holds, at the start. What was promised may still be in use, but for
-     * what was promised to this process: that ended with its former incarnation.
+     * Restores the state from disk at startup. A promise to another process may still be in use; a
+     * promise to this process ended with its former incarnation.
      */
     public void restore(Map<String, String> texts) {
         promisedNumber = Long.parseLong(texts.getOrDefault(PROMISED, "0"));
@@ -183,37 +201,43 @@
 
     // ---- queries
 
-    /** What this process promised last; 0 for nothing. */
+    /** Returns the last number that this process promised; 0 for none. */
     public long promisedNumber() {
         return promisedNumber;
     }
 
-    /** The id of the process that has this member's promise. */
+    /** Returns the id of the process that holds this member's promise. */
     public String promisedTo() {
         return promisedTo;
     }
 
-    /** What it asks of others; on its disk by then, so it asks for that in no later incarnation. */
+    /**
+     * Returns the number that this process requests from others; 0 for none. The number is already
+     * on disk, so no later incarnation requests it.
+     */
     public long requestedNumber() {
         return hasOwnPromise() ? ownNumber : 0;
     }
 
-    /** The number of the lease that it asks for or holds; 0 for none. */
+    /** Returns the number that this process requests or holds; 0 for none. */
     public long number() {
         return ownNumber;
     }
 
-    /** What it asked for and gave up; 0 for nothing. Whoever promised it that is free again. */
+    /**
+     * Returns the last number that this process requested and abandoned; 0 for none. Members that
+     * promised that number are no longer bound.
+     */
     public long abandonedNumber() {
         return abandonedNumber;
     }
 
-    /** Whether it held the lease by the number that it gave up. */
+    /** Returns whether this process held the lease under the abandoned number. */
     public boolean abandonedWasHeld() {
         return abandonedNumber == lastHeldNumber;
     }
 
-    /** What this process says of the lease in a message that is sent now. */
+    /** Returns the lease part of a message that is sent now. */
     public LeaseMessage message() {
         return new LeaseMessage(
                 promisedNumber,
@@ -229,14 +253,17 @@
         return promisedNumber == ownNumber && promisedTo.equals(context.selfId());
     }
 
-    /** Until when this process holds the lease, by its own clock; -1 where it does not. */
+    /**
+     * Returns the time until which this process holds the lease, on its own clock; -1 if it does
+     * not.
+     */
     public long validUntilMillis() {
         if (ownNumber == 0 || !hasOwnPromise() || !context.isVoter()) {
             return -1;
         }
         long now = context.nowMillis();
-        // A member that promised is bound for the whole duration from when it was asked, also where
-        // the members have changed since.
+        // A promise binds the member for the whole duration since the request, even if the members
+        // have changed since.
         long grantedAt = context.quorumReached(now, peer -> grantedToSelfAt(peer, now));
         return grantedAt + DURATION_MS - HOLDER_MARGIN_MS;
     }
@@ -249,9 +276,9 @@
     }
 
     /**
-     * Until when those that had this member's promise before, or that of others by whom this
-     * process holds the lease, may have said that theirs runs: it may have been given back sooner,
-     * or have ended with its process.
+     * Returns the latest time at which former holders may have claimed that their leases end.
+     * Covers former promises of this process and of the members that granted this process its
+     * current lease. A former lease may have been released earlier or have ended with its process.
      */
     public long formerLeaseEndMillis() {
         long end = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
@@ -265,7 +292,7 @@
         return end;
     }
 
-    /** Whether this process holds the lease now. */
+    /** Returns whether this process holds the lease now. */
     public boolean isHeld() {
         long until = validUntilMillis();
         boolean held = context.nowMillis() < until;
@@ -279,18 +306,18 @@
     // ---- as a member
 
     /**
-     * A peer asks for this number, or goes on with it. What comes under an older epoch counts for
-     * nothing.
+     * Handles a peer's request for a number or for an extension. Requests under an older epoch are
+     * ignored.
      *
-     * @param requestedAtMillis the peer's clock when it asked
+     * @param requestedAtMillis the time of the request on the peer's clock
      */
     public void onRequest(Voter peer, long number, long requestedAtMillis) {
         boolean busy = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
         boolean outdated =
                 peer.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
         if (!context.isVoter() || busy || number <= 0 || outdated || !context.isMember(peer.id())) {
-            // Also what is promised to it no longer runs on while another's promise is on its way
-            // to the disk.
+            // While the promise to another process is being written, the existing promise is not
+            // extended either.
             return;
         }
         long now = context.nowMillis();
@@ -307,15 +334,15 @@
     }
 
     private boolean mayPromiseTo(Voter peer, long now) {
-        // What was promised to oneself and came to nothing binds nobody else: candidates of one
-        // moment would wait for each other for ever.
+        // A promise to this process that did not win the lease does not bind it against other
+        // candidates; otherwise simultaneous candidates would block each other.
         return now >= promisedUntilMillis
                 || peer.id().equals(promisedTo)
                 || promisedTo.equals(context.selfId()) && !isHeld()
                 || context.isDisabled(SafetyRule.LEASE_PROMISE_STANDS);
     }
 
-    /** Whether the number that is promised here may have been held, or may yet be. */
+    /** Returns whether the promised number may have been held or may still become held. */
     private boolean promiseBinds() {
         if (!promisedTo.equals(context.selfId())) {
             return !promiseNeverHeld;
@@ -327,9 +354,9 @@
     }
 
     /**
-     * The process that has the promise gives it back before its time.
+     * Handles the early release of a promise by the process that holds it.
      *
-     * @param wasHeld whether it held the lease by it
+     * @param wasHeld whether the peer held the lease under this number
      */
     public void onRelease(Voter peer, long number, boolean wasHeld) {
         if (number == 0 || number != promisedNumber || !peer.id().equals(promisedTo)) {
@@ -379,7 +406,7 @@
     private void onPromised(long number, String to, long floor, long requestedAtMillis) {
         boolean toSelf = to.equals(context.selfId());
         if (!toSelf) {
-            // If it asked itself, it has lost; to go on would bind the members that promised it.
+            // The own request has lost; continuing it would bind the members that promised.
             abandon();
         }
         promisedNumber = number;
@@ -387,7 +414,7 @@
         promiseFloor = floor;
         promiseNeverHeld = false;
         formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
-        // The own lease counts from when it is held.
+        // The own lease end is recorded when the lease is held.
         currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
         grantedAtMillis = requestedAtMillis;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
@@ -401,15 +428,15 @@
         ownNumber = 0;
     }
 
-    /** Gives the lease back and asks for it no more: this process is about to end. */
+    /** Releases the lease and stops requesting it, because this process is shutting down. */
     public void resign() {
         resigning = true;
         abandon();
     }
 
     /**
-     * Whether a majority is bound to a peer that goes on with its lease and is in contact. To ask
-     * then is in vain, and each number that is asked for keeps this member from that peer.
+     * Returns whether a majority has promised to a peer that extends its lease and is in contact. A
+     * request would fail then, and would keep this member from promising to that peer.
      */
     private boolean anotherIsElected() {
         long since = context.nowMillis() - CONTACT_MS;
@@ -423,7 +450,7 @@
         return false;
     }
 
-    /** When a majority was last known to have its promise given to this peer. */
+    /** Returns the latest time at which a majority is known to have promised to the peer. */
     private long majorityPromised(Voter peer) {
         long own = isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER;
         return context.quorumReached(
@@ -438,7 +465,7 @@
         return number == peer.requestedNumber() && to.equals(peer.id());
     }
 
-    /** Advances timers: asks for the lease, goes on with it, or gives it up. Called often. */
+    /** Advances timers, and requests, extends or abandons the lease. Called periodically. */
     public void poll() {
         long now = context.nowMillis();
         boolean unfit = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
@@ -448,19 +475,21 @@
             return;
         }
         if (ownNumber > 0 && ownNumber == lastHeldNumber) {
-            // It ended: another number next time, so that a member that saw this one pass is not
-            // asked to take it again.
+            // The lease ended. The next request uses another number, because members that saw this
+            // one expire must not be asked to promise it again.
             abandon();
-            // Other members are asked at once: none may promise anything before this lease's time
-            // is over.
+            // After a change of the epoch, the new request is made immediately: no member promises
+            // to another process before this lease's duration has passed.
             requestAtMillis = lastHeldEpoch == context.epoch() ? now + DURATION_MS : now;
         }
         if (context.isIsolated() && !persisting) {
-            // Without contact it cannot win, and binds those that hear it.
+            // An isolated process cannot win the lease, and its request would bind the members that
+            // receive it.
             abandon();
         }
         if (!context.isVoter() || context.isIsolated() || persisting || unfit) {
-            // The one that had it last goes first: no member that promised it waits for others.
+            // The last holder goes first, because the members that promised to it do not wait for
+            // other candidates.
             boolean wasLast = promisedTo.equals(context.selfId()) && !unfit;
             long earliest = wasLast ? now : now + STAGGER_MS * (1 + context.memberRank());
             requestAtMillis = Math.max(requestAtMillis, earliest);
@@ -488,7 +517,8 @@
                         : Math.max(promisedNumber, lastRequestedNumber);
         highest = Math.max(highest, context.epoch() << NUMBER_BITS);
         for (Voter peer : context.peers()) {
-            // What no members that may be in force can have given out is a damaged message's.
+            // A number beyond the next epoch cannot have been assigned by any current members; it
+            // stems from a damaged message.
             if (peer.promisedNumber() >> NUMBER_BITS <= context.epoch() + 1) {
                 highest = Math.max(highest, peer.promisedNumber());
             }
--- a/src/main/java/dillfront/controlplane/lease/LeaseMessage.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseMessage.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * What a process says of the lease to its peers.
+ * Carries the lease state of a process to its peers.
  *
- * @param promisedNumber what it promised last; 0 for nothing
- * @param promisedTo the id of the process that has the promise
- * @param grantedAtMillis the clock of that process in its last message that was granted
- * @param formerLeaseRemainingMillis for how long those that had its promise before may still have
- *     said that their lease runs; 0 for no longer
- * @param requestedNumber what it asks for, or holds; 0 for nothing
- * @param abandonedNumber what it asked for and gave up; 0 for nothing
- * @param abandonedWasHeld whether it held the lease by that number
+ * @param promisedNumber the last number that the sender promised; 0 for none
+ * @param promisedTo the id of the process that holds the promise
+ * @param grantedAtMillis the send time of that process's last granted message, on its clock
+ * @param formerLeaseRemainingMillis the time for which former holders of the sender's promise may
+ *     still have claimed that their leases run; 0 for none
+ * @param requestedNumber the number that the sender requests or holds; 0 for none
+ * @param abandonedNumber the last number that the sender requested and abandoned; 0 for none
+ * @param abandonedWasHeld whether the sender held the lease under the abandoned number
  */
 public record LeaseMessage(
         long promisedNumber,
@@ -32,7 +32,7 @@
     private static final String ABANDONED_NUMBER = "rl";
     private static final String ABANDONED_WAS_HELD = "rh";
 
-    /** Adds the number that was given up, where there is one, to the fields of a message. */
+    /** Adds the abandoned number, if any, to the fields of a message. */
     public void writeAbandoned(Map<String, Object> fields) {
         if (abandonedNumber > 0) {
             fields.put(ABANDONED_NUMBER, abandonedNumber);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Adds promise and request to the fields of a message. */
+    /** Adds the promise and the request to the fields of a message. */
     public void writePromise(Map<String, Object> fields) {
         fields.put(PROMISED_NUMBER, promisedNumber);
         fields.put(PROMISED_TO, promisedTo);
@@ -51,7 +51,7 @@
         fields.put(REQUESTED_NUMBER, requestedNumber);
     }
 
-    /** Reads what both writers made. */
+    /** Decodes the fields written by {@link #writeAbandoned} and {@link #writePromise}. */
     public static LeaseMessage fromFields(MessageCodec.Fields fields) {
         return new LeaseMessage(
                 fields.number(PROMISED_NUMBER, 0),
--- a/src/main/java/dillfront/controlplane/lease/PeerLease.java
+++ b/src/main/java/dillfront/controlplane/lease/PeerLease.java
@@ -1,6 +1,6 @@
 package dillfront.controlplane.lease;
 
-/** The lease as a peer sees it, by its last message. */
+/** Stores a peer's lease state according to its last message. */
 public final class PeerLease implements LeaseManager.Voter {
 
     private String id = "";
@@ -12,7 +12,7 @@
     private long formerLeaseEndMillis = LeaseManager.NEVER;
     private long lastContactMillis = LeaseManager.NEVER;
 
-    /** Another process is there, or another incarnation of the same. */
+    /** Resets the state for another process or incarnation at the peer's address. */
     public void reset(String newId) {
         id = newId;
         promisedNumber = 0;
@@ -20,17 +20,17 @@
         requestedNumber = 0;
     }
 
-    /** A message came at this moment of this process's clock. */
+    /** Records the local time at which a message arrived. */
     public void contact(long nowMillis) {
         lastContactMillis = nowMillis;
     }
 
-    /** The epoch of the members that the peer goes by. */
+    /** Sets the epoch of the peer's current members. */
     public void epoch(long newEpoch) {
         epoch = newEpoch;
     }
 
-    /** Takes over what a message that came now says. */
+    /** Updates the state from a message that arrived now. */
     public void update(LeaseMessage message, long nowMillis) {
         promisedNumber = message.promisedNumber();
         promisedTo = message.promisedTo();
--- a/src/main/java/dillfront/controlplane/lease/package-info.java
+++ b/src/main/java/dillfront/controlplane/lease/package-info.java
@@ -1,2 +1,2 @@
-/** The lease for the singleton role, and fencing tokens. */
+/** Provides the lease for the singleton role of the control plane, and fencing tokens. */
 package dillfront.controlplane.lease;
--- a/src/main/java/dillfront/controlplane/primary/AcknowledgedCommitsTable.java
+++ b/src/main/java/dillfront/controlplane/primary/AcknowledgedCommitsTable.java
@@ -4,19 +4,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What any data plane ever told of acknowledged commits, here or at another control process. */
+/**
+ * Stores, per service, the acknowledged commits that data planes reported to any control process.
+ */
 public final class AcknowledgedCommitsTable {
 
     private static final int MAX_SERVICES = 6_000;
 
     private final Map<String, AcknowledgedCommits> byService = new HashMap<>();
 
-    /** What is known of this service. */
+    /** Returns the known acknowledged commits of the service. */
     public AcknowledgedCommits get(String service) {
         return byService.getOrDefault(service, AcknowledgedCommits.NONE);
     }
 
-    /** More is known; services beyond the bound are passed over. */
+    /**
+     * Merges acknowledged commits into those of the service. Services beyond the limit are ignored.
+     */
     public void merge(String service, AcknowledgedCommits commits) {
         boolean fits = byService.size() < MAX_SERVICES || byService.containsKey(service);
         if (fits && !commits.equals(AcknowledgedCommits.NONE)) {
--- a/src/main/java/dillfront/controlplane/primary/DataPlaneObservations.java
+++ b/src/main/java/dillfront/controlplane/primary/DataPlaneObservations.java
@@ -1,11 +1,11 @@
 package dillfront.controlplane.primary;
 
-/** What the data planes that poll one control process told it. */
+/** Provides the reports of the data planes that poll this control process. */
 public interface DataPlaneObservations {
 
-    /** What they see of this primary. */
+    /** Returns the merged observations of the primary. */
     PrimaryObservation observation(String service, String primary);
 
-    /** Whether all of them have this record, or hold nothing certain against it. */
+    /** Returns whether every data plane has the record or no longer trusts an earlier one. */
     boolean allHaveRecord(long recordNumber);
 }
--- a/src/main/java/dillfront/controlplane/primary/MissingCommits.java
+++ b/src/main/java/dillfront/controlplane/primary/MissingCommits.java
@@ -8,14 +8,15 @@
 import java.util.Map;
 
 /**
- * Acknowledged commits that a failover waits for: no log that is left is known to hold them.
+ * Describes acknowledged commits that block a failover, because no available log is known to
+ * contain them.
  *
- * @param moveNumber the number of the primary record with which the move began
- * @param longestLogEnd where the longest log ends that is left
- * @param acknowledged what is known to be acknowledged
- * @param unreachableServers servers that may hold more, and are waited for
- * @param primary the server that led, and would have them
- * @param sinceMillis when this was found out, by this process's clock
+ * @param moveNumber the number of the primary record that started the move
+ * @param longestLogEnd the end of the longest available log
+ * @param acknowledged the known acknowledged commits
+ * @param unreachableServers servers that may have more commits and that the failover waits for
+ * @param primary the former primary, which has the commits
+ * @param sinceMillis when the commits were found missing, on the local clock
  */
 public record MissingCommits(
         String service,
@@ -34,7 +35,7 @@
     private static final String PRIMARY = "p";
     private static final String AGE = "t";
 
-    /** Whether it names the same commits of the same move. */
+    /** Returns whether the other object describes the same commits of the same move. */
     public boolean matches(MissingCommits other) {
         return service.equals(other.service)
                 && moveNumber == other.moveNumber
@@ -43,7 +44,7 @@
                 && unreachableServers.equals(other.unreachableServers);
     }
 
-    /** The fields of a message that is sent now. */
+    /** Encodes the object as fields of a message that is sent now. */
     public Map<String, Object> toFields(long nowMillis) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(SERVICE, service);
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Reads what {@link #toFields} made, of a message that came now.
+     * Decodes the result of {@link #toFields} from a message that arrived now.
      *
-     * @return null where the position is none
+     * @return null if the log position is malformed
      */
     public static MissingCommits fromFields(MessageCodec.Fields fields, long nowMillis) {
         LogPosition logEnd = LogPosition.parse(fields.string(LOG_END));
--- a/src/main/java/dillfront/controlplane/primary/PrimaryObservation.java
+++ b/src/main/java/dillfront/controlplane/primary/PrimaryObservation.java
@@ -1,22 +1,22 @@
 package dillfront.controlplane.primary;
 
 /**
- * What data planes see of a service's primary.
+ * Summarizes how data planes see the primary of a service.
  *
  * @param primary the id of the server
- * @param reachable how many data planes it answers
- * @param unreachable how many it does not
- * @param openTransactions how many transactions are open there
+ * @param reachable the number of data planes that reach the server
+ * @param unreachable the number of data planes that do not reach the server
+ * @param openTransactions the number of open transactions on the server
  */
 public record PrimaryObservation(
         String primary, int reachable, int unreachable, int openTransactions) {
 
-    /** What no data plane has told of yet. */
+    /** Returns the observation without any reports. */
     public static PrimaryObservation none(String primary) {
         return new PrimaryObservation(primary, 0, 0, 0);
     }
 
-    /** What both groups of data planes see together; the primary is the same. */
+    /** Returns the sum of two observations of the same primary. */
     public PrimaryObservation merge(PrimaryObservation other) {
         return new PrimaryObservation(
                 primary,
--- a/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
+++ b/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
@@ -10,9 +10,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The newest primary record of each service, and how far they are on the disk. Numbers rise from
- * lease holder to lease holder and within one, and a process that says a number has all records
- * before it, or what replaced them.
+ * Stores the newest primary record of each service and tracks which records are on disk. Record
+ * numbers increase within a lease and from one lease holder to the next. A process that reports a
+ * number has all records up to that number, or newer ones that replaced them.
  */
 public final class PrimaryRecords {
 
@@ -22,14 +22,14 @@
     private final TreeMap<String, PrimaryRecord> records = new TreeMap<>();
     private long newestNumber = -1;
 
-    /** The newest number that is on the disk with all before it. */
+    /** The newest number that is on disk together with all records before it. */
     private long durableNumber = -1;
 
     public PrimaryRecords(ReplicatedRegister.Context context) {
         this.context = context;
     }
 
-    /** Takes over what the disk held, at the start. */
+    /** Restores the records from disk at startup. */
     public void restore(Map<String, String> texts) {
         texts.forEach(
                 (name, text) -> {
@@ -46,27 +46,29 @@
         durableNumber = newestNumber;
     }
 
-    /** The newest record of each service, by the services' names. */
+    /** Returns the newest record of each service, ordered by service name. */
     public Iterable<PrimaryRecord> all() {
         return records.values();
     }
 
-    /** The newest record of this service; null where there is none. */
+    /** Returns the newest record of the service; null for none. */
     public PrimaryRecord get(String service) {
         return records.get(service);
     }
 
-    /** The newest number that is known here; -1 for none. */
+    /** Returns the newest known record number; -1 for none. */
     public long newestNumber() {
         return newestNumber;
     }
 
-    /** The newest number that is on the disk with all before it; -1 for none. */
+    /**
+     * Returns the newest number that is on disk together with all records before it; -1 for none.
+     */
     public long durableNumber() {
         return durableNumber;
     }
 
-    /** Takes a record over where it is newer; whether it was. */
+    /** Stores a record if it is newer than the present one. Returns whether it was. */
     public boolean merge(PrimaryRecord record) {
         return merge(List.of(record));
     }
@@ -100,7 +102,9 @@
                         && context.isDisabled(SafetyRule.RECORDS_FORWARD);
     }
 
-    /** What is said of the records to a peer that said it has them up to this number. */
+    /**
+     * Returns the message for a peer that reported that it has the records up to the given number.
+     */
     public RecordsMessage messageTo(long peerNumber) {
         List<PrimaryRecord> lacking = new ArrayList<>();
         for (PrimaryRecord record : records.values()) {
@@ -111,12 +115,12 @@
         return new RecordsMessage(durableNumber, lacking, lacking.isEmpty() ? -1 : peerNumber);
     }
 
-    /** Takes a peer's message; whether anything was newer. */
+    /** Handles a peer's message. Returns whether any record was newer. */
     public boolean receive(RecordsMessage message) {
         if (message.fromNumber() > newestNumber
                 && !context.isDisabled(SafetyRule.RECORDS_WITHOUT_GAP)) {
-            // Meant for a process that had this disk before it was lost: all that comes before is
-            // missing.
+            // The message was meant for a former process at this address, whose disk was lost: the
+            // records before it are missing here.
             return false;
         }
         if (!context.isDisabled(SafetyRule.RECORDS_TOGETHER)) {
@@ -130,16 +134,16 @@
     }
 
     /**
-     * Whether this process lacks nothing of what a peer has.
+     * Returns whether this process has all records that a peer has.
      *
-     * @param answeredSince whether the peer said its number since the lease began
+     * @param answeredSince whether the peer reported its number since the lease began
      */
     public boolean covers(boolean answeredSince, long peerNumber) {
         return answeredSince && peerNumber <= newestNumber
                 || context.isDisabled(SafetyRule.RECORDS_OF_MAJORITY);
     }
 
-    /** Records all anew under numbers of a new lease holder. */
+    /** Stores all records again under new numbers of a new lease holder. */
     public List<PrimaryRecord> renumberAll(LongSupplier numbers) {
         List<PrimaryRecord> renumbered = new ArrayList<>();
         for (PrimaryRecord record : records.values()) {
--- a/src/main/java/dillfront/controlplane/primary/RecordsMessage.java
+++ b/src/main/java/dillfront/controlplane/primary/RecordsMessage.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 
 /**
- * What a process says of the primary records to a peer.
+ * Carries primary records to a peer.
  *
- * @param durableNumber the newest record that the sender has on its disk with all before it
- * @param records those that the peer lacks
- * @param fromNumber up to which record the peer said that it has them; -1 without records
+ * @param durableNumber the newest record that the sender has on disk together with all before it
+ * @param records the records that the peer lacks
+ * @param fromNumber the number up to which the peer reported that it has the records; -1 if there
+ *     are no records
  */
 public record RecordsMessage(long durableNumber, List<PrimaryRecord> records, long fromNumber) {
 
@@ -18,7 +19,7 @@
     private static final String RECORDS = "l";
     private static final String FROM_NUMBER = "lf";
 
-    /** Adds this to the fields of a message. */
+    /** Adds this message to the fields of a peer message. */
     public void writeTo(Map<String, Object> fields) {
         fields.put(DURABLE_NUMBER, durableNumber);
         if (!records.isEmpty()) {
@@ -27,7 +28,7 @@
         }
     }
 
-    /** Reads what {@link #writeTo} made. */
+    /** Decodes the result of {@link #writeTo}. */
     public static RecordsMessage fromFields(MessageCodec.Fields fields) {
         return new RecordsMessage(
                 fields.number(DURABLE_NUMBER, -1),
--- a/src/main/java/dillfront/controlplane/primary/SuspectedPrimaries.java
+++ b/src/main/java/dillfront/controlplane/primary/SuspectedPrimaries.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * The services whose primary the lease holder suspects. Data planes are asked what they see of
- * those. Called on one thread.
+ * Tracks the services whose primaries the lease holder suspects. Data planes are asked for
+ * observations of these primaries. Not thread-safe: all calls come from one thread.
  */
 public final class SuspectedPrimaries {
 
@@ -16,13 +16,15 @@
     private long version;
 
     /**
+     * Creates an empty set.
+     *
      * @param onChange runs after each change
      */
     public SuspectedPrimaries(Runnable onChange) {
         this.onChange = onChange;
     }
 
-    /** These services and no others are suspected from now on. */
+    /** Replaces the set of suspected services. */
     public void replace(Collection<String> suspected) {
         TreeSet<String> next = new TreeSet<>(suspected);
         if (!next.equals(services)) {
@@ -32,12 +34,15 @@
         }
     }
 
-    /** The services, by their names. */
+    /** Returns the services, ordered by name. */
     public List<String> services() {
         return new ArrayList<>(services);
     }
 
-    /** Rises with each change, within this incarnation of the process. */
+    /**
+     * Returns the version of the set, which increases with each change within one incarnation of
+     * the process.
+     */
     public long version() {
         return version;
     }
--- a/src/main/java/dillfront/controlplane/primary/package-info.java
+++ b/src/main/java/dillfront/controlplane/primary/package-info.java
@@ -1,2 +1,2 @@
-/** Primary records, and what is known of primaries and of acknowledged commits. */
+/** Provides primary records, and the known state of primaries and acknowledged commits. */
 package dillfront.controlplane.primary;
