--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -12,31 +12,34 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Services of which no log is left with all that was acknowledged, as the lease holder reports, and
- * an operator's acceptance that these commits are lost. An acceptance may come to any control
- * process: it goes along with that one's messages until the primary record says so, under this
- * lease holder or the next.
+ * Manages the missing commits that the lease holder reports, and an operator's acceptance of their
+ * loss. Any control process takes an acceptance and includes it in its messages until the primary
+ * record contains the acceptance, under this lease holder or the next.
  */
 public final class DataLossManager {
 
-    /** What became of an operator's acceptance. */
+    /** The result of an operator's acceptance. */
     public sealed interface Acceptance {
 
-        /** The record says so, on the disks of a majority. */
+        /** The record with the acceptance is on the disks of a majority. */
         record Accepted(AcceptedDataLoss loss) implements Acceptance {}
 
         /**
-         * Something else is missing.
+         * Other commits are missing than those accepted.
          *
-         * @param missing what is known to be missing; null for nothing
+         * @param missing the commits known to be missing; null for none
          */
         record Conflict(MissingCommits missing) implements Acceptance {}
 
-        /** Not known yet, or too much is under way: it may be sent again. */
+        /**
+         * The result is unknown or too many acceptances are pending; the request may be repeated.
+         */
         record Unavailable(String reason) implements Acceptance {}
     }
 
-    /** How long an acceptance is passed on: as long as its caller waits for an answer. */
+    /**
+     * Duration for which an acceptance is included in messages, equal to the wait of the caller.
+     */
     public static final long ACCEPTANCE_MS = 900;
 
     private static final long POLL_MS = 20;
@@ -49,7 +52,7 @@
     private List<MissingCommits> reported = List.of();
     private long reportedMillis = LeaseManager.NEVER;
 
-    /** The lease of the process that reported. */
+    /** The lease number of the reporting process. */
     private long reportedByLease;
 
     private final List<PendingAcceptance> acceptances = new ArrayList<>();
@@ -59,7 +62,7 @@
         this.failover = failover;
     }
 
-    /** What is missing, as the lease holder says; empty where no holder is known. */
+    /** Returns the missing commits according to the lease holder; empty if no holder is known. */
     public Optional<List<MissingCommits>> missing() {
         if (failover.isActing()) {
             return Optional.of(failover.missingCommits());
@@ -68,7 +71,7 @@
         return recent ? Optional.of(reported) : Optional.empty();
     }
 
-    /** What is known to be missing of this service; null for nothing. */
+    /** Returns the missing commits of the service; null for none. */
     public MissingCommits missing(String service) {
         for (MissingCommits one : missing().orElse(List.of())) {
             if (one.service().equals(service)) {
@@ -80,7 +83,7 @@
 
     // ---- between control processes
 
-    /** What this process says to its peers. */
+    /** Returns the report for the peers. */
     public PeerMessage.DataLossReport report() {
         acceptances.removeIf(one -> one.untilMillis() <= state.nowMillis());
         return new PeerMessage.DataLossReport(
@@ -89,11 +92,11 @@
     }
 
     /**
-     * Takes a peer's message.
+     * Handles a peer's report.
      *
-     * @param fromHolder the peer acts as lease holder, and answers what this incarnation said
-     * @param leaseNumber what the peer promised last: of two that say they hold the lease, the one
-     *     with the later number does
+     * @param fromHolder whether the peer acts as the lease holder and answers this incarnation
+     * @param leaseNumber the last number that the peer promised; of two peers that claim the lease,
+     *     the one with the higher number holds it
      */
     public void receive(PeerMessage.DataLossReport report, boolean fromHolder, long leaseNumber) {
         boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_MS;
@@ -108,9 +111,9 @@
     // ---- an operator's call
 
     /**
-     * An operator accepts the loss of the commits that he was shown, and of no others.
+     * Accepts, on behalf of an operator, the loss of exactly the commits that were shown.
      *
-     * @return what becomes of it; it may not complete, so the caller bounds its wait
+     * @return the result; may never complete, so the caller must use a timeout
      */
     public CompletableFuture<Acceptance> accept(MissingCommits shown) {
         PrimaryRecord record = state.records().get(shown.service());
@@ -130,17 +133,18 @@
 
     private Optional<Acceptance> refusal(PrimaryRecord record, MissingCommits shown) {
         if (missing().isEmpty()) {
-            return unavailable("nobody holds the duty; ask again");
+            return unavailable("no control process holds the lease; retry");
         }
         MissingCommits known = missing(shown.service());
         if (known == null && record != null && record.moving()) {
-            return unavailable("it moves, and nobody has found yet what is lacking; ask again");
+            return unavailable(
+                    "the primary is being replaced and the missing commits are not determined yet; retry");
         }
         if (known == null || !known.matches(shown)) {
             return Optional.of(new Acceptance.Conflict(known));
         }
         return acceptances.size() >= MAX_ACCEPTANCES
-                ? unavailable("too many such calls; ask again")
+                ? unavailable("too many pending acceptances; retry")
                 : Optional.empty();
     }
 
@@ -160,8 +164,8 @@
     }
 
     /**
-     * Until a majority that answers from now on has the record on its disks, or something else is
-     * missing.
+     * Waits until a majority that answers from now on has the record on disk, or until other
+     * commits are missing.
      */
     private void awaitRecord(
             MissingCommits shown, long sinceMillis, CompletableFuture<Acceptance> result) {
--- a/src/main/java/dillfront/controlplane/failover/FailoverContext.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverContext.java
@@ -13,18 +13,18 @@
 import java.util.function.Function;
 
 /**
- * What the parts of a failover share: the state of the process, the lease under which it acts, and
- * questions that several of them ask.
+ * Provides the state shared by the classes of a failover: the control process's state, the lease
+ * under which it acts, and common checks.
  */
 final class FailoverContext {
 
-    /** How long a server may take to answer a query. */
+    /** Time for a server to answer a query. */
     static final long QUERY_TIMEOUT_MS = 500;
 
-    /** A pause before a call or a query is made again. */
+    /** Pause before a call or a query is repeated. */
     static final long RETRY_MS = 200;
 
-    /** A lease that ends sooner is no ground to begin a call on. */
+    /** Minimum remaining lease time for starting a call. */
     private static final long MIN_LEASE_REMAINING_MS = 300;
 
     private final ControlState state;
@@ -32,7 +32,7 @@
     private final FencingTokens tokens;
     private final PlatformClient platform;
 
-    /** The number of the lease under which all of this was begun; 0 for none. */
+    /** The number of the lease under which this process acts; 0 for none. */
     private long leaseNumber;
 
     private long leaseStartMillis;
@@ -80,7 +80,7 @@
         return leaseStartMillis;
     }
 
-    /** This process acts under another lease from now on, or under none (0). */
+    /** Starts acting under a lease, or stops acting (0). */
     void startLease(long number) {
         leaseNumber = number;
         recordsTakenOver = false;
@@ -98,12 +98,12 @@
         recordsTakenOver = true;
     }
 
-    /** This process holds the lease and knows all that earlier holders recorded. */
+    /** Returns whether this process holds the lease and knows all records of earlier holders. */
     boolean isActing() {
         return recordsTakenOver && state.lease().isHeld() && state.lease().number() == leaseNumber;
     }
 
-    /** And its lease runs for long enough to begin something. */
+    /** Returns whether this process is acting and its lease lasts long enough to start a call. */
     boolean mayAct() {
         return isActing() && state.lease().validUntilMillis() - now() > MIN_LEASE_REMAINING_MS;
     }
@@ -112,14 +112,14 @@
         return tokens.next();
     }
 
-    /** Records a primary, and tells peers and data planes. */
+    /** Stores a primary record and requests updates of peers and data planes. */
     void record(PrimaryRecord record) {
         if (state.records().merge(record)) {
             state.requestUpdates();
         }
     }
 
-    /** Whether this is the newest record of its service. */
+    /** Returns whether this is the newest record of its service. */
     boolean isCurrent(PrimaryRecord record) {
         return state.records().get(record.service()) == record;
     }
@@ -130,7 +130,7 @@
         return state.registry().get(id);
     }
 
-    /** Whether this server is present, as far as is known. */
+    /** Returns whether the server is known and has not left. */
     static boolean isPresent(DatabaseServer server) {
         return server != null && !server.hasLeft();
     }
@@ -144,29 +144,38 @@
         return ServerQuery.send(environment(), state.lease(), server, timeoutMillis, command);
     }
 
-    /** This process was paused until now: the silence of others before says nothing. */
+    /**
+     * Handles the end of a pause of this process. The silence of others during the pause is no
+     * evidence of their loss.
+     */
     void onProcessPaused() {
         resumedMillis = now();
     }
 
-    /** When this process went on after its last pause; long ago where it never paused. */
+    /**
+     * Returns the end of this process's last pause; {@link LeaseManager#NEVER} if it never paused.
+     */
     long resumedMillis() {
         return resumedMillis;
     }
 
-    /** It missed two heartbeats and more, and not because this process was paused. */
+    /**
+     * Returns whether the server missed at least two heartbeats, not counting time during which
+     * this process was paused.
+     */
     boolean isSilent(DatabaseServer server) {
         return now() - Math.max(server.lastContactMillis(), resumedMillis)
                 > heartbeatIntervalMillis() * 5 / 2;
     }
 
-    /** Whether it was heard within so many heartbeat intervals. */
+    /** Returns whether a heartbeat of the server arrived within this number of intervals. */
     boolean isInContactWithin(DatabaseServer server, int intervals) {
         return now() - server.lastContactMillis() < intervals * heartbeatIntervalMillis();
     }
 
     /**
-     * The one server of a service that reports that it is the primary; null for none or several.
+     * Returns the only server of a service that reports itself as the primary; null for none or
+     * several.
      */
     DatabaseServer reportedPrimary(String service) {
         DatabaseServer primary = null;
@@ -181,7 +190,7 @@
         return primary;
     }
 
-    /** What all data planes see of this primary. */
+    /** Returns the merged observations of all data planes for this primary. */
     PrimaryObservation observation(String service, String primary) {
         PrimaryObservation all = dataPlanes.observation(service, primary);
         for (PeerState peer : state.cluster().peers()) {
--- a/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
@@ -14,19 +14,19 @@
 import java.util.TreeSet;
 
 /**
- * The one singleton role of the control plane: which server is the primary of each service. Only
- * the holder of the lease acts.
+ * Decides which server is the primary of each service, the singleton role of the control plane.
+ * Only the lease holder acts.
  *
- * <p>A service whose primary is lost or drains is first recorded as moving, and nothing is done
- * before a majority has that record: the next holder of the lease finds it and goes on. A replica
- * is promoted only when no acknowledged commit can be missing from its log, and no data plane can
- * still take another server for the primary.
+ * <p>A service whose primary is lost or draining is first recorded as moving, and no action is
+ * taken before a majority has that record, so the next lease holder finds and continues the move. A
+ * replica is promoted only if its log cannot lack an acknowledged commit and no data plane can
+ * still trust another server as the primary.
  *
- * <p>Called on one thread.
+ * <p>Not thread-safe: all calls come from one thread.
  */
 public final class FailoverCoordinator implements PrimaryMonitor.Mover, PrimaryMove.Owner {
 
-    /** What is looked after of a service while no move of it is under way. */
+    /** The tasks for a service without a move in progress. */
     private final class ServiceWatch {
         final FirstPrimary first;
         final PrimaryMonitor monitor = new PrimaryMonitor(context, FailoverCoordinator.this);
@@ -43,8 +43,10 @@
     private final Map<String, PrimaryMove> moves = new TreeMap<>();
 
     /**
-     * @param dataPlanes what the data planes that poll this process see
-     * @param tokens of this process's leases
+     * Creates a coordinator.
+     *
+     * @param dataPlanes the observations of data planes that poll this process
+     * @param tokens the tokens of this process's leases
      */
     public FailoverCoordinator(
             ControlState state, DataPlaneObservations dataPlanes, FencingTokens tokens) {
@@ -52,17 +54,20 @@
         context = new FailoverContext(state, dataPlanes, tokens);
     }
 
-    /** Whether this process holds the lease and knows all that earlier holders recorded. */
+    /** Returns whether this process holds the lease and knows all records of earlier holders. */
     public boolean isActing() {
         return context.isActing();
     }
 
-    /** This process was paused until now: it has no ground to call others silent. */
+    /**
+     * Handles the end of a pause of this process, after which the silence of others is no evidence
+     * of their loss.
+     */
     public void onProcessPaused() {
         context.onProcessPaused();
     }
 
-    /** Advances all that is under way; called often. */
+    /** Advances all moves and checks. Called periodically. */
     @Override
     public void poll() {
         if (!state.lease().isHeld()) {
@@ -87,7 +92,7 @@
         state.suspects().replace(suspected);
     }
 
-    /** Whether the primary of this service is suspected. */
+    /** Advances one service. Returns whether its primary is suspected. */
     private boolean poll(String service) {
         PrimaryMove move = moves.get(service);
         if (move != null) {
@@ -117,8 +122,8 @@
     }
 
     /**
-     * Once a majority has answered since the lease began, all that earlier holders recorded is
-     * known; it is recorded anew, and their moves go on.
+     * Takes over the records of earlier holders. All of them are known once a majority has answered
+     * since the lease began; they are stored under new numbers, and moves in progress continue.
      */
     private void takeOverRecords() {
         if (!state.cluster().isQuorum(true, this::hasNoNewerRecord)) {
@@ -177,7 +182,7 @@
         }
     }
 
-    /** What moves wait for where no log that is left has all that was acknowledged. */
+    /** Returns the missing commits that moves wait for. */
     public List<MissingCommits> missingCommits() {
         List<MissingCommits> missing = new ArrayList<>();
         for (PrimaryMove move : moves.values()) {
@@ -189,8 +194,9 @@
     }
 
     /**
-     * An operator gives up commits that no log that is left holds. Recorded first, like all that
-     * the next holder must go on with; passed over where something else is missing by now.
+     * Accepts, on behalf of an operator, the loss of commits that no available log contains. The
+     * acceptance is recorded first, so the next lease holder continues with it. Ignored if other
+     * commits are missing by now.
      */
     public void acceptDataLoss(MissingCommits shown) {
         PrimaryMove move = moves.get(shown.service());
--- a/src/main/java/dillfront/controlplane/failover/FirstPrimary.java
+++ b/src/main/java/dillfront/controlplane/failover/FirstPrimary.java
@@ -6,12 +6,12 @@
 import dillfront.controlplane.registry.DatabaseServer;
 
 /**
- * Records the first primary of a service: the server that reports that it is. Where other processes
- * held the lease before, their calls to the platform are fenced off first.
+ * Records the first primary of a service: the server that reports itself as the primary. If other
+ * processes held the lease before, their platform calls are fenced off first.
  */
 final class FirstPrimary {
 
-    /** The platform may be out of reach: after so many calls in vain it is done without. */
+    /** Number of unanswered platform calls after which the primary is recorded without fencing. */
     private static final int MAX_UNANSWERED = 2;
 
     private static final long FIRST_LEASE = (1L << LeaseManager.NUMBER_BITS) + 1;
@@ -27,7 +27,7 @@
         this.service = service;
     }
 
-    /** Goes on with it; called often while nothing is recorded. */
+    /** Advances the procedure. Called periodically while the service has no record. */
     void poll() {
         DatabaseServer primary = context.reportedPrimary(service);
         if (primary == null || calling || context.now() < retryMillis) {
--- a/src/main/java/dillfront/controlplane/failover/MoveQueries.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveQueries.java
@@ -8,7 +8,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Queries of one move to its servers: one at a time each, with a pause between them. */
+/**
+ * Queries the servers of one move, one query at a time per server and with a pause between queries.
+ */
 final class MoveQueries {
 
     private final FailoverContext context;
@@ -17,11 +19,13 @@
     private final TreeSet<String> underWay = new TreeSet<>();
     private final Map<String, Long> retryMillis = new TreeMap<>();
 
-    /** How often in a row a server gave no answer at all. */
+    /** The number of consecutive queries that a server did not answer. */
     private final Map<String, Integer> unanswered = new TreeMap<>();
 
     /**
-     * @param isActive whether the move is still under way
+     * Creates an instance for one move.
+     *
+     * @param isActive whether the move is in progress
      * @param poll runs after each answer
      */
     MoveQueries(FailoverContext context, BooleanSupplier isActive, Runnable poll) {
@@ -31,9 +35,9 @@
     }
 
     /**
-     * Asks a server for its status, unless it is asked already or was just now.
+     * Requests a server's status, unless a query is pending or its last answer is too recent.
      *
-     * @param gapMillis after the answer it is not asked again for so long
+     * @param gapMillis minimum pause between this answer and the next query
      * @param command as for {@link ServerQuery#send}
      */
     void ask(
@@ -63,12 +67,12 @@
                         });
     }
 
-    /** Whether the move is still under way. */
+    /** Returns whether the move is in progress. */
     boolean isActive() {
         return isActive.getAsBoolean();
     }
 
-    /** The pause after its last answer does not hold any more. */
+    /** Cancels the pause after the server's last answer. */
     void allowAtOnce(DatabaseServer server) {
         retryMillis.remove(server.id());
     }
--- a/src/main/java/dillfront/controlplane/failover/MoveState.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveState.java
@@ -10,72 +10,78 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** How far a {@link PrimaryMove} is; shared by its steps. */
+/** The progress of a {@link PrimaryMove}, shared by the classes that run its steps. */
 final class MoveState {
 
-    /** What is to be done next. */
+    /** The next step of a move. */
     enum Step {
-        /** Planned moves: wait until no transaction is open at the primary. */
+        /** Planned moves: wait until the primary has no open transactions. */
         DRAIN_TRANSACTIONS,
         /**
-         * Stop the primary or the replicas, so that no commit is acknowledged behind the choice.
+         * Stop the primary or the replicas, so that no commit is acknowledged after the successor
+         * is chosen.
          */
         STOP_REPLICATION,
         CHOOSE_SUCCESSOR,
-        /** Call the platform. */
+        /** Request the promotion from the platform. */
         PROMOTE,
-        /** Wait until the successor leads. */
+        /** Wait until the successor is the primary. */
         AWAIT_PRIMARY
     }
 
     PrimaryRecord record;
     final boolean planned;
 
-    /** The move was found as an earlier lease holder left it: a call of that may be on its way. */
+    /**
+     * Whether an earlier lease holder started the move, so one of its platform calls may still be
+     * in flight.
+     */
     final boolean inherited;
 
     final long sinceMillis;
     Step step = Step.DRAIN_TRANSACTIONS;
 
-    /** A call or command is under way that the next step has to wait for. */
+    /** Whether a call or command is in progress that the next step must wait for. */
     boolean busy;
 
-    /** Not before this moment is the step tried again. */
+    /** The earliest time of the next attempt of the step. */
     long retryMillis;
 
     // ---- stopping
 
-    /** The primary has stepped down: this is the end of its log. */
+    /** Whether the primary has stepped down; {@link #finalPosition} is the end of its log then. */
     boolean steppedDown;
 
     LogPosition finalPosition;
     long steppedDownMillis;
 
-    /** The replicas are paused: a planned move that took too long, or the primary is lost. */
+    /**
+     * Whether the replicas are paused, because a planned move took too long or the primary is lost.
+     */
     boolean forced;
 
-    /** Replicas may be paused. */
+    /** Whether replicas may be paused. */
     boolean replicationPaused;
 
-    /** The term of the PAUSE. */
+    /** The term of the PAUSE command. */
     long pauseTerm;
 
-    /** What servers that are stopped answered, by their ids. */
+    /** The statuses of stopped servers, by server id. */
     final Map<String, ServerStatus> statuses = new TreeMap<>();
 
     // ---- choosing
 
-    /** Servers that the platform did not promote, as they do not run. */
+    /** Servers whose promotion the platform rejected, because they are not running. */
     final TreeSet<String> rejected = new TreeSet<>();
 
-    /** What no log that is left holds; null while that is not so. */
+    /** The acknowledged commits that no available log contains; null for none. */
     MissingCommits missing;
 
     // ---- promoting
 
     /**
-     * Once the platform was called for it, it is the only one that may lead, until the platform
-     * says that the call is not carried out.
+     * The chosen successor. Once its promotion is requested, no other server may become the primary
+     * until the platform reports that it does not carry out the request.
      */
     String successor;
 
@@ -83,15 +89,18 @@
     long promotedMillis;
     long fencingToken;
 
-    /** The successor reported that it leads before it was promoted: its report tells nothing. */
+    /**
+     * Whether the successor reported itself as the primary before its promotion, so its reports are
+     * no evidence.
+     */
     boolean reportedBefore;
 
     // ---- ending
 
-    /** The primary is asked how far its log reaches. */
+    /** Whether a query for the end of the new primary's log is in progress. */
     boolean measuring;
 
-    /** Calls of earlier lease holders are fenced off at the platform, since this moment. */
+    /** Whether the platform rejects calls of earlier lease holders, and since when. */
     boolean fenced;
 
     long fencedMillis = LeaseManager.NEVER;
@@ -109,18 +118,18 @@
         return record.service();
     }
 
-    /** Whether the platform may have been called by this holder. */
+    /** Returns whether this lease holder may have requested the promotion. */
     boolean isPromoting() {
         return step == Step.PROMOTE || step == Step.AWAIT_PRIMARY;
     }
 
-    /** The servers are to be stopped and asked anew. */
+    /** Discards the statuses, so that all servers are stopped and queried again. */
     void restartStopping() {
         statuses.clear();
         step = Step.STOP_REPLICATION;
     }
 
-    /** What is known to be acknowledged, without what an operator gave up. */
+    /** Returns the known acknowledged commits, without those whose loss an operator accepted. */
     AcknowledgedCommits acknowledged(AcknowledgedCommitsTable table) {
         AcknowledgedCommits known = table.get(service());
         if (finalPosition != null) {
--- a/src/main/java/dillfront/controlplane/failover/PlatformClient.java
+++ b/src/main/java/dillfront/controlplane/failover/PlatformClient.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls to the platform, which makes a database server the primary of its service. */
+/** Calls the platform, which promotes database servers. */
 final class PlatformClient {
 
     private static final int TIMEOUT_MS = 1_500;
@@ -16,13 +16,16 @@
     private static final int OK = 200;
     private static final int CONFLICT = 409;
 
-    /** What the platform answered. */
+    /** The platform's reply. */
     enum PromotionResult {
-        /** It makes that server the primary, or it is already. */
+        /** The platform promotes the server, or the server is already the primary. */
         ACCEPTED,
-        /** It does not, as that server does not run, or the fencing token is too low. */
+        /**
+         * The platform does not promote the server, because the server is not running or the
+         * fencing token is too low.
+         */
         REJECTED,
-        /** It gave another answer: the call may be made again. */
+        /** The platform returned another status; the call may be repeated. */
         OTHER
     }
 
@@ -35,11 +38,11 @@
     }
 
     /**
-     * Asks for a server to be the primary.
+     * Requests the promotion of a server.
      *
-     * @param fencingToken above all that were used before: the platform refuses a call that was
-     *     held up on its way and for which another was made since
-     * @return fails where no complete answer came in time
+     * @param fencingToken a token above all used before; the platform rejects a delayed call if a
+     *     later call was made
+     * @return fails if no complete reply arrives before the timeout
      */
     CompletableFuture<PromotionResult> promote(String service, String serverId, long fencingToken) {
         String body = Json.object().add("service", service).add("instance_id", serverId).toString();
--- a/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
@@ -4,19 +4,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * For how long it is certain that no server leads a service other than the records say. The lease
- * holder's word passes to other control processes and from there to data planes, which ask a
- * primary first where this is over.
+ * Computes how long the primary records are guaranteed to be current, i.e. no server is the primary
+ * of a service other than the recorded one. The lease holder's guarantee is passed to other control
+ * processes and from there to data planes, which check with the primary before use once the
+ * guarantee has expired.
  */
 public final class PrimaryCertainty {
 
-    /** No longer than this after the lease holder last said so. */
+    /** Maximum duration of the guarantee after the lease holder's last message. */
     static final long MAX_MS = 3_000;
 
     /**
-     * Nor for longer than this past the end of the holder's lease. It is the most for which the
-     * next holder's wait covers clocks that differ by a tenth: (2250 + 600) * 1.1 < 2500 + 700 /
-     * 1.1.
+     * Maximum duration of the guarantee past the end of the holder's lease. This is the highest
+     * value for which the next holder's wait covers clock rates that differ by 10%: (2250 + 600) *
+     * 1.1 < 2500 + 700 / 1.1.
      */
     static final long AFTER_LEASE_MS = 600;
 
@@ -25,6 +26,8 @@
     private long certainUntilMillis = LeaseManager.NEVER;
 
     /**
+     * Creates the computation for this process.
+     *
      * @param isHolder whether this process acts as the lease holder
      */
     public PrimaryCertainty(LeaseManager lease, BooleanSupplier isHolder) {
@@ -32,7 +35,7 @@
         this.isHolder = isHolder;
     }
 
-    /** How long it is certain from now on; not above 0 where it is not. */
+    /** Returns the remaining duration of the guarantee; zero or negative if it has expired. */
     public long remainingMillis(long nowMillis) {
         if (isHolder.getAsBoolean()) {
             return Math.min(MAX_MS, lease.validUntilMillis() - nowMillis + AFTER_LEASE_MS);
@@ -41,11 +44,10 @@
     }
 
     /**
-     * The lease holder said that its lease runs for so long.
+     * Handles the lease holder's report of its remaining lease time.
      *
-     * @param requestedMillis when this process sent the message that the holder answered: dated
-     *     from before the holder looked at its clock, the certainty ends no later than by the
-     *     holder's
+     * @param requestedMillis when this process sent the message that the holder answered; measured
+     *     from before the holder read its clock, so the guarantee ends no later than the holder's
      */
     public void onHolderMessage(long requestedMillis, long leaseRemainingMillis) {
         long remaining = Math.min(MAX_MS, leaseRemainingMillis + AFTER_LEASE_MS);
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -8,28 +8,29 @@
 import java.util.List;
 
 /**
- * Watches the primary of one service while no move is under way: has it moved where it is lost, or
- * where it drains and another has all that it had.
+ * Monitors the primary of one service while no move is in progress. Starts a failover if the
+ * primary is lost, and a planned move if the primary is draining and another server has its
+ * complete log.
  */
 final class PrimaryMonitor {
 
-    /** Begins moves. */
+    /** Starts moves. */
     interface Mover {
 
         void startMove(PrimaryRecord record, boolean planned);
     }
 
     /**
-     * Suspicion may be wrong at little cost: a primary that answers while its service moves leads
-     * on.
+     * Short, because a false suspicion is cheap: a primary that answers during a move remains the
+     * primary.
      */
     private static final long SUSPECT_TIMEOUT_MS = 300;
 
     private static final long QUERY_GAP_MS = 250;
 
     /**
-     * The pause between two comparisons of a replica's log with that of a primary that drains; it
-     * doubles up to a bound.
+     * Initial pause between two comparisons of a replica's log with that of a draining primary. The
+     * pause doubles up to a maximum.
      */
     private static final long COMPARE_GAP_MS = 60;
 
@@ -38,7 +39,7 @@
     private final FailoverContext context;
     private final Mover mover;
 
-    /** Queries in a row that the suspected primary did not answer. */
+    /** The number of consecutive queries that the suspected primary did not answer. */
     private int misses;
 
     private boolean querying;
@@ -52,15 +53,15 @@
         this.mover = mover;
     }
 
-    /** A move begins: what was missed before counts no more. */
+    /** Resets the count of unanswered queries, because a move starts. */
     void onMoveStarted() {
         misses = 0;
     }
 
     /**
-     * Looks after the recorded primary.
+     * Checks the recorded primary.
      *
-     * @return whether it is suspected, so that data planes are to be asked what they see
+     * @return whether the primary is suspected, so that data planes are asked for observations
      */
     boolean poll(PrimaryRecord record) {
         DatabaseServer primary = context.server(record.primary());
@@ -69,7 +70,8 @@
         if (reported != null
                 && !reported.id().equals(record.primary())
                 && (!present || !primary.isPrimary())) {
-            // Promoted by a call of an earlier holder that arrived late: so it is.
+            // A delayed call of an earlier holder promoted this server, so it is recorded as the
+            // primary.
             context.record(
                     new PrimaryRecord(
                             record.service(),
@@ -125,8 +127,8 @@
     }
 
     /**
-     * A primary that drains leads on until another server, which stays, has received all that it
-     * had when it was asked.
+     * Starts a planned move once another server, which is not draining, has received the log that
+     * the draining primary reported. Until then the primary continues.
      */
     private void compareSuccessors(PrimaryRecord record, DatabaseServer primary) {
         List<DatabaseServer> successors = new ArrayList<>();
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -11,43 +11,46 @@
 import java.util.List;
 
 /**
- * One service on its way to another primary, by the steps of {@link MoveState.Step}: a failover, or
- * a planned move away from a primary that drains.
+ * Moves the primary of one service through the steps of {@link MoveState.Step}. A move is a
+ * failover, or a planned move away from a draining primary.
  *
- * <p>Invariants: nothing is done before a majority has the record of the move; a successor is
- * chosen only once no data plane can take the old primary for the present one; once the platform
- * was called for a successor, no other is, until the platform says that the call is not carried
- * out.
+ * <p>Invariants: no action is taken before a majority has the record of the move; a successor is
+ * chosen only after no data plane can still trust the old primary; once the promotion of a
+ * successor is requested, no other server is promoted until the platform reports that it does not
+ * carry out the request.
  */
 final class PrimaryMove {
 
-    /** Keeps the moves that are under way. */
+    /** Owns the moves in progress. */
     interface Owner {
 
         boolean isActive(PrimaryMove move);
 
-        /** The move ended with this record. */
+        /** Called when a move has ended with this record. */
         void onCompleted(PrimaryMove move, PrimaryRecord record);
 
-        /** Something has changed: all moves are to be looked at. */
+        /** Advances all moves after a change. */
         void poll();
     }
 
-    /** Open transactions may end before a planned move, for so long. */
+    /** Time for open transactions to end before a planned move continues. */
     private static final long OPEN_TRANSACTIONS_MS = 900;
 
-    /** What was certain to data planes is over so long after its time. */
+    /** Margin by which data planes' trust in a primary may outlast its nominal end. */
     private static final long CERTAINTY_MARGIN_MS = 100;
 
-    /** From the platform's acceptance until the successor is asked whether it leads. */
+    /** Delay from the platform's acceptance to the first query of the successor. */
     private static final long PRIMARY_QUERY_AFTER_MS = 350;
 
     private static final long PRIMARY_QUERY_GAP_MS = 150;
 
-    /** A successor that does not lead by then: the platform is called again. */
+    /** Time after which the platform is called again if the successor is not the primary. */
     private static final long PRIMARY_TIMEOUT_MS = 4_000;
 
-    /** The platform takes some hundred milliseconds from a call to the new primary. */
+    /**
+     * Upper bound for the time from a platform call to the new primary, which typically takes a few
+     * hundred milliseconds.
+     */
     private static final long PLATFORM_DELAY_MS = 1_500;
 
     private final FailoverContext context;
@@ -57,11 +60,13 @@
     private final ReplicationStop stop;
     private final SuccessorChoice choice;
 
-    /** After calls of an earlier holder were fenced off, servers were asked anew. */
+    /** Whether servers were queried again after calls of earlier holders were fenced off. */
     private boolean restartedAfterFencing;
 
     /**
-     * @param inherited the move was found as an earlier lease holder left it
+     * Creates a move.
+     *
+     * @param inherited whether an earlier lease holder started the move
      */
     PrimaryMove(
             FailoverContext context,
@@ -85,7 +90,7 @@
         return state.record;
     }
 
-    /** What no log that is left holds; null while that is not so. */
+    /** Returns the acknowledged commits that no available log contains; null for none. */
     MissingCommits missingCommits() {
         return state.missing;
     }
@@ -94,7 +99,7 @@
         return owner.isActive(this);
     }
 
-    /** Advances the move; called often. */
+    /** Advances the move. Called periodically. */
     void poll() {
         if (!context.mayAct() || !isRecorded() || state.measuring) {
             return;
@@ -107,12 +112,13 @@
             onPrimaryFound(reported.id());
         }
         if (!isActive() || state.measuring || !state.isPromoting() && mayPlatformStillPromote()) {
-            // It is over, or as good as over: no other server is promoted.
+            // The move has ended or is about to end with the reported primary: no other server is
+            // promoted.
             return;
         }
         if (state.fenced && !restartedAfterFencing && !state.isPromoting()) {
-            // What was heard of logs and primaries may be outdated, now that the earlier holder's
-            // call is carried out.
+            // Statuses of servers may be outdated after the platform carried out a call of an
+            // earlier holder.
             restartedAfterFencing = true;
             state.restartStopping();
         }
@@ -149,7 +155,7 @@
         }
     }
 
-    /** Whether a majority of control processes has the record. */
+    /** Returns whether a majority of control processes has the record. */
     private boolean isRecorded() {
         long number = state.record.number();
         return context.state()
@@ -168,11 +174,12 @@
     }
 
     /**
-     * Whether no data plane takes the old primary for certain any more: each has said so, or its
-     * time is over.
+     * Returns whether no data plane can still trust the old primary: each has confirmed the record,
+     * or its trust has expired.
      */
     private boolean isCleared() {
-        // Of earlier lease holders nothing is certain for longer than this past their lease's end.
+        // Trust based on an earlier lease holder's messages ends at most this long after that
+        // holder's lease.
         long formerCertaintyEnd =
                 Math.max(context.leaseStartMillis(), context.state().lease().formerLeaseEndMillis())
                         + PrimaryCertainty.AFTER_LEASE_MS
@@ -192,9 +199,10 @@
     }
 
     /**
-     * What a peer passes on as certain, it asked for in a message that came here; with the last of
-     * them that is over too. So it is with what it passed on in an earlier incarnation, of which it
-     * cannot say that its data planes have heard since.
+     * Returns whether the data planes of a peer no longer trust the old primary. The trust that a
+     * peer passes on derives from its last message to this process and expires with it. The same
+     * applies to messages of the peer's former incarnation, for whose data planes the peer cannot
+     * vouch.
      */
     private boolean isClearedAt(PeerState peer, long expired) {
         boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
@@ -244,7 +252,8 @@
         DatabaseServer successor = context.server(state.successor);
         if (!FailoverContext.isPresent(successor)
                 || context.now() > state.promotedMillis + PRIMARY_TIMEOUT_MS) {
-            // The platform is asked again: only where it does not run another may be chosen.
+            // Another server may be chosen only if the platform reports that the successor is not
+            // running, so the platform is called again.
             state.step = Step.PROMOTE;
         } else if (successor.isPrimary() && !state.reportedBefore) {
             complete(successor.id());
@@ -264,11 +273,12 @@
     // ---- ending
 
     /**
-     * This server leads, whoever made it so. Not while another is promoted: what it acknowledged
-     * would be lost once that one leads. And where an earlier lease holder may have called the
-     * platform, its call is fenced off first, while data planes still hold what they have; what the
-     * platform had begun by then is waited for: that this server leads now is no proof that it
-     * will.
+     * Ends the move with the server that is the primary, regardless of who promoted it. Not done
+     * while another server is being promoted, because commits acknowledged by this server would be
+     * lost after that promotion. If an earlier lease holder may have called the platform, its call
+     * is fenced off first, while data planes are still bound by the record of the move. Then the
+     * move waits for promotions that the platform had already begun: the current primary may still
+     * be replaced by one of them.
      */
     private void onPrimaryFound(String serverId) {
         if (state.busy || state.promotionCalled && !serverId.equals(state.successor)) {
@@ -300,7 +310,7 @@
                         });
     }
 
-    /** The platform may still carry out what an earlier lease holder asked for. */
+    /** Returns whether the platform may still carry out a call of an earlier lease holder. */
     private boolean mayPlatformStillPromote() {
         return state.inherited && context.now() < state.fencedMillis + PLATFORM_DELAY_MS;
     }
@@ -320,7 +330,10 @@
         }
     }
 
-    /** What the primary holds is not given up; where that is not known, nothing is. */
+    /**
+     * Excludes the commits that the primary has from the accepted loss. If the end of its log is
+     * unknown, all commits count as retained.
+     */
     private void measure(DatabaseServer primary, AcceptedDataLoss loss) {
         state.measuring = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
@@ -351,7 +364,8 @@
     }
 
     /**
-     * An operator gives commits up: the move goes on without them, and without who may have them.
+     * Continues the move without the commits whose loss an operator accepted, and without the
+     * servers that may have them.
      */
     void acceptDataLoss(AcceptedDataLoss loss) {
         List<String> excludedServers = loss.unreachableServers();
--- a/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -7,27 +7,28 @@
 import java.util.TreeSet;
 
 /**
- * Has the replicas of one service receive again, once a primary leads it. Each is told at once, and
- * again until it has said that it receives at a moment when no PAUSE can be on its way any more.
- * Until that is recorded, the next lease holder goes on with it.
+ * Resumes the replicas of one service after a primary is established. Each replica is resumed
+ * immediately, and again until it confirms that it receives at a time when no PAUSE command can
+ * still be in flight. Until the completion is recorded, the next lease holder continues the
+ * procedure.
  */
 final class ReplicaResumer {
 
     private static final long RETRY_MS = 500;
 
-    /** A command that was on its way when a move ended has arrived, or never does, by then. */
+    /** Time after the end of a move by which every command in flight has arrived or is lost. */
     private static final long COMMAND_IN_FLIGHT_MS = 3_500;
 
     private static final long NONE = -1;
 
     private final FailoverContext context;
 
-    /** The number of the record under which replicas are resumed. */
+    /** The number of the primary record that the replicas are resumed for. */
     private long recordNumber = NONE;
 
     private long sinceMillis;
 
-    /** Ids of replicas that have not confirmed yet. */
+    /** The ids of replicas without a confirmation. */
     private final TreeSet<String> paused = new TreeSet<>();
 
     private final TreeSet<String> queried = new TreeSet<>();
@@ -37,12 +38,15 @@
         this.context = context;
     }
 
-    /** The command for a replica with this status; null for none. */
+    /** Returns the command for a replica with this status; null for none. */
     static String resumeCommand(ServerStatus status) {
         return status.isPaused() ? "RESUME" : null;
     }
 
-    /** Goes on with it; called often while the record says that replicas may be paused. */
+    /**
+     * Advances the procedure. Called periodically while the record states that replicas may be
+     * paused.
+     */
     void poll(PrimaryRecord record) {
         if (recordNumber != record.number()) {
             start(record);
--- a/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
@@ -10,30 +10,32 @@
 import java.util.Map;
 
 /**
- * Stops replication of a service that moves, so that nothing can be acknowledged behind the choice
- * of the successor. In a planned move the primary steps down of its own will; else each replica is
- * paused, and the old primary may turn out to live.
+ * Stops replication of a service, so that no commit is acknowledged after the successor is chosen.
+ * In a planned move the primary steps down; otherwise each replica is paused, and the old primary
+ * may turn out to be alive.
  */
 final class ReplicationStop {
 
-    /** What follows where a server turns out to lead. */
+    /** Called when a server turns out to be the primary. */
     interface PrimaryFound {
 
         void onPrimaryFound(String serverId);
     }
 
     /**
-     * A replica gets so long to receive what the old primary had last, before the longest log is
-     * taken as it is.
+     * Time for a replica to receive the end of the old primary's log, before the longest available
+     * log is used.
      */
     private static final long CATCH_UP_MS = 2_500;
 
     private static final long CATCH_UP_QUERY_GAP_MS = 60;
 
-    /** A server that was silent for so long before its primary was lost is not waited for. */
+    /** Silence before the loss of the primary after which a server is not waited for. */
     private static final long EXPIRED_AFTER_MS = 10_000;
 
-    /** A server that announced its leave has ended where so many queries got no answer. */
+    /**
+     * Number of unanswered queries after which a server that announced its leave counts as ended.
+     */
     private static final int ENDED_AFTER_QUERIES = 2;
 
     private static final long LOG_WAIT_AFTER_MS = 1_000;
@@ -59,9 +61,9 @@
     }
 
     /**
-     * Goes on with it.
+     * Advances the stop.
      *
-     * @param primary the old one; null where it is not known any more
+     * @param primary the old primary; null if it is no longer known
      */
     void poll(DatabaseServer primary) {
         if (!move.planned || move.forced) {
@@ -101,7 +103,10 @@
                         });
     }
 
-    /** What the old primary had last is what the successor must have. */
+    /**
+     * Waits until a replica has received the old primary's final log position, which the successor
+     * must have.
+     */
     private void awaitCatchUp() {
         if (context.now() > move.steppedDownMillis + CATCH_UP_MS) {
             move.forced = true;
@@ -167,14 +172,14 @@
         if (!status.isPrimary() || move.steppedDown) {
             move.statuses.put(primary.id(), status);
         } else if (!move.isPromoting() && move.step != MoveState.Step.DRAIN_TRANSACTIONS) {
-            // It was not lost: it goes on leading, and replicas receive again.
+            // The primary was not lost: it remains the primary, and replicas are resumed.
             context.environment()
                     .trace("primary-alive service=" + move.service() + " primary=" + primary.id());
             primaryFound.onPrimaryFound(primary.id());
         }
     }
 
-    /** Whether this replica needs not be waited for; else it is paused. */
+    /** Returns whether the move need not wait for this replica; otherwise pauses the replica. */
     private boolean isStopped(DatabaseServer replica, DatabaseServer primary) {
         if (move.statuses.containsKey(replica.id())) {
             return true;
@@ -199,8 +204,8 @@
     }
 
     /**
-     * The PAUSE is above the newest term of the service, which a replica that received nothing for
-     * long does not know itself.
+     * Returns the PAUSE command. Its term is above the newest term of the service, which a replica
+     * that has not received for long does not know.
      */
     private String pauseCommand(ServerStatus status) {
         long acknowledgedTerm =
@@ -216,15 +221,16 @@
         } else if (status.isPaused()) {
             move.statuses.put(replica.id(), status);
         } else {
-            // It knows of no later term, but its service does: that one is passed over until it is
-            // high enough.
+            // The replica reports no later term, but its service has one, so the PAUSE was ignored.
+            // The term is increased until it is high enough.
             move.pauseTerm++;
             queries.allowAtOnce(replica);
         }
     }
 
     /**
-     * An operator said that this move does not wait for it; it does once that one is heard again.
+     * Returns whether an operator excluded the replica from this move. The exclusion ends when the
+     * replica is in contact again.
      */
     private boolean isExcludedByOperator(DatabaseServer replica) {
         AcceptedDataLoss loss = move.record.acceptedLoss();
@@ -235,8 +241,8 @@
     }
 
     /**
-     * Where all servers that can be heard are stopped, and others that may have more were silent
-     * for long, it is for an operator to give those up.
+     * Reports missing commits if all reachable servers are stopped and only servers with a long
+     * silence may have more. An operator decides whether to give up on those servers.
      */
     private void findMissingCommits() {
         List<String> unreachable = new ArrayList<>();
--- a/src/main/java/dillfront/controlplane/failover/ServerQuery.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQuery.java
@@ -12,8 +12,9 @@
 import java.util.function.Function;
 
 /**
- * One query to a database server, on a connection of its own: STATUS, and a command that may follow
- * from its answer. A command is sent only while the lease is held under which the query began.
+ * Queries a database server on a new connection: sends STATUS, and optionally a command that
+ * depends on the status. The command is sent only while the lease under which the query began is
+ * held.
  */
 final class ServerQuery implements Environment.ConnectionListener {
 
@@ -45,9 +46,10 @@
     }
 
     /**
-     * Asks a server for its status, and sends it the command that follows from that.
+     * Requests a server's status and sends the command that results from the status.
      *
-     * @param command gives the command, or null for none; its answer is the result then
+     * @param command returns the command, or null for none; the status after the command is the
+     *     result
      * @return the last status; fails with {@link ServerQueryException}
      */
     static CompletableFuture<ServerStatus> send(
@@ -107,13 +109,14 @@
             return;
         }
         if (response.errorCode() != null) {
-            // At its address another server may be: then this one is not.
+            // WRONGNODE means that another server uses the address, so the queried one is not
+            // running there.
             fail(
                     response.errorCode() + " " + response.errorMessage(),
                     !response.errorCode().equals(OTHER_SERVER));
         } else if (environment.nowMillis() >= deadlineMillis) {
-            // This process was paused: what it would send now was decided long ago.
-            fail("answered too late", true);
+            // The process was paused, so a command would be based on an outdated decision.
+            fail("answer arrived after the timeout", true);
         } else if (!wasConnected) {
             sendStatement("STATUS");
         } else {
@@ -127,7 +130,7 @@
 
     private void onStatus(ServerStatus status) {
         if (status == null) {
-            fail("no status in its answer", true);
+            fail("server answer contains no valid status", true);
             return;
         }
         String next = commandSent || command == null ? null : command.apply(status);
@@ -136,7 +139,7 @@
             connection.close();
             result.complete(status);
         } else if (lease.number() != leaseNumber || !lease.isHeld()) {
-            fail("the lease is over", true);
+            fail("lease lost during the query", true);
         } else {
             commandSent = true;
             sendStatement(next);
--- a/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
@@ -1,6 +1,9 @@
 package dillfront.controlplane.failover;
 
-/** A database server gave no status. May be retried: each query is a new connection. */
+/**
+ * Thrown if a database server returns no status. The query may be retried, because each query uses
+ * a new connection.
+ */
 final class ServerQueryException extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -8,7 +11,9 @@
     private final boolean serverAlive;
 
     /**
-     * @param serverAlive the server runs and answers, but not this, or not now
+     * Creates an exception.
+     *
+     * @param serverAlive whether the server is running and responding, although the query failed
      */
     ServerQueryException(String message, boolean serverAlive) {
         super(message);
@@ -19,7 +24,10 @@
         return serverAlive;
     }
 
-    /** Whether a query that ended with this fault, or with none, shows that the server runs. */
+    /**
+     * Returns whether a query with this failure, or null for none, shows that the server is
+     * running.
+     */
     static boolean showsServerAlive(Throwable fault) {
         return fault == null
                 || fault instanceof ServerQueryException query && query.isServerAlive();
--- a/src/main/java/dillfront/controlplane/failover/ServerStatus.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerStatus.java
@@ -7,9 +7,10 @@
  * A database server's answer to STATUS.
  *
  * @param role primary or replica
- * @param term the newest that it knows of
- * @param position the end of its log
- * @param pauseTerm the term of the PAUSE under which it does not receive; 0 where it receives
+ * @param term the newest term known to the server
+ * @param position the end of the server's log
+ * @param pauseTerm the term of the PAUSE command under which the server does not receive; 0 if the
+ *     server receives
  */
 record ServerStatus(String role, long term, LogPosition position, long pauseTerm) {
 
@@ -24,15 +25,15 @@
         return pauseTerm != 0;
     }
 
-    /** Above all terms that it knows of. */
+    /** Returns a term above all terms known to the server. */
     long nextTerm() {
         return Math.max(Math.max(term, pauseTerm), position.term()) + 1;
     }
 
     /**
-     * Reads a row of the answer.
+     * Parses a row of the answer.
      *
-     * @return null where the text is no status
+     * @return null if the row is not a status
      */
     static ServerStatus parse(String row) {
         String[] field = row.split(" ");
--- a/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
+++ b/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
@@ -10,15 +10,18 @@
 import java.util.Map;
 
 /**
- * Chooses the successor of a lost or draining primary: the longest log among the servers that are
- * stopped, where no acknowledged commit can be missing from it.
+ * Chooses the successor of a lost or draining primary: the server with the longest log among those
+ * with stopped replication, provided that the log cannot lack an acknowledged commit.
  */
 final class SuccessorChoice {
 
-    /** Where logs may lack a commit, they receive for so long before they are stopped again. */
+    /**
+     * Duration for which replicas resume receiving, if their logs may lack a commit, before they
+     * are stopped again.
+     */
     private static final long RECEIVE_MS = 1_000;
 
-    /** Where it is not known whether they do, for so long altogether. */
+    /** Maximum total wait if it is unknown whether the logs lack a commit. */
     private static final long MAX_UNSURE_MS = 4_000;
 
     private static final long LOG_INTERVAL_MS = 10_000;
@@ -34,7 +37,7 @@
         this.move = move;
     }
 
-    /** A server with its log. */
+    /** A server with the end of its log. */
     private record Candidate(String id, LogPosition logEnd, boolean draining) {
 
         boolean isBetterThan(Candidate other) {
@@ -43,7 +46,7 @@
         }
     }
 
-    /** Chooses, or has replication stopped again where none can be chosen. */
+    /** Chooses a successor, or restarts the stop of replication if no server qualifies. */
     void poll() {
         Candidate best = bestCandidate();
         if (best != null && isBehindRejected(best)) {
@@ -82,7 +85,10 @@
         return best;
     }
 
-    /** A server that does not run may hold more than the others: it is waited for. */
+    /**
+     * Returns whether a rejected server, which is not running, has a longer log. The move waits for
+     * that server.
+     */
     private boolean isBehindRejected(Candidate best) {
         for (String id : move.rejected) {
             ServerStatus status = move.statuses.get(id);
@@ -94,8 +100,8 @@
     }
 
     /**
-     * Whether a server with this log may be promoted: it lacks no acknowledged commit that any data
-     * plane in contact, or gone since, knows of.
+     * Returns whether a server with this log may be promoted: the log lacks no acknowledged commit
+     * that is known to any data plane, connected or disconnected since.
      */
     private boolean holdsAll(LogPosition logEnd, AcknowledgedCommits acknowledged) {
         Configuration.Service service =
@@ -115,8 +121,8 @@
     }
 
     /**
-     * Whether a replica that counted for commits a moment before the primary was lost is not among
-     * those that are stopped.
+     * Returns whether a replica that may have acknowledged commits just before the loss of the
+     * primary is not among the stopped servers.
      */
     private boolean lacksReplica() {
         for (DatabaseServer server : context.state().registry().all()) {
@@ -135,9 +141,9 @@
     }
 
     /**
-     * No log that is left is known to hold all that was acknowledged: the replicas receive for a
-     * while, in case the old primary reaches them though no control process reaches it; then they
-     * are stopped and looked at again.
+     * Resumes replication for {@link #RECEIVE_MS} if no available log is known to contain all
+     * acknowledged commits, because the old primary may still reach the replicas although no
+     * control process reaches it. Then the replicas are stopped and compared again.
      */
     private void onMissing(LogPosition longest, AcknowledgedCommits acknowledged) {
         if (context.now() - loggedMillis > LOG_INTERVAL_MS) {
@@ -154,10 +160,10 @@
                                     + acknowledged.upperBound()
                                     + " awaits="
                                     + move.record.primary()
-                                    + ", or another server that has them");
+                                    + " or another server with these commits");
         }
-        // Behind the lower bound only commits can be missing that were under way together; those
-        // are waited for no longer than MAX_UNSURE_MS.
+        // Beyond the lower bound, only commits that were in progress at the same time can be
+        // missing. The move waits for those no longer than MAX_UNSURE_MS.
         move.missing =
                 longest.covers(acknowledged.lowerBound())
                         ? null
--- a/src/main/java/dillfront/controlplane/failover/package-info.java
+++ b/src/main/java/dillfront/controlplane/failover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The lease holder's role: which server is the primary of each service. Begin with {@link
+ * Assigns the primary of each service, which is the task of the lease holder. Begin with {@link
  * dillfront.controlplane.failover.FailoverCoordinator}.
  */
 package dillfront.controlplane.failover;
