--- a/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Calls and messages that are spoilt in any way: each is refused or passed over, none does harm,
- * and what follows is served.
+ * Tests malformed and corrupted calls and messages: each is rejected or ignored, none causes
+ * damage, and later valid ones are served.
  */
 class ControlHttpApiTest {
 
@@ -74,7 +74,9 @@
         return is.join().status();
     }
 
-    /** One byte after the other is changed, lost or doubled, up to four of them. */
+    /**
+     * Returns a copy with one to four corruptions: a changed byte, a truncation or a repetition.
+     */
     private byte[] spoilt(byte[] good) {
         byte[] is = good.clone();
         for (int i = random.nextInt(1, 5); i > 0; i--) {
@@ -95,8 +97,7 @@
     }
 
     /**
-     * Guards against a body that is not understood and changes something, or whose caller hears
-     * nothing.
+     * Guards against a malformed body that changes state or leaves the caller without an answer.
      */
     @Test
     void answersAnyBody() {
@@ -240,9 +241,9 @@
     }
 
     /**
-     * Guards against an order that waits for the end of a cut at the one machine that can't take
-     * it, against a caller who is sent to one that is known to be gone, and against a wrong order
-     * that is sent round instead of being refused.
+     * Guards against three faults of an isolated process: a configuration request that waits there
+     * until the partition ends, a redirect to a process that is known to have left, and an invalid
+     * request that is redirected instead of rejected.
      */
     @Test
     void redirectsToLastContactedPeerWhileIsolated() throws Exception {
@@ -250,7 +251,7 @@
         assertEquals(
                 503,
                 answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
-                "it has heard nobody, and others may be starting too");
+                "no peer was in contact yet, and others may be starting");
         host.pass(2_000);
         Set<String> seeds = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
@@ -297,7 +298,7 @@
         return is;
     }
 
-    /** The same with another value somewhere in it, or one value less. */
+    /** Returns a copy of the message with one value replaced or removed, at any depth. */
     private Map<String, Object> odd(Map<String, Object> of) {
         Map<String, Object> is = new java.util.TreeMap<>(of);
         List<String> names = new ArrayList<>(is.keySet());
@@ -327,7 +328,10 @@
         return ODD[random.nextInt(ODD.length)];
     }
 
-    /** Guards against a message that ends the process, or leaves it deaf to those that follow. */
+    /**
+     * Guards against a message that terminates the process or prevents it from handling later
+     * messages.
+     */
     @Test
     void ignoresOrDisconnectsOnAnyMessage() {
         for (int i = 0; i < TRIES; i++) {
@@ -356,6 +360,6 @@
         front.open();
         front.say(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
         host.pass(1_000);
-        assertEquals(1, front.sent.size(), "a question is answered");
+        assertEquals(1, front.sent.size(), "a valid request is answered");
     }
 }
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a control process tells fronts: a configuration as what changed, and nothing at all where it
- * is out of contact.
+ * Tests the messages of a control process to data planes: configurations are sent as deltas, and an
+ * isolated process sends only addresses.
  */
 class DataPlaneSubscriptionsTest {
 
@@ -43,7 +43,7 @@
 
                     @Override
                     public void close() {
-                        // It stays.
+                        // The test keeps the connection.
                     }
 
                     @Override
@@ -111,12 +111,14 @@
                 configuration(6), BinaryDelta.apply(configuration(2), second.bytes("cx")));
         assertNull(second.bytes("cz"));
         assertTrue(second.bytes("cx").length < 100, second.bytes("cx").length + " bytes");
-        // The digest is said once; it holds until another is said.
+        // The data plane sends the digest once; it holds until the data plane sends another.
         assertTrue(ask(front, 3, "c", 2L).has("cx"));
-        assertTrue(ask(front, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
+        assertTrue(
+                ask(front, 4, "c", 2L, "cw", true).has("cz"),
+                "a complete configuration was requested");
         assertTrue(
                 ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
-                "another content under this number");
+                "the revision has another content");
         assertTrue(ask(front, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
         MessageCodec.Fields none =
                 ask(front, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
@@ -133,8 +135,8 @@
     }
 
     /**
-     * It hears neither of the two others: whatever it has, it says that alone, and where others may
-     * be found, at once.
+     * An isolated process immediately sends only its isolation and the addresses of other
+     * processes, and nothing of its own state.
      */
     @Test
     void sendsOnlyAddressesWhileIsolated() throws Exception {
@@ -150,7 +152,7 @@
         answers.clear();
         front.onMessage(
                 MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
-        assertEquals(1, answers.size(), "at once");
+        assertEquals(1, answers.size(), "isolation is reported immediately");
         assertEquals(
                 Map.of(
                         "q",
@@ -163,7 +165,8 @@
                                 Map.of("i", "10.0.0.2", "z", "", "s", true),
                                 Map.of("i", "10.0.0.3", "z", "", "s", true))),
                 answers.get(0).all());
-        // One that knows nobody better waits for contact, and no longer than for news.
+        // A data plane without a better process waits for the process to regain contact, but no
+        // longer than for an update.
         answers.clear();
         front.onMessage(
                 MessageCodec.encode(
@@ -177,8 +180,8 @@
     }
 
     /**
-     * Of a primary it says 'sure' for no longer than 600 ms past the end of its lease, which is
-     * 2250 ms from its last question.
+     * The guarantee of a primary ends 600 ms after the lease, which ends 2250 ms after the holder's
+     * last request.
      */
     @Test
     void certaintyOfHolderEndsSoonAfterItsLease() throws Exception {
@@ -189,8 +192,8 @@
     }
 
     /**
-     * What is left of another's lease counts from this one's clock when it said what that one had
-     * heard last.
+     * The remaining lease of another holder is measured from when this process sent the message
+     * that the holder answered.
      */
     @Test
     void passesOnCertaintyWithTheRemainingLease() throws Exception {
@@ -202,8 +205,7 @@
         assertEquals(1_000 + 600 - 300, core.certainMillis());
         host.until(now + 200);
         assertEquals(1_000 + 600 - 500, core.certainMillis());
-        // Over for more than that, or from one that says nothing of its lease: nothing is sure that
-        // was not before.
+        // An expired lease, or a holder without a lease time, does not extend the guarantee.
         holderSays(core, other, 2, now, -700);
         assertEquals(1_000 + 600 - 500, core.certainMillis());
         holderSays(core, other, 3, now, 1 << 20);
--- a/src/test/java/dillfront/controlplane/ServerLeaveTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Servers that say that they leave, with or without a word of draining before, and what of them
- * comes late.
+ * Tests servers that announce their leave, with or without draining before, and messages of theirs
+ * that arrive late.
  */
 class ServerLeaveTest {
 
@@ -31,7 +31,7 @@
     private final Map<String, String> disk = new TreeMap<>();
     private ControlNode core;
 
-    /** Writes that were made while the disk stood still. */
+    /** The result of writes that are made while the disk is stalled. */
     private boolean stands;
 
     private CompletableFuture<Void> writes = CompletableFuture.completedFuture(null);
@@ -103,7 +103,7 @@
 
     private int answered(CompletableFuture<Environment.HttpResponse> call) {
         host.pass(500);
-        assertTrue(call.isDone(), "an answer within half a second");
+        assertTrue(call.isDone(), "no answer within 500 ms");
         return call.join().status();
     }
 
@@ -120,7 +120,8 @@
         assertTrue(m.isDraining() && !m.hasLeft(), m.state().wireName());
         assertEquals(List.of(m), core.state().registry().serversOf("s"));
         assertEquals(200, leave("i-1"));
-        assertFalse(m.hasLeft(), "its leave may come twice, as its answer may be lost");
+        assertFalse(
+                m.hasLeft(), "a repeated leave, sent after a lost answer, must not end the server");
     }
 
     @Test
@@ -151,7 +152,7 @@
         DatabaseServer m = core.state().registry().get("i-7");
         assertEquals("s", m.service());
         assertEquals("10.0.0.9:80", m.address());
-        assertTrue(m.isDraining(), "a beat that was on its way does not undo it");
+        assertTrue(m.isDraining(), "a delayed heartbeat must not undo the leave");
     }
 
     @Test
@@ -174,14 +175,14 @@
         writes = new CompletableFuture<>();
         CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
         host.pass(500);
-        assertFalse(call.isDone(), "not on a disk yet");
+        assertFalse(call.isDone(), "leave acknowledged before it is on disk");
         writes.complete(null);
         host.pass(200);
         assertEquals(200, call.join().status());
         ServerRegistry again = new ServerRegistry();
         again.restore(disk, 0);
         again.merge(row("i-7", "s", "ready", 4), 0);
-        assertTrue(again.get("i-7").isDraining(), "the next life knows it too");
+        assertTrue(again.get("i-7").isDraining(), "leave lost by a restart");
     }
 
     @Test
@@ -203,7 +204,8 @@
         leave("i-1");
         host.pass(25_000);
         assertFalse(
-                core.state().registry().get("i-1").hasLeft(), "it may serve on for many seconds");
+                core.state().registry().get("i-1").hasLeft(),
+                "server expired while it may still be serving");
         host.pass(10_000);
         assertTrue(core.state().registry().get("i-1").hasLeft());
     }
--- a/src/test/java/dillfront/controlplane/SingleNode.java
+++ b/src/test/java/dillfront/controlplane/SingleNode.java
@@ -10,24 +10,23 @@
 import java.util.stream.Stream;
 
 /**
- * One control process by itself, as tests begin with it; others that its settings name are not
- * there.
+ * Starts a single control process for tests. Other processes named in its settings do not exist.
  */
 public final class SingleNode {
 
     static final String IP = "10.0.0.1";
 
-    /** When it surely holds the lease, where it is the only one. */
+    /** Time after the start by which a process without peers holds the lease. */
     public static final long HOLDS_MS = 6_000;
 
     private SingleNode() {}
 
-    /** The lease of this process. */
+    /** Returns the lease of the process. */
     public static LeaseManager leaseOf(ControlNode node) {
         return node.state().lease();
     }
 
-    /** Started, with nothing on its disk, and everything kept at once and forgotten. */
+    /** Starts a process with an empty store that acknowledges all writes and discards them. */
     public static ControlNode start(Environment host, String... others) throws Exception {
         return start(
                 host,
@@ -45,7 +44,7 @@
                 others);
     }
 
-    /** Started on this disk. */
+    /** Starts a process on the given store. */
     public static ControlNode start(Environment host, StateStore store, String... others)
             throws Exception {
         List<String> seeds =
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Disks of control processes that revision 6ff1719 wrote in real use (src/test/resources/stored)
- * are read in full.
+ * Verifies that the stored state of control processes, written by revision 6ff1719 in real use
+ * (src/test/resources/stored), is restored completely.
  */
 class StoredStateTest {
 
@@ -103,7 +103,7 @@
         readsAll("control-3", THIRD, 0);
     }
 
-    /** The last record was not whole when the power went: all before it is read. */
+    /** A power loss cut the last record: all records before it are restored. */
     @Test
     void tornTailLosesTheLastRecordAlone() throws Exception {
         Path log = copy("control-3");
@@ -111,7 +111,7 @@
         byte[] bytes = Files.readAllBytes(log);
         Files.write(log, Arrays.copyOf(bytes, bytes.length - 9));
         Map<String, String> torn = open(log);
-        // The last record drops the old set of members; the one before it has both.
+        // The last record removes the outgoing members; the one before it has both member sets.
         assertEquals("7 " + SECOND, whole.get("accepted-ballot"));
         assertEquals("6 " + SECOND, torn.get("accepted-ballot"));
         assertEquals("2", torn.get("epoch"));
--- a/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
@@ -9,41 +9,42 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Who is to be a member, in one line each: those that are, what is seen of whom, and who is to be
- * one next.
+ * Tests the choice of the next members. Each row has a name, the tolerated losses, the members, the
+ * observed processes and the expected next members.
  */
 final class MembershipPolicyTest {
 
     /**
-     * Seen: id, then z and its zone, s and for how many seconds it has been silent (s* where
-     * another has its address), l where it leaves, n where it is near.
+     * Each observed process is an id and, after a dash, its flags: z and the zone, s and the
+     * seconds of silence (s* if another process uses its address), l if the process is leaving, n
+     * if it has caught up.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '|',
             textBlock =
                     """
-            calm                                  | 1 | a b c     | a-n b-n c-n                  | a b c
-            a restart is waited for               | 1 | a b c     | a-n b-n c-s20                | a b c
-            a learner takes a silent one's place  | 1 | a b c     | a-n b-n c-s2 d-n             | a b d
-            a learner that lags does not          | 1 | a b c     | a-n b-n c-s2 d               | a b c
-            a short silence is none               | 1 | a b c     | a-n b-n c-s1 d-n             | a b c d
-            planned: the new one comes first      | 1 | a b c     | a-n b-n c-n d-n              | a b c d
-            then the old one says that it leaves  | 1 | a b c d   | a-n b-n c-nl d-n             | a b d
-            or ends without a word                | 1 | a b c d   | a-n b-n c-s2 d-n             | a b d
-            one leaves and another is there       | 1 | a b c     | a-n b-n c-nl d-n             | a b d
-            nobody is let go that is needed       | 1 | a b c     | a-n b-n c-nl                 | a b c
-            nobody that leaves is taken in        | 1 | a b c     | a-n b-n c-n d-nl             | a b c
-            an emptied disk is another process    | 1 | a b c/1   | a-n b-n c/1-s* c/2-n         | a b c/2
-            of two that are gone, one at a time   | 2 | a b c d e | a-n b-n c-n d-s2 e-s3 f-n    | a b c d f
-            five, one silent, none to take over   | 2 | a b c d e | a-n b-n c-n d-n e-s20        | a b c d e
-            five, one gone for good               | 2 | a b c d e | a-n b-n c-n d-n e-s31        | a b c d
-            and another                           | 2 | a b c d   | a-n b-n c-n d-s31            | a b c
-            but not a third                       | 2 | a b c     | a-n b-n c-s31                | a b c
-            seven are enough                      | 3 | a b c d e f g | a-n b-n c-n d-n e-n f-n g-n h-n | a b c d e f g
-            not where four may be lost at once    | 4 | a b c d e f g | a-n b-n c-n d-n e-n f-n g-n h-n | a b c d e f g h
-            but nine are then                     | 4 | a b c d e f g h i | a-n b-n c-n d-n e-n f-n g-n h-n i-n j-n | a b c d e f g h i
-            from the zone that has fewest         | 1 | a b c     | a-nz1 b-nz2 c-nz2 d-nz2 e-nz1 f-nz3 | a b c f
+            all members reachable                 | 1 | a b c     | a-n b-n c-n                  | a b c
+            short restart is tolerated            | 1 | a b c     | a-n b-n c-s20                | a b c
+            learner replaces silent member        | 1 | a b c     | a-n b-n c-s2 d-n             | a b d
+            lagging learner does not replace      | 1 | a b c     | a-n b-n c-s2 d               | a b c
+            short silence does not replace        | 1 | a b c     | a-n b-n c-s1 d-n             | a b c d
+            planned: new member joins first       | 1 | a b c     | a-n b-n c-n d-n              | a b c d
+            then the old member announces leave   | 1 | a b c d   | a-n b-n c-nl d-n             | a b d
+            or stops without announcement         | 1 | a b c d   | a-n b-n c-s2 d-n             | a b d
+            learner replaces leaving member       | 1 | a b c     | a-n b-n c-nl d-n             | a b d
+            required leaving member is kept       | 1 | a b c     | a-n b-n c-nl                 | a b c
+            leaving learner does not join         | 1 | a b c     | a-n b-n c-n d-nl             | a b c
+            lost disk makes a new process         | 1 | a b c/1   | a-n b-n c/1-s* c/2-n         | a b c/2
+            two silent members, one at a time     | 2 | a b c d e | a-n b-n c-n d-s2 e-s3 f-n    | a b c d f
+            five, one silent, no learner          | 2 | a b c d e | a-n b-n c-n d-n e-s20        | a b c d e
+            five, one silent beyond the limit     | 2 | a b c d e | a-n b-n c-n d-n e-s31        | a b c d
+            four, one silent beyond the limit     | 2 | a b c d   | a-n b-n c-n d-s31            | a b c
+            three members are the minimum         | 2 | a b c     | a-n b-n c-s31                | a b c
+            seven is the default maximum          | 3 | a b c d e f g | a-n b-n c-n d-n e-n f-n g-n h-n | a b c d e f g
+            four tolerated losses need more       | 4 | a b c d e f g | a-n b-n c-n d-n e-n f-n g-n h-n | a b c d e f g h
+            nine suffice for four losses          | 4 | a b c d e f g h i | a-n b-n c-n d-n e-n f-n g-n h-n i-n j-n | a b c d e f g h i
+            learner of zone with fewest members   | 1 | a b c     | a-nz1 b-nz2 c-nz2 d-nz2 e-nz1 f-nz3 | a b c f
             """)
     void next(String name, int losses, String members, String seen, String expected) {
         List<MembershipPolicy.Candidate> processes = new ArrayList<>();
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -18,7 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * STATUS and the word that follows from it: whose answer counts, and when nothing is said any more.
+ * Tests the STATUS query and the command that follows: which answers count, and when no command is
+ * sent.
  */
 class ServerQueryTest {
 
@@ -32,7 +33,7 @@
     void holder() throws Exception {
         lease = SingleNode.leaseOf(SingleNode.start(host));
         host.pass(SingleNode.HOLDS_MS);
-        assertTrue(lease.isHeld(), "alone, it holds the lease");
+        assertTrue(lease.isHeld(), "a single process holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
                 new ServerRow("i-1", "db", "10.0.0.9:5432", "z", ServerState.READY, "replica", 1),
@@ -58,7 +59,7 @@
     }
 
     private static String fault(CompletableFuture<ServerStatus> of) {
-        assertTrue(of.isDone(), "nothing came of it");
+        assertTrue(of.isDone(), "the query has not completed");
         try {
             return "answered " + of.join();
         } catch (CompletionException is) {
@@ -80,9 +81,7 @@
         assertTrue(line.closed);
     }
 
-    /**
-     * Guards against a row that was there before anything was asked, and against half an answer.
-     */
+    /** Guards against accepting a row that arrives before any query, or an incomplete answer. */
     @Test
     void failsOnAnswersOutOfStep() {
         CompletableFuture<ServerStatus> early = new CompletableFuture<>();
@@ -120,7 +119,7 @@
     }
 
     /**
-     * Guards against a word that goes out once the process runs again: by then another holds the
+     * Guards against a command sent after the process was paused, when another process may hold the
      * lease.
      */
     @Test
@@ -130,11 +129,15 @@
         line.say("READY I -");
         host.freeze(20_000);
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
-        assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said 20 s late: " + line.sent);
+        assertFalse(
+                line.sent.contains("QUERY - STEPDOWN 4"), "command sent 20 s late: " + line.sent);
         assertTrue(is.isCompletedExceptionally());
     }
 
-    /** The same where its time is not over, but the lease is. */
+    /**
+     * Guards against a command sent after the lease ended, although the query's timeout has not
+     * passed.
+     */
     @Test
     void sendsNoCommandWithoutTheLease() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
@@ -147,11 +150,12 @@
         assertFalse(lease.isHeld());
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
-                line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
+                line.sent.contains("QUERY - STEPDOWN 4"),
+                "command sent without the lease: " + line.sent);
         assertTrue(is.isDone());
     }
 
-    /** An answer after its time finds nobody; the connection is left. */
+    /** A query without a timely answer fails, and its connection is closed. */
     @Test
     void failsAfterTheTimeout() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -19,21 +19,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A disk that refuses, hangs, or does what it said it did not: what was given to it gets there, and
- * nobody is told before.
+ * Tests a store that fails, hangs, or writes despite reporting a failure: all texts are eventually
+ * written, and no write completes before its texts are on disk.
  */
 class RetryingStateStoreTest {
 
     private final ManualEnvironment host = new ManualEnvironment();
 
-    /** Takes 3 ms, or as the test says. */
+    /** A store whose writes take 3 ms by default and fail or hang on demand. */
     private final class Hand implements StateStore {
         final TreeMap<String, String> there = new TreeMap<>();
         final List<Map<String, String>> given = new ArrayList<>();
         long takes = 3;
         boolean refuses;
 
-        /** Where it refuses: it may have done it all the same. */
+        /** Whether a failed write is applied nevertheless. */
         boolean done;
 
         boolean hangs;
@@ -46,7 +46,7 @@
 
         @Override
         public CompletableFuture<Void> put(Map<String, String> texts) {
-            assertTrue(hung == null || hung.isDone(), "one at a time");
+            assertTrue(hung == null || hung.isDone(), "concurrent writes");
             given.add(new TreeMap<>(texts));
             CompletableFuture<Void> future = new CompletableFuture<>();
             hung = future;
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Finding 3 of issue 44: what the disk refused is there after the next put, and the next life
-     * has it.
+     * Guards against losing texts of a failed write: they are written with the next one and survive
+     * a restart (issue 44, finding 3).
      */
     @Test
     void writesRefusedTextsWithTheNext() {
@@ -103,7 +103,7 @@
         assertTrue(disk.given.size() > 25 && disk.given.size() < 40, disk.given.size() + " tries");
         assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
-        // However many puts come, it is tried ten times a second at most.
+        // The number of retries is at most ten per second, regardless of the number of writes.
         int before = disk.given.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
@@ -134,16 +134,15 @@
         disk.hangs = false;
         disk.end(disk.given.get(0), true, false);
         assertEquals(List.of(0), over);
-        assertEquals(4_000, store.stalledMillis(), "of the next that waits");
+        assertEquals(4_000, store.stalledMillis(), "stall of the next pending write");
         host.until(host.nowMillis() + 4);
         assertEquals(List.of(0, 1, 2, 3, 4), over);
         assertEquals(Map.of("n", "4"), disk.there);
-        assertEquals(2, disk.given.size(), "what waited went together");
+        assertEquals(2, disk.given.size(), "pending writes are combined");
     }
 
     /**
-     * What is there is not written again, unless the disk refused it and may hold the one or the
-     * other.
+     * Texts on disk are not written again, unless a failed write makes the stored value uncertain.
      */
     @Test
     void skipsTextsThatAreOnDisk() {
@@ -191,12 +190,14 @@
         disk.end(disk.given.get(1), true, false);
         host.until(20);
         assertEquals(
-                "10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
+                "10049",
+                disk.there.get("n" + 10_049 % 7),
+                "texts of a rejected write are still stored");
     }
 
     /**
-     * The process itself: a record of who leads that the disk refused is in its next life, though
-     * no other record follows.
+     * Guards against a primary record missing after a restart because its write failed and no other
+     * record followed.
      */
     @Test
     void refusedPrimaryRecordIsOnDiskLater() throws Exception {
@@ -229,8 +230,8 @@
     }
 
     /**
-     * Any order of puts, refusals and pauses: whoever was told has it on the disk, in the order of
-     * the puts, and in the end all have.
+     * For random writes, failures and delays: completed writes are on disk, they complete in order,
+     * and in the end all texts are written.
      */
     @Test
     void completesOnlyWhatIsOnDisk() {
--- a/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
+++ b/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
@@ -17,7 +17,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What fronts that are some versions behind get, and how much of what was is kept for them. */
+/**
+ * Tests the configurations sent to data planes with an earlier revision, and the number of
+ * revisions kept for them.
+ */
 class ConfigurationHistoryTest {
 
     private static Configuration configuration(long version, int routes, long salt)
@@ -51,22 +54,23 @@
         for (int i = 0; i < 199; i++) {
             Configuration is = all.get(i);
             byte[] delta = versions.deltaFrom(is.revision(), is.digest());
-            assertEquals(i >= 199 - 64, delta != null, "of version " + is.revision());
+            assertEquals(i >= 199 - 64, delta != null, "delta from revision " + is.revision());
             if (delta != null) {
                 assertArrayEquals(newest.body(), BinaryDelta.apply(is.body(), delta));
                 assertSame(
                         delta,
                         versions.deltaFrom(is.revision(), is.digest()),
-                        "made once for all who ask");
+                        "the delta is shared by all data planes");
                 assertTrue(
                         delta.length < 60 + 30 * (199 - i),
                         delta.length + " bytes for " + (199 - i) + " changes");
             }
             assertNull(
                     versions.deltaFrom(is.revision(), is.digest() + 1),
-                    "another content under this number");
+                    "the revision has another content");
             assertNull(
-                    versions.deltaFrom(is.revision() + 1, is.digest()), "a number that never was");
+                    versions.deltaFrom(is.revision() + 1, is.digest()),
+                    "the revision does not exist");
         }
         assertNull(versions.deltaFrom(newest.revision(), newest.digest()));
         assertNull(versions.deltaFrom(-1, Configuration.NONE.digest()));
@@ -74,13 +78,16 @@
                 newest.body(),
                 Compression.decompress(versions.compressed(), BinaryDelta.MAX_BYTES));
         assertSame(versions.compressed(), versions.compressed());
-        // What is no newer changes nothing.
+        // Configurations that are not newer are ignored.
         versions.append(all.get(7));
         versions.append(configuration(600, 3, 1));
         assertSame(newest, versions.newest());
     }
 
-    /** Where all is new each time, little is kept, and the whole goes out. */
+    /**
+     * If the content changes completely, few revisions are kept and the complete configuration is
+     * sent.
+     */
     @Test
     void dropsDeltasThatSaveNothing() throws Exception {
         ConfigurationHistory versions = new ConfigurationHistory();
@@ -105,7 +112,7 @@
                 all.stream()
                         .filter(c -> versions.deltaFrom(c.revision(), c.digest()) != null)
                         .count();
-        assertEquals(0, known, "no change is shorter than the whole, deflated");
+        assertEquals(0, known, "no delta is shorter than the compressed configuration");
     }
 
     @Test
