--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -378,7 +378,7 @@
     private void logContact() {
         boolean isolated = state.cluster().isIsolated();
         if (isolated != wasIsolated
-                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_MS) {
+                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_TIMEOUT_MS) {
             wasIsolated = isolated;
             environment.warn(isolated ? "quorum-contact lost" : "quorum-contact restored");
         }
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -30,7 +30,7 @@
     private final FailoverCoordinator failover;
     private final ReconfigurationBarrier barrier = new ReconfigurationBarrier();
     private long startedMillis;
-    private long resumedMillis = LeaseManager.NEVER;
+    private long resumedMillis = LeaseManager.NEVER_MILLIS;
     private boolean leaving;
 
     /** The members that were proposed and logged last. */
@@ -167,12 +167,14 @@
     private long unknownMillis(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
-        return isReplaced ? MembershipPolicy.REPLACED : silentMillis(LeaseManager.NEVER);
+        return isReplaced
+                ? MembershipPolicy.REPLACED_SILENCE_MILLIS
+                : silentMillis(LeaseManager.NEVER_MILLIS);
     }
 
     private boolean isCaughtUp(PeerState peer, RegisterValue decided) {
         ReplicatedRegister register = state.register();
-        return peer.lastAnsweredSendMillis() > state.nowMillis() - LeaseManager.CONTACT_MS
+        return peer.lastAnsweredSendMillis() > state.nowMillis() - LeaseManager.CONTACT_TIMEOUT_MS
                 && peer.epoch() == decided.epoch()
                 && peer.recordNumber() >= state.records().newestNumber()
                 && register.acceptedBallotOf(peer.id()).equals(register.decidedBallot());
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -183,7 +183,7 @@
         if (!sameIncarnation || !header.id().equals(peer.id())) {
             onNewIncarnation(peer, header);
         }
-        peer.lease().contact(state.nowMillis());
+        peer.lease().recordContact(state.nowMillis());
         if (!peer.link().isConnected() && !peer.link().isConnecting()) {
             // It is there: if it waited for the next tick, it would get no answer before.
             peer.link().connect();
--- a/src/main/java/dillfront/controlplane/consensus/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -36,10 +36,10 @@
      * @throws NumberFormatException if the round is not a number
      */
     public static Ballot parse(String text) {
-        int blank = text.indexOf(' ');
-        return blank < 0
+        int space = text.indexOf(' ');
+        return space < 0
                 ? NONE
-                : new Ballot(Long.parseLong(text.substring(0, blank)), text.substring(blank + 1));
+                : new Ballot(Long.parseLong(text.substring(0, space)), text.substring(space + 1));
     }
 
     @Override
--- a/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
@@ -84,10 +84,10 @@
     /**
      * Returns the texts for an acceptance, which implies a promise for the same ballot.
      *
-     * @param before the value on disk; an unchanged configuration is not written again
+     * @param storedValue the value on disk; an unchanged configuration is not written again
      */
     Map<String, String> acceptance(
-            Ballot promised, Ballot ballot, RegisterValue value, RegisterValue before) {
+            Ballot promised, Ballot ballot, RegisterValue value, RegisterValue storedValue) {
         Map<String, String> texts = new HashMap<>();
         texts.put(PROMISED, promised.encode());
         texts.put(ACCEPTED, ballot.encode());
@@ -101,7 +101,7 @@
                         (revision, digest) ->
                                 digests.append(revision).append(':').append(digest).append(','));
         texts.put(DIGESTS, digests.toString());
-        if (before == null || value.configuration() != before.configuration()) {
+        if (storedValue == null || value.configuration() != storedValue.configuration()) {
             addChunks(texts, new String(value.configuration().body(), StandardCharsets.UTF_8));
         }
         return texts;
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -68,7 +68,7 @@
     }
 
     /** Delay of the own next round while another proposer's round is in progress. */
-    private static final long HOLD_OFF_MS = 150;
+    private static final long COMPETING_ROUND_DELAY_MS = 150;
 
     private static final long BACKOFF_MS = 20;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
@@ -296,13 +296,13 @@
         } else if (recoverAtMillis < 0) {
             recoverAtMillis = now + RECOVERY_DELAY_MS + context.randomBelow(RECOVERY_DELAY_MS);
         }
-        boolean recovers =
+        boolean recoveryDue =
                 undecided
                         && now > recoverAtMillis
                         && acceptedValue.members().contains(context.selfId());
-        boolean wanted = !proposals.isEmpty() || membershipStep != null || recovers;
-        boolean able = phase == Phase.NONE && acceptedValue != null && !persisting;
-        if (wanted && able && now >= proposeAtMillis) {
+        boolean hasWork = !proposals.isEmpty() || membershipStep != null || recoveryDue;
+        boolean canStart = phase == Phase.NONE && acceptedValue != null && !persisting;
+        if (hasWork && canStart && now >= proposeAtMillis) {
             startRound();
         }
     }
@@ -340,18 +340,19 @@
     }
 
     private boolean needsValue(PeerState peer, Ballot ballot, boolean offers) {
-        boolean has =
+        boolean hasValue =
                 ballot.equals(peer.acceptedBallot)
                         || ballot.equals(peer.receivedBallot)
                         || peer.decidedBallot.compareTo(ballot) >= 0;
-        if (has || offers) {
-            return !has;
+        if (hasValue || offers) {
+            return !hasValue;
         }
         boolean isNewer = ballot.isAbove(peer.acceptedBallot);
         boolean prepares =
                 peer.proposalBallot.equals(promisedBallot) && !peer.proposalHasValue && isNewer;
-        boolean behind = isNewer && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
-        return prepares || behind;
+        boolean needsCatchUp =
+                isNewer && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
+        return prepares || needsCatchUp;
     }
 
     private boolean maySend(PeerState peer, Ballot ballot) {
@@ -522,7 +523,7 @@
         } else {
             promise(proposer.proposalBallot);
         }
-        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + HOLD_OFF_MS);
+        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + COMPETING_ROUND_DELAY_MS);
     }
 
     /**
@@ -711,21 +712,23 @@
         return base.withConfiguration(configuration);
     }
 
-    private RegisterValue withMembershipStep(RegisterValue value, MembershipStep membership) {
-        boolean isFinalStep = membership.members() == null;
+    private RegisterValue withMembershipStep(RegisterValue value, MembershipStep step) {
+        boolean isFinalStep = step.members() == null;
         if (!context.holdsLease()
-                || membership.epoch() != value.epoch()
+                || step.epoch() != value.epoch()
                 || value.isJoint() != isFinalStep) {
             return value;
         }
         if (!isFinalStep) {
-            RegisterValue joint = value.jointWith(membership.members());
+            RegisterValue joint = value.withJointMembers(step.members());
             return context.isDisabled(SafetyRule.JOINT_MAJORITIES)
                     ? joint.withoutOutgoing().withoutRetired()
                     : joint;
         }
-        RegisterValue alone = value.withoutOutgoing();
-        return context.isDisabled(SafetyRule.OLDER_EPOCHS) ? alone.withoutRetired() : alone;
+        RegisterValue finalValue = value.withoutOutgoing();
+        return context.isDisabled(SafetyRule.OLDER_EPOCHS)
+                ? finalValue.withoutRetired()
+                : finalValue;
     }
 
     private boolean hasAccepted(String id, Ballot ballot) {
@@ -736,10 +739,10 @@
 
     private void onAcceptances() {
         Ballot ballot = ownBallot;
-        boolean byBase =
+        boolean acceptedByBaseQuorum =
                 context.isDisabled(SafetyRule.OLDER_EPOCHS)
                         || baseValue.isQuorum(id -> hasAccepted(id, ballot));
-        if (byBase && proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))) {
+        if (acceptedByBaseQuorum && proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))) {
             phase = Phase.NONE;
             lostRounds = 0;
             learn(ballot, proposedValue);
--- a/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
+++ b/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
@@ -38,7 +38,7 @@
     private static EncodedValue encode(RegisterValue value, Ballot baseBallot, RegisterValue base) {
         // If the base has revisions that were never decided, or that have another content, all
         // digests are sent.
-        boolean adds =
+        boolean addsDigests =
                 base != null
                         && base.mergedDigests(value.revisionDigests())
                                 .equals(value.revisionDigests());
@@ -46,7 +46,8 @@
         value.revisionDigests()
                 .forEach(
                         (revision, digest) -> {
-                            if (!adds || !digest.equals(base.revisionDigests().get(revision))) {
+                            if (!addsDigests
+                                    || !digest.equals(base.revisionDigests().get(revision))) {
                                 digests.add(revision);
                                 digests.add(digest);
                             }
@@ -59,7 +60,7 @@
                 RegisterValue.formatIds(value.outgoing()),
                 RegisterValue.formatIds(value.retired()),
                 digests,
-                adds,
+                addsDigests,
                 baseBallot,
                 base == null ? Compression.compress(body) : null,
                 base == null || sameBody
--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -40,7 +40,7 @@
     /**
      * Duration for which an acceptance is included in messages, equal to the wait of the caller.
      */
-    public static final long ACCEPTANCE_MS = 900;
+    public static final long ACCEPTANCE_TIMEOUT_MS = 900;
 
     private static final long POLL_MS = 20;
     private static final int MAX_ACCEPTANCES = 64;
@@ -50,7 +50,7 @@
     private final ControlState state;
     private final FailoverCoordinator failover;
     private List<MissingCommits> reported = List.of();
-    private long reportedMillis = LeaseManager.NEVER;
+    private long reportedMillis = LeaseManager.NEVER_MILLIS;
 
     /** The lease number of the reporting process. */
     private long reportedByLease;
@@ -67,15 +67,15 @@
         if (failover.isActing()) {
             return Optional.of(failover.missingCommits());
         }
-        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_MS;
+        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_TIMEOUT_MS;
         return recent ? Optional.of(reported) : Optional.empty();
     }
 
     /** Returns the missing commits of the service; null for none. */
     public MissingCommits missing(String service) {
-        for (MissingCommits one : missing().orElse(List.of())) {
-            if (one.service().equals(service)) {
-                return one;
+        for (MissingCommits commits : missing().orElse(List.of())) {
+            if (commits.service().equals(service)) {
+                return commits;
             }
         }
         return null;
@@ -85,7 +85,7 @@
 
     /** Returns the report for the peers. */
     public PeerMessage.DataLossReport report() {
-        acceptances.removeIf(one -> one.untilMillis() <= state.nowMillis());
+        acceptances.removeIf(acceptance -> acceptance.untilMillis() <= state.nowMillis());
         return new PeerMessage.DataLossReport(
                 failover.isActing() ? failover.missingCommits() : List.of(),
                 acceptances.stream().map(PendingAcceptance::shown).toList());
@@ -99,7 +99,7 @@
      *     the one with the higher number holds it
      */
     public void receive(PeerMessage.DataLossReport report, boolean fromHolder, long leaseNumber) {
-        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_MS;
+        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_TIMEOUT_MS;
         if (fromHolder && (leaseNumber >= reportedByLease || outdated)) {
             reportedByLease = leaseNumber;
             reported = report.missing();
@@ -122,7 +122,8 @@
             if (refusal.isPresent()) {
                 return CompletableFuture.completedFuture(refusal.get());
             }
-            acceptances.add(new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_MS));
+            acceptances.add(
+                    new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_TIMEOUT_MS));
             failover.acceptDataLoss(shown);
         }
         state.peerUpdates().request();
--- a/src/main/java/dillfront/controlplane/failover/MoveQueries.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveQueries.java
@@ -16,8 +16,8 @@
     private final FailoverContext context;
     private final BooleanSupplier isActive;
     private final Runnable poll;
-    private final TreeSet<String> underWay = new TreeSet<>();
-    private final Map<String, Long> retryMillis = new TreeMap<>();
+    private final TreeSet<String> pendingServers = new TreeSet<>();
+    private final Map<String, Long> nextQueryMillis = new TreeMap<>();
 
     /** The number of consecutive queries that a server did not answer. */
     private final Map<String, Integer> unanswered = new TreeMap<>();
@@ -40,21 +40,21 @@
      * @param gapMillis minimum pause between this answer and the next query
      * @param command as for {@link ServerQuery#send}
      */
-    void ask(
+    void query(
             DatabaseServer server,
             long gapMillis,
             Function<ServerStatus, String> command,
             Consumer<ServerStatus> onStatus) {
         String id = server.id();
-        if (underWay.contains(id) || context.now() < retryMillis.getOrDefault(id, 0L)) {
+        if (pendingServers.contains(id) || context.now() < nextQueryMillis.getOrDefault(id, 0L)) {
             return;
         }
-        underWay.add(id);
+        pendingServers.add(id);
         context.query(server, FailoverContext.QUERY_TIMEOUT_MS, command)
                 .whenComplete(
                         (status, fault) -> {
-                            underWay.remove(id);
-                            retryMillis.put(id, context.now() + gapMillis);
+                            pendingServers.remove(id);
+                            nextQueryMillis.put(id, context.now() + gapMillis);
                             unanswered.put(
                                     id,
                                     ServerQueryException.showsServerAlive(fault)
@@ -73,8 +73,8 @@
     }
 
     /** Cancels the pause after the server's last answer. */
-    void allowAtOnce(DatabaseServer server) {
-        retryMillis.remove(server.id());
+    void cancelPause(DatabaseServer server) {
+        nextQueryMillis.remove(server.id());
     }
 
     int unanswered(String id) {
--- a/src/main/java/dillfront/controlplane/failover/MoveState.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveState.java
@@ -38,14 +38,14 @@
      */
     final boolean inherited;
 
-    final long sinceMillis;
+    final long startedMillis;
     Step step = Step.DRAIN_TRANSACTIONS;
 
     /** Whether a call or command is in progress that the next step must wait for. */
-    boolean busy;
+    boolean callPending;
 
     /** The earliest time of the next attempt of the step. */
-    long retryMillis;
+    long nextAttemptMillis;
 
     // ---- stopping
 
@@ -58,7 +58,7 @@
     /**
      * Whether the replicas are paused, because a planned move took too long or the primary is lost.
      */
-    boolean forced;
+    boolean pausesReplicas;
 
     /** Whether replicas may be paused. */
     boolean replicationPaused;
@@ -67,15 +67,15 @@
     long pauseTerm;
 
     /** The statuses of stopped servers, by server id. */
-    final Map<String, ServerStatus> statuses = new TreeMap<>();
+    final Map<String, ServerStatus> stoppedStatuses = new TreeMap<>();
 
     // ---- choosing
 
     /** Servers whose promotion the platform rejected, because they are not running. */
-    final TreeSet<String> rejected = new TreeSet<>();
+    final TreeSet<String> rejectedServers = new TreeSet<>();
 
     /** The acknowledged commits that no available log contains; null for none. */
-    MissingCommits missing;
+    MissingCommits missingCommits;
 
     // ---- promoting
 
@@ -86,32 +86,32 @@
     String successor;
 
     boolean promotionCalled;
-    long promotedMillis;
+    long promotionCalledMillis;
     long fencingToken;
 
     /**
      * Whether the successor reported itself as the primary before its promotion, so its reports are
      * no evidence.
      */
-    boolean reportedBefore;
+    boolean reportedPrimaryBeforePromotion;
 
     // ---- ending
 
     /** Whether a query for the end of the new primary's log is in progress. */
-    boolean measuring;
+    boolean logEndQueryPending;
 
     /** Whether the platform rejects calls of earlier lease holders, and since when. */
-    boolean fenced;
+    boolean formerCallsFenced;
 
-    long fencedMillis = LeaseManager.NEVER;
-    long fencingRetryMillis;
+    long formerCallsFencedMillis = LeaseManager.NEVER_MILLIS;
+    long nextFencingAttemptMillis;
 
     MoveState(PrimaryRecord record, boolean planned, boolean inherited, long nowMillis) {
         this.record = record;
         this.planned = planned;
         this.inherited = inherited;
         replicationPaused = record.replicationPaused() || inherited;
-        sinceMillis = nowMillis;
+        startedMillis = nowMillis;
     }
 
     String service() {
@@ -125,7 +125,7 @@
 
     /** Discards the statuses, so that all servers are stopped and queried again. */
     void restartStopping() {
-        statuses.clear();
+        stoppedStatuses.clear();
         step = Step.STOP_REPLICATION;
     }
 
--- a/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
@@ -12,18 +12,18 @@
 public final class PrimaryCertainty {
 
     /** Maximum duration of the guarantee after the lease holder's last message. */
-    static final long MAX_MS = 3_000;
+    static final long MAX_DURATION_MS = 3_000;
 
     /**
      * Maximum duration of the guarantee past the end of the holder's lease. This is the highest
      * value for which the next holder's wait covers clock rates that differ by 10%: (2250 + 600) *
      * 1.1 < 2500 + 700 / 1.1.
      */
-    static final long AFTER_LEASE_MS = 600;
+    static final long MAX_AFTER_LEASE_MS = 600;
 
     private final LeaseManager lease;
     private final BooleanSupplier isHolder;
-    private long certainUntilMillis = LeaseManager.NEVER;
+    private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     /**
      * Creates the computation for this process.
@@ -38,7 +38,8 @@
     /** Returns the remaining duration of the guarantee; zero or negative if it has expired. */
     public long remainingMillis(long nowMillis) {
         if (isHolder.getAsBoolean()) {
-            return Math.min(MAX_MS, lease.validUntilMillis() - nowMillis + AFTER_LEASE_MS);
+            return Math.min(
+                    MAX_DURATION_MS, lease.validUntilMillis() - nowMillis + MAX_AFTER_LEASE_MS);
         }
         return certainUntilMillis - nowMillis;
     }
@@ -50,7 +51,7 @@
      *     from before the holder read its clock, so the guarantee ends no later than the holder's
      */
     public void onHolderMessage(long requestedMillis, long leaseRemainingMillis) {
-        long remaining = Math.min(MAX_MS, leaseRemainingMillis + AFTER_LEASE_MS);
+        long remaining = Math.min(MAX_DURATION_MS, leaseRemainingMillis + MAX_AFTER_LEASE_MS);
         certainUntilMillis = Math.max(certainUntilMillis, requestedMillis + remaining);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -34,13 +34,13 @@
     }
 
     /** Time for open transactions to end before a planned move continues. */
-    private static final long OPEN_TRANSACTIONS_MS = 900;
+    private static final long DRAIN_TIMEOUT_MS = 900;
 
     /** Margin by which data planes' trust in a primary may outlast its nominal end. */
     private static final long CERTAINTY_MARGIN_MS = 100;
 
     /** Delay from the platform's acceptance to the first query of the successor. */
-    private static final long PRIMARY_QUERY_AFTER_MS = 350;
+    private static final long FIRST_PRIMARY_QUERY_DELAY_MS = 350;
 
     private static final long PRIMARY_QUERY_GAP_MS = 150;
 
@@ -51,14 +51,14 @@
      * Upper bound for the time from a platform call to the new primary, which typically takes a few
      * hundred milliseconds.
      */
-    private static final long PLATFORM_DELAY_MS = 1_500;
+    private static final long MAX_PROMOTION_DELAY_MS = 1_500;
 
     private final FailoverContext context;
     private final Owner owner;
     private final MoveState state;
     private final MoveQueries queries;
-    private final ReplicationStop stop;
-    private final SuccessorChoice choice;
+    private final ReplicationStopper replicationStopper;
+    private final SuccessorSelector successorSelector;
 
     /** Whether servers were queried again after calls of earlier holders were fenced off. */
     private boolean restartedAfterFencing;
@@ -78,8 +78,9 @@
         this.owner = owner;
         state = new MoveState(record, planned, inherited, context.now());
         queries = new MoveQueries(context, this::isActive, owner::poll);
-        stop = new ReplicationStop(context, state, queries, this::onPrimaryFound, owner::poll);
-        choice = new SuccessorChoice(context, state);
+        replicationStopper =
+                new ReplicationStopper(context, state, queries, this::onPrimaryFound, owner::poll);
+        successorSelector = new SuccessorSelector(context, state);
     }
 
     String service() {
@@ -92,7 +93,7 @@
 
     /** Returns the acknowledged commits that no available log contains; null for none. */
     MissingCommits missingCommits() {
-        return state.missing;
+        return state.missingCommits;
     }
 
     private boolean isActive() {
@@ -101,7 +102,7 @@
 
     /** Advances the move. Called periodically. */
     void poll() {
-        if (!context.mayAct() || !isRecorded() || state.measuring) {
+        if (!context.mayAct() || !isRecorded() || state.logEndQueryPending) {
             return;
         }
         DatabaseServer primary = context.server(state.record.primary());
@@ -111,12 +112,14 @@
                 && (!FailoverContext.isPresent(primary) || !primary.isPrimary())) {
             onPrimaryFound(reported.id());
         }
-        if (!isActive() || state.measuring || !state.isPromoting() && mayPlatformStillPromote()) {
+        if (!isActive()
+                || state.logEndQueryPending
+                || !state.isPromoting() && mayPlatformStillPromote()) {
             // The move has ended or is about to end with the reported primary: no other server is
             // promoted.
             return;
         }
-        if (state.fenced && !restartedAfterFencing && !state.isPromoting()) {
+        if (state.formerCallsFenced && !restartedAfterFencing && !state.isPromoting()) {
             // Statuses of servers may be outdated after the platform carried out a call of an
             // earlier holder.
             restartedAfterFencing = true;
@@ -130,15 +133,15 @@
             case DRAIN_TRANSACTIONS:
                 if (areTransactionsDrained()) {
                     state.step = Step.STOP_REPLICATION;
-                    stop.poll(primary);
+                    replicationStopper.poll(primary);
                 }
                 break;
             case STOP_REPLICATION:
-                stop.poll(primary);
+                replicationStopper.poll(primary);
                 break;
             case CHOOSE_SUCCESSOR:
-                if (isCleared()) {
-                    choice.poll();
+                if (hasNoTrustInOldPrimary()) {
+                    successorSelector.poll();
                     if (state.step == Step.PROMOTE) {
                         promote();
                     }
@@ -166,10 +169,10 @@
     }
 
     private boolean areTransactionsDrained() {
-        if (context.now() > state.sinceMillis + OPEN_TRANSACTIONS_MS || !state.planned) {
+        if (context.now() > state.startedMillis + DRAIN_TIMEOUT_MS || !state.planned) {
             return true;
         }
-        return isCleared()
+        return hasNoTrustInOldPrimary()
                 && context.observation(service(), state.record.primary()).openTransactions() == 0;
     }
 
@@ -177,21 +180,22 @@
      * Returns whether no data plane can still trust the old primary: each has confirmed the record,
      * or its trust has expired.
      */
-    private boolean isCleared() {
+    private boolean hasNoTrustInOldPrimary() {
         // Trust based on an earlier lease holder's messages ends at most this long after that
         // holder's lease.
-        long formerCertaintyEnd =
+        long formerTrustEndMillis =
                 Math.max(context.leaseStartMillis(), context.state().lease().formerLeaseEndMillis())
-                        + PrimaryCertainty.AFTER_LEASE_MS
+                        + PrimaryCertainty.MAX_AFTER_LEASE_MS
                         + CERTAINTY_MARGIN_MS;
-        long expired = context.now() - PrimaryCertainty.MAX_MS - CERTAINTY_MARGIN_MS;
-        if (context.now() < formerCertaintyEnd
-                || state.sinceMillis > expired
+        long latestExpiredMillis =
+                context.now() - PrimaryCertainty.MAX_DURATION_MS - CERTAINTY_MARGIN_MS;
+        if (context.now() < formerTrustEndMillis
+                || state.startedMillis > latestExpiredMillis
                         && !context.dataPlanes().allHaveRecord(state.record.number())) {
             return false;
         }
         for (PeerState peer : context.state().cluster().peers()) {
-            if (!isClearedAt(peer, expired)) {
+            if (!hasNoTrustAtPeer(peer, latestExpiredMillis)) {
                 return false;
             }
         }
@@ -204,21 +208,24 @@
      * applies to messages of the peer's former incarnation, for whose data planes the peer cannot
      * vouch.
      */
-    private boolean isClearedAt(PeerState peer, long expired) {
+    private boolean hasNoTrustAtPeer(PeerState peer, long latestExpiredMillis) {
         boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
-        return (confirmed || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
-                && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
+        return (confirmed
+                        || Math.min(peer.lastContactMillis(), state.startedMillis)
+                                <= latestExpiredMillis)
+                && Math.min(peer.formerIncarnationContactMillis(), state.startedMillis)
+                        <= latestExpiredMillis;
     }
 
     // ---- promoting
 
     private void promote() {
-        if (state.busy || context.now() < state.retryMillis || !context.mayAct()) {
+        if (state.callPending || context.now() < state.nextAttemptMillis || !context.mayAct()) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         state.promotionCalled = true;
-        state.promotedMillis = context.now();
+        state.promotionCalledMillis = context.now();
         context.environment()
                 .trace(
                         "promote service="
@@ -233,17 +240,17 @@
     }
 
     private void onPromoted(PromotionResult result, Throwable fault) {
-        state.busy = false;
-        state.retryMillis = context.now() + FailoverContext.RETRY_MS;
+        state.callPending = false;
+        state.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
         if (fault != null) {
             return;
         }
         if (result == PromotionResult.ACCEPTED) {
             state.step = Step.AWAIT_PRIMARY;
-            state.retryMillis = context.now() + PRIMARY_QUERY_AFTER_MS;
+            state.nextAttemptMillis = context.now() + FIRST_PRIMARY_QUERY_DELAY_MS;
         } else if (result == PromotionResult.REJECTED) {
             state.promotionCalled = false;
-            state.rejected.add(state.successor);
+            state.rejectedServers.add(state.successor);
             state.step = Step.CHOOSE_SUCCESSOR;
         }
     }
@@ -251,14 +258,14 @@
     private void awaitPrimary() {
         DatabaseServer successor = context.server(state.successor);
         if (!FailoverContext.isPresent(successor)
-                || context.now() > state.promotedMillis + PRIMARY_TIMEOUT_MS) {
+                || context.now() > state.promotionCalledMillis + PRIMARY_TIMEOUT_MS) {
             // Another server may be chosen only if the platform reports that the successor is not
             // running, so the platform is called again.
             state.step = Step.PROMOTE;
-        } else if (successor.isPrimary() && !state.reportedBefore) {
+        } else if (successor.isPrimary() && !state.reportedPrimaryBeforePromotion) {
             complete(successor.id());
-        } else if (context.now() >= state.retryMillis) {
-            queries.ask(
+        } else if (context.now() >= state.nextAttemptMillis) {
+            queries.query(
                     successor,
                     PRIMARY_QUERY_GAP_MS,
                     null,
@@ -281,30 +288,35 @@
      * be replaced by one of them.
      */
     private void onPrimaryFound(String serverId) {
-        if (state.busy || state.promotionCalled && !serverId.equals(state.successor)) {
+        if (state.callPending || state.promotionCalled && !serverId.equals(state.successor)) {
             return;
         }
-        if (state.inherited && !state.fenced) {
-            invalidateFormerCalls(serverId);
+        if (state.inherited && !state.formerCallsFenced) {
+            fenceFormerCalls(serverId);
         } else if (!mayPlatformStillPromote()) {
             complete(serverId);
         }
     }
 
-    private void invalidateFormerCalls(String serverId) {
-        if (context.now() < state.fencingRetryMillis) {
+    private void fenceFormerCalls(String serverId) {
+        if (context.now() < state.nextFencingAttemptMillis) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         context.platform()
-                .promote(service(), serverId, context.nextToken())
+                .promote(service(), serverId, context.nextFencingToken())
                 .whenComplete(
                         (result, fault) -> {
-                            state.busy = false;
-                            state.fencingRetryMillis = context.now() + FailoverContext.RETRY_MS;
-                            state.fenced = fault == null && result == PromotionResult.ACCEPTED;
-                            state.fencedMillis = state.fenced ? context.now() : state.fencedMillis;
-                            if (state.fenced && isActive() && context.isActing()) {
+                            state.callPending = false;
+                            state.nextFencingAttemptMillis =
+                                    context.now() + FailoverContext.RETRY_MS;
+                            state.formerCallsFenced =
+                                    fault == null && result == PromotionResult.ACCEPTED;
+                            state.formerCallsFencedMillis =
+                                    state.formerCallsFenced
+                                            ? context.now()
+                                            : state.formerCallsFencedMillis;
+                            if (state.formerCallsFenced && isActive() && context.isActing()) {
                                 onPrimaryFound(serverId);
                             }
                         });
@@ -312,11 +324,12 @@
 
     /** Returns whether the platform may still carry out a call of an earlier lease holder. */
     private boolean mayPlatformStillPromote() {
-        return state.inherited && context.now() < state.fencedMillis + PLATFORM_DELAY_MS;
+        return state.inherited
+                && context.now() < state.formerCallsFencedMillis + MAX_PROMOTION_DELAY_MS;
     }
 
     private void complete(String primaryId) {
-        if (state.measuring || !isActive() || !context.isActing()) {
+        if (state.logEndQueryPending || !isActive() || !context.isActing()) {
             return;
         }
         AcceptedDataLoss loss = state.record.acceptedLoss();
@@ -326,7 +339,7 @@
         } else if (primary == null) {
             complete(primaryId, loss.withLeaderAt(loss.lostUpTo()));
         } else {
-            measure(primary, loss);
+            completeWithLogEnd(primary, loss);
         }
     }
 
@@ -334,16 +347,17 @@
      * Excludes the commits that the primary has from the accepted loss. If the end of its log is
      * unknown, all commits count as retained.
      */
-    private void measure(DatabaseServer primary, AcceptedDataLoss loss) {
-        state.measuring = true;
+    private void completeWithLogEnd(DatabaseServer primary, AcceptedDataLoss loss) {
+        state.logEndQueryPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
                         (status, fault) -> {
-                            state.measuring = false;
+                            state.logEndQueryPending = false;
                             if (isActive() && context.isActing()) {
-                                boolean known = fault == null && status.isPrimary();
-                                LogPosition end = known ? status.position() : loss.lostUpTo();
-                                complete(primary.id(), loss.withLeaderAt(end));
+                                boolean logEndKnown = fault == null && status.isPrimary();
+                                LogPosition logEnd =
+                                        logEndKnown ? status.position() : loss.lostUpTo();
+                                complete(primary.id(), loss.withLeaderAt(logEnd));
                             }
                         });
     }
@@ -356,11 +370,11 @@
                                 + " server="
                                 + primaryId
                                 + " after_ms="
-                                + (context.now() - state.sinceMillis));
+                                + (context.now() - state.startedMillis));
         owner.onCompleted(
                 this,
                 state.record.finishMove(
-                        context.nextToken(), primaryId, state.replicationPaused, loss));
+                        context.nextFencingToken(), primaryId, state.replicationPaused, loss));
     }
 
     /**
@@ -383,9 +397,9 @@
                                 + state.record.primary()
                                 + " given_up_servers="
                                 + excludedServers);
-        state.missing = null;
-        state.record = state.record.withAcceptedLoss(context.nextToken(), loss);
-        context.record(state.record);
+        state.missingCommits = null;
+        state.record = state.record.withAcceptedLoss(context.nextFencingToken(), loss);
+        context.storeRecord(state.record);
         context.state().peerUpdates().request();
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/ServerQuery.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQuery.java
@@ -18,7 +18,7 @@
  */
 final class ServerQuery implements Environment.ConnectionListener {
 
-    private static final String OTHER_SERVER = "WRONGNODE";
+    private static final String WRONG_SERVER_CODE = "WRONGNODE";
 
     private final Environment environment;
     private final LeaseManager lease;
@@ -113,7 +113,7 @@
             // running there.
             fail(
                     response.errorCode() + " " + response.errorMessage(),
-                    !response.errorCode().equals(OTHER_SERVER));
+                    !response.errorCode().equals(WRONG_SERVER_CODE));
         } else if (environment.nowMillis() >= deadlineMillis) {
             // The process was paused, so a command would be based on an outdated decision.
             fail("answer arrived after the timeout", true);
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -48,7 +48,7 @@
         }
         return Responses.within(
                 state.environment(),
-                DataLossManager.ACCEPTANCE_MS,
+                DataLossManager.ACCEPTANCE_TIMEOUT_MS,
                 dataLoss.accept(shown),
                 acceptance -> response(shown.service(), acceptance));
     }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -96,16 +96,16 @@
     public static final int NUMBER_BITS = 20;
 
     /** A time before all others. */
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    public static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
     /** Silence after which a peer counts as unreachable. */
-    public static final long CONTACT_MS = 1_300;
+    public static final long CONTACT_TIMEOUT_MS = 1_300;
 
     /** The holder's lease ends earlier than the members' promises by this margin. */
     private static final long HOLDER_MARGIN_MS = 250;
 
     /** Delay between the first requests of candidates, which start in the order of their ranks. */
-    private static final long STAGGER_MS = 250;
+    private static final long CANDIDATE_STAGGER_MS = 250;
 
     /** Disk stall after which the holder gives up the lease. */
     private static final long MAX_DISK_STALL_MS = 1_000;
@@ -138,16 +138,16 @@
      * The send time of the last granted message, on the clock of the process that holds the
      * promise.
      */
-    private long grantedAtMillis = NEVER;
+    private long grantedAtMillis = NEVER_MILLIS;
 
     /**
      * The latest time at which the process that holds the promise may have claimed that its lease
      * ends, even if the lease ended earlier.
      */
-    private long currentLeaseEndMillis = NEVER;
+    private long currentLeaseEndMillis = NEVER_MILLIS;
 
     /** The same for all processes that held the promise before. */
-    private long formerLeaseEndMillis = NEVER;
+    private long formerLeaseEndMillis = NEVER_MILLIS;
 
     private boolean persisting;
 
@@ -184,14 +184,17 @@
         promisedTo = texts.getOrDefault(PROMISED_TO, "");
         promiseFloor =
                 Long.parseLong(texts.getOrDefault(PROMISED_ABOVE, Long.toString(promisedNumber)));
-        boolean toSelf = promisedTo.equals(context.selfId());
+        boolean promisedToSelf = promisedTo.equals(context.selfId());
         lastRequestedNumber =
                 Long.parseLong(
                         texts.getOrDefault(
-                                LAST_REQUESTED, toSelf ? Long.toString(promisedNumber) : "0"));
-        boolean mayRun =
-                promisedNumber > 0 && !toSelf && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
-        promisedUntilMillis = context.nowMillis() + (mayRun ? DURATION_MS : 0);
+                                LAST_REQUESTED,
+                                promisedToSelf ? Long.toString(promisedNumber) : "0"));
+        boolean mayBeInUse =
+                promisedNumber > 0
+                        && !promisedToSelf
+                        && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
+        promisedUntilMillis = context.nowMillis() + (mayBeInUse ? DURATION_MS : 0);
         requestAtMillis = promisedUntilMillis;
         if (promisedNumber > 0) {
             currentLeaseEndMillis = context.nowMillis() + DURATION_MS;
@@ -270,7 +273,7 @@
 
     private long grantedToSelfAt(Voter peer, long now) {
         if (peer.promisedNumber() != ownNumber || !peer.promisedTo().equals(context.selfId())) {
-            return NEVER;
+            return NEVER_MILLIS;
         }
         return context.isDisabled(SafetyRule.LEASE_FROM_ASKED) ? now : peer.grantedAtMillis();
     }
@@ -281,7 +284,8 @@
      * current lease. A former lease may have been released earlier or have ended with its process.
      */
     public long formerLeaseEndMillis() {
-        long end = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
+        long end =
+                context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER_MILLIS : formerLeaseEndMillis;
         for (Voter peer : context.peers()) {
             if (promisedNumber == ownNumber
                     && peer.promisedNumber() == ownNumber
@@ -312,10 +316,14 @@
      * @param requestedAtMillis the time of the request on the peer's clock
      */
     public void onRequest(Voter peer, long number, long requestedAtMillis) {
-        boolean busy = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
+        boolean writePending = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
         boolean outdated =
                 peer.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
-        if (!context.isVoter() || busy || number <= 0 || outdated || !context.isMember(peer.id())) {
+        if (!context.isVoter()
+                || writePending
+                || number <= 0
+                || outdated
+                || !context.isMember(peer.id())) {
             // While the promise to another process is being written, the existing promise is not
             // extended either.
             return;
@@ -327,7 +335,7 @@
             grantedAtMillis = Math.max(grantedAtMillis, requestedAtMillis);
             promiseNeverHeld = false;
         } else if (!persisting
-                && number > (promiseBinds() ? promisedNumber : promiseFloor)
+                && number > (isPromiseBinding() ? promisedNumber : promiseFloor)
                 && mayPromiseTo(peer, now)) {
             promise(number, peer.id(), requestedAtMillis);
         }
@@ -343,7 +351,7 @@
     }
 
     /** Returns whether the promised number may have been held or may still become held. */
-    private boolean promiseBinds() {
+    private boolean isPromiseBinding() {
         if (!promisedTo.equals(context.selfId())) {
             return !promiseNeverHeld;
         }
@@ -368,7 +376,7 @@
             requestAtMillis =
                     Math.min(
                             requestAtMillis,
-                            promisedUntilMillis + context.memberRank() * STAGGER_MS);
+                            promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS);
         }
     }
 
@@ -400,12 +408,12 @@
         if (context.isDisabled(SafetyRule.LEASE_NUMBERS_RISE)) {
             return 0;
         }
-        return promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
+        return isPromiseBinding() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
     }
 
     private void onPromised(long number, String to, long floor, long requestedAtMillis) {
-        boolean toSelf = to.equals(context.selfId());
-        if (!toSelf) {
+        boolean promisedToSelf = to.equals(context.selfId());
+        if (!promisedToSelf) {
             // The own request has lost; continuing it would bind the members that promised.
             abandon();
         }
@@ -415,7 +423,7 @@
         promiseNeverHeld = false;
         formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
         // The own lease end is recorded when the lease is held.
-        currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
+        currentLeaseEndMillis = promisedToSelf ? NEVER_MILLIS : context.nowMillis() + DURATION_MS;
         grantedAtMillis = requestedAtMillis;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
         context.broadcast();
@@ -438,12 +446,12 @@
      * Returns whether a majority has promised to a peer that extends its lease and is in contact. A
      * request would fail then, and would keep this member from promising to that peer.
      */
-    private boolean anotherIsElected() {
-        long since = context.nowMillis() - CONTACT_MS;
+    private boolean isAnotherElected() {
+        long since = context.nowMillis() - CONTACT_TIMEOUT_MS;
         for (Voter peer : context.peers()) {
             if (peer.requestedNumber() > 0
                     && peer.lastContactMillis() > since
-                    && majorityPromised(peer) > since) {
+                    && majorityPromiseMillis(peer) > since) {
                 return true;
             }
         }
@@ -451,14 +459,15 @@
     }
 
     /** Returns the latest time at which a majority is known to have promised to the peer. */
-    private long majorityPromised(Voter peer) {
-        long own = isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER;
+    private long majorityPromiseMillis(Voter peer) {
+        long own =
+                isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER_MILLIS;
         return context.quorumReached(
                 own,
                 voter ->
                         isPromiseTo(voter.promisedNumber(), voter.promisedTo(), peer)
                                 ? voter.lastContactMillis()
-                                : NEVER);
+                                : NEVER_MILLIS);
     }
 
     private static boolean isPromiseTo(long number, String to, Voter peer) {
@@ -468,8 +477,8 @@
     /** Advances timers, and requests, extends or abandons the lease. Called periodically. */
     public void poll() {
         long now = context.nowMillis();
-        boolean unfit = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
-        if (isHeld() && !unfit) {
+        boolean ineligible = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
+        if (isHeld() && !ineligible) {
             lastHeldEpoch = context.epoch();
             promisedUntilMillis = now + DURATION_MS;
             return;
@@ -487,21 +496,23 @@
             // receive it.
             abandon();
         }
-        if (!context.isVoter() || context.isIsolated() || persisting || unfit) {
+        if (!context.isVoter() || context.isIsolated() || persisting || ineligible) {
             // The last holder goes first, because the members that promised to it do not wait for
             // other candidates.
-            boolean wasLast = promisedTo.equals(context.selfId()) && !unfit;
-            long earliest = wasLast ? now : now + STAGGER_MS * (1 + context.memberRank());
+            boolean wasLastHolder = promisedTo.equals(context.selfId()) && !ineligible;
+            long earliest =
+                    wasLastHolder ? now : now + CANDIDATE_STAGGER_MS * (1 + context.memberRank());
             requestAtMillis = Math.max(requestAtMillis, earliest);
             return;
         }
         if (now < promisedUntilMillis && !promisedTo.equals(context.selfId())) {
-            requestAtMillis = promisedUntilMillis + context.memberRank() * STAGGER_MS;
+            requestAtMillis = promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS;
             return;
         }
-        if (anotherIsElected()) {
+        if (isAnotherElected()) {
             abandon();
-            requestAtMillis = Math.max(requestAtMillis, now + context.memberRank() * STAGGER_MS);
+            requestAtMillis =
+                    Math.max(requestAtMillis, now + context.memberRank() * CANDIDATE_STAGGER_MS);
             return;
         }
         if (now >= requestAtMillis) {
@@ -523,7 +534,8 @@
                 highest = Math.max(highest, peer.promisedNumber());
             }
         }
-        requestAtMillis = now + 4 * STAGGER_MS + context.randomBelow(STAGGER_MS * 2);
+        requestAtMillis =
+                now + 4 * CANDIDATE_STAGGER_MS + context.randomBelow(CANDIDATE_STAGGER_MS * 2);
         lastRequestedNumber = highest + 1;
         promise(lastRequestedNumber, context.selfId(), now);
         ownNumber = lastRequestedNumber;
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -9,7 +9,7 @@
 
 /**
  * Another control process, by its last message. Times are of this process's clock, unless said
- * otherwise; {@link LeaseManager#NEVER} where nothing was heard.
+ * otherwise; {@link LeaseManager#NEVER_MILLIS} where nothing was heard.
  */
 public final class PeerState {
 
@@ -19,8 +19,8 @@
     private String zoneName = "";
     private String incarnation = "";
     private long clockMillis;
-    private long lastAnsweredSendMillis = LeaseManager.NEVER;
-    private long formerIncarnationContactMillis = LeaseManager.NEVER;
+    private long lastAnsweredSendMillis = LeaseManager.NEVER_MILLIS;
+    private long formerIncarnationContactMillis = LeaseManager.NEVER_MILLIS;
     private boolean firstStart;
     private boolean leaving;
     private ReplicationProgress registryProgress = new ReplicationProgress();
@@ -137,7 +137,7 @@
         formerIncarnationContactMillis = lastContactMillis();
         lease.reset(newId);
         registryProgress = new ReplicationProgress();
-        lastAnsweredSendMillis = LeaseManager.NEVER;
+        lastAnsweredSendMillis = LeaseManager.NEVER_MILLIS;
         recordNumber = -1;
         clearedRecords.clear();
     }
--- a/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
+++ b/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
@@ -95,10 +95,10 @@
         return true;
     }
 
-    private boolean replaces(PrimaryRecord record, PrimaryRecord present) {
-        return present == null
-                || present.number() < record.number()
-                || present.number() > record.number()
+    private boolean replaces(PrimaryRecord record, PrimaryRecord stored) {
+        return stored == null
+                || stored.number() < record.number()
+                || stored.number() > record.number()
                         && context.isDisabled(SafetyRule.RECORDS_FORWARD);
     }
 
@@ -106,13 +106,13 @@
      * Returns the message for a peer that reported that it has the records up to the given number.
      */
     public RecordsMessage messageTo(long peerNumber) {
-        List<PrimaryRecord> lacking = new ArrayList<>();
+        List<PrimaryRecord> missing = new ArrayList<>();
         for (PrimaryRecord record : records.values()) {
             if (record.number() > peerNumber) {
-                lacking.add(record);
+                missing.add(record);
             }
         }
-        return new RecordsMessage(durableNumber, lacking, lacking.isEmpty() ? -1 : peerNumber);
+        return new RecordsMessage(durableNumber, missing, missing.isEmpty() ? -1 : peerNumber);
     }
 
     /** Handles a peer's message. Returns whether any record was newer. */
@@ -138,7 +138,7 @@
      *
      * @param answeredSince whether the peer reported its number since the lease began
      */
-    public boolean covers(boolean answeredSince, long peerNumber) {
+    public boolean hasAllRecordsOf(boolean answeredSince, long peerNumber) {
         return answeredSince && peerNumber <= newestNumber
                 || context.isDisabled(SafetyRule.RECORDS_OF_MAJORITY);
     }
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -26,7 +26,7 @@
     private List<ControlAddress> addressesSent = List.of();
 
     /** That no other server leads than the records say, it was told to be certain until then. */
-    private long certainUntilMillis = LeaseManager.NEVER;
+    private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
 
