--- a/src/test/java/dillfront/controlplane/SingleNode.java
+++ b/src/test/java/dillfront/controlplane/SingleNode.java
@@ -17,7 +17,7 @@
     static final String IP = "10.0.0.1";
 
     /** Time after the start by which a process without peers holds the lease. */
-    public static final long HOLDS_MS = 6_000;
+    public static final long LEASE_ACQUIRED_MS = 6_000;
 
     private SingleNode() {}
 
@@ -27,9 +27,9 @@
     }
 
     /** Starts a process with an empty store that acknowledges all writes and discards them. */
-    public static ControlNode start(Environment host, String... others) throws Exception {
+    public static ControlNode start(Environment environment, String... otherIps) throws Exception {
         return start(
-                host,
+                environment,
                 new StateStore() {
                     @Override
                     public Map<String, String> initialState() {
@@ -41,17 +41,17 @@
                         return CompletableFuture.completedFuture(null);
                     }
                 },
-                others);
+                otherIps);
     }
 
     /** Starts a process on the given store. */
-    public static ControlNode start(Environment host, StateStore store, String... others)
+    public static ControlNode start(Environment environment, StateStore store, String... otherIps)
             throws Exception {
         List<String> seeds =
-                Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
-        ControlNode core =
+                Stream.concat(Stream.of(IP), Stream.of(otherIps)).map(ip -> ip + ":8002").toList();
+        ControlNode node =
                 new ControlNode(
-                        host,
+                        environment,
                         new NodeSettings(
                                 "core-1",
                                 "a",
@@ -71,7 +71,7 @@
                                 6_000,
                                 null),
                         store);
-        core.start();
-        return core;
+        node.start();
+        return node;
     }
 }
