--- a/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
@@ -4,20 +4,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Computes how long the primary records are guaranteed to be current, i.e. no server is the primary
- * of a service other than the recorded one. The lease holder's guarantee is passed to other control
- * processes and from there to data planes, which check with the primary before use once the
- * guarantee has expired.
+ * Computes how long the primary records can be trusted, i.e. how long it is certain that no server
+ * other than the recorded one is the primary of a service. The lease holder's trust period is
+ * passed to other control processes and from there to data planes, which query the primary first
+ * once the period has expired.
  */
 public final class PrimaryCertainty {
 
-    /** Maximum duration of the guarantee after the lease holder's last message. */
+    /** Maximum trust period after the lease holder's last message. */
     static final long MAX_DURATION_MS = 3_000;
 
     /**
-     * Maximum duration of the guarantee past the end of the holder's lease. This is the highest
-     * value for which the next holder's wait covers clock rates that differ by 10%: (2250 + 600) *
-     * 1.1 < 2500 + 700 / 1.1.
+     * Maximum trust period past the end of the holder's lease. This is the highest value for which
+     * the next holder's wait covers clock rates that differ by 10%: (2250 + 600) * 1.1 < 2500 + 700
+     * / 1.1.
      */
     static final long MAX_AFTER_LEASE_MS = 600;
 
@@ -26,7 +26,7 @@
     private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     /**
-     * Creates the computation for this process.
+     * Creates an instance for this process.
      *
      * @param isHolder whether this process acts as the lease holder
      */
@@ -35,7 +35,7 @@
         this.isHolder = isHolder;
     }
 
-    /** Returns the remaining duration of the guarantee; zero or negative if it has expired. */
+    /** Returns the remaining trust period; zero or negative if the period has expired. */
     public long remainingMillis(long nowMillis) {
         if (isHolder.getAsBoolean()) {
             return Math.min(
@@ -47,8 +47,9 @@
     /**
      * Handles the lease holder's report of its remaining lease time.
      *
-     * @param requestedMillis when this process sent the message that the holder answered; measured
-     *     from before the holder read its clock, so the guarantee ends no later than the holder's
+     * @param requestedMillis when this process sent the message that the holder answered; the
+     *     period is measured from before the holder read its clock, so the period ends no later
+     *     than the holder's
      */
     public void onHolderMessage(long requestedMillis, long leaseRemainingMillis) {
         long remaining = Math.min(MAX_DURATION_MS, leaseRemainingMillis + MAX_AFTER_LEASE_MS);
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -36,7 +36,7 @@
     /** Time for open transactions to end before a planned move continues. */
     private static final long DRAIN_TIMEOUT_MS = 900;
 
-    /** Margin by which data planes' trust in a primary may outlast its nominal end. */
+    /** Margin added to the trust period of the old primary record. */
     private static final long CERTAINTY_MARGIN_MS = 100;
 
     /** Delay from the platform's acceptance to the first query of the successor. */
--- a/src/main/java/dillfront/controlplane/failover/SuccessorSelector.java
+++ b/src/main/java/dillfront/controlplane/failover/SuccessorSelector.java
@@ -164,7 +164,7 @@
                                     + " or another server with these commits");
         }
         // Beyond the lower bound, only commits that were in progress at the same time can be
-        // missing. The move waits for those no longer than MAX_UNSURE_MS.
+        // missing. The move waits for those no longer than MAX_UNCERTAIN_WAIT_MS.
         move.missingCommits =
                 longest.covers(acknowledged.lowerBound())
                         ? null
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -184,8 +184,8 @@
     }
 
     /**
-     * The guarantee of a primary ends 600 ms after the lease, which ends 2250 ms after the holder's
-     * last request.
+     * The trust period of a primary record ends 600 ms after the lease, which ends 2250 ms after
+     * the holder's last request.
      */
     @Test
     void boundsCertaintyByLeaseOfHolder() throws Exception {
@@ -209,7 +209,7 @@
         assertEquals(1_000 + 600 - 300, node.certainMillis());
         environment.until(now + 200);
         assertEquals(1_000 + 600 - 500, node.certainMillis());
-        // An expired lease, or a holder without a lease time, does not extend the guarantee.
+        // An expired lease, or a holder without a lease time, does not extend the trust period.
         sendHolderMessage(node, peer, 2, now, -700);
         assertEquals(1_000 + 600 - 500, node.certainMillis());
         sendHolderMessage(node, peer, 3, now, 1 << 20);
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -103,7 +103,7 @@
         environment.until(60_000);
         assertTrue(
                 underlying.writes.size() > 25 && underlying.writes.size() < 40,
-                underlying.writes.size() + " tries");
+                underlying.writes.size() + " attempts");
         assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
         // The number of retries is at most ten per second, regardless of the number of writes.
@@ -114,7 +114,7 @@
         }
         assertTrue(
                 underlying.writes.size() - writesBefore < 55,
-                underlying.writes.size() - writesBefore + " tries in 5 s");
+                underlying.writes.size() - writesBefore + " attempts in 5 s");
         underlying.failsWrites = false;
         environment.until(environment.nowMillis() + 2_100);
         assertTrue(put.isDone());
