--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -168,7 +168,7 @@
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
         return isReplaced
-                ? MembershipPolicy.REPLACED_SILENCE_MILLIS
+                ? MembershipPolicy.ADDRESS_REUSED_MILLIS
                 : silentMillis(LeaseManager.NEVER_MILLIS);
     }
 
--- a/src/main/java/dillfront/controlplane/consensus/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -12,8 +12,8 @@
 
     @Override
     public int compareTo(Ballot other) {
-        int rounds = Long.compare(round, other.round);
-        return rounds != 0 ? rounds : proposer.compareTo(other.proposer);
+        int roundOrder = Long.compare(round, other.round);
+        return roundOrder != 0 ? roundOrder : proposer.compareTo(other.proposer);
     }
 
     boolean isAbove(Ballot other) {
--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -33,18 +33,18 @@
     static final long REMOVE_AFTER_MS = 30_000;
 
     /** The silence of a member whose address is used by another process. */
-    public static final long REPLACED_SILENCE_MILLIS = Long.MAX_VALUE;
+    public static final long ADDRESS_REUSED_MILLIS = Long.MAX_VALUE;
 
     /**
      * A process that is or may become a member.
      *
-     * @param silentMillis time since the last message from the process; {@link
-     *     #REPLACED_SILENCE_MILLIS} if another process uses its address
+     * @param millisSinceContact time since the last message from the process; {@link
+     *     #ADDRESS_REUSED_MILLIS} if another process uses its address
      * @param caughtUp the process responds and has all decided values
      * @param leaving the process announced its shutdown
      */
     public record Candidate(
-            String id, String zone, long silentMillis, boolean caughtUp, boolean leaving) {}
+            String id, String zone, long millisSinceContact, boolean caughtUp, boolean leaving) {}
 
     private MembershipPolicy() {}
 
@@ -60,7 +60,7 @@
         Candidate removalCandidate = removalCandidate(members, candidates);
         List<Candidate> learners = learners(members, candidates);
         if (removalCandidate != null
-                && removalCandidate.silentMillis() == REPLACED_SILENCE_MILLIS) {
+                && removalCandidate.millisSinceContact() == ADDRESS_REUSED_MILLIS) {
             for (Candidate learner : learners) {
                 if (RegisterValue.ipOf(removalCandidate.id())
                         .equals(RegisterValue.ipOf(learner.id()))) {
@@ -84,7 +84,7 @@
         boolean hasSpareMember = members.size() > requiredMembers;
         boolean expired =
                 removalCandidate != null
-                        && removalCandidate.silentMillis() > REMOVE_AFTER_MS
+                        && removalCandidate.millisSinceContact() > REMOVE_AFTER_MS
                         && members.size() > MIN_MEMBERS;
         if (replaces && (hasSpareMember || expired)) {
             next.remove(removalCandidate.id());
@@ -127,6 +127,6 @@
     }
 
     private static long removalPriority(Candidate candidate) {
-        return candidate.leaving() ? REPLACED_SILENCE_MILLIS - 1 : candidate.silentMillis();
+        return candidate.leaving() ? ADDRESS_REUSED_MILLIS - 1 : candidate.millisSinceContact();
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
@@ -104,7 +104,7 @@
             for (String number : fields.strings(DIGESTS)) {
                 try {
                     digests.add(Long.parseLong(number));
-                } catch (NumberFormatException bad) {
+                } catch (NumberFormatException exception) {
                     throw new MessageCodec.MalformedMessageException(
                             "revision digest is not a number: " + number);
                 }
@@ -163,7 +163,7 @@
             throws MessageCodec.MalformedMessageException {
         try {
             return Ballot.parse(fields.string(name));
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException exception) {
             throw new MessageCodec.MalformedMessageException(name + " is not a ballot");
         }
     }
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -83,7 +83,7 @@
     private static final long CATCH_UP_DELAY_MS = 300;
 
     private static final long RESEND_MS = 350;
-    private static final int MAX_PROPOSALS = 256;
+    private static final int MAX_PENDING_PROPOSALS = 256;
 
     /** The last reported state of a peer. Ballots never decrease. */
     private static final class PeerState {
@@ -259,7 +259,7 @@
      */
     public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
         CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
-        if (proposals.size() >= MAX_PROPOSALS) {
+        if (proposals.size() >= MAX_PENDING_PROPOSALS) {
             result.completeExceptionally(new IllegalStateException("too many pending proposals"));
             return result;
         }
@@ -567,7 +567,7 @@
                             acceptedAtMillis = context.nowMillis();
                         });
         done.exceptionally(
-                fault -> {
+                error -> {
                     storage.onWriteFailed(chunksBefore);
                     return null;
                 });
@@ -582,9 +582,9 @@
         persisting = true;
         return context.persist(texts)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             persisting = false;
-                            if (fault == null) {
+                            if (error == null) {
                                 onDurable.run();
                                 context.broadcast();
                                 advance();
@@ -610,11 +610,11 @@
         phase = Phase.PERSIST_BALLOT;
         promise(ballot)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             if (!ballot.equals(ownBallot) || phase != Phase.PERSIST_BALLOT) {
                                 return;
                             }
-                            if (fault != null) {
+                            if (error != null) {
                                 abandonRound();
                                 return;
                             }
@@ -679,7 +679,7 @@
         context.broadcast();
         accept(ownBallot, proposedValue)
                 .exceptionally(
-                        fault -> {
+                        error -> {
                             abandonRound();
                             return null;
                         });
--- a/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
+++ b/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
@@ -86,7 +86,7 @@
         Configuration configuration;
         try {
             configuration = configuration(encoded, base);
-        } catch (BinaryDelta.InvalidDeltaException | Compression.CorruptDataException damaged) {
+        } catch (BinaryDelta.InvalidDeltaException | Compression.CorruptDataException exception) {
             return null;
         }
         return new RegisterValue(
--- a/src/main/java/dillfront/controlplane/failover/FailoverContext.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverContext.java
@@ -164,7 +164,7 @@
      * Returns whether the server missed at least two heartbeats, not counting time during which
      * this process was paused.
      */
-    boolean isSilent(DatabaseServer server) {
+    boolean hasMissedHeartbeats(DatabaseServer server) {
         return now() - Math.max(server.lastContactMillis(), resumedMillis)
                 > heartbeatIntervalMillis() * 5 / 2;
     }
--- a/src/main/java/dillfront/controlplane/failover/InitialPrimaryRecorder.java
+++ b/src/main/java/dillfront/controlplane/failover/InitialPrimaryRecorder.java
@@ -43,15 +43,15 @@
         callPending = true;
         context.platform()
                 .promote(service, primary.id(), context.nextFencingToken())
-                .whenComplete((result, fault) -> onResult(primary, result, fault));
+                .whenComplete((result, error) -> onResult(primary, result, error));
     }
 
-    private void onResult(DatabaseServer primary, PromotionResult result, Throwable fault) {
+    private void onResult(DatabaseServer primary, PromotionResult result, Throwable error) {
         callPending = false;
         nextCallMillis = context.now() + FailoverContext.RETRY_MS;
-        unansweredCalls += fault == null ? 0 : 1;
-        boolean fenced = fault == null && result == PromotionResult.ACCEPTED;
-        boolean platformUnreachable = fault != null && unansweredCalls >= MAX_UNANSWERED_CALLS;
+        unansweredCalls += error == null ? 0 : 1;
+        boolean fenced = error == null && result == PromotionResult.ACCEPTED;
+        boolean platformUnreachable = error != null && unansweredCalls >= MAX_UNANSWERED_CALLS;
         if (context.isActing()
                 && context.state().records().get(service) == null
                 && (fenced || platformUnreachable)) {
--- a/src/main/java/dillfront/controlplane/failover/MoveQueries.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveQueries.java
@@ -52,15 +52,15 @@
         pendingServers.add(id);
         context.query(server, FailoverContext.QUERY_TIMEOUT_MS, command)
                 .whenComplete(
-                        (status, fault) -> {
+                        (status, error) -> {
                             pendingServers.remove(id);
                             nextQueryMillis.put(id, context.now() + gapMillis);
                             unanswered.put(
                                     id,
-                                    ServerQueryException.showsServerAlive(fault)
+                                    ServerQueryException.showsServerAlive(error)
                                             ? 0
                                             : unanswered(id) + 1);
-                            if (fault == null && isActive()) {
+                            if (error == null && isActive()) {
                                 onStatus.accept(status);
                                 poll.run();
                             }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -92,7 +92,7 @@
         boolean mostlyUnreachable =
                 observation.unreachable() > 0
                         && observation.unreachable() >= observation.reachable();
-        if (!mostlyUnreachable && !context.isSilent(primary)) {
+        if (!mostlyUnreachable && !context.hasMissedHeartbeats(primary)) {
             unansweredQueries = 0;
             return observation.unreachable() > 0;
         }
@@ -107,11 +107,11 @@
         queriedMillis = context.now();
         context.queryStatus(primary, SUSPECT_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
+                        (status, error) -> {
                             queryPending = false;
                             queriedMillis = context.now();
                             unansweredQueries =
-                                    ServerQueryException.showsServerAlive(fault)
+                                    ServerQueryException.showsServerAlive(error)
                                             ? 0
                                             : unansweredQueries + 1;
                             if (isLost(record, primary)
@@ -126,7 +126,7 @@
         PrimaryObservation observation = context.observation(record.service(), record.primary());
         boolean confirmedByOthers =
                 observation.unreachable() > observation.reachable()
-                        || observation.reachable() == 0 && context.isSilent(primary);
+                        || observation.reachable() == 0 && context.hasMissedHeartbeats(primary);
         int requiredUnanswered =
                 observation.unreachable() >= 2 && observation.reachable() == 0 ? 1 : 2;
         return unansweredQueries >= requiredUnanswered && confirmedByOthers;
@@ -153,11 +153,11 @@
         comparisonPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (primaryStatus, fault) -> {
+                        (primaryStatus, error) -> {
                             comparisonPending = false;
                             comparedMillis = context.now();
                             compareGapMillis = Math.min(MAX_COMPARE_GAP_MS, 2 * compareGapMillis);
-                            if (fault == null) {
+                            if (error == null) {
                                 successors.forEach(
                                         successor -> compare(record, primaryStatus, successor));
                             }
@@ -168,8 +168,8 @@
             PrimaryRecord record, ServerStatus primaryStatus, DatabaseServer successor) {
         context.queryStatus(successor, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            if (fault == null
+                        (status, error) -> {
+                            if (error == null
                                     && status.position().covers(primaryStatus.position())
                                     && context.isActing()
                                     && context.isCurrent(record)) {
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -102,7 +102,7 @@
 
     /** Advances the move. Called periodically. */
     void poll() {
-        if (!context.mayAct() || !isRecorded() || state.logEndQueryPending) {
+        if (!context.mayAct() || !isRecordedByMajority() || state.logEndQueryPending) {
             return;
         }
         DatabaseServer primary = context.server(state.record.primary());
@@ -159,7 +159,7 @@
     }
 
     /** Returns whether a majority of control processes has the record. */
-    private boolean isRecorded() {
+    private boolean isRecordedByMajority() {
         long number = state.record.number();
         return context.state()
                 .cluster()
@@ -239,10 +239,10 @@
                 .whenComplete(this::onPromoted);
     }
 
-    private void onPromoted(PromotionResult result, Throwable fault) {
+    private void onPromoted(PromotionResult result, Throwable error) {
         state.callPending = false;
         state.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
-        if (fault != null) {
+        if (error != null) {
             return;
         }
         if (result == PromotionResult.ACCEPTED) {
@@ -306,12 +306,12 @@
         context.platform()
                 .promote(service(), serverId, context.nextFencingToken())
                 .whenComplete(
-                        (result, fault) -> {
+                        (result, error) -> {
                             state.callPending = false;
                             state.nextFencingAttemptMillis =
                                     context.now() + FailoverContext.RETRY_MS;
                             state.formerCallsFenced =
-                                    fault == null && result == PromotionResult.ACCEPTED;
+                                    error == null && result == PromotionResult.ACCEPTED;
                             state.formerCallsFencedMillis =
                                     state.formerCallsFenced
                                             ? context.now()
@@ -351,10 +351,10 @@
         state.logEndQueryPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
+                        (status, error) -> {
                             state.logEndQueryPending = false;
                             if (isActive() && context.isActing()) {
-                                boolean logEndKnown = fault == null && status.isPrimary();
+                                boolean logEndKnown = error == null && status.isPrimary();
                                 LogPosition logEnd =
                                         logEndKnown ? status.position() : loss.lostUpTo();
                                 complete(primary.id(), loss.withLeaderAt(logEnd));
--- a/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -65,7 +65,7 @@
             DatabaseServer replica = context.server(id);
             if (!pendingReplicas.contains(id)
                     && context.now() >= nextQueryMillis.getOrDefault(id, 0L)
-                    && !context.isSilent(replica)) {
+                    && !context.hasMissedHeartbeats(replica)) {
                 resume(record, replica);
             }
         }
@@ -89,9 +89,9 @@
         long confirmableFromMillis = startedMillis + MAX_COMMAND_DELAY_MS;
         context.query(replica, 2 * FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand)
                 .whenComplete(
-                        (status, fault) -> {
+                        (status, error) -> {
                             pendingReplicas.remove(id);
-                            boolean receives = fault == null && !status.isPaused();
+                            boolean receives = error == null && !status.isPaused();
                             nextQueryMillis.put(
                                     id,
                                     receives
--- a/src/main/java/dillfront/controlplane/failover/ReplicationStopper.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicationStopper.java
@@ -31,7 +31,7 @@
     private static final long CATCH_UP_QUERY_GAP_MS = 60;
 
     /** Silence before the loss of the primary after which a server is not waited for. */
-    private static final long MAX_SILENCE_MS = 10_000;
+    private static final long CONTACT_EXPIRY_MS = 10_000;
 
     /**
      * Number of unanswered queries after which a server that announced its leave counts as ended.
@@ -88,10 +88,10 @@
                         FailoverContext.QUERY_TIMEOUT_MS,
                         status -> "STEPDOWN " + status.nextTerm())
                 .whenComplete(
-                        (status, fault) -> {
+                        (status, error) -> {
                             move.callPending = false;
                             move.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
-                            if (fault == null && !status.isPrimary()) {
+                            if (error == null && !status.isPrimary()) {
                                 move.steppedDown = true;
                                 move.steppedDownMillis = context.now();
                                 move.finalPosition = status.position();
@@ -114,10 +114,10 @@
             return;
         }
         for (DatabaseServer replica : replicas()) {
-            boolean silent =
+            boolean outOfContact =
                     context.now() - replica.lastContactMillis()
                             > 2 * context.heartbeatIntervalMillis();
-            if (!replica.isDraining() && !silent) {
+            if (!replica.isDraining() && !outOfContact) {
                 queries.query(
                         replica,
                         CATCH_UP_QUERY_GAP_MS,
@@ -158,7 +158,7 @@
         boolean awaitsPrimary =
                 move.steppedDown
                         && primaryPresent
-                        && !context.isSilent(primary)
+                        && !context.hasMissedHeartbeats(primary)
                         && !move.stoppedStatuses.containsKey(primary.id());
         if (allStopped
                 && !awaitsPrimary
@@ -191,7 +191,7 @@
                 primary == null
                         ? context.now()
                         : Math.max(primary.lastContactMillis(), move.startedMillis);
-        boolean expired = lostMillis - replica.lastContactMillis() > MAX_SILENCE_MS;
+        boolean expired = lostMillis - replica.lastContactMillis() > CONTACT_EXPIRY_MS;
         if (expired && !replica.isLeaving() || isExcludedByOperator(replica)) {
             return true;
         }
@@ -241,7 +241,7 @@
         return loss != null
                 && loss.moveNumber() == move.record.moveNumber()
                 && loss.unreachableServers().contains(replica.id())
-                && context.isSilent(replica);
+                && context.hasMissedHeartbeats(replica);
     }
 
     /**
@@ -255,7 +255,7 @@
                 continue;
             }
             long contactMillis = Math.max(replica.lastContactMillis(), context.resumedMillis());
-            if (context.now() - contactMillis < MAX_SILENCE_MS) {
+            if (context.now() - contactMillis < CONTACT_EXPIRY_MS) {
                 boolean isOutdated =
                         move.missingCommits != null
                                 && !move.missingCommits.unreachableServers().isEmpty();
@@ -292,7 +292,7 @@
 
     private void logAwaitedReplicas() {
         if (context.now() > move.startedMillis + AWAITED_LOG_DELAY_MS
-                && context.now() > awaitedLoggedMillis + MAX_SILENCE_MS) {
+                && context.now() > awaitedLoggedMillis + CONTACT_EXPIRY_MS) {
             awaitedLoggedMillis = context.now();
             List<String> awaited = new ArrayList<>();
             context.state()
--- a/src/main/java/dillfront/controlplane/failover/ServerQuery.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQuery.java
@@ -18,7 +18,7 @@
  */
 final class ServerQuery implements Environment.ConnectionListener {
 
-    private static final String WRONG_SERVER_CODE = "WRONGNODE";
+    private static final String SERVER_MISMATCH_CODE = "WRONGNODE";
 
     private final Environment environment;
     private final LeaseManager lease;
@@ -101,8 +101,8 @@
         ServerResponse response;
         try {
             response = responses.read(message);
-        } catch (ProtocolViolationException bad) {
-            fail(bad.getMessage(), true);
+        } catch (ProtocolViolationException exception) {
+            fail(exception.getMessage(), true);
             return;
         }
         if (response == null) {
@@ -113,7 +113,7 @@
             // running there.
             fail(
                     response.errorCode() + " " + response.errorMessage(),
-                    !response.errorCode().equals(WRONG_SERVER_CODE));
+                    !response.errorCode().equals(SERVER_MISMATCH_CODE));
         } else if (environment.nowMillis() >= deadlineMillis) {
             // The process was paused, so a command would be based on an outdated decision.
             fail("answer arrived after the timeout", true);
--- a/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
@@ -28,8 +28,8 @@
      * Returns whether a query with this failure, or null for none, shows that the server is
      * running.
      */
-    static boolean showsServerAlive(Throwable fault) {
-        return fault == null
-                || fault instanceof ServerQueryException query && query.isServerAlive();
+    static boolean showsServerAlive(Throwable error) {
+        return error == null
+                || error instanceof ServerQueryException query && query.isServerAlive();
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/ServerStatus.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerStatus.java
@@ -50,7 +50,7 @@
                             Long.parseLong(fields[1]),
                             position,
                             Long.parseLong(fields[3]));
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException exception) {
             return null;
         }
     }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -396,9 +396,9 @@
                         Long.toString(lastRequestedNumber));
         context.persist(texts)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             persisting = false;
-                            if (fault == null) {
+                            if (error == null) {
                                 onPromised(number, to, floor, requestedAtMillis);
                             }
                         });
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -36,8 +36,8 @@
                     public void send(byte[] message) {
                         try {
                             answers.add(MessageCodec.decode(message));
-                        } catch (MessageCodec.MalformedMessageException bad) {
-                            throw new AssertionError(bad);
+                        } catch (MessageCodec.MalformedMessageException exception) {
+                            throw new AssertionError(exception);
                         }
                     }
 
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -109,15 +109,15 @@
     @Test
     void tornTailLosesOnlyTheLastRecord() throws Exception {
         Path log = copy("control-3");
-        Map<String, String> whole = readTexts(copy("control-1").getParent().resolve("memory.log"));
+        Map<String, String> intact = readTexts(copy("control-1").getParent().resolve("memory.log"));
         byte[] bytes = Files.readAllBytes(log);
         Files.write(log, Arrays.copyOf(bytes, bytes.length - 9));
         Map<String, String> torn = readTexts(log);
         // The last record removes the outgoing members; the one before it has both member sets.
-        assertEquals("7 " + SECOND, whole.get("accepted-ballot"));
+        assertEquals("7 " + SECOND, intact.get("accepted-ballot"));
         assertEquals("6 " + SECOND, torn.get("accepted-ballot"));
         assertEquals("2", torn.get("epoch"));
-        assertEquals(whole.get("members"), torn.get("members"));
+        assertEquals(intact.get("members"), torn.get("members"));
         assertTrue(torn.containsKey("server:orders-1"));
     }
 }
--- a/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
@@ -53,17 +53,19 @@
             int dash = process.indexOf('-');
             String id = dash < 0 ? process : process.substring(0, dash);
             String flags = dash < 0 ? "" : process.substring(dash + 1);
-            int silent = flags.indexOf('s');
-            int zone = flags.indexOf('z');
+            int silenceFlagIndex = flags.indexOf('s');
+            int zoneFlagIndex = flags.indexOf('z');
             candidates.add(
                     new MembershipPolicy.Candidate(
                             id,
-                            zone < 0 ? "" : flags.substring(zone),
-                            silent < 0
+                            zoneFlagIndex < 0 ? "" : flags.substring(zoneFlagIndex),
+                            silenceFlagIndex < 0
                                     ? 0
                                     : flags.endsWith("*")
                                             ? Long.MAX_VALUE
-                                            : 1_000 * Long.parseLong(flags.substring(silent + 1)),
+                                            : 1_000
+                                                    * Long.parseLong(
+                                                            flags.substring(silenceFlagIndex + 1)),
                             flags.contains("n"),
                             flags.contains("l")));
         }
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -45,11 +45,11 @@
             Function<ServerStatus, String> command, CompletableFuture<ServerStatus> result) {
         ServerQuery.send(environment, lease, server, 500, command)
                 .whenComplete(
-                        (status, fault) -> {
-                            if (fault == null) {
+                        (status, error) -> {
+                            if (error == null) {
                                 result.complete(status);
                             } else {
-                                result.completeExceptionally(fault);
+                                result.completeExceptionally(error);
                             }
                         });
         ScriptedEnvironment.Line connection = environment.lastDialed();
@@ -111,10 +111,10 @@
             CompletableFuture<ServerStatus> result = new CompletableFuture<>();
             startQuery(null, result).say(refusal[0]);
             result.exceptionally(
-                    fault -> {
+                    error -> {
                         assertEquals(
                                 Boolean.parseBoolean(refusal[1]),
-                                ((ServerQueryException) fault).isServerAlive());
+                                ((ServerQueryException) error).isServerAlive());
                         return null;
                     });
             assertTrue(result.isCompletedExceptionally());
@@ -157,7 +157,7 @@
                         server,
                         60_000,
                         status -> "STEPDOWN " + status.nextTerm())
-                .whenComplete((status, fault) -> result.complete(status));
+                .whenComplete((status, error) -> result.complete(status));
         ScriptedEnvironment.Line connection = environment.lastDialed();
         connection.open();
         connection.say("READY I -");
