--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -337,7 +337,7 @@
         if (loss == null || !loss.losesCommits()) {
             complete(primaryId, loss);
         } else if (primary == null) {
-            complete(primaryId, loss.withLeaderAt(loss.lostUpTo()));
+            complete(primaryId, loss.withPrimaryLogEnd(loss.lostUpTo()));
         } else {
             completeWithLogEnd(primary, loss);
         }
@@ -357,7 +357,7 @@
                                 boolean logEndKnown = error == null && status.isPrimary();
                                 LogPosition logEnd =
                                         logEndKnown ? status.position() : loss.lostUpTo();
-                                complete(primary.id(), loss.withLeaderAt(logEnd));
+                                complete(primary.id(), loss.withPrimaryLogEnd(logEnd));
                             }
                         });
     }
