--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -9,97 +9,106 @@
 import java.util.TreeSet;
 
 /**
- * Which processes are to be members, as the lease holder sees them. One step at a time: at most one
- * joins and at most one leaves. None leaves for good by this: one that was away and comes back is
- * taken in again.
+ * Computes the next member set on behalf of the lease holder. Each step adds at most one process
+ * and removes at most one. Removal is not permanent: a removed process that is reachable again may
+ * rejoin.
  */
 public final class MembershipPolicy {
 
     /**
-     * More members cost more messages than they bear losses; there may be more where the tolerated
-     * losses want it.
+     * Default upper bound, because each member adds message load. A higher number of tolerated
+     * losses raises the bound.
      */
     static final int MAX_MEMBERS = 7;
 
     private static final int MIN_MEMBERS = 3;
 
-    /** A member that was silent for so long gives its place to another process. */
+    /** Silence after which another process replaces a member. */
     static final long REPLACE_AFTER_MS = 1_500;
 
     /**
-     * And is removed without a replacement after so long, so that the remaining members are not
-     * held up by two that are gone.
+     * Silence after which a member is removed without a replacement, so that two unreachable
+     * members do not block the remaining ones.
      */
     static final long REMOVE_AFTER_MS = 30_000;
 
-    /** The silence of a member at whose address another process answers. */
-    public static final long REPLACED = Long.MAX_VALUE;
+    /** The silence of a member whose address is used by another process. */
+    public static final long ADDRESS_REUSED_MILLIS = Long.MAX_VALUE;
 
     /**
-     * A process, a member or not.
+     * A process that is or may become a member.
      *
-     * @param silentMillis for how long nothing came from it; {@link #REPLACED} where another
-     *     process is at its address
-     * @param caughtUp it answers, and holds all that is decided
-     * @param leaving it said that it ends
+     * @param millisSinceContact time since the last message from the process; {@link
+     *     #ADDRESS_REUSED_MILLIS} if another process uses its address
+     * @param caughtUp the process responds and has all decided values
+     * @param leaving the process announced its shutdown
      */
     public record Candidate(
-            String id, String zone, long silentMillis, boolean caughtUp, boolean leaving) {}
+            String id, String zone, long millisSinceContact, boolean caughtUp, boolean leaving) {}
 
     private MembershipPolicy() {}
 
     /**
-     * The next members; the same ones where nothing is to be changed.
+     * Returns the next member set, which equals the current one if no change is needed.
      *
-     * @param candidates all processes that are known, each member among them
-     * @param toleratedLosses how many members may be lost at once
+     * @param candidates all known processes, including all members
+     * @param toleratedLosses the number of members that may fail at the same time
      */
     public static SortedSet<String> nextMembers(
             SortedSet<String> members, List<Candidate> candidates, int toleratedLosses) {
         TreeSet<String> next = new TreeSet<>(members);
-        Candidate worst = worstMember(members, candidates);
+        Candidate removalCandidate = removalCandidate(members, candidates);
         List<Candidate> learners = learners(members, candidates);
-        if (worst != null && worst.silentMillis() == REPLACED) {
+        if (removalCandidate != null
+                && removalCandidate.millisSinceContact() == ADDRESS_REUSED_MILLIS) {
             for (Candidate learner : learners) {
-                if (RegisterValue.ipOf(worst.id()).equals(RegisterValue.ipOf(learner.id()))) {
-                    next.remove(worst.id());
+                if (RegisterValue.ipOf(removalCandidate.id())
+                        .equals(RegisterValue.ipOf(learner.id()))) {
+                    next.remove(removalCandidate.id());
                     next.add(learner.id());
                     return next;
                 }
             }
         }
-        boolean replaces = worst != null && removalPriority(worst) > REPLACE_AFTER_MS;
-        int enough = 2 * toleratedLosses + 1;
-        if (!learners.isEmpty() && (replaces || members.size() < Math.max(MAX_MEMBERS, enough))) {
+        boolean replaces =
+                removalCandidate != null && removalPriority(removalCandidate) > REPLACE_AFTER_MS;
+        int requiredMembers = 2 * toleratedLosses + 1;
+        if (!learners.isEmpty()
+                && (replaces || members.size() < Math.max(MAX_MEMBERS, requiredMembers))) {
             next.add(learners.get(0).id());
             if (replaces) {
-                next.remove(worst.id());
+                next.remove(removalCandidate.id());
             }
             return next;
         }
-        boolean spare = members.size() > enough;
+        boolean hasSpareMember = members.size() > requiredMembers;
         boolean expired =
-                worst != null
-                        && worst.silentMillis() > REMOVE_AFTER_MS
+                removalCandidate != null
+                        && removalCandidate.millisSinceContact() > REMOVE_AFTER_MS
                         && members.size() > MIN_MEMBERS;
-        if (replaces && (spare || expired)) {
-            next.remove(worst.id());
+        if (replaces && (hasSpareMember || expired)) {
+            next.remove(removalCandidate.id());
         }
         return next;
     }
 
-    private static Candidate worstMember(SortedSet<String> members, List<Candidate> candidates) {
-        Candidate worst = null;
+    private static Candidate removalCandidate(
+            SortedSet<String> members, List<Candidate> candidates) {
+        Candidate removalCandidate = null;
         for (Candidate candidate : candidates) {
             if (members.contains(candidate.id())
-                    && (worst == null || removalPriority(candidate) > removalPriority(worst))) {
-                worst = candidate;
+                    && (removalCandidate == null
+                            || removalPriority(candidate) > removalPriority(removalCandidate))) {
+                removalCandidate = candidate;
             }
         }
-        return worst;
+        return removalCandidate;
     }
 
-    /** Processes that could become members; those of zones with few members first. */
+    /**
+     * Returns the processes that may become members, ordered by the number of members in their
+     * zones.
+     */
     private static List<Candidate> learners(SortedSet<String> members, List<Candidate> candidates) {
         Map<String, Integer> membersByZone = new TreeMap<>();
         List<Candidate> learners = new ArrayList<>();
@@ -118,6 +127,6 @@
     }
 
     private static long removalPriority(Candidate candidate) {
-        return candidate.leaving() ? REPLACED - 1 : candidate.silentMillis();
+        return candidate.leaving() ? ADDRESS_REUSED_MILLIS - 1 : candidate.millisSinceContact();
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/MoveQueries.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveQueries.java
@@ -8,20 +8,24 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Queries of one move to its servers: one at a time each, with a pause between them. */
+/**
+ * Queries the servers of one move, one query at a time per server and with a pause between queries.
+ */
 final class MoveQueries {
 
     private final FailoverContext context;
     private final BooleanSupplier isActive;
     private final Runnable poll;
-    private final TreeSet<String> underWay = new TreeSet<>();
-    private final Map<String, Long> retryMillis = new TreeMap<>();
+    private final TreeSet<String> pendingServers = new TreeSet<>();
+    private final Map<String, Long> nextQueryMillis = new TreeMap<>();
 
-    /** How often in a row a server gave no answer at all. */
+    /** The number of consecutive queries that a server did not answer. */
     private final Map<String, Integer> unanswered = new TreeMap<>();
 
     /**
-     * @param isActive whether the move is still under way
+     * Creates an instance for one move.
+     *
+     * @param isActive whether the move is in progress
      * @param poll runs after each answer
      */
     MoveQueries(FailoverContext context, BooleanSupplier isActive, Runnable poll) {
@@ -31,46 +35,46 @@
     }
 
     /**
-     * Asks a server for its status, unless it is asked already or was just now.
+     * Requests a server's status, unless a query is pending or its last answer is too recent.
      *
-     * @param gapMillis after the answer it is not asked again for so long
+     * @param gapMillis minimum pause between this answer and the next query
      * @param command as for {@link ServerQuery#send}
      */
-    void ask(
+    void query(
             DatabaseServer server,
             long gapMillis,
             Function<ServerStatus, String> command,
             Consumer<ServerStatus> onStatus) {
         String id = server.id();
-        if (underWay.contains(id) || context.now() < retryMillis.getOrDefault(id, 0L)) {
+        if (pendingServers.contains(id) || context.now() < nextQueryMillis.getOrDefault(id, 0L)) {
             return;
         }
-        underWay.add(id);
+        pendingServers.add(id);
         context.query(server, FailoverContext.QUERY_TIMEOUT_MS, command)
                 .whenComplete(
-                        (status, fault) -> {
-                            underWay.remove(id);
-                            retryMillis.put(id, context.now() + gapMillis);
+                        (status, error) -> {
+                            pendingServers.remove(id);
+                            nextQueryMillis.put(id, context.now() + gapMillis);
                             unanswered.put(
                                     id,
-                                    ServerQueryException.showsServerAlive(fault)
+                                    ServerQueryException.showsServerAlive(error)
                                             ? 0
                                             : unanswered(id) + 1);
-                            if (fault == null && isActive()) {
+                            if (error == null && isActive()) {
                                 onStatus.accept(status);
                                 poll.run();
                             }
                         });
     }
 
-    /** Whether the move is still under way. */
+    /** Returns whether the move is in progress. */
     boolean isActive() {
         return isActive.getAsBoolean();
     }
 
-    /** The pause after its last answer does not hold any more. */
-    void allowAtOnce(DatabaseServer server) {
-        retryMillis.remove(server.id());
+    /** Cancels the pause after the server's last answer. */
+    void cancelPause(DatabaseServer server) {
+        nextQueryMillis.remove(server.id());
     }
 
     int unanswered(String id) {
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -8,59 +8,60 @@
 import java.util.List;
 
 /**
- * Watches the primary of one service while no move is under way: has it moved where it is lost, or
- * where it drains and another has all that it had.
+ * Monitors the primary of one service while no move is in progress. Starts a failover if the
+ * primary is lost, and a planned move if the primary is draining and another server has its
+ * complete log.
  */
 final class PrimaryMonitor {
 
-    /** Begins moves. */
-    interface Mover {
+    /** Starts moves. */
+    interface MoveStarter {
 
         void startMove(PrimaryRecord record, boolean planned);
     }
 
     /**
-     * Suspicion may be wrong at little cost: a primary that answers while its service moves leads
-     * on.
+     * Short, because a false suspicion is cheap: a primary that answers during a move remains the
+     * primary.
      */
     private static final long SUSPECT_TIMEOUT_MS = 300;
 
     private static final long QUERY_GAP_MS = 250;
 
     /**
-     * The pause between two comparisons of a replica's log with that of a primary that drains; it
-     * doubles up to a bound.
+     * Initial pause between two comparisons of a replica's log with that of a draining primary. The
+     * pause doubles up to a maximum.
      */
     private static final long COMPARE_GAP_MS = 60;
 
     private static final long MAX_COMPARE_GAP_MS = 500;
 
     private final FailoverContext context;
-    private final Mover mover;
+    private final MoveStarter mover;
 
-    /** Queries in a row that the suspected primary did not answer. */
-    private int misses;
+    /** The number of consecutive queries that the suspected primary did not answer. */
+    private int unansweredQueries;
 
-    private boolean querying;
-    private long queriedMillis = LeaseManager.NEVER;
-    private boolean comparing;
-    private long comparedMillis = LeaseManager.NEVER;
+    private boolean queryPending;
+    private long queriedMillis = LeaseManager.NEVER_MILLIS;
+    private boolean comparisonPending;
+    private long comparedMillis = LeaseManager.NEVER_MILLIS;
     private long compareGapMillis = COMPARE_GAP_MS;
 
-    PrimaryMonitor(FailoverContext context, Mover mover) {
+    PrimaryMonitor(FailoverContext context, MoveStarter mover) {
         this.context = context;
         this.mover = mover;
     }
 
-    /** A move begins: what was missed before counts no more. */
+    /** Resets the count of unanswered queries, because a move starts. */
     void onMoveStarted() {
-        misses = 0;
+        unansweredQueries = 0;
     }
 
     /**
-     * Looks after the recorded primary.
+     * Checks the recorded primary.
      *
-     * @return whether it is suspected, so that data planes are to be asked what they see
+     * @return whether the primary is suspected, so that data planes are asked for observations
      */
     boolean poll(PrimaryRecord record) {
         DatabaseServer primary = context.server(record.primary());
@@ -69,11 +70,12 @@
         if (reported != null
                 && !reported.id().equals(record.primary())
                 && (!present || !primary.isPrimary())) {
-            // Promoted by a call of an earlier holder that arrived late: so it is.
-            context.record(
+            // A delayed call of an earlier holder promoted this server, so it is recorded as the
+            // primary.
+            context.storeRecord(
                     new PrimaryRecord(
                             record.service(),
-                            context.nextToken(),
+                            context.nextFencingToken(),
                             reported.id(),
                             false,
                             record.replicationPaused()));
@@ -86,27 +88,32 @@
         if (primary.isDraining()) {
             compareSuccessors(record, primary);
         }
-        PrimaryObservation seen = context.observation(record.service(), record.primary());
-        boolean outOfReach = seen.unreachable() > 0 && seen.unreachable() >= seen.reachable();
-        if (!outOfReach && !context.isSilent(primary)) {
-            misses = 0;
-            return seen.unreachable() > 0;
+        PrimaryObservation observation = context.observation(record.service(), record.primary());
+        boolean mostlyUnreachable =
+                observation.unreachable() > 0
+                        && observation.unreachable() >= observation.reachable();
+        if (!mostlyUnreachable && !context.hasMissedHeartbeats(primary)) {
+            unansweredQueries = 0;
+            return observation.unreachable() > 0;
         }
-        if (!querying && context.now() >= queriedMillis + QUERY_GAP_MS) {
+        if (!queryPending && context.now() >= queriedMillis + QUERY_GAP_MS) {
             query(record, primary);
         }
         return true;
     }
 
     private void query(PrimaryRecord record, DatabaseServer primary) {
-        querying = true;
+        queryPending = true;
         queriedMillis = context.now();
         context.queryStatus(primary, SUSPECT_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            querying = false;
+                        (status, error) -> {
+                            queryPending = false;
                             queriedMillis = context.now();
-                            misses = ServerQueryException.showsServerAlive(fault) ? 0 : misses + 1;
+                            unansweredQueries =
+                                    ServerQueryException.showsServerAlive(error)
+                                            ? 0
+                                            : unansweredQueries + 1;
                             if (isLost(record, primary)
                                     && context.isActing()
                                     && context.isCurrent(record)) {
@@ -116,17 +123,18 @@
     }
 
     private boolean isLost(PrimaryRecord record, DatabaseServer primary) {
-        PrimaryObservation seen = context.observation(record.service(), record.primary());
-        boolean othersAgree =
-                seen.unreachable() > seen.reachable()
-                        || seen.reachable() == 0 && context.isSilent(primary);
-        int enoughMisses = seen.unreachable() >= 2 && seen.reachable() == 0 ? 1 : 2;
-        return misses >= enoughMisses && othersAgree;
+        PrimaryObservation observation = context.observation(record.service(), record.primary());
+        boolean confirmedByOthers =
+                observation.unreachable() > observation.reachable()
+                        || observation.reachable() == 0 && context.hasMissedHeartbeats(primary);
+        int requiredUnanswered =
+                observation.unreachable() >= 2 && observation.reachable() == 0 ? 1 : 2;
+        return unansweredQueries >= requiredUnanswered && confirmedByOthers;
     }
 
     /**
-     * A primary that drains leads on until another server, which stays, has received all that it
-     * had when it was asked.
+     * Starts a planned move once another server, which is not draining, has received the log that
+     * the draining primary reported. Until then the primary continues.
      */
     private void compareSuccessors(PrimaryRecord record, DatabaseServer primary) {
         List<DatabaseServer> successors = new ArrayList<>();
@@ -138,19 +146,20 @@
             }
         }
         if (successors.isEmpty()
-                || comparing
+                || comparisonPending
                 || context.now() < comparedMillis + compareGapMillis) {
             return;
         }
-        comparing = true;
+        comparisonPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (primaryStatus, fault) -> {
-                            comparing = false;
+                        (primaryStatus, error) -> {
+                            comparisonPending = false;
                             comparedMillis = context.now();
                             compareGapMillis = Math.min(MAX_COMPARE_GAP_MS, 2 * compareGapMillis);
-                            if (fault == null) {
-                                successors.forEach(one -> compare(record, primaryStatus, one));
+                            if (error == null) {
+                                successors.forEach(
+                                        successor -> compare(record, primaryStatus, successor));
                             }
                         });
     }
@@ -159,8 +168,8 @@
             PrimaryRecord record, ServerStatus primaryStatus, DatabaseServer successor) {
         context.queryStatus(successor, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            if (fault == null
+                        (status, error) -> {
+                            if (error == null
                                     && status.position().covers(primaryStatus.position())
                                     && context.isActing()
                                     && context.isCurrent(record)) {
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -11,57 +11,62 @@
 import java.util.List;
 
 /**
- * One service on its way to another primary, by the steps of {@link MoveState.Step}: a failover, or
- * a planned move away from a primary that drains.
+ * Moves the primary of one service through the steps of {@link MoveState.Step}. A move is a
+ * failover, or a planned move away from a draining primary.
  *
- * <p>Invariants: nothing is done before a majority has the record of the move; a successor is
- * chosen only once no data plane can take the old primary for the present one; once the platform
- * was called for a successor, no other is, until the platform says that the call is not carried
- * out.
+ * <p>Invariants: no action is taken before a majority has the record of the move; a successor is
+ * chosen only after no data plane can still trust the old primary; once the promotion of a
+ * successor is requested, no other server is promoted until the platform reports that it does not
+ * carry out the request.
  */
 final class PrimaryMove {
 
-    /** Keeps the moves that are under way. */
+    /** Owns the moves in progress. */
     interface Owner {
 
         boolean isActive(PrimaryMove move);
 
-        /** The move ended with this record. */
+        /** Called when a move has ended with this record. */
         void onCompleted(PrimaryMove move, PrimaryRecord record);
 
-        /** Something has changed: all moves are to be looked at. */
+        /** Advances all moves after a change. */
         void poll();
     }
 
-    /** Open transactions may end before a planned move, for so long. */
-    private static final long OPEN_TRANSACTIONS_MS = 900;
+    /** Time for open transactions to end before a planned move continues. */
+    private static final long DRAIN_TIMEOUT_MS = 900;
 
-    /** What was certain to data planes is over so long after its time. */
+    /** Margin added to the trust period of the old primary record. */
     private static final long CERTAINTY_MARGIN_MS = 100;
 
-    /** From the platform's acceptance until the successor is asked whether it leads. */
-    private static final long PRIMARY_QUERY_AFTER_MS = 350;
+    /** Delay from the platform's acceptance to the first query of the successor. */
+    private static final long FIRST_PRIMARY_QUERY_DELAY_MS = 350;
 
     private static final long PRIMARY_QUERY_GAP_MS = 150;
 
-    /** A successor that does not lead by then: the platform is called again. */
+    /** Time after which the platform is called again if the successor is not the primary. */
     private static final long PRIMARY_TIMEOUT_MS = 4_000;
 
-    /** The platform takes some hundred milliseconds from a call to the new primary. */
-    private static final long PLATFORM_DELAY_MS = 1_500;
+    /**
+     * Upper bound for the time from a platform call to the new primary, which typically takes a few
+     * hundred milliseconds.
+     */
+    private static final long MAX_PROMOTION_DELAY_MS = 1_500;
 
     private final FailoverContext context;
     private final Owner owner;
     private final MoveState state;
     private final MoveQueries queries;
-    private final ReplicationStop stop;
-    private final SuccessorChoice choice;
+    private final ReplicationStopper replicationStopper;
+    private final SuccessorSelector successorSelector;
 
-    /** After calls of an earlier holder were fenced off, servers were asked anew. */
+    /** Whether servers were queried again after calls of earlier holders were fenced off. */
     private boolean restartedAfterFencing;
 
     /**
-     * @param inherited the move was found as an earlier lease holder left it
+     * Creates a move.
+     *
+     * @param inherited whether an earlier lease holder started the move
      */
     PrimaryMove(
             FailoverContext context,
@@ -73,8 +78,9 @@
         this.owner = owner;
         state = new MoveState(record, planned, inherited, context.now());
         queries = new MoveQueries(context, this::isActive, owner::poll);
-        stop = new ReplicationStop(context, state, queries, this::onPrimaryFound, owner::poll);
-        choice = new SuccessorChoice(context, state);
+        replicationStopper =
+                new ReplicationStopper(context, state, queries, this::onPrimaryFound, owner::poll);
+        successorSelector = new SuccessorSelector(context, state);
     }
 
     String service() {
@@ -85,18 +91,18 @@
         return state.record;
     }
 
-    /** What no log that is left holds; null while that is not so. */
+    /** Returns the acknowledged commits that no available log contains; null for none. */
     MissingCommits missingCommits() {
-        return state.missing;
+        return state.missingCommits;
     }
 
     private boolean isActive() {
         return owner.isActive(this);
     }
 
-    /** Advances the move; called often. */
+    /** Advances the move. Called periodically. */
     void poll() {
-        if (!context.mayAct() || !isRecorded() || state.measuring) {
+        if (!context.mayAct() || !isRecordedByMajority() || state.logEndQueryPending) {
             return;
         }
         DatabaseServer primary = context.server(state.record.primary());
@@ -106,13 +112,16 @@
                 && (!FailoverContext.isPresent(primary) || !primary.isPrimary())) {
             onPrimaryFound(reported.id());
         }
-        if (!isActive() || state.measuring || !state.isPromoting() && mayPlatformStillPromote()) {
-            // It is over, or as good as over: no other server is promoted.
+        if (!isActive()
+                || state.logEndQueryPending
+                || !state.isPromoting() && mayPlatformStillPromote()) {
+            // The move has ended or is about to end with the reported primary: no other server is
+            // promoted.
             return;
         }
-        if (state.fenced && !restartedAfterFencing && !state.isPromoting()) {
-            // What was heard of logs and primaries may be outdated, now that the earlier holder's
-            // call is carried out.
+        if (state.formerCallsFenced && !restartedAfterFencing && !state.isPromoting()) {
+            // Statuses of servers may be outdated after the platform carried out a call of an
+            // earlier holder.
             restartedAfterFencing = true;
             state.restartStopping();
         }
@@ -124,15 +133,15 @@
             case DRAIN_TRANSACTIONS:
                 if (areTransactionsDrained()) {
                     state.step = Step.STOP_REPLICATION;
-                    stop.poll(primary);
+                    replicationStopper.poll(primary);
                 }
                 break;
             case STOP_REPLICATION:
-                stop.poll(primary);
+                replicationStopper.poll(primary);
                 break;
             case CHOOSE_SUCCESSOR:
-                if (isCleared()) {
-                    choice.poll();
+                if (hasNoTrustInOldPrimary()) {
+                    successorSelector.poll();
                     if (state.step == Step.PROMOTE) {
                         promote();
                     }
@@ -149,8 +158,8 @@
         }
     }
 
-    /** Whether a majority of control processes has the record. */
-    private boolean isRecorded() {
+    /** Returns whether a majority of control processes has the record. */
+    private boolean isRecordedByMajority() {
         long number = state.record.number();
         return context.state()
                 .cluster()
@@ -160,31 +169,33 @@
     }
 
     private boolean areTransactionsDrained() {
-        if (context.now() > state.sinceMillis + OPEN_TRANSACTIONS_MS || !state.planned) {
+        if (context.now() > state.startedMillis + DRAIN_TIMEOUT_MS || !state.planned) {
             return true;
         }
-        return isCleared()
+        return hasNoTrustInOldPrimary()
                 && context.observation(service(), state.record.primary()).openTransactions() == 0;
     }
 
     /**
-     * Whether no data plane takes the old primary for certain any more: each has said so, or its
-     * time is over.
+     * Returns whether no data plane can still trust the old primary: each has confirmed the record,
+     * or its trust has expired.
      */
-    private boolean isCleared() {
-        // Of earlier lease holders nothing is certain for longer than this past their lease's end.
-        long formerCertaintyEnd =
+    private boolean hasNoTrustInOldPrimary() {
+        // Trust based on an earlier lease holder's messages ends at most this long after that
+        // holder's lease.
+        long formerTrustEndMillis =
                 Math.max(context.leaseStartMillis(), context.state().lease().formerLeaseEndMillis())
-                        + PrimaryCertainty.AFTER_LEASE_MS
+                        + PrimaryCertainty.MAX_AFTER_LEASE_MS
                         + CERTAINTY_MARGIN_MS;
-        long expired = context.now() - PrimaryCertainty.MAX_MS - CERTAINTY_MARGIN_MS;
-        if (context.now() < formerCertaintyEnd
-                || state.sinceMillis > expired
+        long latestExpiredMillis =
+                context.now() - PrimaryCertainty.MAX_DURATION_MS - CERTAINTY_MARGIN_MS;
+        if (context.now() < formerTrustEndMillis
+                || state.startedMillis > latestExpiredMillis
                         && !context.dataPlanes().allHaveRecord(state.record.number())) {
             return false;
         }
         for (PeerState peer : context.state().cluster().peers()) {
-            if (!isClearedAt(peer, expired)) {
+            if (!hasNoTrustAtPeer(peer, latestExpiredMillis)) {
                 return false;
             }
         }
@@ -192,25 +203,29 @@
     }
 
     /**
-     * What a peer passes on as certain, it asked for in a message that came here; with the last of
-     * them that is over too. So it is with what it passed on in an earlier incarnation, of which it
-     * cannot say that its data planes have heard since.
+     * Returns whether the data planes of a peer no longer trust the old primary. The trust that a
+     * peer passes on derives from its last message to this process and expires with it. The same
+     * applies to messages of the peer's former incarnation, for whose data planes the peer cannot
+     * vouch.
      */
-    private boolean isClearedAt(PeerState peer, long expired) {
+    private boolean hasNoTrustAtPeer(PeerState peer, long latestExpiredMillis) {
         boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
-        return (confirmed || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
-                && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
+        return (confirmed
+                        || Math.min(peer.lastContactMillis(), state.startedMillis)
+                                <= latestExpiredMillis)
+                && Math.min(peer.formerIncarnationContactMillis(), state.startedMillis)
+                        <= latestExpiredMillis;
     }
 
     // ---- promoting
 
     private void promote() {
-        if (state.busy || context.now() < state.retryMillis || !context.mayAct()) {
+        if (state.callPending || context.now() < state.nextAttemptMillis || !context.mayAct()) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         state.promotionCalled = true;
-        state.promotedMillis = context.now();
+        state.promotionCalledMillis = context.now();
         context.environment()
                 .trace(
                         "promote service="
@@ -224,18 +239,18 @@
                 .whenComplete(this::onPromoted);
     }
 
-    private void onPromoted(PromotionResult result, Throwable fault) {
-        state.busy = false;
-        state.retryMillis = context.now() + FailoverContext.RETRY_MS;
-        if (fault != null) {
+    private void onPromoted(PromotionResult result, Throwable error) {
+        state.callPending = false;
+        state.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
+        if (error != null) {
             return;
         }
         if (result == PromotionResult.ACCEPTED) {
             state.step = Step.AWAIT_PRIMARY;
-            state.retryMillis = context.now() + PRIMARY_QUERY_AFTER_MS;
+            state.nextAttemptMillis = context.now() + FIRST_PRIMARY_QUERY_DELAY_MS;
         } else if (result == PromotionResult.REJECTED) {
             state.promotionCalled = false;
-            state.rejected.add(state.successor);
+            state.rejectedServers.add(state.successor);
             state.step = Step.CHOOSE_SUCCESSOR;
         }
     }
@@ -243,13 +258,14 @@
     private void awaitPrimary() {
         DatabaseServer successor = context.server(state.successor);
         if (!FailoverContext.isPresent(successor)
-                || context.now() > state.promotedMillis + PRIMARY_TIMEOUT_MS) {
-            // The platform is asked again: only where it does not run another may be chosen.
+                || context.now() > state.promotionCalledMillis + PRIMARY_TIMEOUT_MS) {
+            // Another server may be chosen only if the platform reports that the successor is not
+            // running, so the platform is called again.
             state.step = Step.PROMOTE;
-        } else if (successor.isPrimary() && !state.reportedBefore) {
+        } else if (successor.isPrimary() && !state.reportedPrimaryBeforePromotion) {
             complete(successor.id());
-        } else if (context.now() >= state.retryMillis) {
-            queries.ask(
+        } else if (context.now() >= state.nextAttemptMillis) {
+            queries.query(
                     successor,
                     PRIMARY_QUERY_GAP_MS,
                     null,
@@ -264,49 +280,56 @@
     // ---- ending
 
     /**
-     * This server leads, whoever made it so. Not while another is promoted: what it acknowledged
-     * would be lost once that one leads. And where an earlier lease holder may have called the
-     * platform, its call is fenced off first, while data planes still hold what they have; what the
-     * platform had begun by then is waited for: that this server leads now is no proof that it
-     * will.
+     * Ends the move with the server that is the primary, regardless of who promoted it. Not done
+     * while another server is being promoted, because commits acknowledged by this server would be
+     * lost after that promotion. If an earlier lease holder may have called the platform, its call
+     * is fenced off first, while data planes are still bound by the record of the move. Then the
+     * move waits for promotions that the platform had already begun: the current primary may still
+     * be replaced by one of them.
      */
     private void onPrimaryFound(String serverId) {
-        if (state.busy || state.promotionCalled && !serverId.equals(state.successor)) {
+        if (state.callPending || state.promotionCalled && !serverId.equals(state.successor)) {
             return;
         }
-        if (state.inherited && !state.fenced) {
-            invalidateFormerCalls(serverId);
+        if (state.inherited && !state.formerCallsFenced) {
+            fenceFormerCalls(serverId);
         } else if (!mayPlatformStillPromote()) {
             complete(serverId);
         }
     }
 
-    private void invalidateFormerCalls(String serverId) {
-        if (context.now() < state.fencingRetryMillis) {
+    private void fenceFormerCalls(String serverId) {
+        if (context.now() < state.nextFencingAttemptMillis) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         context.platform()
-                .promote(service(), serverId, context.nextToken())
+                .promote(service(), serverId, context.nextFencingToken())
                 .whenComplete(
-                        (result, fault) -> {
-                            state.busy = false;
-                            state.fencingRetryMillis = context.now() + FailoverContext.RETRY_MS;
-                            state.fenced = fault == null && result == PromotionResult.ACCEPTED;
-                            state.fencedMillis = state.fenced ? context.now() : state.fencedMillis;
-                            if (state.fenced && isActive() && context.isActing()) {
+                        (result, error) -> {
+                            state.callPending = false;
+                            state.nextFencingAttemptMillis =
+                                    context.now() + FailoverContext.RETRY_MS;
+                            state.formerCallsFenced =
+                                    error == null && result == PromotionResult.ACCEPTED;
+                            state.formerCallsFencedMillis =
+                                    state.formerCallsFenced
+                                            ? context.now()
+                                            : state.formerCallsFencedMillis;
+                            if (state.formerCallsFenced && isActive() && context.isActing()) {
                                 onPrimaryFound(serverId);
                             }
                         });
     }
 
-    /** The platform may still carry out what an earlier lease holder asked for. */
+    /** Returns whether the platform may still carry out a call of an earlier lease holder. */
     private boolean mayPlatformStillPromote() {
-        return state.inherited && context.now() < state.fencedMillis + PLATFORM_DELAY_MS;
+        return state.inherited
+                && context.now() < state.formerCallsFencedMillis + MAX_PROMOTION_DELAY_MS;
     }
 
     private void complete(String primaryId) {
-        if (state.measuring || !isActive() || !context.isActing()) {
+        if (state.logEndQueryPending || !isActive() || !context.isActing()) {
             return;
         }
         AcceptedDataLoss loss = state.record.acceptedLoss();
@@ -316,21 +339,25 @@
         } else if (primary == null) {
             complete(primaryId, loss.withPrimaryLogEnd(loss.lostUpTo()));
         } else {
-            measure(primary, loss);
+            completeWithLogEnd(primary, loss);
         }
     }
 
-    /** What the primary holds is not given up; where that is not known, nothing is. */
-    private void measure(DatabaseServer primary, AcceptedDataLoss loss) {
-        state.measuring = true;
+    /**
+     * Excludes the commits that the primary has from the accepted loss. If the end of its log is
+     * unknown, all commits count as retained.
+     */
+    private void completeWithLogEnd(DatabaseServer primary, AcceptedDataLoss loss) {
+        state.logEndQueryPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            state.measuring = false;
+                        (status, error) -> {
+                            state.logEndQueryPending = false;
                             if (isActive() && context.isActing()) {
-                                boolean known = fault == null && status.isPrimary();
-                                LogPosition end = known ? status.position() : loss.lostUpTo();
-                                complete(primary.id(), loss.withPrimaryLogEnd(end));
+                                boolean logEndKnown = error == null && status.isPrimary();
+                                LogPosition logEnd =
+                                        logEndKnown ? status.position() : loss.lostUpTo();
+                                complete(primary.id(), loss.withPrimaryLogEnd(logEnd));
                             }
                         });
     }
@@ -343,15 +370,16 @@
                                 + " server="
                                 + primaryId
                                 + " after_ms="
-                                + (context.now() - state.sinceMillis));
+                                + (context.now() - state.startedMillis));
         owner.onCompleted(
                 this,
                 state.record.finishMove(
-                        context.nextToken(), primaryId, state.replicationPaused, loss));
+                        context.nextFencingToken(), primaryId, state.replicationPaused, loss));
     }
 
     /**
-     * An operator gives commits up: the move goes on without them, and without who may have them.
+     * Continues the move without the commits whose loss an operator accepted, and without the
+     * servers that may have them.
      */
     void acceptDataLoss(AcceptedDataLoss loss) {
         List<String> excludedServers = loss.unreachableServers();
@@ -369,9 +397,9 @@
                                 + state.record.primary()
                                 + " given_up_servers="
                                 + excludedServers);
-        state.missing = null;
-        state.record = state.record.withAcceptedLoss(context.nextToken(), loss);
-        context.record(state.record);
+        state.missingCommits = null;
+        state.record = state.record.withAcceptedLoss(context.nextFencingToken(), loss);
+        context.storeRecord(state.record);
         context.state().peerUpdates().request();
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -7,58 +7,65 @@
 import java.util.TreeSet;
 
 /**
- * Has the replicas of one service receive again, once a primary leads it. Each is told at once, and
- * again until it has said that it receives at a moment when no PAUSE can be on its way any more.
- * Until that is recorded, the next lease holder goes on with it.
+ * Resumes the replicas of one service after a primary is established. Each replica is resumed
+ * immediately, and again until it confirms that it receives at a time when no PAUSE command can
+ * still be in flight. Until the completion is recorded, the next lease holder continues the
+ * procedure.
  */
 final class ReplicaResumer {
 
     private static final long RETRY_MS = 500;
 
-    /** A command that was on its way when a move ended has arrived, or never does, by then. */
-    private static final long COMMAND_IN_FLIGHT_MS = 3_500;
+    /** Time after the end of a move by which every command in flight has arrived or is lost. */
+    private static final long MAX_COMMAND_DELAY_MS = 3_500;
 
     private static final long NONE = -1;
 
     private final FailoverContext context;
 
-    /** The number of the record under which replicas are resumed. */
+    /** The number of the primary record that the replicas are resumed for. */
     private long recordNumber = NONE;
 
-    private long sinceMillis;
+    private long startedMillis;
 
-    /** Ids of replicas that have not confirmed yet. */
-    private final TreeSet<String> paused = new TreeSet<>();
+    /** The ids of replicas without a confirmation. */
+    private final TreeSet<String> unconfirmedReplicas = new TreeSet<>();
 
-    private final TreeSet<String> queried = new TreeSet<>();
-    private final Map<String, Long> queryAgainMillis = new TreeMap<>();
+    private final TreeSet<String> pendingReplicas = new TreeSet<>();
+    private final Map<String, Long> nextQueryMillis = new TreeMap<>();
 
     ReplicaResumer(FailoverContext context) {
         this.context = context;
     }
 
-    /** The command for a replica with this status; null for none. */
+    /** Returns the command for a replica with this status; null for none. */
     static String resumeCommand(ServerStatus status) {
         return status.isPaused() ? "RESUME" : null;
     }
 
-    /** Goes on with it; called often while the record says that replicas may be paused. */
+    /**
+     * Advances the procedure. Called periodically while the record states that replicas may be
+     * paused.
+     */
     void poll(PrimaryRecord record) {
         if (recordNumber != record.number()) {
             start(record);
         }
-        paused.removeIf(id -> !FailoverContext.isPresent(context.server(id)));
-        if (paused.isEmpty()) {
-            context.record(
+        unconfirmedReplicas.removeIf(id -> !FailoverContext.isPresent(context.server(id)));
+        if (unconfirmedReplicas.isEmpty()) {
+            context.storeRecord(
                     record.finishMove(
-                            context.nextToken(), record.primary(), false, record.acceptedLoss()));
+                            context.nextFencingToken(),
+                            record.primary(),
+                            false,
+                            record.acceptedLoss()));
             return;
         }
-        for (String id : paused) {
+        for (String id : unconfirmedReplicas) {
             DatabaseServer replica = context.server(id);
-            if (!queried.contains(id)
-                    && context.now() >= queryAgainMillis.getOrDefault(id, 0L)
-                    && !context.isSilent(replica)) {
+            if (!pendingReplicas.contains(id)
+                    && context.now() >= nextQueryMillis.getOrDefault(id, 0L)
+                    && !context.hasMissedHeartbeats(replica)) {
                 resume(record, replica);
             }
         }
@@ -66,34 +73,34 @@
 
     private void start(PrimaryRecord record) {
         recordNumber = record.number();
-        sinceMillis = context.now();
-        queryAgainMillis.clear();
-        paused.clear();
+        startedMillis = context.now();
+        nextQueryMillis.clear();
+        unconfirmedReplicas.clear();
         for (DatabaseServer server : context.state().registry().serversOf(record.service())) {
-            paused.add(server.id());
+            unconfirmedReplicas.add(server.id());
         }
-        paused.remove(record.primary());
+        unconfirmedReplicas.remove(record.primary());
     }
 
     private void resume(PrimaryRecord record, DatabaseServer replica) {
         String id = replica.id();
-        queried.add(id);
+        pendingReplicas.add(id);
         long sentMillis = context.now();
-        long confirmedFrom = sinceMillis + COMMAND_IN_FLIGHT_MS;
+        long confirmableFromMillis = startedMillis + MAX_COMMAND_DELAY_MS;
         context.query(replica, 2 * FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand)
                 .whenComplete(
-                        (status, fault) -> {
-                            queried.remove(id);
-                            boolean receives = fault == null && !status.isPaused();
-                            queryAgainMillis.put(
+                        (status, error) -> {
+                            pendingReplicas.remove(id);
+                            boolean receives = error == null && !status.isPaused();
+                            nextQueryMillis.put(
                                     id,
                                     receives
-                                            ? Math.max(confirmedFrom, context.now())
+                                            ? Math.max(confirmableFromMillis, context.now())
                                             : context.now() + RETRY_MS);
                             if (receives
-                                    && sentMillis >= confirmedFrom
+                                    && sentMillis >= confirmableFromMillis
                                     && recordNumber == record.number()) {
-                                paused.remove(id);
+                                unconfirmedReplicas.remove(id);
                             }
                         });
     }
--- a/src/main/java/dillfront/controlplane/failover/ServerStatus.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerStatus.java
@@ -7,9 +7,10 @@
  * A database server's answer to STATUS.
  *
  * @param role primary or replica
- * @param term the newest that it knows of
- * @param position the end of its log
- * @param pauseTerm the term of the PAUSE under which it does not receive; 0 where it receives
+ * @param term the newest term known to the server
+ * @param position the end of the server's log
+ * @param pauseTerm the term of the PAUSE command under which the server does not receive; 0 if the
+ *     server receives
  */
 record ServerStatus(String role, long term, LogPosition position, long pauseTerm) {
 
@@ -24,29 +25,32 @@
         return pauseTerm != 0;
     }
 
-    /** Above all terms that it knows of. */
+    /** Returns a term above all terms known to the server. */
     long nextTerm() {
         return Math.max(Math.max(term, pauseTerm), position.term()) + 1;
     }
 
     /**
-     * Reads a row of the answer.
+     * Parses a row of the answer.
      *
-     * @return null where the text is no status
+     * @return null if the row is not a status
      */
     static ServerStatus parse(String row) {
-        String[] field = row.split(" ");
-        if (field.length < MIN_FIELDS) {
+        String[] fields = row.split(" ");
+        if (fields.length < MIN_FIELDS) {
             return null;
         }
         LogPosition position =
-                field[2].equals(NO_LOG) ? LogPosition.NONE : LogPosition.parse(field[2]);
+                fields[2].equals(NO_LOG) ? LogPosition.NONE : LogPosition.parse(fields[2]);
         try {
             return position == null
                     ? null
                     : new ServerStatus(
-                            field[0], Long.parseLong(field[1]), position, Long.parseLong(field[3]));
-        } catch (NumberFormatException bad) {
+                            fields[0],
+                            Long.parseLong(fields[1]),
+                            position,
+                            Long.parseLong(fields[3]));
+        } catch (NumberFormatException exception) {
             return null;
         }
     }
--- a/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
+++ b/src/main/java/dillfront/controlplane/failover/SuccessorSelector.java
@@ -10,40 +10,43 @@
 import java.util.Map;
 
 /**
- * Chooses the successor of a lost or draining primary: the longest log among the servers that are
- * stopped, where no acknowledged commit can be missing from it.
+ * Chooses the successor of a lost or draining primary: the server with the longest log among those
+ * with stopped replication, provided that the log cannot lack an acknowledged commit.
  */
-final class SuccessorChoice {
+final class SuccessorSelector {
 
-    /** Where logs may lack a commit, they receive for so long before they are stopped again. */
-    private static final long RECEIVE_MS = 1_000;
+    /**
+     * Duration for which replicas resume receiving, if their logs may lack a commit, before they
+     * are stopped again.
+     */
+    private static final long RECEIVE_DURATION_MS = 1_000;
 
-    /** Where it is not known whether they do, for so long altogether. */
-    private static final long MAX_UNSURE_MS = 4_000;
+    /** Maximum total wait if it is unknown whether the logs lack a commit. */
+    private static final long MAX_UNCERTAIN_WAIT_MS = 4_000;
 
     private static final long LOG_INTERVAL_MS = 10_000;
     private static final long NEVER = -1;
 
     private final FailoverContext context;
     private final MoveState move;
-    private long unsureSinceMillis = NEVER;
-    private long loggedMillis = LeaseManager.NEVER;
+    private long uncertainSinceMillis = NEVER;
+    private long loggedMillis = LeaseManager.NEVER_MILLIS;
 
-    SuccessorChoice(FailoverContext context, MoveState move) {
+    SuccessorSelector(FailoverContext context, MoveState move) {
         this.context = context;
         this.move = move;
     }
 
-    /** A server with its log. */
+    /** A server with the end of its log. */
     private record Candidate(String id, LogPosition logEnd, boolean draining) {
 
         boolean isBetterThan(Candidate other) {
-            int further = other == null ? 1 : logEnd.compareTo(other.logEnd);
-            return further > 0 || further == 0 && other.draining && !draining;
+            int comparison = other == null ? 1 : logEnd.compareTo(other.logEnd);
+            return comparison > 0 || comparison == 0 && other.draining && !draining;
         }
     }
 
-    /** Chooses, or has replication stopped again where none can be chosen. */
+    /** Chooses a successor, or restarts the stop of replication if no server qualifies. */
     void poll() {
         Candidate best = bestCandidate();
         if (best != null && isBehindRejected(best)) {
@@ -51,41 +54,45 @@
         }
         AcknowledgedCommits acknowledged = move.acknowledged(context.state().acknowledgedCommits());
         if (best != null && !holdsAll(best.logEnd(), acknowledged)) {
-            move.rejected.clear();
-            onMissing(best.logEnd(), acknowledged);
+            move.rejectedServers.clear();
+            onMissingCommits(best.logEnd(), acknowledged);
             return;
         }
         if (best == null) {
-            move.rejected.clear();
+            move.rejectedServers.clear();
             move.restartStopping();
-            move.forced = true;
-            move.retryMillis = context.now() + FailoverContext.RETRY_MS;
+            move.pausesReplicas = true;
+            move.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
             return;
         }
-        move.missing = null;
+        move.missingCommits = null;
         move.successor = best.id();
-        move.fencingToken = context.nextToken();
-        move.reportedBefore = context.server(best.id()).isPrimary();
+        move.fencingToken = context.nextFencingToken();
+        move.reportedPrimaryBeforePromotion = context.server(best.id()).isPrimary();
         move.step = MoveState.Step.PROMOTE;
     }
 
     private Candidate bestCandidate() {
         Candidate best = null;
-        for (Map.Entry<String, ServerStatus> one : move.statuses.entrySet()) {
-            DatabaseServer server = context.server(one.getKey());
-            if (FailoverContext.isPresent(server) && !move.rejected.contains(server.id())) {
+        for (Map.Entry<String, ServerStatus> entry : move.stoppedStatuses.entrySet()) {
+            DatabaseServer server = context.server(entry.getKey());
+            if (FailoverContext.isPresent(server) && !move.rejectedServers.contains(server.id())) {
                 Candidate candidate =
-                        new Candidate(server.id(), one.getValue().position(), server.isDraining());
+                        new Candidate(
+                                server.id(), entry.getValue().position(), server.isDraining());
                 best = candidate.isBetterThan(best) ? candidate : best;
             }
         }
         return best;
     }
 
-    /** A server that does not run may hold more than the others: it is waited for. */
+    /**
+     * Returns whether a rejected server, which is not running, has a longer log. The move waits for
+     * that server.
+     */
     private boolean isBehindRejected(Candidate best) {
-        for (String id : move.rejected) {
-            ServerStatus status = move.statuses.get(id);
+        for (String id : move.rejectedServers) {
+            ServerStatus status = move.stoppedStatuses.get(id);
             if (status != null && status.position().compareTo(best.logEnd()) > 0) {
                 return true;
             }
@@ -94,8 +101,8 @@
     }
 
     /**
-     * Whether a server with this log may be promoted: it lacks no acknowledged commit that any data
-     * plane in contact, or gone since, knows of.
+     * Returns whether a server with this log may be promoted: the log lacks no acknowledged commit
+     * that is known to any data plane, connected or disconnected since.
      */
     private boolean holdsAll(LogPosition logEnd, AcknowledgedCommits acknowledged) {
         Configuration.Service service =
@@ -110,24 +117,24 @@
                 || move.finalPosition == null && !lacksReplica()) {
             return true;
         }
-        unsureSinceMillis = unsureSinceMillis < 0 ? context.now() : unsureSinceMillis;
-        return context.now() > unsureSinceMillis + MAX_UNSURE_MS;
+        uncertainSinceMillis = uncertainSinceMillis < 0 ? context.now() : uncertainSinceMillis;
+        return context.now() > uncertainSinceMillis + MAX_UNCERTAIN_WAIT_MS;
     }
 
     /**
-     * Whether a replica that counted for commits a moment before the primary was lost is not among
-     * those that are stopped.
+     * Returns whether a replica that may have acknowledged commits just before the loss of the
+     * primary is not among the stopped servers.
      */
     private boolean lacksReplica() {
         for (DatabaseServer server : context.state().registry().all()) {
             boolean counted =
                     !server.hasLeft()
-                            || move.sinceMillis - server.lastContactMillis()
+                            || move.startedMillis - server.lastContactMillis()
                                     < 3 * context.heartbeatIntervalMillis();
             if (counted
                     && server.service().equals(move.service())
                     && !server.id().equals(move.record.primary())
-                    && !move.statuses.containsKey(server.id())) {
+                    && !move.stoppedStatuses.containsKey(server.id())) {
                 return true;
             }
         }
@@ -135,11 +142,11 @@
     }
 
     /**
-     * No log that is left is known to hold all that was acknowledged: the replicas receive for a
-     * while, in case the old primary reaches them though no control process reaches it; then they
-     * are stopped and looked at again.
+     * Resumes replication for {@link #RECEIVE_DURATION_MS} if no available log is known to contain
+     * all acknowledged commits, because the old primary may still reach the replicas although no
+     * control process reaches it. Then the replicas are stopped and compared again.
      */
-    private void onMissing(LogPosition longest, AcknowledgedCommits acknowledged) {
+    private void onMissingCommits(LogPosition longest, AcknowledgedCommits acknowledged) {
         if (context.now() - loggedMillis > LOG_INTERVAL_MS) {
             loggedMillis = context.now();
             context.environment()
@@ -154,11 +161,11 @@
                                     + acknowledged.upperBound()
                                     + " awaits="
                                     + move.record.primary()
-                                    + ", or another server that has them");
+                                    + " or another server with these commits");
         }
-        // Behind the lower bound only commits can be missing that were under way together; those
-        // are waited for no longer than MAX_UNSURE_MS.
-        move.missing =
+        // Beyond the lower bound, only commits that were in progress at the same time can be
+        // missing. The move waits for those no longer than MAX_UNCERTAIN_WAIT_MS.
+        move.missingCommits =
                 longest.covers(acknowledged.lowerBound())
                         ? null
                         : new MissingCommits(
@@ -168,12 +175,14 @@
                                 acknowledged,
                                 List.of(),
                                 move.record.primary(),
-                                move.missing == null ? context.now() : move.missing.sinceMillis());
+                                move.missingCommits == null
+                                        ? context.now()
+                                        : move.missingCommits.sinceMillis());
         for (DatabaseServer server : context.state().registry().serversOf(move.service())) {
             context.query(server, FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand);
         }
         move.restartStopping();
-        move.forced = true;
-        move.retryMillis = context.now() + RECEIVE_MS;
+        move.pausesReplicas = true;
+        move.nextAttemptMillis = context.now() + RECEIVE_DURATION_MS;
     }
 }
