--- a/src/main/java/dillfront/common/message/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -6,22 +6,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * What turns one text into another, where most of it stays: runs that are copied from the base, and
- * bytes between them. Both are cut into pieces behind each '}' and '[', so that a list of objects
- * of which a few changed is found again whatever moved.
+ * Computes and applies a binary delta between two byte strings that are mostly equal: a sequence of
+ * copies from the base, and of literal bytes. Both inputs are split into chunks after each '}' and
+ * '[', so that unchanged objects of a list are found wherever they moved.
  *
  * <pre>
- *   delta   1 form   length and CRC32C of the base   length and CRC32C of the text   steps
- *   step    number  length * 2, and one more for a run that is copied
- *           a run:  number  from where in the base, as the way from the end of the run before: way * 2, or -way * 2 - 1
- *           else:   the bytes
+ *   delta   1 format   length and CRC32C of the base   length and CRC32C of the target   steps
+ *   step    varint  length * 2, plus one for a copy
+ *           copy:     varint  offset in the base relative to the end of the previous copy: offset * 2, or -offset * 2 - 1
+ *           literal:  the bytes
  * </pre>
  *
- * Lengths and numbers are of seven bits a byte, the lowest first; sums are four bytes, big-endian.
+ * A varint has seven bits per byte, lowest bits first; checksums are four bytes, big-endian.
  */
 public final class BinaryDelta {
 
-    /** This is no delta, or not one of this base. */
+    /** Reports a malformed delta, or one of another base. */
     public static final class InvalidDeltaException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -30,15 +30,18 @@
         }
     }
 
-    /** No text is longer: a message of the system's own, which holds a whole one, is not either. */
+    /**
+     * Maximum length of an input. Messages between the system's processes, which may carry a full
+     * configuration, are bounded as well.
+     */
     public static final int MAX_BYTES = 1 << 20;
 
     private static final byte FORMAT_VERSION = 1;
 
-    /** No piece is shorter, but for the last, so that their number is bounded. */
+    /** Minimum length of all chunks but the last, which bounds their number. */
     private static final int MIN_CHUNK = 16;
 
-    /** A run is not worth its own numbers below. */
+    /** Minimum length of a partial copy; a shorter one does not pay for its header. */
     private static final int MIN_COPY = 8;
 
     private BinaryDelta() {}
@@ -50,19 +53,20 @@
     }
 
     /**
-     * The same for the same two texts always, and never much longer than the second.
+     * Returns the delta from one byte string to another. The result is deterministic, and never
+     * much longer than the target.
      *
-     * @throws IllegalArgumentException where one is longer than any text may be
+     * @throws IllegalArgumentException if an input is longer than {@link #MAX_BYTES}
      */
     public static byte[] create(byte[] base, byte[] next) {
         if (base.length > MAX_BYTES || next.length > MAX_BYTES) {
             throw new IllegalArgumentException(
-                    "a text of " + Math.max(base.length, next.length) + " bytes");
+                    "input is too long: " + Math.max(base.length, next.length) + " bytes");
         }
         return new Encoder(base, next).encode();
     }
 
-    /** One text, cut; where each piece begins, and the end. */
+    /** Returns the start of each chunk, followed by the length of the input. */
     private static int[] chunkBounds(byte[] text) {
         int[] from = new int[text.length / MIN_CHUNK + 2];
         int count = 1;
@@ -84,14 +88,14 @@
         private final int[] baseChunks;
 
         /**
-         * Pieces of the base by their content: one more than the number of the first, at the place
-         * of its hash or behind it.
+         * Open-addressing hash table of the base's chunks by content. Each entry is one more than
+         * the index of the first chunk with this content.
          */
         private final int[] chunkIndex;
 
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-        /** The run that is not written yet, and the bytes of the text that wait before it. */
+        /** The pending copy, and the pending literal of the target that follows it. */
         private int copyStart;
 
         private int copyEnd;
@@ -112,7 +116,7 @@
             }
         }
 
-        /** Where this piece stands in the table, or would. */
+        /** Returns the slot of a chunk in the hash table, or the free slot for it. */
         private int slot(byte[] text, int from, int to) {
             long hash = to - from;
             for (int i = from; i < to; i++) {
@@ -138,7 +142,7 @@
             writeHeader(base);
             writeHeader(target);
             int[] targetChunks = chunkBounds(target);
-            // The piece of the base that is expected next, as nothing has moved.
+            // The chunk of the base that follows if nothing has moved.
             int expected = 0;
             for (int k = 0; k < targetChunks.length - 1; k++) {
                 int from = targetChunks[k];
@@ -165,7 +169,10 @@
             return out.toByteArray();
         }
 
-        /** A piece of its own: what it has in common with the one that stood here, at both ends. */
+        /**
+         * Adds a chunk that is not in the base, as copies of the prefix and suffix that it shares
+         * with the base's chunk at this position, and a literal between them.
+         */
         private boolean addChangedChunk(int at, int from, int to) {
             int first = at < baseChunks.length - 1 ? baseChunks[at] : base.length;
             int last = at < baseChunks.length - 1 ? baseChunks[at + 1] : base.length;
@@ -207,7 +214,7 @@
             literalEnd = to;
         }
 
-        /** A run and the bytes behind it. */
+        /** Writes the pending copy and the literal after it. */
         private void flush() {
             if (copyStart < copyEnd) {
                 writeVarint((copyEnd - copyStart) * 2 + 1);
@@ -238,22 +245,22 @@
     }
 
     /**
-     * The text that the delta makes of this base, which is left as it is.
+     * Applies a delta to its base, which is left unmodified.
      *
-     * @throws Bad where it is of another base, or damaged: then there is no text at all
+     * @throws InvalidDeltaException if the delta is damaged or belongs to another base
      */
     public static byte[] apply(byte[] base, byte[] delta) throws InvalidDeltaException {
         ByteBuffer in = ByteBuffer.wrap(delta);
         if (!in.hasRemaining() || in.get() != FORMAT_VERSION) {
-            throw new InvalidDeltaException("no delta of a form that is known");
+            throw new InvalidDeltaException("unknown delta format");
         }
         if (readVarint(in) != base.length || readChecksum(in) != (int) digest(base)) {
-            throw new InvalidDeltaException("a delta of another base");
+            throw new InvalidDeltaException("delta does not match the base");
         }
         int length = readVarint(in);
         int sum = readChecksum(in);
         if (length > MAX_BYTES) {
-            throw new InvalidDeltaException("a text of " + length + " bytes");
+            throw new InvalidDeltaException("target is too long: " + length + " bytes");
         }
         byte[] text = new byte[length];
         int at = 0;
@@ -263,33 +270,43 @@
             int size = step >>> 1;
             if (size == 0 || size > length - at) {
                 throw new InvalidDeltaException(
-                        "a step of " + size + " bytes at " + at + " of " + length);
+                        "invalid step of "
+                                + size
+                                + " bytes at byte "
+                                + at
+                                + " of a target of length "
+                                + length);
             }
             if ((step & 1) != 0) {
                 int way = readVarint(in);
                 int from = lastEnd + ((way & 1) == 0 ? way >>> 1 : -(way + 1 >>> 1));
                 if (from < 0 || from > base.length - size) {
                     throw new InvalidDeltaException(
-                            "a run from " + from + " on, of " + size + " bytes");
+                            "copy out of bounds: from byte "
+                                    + from
+                                    + " of the base, length "
+                                    + size
+                                    + " bytes");
                 }
                 System.arraycopy(base, from, text, at, size);
                 lastEnd = from + size;
             } else if (size > in.remaining()) {
-                throw new InvalidDeltaException("ends within its bytes");
+                throw new InvalidDeltaException("truncated literal");
             } else {
                 in.get(text, at, size);
             }
             at += size;
         }
         if (at != length || sum != (int) digest(text)) {
-            throw new InvalidDeltaException("what it makes is not the text it was made for");
+            throw new InvalidDeltaException(
+                    "result does not match the target's length and checksum");
         }
         return text;
     }
 
     private static int readChecksum(ByteBuffer in) throws InvalidDeltaException {
         if (in.remaining() < 4) {
-            throw new InvalidDeltaException("ends within its head");
+            throw new InvalidDeltaException("truncated header");
         }
         return in.getInt();
     }
@@ -306,6 +323,6 @@
                 return is;
             }
         }
-        throw new InvalidDeltaException("a number that does not end");
+        throw new InvalidDeltaException("invalid varint");
     }
 }
--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -5,10 +5,10 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Texts made shorter for a link, and back. */
+/** Compresses and decompresses messages with DEFLATE. */
 public final class Compression {
 
-    /** These are no deflated bytes, or more comes of them than any text has. */
+    /** Reports data that is not valid DEFLATE output, or exceeds the expected size. */
     public static final class CorruptDataException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -21,7 +21,7 @@
 
     private Compression() {}
 
-    /** The text, compressed. */
+    /** Compresses bytes. */
     public static byte[] compress(byte[] text) {
         Deflater deflater = new Deflater();
         try {
@@ -39,10 +39,11 @@
     }
 
     /**
-     * The text again.
+     * Decompresses bytes.
      *
-     * @param maxBytes bytes that it may have
-     * @throws Bad where it is damaged, goes on behind its end, or is longer
+     * @param maxBytes the maximum length of the result
+     * @throws CorruptDataException if the data is damaged, is followed by more bytes, or
+     *     decompresses to more than {@code maxBytes}
      */
     public static byte[] decompress(byte[] deflated, int maxBytes) throws CorruptDataException {
         Inflater inflater = new Inflater();
@@ -54,19 +55,20 @@
             while (!inflater.finished()) {
                 int count = inflater.inflate(part);
                 if (count == 0 && !inflater.finished()) {
-                    throw new CorruptDataException("ends before its end");
+                    throw new CorruptDataException("truncated data");
                 }
                 if (count > maxBytes - out.size()) {
-                    throw new CorruptDataException("more than " + maxBytes + " bytes come of it");
+                    throw new CorruptDataException(
+                            "decompressed data exceeds " + maxBytes + " bytes");
                 }
                 out.write(part, 0, count);
             }
             if (inflater.getRemaining() > 0) {
-                throw new CorruptDataException("goes on behind its end");
+                throw new CorruptDataException("unexpected data after the end");
             }
             return out.toByteArray();
         } catch (DataFormatException bad) {
-            throw new CorruptDataException("damaged: " + bad.getMessage());
+            throw new CorruptDataException("invalid data: " + bad.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/dillfront/common/message/MessageCodec.java
+++ b/src/main/java/dillfront/common/message/MessageCodec.java
@@ -10,16 +10,16 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Messages between the system's own processes: maps of short names, in MessagePack. */
+/** Encodes messages between the system's own processes as MessagePack maps with short keys. */
 public final class MessageCodec {
 
     private static final int MAX_DEPTH = 8;
     private static final int MAX_ELEMENTS = 1 << 18;
 
-    /** Of all lists and maps of a message together. */
+    /** Maximum number of elements in all lists and maps of a message together. */
     private static final int MAX_TOTAL_ELEMENTS = 1 << 20;
 
-    /** A message that is none: what was wrong with it. */
+    /** Reports a malformed message. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -31,7 +31,9 @@
     private MessageCodec() {}
 
     /**
-     * @throws IllegalArgumentException where a value has no form in a message
+     * Encodes a message.
+     *
+     * @throws IllegalArgumentException if a value has a type that messages do not support
      */
     public static byte[] encode(Map<String, ?> message) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -66,31 +68,32 @@
                 write(out, one.getValue());
             }
         } else {
-            throw new IllegalArgumentException("no message holds a " + value.getClass());
+            throw new IllegalArgumentException(
+                    "unsupported type in a message: " + value.getClass());
         }
     }
 
     /**
-     * @throws Bad where the bytes are no map of this form, or hold more than any message does
+     * Decodes a message.
+     *
+     * @throws MalformedMessageException if the bytes are not a map of supported values, or exceed
+     *     the limits on size and nesting
      */
     public static Fields decode(byte[] bytes) throws MalformedMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             Object all = new Decoder(in, bytes.length).read(0);
             if (!(all instanceof Map<?, ?>) || in.hasNext()) {
-                throw new MalformedMessageException("no map, or more than one value");
+                throw new MalformedMessageException("expected exactly one map");
             }
             @SuppressWarnings("unchecked")
             Map<String, Object> fields = (Map<String, Object>) all;
             return new Fields(fields);
         } catch (IOException | RuntimeException bad) {
-            throw new MalformedMessageException("no MessagePack of ours: " + bad);
+            throw new MalformedMessageException("invalid MessagePack: " + bad);
         }
     }
 
-    /**
-     * A message that is being read: what it claims to hold is checked before there is room made for
-     * it.
-     */
+    /** Decodes one message. A claimed size is checked before memory is allocated for it. */
     private static final class Decoder {
         private final MessageUnpacker in;
         private final int length;
@@ -104,17 +107,18 @@
         private int size(int claimed, int bytesEach) throws MalformedMessageException {
             elements += claimed;
             if (claimed < 0 || claimed > MAX_ELEMENTS || elements > MAX_TOTAL_ELEMENTS) {
-                throw new MalformedMessageException("too many parts: " + claimed);
+                throw new MalformedMessageException("too many elements: " + claimed);
             }
             if ((long) claimed * bytesEach > length - in.getTotalReadBytes()) {
-                throw new MalformedMessageException("more parts than bytes: " + claimed);
+                throw new MalformedMessageException(
+                        "more elements than remaining bytes: " + claimed);
             }
             return claimed;
         }
 
         Object read(int depth) throws IOException, MalformedMessageException {
             if (depth > MAX_DEPTH) {
-                throw new MalformedMessageException("too deep");
+                throw new MalformedMessageException("lists and maps are nested too deeply");
             }
             switch (in.getNextFormat().getValueType()) {
                 case NIL:
@@ -131,7 +135,7 @@
                         int size = in.unpackBinaryHeader();
                         if (size < 0 || size > length - in.getTotalReadBytes()) {
                             throw new MalformedMessageException(
-                                    "more bytes than there are: " + size);
+                                    "binary value longer than the remaining bytes: " + size);
                         }
                         return in.readPayload(size);
                     }
@@ -154,12 +158,12 @@
                         return map;
                     }
                 default:
-                    throw new MalformedMessageException("a value of no kind that is used");
+                    throw new MalformedMessageException("unsupported value type");
             }
         }
     }
 
-    /** The fields of a message, each with what stands for one that is not there. */
+    /** The fields of a decoded message. The accessors return a default for a missing field. */
     public record Fields(Map<String, Object> all) {
 
         public long number(String name, long otherwise) {
@@ -182,18 +186,18 @@
             return all.get(name) != null;
         }
 
-        /** The fields of a map; null where there is none under this name. */
+        /** Returns the fields of a nested map; null if there is none with this name. */
         public Fields map(String name) {
             return all.get(name) instanceof Map<?, ?> map ? new Fields(checked(map)) : null;
         }
 
         @SuppressWarnings("unchecked")
         private static Map<String, Object> checked(Map<?, ?> map) {
-            // The decoder makes no maps with other keys.
+            // The decoder creates only maps with string keys.
             return (Map<String, Object>) map;
         }
 
-        /** The maps in a list; what is no map is passed over. */
+        /** Returns the maps in a list; other elements are skipped. */
         public List<Fields> maps(String name) {
             List<Fields> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
@@ -206,7 +210,7 @@
             return rows;
         }
 
-        /** The lists in a list; what is no list is passed over. */
+        /** Returns the lists in a list; other elements are skipped. */
         public List<List<?>> lists(String name) {
             List<List<?>> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
@@ -219,7 +223,7 @@
             return rows;
         }
 
-        /** The elements of a list as texts; empty where there is no list. */
+        /** Returns the elements of a list as strings; empty if there is no list. */
         public List<String> strings(String name) {
             List<String> rows = new ArrayList<>();
             if (all.get(name) instanceof List<?> list) {
--- a/src/main/java/dillfront/common/message/package-info.java
+++ b/src/main/java/dillfront/common/message/package-info.java
@@ -1,2 +1,4 @@
-/** Messages between the system's own processes: MessagePack, compression, deltas. */
+/**
+ * Encoding of the messages between the system's own processes: MessagePack, compression and deltas.
+ */
 package dillfront.common.message;
--- a/src/main/java/dillfront/common/protocol/PrimaryRecord.java
+++ b/src/main/java/dillfront/common/protocol/PrimaryRecord.java
@@ -6,16 +6,18 @@
 import java.util.Map;
 
 /**
- * Which server is the primary of a service, as the lease holder recorded it. Records replace each
- * other: the one with the highest number counts.
+ * The primary server of a service, as recorded by the lease holder. The record with the highest
+ * number replaces all others of the service.
  *
- * @param number rises with each record; those of a later lease are above all of an earlier one
+ * @param number increases with each record; the records of a later lease have higher numbers than
+ *     all of an earlier one
  * @param primary the id of the server
- * @param moving a failover or planned move is under way: no server is to be used as the primary
- *     until the next record
- * @param replicationPaused replicas may not receive; the lease holder resumes them
- * @param moveNumber the number of the record with which the move began; 0 while none is under way
- * @param acceptedLoss the commits that an operator gave up last; null for none
+ * @param moving whether a failover or planned move is in progress; no server may be used as the
+ *     primary until the next record
+ * @param replicationPaused whether the replicas' replication may be paused; the lease holder
+ *     resumes it
+ * @param moveNumber the number of the record that started the move; 0 if none is in progress
+ * @param acceptedLoss the latest commits whose loss an operator accepted; null for none
  */
 public record PrimaryRecord(
         String service,
@@ -35,7 +37,7 @@
     private static final String ACCEPTED_LOSS = "dl";
     private static final int PARTS_WITHOUT_PAUSE = 3;
 
-    /** A record for which nothing that was given up before counts. */
+    /** Creates a record without an accepted data loss. */
     public PrimaryRecord(
             String service,
             long number,
@@ -45,31 +47,34 @@
         this(service, number, primary, moving, replicationPaused, moving ? number : 0, null);
     }
 
-    /** The same under a number of the present lease holder. */
+    /** Returns the same record under a number of the current lease holder. */
     public PrimaryRecord renumbered(long next) {
         return new PrimaryRecord(
                 service, next, primary, moving, replicationPaused, moveNumber, acceptedLoss);
     }
 
-    /** The beginning of a move away from this primary. */
+    /** Returns the record that starts a move away from this primary. */
     public PrimaryRecord startMove(long next) {
         return new PrimaryRecord(
                 service, next, primary, true, replicationPaused, next, acceptedLoss);
     }
 
-    /** The same move, with commits that an operator gave up meanwhile. */
+    /** Returns the record of the same move with a data loss that an operator accepted. */
     public PrimaryRecord withAcceptedLoss(long next, AcceptedDataLoss loss) {
         return new PrimaryRecord(
                 service, next, primary, moving, replicationPaused, moveNumber, loss);
     }
 
-    /** The end of a move: this server is the primary, with what is still given up then. */
+    /**
+     * Returns the record that completes a move to this primary, with the accepted loss that still
+     * applies.
+     */
     public PrimaryRecord finishMove(
             long next, String newPrimary, boolean paused, AcceptedDataLoss loss) {
         return new PrimaryRecord(service, next, newPrimary, false, paused, 0, loss);
     }
 
-    /** The fields of a message. */
+    /** Returns the fields of the record in a message. */
     public Map<String, Object> toFields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(SERVICE, service);
@@ -88,7 +93,7 @@
         return fields;
     }
 
-    /** Reads what {@link #toFields} made. */
+    /** Reads the fields that {@link #toFields} returns. */
     public static PrimaryRecord fromFields(MessageCodec.Fields fields) {
         long number = fields.number(NUMBER, 0);
         boolean moving = fields.flag(MOVING);
@@ -102,7 +107,7 @@
                 AcceptedDataLoss.parse(fields.string(ACCEPTED_LOSS)));
     }
 
-    /** The form on disk, without the service, which names the entry. */
+    /** Returns the stored form, without the service, which is the key of the entry. */
     public String encode() {
         return number
                 + "\n"
@@ -118,11 +123,11 @@
     }
 
     /**
-     * Reads the form on disk; earlier versions wrote three or four parts, without the pause, the
-     * move and the loss.
+     * Decodes the stored form. Earlier versions wrote three or four fields, without the replication
+     * pause, the move number and the accepted loss.
      *
-     * @return null where the text is no record
-     * @throws NumberFormatException where a number is none
+     * @return null if the text has too few fields
+     * @throws NumberFormatException if a numeric field is invalid
      */
     public static PrimaryRecord decode(String service, String text) {
         String[] part = text.split("\n", -1);
--- a/src/main/java/dillfront/common/protocol/ServerRow.java
+++ b/src/main/java/dillfront/common/protocol/ServerRow.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What is known of one database server, as control processes and data planes tell it each other.
+ * The state of one database server, as exchanged between control processes and sent to data planes.
  *
- * @param service empty where only the server's leave call was received
- * @param role as the server reported it; {@link #PRIMARY} for one that accepts writes
- * @param callSequence the number of the last call of the server that counted; -1 for none
+ * @param service empty if only the server's leave call was received
+ * @param role the role that the server reported; {@link #PRIMARY} if it accepts writes
+ * @param callSequence the sequence number of the newest call of the server; -1 for none
  */
 public record ServerRow(
         String id,
@@ -31,12 +31,12 @@
     private static final String ROLE = "ro";
     private static final String CALL_SEQUENCE = "q";
 
-    /** Whether the server reported that it accepts writes. */
+    /** Returns whether the server reported that it accepts writes. */
     public boolean isPrimary() {
         return role.equals(PRIMARY);
     }
 
-    /** The fields of a message. */
+    /** Returns the fields of the row in a message. */
     public Map<String, Object> toFields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(ID, id);
@@ -49,7 +49,7 @@
         return fields;
     }
 
-    /** Reads what {@link #toFields} made; fields that are missing are empty. */
+    /** Reads the fields that {@link #toFields} returns; missing strings are empty. */
     public static ServerRow fromFields(MessageCodec.Fields fields) {
         return new ServerRow(
                 fields.string(ID),
--- a/src/main/java/dillfront/common/protocol/ServerState.java
+++ b/src/main/java/dillfront/common/protocol/ServerState.java
@@ -1,15 +1,16 @@
 package dillfront.common.protocol;
 
-/** Where a database server stands between its start and its end; it only ever goes forward. */
+/** The lifecycle state of a database server, which only ever advances. */
 public enum ServerState {
     READY("ready"),
-    /** It announced its end and serves on for its drain time. */
+    /** The server announced its shutdown and serves for its drain time. */
     DRAINING("draining"),
     /**
-     * It announced its end by its leave call alone and may serve on; no more may be heard of it.
+     * The server announced its shutdown by a leave call without draining before; it may still
+     * serve, and may send no more heartbeats.
      */
     LEAVING("leaving"),
-    /** It is gone, and its log with it. */
+    /** The server is gone, together with its transaction log. */
     LEFT("left");
 
     private final String wireName;
@@ -18,12 +19,15 @@
         this.wireName = wireName;
     }
 
-    /** The name in heartbeats, messages and on disk. */
+    /** Returns the name in heartbeats, in messages and on disk. */
     public String wireName() {
         return wireName;
     }
 
-    /** The state of this name; READY where the name is unknown, as newer servers may have more. */
+    /**
+     * Returns the state with this name; READY for an unknown name, because newer servers may have
+     * more states.
+     */
     public static ServerState parse(String wireName) {
         for (ServerState state : values()) {
             if (state.wireName.equals(wireName)) {
@@ -33,7 +37,7 @@
         return READY;
     }
 
-    /** Whether this state comes later in a server's life than the other. */
+    /** Returns whether this state is later in the lifecycle than the other. */
     public boolean isAfter(ServerState other) {
         return compareTo(other) > 0;
     }
--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * The bytes of {@link SubscriptionRequest} and {@link SubscriptionResponse}: MessagePack maps with
- * short names. Unknown names are passed over, missing ones have the value that stands for none.
+ * Encodes {@link SubscriptionRequest} and {@link SubscriptionResponse} as MessagePack maps with
+ * short keys. Unknown keys are ignored; a missing key has the value that stands for none.
  */
 public final class SubscriptionCodec {
 
-    /** The field that tells the messages on a control process's internal port apart. */
+    /** The field with the type of a message, on a control process's internal port. */
     public static final String TYPE = "t";
 
     /** The type of a subscription request. */
@@ -60,7 +60,7 @@
 
     private SubscriptionCodec() {}
 
-    /** The bytes of a request. */
+    /** Encodes a request. */
     public static byte[] encode(SubscriptionRequest request) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put(TYPE, REQUEST_TYPE);
@@ -99,7 +99,7 @@
         return row;
     }
 
-    /** A request from the fields of a message of type {@link #REQUEST_TYPE}. */
+    /** Decodes a request from the fields of a message of type {@link #REQUEST_TYPE}. */
     public static SubscriptionRequest decodeRequest(MessageCodec.Fields in) {
         List<PrimaryView> primaries = new ArrayList<>();
         for (MessageCodec.Fields row : in.maps(PRIMARIES)) {
@@ -126,7 +126,7 @@
                 primaries);
     }
 
-    /** The bytes of a response. */
+    /** Encodes a response. */
     public static byte[] encode(SubscriptionResponse response) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put(REQUEST_ID, response.requestId());
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Reads a response.
+     * Decodes a response.
      *
-     * @throws MessageCodec.MalformedMessageException where the bytes are no message
+     * @throws MessageCodec.MalformedMessageException if the bytes are not a valid message
      */
     public static SubscriptionResponse decodeResponse(byte[] bytes)
             throws MessageCodec.MalformedMessageException {
--- a/src/main/java/dillfront/common/protocol/SubscriptionRequest.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionRequest.java
@@ -4,19 +4,23 @@
 import java.util.List;
 
 /**
- * A data plane's long poll: what it has, so that it is answered once there is more.
+ * A data plane's long poll. The request states what the data plane has, and is answered once there
+ * is an update.
  *
- * @param requestId rises with each request; the response names the one that it answers
- * @param incarnation of the control process whose server table it has
- * @param registryVersion up to which change it has that table
- * @param configurationRevision -1 where it has no configuration
- * @param configurationDigest of the configuration that it has; null where it was sent before on
- *     this connection
- * @param fullConfiguration a delta did not fit: the configuration is to come whole
- * @param waitsForQuorum it knows no better control process: it would rather wait here until this
- *     one is in contact with a majority again than be told to look elsewhere
- * @param recordNumber the newest primary record that it has; -1 for none
- * @param suspectsVersion the newest list of suspected primaries that it has; -1 for none
+ * @param requestId increases with each request; the response repeats it
+ * @param incarnation the incarnation of the control process whose server table the data plane has
+ * @param registryVersion the version of that table
+ * @param configurationRevision the revision of the data plane's configuration; -1 for none
+ * @param configurationDigest the digest of the data plane's configuration; null if it was sent
+ *     before on this connection
+ * @param fullConfiguration whether the full configuration is requested because a delta could not be
+ *     applied
+ * @param waitsForQuorum whether the request waits while the control process is isolated from a
+ *     majority, because the data plane knows no better process; otherwise it is answered with other
+ *     addresses
+ * @param recordNumber the newest primary record that the data plane has; -1 for none
+ * @param suspectsVersion the newest list of suspected primaries that the data plane has; -1 for
+ *     none
  */
 public record SubscriptionRequest(
         String nodeName,
@@ -37,11 +41,12 @@
     }
 
     /**
-     * How a data plane sees the primary of one service.
+     * A data plane's observation of one service's primary.
      *
-     * @param openTransactions transactions that it has open there
-     * @param reachability above 0: answers; below 0: is out of reach; 0: not known
-     * @param acknowledged of the commits whose answers came to this data plane
+     * @param openTransactions the number of the data plane's open transactions on the primary
+     * @param reachability positive if the primary answers, negative if it is unreachable, 0 if that
+     *     is unknown
+     * @param acknowledged the bounds of the commits whose acknowledgement the data plane received
      */
     public record PrimaryView(
             String service,
--- a/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * A control process's answer to a {@link SubscriptionRequest}: what the data plane lacks.
+ * A control process's response to a {@link SubscriptionRequest}, with the updates that the data
+ * plane lacks.
  *
- * @param requestId the request that it answers
- * @param isolated the control process hears no majority: what it has may be old, and another is to
- *     be asked
- * @param registry null where the data plane has all
- * @param configuration null where the data plane has the newest
- * @param suspects null where the data plane has the newest list
- * @param dataPlanes how many data planes share the connection limits; -1 where not said
- * @param certainMillis for how long from the request on no server leads other than the records say;
- *     0 for not at all
- * @param addresses where control processes are; null where the data plane was told so before
+ * @param requestId the id of the request that it answers
+ * @param isolated whether the control process has no contact with a majority; its state may be
+ *     outdated, and the data plane has to poll another one
+ * @param registry null if the data plane has the current server table
+ * @param configuration null if the data plane has the newest one
+ * @param suspects null if the data plane has the newest list
+ * @param dataPlanes the number of data planes that share the connection limits; -1 if unknown
+ * @param certainMillis for how long after the request no server other than the recorded primary can
+ *     be the primary; 0 if that is not certain
+ * @param addresses the addresses of the control processes; null if unchanged on this connection
  */
 public record SubscriptionResponse(
         long requestId,
@@ -27,38 +28,39 @@
         long certainMillis,
         List<ControlAddress> addresses) {
 
-    /** An answer of a process that hears no majority, and nothing but where others may be. */
+    /** Creates the response of an isolated process, which only names other control processes. */
     public static SubscriptionResponse isolated(long requestId, List<ControlAddress> addresses) {
         return new SubscriptionResponse(
                 requestId, true, null, null, List.of(), null, -1, 0, addresses);
     }
 
     /**
-     * Changes of the server table.
+     * An update of the server table.
      *
-     * @param incarnation of the process whose table it is: versions count within it
-     * @param complete all servers that there are; else those that changed
+     * @param incarnation the incarnation of the process that owns the table; versions are relative
+     *     to it
+     * @param complete whether the update lists all servers; otherwise only the changed ones
      */
     public record RegistryUpdate(
             String incarnation, long version, boolean complete, List<ServerRow> servers) {}
 
     /**
-     * The newest configuration, in one of two forms; the other is null.
+     * The newest configuration in one of two forms; the other one is null.
      *
-     * @param delta what turns the configuration that the data plane has into this one
-     * @param compressed the whole configuration
+     * @param delta the delta from the data plane's configuration
+     * @param compressed the full configuration, compressed
      */
     public record ConfigurationUpdate(long revision, byte[] delta, byte[] compressed) {}
 
     /**
-     * Services whose primary the lease holder suspects: what data planes see of it is asked for.
+     * The services whose primary the lease holder suspects; data planes report how they observe it.
      */
     public record SuspectsUpdate(long version, List<String> services) {}
 
     /**
-     * Where a control process is.
+     * The address of a control process.
      *
-     * @param silent nothing was heard from it of late
+     * @param silent whether the process that sent the response had no recent contact with it
      */
     public record ControlAddress(String ip, String zoneName, boolean silent) {}
 }
--- a/src/main/java/dillfront/common/protocol/package-info.java
+++ b/src/main/java/dillfront/common/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** What control plane and data plane say to each other: typed messages, each with one codec. */
+/** The protocol between control plane and data planes: typed messages with one codec each. */
 package dillfront.common.protocol;
--- a/src/main/java/dillfront/common/storage/CompactingLog.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -12,26 +12,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * A log file that holds texts under names, and numbers under numbers, and survives the end of the
- * process and of power at any byte. Each put is one record, written and synced before the next, so
- * that a loss takes the last one alone, and all of it. Once the file is several times as long as
- * what is live in it, all that is live goes into a new one, which replaces it atomically. All calls
- * from one thread.
+ * A compacting log file that stores strings by name and numbers by numeric key, and survives a
+ * crash or a power loss at any byte. Each put is one record, which is written and synced before the
+ * next one, so a failure loses at most the last record, and loses it as a whole. A file that has
+ * grown to several times the size of its live entries is compacted into a new file, which replaces
+ * it atomically. All calls are made on one thread.
  *
  * <pre>
  *   file    "dillfront memory 2\n"  records
  *   record  4 length of the body   4 CRC32C of the body   body
- *   body    8 number of the record, one more than the one before
- *           4 texts, each  2 length  name in UTF-8  2 length  text in UTF-8; an empty text takes its name out
- *           4 numbers, each  8 key  1 there or not  8 number
+ *   body    8 record number, one more than that of the previous record
+ *           4 count of strings, each  2 length  name in UTF-8  2 length  value in UTF-8; an empty value removes the name
+ *           4 count of numbers, each  8 key  1 present or not  8 number
  * </pre>
  *
- * Numbers are big-endian. The first record holds all that was there, and under "" the name of the
- * router it belongs to.
+ * Numbers are big-endian. The first record holds all entries that were live when the file was
+ * written, and the owner's name under "".
  */
 public final class CompactingLog {
 
-    /** The file cannot be used, or not now: which, where and why. A put may be tried again. */
+    /**
+     * Reports that the file cannot be used, permanently or for now; the message names the file and
+     * the fault. A put may be retried.
+     */
     public static final class UnusableLogException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -40,7 +43,7 @@
         }
     }
 
-    /** Another process has locked the folder. */
+    /** Reports that another process has locked the folder. */
     public static final class LockedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -59,14 +62,14 @@
     private static final String OWNER = "";
 
     /**
-     * The file may be so many times as long as what is in it, or so long, before it is written
-     * anew.
+     * The file is compacted when it is longer than this multiple of its live entries, and longer
+     * than {@link #MIN_COMPACTION_BYTES}.
      */
     private static final int MAX_GROWTH = 4;
 
     private static final int MIN_COMPACTION_BYTES = 1 << 16;
 
-    /** Of a name, and of a text: its length has two bytes. */
+    /** Maximum length of a name or a value, whose length is stored in two bytes. */
     static final int MAX_TEXT_BYTES = 0xffff;
 
     private final StorageFolder disk;
@@ -74,7 +77,9 @@
     private final Map<String, String> texts = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
 
-    /** Of the file, as far as it is good; and of a new one with the same in it. */
+    /**
+     * Length of the valid part of the file; {@link #liveBytes} is the length after a compaction.
+     */
     private long length;
 
     private long liveBytes;
@@ -82,16 +87,16 @@
     private String damage;
     private boolean movedAside;
 
-    /** A write failed: what is behind the good part is not known. */
+    /** Whether a write failed, so that the content after the valid part is unknown. */
     private boolean tailUncertain;
 
     /**
-     * A change of names failed: which file has the name, and which will have it after a loss of
-     * power, is not known.
+     * Whether a rename failed, so that it is unknown which file has the name, and which one will
+     * have it after a power loss.
      */
     private boolean namesUncertain;
 
-    /** Where it could not be written anew, that is tried again at this length. */
+    /** After a failed compaction, the length at which the next one is attempted. */
     private long compactAtLength;
 
     private CompactingLog(StorageFolder disk, String where) {
@@ -100,12 +105,12 @@
     }
 
     /**
-     * Opens the log that is there, or begins one.
+     * Opens the log in a folder, or creates one.
      *
-     * @param folder its name, for messages
-     * @param owner the router's name
-     * @throws Broken where the file is another router's or of a format that this program does not
-     *     know, or cannot be read
+     * @param folder the path of the folder, for messages
+     * @param owner the name of the owner, which is stored in the file
+     * @throws UnusableLogException if the file belongs to another owner, has an unknown format, or
+     *     cannot be read
      */
     public static CompactingLog open(StorageFolder disk, String folder, String owner)
             throws UnusableLogException {
@@ -113,10 +118,12 @@
     }
 
     /**
-     * As above.
+     * Opens the log in a folder, or creates one.
      *
-     * @param discardIfDamaged of a file of which more than a torn tail is damaged nothing is taken
-     *     over, in no later incarnation either
+     * @param discardIfDamaged whether to discard the content, now and at any later start, if more
+     *     than a torn tail is damaged
+     * @throws UnusableLogException if the file belongs to another owner, has an unknown format, or
+     *     cannot be read
      */
     public static CompactingLog open(
             StorageFolder disk, String folder, String owner, boolean discardIfDamaged)
@@ -149,7 +156,7 @@
                 throw new UnusableLogException(
                         path + " is of format " + format.group(1) + ", and this program writes 2");
             }
-            moveAside(all, "no memory");
+            moveAside(all, "missing file header");
             texts.put(OWNER, owner);
             compact();
             return;
@@ -161,16 +168,17 @@
                     path + " is that of router '" + its + "', and this is '" + owner + "'");
         }
         if (good < all.length) {
-            String fault = "of " + all.length + " bytes, those from " + good + " on are no record";
+            String fault =
+                    "file of " + all.length + " bytes: the record at byte " + good + " is invalid";
             if (good == at || hasRecordAfter(all, good)) {
-                // Not the tail alone: something that was durable is lost, so the file is kept for
-                // whoever looks into it.
+                // More than the tail is damaged, so durable data is lost; the file is kept for
+                // inspection.
                 moveAside(all, fault);
             } else {
                 damage = fault;
             }
         } else if (good == at) {
-            moveAside(all, "no record");
+            moveAside(all, "no valid record");
         }
         if (movedAside && discardIfDamaged) {
             texts.clear();
@@ -185,7 +193,9 @@
         }
     }
 
-    /** Reads all records from here on; returns where the first is that is none. */
+    /**
+     * Applies all records from this position on, and returns the position after the last valid one.
+     */
     private int readRecords(byte[] all, int from) throws UnusableLogException {
         int at = from;
         while (true) {
@@ -199,8 +209,8 @@
     }
 
     /**
-     * How long the body of the record here is; -1 where there is none with this number, or any
-     * number where it is negative.
+     * Returns the length of the body of the record at this position; -1 if there is no valid record
+     * with this number. A negative number matches any record.
      */
     private static int bodyLength(byte[] all, int at, long number) {
         if (all.length - at < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
@@ -219,7 +229,7 @@
         return (int) crc.getValue() == sum ? length : -1;
     }
 
-    /** Whether a complete record lies anywhere behind: it was synced after what is damaged. */
+    /** Returns whether a valid record follows. Such a record was synced after the damaged part. */
     private static boolean hasRecordAfter(byte[] all, int from) {
         for (int at = from + 1; at < all.length; at++) {
             if (bodyLength(all, at, -1) >= 0) {
@@ -244,7 +254,10 @@
             }
         } catch (BufferUnderflowException bad) {
             throw new UnusableLogException(
-                    path + ": record " + recordNumber + " has a good sum and no form");
+                    path
+                            + ": record "
+                            + recordNumber
+                            + " has a valid checksum but an invalid body");
         }
     }
 
@@ -272,30 +285,33 @@
 
     private void moveAside(byte[] all, String fault) throws IOException {
         movedAside = true;
-        damage = fault + "; the file as it was is kept as " + DAMAGED_FILE;
+        damage = fault + "; the damaged file is kept as " + DAMAGED_FILE;
         disk.delete(DAMAGED_FILE);
         disk.append(DAMAGED_FILE, ByteBuffer.wrap(all));
         disk.sync(DAMAGED_FILE);
     }
 
-    /** Whether more than a torn tail was damaged: the file as it was lies beside. */
+    /**
+     * Returns whether more than a torn tail was damaged, so that the original file was kept under
+     * another name.
+     */
     public boolean isMovedAside() {
         return movedAside;
     }
 
-    /** What was damaged of the file that was found; null for nothing. */
+    /** Returns a description of the damage found on opening; null if there was none. */
     public String fault() {
         return damage == null ? null : path + ": " + damage;
     }
 
     /**
-     * Writes texts and numbers: after a loss of power all of them are there, or none. Where it
-     * fails, all or none of them may be there; what was written before stays.
+     * Writes strings and numbers atomically: after a power loss, either all or none of them are
+     * present. If the call fails, that holds as well, and earlier entries stay.
      *
-     * @param named an empty text removes its name
-     * @param numbered null removes its key
-     * @throws IllegalArgumentException where a name or a text is longer than the form can hold;
-     *     nothing is written then
+     * @param named values by name; an empty value removes its name
+     * @param numbered numbers by key; null removes its key
+     * @throws IllegalArgumentException if a name or value is too long for the format; nothing is
+     *     written then
      */
     public void put(Map<String, String> named, Map<Long, Long> numbered)
             throws UnusableLogException {
@@ -304,8 +320,8 @@
             if (tailUncertain) {
                 disk.truncate(FILE, length);
                 tailUncertain = false;
-                // A disk that is full gets back what is no longer needed, by this put too: as a
-                // whole new file.
+                // Compaction frees the space of obsolete records, so this put can succeed on a full
+                // disk.
                 compactWith(named, numbered);
             } else if (namesUncertain) {
                 compactWith(named, numbered);
@@ -326,8 +342,8 @@
     }
 
     /**
-     * Compacts the file where it has grown long; if that fails, what was put is on disk all the
-     * same.
+     * Compacts the file if it has grown too long. A failure is ignored, because the entries are
+     * already on disk.
      */
     private void compactIfGrown() {
         if (length
@@ -345,7 +361,7 @@
         }
     }
 
-    /** Writes all that is live, and this, as a new file. */
+    /** Writes all live entries and these to a new file. */
     private void compactWith(Map<String, String> named, Map<Long, Long> numbered)
             throws IOException {
         Map<String, String> texts = new HashMap<>(this.texts);
@@ -368,8 +384,9 @@
     }
 
     /**
-     * Writes all that is live into a new file, which then replaces the former. Until the folder is
-     * synced either may be there after a loss of power, so nothing is put into the new one before.
+     * Writes all live entries to a new file, which then replaces the current one. Until the
+     * directory is synced, a power loss may leave either file under the name, so nothing is written
+     * to the new file before.
      */
     private void compact() throws IOException {
         disk.delete(NEXT_FILE);
@@ -387,7 +404,7 @@
         namesUncertain = false;
     }
 
-    /** The length of the body of a record with these. */
+    /** Returns the length of the body of a record with these entries. */
     private static int bodyBytes(Map<String, String> named, Map<Long, Long> numbered) {
         long size = MIN_BODY_BYTES + 17L * numbered.size();
         for (Map.Entry<String, String> one : named.entrySet()) {
@@ -396,14 +413,15 @@
         return Math.toIntExact(size);
     }
 
-    /** Bytes of a text in UTF-8. */
+    /** Returns the length of a string in UTF-8. */
     private static int textBytes(String text) {
         int size = text.length();
         int i = 0;
         while (i < text.length()) {
             char c = text.charAt(i++);
             if (c >= 0x80) {
-                // Each half of a pair counts for two; one that stands alone is written as '?'.
+                // Each half of a surrogate pair counts for two bytes; an unpaired surrogate is
+                // encoded as '?'.
                 boolean pair =
                         Character.isHighSurrogate(c)
                                 && i < text.length()
@@ -414,11 +432,11 @@
         }
         if (size > MAX_TEXT_BYTES) {
             throw new IllegalArgumentException(
-                    "a text of "
+                    "name or value of "
                             + size
-                            + " bytes, and at most "
+                            + " bytes exceeds the maximum of "
                             + MAX_TEXT_BYTES
-                            + " are kept under a name");
+                            + " bytes");
         }
         return size;
     }
@@ -445,19 +463,19 @@
         return out.flip();
     }
 
-    /** Texts by their names. */
+    /** Returns the strings by name. */
     public Map<String, String> texts() {
         Map<String, String> all = new HashMap<>(texts);
         all.remove(OWNER);
         return all;
     }
 
-    /** Numbers by their keys. */
+    /** Returns the numbers by key. */
     public Map<Long, Long> numbers() {
         return new HashMap<>(numbers);
     }
 
-    /** Unlocks the folder. */
+    /** Closes the files and unlocks the folder. */
     public void close() {
         disk.close();
     }
--- a/src/main/java/dillfront/common/storage/StorageFolder.java
+++ b/src/main/java/dillfront/common/storage/StorageFolder.java
@@ -12,55 +12,57 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * A folder as {@link CompactingLog} needs it. What was written may be lost with the power until it
- * is synced, each part of it by itself.
+ * The file operations that {@link CompactingLog} needs. Written data may be lost on power loss
+ * until it is synced, each part of it independently.
  */
 public interface StorageFolder extends AutoCloseable {
 
-    /** The content of a file; null where there is none. */
+    /** Returns the content of a file; null if it does not exist. */
     byte[] read(String name) throws IOException;
 
-    /** Appends to a file, which is made where there is none. */
+    /** Appends to a file, and creates it if it does not exist. */
     void append(String name, ByteBuffer bytes) throws IOException;
 
-    /** What was appended to this file survives a loss of power from now on. */
+    /** Makes the appended data of a file survive a power loss. */
     void sync(String name) throws IOException;
 
-    /** Cuts a file to this length, and syncs it. */
+    /** Truncates a file to this length, and syncs it. */
     void truncate(String name, long length) throws IOException;
 
     /**
-     * Renames a file, in place of whatever had that name. After a loss of power it is either so or
-     * not, until the names are synced.
+     * Renames a file and replaces any existing file of the new name. Until {@link #syncNames}, a
+     * power loss may undo the rename, but never leaves it half done.
      */
     void rename(String from, String to) throws IOException;
 
     void delete(String name) throws IOException;
 
-    /** The names of all files survive a loss of power from now on. */
+    /** Makes the current names of all files survive a power loss. */
     void syncNames() throws IOException;
 
     @Override
     void close();
 
-    /** A folder of this machine, locked for as long as it is open. */
+    /** A folder in the local file system, locked while it is open. */
     final class LocalFolder implements StorageFolder {
 
         private static final String LOCK = "memory.lock";
 
-        /** No log is longer. */
+        /** Maximum file size; a longer file cannot be a log. */
         private static final long MAX_FILE_BYTES = 1 << 28;
 
         private final Path folder;
         private final FileChannel lock;
 
-        /** The file that was appended to last stays open. */
+        /** Name of the file that was appended to last, which is kept open. */
         private String openName;
 
         private FileChannel openChannel;
 
         /**
-         * @throws Shelf.Held where another process has locked it
+         * Creates the folder if necessary, and locks it.
+         *
+         * @throws CompactingLog.LockedException if another process has locked the folder
          */
         public LocalFolder(Path folder) throws IOException, CompactingLog.LockedException {
             this.folder = folder;
@@ -69,7 +71,7 @@
                 existing = existing.getParent();
             }
             Files.createDirectories(folder);
-            // A folder that was made is a name in the one above it.
+            // The name of each created folder is an entry of its parent, which has to be synced.
             for (Path created = folder.toAbsolutePath();
                     !created.equals(existing);
                     created = created.getParent()) {
@@ -99,9 +101,9 @@
                 if (Files.size(folder.resolve(of)) > MAX_FILE_BYTES) {
                     throw new IOException(
                             folder.resolve(of)
-                                    + ": of "
+                                    + ": file of "
                                     + Files.size(folder.resolve(of))
-                                    + " bytes");
+                                    + " bytes is too long for a log");
                 }
                 return Files.readAllBytes(folder.resolve(of));
             } catch (NoSuchFileException none) {
@@ -183,7 +185,7 @@
                 closeChannel();
                 lock.close();
             } catch (IOException over) {
-                // Nothing is left to be written.
+                // All data was already synced.
             }
         }
     }
--- a/src/main/java/dillfront/common/storage/TextStore.java
+++ b/src/main/java/dillfront/common/storage/TextStore.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * Texts under names, kept in a folder so that each put is there whole or not at all after a loss of
- * power. From one thread.
+ * Stores strings by name in a folder. Each put is atomic with respect to power loss. All calls are
+ * made on one thread.
  */
 public final class TextStore {
 
-    /** The folder cannot be used: which, and why. A put may be tried again. */
+    /**
+     * Reports that the folder cannot be used; the message names the folder and the fault. A put may
+     * be retried.
+     */
     public static final class StorageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -25,7 +28,9 @@
     }
 
     /**
-     * @throws Broken where it cannot be read, or is another's
+     * Opens the store in a folder, and creates the folder if necessary.
+     *
+     * @throws StorageException if the folder cannot be read, is locked, or belongs to another owner
      */
     public static TextStore open(Path folder, String owner) throws StorageException {
         try {
@@ -35,7 +40,7 @@
         }
     }
 
-    /** Opens the store on any disk, as tests do. */
+    /** Opens the store on a given implementation of the file operations, for tests. */
     public static TextStore openOn(StorageFolder disk, String where, String owner)
             throws StorageException {
         try {
@@ -46,24 +51,24 @@
     }
 
     /**
-     * Whether more than the last record was damaged: what was durable may be gone, so nothing of it
-     * was taken over, and the folder begins anew.
+     * Returns whether more than the last record was damaged. Durable data may then be lost, so the
+     * content was discarded and the store starts empty.
      */
     public boolean isDamaged() {
         return log.isMovedAside();
     }
 
-    /** All texts by their names. */
+    /** Returns all strings by name. */
     public Map<String, String> texts() {
         return log.texts();
     }
 
     /**
-     * Returns once it is on the disk; an empty text takes its name out.
+     * Stores strings by name, and returns once they are on disk; an empty value removes its name.
      *
-     * @throws Broken where it may be there or not; what was kept before stays, and the next put
-     *     tries the disk again
-     * @throws IllegalArgumentException where a name or a text has more than 65,535 bytes in UTF-8
+     * @throws StorageException if the write failed, so that all or none of the values may be on
+     *     disk; earlier values stay, and the next put retries the disk
+     * @throws IllegalArgumentException if a name or a value is longer than 65,535 bytes in UTF-8
      */
     public void put(Map<String, String> texts) throws StorageException {
         try {
--- a/src/main/java/dillfront/common/storage/package-info.java
+++ b/src/main/java/dillfront/common/storage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Texts on a disk that survive the end of the process and of power. Begin with {@link
+ * Crash-safe storage of strings and numbers. The entry point is {@link
  * dillfront.common.storage.TextStore}.
  */
 package dillfront.common.storage;
--- a/src/test/java/dillfront/common/message/BinaryDeltaTest.java
+++ b/src/test/java/dillfront/common/message/BinaryDeltaTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Texts of an operator's form, texts of no form, and deltas that were cut, spoilt or made for
- * another base.
+ * Deltas between configurations and between arbitrary inputs; deltas that are truncated, damaged or
+ * of another base are rejected.
  */
 class BinaryDeltaTest {
 
@@ -54,9 +54,10 @@
         byte[] delta = BinaryDelta.create(base, next);
         assertArrayEquals(next, BinaryDelta.apply(base, delta));
         assertArrayEquals(before, base);
-        assertArrayEquals(delta, BinaryDelta.create(base, next), "the same once more");
+        assertArrayEquals(delta, BinaryDelta.create(base, next), "the delta is deterministic");
         assertTrue(
-                delta.length <= next.length + 32, delta.length + " for a text of " + next.length);
+                delta.length <= next.length + 32,
+                delta.length + " bytes for a target of " + next.length);
         return delta;
     }
 
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Texts out of few letters, so that pieces are alike, and each the last with parts changed,
-     * moved, doubled or taken out.
+     * Inputs over a small alphabet, so that many chunks are equal. Each target is its base with
+     * parts removed, moved, duplicated or inserted.
      */
     @Test
     void roundTripOfAnyChange() throws Exception {
@@ -141,7 +142,10 @@
         return all;
     }
 
-    /** 600 changes of 600 routes, some 260 KB: each goes as little more than what changed. */
+    /**
+     * 600 successive changes of a configuration of 600 routes, about 260 KB: each delta is little
+     * larger than what changed.
+     */
     @Test
     void deltaOfOneChangeIsSmall() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
@@ -174,19 +178,19 @@
             }
             byte[] next = configuration(v, routes);
             int size = both(is, next).length;
-            assertTrue(size < 300 + 500 * grown, size + " bytes for version " + v);
+            assertTrue(size < 300 + 500 * grown, size + " bytes for revision " + v);
             most = Math.max(most, size);
             is = next;
         }
-        assertTrue(most > 100, "the largest had " + most);
-        // Nothing is left in its order.
+        assertTrue(most > 100, "the largest delta has " + most);
+        // All routes in reverse order.
         List<String> mixed = new ArrayList<>(routes);
         Collections.reverse(mixed);
         int size = both(is, configuration(700, mixed)).length;
-        assertTrue(size < 6 * routes.size() + 1_000, size + " bytes for the same in another order");
+        assertTrue(size < 6 * routes.size() + 1_000, size + " bytes for the reversed routes");
     }
 
-    /** A time-out alone: its digits, and the version's. */
+    /** A changed timeout costs only its digits and those of the revision. */
     @Test
     void aTimeOutIsItsDigits() throws Exception {
         List<String> routes = new ArrayList<>(List.of(route(1, 800), route(2, 800), route(3, 800)));
@@ -196,7 +200,7 @@
         assertTrue(delta.length < 50, delta.length + " bytes");
     }
 
-    /** Whatever became of a delta on its way: it makes the text it was made for, or none. */
+    /** A damaged delta either yields its original target or is rejected. */
     @Test
     void aDeltaThatIsSpoiltMakesNoText() throws Exception {
         List<String> routes =
@@ -213,7 +217,7 @@
             assertThrows(
                     BinaryDelta.InvalidDeltaException.class,
                     () -> BinaryDelta.apply(base, cut),
-                    "cut at " + at);
+                    "truncated at byte " + at);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] bad = delta.clone();
                 bad[at] ^= (byte) (1 << bit);
@@ -236,7 +240,7 @@
             }
             spoilt(base, bad, next);
         }
-        // A length that no text has is refused before there is room for it.
+        // An excessive length is rejected before memory is allocated for it.
         byte[] huge = {1, 0, 0, 0, 0, 0, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x7f, 0, 0, 0, 0};
         assertThrows(
                 BinaryDelta.InvalidDeltaException.class,
--- a/src/test/java/dillfront/common/protocol/PrimaryRecordTest.java
+++ b/src/test/java/dillfront/common/protocol/PrimaryRecordTest.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What was recorded of a service is the same on a disk, and at another process. */
+/**
+ * A primary record is unchanged after a round trip through its stored form and through a message.
+ */
 class PrimaryRecordTest {
 
     private final AcceptedDataLoss loss =
@@ -36,7 +38,7 @@
         assertEquals(5, moving.moveNumber());
         PrimaryRecord given = moving.renumbered(8).withAcceptedLoss(9, loss);
         assertEquals(given, passed(given));
-        assertEquals(5, given.moveNumber(), "it is the same move under the next holder");
+        assertEquals(5, given.moveNumber(), "the next lease holder continues the same move");
         PrimaryRecord leads = given.finishMove(10, "i-2", false, loss);
         assertEquals(leads, passed(leads));
         assertEquals(0, leads.moveNumber());
