--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -41,29 +41,32 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One control process: wires its parts, runs their timers, and passes messages and calls on to
- * them. Control processes tell each other what they have, often, and at once where something
- * changed.
+ * Runs one control process: constructs its components, drives their timers, and dispatches messages
+ * and HTTP calls to them. Each process sends its state to its peers at a fixed interval, and at
+ * once after a change.
  *
  * <p>All methods are called on the environment's thread.
  */
 public final class ControlNode {
 
-    /** How often all is said to all peers. */
+    /** Interval at which the full state is sent to every peer. */
     private static final long TICK_MS = 400;
 
     private static final long POLL_MS = 50;
 
-    /** A poll that is so late means that this process was paused. */
+    /** A poll that is later than this shows that the process was paused. */
     private static final long PAUSED_AFTER_MS = 300;
 
-    /** Updates that come within so long go together. */
+    /** Updates that are requested within this time are sent together. */
     private static final long COALESCE_MS = 20;
 
-    /** A connection that brought no answer for so long is left. */
+    /** A connection on which no message was acknowledged for this long is closed. */
     private static final long CONNECTION_TIMEOUT_MS = 1_500;
 
-    /** A server that announced its end has ended by then, even where it serves on past its time. */
+    /**
+     * A server that announced its shutdown and sent nothing for this long has stopped, even if its
+     * drain ran over the announced time.
+     */
     private static final long SERVER_ENDED_MS = 30_000;
 
     private final Environment environment;
@@ -87,10 +90,10 @@
     private long polledMillis;
     private boolean wasIsolated;
 
-    /** What data planes were last told of this process's contact with a majority. */
+    /** Whether the data planes were last notified that this process has contact with a majority. */
     private boolean publishedContact;
 
-    /** What register and lease need of this process. */
+    /** Gives the register and the lease manager access to the state of this process. */
     private final class Context implements LeaseManager.Context {
 
         @Override
@@ -170,7 +173,7 @@
         }
     }
 
-    /** What subscriptions need of this process. */
+    /** Gives the subscriptions access to the state of this process. */
     private final class SubscriptionSource implements DataPlaneSubscriptions.Source {
 
         @Override
@@ -200,7 +203,9 @@
     }
 
     /**
-     * @param disk where the state is kept; it may refuse writes, which are tried again
+     * Constructs the components; {@link #start} restores their state.
+     *
+     * @param disk stores the state; a write that fails is retried
      */
     public ControlNode(Environment environment, NodeSettings settings, StateStore disk) {
         this.environment = environment;
@@ -277,13 +282,13 @@
                 this::status);
     }
 
-    // ---- the life of the process
+    // ---- lifecycle
 
     /**
-     * Takes over what the disk holds, and begins.
+     * Restores the stored state and starts the timers.
      *
-     * @throws Configuration.InvalidConfigurationException where the configuration on the disk is of
-     *     a form that this version does not know
+     * @throws Configuration.InvalidConfigurationException if this version cannot parse the stored
+     *     configuration
      */
     public void start() throws Configuration.InvalidConfigurationException {
         startedMillis = environment.nowMillis();
@@ -303,15 +308,15 @@
         poll();
     }
 
-    /** Other control processes may be at these addresses, by the settings. */
+    /** Adds the addresses at which the settings expect other control processes. */
     public void addSeeds(List<String> ips) {
         ips.forEach(peers::discover);
     }
 
     /**
-     * Ends in order; other calls go on meanwhile.
+     * Shuts down gracefully; other calls are served meanwhile.
      *
-     * @param onEnd runs once the process may end
+     * @param onEnd runs once the process may exit
      */
     public void shutDown(Runnable onEnd) {
         shutdown.begin(onEnd);
@@ -339,7 +344,7 @@
                 Math.max(peer.lastAnsweredSendMillis(), peer.link().connectedAtMillis());
         if (peer.link().isConnected()
                 && environment.nowMillis() - answeredMillis > CONNECTION_TIMEOUT_MS) {
-            // What is on its way there may wait for seconds behind what a partition has swallowed.
+            // Messages in flight may wait for seconds behind packets that a partition dropped.
             peer.link().disconnect();
         }
         if (peer.link().isReconnectDue()) {
@@ -366,7 +371,7 @@
     }
 
     /**
-     * Data planes that wait here are told at once that contact with a majority is there, or lost.
+     * Notifies the waiting data planes at once when contact with a majority is lost or restored.
      */
     private void publishContact() {
         if (state.cluster().isIsolated() == publishedContact) {
@@ -384,7 +389,7 @@
         }
     }
 
-    // ---- what the parts tell
+    // ---- callbacks of the components
 
     private boolean isLeaseHolder() {
         return failover.isActing();
@@ -409,7 +414,10 @@
         }
     }
 
-    /** Where control processes are: this one, those that are in contact, and the others. */
+    /**
+     * Returns the addresses of the control processes: this one first, then the peers in contact,
+     * then the others.
+     */
     private List<ControlAddress> controlAddresses() {
         List<ControlAddress> inContact = new ArrayList<>();
         List<ControlAddress> silent = new ArrayList<>();
@@ -423,9 +431,12 @@
         return inContact;
     }
 
-    // ---- what comes from outside
+    // ---- incoming messages and calls
 
-    /** A connection to the internal port: of another control process or a data plane. */
+    /**
+     * Returns a listener for one incoming connection on the internal port, from a peer or a data
+     * plane.
+     */
     public Environment.ConnectionListener accept() {
         return new Environment.ConnectionListener() {
             private Environment.Connection connection;
@@ -447,7 +458,7 @@
 
             @Override
             public void onClose(String reason) {
-                // It is connected again from the other side.
+                // The other side reconnects.
             }
         };
     }
@@ -478,32 +489,35 @@
     }
 
     /**
-     * A call of a database server or an operator.
+     * Handles an HTTP call of a database server or an operator.
      *
-     * @return completes with the answer; within a second at the most
+     * @return completes with the response within one second
      */
     public CompletableFuture<HttpResponse> handle(String method, String path, byte[] body) {
         return http.handle(method, path, body);
     }
 
-    // ---- for status and tests
+    // ---- status, and access for tests
 
-    /** The state of this process. */
+    /** Returns the state of this process. */
     ControlState state() {
         return state;
     }
 
-    /** Tells this process from its earlier incarnations. */
+    /** Returns the incarnation, which is new with each start of the process. */
     String incarnation() {
         return identity.incarnation();
     }
 
-    /** One line for operators and logs. */
+    /** Returns the status as one line, for operators and logs. */
     public String status() {
         return new StatusLine(state, dataLoss).format(dataPlaneCount.get(), shutdown.isLeaving());
     }
 
-    /** For how long it is certain that no server leads other than the records say. */
+    /**
+     * Returns for how long, in milliseconds, no server other than the recorded primary can be the
+     * primary.
+     */
     long certainMillis() {
         return certainty.remainingMillis(environment.nowMillis());
     }
--- a/src/main/java/dillfront/controlplane/DataPlaneCount.java
+++ b/src/main/java/dillfront/controlplane/DataPlaneCount.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * How many data planes share the connection limits of the database servers. Fewer are believed only
- * after a while: those that restart come back to their connections. Kept on the disk.
+ * Counts the data planes that share the connection limits of the database servers. An increase
+ * takes effect at once; a decrease only after a delay, since data planes that restart reopen their
+ * connections. The count is stored, so that it survives a restart.
  */
 final class DataPlaneCount {
 
@@ -15,7 +16,7 @@
     private final StateStore store;
     private int count = 1;
 
-    /** When there were last as many as the count says. */
+    /** When at least as many data planes as the count were last observed. */
     private long confirmedMillis;
 
     DataPlaneCount(StateStore store) {
@@ -31,7 +32,7 @@
         return count;
     }
 
-    /** So many are known now, here and at peers that are in contact. */
+    /** Updates the count from the data planes that poll this process and the peers in contact. */
     void observe(int known, long nowMillis) {
         int present = Math.max(1, known);
         if (present >= count) {
--- a/src/main/java/dillfront/controlplane/GracefulShutdown.java
+++ b/src/main/java/dillfront/controlplane/GracefulShutdown.java
@@ -6,18 +6,18 @@
 import dillfront.controlplane.state.ControlState;
 
 /**
- * The end of a control process in order: what only this process holds is on the disks of others
- * first, members that are enough without it go on without it, and the lease goes back before its
- * time.
+ * Shuts a control process down gracefully. State that only this process holds is first replicated
+ * to the disks of others, the membership is reduced where enough members remain, and the lease is
+ * released before it expires.
  */
 final class GracefulShutdown {
 
-    /** Others get so long to have what only this process holds. */
+    /** Upper bound for replicating to others what only this process holds. */
     private static final long MAX_HAND_OVER_MS = 2_000;
 
     private static final long POLL_MS = 20;
 
-    /** The last messages get so long to go out. */
+    /** Time for the last messages to be sent. */
     private static final long FLUSH_MS = 50;
 
     private final ControlState state;
@@ -45,7 +45,9 @@
     }
 
     /**
-     * @param onEnd runs once the process may end
+     * Starts the shutdown; further calls have no effect.
+     *
+     * @param onEnd runs once the process may exit
      */
     void begin(Runnable onEnd) {
         if (leaving) {
@@ -71,7 +73,10 @@
         state.environment().schedule(FLUSH_MS, onEnd);
     }
 
-    /** Whether a majority, this process counted, has all that is on this disk. */
+    /**
+     * Returns whether a majority, including this process, has stored everything that this process
+     * has stored.
+     */
     private boolean othersHaveAll() {
         RegisterValue value = state.register().acceptedValue();
         return value == null
@@ -86,7 +91,10 @@
                 && register.acceptedBallotOf(id).compareTo(register.acceptedBallot()) >= 0;
     }
 
-    /** Whether there are members enough without this process. */
+    /**
+     * Returns whether the remaining members suffice for the configured number of tolerated machine
+     * losses.
+     */
     private boolean isReplaceable() {
         RegisterValue value = state.register().acceptedValue();
         int enough = 2 * state.settings().toleratedMachineLosses() + 1;
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -18,8 +18,8 @@
 import java.util.TreeSet;
 
 /**
- * The members of the control plane: the first ones are chosen by one process at the first start of
- * a system, all later ones by the lease holder, in two steps each.
+ * Manages the membership of the control plane. One process chooses the initial members at the first
+ * start of a system; the lease holder proposes all later changes, each in two steps.
  */
 final class MembershipManager {
 
@@ -33,7 +33,7 @@
     private long resumedMillis = LeaseManager.NEVER;
     private boolean leaving;
 
-    /** The members that were proposed and logged last. */
+    /** The members of the last proposal, so that a repeated proposal is logged once. */
     private SortedSet<String> proposedMembers = new TreeSet<>();
 
     MembershipManager(
@@ -53,19 +53,23 @@
         startedMillis = state.nowMillis();
     }
 
-    /** This process was paused until now: the silence of others before says nothing. */
+    /**
+     * Restarts the silence measurement after a pause of this process: the time before says nothing
+     * about peers.
+     */
     void onProcessPaused() {
         resumedMillis = state.nowMillis();
     }
 
-    /** This process ends: it is the first to be replaced. */
+    /** Marks this process as leaving, which makes it the first member to be replaced. */
     void onLeaving() {
         leaving = true;
     }
 
     /**
-     * Founds the system where it is new: the process at the lowest of the seed addresses does, once
-     * each of the others has said that it is at its first start and belongs to no members.
+     * Bootstraps a new system. Only the process at the lowest seed address does so, and only once
+     * every other seed has reported that it is at its first start and belongs to no membership.
+     * Otherwise two groups could bootstrap separately.
      */
     void bootstrapIfFounder() {
         List<String> seeds = new ArrayList<>(new TreeSet<>(state.settings().seedIps()));
@@ -92,7 +96,10 @@
         }
     }
 
-    /** As the lease holder: proposes other members, or the second step of a change. */
+    /**
+     * Proposes a membership change, or the second step of one, if this process acts as lease
+     * holder.
+     */
     void reconfigure() {
         ReplicatedRegister register = state.register();
         RegisterValue decided = register.decidedValue();
@@ -106,8 +113,8 @@
             proposeNext(decided);
             return;
         }
-        // All that the old members had when they agreed to the joint value is known here; the new
-        // ones are to have it on their disks.
+        // The old members' state at the time they accepted the joint value is known here. The new
+        // members must have it on disk before the change is completed.
         Ballot joint = register.decidedBallot();
         if (barrier.canFinish(
                 decided,
@@ -163,7 +170,10 @@
         return state.nowMillis() - Math.max(contactMillis, resumedMillis);
     }
 
-    /** The silence of a member that is not known here, or is another process now. */
+    /**
+     * Returns the silence of a member that is not in the peer table, or whose address another
+     * process has taken over.
+     */
     private long unknownMillis(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
@@ -178,7 +188,10 @@
                 && register.acceptedBallotOf(peer.id()).equals(register.decidedBallot());
     }
 
-    /** Whether that process has the server table and the records this far on its disk. */
+    /**
+     * Returns whether that process has stored the server table and the primary records up to these
+     * versions.
+     */
     boolean hasOnDisk(String id, long registryVersion, long recordNumber) {
         if (id.equals(identity.id())) {
             return registryReplication.durableVersion() >= registryVersion
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -26,10 +26,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes the messages to the peers, and takes theirs. */
+/** Builds and sends the messages to the peers, and applies those received from them. */
 final class PeerMessenger {
 
-    /** A peer that reads so little is left and connected to again. */
+    /** A connection with more unsent bytes than this is closed and replaced. */
     private static final long MAX_PENDING_BYTES = 1 << 20;
 
     private final ControlState state;
@@ -69,14 +69,14 @@
         startedMillis = state.nowMillis();
     }
 
-    /** This process ends: peers are told so from now on. */
+    /** Marks this process as leaving in all messages from now on. */
     void onLeaving() {
         leaving = true;
     }
 
     // ---- sending
 
-    /** A connection to this peer was made. */
+    /** Sends the full state on a new connection to this peer. */
     void onConnected(PeerState peer) {
         state.register().onConnectionReset(peer.id());
         send(peer);
@@ -130,7 +130,10 @@
                 dataLoss.report());
     }
 
-    /** The peers that are in contact; null where that one was told so before. */
+    /**
+     * Returns the addresses of the peers in contact; null if they are the same as in the previous
+     * message to this peer.
+     */
     private List<String> changedAddresses(PeerState peer) {
         List<String> addresses = new ArrayList<>();
         for (PeerState other : peers.all()) {
@@ -160,16 +163,16 @@
 
     // ---- receiving
 
-    /** What became of a message. */
+    /** The effect of a received message. */
     enum Received {
-        /** It is older than what the peer said last, or of a process without an id. */
+        /** The message is older than the last one of the peer, or its sender has no id. */
         IGNORED,
         TAKEN,
-        /** And it changed the server table. */
+        /** The message was applied and changed the server table. */
         REGISTRY_CHANGED
     }
 
-    /** Takes a peer's message. */
+    /** Applies a peer's message. */
     Received receive(PeerMessage message) {
         Header header = message.header();
         peers.discover(header.ip());
@@ -185,7 +188,7 @@
         }
         peer.lease().contact(state.nowMillis());
         if (!peer.link().isConnected() && !peer.link().isConnecting()) {
-            // It is there: if it waited for the next tick, it would get no answer before.
+            // The peer is up. Connecting at the next tick would delay its first acknowledgement.
             peer.link().connect();
         }
         boolean answersThis = header.echoIncarnation().equals(identity.incarnation());
@@ -211,8 +214,9 @@
 
     private void onNewIncarnation(PeerState peer, Header header) {
         peer.onNewIncarnation(header.incarnation(), header.id());
-        // An answer at once, on a connection to this incarnation: it counts nobody that it has not
-        // heard answer, and what went out to its former incarnation may hang for long.
+        // Connects to the new incarnation and replies at once: it counts only peers that have
+        // acknowledged its messages, and data sent to its previous incarnation may block the old
+        // connection for long.
         boolean wasInContact = peer.formerIncarnationContactMillis() > startedMillis;
         if (peer.link().isConnected() && wasInContact || peer.link().hasStaleConnect()) {
             peer.link().replace();
--- a/src/main/java/dillfront/controlplane/ProcessIdentity.java
+++ b/src/main/java/dillfront/controlplane/ProcessIdentity.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * Who this process is: an id that lasts as long as its disk, and an incarnation from its start to
- * its end. Before the id is on the disk nothing is said to others.
+ * Holds the identity of this process: an id that lives as long as its disk, and an incarnation that
+ * is new with each start. The process sends nothing to others before its id is stored.
  */
 final class ProcessIdentity {
 
@@ -22,7 +22,7 @@
     private String id = "";
     private boolean durable;
 
-    /** The seeds of the first start of the system; empty where this process began later. */
+    /** The seeds at the first start of the system; empty if this process joined later. */
     private String firstSeeds = "";
 
     ProcessIdentity(Environment environment, NodeSettings settings) {
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Takes over what the disk holds, or makes a new id.
+     * Restores the stored id, or creates and stores a new one.
      *
-     * @param onDurable runs once a new id is on the disk
+     * @param onDurable runs once a new id is on disk
      */
     void restore(Map<String, String> texts, StateStore store, Runnable onDurable) {
         id = texts.getOrDefault(ID, "");
@@ -43,7 +43,8 @@
             firstSeeds = texts.getOrDefault(FIRST_SEEDS, "");
             return;
         }
-        // An empty disk, or a damaged one: whoever was here before, this is another process.
+        // The disk is empty or damaged. Promises made under an earlier id are lost with the disk,
+        // so the process takes a new id.
         String suffix = Long.toHexString(environment.random().nextLong());
         id = RegisterValue.id(settings.ipAddress(), suffix);
         firstSeeds = settings.firstStart() ? sortedSeeds() : "";
@@ -59,7 +60,7 @@
         return String.join(",", new TreeSet<>(settings.seedIps()));
     }
 
-    /** Empty before the start. */
+    /** Returns the id; empty before {@link #restore}. */
     String id() {
         return id;
     }
@@ -68,14 +69,14 @@
         return incarnation;
     }
 
-    /** Whether the id is on the disk. */
+    /** Returns whether the id is on disk. */
     boolean isDurable() {
         return durable;
     }
 
     /**
-     * Whether this is the first start of a new system, or the process was ended during that and has
-     * its disk and the same seeds.
+     * Returns whether this is the first start of a new system, or a restart during the first start
+     * with the same disk and the same seeds.
      */
     boolean isFirstStart() {
         return !firstSeeds.isEmpty() && firstSeeds.equals(sortedSeeds());
--- a/src/main/java/dillfront/controlplane/RecentHeartbeats.java
+++ b/src/main/java/dillfront/controlplane/RecentHeartbeats.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Database servers whose heartbeats came here of late, for the peers to know that they live. */
+/**
+ * Keeps the database servers whose heartbeats this process received recently, for forwarding to the
+ * peers as proof of liveness.
+ */
 final class RecentHeartbeats {
 
     private static final int MAX_HEARTBEATS = 60_000;
@@ -14,7 +17,10 @@
 
     private final long keptMillis;
 
-    /** The last one first; a server that sent another stands there twice for a while. */
+    /**
+     * The most recent heartbeat first. A server that sent another heartbeat is listed twice until
+     * the older entry expires.
+     */
     private final ArrayDeque<DatabaseServer> servers = new ArrayDeque<>();
 
     RecentHeartbeats(long heartbeatIntervalMillis) {
@@ -33,7 +39,7 @@
         }
     }
 
-    /** What came at this moment or later. */
+    /** Returns the heartbeats received at this time or later. */
     List<ForwardedHeartbeat> since(long millis, long nowMillis) {
         List<ForwardedHeartbeat> heartbeats = new ArrayList<>();
         for (DatabaseServer server : servers) {
--- a/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
+++ b/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls of database servers that are answered once the disks of a majority have what they say. */
+/** Holds the calls of database servers until a majority has the reported change on disk. */
 final class RegistryAcknowledgements {
 
     private record Waiter(long version, CompletableFuture<Void> done) {}
@@ -25,7 +25,10 @@
         this.replication = replication;
     }
 
-    /** Completes once a majority has the table on its disks up to this version. */
+    /**
+     * Returns a future that completes once a majority has stored the server table up to this
+     * version.
+     */
     CompletableFuture<Void> await(long version) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         waiters.add(new Waiter(version, done));
@@ -35,7 +38,7 @@
         return done;
     }
 
-    /** Writes what has changed of the table. */
+    /** Writes the pending changes of the server table to disk. */
     void persist() {
         replication.persist(
                 peers.all().stream().map(PeerState::registryProgress).toList(),
@@ -45,7 +48,7 @@
                 });
     }
 
-    /** Answers those whose version a majority has. */
+    /** Completes the waiting calls whose version a majority has stored. */
     void poll() {
         if (waiters.isEmpty()) {
             return;
--- a/src/main/java/dillfront/controlplane/StatusLine.java
+++ b/src/main/java/dillfront/controlplane/StatusLine.java
@@ -6,7 +6,7 @@
 import dillfront.controlplane.primary.MissingCommits;
 import dillfront.controlplane.state.ControlState;
 
-/** The state of a control process as one line, for operators and logs. */
+/** Formats the state of a control process as one line, for operators and logs. */
 final class StatusLine {
 
     private final ControlState state;
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -15,15 +15,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The operator's calls: replace the configuration, and read it. Where this process can decide
- * nothing, the caller is redirected to another.
+ * Serves the operator's calls that replace and read the configuration. A process that cannot commit
+ * redirects the caller to another one.
  */
 public final class ConfigurationEndpoint {
 
-    /** A caller waits a second for an answer. */
+    /** 100 ms less than the second that a caller waits for a response. */
     private static final long TIMEOUT_MS = 900;
 
-    /** What a majority answered so long ago is recent: two ticks, and the way there and back. */
+    /** Maximum age of an acknowledgement by a majority: two ticks and a round trip. */
     private static final long RECENT_MS = 850;
 
     private static final long POLL_MS = 20;
@@ -36,7 +36,9 @@
     private final long createdMillis;
 
     /**
-     * @param isLeaving whether this process is about to end
+     * Creates the endpoint.
+     *
+     * @param isLeaving whether this process is shutting down
      * @param sendToPeers sends a message to all peers at once
      */
     public ConfigurationEndpoint(
@@ -64,14 +66,14 @@
             return Responses.completed(redirect(path));
         }
         CompletableFuture<RegisterValue.Outcome> proposal = state.register().propose(configuration);
-        // Also what was decided before, or is only heard to be, is said on the ground of a
-        // majority's answer just now.
+        // A value that was decided earlier, or is only known from a peer, is reported only after a
+        // majority has acknowledged a recent message of this process.
         CompletableFuture<RegisterValue.Outcome> result =
                 proposal.thenCompose(
                         outcome ->
                                 awaitContact(state.nowMillis() - RECENT_MS)
                                         .thenApply(done -> outcome));
-        // A proposal whose caller was answered is proposed no more, unless it is under way.
+        // After the response to its caller, a proposal is dropped unless it is already in progress.
         result.whenComplete((outcome, fault) -> proposal.cancel(false));
         return Responses.within(
                 state.environment(),
@@ -108,7 +110,10 @@
                 message -> failure(path, message));
     }
 
-    /** Until a majority that answers from the beginning on says what is decided. */
+    /**
+     * Polls until a majority that has acknowledged a message sent after the start of the read
+     * reports the decided value.
+     */
     private void pollRead(
             long sinceMillis, QuorumRead read, CompletableFuture<Configuration> result) {
         if (result.isDone()) {
@@ -136,8 +141,8 @@
     }
 
     /**
-     * Completes once a majority has answered what was sent since then; fails at once where this
-     * process is out of contact.
+     * Returns a future that completes once a majority has acknowledged a message sent after this
+     * time. It fails at once if this process is isolated.
      */
     private CompletableFuture<Void> awaitContact(long sinceMillis) {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -155,9 +160,12 @@
         }
     }
 
-    // ---- where this process cannot answer
+    // ---- redirects
 
-    /** It hears no majority, is about to end, or its disk stands still. */
+    /**
+     * Returns whether this process is isolated from a majority, shutting down, or stalled by its
+     * disk.
+     */
     private boolean cannotCommit() {
         return state.cluster().isIsolated()
                 || isLeaving.getAsBoolean()
@@ -169,10 +177,12 @@
     }
 
     /**
-     * Sends the caller to a process that was heard last; or to a member, or where members are not
-     * known to a seed, where this process was started out of contact. The caller may know no other,
-     * or call here again and again. A process that is down itself costs him a second, as one that
-     * he picks may; two that are cut off send him back and forth twice, and no further.
+     * Redirects the caller to a peer with recent contact. If this process has had no contact since
+     * its start, it chooses a member, or a seed while the members are unknown: the caller may know
+     * no other address, or would retry here without end.
+     *
+     * <p>A redirect to a process that is down costs the caller one second, as its own choice may.
+     * Two isolated processes redirect to each other at most twice.
      */
     private HttpResponse redirect(String path) {
         List<PeerState> targets = new ArrayList<>();
--- a/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
+++ b/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The HTTP calls that a control process serves, by method and path. */
+/** Routes the HTTP calls of a control process by method and path. */
 public final class ControlHttpApi {
 
     private static final String HEARTBEAT = "/Instances.Heartbeat/";
@@ -23,7 +23,9 @@
     private final Supplier<String> status;
 
     /**
-     * @param status the state of the process as one line
+     * Creates the API from its endpoints.
+     *
+     * @param status returns the state of the process as one line
      */
     public ControlHttpApi(
             ServerEndpoint servers,
@@ -37,9 +39,9 @@
     }
 
     /**
-     * Answers a call.
+     * Handles a call.
      *
-     * @return completes within a second
+     * @return completes with the response within one second
      */
     public CompletableFuture<HttpResponse> handle(String method, String path, byte[] body) {
         if (path.startsWith(HEARTBEAT)) {
@@ -54,7 +56,7 @@
             case READ -> only(GET, method, () -> configuration.read(path));
             case ACCEPT_DATA_LOSS -> only(POST, method, () -> dataLoss.accept(body));
             case STATUS -> Responses.completed(status());
-            default -> Responses.completedError(Responses.NOT_FOUND, "no such call");
+            default -> Responses.completedError(Responses.NOT_FOUND, "unknown path");
         };
     }
 
@@ -62,7 +64,8 @@
             String allowed, String method, Supplier<CompletableFuture<HttpResponse>> handler) {
         return method.equals(allowed)
                 ? handler.get()
-                : Responses.completedError(Responses.METHOD_NOT_ALLOWED, allowed + " only");
+                : Responses.completedError(
+                        Responses.METHOD_NOT_ALLOWED, allowed + " is the only allowed method");
     }
 
     private HttpResponse status() {
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -17,8 +17,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * POST /Services.AcceptDataLoss: an operator accepts that acknowledged commits are lost. The body
- * is what the status shows under `lacking`, for one service.
+ * Serves POST /Services.AcceptDataLoss, with which an operator accepts the loss of acknowledged
+ * commits. The request body repeats the entry for one service that the status shows under
+ * `lacking`.
  */
 public final class DataLossEndpoint {
 
@@ -27,7 +28,9 @@
     private final BooleanSupplier isLeaving;
 
     /**
-     * @param isLeaving whether this process is about to end
+     * Creates the endpoint.
+     *
+     * @param isLeaving whether this process is shutting down
      */
     public DataLossEndpoint(
             ControlState state, DataLossManager dataLoss, BooleanSupplier isLeaving) {
@@ -93,8 +96,8 @@
                         .add(
                                 "error_message",
                                 missing == null
-                                        ? "nothing is known to be lacking"
-                                        : "something else is lacking")
+                                        ? "no commits are known to be missing"
+                                        : "other commits are missing than the request names")
                         .add("lacking", missing == null ? Json.NULL : toJson(missing));
         return new HttpResponse(
                 Responses.CONFLICT, body.toString().getBytes(StandardCharsets.UTF_8));
@@ -114,7 +117,10 @@
                 .add("for_ms", state.nowMillis() - missing.sinceMillis());
     }
 
-    /** What each service waits for, as the status shows it. */
+    /**
+     * Returns the missing commits of each service whose failover waits for them, in the form that
+     * the status shows.
+     */
     JsonArray missing() {
         JsonArray all = Json.array().asArray();
         dataLoss.missing().orElse(List.of()).forEach(one -> all.add(toJson(one)));
--- a/src/main/java/dillfront/controlplane/http/RequestFields.java
+++ b/src/main/java/dillfront/controlplane/http/RequestFields.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The fields of a call's JSON body. */
+/** Reads the fields of a JSON request body. */
 final class RequestFields {
 
-    /** A body, or a field of it, is not of its form: which, and why. */
+    /** Reports an invalid request body; the message names the field and the fault. */
     static final class InvalidRequestException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -37,11 +37,11 @@
         }
     }
 
-    /** A text that has to be there and may not be empty. */
+    /** Returns a required, non-empty string. */
     String text(String name) throws InvalidRequestException {
         JsonValue value = fields.get(name);
         if (value == null || !value.isString() || value.asString().isEmpty()) {
-            throw new InvalidRequestException(name + ": no text");
+            throw new InvalidRequestException(name + ": expected a non-empty string");
         }
         return value.asString();
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /** A whole number that is sent as a text. */
+    /** Returns an integer that is sent as a string. */
     long numberInText(String name) throws InvalidRequestException {
         String text = text(name);
         try {
@@ -64,12 +64,12 @@
         }
     }
 
-    /** A position in a log; null where the text is none. */
+    /** Returns a log position; null if the string is not one. */
     LogPosition position(String name) throws InvalidRequestException {
         return LogPosition.parse(text(name));
     }
 
-    /** The texts of a list; empty where there is no such field. */
+    /** Returns a list of strings; empty if the field is missing. */
     List<String> texts(String name) throws InvalidRequestException {
         List<String> texts = new ArrayList<>();
         if (fields.get(name) != null) {
--- a/src/main/java/dillfront/controlplane/http/Responses.java
+++ b/src/main/java/dillfront/controlplane/http/Responses.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
-/** Answers to calls of database servers and operators. */
+/** Creates the HTTP responses to database servers and operators. */
 final class Responses {
 
     static final int BAD_REQUEST = 400;
@@ -18,11 +18,11 @@
     static final int TEMPORARY_REDIRECT = 307;
     private static final int SUCCESS = 200;
 
-    /** The process hears no majority. */
+    /** This process has no contact with a majority. */
     static final String ISOLATED = "no majority of control processes is heard; ask another";
 
-    /** No majority answered within the time that a caller waits. */
-    private static final String TIMED_OUT = "no majority in time";
+    /** No majority acknowledged within the time that a caller waits. */
+    private static final String TIMED_OUT = "timed out waiting for a majority";
 
     private Responses() {}
 
@@ -34,7 +34,7 @@
         return new HttpResponse(SUCCESS, json);
     }
 
-    /** The call was taken. */
+    /** Returns the empty success response. */
     static HttpResponse acknowledged() {
         return ok("{}");
     }
@@ -51,7 +51,10 @@
         return completed(error(status, message));
     }
 
-    /** An answer that is known later, or 503 where that fails or takes too long. */
+    /**
+     * Maps a result to a response once the result is complete, or to 503 if it fails or exceeds the
+     * timeout.
+     */
     static <T> CompletableFuture<HttpResponse> within(
             Environment environment,
             long timeoutMillis,
@@ -66,8 +69,8 @@
     }
 
     /**
-     * An answer that is known later, or another where that fails or takes too long; then the result
-     * is cancelled.
+     * Maps a result to a response once the result is complete, or the failure message to another
+     * response if it fails or exceeds the timeout. A timeout also cancels the result.
      */
     static <T> CompletableFuture<HttpResponse> within(
             Environment environment,
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -12,26 +12,25 @@
 import java.util.function.LongFunction;
 
 /**
- * The calls of database servers: heartbeats, and the leave before a planned end. What binds all
- * data planes, that a server drains or leaves, is on the disks of a majority before it is
- * acknowledged.
+ * Serves the calls of database servers: heartbeats, and the leave call before a planned shutdown. A
+ * drain or a leave binds all data planes, so a majority stores it before it is acknowledged.
  */
 public final class ServerEndpoint {
 
-    /** Is told of what servers said. */
+    /** Receives the events of the endpoint. */
     public interface Listener {
 
-        /** A heartbeat came that is not older than another of the same server. */
+        /** Called for a heartbeat that is not older than another one of the same server. */
         void onHeartbeat(DatabaseServer server);
 
-        /** Heartbeats may be forgotten by their age. */
+        /** Called after each heartbeat call, so that old heartbeats can expire. */
         void onHeartbeatsReceived();
 
-        /** The server table changed. */
+        /** Called when the server table changed. */
         void onRegistryChanged();
     }
 
-    /** A server waits a second for an answer. */
+    /** 150 ms less than the second that a server waits for a response. */
     private static final long TIMEOUT_MS = 850;
 
     private final ControlState state;
@@ -40,8 +39,11 @@
     private final Listener listener;
 
     /**
-     * @param awaitMajority completes once a majority has the server table up to a version
-     * @param isLeaving whether this process is about to end
+     * Creates the endpoint.
+     *
+     * @param awaitMajority returns a future that completes once a majority has stored the server
+     *     table up to a version
+     * @param isLeaving whether this process is shutting down
      */
     public ServerEndpoint(
             ControlState state,
@@ -62,13 +64,15 @@
             return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
         }
         if (isUnavailable()) {
-            // Servers are not redirected: they go on by themselves at once, and a second is most of
-            // what a heartbeat has.
+            // Servers are not redirected: they try the next control process themselves at once, and
+            // a redirect to one that is down would cost a second, most of the time that a heartbeat
+            // may take.
             return Responses.completedError(Responses.UNAVAILABLE, Responses.ISOLATED);
         }
         ServerRegistry registry = state.registry();
         DatabaseServer known = registry.get(id);
-        // A call that was sent before another that is known here says nothing of now.
+        // A call that arrives after a later call of the same server is no proof that the server is
+        // alive now.
         boolean late = known != null && row.callSequence() < known.callSequence();
         boolean changed = registry.merge(row, late ? known.lastContactMillis() : state.nowMillis());
         DatabaseServer server = registry.get(id);
@@ -110,7 +114,8 @@
         if (id.isEmpty()) {
             return Responses.completedError(Responses.BAD_REQUEST, "no id in the path");
         }
-        // Also where the server is not known here: others may know it, and all are to.
+        // An unknown server is recorded too: other processes may know it, and all of them have to
+        // learn of the leave call.
         long before = state.registry().version();
         DatabaseServer server = state.registry().markLeaving(id);
         if (state.registry().version() > before) {
--- a/src/main/java/dillfront/controlplane/http/package-info.java
+++ b/src/main/java/dillfront/controlplane/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP calls of database servers and operators. Begin with {@link
+ * The HTTP API for database servers and operators. The entry point is {@link
  * dillfront.controlplane.http.ControlHttpApi}.
  */
 package dillfront.controlplane.http;
--- a/src/main/java/dillfront/controlplane/package-info.java
+++ b/src/main/java/dillfront/controlplane/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The control plane: one process of it is a {@link dillfront.controlplane.ControlNode}, which wires
- * the parts below.
+ * The control plane. {@link dillfront.controlplane.ControlNode} runs one process of it and connects
+ * the components of the subpackages.
  */
 package dillfront.controlplane;
--- a/src/main/java/dillfront/controlplane/peer/ClusterView.java
+++ b/src/main/java/dillfront/controlplane/peer/ClusterView.java
@@ -9,8 +9,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The control processes as this one sees them: which are members by the value that it accepted
- * last, which are in contact, and what a majority has.
+ * The cluster as this process sees it: the members by the value that it accepted last, the peers in
+ * contact, and what a majority has reached.
  */
 public final class ClusterView {
 
@@ -20,7 +20,9 @@
     private final Supplier<String> selfId;
 
     /**
-     * @param selfId the id of this process; empty before it starts
+     * Creates the view.
+     *
+     * @param selfId returns the id of this process; empty before it starts
      */
     public ClusterView(
             Environment environment,
@@ -37,41 +39,52 @@
         return selfId.get();
     }
 
-    /** All peers that are known. */
+    /** Returns all known peers. */
     public Iterable<PeerState> peers() {
         return peers.all();
     }
 
-    /** The peer of this id; null where another process, or none, is known at its address. */
+    /**
+     * Returns the peer with this id; null if its address is unknown or now belongs to another
+     * process.
+     */
     public PeerState peer(String id) {
         PeerState peer = peers.at(RegisterValue.ipOf(id));
         return peer != null && peer.id().equals(id) ? peer : null;
     }
 
-    /** The epoch of the members that this process goes by; 0 before there are any. */
+    /**
+     * Returns the epoch of the membership that this process has accepted; 0 before the first one.
+     */
     public long epoch() {
         RegisterValue value = register.acceptedValue();
         return value == null ? 0 : value.epoch();
     }
 
-    /** Whether this is the id of a member, be it one that is being replaced. */
+    /** Returns whether this id is a member, including one that is being replaced. */
     public boolean isMember(String id) {
         RegisterValue value = register.acceptedValue();
         return value != null && (value.members().contains(id) || value.outgoing().contains(id));
     }
 
-    /** Whether this process is a member. */
+    /** Returns whether this process is a member. */
     public boolean isVoter() {
         return isMember(selfId());
     }
 
-    /** The place of this process among the members, from 0. */
+    /**
+     * Returns the rank of this process among the members in the order of their ids, starting at 0.
+     */
     public int memberRank() {
         RegisterValue value = register.acceptedValue();
         return value == null ? 0 : value.members().headSet(selfId()).size();
     }
 
-    /** Whether a majority of each set of members has this. */
+    /**
+     * Returns whether a majority of each member set satisfies a condition.
+     *
+     * @param own whether this process satisfies it
+     */
     public boolean isQuorum(boolean own, Predicate<PeerState> included) {
         RegisterValue value = register.acceptedValue();
         return value != null && value.isQuorum(id -> includes(id, own, included));
@@ -86,8 +99,10 @@
     }
 
     /**
-     * The highest value of a quantity that a majority of each set of members has reached; {@link
-     * LeaseManager#NEVER} before there are members.
+     * Returns the highest value of a quantity that a majority of each member set has reached;
+     * {@link LeaseManager#NEVER} before there are members.
+     *
+     * @param own the value of this process
      */
     public long quorumReached(long own, ToLongFunction<PeerState> quantity) {
         RegisterValue value = register.acceptedValue();
@@ -104,17 +119,22 @@
                 });
     }
 
-    /** When this process sent the last message that a majority is known to have received. */
+    /**
+     * Returns when this process sent the newest message that a majority is known to have received.
+     */
     public long lastQuorumContactMillis() {
         return quorumReached(environment.nowMillis(), PeerState::lastAnsweredSendMillis);
     }
 
-    /** No majority has answered this process of late: it may know less than others do. */
+    /**
+     * Returns whether no majority has acknowledged a recent message of this process; its state may
+     * then be outdated.
+     */
     public boolean isIsolated() {
         return lastQuorumContactMillis() < environment.nowMillis() - LeaseManager.CONTACT_MS;
     }
 
-    /** Whether something came from this peer of late. */
+    /** Returns whether a message of this peer was received recently. */
     public boolean isInContact(PeerState peer) {
         return environment.nowMillis() - peer.lastContactMillis() < LeaseManager.CONTACT_MS;
     }
--- a/src/main/java/dillfront/controlplane/peer/PeerLink.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerLink.java
@@ -3,15 +3,18 @@
 import dillfront.common.environment.Environment;
 
 /**
- * The connection on which this process sends to one peer; it is connected again when it is lost.
- * The peer's messages come on the peer's own connection.
+ * Maintains the connection on which this process sends to one peer. The peer's messages arrive on a
+ * connection of its own.
  */
 public final class PeerLink {
 
     private static final int CONNECT_TIMEOUT_MS = 700;
     private static final long RECONNECT_MS = 200;
 
-    /** A connect that is under way for so long went to an incarnation that is over. */
+    /**
+     * A connection attempt that has been pending for this long was sent to a previous incarnation
+     * of the peer.
+     */
     private static final long STALE_CONNECT_MS = 100;
 
     private final Environment environment;
@@ -42,22 +45,27 @@
         return connecting;
     }
 
-    /** When the present connection was made; 0 where there never was one. */
+    /** Returns when the current connection was established; 0 if there was none yet. */
     public long connectedAtMillis() {
         return connectedAtMillis;
     }
 
-    /** Whether a connect is under way that cannot reach the present incarnation any more. */
+    /**
+     * Returns whether a pending connection attempt can no longer reach the peer's current
+     * incarnation.
+     */
     public boolean hasStaleConnect() {
         return connecting && environment.nowMillis() - connectStartedMillis > STALE_CONNECT_MS;
     }
 
-    /** Whether it is lost, and time to connect again. */
+    /**
+     * Returns whether the link is disconnected and the delay before the next attempt has passed.
+     */
     public boolean isReconnectDue() {
         return !connected && environment.nowMillis() >= connectAtMillis;
     }
 
-    /** Begins a connection; what becomes of any before counts no more. */
+    /** Starts a connection attempt; events of earlier attempts are ignored from now on. */
     public void connect() {
         long now = environment.nowMillis();
         connectAtMillis = now + CONNECT_TIMEOUT_MS + RECONNECT_MS;
@@ -102,25 +110,25 @@
         onConnected.run();
     }
 
-    /** Closes the connection that there is, or is being made, and begins another. */
+    /** Closes the current connection or attempt, and starts another one at once. */
     public void replace() {
         connection.close();
         connect();
     }
 
-    /** Closes the connection; another is made after a pause. */
+    /** Closes the connection; the next attempt follows after a delay. */
     public void disconnect() {
         connection.close();
         connected = false;
         connectAtMillis = environment.nowMillis() + RECONNECT_MS;
     }
 
-    /** Sends a message; the link has to be connected. */
+    /** Sends a message. The link must be connected. */
     public void send(byte[] message) {
         connection.send(message);
     }
 
-    /** Bytes that were sent and have not gone out yet. */
+    /** Returns the number of bytes that are queued for sending. */
     public long pendingBytes() {
         return connection.pendingBytes();
     }
--- a/src/main/java/dillfront/controlplane/peer/PeerMessage.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessage.java
@@ -11,14 +11,15 @@
 import java.util.Map;
 
 /**
- * All that one control process says to another, at least every 400 ms and at once where something
- * changed. It is the heartbeat between control processes as well.
+ * The state that one control process sends to another, at least every 400 ms and at once after a
+ * change. It also serves as the heartbeat between control processes.
  *
- * @param register null where the sender does not know the addressee's id yet
- * @param addresses of the processes that the sender is in contact with; null where the addressee
- *     was told so before
- * @param heartbeats of database servers that came to the sender since its last message
- * @param holder null where the sender does not act as lease holder
+ * @param register null while the sender does not know the receiver's id
+ * @param addresses the processes that the sender is in contact with; null if unchanged since the
+ *     previous message
+ * @param heartbeats the database servers' heartbeats that the sender received since its previous
+ *     message
+ * @param holder null if the sender does not act as lease holder
  */
 public record PeerMessage(
         Header header,
@@ -33,17 +34,18 @@
         DataLossReport dataLoss) {
 
     /**
-     * Who speaks, and which message it answers.
+     * Identifies the sender, and the message that this one acknowledges.
      *
-     * @param incarnation one that this process has from its start to its end
+     * @param incarnation a value that is new with each start of the sender
      * @param clockMillis the sender's clock
-     * @param echoClockMillis the addressee's clock in the last message of it that the sender
-     *     received
-     * @param echoIncarnation and its incarnation
-     * @param id of the process: its address, and what tells it from others with other disks
-     * @param epoch of the members that it goes by
-     * @param firstStart it is at the first start of a new system and belongs to no members
-     * @param leaving it ends
+     * @param echoClockMillis the receiver's clock in the last message that the sender received from
+     *     it
+     * @param echoIncarnation the receiver's incarnation in that message
+     * @param id the id of the process: its address, and a suffix that is new with each disk
+     * @param epoch the epoch of the membership that the sender has accepted
+     * @param firstStart whether the sender is at the first start of a new system and belongs to no
+     *     membership
+     * @param leaving whether the sender is shutting down
      */
     public record Header(
             String ip,
@@ -57,35 +59,37 @@
             boolean firstStart,
             boolean leaving) {}
 
-    /** A heartbeat that came to the sender so long ago. */
+    /** A database server's heartbeat that the sender received this long ago. */
     public record ForwardedHeartbeat(String serverId, long ageMillis, long callSequence) {}
 
     /**
-     * What the data planes that poll the sender have and see.
+     * The state and observations of the data planes that poll the sender.
      *
-     * @param clearedRecords by service, the record of a move that all of them have
-     * @param count how many they are
+     * @param clearedRecords by service, the number of the move record since which none of these
+     *     data planes relies on an older record
+     * @param count the number of these data planes
      */
     public record DataPlaneReport(
             Map<String, Long> clearedRecords, List<ServiceObservation> observations, int count) {}
 
-    /** What those data planes see of one service. */
+    /** The observations of these data planes for one service. */
     public record ServiceObservation(
             String service, PrimaryObservation observation, AcknowledgedCommits acknowledged) {}
 
     /**
-     * What the lease holder says of its role.
+     * The status of the lease holder.
      *
-     * @param leaseRemainingMillis for how long from the sending its lease runs
-     * @param suspects services whose primary it suspects
+     * @param leaseRemainingMillis the remaining lease time when the message was sent
+     * @param suspects the services whose primary the lease holder suspects
      */
     public record HolderStatus(long leaseRemainingMillis, List<String> suspects) {}
 
     /**
-     * Acknowledged commits that are missing.
+     * Reports acknowledged commits that are missing.
      *
-     * @param missing what the lease holder's failovers wait for
-     * @param accepted what operators gave up at the sender, until the records say so
+     * @param missing the commits that the lease holder's failovers wait for
+     * @param accepted the losses that operators accepted at the sender, until the primary records
+     *     contain them
      */
     public record DataLossReport(List<MissingCommits> missing, List<MissingCommits> accepted) {}
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -24,7 +24,7 @@
 import java.util.Objects;
 import java.util.TreeMap;
 
-/** The bytes of a {@link PeerMessage}: a MessagePack map with short names. */
+/** Encodes a {@link PeerMessage} as a MessagePack map with short keys. */
 public final class PeerMessageCodec {
 
     /** The type of a message between control processes. */
@@ -56,7 +56,7 @@
 
     private PeerMessageCodec() {}
 
-    /** The bytes of a message. */
+    /** Encodes a message. */
     public static byte[] encode(PeerMessage message) {
         Map<String, Object> out = new LinkedHashMap<>();
         Header header = message.header();
@@ -152,9 +152,10 @@
     }
 
     /**
-     * Reads a message of type {@link #TYPE} that came now.
+     * Decodes a message of type {@link #TYPE}.
      *
-     * @throws MalformedMessageException where a field is not of its form
+     * @param nowMillis when the message was received
+     * @throws MalformedMessageException if a field is invalid
      */
     public static PeerMessage decode(MessageCodec.Fields in, long nowMillis)
             throws MalformedMessageException {
@@ -219,7 +220,7 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException bad) {
-            throw new MalformedMessageException("no number: " + text);
+            throw new MalformedMessageException("not a number: " + text);
         }
     }
 
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Another control process, by its last message. Times are of this process's clock, unless said
- * otherwise; {@link LeaseManager#NEVER} where nothing was heard.
+ * The state of another control process, as of its last message. Times refer to this process's clock
+ * unless stated otherwise; {@link LeaseManager#NEVER} means that nothing was received.
  */
 public final class PeerState {
 
@@ -29,10 +29,10 @@
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
     private int dataPlanes;
 
-    /** Heartbeats that came here before were forwarded to it. */
+    /** Heartbeats received before this time were forwarded to the peer. */
     private long heartbeatsForwardedMillis;
 
-    /** The addresses that it was told on this connection, as text. */
+    /** The addresses that were sent to the peer on this connection, as text. */
     private String addressesSent = "";
 
     PeerState(String ip, PeerLink link) {
@@ -50,12 +50,12 @@
         return link;
     }
 
-    /** The lease, as the peer sees it. */
+    /** Returns the peer's view of the lease. */
     public PeerLease lease() {
         return lease;
     }
 
-    /** The id of the process that was heard there last; empty before. */
+    /** Returns the id in the last message from this address; empty before the first one. */
     public String id() {
         return lease.id();
     }
@@ -68,12 +68,14 @@
         return incarnation;
     }
 
-    /** The peer's own clock when it sent its last message. */
+    /** Returns the peer's own clock when it sent its last message. */
     public long clockMillis() {
         return clockMillis;
     }
 
-    /** When this process sent the last message that the peer is known to have received. */
+    /**
+     * Returns when this process sent the newest message that the peer is known to have received.
+     */
     public long lastAnsweredSendMillis() {
         return lastAnsweredSendMillis;
     }
@@ -83,24 +85,26 @@
     }
 
     /**
-     * The last contact with its incarnation before this one: what that told data planes, this one
-     * does not know.
+     * Returns the last contact with the peer's previous incarnation. The current one does not know
+     * what its predecessor told data planes.
      */
     public long formerIncarnationContactMillis() {
         return formerIncarnationContactMillis;
     }
 
-    /** The epoch of the members that it goes by. */
+    /** Returns the epoch of the membership that the peer has accepted. */
     public long epoch() {
         return lease.epoch();
     }
 
-    /** It is at the first start of a new system and belongs to no members yet. */
+    /**
+     * Returns whether the peer is at the first start of a new system and belongs to no membership.
+     */
     public boolean isFirstStart() {
         return firstStart;
     }
 
-    /** It said that it ends. */
+    /** Returns whether the peer has announced its shutdown. */
     public boolean isLeaving() {
         return leaving;
     }
@@ -109,29 +113,35 @@
         return registryProgress;
     }
 
-    /** The newest primary record that it has on its disk; -1 for none. */
+    /** Returns the number of the newest primary record on the peer's disk; -1 for none. */
     public long recordNumber() {
         return recordNumber;
     }
 
-    /** The record of this service that all data planes which poll it have; -1 for none. */
+    /**
+     * Returns the number of this service's move record if no data plane that polls the peer relies
+     * on an older record; -1 otherwise.
+     */
     public long clearedRecord(String service) {
         return clearedRecords.getOrDefault(service, -1L);
     }
 
-    /** What data planes that poll it see of this service's primary; null for nothing. */
+    /**
+     * Returns how the data planes that poll the peer observe this service's primary; null if
+     * nothing was reported.
+     */
     public PrimaryObservation observation(String service) {
         return observations.get(service);
     }
 
-    /** How many data planes poll it. */
+    /** Returns the number of data planes that poll the peer. */
     public int dataPlanes() {
         return dataPlanes;
     }
 
     // ---- changes
 
-    /** Another process is there, or another incarnation of the same. */
+    /** Resets the state for another process at this address, or another incarnation of the same. */
     public void onNewIncarnation(String newIncarnation, String newId) {
         incarnation = newIncarnation;
         formerIncarnationContactMillis = lastContactMillis();
@@ -143,9 +153,9 @@
     }
 
     /**
-     * Takes over whose message came, and what it answers.
+     * Applies the sender's zone and clock, and the acknowledgement in the header.
      *
-     * @param answersThis it answers a message of this incarnation of this process
+     * @param answersThis whether the message acknowledges one of this process's current incarnation
      */
     public void onHeader(PeerMessage.Header header, boolean answersThis) {
         zoneName = header.zoneName();
@@ -155,7 +165,10 @@
         }
     }
 
-    /** Takes over by which members the peer goes, and whether it begins or ends. */
+    /**
+     * Applies the peer's membership epoch, and whether it is starting for the first time or
+     * leaving.
+     */
     public void onMembership(PeerMessage.Header header) {
         lease.epoch(header.epoch());
         firstStart = header.firstStart();
@@ -166,7 +179,7 @@
         recordNumber = number;
     }
 
-    /** Takes over what its data planes have and see. */
+    /** Applies the report on the data planes that poll the peer. */
     public void onDataPlanes(PeerMessage.DataPlaneReport report) {
         clearedRecords.clear();
         clearedRecords.putAll(report.clearedRecords());
@@ -175,9 +188,12 @@
         dataPlanes = report.count();
     }
 
-    // ---- what was sent
+    // ---- progress of sending
 
-    /** A new connection: what was sent on the one before may be lost. */
+    /**
+     * Resets the sending progress on a new connection, since messages on the previous one may be
+     * lost.
+     */
     void onConnected(long heartbeatsFromMillis) {
         heartbeatsForwardedMillis = heartbeatsFromMillis;
         addressesSent = "";
@@ -191,7 +207,10 @@
         heartbeatsForwardedMillis = millis;
     }
 
-    /** Remembers what addresses it is told; whether they are others than before. */
+    /**
+     * Records the addresses sent to the peer, and returns whether they differ from the previous
+     * ones.
+     */
     public boolean addressesChanged(String addresses) {
         boolean changed = !addresses.equals(addressesSent);
         addressesSent = addresses;
--- a/src/main/java/dillfront/controlplane/peer/PeerTable.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerTable.java
@@ -7,12 +7,12 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The peers that are known, by their addresses; bounded. */
+/** Holds the known peers by address, up to a fixed number. */
 public final class PeerTable {
 
     private static final int MAX_PEERS = 32;
 
-    /** A peer that is no member and was silent for so long may be dropped for another. */
+    /** A peer that is not a member can be evicted after this time without contact. */
     private static final long FORGET_AFTER_MS = 60_000;
 
     private final Environment environment;
@@ -23,8 +23,10 @@
     private long startedMillis;
 
     /**
-     * @param isMember whether this is the id of a member
-     * @param onConnected runs once a connection to that peer is made
+     * Creates an empty table.
+     *
+     * @param isMember whether an id is a member's
+     * @param onConnected runs after a connection to a peer is established
      */
     public PeerTable(
             Environment environment,
@@ -37,12 +39,12 @@
         this.onConnected = onConnected;
     }
 
-    /** The process starts now: the silence of peers counts from here. */
+    /** Starts the measurement of the peers' silence at the start of the process. */
     public void start() {
         startedMillis = environment.nowMillis();
     }
 
-    /** A control process may be at this address. */
+    /** Adds a peer for an address at which a control process may run. */
     public void discover(String ip) {
         if (ip.equals(settings.ipAddress()) || peers.containsKey(ip)) {
             return;
@@ -72,12 +74,12 @@
         return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > FORGET_AFTER_MS;
     }
 
-    /** All peers, by their addresses. */
+    /** Returns all peers in the order of their addresses. */
     public Collection<PeerState> all() {
         return peers.values();
     }
 
-    /** The peer at this address; null where none is known. */
+    /** Returns the peer at this address; null if it is unknown. */
     public PeerState at(String ip) {
         return peers.get(ip);
     }
--- a/src/main/java/dillfront/controlplane/peer/package-info.java
+++ b/src/main/java/dillfront/controlplane/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The other control processes: connections, messages, and what a majority of them has. */
+/** Communication with the other control processes: connections, messages and quorum queries. */
 package dillfront.controlplane.peer;
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -3,7 +3,10 @@
 import dillfront.common.protocol.ServerRow;
 import dillfront.common.protocol.ServerState;
 
-/** One database server, as its heartbeats tell of it. Changed by {@link ServerRegistry} alone. */
+/**
+ * One database server, as reported by its heartbeats. Only {@link ServerRegistry} changes its state
+ * and address.
+ */
 public final class DatabaseServer {
 
     private static final int STORED_PARTS = 6;
@@ -13,7 +16,7 @@
     private final String id;
     private final String service;
 
-    /** Null before the first heartbeat, with the zone. */
+    /** Null before the first heartbeat, like the zone name. */
     private String address;
 
     private String zoneName;
@@ -36,7 +39,7 @@
         return id;
     }
 
-    /** Empty where only its leave call was received. */
+    /** Returns the service; empty if only the server's leave call was received. */
     public String service() {
         return service;
     }
@@ -53,64 +56,74 @@
         return state;
     }
 
-    /** As it reported it. */
+    /** Returns the role that the server reported. */
     public String role() {
         return role;
     }
 
-    /** The number of its last call that counted; -1 for none. */
+    /** Returns the sequence number of the newest call of the server; -1 for none. */
     public long callSequence() {
         return callSequence;
     }
 
-    /** When any control process last heard it, by this process's clock. */
+    /**
+     * Returns when any control process last received a call of the server, by this process's clock.
+     */
     public long lastContactMillis() {
         return lastContactMillis;
     }
 
-    /** When this process last received a heartbeat of it; long ago where it never did. */
+    /**
+     * Returns when this process itself last received a heartbeat of the server; a time far in the
+     * past if it never did.
+     */
     public long lastDirectHeartbeatMillis() {
         return lastDirectHeartbeatMillis;
     }
 
-    /** The version of the registry in which it was last changed. */
+    /** Returns the version of the registry that contains the server's last change. */
     public long changeNumber() {
         return changeNumber;
     }
 
-    /** It is gone, and its log with it. */
+    /** Returns whether the server is gone, together with its transaction log. */
     public boolean hasLeft() {
         return state == ServerState.LEFT;
     }
 
-    /** It announced its end, by either call, and serves on until then. */
+    /**
+     * Returns whether the server has announced its shutdown, by either call, and may still serve.
+     */
     public boolean isDraining() {
         return state == ServerState.DRAINING || isLeaving();
     }
 
-    /** It announced its end by its leave call, without draining before. */
+    /**
+     * Returns whether the server has announced its shutdown by a leave call, without draining
+     * before.
+     */
     public boolean isLeaving() {
         return state == ServerState.LEAVING;
     }
 
-    /** It reported that it accepts writes. */
+    /** Returns whether the server reported that it accepts writes. */
     public boolean isPrimary() {
         return role.equals(ServerRow.PRIMARY);
     }
 
-    /** The row of a message. */
+    /** Returns the row that represents the server in messages. */
     public ServerRow toRow() {
         return new ServerRow(id, service, address, zoneName, state, role, callSequence);
     }
 
     // ---- changes
 
-    /** A heartbeat came here now. */
+    /** Records a heartbeat that this process received. */
     public void onDirectHeartbeat(long nowMillis) {
         lastDirectHeartbeatMillis = nowMillis;
     }
 
-    /** Another control process received this call of it. */
+    /** Records a call of the server that another control process received. */
     public void onForwardedHeartbeat(long contactMillis, long sequence) {
         contactAt(contactMillis);
         callSequence = Math.max(callSequence, sequence);
@@ -120,7 +133,7 @@
         lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
-    /** It was on the disk when this process started: its silence counts from then. */
+    /** Starts the silence measurement for a restored server at the start of this process. */
     void restoredAt(long millis) {
         lastContactMillis = millis;
     }
@@ -141,23 +154,24 @@
         leavingSinceMillis = millis;
     }
 
-    /** Only the leave call of it was received: nothing else is known. */
+    /** Completes a placeholder for a server of which only the leave call was received. */
     void knownByLeaveAlone() {
         address = "";
         zoneName = "";
     }
 
-    /** What was heard of its end before its first heartbeat stands. */
+    /** Copies the shutdown state that was received before the first heartbeat. */
     void takeOverEnd(DatabaseServer placeholder) {
         state = placeholder.state;
         leavingSinceMillis = placeholder.leavingSinceMillis;
     }
 
     /**
-     * Takes a row over where it is newer.
+     * Merges a row, keeping the newer call and the later state.
      *
-     * @param acceptsOlderState an earlier state replaces a later one; only model checks do so
-     * @return whether anything changed that others must know
+     * @param acceptsOlderState whether an earlier state replaces a later one; only model checks set
+     *     it
+     * @return whether anything changed that others must learn
      */
     boolean merge(ServerRow row, boolean acceptsOlderState) {
         boolean changes = false;
@@ -175,7 +189,7 @@
         return changes;
     }
 
-    // ---- the form on disk
+    // ---- stored form
 
     String encode() {
         return String.join(
@@ -189,9 +203,9 @@
     }
 
     /**
-     * Reads what {@link #encode} made.
+     * Decodes the result of {@link #encode}.
      *
-     * @return null where the text is no server
+     * @return null if the text has the wrong number of fields
      */
     static DatabaseServer decode(String id, String text) {
         String[] part = text.split("\n", -1);
--- a/src/main/java/dillfront/controlplane/registry/RegistryMessage.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryMessage.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * What a process says of its server table to a peer.
+ * Changes of the sender's server table, and the sender's progress in the receiver's table.
  *
- * @param version of the sender's table
+ * @param version the version of the sender's table
  * @param fromVersion the rows are the changes after this version
- * @param knownVersion up to where the sender has the peer's table in memory
- * @param knownDurableVersion and on its disk
+ * @param knownVersion the version of the receiver's table that the sender has in memory
+ * @param knownDurableVersion the version of the receiver's table that the sender has on disk
  */
 public record RegistryMessage(
         long version,
@@ -26,7 +26,7 @@
     private static final String KNOWN_DURABLE_VERSION = "ak";
     private static final String ROWS = "m";
 
-    /** Adds this to the fields of a message. */
+    /** Adds the fields to a message. */
     public void writeTo(Map<String, Object> fields) {
         fields.put(VERSION, version);
         fields.put(FROM_VERSION, fromVersion);
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Reads what {@link #writeTo} made. */
+    /** Reads the fields that {@link #writeTo} added. */
     public static RegistryMessage fromFields(MessageCodec.Fields fields) {
         return new RegistryMessage(
                 fields.number(VERSION, 0),
--- a/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * Brings the server table to the disk and to the peers. Peers exchange the rows that changed, and
- * tell each other how far they have them in memory and on disk: what a server was acknowledged is
- * on the disks of a majority before.
+ * Replicates the server table to the disk and to the peers. Peers exchange changed rows and their
+ * progress in memory and on disk. A server's call is acknowledged only after a majority has its
+ * change on disk.
  */
 public final class RegistryReplication {
 
@@ -26,33 +26,33 @@
         this.registry = registry;
     }
 
-    /** With a registry of its own, as the model check needs it. */
+    /** Creates a replication with its own registry, for the model check. */
     public RegistryReplication(ReplicatedRegister.Context context) {
         this(context, new ServerRegistry(context.isDisabled(SafetyRule.ROWS_FORWARD)));
     }
 
-    /** Takes over what the disk held, at the start. */
+    /** Restores the stored table at the start of the process. */
     public void restore(Map<String, String> texts, long nowMillis) {
         registry.restore(texts, nowMillis);
         durableVersion = registry.version();
     }
 
-    /** The version of the table in memory. */
+    /** Returns the version of the table in memory. */
     public long version() {
         return registry.version();
     }
 
-    /** The version of the table that is on the disk. */
+    /** Returns the version of the table on disk. */
     public long durableVersion() {
         return durableVersion;
     }
 
     /**
-     * Writes what changed behind what happens: a restart then begins with it, and servers report
-     * again anyway. One write at a time.
+     * Writes changes asynchronously, one write at a time. They may lag behind: after a restart, the
+     * servers report their state again.
      *
-     * @param peers the progress with all peers, whose tables go to the disk with this one
-     * @param onDurable runs once more of the table is on the disk
+     * @param peers the progress with all peers, whose tables are stored together with this one
+     * @param onDurable runs when a newer version of the table is on disk
      */
     public void persist(List<ReplicationProgress> peers, Runnable onDurable) {
         if (persisting) {
@@ -83,7 +83,7 @@
         progress.knownDurableVersion = Math.max(progress.knownDurableVersion, known.version());
     }
 
-    /** What is said of the table to that peer. */
+    /** Returns the changes and the progress to send to a peer. */
     public RegistryMessage messageTo(ReplicationProgress peer) {
         return new RegistryMessage(
                 registry.version(),
@@ -94,10 +94,10 @@
     }
 
     /**
-     * Takes a peer's message.
+     * Applies a peer's message.
      *
-     * @param ofThisIncarnation what the peer says that it has is of this incarnation's table
-     * @return whether anything changed
+     * @param ofThisIncarnation whether the peer's progress refers to this incarnation's table
+     * @return whether the table changed
      */
     public boolean receive(
             RegistryMessage message, ReplicationProgress peer, boolean ofThisIncarnation) {
@@ -108,8 +108,8 @@
         for (ServerRow row : message.rows()) {
             changed |= registry.merge(row, 0);
         }
-        // Rows that begin behind what is known here were meant for an earlier incarnation, which
-        // knew more.
+        // Rows that start after a gap were meant for a previous incarnation, which had a newer
+        // version of the peer's table.
         if (message.fromVersion() <= peer.knownVersion
                 || context.isDisabled(SafetyRule.ROWS_WITHOUT_GAP)) {
             peer.knownVersion = Math.max(peer.knownVersion, message.version());
@@ -117,15 +117,15 @@
         return changed;
     }
 
-    /** Up to which version that peer has this table on its disk. */
+    /** Returns the version of this table that the peer has on disk. */
     public long durableVersionOf(ReplicationProgress peer) {
         return peer.peerDurableVersion;
     }
 
     /**
-     * The same, as far as it counts for an acknowledgement under the members that this process goes
-     * by: what a peer has on its disk while it goes by newer members may be missing in what those
-     * took over.
+     * Returns the version of this table that the peer has on disk, as far as it counts towards an
+     * acknowledgement in this process's epoch. What a peer in a newer epoch has stored may be
+     * missing from the state that the newer members took over.
      */
     public long acknowledgedVersionOf(ReplicationProgress peer, long peerEpoch, long epoch) {
         return peerEpoch <= epoch || context.isDisabled(SafetyRule.ROWS_UNDER_EPOCH)
@@ -133,19 +133,19 @@
                 : 0;
     }
 
-    // ---- the table itself, for the model check
+    // ---- direct access to the table, for the model check
 
-    /** Takes a server's own call; whether it changed anything. */
+    /** Merges a server's own call, and returns whether it changed anything. */
     public boolean merge(ServerRow row, long nowMillis) {
         return registry.merge(row, nowMillis);
     }
 
-    /** Takes a server's leave call. */
+    /** Applies a server's leave call. */
     public void markLeaving(String serverId) {
         registry.markLeaving(serverId);
     }
 
-    /** The server of this id; null where it is not known. */
+    /** Returns the server with this id; null if it is unknown. */
     public DatabaseServer get(String serverId) {
         return registry.get(serverId);
     }
--- a/src/main/java/dillfront/controlplane/registry/ReplicationProgress.java
+++ b/src/main/java/dillfront/controlplane/registry/ReplicationProgress.java
@@ -1,17 +1,18 @@
 package dillfront.controlplane.registry;
 
 /**
- * How far two processes have each other's server table, as one of them sees it. Versions begin anew
- * with each incarnation of a process, and so does this with each incarnation of the peer.
+ * Tracks how far two processes have replicated each other's server table, as seen by one of them.
+ * Versions restart with each incarnation of a process, so this state is reset with each incarnation
+ * of the peer.
  */
 public final class ReplicationProgress {
 
-    /** Up to which version the peer has this process's table: in memory, and on its disk. */
+    /** The version of this process's table that the peer has in memory. */
     long peerVersion;
 
     long peerDurableVersion;
 
-    /** Up to which version this process has the peer's table: in memory, and on the disk. */
+    /** The version of the peer's table that this process has in memory. */
     long knownVersion;
 
     long knownDurableVersion;
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * All database servers that are known. Each change has a number, the version of the registry after
- * it, so that others ask only for what they lack. Rows of servers that left are kept, so that a
- * late message does not bring them back.
+ * Holds all known database servers. Each change has a number, which is the version of the registry
+ * after it, so that a peer requests only newer changes. Rows of servers that left are kept, so that
+ * a late message does not restore them.
  */
 public final class ServerRegistry {
 
@@ -23,13 +23,13 @@
     private final TreeMap<String, TreeMap<String, DatabaseServer>> serversByService =
             new TreeMap<>();
 
-    /** By the change that made them what they are. */
+    /** Servers by the number of their last change. */
     private final TreeMap<Long, DatabaseServer> byChange = new TreeMap<>();
 
-    /** Rows that were dropped and still stand on the disk. */
+    /** Ids of evicted rows that are still on disk. */
     private final TreeSet<String> evicted = new TreeSet<>();
 
-    /** Ids of servers that announced their end by their leave call, and may serve on. */
+    /** Ids of servers that announced their shutdown by a leave call and may still serve. */
     private final TreeSet<String> leaving = new TreeSet<>();
 
     private final boolean acceptsOlderRows;
@@ -40,7 +40,10 @@
     }
 
     /**
-     * @param acceptsOlderRows an earlier state replaces a later one; only model checks do so
+     * Creates an empty registry.
+     *
+     * @param acceptsOlderRows whether an earlier state replaces a later one; only model checks set
+     *     it
      */
     ServerRegistry(boolean acceptsOlderRows) {
         this.acceptsOlderRows = acceptsOlderRows;
@@ -48,22 +51,22 @@
 
     // ---- queries
 
-    /** The server of this id; null where it is not known. */
+    /** Returns the server with this id; null if it is unknown. */
     public DatabaseServer get(String id) {
         return servers.get(id);
     }
 
-    /** How many changes there were in this incarnation. */
+    /** Returns the number of changes in this incarnation. */
     public long version() {
         return version;
     }
 
-    /** All servers, also those that left. */
+    /** Returns all servers, including those that left. */
     public Iterable<DatabaseServer> all() {
         return servers.values();
     }
 
-    /** The servers of this service that have not left, by their ids. */
+    /** Returns the servers of this service that have not left, in the order of their ids. */
     public List<DatabaseServer> serversOf(String service) {
         List<DatabaseServer> present = new ArrayList<>();
         for (DatabaseServer server : allOf(service).values()) {
@@ -79,12 +82,12 @@
         return all == null ? Collections.emptyMap() : all;
     }
 
-    /** The names of all services that have or had a server. */
+    /** Returns the names of all services that have or had a server. */
     public Iterable<String> services() {
         return serversByService.keySet();
     }
 
-    /** The rows that changed after this version. */
+    /** Returns the rows that changed after this version. */
     public List<ServerRow> rowsSince(long since) {
         List<ServerRow> rows = new ArrayList<>();
         for (DatabaseServer server : byChange.tailMap(since, false).values()) {
@@ -95,7 +98,7 @@
 
     // ---- changes
 
-    /** Takes a row over, from a heartbeat or a control process; whether it changed anything. */
+    /** Merges a row from a heartbeat or from a peer, and returns whether it changed anything. */
     public boolean merge(ServerRow row, long contactMillis) {
         if (row.id().isEmpty() || row.service().isEmpty() && !isLeavingOrLeft(row.state())) {
             return false;
@@ -124,8 +127,8 @@
     }
 
     /**
-     * A new server has this one's address: whichever of the same service had it before is gone.
-     * Only a server's own call says so, no message of another process, which may be late.
+     * Marks servers as left whose address a new server of the same service has taken over. Only a
+     * server's own call proves that; a message of another process may be late.
      */
     public boolean replacePredecessors(DatabaseServer successor) {
         boolean changed = false;
@@ -138,9 +141,9 @@
     }
 
     /**
-     * Takes a server's leave call. One that drained before ends now; any other serves on as long as
-     * one that drains. The call of a server that is not known here is kept like any other, so that
-     * no late heartbeat undoes it.
+     * Applies a server's leave call. A server that was draining has stopped by now; any other may
+     * serve for its drain time. The call of an unknown server is recorded as well, so that a late
+     * heartbeat does not undo it.
      */
     public DatabaseServer markLeaving(String id) {
         DatabaseServer server = servers.get(id);
@@ -159,8 +162,8 @@
     }
 
     /**
-     * Servers that announced their end so long ago that they have surely ended, and were not heard
-     * since, have left.
+     * Marks leaving servers as left once the delay has passed since both their announcement and
+     * their last contact.
      */
     public boolean expireLeaving(long nowMillis, long afterMillis) {
         boolean changed = false;
@@ -209,7 +212,10 @@
         }
     }
 
-    /** Drops the row that changed longest ago, of those that left or are not known otherwise. */
+    /**
+     * Evicts the row with the oldest change among servers that left or are known only by a leave
+     * call.
+     */
     private void evictOldest() {
         DatabaseServer oldest = null;
         for (DatabaseServer server : servers.values()) {
@@ -234,9 +240,9 @@
         }
     }
 
-    // ---- the form on disk
+    // ---- stored form
 
-    /** Takes over what the disk held, at the start. */
+    /** Restores the stored servers at the start of the process. */
     public void restore(Map<String, String> texts, long nowMillis) {
         texts.forEach(
                 (name, text) -> {
@@ -253,7 +259,9 @@
                 });
     }
 
-    /** What changed after this version, as it goes to the disk; a dropped row is an empty text. */
+    /**
+     * Returns the stored form of the changes after this version; an evicted row is an empty string.
+     */
     Map<String, String> encodeSince(long since) {
         Map<String, String> texts = new TreeMap<>();
         for (DatabaseServer server : byChange.tailMap(since, false).values()) {
--- a/src/main/java/dillfront/controlplane/registry/package-info.java
+++ b/src/main/java/dillfront/controlplane/registry/package-info.java
@@ -1,2 +1,2 @@
-/** The database servers that are known, and their replication to all control processes. */
+/** The registry of database servers, and its replication to all control processes. */
 package dillfront.controlplane.registry;
--- a/src/main/java/dillfront/controlplane/state/ControlState.java
+++ b/src/main/java/dillfront/controlplane/state/ControlState.java
@@ -12,11 +12,11 @@
 import dillfront.controlplane.registry.ServerRegistry;
 
 /**
- * The state of one control process, for the parts that act on it. The parts of the state do not
- * know each other.
+ * The state of one control process, shared by the components that act on it. The components of the
+ * state do not depend on each other.
  *
- * @param peerUpdates to be requested where there is something new to say to the peers
- * @param dataPlaneUpdates to be requested where there is something new for data planes
+ * @param peerUpdates requested when there is new state for the peers
+ * @param dataPlaneUpdates requested when there is new state for the data planes
  */
 public record ControlState(
         Environment environment,
@@ -31,12 +31,12 @@
         CoalescingTrigger peerUpdates,
         CoalescingTrigger dataPlaneUpdates) {
 
-    /** Milliseconds of the process's steady clock. */
+    /** Returns the process's monotonic clock, in milliseconds. */
     public long nowMillis() {
         return environment.nowMillis();
     }
 
-    /** There is something new for peers and data planes. */
+    /** Requests updates of both peers and data planes. */
     public void requestUpdates() {
         dataPlaneUpdates.request();
         peerUpdates.request();
--- a/src/main/java/dillfront/controlplane/state/package-info.java
+++ b/src/main/java/dillfront/controlplane/state/package-info.java
@@ -1,2 +1,2 @@
-/** The state of one control process, for the parts that act on it. */
+/** The state of one control process, shared by the components that act on it. */
 package dillfront.controlplane.state;
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk that may refuse a write, or take long over it. Texts that it refused are written again
- * until they are there, together with what came since, the newest text of each name; so the disk
- * never stays behind what was given to it. Puts that come while a write is under way go together in
- * the next. Called on one thread.
+ * Retries the writes of a store that may fail or be slow. Entries of a failed write are written
+ * again, merged with the entries put since then, and the newest value of each key wins; so the disk
+ * catches up with every accepted put. Puts that arrive during a write are combined in the next one.
+ * All calls are made on one thread.
  */
 public final class RetryingStateStore implements StateStore {
 
@@ -21,8 +21,8 @@
     private static final int MAX_DOUBLINGS = 10;
 
     /**
-     * So many may wait for the disk; the texts of one that is refused beyond that are written all
-     * the same.
+     * Upper bound on the waiting puts. A put beyond this bound fails, but its entries are still
+     * written.
      */
     private static final int MAX_QUEUED = 10_000;
 
@@ -31,13 +31,16 @@
     private final Environment environment;
     private final StateStore disk;
 
-    /** Texts that the disk was not given yet, or refused. */
+    /** Entries that were not written yet, or whose write failed. */
     private TreeMap<String, String> pending = new TreeMap<>();
 
-    /** Texts that are on the disk for certain: they are not written once more. */
+    /** Entries that are known to be on disk and need not be written again. */
     private final Map<String, String> durable;
 
-    /** Who waits for the next write, and who for the one that is under way. */
+    /**
+     * The puts that wait for the next write; {@link #inFlight} holds those of the write in
+     * progress.
+     */
     private List<PendingWrite> queued = new ArrayList<>();
 
     private List<PendingWrite> inFlight = new ArrayList<>();
@@ -49,9 +52,7 @@
 
     private Environment.Timer retryTimer;
 
-    /**
-     * @param disk where the texts go in the end
-     */
+    /** Creates a store that writes to the given one. */
     public RetryingStateStore(Environment environment, StateStore disk) {
         this.environment = environment;
         this.disk = disk;
@@ -64,10 +65,11 @@
     }
 
     /**
-     * Completes once all of these texts, or newer ones of their names, are on the disk, however
-     * often that takes; in the order of the calls. Fails with {@link IllegalArgumentException}
-     * where a text is too long for any disk, and with {@link IllegalStateException} where too many
-     * wait.
+     * Completes once every entry, or a newer value of its key, is on disk, after any number of
+     * retries. Puts complete in the order of the calls.
+     *
+     * <p>Fails with {@link IllegalArgumentException} if a key or value is too long, and with {@link
+     * IllegalStateException} if too many puts are waiting.
      */
     @Override
     public CompletableFuture<Void> put(Map<String, String> texts) {
@@ -75,19 +77,20 @@
         for (Map.Entry<String, String> text : texts.entrySet()) {
             int length = Math.max(text.getKey().length(), text.getValue().length());
             if (length > MAX_TEXT_LENGTH) {
-                // The disk will never take it, and what comes later is not to wait for that.
+                // No retry can succeed, and later puts must not wait for this one.
                 done.completeExceptionally(
                         new IllegalArgumentException(
-                                "a text of "
+                                "value too long: "
                                         + text.getValue().length()
-                                        + " letters under "
+                                        + " characters under "
                                         + text.getKey()));
                 return done;
             }
         }
         pending.putAll(texts);
         if (queued.size() + inFlight.size() >= MAX_QUEUED) {
-            done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
+            done.completeExceptionally(
+                    new IllegalStateException("too many puts are waiting for the disk"));
         } else {
             queued.add(new PendingWrite(environment.nowMillis(), done));
         }
@@ -147,8 +150,8 @@
     }
 
     /**
-     * The batch waits again, but for names that have a newer text; whether the disk has it is not
-     * known.
+     * Queues the batch again, except for keys that have a newer value. Whether the failed write
+     * reached the disk is unknown.
      */
     private void onFailure(Map<String, String> batch) {
         batch.forEach(pending::putIfAbsent);
@@ -159,7 +162,7 @@
         retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << doublings));
     }
 
-    /** Sets the next attempt, in place of any that was set. */
+    /** Schedules the next attempt and cancels a previously scheduled one. */
     private void retryAfter(long millis) {
         cancelRetry();
         retryTimer =
--- a/src/main/java/dillfront/controlplane/storage/StateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/StateStore.java
@@ -3,25 +3,26 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** The disk of a control process: texts under names. */
+/** Persists the state of a control process as strings by key. */
 public interface StateStore {
 
     /**
-     * A text has at most so many letters; a disk may hold it in two bytes of length, with up to
-     * three a letter.
+     * Maximum length of a key or value, in characters. A store may keep the length in two bytes,
+     * and UTF-8 takes up to three bytes per character.
      */
     int MAX_TEXT_LENGTH = 0xffff / 3;
 
-    /** What was there at the start. */
+    /** Returns the entries that were on disk at the start. */
     Map<String, String> initialState();
 
     /**
-     * Completes on the loop once all of it is on the disk, in the order of the calls; fails where
-     * it is not.
+     * Stores the entries; an empty value removes its key. The returned future completes on the
+     * event loop once all of them are on disk, in the order of the calls, and fails if they are
+     * not.
      */
     CompletableFuture<Void> put(Map<String, String> texts);
 
-    /** For how long what was given to the disk has been waiting for it, in milliseconds. */
+    /** Returns for how long the oldest pending put has been waiting, in milliseconds. */
     default long stalledMillis() {
         return 0;
     }
--- a/src/main/java/dillfront/controlplane/storage/package-info.java
+++ b/src/main/java/dillfront/controlplane/storage/package-info.java
@@ -1,2 +1,2 @@
-/** The disk of a control process, which may refuse writes for a while. */
+/** Persistent state of a control process, with retries of failed writes. */
 package dillfront.controlplane.storage;
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * The newest decided configuration and those before it, for data planes that have one of them and
- * want the newest. Of those before only the delta back from its successor is kept, so that hundreds
- * of changes take little room. A delta that was made for one data plane serves all others.
+ * Keeps the newest decided configuration and its predecessors, to send deltas to data planes that
+ * have one of them. Of each predecessor only the delta from its successor is kept, so that hundreds
+ * of changes need little memory. A delta is computed once for all data planes.
  */
 final class ConfigurationHistory {
 
@@ -18,25 +18,28 @@
     private static final byte[] NONE = new byte[0];
 
     /**
-     * A configuration that was the newest.
+     * A previous configuration.
      *
-     * @param reverseDelta what turns its successor into it
+     * @param reverseDelta the delta from its successor to it
      */
     private record Step(long revision, long digest, byte[] reverseDelta) {}
 
-    /** The newest step first. */
+    /** The newest previous configuration first. */
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
 
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
 
-    /** The newest configuration, compressed; null until it is asked for. */
+    /** The newest configuration, compressed; null until first requested. */
     private byte[] compressed;
 
-    /** By revision, the delta to the newest; {@link #NONE} where the whole is no longer. */
+    /**
+     * By revision, the delta to the newest configuration; {@link #NONE} if the compressed
+     * configuration is not longer.
+     */
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
 
-    /** This configuration is decided; one that is not newer changes nothing. */
+    /** Adds a decided configuration; one that is not newer has no effect. */
     void append(Configuration decided) {
         if (decided.revision() <= newest.revision()) {
             return;
@@ -58,7 +61,7 @@
         return newest;
     }
 
-    /** The newest configuration, compressed. */
+    /** Returns the newest configuration, compressed. */
     byte[] compressed() {
         if (compressed == null) {
             compressed = Compression.compress(newest.body());
@@ -67,9 +70,9 @@
     }
 
     /**
-     * What turns a configuration into the newest.
+     * Returns the delta from a configuration to the newest one.
      *
-     * @return null where only the whole serves
+     * @return null if the full configuration has to be sent
      */
     byte[] deltaFrom(long revision, long digest) {
         if (revision >= newest.revision()) {
--- a/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
+++ b/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
@@ -21,33 +21,39 @@
 import java.util.TreeMap;
 
 /**
- * The data planes that poll this control process: each request waits until there is something that
- * the data plane lacks, or for a while. Called on one thread.
+ * Serves the long polls of data planes: each request waits until there is an update that the data
+ * plane does not have, or until a timeout. All calls are made on one thread.
  */
 public final class DataPlaneSubscriptions implements DataPlaneObservations {
 
-    /** What the subscriptions need of the rest of the process. */
+    /** Gives the subscriptions access to the rest of the process. */
     public interface Source {
 
-        /** Tells this process from its earlier incarnations. */
+        /** Returns the incarnation, which is new with each start of the process. */
         String incarnation();
 
-        /** Where control processes are, this one first. */
+        /** Returns the addresses of the control processes, this one first. */
         List<ControlAddress> controlAddresses();
 
-        /** For how long it is certain that no server leads other than the records say. */
+        /**
+         * Returns for how long, in milliseconds, no server other than the recorded primary can be
+         * the primary.
+         */
         long certainMillis();
 
-        /** How many data planes share the connection limits. */
+        /** Returns the number of data planes that share the connection limits. */
         int dataPlaneCount();
 
-        /** A data plane sees something that a failover may wait for. */
+        /** Called when a data plane reports an observation that a failover may wait for. */
         void onPrimaryObserved();
     }
 
     private static final long MAX_WAIT_MS = 600;
 
-    /** A data plane that has not polled for so long is not counted, nor is what it saw. */
+    /**
+     * A data plane that has not polled for this long is not counted, and its observations are
+     * ignored.
+     */
     private static final long ACTIVE_MS = 1_500;
 
     private static final long FORGET_AFTER_MS = 60_000;
@@ -66,7 +72,7 @@
 
     // ---- requests
 
-    /** Takes a request that came on this connection. */
+    /** Handles a request received on this connection. */
     public void onRequest(Environment.Connection connection, SubscriptionRequest request) {
         String name = request.nodeName();
         boolean fits = subscriptions.size() < MAX_SUBSCRIPTIONS || subscriptions.containsKey(name);
@@ -95,11 +101,11 @@
     }
 
     /**
-     * Takes over what the data plane sees of primaries; peers are told at once where a lease holder
-     * may wait for just that.
+     * Applies the data plane's observations of primaries. Peers are updated at once if a lease
+     * holder may wait for one of them.
      *
      * @param formerRecord the newest record that the data plane had before
-     * @return whether a failover may wait for it
+     * @return whether a failover may wait for one of the observations
      */
     private boolean takeObservations(Subscription subscription, long formerRecord) {
         SubscriptionRequest request = subscription.request();
@@ -153,7 +159,7 @@
 
     // ---- responses
 
-    /** There is something new: data planes that wait and lack it are answered. */
+    /** Answers the waiting requests of data planes that lack an update. */
     public void publish() {
         configurations.append(state.register().committedConfiguration());
         for (Subscription subscription : subscriptions.values()) {
@@ -164,8 +170,8 @@
     }
 
     /**
-     * Answers a data plane that lacks anything; whether it did. Out of contact with a majority it
-     * is told that, and no more.
+     * Answers a data plane that lacks an update, and returns whether it did. An isolated process
+     * reports only its isolation.
      */
     private boolean respondIfBehind(Subscription subscription) {
         boolean isolated = state.cluster().isIsolated();
@@ -198,7 +204,7 @@
     private SubscriptionResponse response(Subscription subscription) {
         SubscriptionRequest has = subscription.request();
         if (state.cluster().isIsolated()) {
-            // What this process has may be old by now: another is to be asked, of those it knows.
+            // The state may be outdated, so the response only names other control processes.
             return SubscriptionResponse.isolated(has.requestId(), source.controlAddresses());
         }
         RegistryUpdate registry = registryUpdate(has);
@@ -216,7 +222,7 @@
                                 state.suspects().version(), state.suspects().services());
         long certain = source.certainMillis();
         if (certain > 0) {
-            // For the data plane it counts from its request, which was before now.
+            // The data plane counts the time from its request, which was sent before now.
             subscription.certainUntil(state.nowMillis() + certain);
         }
         List<ControlAddress> addresses = source.controlAddresses();
@@ -232,7 +238,7 @@
                 subscription.addressesChanged(addresses) ? addresses : null);
     }
 
-    /** Null where the data plane has all. */
+    /** Returns null if the data plane has the current server table. */
     private RegistryUpdate registryUpdate(SubscriptionRequest has) {
         boolean complete = !has.incarnation().equals(source.incarnation());
         if (!complete && has.registryVersion() >= state.registry().version()) {
@@ -245,7 +251,7 @@
                 state.registry().rowsSince(complete ? -1 : has.registryVersion()));
     }
 
-    /** Null where the data plane has the newest. */
+    /** Returns null if the data plane has the newest configuration. */
     private ConfigurationUpdate configurationUpdate(Subscription subscription) {
         SubscriptionRequest has = subscription.request();
         configurations.append(state.register().committedConfiguration());
@@ -262,7 +268,7 @@
                 newest.revision(), delta, delta == null ? configurations.compressed() : null);
     }
 
-    // ---- what data planes have and see
+    // ---- state and observations of the data planes
 
     @Override
     public boolean allHaveRecord(long recordNumber) {
@@ -291,7 +297,7 @@
         return state.nowMillis() - subscription.lastRequestMillis() < ACTIVE_MS;
     }
 
-    /** How many data planes poll here. */
+    /** Returns the number of data planes that poll this process. */
     public int activeCount() {
         long now = state.nowMillis();
         subscriptions.values().removeIf(one -> now - one.lastRequestMillis() > FORGET_AFTER_MS);
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -9,28 +9,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** One data plane that polls this control process, over all the connections it has had here. */
+/** The subscription of one data plane, across all its connections to this process. */
 final class Subscription {
 
-    /** Its last request. */
+    /** The last request. */
     private SubscriptionRequest request;
 
     private Environment.Connection connection;
     private boolean waiting;
     private long lastRequestMillis;
 
-    /** The digest of its configuration, which it sends only where that has changed. */
+    /** The digest of the data plane's configuration, which it sends only after a change. */
     private long configurationDigest;
 
-    /** The addresses that it was told on this connection. */
+    /** The addresses that were sent on this connection. */
     private List<ControlAddress> addressesSent = List.of();
 
-    /** That no other server leads than the records say, it was told to be certain until then. */
+    /**
+     * Until when the data plane may rely on its records: no server other than the recorded primary
+     * can be the primary before this time.
+     */
     private long certainUntilMillis = LeaseManager.NEVER;
 
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
 
-    /** A request came; it waits to be answered. */
+    /** Records a request that waits for its response. */
     void onRequest(SubscriptionRequest next, Environment.Connection from, long nowMillis) {
         if (connection != from) {
             connection = from;
@@ -64,29 +67,32 @@
         return configurationDigest;
     }
 
-    /** By service, how it sees the primary; for its owner to change. */
+    /**
+     * Returns the data plane's observation of each service's primary; the caller may modify the
+     * map.
+     */
     Map<String, PrimaryObservation> observations() {
         return observations;
     }
 
-    /** Whether these are other addresses than it was told; it is told them now. */
+    /** Records the addresses as sent, and returns whether they differ from the previous ones. */
     boolean addressesChanged(List<ControlAddress> addresses) {
         boolean changed = !addresses.equals(addressesSent);
         addressesSent = addresses;
         return changed;
     }
 
-    /** It may take the records that it has for certain until then. */
+    /** Extends the time until which the data plane may rely on its records. */
     void certainUntil(long millis) {
         certainUntilMillis = Math.max(certainUntilMillis, millis);
     }
 
-    /** Whether it may take another primary than this record's for certain. */
+    /** Returns whether the data plane may still rely on an older record than this one. */
     boolean mayContradict(long recordNumber, long nowMillis) {
         return certainUntilMillis > nowMillis && request.recordNumber() < recordNumber;
     }
 
-    /** Answers the request that waits. */
+    /** Answers the waiting request. */
     void respond(byte[] response) {
         waiting = false;
         connection.send(response);
--- a/src/main/java/dillfront/controlplane/subscription/package-info.java
+++ b/src/main/java/dillfront/controlplane/subscription/package-info.java
@@ -1,2 +1,2 @@
-/** The data planes that poll a control process. */
+/** Subscriptions of the data planes that poll a control process. */
 package dillfront.controlplane.subscription;
