--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -159,8 +159,8 @@
             out.put(SUSPECTS, response.suspects().services());
         }
         out.put(DATA_PLANES, response.dataPlanes());
-        if (response.certainMillis() > 0) {
-            out.put(CERTAIN_MILLIS, response.certainMillis());
+        if (response.primaryCertaintyMillis() > 0) {
+            out.put(CERTAIN_MILLIS, response.primaryCertaintyMillis());
         }
         if (response.addresses() != null) {
             out.put(ADDRESSES, fields(response.addresses()));
--- a/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
@@ -13,8 +13,8 @@
  * @param configuration null if the data plane has the newest one
  * @param suspects null if the data plane has the newest list
  * @param dataPlanes the number of data planes that share the connection limits; -1 if unknown
- * @param certainMillis for how long after the request no server other than the recorded primary can
- *     be the primary; 0 if that is not certain
+ * @param primaryCertaintyMillis for how long after the request no server other than the recorded
+ *     primary can be the primary; 0 if that is not certain
  * @param addresses the addresses of the control processes; null if unchanged on this connection
  */
 public record SubscriptionResponse(
@@ -25,7 +25,7 @@
         List<PrimaryRecord> records,
         SuspectsUpdate suspects,
         int dataPlanes,
-        long certainMillis,
+        long primaryCertaintyMillis,
         List<ControlAddress> addresses) {
 
     /** Creates the response of an isolated process, which only names other control processes. */
--- a/src/main/java/dillfront/common/storage/CompactingLog.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -74,7 +74,7 @@
 
     private final StorageFolder disk;
     private final String path;
-    private final Map<String, String> texts = new HashMap<>();
+    private final Map<String, String> strings = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
 
     /**
@@ -142,7 +142,7 @@
         disk.delete(NEXT_FILE);
         byte[] all = disk.read(FILE);
         if (all == null) {
-            texts.put(OWNER, owner);
+            strings.put(OWNER, owner);
             compact();
             return;
         }
@@ -157,12 +157,12 @@
                         path + " is of format " + format.group(1) + ", and this program writes 2");
             }
             moveAside(all, "missing file header");
-            texts.put(OWNER, owner);
+            strings.put(OWNER, owner);
             compact();
             return;
         }
         int good = readRecords(all, at);
-        String its = texts.putIfAbsent(OWNER, owner);
+        String its = strings.putIfAbsent(OWNER, owner);
         if (its != null && !its.equals(owner)) {
             throw new UnusableLogException(
                     path + " is that of router '" + its + "', and this is '" + owner + "'");
@@ -181,15 +181,15 @@
             moveAside(all, "no valid record");
         }
         if (movedAside && discardIfDamaged) {
-            texts.clear();
+            strings.clear();
             numbers.clear();
-            texts.put(OWNER, owner);
+            strings.put(OWNER, owner);
         }
         if (good == at || good < all.length) {
             compact();
         } else {
             length = good;
-            liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
+            liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
         }
     }
 
@@ -269,9 +269,9 @@
 
     private void put(String name, String text) {
         if (text.isEmpty()) {
-            texts.remove(name);
+            strings.remove(name);
         } else {
-            texts.put(name, text);
+            strings.put(name, text);
         }
     }
 
@@ -295,12 +295,12 @@
      * Returns whether more than a torn tail was damaged, so that the original file was kept under
      * another name.
      */
-    public boolean isMovedAside() {
+    public boolean isQuarantined() {
         return movedAside;
     }
 
     /** Returns a description of the damage found on opening; null if there was none. */
-    public String fault() {
+    public String damage() {
         return damage == null ? null : path + ": " + damage;
     }
 
@@ -351,7 +351,7 @@
                         compactAtLength, Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes))) {
             return;
         }
-        liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
+        liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
         if (length > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes)) {
             try {
                 compact();
@@ -364,7 +364,7 @@
     /** Writes all live entries and these to a new file. */
     private void compactWith(Map<String, String> named, Map<Long, Long> numbered)
             throws IOException {
-        Map<String, String> texts = new HashMap<>(this.texts);
+        Map<String, String> texts = new HashMap<>(this.strings);
         Map<Long, Long> numbers = new HashMap<>(this.numbers);
         named.forEach(this::put);
         numbered.forEach(this::put);
@@ -375,8 +375,8 @@
         } finally {
             if (!there) {
                 tailUncertain |= !namesUncertain;
-                this.texts.clear();
-                this.texts.putAll(texts);
+                this.strings.clear();
+                this.strings.putAll(texts);
                 this.numbers.clear();
                 this.numbers.putAll(numbers);
             }
@@ -390,9 +390,9 @@
      */
     private void compact() throws IOException {
         disk.delete(NEXT_FILE);
-        int body = bodyBytes(texts, numbers);
+        int body = bodyBytes(strings, numbers);
         disk.append(NEXT_FILE, ByteBuffer.wrap(HEADER));
-        disk.append(NEXT_FILE, encodeRecord(recordNumber + 1, body, texts, numbers));
+        disk.append(NEXT_FILE, encodeRecord(recordNumber + 1, body, strings, numbers));
         disk.sync(NEXT_FILE);
         namesUncertain = true;
         disk.rename(NEXT_FILE, FILE);
@@ -400,7 +400,7 @@
         length = HEADER.length + RECORD_HEADER_BYTES + body;
         liveBytes = length;
         compactAtLength = 0;
-        disk.syncNames();
+        disk.syncDirectory();
         namesUncertain = false;
     }
 
@@ -464,8 +464,8 @@
     }
 
     /** Returns the strings by name. */
-    public Map<String, String> texts() {
-        Map<String, String> all = new HashMap<>(texts);
+    public Map<String, String> strings() {
+        Map<String, String> all = new HashMap<>(strings);
         all.remove(OWNER);
         return all;
     }
--- a/src/main/java/dillfront/common/storage/TextStore.java
+++ b/src/main/java/dillfront/common/storage/KeyValueStore.java
@@ -7,7 +7,7 @@
  * Stores strings by name in a folder. Each put is atomic with respect to power loss. All calls are
  * made on one thread.
  */
-public final class TextStore {
+public final class KeyValueStore {
 
     /**
      * Reports that the folder cannot be used; the message names the folder and the fault. A put may
@@ -23,7 +23,7 @@
 
     private final CompactingLog log;
 
-    private TextStore(CompactingLog shelf) {
+    private KeyValueStore(CompactingLog shelf) {
         this.log = shelf;
     }
 
@@ -32,19 +32,19 @@
      *
      * @throws StorageException if the folder cannot be read, is locked, or belongs to another owner
      */
-    public static TextStore open(Path folder, String owner) throws StorageException {
+    public static KeyValueStore open(Path folder, String owner) throws StorageException {
         try {
-            return openOn(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
+            return open(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
         } catch (java.io.IOException | CompactingLog.LockedException bad) {
             throw new StorageException(folder + ": " + bad.getMessage());
         }
     }
 
     /** Opens the store on a given implementation of the file operations, for tests. */
-    public static TextStore openOn(StorageFolder disk, String where, String owner)
+    public static KeyValueStore open(StorageFolder disk, String where, String owner)
             throws StorageException {
         try {
-            return new TextStore(CompactingLog.open(disk, where, owner, true));
+            return new KeyValueStore(CompactingLog.open(disk, where, owner, true));
         } catch (CompactingLog.UnusableLogException bad) {
             throw new StorageException(bad.getMessage());
         }
@@ -55,12 +55,12 @@
      * content was discarded and the store starts empty.
      */
     public boolean isDamaged() {
-        return log.isMovedAside();
+        return log.isQuarantined();
     }
 
     /** Returns all strings by name. */
-    public Map<String, String> texts() {
-        return log.texts();
+    public Map<String, String> entries() {
+        return log.strings();
     }
 
     /**
--- a/src/main/java/dillfront/common/storage/StorageFolder.java
+++ b/src/main/java/dillfront/common/storage/StorageFolder.java
@@ -30,15 +30,15 @@
     void truncate(String name, long length) throws IOException;
 
     /**
-     * Renames a file and replaces any existing file of the new name. Until {@link #syncNames}, a
-     * power loss may undo the rename, but never leaves it half done.
+     * Renames a file and replaces any existing file of the new name. Until {@link #syncDirectory},
+     * a power loss may undo the rename, but never leaves it half done.
      */
     void rename(String from, String to) throws IOException;
 
     void delete(String name) throws IOException;
 
     /** Makes the current names of all files survive a power loss. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     @Override
     void close();
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
+        public void syncDirectory() throws IOException {
             syncNames(folder);
         }
 
--- a/src/main/java/dillfront/common/storage/package-info.java
+++ b/src/main/java/dillfront/common/storage/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Crash-safe storage of strings and numbers. The entry point is {@link
- * dillfront.common.storage.TextStore}.
+ * dillfront.common.storage.KeyValueStore}.
  */
 package dillfront.common.storage;
--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -187,8 +187,8 @@
         }
 
         @Override
-        public long certainMillis() {
-            return ControlNode.this.certainMillis();
+        public long primaryCertaintyMillis() {
+            return ControlNode.this.primaryCertaintyMillis();
         }
 
         @Override
@@ -328,7 +328,7 @@
         for (PeerState peer : peers.all()) {
             maintainConnection(peer);
             if (state.cluster().isInContact(peer)) {
-                dataPlanes += peer.dataPlanes();
+                dataPlanes += peer.dataPlaneCount();
             }
         }
         dataPlaneCount.observe(dataPlanes, environment.nowMillis());
@@ -341,7 +341,7 @@
 
     private void maintainConnection(PeerState peer) {
         long answeredMillis =
-                Math.max(peer.lastAnsweredSendMillis(), peer.link().connectedAtMillis());
+                Math.max(peer.lastAcknowledgedSendMillis(), peer.link().connectedAtMillis());
         if (peer.link().isConnected()
                 && environment.nowMillis() - answeredMillis > CONNECTION_TIMEOUT_MS) {
             // Messages in flight may wait for seconds behind packets that a partition dropped.
@@ -474,11 +474,11 @@
         }
     }
 
-    private void onPeerMessage(PeerMessenger.Received received) {
-        if (received == PeerMessenger.Received.IGNORED) {
+    private void onPeerMessage(PeerMessenger.ReceiveResult received) {
+        if (received == PeerMessenger.ReceiveResult.IGNORED) {
             return;
         }
-        if (received == PeerMessenger.Received.REGISTRY_CHANGED) {
+        if (received == PeerMessenger.ReceiveResult.REGISTRY_CHANGED) {
             state.requestUpdates();
             acknowledgements.persist();
         }
@@ -518,7 +518,7 @@
      * Returns for how long, in milliseconds, no server other than the recorded primary can be the
      * primary.
      */
-    long certainMillis() {
+    long primaryCertaintyMillis() {
         return certainty.remainingMillis(environment.nowMillis());
     }
 }
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -86,7 +86,7 @@
             PeerState peer = peers.at(ip);
             if (peer != null
                     && peer.isFirstStart()
-                    && peer.lastAnsweredSendMillis() >= startedMillis) {
+                    && peer.lastAcknowledgedSendMillis() >= startedMillis) {
                 members.add(peer.id());
             }
         }
@@ -182,7 +182,7 @@
 
     private boolean isCaughtUp(PeerState peer, RegisterValue decided) {
         ReplicatedRegister register = state.register();
-        return peer.lastAnsweredSendMillis() > state.nowMillis() - LeaseManager.CONTACT_MS
+        return peer.lastAcknowledgedSendMillis() > state.nowMillis() - LeaseManager.CONTACT_MS
                 && peer.epoch() == decided.epoch()
                 && peer.recordNumber() >= state.records().newestNumber()
                 && register.acceptedBallotOf(peer.id()).equals(register.decidedBallot());
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -11,7 +11,7 @@
 import dillfront.controlplane.peer.PeerMessage.DataPlaneReport;
 import dillfront.controlplane.peer.PeerMessage.ForwardedHeartbeat;
 import dillfront.controlplane.peer.PeerMessage.Header;
-import dillfront.controlplane.peer.PeerMessage.HolderStatus;
+import dillfront.controlplane.peer.PeerMessage.LeaseHolderStatus;
 import dillfront.controlplane.peer.PeerMessage.ServiceObservation;
 import dillfront.controlplane.peer.PeerMessageCodec;
 import dillfront.controlplane.peer.PeerState;
@@ -124,7 +124,7 @@
                 state.records().messageTo(peer.recordNumber()),
                 dataPlaneReport(),
                 failover.isActing()
-                        ? new HolderStatus(
+                        ? new LeaseHolderStatus(
                                 state.lease().validUntilMillis() - now, state.suspects().services())
                         : null,
                 dataLoss.report());
@@ -141,7 +141,7 @@
                 addresses.add(other.ip());
             }
         }
-        return peer.addressesChanged(addresses.toString()) ? addresses : null;
+        return peer.updateSentAddresses(addresses.toString()) ? addresses : null;
     }
 
     private DataPlaneReport dataPlaneReport() {
@@ -164,16 +164,16 @@
     // ---- receiving
 
     /** The effect of a received message. */
-    enum Received {
+    enum ReceiveResult {
         /** The message is older than the last one of the peer, or its sender has no id. */
         IGNORED,
-        TAKEN,
+        APPLIED,
         /** The message was applied and changed the server table. */
         REGISTRY_CHANGED
     }
 
     /** Applies a peer's message. */
-    Received receive(PeerMessage message) {
+    ReceiveResult receive(PeerMessage message) {
         Header header = message.header();
         peers.discover(header.ip());
         PeerState peer = peers.at(header.ip());
@@ -181,7 +181,7 @@
         if (peer == null
                 || header.id().isEmpty()
                 || sameIncarnation && header.clockMillis() < peer.clockMillis()) {
-            return Received.IGNORED;
+            return ReceiveResult.IGNORED;
         }
         if (!sameIncarnation || !header.id().equals(peer.id())) {
             onNewIncarnation(peer, header);
@@ -209,7 +209,7 @@
         }
         receiveDataPlanes(peer, message.dataPlanes());
         receiveHolder(peer, message, answersThis);
-        return changed ? Received.REGISTRY_CHANGED : Received.TAKEN;
+        return changed ? ReceiveResult.REGISTRY_CHANGED : ReceiveResult.APPLIED;
     }
 
     private void onNewIncarnation(PeerState peer, Header header) {
@@ -217,7 +217,7 @@
         // Connects to the new incarnation and replies at once: it counts only peers that have
         // acknowledged its messages, and data sent to its previous incarnation may block the old
         // connection for long.
-        boolean wasInContact = peer.formerIncarnationContactMillis() > startedMillis;
+        boolean wasInContact = peer.previousIncarnationContactMillis() > startedMillis;
         if (peer.link().isConnected() && wasInContact || peer.link().hasStaleConnect()) {
             peer.link().replace();
         }
@@ -249,14 +249,14 @@
     }
 
     private void receiveDataPlanes(PeerState peer, DataPlaneReport report) {
-        peer.onDataPlanes(report);
+        peer.onDataPlaneReport(report);
         for (ServiceObservation one : report.observations()) {
             state.acknowledgedCommits().merge(one.service(), one.acknowledged());
         }
     }
 
     private void receiveHolder(PeerState peer, PeerMessage message, boolean answersThis) {
-        HolderStatus holder = message.holder();
+        LeaseHolderStatus holder = message.holder();
         LeaseManager lease = state.lease();
         if (holder != null) {
             state.suspects().replace(holder.suspects());
--- a/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
+++ b/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
@@ -12,12 +12,12 @@
 /** Holds the calls of database servers until a majority has the reported change on disk. */
 final class RegistryAcknowledgements {
 
-    private record Waiter(long version, CompletableFuture<Void> done) {}
+    private record PendingAcknowledgement(long version, CompletableFuture<Void> done) {}
 
     private final ControlState state;
     private final PeerTable peers;
     private final RegistryReplication replication;
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<PendingAcknowledgement> waiters = new ArrayList<>();
 
     RegistryAcknowledgements(ControlState state, PeerTable peers, RegistryReplication replication) {
         this.state = state;
@@ -31,7 +31,7 @@
      */
     CompletableFuture<Void> await(long version) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        waiters.add(new Waiter(version, done));
+        waiters.add(new PendingAcknowledgement(version, done));
         persist();
         state.peerUpdates().request();
         poll();
@@ -60,7 +60,7 @@
                         peer ->
                                 replication.acknowledgedVersionOf(
                                         peer.registryProgress(), peer.epoch(), cluster.epoch()));
-        List<Waiter> completed = new ArrayList<>();
+        List<PendingAcknowledgement> completed = new ArrayList<>();
         waiters.removeIf(
                 waiter ->
                         waiter.done().isDone()
--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -187,7 +187,7 @@
                 .isQuorum(
                         state.records().durableNumber() >= recordNumber,
                         peer ->
-                                peer.lastAnsweredSendMillis() >= sinceMillis
+                                peer.lastAcknowledgedSendMillis() >= sinceMillis
                                         && peer.recordNumber() >= recordNumber);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
@@ -138,7 +138,7 @@
     }
 
     private boolean hasNoNewerRecord(PeerState peer) {
-        boolean answered = peer.lastAnsweredSendMillis() >= context.leaseStartMillis();
+        boolean answered = peer.lastAcknowledgedSendMillis() >= context.leaseStartMillis();
         return state.records().covers(answered, peer.recordNumber());
     }
 
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -197,9 +197,9 @@
      * cannot say that its data planes have heard since.
      */
     private boolean isClearedAt(PeerState peer, long expired) {
-        boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
+        boolean confirmed = peer.acknowledgedMove(service()) >= state.record.number();
         return (confirmed || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
-                && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
+                && Math.min(peer.previousIncarnationContactMillis(), state.sinceMillis) <= expired;
     }
 
     // ---- promoting
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -137,7 +137,7 @@
             return true;
         }
         PeerState peer = state.cluster().peer(id);
-        return peer != null && peer.lastAnsweredSendMillis() >= sinceMillis;
+        return peer != null && peer.lastAcknowledgedSendMillis() >= sinceMillis;
     }
 
     /**
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -132,7 +132,7 @@
         return Responses.within(
                 state.environment(),
                 TIMEOUT_MS,
-                awaitMajority.apply(server.changeNumber()),
+                awaitMajority.apply(server.lastChangeVersion()),
                 done -> Responses.acknowledged());
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/ClusterView.java
+++ b/src/main/java/dillfront/controlplane/peer/ClusterView.java
@@ -123,7 +123,7 @@
      * Returns when this process sent the newest message that a majority is known to have received.
      */
     public long lastQuorumContactMillis() {
-        return quorumReached(environment.nowMillis(), PeerState::lastAnsweredSendMillis);
+        return quorumReached(environment.nowMillis(), PeerState::lastAcknowledgedSendMillis);
     }
 
     /**
--- a/src/main/java/dillfront/controlplane/peer/PeerMessage.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessage.java
@@ -30,7 +30,7 @@
         List<ForwardedHeartbeat> heartbeats,
         RecordsMessage records,
         DataPlaneReport dataPlanes,
-        HolderStatus holder,
+        LeaseHolderStatus holder,
         DataLossReport dataLoss) {
 
     /**
@@ -65,12 +65,14 @@
     /**
      * The state and observations of the data planes that poll the sender.
      *
-     * @param clearedRecords by service, the number of the move record since which none of these
+     * @param acknowledgedMoves by service, the number of the move record since which none of these
      *     data planes relies on an older record
      * @param count the number of these data planes
      */
     public record DataPlaneReport(
-            Map<String, Long> clearedRecords, List<ServiceObservation> observations, int count) {}
+            Map<String, Long> acknowledgedMoves,
+            List<ServiceObservation> observations,
+            int count) {}
 
     /** The observations of these data planes for one service. */
     public record ServiceObservation(
@@ -82,7 +84,7 @@
      * @param leaseRemainingMillis the remaining lease time when the message was sent
      * @param suspects the services whose primary the lease holder suspects
      */
-    public record HolderStatus(long leaseRemainingMillis, List<String> suspects) {}
+    public record LeaseHolderStatus(long leaseRemainingMillis, List<String> suspects) {}
 
     /**
      * Reports acknowledged commits that are missing.
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -11,7 +11,7 @@
 import dillfront.controlplane.peer.PeerMessage.DataPlaneReport;
 import dillfront.controlplane.peer.PeerMessage.ForwardedHeartbeat;
 import dillfront.controlplane.peer.PeerMessage.Header;
-import dillfront.controlplane.peer.PeerMessage.HolderStatus;
+import dillfront.controlplane.peer.PeerMessage.LeaseHolderStatus;
 import dillfront.controlplane.peer.PeerMessage.ServiceObservation;
 import dillfront.controlplane.primary.MissingCommits;
 import dillfront.controlplane.primary.PrimaryObservation;
@@ -120,7 +120,7 @@
 
     private static List<Object> clearedRecords(DataPlaneReport report) {
         List<Object> flat = new ArrayList<>();
-        report.clearedRecords()
+        report.acknowledgedMoves()
                 .forEach(
                         (service, number) -> {
                             flat.add(service);
@@ -173,7 +173,7 @@
                         decodeObservations(in),
                         (int) in.number(DATA_PLANES, 0)),
                 in.flag(IS_HOLDER)
-                        ? new HolderStatus(
+                        ? new LeaseHolderStatus(
                                 in.number(LEASE_REMAINING, LeaseManager.NEVER),
                                 in.strings(SUSPECTS))
                         : null,
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -19,21 +19,21 @@
     private String zoneName = "";
     private String incarnation = "";
     private long clockMillis;
-    private long lastAnsweredSendMillis = LeaseManager.NEVER;
-    private long formerIncarnationContactMillis = LeaseManager.NEVER;
+    private long lastAcknowledgedSendMillis = LeaseManager.NEVER;
+    private long previousIncarnationContactMillis = LeaseManager.NEVER;
     private boolean firstStart;
     private boolean leaving;
     private ReplicationProgress registryProgress = new ReplicationProgress();
     private long recordNumber = -1;
-    private final Map<String, Long> clearedRecords = new HashMap<>();
+    private final Map<String, Long> acknowledgedMoves = new HashMap<>();
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
-    private int dataPlanes;
+    private int dataPlaneCount;
 
     /** Heartbeats received before this time were forwarded to the peer. */
     private long heartbeatsForwardedMillis;
 
     /** The addresses that were sent to the peer on this connection, as text. */
-    private String addressesSent = "";
+    private String sentAddresses = "";
 
     PeerState(String ip, PeerLink link) {
         this.ip = ip;
@@ -76,8 +76,8 @@
     /**
      * Returns when this process sent the newest message that the peer is known to have received.
      */
-    public long lastAnsweredSendMillis() {
-        return lastAnsweredSendMillis;
+    public long lastAcknowledgedSendMillis() {
+        return lastAcknowledgedSendMillis;
     }
 
     public long lastContactMillis() {
@@ -88,8 +88,8 @@
      * Returns the last contact with the peer's previous incarnation. The current one does not know
      * what its predecessor told data planes.
      */
-    public long formerIncarnationContactMillis() {
-        return formerIncarnationContactMillis;
+    public long previousIncarnationContactMillis() {
+        return previousIncarnationContactMillis;
     }
 
     /** Returns the epoch of the membership that the peer has accepted. */
@@ -122,8 +122,8 @@
      * Returns the number of this service's move record if no data plane that polls the peer relies
      * on an older record; -1 otherwise.
      */
-    public long clearedRecord(String service) {
-        return clearedRecords.getOrDefault(service, -1L);
+    public long acknowledgedMove(String service) {
+        return acknowledgedMoves.getOrDefault(service, -1L);
     }
 
     /**
@@ -135,8 +135,8 @@
     }
 
     /** Returns the number of data planes that poll the peer. */
-    public int dataPlanes() {
-        return dataPlanes;
+    public int dataPlaneCount() {
+        return dataPlaneCount;
     }
 
     // ---- changes
@@ -144,12 +144,12 @@
     /** Resets the state for another process at this address, or another incarnation of the same. */
     public void onNewIncarnation(String newIncarnation, String newId) {
         incarnation = newIncarnation;
-        formerIncarnationContactMillis = lastContactMillis();
+        previousIncarnationContactMillis = lastContactMillis();
         lease.reset(newId);
         registryProgress = new ReplicationProgress();
-        lastAnsweredSendMillis = LeaseManager.NEVER;
+        lastAcknowledgedSendMillis = LeaseManager.NEVER;
         recordNumber = -1;
-        clearedRecords.clear();
+        acknowledgedMoves.clear();
     }
 
     /**
@@ -161,7 +161,8 @@
         zoneName = header.zoneName();
         clockMillis = header.clockMillis();
         if (answersThis) {
-            lastAnsweredSendMillis = Math.max(lastAnsweredSendMillis, header.echoClockMillis());
+            lastAcknowledgedSendMillis =
+                    Math.max(lastAcknowledgedSendMillis, header.echoClockMillis());
         }
     }
 
@@ -180,12 +181,12 @@
     }
 
     /** Applies the report on the data planes that poll the peer. */
-    public void onDataPlanes(PeerMessage.DataPlaneReport report) {
-        clearedRecords.clear();
-        clearedRecords.putAll(report.clearedRecords());
+    public void onDataPlaneReport(PeerMessage.DataPlaneReport report) {
+        acknowledgedMoves.clear();
+        acknowledgedMoves.putAll(report.acknowledgedMoves());
         observations.clear();
         report.observations().forEach(one -> observations.put(one.service(), one.observation()));
-        dataPlanes = report.count();
+        dataPlaneCount = report.count();
     }
 
     // ---- progress of sending
@@ -196,7 +197,7 @@
      */
     void onConnected(long heartbeatsFromMillis) {
         heartbeatsForwardedMillis = heartbeatsFromMillis;
-        addressesSent = "";
+        sentAddresses = "";
     }
 
     public long heartbeatsForwardedMillis() {
@@ -211,9 +212,9 @@
      * Records the addresses sent to the peer, and returns whether they differ from the previous
      * ones.
      */
-    public boolean addressesChanged(String addresses) {
-        boolean changed = !addresses.equals(addressesSent);
-        addressesSent = addresses;
+    public boolean updateSentAddresses(String addresses) {
+        boolean changed = !addresses.equals(sentAddresses);
+        sentAddresses = addresses;
         return changed;
     }
 }
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -26,7 +26,7 @@
     private long lastContactMillis;
     private long lastDirectHeartbeatMillis = NEVER;
     private long leavingSinceMillis = UNKNOWN;
-    private long changeNumber;
+    private long lastChangeVersion;
 
     DatabaseServer(String id, String service) {
         this.id = id;
@@ -82,8 +82,8 @@
     }
 
     /** Returns the version of the registry that contains the server's last change. */
-    public long changeNumber() {
-        return changeNumber;
+    public long lastChangeVersion() {
+        return lastChangeVersion;
     }
 
     /** Returns whether the server is gone, together with its transaction log. */
@@ -125,21 +125,21 @@
 
     /** Records a call of the server that another control process received. */
     public void onForwardedHeartbeat(long contactMillis, long sequence) {
-        contactAt(contactMillis);
+        recordContact(contactMillis);
         callSequence = Math.max(callSequence, sequence);
     }
 
-    void contactAt(long millis) {
+    void recordContact(long millis) {
         lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
     /** Starts the silence measurement for a restored server at the start of this process. */
-    void restoredAt(long millis) {
+    void resetContact(long millis) {
         lastContactMillis = millis;
     }
 
-    void changeNumber(long number) {
-        changeNumber = number;
+    void lastChangeVersion(long number) {
+        lastChangeVersion = number;
     }
 
     void state(ServerState next) {
@@ -155,13 +155,13 @@
     }
 
     /** Completes a placeholder for a server of which only the leave call was received. */
-    void knownByLeaveAlone() {
+    void completePlaceholder() {
         address = "";
         zoneName = "";
     }
 
     /** Copies the shutdown state that was received before the first heartbeat. */
-    void takeOverEnd(DatabaseServer placeholder) {
+    void copyShutdownState(DatabaseServer placeholder) {
         state = placeholder.state;
         leavingSinceMillis = placeholder.leavingSinceMillis;
     }
--- a/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
@@ -14,7 +14,7 @@
  */
 public final class RegistryReplication {
 
-    private record KnownVersion(ReplicationProgress progress, long version) {}
+    private record PendingVersion(ReplicationProgress progress, long version) {}
 
     private final ReplicatedRegister.Context context;
     private final ServerRegistry registry;
@@ -64,21 +64,21 @@
         }
         persisting = true;
         long version = registry.version();
-        List<KnownVersion> known = new ArrayList<>();
-        peers.forEach(peer -> known.add(new KnownVersion(peer, peer.knownVersion)));
+        List<PendingVersion> known = new ArrayList<>();
+        peers.forEach(peer -> known.add(new PendingVersion(peer, peer.knownVersion)));
         context.persist(registry.encodeSince(durableVersion))
                 .whenComplete(
                         (done, fault) -> {
                             persisting = false;
                             if (fault == null) {
                                 durableVersion = version;
-                                known.forEach(RegistryReplication::becameDurable);
+                                known.forEach(RegistryReplication::markDurable);
                                 onDurable.run();
                             }
                         });
     }
 
-    private static void becameDurable(KnownVersion known) {
+    private static void markDurable(PendingVersion known) {
         ReplicationProgress progress = known.progress();
         progress.knownDurableVersion = Math.max(progress.knownDurableVersion, known.version());
     }
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -109,12 +109,12 @@
             DatabaseServer placeholder = server;
             server = new DatabaseServer(row.id(), row.service());
             if (placeholder != null) {
-                server.takeOverEnd(placeholder);
-                byChange.remove(placeholder.changeNumber());
+                server.copyShutdownState(placeholder);
+                byChange.remove(placeholder.lastChangeVersion());
             }
             add(server);
         }
-        server.contactAt(contactMillis);
+        server.recordContact(contactMillis);
         if (server.merge(row, acceptsOlderRows) || isNew) {
             recordChange(server);
             return true;
@@ -149,7 +149,7 @@
         DatabaseServer server = servers.get(id);
         if (server == null) {
             server = new DatabaseServer(id, "");
-            server.knownByLeaveAlone();
+            server.completePlaceholder();
             add(server);
         }
         if (server.state() == ServerState.DRAINING) {
@@ -190,9 +190,9 @@
     }
 
     private void recordChange(DatabaseServer server) {
-        byChange.remove(server.changeNumber());
-        server.changeNumber(++version);
-        byChange.put(server.changeNumber(), server);
+        byChange.remove(server.lastChangeVersion());
+        server.lastChangeVersion(++version);
+        byChange.put(server.lastChangeVersion(), server);
         if (server.isLeaving()) {
             leaving.add(server.id());
         } else {
@@ -220,7 +220,8 @@
         DatabaseServer oldest = null;
         for (DatabaseServer server : servers.values()) {
             if ((server.hasLeft() || server.service().isEmpty())
-                    && (oldest == null || server.changeNumber() < oldest.changeNumber())) {
+                    && (oldest == null
+                            || server.lastChangeVersion() < oldest.lastChangeVersion())) {
                 oldest = server;
             }
         }
@@ -230,7 +231,7 @@
         servers.remove(oldest.id());
         evicted.add(oldest.id());
         leaving.remove(oldest.id());
-        byChange.remove(oldest.changeNumber());
+        byChange.remove(oldest.lastChangeVersion());
         TreeMap<String, DatabaseServer> ofService = serversByService.get(oldest.service());
         if (ofService != null) {
             ofService.remove(oldest.id());
@@ -252,7 +253,7 @@
                     DatabaseServer server =
                             DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), text);
                     if (server != null) {
-                        server.restoredAt(nowMillis);
+                        server.resetContact(nowMillis);
                         add(server);
                         recordChange(server);
                     }
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -76,7 +76,7 @@
         CompletableFuture<Void> done = new CompletableFuture<>();
         for (Map.Entry<String, String> text : texts.entrySet()) {
             int length = Math.max(text.getKey().length(), text.getValue().length());
-            if (length > MAX_TEXT_LENGTH) {
+            if (length > MAX_LENGTH_CHARS) {
                 // No retry can succeed, and later puts must not wait for this one.
                 done.completeExceptionally(
                         new IllegalArgumentException(
--- a/src/main/java/dillfront/controlplane/storage/StateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/StateStore.java
@@ -10,7 +10,7 @@
      * Maximum length of a key or value, in characters. A store may keep the length in two bytes,
      * and UTF-8 takes up to three bytes per character.
      */
-    int MAX_TEXT_LENGTH = 0xffff / 3;
+    int MAX_LENGTH_CHARS = 0xffff / 3;
 
     /** Returns the entries that were on disk at the start. */
     Map<String, String> initialState();
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -22,10 +22,10 @@
      *
      * @param reverseDelta the delta from its successor to it
      */
-    private record Step(long revision, long digest, byte[] reverseDelta) {}
+    private record PreviousConfiguration(long revision, long digest, byte[] reverseDelta) {}
 
     /** The newest previous configuration first. */
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
+    private final ArrayDeque<PreviousConfiguration> steps = new ArrayDeque<>();
 
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
@@ -46,7 +46,8 @@
         }
         if (newest != Configuration.NONE) {
             byte[] reverseDelta = BinaryDelta.create(decided.body(), newest.body());
-            steps.addFirst(new Step(newest.revision(), newest.digest(), reverseDelta));
+            steps.addFirst(
+                    new PreviousConfiguration(newest.revision(), newest.digest(), reverseDelta));
             deltaBytes += reverseDelta.length;
             while (steps.size() > MAX_STEPS || deltaBytes > MAX_DELTA_BYTES) {
                 deltaBytes -= steps.removeLast().reverseDelta().length;
@@ -78,7 +79,7 @@
         if (revision >= newest.revision()) {
             return null;
         }
-        Step step = newestStepUpTo(revision);
+        PreviousConfiguration step = newestStepUpTo(revision);
         if (step == null || step.revision() != revision || step.digest() != digest) {
             return null;
         }
@@ -86,8 +87,8 @@
         return delta.length == 0 ? null : delta;
     }
 
-    private Step newestStepUpTo(long revision) {
-        for (Step step : steps) {
+    private PreviousConfiguration newestStepUpTo(long revision) {
+        for (PreviousConfiguration step : steps) {
             if (step.revision() <= revision) {
                 return step;
             }
@@ -98,7 +99,7 @@
     private byte[] buildDelta(long revision) {
         byte[] body = newest.body();
         try {
-            for (Step step : steps) {
+            for (PreviousConfiguration step : steps) {
                 body = BinaryDelta.apply(body, step.reverseDelta());
                 if (step.revision() == revision) {
                     break;
--- a/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
+++ b/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
@@ -39,7 +39,7 @@
          * Returns for how long, in milliseconds, no server other than the recorded primary can be
          * the primary.
          */
-        long certainMillis();
+        long primaryCertaintyMillis();
 
         /** Returns the number of data planes that share the connection limits. */
         int dataPlaneCount();
@@ -220,10 +220,10 @@
                         ? null
                         : new SuspectsUpdate(
                                 state.suspects().version(), state.suspects().services());
-        long certain = source.certainMillis();
+        long certain = source.primaryCertaintyMillis();
         if (certain > 0) {
             // The data plane counts the time from its request, which was sent before now.
-            subscription.certainUntil(state.nowMillis() + certain);
+            subscription.extendCertainty(state.nowMillis() + certain);
         }
         List<ControlAddress> addresses = source.controlAddresses();
         return new SubscriptionResponse(
@@ -235,7 +235,7 @@
                 suspects,
                 source.dataPlaneCount(),
                 Math.max(0, certain),
-                subscription.addressesChanged(addresses) ? addresses : null);
+                subscription.updateSentAddresses(addresses) ? addresses : null);
     }
 
     /** Returns null if the data plane has the current server table. */
@@ -274,7 +274,7 @@
     public boolean allHaveRecord(long recordNumber) {
         long now = state.nowMillis();
         for (Subscription subscription : subscriptions.values()) {
-            if (subscription.mayContradict(recordNumber, now)) {
+            if (subscription.mayRelyOnOlderRecord(recordNumber, now)) {
                 return false;
             }
         }
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -23,7 +23,7 @@
     private long configurationDigest;
 
     /** The addresses that were sent on this connection. */
-    private List<ControlAddress> addressesSent = List.of();
+    private List<ControlAddress> sentAddresses = List.of();
 
     /**
      * Until when the data plane may rely on its records: no server other than the recorded primary
@@ -37,7 +37,7 @@
     void onRequest(SubscriptionRequest next, Environment.Connection from, long nowMillis) {
         if (connection != from) {
             connection = from;
-            addressesSent = List.of();
+            sentAddresses = List.of();
         }
         request = next;
         lastRequestMillis = nowMillis;
@@ -76,19 +76,19 @@
     }
 
     /** Records the addresses as sent, and returns whether they differ from the previous ones. */
-    boolean addressesChanged(List<ControlAddress> addresses) {
-        boolean changed = !addresses.equals(addressesSent);
-        addressesSent = addresses;
+    boolean updateSentAddresses(List<ControlAddress> addresses) {
+        boolean changed = !addresses.equals(sentAddresses);
+        sentAddresses = addresses;
         return changed;
     }
 
     /** Extends the time until which the data plane may rely on its records. */
-    void certainUntil(long millis) {
+    void extendCertainty(long millis) {
         certainUntilMillis = Math.max(certainUntilMillis, millis);
     }
 
     /** Returns whether the data plane may still rely on an older record than this one. */
-    boolean mayContradict(long recordNumber, long nowMillis) {
+    boolean mayRelyOnOlderRecord(long recordNumber, long nowMillis) {
         return certainUntilMillis > nowMillis && request.recordNumber() < recordNumber;
     }
 
--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -329,9 +329,9 @@
 
     /** The last request was answered: another, of this source or a better one. */
     private void goOn(SubscriptionResponse response) {
-        if (response.certainMillis() > 0) {
+        if (response.primaryCertaintyMillis() > 0) {
             certainUntilMillis =
-                    Math.max(certainUntilMillis, requestMillis + response.certainMillis());
+                    Math.max(certainUntilMillis, requestMillis + response.primaryCertaintyMillis());
         }
         if (response.isolated()) {
             // It has lost the others: it may know less than they do.
--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -107,7 +107,7 @@
         this.shelf = shelf;
         this.log = log;
         this.loop = loop;
-        shelf.texts()
+        shelf.strings()
                 .forEach(
                         (name, text) -> {
                             String id = name.substring(1);
@@ -147,11 +147,11 @@
         } catch (IOException | CompactingLog.LockedException bad) {
             throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
         }
-        if (shelf.fault() != null) {
+        if (shelf.damage() != null) {
             log.warn(
-                    shelf.isMovedAside() ? "memory-broken" : "memory-tail-cut",
+                    shelf.isQuarantined() ? "memory-broken" : "memory-tail-cut",
                     "fault",
-                    shelf.fault());
+                    shelf.damage());
         }
         Memory memory = new Memory(folder, shelf, log, loop);
         log.info(
--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -1281,7 +1281,7 @@
         /** The change that made this row what it is; -1 where there is none. */
         private long changeNumberOf(String server) {
             DatabaseServer row = table.get(server);
-            return row == null ? -1 : row.changeNumber();
+            return row == null ? -1 : row.lastChangeVersion();
         }
 
         /** Empty where there is no such row. */
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -199,15 +199,15 @@
         host.until(5_000);
         long now = host.nowMillis();
         holderSays(core, other, 1, now - 300, 1_000);
-        assertEquals(1_000 + 600 - 300, core.certainMillis());
+        assertEquals(1_000 + 600 - 300, core.primaryCertaintyMillis());
         host.until(now + 200);
-        assertEquals(1_000 + 600 - 500, core.certainMillis());
+        assertEquals(1_000 + 600 - 500, core.primaryCertaintyMillis());
         // Over for more than that, or from one that says nothing of its lease: nothing is sure that
         // was not before.
         holderSays(core, other, 2, now, -700);
-        assertEquals(1_000 + 600 - 500, core.certainMillis());
+        assertEquals(1_000 + 600 - 500, core.primaryCertaintyMillis());
         holderSays(core, other, 3, now, 1 << 20);
-        assertEquals(3_000 - 200, core.certainMillis());
+        assertEquals(3_000 - 200, core.primaryCertaintyMillis());
     }
 
     private static void holderSays(
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.environment.ManualEnvironment;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.consensus.RegisterValue;
 import dillfront.controlplane.registry.DatabaseServer;
 import dillfront.controlplane.storage.StateStore;
@@ -36,10 +36,10 @@
         return Files.copy(STORED.resolve(disk).resolve("memory.log"), copy.resolve("memory.log"));
     }
 
-    private static Map<String, String> open(Path log) throws TextStore.StorageException {
-        TextStore keep = TextStore.open(log.getParent(), "control-plane");
+    private static Map<String, String> open(Path log) throws KeyValueStore.StorageException {
+        KeyValueStore keep = KeyValueStore.open(log.getParent(), "control-plane");
         assertFalse(keep.isDamaged());
-        return keep.texts();
+        return keep.entries();
     }
 
     private static ControlNode start(Map<String, String> texts) throws Exception {
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -174,10 +174,10 @@
         Hand disk = new Hand();
         RetryingStateStore store = new RetryingStateStore(host, disk);
         assertTrue(
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH + 1)))
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS + 1)))
                         .isCompletedExceptionally());
         CompletableFuture<Void> fits =
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH)));
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS)));
         host.until(10);
         assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
         disk.hangs = true;
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -6,8 +6,8 @@
 
 import dillfront.common.logging.Log;
 import dillfront.common.storage.CompactingLog;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.common.storage.StorageFolder;
-import dillfront.common.storage.TextStore;
 import dillfront.router.operator.Operator;
 import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
@@ -153,7 +153,7 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
+        public void syncDirectory() throws IOException {
             if (works()) {
                 former.clear();
             }
@@ -235,7 +235,7 @@
     }
 
     private static String state(CompactingLog shelf) {
-        return new TreeMap<>(shelf.texts()) + " " + new TreeMap<>(shelf.numbers());
+        return new TreeMap<>(shelf.strings()) + " " + new TreeMap<>(shelf.numbers());
     }
 
     /**
@@ -273,9 +273,9 @@
                                                         state(again),
                                                         state(CompactingLog.open(next, "m", "r1")));
                                                 assertTrue(
-                                                        again.fault() == null
-                                                                || !again.isMovedAside(),
-                                                        again.fault());
+                                                        again.damage() == null
+                                                                || !again.isQuarantined(),
+                                                        again.damage());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
                                                         "at look " + looked[0], bad);
@@ -376,8 +376,8 @@
                                                     + " of "
                                                     + may.size());
                                     assertTrue(
-                                            !again.isMovedAside(),
-                                            "call " + now + " " + done + ": " + again.fault());
+                                            !again.isQuarantined(),
+                                            "call " + now + " " + done + ": " + again.damage());
                                 } catch (CompactingLog.UnusableLogException bad) {
                                     throw new AssertionError("call " + now, bad);
                                 }
@@ -425,7 +425,7 @@
     @Test
     void ofADamagedFileNothingIsReliedOn() throws Exception {
         Lossy disk = new Lossy(Map.of());
-        TextStore keep = TextStore.openOn(disk, "m", "r1");
+        KeyValueStore keep = KeyValueStore.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
             keep.put(Map.of("s-" + i, "promised " + i));
         }
@@ -442,39 +442,39 @@
                                     .forEach(
                                             files -> {
                                                 try {
-                                                    TextStore again =
-                                                            TextStore.openOn(
+                                                    KeyValueStore again =
+                                                            KeyValueStore.open(
                                                                     new Lossy(files), "m", "r1");
-                                                    assertEquals(Map.of(), again.texts());
-                                                } catch (TextStore.StorageException broken) {
+                                                    assertEquals(Map.of(), again.entries());
+                                                } catch (KeyValueStore.StorageException broken) {
                                                     throw new AssertionError(broken);
                                                 }
                                             });
-            TextStore found = TextStore.openOn(next, "m", "r1");
+            KeyValueStore found = KeyValueStore.open(next, "m", "r1");
             assertTrue(found.isDamaged(), "at " + at);
-            assertEquals(Map.of(), found.texts());
+            assertEquals(Map.of(), found.entries());
             next.each = () -> {};
             found.put(Map.of("id", "another"));
-            TextStore later = TextStore.openOn(new Lossy(next.files), "m", "r1");
+            KeyValueStore later = KeyValueStore.open(new Lossy(next.files), "m", "r1");
             assertTrue(!later.isDamaged());
-            assertEquals(Map.of("id", "another"), later.texts());
+            assertEquals(Map.of("id", "another"), later.entries());
             damaged++;
         }
         assertTrue(damaged > 100, damaged + " places");
         // A first record that is torn or spoilt: it was synced before the file had its name, so it
         // is no torn tail either.
         Lossy fresh = new Lossy(Map.of());
-        TextStore.openOn(fresh, "m", "r1");
+        KeyValueStore.open(fresh, "m", "r1");
         byte[] first = fresh.files.get(CompactingLog.FILE);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, bad)), "m", "r1")
+                    KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE, bad)), "m", "r1")
                             .isDamaged(),
                     "at " + at);
             assertTrue(
-                    TextStore.openOn(
+                    KeyValueStore.open(
                                     new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
                                     "m",
                                     "r1")
@@ -482,12 +482,12 @@
                     "cut at " + at);
         }
         // A file of its head alone: its first record was synced with it, so it is not a torn tail.
-        TextStore head =
-                TextStore.openOn(
+        KeyValueStore head =
+                KeyValueStore.open(
                         new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))), "m", "r1");
         assertTrue(head.isDamaged());
-        TextStore none =
-                TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
+        KeyValueStore none =
+                KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
         assertTrue(none.isDamaged());
     }
 
@@ -495,7 +495,7 @@
     @Test
     void aTextThatIsTooLongIsRefused() throws Exception {
         Lossy disk = new Lossy(Map.of());
-        TextStore keep = TextStore.openOn(disk, "m", "r1");
+        KeyValueStore keep = KeyValueStore.open(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
         keep.put(Map.of("a", longest));
         assertThrows(
@@ -505,7 +505,7 @@
         keep.put(Map.of("c", "2"));
         assertEquals(
                 Map.of("a", longest, "c", "2"),
-                TextStore.openOn(new Lossy(disk.files), "m", "r1").texts());
+                KeyValueStore.open(new Lossy(disk.files), "m", "r1").entries());
     }
 
     /**
@@ -527,11 +527,11 @@
             Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
-                assertTrue(found.fault() != null, "at " + at + " nothing was found");
-                assertTrue(found.texts().size() < 8, "at " + at);
+                assertTrue(found.damage() != null, "at " + at + " nothing was found");
+                assertTrue(found.strings().size() < 8, "at " + at);
                 assertEquals(
-                        found.isMovedAside(), next.files.containsKey("memory.broken"), "at " + at);
-                last = found.isMovedAside() ? last : Math.min(last, at);
+                        found.isQuarantined(), next.files.containsKey("memory.broken"), "at " + at);
+                last = found.isQuarantined() ? last : Math.min(last, at);
             } catch (CompactingLog.UnusableLogException format) {
                 assertTrue(
                         format.getMessage().startsWith("m/memory.log is of format"),
@@ -547,7 +547,7 @@
                             new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
                             "m",
                             "r1");
-            assertTrue(found.texts().size() < 8, "cut at " + cut);
+            assertTrue(found.strings().size() < 8, "cut at " + cut);
         }
     }
 
