--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -50,15 +50,15 @@
 public final class ControlNode {
 
     /** Interval at which the full state is sent to every peer. */
-    private static final long TICK_MS = 400;
+    private static final long TICK_INTERVAL_MS = 400;
 
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
     /** A poll that is later than this shows that the process was paused. */
-    private static final long PAUSED_AFTER_MS = 300;
+    private static final long PAUSE_THRESHOLD_MS = 300;
 
     /** Updates that are requested within this time are sent together. */
-    private static final long COALESCE_MS = 20;
+    private static final long COALESCING_DELAY_MS = 20;
 
     /** A connection on which no message was acknowledged for this long is closed. */
     private static final long CONNECTION_TIMEOUT_MS = 1_500;
@@ -67,7 +67,7 @@
      * A server that announced its shutdown and sent nothing for this long has stopped, even if its
      * drain ran over the announced time.
      */
-    private static final long SERVER_ENDED_MS = 30_000;
+    private static final long LEAVING_TIMEOUT_MS = 30_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -88,10 +88,10 @@
     private final GracefulShutdown shutdown;
     private long startedMillis;
     private long polledMillis;
-    private boolean wasIsolated;
+    private boolean loggedIsolation;
 
     /** Whether the data planes were last notified that this process has contact with a majority. */
-    private boolean publishedContact;
+    private boolean publishedQuorumContact;
 
     /** Gives the register and the lease manager access to the state of this process. */
     private final class Context implements LeaseManager.Context {
@@ -229,8 +229,8 @@
                         new AcknowledgedCommitsTable(),
                         new SuspectedPrimaries(this::onSuspectsChanged),
                         new ClusterView(environment, register, peers, identity::id),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::sendToPeers),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::publish));
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::sendToPeers),
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::publish));
         dataPlaneCount = new DataPlaneCount(store);
         certainty = new PrimaryCertainty(lease, this::isLeaseHolder);
         subscriptions = new DataPlaneSubscriptions(state, new SubscriptionSource());
@@ -316,14 +316,14 @@
     /**
      * Shuts down gracefully; other calls are served meanwhile.
      *
-     * @param onEnd runs once the process may exit
+     * @param onComplete runs once the process may exit
      */
-    public void shutDown(Runnable onEnd) {
-        shutdown.begin(onEnd);
+    public void shutDown(Runnable onComplete) {
+        shutdown.start(onComplete);
     }
 
     private void tick() {
-        environment.schedule(TICK_MS, this::tick);
+        environment.schedule(TICK_INTERVAL_MS, this::tick);
         int dataPlanes = subscriptions.activeCount();
         for (PeerState peer : peers.all()) {
             maintainConnection(peer);
@@ -334,7 +334,7 @@
         dataPlaneCount.observe(dataPlanes, environment.nowMillis());
         sendToPeers();
         state.register().retainPeers(id -> state.cluster().peer(id) != null);
-        if (state.registry().expireLeaving(environment.nowMillis(), SERVER_ENDED_MS)) {
+        if (state.registry().expireLeaving(environment.nowMillis(), LEAVING_TIMEOUT_MS)) {
             state.dataPlaneUpdates().request();
         }
     }
@@ -353,14 +353,14 @@
     }
 
     private void poll() {
-        environment.schedule(POLL_MS, this::poll);
-        if (environment.nowMillis() - polledMillis > PAUSED_AFTER_MS) {
+        environment.schedule(POLL_INTERVAL_MS, this::poll);
+        if (environment.nowMillis() - polledMillis > PAUSE_THRESHOLD_MS) {
             failover.onProcessPaused();
             membership.onProcessPaused();
         }
         polledMillis = environment.nowMillis();
-        publishContact();
-        logContact();
+        publishQuorumContact();
+        logQuorumContact();
         state.lease().poll();
         failover.poll();
         state.register().poll();
@@ -373,18 +373,18 @@
     /**
      * Notifies the waiting data planes at once when contact with a majority is lost or restored.
      */
-    private void publishContact() {
-        if (state.cluster().isIsolated() == publishedContact) {
-            publishedContact = !publishedContact;
+    private void publishQuorumContact() {
+        if (state.cluster().isIsolated() == publishedQuorumContact) {
+            publishedQuorumContact = !publishedQuorumContact;
             subscriptions.publish();
         }
     }
 
-    private void logContact() {
+    private void logQuorumContact() {
         boolean isolated = state.cluster().isIsolated();
-        if (isolated != wasIsolated
+        if (isolated != loggedIsolation
                 && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_MS) {
-            wasIsolated = isolated;
+            loggedIsolation = isolated;
             environment.warn(isolated ? "quorum-contact lost" : "quorum-contact restored");
         }
     }
@@ -420,14 +420,14 @@
      */
     private List<ControlAddress> controlAddresses() {
         List<ControlAddress> inContact = new ArrayList<>();
-        List<ControlAddress> silent = new ArrayList<>();
+        List<ControlAddress> unreachable = new ArrayList<>();
         inContact.add(new ControlAddress(settings.ipAddress(), settings.zoneName(), false));
         for (PeerState peer : peers.all()) {
-            boolean heard = state.cluster().isInContact(peer);
-            (heard ? inContact : silent)
-                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !heard));
+            boolean reachable = state.cluster().isInContact(peer);
+            (reachable ? inContact : unreachable)
+                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !reachable));
         }
-        inContact.addAll(silent);
+        inContact.addAll(unreachable);
         return inContact;
     }
 
@@ -450,8 +450,8 @@
             public void onMessage(byte[] message) {
                 try {
                     receive(connection, MessageCodec.decode(message));
-                } catch (MalformedMessageException bad) {
-                    environment.warn("malformed-message fault=" + bad.getMessage());
+                } catch (MalformedMessageException exception) {
+                    environment.warn("malformed-message fault=" + exception.getMessage());
                     connection.close();
                 }
             }
@@ -482,7 +482,7 @@
             state.requestUpdates();
             acknowledgements.persist();
         }
-        publishContact();
+        publishQuorumContact();
         state.register().poll();
         failover.poll();
         acknowledgements.poll();
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -133,12 +133,12 @@
                         decided.members(),
                         candidates(decided),
                         state.settings().toleratedMachineLosses());
-        boolean changes = !next.equals(decided.members());
-        if (changes && !next.equals(proposedMembers)) {
+        boolean isChange = !next.equals(decided.members());
+        if (isChange && !next.equals(proposedMembers)) {
             state.environment().warn("members-change from=" + decided.members() + " to=" + next);
         }
         proposedMembers = next;
-        if (changes) {
+        if (isChange) {
             state.register().proposeMembers(decided.epoch(), next);
         }
     }
@@ -159,7 +159,8 @@
         }
         for (String member : decided.members()) {
             if (state.cluster().peer(member) == null && !member.equals(identity.id())) {
-                candidates.add(new Candidate(member, "", unknownMillis(member), false, false));
+                candidates.add(
+                        new Candidate(member, "", unknownMemberSilentMillis(member), false, false));
             }
         }
         return candidates;
@@ -174,7 +175,7 @@
      * Returns the silence of a member that is not in the peer table, or whose address another
      * process has taken over.
      */
-    private long unknownMillis(String member) {
+    private long unknownMemberSilentMillis(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
         return isReplaced ? MembershipPolicy.REPLACED : silentMillis(LeaseManager.NEVER);
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -118,7 +118,7 @@
                 header,
                 peer.id().isEmpty() ? null : state.register().messageTo(peer.id()),
                 state.lease().message(),
-                changedAddresses(peer),
+                updatedAddresses(peer),
                 registryReplication.messageTo(peer.registryProgress()),
                 forwarded,
                 state.records().messageTo(peer.recordNumber()),
@@ -134,7 +134,7 @@
      * Returns the addresses of the peers in contact; null if they are the same as in the previous
      * message to this peer.
      */
-    private List<String> changedAddresses(PeerState peer) {
+    private List<String> updatedAddresses(PeerState peer) {
         List<String> addresses = new ArrayList<>();
         for (PeerState other : peers.all()) {
             if (state.cluster().isInContact(other)) {
@@ -145,20 +145,22 @@
     }
 
     private DataPlaneReport dataPlaneReport() {
-        Map<String, Long> cleared = new LinkedHashMap<>();
+        Map<String, Long> acknowledgedMoves = new LinkedHashMap<>();
         List<ServiceObservation> observations = new ArrayList<>();
         for (PrimaryRecord record : state.records().all()) {
             if (record.moving() && subscriptions.allHaveRecord(record.number())) {
-                cleared.put(record.service(), record.number());
+                acknowledgedMoves.put(record.service(), record.number());
             }
-            PrimaryObservation seen = subscriptions.observation(record.service(), record.primary());
-            if (seen.unreachable() > 0 || record.moving()) {
+            PrimaryObservation observation =
+                    subscriptions.observation(record.service(), record.primary());
+            if (observation.unreachable() > 0 || record.moving()) {
                 AcknowledgedCommits acknowledged =
                         state.acknowledgedCommits().get(record.service());
-                observations.add(new ServiceObservation(record.service(), seen, acknowledged));
+                observations.add(
+                        new ServiceObservation(record.service(), observation, acknowledged));
             }
         }
-        return new DataPlaneReport(cleared, observations, subscriptions.activeCount());
+        return new DataPlaneReport(acknowledgedMoves, observations, subscriptions.activeCount());
     }
 
     // ---- receiving
@@ -191,12 +193,13 @@
             // The peer is up. Connecting at the next tick would delay its first acknowledgement.
             peer.link().connect();
         }
-        boolean answersThis = header.echoIncarnation().equals(identity.incarnation());
-        peer.onHeader(header, answersThis);
+        boolean acknowledgesThisIncarnation =
+                header.echoIncarnation().equals(identity.incarnation());
+        peer.onHeader(header, acknowledgesThisIncarnation);
         boolean changed =
                 registryReplication.receive(
-                        message.registry(), peer.registryProgress(), answersThis);
-        message.heartbeats().forEach(this::takeHeartbeat);
+                        message.registry(), peer.registryProgress(), acknowledgesThisIncarnation);
+        message.heartbeats().forEach(this::applyHeartbeat);
         peer.onMembership(header);
         if (message.addresses() != null) {
             message.addresses().forEach(peers::discover);
@@ -207,8 +210,8 @@
         if (state.records().receive(message.records())) {
             state.requestUpdates();
         }
-        receiveDataPlanes(peer, message.dataPlanes());
-        receiveHolder(peer, message, answersThis);
+        receiveDataPlaneReport(peer, message.dataPlanes());
+        receiveHolderStatus(peer, message, acknowledgesThisIncarnation);
         return changed ? ReceiveResult.REGISTRY_CHANGED : ReceiveResult.APPLIED;
     }
 
@@ -224,7 +227,7 @@
         state.peerUpdates().request();
     }
 
-    private void takeHeartbeat(ForwardedHeartbeat heartbeat) {
+    private void applyHeartbeat(ForwardedHeartbeat heartbeat) {
         DatabaseServer server = state.registry().get(heartbeat.serverId());
         if (server != null) {
             server.onForwardedHeartbeat(
@@ -238,37 +241,39 @@
         }
         try {
             state.register().receive(peer.id(), message.register());
-        } catch (Configuration.InvalidConfigurationException bad) {
+        } catch (Configuration.InvalidConfigurationException exception) {
             state.environment()
                     .warn(
                             "configuration-not-understood from="
                                     + peer.ip()
                                     + " fault="
-                                    + bad.getMessage());
+                                    + exception.getMessage());
         }
     }
 
-    private void receiveDataPlanes(PeerState peer, DataPlaneReport report) {
+    private void receiveDataPlaneReport(PeerState peer, DataPlaneReport report) {
         peer.onDataPlaneReport(report);
-        for (ServiceObservation one : report.observations()) {
-            state.acknowledgedCommits().merge(one.service(), one.acknowledged());
+        for (ServiceObservation observation : report.observations()) {
+            state.acknowledgedCommits().merge(observation.service(), observation.acknowledged());
         }
     }
 
-    private void receiveHolder(PeerState peer, PeerMessage message, boolean answersThis) {
+    private void receiveHolderStatus(
+            PeerState peer, PeerMessage message, boolean acknowledgesThisIncarnation) {
         LeaseHolderStatus holder = message.holder();
         LeaseManager lease = state.lease();
         if (holder != null) {
             state.suspects().replace(holder.suspects());
         }
         long promised = message.lease().promisedNumber();
-        dataLoss.receive(message.dataLoss(), holder != null && answersThis, promised);
+        dataLoss.receive(
+                message.dataLoss(), holder != null && acknowledgesThisIncarnation, promised);
         lease.onRequest(peer.lease(), message.lease().requestedNumber(), peer.clockMillis());
         lease.onRelease(
                 peer.lease(),
                 message.lease().abandonedNumber(),
                 message.lease().abandonedWasHeld());
-        if (holder != null && answersThis && promised >= lease.promisedNumber()) {
+        if (holder != null && acknowledgesThisIncarnation && promised >= lease.promisedNumber()) {
             certainty.onHolderMessage(
                     message.header().echoClockMillis(), holder.leaseRemainingMillis());
         }
--- a/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
+++ b/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
@@ -17,7 +17,7 @@
     private final ControlState state;
     private final PeerTable peers;
     private final RegistryReplication replication;
-    private final List<PendingAcknowledgement> waiters = new ArrayList<>();
+    private final List<PendingAcknowledgement> pending = new ArrayList<>();
 
     RegistryAcknowledgements(ControlState state, PeerTable peers, RegistryReplication replication) {
         this.state = state;
@@ -31,7 +31,7 @@
      */
     CompletableFuture<Void> await(long version) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        waiters.add(new PendingAcknowledgement(version, done));
+        pending.add(new PendingAcknowledgement(version, done));
         persist();
         state.peerUpdates().request();
         poll();
@@ -50,21 +50,22 @@
 
     /** Completes the waiting calls whose version a majority has stored. */
     void poll() {
-        if (waiters.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
         ClusterView cluster = state.cluster();
-        long agreed =
+        long majorityVersion =
                 cluster.quorumReached(
                         replication.durableVersion(),
                         peer ->
                                 replication.acknowledgedVersionOf(
                                         peer.registryProgress(), peer.epoch(), cluster.epoch()));
         List<PendingAcknowledgement> completed = new ArrayList<>();
-        waiters.removeIf(
-                waiter ->
-                        waiter.done().isDone()
-                                || waiter.version() <= agreed && completed.add(waiter));
-        completed.forEach(waiter -> waiter.done().complete(null));
+        pending.removeIf(
+                acknowledgement ->
+                        acknowledgement.done().isDone()
+                                || acknowledgement.version() <= majorityVersion
+                                        && completed.add(acknowledgement));
+        completed.forEach(acknowledgement -> acknowledgement.done().complete(null));
     }
 }
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -24,9 +24,9 @@
     private static final long TIMEOUT_MS = 900;
 
     /** Maximum age of an acknowledgement by a majority: two ticks and a round trip. */
-    private static final long RECENT_MS = 850;
+    private static final long MAX_CONTACT_AGE_MS = 850;
 
-    private static final long POLL_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final ControlState state;
     private final PeerTable peers;
@@ -59,8 +59,8 @@
         Configuration configuration;
         try {
             configuration = Configuration.parse(body);
-        } catch (Configuration.InvalidConfigurationException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+        } catch (Configuration.InvalidConfigurationException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (cannotCommit()) {
             return Responses.completed(redirect(path));
@@ -71,10 +71,10 @@
         CompletableFuture<RegisterValue.Outcome> result =
                 proposal.thenCompose(
                         outcome ->
-                                awaitContact(state.nowMillis() - RECENT_MS)
+                                awaitContact(state.nowMillis() - MAX_CONTACT_AGE_MS)
                                         .thenApply(done -> outcome));
         // After the response to its caller, a proposal is dropped unless it is already in progress.
-        result.whenComplete((outcome, fault) -> proposal.cancel(false));
+        result.whenComplete((outcome, failure) -> proposal.cancel(false));
         return Responses.within(
                 state.environment(),
                 TIMEOUT_MS,
@@ -124,15 +124,16 @@
             return;
         }
         Configuration configuration =
-                read.poll(state.register(), id -> hasAnswered(id, sinceMillis));
+                read.poll(state.register(), id -> hasAcknowledged(id, sinceMillis));
         if (configuration != null) {
             result.complete(configuration);
         } else {
-            state.environment().schedule(POLL_MS, () -> pollRead(sinceMillis, read, result));
+            state.environment()
+                    .schedule(POLL_INTERVAL_MS, () -> pollRead(sinceMillis, read, result));
         }
     }
 
-    private boolean hasAnswered(String id, long sinceMillis) {
+    private boolean hasAcknowledged(String id, long sinceMillis) {
         if (id.equals(state.cluster().selfId())) {
             return true;
         }
@@ -156,7 +157,7 @@
         } else if (state.cluster().isIsolated()) {
             done.completeExceptionally(new IllegalStateException(Responses.ISOLATED));
         } else {
-            state.environment().schedule(POLL_MS, () -> pollContact(sinceMillis, done));
+            state.environment().schedule(POLL_INTERVAL_MS, () -> pollContact(sinceMillis, done));
         }
     }
 
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -40,11 +40,11 @@
     }
 
     CompletableFuture<HttpResponse> accept(byte[] body) {
-        MissingCommits shown;
+        MissingCommits missing;
         try {
-            shown = parse(RequestFields.parse(body));
-        } catch (InvalidRequestException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+            missing = parse(RequestFields.parse(body));
+        } catch (InvalidRequestException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (state.cluster().isIsolated() || isLeaving.getAsBoolean()) {
             return Responses.completedError(Responses.UNAVAILABLE, Responses.ISOLATED);
@@ -52,8 +52,8 @@
         return Responses.within(
                 state.environment(),
                 DataLossManager.ACCEPTANCE_MS,
-                dataLoss.accept(shown),
-                acceptance -> response(shown.service(), acceptance));
+                dataLoss.accept(missing),
+                acceptance -> response(missing.service(), acceptance));
     }
 
     private static MissingCommits parse(RequestFields fields) throws InvalidRequestException {
@@ -64,10 +64,10 @@
             throw new InvalidRequestException(
                     "log_position, least_acknowledged, most_acknowledged: expected TERM.NUMBER");
         }
-        List<String> unreachable = fields.texts("out_of_reach");
+        List<String> unreachable = fields.strings("out_of_reach");
         return new MissingCommits(
-                fields.text("service"),
-                fields.numberInText("move"),
+                fields.string("service"),
+                fields.numberFromString("move"),
                 logEnd,
                 new AcknowledgedCommits(lowerBound, upperBound),
                 unreachable,
@@ -123,7 +123,7 @@
      */
     JsonArray missing() {
         JsonArray all = Json.array().asArray();
-        dataLoss.missing().orElse(List.of()).forEach(one -> all.add(toJson(one)));
+        dataLoss.missing().orElse(List.of()).forEach(missing -> all.add(toJson(missing)));
         return all;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -60,8 +60,8 @@
         ServerRow row;
         try {
             row = parse(id, body);
-        } catch (InvalidRequestException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+        } catch (InvalidRequestException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (isUnavailable()) {
             // Servers are not redirected: they try the next control process themselves at once, and
@@ -91,7 +91,7 @@
             listener.onRegistryChanged();
         }
         return server.isDraining()
-                ? acknowledgeOnMajority(server)
+                ? acknowledgeAfterMajority(server)
                 : Responses.completed(Responses.acknowledged());
     }
 
@@ -99,11 +99,11 @@
         RequestFields fields = RequestFields.parse(body);
         return new ServerRow(
                 id,
-                fields.text("service"),
-                fields.text("address"),
-                fields.text("zone_name"),
-                ServerState.parse(fields.text("state")),
-                fields.text("database_role"),
+                fields.string("service"),
+                fields.string("address"),
+                fields.string("zone_name"),
+                ServerState.parse(fields.string("state")),
+                fields.string("database_role"),
                 fields.number("call_sequence", 0));
     }
 
@@ -116,23 +116,23 @@
         }
         // An unknown server is recorded too: other processes may know it, and all of them have to
         // learn of the leave call.
-        long before = state.registry().version();
+        long previousVersion = state.registry().version();
         DatabaseServer server = state.registry().markLeaving(id);
-        if (state.registry().version() > before) {
+        if (state.registry().version() > previousVersion) {
             listener.onRegistryChanged();
         }
-        return acknowledgeOnMajority(server);
+        return acknowledgeAfterMajority(server);
     }
 
     private boolean isUnavailable() {
         return state.cluster().isIsolated() || isLeaving.getAsBoolean();
     }
 
-    private CompletableFuture<HttpResponse> acknowledgeOnMajority(DatabaseServer server) {
+    private CompletableFuture<HttpResponse> acknowledgeAfterMajority(DatabaseServer server) {
         return Responses.within(
                 state.environment(),
                 TIMEOUT_MS,
                 awaitMajority.apply(server.lastChangeVersion()),
-                done -> Responses.acknowledged());
+                ignored -> Responses.acknowledged());
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerLink.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerLink.java
@@ -9,7 +9,7 @@
 public final class PeerLink {
 
     private static final int CONNECT_TIMEOUT_MS = 700;
-    private static final long RECONNECT_MS = 200;
+    private static final long RECONNECT_DELAY_MS = 200;
 
     /**
      * A connection attempt that has been pending for this long was sent to a previous incarnation
@@ -26,7 +26,7 @@
     private long attempts;
     private long connectStartedMillis;
     private long connectedAtMillis;
-    private long connectAtMillis;
+    private long nextConnectMillis;
 
     PeerLink(Environment environment, String address) {
         this.environment = environment;
@@ -62,13 +62,13 @@
      * Returns whether the link is disconnected and the delay before the next attempt has passed.
      */
     public boolean isReconnectDue() {
-        return !connected && environment.nowMillis() >= connectAtMillis;
+        return !connected && environment.nowMillis() >= nextConnectMillis;
     }
 
     /** Starts a connection attempt; events of earlier attempts are ignored from now on. */
     public void connect() {
         long now = environment.nowMillis();
-        connectAtMillis = now + CONNECT_TIMEOUT_MS + RECONNECT_MS;
+        nextConnectMillis = now + CONNECT_TIMEOUT_MS + RECONNECT_DELAY_MS;
         connecting = true;
         connectStartedMillis = now;
         connected = false;
@@ -82,7 +82,7 @@
                             @Override
                             public void onOpen(Environment.Connection opened) {
                                 if (attempt == attempts) {
-                                    opened(opened);
+                                    onOpened(opened);
                                 }
                             }
 
@@ -96,13 +96,14 @@
                                 if (attempt == attempts) {
                                     connected = false;
                                     connecting = false;
-                                    connectAtMillis = environment.nowMillis() + RECONNECT_MS;
+                                    nextConnectMillis =
+                                            environment.nowMillis() + RECONNECT_DELAY_MS;
                                 }
                             }
                         });
     }
 
-    private void opened(Environment.Connection opened) {
+    private void onOpened(Environment.Connection opened) {
         connection = opened;
         connected = true;
         connecting = false;
@@ -120,7 +121,7 @@
     public void disconnect() {
         connection.close();
         connected = false;
-        connectAtMillis = environment.nowMillis() + RECONNECT_MS;
+        nextConnectMillis = environment.nowMillis() + RECONNECT_DELAY_MS;
     }
 
     /** Sends a message. The link must be connected. */
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -43,7 +43,7 @@
     private static final String LEAVING = "lv";
     private static final String ADDRESSES = "pl";
     private static final String HEARTBEATS = "al";
-    private static final String CLEARED_RECORDS = "cl";
+    private static final String ACKNOWLEDGED_MOVES = "cl";
     private static final String OBSERVATIONS = "s";
     private static final String IS_HOLDER = "h";
     private static final String LEASE_REMAINING = "hl";
@@ -86,7 +86,7 @@
         putIfAny(out, HEARTBEATS, heartbeats(message.heartbeats()));
         message.lease().writePromise(out);
         message.records().writeTo(out);
-        putIfAny(out, CLEARED_RECORDS, clearedRecords(message.dataPlanes()));
+        putIfAny(out, ACKNOWLEDGED_MOVES, acknowledgedMoves(message.dataPlanes()));
         putIfAny(out, OBSERVATIONS, observations(message.dataPlanes()));
         if (message.holder() != null) {
             out.put(IS_HOLDER, true);
@@ -118,7 +118,7 @@
         return flat;
     }
 
-    private static List<Object> clearedRecords(DataPlaneReport report) {
+    private static List<Object> acknowledgedMoves(DataPlaneReport report) {
         List<Object> flat = new ArrayList<>();
         report.acknowledgedMoves()
                 .forEach(
@@ -131,23 +131,23 @@
 
     private static List<Object> observations(DataPlaneReport report) {
         List<Object> rows = new ArrayList<>();
-        for (ServiceObservation one : report.observations()) {
-            PrimaryObservation seen = one.observation();
+        for (ServiceObservation service : report.observations()) {
+            PrimaryObservation observation = service.observation();
             rows.add(
                     List.of(
-                            one.service(),
-                            seen.primary(),
-                            seen.reachable(),
-                            seen.unreachable(),
-                            seen.openTransactions(),
-                            one.acknowledged().toString()));
+                            service.service(),
+                            observation.primary(),
+                            observation.reachable(),
+                            observation.unreachable(),
+                            observation.openTransactions(),
+                            service.acknowledged().toString()));
         }
         return rows;
     }
 
     private static List<Object> fields(List<MissingCommits> missing, long nowMillis) {
         List<Object> rows = new ArrayList<>();
-        missing.forEach(one -> rows.add(one.toFields(nowMillis)));
+        missing.forEach(commits -> rows.add(commits.toFields(nowMillis)));
         return rows;
     }
 
@@ -169,7 +169,7 @@
                 decodeHeartbeats(in.strings(HEARTBEATS)),
                 RecordsMessage.fromFields(in),
                 new DataPlaneReport(
-                        decodeClearedRecords(in.strings(CLEARED_RECORDS)),
+                        decodeAcknowledgedMoves(in.strings(ACKNOWLEDGED_MOVES)),
                         decodeObservations(in),
                         (int) in.number(DATA_PLANES, 0)),
                 in.flag(IS_HOLDER)
@@ -207,19 +207,19 @@
         return heartbeats;
     }
 
-    private static Map<String, Long> decodeClearedRecords(List<String> flat)
+    private static Map<String, Long> decodeAcknowledgedMoves(List<String> flat)
             throws MalformedMessageException {
-        Map<String, Long> records = new TreeMap<>();
+        Map<String, Long> moves = new TreeMap<>();
         for (int i = 0; i + 1 < flat.size(); i += 2) {
-            records.put(flat.get(i), number(flat.get(i + 1)));
+            moves.put(flat.get(i), number(flat.get(i + 1)));
         }
-        return records;
+        return moves;
     }
 
     private static long number(String text) throws MalformedMessageException {
         try {
             return Long.parseLong(text);
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException exception) {
             throw new MalformedMessageException("not a number: " + text);
         }
     }
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -155,12 +155,13 @@
     /**
      * Applies the sender's zone and clock, and the acknowledgement in the header.
      *
-     * @param answersThis whether the message acknowledges one of this process's current incarnation
+     * @param acknowledgesThisIncarnation whether the message acknowledges one of this process's
+     *     current incarnation
      */
-    public void onHeader(PeerMessage.Header header, boolean answersThis) {
+    public void onHeader(PeerMessage.Header header, boolean acknowledgesThisIncarnation) {
         zoneName = header.zoneName();
         clockMillis = header.clockMillis();
-        if (answersThis) {
+        if (acknowledgesThisIncarnation) {
             lastAcknowledgedSendMillis =
                     Math.max(lastAcknowledgedSendMillis, header.echoClockMillis());
         }
@@ -185,7 +186,10 @@
         acknowledgedMoves.clear();
         acknowledgedMoves.putAll(report.acknowledgedMoves());
         observations.clear();
-        report.observations().forEach(one -> observations.put(one.service(), one.observation()));
+        report.observations()
+                .forEach(
+                        observation ->
+                                observations.put(observation.service(), observation.observation()));
         dataPlaneCount = report.count();
     }
 
--- a/src/main/java/dillfront/controlplane/peer/PeerTable.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerTable.java
@@ -13,7 +13,7 @@
     private static final int MAX_PEERS = 32;
 
     /** A peer that is not a member can be evicted after this time without contact. */
-    private static final long FORGET_AFTER_MS = 60_000;
+    private static final long EVICTION_AGE_MS = 60_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -50,7 +50,7 @@
             return;
         }
         if (peers.size() >= MAX_PEERS) {
-            peers.values().removeIf(this::isForgettable);
+            peers.values().removeIf(this::isEvictable);
         }
         if (peers.size() < MAX_PEERS) {
             peers.put(ip, create(ip));
@@ -69,9 +69,9 @@
         return peer;
     }
 
-    private boolean isForgettable(PeerState peer) {
+    private boolean isEvictable(PeerState peer) {
         long silentSince = Math.max(peer.lastContactMillis(), startedMillis);
-        return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > FORGET_AFTER_MS;
+        return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > EVICTION_AGE_MS;
     }
 
     /** Returns all peers in the order of their addresses. */
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -9,7 +9,7 @@
  */
 public final class DatabaseServer {
 
-    private static final int STORED_PARTS = 6;
+    private static final int STORED_FIELDS = 6;
     private static final long UNKNOWN = -1;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -174,19 +174,19 @@
      * @return whether anything changed that others must learn
      */
     boolean merge(ServerRow row, boolean acceptsOlderState) {
-        boolean changes = false;
+        boolean changed = false;
         if (row.callSequence() >= callSequence || address == null) {
             callSequence = Math.max(callSequence, row.callSequence());
-            changes = !row.address().equals(address) || !row.role().equals(role);
+            changed = !row.address().equals(address) || !row.role().equals(role);
             address = row.address();
             zoneName = row.zoneName();
             role = row.role();
         }
         if (row.state().isAfter(state) || acceptsOlderState && row.state() != state) {
             state = row.state();
-            changes = true;
+            changed = true;
         }
-        return changes;
+        return changed;
     }
 
     // ---- stored form
@@ -208,16 +208,16 @@
      * @return null if the text has the wrong number of fields
      */
     static DatabaseServer decode(String id, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length != STORED_PARTS) {
+        String[] fields = text.split("\n", -1);
+        if (fields.length != STORED_FIELDS) {
             return null;
         }
-        DatabaseServer server = new DatabaseServer(id, part[0]);
-        server.address = part[1];
-        server.zoneName = part[2];
-        server.state = ServerState.parse(part[3]);
-        server.role = part[4];
-        server.callSequence = Long.parseLong(part[5]);
+        DatabaseServer server = new DatabaseServer(id, fields[0]);
+        server.address = fields[1];
+        server.zoneName = fields[2];
+        server.state = ServerState.parse(fields[3]);
+        server.role = fields[4];
+        server.callSequence = Long.parseLong(fields[5]);
         return server;
     }
 }
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -24,7 +24,7 @@
             new TreeMap<>();
 
     /** Servers by the number of their last change. */
-    private final TreeMap<Long, DatabaseServer> byChange = new TreeMap<>();
+    private final TreeMap<Long, DatabaseServer> serversByChange = new TreeMap<>();
 
     /** Ids of evicted rows that are still on disk. */
     private final TreeSet<String> evicted = new TreeSet<>();
@@ -68,13 +68,13 @@
 
     /** Returns the servers of this service that have not left, in the order of their ids. */
     public List<DatabaseServer> serversOf(String service) {
-        List<DatabaseServer> present = new ArrayList<>();
+        List<DatabaseServer> presentServers = new ArrayList<>();
         for (DatabaseServer server : allOf(service).values()) {
             if (!server.hasLeft()) {
-                present.add(server);
+                presentServers.add(server);
             }
         }
-        return present;
+        return presentServers;
     }
 
     private Map<String, DatabaseServer> allOf(String service) {
@@ -90,7 +90,7 @@
     /** Returns the rows that changed after this version. */
     public List<ServerRow> rowsSince(long since) {
         List<ServerRow> rows = new ArrayList<>();
-        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
+        for (DatabaseServer server : serversByChange.tailMap(since, false).values()) {
             rows.add(server.toRow());
         }
         return rows;
@@ -110,7 +110,7 @@
             server = new DatabaseServer(row.id(), row.service());
             if (placeholder != null) {
                 server.copyShutdownState(placeholder);
-                byChange.remove(placeholder.lastChangeVersion());
+                serversByChange.remove(placeholder.lastChangeVersion());
             }
             add(server);
         }
@@ -190,9 +190,9 @@
     }
 
     private void recordChange(DatabaseServer server) {
-        byChange.remove(server.lastChangeVersion());
+        serversByChange.remove(server.lastChangeVersion());
         server.lastChangeVersion(++version);
-        byChange.put(server.lastChangeVersion(), server);
+        serversByChange.put(server.lastChangeVersion(), server);
         if (server.isLeaving()) {
             leaving.add(server.id());
         } else {
@@ -231,7 +231,7 @@
         servers.remove(oldest.id());
         evicted.add(oldest.id());
         leaving.remove(oldest.id());
-        byChange.remove(oldest.lastChangeVersion());
+        serversByChange.remove(oldest.lastChangeVersion());
         TreeMap<String, DatabaseServer> ofService = serversByService.get(oldest.service());
         if (ofService != null) {
             ofService.remove(oldest.id());
@@ -244,14 +244,14 @@
     // ---- stored form
 
     /** Restores the stored servers at the start of the process. */
-    public void restore(Map<String, String> texts, long nowMillis) {
-        texts.forEach(
-                (name, text) -> {
+    public void restore(Map<String, String> entries, long nowMillis) {
+        entries.forEach(
+                (name, encoded) -> {
                     if (!name.startsWith(STORAGE_PREFIX)) {
                         return;
                     }
                     DatabaseServer server =
-                            DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), text);
+                            DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), encoded);
                     if (server != null) {
                         server.resetContact(nowMillis);
                         add(server);
@@ -264,12 +264,12 @@
      * Returns the stored form of the changes after this version; an evicted row is an empty string.
      */
     Map<String, String> encodeSince(long since) {
-        Map<String, String> texts = new TreeMap<>();
-        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
-            texts.put(STORAGE_PREFIX + server.id(), server.encode());
+        Map<String, String> entries = new TreeMap<>();
+        for (DatabaseServer server : serversByChange.tailMap(since, false).values()) {
+            entries.put(STORAGE_PREFIX + server.id(), server.encode());
         }
-        evicted.forEach(id -> texts.putIfAbsent(STORAGE_PREFIX + id, ""));
+        evicted.forEach(id -> entries.putIfAbsent(STORAGE_PREFIX + id, ""));
         evicted.clear();
-        return texts;
+        return entries;
     }
 }
--- a/src/main/java/dillfront/controlplane/storage/StateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/StateStore.java
@@ -20,7 +20,7 @@
      * event loop once all of them are on disk, in the order of the calls, and fails if they are
      * not.
      */
-    CompletableFuture<Void> put(Map<String, String> texts);
+    CompletableFuture<Void> put(Map<String, String> entries);
 
     /** Returns for how long the oldest pending put has been waiting, in milliseconds. */
     default long stalledMillis() {
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -13,9 +13,9 @@
  */
 final class ConfigurationHistory {
 
-    private static final int MAX_STEPS = 64;
-    private static final int MAX_DELTA_BYTES = 1 << 19;
-    private static final byte[] NONE = new byte[0];
+    private static final int MAX_PREVIOUS_CONFIGURATIONS = 64;
+    private static final int MAX_TOTAL_DELTA_BYTES = 1 << 19;
+    private static final byte[] NO_DELTA = new byte[0];
 
     /**
      * A previous configuration.
@@ -25,7 +25,7 @@
     private record PreviousConfiguration(long revision, long digest, byte[] reverseDelta) {}
 
     /** The newest previous configuration first. */
-    private final ArrayDeque<PreviousConfiguration> steps = new ArrayDeque<>();
+    private final ArrayDeque<PreviousConfiguration> previous = new ArrayDeque<>();
 
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
@@ -34,7 +34,7 @@
     private byte[] compressed;
 
     /**
-     * By revision, the delta to the newest configuration; {@link #NONE} if the compressed
+     * By revision, the delta to the newest configuration; {@link #NO_DELTA} if the compressed
      * configuration is not longer.
      */
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
@@ -46,11 +46,12 @@
         }
         if (newest != Configuration.NONE) {
             byte[] reverseDelta = BinaryDelta.create(decided.body(), newest.body());
-            steps.addFirst(
+            previous.addFirst(
                     new PreviousConfiguration(newest.revision(), newest.digest(), reverseDelta));
             deltaBytes += reverseDelta.length;
-            while (steps.size() > MAX_STEPS || deltaBytes > MAX_DELTA_BYTES) {
-                deltaBytes -= steps.removeLast().reverseDelta().length;
+            while (previous.size() > MAX_PREVIOUS_CONFIGURATIONS
+                    || deltaBytes > MAX_TOTAL_DELTA_BYTES) {
+                deltaBytes -= previous.removeLast().reverseDelta().length;
             }
         }
         newest = decided;
@@ -79,18 +80,20 @@
         if (revision >= newest.revision()) {
             return null;
         }
-        PreviousConfiguration step = newestStepUpTo(revision);
-        if (step == null || step.revision() != revision || step.digest() != digest) {
+        PreviousConfiguration configuration = newestUpTo(revision);
+        if (configuration == null
+                || configuration.revision() != revision
+                || configuration.digest() != digest) {
             return null;
         }
         byte[] delta = deltas.computeIfAbsent(revision, this::buildDelta);
         return delta.length == 0 ? null : delta;
     }
 
-    private PreviousConfiguration newestStepUpTo(long revision) {
-        for (PreviousConfiguration step : steps) {
-            if (step.revision() <= revision) {
-                return step;
+    private PreviousConfiguration newestUpTo(long revision) {
+        for (PreviousConfiguration configuration : previous) {
+            if (configuration.revision() <= revision) {
+                return configuration;
             }
         }
         return null;
@@ -99,9 +102,9 @@
     private byte[] buildDelta(long revision) {
         byte[] body = newest.body();
         try {
-            for (PreviousConfiguration step : steps) {
-                body = BinaryDelta.apply(body, step.reverseDelta());
-                if (step.revision() == revision) {
+            for (PreviousConfiguration configuration : previous) {
+                body = BinaryDelta.apply(body, configuration.reverseDelta());
+                if (configuration.revision() == revision) {
                     break;
                 }
             }
@@ -109,6 +112,6 @@
             throw new IllegalStateException(impossible);
         }
         byte[] delta = BinaryDelta.create(body, newest.body());
-        return delta.length < compressed().length ? delta : NONE;
+        return delta.length < compressed().length ? delta : NO_DELTA;
     }
 }
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -34,16 +34,16 @@
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
 
     /** Records a request that waits for its response. */
-    void onRequest(SubscriptionRequest next, Environment.Connection from, long nowMillis) {
+    void onRequest(SubscriptionRequest newRequest, Environment.Connection from, long nowMillis) {
         if (connection != from) {
             connection = from;
             sentAddresses = List.of();
         }
-        request = next;
+        request = newRequest;
         lastRequestMillis = nowMillis;
         waiting = true;
-        if (next.configurationDigest() != null) {
-            configurationDigest = next.configurationDigest();
+        if (newRequest.configurationDigest() != null) {
+            configurationDigest = newRequest.configurationDigest();
         }
     }
 
@@ -100,8 +100,8 @@
 
     int unreachablePrimaries() {
         int count = 0;
-        for (PrimaryObservation seen : observations.values()) {
-            count += seen.unreachable();
+        for (PrimaryObservation observation : observations.values()) {
+            count += observation.unreachable();
         }
         return count;
     }
