--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -22,15 +22,15 @@
     private Compression() {}
 
     /** Compresses bytes. */
-    public static byte[] compress(byte[] text) {
+    public static byte[] compress(byte[] bytes) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(text);
+            deflater.setInput(bytes);
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 8 + 64);
-            byte[] part = new byte[BUFFER_BYTES];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 8 + 64);
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                out.write(part, 0, deflater.deflate(part));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -51,9 +51,9 @@
             inflater.setInput(deflated);
             ByteArrayOutputStream out =
                     new ByteArrayOutputStream(Math.min(maxBytes, deflated.length * 4 + 64));
-            byte[] part = new byte[BUFFER_BYTES];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(part);
+                int count = inflater.inflate(buffer);
                 if (count == 0 && !inflater.finished()) {
                     throw new CorruptDataException("truncated data");
                 }
@@ -61,14 +61,14 @@
                     throw new CorruptDataException(
                             "decompressed data exceeds " + maxBytes + " bytes");
                 }
-                out.write(part, 0, count);
+                out.write(buffer, 0, count);
             }
             if (inflater.getRemaining() > 0) {
                 throw new CorruptDataException("unexpected data after the end");
             }
             return out.toByteArray();
-        } catch (DataFormatException bad) {
-            throw new CorruptDataException("invalid data: " + bad.getMessage());
+        } catch (DataFormatException exception) {
+            throw new CorruptDataException("invalid data: " + exception.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/dillfront/common/protocol/PrimaryRecord.java
+++ b/src/main/java/dillfront/common/protocol/PrimaryRecord.java
@@ -35,7 +35,7 @@
     private static final String REPLICATION_PAUSED = "h";
     private static final String MOVE_NUMBER = "mv";
     private static final String ACCEPTED_LOSS = "dl";
-    private static final int PARTS_WITHOUT_PAUSE = 3;
+    private static final int MIN_FIELDS = 3;
 
     /** Creates a record without an accepted data loss. */
     public PrimaryRecord(
@@ -48,21 +48,21 @@
     }
 
     /** Returns the same record under a number of the current lease holder. */
-    public PrimaryRecord renumbered(long next) {
+    public PrimaryRecord renumbered(long nextNumber) {
         return new PrimaryRecord(
-                service, next, primary, moving, replicationPaused, moveNumber, acceptedLoss);
+                service, nextNumber, primary, moving, replicationPaused, moveNumber, acceptedLoss);
     }
 
     /** Returns the record that starts a move away from this primary. */
-    public PrimaryRecord startMove(long next) {
+    public PrimaryRecord startMove(long nextNumber) {
         return new PrimaryRecord(
-                service, next, primary, true, replicationPaused, next, acceptedLoss);
+                service, nextNumber, primary, true, replicationPaused, nextNumber, acceptedLoss);
     }
 
     /** Returns the record of the same move with a data loss that an operator accepted. */
-    public PrimaryRecord withAcceptedLoss(long next, AcceptedDataLoss loss) {
+    public PrimaryRecord withAcceptedLoss(long nextNumber, AcceptedDataLoss loss) {
         return new PrimaryRecord(
-                service, next, primary, moving, replicationPaused, moveNumber, loss);
+                service, nextNumber, primary, moving, replicationPaused, moveNumber, loss);
     }
 
     /**
@@ -70,8 +70,8 @@
      * applies.
      */
     public PrimaryRecord finishMove(
-            long next, String newPrimary, boolean paused, AcceptedDataLoss loss) {
-        return new PrimaryRecord(service, next, newPrimary, false, paused, 0, loss);
+            long nextNumber, String newPrimary, boolean paused, AcceptedDataLoss loss) {
+        return new PrimaryRecord(service, nextNumber, newPrimary, false, paused, 0, loss);
     }
 
     /** Returns the fields of the record in a message. */
@@ -130,19 +130,19 @@
      * @throws NumberFormatException if a numeric field is invalid
      */
     public static PrimaryRecord decode(String service, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length < PARTS_WITHOUT_PAUSE) {
+        String[] fields = text.split("\n", -1);
+        if (fields.length < MIN_FIELDS) {
             return null;
         }
-        long number = Long.parseLong(part[0]);
-        boolean moving = Boolean.parseBoolean(part[2]);
+        long number = Long.parseLong(fields[0]);
+        boolean moving = Boolean.parseBoolean(fields[2]);
         return new PrimaryRecord(
                 service,
                 number,
-                part[1],
+                fields[1],
                 moving,
-                part.length == PARTS_WITHOUT_PAUSE || Boolean.parseBoolean(part[3]),
-                part.length > 4 ? Long.parseLong(part[4]) : moving ? number : 0,
-                part.length > 5 ? AcceptedDataLoss.parse(part[5]) : null);
+                fields.length == MIN_FIELDS || Boolean.parseBoolean(fields[3]),
+                fields.length > 4 ? Long.parseLong(fields[4]) : moving ? number : 0,
+                fields.length > 5 ? AcceptedDataLoss.parse(fields[5]) : null);
     }
 }
--- a/src/main/java/dillfront/common/protocol/ServerRow.java
+++ b/src/main/java/dillfront/common/protocol/ServerRow.java
@@ -8,7 +8,7 @@
  * The state of one database server, as exchanged between control processes and sent to data planes.
  *
  * @param service empty if only the server's leave call was received
- * @param role the role that the server reported; {@link #PRIMARY} if it accepts writes
+ * @param role the role that the server reported; {@link #PRIMARY_ROLE} if it accepts writes
  * @param callSequence the sequence number of the newest call of the server; -1 for none
  */
 public record ServerRow(
@@ -21,7 +21,7 @@
         long callSequence) {
 
     /** The role of a server that accepts writes. */
-    public static final String PRIMARY = "primary";
+    public static final String PRIMARY_ROLE = "primary";
 
     private static final String ID = "i";
     private static final String SERVICE = "v";
@@ -33,7 +33,7 @@
 
     /** Returns whether the server reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals(PRIMARY);
+        return role.equals(PRIMARY_ROLE);
     }
 
     /** Returns the fields of the row in a message. */
--- a/src/main/java/dillfront/common/storage/CompactingLog.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -38,8 +38,8 @@
     public static final class UnusableLogException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnusableLogException(String fault) {
-            super(fault);
+        UnusableLogException(String description) {
+            super(description);
         }
     }
 
@@ -47,32 +47,32 @@
     public static final class LockedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        LockedException(String fault) {
-            super(fault);
+        LockedException(String description) {
+            super(description);
         }
     }
 
-    public static final String FILE = "memory.log";
-    private static final String NEXT_FILE = "memory.next";
-    private static final String DAMAGED_FILE = "memory.broken";
+    public static final String FILE_NAME = "memory.log";
+    private static final String NEXT_FILE_NAME = "memory.next";
+    private static final String DAMAGED_FILE_NAME = "memory.broken";
     private static final Pattern FORMAT = Pattern.compile("dillfront memory (\\d+)\n");
     private static final byte[] HEADER = "dillfront memory 2\n".getBytes(StandardCharsets.US_ASCII);
     private static final int RECORD_HEADER_BYTES = 8;
     private static final int MIN_BODY_BYTES = 16;
-    private static final String OWNER = "";
+    private static final String OWNER_NAME = "";
 
     /**
      * The file is compacted when it is longer than this multiple of its live entries, and longer
      * than {@link #MIN_COMPACTION_BYTES}.
      */
-    private static final int MAX_GROWTH = 4;
+    private static final int MAX_GROWTH_FACTOR = 4;
 
     private static final int MIN_COMPACTION_BYTES = 1 << 16;
 
     /** Maximum length of a name or a value, whose length is stored in two bytes. */
     static final int MAX_TEXT_BYTES = 0xffff;
 
-    private final StorageFolder disk;
+    private final StorageFolder folder;
     private final String path;
     private final Map<String, String> strings = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
@@ -80,12 +80,12 @@
     /**
      * Length of the valid part of the file; {@link #liveBytes} is the length after a compaction.
      */
-    private long length;
+    private long validLength;
 
     private long liveBytes;
     private long recordNumber;
     private String damage;
-    private boolean movedAside;
+    private boolean quarantined;
 
     /** Whether a write failed, so that the content after the valid part is unknown. */
     private boolean tailUncertain;
@@ -94,27 +94,27 @@
      * Whether a rename failed, so that it is unknown which file has the name, and which one will
      * have it after a power loss.
      */
-    private boolean namesUncertain;
+    private boolean directoryUncertain;
 
     /** After a failed compaction, the length at which the next one is attempted. */
-    private long compactAtLength;
+    private long nextCompactionLength;
 
-    private CompactingLog(StorageFolder disk, String where) {
-        this.disk = disk;
-        this.path = where + "/" + FILE;
+    private CompactingLog(StorageFolder folder, String folderPath) {
+        this.folder = folder;
+        this.path = folderPath + "/" + FILE_NAME;
     }
 
     /**
      * Opens the log in a folder, or creates one.
      *
-     * @param folder the path of the folder, for messages
+     * @param folderPath the path of the folder, for messages
      * @param owner the name of the owner, which is stored in the file
      * @throws UnusableLogException if the file belongs to another owner, has an unknown format, or
      *     cannot be read
      */
-    public static CompactingLog open(StorageFolder disk, String folder, String owner)
+    public static CompactingLog open(StorageFolder folder, String folderPath, String owner)
             throws UnusableLogException {
-        return open(disk, folder, owner, false);
+        return open(folder, folderPath, owner, false);
     }
 
     /**
@@ -126,69 +126,77 @@
      *     cannot be read
      */
     public static CompactingLog open(
-            StorageFolder disk, String folder, String owner, boolean discardIfDamaged)
+            StorageFolder folder, String folderPath, String owner, boolean discardIfDamaged)
             throws UnusableLogException {
-        CompactingLog log = new CompactingLog(disk, folder);
+        CompactingLog log = new CompactingLog(folder, folderPath);
         try {
             log.read(owner, discardIfDamaged);
-        } catch (IOException bad) {
-            throw new UnusableLogException(log.path + ": " + describe(bad));
+        } catch (IOException exception) {
+            throw new UnusableLogException(log.path + ": " + describe(exception));
         }
         return log;
     }
 
     private void read(String owner, boolean discardIfDamaged)
             throws IOException, UnusableLogException {
-        disk.delete(NEXT_FILE);
-        byte[] all = disk.read(FILE);
-        if (all == null) {
-            strings.put(OWNER, owner);
+        folder.delete(NEXT_FILE_NAME);
+        byte[] content = folder.read(FILE_NAME);
+        if (content == null) {
+            strings.put(OWNER_NAME, owner);
             compact();
             return;
         }
-        int at = HEADER.length;
-        if (all.length < at || !Arrays.equals(all, 0, at, HEADER, 0, at)) {
+        int position = HEADER.length;
+        if (content.length < position
+                || !Arrays.equals(content, 0, position, HEADER, 0, position)) {
             Matcher format =
                     FORMAT.matcher(
                             new String(
-                                    all, 0, Math.min(all.length, 32), StandardCharsets.US_ASCII));
+                                    content,
+                                    0,
+                                    Math.min(content.length, 32),
+                                    StandardCharsets.US_ASCII));
             if (format.lookingAt()) {
                 throw new UnusableLogException(
                         path + " is of format " + format.group(1) + ", and this program writes 2");
             }
-            moveAside(all, "missing file header");
-            strings.put(OWNER, owner);
+            quarantine(content, "missing file header");
+            strings.put(OWNER_NAME, owner);
             compact();
             return;
         }
-        int good = readRecords(all, at);
-        String its = strings.putIfAbsent(OWNER, owner);
-        if (its != null && !its.equals(owner)) {
+        int validEnd = readRecords(content, position);
+        String storedOwner = strings.putIfAbsent(OWNER_NAME, owner);
+        if (storedOwner != null && !storedOwner.equals(owner)) {
             throw new UnusableLogException(
-                    path + " is that of router '" + its + "', and this is '" + owner + "'");
+                    path + " is that of router '" + storedOwner + "', and this is '" + owner + "'");
         }
-        if (good < all.length) {
-            String fault =
-                    "file of " + all.length + " bytes: the record at byte " + good + " is invalid";
-            if (good == at || hasRecordAfter(all, good)) {
+        if (validEnd < content.length) {
+            String description =
+                    "file of "
+                            + content.length
+                            + " bytes: the record at byte "
+                            + validEnd
+                            + " is invalid";
+            if (validEnd == position || hasRecordAfter(content, validEnd)) {
                 // More than the tail is damaged, so durable data is lost; the file is kept for
                 // inspection.
-                moveAside(all, fault);
+                quarantine(content, description);
             } else {
-                damage = fault;
+                damage = description;
             }
-        } else if (good == at) {
-            moveAside(all, "no valid record");
+        } else if (validEnd == position) {
+            quarantine(content, "no valid record");
         }
-        if (movedAside && discardIfDamaged) {
+        if (quarantined && discardIfDamaged) {
             strings.clear();
             numbers.clear();
-            strings.put(OWNER, owner);
+            strings.put(OWNER_NAME, owner);
         }
-        if (good == at || good < all.length) {
+        if (validEnd == position || validEnd < content.length) {
             compact();
         } else {
-            length = good;
+            validLength = validEnd;
             liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
         }
     }
@@ -196,15 +204,15 @@
     /**
      * Applies all records from this position on, and returns the position after the last valid one.
      */
-    private int readRecords(byte[] all, int from) throws UnusableLogException {
-        int at = from;
+    private int readRecords(byte[] content, int from) throws UnusableLogException {
+        int position = from;
         while (true) {
-            int body = bodyLength(all, at, at == from ? -1 : recordNumber + 1);
+            int body = bodyLength(content, position, position == from ? -1 : recordNumber + 1);
             if (body < 0) {
-                return at;
+                return position;
             }
-            readRecord(ByteBuffer.wrap(all, at + RECORD_HEADER_BYTES, body));
-            at += RECORD_HEADER_BYTES + body;
+            readRecord(ByteBuffer.wrap(content, position + RECORD_HEADER_BYTES, body));
+            position += RECORD_HEADER_BYTES + body;
         }
     }
 
@@ -212,27 +220,27 @@
      * Returns the length of the body of the record at this position; -1 if there is no valid record
      * with this number. A negative number matches any record.
      */
-    private static int bodyLength(byte[] all, int at, long number) {
-        if (all.length - at < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
+    private static int bodyLength(byte[] content, int position, long number) {
+        if (content.length - position < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
             return -1;
         }
-        ByteBuffer in = ByteBuffer.wrap(all, at, all.length - at);
+        ByteBuffer in = ByteBuffer.wrap(content, position, content.length - position);
         int length = in.getInt();
-        int sum = in.getInt();
+        int checksum = in.getInt();
         if (length < MIN_BODY_BYTES
                 || length > in.remaining()
                 || number >= 0 && in.getLong(in.position()) != number) {
             return -1;
         }
         CRC32C crc = new CRC32C();
-        crc.update(all, at + RECORD_HEADER_BYTES, length);
-        return (int) crc.getValue() == sum ? length : -1;
+        crc.update(content, position + RECORD_HEADER_BYTES, length);
+        return (int) crc.getValue() == checksum ? length : -1;
     }
 
     /** Returns whether a valid record follows. Such a record was synced after the damaged part. */
-    private static boolean hasRecordAfter(byte[] all, int from) {
-        for (int at = from + 1; at < all.length; at++) {
-            if (bodyLength(all, at, -1) >= 0) {
+    private static boolean hasRecordAfter(byte[] content, int from) {
+        for (int position = from + 1; position < content.length; position++) {
+            if (bodyLength(content, position, -1) >= 0) {
                 return true;
             }
         }
@@ -248,11 +256,11 @@
             }
             for (int i = in.getInt(); i > 0; i--) {
                 long key = in.getLong();
-                boolean there = in.get() != 0;
+                boolean present = in.get() != 0;
                 long number = in.getLong();
-                put(key, there ? number : null);
+                put(key, present ? number : null);
             }
-        } catch (BufferUnderflowException bad) {
+        } catch (BufferUnderflowException exception) {
             throw new UnusableLogException(
                     path
                             + ": record "
@@ -283,12 +291,12 @@
         }
     }
 
-    private void moveAside(byte[] all, String fault) throws IOException {
-        movedAside = true;
-        damage = fault + "; the damaged file is kept as " + DAMAGED_FILE;
-        disk.delete(DAMAGED_FILE);
-        disk.append(DAMAGED_FILE, ByteBuffer.wrap(all));
-        disk.sync(DAMAGED_FILE);
+    private void quarantine(byte[] content, String description) throws IOException {
+        quarantined = true;
+        damage = description + "; the damaged file is kept as " + DAMAGED_FILE_NAME;
+        folder.delete(DAMAGED_FILE_NAME);
+        folder.append(DAMAGED_FILE_NAME, ByteBuffer.wrap(content));
+        folder.sync(DAMAGED_FILE_NAME);
     }
 
     /**
@@ -296,7 +304,7 @@
      * another name.
      */
     public boolean isQuarantined() {
-        return movedAside;
+        return quarantined;
     }
 
     /** Returns a description of the damage found on opening; null if there was none. */
@@ -308,36 +316,38 @@
      * Writes strings and numbers atomically: after a power loss, either all or none of them are
      * present. If the call fails, that holds as well, and earlier entries stay.
      *
-     * @param named values by name; an empty value removes its name
-     * @param numbered numbers by key; null removes its key
+     * @param stringUpdates values by name; an empty value removes its name
+     * @param numberUpdates numbers by key; null removes its key
      * @throws IllegalArgumentException if a name or value is too long for the format; nothing is
      *     written then
      */
-    public void put(Map<String, String> named, Map<Long, Long> numbered)
+    public void put(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates)
             throws UnusableLogException {
-        int size = bodyBytes(named, numbered);
+        int size = bodyBytes(stringUpdates, numberUpdates);
         try {
             if (tailUncertain) {
-                disk.truncate(FILE, length);
+                folder.truncate(FILE_NAME, validLength);
                 tailUncertain = false;
                 // Compaction frees the space of obsolete records, so this put can succeed on a full
                 // disk.
-                compactWith(named, numbered);
-            } else if (namesUncertain) {
-                compactWith(named, numbered);
+                compactIncluding(stringUpdates, numberUpdates);
+            } else if (directoryUncertain) {
+                compactIncluding(stringUpdates, numberUpdates);
             } else {
                 tailUncertain = true;
-                disk.append(FILE, encodeRecord(recordNumber + 1, size, named, numbered));
-                disk.sync(FILE);
+                folder.append(
+                        FILE_NAME,
+                        encodeRecord(recordNumber + 1, size, stringUpdates, numberUpdates));
+                folder.sync(FILE_NAME);
                 tailUncertain = false;
                 recordNumber++;
-                length += RECORD_HEADER_BYTES + size;
-                named.forEach(this::put);
-                numbered.forEach(this::put);
+                validLength += RECORD_HEADER_BYTES + size;
+                stringUpdates.forEach(this::put);
+                numberUpdates.forEach(this::put);
                 compactIfGrown();
             }
-        } catch (IOException bad) {
-            throw new UnusableLogException(path + ": " + describe(bad));
+        } catch (IOException exception) {
+            throw new UnusableLogException(path + ": " + describe(exception));
         }
     }
 
@@ -346,39 +356,40 @@
      * already on disk.
      */
     private void compactIfGrown() {
-        if (length
+        if (validLength
                 <= Math.max(
-                        compactAtLength, Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes))) {
+                        nextCompactionLength,
+                        Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH_FACTOR * liveBytes))) {
             return;
         }
         liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
-        if (length > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes)) {
+        if (validLength > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH_FACTOR * liveBytes)) {
             try {
                 compact();
-            } catch (IOException later) {
-                compactAtLength = length + Math.max(MIN_COMPACTION_BYTES, liveBytes);
+            } catch (IOException exception) {
+                nextCompactionLength = validLength + Math.max(MIN_COMPACTION_BYTES, liveBytes);
             }
         }
     }
 
     /** Writes all live entries and these to a new file. */
-    private void compactWith(Map<String, String> named, Map<Long, Long> numbered)
+    private void compactIncluding(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates)
             throws IOException {
-        Map<String, String> texts = new HashMap<>(this.strings);
-        Map<Long, Long> numbers = new HashMap<>(this.numbers);
-        named.forEach(this::put);
-        numbered.forEach(this::put);
-        boolean there = false;
+        Map<String, String> previousStrings = new HashMap<>(this.strings);
+        Map<Long, Long> previousNumbers = new HashMap<>(this.numbers);
+        stringUpdates.forEach(this::put);
+        numberUpdates.forEach(this::put);
+        boolean compacted = false;
         try {
             compact();
-            there = true;
+            compacted = true;
         } finally {
-            if (!there) {
-                tailUncertain |= !namesUncertain;
+            if (!compacted) {
+                tailUncertain |= !directoryUncertain;
                 this.strings.clear();
-                this.strings.putAll(texts);
+                this.strings.putAll(previousStrings);
                 this.numbers.clear();
-                this.numbers.putAll(numbers);
+                this.numbers.putAll(previousNumbers);
             }
         }
     }
@@ -389,26 +400,26 @@
      * to the new file before.
      */
     private void compact() throws IOException {
-        disk.delete(NEXT_FILE);
+        folder.delete(NEXT_FILE_NAME);
         int body = bodyBytes(strings, numbers);
-        disk.append(NEXT_FILE, ByteBuffer.wrap(HEADER));
-        disk.append(NEXT_FILE, encodeRecord(recordNumber + 1, body, strings, numbers));
-        disk.sync(NEXT_FILE);
-        namesUncertain = true;
-        disk.rename(NEXT_FILE, FILE);
+        folder.append(NEXT_FILE_NAME, ByteBuffer.wrap(HEADER));
+        folder.append(NEXT_FILE_NAME, encodeRecord(recordNumber + 1, body, strings, numbers));
+        folder.sync(NEXT_FILE_NAME);
+        directoryUncertain = true;
+        folder.rename(NEXT_FILE_NAME, FILE_NAME);
         recordNumber++;
-        length = HEADER.length + RECORD_HEADER_BYTES + body;
-        liveBytes = length;
-        compactAtLength = 0;
-        disk.syncDirectory();
-        namesUncertain = false;
+        validLength = HEADER.length + RECORD_HEADER_BYTES + body;
+        liveBytes = validLength;
+        nextCompactionLength = 0;
+        folder.syncDirectory();
+        directoryUncertain = false;
     }
 
     /** Returns the length of the body of a record with these entries. */
-    private static int bodyBytes(Map<String, String> named, Map<Long, Long> numbered) {
-        long size = MIN_BODY_BYTES + 17L * numbered.size();
-        for (Map.Entry<String, String> one : named.entrySet()) {
-            size += 4 + textBytes(one.getKey()) + textBytes(one.getValue());
+    private static int bodyBytes(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates) {
+        long size = MIN_BODY_BYTES + 17L * numberUpdates.size();
+        for (Map.Entry<String, String> entry : stringUpdates.entrySet()) {
+            size += 4 + textBytes(entry.getKey()) + textBytes(entry.getValue());
         }
         return Math.toIntExact(size);
     }
@@ -422,12 +433,12 @@
             if (c >= 0x80) {
                 // Each half of a surrogate pair counts for two bytes; an unpaired surrogate is
                 // encoded as '?'.
-                boolean pair =
+                boolean isPair =
                         Character.isHighSurrogate(c)
                                 && i < text.length()
                                 && Character.isLowSurrogate(text.charAt(i));
-                size += pair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
-                i += pair ? 1 : 0;
+                size += isPair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
+                i += isPair ? 1 : 0;
             }
         }
         if (size > MAX_TEXT_BYTES) {
@@ -442,21 +453,24 @@
     }
 
     private static ByteBuffer encodeRecord(
-            long number, int size, Map<String, String> named, Map<Long, Long> numbered) {
+            long newRecordNumber,
+            int size,
+            Map<String, String> stringUpdates,
+            Map<Long, Long> numberUpdates) {
         ByteBuffer out = ByteBuffer.allocate(RECORD_HEADER_BYTES + size);
-        out.putInt(size).putInt(0).putLong(number).putInt(named.size());
-        for (Map.Entry<String, String> one : named.entrySet()) {
-            for (String text : new String[] {one.getKey(), one.getValue()}) {
+        out.putInt(size).putInt(0).putLong(newRecordNumber).putInt(stringUpdates.size());
+        for (Map.Entry<String, String> entry : stringUpdates.entrySet()) {
+            for (String text : new String[] {entry.getKey(), entry.getValue()}) {
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
                 out.putShort((short) bytes.length).put(bytes);
             }
         }
-        out.putInt(numbered.size());
-        numbered.forEach(
-                (key, is) ->
+        out.putInt(numberUpdates.size());
+        numberUpdates.forEach(
+                (key, number) ->
                         out.putLong(key)
-                                .put((byte) (is == null ? 0 : 1))
-                                .putLong(is == null ? 0 : is));
+                                .put((byte) (number == null ? 0 : 1))
+                                .putLong(number == null ? 0 : number));
         CRC32C crc = new CRC32C();
         crc.update(out.array(), RECORD_HEADER_BYTES, size);
         out.putInt(4, (int) crc.getValue());
@@ -465,9 +479,9 @@
 
     /** Returns the strings by name. */
     public Map<String, String> strings() {
-        Map<String, String> all = new HashMap<>(strings);
-        all.remove(OWNER);
-        return all;
+        Map<String, String> content = new HashMap<>(strings);
+        content.remove(OWNER_NAME);
+        return content;
     }
 
     /** Returns the numbers by key. */
@@ -477,13 +491,13 @@
 
     /** Closes the files and unlocks the folder. */
     public void close() {
-        disk.close();
+        folder.close();
     }
 
-    private static String describe(IOException bad) {
-        String text = String.valueOf(bad.getMessage()).lines().findFirst().orElse("");
-        return bad.getClass() == IOException.class
+    private static String describe(IOException exception) {
+        String text = String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
+        return exception.getClass() == IOException.class
                 ? text
-                : bad.getClass().getSimpleName() + " " + text;
+                : exception.getClass().getSimpleName() + " " + text;
     }
 }
--- a/src/main/java/dillfront/common/storage/KeyValueStore.java
+++ b/src/main/java/dillfront/common/storage/KeyValueStore.java
@@ -23,8 +23,8 @@
 
     private final CompactingLog log;
 
-    private KeyValueStore(CompactingLog shelf) {
-        this.log = shelf;
+    private KeyValueStore(CompactingLog log) {
+        this.log = log;
     }
 
     /**
@@ -35,18 +35,18 @@
     public static KeyValueStore open(Path folder, String owner) throws StorageException {
         try {
             return open(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
-        } catch (java.io.IOException | CompactingLog.LockedException bad) {
-            throw new StorageException(folder + ": " + bad.getMessage());
+        } catch (java.io.IOException | CompactingLog.LockedException exception) {
+            throw new StorageException(folder + ": " + exception.getMessage());
         }
     }
 
     /** Opens the store on a given implementation of the file operations, for tests. */
-    public static KeyValueStore open(StorageFolder disk, String where, String owner)
+    public static KeyValueStore open(StorageFolder folder, String path, String owner)
             throws StorageException {
         try {
-            return new KeyValueStore(CompactingLog.open(disk, where, owner, true));
-        } catch (CompactingLog.UnusableLogException bad) {
-            throw new StorageException(bad.getMessage());
+            return new KeyValueStore(CompactingLog.open(folder, path, owner, true));
+        } catch (CompactingLog.UnusableLogException exception) {
+            throw new StorageException(exception.getMessage());
         }
     }
 
@@ -70,11 +70,11 @@
      *     disk; earlier values stay, and the next put retries the disk
      * @throws IllegalArgumentException if a name or a value is longer than 65,535 bytes in UTF-8
      */
-    public void put(Map<String, String> texts) throws StorageException {
+    public void put(Map<String, String> values) throws StorageException {
         try {
-            log.put(texts, Map.of());
-        } catch (CompactingLog.UnusableLogException bad) {
-            throw new StorageException(bad.getMessage());
+            log.put(values, Map.of());
+        } catch (CompactingLog.UnusableLogException exception) {
+            throw new StorageException(exception.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/ServerStatus.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerStatus.java
@@ -17,7 +17,7 @@
     private static final String NO_LOG = "-";
 
     boolean isPrimary() {
-        return role.equals(ServerRow.PRIMARY);
+        return role.equals(ServerRow.PRIMARY_ROLE);
     }
 
     boolean isPaused() {
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -108,7 +108,7 @@
 
     /** Returns whether the server reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals(ServerRow.PRIMARY);
+        return role.equals(ServerRow.PRIMARY_ROLE);
     }
 
     /** Returns the row that represents the server in messages. */
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -123,12 +123,12 @@
         assertEquals(
                 Set.of("q", "f", "su"),
                 subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
-                none.all().toString());
+                none.values().toString());
     }
 
     private static Set<String> subset(MessageCodec.Fields of, String... names) {
         Set<String> there = new java.util.TreeSet<>(Set.of(names));
-        there.retainAll(of.all().keySet());
+        there.retainAll(of.values().keySet());
         return there;
     }
 
@@ -162,7 +162,7 @@
                                 Map.of("i", "10.0.0.1", "z", "a"),
                                 Map.of("i", "10.0.0.2", "z", "", "s", true),
                                 Map.of("i", "10.0.0.3", "z", "", "s", true))),
-                answers.get(0).all());
+                answers.get(0).values());
         // One that knows nobody better waits for contact, and no longer than for news.
         answers.clear();
         front.onMessage(
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -429,13 +429,13 @@
         for (int i = 0; i < 8; i++) {
             keep.put(Map.of("s-" + i, "promised " + i));
         }
-        byte[] good = disk.files.get(CompactingLog.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE_NAME);
         SplittableRandom chance = new SplittableRandom(9);
         int damaged = 0;
         for (int at = 25; at < good.length - 60; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
+            Lossy next = new Lossy(Map.of(CompactingLog.FILE_NAME, bad));
             next.each =
                     () ->
                             next.after(chance)
@@ -465,17 +465,20 @@
         // is no torn tail either.
         Lossy fresh = new Lossy(Map.of());
         KeyValueStore.open(fresh, "m", "r1");
-        byte[] first = fresh.files.get(CompactingLog.FILE);
+        byte[] first = fresh.files.get(CompactingLog.FILE_NAME);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE, bad)), "m", "r1")
+                    KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE_NAME, bad)), "m", "r1")
                             .isDamaged(),
                     "at " + at);
             assertTrue(
                     KeyValueStore.open(
-                                    new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
+                                    new Lossy(
+                                            Map.of(
+                                                    CompactingLog.FILE_NAME,
+                                                    Arrays.copyOf(first, at))),
                                     "m",
                                     "r1")
                             .isDamaged(),
@@ -484,10 +487,13 @@
         // A file of its head alone: its first record was synced with it, so it is not a torn tail.
         KeyValueStore head =
                 KeyValueStore.open(
-                        new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))), "m", "r1");
+                        new Lossy(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, 19))),
+                        "m",
+                        "r1");
         assertTrue(head.isDamaged());
         KeyValueStore none =
-                KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
+                KeyValueStore.open(
+                        new Lossy(Map.of(CompactingLog.FILE_NAME, new byte[0])), "m", "r1");
         assertTrue(none.isDamaged());
     }
 
@@ -519,12 +525,12 @@
         for (int i = 0; i < 8; i++) {
             shelf.put(Map.of("s-" + i, "DRAINING"), Map.of());
         }
-        byte[] good = disk.files.get(CompactingLog.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE_NAME);
         int last = good.length;
         for (int at = 0; at < good.length; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x40;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
+            Lossy next = new Lossy(Map.of(CompactingLog.FILE_NAME, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
                 assertTrue(found.damage() != null, "at " + at + " nothing was found");
@@ -544,7 +550,7 @@
         for (int cut = 0; cut < good.length; cut++) {
             CompactingLog found =
                     CompactingLog.open(
-                            new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
+                            new Lossy(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, cut))),
                             "m",
                             "r1");
             assertTrue(found.strings().size() < 8, "cut at " + cut);
@@ -560,7 +566,7 @@
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
             shelf.put(Map.of(), batch);
-            most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE)));
+            most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE_NAME)));
         }
         shelf.close();
         assertTrue(most > 60_000 && most < 70_000, "the file came to " + most + " bytes");
@@ -599,14 +605,15 @@
     @Test
     void whatIsNoSuchFileIsSetAsideAndNamed() throws Exception {
         Path folder = Files.createDirectories(dir.resolve("r1"));
-        Files.writeString(folder.resolve(CompactingLog.FILE), "no store at all ".repeat(1000));
+        Files.writeString(folder.resolve(CompactingLog.FILE_NAME), "no store at all ".repeat(1000));
         Memory memory = Memory.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "set aside");
         assertTrue(
                 lines.toString(StandardCharsets.UTF_8)
-                        .contains("memory-broken fault=\"" + folder.resolve(CompactingLog.FILE)),
+                        .contains(
+                                "memory-broken fault=\"" + folder.resolve(CompactingLog.FILE_NAME)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
         Operator.BadOperator none =
