--- a/src/main/java/dillfront/common/message/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -25,8 +25,8 @@
     public static final class InvalidDeltaException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidDeltaException(String fault) {
-            super(fault);
+        InvalidDeltaException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -12,8 +12,8 @@
     public static final class CorruptDataException extends Exception {
         private static final long serialVersionUID = 1;
 
-        CorruptDataException(String fault) {
-            super(fault);
+        CorruptDataException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/dillfront/common/message/MessageCodec.java
+++ b/src/main/java/dillfront/common/message/MessageCodec.java
@@ -23,8 +23,8 @@
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public MalformedMessageException(String fault) {
-            super(fault);
+        public MalformedMessageException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/dillfront/common/protocol/PrimaryRecord.java
+++ b/src/main/java/dillfront/common/protocol/PrimaryRecord.java
@@ -35,7 +35,7 @@
     private static final String REPLICATION_PAUSED = "h";
     private static final String MOVE_NUMBER = "mv";
     private static final String ACCEPTED_LOSS = "dl";
-    private static final int MIN_FIELDS = 3;
+    private static final int FIELDS_WITHOUT_PAUSE = 3;
 
     /** Creates a record without an accepted data loss. */
     public PrimaryRecord(
@@ -124,14 +124,14 @@
 
     /**
      * Decodes the stored form. Earlier versions wrote three or four fields, without the replication
-     * pause, the move number and the accepted loss.
+     * pause, the move number and the accepted loss; a missing replication pause is read as paused.
      *
      * @return null if the text has too few fields
      * @throws NumberFormatException if a numeric field is invalid
      */
     public static PrimaryRecord decode(String service, String text) {
         String[] fields = text.split("\n", -1);
-        if (fields.length < MIN_FIELDS) {
+        if (fields.length < FIELDS_WITHOUT_PAUSE) {
             return null;
         }
         long number = Long.parseLong(fields[0]);
@@ -141,7 +141,7 @@
                 number,
                 fields[1],
                 moving,
-                fields.length == MIN_FIELDS || Boolean.parseBoolean(fields[3]),
+                fields.length == FIELDS_WITHOUT_PAUSE || Boolean.parseBoolean(fields[3]),
                 fields.length > 4 ? Long.parseLong(fields[4]) : moving ? number : 0,
                 fields.length > 5 ? AcceptedDataLoss.parse(fields[5]) : null);
     }
--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -55,7 +55,7 @@
     private static final String PRIMARY_CERTAINTY_MILLIS = "su";
     private static final String ADDRESSES = "cp";
     private static final String ADDRESS_IP = "i";
-    private static final String ADDRESS_SILENT = "s";
+    private static final String ADDRESS_UNRESPONSIVE = "s";
     private static final String ADDRESS_ZONE = "z";
 
     private SubscriptionCodec() {}
@@ -173,8 +173,8 @@
         for (ControlAddress address : addresses) {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put(ADDRESS_IP, address.ip());
-            if (address.silent()) {
-                row.put(ADDRESS_SILENT, true);
+            if (address.unresponsive()) {
+                row.put(ADDRESS_UNRESPONSIVE, true);
             }
             row.put(ADDRESS_ZONE, address.zoneName());
             rows.add(row);
@@ -222,7 +222,7 @@
                     new ControlAddress(
                             row.string(ADDRESS_IP),
                             row.string(ADDRESS_ZONE),
-                            row.flag(ADDRESS_SILENT)));
+                            row.flag(ADDRESS_UNRESPONSIVE)));
         }
         return addresses;
     }
--- a/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
@@ -60,7 +60,7 @@
     /**
      * The address of a control process.
      *
-     * @param silent whether the process that sent the response had no recent contact with it
+     * @param unresponsive whether the process that sent the response had no recent contact with it
      */
-    public record ControlAddress(String ip, String zoneName, boolean silent) {}
+    public record ControlAddress(String ip, String zoneName, boolean unresponsive) {}
 }
--- a/src/main/java/dillfront/common/storage/CompactingLog.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -38,8 +38,8 @@
     public static final class UnusableLogException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnusableLogException(String description) {
-            super(description);
+        UnusableLogException(String message) {
+            super(message);
         }
     }
 
@@ -47,8 +47,8 @@
     public static final class LockedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        LockedException(String description) {
-            super(description);
+        LockedException(String message) {
+            super(message);
         }
     }
 
@@ -275,11 +275,11 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private void put(String name, String text) {
-        if (text.isEmpty()) {
+    private void put(String name, String value) {
+        if (value.isEmpty()) {
             strings.remove(name);
         } else {
-            strings.put(name, text);
+            strings.put(name, value);
         }
     }
 
--- a/src/main/java/dillfront/common/storage/KeyValueStore.java
+++ b/src/main/java/dillfront/common/storage/KeyValueStore.java
@@ -16,8 +16,8 @@
     public static final class StorageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        StorageException(String fault) {
-            super(fault);
+        StorageException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -87,7 +87,7 @@
     private final ControlHttpApi http;
     private final GracefulShutdown shutdown;
     private long startedMillis;
-    private long polledMillis;
+    private long lastPollMillis;
     private boolean loggedIsolation;
 
     /** Whether the data planes were last notified that this process has contact with a majority. */
@@ -205,12 +205,12 @@
     /**
      * Constructs the components; {@link #start} restores their state.
      *
-     * @param disk stores the state; a write that fails is retried
+     * @param stateStore stores the state; a write that fails is retried
      */
-    public ControlNode(Environment environment, NodeSettings settings, StateStore disk) {
+    public ControlNode(Environment environment, NodeSettings settings, StateStore stateStore) {
         this.environment = environment;
         this.settings = settings;
-        store = new RetryingStateStore(environment, disk);
+        store = new RetryingStateStore(environment, stateStore);
         identity = new ProcessIdentity(environment, settings);
         Context context = new Context();
         ReplicatedRegister register = new ReplicatedRegister(context);
@@ -292,16 +292,16 @@
      */
     public void start() throws Configuration.InvalidConfigurationException {
         startedMillis = environment.nowMillis();
-        Map<String, String> texts = store.initialState();
-        identity.restore(texts, store, state.peerUpdates()::request);
+        Map<String, String> entries = store.initialState();
+        identity.restore(entries, store, state.peerUpdates()::request);
         peers.start();
         membership.start();
         messenger.start();
-        state.register().restore(texts);
-        registryReplication.restore(texts, startedMillis);
-        state.records().restore(texts);
-        dataPlaneCount.restore(texts, startedMillis);
-        state.lease().restore(texts);
+        state.register().restore(entries);
+        registryReplication.restore(entries, startedMillis);
+        state.records().restore(entries);
+        dataPlaneCount.restore(entries, startedMillis);
+        state.lease().restore(entries);
         addSeeds(settings.seedIps());
         membership.bootstrapIfFounder();
         tick();
@@ -340,10 +340,10 @@
     }
 
     private void maintainConnection(PeerState peer) {
-        long answeredMillis =
+        long acknowledgedMillis =
                 Math.max(peer.lastAcknowledgedSendMillis(), peer.link().connectedAtMillis());
         if (peer.link().isConnected()
-                && environment.nowMillis() - answeredMillis > CONNECTION_TIMEOUT_MS) {
+                && environment.nowMillis() - acknowledgedMillis > CONNECTION_TIMEOUT_MS) {
             // Messages in flight may wait for seconds behind packets that a partition dropped.
             peer.link().disconnect();
         }
@@ -354,11 +354,11 @@
 
     private void poll() {
         environment.schedule(POLL_INTERVAL_MS, this::poll);
-        if (environment.nowMillis() - polledMillis > PAUSE_THRESHOLD_MS) {
+        if (environment.nowMillis() - lastPollMillis > PAUSE_THRESHOLD_MS) {
             failover.onProcessPaused();
             membership.onProcessPaused();
         }
-        polledMillis = environment.nowMillis();
+        lastPollMillis = environment.nowMillis();
         publishQuorumContact();
         logQuorumContact();
         state.lease().poll();
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Restarts the silence measurement after a pause of this process: the time before says nothing
-     * about peers.
+     * Restarts the measurement of the time since the last contact after a pause of this process,
+     * which received no messages during the pause.
      */
     void onProcessPaused() {
         resumedMillis = state.nowMillis();
@@ -152,7 +152,7 @@
                         new Candidate(
                                 peer.id(),
                                 peer.zoneName(),
-                                silentMillis(peer.lastContactMillis()),
+                                millisSinceContact(peer.lastContactMillis()),
                                 isCaughtUp(peer, decided),
                                 peer.isLeaving()));
             }
@@ -160,25 +160,26 @@
         for (String member : decided.members()) {
             if (state.cluster().peer(member) == null && !member.equals(identity.id())) {
                 candidates.add(
-                        new Candidate(member, "", unknownMemberSilentMillis(member), false, false));
+                        new Candidate(
+                                member, "", unknownMemberMillisSinceContact(member), false, false));
             }
         }
         return candidates;
     }
 
-    private long silentMillis(long lastContactMillis) {
+    private long millisSinceContact(long lastContactMillis) {
         long contactMillis = Math.max(lastContactMillis, startedMillis);
         return state.nowMillis() - Math.max(contactMillis, resumedMillis);
     }
 
     /**
-     * Returns the silence of a member that is not in the peer table, or whose address another
-     * process has taken over.
+     * Returns the time since the last contact with a member that is not in the peer table, or a
+     * fixed value if another process has taken over its address.
      */
-    private long unknownMemberSilentMillis(String member) {
+    private long unknownMemberMillisSinceContact(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
-        return isReplaced ? MembershipPolicy.REPLACED : silentMillis(LeaseManager.NEVER);
+        return isReplaced ? MembershipPolicy.REPLACED : millisSinceContact(LeaseManager.NEVER);
     }
 
     private boolean isCaughtUp(PeerState peer, RegisterValue decided) {
--- a/src/main/java/dillfront/controlplane/ProcessIdentity.java
+++ b/src/main/java/dillfront/controlplane/ProcessIdentity.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 /**
- * Holds the identity of this process: an id that lives as long as its disk, and an incarnation that
+ * Holds the identity of this process: an id that lasts as long as its disk, and an incarnation that
  * is new with each start. The process sends nothing to others before its id is stored.
  */
 final class ProcessIdentity {
--- a/src/main/java/dillfront/controlplane/http/RequestFields.java
+++ b/src/main/java/dillfront/controlplane/http/RequestFields.java
@@ -56,9 +56,9 @@
 
     /** Returns an integer that is sent as a string. */
     long numberFromString(String name) throws InvalidRequestException {
-        String text = string(name);
+        String string = string(name);
         try {
-            return Long.parseLong(text);
+            return Long.parseLong(string);
         } catch (NumberFormatException exception) {
             throw new InvalidRequestException(String.valueOf(exception.getMessage()));
         }
@@ -71,14 +71,14 @@
 
     /** Returns a list of strings; empty if the field is missing. */
     List<String> strings(String name) throws InvalidRequestException {
-        List<String> texts = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         if (fields.get(name) != null) {
             try {
-                fields.get(name).asArray().forEach(element -> texts.add(element.asString()));
+                fields.get(name).asArray().forEach(element -> strings.add(element.asString()));
             } catch (UnsupportedOperationException exception) {
                 throw new InvalidRequestException(String.valueOf(exception.getMessage()));
             }
         }
-        return texts;
+        return strings;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -86,7 +86,7 @@
 
     /**
      * Returns the last contact with the peer's previous incarnation. The current one does not know
-     * what its predecessor told data planes.
+     * which updates its predecessor sent to data planes.
      */
     public long previousIncarnationContactMillis() {
         return previousIncarnationContactMillis;
--- a/src/main/java/dillfront/controlplane/peer/PeerTable.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerTable.java
@@ -39,7 +39,7 @@
         this.onConnected = onConnected;
     }
 
-    /** Starts the measurement of the peers' silence at the start of the process. */
+    /** Records the start of the process, from which the peers' time without contact counts. */
     public void start() {
         startedMillis = environment.nowMillis();
     }
@@ -70,8 +70,9 @@
     }
 
     private boolean isEvictable(PeerState peer) {
-        long silentSince = Math.max(peer.lastContactMillis(), startedMillis);
-        return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > EVICTION_AGE_MS;
+        long lastContactMillis = Math.max(peer.lastContactMillis(), startedMillis);
+        return !isMember.test(peer.id())
+                && environment.nowMillis() - lastContactMillis > EVICTION_AGE_MS;
     }
 
     /** Returns all peers in the order of their addresses. */
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -133,7 +133,9 @@
         lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
-    /** Starts the silence measurement for a restored server at the start of this process. */
+    /**
+     * Counts the time since the last contact with a restored server from the start of this process.
+     */
     void resetContact(long millis) {
         lastContactMillis = millis;
     }
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -246,12 +246,12 @@
     /** Restores the stored servers at the start of the process. */
     public void restore(Map<String, String> entries, long nowMillis) {
         entries.forEach(
-                (name, encoded) -> {
-                    if (!name.startsWith(STORAGE_PREFIX)) {
+                (key, encoded) -> {
+                    if (!key.startsWith(STORAGE_PREFIX)) {
                         return;
                     }
                     DatabaseServer server =
-                            DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), encoded);
+                            DatabaseServer.decode(key.substring(STORAGE_PREFIX.length()), encoded);
                     if (server != null) {
                         server.resetContact(nowMillis);
                         add(server);
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -136,11 +136,11 @@
     private void onWritten(Map<String, String> batch) {
         failures = 0;
         batch.forEach(
-                (name, value) -> {
+                (key, value) -> {
                     if (value.isEmpty()) {
-                        durable.remove(name);
+                        durable.remove(key);
                     } else {
-                        durable.put(name, value);
+                        durable.put(key, value);
                     }
                 });
         List<PendingWrite> completed = inFlight;
--- a/src/main/java/dillfront/dataplane/ControlPlaneSources.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneSources.java
@@ -68,7 +68,7 @@
                         new Source(
                                 address.ip(),
                                 isLocalRegion.test(address.zoneName()),
-                                isolated || address.silent()));
+                                isolated || address.unresponsive()));
             }
         }
         named = next;
