--- a/src/main/java/dillfront/controlplane/DataPlaneCount.java
+++ b/src/main/java/dillfront/controlplane/DataPlaneCount.java
@@ -33,15 +33,15 @@
     }
 
     /** Updates the count from the data planes that poll this process and the peers in contact. */
-    void observe(int observed, long nowMillis) {
-        int observedCount = Math.max(1, observed);
-        if (observedCount >= count) {
+    void observe(int reportedCount, long nowMillis) {
+        int newCount = Math.max(1, reportedCount);
+        if (newCount >= count) {
             lastConfirmedMillis = nowMillis;
         }
         boolean isDecreaseDue =
-                observedCount < count && nowMillis - lastConfirmedMillis > DECREASE_DELAY_MS;
-        if (observedCount > count || isDecreaseDue) {
-            count = observedCount;
+                newCount < count && nowMillis - lastConfirmedMillis > DECREASE_DELAY_MS;
+        if (newCount > count || isDecreaseDue) {
+            count = newCount;
             lastConfirmedMillis = nowMillis;
             store.put(Map.of(STORAGE_KEY, Integer.toString(count)));
         }
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -73,8 +73,9 @@
         DatabaseServer known = registry.get(id);
         // A call that arrives after a later call of the same server is no proof that the server is
         // alive now.
-        boolean late = known != null && row.callSequence() < known.callSequence();
-        boolean changed = registry.merge(row, late ? known.lastContactMillis() : state.nowMillis());
+        boolean isLate = known != null && row.callSequence() < known.callSequence();
+        boolean changed =
+                registry.merge(row, isLate ? known.lastContactMillis() : state.nowMillis());
         DatabaseServer server = registry.get(id);
         if (server == null) {
             return Responses.completedError(Responses.BAD_REQUEST, "no id in the path");
@@ -82,7 +83,7 @@
         if (known == null) {
             registry.replacePredecessors(server);
         }
-        if (!late) {
+        if (!isLate) {
             server.onDirectHeartbeat(state.nowMillis());
             listener.onHeartbeat(server);
         }
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -83,26 +83,26 @@
             out.put(ADDRESSES, message.addresses());
         }
         message.registry().writeTo(out);
-        putIfAny(out, HEARTBEATS, heartbeats(message.heartbeats()));
+        putIfNotEmpty(out, HEARTBEATS, heartbeats(message.heartbeats()));
         message.lease().writePromise(out);
         message.records().writeTo(out);
-        putIfAny(out, ACKNOWLEDGED_MOVES, acknowledgedMoves(message.dataPlanes()));
-        putIfAny(out, OBSERVATIONS, observations(message.dataPlanes()));
+        putIfNotEmpty(out, ACKNOWLEDGED_MOVES, acknowledgedMoves(message.dataPlanes()));
+        putIfNotEmpty(out, OBSERVATIONS, observations(message.dataPlanes()));
         if (message.holder() != null) {
             out.put(IS_HOLDER, true);
             out.put(LEASE_REMAINING, message.holder().leaseRemainingMillis());
         }
         DataLossReport dataLoss = message.dataLoss();
-        putIfAny(out, MISSING_COMMITS, fields(dataLoss.missing(), header.clockMillis()));
-        putIfAny(out, ACCEPTED_LOSSES, fields(dataLoss.accepted(), header.clockMillis()));
+        putIfNotEmpty(out, MISSING_COMMITS, fields(dataLoss.missing(), header.clockMillis()));
+        putIfNotEmpty(out, ACCEPTED_LOSSES, fields(dataLoss.accepted(), header.clockMillis()));
         out.put(DATA_PLANES, message.dataPlanes().count());
         if (message.holder() != null) {
-            putIfAny(out, SUSPECTS, message.holder().suspects());
+            putIfNotEmpty(out, SUSPECTS, message.holder().suspects());
         }
         return MessageCodec.encode(out);
     }
 
-    private static void putIfAny(Map<String, Object> out, String name, List<?> list) {
+    private static void putIfNotEmpty(Map<String, Object> out, String name, List<?> list) {
         if (!list.isEmpty()) {
             out.put(name, list);
         }
@@ -131,16 +131,16 @@
 
     private static List<Object> observations(DataPlaneReport report) {
         List<Object> rows = new ArrayList<>();
-        for (ServiceObservation service : report.observations()) {
-            PrimaryObservation observation = service.observation();
+        for (ServiceObservation entry : report.observations()) {
+            PrimaryObservation observation = entry.observation();
             rows.add(
                     List.of(
-                            service.service(),
+                            entry.service(),
                             observation.primary(),
                             observation.reachable(),
                             observation.unreachable(),
                             observation.openTransactions(),
-                            service.acknowledged().toString()));
+                            entry.acknowledged().toString()));
         }
         return rows;
     }
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -140,8 +140,8 @@
         lastContactMillis = millis;
     }
 
-    void lastChangeVersion(long number) {
-        lastChangeVersion = number;
+    void lastChangeVersion(long version) {
+        lastChangeVersion = version;
     }
 
     void state(ServerState next) {
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -108,8 +108,8 @@
                     break;
                 }
             }
-        } catch (BinaryDelta.InvalidDeltaException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (BinaryDelta.InvalidDeltaException exception) {
+            throw new IllegalStateException(exception);
         }
         byte[] delta = BinaryDelta.create(body, newest.body());
         return delta.length < compressed().length ? delta : NO_DELTA;
