--- a/src/main/java/dillfront/controlplane/http/Responses.java
+++ b/src/main/java/dillfront/controlplane/http/Responses.java
@@ -22,7 +22,7 @@
     static final String ISOLATED = "no majority of control processes is heard; ask another";
 
     /** No majority acknowledged within the time that a caller waits. */
-    private static final String TIMED_OUT = "timed out waiting for a majority";
+    private static final String TIMED_OUT = "no majority in time";
 
     private Responses() {}
 
