--- a/src/main/java/dillfront/common/database/AcceptedDataLoss.java
+++ b/src/main/java/dillfront/common/database/AcceptedDataLoss.java
@@ -68,7 +68,7 @@
     }
 
     /** Once a log that ends here leads: what that one holds is not given up. */
-    public AcceptedDataLoss withLeaderAt(LogPosition end) {
+    public AcceptedDataLoss withPrimaryLogEnd(LogPosition end) {
         return new AcceptedDataLoss(
                 moveNumber,
                 logEnd,
--- a/src/main/java/dillfront/common/database/ServerResponseReader.java
+++ b/src/main/java/dillfront/common/database/ServerResponseReader.java
@@ -36,7 +36,7 @@
         }
     }
 
-    private int outstanding;
+    private int outstandingResponses;
     private boolean connected;
     private List<String> rows = new ArrayList<>();
     private String completionTag;
@@ -45,7 +45,7 @@
 
     /** One more response is due: that of CONNECT is from the start. */
     public void expectResponse() {
-        outstanding++;
+        outstandingResponses++;
     }
 
     /** Whether CONNECT was answered with READY. */
@@ -64,7 +64,7 @@
         int blank = line.indexOf(' ');
         String keyword = blank < 0 ? line : line.substring(0, blank);
         String rest = blank < 0 ? "" : line.substring(blank + 1);
-        if (connected && outstanding == 0) {
+        if (connected && outstandingResponses == 0) {
             throw new ProtocolViolationException("an answer to nothing: " + keyword);
         }
         boolean hasResult = completionTag != null || errorCode != null;
@@ -101,7 +101,7 @@
                     LogPosition position =
                             blankAt < 0 ? null : LogPosition.parse(rest.substring(blankAt + 1));
                     if (connected) {
-                        outstanding--;
+                        outstandingResponses--;
                     }
                     connected = true;
                     return finish(state, position);
--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -383,7 +383,7 @@
     private void logQuorumContact() {
         boolean isolated = state.cluster().isIsolated();
         if (isolated != loggedIsolation
-                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_MS) {
+                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_TIMEOUT_MS) {
             loggedIsolation = isolated;
             environment.warn(isolated ? "quorum-contact lost" : "quorum-contact restored");
         }
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -30,7 +30,7 @@
     private final FailoverCoordinator failover;
     private final ReconfigurationBarrier barrier = new ReconfigurationBarrier();
     private long startedMillis;
-    private long resumedMillis = LeaseManager.NEVER;
+    private long resumedMillis = LeaseManager.NEVER_MILLIS;
     private boolean leaving;
 
     /** The members of the last proposal, so that a repeated proposal is logged once. */
@@ -179,12 +179,15 @@
     private long unknownMemberMillisSinceContact(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
-        return isReplaced ? MembershipPolicy.REPLACED : millisSinceContact(LeaseManager.NEVER);
+        return isReplaced
+                ? MembershipPolicy.ADDRESS_REUSED_MILLIS
+                : millisSinceContact(LeaseManager.NEVER_MILLIS);
     }
 
     private boolean isCaughtUp(PeerState peer, RegisterValue decided) {
         ReplicatedRegister register = state.register();
-        return peer.lastAcknowledgedSendMillis() > state.nowMillis() - LeaseManager.CONTACT_MS
+        return peer.lastAcknowledgedSendMillis()
+                        > state.nowMillis() - LeaseManager.CONTACT_TIMEOUT_MS
                 && peer.epoch() == decided.epoch()
                 && peer.recordNumber() >= state.records().newestNumber()
                 && register.acceptedBallotOf(peer.id()).equals(register.decidedBallot());
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -188,7 +188,7 @@
         if (!sameIncarnation || !header.id().equals(peer.id())) {
             onNewIncarnation(peer, header);
         }
-        peer.lease().contact(state.nowMillis());
+        peer.lease().recordContact(state.nowMillis());
         if (!peer.link().isConnected() && !peer.link().isConnecting()) {
             // The peer is up. Connecting at the next tick would delay its first acknowledgement.
             peer.link().connect();
--- a/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
@@ -137,7 +137,7 @@
     }
 
     /** The first step to other members: both sets are in force. */
-    RegisterValue jointWith(SortedSet<String> next) {
+    RegisterValue withJointMembers(SortedSet<String> next) {
         return new RegisterValue(
                 epoch + 1, next, members, NO_MEMBERS, configuration, revisionDigests);
     }
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -61,7 +61,7 @@
     }
 
     /** While another's ballot is under way, one's own waits so long. */
-    private static final long HOLD_OFF_MS = 150;
+    private static final long COMPETING_ROUND_DELAY_MS = 150;
 
     private static final long BACKOFF_MS = 20;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
@@ -73,7 +73,7 @@
     private static final long CATCH_UP_DELAY_MS = 300;
 
     private static final long RESEND_MS = 350;
-    private static final int MAX_PROPOSALS = 256;
+    private static final int MAX_PENDING_PROPOSALS = 256;
 
     /** What a peer said last; each ballot only ever rises. */
     private static final class PeerState {
@@ -245,7 +245,7 @@
      */
     public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
         CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
-        if (proposals.size() >= MAX_PROPOSALS) {
+        if (proposals.size() >= MAX_PENDING_PROPOSALS) {
             result.completeExceptionally(new IllegalStateException("too many proposals wait"));
             return result;
         }
@@ -504,7 +504,7 @@
         } else {
             promise(proposer.proposalBallot);
         }
-        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + HOLD_OFF_MS);
+        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + COMPETING_ROUND_DELAY_MS);
     }
 
     /**
@@ -694,7 +694,7 @@
             return value;
         }
         if (!isFinalStep) {
-            RegisterValue joint = value.jointWith(membership.members());
+            RegisterValue joint = value.withJointMembers(membership.members());
             return context.isDisabled(SafetyRule.JOINT_MAJORITIES)
                     ? joint.withoutOutgoing().withoutRetired()
                     : joint;
--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -37,7 +37,7 @@
     }
 
     /** How long an acceptance is passed on: as long as its caller waits for an answer. */
-    public static final long ACCEPTANCE_MS = 900;
+    public static final long ACCEPTANCE_TIMEOUT_MS = 900;
 
     private static final long POLL_MS = 20;
     private static final int MAX_ACCEPTANCES = 64;
@@ -47,7 +47,7 @@
     private final ControlState state;
     private final FailoverCoordinator failover;
     private List<MissingCommits> reported = List.of();
-    private long reportedMillis = LeaseManager.NEVER;
+    private long reportedMillis = LeaseManager.NEVER_MILLIS;
 
     /** The lease of the process that reported. */
     private long reportedByLease;
@@ -64,7 +64,7 @@
         if (failover.isActing()) {
             return Optional.of(failover.missingCommits());
         }
-        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_MS;
+        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_TIMEOUT_MS;
         return recent ? Optional.of(reported) : Optional.empty();
     }
 
@@ -96,7 +96,7 @@
      *     with the later number does
      */
     public void receive(PeerMessage.DataLossReport report, boolean fromHolder, long leaseNumber) {
-        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_MS;
+        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_TIMEOUT_MS;
         if (fromHolder && (leaseNumber >= reportedByLease || outdated)) {
             reportedByLease = leaseNumber;
             reported = report.missing();
@@ -119,7 +119,8 @@
             if (refusal.isPresent()) {
                 return CompletableFuture.completedFuture(refusal.get());
             }
-            acceptances.add(new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_MS));
+            acceptances.add(
+                    new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_TIMEOUT_MS));
             failover.acceptDataLoss(shown);
         }
         state.peerUpdates().request();
--- a/src/main/java/dillfront/controlplane/failover/FirstPrimary.java
+++ b/src/main/java/dillfront/controlplane/failover/InitialPrimaryRecorder.java
@@ -9,20 +9,20 @@
  * Records the first primary of a service: the server that reports that it is. Where other processes
  * held the lease before, their calls to the platform are fenced off first.
  */
-final class FirstPrimary {
+final class InitialPrimaryRecorder {
 
     /** The platform may be out of reach: after so many calls in vain it is done without. */
-    private static final int MAX_UNANSWERED = 2;
+    private static final int MAX_UNANSWERED_CALLS = 2;
 
-    private static final long FIRST_LEASE = (1L << LeaseManager.NUMBER_BITS) + 1;
+    private static final long FIRST_LEASE_NUMBER = (1L << LeaseManager.NUMBER_BITS) + 1;
 
     private final FailoverContext context;
     private final String service;
-    private boolean calling;
-    private int unanswered;
-    private long retryMillis;
+    private boolean callPending;
+    private int unansweredCalls;
+    private long nextCallMillis;
 
-    FirstPrimary(FailoverContext context, String service) {
+    InitialPrimaryRecorder(FailoverContext context, String service) {
         this.context = context;
         this.service = service;
     }
@@ -30,32 +30,35 @@
     /** Goes on with it; called often while nothing is recorded. */
     void poll() {
         DatabaseServer primary = context.reportedPrimary(service);
-        if (primary == null || calling || context.now() < retryMillis) {
+        if (primary == null || callPending || context.now() < nextCallMillis) {
             return;
         }
-        if (context.state().settings().firstStart() && context.leaseNumber() == FIRST_LEASE) {
-            context.record(
-                    new PrimaryRecord(service, context.nextToken(), primary.id(), false, false));
+        if (context.state().settings().firstStart()
+                && context.leaseNumber() == FIRST_LEASE_NUMBER) {
+            context.storeRecord(
+                    new PrimaryRecord(
+                            service, context.nextFencingToken(), primary.id(), false, false));
             return;
         }
-        calling = true;
+        callPending = true;
         context.platform()
-                .promote(service, primary.id(), context.nextToken())
+                .promote(service, primary.id(), context.nextFencingToken())
                 .whenComplete((result, fault) -> onResult(primary, result, fault));
     }
 
     private void onResult(DatabaseServer primary, PromotionResult result, Throwable fault) {
-        calling = false;
-        retryMillis = context.now() + FailoverContext.RETRY_MS;
-        unanswered += fault == null ? 0 : 1;
+        callPending = false;
+        nextCallMillis = context.now() + FailoverContext.RETRY_MS;
+        unansweredCalls += fault == null ? 0 : 1;
         boolean fenced = fault == null && result == PromotionResult.ACCEPTED;
-        boolean outOfReach = fault != null && unanswered >= MAX_UNANSWERED;
+        boolean outOfReach = fault != null && unansweredCalls >= MAX_UNANSWERED_CALLS;
         if (context.isActing()
                 && context.state().records().get(service) == null
                 && (fenced || outOfReach)) {
-            unanswered = 0;
-            context.record(
-                    new PrimaryRecord(service, context.nextToken(), primary.id(), false, true));
+            unansweredCalls = 0;
+            context.storeRecord(
+                    new PrimaryRecord(
+                            service, context.nextFencingToken(), primary.id(), false, true));
         }
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -14,7 +14,7 @@
 final class PrimaryMonitor {
 
     /** Begins moves. */
-    interface Mover {
+    interface MoveStarter {
 
         void startMove(PrimaryRecord record, boolean planned);
     }
@@ -36,25 +36,25 @@
     private static final long MAX_COMPARE_GAP_MS = 500;
 
     private final FailoverContext context;
-    private final Mover mover;
+    private final MoveStarter mover;
 
     /** Queries in a row that the suspected primary did not answer. */
-    private int misses;
+    private int unansweredQueries;
 
-    private boolean querying;
-    private long queriedMillis = LeaseManager.NEVER;
-    private boolean comparing;
-    private long comparedMillis = LeaseManager.NEVER;
+    private boolean queryPending;
+    private long queriedMillis = LeaseManager.NEVER_MILLIS;
+    private boolean comparisonPending;
+    private long comparedMillis = LeaseManager.NEVER_MILLIS;
     private long compareGapMillis = COMPARE_GAP_MS;
 
-    PrimaryMonitor(FailoverContext context, Mover mover) {
+    PrimaryMonitor(FailoverContext context, MoveStarter mover) {
         this.context = context;
         this.mover = mover;
     }
 
     /** A move begins: what was missed before counts no more. */
     void onMoveStarted() {
-        misses = 0;
+        unansweredQueries = 0;
     }
 
     /**
@@ -70,10 +70,10 @@
                 && !reported.id().equals(record.primary())
                 && (!present || !primary.isPrimary())) {
             // Promoted by a call of an earlier holder that arrived late: so it is.
-            context.record(
+            context.storeRecord(
                     new PrimaryRecord(
                             record.service(),
-                            context.nextToken(),
+                            context.nextFencingToken(),
                             reported.id(),
                             false,
                             record.replicationPaused()));
@@ -88,25 +88,28 @@
         }
         PrimaryObservation seen = context.observation(record.service(), record.primary());
         boolean outOfReach = seen.unreachable() > 0 && seen.unreachable() >= seen.reachable();
-        if (!outOfReach && !context.isSilent(primary)) {
-            misses = 0;
+        if (!outOfReach && !context.hasMissedHeartbeats(primary)) {
+            unansweredQueries = 0;
             return seen.unreachable() > 0;
         }
-        if (!querying && context.now() >= queriedMillis + QUERY_GAP_MS) {
+        if (!queryPending && context.now() >= queriedMillis + QUERY_GAP_MS) {
             query(record, primary);
         }
         return true;
     }
 
     private void query(PrimaryRecord record, DatabaseServer primary) {
-        querying = true;
+        queryPending = true;
         queriedMillis = context.now();
         context.queryStatus(primary, SUSPECT_TIMEOUT_MS)
                 .whenComplete(
                         (status, fault) -> {
-                            querying = false;
+                            queryPending = false;
                             queriedMillis = context.now();
-                            misses = ServerQueryException.showsServerAlive(fault) ? 0 : misses + 1;
+                            unansweredQueries =
+                                    ServerQueryException.showsServerAlive(fault)
+                                            ? 0
+                                            : unansweredQueries + 1;
                             if (isLost(record, primary)
                                     && context.isActing()
                                     && context.isCurrent(record)) {
@@ -119,9 +122,9 @@
         PrimaryObservation seen = context.observation(record.service(), record.primary());
         boolean othersAgree =
                 seen.unreachable() > seen.reachable()
-                        || seen.reachable() == 0 && context.isSilent(primary);
+                        || seen.reachable() == 0 && context.hasMissedHeartbeats(primary);
         int enoughMisses = seen.unreachable() >= 2 && seen.reachable() == 0 ? 1 : 2;
-        return misses >= enoughMisses && othersAgree;
+        return unansweredQueries >= enoughMisses && othersAgree;
     }
 
     /**
@@ -138,15 +141,15 @@
             }
         }
         if (successors.isEmpty()
-                || comparing
+                || comparisonPending
                 || context.now() < comparedMillis + compareGapMillis) {
             return;
         }
-        comparing = true;
+        comparisonPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
                         (primaryStatus, fault) -> {
-                            comparing = false;
+                            comparisonPending = false;
                             comparedMillis = context.now();
                             compareGapMillis = Math.min(MAX_COMPARE_GAP_MS, 2 * compareGapMillis);
                             if (fault == null) {
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -212,13 +212,13 @@
     private boolean isRedirectTarget(PeerState peer, long lastContact) {
         if (lastContact >= createdMillis) {
             return !peer.isLeaving()
-                    && peer.lastContactMillis() > lastContact - LeaseManager.CONTACT_MS;
+                    && peer.lastContactMillis() > lastContact - LeaseManager.CONTACT_TIMEOUT_MS;
         }
         RegisterValue value = state.register().acceptedValue();
         boolean mayBeMember =
                 value == null
                         || value.members().stream()
                                 .anyMatch(id -> RegisterValue.ipOf(id).equals(peer.ip()));
-        return mayBeMember && state.nowMillis() > createdMillis + LeaseManager.CONTACT_MS;
+        return mayBeMember && state.nowMillis() > createdMillis + LeaseManager.CONTACT_TIMEOUT_MS;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -51,7 +51,7 @@
         }
         return Responses.within(
                 state.environment(),
-                DataLossManager.ACCEPTANCE_MS,
+                DataLossManager.ACCEPTANCE_TIMEOUT_MS,
                 dataLoss.accept(missing),
                 acceptance -> response(missing.service(), acceptance));
     }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -90,16 +90,16 @@
     public static final int NUMBER_BITS = 20;
 
     /** A moment that is earlier than all others. */
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    public static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
     /** A peer that was silent for so long is taken for gone. */
-    public static final long CONTACT_MS = 1_300;
+    public static final long CONTACT_TIMEOUT_MS = 1_300;
 
     /** The holder's time ends so much earlier than its members' promises. */
     private static final long HOLDER_MARGIN_MS = 250;
 
     /** Candidates begin one after the other, by their rank. */
-    private static final long STAGGER_MS = 250;
+    private static final long CANDIDATE_STAGGER_MS = 250;
 
     /** A holder whose disk has done nothing for so long leaves the role to others. */
     private static final long MAX_DISK_STALL_MS = 1_000;
@@ -123,16 +123,16 @@
     private boolean promiseNeverHeld;
 
     /** The clock of the process that has the promise, in its last message that was granted. */
-    private long grantedAtMillis = NEVER;
+    private long grantedAtMillis = NEVER_MILLIS;
 
     /**
      * Until when the process that has the promise may have said that its lease runs, however soon
      * that ended.
      */
-    private long currentLeaseEndMillis = NEVER;
+    private long currentLeaseEndMillis = NEVER_MILLIS;
 
     /** The same of all that had the promise before. */
-    private long formerLeaseEndMillis = NEVER;
+    private long formerLeaseEndMillis = NEVER_MILLIS;
 
     private boolean persisting;
 
@@ -243,7 +243,7 @@
 
     private long grantedToSelfAt(Voter peer, long now) {
         if (peer.promisedNumber() != ownNumber || !peer.promisedTo().equals(context.selfId())) {
-            return NEVER;
+            return NEVER_MILLIS;
         }
         return context.isDisabled(SafetyRule.LEASE_FROM_ASKED) ? now : peer.grantedAtMillis();
     }
@@ -254,7 +254,8 @@
      * or have ended with its process.
      */
     public long formerLeaseEndMillis() {
-        long end = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
+        long end =
+                context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER_MILLIS : formerLeaseEndMillis;
         for (Voter peer : context.peers()) {
             if (promisedNumber == ownNumber
                     && peer.promisedNumber() == ownNumber
@@ -300,7 +301,7 @@
             grantedAtMillis = Math.max(grantedAtMillis, requestedAtMillis);
             promiseNeverHeld = false;
         } else if (!persisting
-                && number > (promiseBinds() ? promisedNumber : promiseFloor)
+                && number > (isPromiseBinding() ? promisedNumber : promiseFloor)
                 && mayPromiseTo(peer, now)) {
             promise(number, peer.id(), requestedAtMillis);
         }
@@ -316,7 +317,7 @@
     }
 
     /** Whether the number that is promised here may have been held, or may yet be. */
-    private boolean promiseBinds() {
+    private boolean isPromiseBinding() {
         if (!promisedTo.equals(context.selfId())) {
             return !promiseNeverHeld;
         }
@@ -341,7 +342,7 @@
             requestAtMillis =
                     Math.min(
                             requestAtMillis,
-                            promisedUntilMillis + context.memberRank() * STAGGER_MS);
+                            promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS);
         }
     }
 
@@ -373,7 +374,7 @@
         if (context.isDisabled(SafetyRule.LEASE_NUMBERS_RISE)) {
             return 0;
         }
-        return promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
+        return isPromiseBinding() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
     }
 
     private void onPromised(long number, String to, long floor, long requestedAtMillis) {
@@ -388,7 +389,7 @@
         promiseNeverHeld = false;
         formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
         // The own lease counts from when it is held.
-        currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
+        currentLeaseEndMillis = toSelf ? NEVER_MILLIS : context.nowMillis() + DURATION_MS;
         grantedAtMillis = requestedAtMillis;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
         context.broadcast();
@@ -411,12 +412,12 @@
      * Whether a majority is bound to a peer that goes on with its lease and is in contact. To ask
      * then is in vain, and each number that is asked for keeps this member from that peer.
      */
-    private boolean anotherIsElected() {
-        long since = context.nowMillis() - CONTACT_MS;
+    private boolean isAnotherElected() {
+        long since = context.nowMillis() - CONTACT_TIMEOUT_MS;
         for (Voter peer : context.peers()) {
             if (peer.requestedNumber() > 0
                     && peer.lastContactMillis() > since
-                    && majorityPromised(peer) > since) {
+                    && majorityPromiseMillis(peer) > since) {
                 return true;
             }
         }
@@ -424,14 +425,15 @@
     }
 
     /** When a majority was last known to have its promise given to this peer. */
-    private long majorityPromised(Voter peer) {
-        long own = isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER;
+    private long majorityPromiseMillis(Voter peer) {
+        long own =
+                isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER_MILLIS;
         return context.quorumReached(
                 own,
                 voter ->
                         isPromiseTo(voter.promisedNumber(), voter.promisedTo(), peer)
                                 ? voter.lastContactMillis()
-                                : NEVER);
+                                : NEVER_MILLIS);
     }
 
     private static boolean isPromiseTo(long number, String to, Voter peer) {
@@ -462,17 +464,18 @@
         if (!context.isVoter() || context.isIsolated() || persisting || unfit) {
             // The one that had it last goes first: no member that promised it waits for others.
             boolean wasLast = promisedTo.equals(context.selfId()) && !unfit;
-            long earliest = wasLast ? now : now + STAGGER_MS * (1 + context.memberRank());
+            long earliest = wasLast ? now : now + CANDIDATE_STAGGER_MS * (1 + context.memberRank());
             requestAtMillis = Math.max(requestAtMillis, earliest);
             return;
         }
         if (now < promisedUntilMillis && !promisedTo.equals(context.selfId())) {
-            requestAtMillis = promisedUntilMillis + context.memberRank() * STAGGER_MS;
+            requestAtMillis = promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS;
             return;
         }
-        if (anotherIsElected()) {
+        if (isAnotherElected()) {
             abandon();
-            requestAtMillis = Math.max(requestAtMillis, now + context.memberRank() * STAGGER_MS);
+            requestAtMillis =
+                    Math.max(requestAtMillis, now + context.memberRank() * CANDIDATE_STAGGER_MS);
             return;
         }
         if (now >= requestAtMillis) {
@@ -493,7 +496,8 @@
                 highest = Math.max(highest, peer.promisedNumber());
             }
         }
-        requestAtMillis = now + 4 * STAGGER_MS + context.randomBelow(STAGGER_MS * 2);
+        requestAtMillis =
+                now + 4 * CANDIDATE_STAGGER_MS + context.randomBelow(CANDIDATE_STAGGER_MS * 2);
         lastRequestedNumber = highest + 1;
         promise(lastRequestedNumber, context.selfId(), now);
         ownNumber = lastRequestedNumber;
--- a/src/main/java/dillfront/controlplane/peer/ClusterView.java
+++ b/src/main/java/dillfront/controlplane/peer/ClusterView.java
@@ -100,14 +100,14 @@
 
     /**
      * Returns the highest value of a quantity that a majority of each member set has reached;
-     * {@link LeaseManager#NEVER} before there are members.
+     * {@link LeaseManager#NEVER_MILLIS} before there are members.
      *
      * @param own the value of this process
      */
     public long quorumReached(long own, ToLongFunction<PeerState> quantity) {
         RegisterValue value = register.acceptedValue();
         if (value == null) {
-            return LeaseManager.NEVER;
+            return LeaseManager.NEVER_MILLIS;
         }
         return value.quorumReached(
                 id -> {
@@ -115,7 +115,7 @@
                         return own;
                     }
                     PeerState peer = peer(id);
-                    return peer == null ? LeaseManager.NEVER : quantity.applyAsLong(peer);
+                    return peer == null ? LeaseManager.NEVER_MILLIS : quantity.applyAsLong(peer);
                 });
     }
 
@@ -131,11 +131,12 @@
      * then be outdated.
      */
     public boolean isIsolated() {
-        return lastQuorumContactMillis() < environment.nowMillis() - LeaseManager.CONTACT_MS;
+        return lastQuorumContactMillis()
+                < environment.nowMillis() - LeaseManager.CONTACT_TIMEOUT_MS;
     }
 
     /** Returns whether a message of this peer was received recently. */
     public boolean isInContact(PeerState peer) {
-        return environment.nowMillis() - peer.lastContactMillis() < LeaseManager.CONTACT_MS;
+        return environment.nowMillis() - peer.lastContactMillis() < LeaseManager.CONTACT_TIMEOUT_MS;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -174,7 +174,7 @@
                         (int) in.number(DATA_PLANES, 0)),
                 in.flag(IS_HOLDER)
                         ? new LeaseHolderStatus(
-                                in.number(LEASE_REMAINING, LeaseManager.NEVER),
+                                in.number(LEASE_REMAINING, LeaseManager.NEVER_MILLIS),
                                 in.strings(SUSPECTS))
                         : null,
                 new DataLossReport(
@@ -188,7 +188,7 @@
                 in.string(ZONE),
                 in.string(INCARNATION),
                 in.number(CLOCK, 0),
-                in.number(ECHO_CLOCK, LeaseManager.NEVER),
+                in.number(ECHO_CLOCK, LeaseManager.NEVER_MILLIS),
                 in.string(ECHO_INCARNATION),
                 in.string(ID),
                 in.number(EPOCH, 0),
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -9,7 +9,7 @@
 
 /**
  * The state of another control process, as of its last message. Times refer to this process's clock
- * unless stated otherwise; {@link LeaseManager#NEVER} means that nothing was received.
+ * unless stated otherwise; {@link LeaseManager#NEVER_MILLIS} means that nothing was received.
  */
 public final class PeerState {
 
@@ -19,8 +19,8 @@
     private String zoneName = "";
     private String incarnation = "";
     private long clockMillis;
-    private long lastAcknowledgedSendMillis = LeaseManager.NEVER;
-    private long previousIncarnationContactMillis = LeaseManager.NEVER;
+    private long lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
+    private long previousIncarnationContactMillis = LeaseManager.NEVER_MILLIS;
     private boolean firstStart;
     private boolean leaving;
     private ReplicationProgress registryProgress = new ReplicationProgress();
@@ -147,7 +147,7 @@
         previousIncarnationContactMillis = lastContactMillis();
         lease.reset(newId);
         registryProgress = new ReplicationProgress();
-        lastAcknowledgedSendMillis = LeaseManager.NEVER;
+        lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
         recordNumber = -1;
         acknowledgedMoves.clear();
     }
--- a/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
+++ b/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
@@ -134,7 +134,7 @@
      *
      * @param answeredSince whether the peer said its number since the lease began
      */
-    public boolean covers(boolean answeredSince, long peerNumber) {
+    public boolean hasAllRecordsOf(boolean answeredSince, long peerNumber) {
         return answeredSince && peerNumber <= newestNumber
                 || context.isDisabled(SafetyRule.RECORDS_OF_MAJORITY);
     }
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -29,7 +29,7 @@
      * Until when the data plane may rely on its records: no server other than the recorded primary
      * can be the primary before this time.
      */
-    private long certainUntilMillis = LeaseManager.NEVER;
+    private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
 
--- a/src/main/java/dillfront/dataplane/ClientSession.java
+++ b/src/main/java/dillfront/dataplane/ClientSession.java
@@ -17,21 +17,21 @@
 final class ClientSession implements Environment.ConnectionListener {
 
     private static final int MAX_PIPELINED = 32;
-    private static final int MAX_NAMES = 400;
+    private static final int MAX_SESSION_NAMES = 400;
 
     /** Bytes that a client may leave unread. */
     private static final long MAX_UNREAD_BYTES = 4 << 20;
 
     /** A refused client is asked to wait for half of its target latency, and at least so long. */
-    private static final long MIN_COME_BACK_MS = 50;
+    private static final long MIN_RETRY_AFTER_MS = 50;
 
-    private static final char FAILED = 'E';
+    private static final char IN_FAILED_TRANSACTION = 'E';
 
     private final DataPlaneNode node;
     private final Map<String, String> variables = new HashMap<>();
-    private final Map<String, String> prepared = new HashMap<>();
-    private final ArrayDeque<String> pipelined = new ArrayDeque<>();
-    private Environment.Connection client;
+    private final Map<String, String> preparedDefinitions = new HashMap<>();
+    private final ArrayDeque<String> pipelinedLines = new ArrayDeque<>();
+    private Environment.Connection clientConnection;
 
     /** The database that it named in CONNECT; null before. */
     private String database;
@@ -43,24 +43,24 @@
     private Transaction transaction;
 
     /** The transaction failed: its end rolls back. */
-    private boolean failed;
+    private boolean transactionFailed;
 
     /** The statement that runs; null for none. */
-    private StatementExecution running;
+    private StatementExecution runningStatement;
 
     private boolean closed;
 
     // The end of the process.
     private boolean closesWhenIdle;
-    private boolean closesNow;
+    private boolean closesAfterStatement;
 
     /** It came when the process was already about to end: it gets one operation. */
-    private boolean lateComer;
+    private boolean acceptedDuringShutdown;
 
     /** Or none, as that could not end in time any more. */
-    private boolean rejectsAll;
+    private boolean rejectsConnect;
 
-    private boolean hasOperated;
+    private boolean hasRunOperation;
 
     ClientSession(DataPlaneNode node) {
         this.node = node;
@@ -89,7 +89,7 @@
     }
 
     /** Whether this transaction is the one that is open. */
-    boolean isIn(Transaction open) {
+    boolean isCurrentTransaction(Transaction open) {
         return transaction == open;
     }
 
@@ -97,7 +97,7 @@
 
     @Override
     public void onOpen(Environment.Connection connection) {
-        client = connection;
+        clientConnection = connection;
     }
 
     @Override
@@ -108,11 +108,11 @@
                 return;
             }
         }
-        if (pipelined.size() >= MAX_PIPELINED) {
+        if (pipelinedLines.size() >= MAX_PIPELINED) {
             closeWithError("MALFORMED", "too much at once");
             return;
         }
-        pipelined.add(new String(line, StandardCharsets.ISO_8859_1));
+        pipelinedLines.add(new String(line, StandardCharsets.ISO_8859_1));
         runNext();
     }
 
@@ -122,16 +122,16 @@
     }
 
     private void runNext() {
-        while (!closed && running == null && !pipelined.isEmpty()) {
-            handle(pipelined.poll());
+        while (!closed && runningStatement == null && !pipelinedLines.isEmpty()) {
+            handle(pipelinedLines.poll());
         }
-        if (closed || running != null) {
+        if (closed || runningStatement != null) {
             return;
         }
-        if (closesWhenIdle && transaction == null && (hasOperated || !lateComer)) {
+        if (closesWhenIdle && transaction == null && (hasRunOperation || !acceptedDuringShutdown)) {
             close();
-        } else if (closesNow) {
-            closeNow();
+        } else if (closesAfterStatement) {
+            closeAfterStatement();
         }
     }
 
@@ -155,7 +155,7 @@
         String name = gap < 0 ? arguments : arguments.substring(0, gap);
         if (name.isEmpty() || gap < 0) {
             closeWithError("MALFORMED", "CONNECT database who");
-        } else if (rejectsAll) {
+        } else if (rejectsConnect) {
             closeWithError("BUSY", "the router ends");
         } else if (node.configuration() == Configuration.NONE) {
             closeWithError("BUSY", "no configuration yet");
@@ -182,7 +182,7 @@
         boolean ends =
                 statement.verb() == Statement.Verb.COMMIT
                         || statement.verb() == Statement.Verb.ROLLBACK;
-        if (failed && !ends) {
+        if (transactionFailed && !ends) {
             replyError("MALFORMED", "the transaction failed");
             return;
         }
@@ -204,7 +204,7 @@
     // ---- statements that are answered here
 
     private void set(Statement statement) {
-        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_NAMES) {
+        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many values");
         } else {
             variables.put(statement.name(), statement.arguments());
@@ -213,16 +213,16 @@
     }
 
     private void prepare(Statement statement) {
-        if (prepared.size() >= MAX_NAMES) {
+        if (preparedDefinitions.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many prepared names");
         } else {
-            prepared.put(statement.name(), statement.arguments());
+            preparedDefinitions.put(statement.name(), statement.arguments());
             replyCompleted();
         }
     }
 
     private void deallocate(Statement statement) {
-        if (prepared.remove(statement.name()) == null) {
+        if (preparedDefinitions.remove(statement.name()) == null) {
             replyError("UNKNOWN", statement.name());
         } else {
             replyCompleted();
@@ -242,7 +242,7 @@
         } else {
             boolean readOnly = statement.verb() == Statement.Verb.BEGIN_READ;
             transaction = new Transaction(this, readOnly, id, route);
-            hasOperated = true;
+            hasRunOperation = true;
             replyCompleted();
             startIdleTimeout(transaction);
             transaction.open();
@@ -252,8 +252,8 @@
     private void startIdleTimeout(Transaction of) {
         of.startIdleTimeout(
                 () -> {
-                    if (transaction == of && running == null && !failed) {
-                        failed = true;
+                    if (transaction == of && runningStatement == null && !transactionFailed) {
+                        transactionFailed = true;
                         of.release(true);
                     }
                 });
@@ -271,7 +271,7 @@
     private void commit(String id, String text, Statement statement) {
         if (transaction == null) {
             replyError("MALFORMED", "no transaction");
-        } else if (failed) {
+        } else if (transactionFailed) {
             endTransaction();
             send("ERROR ABORTED the transaction failed\r\nREADY I -");
         } else {
@@ -282,20 +282,20 @@
     /** The transaction is over for the client: what is open at the server is rolled back. */
     private void endTransaction() {
         Transaction ended = transaction;
-        failed = false;
-        leaveTransaction();
+        transactionFailed = false;
+        clearTransaction();
         ended.release(true);
     }
 
     /** No transaction is open any more. */
-    void leaveTransaction() {
+    void clearTransaction() {
         transaction.cancelIdleTimeout();
         transaction = null;
     }
 
     /** The transaction has failed; the client's own end of it is still to come. */
     void failTransaction() {
-        failed = true;
+        transactionFailed = true;
     }
 
     // ---- statements that go to a server
@@ -308,7 +308,7 @@
         }
         String shape = null;
         if (statement.verb() == Statement.Verb.EXECUTE) {
-            shape = prepared.get(statement.name());
+            shape = preparedDefinitions.get(statement.name());
             if (shape == null) {
                 replyError("UNKNOWN", statement.name());
                 return;
@@ -318,8 +318,8 @@
     }
 
     private void run(StatementExecution statement) {
-        running = statement;
-        hasOperated = true;
+        runningStatement = statement;
+        hasRunOperation = true;
         statement.startTimeout(() -> onTimeout(statement));
         if (transaction != null) {
             transaction.run(statement);
@@ -340,11 +340,11 @@
         ServerConnection on = statement.connection;
         statement.finished = true;
         if (transaction != null) {
-            failed = true;
-            transaction.abandonConnection();
+            transactionFailed = true;
+            transaction.onConnectionAborting();
             if (statement.isCommit()) {
-                leaveTransaction();
-                failed = false;
+                clearTransaction();
+                transactionFailed = false;
             }
         }
         on.abort("time-out");
@@ -355,8 +355,8 @@
     // ---- replies
 
     private char transactionStatus() {
-        if (failed) {
-            return FAILED;
+        if (transactionFailed) {
+            return IN_FAILED_TRANSACTION;
         }
         return transaction != null ? QueryResult.IN_TRANSACTION : QueryResult.IDLE;
     }
@@ -368,18 +368,18 @@
     /** An error of the data plane's own; inside a transaction it fails it. */
     private void replyError(String code, String text) {
         if (transaction != null) {
-            failed = true;
+            transactionFailed = true;
         }
         send("ERROR " + code + " " + text + "\r\nREADY " + transactionStatus() + " -");
     }
 
     private void finish(StatementExecution statement) {
         statement.finish();
-        running = null;
+        runningStatement = null;
     }
 
     /** The statement completed. */
-    void answer(StatementExecution statement, QueryResult result) {
+    void complete(StatementExecution statement, QueryResult result) {
         finish(statement);
         node.counters.completed++;
         StringBuilder out = new StringBuilder();
@@ -412,18 +412,19 @@
     /** The statement was not run, and is given up: the client is told when to come back. */
     void refuse(StatementExecution statement) {
         if (transaction != null) {
-            transaction.failAtServer();
+            transaction.failAndRollBack();
         }
-        long comeBackMillis = Math.max(MIN_COME_BACK_MS, statement.route.targetLatencyMillis() / 2);
+        long comeBackMillis =
+                Math.max(MIN_RETRY_AFTER_MS, statement.route.targetLatencyMillis() / 2);
         fail(statement, "BUSY", "not run; come back in " + comeBackMillis + " ms");
     }
 
     private void send(String lines) {
         if (!closed) {
-            client.send(lines.getBytes(StandardCharsets.ISO_8859_1));
-            if (client.pendingBytes() > MAX_UNREAD_BYTES) {
+            clientConnection.send(lines.getBytes(StandardCharsets.ISO_8859_1));
+            if (clientConnection.pendingBytes() > MAX_UNREAD_BYTES) {
                 onClose("reads nothing");
-                client.close();
+                clientConnection.close();
             }
         }
     }
@@ -432,7 +433,7 @@
 
     private void close() {
         if (!closed) {
-            Environment.Connection connection = client;
+            Environment.Connection connection = clientConnection;
             onClose("ended");
             connection.close();
         }
@@ -447,14 +448,14 @@
             send("ERROR TOOLARGE a message of more than 1 MiB");
         }
         closed = true;
-        if (running != null) {
-            StatementExecution statement = running;
+        if (runningStatement != null) {
+            StatementExecution statement = runningStatement;
             ServerConnection on = statement.connection;
             finish(statement);
             if (transaction != null && on != null) {
                 // What runs is cut with its connection: it rolls back, or the commit that is under
                 // way goes its own way.
-                transaction.abandonConnection();
+                transaction.onConnectionAborting();
                 on.abort("client left");
             }
         }
@@ -469,10 +470,10 @@
      *
      * @param tooLateToServe no operation could end in time any more
      */
-    void onLateStart(boolean tooLateToServe) {
+    void onAcceptedDuringShutdown(boolean tooLateToServe) {
         closesWhenIdle = true;
-        lateComer = true;
-        rejectsAll = tooLateToServe;
+        acceptedDuringShutdown = true;
+        rejectsConnect = tooLateToServe;
     }
 
     /** The process ends: the session is closed once it is idle. */
@@ -485,10 +486,10 @@
      * The process ends now: an open transaction is told that nothing of it is kept, a statement
      * that runs is waited for.
      */
-    void closeNow() {
+    void closeAfterStatement() {
         closesWhenIdle = true;
-        closesNow = true;
-        if (running == null) {
+        closesAfterStatement = true;
+        if (runningStatement == null) {
             if (transaction != null) {
                 send("ERROR ABORTED the router ends; nothing of the transaction is kept");
             }
--- a/src/main/java/dillfront/dataplane/ReadPositionFloors.java
+++ b/src/main/java/dillfront/dataplane/PrimaryPositionHistory.java
@@ -11,20 +11,20 @@
  * <p>The position goes along with a read as AFTER, so the server itself refuses where its log lacks
  * another data plane's commit.
  */
-final class ReadPositionFloors {
+final class PrimaryPositionHistory {
 
-    private static final int MAX_FLOORS = 128;
-    private static final long DEFAULT_SPACING_MS = 20;
-    private static final long MIN_SPACING_MS = 5;
+    private static final int MAX_SAMPLES = 128;
+    private static final long DEFAULT_SAMPLE_INTERVAL_MS = 20;
+    private static final long MIN_SAMPLE_INTERVAL_MS = 5;
 
-    private record Floor(LogPosition position, long atMillis) {}
+    private record Sample(LogPosition position, long requestedMillis) {}
 
-    private final ArrayDeque<Floor> floors = new ArrayDeque<>();
-    private long spacingMillis = DEFAULT_SPACING_MS;
+    private final ArrayDeque<Sample> samples = new ArrayDeque<>();
+    private long sampleIntervalMillis = DEFAULT_SAMPLE_INTERVAL_MS;
 
     /** How old a read may be at the most, over all routes. */
-    void maxStaleness(long millis) {
-        spacingMillis = Math.max(MIN_SPACING_MS, millis / (MAX_FLOORS / 2));
+    void setMaxStaleness(long millis) {
+        sampleIntervalMillis = Math.max(MIN_SAMPLE_INTERVAL_MS, millis / (MAX_SAMPLES / 2));
     }
 
     /**
@@ -33,14 +33,15 @@
      * @param position null where the answer had none
      */
     void onPrimaryPosition(LogPosition position, long requestedMillis) {
-        Floor last = floors.peekLast();
-        boolean tooSoon = last != null && requestedMillis < last.atMillis() + spacingMillis;
+        Sample last = samples.peekLast();
+        boolean tooSoon =
+                last != null && requestedMillis < last.requestedMillis() + sampleIntervalMillis;
         if (position == null || tooSoon) {
             return;
         }
-        floors.addLast(new Floor(position, requestedMillis));
-        if (floors.size() > MAX_FLOORS) {
-            floors.removeFirst();
+        samples.addLast(new Sample(position, requestedMillis));
+        if (samples.size() > MAX_SAMPLES) {
+            samples.removeFirst();
         }
     }
 
@@ -48,10 +49,10 @@
      * The lowest position that holds all that was acknowledged before this moment; null where that
      * is not known.
      */
-    LogPosition positionSince(long momentMillis) {
+    LogPosition lowestPositionSince(long momentMillis) {
         LogPosition lowest = null;
-        for (Floor floor : floors) {
-            boolean recent = floor.atMillis() >= momentMillis;
+        for (Sample floor : samples) {
+            boolean recent = floor.requestedMillis() >= momentMillis;
             if (recent && (lowest == null || floor.position().compareTo(lowest) < 0)) {
                 lowest = floor.position();
             }
--- a/src/main/java/dillfront/dataplane/ServerConnection.java
+++ b/src/main/java/dillfront/dataplane/ServerConnection.java
@@ -46,13 +46,13 @@
     final ServerPool pool;
     private final ServerResponseReader responses = new ServerResponseReader();
     private final Map<String, String> variables = new HashMap<>();
-    private final Set<String> prepared = new HashSet<>();
-    private final ArrayDeque<PendingQuery> pending = new ArrayDeque<>();
+    private final Set<String> preparedDefinitions = new HashSet<>();
+    private final ArrayDeque<PendingQuery> pendingQueries = new ArrayDeque<>();
     private Environment.Connection socket;
     private boolean closed;
 
     /** By the last answer. */
-    private char transactionStatus = QueryResult.IDLE;
+    private char lastTransactionStatus = QueryResult.IDLE;
 
     ServerConnection(ServerPool pool) {
         this.pool = pool;
@@ -116,22 +116,23 @@
     private void applyVariables(Map<String, String> wanted, StringBuilder out) {
         boolean hasOthers = !wanted.keySet().containsAll(variables.keySet());
         boolean hasTooMany =
-                prepared.size() > MAX_PREPARED && transactionStatus == QueryResult.IDLE;
+                preparedDefinitions.size() > MAX_PREPARED
+                        && lastTransactionStatus == QueryResult.IDLE;
         if (hasOthers || hasTooMany) {
-            addInternal(out, "RESET");
+            appendInternal(out, "RESET");
             variables.clear();
-            prepared.clear();
+            preparedDefinitions.clear();
         }
         wanted.forEach(
                 (name, value) -> {
                     if (!value.equals(variables.get(name))) {
-                        addInternal(out, "SET " + name + " " + value);
+                        appendInternal(out, "SET " + name + " " + value);
                         variables.put(name, value);
                     }
                 });
     }
 
-    private void addInternal(StringBuilder out, String statement) {
+    private void appendInternal(StringBuilder out, String statement) {
         out.append("QUERY - ").append(statement).append("\r\n");
         addPending(
                 new PendingQuery(
@@ -147,7 +148,7 @@
     }
 
     private void addPending(PendingQuery query) {
-        pending.add(query);
+        pendingQueries.add(query);
         responses.expectResponse();
     }
 
@@ -172,12 +173,12 @@
             long deadlineMillis,
             ResponseHandler handler) {
         StringBuilder out = new StringBuilder();
-        boolean wasIdle = pending.isEmpty();
+        boolean wasIdle = pendingQueries.isEmpty();
         if (wanted != null) {
             applyVariables(wanted, out);
         }
-        if (shape != null && prepared.add(shape)) {
-            addInternal(out, "PREPARE " + preparedName(shape) + " " + shape);
+        if (shape != null && preparedDefinitions.add(shape)) {
+            appendInternal(out, "PREPARE " + preparedName(shape) + " " + shape);
         }
         out.append("QUERY ").append(id).append(' ').append(statement);
         if (closed) {
@@ -196,13 +197,13 @@
 
     /** When the oldest statement that is not answered was sent; the end of time for none. */
     long oldestSentMillis() {
-        PendingQuery oldest = pending.peekFirst();
+        PendingQuery oldest = pendingQueries.peekFirst();
         return oldest == null ? Long.MAX_VALUE : oldest.sentMillis();
     }
 
     /** Leaves it where an answer is overdue, whatever else came from the server. */
     void closeIfOverdue(long nowMillis) {
-        for (PendingQuery query : pending) {
+        for (PendingQuery query : pendingQueries) {
             if (nowMillis >= query.deadlineMillis()) {
                 abort("not answered");
                 return;
@@ -228,21 +229,21 @@
         if (response == null) {
             return;
         }
-        transactionStatus = response.transactionStatus();
+        lastTransactionStatus = response.transactionStatus();
         pool.knownPosition = LogPosition.max(pool.knownPosition, response.logPosition());
         if (wasConnected) {
             complete(response);
         } else if (response.errorCode() != null) {
             abort(response.errorCode());
         } else {
-            pool.connecting--;
+            pool.connectsInProgress--;
             pool.release(this);
         }
     }
 
     private void complete(ServerResponse response) {
-        PendingQuery query = pending.poll();
-        if (pending.isEmpty()) {
+        PendingQuery query = pendingQueries.poll();
+        if (pendingQueries.isEmpty()) {
             pool.busyConnections = Math.max(0, pool.busyConnections - 1);
         }
         query.handler().onResponse(QueryResult.of(response));
@@ -274,14 +275,14 @@
         closed = true;
         boolean wasConnected = responses.isConnected();
         if (!wasConnected) {
-            pool.connecting--;
+            pool.connectsInProgress--;
         }
-        if (!pending.isEmpty()) {
+        if (!pendingQueries.isEmpty()) {
             pool.busyConnections = Math.max(0, pool.busyConnections - 1);
         }
         pool.onConnectionClosed(this, wasConnected, reason);
-        List<PendingQuery> unanswered = new ArrayList<>(pending);
-        pending.clear();
+        List<PendingQuery> unanswered = new ArrayList<>(pendingQueries);
+        pendingQueries.clear();
         unanswered.forEach(query -> query.handler().onResponse(QueryResult.connectionLost(reason)));
     }
 
--- a/src/main/java/dillfront/dataplane/Statement.java
+++ b/src/main/java/dillfront/dataplane/Statement.java
@@ -35,12 +35,13 @@
             case "READ":
                 return isSingleToken(rest) ? new Statement(Verb.READ, "", rest) : MALFORMED;
             case "WRITE":
-                return isTokenPair(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
+                return hasTwoTokens(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
             case "SET":
-                return isTokenPair(rest) ? named(Verb.SET, rest) : MALFORMED;
+                return hasTwoTokens(rest) ? withName(Verb.SET, rest) : MALFORMED;
             case "PREPARE":
                 {
-                    Statement statement = isTokenPair(rest) ? named(Verb.PREPARE, rest) : MALFORMED;
+                    Statement statement =
+                            hasTwoTokens(rest) ? withName(Verb.PREPARE, rest) : MALFORMED;
                     int gap = statement.arguments().indexOf(' ');
                     boolean shaped =
                             gap > 0
@@ -51,7 +52,7 @@
                             : MALFORMED;
                 }
             case "EXECUTE":
-                return isTokenPair(rest) ? named(Verb.EXECUTE, rest) : MALFORMED;
+                return hasTwoTokens(rest) ? withName(Verb.EXECUTE, rest) : MALFORMED;
             case "DEALLOCATE":
                 return isSingleToken(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : MALFORMED;
             default:
@@ -63,11 +64,11 @@
         return !rest.isEmpty() && rest.indexOf(' ') < 0;
     }
 
-    private static boolean isTokenPair(String rest) {
+    private static boolean hasTwoTokens(String rest) {
         return rest.indexOf(' ') > 0 && rest.indexOf(' ') < rest.length() - 1;
     }
 
-    private static Statement named(Verb verb, String rest) {
+    private static Statement withName(Verb verb, String rest) {
         int gap = rest.indexOf(' ');
         return new Statement(verb, rest.substring(0, gap), rest.substring(gap + 1));
     }
--- a/src/main/java/dillfront/dataplane/Transaction.java
+++ b/src/main/java/dillfront/dataplane/Transaction.java
@@ -12,23 +12,23 @@
  */
 final class Transaction extends Execution {
 
-    private static final long RETRY_PAUSE_MS = 20;
+    private static final long RETRY_DELAY_MS = 20;
     private static final int MAX_RESTARTS = 4;
 
     private final boolean readOnly;
 
     /** Where it is open, for the count of open transactions; null while it is not. */
-    private ServerPool server;
+    private ServerPool countedServer;
 
     private boolean opening;
 
     /** A statement of it has run, or may have. */
-    private boolean hasRun;
+    private boolean mayHaveRun;
 
     private boolean hasWritten;
 
     /** The statement that waits until it is open; null for none. */
-    private StatementExecution first;
+    private StatementExecution waitingStatement;
 
     private Environment.Timer idleTimeout;
 
@@ -55,7 +55,7 @@
 
     /** Opens it at a server. */
     void open() {
-        if (isWanted()) {
+        if (isActive()) {
             opening = true;
             acquire();
         }
@@ -67,44 +67,47 @@
     }
 
     @Override
-    void onNoServer() {
-        openLater();
+    void onNoServerAvailable() {
+        awaitServiceChange();
     }
 
     @Override
     void onServerUnavailable(ServerPool unavailable) {
-        tried.add(unavailable);
-        openLater();
+        excludedServers.add(unavailable);
+        awaitServiceChange();
     }
 
-    private long openPatienceEndMillis() {
-        return first != null ? first.patienceEndMillis() : patienceEndMillis();
+    private long openDeadlineMillis() {
+        return waitingStatement != null
+                ? waitingStatement.waitDeadlineMillis()
+                : waitDeadlineMillis();
     }
 
     /**
      * Waits for a change; given up with the statement that waits, or after a while where none does.
      */
-    private void openLater() {
-        if (now() >= openPatienceEndMillis() || first != null && !service().expectsPrimarySoon()) {
+    private void awaitServiceChange() {
+        if (now() >= openDeadlineMillis()
+                || waitingStatement != null && !service().expectsPrimarySoon()) {
             opening = false;
-            if (first != null) {
-                session.refuse(first);
+            if (waitingStatement != null) {
+                session.refuse(waitingStatement);
             }
             return;
         }
-        tried.clear();
+        excludedServers.clear();
         service().addWaiter(this::open);
     }
 
     @Override
     void onConnection(ServerPool from, ServerConnection borrowed, LogPosition position) {
-        if (!readOnly || position != null || service().isCertainPrimary(from)) {
+        if (!readOnly || position != null || service().isConfirmedPrimary(from)) {
             begin(from, borrowed, position);
         } else {
             verifyPrimary(
                     borrowed,
                     () -> begin(from, borrowed, null),
-                    () -> node.environment.schedule(RETRY_PAUSE_MS, this::openLater));
+                    () -> node.environment.schedule(RETRY_DELAY_MS, this::awaitServiceChange));
         }
     }
 
@@ -123,34 +126,34 @@
 
     private void onBegun(
             ServerPool from, ServerConnection on, long sentMillis, QueryResult result) {
-        if (!isWanted()) {
-            giveBack(on, result);
+        if (!isActive()) {
+            returnConnection(on, result);
             return;
         }
         if (result.isCompleted()) {
             if (!readOnly) {
-                service().floors.onPrimaryPosition(result.position(), sentMillis);
+                service().primaryPositions.onPrimaryPosition(result.position(), sentMillis);
             }
             onOpened(from, on);
             return;
         }
-        giveBack(on, result);
+        returnConnection(on, result);
         boolean lagging = result.hasFailedWith(ServerError.LAGGING);
         if (lagging) {
             node.counters.laggingReplies++;
             from.onLagging();
         }
-        tried.add(from);
+        excludedServers.add(from);
         attempts++;
-        node.environment.schedule(lagging ? 0 : RETRY_PAUSE_MS, this::openAgain);
+        node.environment.schedule(lagging ? 0 : RETRY_DELAY_MS, this::retryOpen);
     }
 
-    private void openAgain() {
-        if (!isWanted()) {
+    private void retryOpen() {
+        if (!isActive()) {
             return;
         }
-        if (now() >= openPatienceEndMillis()) {
-            openLater();
+        if (now() >= openDeadlineMillis()) {
+            awaitServiceChange();
         } else {
             open();
         }
@@ -159,24 +162,24 @@
     private void onOpened(ServerPool at, ServerConnection on) {
         opening = false;
         connection = on;
-        countAt(at);
-        StatementExecution waiting = first;
-        first = null;
+        countOpenAt(at);
+        StatementExecution waiting = waitingStatement;
+        waitingStatement = null;
         if (waiting != null && !waiting.finished) {
             execute(waiting);
         }
     }
 
     /** Counts it among the transactions that are open at the primary, where it is open there. */
-    private void countAt(ServerPool next) {
+    private void countOpenAt(ServerPool next) {
         DatabaseService service = service();
-        if (server != null && server.id.equals(service.primary)) {
+        if (countedServer != null && countedServer.id.equals(service.primary)) {
             service.openTransactions = Math.max(0, service.openTransactions - 1);
             if (service.moving && service.openTransactions == 0) {
                 node.controlPlane.requestUpdate();
             }
         }
-        server = next;
+        countedServer = next;
         if (next != null && next.id.equals(service.primary)) {
             service.openTransactions++;
         }
@@ -189,7 +192,7 @@
         if (connection != null) {
             execute(statement);
         } else {
-            first = statement;
+            waitingStatement = statement;
             if (!opening) {
                 open();
             }
@@ -198,15 +201,15 @@
 
     private void execute(StatementExecution statement) {
         ServerConnection on = connection;
-        if (!hasRun && on.pool.acceptsNothingNew()) {
+        if (!mayHaveRun && on.pool.rejectsNewWork()) {
             // Opened in time, but its first statement would be late.
             restart(statement, 0);
             return;
         }
-        boolean isFirst = !hasRun;
+        boolean isFirst = !mayHaveRun;
         boolean wrote = hasWritten || statement.writes();
         statement.connection = on;
-        hasRun = true;
+        mayHaveRun = true;
         hasWritten = wrote;
         long sentMillis = now();
         LogPosition before = on.pool.knownPosition;
@@ -214,17 +217,17 @@
         // here.
         on.query(
                 session.variables(),
-                statement.shape(),
+                statement.preparedDefinition(),
                 statement.id,
-                statement.line(),
-                statement.overdueMillis(),
+                statement.serverStatement(),
+                statement.deadlineMillis(),
                 result -> {
                     statement.connection = null;
                     boolean committed = result.isCompleted() && statement.isCommit();
                     if (committed && wrote) {
                         service().onAcknowledged(on.pool, before, result.position());
                     }
-                    if (!statement.isWanted() || !session.isIn(this)) {
+                    if (!statement.isActive() || !session.isCurrentTransaction(this)) {
                         return;
                     }
                     if (result.isCompleted()) {
@@ -238,16 +241,16 @@
     private void onCompleted(StatementExecution statement, long sentMillis, QueryResult result) {
         if (!readOnly && (!statement.isCommit() || hasWritten)) {
             // One that wrote nothing is committed by a server that has lost the lead, too.
-            service().floors.onPrimaryPosition(result.position(), sentMillis);
+            service().primaryPositions.onPrimaryPosition(result.position(), sentMillis);
         }
         if (statement.isCommit()) {
             if (hasWritten) {
                 session.onWriteAcknowledged(result.position());
             }
-            session.leaveTransaction();
+            session.clearTransaction();
             release(!result.isIdle());
         }
-        session.answer(statement, result);
+        session.complete(statement, result);
     }
 
     private void onFailed(
@@ -258,23 +261,23 @@
         boolean busy = result.hasFailedWith(ServerError.BUSY);
         if (busy
                 && result.transactionStatus() == QueryResult.IN_TRANSACTION
-                && statement.isPatient()) {
-            statement.afterPause(() -> execute(statement));
+                && statement.hasWaitTimeLeft()) {
+            statement.runAfterRetryDelay(() -> execute(statement));
         } else if (statement.isCommit()) {
-            session.leaveTransaction();
+            session.clearTransaction();
             release(!result.isIdle());
             failCommit(statement, result);
         } else if (isFirst
-                && hasNotRun(result)
-                && statement.isPatient()
+                && canRestartAfter(result)
+                && statement.hasWaitTimeLeft()
                 && statement.attempts++ < MAX_RESTARTS) {
             boolean lost = result.isConnectionLost();
             if (lost || result.hasFailedWith(ServerError.READONLY)) {
-                tried.add(on.pool);
+                excludedServers.add(on.pool);
             }
-            restart(statement, lost ? 0 : RETRY_PAUSE_MS);
+            restart(statement, lost ? 0 : RETRY_DELAY_MS);
         } else {
-            failAtServer();
+            failAndRollBack();
             boolean lost = result.isConnectionLost();
             session.fail(
                     statement,
@@ -294,7 +297,7 @@
     }
 
     /** Whether nothing of a first statement is kept: the transaction may begin anew. */
-    private static boolean hasNotRun(QueryResult result) {
+    private static boolean canRestartAfter(QueryResult result) {
         if (result.isConnectionLost()) {
             return true;
         }
@@ -307,14 +310,14 @@
     /** Nothing of the transaction has been kept: it begins anew. */
     private void restart(StatementExecution statement, long delayMillis) {
         ServerConnection on = connection;
-        hasRun = false;
+        mayHaveRun = false;
         hasWritten = false;
         connection = null;
-        countAt(null);
+        countOpenAt(null);
         if (!on.isClosed()) {
-            rollBack(on);
+            rollBackAndRelease(on);
         }
-        first = statement;
+        waitingStatement = statement;
         opening = true;
         node.environment.schedule(delayMillis, this::open);
     }
@@ -322,24 +325,24 @@
     // ---- the end
 
     /** What is open at the server is rolled back; the client's own end of it is still to come. */
-    void failAtServer() {
+    void failAndRollBack() {
         session.failTransaction();
         if (connection != null) {
             ServerConnection on = connection;
             connection = null;
-            countAt(null);
+            countOpenAt(null);
             if (!on.isClosed()) {
-                rollBack(on);
+                rollBackAndRelease(on);
             }
         }
         finished = true;
     }
 
     /** Its connection is about to be aborted. */
-    void abandonConnection() {
+    void onConnectionAborting() {
         finished = true;
         connection = null;
-        countAt(null);
+        countOpenAt(null);
     }
 
     /** Gives its connection back, rolled back where it is not at rest. */
@@ -347,14 +350,14 @@
         finished = true;
         ServerConnection on = connection;
         connection = null;
-        if (server != null) {
-            countAt(null);
+        if (countedServer != null) {
+            countOpenAt(null);
         }
         if (on == null || on.isClosed()) {
             return;
         }
         if (rollBack) {
-            rollBack(on);
+            rollBackAndRelease(on);
         } else {
             on.pool.release(on);
         }
--- a/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -24,16 +24,16 @@
  */
 class ControlHttpApiTest {
 
-    private static final int TRIES = 4_000;
-    private static final String GOOD =
+    private static final int ITERATIONS = 4_000;
+    private static final String VALID_CONFIGURATION =
             "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
                     + "'timeout_ms':800,'service':'s'}],'services':[{'name':'s','connection_limit':68}]}";
-    private static final String BEAT =
+    private static final String VALID_HEARTBEAT =
             "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'ready','database_role':'replica',"
                     + "'call_sequence':4}";
-    private static final String LOSS =
+    private static final String VALID_DATA_LOSS =
             "{'service':'s','move':'7','log_position':'1.5','least_acknowledged':'1.7','most_acknowledged':'1.8'}";
-    private static final Object[] ODD = {
+    private static final Object[] UNEXPECTED_VALUES = {
         null,
         "",
         "x",
@@ -49,16 +49,16 @@
         List.of(Map.of("i", "q"))
     };
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private final SplittableRandom random = new SplittableRandom(8_241);
-    private static final String ACCEPT_DATA_LOSS = "/Services.AcceptDataLoss";
-    private ControlNode core;
+    private static final String ACCEPT_DATA_LOSS_PATH = "/Services.AcceptDataLoss";
+    private ControlNode node;
 
     @BeforeEach
     void start() throws Exception {
-        core = SingleNode.start(host);
-        host.pass(SingleNode.HOLDS_MS);
-        assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD)));
+        node = SingleNode.start(environment);
+        environment.pass(SingleNode.LEASE_ACQUIRED_MS);
+        assertEquals(200, call("POST", "/Configuration.Replace", bytes(VALID_CONFIGURATION)));
     }
 
     private static byte[] bytes(String text) {
@@ -66,16 +66,16 @@
     }
 
     private int call(String method, String path, byte[] body) {
-        CompletableFuture<Environment.HttpResponse> is = core.handle(method, path, body);
+        CompletableFuture<Environment.HttpResponse> is = node.handle(method, path, body);
         for (int i = 0; i < 50 && !is.isDone(); i++) {
-            host.pass(100);
+            environment.pass(100);
         }
         assertTrue(is.isDone(), method + " " + path + " has no answer within 5 s");
         return is.join().status();
     }
 
     /** One byte after the other is changed, lost or doubled, up to four of them. */
-    private byte[] spoilt(byte[] good) {
+    private byte[] corrupted(byte[] good) {
         byte[] is = good.clone();
         for (int i = random.nextInt(1, 5); i > 0; i--) {
             int at = random.nextInt(is.length);
@@ -99,7 +99,7 @@
      * nothing.
      */
     @Test
-    void answersAnyBody() {
+    void answersMalformedBodies() {
         Set<Integer> usual = Set.of(200, 400, 404, 405, 409, 503);
         String[] paths = {
             "/Configuration.Replace",
@@ -108,21 +108,23 @@
             "/Instances.Leave/i-9",
             "/",
             "/Configuration.Read",
-            ACCEPT_DATA_LOSS,
+            ACCEPT_DATA_LOSS_PATH,
             "/Instances.Heartbeat/" + "x".repeat(5_000),
             "/Instances.Heartbeat/i\n1"
         };
         String[] methods = {"POST", "POST", "POST", "GET", "PUT", "HEAD"};
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < ITERATIONS; i++) {
             String path = paths[random.nextInt(paths.length)];
             byte[] body =
                     random.nextInt(20) == 0
                             ? "[".repeat(20_000).getBytes(StandardCharsets.US_ASCII)
-                            : spoilt(
+                            : corrupted(
                                     bytes(
                                             path.contains("Beat") || path.contains("Instances")
-                                                    ? BEAT
-                                                    : path.equals(ACCEPT_DATA_LOSS) ? LOSS : GOOD));
+                                                    ? VALID_HEARTBEAT
+                                                    : path.equals(ACCEPT_DATA_LOSS_PATH)
+                                                            ? VALID_DATA_LOSS
+                                                            : VALID_CONFIGURATION));
             String method = methods[random.nextInt(methods.length)];
             int status = call(method, path, body);
             assertTrue(
@@ -141,12 +143,12 @@
                 call(
                         "POST",
                         "/Configuration.Replace",
-                        bytes(GOOD.replace(":7,", ":9000000000000000000,"))));
-        assertEquals(200, call("POST", "/Instances.Heartbeat/i-2", bytes(BEAT)));
+                        bytes(VALID_CONFIGURATION.replace(":7,", ":9000000000000000000,"))));
+        assertEquals(200, call("POST", "/Instances.Heartbeat/i-2", bytes(VALID_HEARTBEAT)));
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
     }
 
-    private static Map<String, Object> word() {
+    private static Map<String, Object> peerMessage() {
         Map<String, Object> is =
                 new HashMap<>(
                         Map.of(
@@ -225,8 +227,8 @@
         return is;
     }
 
-    private void hears(ControlNode of, String ip, boolean leaving) {
-        Map<String, Object> word = word();
+    private void receivePeerMessage(ControlNode of, String ip, boolean leaving) {
+        Map<String, Object> word = peerMessage();
         word.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
         ScriptedEnvironment.Line line =
                 new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, of.accept());
@@ -246,26 +248,28 @@
      */
     @Test
     void redirectsToLastContactedPeerWhileIsolated() throws Exception {
-        ControlNode cut = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
+        ControlNode cut = SingleNode.start(environment, "10.0.0.2", "10.0.0.3");
         assertEquals(
                 503,
-                answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
+                answer(cut, "POST", "/Configuration.Replace", VALID_CONFIGURATION).status(),
                 "it has heard nobody, and others may be starting too");
-        host.pass(2_000);
+        environment.pass(2_000);
         Set<String> seeds = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
-            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
+            Environment.HttpResponse order =
+                    answer(cut, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
             seeds.add(order.status() + " " + order.location());
         }
         assertEquals(
                 "[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]",
                 seeds.toString());
-        hears(cut, "10.0.0.2", false);
-        host.pass(2_000);
-        hears(cut, "10.0.0.3", false);
-        host.pass(20_000);
+        receivePeerMessage(cut, "10.0.0.2", false);
+        environment.pass(2_000);
+        receivePeerMessage(cut, "10.0.0.3", false);
+        environment.pass(20_000);
         for (int i = 0; i < 20; i++) {
-            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
+            Environment.HttpResponse order =
+                    answer(cut, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
             assertEquals(
                     "307 http://10.0.0.3:8002/Configuration.Replace",
                     order.status() + " " + order.location());
@@ -275,18 +279,20 @@
                 "307 http://10.0.0.3:8002/Configuration.Read",
                 read.status() + " " + read.location());
         assertEquals(400, answer(cut, "POST", "/Configuration.Replace", "{}").status());
-        assertEquals(503, answer(cut, "POST", "/Instances.Heartbeat/i-1", BEAT).status());
-        assertEquals(503, answer(cut, "POST", "/Instances.Leave/i-1", BEAT).status());
-        hears(cut, "10.0.0.2", false);
-        hears(cut, "10.0.0.3", true);
-        host.pass(20_000);
-        Environment.HttpResponse later = answer(cut, "POST", "/Configuration.Replace", GOOD);
+        assertEquals(
+                503, answer(cut, "POST", "/Instances.Heartbeat/i-1", VALID_HEARTBEAT).status());
+        assertEquals(503, answer(cut, "POST", "/Instances.Leave/i-1", VALID_HEARTBEAT).status());
+        receivePeerMessage(cut, "10.0.0.2", false);
+        receivePeerMessage(cut, "10.0.0.3", true);
+        environment.pass(20_000);
+        Environment.HttpResponse later =
+                answer(cut, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
         assertEquals(
                 "307 http://10.0.0.2:8002/Configuration.Replace",
                 later.status() + " " + later.location());
     }
 
-    private static Map<String, Object> question() {
+    private static Map<String, Object> pollMessage() {
         Map<String, Object> is =
                 new HashMap<>(
                         Map.of(
@@ -298,21 +304,21 @@
     }
 
     /** The same with another value somewhere in it, or one value less. */
-    private Map<String, Object> odd(Map<String, Object> of) {
+    private Map<String, Object> mutated(Map<String, Object> of) {
         Map<String, Object> is = new java.util.TreeMap<>(of);
         List<String> names = new ArrayList<>(is.keySet());
         if (names.isEmpty()) {
             return is;
         }
         String name = names.get(random.nextInt(names.size()));
-        is.put(name, oddValue(is.get(name)));
+        is.put(name, mutatedValue(is.get(name)));
         return is;
     }
 
     @SuppressWarnings("unchecked")
-    private Object oddValue(Object of) {
+    private Object mutatedValue(Object of) {
         if (of instanceof Map<?, ?> map && random.nextInt(3) > 0) {
-            return odd((Map<String, Object>) map);
+            return mutated((Map<String, Object>) map);
         }
         if (of instanceof List<?> list && !list.isEmpty() && random.nextInt(3) > 0) {
             List<Object> is = new ArrayList<>(list);
@@ -320,42 +326,46 @@
             if (random.nextInt(4) == 0) {
                 is.remove(at);
             } else {
-                is.set(at, oddValue(is.get(at)));
+                is.set(at, mutatedValue(is.get(at)));
             }
             return is;
         }
-        return ODD[random.nextInt(ODD.length)];
+        return UNEXPECTED_VALUES[random.nextInt(UNEXPECTED_VALUES.length)];
     }
 
     /** Guards against a message that ends the process, or leaves it deaf to those that follow. */
     @Test
-    void ignoresOrDisconnectsOnAnyMessage() {
-        for (int i = 0; i < TRIES; i++) {
-            Map<String, Object> message = random.nextBoolean() ? word() : question();
+    void survivesMalformedMessages() {
+        for (int i = 0; i < ITERATIONS; i++) {
+            Map<String, Object> message = random.nextBoolean() ? peerMessage() : pollMessage();
             Object type = message.get("t");
             for (int n = random.nextInt(3); n > 0; n--) {
-                message = new HashMap<>(odd(message));
+                message = new HashMap<>(mutated(message));
                 message.put("t", type);
             }
             Map<String, Object> said = message;
             byte[] bytes = MessageCodec.encode(said);
-            byte[] sent = random.nextInt(4) == 0 ? spoilt(bytes) : bytes;
+            byte[] sent = random.nextInt(4) == 0 ? corrupted(bytes) : bytes;
             ScriptedEnvironment.Line line =
-                    new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, core.accept());
+                    new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, node.accept());
             line.open();
             line.say(new String(sent, StandardCharsets.ISO_8859_1));
             line.reset();
-            host.pass(5);
+            environment.pass(5);
         }
-        host.pass(5_000);
+        environment.pass(5_000);
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
-                200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
+                200,
+                call(
+                        "POST",
+                        "/Configuration.Replace",
+                        bytes(VALID_CONFIGURATION.replace(":7,", ":8,"))));
         ScriptedEnvironment.Line front =
-                new ScriptedEnvironment.Line("front", Environment.Framing.FRAMES, core.accept());
+                new ScriptedEnvironment.Line("front", Environment.Framing.FRAMES, node.accept());
         front.open();
-        front.say(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
-        host.pass(1_000);
+        front.say(new String(MessageCodec.encode(pollMessage()), StandardCharsets.ISO_8859_1));
+        environment.pass(1_000);
         assertEquals(1, front.sent.size(), "a question is answered");
     }
 }
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -25,10 +25,10 @@
  */
 class DataPlaneSubscriptionsTest {
 
-    private final ManualEnvironment host = new ManualEnvironment();
+    private final ManualEnvironment environment = new ManualEnvironment();
     private final List<MessageCodec.Fields> answers = new ArrayList<>();
 
-    private Environment.ConnectionListener front(ControlNode core) {
+    private Environment.ConnectionListener connectDataPlane(ControlNode core) {
         Environment.ConnectionListener ear = core.accept();
         ear.onOpen(
                 new Environment.Connection() {
@@ -54,7 +54,7 @@
         return ear;
     }
 
-    private MessageCodec.Fields ask(
+    private MessageCodec.Fields poll(
             Environment.ConnectionListener ear, long question, Object... fields) {
         Map<String, Object> out =
                 new HashMap<>(Map.of("t", "news", "n", "front-1", "q", question, "b", "", "c", -1));
@@ -63,7 +63,7 @@
         }
         answers.clear();
         ear.onMessage(MessageCodec.encode(out));
-        host.until(host.nowMillis() + 700);
+        environment.until(environment.nowMillis() + 700);
         assertEquals(1, answers.size());
         assertEquals(question, answers.get(0).number("q", -1));
         return answers.get(0);
@@ -89,16 +89,16 @@
     private void configure(ControlNode core, long version) {
         CompletableFuture<Environment.HttpResponse> answer =
                 core.handle("POST", "/Configuration.Replace", configuration(version));
-        host.until(host.nowMillis() + 1_000);
+        environment.until(environment.nowMillis() + 1_000);
         assertEquals(200, answer.join().status());
     }
 
     @Test
     void sendsDeltaToDataPlaneThatHasAnEarlierRevision() throws Exception {
-        ControlNode core = SingleNode.start(host);
-        Environment.ConnectionListener front = front(core);
+        ControlNode core = SingleNode.start(environment);
+        Environment.ConnectionListener front = connectDataPlane(core);
         configure(core, 1);
-        MessageCodec.Fields first = ask(front, 1);
+        MessageCodec.Fields first = poll(front, 1);
         assertArrayEquals(
                 configuration(1), Compression.decompress(first.bytes("cz"), BinaryDelta.MAX_BYTES));
         assertEquals(1, first.number("cv", -1));
@@ -106,27 +106,27 @@
             configure(core, v);
         }
         long digest = BinaryDelta.digest(configuration(2));
-        MessageCodec.Fields second = ask(front, 2, "c", 2L, "cd", digest);
+        MessageCodec.Fields second = poll(front, 2, "c", 2L, "cd", digest);
         assertArrayEquals(
                 configuration(6), BinaryDelta.apply(configuration(2), second.bytes("cx")));
         assertNull(second.bytes("cz"));
         assertTrue(second.bytes("cx").length < 100, second.bytes("cx").length + " bytes");
         // The digest is said once; it holds until another is said.
-        assertTrue(ask(front, 3, "c", 2L).has("cx"));
-        assertTrue(ask(front, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
+        assertTrue(poll(front, 3, "c", 2L).has("cx"));
+        assertTrue(poll(front, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
         assertTrue(
-                ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
+                poll(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
                 "another content under this number");
-        assertTrue(ask(front, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
+        assertTrue(poll(front, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
         MessageCodec.Fields none =
-                ask(front, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
+                poll(front, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
         assertEquals(
                 Set.of("q", "f", "su"),
-                subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
+                presentFields(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
                 none.values().toString());
     }
 
-    private static Set<String> subset(MessageCodec.Fields of, String... names) {
+    private static Set<String> presentFields(MessageCodec.Fields of, String... names) {
         Set<String> there = new java.util.TreeSet<>(Set.of(names));
         there.retainAll(of.values().keySet());
         return there;
@@ -138,15 +138,15 @@
      */
     @Test
     void sendsOnlyAddressesWhileIsolated() throws Exception {
-        ControlNode core = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
-        Environment.ConnectionListener front = front(core);
+        ControlNode core = SingleNode.start(environment, "10.0.0.2", "10.0.0.3");
+        Environment.ConnectionListener front = connectDataPlane(core);
         core.handle(
                 "POST",
                 "/Instances.Heartbeat/i-1",
                 ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
                                 + "\"database_role\":\"primary\",\"call_sequence\":1}")
                         .getBytes(StandardCharsets.UTF_8));
-        host.until(3_000);
+        environment.until(3_000);
         answers.clear();
         front.onMessage(
                 MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
@@ -168,12 +168,13 @@
         front.onMessage(
                 MessageCodec.encode(
                         Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
-        host.until(3_500);
+        environment.until(3_500);
         assertEquals(0, answers.size());
-        host.until(3_700);
+        environment.until(3_700);
         assertEquals(
                 Set.of("q", "alone"),
-                subset(answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
+                presentFields(
+                        answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
     }
 
     /**
@@ -181,11 +182,11 @@
      * 2250 ms from its last question.
      */
     @Test
-    void certaintyOfHolderEndsSoonAfterItsLease() throws Exception {
-        ControlNode core = SingleNode.start(host);
-        Environment.ConnectionListener front = front(core);
+    void boundsCertaintyByLeaseOfHolder() throws Exception {
+        ControlNode core = SingleNode.start(environment);
+        Environment.ConnectionListener front = connectDataPlane(core);
         configure(core, 1);
-        assertEquals(2_850, ask(front, 1).number("su", 0));
+        assertEquals(2_850, poll(front, 1).number("su", 0));
     }
 
     /**
@@ -193,24 +194,24 @@
      * heard last.
      */
     @Test
-    void passesOnCertaintyWithTheRemainingLease() throws Exception {
-        ControlNode core = SingleNode.start(host, "10.0.0.2");
+    void derivesCertaintyFromRemainingLeaseOfPeer() throws Exception {
+        ControlNode core = SingleNode.start(environment, "10.0.0.2");
         Environment.ConnectionListener other = core.accept();
-        host.until(5_000);
-        long now = host.nowMillis();
-        holderSays(core, other, 1, now - 300, 1_000);
+        environment.until(5_000);
+        long now = environment.nowMillis();
+        sendHolderMessage(core, other, 1, now - 300, 1_000);
         assertEquals(1_000 + 600 - 300, core.primaryCertaintyMillis());
-        host.until(now + 200);
+        environment.until(now + 200);
         assertEquals(1_000 + 600 - 500, core.primaryCertaintyMillis());
         // Over for more than that, or from one that says nothing of its lease: nothing is sure that
         // was not before.
-        holderSays(core, other, 2, now, -700);
+        sendHolderMessage(core, other, 2, now, -700);
         assertEquals(1_000 + 600 - 500, core.primaryCertaintyMillis());
-        holderSays(core, other, 3, now, 1 << 20);
+        sendHolderMessage(core, other, 3, now, 1 << 20);
         assertEquals(3_000 - 200, core.primaryCertaintyMillis());
     }
 
-    private static void holderSays(
+    private static void sendHolderMessage(
             ControlNode core,
             Environment.ConnectionListener ear,
             long clock,
--- a/src/test/java/dillfront/controlplane/SingleNode.java
+++ b/src/test/java/dillfront/controlplane/SingleNode.java
@@ -18,7 +18,7 @@
     static final String IP = "10.0.0.1";
 
     /** When it surely holds the lease, where it is the only one. */
-    public static final long HOLDS_MS = 6_000;
+    public static final long LEASE_ACQUIRED_MS = 6_000;
 
     private SingleNode() {}
 
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -29,14 +29,14 @@
     private static final String SECOND = "127.0.78.2/8107c477209dcc4d";
     private static final String THIRD = "127.0.78.3/71225040e018e121";
 
-    @TempDir Path folder;
+    @TempDir Path temporaryDirectory;
 
     private Path copy(String disk) throws IOException {
-        Path copy = Files.createDirectories(folder.resolve(disk));
+        Path copy = Files.createDirectories(temporaryDirectory.resolve(disk));
         return Files.copy(STORED.resolve(disk).resolve("memory.log"), copy.resolve("memory.log"));
     }
 
-    private static Map<String, String> open(Path log) throws KeyValueStore.StorageException {
+    private static Map<String, String> readTexts(Path log) throws KeyValueStore.StorageException {
         KeyValueStore keep = KeyValueStore.open(log.getParent(), "control-plane");
         assertFalse(keep.isDamaged());
         return keep.entries();
@@ -58,7 +58,7 @@
                 });
     }
 
-    private static String server(ControlNode core, String id) {
+    private static String describeServer(ControlNode core, String id) {
         DatabaseServer server = core.state().registry().get(id);
         return server.service()
                 + " "
@@ -69,8 +69,8 @@
                 + server.role();
     }
 
-    private void readsAll(String disk, String id, long asked) throws Exception {
-        Map<String, String> texts = open(copy(disk));
+    private void assertRestored(String disk, String id, long asked) throws Exception {
+        Map<String, String> texts = readTexts(copy(disk));
         ControlNode core = start(texts);
         assertEquals(id, core.state().cluster().selfId());
         RegisterValue value = core.state().register().acceptedValue();
@@ -88,29 +88,29 @@
         assertEquals("orders-1", core.state().records().get("orders").primary());
         assertEquals("accounts-1", core.state().records().get("accounts").primary());
         assertFalse(core.state().records().get("orders").moving());
-        assertEquals("orders 127.0.78.1 ready primary", server(core, "orders-1"));
-        assertEquals("orders 127.0.78.2 ready replica", server(core, "orders-2"));
-        assertEquals("orders 127.0.78.3 left replica", server(core, "orders-3"));
-        assertEquals("accounts 127.0.78.3 ready primary", server(core, "accounts-1"));
-        assertEquals("accounts 127.0.78.1 leaving replica", server(core, "accounts-2"));
+        assertEquals("orders 127.0.78.1 ready primary", describeServer(core, "orders-1"));
+        assertEquals("orders 127.0.78.2 ready replica", describeServer(core, "orders-2"));
+        assertEquals("orders 127.0.78.3 left replica", describeServer(core, "orders-3"));
+        assertEquals("accounts 127.0.78.3 ready primary", describeServer(core, "accounts-1"));
+        assertEquals("accounts 127.0.78.1 leaving replica", describeServer(core, "accounts-2"));
         assertEquals(asked, Long.parseLong(texts.getOrDefault("asked", "0")));
     }
 
     @Test
-    void disksOfThreeProcessesAreRead() throws Exception {
-        readsAll("control-1", FIRST, 0);
-        readsAll("control-2", SECOND, 1_048_577);
-        readsAll("control-3", THIRD, 0);
+    void restoresStoredStateOfThreeProcesses() throws Exception {
+        assertRestored("control-1", FIRST, 0);
+        assertRestored("control-2", SECOND, 1_048_577);
+        assertRestored("control-3", THIRD, 0);
     }
 
     /** The last record was not whole when the power went: all before it is read. */
     @Test
-    void tornTailLosesTheLastRecordAlone() throws Exception {
+    void tornTailLosesOnlyTheLastRecord() throws Exception {
         Path log = copy("control-3");
-        Map<String, String> whole = open(copy("control-1").getParent().resolve("memory.log"));
+        Map<String, String> whole = readTexts(copy("control-1").getParent().resolve("memory.log"));
         byte[] bytes = Files.readAllBytes(log);
         Files.write(log, Arrays.copyOf(bytes, bytes.length - 9));
-        Map<String, String> torn = open(log);
+        Map<String, String> torn = readTexts(log);
         // The last record drops the old set of members; the one before it has both.
         assertEquals("7 " + SECOND, whole.get("accepted-ballot"));
         assertEquals("6 " + SECOND, torn.get("accepted-ballot"));
--- a/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
@@ -45,7 +45,7 @@
             but nine are then                     | 4 | a b c d e f g h i | a-n b-n c-n d-n e-n f-n g-n h-n i-n j-n | a b c d e f g h i
             from the zone that has fewest         | 1 | a b c     | a-nz1 b-nz2 c-nz2 d-nz2 e-nz1 f-nz3 | a b c f
             """)
-    void next(String name, int losses, String members, String seen, String expected) {
+    void choosesNextMembers(String name, int losses, String members, String seen, String expected) {
         List<MembershipPolicy.Candidate> processes = new ArrayList<>();
         for (String one : seen.trim().split(" +")) {
             int dash = one.indexOf('-');
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -22,27 +22,27 @@
  */
 class ServerQueryTest {
 
-    private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
+    private static final String REPLICA_ROW = "ROW replica 3 3.7 0 12 2 17";
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private LeaseManager lease;
-    private DatabaseServer to;
+    private DatabaseServer server;
 
     @BeforeEach
-    void holder() throws Exception {
-        lease = SingleNode.leaseOf(SingleNode.start(host));
-        host.pass(SingleNode.HOLDS_MS);
+    void acquireLease() throws Exception {
+        lease = SingleNode.leaseOf(SingleNode.start(environment));
+        environment.pass(SingleNode.LEASE_ACQUIRED_MS);
         assertTrue(lease.isHeld(), "alone, it holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
                 new ServerRow("i-1", "db", "10.0.0.9:5432", "z", ServerState.READY, "replica", 1),
                 0);
-        to = registry.get("i-1");
+        server = registry.get("i-1");
     }
 
-    private ScriptedEnvironment.Line ask(
+    private ScriptedEnvironment.Line startQuery(
             Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
-        ServerQuery.send(host, lease, to, 500, then)
+        ServerQuery.send(environment, lease, server, 500, then)
                 .whenComplete(
                         (row, fault) -> {
                             if (fault == null) {
@@ -51,13 +51,13 @@
                                 into.completeExceptionally(fault);
                             }
                         });
-        ScriptedEnvironment.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = environment.lastDialed();
         line.open();
         assertEquals("CONNECT db control i-1", line.last());
         return line;
     }
 
-    private static String fault(CompletableFuture<ServerStatus> of) {
+    private static String failureMessage(CompletableFuture<ServerStatus> of) {
         assertTrue(of.isDone(), "nothing came of it");
         try {
             return "answered " + of.join();
@@ -67,12 +67,12 @@
     }
 
     @Test
-    void resultIsTheAnswerOfTheCommand() {
+    void returnsStatusAfterCommand() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
+        ScriptedEnvironment.Line line = startQuery(row -> "PAUSE " + row.nextTerm(), is);
         line.say("READY I -");
         assertEquals("QUERY - STATUS", line.last());
-        line.say(REPLICA, "COMPLETE -", "READY I 3.7");
+        line.say(REPLICA_ROW, "COMPLETE -", "READY I 3.7");
         assertEquals("QUERY - PAUSE 4", line.last());
         assertFalse(is.isDone());
         line.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
@@ -84,25 +84,26 @@
      * Guards against a row that was there before anything was asked, and against half an answer.
      */
     @Test
-    void failsOnAnswersOutOfStep() {
+    void failsOnUnexpectedOrIncompleteAnswers() {
         CompletableFuture<ServerStatus> early = new CompletableFuture<>();
-        ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
-        assertTrue(fault(early).contains("row out of place"), fault(early));
+        startQuery(null, early)
+                .say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
+        assertTrue(failureMessage(early).contains("row out of place"), failureMessage(early));
         CompletableFuture<ServerStatus> half = new CompletableFuture<>();
-        ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
-        assertTrue(fault(half).contains("half an answer"), fault(half));
+        startQuery(null, half).say("READY I -", REPLICA_ROW, "READY I 3.7");
+        assertTrue(failureMessage(half).contains("half an answer"), failureMessage(half));
         CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
-        line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
-        assertTrue(fault(twice).contains("half an answer"), fault(twice));
+        ScriptedEnvironment.Line line = startQuery(row -> "PAUSE " + row.nextTerm(), twice);
+        line.say("READY I -", REPLICA_ROW, "COMPLETE -", "READY I 3.7", "READY I 3.7");
+        assertTrue(failureMessage(twice).contains("half an answer"), failureMessage(twice));
     }
 
     @Test
-    void refusalTellsWhetherTheServerIsAlive() {
+    void reportsWhetherRefusingServerIsAlive() {
         for (String[] one :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
             CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-            ask(null, is).say(one[0]);
+            startQuery(null, is).say(one[0]);
             is.exceptionally(
                     fault -> {
                         assertEquals(
@@ -113,7 +114,7 @@
             assertTrue(is.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE 4", busy);
+        ScriptedEnvironment.Line line = startQuery(row -> "PAUSE 4", busy);
         line.say("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
         assertFalse(line.sent.contains("QUERY - PAUSE 4"));
@@ -124,11 +125,11 @@
      * lease.
      */
     @Test
-    void sendsNoCommandAfterAPause() {
+    void sendsNoCommandAfterProcessPause() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
+        ScriptedEnvironment.Line line = startQuery(row -> "STEPDOWN " + row.nextTerm(), is);
         line.say("READY I -");
-        host.freeze(20_000);
+        environment.freeze(20_000);
         line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said 20 s late: " + line.sent);
         assertTrue(is.isCompletedExceptionally());
@@ -138,9 +139,9 @@
     @Test
     void sendsNoCommandWithoutTheLease() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
+        ServerQuery.send(environment, lease, server, 60_000, row -> "STEPDOWN " + row.nextTerm())
                 .whenComplete((row, fault) -> is.complete(row));
-        ScriptedEnvironment.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = environment.lastDialed();
         line.open();
         line.say("READY I -");
         lease.resign();
@@ -155,10 +156,10 @@
     @Test
     void failsAfterTheTimeout() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(null, is);
+        ScriptedEnvironment.Line line = startQuery(null, is);
         line.say("READY I -");
-        host.pass(600);
-        assertEquals("no answer in 500 ms", fault(is));
+        environment.pass(600);
+        assertEquals("no answer in 500 ms", failureMessage(is));
         assertTrue(line.closed);
         assertEquals("GOODBYE", line.last());
     }
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -24,49 +24,50 @@
  */
 class RetryingStateStoreTest {
 
-    private final ManualEnvironment host = new ManualEnvironment();
+    private final ManualEnvironment environment = new ManualEnvironment();
 
     /** Takes 3 ms, or as the test says. */
-    private final class Hand implements StateStore {
-        final TreeMap<String, String> there = new TreeMap<>();
-        final List<Map<String, String>> given = new ArrayList<>();
-        long takes = 3;
-        boolean refuses;
+    private final class FaultyStore implements StateStore {
+        final TreeMap<String, String> contents = new TreeMap<>();
+        final List<Map<String, String>> writes = new ArrayList<>();
+        long writeMillis = 3;
+        boolean failsWrites;
 
         /** Where it refuses: it may have done it all the same. */
-        boolean done;
+        boolean appliesFailedWrites;
 
-        boolean hangs;
-        private CompletableFuture<Void> hung;
+        boolean hangsWrites;
+        private CompletableFuture<Void> pendingWrite;
 
         @Override
         public Map<String, String> initialState() {
-            return new HashMap<>(there);
+            return new HashMap<>(contents);
         }
 
         @Override
         public CompletableFuture<Void> put(Map<String, String> texts) {
-            assertTrue(hung == null || hung.isDone(), "one at a time");
-            given.add(new TreeMap<>(texts));
+            assertTrue(pendingWrite == null || pendingWrite.isDone(), "one at a time");
+            writes.add(new TreeMap<>(texts));
             CompletableFuture<Void> future = new CompletableFuture<>();
-            hung = future;
-            boolean refused = refuses;
-            boolean does = !refused || done;
-            if (!hangs) {
-                host.at(takes, () -> end(texts, does, refused));
+            pendingWrite = future;
+            boolean refused = failsWrites;
+            boolean does = !refused || appliesFailedWrites;
+            if (!hangsWrites) {
+                environment.at(writeMillis, () -> completeWrite(texts, does, refused));
             }
             return future;
         }
 
-        void end(Map<String, String> texts, boolean does, boolean refused) {
+        void completeWrite(Map<String, String> texts, boolean does, boolean refused) {
             if (does) {
-                there.putAll(texts);
-                there.values().removeIf(String::isEmpty);
+                contents.putAll(texts);
+                contents.values().removeIf(String::isEmpty);
             }
             if (refused) {
-                hung.completeExceptionally(new IllegalStateException("No space left on device"));
+                pendingWrite.completeExceptionally(
+                        new IllegalStateException("No space left on device"));
             } else {
-                hung.complete(null);
+                pendingWrite.complete(null);
             }
         }
     }
@@ -76,69 +77,70 @@
      * has it.
      */
     @Test
-    void writesRefusedTextsWithTheNext() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
-        disk.refuses = true;
+    void writesFailedTextsWithNextWrite() {
+        FaultyStore disk = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, disk);
+        disk.failsWrites = true;
         CompletableFuture<Void> first = store.put(Map.of("a", "1", "b", "1"));
-        host.until(20);
+        environment.until(20);
         assertTrue(!first.isDone());
-        assertEquals(Map.of(), disk.there);
-        disk.refuses = false;
-        host.until(50);
+        assertEquals(Map.of(), disk.contents);
+        disk.failsWrites = false;
+        environment.until(50);
         CompletableFuture<Void> second = store.put(Map.of("b", "2", "c", "2"));
-        host.until(120);
+        environment.until(120);
         assertTrue(first.isDone() && second.isDone());
-        assertEquals(Map.of("a", "1", "b", "2", "c", "2"), disk.there);
-        assertEquals(2, disk.given.size());
+        assertEquals(Map.of("a", "1", "b", "2", "c", "2"), disk.contents);
+        assertEquals(2, disk.writes.size());
     }
 
     @Test
-    void retriesRefusedTextsWithBackoff() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
-        disk.refuses = true;
+    void retriesFailedWritesWithBackoff() {
+        FaultyStore disk = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, disk);
+        disk.failsWrites = true;
         CompletableFuture<Void> put = store.put(Map.of("a", "1"));
-        host.until(60_000);
-        assertTrue(disk.given.size() > 25 && disk.given.size() < 40, disk.given.size() + " tries");
+        environment.until(60_000);
+        assertTrue(
+                disk.writes.size() > 25 && disk.writes.size() < 40, disk.writes.size() + " tries");
         assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
         // However many puts come, it is tried ten times a second at most.
-        int before = disk.given.size();
+        int before = disk.writes.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
-            host.until(host.nowMillis() + 5);
+            environment.until(environment.nowMillis() + 5);
         }
-        assertTrue(disk.given.size() - before < 55, disk.given.size() - before + " tries in 5 s");
-        disk.refuses = false;
-        host.until(host.nowMillis() + 2_100);
+        assertTrue(disk.writes.size() - before < 55, disk.writes.size() - before + " tries in 5 s");
+        disk.failsWrites = false;
+        environment.until(environment.nowMillis() + 2_100);
         assertTrue(put.isDone());
-        assertEquals(Map.of("a", "999"), disk.there);
+        assertEquals(Map.of("a", "999"), disk.contents);
         assertEquals(0, store.stalledMillis());
     }
 
     @Test
-    void reportsStallAndGoesOnAfterwards() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+    void reportsStallAndContinuesAfterwards() {
+        FaultyStore disk = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, disk);
         assertEquals(0, store.stalledMillis());
-        disk.hangs = true;
+        disk.hangsWrites = true;
         List<Integer> over = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             int number = i;
             store.put(Map.of("n", "" + i)).thenRun(() -> over.add(number));
-            host.until(host.nowMillis() + 1_000);
+            environment.until(environment.nowMillis() + 1_000);
         }
         assertEquals(5_000, store.stalledMillis());
-        assertEquals(1, disk.given.size());
-        disk.hangs = false;
-        disk.end(disk.given.get(0), true, false);
+        assertEquals(1, disk.writes.size());
+        disk.hangsWrites = false;
+        disk.completeWrite(disk.writes.get(0), true, false);
         assertEquals(List.of(0), over);
         assertEquals(4_000, store.stalledMillis(), "of the next that waits");
-        host.until(host.nowMillis() + 4);
+        environment.until(environment.nowMillis() + 4);
         assertEquals(List.of(0, 1, 2, 3, 4), over);
-        assertEquals(Map.of("n", "4"), disk.there);
-        assertEquals(2, disk.given.size(), "what waited went together");
+        assertEquals(Map.of("n", "4"), disk.contents);
+        assertEquals(2, disk.writes.size(), "what waited went together");
     }
 
     /**
@@ -147,51 +149,53 @@
      */
     @Test
     void skipsTextsThatAreOnDisk() {
-        Hand disk = new Hand();
-        disk.there.put("a", "1");
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+        FaultyStore disk = new FaultyStore();
+        disk.contents.put("a", "1");
+        RetryingStateStore store = new RetryingStateStore(environment, disk);
         assertTrue(store.put(Map.of("a", "1")).isDone());
-        assertEquals(0, disk.given.size());
+        assertEquals(0, disk.writes.size());
         store.put(Map.of("a", "1", "b", "1", "c", ""));
-        host.until(10);
-        assertEquals(List.of(Map.of("b", "1", "c", "")), disk.given);
-        disk.refuses = true;
-        disk.done = true;
+        environment.until(10);
+        assertEquals(List.of(Map.of("b", "1", "c", "")), disk.writes);
+        disk.failsWrites = true;
+        disk.appliesFailedWrites = true;
         store.put(Map.of("b", "2"));
-        host.until(20);
-        disk.refuses = false;
+        environment.until(20);
+        disk.failsWrites = false;
         CompletableFuture<Void> back = store.put(Map.of("b", "1"));
-        host.until(200);
+        environment.until(200);
         assertTrue(back.isDone());
-        assertEquals(Map.of("a", "1", "b", "1"), disk.there);
+        assertEquals(Map.of("a", "1", "b", "1"), disk.contents);
         store.put(Map.of("b", ""));
-        host.until(300);
-        assertEquals(Map.of("a", "1"), disk.there);
+        environment.until(300);
+        assertEquals(Map.of("a", "1"), disk.contents);
     }
 
     @Test
-    void rejectsTooLongTextsAndGoesOn() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+    void rejectsTooLongTextsAndContinues() {
+        FaultyStore disk = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, disk);
         assertTrue(
                 store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS + 1)))
                         .isCompletedExceptionally());
         CompletableFuture<Void> fits =
                 store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS)));
-        host.until(10);
+        environment.until(10);
         assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
-        disk.hangs = true;
+        disk.hangsWrites = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
         for (int i = 0; i < 10_050; i++) {
             all.add(store.put(Map.of("n" + i % 7, "" + i)));
         }
         assertEquals(50, all.stream().filter(CompletableFuture::isCompletedExceptionally).count());
         assertThrows(CompletionException.class, () -> all.get(10_049).join());
-        disk.hangs = false;
-        disk.end(disk.given.get(1), true, false);
-        host.until(20);
+        disk.hangsWrites = false;
+        disk.completeWrite(disk.writes.get(1), true, false);
+        environment.until(20);
         assertEquals(
-                "10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
+                "10049",
+                disk.contents.get("n" + 10_049 % 7),
+                "and what it held is kept all the same");
     }
 
     /**
@@ -199,12 +203,12 @@
      * no other record follows.
      */
     @Test
-    void refusedPrimaryRecordIsOnDiskLater() throws Exception {
-        Hand disk = new Hand();
-        ControlNode core = SingleNode.start(host, disk);
-        host.until(8_000);
+    void storesPrimaryRecordAfterFailedWrite() throws Exception {
+        FaultyStore disk = new FaultyStore();
+        ControlNode core = SingleNode.start(environment, disk);
+        environment.until(8_000);
         for (int i = 1; i <= 6; i++) {
-            disk.refuses = i <= 1;
+            disk.failsWrites = i <= 1;
             core.handle(
                     "POST",
                     "/Instances.Heartbeat/i-1",
@@ -213,19 +217,20 @@
                                     + i
                                     + "}")
                             .getBytes(StandardCharsets.UTF_8));
-            host.until(host.nowMillis() + 500);
-            assertTrue(i > 1 || !disk.there.containsKey("lead:s"));
+            environment.until(environment.nowMillis() + 500);
+            assertTrue(i > 1 || !disk.contents.containsKey("lead:s"));
         }
         assertTrue(core.status().contains(" | s primary=i-1"), core.status());
         assertEquals(
                 1,
-                disk.given.stream()
+                disk.writes.stream()
                         .map(put -> put.get("lead:s"))
                         .filter(java.util.Objects::nonNull)
                         .distinct()
                         .count());
-        assertTrue(disk.there.getOrDefault("lead:s", "").contains("i-1"), disk.there.toString());
-        assertTrue(disk.there.containsKey("server:i-1"), disk.there.toString());
+        assertTrue(
+                disk.contents.getOrDefault("lead:s", "").contains("i-1"), disk.contents.toString());
+        assertTrue(disk.contents.containsKey("server:i-1"), disk.contents.toString());
     }
 
     /**
@@ -233,11 +238,11 @@
      * the puts, and in the end all have.
      */
     @Test
-    void completesOnlyWhatIsOnDisk() {
+    void completesOnlyDurableWrites() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Hand disk = new Hand();
-            RetryingStateStore store = new RetryingStateStore(host, disk);
+            FaultyStore disk = new FaultyStore();
+            RetryingStateStore store = new RetryingStateStore(environment, disk);
             TreeMap<String, Integer> newest = new TreeMap<>();
             List<Integer> told = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
@@ -256,25 +261,27 @@
                                             (name, text) ->
                                                     assertTrue(
                                                             Integer.parseInt(
-                                                                            disk.there.getOrDefault(
-                                                                                    name, "-1"))
+                                                                            disk.contents
+                                                                                    .getOrDefault(
+                                                                                            name,
+                                                                                            "-1"))
                                                                     >= number,
                                                             name));
                                 });
                 if (random.nextInt(8) == 0) {
-                    disk.refuses = !disk.refuses;
-                    disk.done = random.nextBoolean();
+                    disk.failsWrites = !disk.failsWrites;
+                    disk.appliesFailedWrites = random.nextBoolean();
                 }
-                disk.takes = random.nextInt(40);
-                host.until(host.nowMillis() + random.nextInt(60));
+                disk.writeMillis = random.nextInt(40);
+                environment.until(environment.nowMillis() + random.nextInt(60));
             }
-            disk.refuses = false;
-            host.until(host.nowMillis() + 4_200);
+            disk.failsWrites = false;
+            environment.until(environment.nowMillis() + 4_200);
             assertEquals(150, told.size(), "seed " + seed);
             for (int i = 0; i < 150; i++) {
                 assertEquals(i, told.get(i), "seed " + seed);
             }
-            newest.forEach((name, number) -> assertEquals("" + number, disk.there.get(name)));
+            newest.forEach((name, number) -> assertEquals("" + number, disk.contents.get(name)));
         }
     }
 }
--- a/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
+++ b/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
@@ -82,7 +82,7 @@
 
     /** Where all is new each time, little is kept, and the whole goes out. */
     @Test
-    void dropsDeltasThatSaveNothing() throws Exception {
+    void keepsNoDeltasThatSaveNothing() throws Exception {
         ConfigurationHistory versions = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
         for (int v = 1; v <= 40; v++) {
--- a/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -27,84 +27,84 @@
 class ControlPlaneClientTest {
 
     /** One control process, and what it answers. */
-    private final class Source {
+    private final class ControlProcessStub {
         final String ip;
-        boolean there = true;
-        boolean alone;
+        boolean running = true;
+        boolean isolated;
 
         /** It says nothing at all, to a dial neither. */
-        boolean dark;
+        boolean unresponsive;
 
-        long version = -1;
+        long revision = -1;
 
         /** What it sends in the place of the configuration, where not null. */
-        byte[] instead;
+        byte[] replacementDelta;
 
-        List<Object> places;
-        int dialed;
-        int asked;
-        Fake link;
+        List<Object> addresses;
+        int connectCount;
+        int requestCount;
+        FakeConnection connection;
 
-        Source(String ip) {
+        ControlProcessStub(String ip) {
             this.ip = ip;
-            sources.put(ip + ":7400", this);
+            controlProcesses.put(ip + ":7400", this);
         }
 
-        void answer(Fake to, MessageCodec.Fields in) {
-            asked++;
-            host.trace(ip);
+        void respond(FakeConnection to, MessageCodec.Fields in) {
+            requestCount++;
+            environment.trace(ip);
             Map<String, Object> out = new HashMap<>();
             out.put("q", in.number("q", 0));
             long has = in.number("c", -1);
-            asks.add(in);
-            if (alone) {
+            requests.add(in);
+            if (isolated) {
                 out.put("alone", true);
             } else {
-                if (has < version) {
-                    byte[] base = bodies.get(has);
-                    out.put("cv", version);
-                    if (instead != null && !in.flag("cw")) {
-                        out.put("cx", instead);
+                if (has < revision) {
+                    byte[] base = configurations.get(has);
+                    out.put("cv", revision);
+                    if (replacementDelta != null && !in.flag("cw")) {
+                        out.put("cx", replacementDelta);
                     } else if (base != null && !in.flag("cw")) {
-                        out.put("cx", BinaryDelta.create(base, bodies.get(version)));
+                        out.put("cx", BinaryDelta.create(base, configurations.get(revision)));
                     } else {
-                        out.put("cz", Compression.compress(bodies.get(version)));
+                        out.put("cz", Compression.compress(configurations.get(revision)));
                     }
                 }
-                if (places != null) {
-                    out.put("cp", places);
+                if (addresses != null) {
+                    out.put("cp", addresses);
                 }
             }
-            boolean waits = !alone && has >= version;
-            host.at(
+            boolean waits = !isolated && has >= revision;
+            environment.at(
                     waits ? 600 : 1,
                     () -> {
-                        if (to.open && there && !dark) {
-                            to.ear.onMessage(MessageCodec.encode(out));
+                        if (to.isOpen && running && !unresponsive) {
+                            to.listener.onMessage(MessageCodec.encode(out));
                         }
                     });
         }
     }
 
     /** The front's end of a connection. */
-    private final class Fake implements Environment.Connection {
-        final Environment.ConnectionListener ear;
-        final Source to;
-        boolean open = true;
-
-        Fake(Environment.ConnectionListener ear, Source to) {
-            this.ear = ear;
-            this.to = to;
+    private final class FakeConnection implements Environment.Connection {
+        final Environment.ConnectionListener listener;
+        final ControlProcessStub target;
+        boolean isOpen = true;
+
+        FakeConnection(Environment.ConnectionListener ear, ControlProcessStub to) {
+            this.listener = ear;
+            this.target = to;
         }
 
         @Override
         public void send(byte[] message) {
-            host.at(
+            environment.at(
                     1,
                     () -> {
                         try {
-                            if (open && to.there && !to.dark) {
-                                to.answer(this, MessageCodec.decode(message));
+                            if (isOpen && target.running && !target.unresponsive) {
+                                target.respond(this, MessageCodec.decode(message));
                             }
                         } catch (MessageCodec.MalformedMessageException bad) {
                             throw new AssertionError(bad);
@@ -114,7 +114,7 @@
 
         @Override
         public void close() {
-            open = false;
+            isOpen = false;
         }
 
         @Override
@@ -123,34 +123,34 @@
         }
     }
 
-    private final Map<String, Source> sources = new TreeMap<>();
-    private final List<MessageCodec.Fields> asks = new ArrayList<>();
-    private final TreeMap<Long, byte[]> bodies = new TreeMap<>();
+    private final Map<String, ControlProcessStub> controlProcesses = new TreeMap<>();
+    private final List<MessageCodec.Fields> requests = new ArrayList<>();
+    private final TreeMap<Long, byte[]> configurations = new TreeMap<>();
 
-    private final class Net extends ManualEnvironment {
+    private final class FakeNetwork extends ManualEnvironment {
 
         @Override
         public Connection connect(
                 String address, Framing form, int timeoutMs, ConnectionListener ear) {
-            Source to = sources.get(address);
-            Fake link = new Fake(ear, to);
-            if (to != null && to.there && !to.dark) {
-                to.dialed++;
-                to.link = link;
+            ControlProcessStub to = controlProcesses.get(address);
+            FakeConnection link = new FakeConnection(ear, to);
+            if (to != null && to.running && !to.unresponsive) {
+                to.connectCount++;
+                to.connection = link;
                 at(
                         1,
                         () -> {
-                            if (link.open) {
+                            if (link.isOpen) {
                                 ear.onOpen(link);
                             }
                         });
             } else {
                 trace("none at " + address);
                 at(
-                        to != null && to.dark ? timeoutMs : 1,
+                        to != null && to.unresponsive ? timeoutMs : 1,
                         () -> {
-                            if (link.open) {
-                                link.open = false;
+                            if (link.isOpen) {
+                                link.isOpen = false;
                                 ear.onClose("refused");
                             }
                         });
@@ -159,18 +159,18 @@
         }
     }
 
-    private ManualEnvironment host = new Net();
+    private ManualEnvironment environment = new FakeNetwork();
 
     private long now() {
-        return host.nowMillis();
+        return environment.nowMillis();
     }
 
-    private void until(long ms) {
-        host.until(ms);
+    private void advanceTo(long ms) {
+        environment.until(ms);
     }
 
     private List<String> log() {
-        return host.log;
+        return environment.log;
     }
 
     private static NodeSettings settings(String... seeds) {
@@ -198,7 +198,7 @@
                 null);
     }
 
-    private void configuration(long version, int routes) {
+    private void addConfiguration(long version, int routes) {
         StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",")
@@ -210,55 +210,58 @@
                     .append(i == version % routes ? 1_000 + version : 800)
                     .append(",\"service\":\"s\"}");
         }
-        bodies.put(
+        configurations.put(
                 version,
                 text.append("],\"services\":[{\"name\":\"s\"}]}")
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Map<String, Object> place(String ip, String zone, boolean silent) {
+    private static Map<String, Object> address(String ip, String zone, boolean silent) {
         return silent ? Map.of("i", ip, "z", zone, "s", true) : Map.of("i", ip, "z", zone);
     }
 
     /** Whole at first, then what changed; where that does not fit, whole once more. */
     @Test
-    void appliesDeltasAndRequestsFullConfigurationWhereTheyDoNotFit() {
+    void requestsFullConfigurationAfterMismatchedDelta() {
         for (long v = 1; v <= 4; v++) {
-            configuration(v, 30);
+            addConfiguration(v, 30);
         }
-        Source a = new Source("10.0.0.1");
-        a.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        a.revision = 1;
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1"));
         front.start();
-        until(1_000);
+        advanceTo(1_000);
         assertEquals(1, front.configurationRevision());
-        a.version = 2;
-        until(2_000);
+        a.revision = 2;
+        advanceTo(2_000);
         assertEquals(2, front.configurationRevision());
-        assertArrayEquals(bodies.get(2L), front.configuration().body());
-        assertEquals(0, asks.stream().filter(in -> in.flag("cw")).count());
+        assertArrayEquals(configurations.get(2L), front.configuration().body());
+        assertEquals(0, requests.stream().filter(in -> in.flag("cw")).count());
         assertEquals(
                 List.of(
                         BinaryDelta.digest(new byte[0]),
-                        BinaryDelta.digest(bodies.get(1L)),
-                        BinaryDelta.digest(bodies.get(2L))),
-                asks.stream().filter(in -> in.has("cd")).map(in -> in.number("cd", -1)).toList(),
+                        BinaryDelta.digest(configurations.get(1L)),
+                        BinaryDelta.digest(configurations.get(2L))),
+                requests.stream()
+                        .filter(in -> in.has("cd"))
+                        .map(in -> in.number("cd", -1))
+                        .toList(),
                 "told where it has changed");
         // Of another base, as of a number that had another content here.
-        a.instead = BinaryDelta.create(bodies.get(1L), bodies.get(3L));
-        a.version = 3;
-        until(3_000);
+        a.replacementDelta = BinaryDelta.create(configurations.get(1L), configurations.get(3L));
+        a.revision = 3;
+        advanceTo(3_000);
         assertEquals(3, front.configurationRevision());
-        assertArrayEquals(bodies.get(3L), front.configuration().body());
-        assertEquals(1, asks.stream().filter(in -> in.flag("cw")).count());
-        a.instead = new byte[] {1, 2, 3};
-        a.version = 4;
-        until(4_000);
-        assertArrayEquals(bodies.get(4L), front.configuration().body());
+        assertArrayEquals(configurations.get(3L), front.configuration().body());
+        assertEquals(1, requests.stream().filter(in -> in.flag("cw")).count());
+        a.replacementDelta = new byte[] {1, 2, 3};
+        a.revision = 4;
+        advanceTo(4_000);
+        assertArrayEquals(configurations.get(4L), front.configuration().body());
         assertEquals(
                 2,
-                asks.stream().filter(in -> in.flag("cw")).count(),
+                requests.stream().filter(in -> in.flag("cw")).count(),
                 "asked for whole once, and no more");
     }
 
@@ -267,53 +270,56 @@
      * forward, and is what was sent.
      */
     @Test
-    void neverGoesBackToAnEarlierRevision() {
+    void keepsHighestRevision() {
         for (long v = 1; v <= 40; v++) {
-            configuration(v, 10);
+            addConfiguration(v, 10);
         }
         for (long seed = 1; seed <= 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            sources.clear();
-            host = new Net();
-            List<Source> all =
-                    List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
+            controlProcesses.clear();
+            environment = new FakeNetwork();
+            List<ControlProcessStub> all =
+                    List.of(
+                            new ControlProcessStub("10.0.0.1"),
+                            new ControlProcessStub("10.0.0.2"),
+                            new ControlProcessStub("10.0.0.3"));
             DataPlaneNode front =
-                    new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
+                    new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
             front.start();
             long last = -1;
             for (int step = 1; step <= 120; step++) {
-                Source one = all.get(random.nextInt(3));
+                ControlProcessStub one = all.get(random.nextInt(3));
                 switch (random.nextInt(5)) {
-                    case 0 -> one.alone = !one.alone;
+                    case 0 -> one.isolated = !one.isolated;
                     case 1 -> {
-                        one.there = !one.there;
-                        if (!one.there && one.link != null && one.link.open) {
-                            one.link.open = false;
-                            one.link.ear.onClose("broken");
+                        one.running = !one.running;
+                        if (!one.running && one.connection != null && one.connection.isOpen) {
+                            one.connection.isOpen = false;
+                            one.connection.listener.onClose("broken");
                         }
                     }
-                    case 2 -> one.dark = random.nextInt(3) == 0;
+                    case 2 -> one.unresponsive = random.nextInt(3) == 0;
                     default ->
-                            one.version =
-                                    Math.min(40, Math.max(one.version, 0) + 1 + random.nextInt(2));
+                            one.revision =
+                                    Math.min(40, Math.max(one.revision, 0) + 1 + random.nextInt(2));
                 }
-                until(now() + random.nextInt(400));
+                advanceTo(now() + random.nextInt(400));
                 assertTrue(
                         front.configurationRevision() >= last,
                         "seed " + seed + ": " + front.configurationRevision() + " after " + last);
                 last = front.configurationRevision();
                 if (last >= 0) {
-                    assertArrayEquals(bodies.get(last), front.configuration().body());
+                    assertArrayEquals(configurations.get(last), front.configuration().body());
                 }
             }
             all.forEach(
                     s -> {
-                        s.alone = false;
-                        s.there = true;
-                        s.dark = false;
-                        s.version = 40;
+                        s.isolated = false;
+                        s.running = true;
+                        s.unresponsive = false;
+                        s.revision = 40;
                     });
-            until(now() + 4_000);
+            advanceTo(now() + 4_000);
             assertEquals(40, front.configurationRevision(), "seed " + seed);
         }
     }
@@ -323,55 +329,55 @@
      * not without pause.
      */
     @Test
-    void leavesIsolatedSourceAtOnce() {
-        configuration(1, 3);
-        Source a = new Source("10.0.0.1");
-        Source b = new Source("10.0.0.2");
-        a.alone = true;
-        b.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
+    void switchesFromIsolatedSourceAtOnce() {
+        addConfiguration(1, 3);
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        ControlProcessStub b = new ControlProcessStub("10.0.0.2");
+        a.isolated = true;
+        b.revision = 1;
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2"));
         front.start();
-        until(20);
+        advanceTo(20);
         assertEquals(1, front.configurationRevision(), log().toString());
-        b.alone = true;
-        int before = a.asked + b.asked;
-        until(20_000);
-        int asked = a.asked + b.asked - before;
+        b.isolated = true;
+        int before = a.requestCount + b.requestCount;
+        advanceTo(20_000);
+        int asked = a.requestCount + b.requestCount - before;
         assertTrue(asked > 60 && asked < 160, "asked " + asked + " times in 20 s");
-        a.alone = false;
-        a.version = 1;
-        until(20_700);
+        a.isolated = false;
+        a.revision = 1;
+        advanceTo(20_700);
         assertTrue(log().get(log().size() - 1).endsWith("10.0.0.1"), log().get(log().size() - 1));
     }
 
     /** Machine after machine is replaced: the list follows, and the seeds stay behind it. */
     @Test
     void findsPresentSourcesAfterManyReplacements() {
-        configuration(1, 3);
-        Source was = new Source("10.0.0.1");
-        was.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
+        addConfiguration(1, 3);
+        ControlProcessStub was = new ControlProcessStub("10.0.0.1");
+        was.revision = 1;
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1"));
         front.start();
-        until(1_000);
+        advanceTo(1_000);
         for (int i = 2; i <= 60; i++) {
-            Source next = new Source("10.0.0." + i);
-            next.version = 1;
+            ControlProcessStub next = new ControlProcessStub("10.0.0." + i);
+            next.revision = 1;
             List<Object> places = new ArrayList<>();
-            places.add(place(next.ip, "b", false));
-            places.add(place(was.ip, "b", true));
+            places.add(address(next.ip, "b", false));
+            places.add(address(was.ip, "b", true));
             for (int k = 1; k < 30; k++) {
-                places.add(place("10.0.9." + k, "b", true));
+                places.add(address("10.0.9." + k, "b", true));
             }
-            was.places = places;
-            next.places = places;
-            until(now() + 1_300);
-            was.there = false;
-            was.link.open = false;
-            was.link.ear.onClose("broken");
+            was.addresses = places;
+            next.addresses = places;
+            advanceTo(now() + 1_300);
+            was.running = false;
+            was.connection.isOpen = false;
+            was.connection.listener.onClose("broken");
             long from = now();
-            until(now() + 50);
+            advanceTo(now() + 50);
             assertTrue(
-                    next.asked > 0,
+                    next.requestCount > 0,
                     "at "
                             + from
                             + ": "
@@ -379,14 +385,14 @@
             was = next;
         }
         // All that it was told of are gone, and one of the seeds is back.
-        was.there = false;
-        was.link.open = false;
-        was.link.ear.onClose("broken");
-        sources.get("10.0.0.1:7400").there = true;
-        int asked = sources.get("10.0.0.1:7400").asked;
-        until(now() + 3_000);
+        was.running = false;
+        was.connection.isOpen = false;
+        was.connection.listener.onClose("broken");
+        controlProcesses.get("10.0.0.1:7400").running = true;
+        int asked = controlProcesses.get("10.0.0.1:7400").requestCount;
+        advanceTo(now() + 3_000);
         assertTrue(
-                sources.get("10.0.0.1:7400").asked > asked,
+                controlProcesses.get("10.0.0.1:7400").requestCount > asked,
                 log().subList(log().size() - 40, log().size()).toString());
     }
 
@@ -395,21 +401,21 @@
      * more.
      */
     @Test
-    void takesOverNewSeeds() {
-        configuration(1, 3);
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
+    void appliesNewSeeds() {
+        addConfiguration(1, 3);
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2"));
         front.start();
-        until(5_000);
-        Source c = new Source("10.0.0.3");
-        c.version = 1;
+        advanceTo(5_000);
+        ControlProcessStub c = new ControlProcessStub("10.0.0.3");
+        c.revision = 1;
         front.updateSettings(settings("10.0.0.3"));
-        until(5_500);
+        advanceTo(5_500);
         assertEquals(1, front.configurationRevision());
         int from = log().size();
-        c.there = false;
-        c.link.open = false;
-        c.link.ear.onClose("broken");
-        until(9_000);
+        c.running = false;
+        c.connection.isOpen = false;
+        c.connection.listener.onClose("broken");
+        advanceTo(9_000);
         assertTrue(
                 log().subList(from, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")),
                 log().subList(from, log().size()).toString());
@@ -420,27 +426,27 @@
      * left.
      */
     @Test
-    void prefersLocalSourceAndAvoidsItForAWhileAfterAFailure() {
-        configuration(1, 3);
-        Source far = new Source("10.0.0.1");
-        Source near = new Source("10.0.0.2");
-        far.version = 1;
-        near.version = 1;
-        far.places = List.of(place("10.0.0.1", "b", false), place("10.0.0.2", "a", false));
-        near.places = far.places;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
+    void prefersLocalSourceExceptDuringItsCooldown() {
+        addConfiguration(1, 3);
+        ControlProcessStub far = new ControlProcessStub("10.0.0.1");
+        ControlProcessStub near = new ControlProcessStub("10.0.0.2");
+        far.revision = 1;
+        near.revision = 1;
+        far.addresses = List.of(address("10.0.0.1", "b", false), address("10.0.0.2", "a", false));
+        near.addresses = far.addresses;
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1"));
         front.start();
-        until(1_000);
-        assertTrue(near.asked > 0, log().toString());
-        assertEquals(1, far.asked);
+        advanceTo(1_000);
+        assertTrue(near.requestCount > 0, log().toString());
+        assertEquals(1, far.requestCount);
         // Others hear it, this one does not.
-        near.dark = true;
-        until(19_000);
-        assertEquals(1, near.dialed);
-        assertTrue(far.asked > 20, log().toString());
-        near.dark = false;
-        until(24_000);
-        assertEquals(2, near.dialed);
+        near.unresponsive = true;
+        advanceTo(19_000);
+        assertEquals(1, near.connectCount);
+        assertTrue(far.requestCount > 20, log().toString());
+        near.unresponsive = false;
+        advanceTo(24_000);
+        assertEquals(2, near.connectCount);
     }
 
     /**
@@ -448,25 +454,28 @@
      * without end.
      */
     @Test
-    void pausesBeforeRequestingAnUnreadableConfigurationAgain() {
-        configuration(1, 3);
-        bodies.put(2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
-        configuration(3, 3);
-        Source a = new Source("10.0.0.1");
-        a.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
+    void delaysRequestAfterUnreadableConfiguration() {
+        addConfiguration(1, 3);
+        configurations.put(
+                2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
+        addConfiguration(3, 3);
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        a.revision = 1;
+        DataPlaneNode front = new DataPlaneNode(environment, settings("10.0.0.1"));
         front.start();
-        until(1_000);
-        a.version = 2;
-        int asked = a.asked;
-        until(11_000);
+        advanceTo(1_000);
+        a.revision = 2;
+        int asked = a.requestCount;
+        advanceTo(11_000);
         assertEquals(1, front.configurationRevision());
-        assertTrue(a.asked - asked < 14, "asked " + (a.asked - asked) + " times in 10 s");
+        assertTrue(
+                a.requestCount - asked < 14,
+                "asked " + (a.requestCount - asked) + " times in 10 s");
         assertTrue(
                 log().stream().anyMatch(l -> l.contains("configuration-not-understood revision=2")),
                 log().toString());
-        a.version = 3;
-        until(13_000);
+        a.revision = 3;
+        advanceTo(13_000);
         assertEquals(3, front.configurationRevision());
         assertEquals(
                 Configuration.ReadConsistency.PRIMARY,
--- a/src/test/java/dillfront/dataplane/ReadPositionFloorsTest.java
+++ b/src/test/java/dillfront/dataplane/PrimaryPositionHistoryTest.java
@@ -10,17 +10,17 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class ReadPositionFloorsTest {
+class PrimaryPositionHistoryTest {
 
-    private final ReadPositionFloors floors = new ReadPositionFloors();
+    private final PrimaryPositionHistory history = new PrimaryPositionHistory();
 
     @Test
-    void unknownWithoutAnswerOfThePrimarySince() {
-        assertNull(floors.positionSince(0));
-        floors.onPrimaryPosition(new LogPosition(1, 5), 100);
-        assertNull(floors.positionSince(101));
-        assertEquals(new LogPosition(1, 5), floors.positionSince(100));
-        assertEquals(new LogPosition(1, 5), floors.positionSince(0));
+    void returnsNullWithoutRecentSample() {
+        assertNull(history.lowestPositionSince(0));
+        history.onPrimaryPosition(new LogPosition(1, 5), 100);
+        assertNull(history.lowestPositionSince(101));
+        assertEquals(new LogPosition(1, 5), history.lowestPositionSince(100));
+        assertEquals(new LogPosition(1, 5), history.lowestPositionSince(0));
     }
 
     /**
@@ -28,20 +28,20 @@
      * before.
      */
     @Test
-    void lowestPositionThatIsRecentEnough() {
-        floors.onPrimaryPosition(new LogPosition(1, 5), 100);
-        floors.onPrimaryPosition(new LogPosition(1, 9), 200);
-        floors.onPrimaryPosition(new LogPosition(2, 3), 300);
-        assertEquals(new LogPosition(1, 9), floors.positionSince(150));
-        assertEquals(new LogPosition(2, 3), floors.positionSince(250));
+    void returnsLowestRecentPosition() {
+        history.onPrimaryPosition(new LogPosition(1, 5), 100);
+        history.onPrimaryPosition(new LogPosition(1, 9), 200);
+        history.onPrimaryPosition(new LogPosition(2, 3), 300);
+        assertEquals(new LogPosition(1, 9), history.lowestPositionSince(150));
+        assertEquals(new LogPosition(2, 3), history.lowestPositionSince(250));
     }
 
     /** Guards against a floor that lacks a commit, whatever was forgotten on the way. */
     @Property(tries = 200)
-    void aFloorIsNeverBelowWhatWasAcknowledged(@ForAll long seed) {
+    void coversEveryAcknowledgedCommit(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ReadPositionFloors many = new ReadPositionFloors();
-        many.maxStaleness(1 + random.nextInt(3_000));
+        PrimaryPositionHistory many = new PrimaryPositionHistory();
+        many.setMaxStaleness(1 + random.nextInt(3_000));
         long[] number = new long[4_000];
         long log = 0;
         for (int ms = 1; ms < number.length; ms++) {
@@ -51,7 +51,7 @@
                 many.onPrimaryPosition(new LogPosition(1, log), ms);
             }
             int moment = Math.max(1, ms - random.nextInt(2_000));
-            LogPosition floor = many.positionSince(moment);
+            LogPosition floor = many.lowestPositionSince(moment);
             assertTrue(
                     floor == null || floor.index() >= number[moment],
                     () -> "a floor below what was there");
--- a/src/test/java/dillfront/dataplane/ServerConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -21,13 +21,13 @@
  */
 class ServerConnectionTest {
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
-    private DataPlaneNode front;
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
+    private DataPlaneNode node;
     private DatabaseService service;
     private ScriptedEnvironment.Line client;
 
     @BeforeEach
-    void open() throws Configuration.InvalidConfigurationException {
+    void setUp() throws Configuration.InvalidConfigurationException {
         NodeSettings settings =
                 new NodeSettings(
                         "f",
@@ -47,24 +47,24 @@
                         7_000,
                         6_000,
                         null);
-        front = new DataPlaneNode(host, settings);
-        front.start();
-        front.onConfiguration(
+        node = new DataPlaneNode(environment, settings);
+        node.start();
+        node.onConfiguration(
                 Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
                                         + "'connection_limit':100}]}")
                                 .replace('\'', '"')
                                 .getBytes(StandardCharsets.UTF_8)));
-        service = front.service("s");
-        service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.9:1", "z"));
+        service = node.service("s");
+        service.servers.put("i-1", new ServerPool(node, service, "i-1", "10.0.0.9:1", "z"));
         service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
         client = client();
     }
 
     private ScriptedEnvironment.Line client() {
         ScriptedEnvironment.Line line =
-                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, front.accept());
+                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, node.accept());
         line.open();
         line.say("CONNECT h me");
         assertEquals("READY I -", line.last());
@@ -72,8 +72,8 @@
         return line;
     }
 
-    private ScriptedEnvironment.Line server() {
-        ScriptedEnvironment.Line line = host.lastDialed();
+    private ScriptedEnvironment.Line connectedServer() {
+        ScriptedEnvironment.Line line = environment.lastDialed();
         if (line.sent.isEmpty()) {
             line.open();
             assertEquals("CONNECT s f i-1", line.last());
@@ -82,25 +82,25 @@
         return line;
     }
 
-    private List<String> answer(ScriptedEnvironment.Line to) {
+    private List<String> takeReceived(ScriptedEnvironment.Line to) {
         List<String> is = List.copyOf(to.sent);
         to.sent.clear();
         return is;
     }
 
     @Test
-    void answerGoesToItsSender() {
+    void responseReachesItsClient() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
+        ScriptedEnvironment.Line line = connectedServer();
         assertEquals("QUERY a1 WRITE k d", line.last());
         ScriptedEnvironment.Line other = client();
         other.say("QUERY b1 WRITE k e");
         line.say("COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
+        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), takeReceived(client));
         assertTrue(other.sent.isEmpty());
         assertEquals("QUERY b1 WRITE k e", line.last(), "the connection is used again");
         line.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(other));
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(other));
     }
 
     /**
@@ -108,30 +108,30 @@
      * asks there next.
      */
     @Test
-    void unrequestedAnswerEndsTheConnection() {
+    void closesConnectionOnUnrequestedResponse() {
         for (String unasked :
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
+            ScriptedEnvironment.Line line = connectedServer();
             line.say("COMPLETE s1", "READY I 1.2");
-            answer(client);
+            takeReceived(client);
             line.say(unasked);
             client.say("QUERY a2 WRITE k d");
-            ScriptedEnvironment.Line next = server();
+            ScriptedEnvironment.Line next = connectedServer();
             assertTrue(line.closed && next != line, unasked + ": the connection is left");
             next.say("COMPLETE s2", "READY I 1.3");
-            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
+            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client), unasked);
             next.reset();
         }
     }
 
     /** Guards against the same while the connection is made. */
     @Test
-    void answerBeforeReadyEndsTheConnection() {
+    void closesConnectionOnResponseBeforeReady() {
         client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = host.lastDialed();
+        ScriptedEnvironment.Line line = environment.lastDialed();
         line.open();
         line.say("ROW other", "READY I 1.1");
         assertTrue(line.closed);
@@ -143,7 +143,7 @@
      * connection would get this one's.
      */
     @Test
-    void partialOrDuplicateAnswerEndsTheConnection() {
+    void closesConnectionOnPartialOrDuplicateResponse() {
         for (String[] bad :
                 new String[][] {
                     {"ROW r", "READY I 1.2"},
@@ -154,14 +154,14 @@
                     {"NOTHING of the wire"}
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
+            ScriptedEnvironment.Line line = connectedServer();
             line.say(bad);
             assertTrue(line.closed, String.join(", ", bad));
             assertEquals(
                     "ERROR UNCERTAIN the connection ended",
                     client.sent.get(0),
                     String.join(", ", bad));
-            answer(client);
+            takeReceived(client);
         }
     }
 
@@ -172,38 +172,38 @@
     @Test
     void writeIsNotRetriedAfterReset() {
         client.say("QUERY a1 WRITE k d");
-        server().reset();
-        host.pass(3_000);
-        assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedEnvironment.Line line : host.dialed) {
+        connectedServer().reset();
+        environment.pass(3_000);
+        assertEquals("ERROR UNCERTAIN the connection ended", takeReceived(client).get(0));
+        for (ScriptedEnvironment.Line line : environment.dialed) {
             assertEquals(
-                    line == host.dialed.get(0) ? 1 : 0,
+                    line == environment.dialed.get(0) ? 1 : 0,
                     line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
 
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
-    void readAndWriteThatDidNotRunAreRetriedAfterReset() {
+    void retriesReadAfterResetAndWriteAfterBusy() {
         client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = server();
-        leads(line);
+        ScriptedEnvironment.Line line = connectedServer();
+        confirmPrimary(line);
         line.reset();
-        ScriptedEnvironment.Line next = server();
-        leads(next);
+        ScriptedEnvironment.Line next = connectedServer();
+        confirmPrimary(next);
         next.say("ROW r", "COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
+        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), takeReceived(client));
         client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line third = server();
+        ScriptedEnvironment.Line third = connectedServer();
         third.say("ERROR BUSY later", "READY I 1.2");
-        host.pass(60);
+        environment.pass(60);
         assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
         third.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedEnvironment.Line line) {
+    private static void confirmPrimary(ScriptedEnvironment.Line line) {
         assertEquals("QUERY - STATUS", line.last());
         line.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
         assertEquals("QUERY a1 READ k", line.last());
@@ -211,18 +211,18 @@
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
-    void answerAfterTimeoutGoesToNobody() {
+    void discardsResponseAfterTimeout() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        host.pass(800);
-        assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
+        ScriptedEnvironment.Line line = connectedServer();
+        environment.pass(800);
+        assertTrue(takeReceived(client).get(0).startsWith("ERROR TIMEOUT"));
         assertTrue(line.closed);
         client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line next = server();
+        ScriptedEnvironment.Line next = connectedServer();
         line.say("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
         next.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /**
@@ -230,15 +230,15 @@
      * word was lost.
      */
     @Test
-    void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
+    void closesConnectionWithoutResponseToInternalStatement() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
+        ScriptedEnvironment.Line line = connectedServer();
         line.say("COMPLETE -", "READY T 1.1");
         assertEquals("QUERY a2 WRITE k d", line.last());
         line.say("COMPLETE s1", "READY T 1.1");
         client.say("QUERY a3 ROLLBACK");
         assertEquals("QUERY - ROLLBACK", line.last());
-        host.pass(2_500);
+        environment.pass(2_500);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertTrue(
                 service.servers.get("i-1").connections.stream()
@@ -247,11 +247,11 @@
 
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
-    void abandonsConnectionWhoseBeginIsNotAnswered() {
+    void closesConnectionWithoutResponseToBegin() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
+        ScriptedEnvironment.Line line = connectedServer();
         assertEquals("QUERY a1 BEGIN", line.last());
-        host.pass(2_500);
+        environment.pass(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
@@ -259,14 +259,14 @@
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
-    void abandonsConnectionOfStatementWithoutClient() {
+    void closesConnectionWithoutResponseAfterClientLeft() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
+        ScriptedEnvironment.Line line = connectedServer();
         assertEquals("QUERY a1 WRITE k d", line.last());
         client.reset();
-        host.pass(500);
+        environment.pass(500);
         assertFalse(line.closed, "what runs is heard to its end");
-        host.pass(1_000);
+        environment.pass(1_000);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
