--- a/src/main/java/dillfront/common/message/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -6,75 +6,79 @@
 import java.util.zip.CRC32C;
 
 /**
- * What turns one text into another, where most of it stays: runs that are copied from the base, and
- * bytes between them. Both are cut into pieces behind each '}' and '[', so that a list of objects
- * of which a few changed is found again whatever moved.
+ * Computes and applies a binary delta between two byte strings that are mostly equal: a sequence of
+ * copies from the base, and of literal bytes. Both inputs are split into chunks after each '}' and
+ * '[', so that unchanged objects of a list are found wherever they moved.
  *
  * <pre>
- *   delta   1 form   length and CRC32C of the base   length and CRC32C of the text   steps
- *   step    number  length * 2, and one more for a run that is copied
- *           a run:  number  from where in the base, as the way from the end of the run before: way * 2, or -way * 2 - 1
- *           else:   the bytes
+ *   delta   1 format   length and CRC32C of the base   length and CRC32C of the target   steps
+ *   step    varint  length * 2, plus one for a copy
+ *           copy:     varint  offset in the base relative to the end of the previous copy: offset * 2, or -offset * 2 - 1
+ *           literal:  the bytes
  * </pre>
  *
- * Lengths and numbers are of seven bits a byte, the lowest first; sums are four bytes, big-endian.
+ * A varint has seven bits per byte, lowest bits first; checksums are four bytes, big-endian.
  */
 public final class BinaryDelta {
 
-    /** This is no delta, or not one of this base. */
+    /** Reports a malformed delta, or one of another base. */
     public static final class InvalidDeltaException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidDeltaException(String fault) {
-            super(fault);
+        InvalidDeltaException(String message) {
+            super(message);
         }
     }
 
-    /** No text is longer: a message of the system's own, which holds a whole one, is not either. */
+    /**
+     * Maximum length of an input. Messages between the system's processes, which may carry a full
+     * configuration, are bounded as well.
+     */
     public static final int MAX_BYTES = 1 << 20;
 
     private static final byte FORMAT_VERSION = 1;
 
-    /** No piece is shorter, but for the last, so that their number is bounded. */
-    private static final int MIN_CHUNK = 16;
+    /** Minimum length of all chunks but the last, which bounds their number. */
+    private static final int MIN_CHUNK_BYTES = 16;
 
-    /** A run is not worth its own numbers below. */
-    private static final int MIN_COPY = 8;
+    /** Minimum length of a partial copy; a shorter one does not pay for its header. */
+    private static final int MIN_COPY_BYTES = 8;
 
     private BinaryDelta() {}
 
-    public static long digest(byte[] text) {
+    public static long digest(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(text);
+        crc.update(bytes);
         return crc.getValue();
     }
 
     /**
-     * The same for the same two texts always, and never much longer than the second.
+     * Returns the delta from one byte string to another. The result is deterministic, and never
+     * much longer than the target.
      *
-     * @throws IllegalArgumentException where one is longer than any text may be
+     * @throws IllegalArgumentException if an input is longer than {@link #MAX_BYTES}
      */
-    public static byte[] create(byte[] base, byte[] next) {
-        if (base.length > MAX_BYTES || next.length > MAX_BYTES) {
+    public static byte[] create(byte[] base, byte[] target) {
+        if (base.length > MAX_BYTES || target.length > MAX_BYTES) {
             throw new IllegalArgumentException(
-                    "a text of " + Math.max(base.length, next.length) + " bytes");
+                    "input is too long: " + Math.max(base.length, target.length) + " bytes");
         }
-        return new Encoder(base, next).encode();
+        return new Encoder(base, target).encode();
     }
 
-    /** One text, cut; where each piece begins, and the end. */
-    private static int[] chunkBounds(byte[] text) {
-        int[] from = new int[text.length / MIN_CHUNK + 2];
+    /** Returns the start of each chunk, followed by the length of the input. */
+    private static int[] chunkBounds(byte[] input) {
+        int[] bounds = new int[input.length / MIN_CHUNK_BYTES + 2];
         int count = 1;
-        for (int i = 0; i < text.length; i++) {
-            if ((text[i] == '}' || text[i] == '[')
-                    && i + 1 - from[count - 1] >= MIN_CHUNK
-                    && i + 1 < text.length) {
-                from[count++] = i + 1;
+        for (int i = 0; i < input.length; i++) {
+            if ((input[i] == '}' || input[i] == '[')
+                    && i + 1 - bounds[count - 1] >= MIN_CHUNK_BYTES
+                    && i + 1 < input.length) {
+                bounds[count++] = i + 1;
             }
         }
-        from[count++] = text.length;
-        return Arrays.copyOf(from, count);
+        bounds[count++] = input.length;
+        return Arrays.copyOf(bounds, count);
     }
 
     private static final class Encoder {
@@ -84,14 +88,14 @@
         private final int[] baseChunks;
 
         /**
-         * Pieces of the base by their content: one more than the number of the first, at the place
-         * of its hash or behind it.
+         * Open-addressing hash table of the base's chunks by content. Each entry is one more than
+         * the index of the first chunk with this content.
          */
         private final int[] chunkIndex;
 
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-        /** The run that is not written yet, and the bytes of the text that wait before it. */
+        /** The pending copy, and the pending literal of the target that follows it. */
         private int copyStart;
 
         private int copyEnd;
@@ -99,24 +103,24 @@
         private int literalEnd;
         private int lastCopyEnd;
 
-        Encoder(byte[] base, byte[] next) {
+        Encoder(byte[] base, byte[] target) {
             this.base = base;
-            this.target = next;
+            this.target = target;
             baseChunks = chunkBounds(base);
             chunkIndex = new int[Integer.highestOneBit(baseChunks.length) * 4];
-            for (int k = 0; k < baseChunks.length - 1; k++) {
-                int slot = slot(base, baseChunks[k], baseChunks[k + 1]);
+            for (int chunk = 0; chunk < baseChunks.length - 1; chunk++) {
+                int slot = slot(base, baseChunks[chunk], baseChunks[chunk + 1]);
                 if (chunkIndex[slot] == 0) {
-                    chunkIndex[slot] = k + 1;
+                    chunkIndex[slot] = chunk + 1;
                 }
             }
         }
 
-        /** Where this piece stands in the table, or would. */
-        private int slot(byte[] text, int from, int to) {
+        /** Returns the slot of a chunk in the hash table, or the free slot for it. */
+        private int slot(byte[] input, int from, int to) {
             long hash = to - from;
             for (int i = from; i < to; i++) {
-                hash = (hash ^ text[i]) * 0x9E3779B97F4A7C15L;
+                hash = (hash ^ input[i]) * 0x9E3779B97F4A7C15L;
                 hash ^= hash >>> 29;
             }
             int slot = (int) (hash >>> 32) & chunkIndex.length - 1;
@@ -125,7 +129,7 @@
                             base,
                             baseChunks[chunkIndex[slot] - 1],
                             baseChunks[chunkIndex[slot]],
-                            text,
+                            input,
                             from,
                             to)) {
                 slot = slot + 1 & chunkIndex.length - 1;
@@ -138,11 +142,11 @@
             writeHeader(base);
             writeHeader(target);
             int[] targetChunks = chunkBounds(target);
-            // The piece of the base that is expected next, as nothing has moved.
+            // The chunk of the base that follows if nothing has moved.
             int expected = 0;
-            for (int k = 0; k < targetChunks.length - 1; k++) {
-                int from = targetChunks[k];
-                int to = targetChunks[k + 1];
+            for (int chunk = 0; chunk < targetChunks.length - 1; chunk++) {
+                int from = targetChunks[chunk];
+                int to = targetChunks[chunk + 1];
                 if (expected >= baseChunks.length - 1
                         || !Arrays.equals(
                                 base,
@@ -151,12 +155,12 @@
                                 target,
                                 from,
                                 to)) {
-                    int found = chunkIndex[slot(target, from, to)] - 1;
-                    if (found < 0) {
+                    int index = chunkIndex[slot(target, from, to)] - 1;
+                    if (index < 0) {
                         expected += addChangedChunk(expected, from, to) ? 1 : 0;
                         continue;
                     }
-                    expected = found;
+                    expected = index;
                 }
                 addCopy(baseChunks[expected], baseChunks[expected + 1]);
                 expected++;
@@ -165,22 +169,28 @@
             return out.toByteArray();
         }
 
-        /** A piece of its own: what it has in common with the one that stood here, at both ends. */
-        private boolean addChangedChunk(int at, int from, int to) {
-            int first = at < baseChunks.length - 1 ? baseChunks[at] : base.length;
-            int last = at < baseChunks.length - 1 ? baseChunks[at + 1] : base.length;
-            int common = Math.min(to - from, last - first);
-            int prefix = Arrays.mismatch(base, first, first + common, target, from, from + common);
-            prefix = prefix < 0 ? common : prefix;
+        /**
+         * Adds a chunk that is not in the base, as copies of the prefix and suffix that it shares
+         * with the base's chunk at this position, and a literal between them.
+         */
+        private boolean addChangedChunk(int expected, int from, int to) {
+            int baseFrom = expected < baseChunks.length - 1 ? baseChunks[expected] : base.length;
+            int baseTo = expected < baseChunks.length - 1 ? baseChunks[expected + 1] : base.length;
+            int maxCommon = Math.min(to - from, baseTo - baseFrom);
+            int prefix =
+                    Arrays.mismatch(
+                            base, baseFrom, baseFrom + maxCommon, target, from, from + maxCommon);
+            prefix = prefix < 0 ? maxCommon : prefix;
             int suffix = 0;
-            while (suffix < common - prefix && base[last - 1 - suffix] == target[to - 1 - suffix]) {
+            while (suffix < maxCommon - prefix
+                    && base[baseTo - 1 - suffix] == target[to - 1 - suffix]) {
                 suffix++;
             }
-            prefix = prefix < MIN_COPY ? 0 : prefix;
-            suffix = suffix < MIN_COPY ? 0 : suffix;
-            addCopy(first, first + prefix);
+            prefix = prefix < MIN_COPY_BYTES ? 0 : prefix;
+            suffix = suffix < MIN_COPY_BYTES ? 0 : suffix;
+            addCopy(baseFrom, baseFrom + prefix);
             addLiteral(from + prefix, to - suffix);
-            addCopy(last - suffix, last);
+            addCopy(baseTo - suffix, baseTo);
             return prefix + suffix > 0;
         }
 
@@ -207,12 +217,12 @@
             literalEnd = to;
         }
 
-        /** A run and the bytes behind it. */
+        /** Writes the pending copy and the literal after it. */
         private void flush() {
             if (copyStart < copyEnd) {
                 writeVarint((copyEnd - copyStart) * 2 + 1);
-                int way = copyStart - lastCopyEnd;
-                writeVarint(way >= 0 ? way * 2 : -way * 2 - 1);
+                int offset = copyStart - lastCopyEnd;
+                writeVarint(offset >= 0 ? offset * 2 : -offset * 2 - 1);
                 lastCopyEnd = copyEnd;
                 copyStart = copyEnd;
             }
@@ -223,13 +233,13 @@
             }
         }
 
-        private void writeHeader(byte[] text) {
-            writeVarint(text.length);
-            out.writeBytes(ByteBuffer.allocate(4).putInt((int) digest(text)).array());
+        private void writeHeader(byte[] input) {
+            writeVarint(input.length);
+            out.writeBytes(ByteBuffer.allocate(4).putInt((int) digest(input)).array());
         }
 
-        private void writeVarint(int is) {
-            int rest = is;
+        private void writeVarint(int value) {
+            int rest = value;
             for (; rest > 0x7f; rest >>>= 7) {
                 out.write(rest & 0x7f | 0x80);
             }
@@ -238,74 +248,88 @@
     }
 
     /**
-     * The text that the delta makes of this base, which is left as it is.
+     * Applies a delta to its base, which is left unmodified.
      *
-     * @throws Bad where it is of another base, or damaged: then there is no text at all
+     * @throws InvalidDeltaException if the delta is damaged or belongs to another base
      */
     public static byte[] apply(byte[] base, byte[] delta) throws InvalidDeltaException {
         ByteBuffer in = ByteBuffer.wrap(delta);
         if (!in.hasRemaining() || in.get() != FORMAT_VERSION) {
-            throw new InvalidDeltaException("no delta of a form that is known");
+            throw new InvalidDeltaException("unknown delta format");
         }
         if (readVarint(in) != base.length || readChecksum(in) != (int) digest(base)) {
-            throw new InvalidDeltaException("a delta of another base");
+            throw new InvalidDeltaException("delta does not match the base");
         }
         int length = readVarint(in);
-        int sum = readChecksum(in);
+        int checksum = readChecksum(in);
         if (length > MAX_BYTES) {
-            throw new InvalidDeltaException("a text of " + length + " bytes");
+            throw new InvalidDeltaException("target is too long: " + length + " bytes");
         }
-        byte[] text = new byte[length];
-        int at = 0;
+        byte[] target = new byte[length];
+        int position = 0;
         int lastEnd = 0;
         while (in.hasRemaining()) {
             int step = readVarint(in);
             int size = step >>> 1;
-            if (size == 0 || size > length - at) {
+            if (size == 0 || size > length - position) {
                 throw new InvalidDeltaException(
-                        "a step of " + size + " bytes at " + at + " of " + length);
+                        "invalid step of "
+                                + size
+                                + " bytes at byte "
+                                + position
+                                + " of a target of length "
+                                + length);
             }
             if ((step & 1) != 0) {
-                int way = readVarint(in);
-                int from = lastEnd + ((way & 1) == 0 ? way >>> 1 : -(way + 1 >>> 1));
+                int encodedOffset = readVarint(in);
+                int from =
+                        lastEnd
+                                + ((encodedOffset & 1) == 0
+                                        ? encodedOffset >>> 1
+                                        : -(encodedOffset + 1 >>> 1));
                 if (from < 0 || from > base.length - size) {
                     throw new InvalidDeltaException(
-                            "a run from " + from + " on, of " + size + " bytes");
+                            "copy out of bounds: from byte "
+                                    + from
+                                    + " of the base, length "
+                                    + size
+                                    + " bytes");
                 }
-                System.arraycopy(base, from, text, at, size);
+                System.arraycopy(base, from, target, position, size);
                 lastEnd = from + size;
             } else if (size > in.remaining()) {
-                throw new InvalidDeltaException("ends within its bytes");
+                throw new InvalidDeltaException("truncated literal");
             } else {
-                in.get(text, at, size);
+                in.get(target, position, size);
             }
-            at += size;
+            position += size;
         }
-        if (at != length || sum != (int) digest(text)) {
-            throw new InvalidDeltaException("what it makes is not the text it was made for");
+        if (position != length || checksum != (int) digest(target)) {
+            throw new InvalidDeltaException(
+                    "result does not match the target's length and checksum");
         }
-        return text;
+        return target;
     }
 
     private static int readChecksum(ByteBuffer in) throws InvalidDeltaException {
         if (in.remaining() < 4) {
-            throw new InvalidDeltaException("ends within its head");
+            throw new InvalidDeltaException("truncated header");
         }
         return in.getInt();
     }
 
     private static int readVarint(ByteBuffer in) throws InvalidDeltaException {
-        int is = 0;
+        int value = 0;
         for (int shift = 0; shift < 28; shift += 7) {
             if (!in.hasRemaining()) {
                 break;
             }
-            byte part = in.get();
-            is |= (part & 0x7f) << shift;
-            if (part >= 0) {
-                return is;
+            byte next = in.get();
+            value |= (next & 0x7f) << shift;
+            if (next >= 0) {
+                return value;
             }
         }
-        throw new InvalidDeltaException("a number that does not end");
+        throw new InvalidDeltaException("invalid varint");
     }
 }
--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -5,15 +5,15 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Texts made shorter for a link, and back. */
+/** Compresses and decompresses messages with DEFLATE. */
 public final class Compression {
 
-    /** These are no deflated bytes, or more comes of them than any text has. */
+    /** Reports data that is not valid DEFLATE output, or exceeds the expected size. */
     public static final class CorruptDataException extends Exception {
         private static final long serialVersionUID = 1;
 
-        CorruptDataException(String fault) {
-            super(fault);
+        CorruptDataException(String message) {
+            super(message);
         }
     }
 
@@ -21,16 +21,16 @@
 
     private Compression() {}
 
-    /** The text, compressed. */
-    public static byte[] compress(byte[] text) {
+    /** Compresses bytes. */
+    public static byte[] compress(byte[] bytes) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(text);
+            deflater.setInput(bytes);
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 8 + 64);
-            byte[] part = new byte[BUFFER_BYTES];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 8 + 64);
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                out.write(part, 0, deflater.deflate(part));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -39,10 +39,11 @@
     }
 
     /**
-     * The text again.
+     * Decompresses bytes.
      *
-     * @param maxBytes bytes that it may have
-     * @throws Bad where it is damaged, goes on behind its end, or is longer
+     * @param maxBytes the maximum length of the result
+     * @throws CorruptDataException if the data is damaged, is followed by more bytes, or
+     *     decompresses to more than {@code maxBytes}
      */
     public static byte[] decompress(byte[] deflated, int maxBytes) throws CorruptDataException {
         Inflater inflater = new Inflater();
@@ -50,23 +51,24 @@
             inflater.setInput(deflated);
             ByteArrayOutputStream out =
                     new ByteArrayOutputStream(Math.min(maxBytes, deflated.length * 4 + 64));
-            byte[] part = new byte[BUFFER_BYTES];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(part);
+                int count = inflater.inflate(buffer);
                 if (count == 0 && !inflater.finished()) {
-                    throw new CorruptDataException("ends before its end");
+                    throw new CorruptDataException("truncated data");
                 }
                 if (count > maxBytes - out.size()) {
-                    throw new CorruptDataException("more than " + maxBytes + " bytes come of it");
+                    throw new CorruptDataException(
+                            "decompressed data exceeds " + maxBytes + " bytes");
                 }
-                out.write(part, 0, count);
+                out.write(buffer, 0, count);
             }
             if (inflater.getRemaining() > 0) {
-                throw new CorruptDataException("goes on behind its end");
+                throw new CorruptDataException("unexpected data after the end");
             }
             return out.toByteArray();
-        } catch (DataFormatException bad) {
-            throw new CorruptDataException("damaged: " + bad.getMessage());
+        } catch (DataFormatException exception) {
+            throw new CorruptDataException("invalid data: " + exception.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * The bytes of {@link SubscriptionRequest} and {@link SubscriptionResponse}: MessagePack maps with
- * short names. Unknown names are passed over, missing ones have the value that stands for none.
+ * Encodes {@link SubscriptionRequest} and {@link SubscriptionResponse} as MessagePack maps with
+ * short keys. Unknown keys are ignored; a missing key has the value that stands for none.
  */
 public final class SubscriptionCodec {
 
-    /** The field that tells the messages on a control process's internal port apart. */
+    /** The field with the type of a message, on a control process's internal port. */
     public static final String TYPE = "t";
 
     /** The type of a subscription request. */
@@ -38,7 +38,7 @@
     private static final String WAITS_FOR_QUORUM = "hw";
     private static final String PRIMARIES = "s";
     private static final String VIEW_SERVICE = "s";
-    private static final String VIEW_OPEN = "o";
+    private static final String VIEW_OPEN_TRANSACTIONS = "o";
     private static final String VIEW_PRIMARY = "p";
     private static final String VIEW_REACHABILITY = "h";
     private static final String VIEW_ACKNOWLEDGED = "a";
@@ -52,15 +52,15 @@
     private static final String RECORDS = "p";
     private static final String SUSPECTS = "sq";
     private static final String DATA_PLANES = "f";
-    private static final String CERTAIN_MILLIS = "su";
+    private static final String PRIMARY_CERTAINTY_MILLIS = "su";
     private static final String ADDRESSES = "cp";
     private static final String ADDRESS_IP = "i";
-    private static final String ADDRESS_SILENT = "s";
+    private static final String ADDRESS_UNRESPONSIVE = "s";
     private static final String ADDRESS_ZONE = "z";
 
     private SubscriptionCodec() {}
 
-    /** The bytes of a request. */
+    /** Encodes a request. */
     public static byte[] encode(SubscriptionRequest request) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put(TYPE, REQUEST_TYPE);
@@ -92,21 +92,21 @@
     private static Map<String, Object> fields(PrimaryView view) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put(VIEW_SERVICE, view.service());
-        row.put(VIEW_OPEN, view.openTransactions());
+        row.put(VIEW_OPEN_TRANSACTIONS, view.openTransactions());
         row.put(VIEW_PRIMARY, view.primary());
         row.put(VIEW_REACHABILITY, view.reachability());
         row.put(VIEW_ACKNOWLEDGED, view.acknowledged().toString());
         return row;
     }
 
-    /** A request from the fields of a message of type {@link #REQUEST_TYPE}. */
+    /** Decodes a request from the fields of a message of type {@link #REQUEST_TYPE}. */
     public static SubscriptionRequest decodeRequest(MessageCodec.Fields in) {
         List<PrimaryView> primaries = new ArrayList<>();
         for (MessageCodec.Fields row : in.maps(PRIMARIES)) {
             primaries.add(
                     new PrimaryView(
                             row.string(VIEW_SERVICE),
-                            row.number(VIEW_OPEN, 0),
+                            row.number(VIEW_OPEN_TRANSACTIONS, 0),
                             row.string(VIEW_PRIMARY),
                             row.number(VIEW_REACHABILITY, 0),
                             AcknowledgedCommits.parse(row.string(VIEW_ACKNOWLEDGED))));
@@ -126,7 +126,7 @@
                 primaries);
     }
 
-    /** The bytes of a response. */
+    /** Encodes a response. */
     public static byte[] encode(SubscriptionResponse response) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put(REQUEST_ID, response.requestId());
@@ -159,8 +159,8 @@
             out.put(SUSPECTS, response.suspects().services());
         }
         out.put(DATA_PLANES, response.dataPlanes());
-        if (response.certainMillis() > 0) {
-            out.put(CERTAIN_MILLIS, response.certainMillis());
+        if (response.primaryCertaintyMillis() > 0) {
+            out.put(PRIMARY_CERTAINTY_MILLIS, response.primaryCertaintyMillis());
         }
         if (response.addresses() != null) {
             out.put(ADDRESSES, fields(response.addresses()));
@@ -173,8 +173,8 @@
         for (ControlAddress address : addresses) {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put(ADDRESS_IP, address.ip());
-            if (address.silent()) {
-                row.put(ADDRESS_SILENT, true);
+            if (address.unresponsive()) {
+                row.put(ADDRESS_UNRESPONSIVE, true);
             }
             row.put(ADDRESS_ZONE, address.zoneName());
             rows.add(row);
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Reads a response.
+     * Decodes a response.
      *
-     * @throws MessageCodec.MalformedMessageException where the bytes are no message
+     * @throws MessageCodec.MalformedMessageException if the bytes are not a valid message
      */
     public static SubscriptionResponse decodeResponse(byte[] bytes)
             throws MessageCodec.MalformedMessageException {
@@ -203,7 +203,7 @@
                         ? new SuspectsUpdate(in.number(SUSPECTS_VERSION, 0), in.strings(SUSPECTS))
                         : null,
                 (int) in.number(DATA_PLANES, -1),
-                in.number(CERTAIN_MILLIS, 0),
+                in.number(PRIMARY_CERTAINTY_MILLIS, 0),
                 in.has(ADDRESSES) ? addresses(in) : null);
     }
 
@@ -222,7 +222,7 @@
                     new ControlAddress(
                             row.string(ADDRESS_IP),
                             row.string(ADDRESS_ZONE),
-                            row.flag(ADDRESS_SILENT)));
+                            row.flag(ADDRESS_UNRESPONSIVE)));
         }
         return addresses;
     }
--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -41,30 +41,33 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One control process: wires its parts, runs their timers, and passes messages and calls on to
- * them. Control processes tell each other what they have, often, and at once where something
- * changed.
+ * Runs one control process: constructs its components, drives their timers, and dispatches messages
+ * and HTTP calls to them. Each process sends its state to its peers at a fixed interval, and at
+ * once after a change.
  *
  * <p>All methods are called on the environment's thread.
  */
 public final class ControlNode {
 
-    /** How often all is said to all peers. */
-    private static final long TICK_MS = 400;
+    /** Interval at which the full state is sent to every peer. */
+    private static final long TICK_INTERVAL_MS = 400;
 
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
-    /** A poll that is so late means that this process was paused. */
-    private static final long PAUSED_AFTER_MS = 300;
+    /** A poll that is later than this shows that the process was paused. */
+    private static final long PAUSE_THRESHOLD_MS = 300;
 
-    /** Updates that come within so long go together. */
-    private static final long COALESCE_MS = 20;
+    /** Updates that are requested within this time are sent together. */
+    private static final long COALESCING_DELAY_MS = 20;
 
-    /** A connection that brought no answer for so long is left. */
+    /** A connection on which no message was acknowledged for this long is closed. */
     private static final long CONNECTION_TIMEOUT_MS = 1_500;
 
-    /** A server that announced its end has ended by then, even where it serves on past its time. */
-    private static final long SERVER_ENDED_MS = 30_000;
+    /**
+     * A server that announced its shutdown and sent nothing for this long has stopped, even if its
+     * drain ran over the announced time.
+     */
+    private static final long LEAVING_TIMEOUT_MS = 30_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -84,13 +87,13 @@
     private final ControlHttpApi http;
     private final GracefulShutdown shutdown;
     private long startedMillis;
-    private long polledMillis;
-    private boolean wasIsolated;
+    private long lastPollMillis;
+    private boolean loggedIsolation;
 
-    /** What data planes were last told of this process's contact with a majority. */
-    private boolean publishedContact;
+    /** Whether the data planes were last notified that this process has contact with a majority. */
+    private boolean publishedQuorumContact;
 
-    /** What register and lease need of this process. */
+    /** Gives the register and the lease manager access to the state of this process. */
     private final class Context implements LeaseManager.Context {
 
         @Override
@@ -170,7 +173,7 @@
         }
     }
 
-    /** What subscriptions need of this process. */
+    /** Gives the subscriptions access to the state of this process. */
     private final class SubscriptionSource implements DataPlaneSubscriptions.Source {
 
         @Override
@@ -184,8 +187,8 @@
         }
 
         @Override
-        public long certainMillis() {
-            return ControlNode.this.certainMillis();
+        public long primaryCertaintyMillis() {
+            return ControlNode.this.primaryCertaintyMillis();
         }
 
         @Override
@@ -200,12 +203,14 @@
     }
 
     /**
-     * @param disk where the state is kept; it may refuse writes, which are tried again
+     * Constructs the components; {@link #start} restores their state.
+     *
+     * @param stateStore stores the state; a write that fails is retried
      */
-    public ControlNode(Environment environment, NodeSettings settings, StateStore disk) {
+    public ControlNode(Environment environment, NodeSettings settings, StateStore stateStore) {
         this.environment = environment;
         this.settings = settings;
-        store = new RetryingStateStore(environment, disk);
+        store = new RetryingStateStore(environment, stateStore);
         identity = new ProcessIdentity(environment, settings);
         Context context = new Context();
         ReplicatedRegister register = new ReplicatedRegister(context);
@@ -224,8 +229,8 @@
                         new AcknowledgedCommitsTable(),
                         new SuspectedPrimaries(this::onSuspectsChanged),
                         new ClusterView(environment, register, peers, identity::id),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::sendToPeers),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::publish));
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::sendToPeers),
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::publish));
         dataPlaneCount = new DataPlaneCount(store);
         certainty = new PrimaryCertainty(lease, this::isLeaseHolder);
         subscriptions = new DataPlaneSubscriptions(state, new SubscriptionSource());
@@ -277,69 +282,69 @@
                 this::status);
     }
 
-    // ---- the life of the process
+    // ---- lifecycle
 
     /**
-     * Takes over what the disk holds, and begins.
+     * Restores the stored state and starts the timers.
      *
-     * @throws Configuration.InvalidConfigurationException where the configuration on the disk is of
-     *     a form that this version does not know
+     * @throws Configuration.InvalidConfigurationException if this version cannot parse the stored
+     *     configuration
      */
     public void start() throws Configuration.InvalidConfigurationException {
         startedMillis = environment.nowMillis();
-        Map<String, String> texts = store.initialState();
-        identity.restore(texts, store, state.peerUpdates()::request);
+        Map<String, String> entries = store.initialState();
+        identity.restore(entries, store, state.peerUpdates()::request);
         peers.start();
         membership.start();
         messenger.start();
-        state.register().restore(texts);
-        registryReplication.restore(texts, startedMillis);
-        state.records().restore(texts);
-        dataPlaneCount.restore(texts, startedMillis);
-        state.lease().restore(texts);
+        state.register().restore(entries);
+        registryReplication.restore(entries, startedMillis);
+        state.records().restore(entries);
+        dataPlaneCount.restore(entries, startedMillis);
+        state.lease().restore(entries);
         addSeeds(settings.seedIps());
         membership.bootstrapIfFounder();
         tick();
         poll();
     }
 
-    /** Other control processes may be at these addresses, by the settings. */
+    /** Adds the addresses at which the settings expect other control processes. */
     public void addSeeds(List<String> ips) {
         ips.forEach(peers::discover);
     }
 
     /**
-     * Ends in order; other calls go on meanwhile.
+     * Shuts down gracefully; other calls are served meanwhile.
      *
-     * @param onEnd runs once the process may end
+     * @param onComplete runs once the process may exit
      */
-    public void shutDown(Runnable onEnd) {
-        shutdown.begin(onEnd);
+    public void shutDown(Runnable onComplete) {
+        shutdown.start(onComplete);
     }
 
     private void tick() {
-        environment.schedule(TICK_MS, this::tick);
+        environment.schedule(TICK_INTERVAL_MS, this::tick);
         int dataPlanes = subscriptions.activeCount();
         for (PeerState peer : peers.all()) {
             maintainConnection(peer);
             if (state.cluster().isInContact(peer)) {
-                dataPlanes += peer.dataPlanes();
+                dataPlanes += peer.dataPlaneCount();
             }
         }
         dataPlaneCount.observe(dataPlanes, environment.nowMillis());
         sendToPeers();
         state.register().retainPeers(id -> state.cluster().peer(id) != null);
-        if (state.registry().expireLeaving(environment.nowMillis(), SERVER_ENDED_MS)) {
+        if (state.registry().expireLeaving(environment.nowMillis(), LEAVING_TIMEOUT_MS)) {
             state.dataPlaneUpdates().request();
         }
     }
 
     private void maintainConnection(PeerState peer) {
-        long answeredMillis =
-                Math.max(peer.lastAnsweredSendMillis(), peer.link().connectedAtMillis());
+        long acknowledgedMillis =
+                Math.max(peer.lastAcknowledgedSendMillis(), peer.link().connectedAtMillis());
         if (peer.link().isConnected()
-                && environment.nowMillis() - answeredMillis > CONNECTION_TIMEOUT_MS) {
-            // What is on its way there may wait for seconds behind what a partition has swallowed.
+                && environment.nowMillis() - acknowledgedMillis > CONNECTION_TIMEOUT_MS) {
+            // Messages in flight may wait for seconds behind packets that a partition dropped.
             peer.link().disconnect();
         }
         if (peer.link().isReconnectDue()) {
@@ -348,14 +353,14 @@
     }
 
     private void poll() {
-        environment.schedule(POLL_MS, this::poll);
-        if (environment.nowMillis() - polledMillis > PAUSED_AFTER_MS) {
+        environment.schedule(POLL_INTERVAL_MS, this::poll);
+        if (environment.nowMillis() - lastPollMillis > PAUSE_THRESHOLD_MS) {
             failover.onProcessPaused();
             membership.onProcessPaused();
         }
-        polledMillis = environment.nowMillis();
-        publishContact();
-        logContact();
+        lastPollMillis = environment.nowMillis();
+        publishQuorumContact();
+        logQuorumContact();
         state.lease().poll();
         failover.poll();
         state.register().poll();
@@ -366,25 +371,25 @@
     }
 
     /**
-     * Data planes that wait here are told at once that contact with a majority is there, or lost.
+     * Notifies the waiting data planes at once when contact with a majority is lost or restored.
      */
-    private void publishContact() {
-        if (state.cluster().isIsolated() == publishedContact) {
-            publishedContact = !publishedContact;
+    private void publishQuorumContact() {
+        if (state.cluster().isIsolated() == publishedQuorumContact) {
+            publishedQuorumContact = !publishedQuorumContact;
             subscriptions.publish();
         }
     }
 
-    private void logContact() {
+    private void logQuorumContact() {
         boolean isolated = state.cluster().isIsolated();
-        if (isolated != wasIsolated
+        if (isolated != loggedIsolation
                 && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_TIMEOUT_MS) {
-            wasIsolated = isolated;
+            loggedIsolation = isolated;
             environment.warn(isolated ? "quorum-contact lost" : "quorum-contact restored");
         }
     }
 
-    // ---- what the parts tell
+    // ---- callbacks of the components
 
     private boolean isLeaseHolder() {
         return failover.isActing();
@@ -409,23 +414,29 @@
         }
     }
 
-    /** Where control processes are: this one, those that are in contact, and the others. */
+    /**
+     * Returns the addresses of the control processes: this one first, then the peers in contact,
+     * then the others.
+     */
     private List<ControlAddress> controlAddresses() {
         List<ControlAddress> inContact = new ArrayList<>();
-        List<ControlAddress> silent = new ArrayList<>();
+        List<ControlAddress> unreachable = new ArrayList<>();
         inContact.add(new ControlAddress(settings.ipAddress(), settings.zoneName(), false));
         for (PeerState peer : peers.all()) {
-            boolean heard = state.cluster().isInContact(peer);
-            (heard ? inContact : silent)
-                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !heard));
+            boolean reachable = state.cluster().isInContact(peer);
+            (reachable ? inContact : unreachable)
+                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !reachable));
         }
-        inContact.addAll(silent);
+        inContact.addAll(unreachable);
         return inContact;
     }
 
-    // ---- what comes from outside
+    // ---- incoming messages and calls
 
-    /** A connection to the internal port: of another control process or a data plane. */
+    /**
+     * Returns a listener for one incoming connection on the internal port, from a peer or a data
+     * plane.
+     */
     public Environment.ConnectionListener accept() {
         return new Environment.ConnectionListener() {
             private Environment.Connection connection;
@@ -439,15 +450,15 @@
             public void onMessage(byte[] message) {
                 try {
                     receive(connection, MessageCodec.decode(message));
-                } catch (MalformedMessageException bad) {
-                    environment.warn("malformed-message fault=" + bad.getMessage());
+                } catch (MalformedMessageException exception) {
+                    environment.warn("malformed-message fault=" + exception.getMessage());
                     connection.close();
                 }
             }
 
             @Override
             public void onClose(String reason) {
-                // It is connected again from the other side.
+                // The other side reconnects.
             }
         };
     }
@@ -463,48 +474,51 @@
         }
     }
 
-    private void onPeerMessage(PeerMessenger.Received received) {
-        if (received == PeerMessenger.Received.IGNORED) {
+    private void onPeerMessage(PeerMessenger.ReceiveResult received) {
+        if (received == PeerMessenger.ReceiveResult.IGNORED) {
             return;
         }
-        if (received == PeerMessenger.Received.REGISTRY_CHANGED) {
+        if (received == PeerMessenger.ReceiveResult.REGISTRY_CHANGED) {
             state.requestUpdates();
             acknowledgements.persist();
         }
-        publishContact();
+        publishQuorumContact();
         state.register().poll();
         failover.poll();
         acknowledgements.poll();
     }
 
     /**
-     * A call of a database server or an operator.
+     * Handles an HTTP call of a database server or an operator.
      *
-     * @return completes with the answer; within a second at the most
+     * @return completes with the response within one second
      */
     public CompletableFuture<HttpResponse> handle(String method, String path, byte[] body) {
         return http.handle(method, path, body);
     }
 
-    // ---- for status and tests
+    // ---- status, and access for tests
 
-    /** The state of this process. */
+    /** Returns the state of this process. */
     ControlState state() {
         return state;
     }
 
-    /** Tells this process from its earlier incarnations. */
+    /** Returns the incarnation, which is new with each start of the process. */
     String incarnation() {
         return identity.incarnation();
     }
 
-    /** One line for operators and logs. */
+    /** Returns the status as one line, for operators and logs. */
     public String status() {
         return new StatusLine(state, dataLoss).format(dataPlaneCount.get(), shutdown.isLeaving());
     }
 
-    /** For how long it is certain that no server leads other than the records say. */
-    long certainMillis() {
+    /**
+     * Returns for how long, in milliseconds, no server other than the recorded primary can be the
+     * primary.
+     */
+    long primaryCertaintyMillis() {
         return certainty.remainingMillis(environment.nowMillis());
     }
 }
--- a/src/main/java/dillfront/controlplane/GracefulShutdown.java
+++ b/src/main/java/dillfront/controlplane/GracefulShutdown.java
@@ -6,19 +6,19 @@
 import dillfront.controlplane.state.ControlState;
 
 /**
- * The end of a control process in order: what only this process holds is on the disks of others
- * first, members that are enough without it go on without it, and the lease goes back before its
- * time.
+ * Shuts a control process down gracefully. State that only this process holds is first replicated
+ * to the disks of others, the membership is reduced where enough members remain, and the lease is
+ * released before it expires.
  */
 final class GracefulShutdown {
 
-    /** Others get so long to have what only this process holds. */
-    private static final long MAX_HAND_OVER_MS = 2_000;
+    /** Upper bound for replicating to others what only this process holds. */
+    private static final long MAX_HANDOVER_MS = 2_000;
 
-    private static final long POLL_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
-    /** The last messages get so long to go out. */
-    private static final long FLUSH_MS = 50;
+    /** Time for the last messages to be sent. */
+    private static final long FLUSH_DELAY_MS = 50;
 
     private final ControlState state;
     private final ProcessIdentity identity;
@@ -45,9 +45,11 @@
     }
 
     /**
-     * @param onEnd runs once the process may end
+     * Starts the shutdown; further calls have no effect.
+     *
+     * @param onComplete runs once the process may exit
      */
-    void begin(Runnable onEnd) {
+    void start(Runnable onComplete) {
         if (leaving) {
             return;
         }
@@ -56,40 +58,48 @@
         messenger.onLeaving();
         state.environment().trace("shutdown");
         messenger.sendToAll();
-        long handOver = Math.min(MAX_HAND_OVER_MS, state.settings().gracePeriodMillis() / 2);
-        handOver(onEnd, state.nowMillis() + handOver);
+        long handoverMillis = Math.min(MAX_HANDOVER_MS, state.settings().gracePeriodMillis() / 2);
+        handOver(onComplete, state.nowMillis() + handoverMillis);
     }
 
-    private void handOver(Runnable onEnd, long untilMillis) {
-        if (state.nowMillis() < untilMillis && (!othersHaveAll() || isReplaceable())) {
+    private void handOver(Runnable onComplete, long untilMillis) {
+        if (state.nowMillis() < untilMillis && (!isReplicatedToMajority() || isReplaceable())) {
             membership.reconfigure();
-            state.environment().schedule(POLL_MS, () -> handOver(onEnd, untilMillis));
+            state.environment().schedule(POLL_INTERVAL_MS, () -> handOver(onComplete, untilMillis));
             return;
         }
         state.lease().resign();
         messenger.sendToAll();
-        state.environment().schedule(FLUSH_MS, onEnd);
+        state.environment().schedule(FLUSH_DELAY_MS, onComplete);
     }
 
-    /** Whether a majority, this process counted, has all that is on this disk. */
-    private boolean othersHaveAll() {
+    /**
+     * Returns whether a majority, including this process, has stored everything that this process
+     * has stored.
+     */
+    private boolean isReplicatedToMajority() {
         RegisterValue value = state.register().acceptedValue();
         return value == null
                 || !state.cluster().isVoter()
-                || value.isQuorum(id -> id.equals(identity.id()) || hasAll(id));
+                || value.isQuorum(id -> id.equals(identity.id()) || isReplicatedTo(id));
     }
 
-    private boolean hasAll(String id) {
+    private boolean isReplicatedTo(String id) {
         ReplicatedRegister register = state.register();
         return membership.hasOnDisk(
                         id, registryReplication.version(), state.records().durableNumber())
                 && register.acceptedBallotOf(id).compareTo(register.acceptedBallot()) >= 0;
     }
 
-    /** Whether there are members enough without this process. */
+    /**
+     * Returns whether the remaining members suffice for the configured number of tolerated machine
+     * losses.
+     */
     private boolean isReplaceable() {
         RegisterValue value = state.register().acceptedValue();
-        int enough = 2 * state.settings().toleratedMachineLosses() + 1;
-        return value != null && state.cluster().isVoter() && value.members().size() > enough;
+        int requiredMembers = 2 * state.settings().toleratedMachineLosses() + 1;
+        return value != null
+                && state.cluster().isVoter()
+                && value.members().size() > requiredMembers;
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
@@ -143,7 +143,7 @@
     }
 
     private boolean hasNoNewerRecord(PeerState peer) {
-        boolean answered = peer.lastAnsweredSendMillis() >= context.leaseStartMillis();
+        boolean answered = peer.lastAcknowledgedSendMillis() >= context.leaseStartMillis();
         return state.records().hasAllRecordsOf(answered, peer.recordNumber());
     }
 
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -209,11 +209,11 @@
      * vouch.
      */
     private boolean hasNoTrustAtPeer(PeerState peer, long latestExpiredMillis) {
-        boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
+        boolean confirmed = peer.acknowledgedMove(service()) >= state.record.number();
         return (confirmed
                         || Math.min(peer.lastContactMillis(), state.startedMillis)
                                 <= latestExpiredMillis)
-                && Math.min(peer.formerIncarnationContactMillis(), state.startedMillis)
+                && Math.min(peer.previousIncarnationContactMillis(), state.startedMillis)
                         <= latestExpiredMillis;
     }
 
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -17,8 +17,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * POST /Services.AcceptDataLoss: an operator accepts that acknowledged commits are lost. The body
- * is what the status shows under `lacking`, for one service.
+ * Serves POST /Services.AcceptDataLoss, with which an operator accepts the loss of acknowledged
+ * commits. The request body repeats the entry for one service that the status shows under
+ * `lacking`.
  */
 public final class DataLossEndpoint {
 
@@ -27,7 +28,9 @@
     private final BooleanSupplier isLeaving;
 
     /**
-     * @param isLeaving whether this process is about to end
+     * Creates the endpoint.
+     *
+     * @param isLeaving whether this process is shutting down
      */
     public DataLossEndpoint(
             ControlState state, DataLossManager dataLoss, BooleanSupplier isLeaving) {
@@ -37,11 +40,11 @@
     }
 
     CompletableFuture<HttpResponse> accept(byte[] body) {
-        MissingCommits shown;
+        MissingCommits missing;
         try {
-            shown = parse(RequestFields.parse(body));
-        } catch (InvalidRequestException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+            missing = parse(RequestFields.parse(body));
+        } catch (InvalidRequestException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (state.cluster().isIsolated() || isLeaving.getAsBoolean()) {
             return Responses.completedError(Responses.UNAVAILABLE, Responses.ISOLATED);
@@ -49,8 +52,8 @@
         return Responses.within(
                 state.environment(),
                 DataLossManager.ACCEPTANCE_TIMEOUT_MS,
-                dataLoss.accept(shown),
-                acceptance -> response(shown.service(), acceptance));
+                dataLoss.accept(missing),
+                acceptance -> response(missing.service(), acceptance));
     }
 
     private static MissingCommits parse(RequestFields fields) throws InvalidRequestException {
@@ -61,10 +64,10 @@
             throw new InvalidRequestException(
                     "log_position, least_acknowledged, most_acknowledged: expected TERM.NUMBER");
         }
-        List<String> unreachable = fields.texts("out_of_reach");
+        List<String> unreachable = fields.strings("out_of_reach");
         return new MissingCommits(
-                fields.text("service"),
-                fields.numberInText("move"),
+                fields.string("service"),
+                fields.numberFromString("move"),
                 logEnd,
                 new AcknowledgedCommits(lowerBound, upperBound),
                 unreachable,
@@ -93,8 +96,8 @@
                         .add(
                                 "error_message",
                                 missing == null
-                                        ? "nothing is known to be lacking"
-                                        : "something else is lacking")
+                                        ? "no commits are known to be missing"
+                                        : "other commits are missing than the request names")
                         .add("lacking", missing == null ? Json.NULL : toJson(missing));
         return new HttpResponse(
                 Responses.CONFLICT, body.toString().getBytes(StandardCharsets.UTF_8));
@@ -114,10 +117,13 @@
                 .add("for_ms", state.nowMillis() - missing.sinceMillis());
     }
 
-    /** What each service waits for, as the status shows it. */
+    /**
+     * Returns the missing commits of each service whose failover waits for them, in the form that
+     * the status shows.
+     */
     JsonArray missing() {
         JsonArray all = Json.array().asArray();
-        dataLoss.missing().orElse(List.of()).forEach(one -> all.add(toJson(one)));
+        dataLoss.missing().orElse(List.of()).forEach(missing -> all.add(toJson(missing)));
         return all;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Another control process, by its last message. Times are of this process's clock, unless said
- * otherwise; {@link LeaseManager#NEVER_MILLIS} where nothing was heard.
+ * The state of another control process, as of its last message. Times refer to this process's clock
+ * unless stated otherwise; {@link LeaseManager#NEVER_MILLIS} means that nothing was received.
  */
 public final class PeerState {
 
@@ -19,21 +19,21 @@
     private String zoneName = "";
     private String incarnation = "";
     private long clockMillis;
-    private long lastAnsweredSendMillis = LeaseManager.NEVER_MILLIS;
-    private long formerIncarnationContactMillis = LeaseManager.NEVER_MILLIS;
+    private long lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
+    private long previousIncarnationContactMillis = LeaseManager.NEVER_MILLIS;
     private boolean firstStart;
     private boolean leaving;
     private ReplicationProgress registryProgress = new ReplicationProgress();
     private long recordNumber = -1;
-    private final Map<String, Long> clearedRecords = new HashMap<>();
+    private final Map<String, Long> acknowledgedMoves = new HashMap<>();
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
-    private int dataPlanes;
+    private int dataPlaneCount;
 
-    /** Heartbeats that came here before were forwarded to it. */
+    /** Heartbeats received before this time were forwarded to the peer. */
     private long heartbeatsForwardedMillis;
 
-    /** The addresses that it was told on this connection, as text. */
-    private String addressesSent = "";
+    /** The addresses that were sent to the peer on this connection, as text. */
+    private String sentAddresses = "";
 
     PeerState(String ip, PeerLink link) {
         this.ip = ip;
@@ -50,12 +50,12 @@
         return link;
     }
 
-    /** The lease, as the peer sees it. */
+    /** Returns the peer's view of the lease. */
     public PeerLease lease() {
         return lease;
     }
 
-    /** The id of the process that was heard there last; empty before. */
+    /** Returns the id in the last message from this address; empty before the first one. */
     public String id() {
         return lease.id();
     }
@@ -68,14 +68,16 @@
         return incarnation;
     }
 
-    /** The peer's own clock when it sent its last message. */
+    /** Returns the peer's own clock when it sent its last message. */
     public long clockMillis() {
         return clockMillis;
     }
 
-    /** When this process sent the last message that the peer is known to have received. */
-    public long lastAnsweredSendMillis() {
-        return lastAnsweredSendMillis;
+    /**
+     * Returns when this process sent the newest message that the peer is known to have received.
+     */
+    public long lastAcknowledgedSendMillis() {
+        return lastAcknowledgedSendMillis;
     }
 
     public long lastContactMillis() {
@@ -83,24 +85,26 @@
     }
 
     /**
-     * The last contact with its incarnation before this one: what that told data planes, this one
-     * does not know.
+     * Returns the last contact with the peer's previous incarnation. The current one does not know
+     * which updates its predecessor sent to data planes.
      */
-    public long formerIncarnationContactMillis() {
-        return formerIncarnationContactMillis;
+    public long previousIncarnationContactMillis() {
+        return previousIncarnationContactMillis;
     }
 
-    /** The epoch of the members that it goes by. */
+    /** Returns the epoch of the membership that the peer has accepted. */
     public long epoch() {
         return lease.epoch();
     }
 
-    /** It is at the first start of a new system and belongs to no members yet. */
+    /**
+     * Returns whether the peer is at the first start of a new system and belongs to no membership.
+     */
     public boolean isFirstStart() {
         return firstStart;
     }
 
-    /** It said that it ends. */
+    /** Returns whether the peer has announced its shutdown. */
     public boolean isLeaving() {
         return leaving;
     }
@@ -109,53 +113,64 @@
         return registryProgress;
     }
 
-    /** The newest primary record that it has on its disk; -1 for none. */
+    /** Returns the number of the newest primary record on the peer's disk; -1 for none. */
     public long recordNumber() {
         return recordNumber;
     }
 
-    /** The record of this service that all data planes which poll it have; -1 for none. */
-    public long clearedRecord(String service) {
-        return clearedRecords.getOrDefault(service, -1L);
+    /**
+     * Returns the number of this service's move record if no data plane that polls the peer relies
+     * on an older record; -1 otherwise.
+     */
+    public long acknowledgedMove(String service) {
+        return acknowledgedMoves.getOrDefault(service, -1L);
     }
 
-    /** What data planes that poll it see of this service's primary; null for nothing. */
+    /**
+     * Returns how the data planes that poll the peer observe this service's primary; null if
+     * nothing was reported.
+     */
     public PrimaryObservation observation(String service) {
         return observations.get(service);
     }
 
-    /** How many data planes poll it. */
-    public int dataPlanes() {
-        return dataPlanes;
+    /** Returns the number of data planes that poll the peer. */
+    public int dataPlaneCount() {
+        return dataPlaneCount;
     }
 
     // ---- changes
 
-    /** Another process is there, or another incarnation of the same. */
+    /** Resets the state for another process at this address, or another incarnation of the same. */
     public void onNewIncarnation(String newIncarnation, String newId) {
         incarnation = newIncarnation;
-        formerIncarnationContactMillis = lastContactMillis();
+        previousIncarnationContactMillis = lastContactMillis();
         lease.reset(newId);
         registryProgress = new ReplicationProgress();
-        lastAnsweredSendMillis = LeaseManager.NEVER_MILLIS;
+        lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
         recordNumber = -1;
-        clearedRecords.clear();
+        acknowledgedMoves.clear();
     }
 
     /**
-     * Takes over whose message came, and what it answers.
+     * Applies the sender's zone and clock, and the acknowledgement in the header.
      *
-     * @param answersThis it answers a message of this incarnation of this process
+     * @param acknowledgesThisIncarnation whether the message acknowledges one of this process's
+     *     current incarnation
      */
-    public void onHeader(PeerMessage.Header header, boolean answersThis) {
+    public void onHeader(PeerMessage.Header header, boolean acknowledgesThisIncarnation) {
         zoneName = header.zoneName();
         clockMillis = header.clockMillis();
-        if (answersThis) {
-            lastAnsweredSendMillis = Math.max(lastAnsweredSendMillis, header.echoClockMillis());
+        if (acknowledgesThisIncarnation) {
+            lastAcknowledgedSendMillis =
+                    Math.max(lastAcknowledgedSendMillis, header.echoClockMillis());
         }
     }
 
-    /** Takes over by which members the peer goes, and whether it begins or ends. */
+    /**
+     * Applies the peer's membership epoch, and whether it is starting for the first time or
+     * leaving.
+     */
     public void onMembership(PeerMessage.Header header) {
         lease.epoch(header.epoch());
         firstStart = header.firstStart();
@@ -166,21 +181,27 @@
         recordNumber = number;
     }
 
-    /** Takes over what its data planes have and see. */
-    public void onDataPlanes(PeerMessage.DataPlaneReport report) {
-        clearedRecords.clear();
-        clearedRecords.putAll(report.clearedRecords());
+    /** Applies the report on the data planes that poll the peer. */
+    public void onDataPlaneReport(PeerMessage.DataPlaneReport report) {
+        acknowledgedMoves.clear();
+        acknowledgedMoves.putAll(report.acknowledgedMoves());
         observations.clear();
-        report.observations().forEach(one -> observations.put(one.service(), one.observation()));
-        dataPlanes = report.count();
+        report.observations()
+                .forEach(
+                        observation ->
+                                observations.put(observation.service(), observation.observation()));
+        dataPlaneCount = report.count();
     }
 
-    // ---- what was sent
+    // ---- progress of sending
 
-    /** A new connection: what was sent on the one before may be lost. */
+    /**
+     * Resets the sending progress on a new connection, since messages on the previous one may be
+     * lost.
+     */
     void onConnected(long heartbeatsFromMillis) {
         heartbeatsForwardedMillis = heartbeatsFromMillis;
-        addressesSent = "";
+        sentAddresses = "";
     }
 
     public long heartbeatsForwardedMillis() {
@@ -191,10 +212,13 @@
         heartbeatsForwardedMillis = millis;
     }
 
-    /** Remembers what addresses it is told; whether they are others than before. */
-    public boolean addressesChanged(String addresses) {
-        boolean changed = !addresses.equals(addressesSent);
-        addressesSent = addresses;
+    /**
+     * Records the addresses sent to the peer, and returns whether they differ from the previous
+     * ones.
+     */
+    public boolean updateSentAddresses(String addresses) {
+        boolean changed = !addresses.equals(sentAddresses);
+        sentAddresses = addresses;
         return changed;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerTable.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerTable.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The peers that are known, by their addresses; bounded. */
+/** Holds the known peers by address, up to a fixed number. */
 public final class PeerTable {
 
     private static final int MAX_PEERS = 32;
 
-    /** A peer that is no member and was silent for so long may be dropped for another. */
-    private static final long FORGET_AFTER_MS = 60_000;
+    /** A peer that is not a member can be evicted after this time without contact. */
+    private static final long EVICTION_AGE_MS = 60_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -23,8 +23,10 @@
     private long startedMillis;
 
     /**
-     * @param isMember whether this is the id of a member
-     * @param onConnected runs once a connection to that peer is made
+     * Creates an empty table.
+     *
+     * @param isMember whether an id is a member's
+     * @param onConnected runs after a connection to a peer is established
      */
     public PeerTable(
             Environment environment,
@@ -37,18 +39,18 @@
         this.onConnected = onConnected;
     }
 
-    /** The process starts now: the silence of peers counts from here. */
+    /** Records the start of the process, from which the peers' time without contact counts. */
     public void start() {
         startedMillis = environment.nowMillis();
     }
 
-    /** A control process may be at this address. */
+    /** Adds a peer for an address at which a control process may run. */
     public void discover(String ip) {
         if (ip.equals(settings.ipAddress()) || peers.containsKey(ip)) {
             return;
         }
         if (peers.size() >= MAX_PEERS) {
-            peers.values().removeIf(this::isForgettable);
+            peers.values().removeIf(this::isEvictable);
         }
         if (peers.size() < MAX_PEERS) {
             peers.put(ip, create(ip));
@@ -67,17 +69,18 @@
         return peer;
     }
 
-    private boolean isForgettable(PeerState peer) {
-        long silentSince = Math.max(peer.lastContactMillis(), startedMillis);
-        return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > FORGET_AFTER_MS;
+    private boolean isEvictable(PeerState peer) {
+        long lastContactMillis = Math.max(peer.lastContactMillis(), startedMillis);
+        return !isMember.test(peer.id())
+                && environment.nowMillis() - lastContactMillis > EVICTION_AGE_MS;
     }
 
-    /** All peers, by their addresses. */
+    /** Returns all peers in the order of their addresses. */
     public Collection<PeerState> all() {
         return peers.values();
     }
 
-    /** The peer at this address; null where none is known. */
+    /** Returns the peer at this address; null if it is unknown. */
     public PeerState at(String ip) {
         return peers.get(ip);
     }
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -3,17 +3,20 @@
 import dillfront.common.protocol.ServerRow;
 import dillfront.common.protocol.ServerState;
 
-/** One database server, as its heartbeats tell of it. Changed by {@link ServerRegistry} alone. */
+/**
+ * One database server, as reported by its heartbeats. Only {@link ServerRegistry} changes its state
+ * and address.
+ */
 public final class DatabaseServer {
 
-    private static final int STORED_PARTS = 6;
+    private static final int STORED_FIELDS = 6;
     private static final long UNKNOWN = -1;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final String id;
     private final String service;
 
-    /** Null before the first heartbeat, with the zone. */
+    /** Null before the first heartbeat, like the zone name. */
     private String address;
 
     private String zoneName;
@@ -23,7 +26,7 @@
     private long lastContactMillis;
     private long lastDirectHeartbeatMillis = NEVER;
     private long leavingSinceMillis = UNKNOWN;
-    private long changeNumber;
+    private long lastChangeVersion;
 
     DatabaseServer(String id, String service) {
         this.id = id;
@@ -36,7 +39,7 @@
         return id;
     }
 
-    /** Empty where only its leave call was received. */
+    /** Returns the service; empty if only the server's leave call was received. */
     public String service() {
         return service;
     }
@@ -53,80 +56,92 @@
         return state;
     }
 
-    /** As it reported it. */
+    /** Returns the role that the server reported. */
     public String role() {
         return role;
     }
 
-    /** The number of its last call that counted; -1 for none. */
+    /** Returns the sequence number of the newest call of the server; -1 for none. */
     public long callSequence() {
         return callSequence;
     }
 
-    /** When any control process last heard it, by this process's clock. */
+    /**
+     * Returns when any control process last received a call of the server, by this process's clock.
+     */
     public long lastContactMillis() {
         return lastContactMillis;
     }
 
-    /** When this process last received a heartbeat of it; long ago where it never did. */
+    /**
+     * Returns when this process itself last received a heartbeat of the server; a time far in the
+     * past if it never did.
+     */
     public long lastDirectHeartbeatMillis() {
         return lastDirectHeartbeatMillis;
     }
 
-    /** The version of the registry in which it was last changed. */
-    public long changeNumber() {
-        return changeNumber;
+    /** Returns the version of the registry that contains the server's last change. */
+    public long lastChangeVersion() {
+        return lastChangeVersion;
     }
 
-    /** It is gone, and its log with it. */
+    /** Returns whether the server is gone, together with its transaction log. */
     public boolean hasLeft() {
         return state == ServerState.LEFT;
     }
 
-    /** It announced its end, by either call, and serves on until then. */
+    /**
+     * Returns whether the server has announced its shutdown, by either call, and may still serve.
+     */
     public boolean isDraining() {
         return state == ServerState.DRAINING || isLeaving();
     }
 
-    /** It announced its end by its leave call, without draining before. */
+    /**
+     * Returns whether the server has announced its shutdown by a leave call, without draining
+     * before.
+     */
     public boolean isLeaving() {
         return state == ServerState.LEAVING;
     }
 
-    /** It reported that it accepts writes. */
+    /** Returns whether the server reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals(ServerRow.PRIMARY);
+        return role.equals(ServerRow.PRIMARY_ROLE);
     }
 
-    /** The row of a message. */
+    /** Returns the row that represents the server in messages. */
     public ServerRow toRow() {
         return new ServerRow(id, service, address, zoneName, state, role, callSequence);
     }
 
     // ---- changes
 
-    /** A heartbeat came here now. */
+    /** Records a heartbeat that this process received. */
     public void onDirectHeartbeat(long nowMillis) {
         lastDirectHeartbeatMillis = nowMillis;
     }
 
-    /** Another control process received this call of it. */
+    /** Records a call of the server that another control process received. */
     public void onForwardedHeartbeat(long contactMillis, long sequence) {
-        contactAt(contactMillis);
+        recordContact(contactMillis);
         callSequence = Math.max(callSequence, sequence);
     }
 
-    void contactAt(long millis) {
+    void recordContact(long millis) {
         lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
-    /** It was on the disk when this process started: its silence counts from then. */
-    void restoredAt(long millis) {
+    /**
+     * Counts the time since the last contact with a restored server from the start of this process.
+     */
+    void resetContact(long millis) {
         lastContactMillis = millis;
     }
 
-    void changeNumber(long number) {
-        changeNumber = number;
+    void lastChangeVersion(long version) {
+        lastChangeVersion = version;
     }
 
     void state(ServerState next) {
@@ -141,41 +156,42 @@
         leavingSinceMillis = millis;
     }
 
-    /** Only the leave call of it was received: nothing else is known. */
-    void knownByLeaveAlone() {
+    /** Completes a placeholder for a server of which only the leave call was received. */
+    void completePlaceholder() {
         address = "";
         zoneName = "";
     }
 
-    /** What was heard of its end before its first heartbeat stands. */
-    void takeOverEnd(DatabaseServer placeholder) {
+    /** Copies the shutdown state that was received before the first heartbeat. */
+    void copyShutdownState(DatabaseServer placeholder) {
         state = placeholder.state;
         leavingSinceMillis = placeholder.leavingSinceMillis;
     }
 
     /**
-     * Takes a row over where it is newer.
+     * Merges a row, keeping the newer call and the later state.
      *
-     * @param acceptsOlderState an earlier state replaces a later one; only model checks do so
-     * @return whether anything changed that others must know
+     * @param acceptsOlderState whether an earlier state replaces a later one; only model checks set
+     *     it
+     * @return whether anything changed that others must learn
      */
     boolean merge(ServerRow row, boolean acceptsOlderState) {
-        boolean changes = false;
+        boolean changed = false;
         if (row.callSequence() >= callSequence || address == null) {
             callSequence = Math.max(callSequence, row.callSequence());
-            changes = !row.address().equals(address) || !row.role().equals(role);
+            changed = !row.address().equals(address) || !row.role().equals(role);
             address = row.address();
             zoneName = row.zoneName();
             role = row.role();
         }
         if (row.state().isAfter(state) || acceptsOlderState && row.state() != state) {
             state = row.state();
-            changes = true;
+            changed = true;
         }
-        return changes;
+        return changed;
     }
 
-    // ---- the form on disk
+    // ---- stored form
 
     String encode() {
         return String.join(
@@ -189,21 +205,21 @@
     }
 
     /**
-     * Reads what {@link #encode} made.
+     * Decodes the result of {@link #encode}.
      *
-     * @return null where the text is no server
+     * @return null if the text has the wrong number of fields
      */
     static DatabaseServer decode(String id, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length != STORED_PARTS) {
+        String[] fields = text.split("\n", -1);
+        if (fields.length != STORED_FIELDS) {
             return null;
         }
-        DatabaseServer server = new DatabaseServer(id, part[0]);
-        server.address = part[1];
-        server.zoneName = part[2];
-        server.state = ServerState.parse(part[3]);
-        server.role = part[4];
-        server.callSequence = Long.parseLong(part[5]);
+        DatabaseServer server = new DatabaseServer(id, fields[0]);
+        server.address = fields[1];
+        server.zoneName = fields[2];
+        server.state = ServerState.parse(fields[3]);
+        server.role = fields[4];
+        server.callSequence = Long.parseLong(fields[5]);
         return server;
     }
 }
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -9,35 +9,38 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A disk that may refuse a write, or take long over it. Texts that it refused are written again
- * until they are there, together with what came since, the newest text of each name; so the disk
- * never stays behind what was given to it. Puts that come while a write is under way go together in
- * the next. Called on one thread.
+ * Retries the writes of a store that may fail or be slow. Entries of a failed write are written
+ * again, merged with the entries put since then, and the newest value of each key wins; so the disk
+ * catches up with every accepted put. Puts that arrive during a write are combined in the next one.
+ * All calls are made on one thread.
  */
 public final class RetryingStateStore implements StateStore {
 
-    private static final long RETRY_MS = 100;
+    private static final long MIN_RETRY_MS = 100;
     private static final long MAX_RETRY_MS = 2_000;
     private static final int MAX_DOUBLINGS = 10;
 
     /**
-     * So many may wait for the disk; the texts of one that is refused beyond that are written all
-     * the same.
+     * Upper bound on the waiting puts. A put beyond this bound fails, but its entries are still
+     * written.
      */
-    private static final int MAX_QUEUED = 10_000;
+    private static final int MAX_WAITING_PUTS = 10_000;
 
     private record PendingWrite(long sinceMillis, CompletableFuture<Void> done) {}
 
     private final Environment environment;
-    private final StateStore disk;
+    private final StateStore delegate;
 
-    /** Texts that the disk was not given yet, or refused. */
+    /** Entries that were not written yet, or whose write failed. */
     private TreeMap<String, String> pending = new TreeMap<>();
 
-    /** Texts that are on the disk for certain: they are not written once more. */
+    /** Entries that are known to be on disk and need not be written again. */
     private final Map<String, String> durable;
 
-    /** Who waits for the next write, and who for the one that is under way. */
+    /**
+     * The puts that wait for the next write; {@link #inFlight} holds those of the write in
+     * progress.
+     */
     private List<PendingWrite> queued = new ArrayList<>();
 
     private List<PendingWrite> inFlight = new ArrayList<>();
@@ -49,45 +52,45 @@
 
     private Environment.Timer retryTimer;
 
-    /**
-     * @param disk where the texts go in the end
-     */
-    public RetryingStateStore(Environment environment, StateStore disk) {
+    /** Creates a store that writes to the given one. */
+    public RetryingStateStore(Environment environment, StateStore delegate) {
         this.environment = environment;
-        this.disk = disk;
-        durable = new HashMap<>(disk.initialState());
+        this.delegate = delegate;
+        durable = new HashMap<>(delegate.initialState());
     }
 
     @Override
     public Map<String, String> initialState() {
-        return disk.initialState();
+        return delegate.initialState();
     }
 
     /**
-     * Completes once all of these texts, or newer ones of their names, are on the disk, however
-     * often that takes; in the order of the calls. Fails with {@link IllegalArgumentException}
-     * where a text is too long for any disk, and with {@link IllegalStateException} where too many
-     * wait.
+     * Completes once every entry, or a newer value of its key, is on disk, after any number of
+     * retries. Puts complete in the order of the calls.
+     *
+     * <p>Fails with {@link IllegalArgumentException} if a key or value is too long, and with {@link
+     * IllegalStateException} if too many puts are waiting.
      */
     @Override
-    public CompletableFuture<Void> put(Map<String, String> texts) {
+    public CompletableFuture<Void> put(Map<String, String> entries) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        for (Map.Entry<String, String> text : texts.entrySet()) {
-            int length = Math.max(text.getKey().length(), text.getValue().length());
-            if (length > MAX_TEXT_LENGTH) {
-                // The disk will never take it, and what comes later is not to wait for that.
+        for (Map.Entry<String, String> entry : entries.entrySet()) {
+            int length = Math.max(entry.getKey().length(), entry.getValue().length());
+            if (length > MAX_LENGTH_CHARS) {
+                // No retry can succeed, and later puts must not wait for this one.
                 done.completeExceptionally(
                         new IllegalArgumentException(
-                                "a text of "
-                                        + text.getValue().length()
-                                        + " letters under "
-                                        + text.getKey()));
+                                "value too long: "
+                                        + entry.getValue().length()
+                                        + " characters under "
+                                        + entry.getKey()));
                 return done;
             }
         }
-        pending.putAll(texts);
-        if (queued.size() + inFlight.size() >= MAX_QUEUED) {
-            done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
+        pending.putAll(entries);
+        if (queued.size() + inFlight.size() >= MAX_WAITING_PUTS) {
+            done.completeExceptionally(
+                    new IllegalStateException("too many puts are waiting for the disk"));
         } else {
             queued.add(new PendingWrite(environment.nowMillis(), done));
         }
@@ -105,7 +108,7 @@
         if (writing || pending.isEmpty() && queued.isEmpty()) {
             return;
         }
-        long retryInMillis = failedAtMillis + RETRY_MS - environment.nowMillis();
+        long retryInMillis = failedAtMillis + MIN_RETRY_MS - environment.nowMillis();
         if (failures > 0 && retryInMillis > 0) {
             retryAfter(retryInMillis);
             return;
@@ -116,13 +119,13 @@
         queued = new ArrayList<>();
         TreeMap<String, String> batch = pending;
         pending = new TreeMap<>();
-        batch.entrySet().removeIf(text -> text.getValue().equals(durable.get(text.getKey())));
+        batch.entrySet().removeIf(entry -> entry.getValue().equals(durable.get(entry.getKey())));
         CompletableFuture<Void> written =
-                batch.isEmpty() ? CompletableFuture.completedFuture(null) : disk.put(batch);
+                batch.isEmpty() ? CompletableFuture.completedFuture(null) : delegate.put(batch);
         written.whenComplete(
-                (done, fault) -> {
+                (done, failure) -> {
                     writing = false;
-                    if (fault == null) {
+                    if (failure == null) {
                         onWritten(batch);
                     } else {
                         onFailure(batch);
@@ -133,11 +136,11 @@
     private void onWritten(Map<String, String> batch) {
         failures = 0;
         batch.forEach(
-                (name, text) -> {
-                    if (text.isEmpty()) {
-                        durable.remove(name);
+                (key, value) -> {
+                    if (value.isEmpty()) {
+                        durable.remove(key);
                     } else {
-                        durable.put(name, text);
+                        durable.put(key, value);
                     }
                 });
         List<PendingWrite> completed = inFlight;
@@ -147,8 +150,8 @@
     }
 
     /**
-     * The batch waits again, but for names that have a newer text; whether the disk has it is not
-     * known.
+     * Queues the batch again, except for keys that have a newer value. Whether the failed write
+     * reached the disk is unknown.
      */
     private void onFailure(Map<String, String> batch) {
         batch.forEach(pending::putIfAbsent);
@@ -156,10 +159,10 @@
         failedAtMillis = environment.nowMillis();
         failures++;
         int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
-        retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << doublings));
+        retryAfter(Math.min(MAX_RETRY_MS, MIN_RETRY_MS << doublings));
     }
 
-    /** Sets the next attempt, in place of any that was set. */
+    /** Schedules the next attempt and cancels a previously scheduled one. */
     private void retryAfter(long millis) {
         cancelRetry();
         retryTimer =
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -7,46 +7,51 @@
 import java.util.TreeMap;
 
 /**
- * The newest decided configuration and those before it, for data planes that have one of them and
- * want the newest. Of those before only the delta back from its successor is kept, so that hundreds
- * of changes take little room. A delta that was made for one data plane serves all others.
+ * Keeps the newest decided configuration and its predecessors, to send deltas to data planes that
+ * have one of them. Of each predecessor only the delta from its successor is kept, so that hundreds
+ * of changes need little memory. A delta is computed once for all data planes.
  */
 final class ConfigurationHistory {
 
-    private static final int MAX_STEPS = 64;
-    private static final int MAX_DELTA_BYTES = 1 << 19;
-    private static final byte[] NONE = new byte[0];
+    private static final int MAX_PREVIOUS_CONFIGURATIONS = 64;
+    private static final int MAX_TOTAL_DELTA_BYTES = 1 << 19;
+    private static final byte[] NO_DELTA = new byte[0];
 
     /**
-     * A configuration that was the newest.
+     * A previous configuration.
      *
-     * @param reverseDelta what turns its successor into it
+     * @param reverseDelta the delta from its successor to it
      */
-    private record Step(long revision, long digest, byte[] reverseDelta) {}
+    private record PreviousConfiguration(long revision, long digest, byte[] reverseDelta) {}
 
-    /** The newest step first. */
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
+    /** The newest previous configuration first. */
+    private final ArrayDeque<PreviousConfiguration> previous = new ArrayDeque<>();
 
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
 
-    /** The newest configuration, compressed; null until it is asked for. */
+    /** The newest configuration, compressed; null until first requested. */
     private byte[] compressed;
 
-    /** By revision, the delta to the newest; {@link #NONE} where the whole is no longer. */
+    /**
+     * By revision, the delta to the newest configuration; {@link #NO_DELTA} if the compressed
+     * configuration is not longer.
+     */
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
 
-    /** This configuration is decided; one that is not newer changes nothing. */
+    /** Adds a decided configuration; one that is not newer has no effect. */
     void append(Configuration decided) {
         if (decided.revision() <= newest.revision()) {
             return;
         }
         if (newest != Configuration.NONE) {
             byte[] reverseDelta = BinaryDelta.create(decided.body(), newest.body());
-            steps.addFirst(new Step(newest.revision(), newest.digest(), reverseDelta));
+            previous.addFirst(
+                    new PreviousConfiguration(newest.revision(), newest.digest(), reverseDelta));
             deltaBytes += reverseDelta.length;
-            while (steps.size() > MAX_STEPS || deltaBytes > MAX_DELTA_BYTES) {
-                deltaBytes -= steps.removeLast().reverseDelta().length;
+            while (previous.size() > MAX_PREVIOUS_CONFIGURATIONS
+                    || deltaBytes > MAX_TOTAL_DELTA_BYTES) {
+                deltaBytes -= previous.removeLast().reverseDelta().length;
             }
         }
         newest = decided;
@@ -58,7 +63,7 @@
         return newest;
     }
 
-    /** The newest configuration, compressed. */
+    /** Returns the newest configuration, compressed. */
     byte[] compressed() {
         if (compressed == null) {
             compressed = Compression.compress(newest.body());
@@ -67,26 +72,28 @@
     }
 
     /**
-     * What turns a configuration into the newest.
+     * Returns the delta from a configuration to the newest one.
      *
-     * @return null where only the whole serves
+     * @return null if the full configuration has to be sent
      */
     byte[] deltaFrom(long revision, long digest) {
         if (revision >= newest.revision()) {
             return null;
         }
-        Step step = newestStepUpTo(revision);
-        if (step == null || step.revision() != revision || step.digest() != digest) {
+        PreviousConfiguration configuration = newestUpTo(revision);
+        if (configuration == null
+                || configuration.revision() != revision
+                || configuration.digest() != digest) {
             return null;
         }
         byte[] delta = deltas.computeIfAbsent(revision, this::buildDelta);
         return delta.length == 0 ? null : delta;
     }
 
-    private Step newestStepUpTo(long revision) {
-        for (Step step : steps) {
-            if (step.revision() <= revision) {
-                return step;
+    private PreviousConfiguration newestUpTo(long revision) {
+        for (PreviousConfiguration configuration : previous) {
+            if (configuration.revision() <= revision) {
+                return configuration;
             }
         }
         return null;
@@ -95,16 +102,16 @@
     private byte[] buildDelta(long revision) {
         byte[] body = newest.body();
         try {
-            for (Step step : steps) {
-                body = BinaryDelta.apply(body, step.reverseDelta());
-                if (step.revision() == revision) {
+            for (PreviousConfiguration configuration : previous) {
+                body = BinaryDelta.apply(body, configuration.reverseDelta());
+                if (configuration.revision() == revision) {
                     break;
                 }
             }
-        } catch (BinaryDelta.InvalidDeltaException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (BinaryDelta.InvalidDeltaException exception) {
+            throw new IllegalStateException(exception);
         }
         byte[] delta = BinaryDelta.create(body, newest.body());
-        return delta.length < compressed().length ? delta : NONE;
+        return delta.length < compressed().length ? delta : NO_DELTA;
     }
 }
--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -342,11 +342,11 @@
      * Sends the next request after a response to the last one, to this source or to a better one.
      */
     private void continuePolling(SubscriptionResponse response) {
-        if (response.certainMillis() > 0) {
+        if (response.primaryCertaintyMillis() > 0) {
             primariesConfirmedUntilMillis =
                     Math.max(
                             primariesConfirmedUntilMillis,
-                            lastRequestMillis + response.certainMillis());
+                            lastRequestMillis + response.primaryCertaintyMillis());
         }
         if (response.isolated()) {
             // An isolated source may have older state than the others.
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -128,12 +128,12 @@
         assertEquals(
                 Set.of("q", "f", "su"),
                 presentFields(upToDate, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
-                upToDate.all().toString());
+                upToDate.values().toString());
     }
 
     private static Set<String> presentFields(MessageCodec.Fields fields, String... names) {
         Set<String> present = new java.util.TreeSet<>(Set.of(names));
-        present.retainAll(fields.all().keySet());
+        present.retainAll(fields.values().keySet());
         return present;
     }
 
@@ -167,7 +167,7 @@
                                 Map.of("i", "10.0.0.1", "z", "a"),
                                 Map.of("i", "10.0.0.2", "z", "", "s", true),
                                 Map.of("i", "10.0.0.3", "z", "", "s", true))),
-                answers.get(0).all());
+                answers.get(0).values());
         // A data plane without a better process waits for the process to regain contact, but no
         // longer than for an update.
         answers.clear();
@@ -206,14 +206,14 @@
         environment.until(5_000);
         long now = environment.nowMillis();
         sendHolderMessage(node, peer, 1, now - 300, 1_000);
-        assertEquals(1_000 + 600 - 300, node.certainMillis());
+        assertEquals(1_000 + 600 - 300, node.primaryCertaintyMillis());
         environment.until(now + 200);
-        assertEquals(1_000 + 600 - 500, node.certainMillis());
+        assertEquals(1_000 + 600 - 500, node.primaryCertaintyMillis());
         // An expired lease, or a holder without a lease time, does not extend the trust period.
         sendHolderMessage(node, peer, 2, now, -700);
-        assertEquals(1_000 + 600 - 500, node.certainMillis());
+        assertEquals(1_000 + 600 - 500, node.primaryCertaintyMillis());
         sendHolderMessage(node, peer, 3, now, 1 << 20);
-        assertEquals(3_000 - 200, node.certainMillis());
+        assertEquals(3_000 - 200, node.primaryCertaintyMillis());
     }
 
     private static void sendHolderMessage(
--- a/src/test/java/dillfront/controlplane/StoredStateTest.java
+++ b/src/test/java/dillfront/controlplane/StoredStateTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.environment.ManualEnvironment;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.consensus.RegisterValue;
 import dillfront.controlplane.registry.DatabaseServer;
 import dillfront.controlplane.storage.StateStore;
@@ -37,10 +37,10 @@
                 STORED.resolve(directory).resolve("memory.log"), copy.resolve("memory.log"));
     }
 
-    private static Map<String, String> readTexts(Path log) throws TextStore.StorageException {
-        TextStore store = TextStore.open(log.getParent(), "control-plane");
+    private static Map<String, String> readTexts(Path log) throws KeyValueStore.StorageException {
+        KeyValueStore store = KeyValueStore.open(log.getParent(), "control-plane");
         assertFalse(store.isDamaged());
-        return store.texts();
+        return store.entries();
     }
 
     private static ControlNode start(Map<String, String> texts) throws Exception {
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -178,10 +178,10 @@
         FaultyStore underlying = new FaultyStore();
         RetryingStateStore store = new RetryingStateStore(environment, underlying);
         assertTrue(
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH + 1)))
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS + 1)))
                         .isCompletedExceptionally());
         CompletableFuture<Void> longest =
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH)));
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS)));
         environment.until(10);
         assertTrue(longest.isDone() && !longest.isCompletedExceptionally());
         underlying.hangsWrites = true;
