--- a/src/main/java/dillfront/router/gossip/Budget.java
+++ b/src/main/java/dillfront/router/gossip/Budget.java
@@ -5,16 +5,17 @@
 import java.time.Duration;
 
 /**
- * A token bucket over bytes. What keeps instances known to each other may use it up; what spreads
- * words leaves a part for that; what only evens out tables leaves the most. Guards against gossip
- * that grows with the number of instances, and against one that is made to talk by others.
+ * Token bucket that limits the bytes sent by gossip. Failure detection may use the whole bucket;
+ * dissemination of updates leaves a part for it, and table exchange leaves the most. This keeps
+ * gossip traffic independent of the number of instances and limits how much a peer can make this
+ * instance send.
  */
 public final class Budget {
 
-    /** Full after so many seconds of silence: a burst spreads a new claim at once. */
+    /** Bucket size in seconds of the rate: a burst of 3 s lets a new claim spread at once. */
     private static final double FULL = 3;
 
-    /** Parts of the full bucket that stay for what matters more. */
+    /** Parts of the full bucket that are reserved for more important traffic. */
     private static final double LEFT_BY_CLAIMS = 0.05;
 
     private static final double LEFT_BY_WORDS = 0.3;
@@ -31,7 +32,7 @@
         tokens = rate * FULL;
     }
 
-    /** What a send is for. */
+    /** Purpose of a send. */
     enum Use {
         PROBE(0),
         CLAIMS(LEFT_BY_CLAIMS),
@@ -45,7 +46,10 @@
         }
     }
 
-    /** Whether so many bytes may go now; if so they are counted as sent. */
+    /**
+     * Takes tokens for a datagram if enough remain for more important traffic; the bytes then count
+     * as sent.
+     */
     boolean takes(int bytes, Use use, Duration now) {
         double seconds = seconds(now.minus(filledAt));
         tokens = Math.min(rate * FULL, tokens + Math.max(0, seconds) * rate);
@@ -59,12 +63,12 @@
         return true;
     }
 
-    /** Bytes since the start. */
+    /** Returns the bytes sent since the start. */
     public long sent() {
         return sent;
     }
 
-    /** Datagrams that were not sent for want of tokens, since the start. */
+    /** Returns the datagrams not sent for lack of tokens since the start. */
     public long refused() {
         return refused;
     }
--- a/src/main/java/dillfront/router/gossip/Gossip.java
+++ b/src/main/java/dillfront/router/gossip/Gossip.java
@@ -10,37 +10,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one instance says to others and when: probes, direct and by others' help; words that spread
- * along with them; a new claim pushed on at once; and tables evened out, also with those held gone,
- * so that a healed partition finds itself. All within a budget of bytes that does not depend on how
- * many instances there are.
+ * Runs the gossip protocol of one router instance: failure detection by direct and indirect probes,
+ * dissemination of updates piggybacked on those probes, immediate pushes of new claims, and
+ * periodic table exchange, also with peers considered gone, so that a healed partition merges
+ * again. All sends share a byte budget that does not depend on the number of instances.
  *
- * <p>The caller sets the clocks with at(), calls woken() a few times a period, and tells what came;
- * what goes out leaves by the Post during the call. Same calls, same seed: same datagrams.
+ * <p>The caller sets the clocks with {@link #at}, calls {@link #woken} several times per period,
+ * and passes in received messages; outgoing datagrams leave through the {@link Post} during the
+ * call. The same calls with the same seed produce the same datagrams.
  */
 public final class Gossip {
 
     /**
-     * An ack is awaited for this part of a period before others are asked for help; the rest is
-     * theirs.
+     * Part of a period to wait for a direct ack before other instances are asked for an indirect
+     * probe; the rest of the period is left for their acks.
      */
     private static final double ACK = 0.3;
 
     private static final int HELPERS = 3;
 
-    /** A new claim is pushed to so many at once, by its origin and by each that hears it first. */
+    /**
+     * Peers to which a new claim is pushed at once, by its origin and by each instance that
+     * receives it first.
+     */
     private static final int FAN = 4;
 
-    /** Tables are evened out once in so many periods. */
+    /** Periods between two table exchanges. */
     private static final int EVEN = 5;
 
-    /** Of the ring: below this part the table lacks many. */
+    /** Part of the registered instances below which the local table counts as incomplete. */
     private static final double KNOWN = 0.9;
 
-    /** Seeds that are asked at once. */
+    /** Seed peers contacted at once when joining. */
     private static final int KNOCKS = 5;
 
-    /** A longer gap between two calls of woken(), in periods, is this instance's own absence. */
+    /**
+     * Gap between two calls of {@link #woken}, in periods, above which this instance counts as
+     * having been paused.
+     */
     private static final double AWAY = 0.5;
 
     private static final int WORDS = 6;
@@ -48,17 +55,21 @@
     private static final int TABLE = 8;
 
     /**
-     * Pings of others that are answered or passed on, a period; above that of a usual load by far.
+     * Requests of peers (pings, indirect probes, table exchanges) that are answered per period; far
+     * above the number under usual load.
      */
     private static final int ANSWERED = 16;
 
-    /** Pings that are passed on for others at the same time. */
+    /** Indirect probes that may be outstanding at the same time. */
     private static final int PASSED = 64;
 
-    /** Of each origin so many claims are remembered. */
+    /** Claims remembered per origin. */
     private static final int CLAIMS = 32;
 
-    /** A ping on behalf of another: whose it is, under which number there, and since when. */
+    /**
+     * An indirect probe in progress: the requesting peer, the probe number it used, and the start
+     * time.
+     */
     private record Passed(int to, int number, Duration at) {}
 
     private final Tuning tuning;
@@ -70,8 +81,8 @@
     private final Budget budget;
 
     /**
-     * By origin: its last words on nodes. A row holds CLAIMS at the most, the longest unheard
-     * leaves first.
+     * Latest claims on nodes by origin. The number per origin is bounded; the least recently
+     * updated claim is evicted first.
      */
     private final Map<Integer, Map<Long, Word>> claims = new LinkedHashMap<>();
 
@@ -98,8 +109,9 @@
     private Word alive;
 
     /**
-     * @param instances how many may speak; indices run below it
-     * @param incarnation where to begin: above any that this instance may have had, if it is known
+     * @param instances number of registered instances; indices are below this value
+     * @param incarnation initial incarnation: above any earlier one of this instance, if that is
+     *     known
      */
     public Gossip(
             Tuning tuning,
@@ -119,8 +131,8 @@
     }
 
     /**
-     * @param clock since the start, never back
-     * @param here Unix time, which others' clocks only resemble
+     * @param clock time since the start; never goes back
+     * @param here local Unix time; the clocks of peers may differ
      */
     public void at(Duration clock, Duration here) {
         now = clock;
@@ -139,12 +151,12 @@
         return incarnation;
     }
 
-    /** Words that still wait to be sent on. */
+    /** Returns the number of updates that are still queued for dissemination. */
     public int spreading() {
         return rumours.size();
     }
 
-    /** Claims of others that are remembered, over all origins. */
+    /** Returns the number of remembered claims of peers, over all origins. */
     public int remembered() {
         int sum = 0;
         for (Map<Long, Word> its : claims.values()) {
@@ -153,21 +165,25 @@
         return sum;
     }
 
-    /** Words that gave way to newer ones before they were sent often enough. */
+    /** Returns the number of updates evicted by newer ones before they were sent often enough. */
     public long crowdedOut() {
         return rumours.dropped();
     }
 
-    /** Claims that were over when they came, or whose origin's clock is too far from this one's. */
+    /**
+     * Returns the number of claims dropped because they had expired on arrival or because the
+     * origin's clock is too far from the local one.
+     */
     public long outOfTime() {
         return outOfTime;
     }
 
-    // ---- what this instance says of itself
+    // ---- local announcements
 
     /**
-     * Asks some of those whose address the operator's file tells for their tables, by chance:
-     * guards against the first of a long list that all ask at once. Asks on until someone is there.
+     * Joins the group by requesting the tables of some seed peers, chosen at random so that
+     * instances which start together do not all contact the first seed of a long list. Requests are
+     * repeated until at least one peer is present.
      */
     public void join(List<Integer> from) {
         seeds = from.stream().filter(s -> s != self).toList();
@@ -185,7 +201,7 @@
         }
     }
 
-    /** On purpose: nobody needs to suspect it. */
+    /** Announces an intentional shutdown, so that peers need not suspect this instance. */
     public void leave() {
         leaving = true;
         Word word = own(Kind.LEAVING, self, 0, 0, Duration.ZERO);
@@ -195,7 +211,7 @@
         }
     }
 
-    /** Claims what this instance saw of a node itself. */
+    /** Disseminates a claim about the state that this instance observed on a node. */
     public void claim(long node, Symptom symptom, int evidence, Duration since) {
         Word word = own(Kind.CLAIM, node, symptom.ordinal(), evidence, since);
         rumours.add(word);
@@ -207,7 +223,7 @@
                 Word.of(self, incarnation, ++number, kind, subject, detail, evidence, since, unix));
     }
 
-    /** Said anew each time, since old words are not believed. */
+    /** Creates a new accusation for each send, since peers reject updates with an old timestamp. */
     private Word accusation(int peer) {
         return own(Kind.SILENT, peer, members.incarnation(peer), 0, Duration.ZERO);
     }
@@ -220,8 +236,8 @@
     }
 
     /**
-     * Once a period at the most: guards against accusations that make this instance flood others
-     * with answers.
+     * Raises the incarnation, at most once per period: otherwise forged or repeated accusations
+     * could make this instance flood its peers with refutations.
      */
     private void raise(int above) {
         if (raisedAt != null
@@ -235,24 +251,26 @@
         announce();
     }
 
-    // ---- what others say
+    // ---- updates and probes from peers
 
     /**
-     * Each datagram, before its words: its sender signed it just now, so it is there.
+     * Handles the header of each datagram before its updates. The sender signed the datagram just
+     * now, so it is alive.
      *
-     * @param sent by its clock, since the zero of Unix time
+     * @param sent send time by the sender's clock, in Unix time
      */
     public void from(int peer, int itsIncarnation, Duration sent) {
         skew.direct(peer, sent, unix);
         heard++;
         if (members.state(peer) == Members.State.GONE
                 && itsIncarnation == members.incarnation(peer)) {
-            // It has to speak up itself, so that all who hold it gone hear of it.
+            // The peer has to refute this itself, so that every instance that considers it gone
+            // receives the refutation.
             push(peer, false, List.of(accusation(peer)), Budget.Use.PROBE);
         }
         Word former = members.row(peer).alive;
         if (itsIncarnation < members.incarnation(peer) && former != null && taken++ < ANSWERED) {
-            // Started anew, and has forgotten how far it was.
+            // The peer has restarted and lost its incarnation; its former update tells it.
             push(peer, false, List.of(former), Budget.Use.PROBE);
         }
         if (members.state(peer) != Members.State.LEFT
@@ -267,7 +285,7 @@
         }
     }
 
-    /** Someone gets no ack of another instance. */
+    /** Handles a peer's request to probe an instance whose ack the peer did not receive. */
     public void asked(int from, int about, int its) {
         if (taken++ >= ANSWERED || passed.size() >= PASSED || about == self) {
             return;
@@ -277,7 +295,7 @@
         send(about, Budget.Use.PROBE, words -> post.ping(about, mine, words));
     }
 
-    /** A direct probe was acknowledged by this instance, in this incarnation. */
+    /** Handles an ack, of this instance's own probe or of an indirect probe made for a peer. */
     public void acked(int from, int its) {
         if (its == probe && !answered && probed >= 0) {
             answered = true;
@@ -289,7 +307,7 @@
         }
     }
 
-    /** Its words have been told already; it wants some back. */
+    /** Answers a table exchange; the peer's own updates have been handled already. */
     public void swapped(int from) {
         if (taken++ < ANSWERED) {
             push(from, false, table(), Budget.Use.TABLES);
@@ -297,15 +315,15 @@
     }
 
     /**
-     * One word, whoever passed it on; its signature has been found right.
+     * Handles one update whose signature has been verified.
      *
-     * @param from who passed it on
+     * @param from peer that forwarded the update
      */
     public void word(Word word, int from) {
         switch (word.kind()) {
             case ALIVE -> {
                 if (word.origin() == self) {
-                    // Of a former life that is not remembered here, or a replay of it.
+                    // From an earlier run whose incarnation is not known here, or a replay of one.
                     if (word.incarnation() > incarnation) {
                         raise(word.incarnation());
                     }
@@ -335,7 +353,8 @@
                         raise(incarnation);
                     }
                     if (!leaving && taken++ < ANSWERED) {
-                        // Who told it is the way to all who hold this instance gone.
+                        // The forwarding peer is the path to the instances that consider this one
+                        // gone.
                         push(from, false, List.of(alive), Budget.Use.PROBE);
                     }
                 } else if (members.accused(subject, word.detail(), word.origin(), now)) {
@@ -372,23 +391,24 @@
     }
 
     /**
-     * What is worth passing on, the one who hears it decides: a claim that adds nothing to others'
-     * spreads no further.
+     * Forwards a claim. The caller decides whether it is worth forwarding: a claim that adds
+     * nothing to those already received is not disseminated further.
      */
     public void passOn(Word word, int from) {
         rumours.add(word);
         spread(from);
     }
 
-    // ---- the clock
+    // ---- timers
 
-    /** Runs what was due by now. */
+    /** Runs the actions that are due by now. */
     public void woken() {
         if (wokenAt != null) {
             Duration gap = now.minus(wokenAt);
             Duration most = times(tuning.period(), AWAY);
             if (gap.compareTo(most) > 0) {
-                // Guards against a router that was stopped and then holds all others for silent.
+                // A router that was paused received no acks meanwhile and would otherwise suspect
+                // all its peers.
                 Duration away = gap.minus(most);
                 members.away(away);
                 members.worse(2);
@@ -411,7 +431,8 @@
         if (now.compareTo(probeAt) >= 0 && !leaving) {
             period();
         }
-        // More to tell than probes carry: by datagrams of its own, as far as the budget allows.
+        // More updates are queued than probes carry: send datagrams of their own, as far as the
+        // budget allows.
         if (rumours.size() > 2 * WORDS) {
             for (int to : members.some(1, -1)) {
                 push(to, false, rumours.next(TABLE), Budget.Use.WORDS);
@@ -421,7 +442,8 @@
 
     private void period() {
         if (probed >= 0 && !answered) {
-            // Guards against illness by the death of others: who hears anyone at all hears well.
+            // If any datagram arrived in the period, the failure is the peer's, and local health
+            // stays as it is.
             members.worse(heard == 0 ? 1 : 0);
             if (members.accused(probed, members.incarnation(probed), self, now)) {
                 rumours.add(accusation(probed));
@@ -429,7 +451,7 @@
         }
         taken = 0;
         heard = 0;
-        // Not all at the same moment, whoever started together.
+        // Jitter, so that instances which started together do not probe at the same moment.
         double spread = 0.9 + 0.2 * chance.nextDouble();
         probeAt = now.plus(times(members.patient(tuning.period()), spread));
         probed = members.next();
@@ -447,26 +469,26 @@
         if (members.there() <= 1) {
             knock();
         }
-        // A table that lacks many is evened out in each period, as far as the budget allows.
+        // An incomplete table is exchanged in each period, as far as the budget allows.
         int every = members.there() < KNOWN * members.instances() ? 1 : EVEN;
         if (++periods % every == 0) {
             for (int to : members.some(1, -1)) {
                 push(to, true, table(), Budget.Use.TABLES);
             }
         }
-        // As often as one that is gone would be met by chance among all: after a parting each side
-        // meets the other soon.
+        // As often as a peer considered gone would be picked at random among all peers: after a
+        // partition each side soon contacts the other.
         if (chance.nextDouble() * (members.there() + members.gone()) < members.gone()) {
             int gone = members.goneOne();
             push(gone, true, List.of(alive, accusation(gone)), Budget.Use.WORDS);
         }
     }
 
-    // ---- sends
+    // ---- sending
 
     /**
-     * Whether so many bytes may go now beside what instances say of each other; if so they are
-     * counted as sent.
+     * Reserves bytes for a datagram other than those of the membership protocol; if the budget
+     * allows it they count as sent.
      */
     public boolean pays(int bytes) {
         return budget.takes(bytes, Budget.Use.WORDS, now);
@@ -483,7 +505,7 @@
         return words;
     }
 
-    /** With as many spreading words as the budget and the datagram allow. */
+    /** Sends a message with as many queued updates as the budget and the datagram size allow. */
     private void send(int to, Budget.Use use, Sender sender) {
         List<Word> words = fitting(rumours.next(WORDS));
         if (budget.takes(post.bytes(words), Budget.Use.WORDS, now)) {
@@ -494,7 +516,7 @@
         }
     }
 
-    /** As many of the first as one datagram holds. */
+    /** Returns the longest prefix that fits into one datagram. */
     private List<Word> fitting(List<Word> words) {
         List<Word> fit = words;
         while (post.bytes(fit) > tuning.datagram()) {
--- a/src/main/java/dillfront/router/gossip/Hearsay.java
+++ b/src/main/java/dillfront/router/gossip/Hearsay.java
@@ -11,20 +11,22 @@
 import java.util.Map;
 
 /**
- * What others' claims about nodes are worth to this router. The outcome is one bit a node: doubted
- * or not. A doubt opens nothing, gives no position, frees no budget of a cold node and excuses no
- * send; it makes the module suspicious sooner of silence that it sees itself, lets it take another
- * node first, and halves the room. The router's own fresh answer ends it at once.
+ * Weighs the claims of peers about nodes. The result is one bit per node: suspected or not. A
+ * suspicion opens no connection, provides no replay position, grants no capacity to a cold node and
+ * permits no send. It shortens the time after which the router treats its own missing answers as a
+ * failure, lets it prefer another node, and halves the node's concurrency limit. A fresh answer
+ * received by this router itself ends the suspicion at once.
  *
- * <p>Claims stand for a while, each instance's latest on a node. Voices are weighed by credit,
- * which grows slowly with claims that this router then finds true by itself and falls fast with
- * those that its own answers contradict. Of the voices on one node the best few are left out, as
- * many as may lie; what remains must still carry the claim. Instances that were wrong together more
- * than once are one voice. Who claims most of the fleet ill is more likely cut off himself, and is
- * not counted.
+ * <p>A claim is valid for a limited time; only each instance's latest claim on a node counts.
+ * Claims are weighted by the origin's credit, which grows slowly with claims that this router later
+ * confirms itself and drops fast with claims that its own answers contradict. Of the votes on one
+ * node, the strongest ones are discarded, as many as there may be lying instances; the remaining
+ * weight must still reach the threshold. Instances that were wrong together more than once count as
+ * one vote. An instance that claims most of the nodes to be unhealthy is more likely partitioned
+ * itself, and its claims do not count.
  *
- * <p>Pure: times are spans since the start. Tables are as long as the ring, and as the nodes in the
- * list.
+ * <p>Pure: times are durations since the start. Table sizes are bounded by the number of registered
+ * instances and listed nodes.
  */
 public final class Hearsay {
 
@@ -32,30 +34,33 @@
     private static final double CREDIT_GAIN = 0.25;
 
     /**
-     * What is left of credit after a claim that own answers contradict, and after one soon
-     * overtaken by an answer.
+     * Factor applied to credit after a claim that the router's own answers contradict, and after
+     * one that an answer followed shortly.
      */
     private static final double CONTRADICTED = 0.5;
 
     private static final double OVERTAKEN = 0.8;
 
     /**
-     * An answer so soon after a claim was said speaks against it; as a part of the time for which
-     * claims stand.
+     * An answer within this part of a claim's validity after the claim counts against the claim.
      */
     private static final double SOON = 0.1;
 
-    /** What must remain of the weight on a node once as many voices as may lie are left out. */
+    /** Minimum weight on a node that must remain after the possible lying votes are discarded. */
     private static final double CARRIES = 0.4;
 
-    /** Voices below this are not counted at all. */
+    /** Minimum credit for a vote to count. */
     private static final double HEARD = 0.1;
 
-    /** Who claims more than this part of all nodes ill, and more than one, is not counted. */
+    /**
+     * An instance that claims more than this part of all nodes to be unhealthy, and more than one
+     * node, does not count.
+     */
     private static final double CUT_OFF = 0.5;
 
     /**
-     * Wrong together so often: one voice from then on, for so many times the standing of a claim.
+     * Number of common wrong claims after which two instances count as one vote, and for how many
+     * claim validities they do.
      */
     private static final int TOGETHER = 2;
 
@@ -66,7 +71,7 @@
         final int peer;
         Symptom symptom;
 
-        /** When it began, and when it was last said, by this router's clock. */
+        /** Start of the symptom and time of the last report, by this router's clock. */
         Duration since;
 
         Duration said;
@@ -80,7 +85,7 @@
     private static final class Row {
         final List<Claim> claims = new ArrayList<>();
 
-        /** Those who claimed it ill and have taken that back, for as long as a claim stands. */
+        /** Withdrawn claims, kept for as long as a claim is valid. */
         final List<Claim> back = new ArrayList<>();
 
         Duration wellAt = Duration.ofSeconds(-1);
@@ -93,12 +98,15 @@
     private final Duration soon;
     private final double[] credit;
 
-    /** Instances of one voice share the number of its first. */
+    /** Vote group of each instance: the lowest index of its members. */
     private final int[] voice;
 
     private final int[] claiming;
 
-    /** Pairs that were wrong together; the longest unseen leaves first. */
+    /**
+     * Pairs of instances that were wrong together; the least recently updated pair is evicted
+     * first.
+     */
     private final Map<Long, Integer> together = new LinkedHashMap<>();
 
     private final List<Row> rows = new ArrayList<>();
@@ -110,11 +118,11 @@
     private long confirmed;
 
     /**
-     * @param instances how many may speak; indices run below it
+     * @param instances number of registered instances; indices are below this value
      */
     public Hearsay(Tuning tuning, int instances) {
         liars = Math.min(tuning.liars(), Math.max(0, (instances - 1) / 3));
-        // Enough to leave out the liars twice over, and to see who was right.
+        // Enough claims to discard the lying votes twice, and to judge the credit of the others.
         most = 3 * (liars + 1) + 2;
         lasts = tuning.lasts();
         soon = times(lasts, SOON);
@@ -136,19 +144,21 @@
         now = clock;
     }
 
-    /** How many nodes there are, for what is most of them. */
+    /**
+     * Sets the number of listed nodes, against which the limit for unhealthy claims is computed.
+     */
     public void nodes(int listed) {
         known = listed;
     }
 
     /**
-     * An instance says so of a node.
+     * Handles a claim of a peer about a node.
      *
-     * @param node this router's index of it
-     * @param age for how long the word has been on its way
-     * @param since for how long it had lasted when it was said
-     * @return whether others should hear of it too: not if enough others have said it, so that a
-     *     trouble which all see costs no more to tell than one which a few see
+     * @param node the router's local index of the node
+     * @param age time since the claim was made
+     * @param since how long the symptom had lasted when the claim was made
+     * @return whether the claim should be forwarded; not once enough peers have claimed the same,
+     *     so that a failure seen by all costs no more traffic than one seen by a few
      */
     public boolean heard(int peer, int node, Symptom symptom, Duration age, Duration since) {
         Row row = row(node);
@@ -182,8 +192,8 @@
         claim.symptom = symptom;
         claim.said = said;
         judge(row);
-        // Who is not counted here is not passed on either: a liar pays for his words with his own
-        // bytes alone.
+        // A claim that does not count here is not forwarded either: a lying instance then spends
+        // only its own bytes.
         return row.claims.size() < most && !cutOff(peer) && credit[peer] >= HEARD;
     }
 
@@ -192,8 +202,8 @@
     }
 
     /**
-     * A voice of more credit takes the place of the least: guards against places kept by those who
-     * only lie.
+     * Evicts the claim of the least credit for one of more credit, so that lying instances cannot
+     * occupy all places.
      */
     private boolean crowdsOut(Row row, int peer) {
         Claim least = row.claims.get(0);
@@ -207,7 +217,7 @@
         return true;
     }
 
-    /** What this router sees of a node itself. */
+    /** Records what this router itself observes of a node. */
     public void seen(int node, Sight sight) {
         Row row = row(node);
         row.ill = sight.ill();
@@ -216,7 +226,7 @@
     }
 
     /**
-     * Claims on a node against what this router knows of it: the only way in which credit changes.
+     * Compares the claims on a node with this router's own observations; credit changes here only.
      */
     private void judge(Row row) {
         row.back.removeIf(c -> c.said.plus(lasts).compareTo(now) <= 0);
@@ -231,11 +241,12 @@
                 confirmed++;
                 credit[c.peer] += CREDIT_GAIN * (1 - credit[c.peer]);
             }
-            // It answered after that began and before it was said again: then it had not begun.
+            // The node answered after the symptom had allegedly begun and before the claim was
+            // repeated, so the claim was false.
             boolean against =
                     row.wellAt.compareTo(c.since.plus(soon)) > 0
                             && row.wellAt.plus(soon).compareTo(c.said) < 0;
-            // Or it answered right after: what was so short was nothing to tell.
+            // The node answered right after the claim: so short a symptom was not worth a claim.
             boolean overtaken =
                     row.wellAt.compareTo(c.said) > 0 && row.wellAt.compareTo(c.said.plus(soon)) < 0;
             if ((against || overtaken) && !c.confirmed) {
@@ -256,7 +267,10 @@
         }
     }
 
-    /** Honest instances see nodes each for itself, and are seldom wrong on the same one twice. */
+    /**
+     * Records a common error of two instances. Honest instances observe nodes independently and are
+     * seldom wrong about the same node twice.
+     */
     private void wrongTogether(int a, int b) {
         apartAt = together.isEmpty() ? now.plus(lasts.multipliedBy(TOGETHER_FOR)) : apartAt;
         long pair = (long) Math.min(a, b) * voice.length + Math.max(a, b);
@@ -276,7 +290,7 @@
         }
     }
 
-    /** Whether the module should doubt it by what others say. */
+    /** Returns whether the claims of peers make the node suspected. */
     public boolean doubted(int node) {
         if (node >= rows.size() || rows.get(node).claims.isEmpty() || rows.get(node).ill) {
             return false;
@@ -285,8 +299,8 @@
     }
 
     /**
-     * Whether enough of those who claimed it ill have had an answer of it since. Worth a try sooner
-     * where this router still waits to try it; and no more than that.
+     * Returns whether enough peers that claimed the node to be unhealthy have had an answer from it
+     * since. This only brings forward the next probe of a node that this router has stopped using.
      */
     public boolean better(int node) {
         return node < rows.size()
@@ -316,7 +330,7 @@
         return sum;
     }
 
-    /** Claims end by themselves; called at each beat. */
+    /** Expires claims; called at each clock tick. */
     public void woken() {
         for (Row row : rows) {
             judge(row);
@@ -327,7 +341,7 @@
         }
     }
 
-    /** It has left the list: its index may name another. */
+    /** Removes a node that has left the list, since its index may be reused. */
     public void forget(int node) {
         if (node < rows.size()) {
             Row row = rows.get(node);
@@ -355,21 +369,21 @@
     }
 
     /**
-     * Whether one more claim would add nothing: so many stand that even without the liars' share
-     * they carry.
+     * Returns whether one more claim would add nothing: enough claims are held to reach the
+     * threshold even without the possible lying votes.
      */
     public boolean enough(int node) {
         return claims(node) >= most;
     }
 
-    /** How many claims stand on a node now. */
+    /** Returns the number of valid claims on a node. */
     public int claims(int node) {
         return node < rows.size() ? rows.get(node).claims.size() : 0;
     }
 
     /**
-     * Claims taken since the start, those found true by this router itself, and those that its own
-     * answers ended.
+     * Returns the number of claims accepted since the start; the next two methods count those that
+     * this router confirmed itself and those that its own answers overruled.
      */
     public long taken() {
         return taken;
--- a/src/main/java/dillfront/router/gossip/Kind.java
+++ b/src/main/java/dillfront/router/gossip/Kind.java
@@ -1,8 +1,8 @@
 package dillfront.router.gossip;
 
 /**
- * What a word is about: its origin's being there or leaving, another instance's silence, or a
- * node's symptom.
+ * Kind of an update: its origin is alive or leaving, another instance does not answer, or a node
+ * shows a symptom.
  */
 public enum Kind {
     ALIVE,
--- a/src/main/java/dillfront/router/gossip/Members.java
+++ b/src/main/java/dillfront/router/gossip/Members.java
@@ -9,18 +9,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which instances are there, in the manner of SWIM with Lifeguard's local health: who is silent is
- * first suspected, and held gone only if it does not speak up in its time, which is shorter the
- * more others accuse it. Nobody tells others that an instance is gone: each comes to that by
- * itself, from accusations that their authors signed. A speaker's own word that it is there, of a
- * later incarnation, ends all accusations; it alone can say it.
+ * Tracks the membership of the router group by SWIM with Lifeguard's local health. A peer that does
+ * not answer is first suspected, and considered gone only if it does not refute the suspicion in
+ * time; that time is shorter the more instances accuse it. No instance announces that another one
+ * is gone: each concludes that by itself from accusations signed by their authors. Only the accused
+ * instance can refute an accusation, by an ALIVE update with a higher incarnation.
  *
- * <p>Rows are by index in the ring of those who may speak, so the table is as long as the ring and
- * no longer.
+ * <p>Rows are indexed by the registered instances, which bounds the table.
  */
 public final class Members {
 
-    /** What this instance holds of another. */
+    /** State of an instance as seen by the local one. */
     public enum State {
         UNKNOWN,
         ALIVE,
@@ -28,7 +27,7 @@
         GONE,
         LEFT;
 
-        /** It is there, or only suspected not to be. */
+        /** Returns whether the instance is alive or only suspected. */
         boolean present() {
             return this == ALIVE || this == SUSPECT;
         }
@@ -37,29 +36,27 @@
     /** Accusers beyond the first that shorten a suspicion (Lifeguard, section IV-B). */
     private static final int ACCUSERS = 3;
 
-    /**
-     * The shortest suspicion, in periods times the base-ten logarithm of the number of instances.
-     */
+    /** Shortest suspicion, in periods times the base-ten logarithm of the number of instances. */
     private static final double SUSPICION = 3;
 
-    /** The longest, in shortest ones. */
+    /** Longest suspicion, as a multiple of the shortest one. */
     private static final double SUSPICION_LONGEST = 5;
 
-    /** Local health runs from zero, well, to this (Lifeguard, section IV-A). */
+    /** Upper bound of the local health score; zero is healthy (Lifeguard, section IV-A). */
     private static final int WORST = 8;
 
-    /** One row an instance. */
+    /** State of one instance. */
     static final class Peer {
         State state = State.UNKNOWN;
         int incarnation = -1;
 
-        /** The last word of its own that it is there; passed on to those who ask for the table. */
+        /** Latest ALIVE update of the instance itself, forwarded in table exchanges. */
         Word alive;
 
-        /** Own time at which the state began. */
+        /** Local time at which the state began. */
         Duration since = Duration.ZERO;
 
-        /** Of a suspicion: who accuses, each once. Null where there is none. */
+        /** Distinct accusers during a suspicion; null otherwise. */
         int[] accusers;
     }
 
@@ -71,7 +68,7 @@
     private int ill;
     private final List<Integer> suspects = new ArrayList<>();
 
-    /** The order of probing: all that are there, mixed anew after each round. */
+    /** Probe order of the current round: all present instances, shuffled again after each round. */
     private final List<Integer> round = new ArrayList<>();
 
     private final RandomGenerator chance;
@@ -101,34 +98,35 @@
         return peers[peer] == null ? -1 : peers[peer].incarnation;
     }
 
-    /** How many are there by this instance's knowledge, suspects and itself included. */
+    /** Returns the number of present instances, including suspected ones and this one. */
     public int there() {
         return there;
     }
 
-    /** How many are held gone. */
+    /** Returns the number of instances considered gone. */
     public int gone() {
         return gone;
     }
 
-    /** How many may speak. */
+    /** Returns the number of registered instances. */
     int instances() {
         return peers.length;
     }
 
-    /** How ill this instance holds itself: zero is well. */
+    /** Returns the local health score; zero is healthy. */
     public int ill() {
         return ill;
     }
 
-    /** Spans that depend on this instance's own health grow with its illness. */
+    /** Scales a duration by the local health score, so that a slow instance waits longer. */
     Duration patient(Duration span) {
         return span.multipliedBy(1 + ill);
     }
 
     /**
-     * A probe failed, this instance was away, or others accuse it: it doubts itself first. Guards
-     * against a slow router that condemns all others because it reads their acks too late.
+     * Raises the local health score after a failed probe, a pause of this instance or an accusation
+     * against it, so that a slow router which reads acks too late does not declare all its peers
+     * gone.
      */
     void worse(int by) {
         ill = Math.min(WORST, ill + by);
@@ -139,9 +137,9 @@
     }
 
     /**
-     * It has said so itself, by a word that others passed on, or it has just spoken, where no word
-     * is given. A word of an incarnation that was accused since changes nothing: guards against the
-     * gone that come back with others' tables.
+     * Records that an instance is alive, by its own forwarded update or, if none is given, by a
+     * datagram from it. An update of an incarnation that has been accused since changes nothing, so
+     * that table exchanges do not bring back peers that are gone.
      *
      * @return whether anything changed
      */
@@ -151,7 +149,7 @@
             return false;
         }
         boolean newer = incarnation > p.incarnation;
-        // Its own datagram may have come before the word that others still lack.
+        // The datagram of the instance may have arrived before its update, which peers still lack.
         boolean news = alive != null && (p.alive == null || incarnation > p.alive.incarnation());
         boolean changed =
                 newer || p.state == State.UNKNOWN || alive == null && p.state != State.ALIVE;
@@ -173,10 +171,10 @@
     }
 
     /**
-     * Someone accuses it of silence, this instance or another; it counts only against the
-     * incarnation that is known.
+     * Records an accusation of this instance or a peer; it counts only against the known
+     * incarnation.
      *
-     * @return whether that was new
+     * @return whether the accusation was new
      */
     boolean accused(int peer, int incarnation, int by, Duration now) {
         Peer p = row(peer);
@@ -202,7 +200,7 @@
         return true;
     }
 
-    /** Those whose time to speak up is over. */
+    /** Moves the instances whose suspicion has timed out to GONE. */
     void condemn(Duration now) {
         for (int i = suspects.size() - 1; i >= 0; i--) {
             int peer = suspects.get(i);
@@ -213,7 +211,9 @@
         }
     }
 
-    /** This instance was away: nobody could speak up to it. */
+    /**
+     * Extends all suspicions by a pause of this instance, during which no refutation could arrive.
+     */
     void away(Duration by) {
         for (int peer : suspects) {
             peers[peer].since = peers[peer].since.plus(by);
@@ -221,8 +221,8 @@
     }
 
     /**
-     * How long a suspect has to speak up: from the longest down to the shortest with the logarithm
-     * of accusers.
+     * Returns the time that a suspected instance has for a refutation: from the longest down to the
+     * shortest with the logarithm of the number of accusers.
      */
     private Duration suspicion(int accusers) {
         double shortest = SUSPICION * Math.max(1, Math.log10(there + 1));
@@ -241,15 +241,17 @@
             p.accusers = null;
         }
         if (is && !was) {
-            // Somewhere in what is left of the round, so that those who come at once are not probed
-            // at once.
+            // A random position in the rest of the round, so that instances which join together are
+            // not all probed at once.
             round.add(round.isEmpty() ? 0 : chance.nextInt(round.size() + 1), peer);
         }
         p.state = state;
         p.since = now;
     }
 
-    /** Whose turn it is to be probed: each that is there once a round, or -1 where nobody is. */
+    /**
+     * Returns the next instance to probe, each present one once per round, or -1 if there is none.
+     */
     int next() {
         while (!round.isEmpty()) {
             int peer = round.remove(round.size() - 1);
@@ -265,14 +267,14 @@
         return round.isEmpty() ? -1 : round.remove(round.size() - 1);
     }
 
-    /** It is there, or only suspected not to be. */
+    /** Returns whether the instance is alive or only suspected. */
     public boolean present(int peer) {
         return state(peer).present();
     }
 
     /**
-     * Up to so many others that are there and not suspect, each once, by chance; never the one that
-     * is left out.
+     * Returns up to the given number of distinct random instances that are alive, except the
+     * excluded one.
      */
     List<Integer> some(int most, int but) {
         List<Integer> found = new ArrayList<>(most);
@@ -280,7 +282,7 @@
         while (found.size() < most && tries-- > 0) {
             find(chance.nextInt(peers.length), but, found);
         }
-        // Few are there of many that may be: looked for in order, from a place by chance.
+        // Only few of the registered instances are present: scan from a random index.
         int from = chance.nextInt(peers.length);
         for (int i = 0; found.size() < Math.min(most, there - 1) && i < peers.length; i++) {
             find((from + i) % peers.length, but, found);
@@ -294,7 +296,7 @@
         }
     }
 
-    /** One that was there once and is held gone, by chance; -1 where there is none. */
+    /** Returns a random instance considered gone, or -1 if there is none. */
     int goneOne() {
         int from = chance.nextInt(peers.length);
         for (int i = 0; i < peers.length; i++) {
@@ -307,8 +309,8 @@
     }
 
     /**
-     * Words of others that they are there, for a table that lacks them: so many, from a place by
-     * chance.
+     * Returns up to the given number of ALIVE updates from a random index on, for the table of a
+     * peer.
      */
     List<Word> slice(int most) {
         List<Word> words = new ArrayList<>(most);
--- a/src/main/java/dillfront/router/gossip/Post.java
+++ b/src/main/java/dillfront/router/gossip/Post.java
@@ -3,29 +3,33 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Where the decisions of gossip leave: each call is one datagram at the most, and may be lost. */
+/**
+ * Outgoing side of the gossip protocol. Each call sends at most one datagram, which may be lost.
+ */
 public interface Post {
 
     void ping(int to, int number, List<Word> words);
 
     void ack(int to, int number, List<Word> words);
 
-    /** Asks an instance to ping a third one, and to pass its ack on. */
+    /** Asks an instance to ping a third one and to return its ack. */
     void ask(int to, int about, int number, List<Word> words);
 
-    /** Words alone; an answer with as many is wished where swap is set. */
+    /** Sends updates alone; with {@code swap} set the receiver is asked for its table in return. */
     void push(int to, boolean swap, List<Word> words);
 
-    /** Signs an own word. */
+    /** Signs an update of this instance. */
     Word seal(Word own);
 
-    /** Bytes on the wire, IP and UDP headers included, of a datagram with these words. */
+    /**
+     * Returns the size on the wire, including IP and UDP headers, of a datagram with these updates.
+     */
     int bytes(List<Word> words);
 
     /**
-     * A claim that is new here, of another instance.
+     * Passes on a claim of a peer that is new to this instance.
      *
-     * @param age for how long it has been on its way
+     * @param age time since the claim was made
      */
     void claimed(Word claim, Duration age);
 }
--- a/src/main/java/dillfront/router/gossip/Rumours.java
+++ b/src/main/java/dillfront/router/gossip/Rumours.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * Words that still spread: each goes along with datagrams that are sent anyway, the claims first
- * and the least sent first, until it has gone out a few times the logarithm of the number of
- * instances. Emptied by that; never longer than its bound, since the most sent word gives way to a
- * new one, and a word to a later one of the same origin on the same matter.
+ * Queue of updates that are still being disseminated. Updates are piggybacked on datagrams that are
+ * sent anyway, claims first and the least sent first, until each has been sent a small multiple of
+ * the logarithm of the number of instances. The queue is bounded: a new update evicts the most sent
+ * one, and a later update of the same origin on the same subject replaces the earlier one.
  */
 final class Rumours {
 
     private static final int MOST = 64;
 
     /**
-     * Of a word: so often the base-two logarithm of the number of instances (SWIM, section 4.1).
-     * Accusations go last.
+     * Transmissions per update, as a multiple of the base-two logarithm of the number of instances
+     * (SWIM, section 4.1). Accusations are sent last.
      */
     private static final double TIMES = 2;
 
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Someone sent it here too: it has spread so far, and counts as sent (Demers et al., rumours
-     * with feedback).
+     * Counts a duplicate received from a peer as one transmission, since the update has reached
+     * that peer (Demers et al., rumor mongering with feedback).
      */
     void heardAgain(Word word) {
         for (int i = 0; i < rows.size(); i++) {
@@ -74,20 +74,26 @@
         rows.add(at, row);
     }
 
-    /** Those of a kind of matter that is over: an instance's silence once it has spoken. */
+    /**
+     * Removes the updates of a kind on a subject, such as the accusations against an instance that
+     * has refuted them.
+     */
     void drop(Kind kind, long subject) {
         rows.removeIf(r -> r.word.kind() == kind && r.word.subject() == subject);
     }
 
     /**
-     * Up to so many words for one datagram: claims first, accusations last, of each the least sent
-     * first.
+     * Returns up to the given number of updates for one datagram: claims first, accusations last,
+     * each the least sent first.
      */
     List<Word> next(int most) {
         return next(most, 3);
     }
 
-    /** The same of claims alone, which do not wait for datagrams that are sent anyway. */
+    /**
+     * Returns up to the given number of claims, which are pushed without waiting for other
+     * datagrams.
+     */
     List<Word> claims(int most) {
         return next(most, 1);
     }
@@ -106,9 +112,9 @@
     }
 
     /**
-     * These have gone out once more.
+     * Counts one more transmission of these updates.
      *
-     * @param known how many instances there are, by this one's knowledge
+     * @param known number of instances that this one knows
      */
     void sent(List<Word> words, int known) {
         int often = (int) Math.ceil(TIMES * (Math.log(known + 2) / Math.log(2)));
--- a/src/main/java/dillfront/router/gossip/Skew.java
+++ b/src/main/java/dillfront/router/gossip/Skew.java
@@ -4,22 +4,22 @@
 import java.util.Arrays;
 
 /**
- * How old a word is when it arrives, though no two clocks agree. Of each origin the least
- * difference between its time on a datagram or word and the time of arrival here is kept; what a
- * later word needs beyond it is its age. The least difference drifts upwards slowly, so that a
- * clock that was set anew does not make all words of its owner old for good. Until a datagram has
- * come from the origin itself, the clocks are taken as equal: guards against words of others that
- * have been on their way for long, and would be the measure of those to come.
+ * Estimates the age of updates on arrival without synchronized clocks. For each origin the least
+ * difference between the time on a datagram or update and the local arrival time is kept; an
+ * update's excess over that is its age. The least difference drifts upwards slowly, so that a clock
+ * which was set back does not make all later updates of its owner look old. Until a datagram
+ * arrives from the origin itself, both clocks are taken as equal: a forwarded update that was
+ * delayed for long must not become the reference.
  */
 public final class Skew {
 
     /**
-     * Clocks further apart than this are not believed: a word kept back for longer can't be told
-     * from a new one.
+     * Clock difference above which an update is rejected: an update delayed for longer cannot be
+     * told from a new one.
      */
     public static final Duration MOST = Duration.ofSeconds(30);
 
-    /** How fast the least difference gives way, as a part of the time. */
+    /** Upward drift of the least difference, as a part of the elapsed time. */
     private static final double DRIFT = 0.001;
 
     private final long[] least;
@@ -31,7 +31,7 @@
         Arrays.fill(least, Long.MAX_VALUE);
     }
 
-    /** A datagram of its own, sent then, has just come: only the network lies between. */
+    /** Records a datagram sent by the origin itself, which only the network has delayed. */
     public void direct(int origin, Duration sent, Duration here) {
         long off = here.minus(sent).toNanos();
         if (Math.abs(off) <= MOST.toNanos()) {
@@ -40,10 +40,9 @@
     }
 
     /**
-     * The age of a word that arrives now; negative where it can't be told since the clocks are too
-     * far apart.
+     * Returns the age of an update arriving now; negative if the clocks are too far apart to tell.
      *
-     * @param here this instance's Unix time
+     * @param here local Unix time
      */
     public Duration age(int origin, Duration said, Duration here) {
         long off = here.minus(said).toNanos();
--- a/src/main/java/dillfront/router/gossip/Symptom.java
+++ b/src/main/java/dillfront/router/gossip/Symptom.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-/** What an instance saw of a node by itself. WELL takes an earlier claim back. */
+/** State that an instance observed on a node itself. WELL withdraws an earlier claim. */
 public enum Symptom {
     HUNG,
     REFUSING,
--- a/src/main/java/dillfront/router/gossip/Tuning.java
+++ b/src/main/java/dillfront/router/gossip/Tuning.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * What the operator's file says of gossip.
+ * Gossip settings from the operator's file.
  *
- * @param period between two probes of one instance
- * @param bytesPerSecond what one instance may send, in the mean
- * @param datagram bytes of the largest datagram
- * @param liars so many instances may say what they like without carrying a claim; at most a third
- *     of all
- * @param lasts how long a claim stands unless it is said again
+ * @param period time between two probes of one instance
+ * @param bytesPerSecond mean send rate of one instance
+ * @param datagram size of the largest datagram, in bytes
+ * @param liars number of instances that may make false claims without effect; at most a third of
+ *     all
+ * @param lasts validity of a claim unless it is repeated
  */
 public record Tuning(Duration period, int bytesPerSecond, int datagram, int liars, Duration lasts) {
 
--- a/src/main/java/dillfront/router/gossip/Witness.java
+++ b/src/main/java/dillfront/router/gossip/Witness.java
@@ -8,20 +8,20 @@
 import java.util.List;
 
 /**
- * What this router tells others of nodes: only what it sees itself, when it begins, again while
- * there is new evidence, and once more when it is over. Says nothing new where enough others have
- * said it already, nor of more than a few nodes a second: a router that finds everything ill is
- * more likely ill itself.
+ * Decides which of this router's own observations of nodes are published as claims: when a symptom
+ * begins, again while there is new evidence, and once more when it has ended. A claim is left out
+ * if enough peers have made it already. The number of claims is also limited, since a router that
+ * finds every node unhealthy is more likely unhealthy itself.
  */
 public final class Witness {
 
-    /** Said again after this part of the time for which claims stand, while it lasts. */
+    /** Interval between repeated claims on a lasting symptom, as a part of a claim's validity. */
     private static final double AGAIN = 0.5;
 
-    /** New claims, in the time for which claims stand. */
+    /** Maximum number of new claims per claim validity. */
     private static final int MOST = 16;
 
-    /** Takes what is to be said. */
+    /** Receives the claims to publish. */
     public interface Telling {
         void say(int node, Symptom symptom, int evidence, Duration since);
     }
@@ -43,7 +43,7 @@
     }
 
     /**
-     * @param enough others have said it already, so that one more voice adds nothing
+     * @param enough enough peers have made the claim, so one more adds nothing
      */
     public void seen(int node, Sight sight, boolean enough, Duration now, Telling telling) {
         while (rows.size() <= node) {
--- a/src/main/java/dillfront/router/gossip/Word.java
+++ b/src/main/java/dillfront/router/gossip/Word.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * One thing that one instance said, under its own signature, and that others pass on as it was
- * signed. Nobody can say a word in another's name, and nobody says anew what he only heard.
+ * One signed update of an instance, forwarded by others unchanged. No instance can create an update
+ * in the name of another, nor renew one that it only received.
  *
- * @param origin index of the instance that said it, in the ring of those who may speak
- * @param incarnation the origin's own, at that time; it alone raises it
- * @param number rises with each word of an incarnation
- * @param subject of SILENT: index of the instance; of CLAIM: what stands for the node at every
- *     instance alike
- * @param detail of SILENT: the subject's incarnation that is meant; of CLAIM: the symptom's ordinal
- * @param evidence of CLAIM: how many submissions or probes tell of it
- * @param since of CLAIM: for how long it had lasted when this was said
- * @param said by the origin's clock, since the zero of Unix time
- * @param sealed the bytes that were signed and their signature; empty in virtual time
+ * @param origin index of the instance that created the update, in the registry
+ * @param incarnation incarnation of the origin at that time; only the origin raises it
+ * @param number rises with each update of an incarnation
+ * @param subject of SILENT: index of the accused instance; of CLAIM: hash of the node's id, equal
+ *     on all instances
+ * @param detail of SILENT: the accused incarnation; of CLAIM: ordinal of the symptom
+ * @param evidence of CLAIM: number of submissions or probes that support the claim
+ * @param since of CLAIM: how long the symptom had lasted when the claim was made
+ * @param said creation time by the origin's clock, in Unix time
+ * @param sealed the signed bytes and their signature; empty in virtual time
  */
 public record Word(
         int origin,
@@ -31,7 +31,7 @@
 
     private static final byte[] OPEN = new byte[0];
 
-    /** A word not signed yet, as its origin makes it. */
+    /** Creates an update that is not signed yet. */
     public static Word of(
             int origin,
             int incarnation,
@@ -51,7 +51,7 @@
                 origin, incarnation, number, kind, subject, detail, evidence, since, said, bytes);
     }
 
-    /** Whether it takes the other's place: of the same origin, on the same matter, said later. */
+    /** Returns whether this update supersedes the other: same origin and subject, created later. */
     boolean replaces(Word other) {
         return sameMatter(other)
                 && (incarnation != other.incarnation
--- a/src/main/java/dillfront/router/gossip/package-info.java
+++ b/src/main/java/dillfront/router/gossip/package-info.java
@@ -1,2 +1,2 @@
-/** Gossip between routers: membership, updates, and what others' claims are worth. Without I/O. */
+/** Gossip between routers: membership, updates, and the weight of peers' claims. Without I/O. */
 package dillfront.router.gossip;
--- a/src/main/java/dillfront/router/peers/Codec.java
+++ b/src/main/java/dillfront/router/peers/Codec.java
@@ -18,28 +18,32 @@
 import java.util.Map;
 
 /**
- * Datagrams between instances, version 1. All numbers big-endian. A datagram, 117 bytes and 113 for
- * each word:
+ * Encodes and decodes the datagrams between instances, version 1. All numbers are big-endian. A
+ * datagram takes 117 bytes plus 113 per update:
  *
  * <pre>
- *   2 'd' 'f'   1 version   1 form   8 key id of the sender   4 its incarnation   8 number, rising from its start on
- *   8 sent, Unix microseconds   8 hash of the name it is sent to   4 probe   8 hash of the name it is about
- *   1 words   words   64 Ed25519 signature of all before, behind the text "dillfront datagram 1"
+ *   2 'd' 'f'   1 version   1 type   8 key id of the sender   4 its incarnation
+ *   8 sequence number, rising from its start on   8 send time, Unix microseconds
+ *   8 hash of the receiver's name   4 probe number   8 hash of the name it is about
+ *   1 number of updates   updates
+ *   64 Ed25519 signature of all before, prefixed with the text "dillfront datagram 1"
  * </pre>
  *
- * A word: 8 key id of who said it, 4 incarnation, 4 number, 1 kind, 8 subject, 4 detail, 2
- * evidence, 4 milliseconds since, 8 said, Unix microseconds, 4 and 2 address and port where ALIVE,
- * 64 Ed25519 signature of these behind "dillfront word 1".
+ * <p>An update consists of: 8 key id of the origin, 4 incarnation, 4 number, 1 kind, 8 subject, 4
+ * detail, 2 evidence, 4 milliseconds since the symptom began, 8 creation time in Unix microseconds,
+ * 4 and 2 address and port for ALIVE, 64 Ed25519 signature of these prefixed with "dillfront word
+ * 1".
  *
- * <p>A datagram of the form DOUBTS has no words; the byte that counts them counts 64-bit parts of a
- * recovery.Digest, which stand in their place, and the name it is about is whose keys these are.
- * CLOSED is the same with three parts for each node that the sender's lists have closed: the first
- * 8 bytes of the SHA-256 of its id, the generation of that list, the start of the process it spoke
- * of. Instances that do not know these forms drop them.
+ * <p>A datagram with in-doubt keys carries no updates. Its count field holds the number of 64-bit
+ * parts of a recovery.KeyDigest, which take the place of the updates, and the name it is about is
+ * the instance whose in-doubt keys these are. A datagram with closed nodes has the same layout with
+ * three parts for each node closed by the sender's member lists: the first 8 bytes of the SHA-256
+ * of its id, the generation of that list, and the start time of the process that the list refers
+ * to. Instances that do not know these types drop them.
  *
- * <p>What comes is looked at in the order of cost, and nothing is allocated by a length that it
- * names: the count of words must fit the size that came. Signatures of words that were checked
- * before are known by their bytes.
+ * <p>Checks run in the order of their cost. No allocation depends on a length in the datagram: the
+ * count must match the received size. Signatures of updates that were verified before are
+ * recognized by their bytes.
  */
 public final class Codec {
 
@@ -47,7 +51,7 @@
     static final int WORD = 113;
     static final int SIGNATURE = 64;
 
-    /** Of IP and UDP. */
+    /** Bytes of the IP and UDP headers. */
     static final int BELOW = 28;
 
     private static final int SIGNED = WORD - SIGNATURE;
@@ -57,10 +61,10 @@
     private static final int CHECKED = 1024;
     private static final int MOST_PARTS = 128;
 
-    /** What one closed node takes of those parts. */
+    /** Parts per closed node in a datagram with closed nodes. */
     static final int CLOSED_PARTS = 3;
 
-    /** What a datagram is for. */
+    /** Purpose of a datagram; the ordinal is on the wire. */
     public enum Form {
         PING,
         ACK,
@@ -71,11 +75,11 @@
         CLOSED
     }
 
-    /** Takes what was read and found right. */
+    /** Receives the datagrams that passed all checks. */
     public interface Reader {
         /**
-         * @param sent by the sender's clock, since the zero of Unix time
-         * @param about index of the instance that the sender asks about; -1 where there is none
+         * @param sent send time by the sender's clock, in Unix time
+         * @param about index of the instance that the sender asks about; -1 if there is none
          */
         void read(
                 int from,
@@ -87,19 +91,19 @@
                 List<Word> words);
 
         /**
-         * @param life which of the sender's
-         * @param about whose keys in doubt these are: the sender's, or what it says were this
-         *     instance's
+         * @param life identifies the run of the sender
+         * @param about the instance whose in-doubt keys these are: the sender, or this instance in
+         *     an earlier run as remembered by the sender
          */
         void doubts(int from, int incarnation, Duration sent, int life, int about, long[] digest);
 
         /**
-         * @param words of what the sender's lists have closed, three numbers each: the node's hash,
-         *     generation, start
+         * @param words three numbers for each node closed by the sender's member lists: hash of its
+         *     id, generation, start time
          */
         void closed(int from, int incarnation, Duration sent, long[] words);
 
-        /** An instance's own word tells where it is. */
+        /** Reports the address in an instance's own ALIVE update. */
         void at(int peer, int incarnation, InetSocketAddress address);
 
         void dropped(Drop why);
@@ -116,17 +120,20 @@
     private final Signature signing;
     private final Signature checking;
 
-    /** Words whose signature was found right, by all their bytes; the oldest leaves first. */
+    /**
+     * Updates whose signature has been verified, keyed by all their bytes; the oldest entry is
+     * evicted first.
+     */
     private final Map<ByteBuffer, Boolean> checked = new LinkedHashMap<>();
 
     private long number;
 
     /**
-     * @param keyId which of this instance's keys in the ring the private one belongs to
-     * @param address where others reach this instance
-     * @param datagram bytes of the largest, those below UDP left out
-     * @param first the first datagram's number, above any of an earlier life: microseconds of Unix
-     *     time
+     * @param keyId id of the registered key that belongs to the private key
+     * @param address address at which peers reach this instance
+     * @param datagram size of the largest datagram in bytes, without IP and UDP headers
+     * @param first sequence number of the first datagram, above any of an earlier run: Unix time in
+     *     microseconds
      */
     public Codec(
             Ring ring,
@@ -153,14 +160,14 @@
         }
     }
 
-    /** Bytes on the wire of a datagram with so many words. */
+    /** Returns the size on the wire of a datagram with the given number of updates. */
     public static int bytes(int words) {
         return BELOW + HEAD + words * WORD + SIGNATURE;
     }
 
     /**
-     * Bytes on the wire of a datagram of keys in doubt, and how many parts of 64 bits the largest
-     * one holds.
+     * Returns the size on the wire of a datagram with the given number of 64-bit parts; the next
+     * method returns how many parts the largest datagram holds.
      */
     public static int doubtBytes(int parts) {
         return BELOW + HEAD + parts * Long.BYTES + SIGNATURE;
@@ -170,9 +177,9 @@
         return Math.min(MOST_PARTS, (datagram - HEAD - SIGNATURE) / Long.BYTES);
     }
 
-    // ---- out
+    // ---- encoding
 
-    /** Signs an own word. */
+    /** Signs an update of this instance. */
     public Word seal(Word word) {
         ByteBuffer out = ByteBuffer.allocate(WORD);
         out.putLong(keyId)
@@ -192,7 +199,7 @@
         return word.sealed(out.array());
     }
 
-    /** One datagram; the buffer is the caller's. */
+    /** Writes one datagram; the buffer remains the caller's. */
     public void write(
             ByteBuf out,
             int to,
@@ -209,10 +216,7 @@
         seal(out, start);
     }
 
-    /**
-     * One datagram of keys in doubt; in place of a probe's number, which life of the sender this
-     * is.
-     */
+    /** Writes one datagram of in-doubt keys. The probe field holds the id of the sender's run. */
     public void write(
             ByteBuf out,
             int to,
@@ -224,7 +228,7 @@
         write(out, to, incarnation, Form.DOUBTS, life, about, digest, unix);
     }
 
-    /** One datagram of what this instance's lists have closed. */
+    /** Writes one datagram of the nodes that this instance's member lists have closed. */
     public void write(ByteBuf out, int to, int incarnation, long[] closed, Duration unix) {
         write(out, to, incarnation, Form.CLOSED, 0, self, closed, unix);
     }
@@ -281,13 +285,14 @@
         }
     }
 
-    // ---- in
+    // ---- decoding
 
     /**
-     * Reads one datagram; the buffer stays the caller's. Never throws for what came.
+     * Decodes one datagram and passes it to the reader; the buffer remains the caller's. Never
+     * throws for invalid input.
      *
-     * @param now since the start
-     * @param unix this instance's Unix time
+     * @param now time since the start
+     * @param unix local Unix time
      */
     public void read(ByteBuf in, Duration now, Duration unix, Reader reader) {
         int start = in.readerIndex();
@@ -377,7 +382,7 @@
                 List.of(java.util.Arrays.copyOf(words, good)));
     }
 
-    /** Null where it is not as its origin said it. */
+    /** Decodes one update; returns null if it is invalid or not signed by its origin. */
     private Word word(byte[] all, int at, int from, Duration now, Duration unix, Reader reader) {
         ByteBuffer in = ByteBuffer.wrap(all, at, WORD);
         Ring.Key key = ring.key(in.getLong(), unix);
@@ -404,8 +409,8 @@
         int evidence = in.getShort();
         int since = in.getInt();
         long said = in.getLong();
-        // Accusations and claims are of this moment; that one is there is told for as long as it
-        // is.
+        // Accusations and claims are valid only near their creation time; ALIVE and LEAVING updates
+        // are forwarded for as long as they apply.
         boolean old = (kind == Kind.SILENT || kind == Kind.CLAIM) && apart(unix, said);
         if (old
                 || evidence < 0
@@ -467,12 +472,15 @@
             checking.update(bytes, from, length);
             return checking.verify(bytes, from + length, SIGNATURE);
         } catch (GeneralSecurityException bad) {
-            // What is no signature at all is not right either.
+            // A malformed signature counts as a wrong one.
             return false;
         }
     }
 
-    /** Further than clocks may be, or kept back for longer: not believed. */
+    /**
+     * Returns whether the time differs from local Unix time by more than the accepted clock
+     * difference or delay.
+     */
     private static boolean apart(Duration unix, long micros) {
         return Math.abs(micros(unix) - micros) > micros(Skew.MOST);
     }
--- a/src/main/java/dillfront/router/peers/Datagrams.java
+++ b/src/main/java/dillfront/router/peers/Datagrams.java
@@ -26,12 +26,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Gossip on a UDP socket of the router's one loop. Owns the socket, and gives it back in close().
- * One receive buffer of the largest datagram; what is longer was cut short, and fails its form.
+ * Sends and receives gossip on a UDP socket of the router's event loop. Owns the socket and closes
+ * it in {@link #close}. The receive buffer holds the largest datagram plus one byte, so a longer
+ * datagram is truncated and fails the form check.
  */
 public final class Datagrams implements Post, Codec.Reader {
 
-    /** A part of a period between two looks at the clock. */
+    /** Timer runs per gossip period. */
     private static final int LOOKS = 10;
 
     private final Tuning tuning;
@@ -54,49 +55,54 @@
     private long noAddress;
     private boolean closed;
 
-    /** Null where none is told. */
+    /** Null if in-doubt keys and closed nodes are not exchanged. */
     private Telling telling;
 
     private final InetSocketAddress bind;
 
-    /** Unlike any other of this instance, but for two in one second: never 0. */
+    /** Identifies this run of the instance; never 0. Two starts within one second share it. */
     private final int life;
 
-    /** Keys in doubt: what this instance tells, and where others' words go. */
+    /**
+     * Source of the restrictions sent to peers, and receiver of theirs: in-doubt keys and closed
+     * nodes.
+     */
     public interface Telling {
 
-        /** Changes with what there is to tell. */
+        /** Returns a number that changes with the own in-doubt keys. */
         long version();
 
         long[] own(int mostParts);
 
-        /** What an instance told in its life before this one; null where nothing is known. */
+        /**
+         * Returns the in-doubt keys that a peer sent in its previous run; null if none are known.
+         */
         long[] before(int peer);
 
-        /** Which life of an instance has last told something; 0 where none has. */
+        /** Returns the run that a peer last sent in-doubt keys for; 0 if there is none. */
         int life(int peer);
 
         void says(int peer, int life, long[] digest);
 
         void echoes(int peer, long[] digest);
 
-        /** Changes with what the lists have closed. */
+        /** Returns a number that changes with the closed nodes. */
         long closedVersion();
 
-        /** That, three numbers each, the latest of so many. */
+        /** Returns three numbers for each of the latest closed nodes, as many as fit. */
         long[] closed(int mostParts);
 
         void closes(int peer, long[] words);
     }
 
-    /** What one other instance was told of keys in doubt, in this life of it. */
+    /** What was sent to one peer in its current run. */
     private static final class Told {
         int life;
         long version = -1;
         Duration at;
         boolean empty;
 
-        /** How often it is still told what it said in an earlier life. */
+        /** How often the in-doubt keys of the peer's previous run are still sent back to it. */
         int echoes;
 
         Duration echoedAt;
@@ -105,20 +111,19 @@
     }
 
     /**
-     * Datagrams get lost: so often an earlier life's word is told back, and what is in doubt is
-     * told again after so many periods.
+     * Datagrams may be lost: the keys of a previous run are sent back this many times, and the own
+     * in-doubt keys are repeated after this many periods.
      */
     private static final int ECHOES = 3;
 
     private static final int AGAIN = 10;
 
     /**
-     * @param bind where the socket is, if not at the address that others reach it by; null where it
-     *     is
-     * @param keyId of this instance's key in the ring, to which the private one belongs
-     * @param clock since the start
+     * @param bind address to bind if it differs from the advertised one; null otherwise
+     * @param keyId id of the registered key that belongs to the private key
+     * @param clock time since the start
      * @param unix Unix time
-     * @param claims takes each new claim of others and how old it is
+     * @param claims receives each new claim of a peer and its age
      */
     public Datagrams(
             Tuning tuning,
@@ -160,13 +165,15 @@
         gossip = new Gossip(tuning, ring.size(), self, 0, this, chance);
     }
 
-    /** On the loop, with its clocks set. */
+    /** Returns the protocol with its clocks set; call on the event loop. */
     public Gossip gossip() {
         at();
         return gossip;
     }
 
-    /** On the loop: opens the socket and speaks to those whose address the file tells. */
+    /**
+     * Opens the socket and contacts the peers whose address is configured; call on the event loop.
+     */
     public void open() {
         channel.config()
                 .setOption(
@@ -188,8 +195,8 @@
                             @Override
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {
-                                // A port that nobody listens on is told to the sender on loopback;
-                                // that is no fault here.
+                                // On loopback an ICMP port-unreachable error of a peer that is not
+                                // listening arrives here; it is no local fault.
                                 if (!(cause instanceof IOException)) {
                                     log.warn("gossip", "fault", cause);
                                 }
@@ -228,14 +235,14 @@
         }
     }
 
-    /** Before open(). */
+    /** Sets the restrictions to exchange; call before {@link #open}. */
     public void tells(Telling of) {
         telling = of;
     }
 
     /**
-     * One datagram a look at the most, to those in turn who lack something, as far as the budget
-     * allows.
+     * Sends restrictions to the next peer that lacks some: at most one datagram per timer run, as
+     * far as the budget allows.
      */
     private void tellDoubts() {
         for (int i = 0; i < ring.size() && telling != null; i++) {
@@ -250,8 +257,8 @@
     }
 
     /**
-     * The first word of a life goes out though there is nothing to tell: others see by it that this
-     * is another life.
+     * Sends restrictions to one peer. The first datagram of a run is sent even if it is empty,
+     * since it tells the peer that this is a new run.
      */
     private boolean tellDoubts(int peer, Told its) {
         Duration now = clock.get();
@@ -293,8 +300,8 @@
     }
 
     /**
-     * What is closed, as it changes, and again: an agent that lags does so for long. Nothing where
-     * nothing is and was.
+     * Sends the closed nodes when they change, and repeats them, since a lagging agent lags for
+     * long. Sends nothing if there are none and there were none.
      */
     private boolean tellClosed(int peer, Told its, Duration now) {
         boolean soon =
@@ -341,7 +348,7 @@
         return true;
     }
 
-    /** Says that it leaves, once, and ends. */
+    /** Announces the shutdown once and closes the socket. */
     public void close() {
         if (closed) {
             return;
@@ -354,7 +361,7 @@
         channel.close();
     }
 
-    // ---- in
+    // ---- receiving
 
     private InetSocketAddress sender;
 
@@ -376,7 +383,7 @@
             int about,
             List<Word> words) {
         read++;
-        // It is where its own fresh datagram came from.
+        // The source of a fresh signed datagram is the peer's current address.
         ring.address(from, sender);
         addressOf[from] = Math.max(addressOf[from], incarnation);
         at();
@@ -395,7 +402,7 @@
         }
     }
 
-    /** Its sender signed it just now, so it is there. */
+    /** Records that the sender is alive, since it signed the datagram just now. */
     private void heard(int from, int incarnation, Duration at) {
         read++;
         ring.address(from, sender);
@@ -435,7 +442,7 @@
         dropped[why.ordinal()]++;
     }
 
-    // ---- out
+    // ---- sending
 
     private void send(int to, Codec.Form form, int probe, int about, List<Word> words) {
         InetSocketAddress address = ring.address(to);
@@ -484,7 +491,7 @@
         claims.accept(claim, age);
     }
 
-    // ---- what is counted
+    // ---- counters
 
     public Ring ring() {
         return ring;
--- a/src/main/java/dillfront/router/peers/Drop.java
+++ b/src/main/java/dillfront/router/peers/Drop.java
@@ -1,21 +1,21 @@
 package dillfront.router.peers;
 
-/** Why a datagram or a word was not taken, in the order of the looks at it. */
+/** Reasons to drop a datagram or an update, in the order of the checks. */
 public enum Drop {
-    /** No datagram of this form: too short or long, another version, a length that does not fit. */
+    /** Malformed datagram: wrong size, other version, or a count that does not match the size. */
     FORM,
-    /** Meant for another instance, or of this one itself. */
+    /** Sent to another instance, or by this one itself. */
     NOT_MINE,
-    /** Signed by a key that nobody in the ring has now. */
+    /** Signed with a key that is not registered or not valid now. */
     KEY,
-    /** Sent at a time too far from now by both clocks. */
+    /** Send time too far from local time, by both clocks. */
     CLOCK,
-    /** Read before, or older than those that were read last. */
+    /** Received before, or older than the replay window. */
     REPLAY,
-    /** More than one sender may make this instance check a second. */
+    /** Over the limit of signature checks per second for one sender. */
     FLOOD,
-    /** The signature is not that of what was signed. */
+    /** The signature does not match the datagram. */
     SIGNATURE,
-    /** One of its words is not signed by who is said to have said it; the others count. */
+    /** An update that is not signed by its claimed origin; the other updates are still accepted. */
     WORD
 }
--- a/src/main/java/dillfront/router/peers/KeyFile.java
+++ b/src/main/java/dillfront/router/peers/KeyFile.java
@@ -6,7 +6,7 @@
 import java.security.spec.PKCS8EncodedKeySpec;
 import java.util.Base64;
 
-/** The text of a private key's file: PKCS #8 in PEM (RFC 5958, RFC 7468). */
+/** Reads and writes private key files: PKCS #8 in PEM (RFC 5958, RFC 7468). */
 public final class KeyFile {
 
     private KeyFile() {}
@@ -18,7 +18,8 @@
     }
 
     /**
-     * An Ed25519 key; throws GeneralSecurityException or IllegalArgumentException where it is none.
+     * Parses an Ed25519 key; throws GeneralSecurityException or IllegalArgumentException if the
+     * text is not one.
      */
     public static PrivateKey read(String text) throws GeneralSecurityException {
         String base64 = text.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
--- a/src/main/java/dillfront/router/peers/Neighbours.java
+++ b/src/main/java/dillfront/router/peers/Neighbours.java
@@ -16,14 +16,14 @@
 import java.util.function.Supplier;
 
 /**
- * Between the decisions and gossip: at each beat what the router sees of its nodes goes to those
- * who weigh and tell it, and what others' words are worth comes back as a doubt or a try. Nodes go
- * by a hash of their id on the wire, since each router has indices of its own. Rows are as many as
- * the router has rows for nodes.
+ * Connects the routing decisions with gossip. At each clock tick the router's own observations of
+ * its nodes are weighed against the claims of peers and published as claims; the result returns as
+ * a suspicion or an early probe. On the wire a node is identified by a hash of its id, since each
+ * router has its own indices. There are as many rows as the router has for nodes.
  */
 public final class Neighbours {
 
-    /** The decisions, as far as gossip has to do with them. */
+    /** The part of the routing decisions that gossip reads and influences. */
     public interface Decisions {
         Sight sees(int node);
 
@@ -32,7 +32,7 @@
         void better(int node);
     }
 
-    /** One node of the list. */
+    /** One listed node. */
     private static final class Row {
         final String id;
         final long key;
@@ -50,7 +50,7 @@
     private final Witness witness;
     private final Map<Long, Integer> nodes = new HashMap<>();
 
-    /** By the router's index; null where it has none now. */
+    /** By the router's node index; null for an unused index. */
     private final List<Row> rows = new ArrayList<>();
 
     private Supplier<Gossip> gossip;
@@ -62,7 +62,7 @@
         witness = new Witness(tuning);
     }
 
-    /** By whom it speaks, its clocks set. */
+    /** Sets the supplier of the gossip protocol with its clocks set. */
     public void speaksBy(Supplier<Gossip> by) {
         gossip = by;
     }
@@ -71,7 +71,7 @@
         return hearsay;
     }
 
-    /** A node of the list. */
+    /** Adds a listed node. */
     public void known(int node, String id) {
         while (rows.size() <= node) {
             rows.add(null);
@@ -84,7 +84,7 @@
         hearsay.nodes(nodes.size());
     }
 
-    /** Forgets what others claimed of this node. */
+    /** Removes a node and the claims about it. */
     public void forget(int node) {
         if (node < rows.size() && rows.get(node) != null) {
             nodes.remove(rows.get(node).key);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The clock's beat. */
+    /** Runs at each clock tick. */
     public void beat(Duration clock) {
         now = clock;
         hearsay.at(now);
@@ -120,10 +120,7 @@
         hearsay.woken();
     }
 
-    /**
-     * A new claim of another instance. Of nodes that this router does not know it passes nothing
-     * on.
-     */
+    /** Handles a new claim of a peer. Claims about unknown nodes are not forwarded. */
     public void claimed(Word word, Duration age, Duration clock) {
         Integer node = nodes.get(word.subject());
         if (node == null) {
@@ -141,8 +138,8 @@
     private void weigh(int node) {
         Row row = rows.get(node);
         boolean doubts = hearsay.doubted(node);
-        // Said again at each beat: the node's own answer has ended it meanwhile, unless the doubt
-        // is newer.
+        // Repeated at each tick: the node's own answer may have ended the suspicion in the
+        // meantime, unless the claims are newer.
         if (doubts || row.doubted) {
             decisions.doubted(node, doubts);
         }
@@ -154,7 +151,7 @@
         row.better = better;
     }
 
-    /** Each node that is known, by its id and its index. */
+    /** Calls back with the id and index of each known node. */
     public void nodes(BiConsumer<String, Integer> each) {
         for (int node = 0; node < rows.size(); node++) {
             if (rows.get(node) != null) {
@@ -163,7 +160,7 @@
         }
     }
 
-    /** Whether hearsay doubts it now. */
+    /** Returns whether the claims of peers make the node suspected. */
     public boolean doubts(int node) {
         return node < rows.size() && rows.get(node) != null && rows.get(node).doubted;
     }
--- a/src/main/java/dillfront/router/peers/Ring.java
+++ b/src/main/java/dillfront/router/peers/Ring.java
@@ -16,23 +16,27 @@
 import java.util.Map;
 
 /**
- * Who may speak, and by which keys. An instance has one name and any number of keys at once, each
- * good from one Unix time to another, so that keys change in service: the new one is made known
- * first, then used, then the old one ends. Indices run in the order of the file; the table is as
- * long as that.
+ * Registry of the instances that may take part in gossip, with their keys and addresses. An
+ * instance has one name and any number of keys, each valid from one Unix time to another, so that
+ * keys can be rotated in service: the new key is distributed, then used, then the old one expires.
+ * Indices follow the order in the operator's file and are below {@link #size}.
  */
 public final class Ring {
 
-    /** An Ed25519 key as X.509 writes it is this and 32 bytes (RFC 8410, section 4). */
+    /**
+     * Prefix of an Ed25519 public key in X.509 form, followed by its 32 bytes (RFC 8410, section
+     * 4).
+     */
     private static final byte[] X509 = HexFormat.of().parseHex("302a300506032b6570032100");
 
     private static final int KEY_BYTES = 32;
 
     /**
-     * One key of an instance.
+     * One public key of an instance.
      *
-     * @param id what names it on the wire: the first 8 bytes of its SHA-256
-     * @param from Unix time from which it counts, and until which
+     * @param id key id on the wire: the first 8 bytes of the key's SHA-256
+     * @param from Unix time from which the key is valid
+     * @param until Unix time from which the key is no longer valid
      */
     public record Key(int peer, long id, PublicKey key, Duration from, Duration until) {}
 
@@ -44,8 +48,8 @@
     /**
      * Adds an instance.
      *
-     * @param address where it listens, or null where that is learnt
-     * @return its index
+     * @param address listen address, or null if it is to be learned from datagrams
+     * @return the instance's index
      */
     public int add(String name, InetSocketAddress address) throws BadRing {
         if (peers.putIfAbsent(hash(name), names.size()) != null) {
@@ -57,6 +61,8 @@
     }
 
     /**
+     * Adds a key to an instance.
+     *
      * @param hex the 32 bytes of an Ed25519 public key, as `dillfront keygen` prints them
      */
     public void key(int peer, String hex, Duration from, Duration until) throws BadRing {
@@ -82,12 +88,12 @@
             throw new BadRing(
                     "a key of peer '"
                             + names.get(peer)
-                            + "' is no Ed25519 key: "
+                            + "' is not an Ed25519 public key: "
                             + bad.getMessage());
         }
     }
 
-    /** The 32 bytes of a public key, as `dillfront keygen` prints them. */
+    /** Returns the 32 bytes of a public key, as `dillfront keygen` prints them. */
     public static byte[] raw(PublicKey key) {
         byte[] x509 = key.getEncoded();
         return java.util.Arrays.copyOfRange(x509, x509.length - KEY_BYTES, x509.length);
@@ -97,7 +103,7 @@
         return first(raw);
     }
 
-    /** What stands for a name on the wire: the first 8 bytes of its SHA-256. */
+    /** Returns the hash that stands for a name on the wire: the first 8 bytes of its SHA-256. */
     public static long hash(String name) {
         return first(name.getBytes(StandardCharsets.UTF_8));
     }
@@ -110,7 +116,7 @@
         }
     }
 
-    /** Whether this is one of a peer's keys, whenever it counts. */
+    /** Returns whether this is one of the peer's keys, regardless of its validity. */
     public boolean has(int peer, String hex) {
         for (Key key : keys.values()) {
             if (key.peer == peer && HexFormat.of().formatHex(raw(key.key)).equalsIgnoreCase(hex)) {
@@ -120,7 +126,7 @@
         return false;
     }
 
-    /** Whether the private key is the one that belongs to this public one. */
+    /** Returns whether the private key belongs to this registered public key. */
     public boolean pair(java.security.PrivateKey mine, String hex) {
         try {
             Key key = keys.get(id(HexFormat.of().parseHex(hex)));
@@ -148,17 +154,17 @@
         return addresses.get(peer);
     }
 
-    /** Learnt from its own signed word. */
+    /** Sets the address learned from a signed datagram or update of the peer. */
     void address(int peer, InetSocketAddress address) {
         addresses.set(peer, address);
     }
 
-    /** -1 where nobody is called so. */
+    /** Returns the index of the instance whose name has this hash, or -1 if there is none. */
     public int peer(long nameHash) {
         return peers.getOrDefault(nameHash, -1);
     }
 
-    /** Null where there is none of this id that counts at this Unix time. */
+    /** Returns the key of this id that is valid at this Unix time, or null if there is none. */
     public Key key(long id, Duration unix) {
         Key key = keys.get(id);
         return key == null || unix.compareTo(key.from) < 0 || unix.compareTo(key.until) >= 0
@@ -166,7 +172,7 @@
                 : key;
     }
 
-    /** What is wrong with a ring, for the operator. */
+    /** Reports an invalid peer entry to the operator. */
     public static final class BadRing extends Exception {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/dillfront/router/peers/Standing.java
+++ b/src/main/java/dillfront/router/peers/Standing.java
@@ -12,14 +12,14 @@
 import java.util.Locale;
 
 /**
- * What an instance thinks of its peers, and of the nodes by hearsay, to be read by people or
- * programs.
+ * Formats the state of peers, and of the nodes that peers have made claims about, as a table or as
+ * JSON.
  */
 public final class Standing {
 
     private Standing() {}
 
-    /** One name and its number, in the order in which they are shown. */
+    /** A counter's name and value, in display order. */
     private record Count(String name, long number) {}
 
     private static List<Count> counts(Datagrams datagrams, Hearsay hearsay) {
@@ -46,7 +46,7 @@
         return counts;
     }
 
-    /** A table: peers, then nodes on which others have a word, then counts since the start. */
+    /** Returns a table: peers, then nodes with claims of peers, then counters since the start. */
     public static String table(Datagrams datagrams, Neighbours neighbours) {
         Ring ring = datagrams.ring();
         Members members = datagrams.gossip().members();
@@ -97,7 +97,7 @@
         return out.toString();
     }
 
-    /** The same as one JSON object: peers, nodes, ill, counts. */
+    /** Returns the same as one JSON object: peers, nodes, ill, counts. */
     public static String json(Datagrams datagrams, Neighbours neighbours) {
         Ring ring = datagrams.ring();
         Members members = datagrams.gossip().members();
--- a/src/main/java/dillfront/router/peers/Telling.java
+++ b/src/main/java/dillfront/router/peers/Telling.java
@@ -11,23 +11,23 @@
 import java.util.function.Supplier;
 
 /**
- * Between what restricts here, keys in doubt and closed nodes, and the datagrams that tell others
- * of it and bring theirs.
+ * Connects the local restrictions, in-doubt keys and closed nodes, with the datagrams that exchange
+ * them with peers.
  */
 public final class Telling implements Datagrams.Telling {
 
-    /** The lists, as far as others are told of them. */
+    /** The member lists, as far as they are exchanged with peers. */
     public interface Lists {
         long closedVersion();
 
-        /** By the ids of nodes: generation and start, the latest last. */
+        /** Returns generation and start time by node id, the latest last. */
         Map<String, long[]> closed();
 
-        /** Something was said of what others' lists have closed. */
+        /** Called when a peer has reported the nodes closed by its lists. */
         void witnessed(Witnesses witnesses);
     }
 
-    /** Null where they are not kept in mind. */
+    /** Null if in-doubt keys are not tracked. */
     private final Doubts doubts;
 
     private final Others others;
@@ -36,7 +36,8 @@
     private final Supplier<Duration> clock;
 
     /**
-     * @param doubts and others null where they are not kept in mind
+     * @param doubts null if in-doubt keys are not tracked
+     * @param others null if in-doubt keys are not tracked
      */
     public Telling(
             Doubts doubts,
--- a/src/main/java/dillfront/router/peers/Window.java
+++ b/src/main/java/dillfront/router/peers/Window.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * Which datagrams of each sender have been read, and how many a second may be looked at. A
- * datagram's number rises from its sender's start on; those that come late count once, if they are
- * not much older than the latest (RFC 4303, appendix A2). A sender that was not heard for a while
- * begins anew: what is older than that while is refused by its time.
+ * Detects replayed datagrams and limits signature checks, per sender. Sequence numbers rise from
+ * the sender's start on; a late datagram is accepted once if its number is not much below the
+ * highest one (RFC 4303, appendix A2). The window of a sender that was silent for 90 s is reset;
+ * older datagrams are then rejected by their send time.
  */
 final class Window {
 
     private static final int LATE = 64;
     private static final Duration FORGOTTEN = Duration.ofSeconds(90);
 
-    /** Checks of signatures for one sender, a second, and saved up at the most. */
+    /** Signature checks per second for one sender, and the burst size. */
     private static final double CHECKS = 40;
 
     private static final double CHECKS_SAVED = 120;
@@ -35,7 +35,10 @@
         Arrays.fill(checks, CHECKS_SAVED);
     }
 
-    /** Whether this one may be new. Nothing is remembered before its signature was found right. */
+    /**
+     * Returns whether a datagram may be new. Nothing is recorded before its signature has been
+     * verified.
+     */
     boolean mayBeNew(int peer, long number, Duration now) {
         if (highest[peer] < 0
                 || now.toNanos() - heardAt[peer] > FORGOTTEN.toNanos()
@@ -61,8 +64,8 @@
     }
 
     /**
-     * Guards against a router that does nothing but check signatures: who names himself as a peer
-     * costs only its share.
+     * Limits the checks per claimed sender, so that forged datagrams in one peer's name exhaust
+     * only that peer's share and not the CPU of this router.
      */
     boolean mayCheck(int peer, Duration now) {
         double seconds = (now.toNanos() - filledAt[peer]) / 1e9;
--- a/src/main/java/dillfront/router/peers/package-info.java
+++ b/src/main/java/dillfront/router/peers/package-info.java
@@ -1,2 +1,2 @@
-/** Gossip over UDP: keys, datagrams, and what joins it to the decisions. */
+/** Gossip over UDP: keys, datagrams, and the connection with the routing decisions. */
 package dillfront.router.peers;
