--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -18,29 +18,29 @@
 import java.util.function.Consumer;
 
 /**
- * What a router keeps for its next life, on a disk that lasts: the words of the lists that closed
- * nodes, who led each group, and the referenced txns that may have run. It restricts and never
- * permits.
+ * Stores the state that a router needs after a restart: the list entries that closed nodes, the
+ * primary of each group, and the referenced transactions that may have run. Restored state only
+ * restricts and never permits.
  *
- * <p>Words wait for nobody: one that was not kept when the power went is heard again from
- * discovery, or is as unknown as without a memory. Txns are kept before they are sent: {@link
- * #whenKept} tells when.
+ * <p>Closings and primaries are written asynchronously: an entry lost in a power loss is received
+ * again from discovery, or is unknown as it would be without a store. Transactions are stored
+ * before they are sent; {@link #whenKept} reports when.
  *
- * <p>A thread of its own writes, what has come meanwhile at once; what changes faster than the disk
- * takes it is folded, so that no more waits than there are nodes and txns. A disk that fails is
- * said once, and what waits is written again, at a gap, until it takes it. Meanwhile no txn is
- * kept, and {@link #able} says so.
+ * <p>A dedicated thread writes all pending changes in one batch; repeated changes of the same entry
+ * are merged, so that the pending ones are bounded by the number of nodes and transactions. A disk
+ * failure is logged once, and the pending changes are retried at an interval until a write
+ * succeeds. Meanwhile no transaction is stored, and {@link #able} returns false.
  */
 public final class Memory implements Closings.Keeper, Doubts.Keeper {
 
-    /** One word that closed a node. */
+    /** The list entry that closed a node. */
     public record Closing(String id, Standing standing, long startedMs, long generation) {
 
         String text() {
             return standing + " " + startedMs + " " + generation;
         }
 
-        /** Null where it is no such text. */
+        /** Returns null if the text is malformed. */
         static Closing read(String id, String text) {
             String[] parts = text.split(" ");
             try {
@@ -57,25 +57,25 @@
         }
     }
 
-    /** Names of texts: the first character tells what it is of. */
+    /** Prefixes of entry names. */
     private static final String CLOSED = "c";
 
     private static final String LED = "l";
 
     /**
-     * The end waits so long for what is not written yet; after that it is lost, as in a loss of
-     * power.
+     * Time to wait for pending writes when closing; entries not written by then are lost, as in a
+     * power loss.
      */
     private static final long LAST_MS = 1000;
 
-    /** Between two tries at a disk that fails. */
+    /** Delay between two attempts after a failed write. */
     private static final long AGAIN_MS = 250;
 
     private final Log log;
     private final Path folder;
     private final Executor loop;
 
-    /** The writer's, once it runs. */
+    /** Used by the writer thread only once that has started. */
     private final CompactingLog shelf;
 
     private final List<Closing> closings = new ArrayList<>();
@@ -84,15 +84,12 @@
     private final Thread writer;
 
     /**
-     * Not written yet: the last text of each, empty where it is to be taken out. This and what
-     * follows, under its lock.
+     * Pending texts by name, empty to remove an entry. This field and the following ones are
+     * guarded by its lock.
      */
     private final Map<String, String> waiting = new HashMap<>();
 
-    /**
-     * Not written yet: with the Unix time for people who look into the file; null where it is to be
-     * taken out.
-     */
+    /** Pending keys with their Unix time, which is informational only; null to remove a key. */
     private final Map<Long, Long> numbers = new HashMap<>();
 
     private final List<Consumer<Boolean>> told = new ArrayList<>();
@@ -127,11 +124,11 @@
     }
 
     /**
-     * Opens the folder for the router of this name, or says why it must not. What is broken is set
-     * aside and named in the log, and what was before it holds: a router without a memory is as
-     * careful as any, and after a loss of power it is needed.
+     * Opens the folder for the router of this name, or reports why it cannot be used. A damaged
+     * part is set aside and logged, and the records before it are kept: a router without a store is
+     * as cautious as any, and it must be able to start after a power loss.
      *
-     * @param loop where it is told that something was kept
+     * @param loop executor for the callbacks of {@link #whenKept}
      */
     public static Memory open(Path folder, String name, Log log, Executor loop)
             throws Operator.BadOperator {
@@ -167,17 +164,17 @@
         return memory;
     }
 
-    /** What was remembered when it was opened. */
+    /** Returns the closings stored at the time of opening. */
     public List<Closing> closings() {
         return List.copyOf(closings);
     }
 
-    /** By group, the id of the node that led it last, when it was opened. */
+    /** Returns the id of the last primary by group, stored at the time of opening. */
     public Map<Integer, String> leaders() {
         return Map.copyOf(leaders);
     }
 
-    /** The keys that were kept when it was opened. */
+    /** Returns the transaction keys stored at the time of opening. */
     public Set<Long> doubts() {
         return doubts;
     }
@@ -216,7 +213,10 @@
         }
     }
 
-    /** It waits for the next change, so that a txn costs one sync and not two. */
+    /**
+     * Removes a key together with the next other change, so that a transaction costs one sync and
+     * not two.
+     */
     @Override
     public void drop(long key) {
         synchronized (waiting) {
@@ -225,8 +225,8 @@
     }
 
     /**
-     * Tells on the loop once all that came before is on the disk, or, with false, that the disk
-     * does not take it.
+     * Calls back on the loop once all earlier changes are on disk, or with false if the disk does
+     * not accept them.
      */
     public void whenKept(Consumer<Boolean> then) {
         synchronized (waiting) {
@@ -293,7 +293,8 @@
     }
 
     /**
-     * What was not written waits again, but for what is newer by now; false once this is closed.
+     * Queues unwritten changes again, unless newer ones are pending, and waits for the retry delay;
+     * returns false once the store is closed.
      */
     private boolean again(Map<String, String> texts, Map<Long, Long> keys) {
         synchronized (waiting) {
@@ -304,7 +305,8 @@
                             numbers.put(key, number);
                         }
                     });
-            // So that a disk which works again is found, whatever else there is to write.
+            // Forces a retry, so that a disk that works again is detected even without other
+            // changes.
             waiting.putIfAbsent("tried", "");
             List<Consumer<Boolean>> tell = new ArrayList<>(told);
             told.clear();
@@ -325,7 +327,7 @@
         }
     }
 
-    /** For the operator: names and numbers, in the order in which they are shown. */
+    /** Returns names and values for the operator, in display order. */
     public Map<String, Object> status() {
         Map<String, Object> status = new java.util.LinkedHashMap<>();
         synchronized (waiting) {
@@ -342,7 +344,7 @@
         return status;
     }
 
-    /** Writes what still waits, for a second at the most, and closes the folder. */
+    /** Writes pending changes, for at most one second, and closes the folder. */
     public void close() {
         synchronized (waiting) {
             over = true;
@@ -353,7 +355,8 @@
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
-        // Where the disk hangs, the writer still has it; the process ends without it.
+        // If the disk hangs, the writer thread still uses the log; the process exits without
+        // closing it.
         if (!writer.isAlive()) {
             shelf.close();
         }
--- a/src/main/java/dillfront/router/memory/package-info.java
+++ b/src/main/java/dillfront/router/memory/package-info.java
@@ -1,2 +1,2 @@
-/** What a router keeps on disk for its next incarnation. */
+/** State that a router keeps on disk across restarts. */
 package dillfront.router.memory;
--- a/src/main/java/dillfront/router/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/Pace.java
@@ -5,23 +5,26 @@
 import java.time.Duration;
 
 /**
- * What the router knows of its own time: how far its one thread is behind, and what it does about
- * that. A machine that gets part of a core stands still for spans that it cannot see from inside,
- * but for one sign: the clock's beat comes later than it was due. All sockets are ready at once
- * then, and what is read first must not be what came first.
+ * Measures how far the router's single event loop thread is behind schedule, and decides how the
+ * router reacts. On a machine with a share of a core the process can be paused for spans that it
+ * notices only by a clock tick that runs later than scheduled. All sockets are then ready at once,
+ * and the order of reading no longer reflects the order of arrival.
  *
- * <p>Pure: times are spans since the start and come with each call; nothing here reads a clock, a
- * socket or a chance. The caller says when the next beat is due, and that it has come; in between,
- * a beat that is overdue tells how long the thread has been away by now. Decisions: how long a turn
- * takes queries, how old a query may be that has just been read, and whether a time limit that ran
- * meanwhile is to be believed.
+ * <p>Pure: times are durations since the start and come with each call; the class reads no clock,
+ * socket or random source. The caller reports when the next tick is due and when it has run; in
+ * between, an overdue tick shows how long the thread has been blocked so far. The class decides how
+ * long a turn handles queries, how old a query just read may be, and whether an expired time limit
+ * is valid.
  */
 public final class Pace {
 
-    /** A turn takes queries for this many steps of the clock, then looks at the sockets again. */
+    /** Duration of a turn in clock steps; the sockets are polled again after that. */
     private static final double TURN = 1;
 
-    /** Up to so many steps a beat is late by the timer's own grain: that is no delay. */
+    /**
+     * Delay of a tick, in clock steps, that is within the timer's resolution and does not count as
+     * lag.
+     */
     private static final double GRAIN = 1;
 
     private Duration turn;
@@ -32,24 +35,24 @@
     private boolean cameLate;
 
     /**
-     * @param step the clock's step, the shortest time that the router counts with
+     * @param step the clock step, the shortest time that the router distinguishes
      */
     public Pace(Duration step) {
         step(step);
     }
 
-    /** The clock has another step from now on. */
+    /** Changes the clock step. */
     public void step(Duration step) {
         turn = times(step, TURN);
         grain = times(step, GRAIN);
     }
 
-    /** The next beat is to come then. */
+    /** Sets the time at which the next tick is due. */
     public void expect(Duration when) {
         due = when;
     }
 
-    /** The beat has come. */
+    /** Records that the tick has run. */
     public void came(Duration now) {
         Duration lag = lag(now);
         cameLate = !lag.isZero();
@@ -61,8 +64,8 @@
     }
 
     /**
-     * By how much the thread is late at this moment; zero while it is on time, by the timer's
-     * grain.
+     * Returns how late the thread is at this moment; zero while it is within the timer's
+     * resolution.
      */
     public Duration lag(Duration now) {
         if (due == null) {
@@ -73,20 +76,20 @@
     }
 
     /**
-     * Whether what the sockets held a beat ago has been read: the last beat came on time, which it
-     * does after a look at all sockets, and the next is not overdue. Where it is not sure, the news
-     * are read by themselves before a send.
+     * Returns whether everything that the sockets held one tick ago has been read: the last tick
+     * ran on time, which it does after a poll of all sockets, and the next one is not overdue.
+     * Otherwise the sockets are polled once more before a send.
      */
     public boolean sure(Duration now) {
         return due != null && !cameLate && lag(now).isZero();
     }
 
-    /** All the time since the start for which the thread was late; never falls. */
+    /** Returns the total lag since the start; never decreases. */
     public Duration behind(Duration now) {
         return behind.plus(lag(now));
     }
 
-    /** The longest delay since this was last asked. */
+    /** Returns the longest lag since the last call. */
     public Duration longest() {
         Duration was = longest;
         longest = Duration.ZERO;
@@ -94,29 +97,29 @@
     }
 
     /**
-     * How long ago a query that has just been read may have come: it lay in its socket while the
-     * thread was away. The longest that can be, since an answer after the client's time is no
-     * answer.
+     * Returns the maximum age of a query that has just been read, since it may have waited in its
+     * socket while the thread was blocked. The maximum is used because an answer after the client's
+     * time limit is useless.
      */
     public Duration age(Duration now) {
         return lag(now);
     }
 
     /**
-     * Whether a turn that began then takes one more query. Guards against a backlog of clients that
-     * keeps the news of the list, and answers that have come, unread: between two turns all sockets
-     * are looked at.
+     * Returns whether a turn may handle one more query. The limit ensures that a backlog of clients
+     * does not delay the reading of list updates and answers: all sockets are polled between two
+     * turns.
      */
     public boolean takesMore(Duration began, Duration now) {
         return now.minus(began).compareTo(turn) < 0;
     }
 
     /**
-     * Whether a time limit that has run out is believed. Not if the thread was behind since the
-     * limit was set: the answer may lie unread, so the sockets are looked at once more. Guards
-     * against nodes blamed for the router's own pause.
+     * Returns whether an expired time limit is valid. It is not if the thread was late since the
+     * limit was set: the answer may be waiting unread, so the sockets are polled once more.
+     * Otherwise nodes would be blamed for the router's own pause.
      *
-     * @param behindThen what behind() was when the limit was set
+     * @param behindThen total lag at the time when the limit was set
      */
     public boolean believes(Duration behindThen, Duration now) {
         return behind(now).compareTo(behindThen) <= 0;
--- a/src/main/java/dillfront/router/pace/package-info.java
+++ b/src/main/java/dillfront/router/pace/package-info.java
@@ -1,2 +1,2 @@
-/** What a router knows of its own delay. */
+/** Measurement of the router's own event loop delay. */
 package dillfront.router.pace;
--- a/src/main/java/dillfront/router/recovery/Digest.java
+++ b/src/main/java/dillfront/router/recovery/Digest.java
@@ -9,23 +9,23 @@
 import org.apache.commons.collections4.bloomfilter.SimpleBloomFilter;
 
 /**
- * Keys in doubt as one instance tells them to others: a Bloom filter, so that its size is bounded
- * whatever there is to tell, and nobody reads keys out of it. It may hold a key that was never put
- * in, in one of 10,000 cases; what it holds restricts alone.
+ * Bloom filter of the in-doubt keys of one instance, sent to its peers. Its size is bounded
+ * regardless of the number of keys, and the keys cannot be read from it. A false positive (one in
+ * 10,000 keys) only restricts a write.
  */
 public final class Digest {
 
     /**
-     * So many bits a key and so many of them set: one in 10,000 others seems to be there (Bloom
-     * 1970; m/n = 20, k = 14).
+     * Bits per key, and bits set per key: a false positive rate of one in 10,000 (Bloom 1970; m/n =
+     * 20, k = 14).
      */
     static final int BITS = 20;
 
     private static final int SET = 14;
 
     /**
-     * One with more of its bits set was made to hold everything: an honest one has half of them at
-     * the most.
+     * Part of set bits above which a filter is rejected as forged to match every key: a valid one
+     * has at most half of its bits set.
      */
     private static final double FULL = 0.55;
 
@@ -42,16 +42,16 @@
     }
 
     private static Hasher hasher(long key) {
-        // The key is well mixed already; its halves the other way round are the step.
+        // The key is already a mixed hash; its rotated halves serve as the step.
         return new EnhancedDoubleHasher(key, Long.rotateLeft(key, 32) * 0x9E3779B97F4A7C15L);
     }
 
     /**
-     * Of these keys, as short as they need. Where there are too many, the latest: who asks again
-     * does so soon.
+     * Builds a filter as short as the keys allow. If there are too many keys the latest ones are
+     * included, since most clients retry soon.
      *
      * @param keys the latest last
-     * @param most words of 64 bits
+     * @param most maximum size in words of 64 bits
      */
     public static Digest of(Iterable<Long> keys, int most) {
         List<Long> all = new ArrayList<>();
@@ -64,7 +64,7 @@
         return new Digest(told.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
     }
 
-    /** As it was told; null where it claims more than any honest one. */
+    /** Reads a received filter; returns null if it matches more keys than a valid one can. */
     public static Digest read(long[] words) {
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(Math.max(1, words.length)));
         filter.merge(BitMapExtractor.fromBitMapArray(words));
--- a/src/main/java/dillfront/router/recovery/Doubts.java
+++ b/src/main/java/dillfront/router/recovery/Doubts.java
@@ -7,76 +7,78 @@
 import java.util.Map;
 
 /**
- * The referenced txns that may have run and of which nobody knows whether they did, by group and
- * idempotency key. A client that asks again comes with a new id and the same key: by the id alone
- * it would be a new txn, and past the set's window it would have its effect twice. What is here
- * says since when it may have run; {@link dillfront.routing.Decide} then sends it only within the
- * window, and answers it with what promises nothing after that.
+ * Tracks the referenced transactions that may have run with unknown outcome, by group and
+ * idempotency key. A client that retries sends a new id with the same key: by the id alone the
+ * retry would count as a new transaction and, after the deduplication window, take effect twice. An
+ * entry holds the time since which the transaction may have run; {@link dillfront.routing.Decide}
+ * then sends a retry only within the window, and afterwards answers that the outcome is uncertain.
  *
- * <p>What an earlier life or another router tells has no time that could be trusted, since no clock
- * counts an outage: it may have run at any time, so its window counts as over. It restricts and
- * never permits.
+ * <p>An entry from an earlier run or from another router has no usable time, since no clock covers
+ * an outage: the transaction may have run at any time, so its window counts as over. Such an entry
+ * only restricts and never permits.
  *
- * <p>A key is kept from before its first send until it is known that it never ran, or until its
- * client has its answer; in doubt it is kept for as long as clients may come again, and bounded in
- * number: what finds no room is not taken at all. Guards against a write that is applied twice,
- * across a restart too where a {@link Keeper} remembers. Harm: a client whose txn never ran in
- * truth gets no write through by that key for as long as it is kept; it has to read, and ask by a
- * new one.
+ * <p>A key is kept from before its first send until it is known that the transaction never ran, or
+ * until its client has the answer. A key in doubt is kept for as long as clients may retry. The
+ * number of keys is bounded: a transaction that finds no room is rejected. This prevents a write
+ * from being applied twice, across restarts as well if a {@link Keeper} stores the keys. Its cost:
+ * if the transaction never ran, its client cannot write with that key for as long as the key is
+ * kept; it has to read the state and retry with a new key.
  *
- * <p>Pure: no clock, no I/O. Once-only txns carry no key and cannot be told apart here; they are
+ * <p>Pure: no clock, no I/O. Once-only transactions carry no key and are not tracked here; they are
  * sent once by their id alone.
  */
 public final class Doubts {
 
-    /** It may have run at any time before this life: older than any window, with room for sums. */
+    /**
+     * Stands for a start time before this run: older than any window, with headroom for additions.
+     */
     public static final Duration LONG_AGO = Duration.ofSeconds(Long.MIN_VALUE / 8);
 
-    /** Who remembers for a later life. */
+    /** Stores keys for a later run. */
     public interface Keeper {
 
-        /** Whether it can keep anything now. */
+        /** Returns whether keys can be stored now. */
         boolean able();
 
-        /** To be kept before the send that follows. */
+        /** Stores a key before the send that follows. */
         void keep(long key);
 
-        /** Whenever it suits. */
+        /** Removes a key at any later time. */
         void drop(long key);
     }
 
     /**
-     * @param most keys at once
-     * @param keeps for how long a client may come again with the same key
+     * @param most maximum number of keys
+     * @param keeps how long a client may retry with the same key
      */
     public record Bounds(int most, Duration keeps) {}
 
     private static final class Row {
-        /** Txns of this key that are here, and submissions of theirs that are out. */
+        /** Open transactions of this key, and their submissions in flight. */
         int here;
 
         int out;
 
         /**
-         * Since when it may have run, if an ending has not told otherwise; null where none is known
-         * to be sent.
+         * Time since which the transaction may have run; null if no submission is known to have
+         * been sent.
          */
         Duration since;
 
-        /** Some submission ended without telling. */
+        /** Whether some submission ended with an unknown outcome. */
         boolean doubt;
 
-        /** When it was last doubted. */
+        /** Time at which the key was last put in doubt. */
         Duration at;
     }
 
     private final Bounds bounds;
     private final Keeper keeper;
 
-    /** Those with a txn here; emptied as txns end. */
+    /** Keys with an open transaction; removed when their transactions end. */
     private final Map<Long, Row> open = new HashMap<>();
 
-    /** Those in doubt with none here, the longest doubted first; emptied as their time is over. */
+    /** Keys in doubt without an open transaction, the oldest first; removed when they expire. */
     private final LinkedHashMap<Long, Row> kept = new LinkedHashMap<>();
 
     private long version;
@@ -85,14 +87,17 @@
     private long settled;
 
     /**
-     * @param keeper null where nobody remembers
+     * @param keeper null if keys are not stored
      */
     public Doubts(Bounds bounds, Keeper keeper) {
         this.bounds = bounds;
         this.keeper = keeper;
     }
 
-    /** What stands for a group and a key; a clash would hold back a write, and let none through. */
+    /**
+     * Returns the hash of a group and an idempotency key. A collision can hold back a write, but
+     * never permits one.
+     */
     public static long key(int group, long mark) {
         long x = mark + group * 0x9E3779B97F4A7C15L;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
@@ -100,7 +105,10 @@
         return x ^ x >>> 31;
     }
 
-    /** From an earlier life: in doubt from the start on, for as long as one of this life is. */
+    /**
+     * Adds a key stored by an earlier run. It is in doubt from the start of this run, for as long
+     * as a key of this run would be.
+     */
     public void recall(long key, Duration now) {
         if (size() < bounds.most) {
             Row row = new Row();
@@ -112,13 +120,14 @@
         }
     }
 
-    /** A txn of this key is to be taken; false where there is no room for it, and nothing was. */
+    /** Opens a transaction of this key; returns false, without any effect, if there is no room. */
     public boolean take(long key, Duration now) {
         expire(now);
         Row row = open.get(key);
         row = row == null ? kept.get(key) : row;
         boolean known = row != null && row.since != null;
-        // What cannot be kept is not sent: that is known before it is taken.
+        // A key that cannot be stored must not be sent, so this is checked before the transaction
+        // is accepted.
         if (row == null && size() >= bounds.most || !known && keeper != null && !keeper.able()) {
             refused++;
             return false;
@@ -134,14 +143,14 @@
     }
 
     /**
-     * Since when a txn of this key, just taken, may have run by an earlier one; null where it has
-     * not.
+     * Returns since when an earlier transaction of this key may have run, for a transaction just
+     * opened; null if none has.
      */
     public Duration ran(long key) {
         return open.get(key).since;
     }
 
-    /** A submission of it is to go. Once kept, it may. */
+    /** Records that a submission is about to be sent. It may be sent once the key is stored. */
     public void sends(long key, Duration now) {
         Row row = open.get(key);
         row.out++;
@@ -154,10 +163,11 @@
     }
 
     /**
-     * A submission ended.
+     * Records the end of a submission.
      *
-     * @param mayHaveRun by this ending
-     * @param told its client has its answer by this ending: it has run, and the client knows
+     * @param mayHaveRun whether the transaction may have run by this ending
+     * @param told whether this ending delivers the answer to the client, so that the outcome is
+     *     known
      */
     public void ended(long key, boolean mayHaveRun, boolean told) {
         Row row = open.get(key);
@@ -176,7 +186,7 @@
         }
     }
 
-    /** The txn is answered, and nothing of it is out. */
+    /** Closes a transaction that has been answered and has no submission in flight. */
     public void over(long key, Duration now) {
         Row row = open.get(key);
         if (--row.here == 0) {
@@ -189,7 +199,7 @@
         }
     }
 
-    /** Those whose time is over go. */
+    /** Removes expired keys. */
     public void expire(Duration now) {
         for (Iterator<Map.Entry<Long, Row>> first = kept.entrySet().iterator(); first.hasNext(); ) {
             Map.Entry<Long, Row> one = first.next();
@@ -204,7 +214,7 @@
         }
     }
 
-    /** Those in doubt, the latest last: what others may be told. */
+    /** Returns the keys in doubt for peers, the latest last. */
     public Iterable<Long> inDoubt() {
         return kept.keySet();
     }
@@ -217,22 +227,25 @@
         return open.size() + kept.size();
     }
 
-    /** Changes with inDoubt(). */
+    /** Returns a number that changes with {@link #inDoubt}. */
     public long version() {
         return version;
     }
 
-    /** Txns that found no room, since the start. */
+    /** Returns the transactions rejected for lack of room since the start. */
     public long refused() {
         return refused;
     }
 
-    /** Txns whose key was met here, so that they may have run before; since the start. */
+    /**
+     * Returns the transactions since the start whose key was in doubt, so that they may have run
+     * before.
+     */
     public long met() {
         return met;
     }
 
-    /** Doubts that ended as a repeat was answered, since the start. */
+    /** Returns the keys since the start whose doubt ended when a retry was answered. */
     public long settled() {
         return settled;
     }
--- a/src/main/java/dillfront/router/recovery/Groups.java
+++ b/src/main/java/dillfront/router/recovery/Groups.java
@@ -8,59 +8,63 @@
 import java.util.TreeMap;
 
 /**
- * How far each group has come back in this life, and who may be believed to lead it: one state
- * machine a group, fed by what nodes say, by silence and by lists. What an earlier life knew of who
- * led restricts: whoever leads by his own word alone, against him who led before, gets no write
- * until that one has spoken, or a bounded time is over.
+ * Tracks how far each group has recovered since this router started, and which node's claim to be
+ * primary is accepted. One state machine per group is driven by the reports of nodes, by missing
+ * answers and by member lists. The primary stored by an earlier run restricts: another node that
+ * claims to be primary by its own report alone gets no writes until the former primary has reported
+ * its role, or a bounded time has passed.
  *
- * <p>Guards against a former primary that is back first after a loss of power and still believes in
- * itself, or that an old list names: what it takes is lost to the group. Within a life {@link
- * dillfront.routing.Decide} believes the latest word, as nodes that hang must not hold a group.
- * Harm: where the one that led is gone for good, and still listed, writes of its group wait for
- * that time once, and clients are told to come back.
+ * <p>Otherwise writes could go to an outdated primary that is the first to return after a power
+ * loss, or that an old list names, and they would be lost to the group. Within a run {@link
+ * dillfront.routing.Decide} accepts the latest report, since a hung node must not block a group.
+ * Its cost: if the former primary is gone for good but still listed, writes of its group wait for
+ * that time once, and clients are told to retry later.
  *
- * <p>Pure: the caller has the clock, and feeds each word once. Rows are as many as lists name nodes
- * and groups.
+ * <p>Pure: the caller supplies the time and passes in each report once. The number of rows is
+ * bounded by the nodes and groups in the lists.
  */
 public final class Groups {
 
-    /** Each state includes those before it. */
+    /** Recovery state of a group; each state includes the conditions of those before it. */
     public enum State {
-        /** No member has answered in this life, or none does any more. */
+        /** No member has answered in this run, or none answers any more. */
         DARK,
-        /** Members answer; none is believed to lead, or several say that they do. */
+        /** Members answer, but no primary is accepted, or several members claim the role. */
         CONTESTED,
-        /** One leads, by its own word. */
+        /** One member is primary by its own report. */
         KNOWN,
-        /** And a replica has all that was committed before this life began; or there is none. */
+        /**
+         * A replica has replayed everything committed before this run began, or the group has no
+         * replica.
+         */
         COVERED,
-        /** And each member is there and warm. */
+        /** All members answer and are warm. */
         WARM
     }
 
-    /** What this life began with, as far as can be told. */
+    /** Scope of the outage before this run, as far as it can be told. */
     public enum Loss {
-        /** Too little is known. */
+        /** Not enough is known. */
         UNSURE,
-        /** This router alone: most nodes run as they did. */
+        /** Only this router restarted; most nodes kept running. */
         ROUTER,
-        /** Most nodes began when this router did, or later. */
+        /** Most nodes started when this router did, or later. */
         ALL,
-        /** Nodes answer as ever, discovery does not. */
+        /** Nodes answer as usual, but discovery does not. */
         DISCOVERY
     }
 
-    /** Who hears of changes. */
+    /** Receives state changes. */
     public interface Listener {
         void changed(int group, State from, State to);
 
-        /** This node leads its group now, by its own word; to be remembered. */
+        /** Reports the node that now leads its group by its own report, to be stored. */
         void leads(int group, String node);
     }
 
     /**
-     * So long, in dial time-outs, the one that led before may take to speak once another has
-     * claimed its place.
+     * Time, in dial timeouts, for which the former primary may still report after another node has
+     * claimed its role.
      */
     private static final int AWAITED_DIALS = 8;
 
@@ -86,22 +90,25 @@
     private static final class Place {
         State state = State.DARK;
 
-        /** Who led in an earlier life; null once that is settled, one way or the other. */
+        /**
+         * Primary stored by an earlier run; null once it has reported another role or its
+         * precedence has ended.
+         */
         String former;
 
         /**
-         * He leads by his own word in this life too: against him others' claims count only once he
-         * has gone silent.
+         * Whether the former primary has reported the role in this run as well; the claims of other
+         * nodes then count only once it no longer answers.
          */
         boolean confirmed;
 
         /**
-         * When another than he first claimed the place; while nobody does, no time runs against
-         * him.
+         * Time of the first claim by another node; the waiting time for the former primary starts
+         * only then.
          */
         Duration claimedAt;
 
-        /** Who was last told of as leading. */
+        /** Node last reported as primary. */
         String leader;
 
         final List<Row> members = new ArrayList<>();
@@ -112,7 +119,7 @@
     private Duration awaited;
     private Duration coldFor;
 
-    /** By the router's index; null where it has none now. */
+    /** By the router's node index; null for an unused index. */
     private final List<Row> rows = new ArrayList<>();
 
     private final Map<Integer, Place> places = new TreeMap<>();
@@ -120,7 +127,7 @@
     private long held;
 
     /**
-     * @param began when this life did
+     * @param began start of this run
      */
     public Groups(Duration began, Duration dial, Duration coldFor, Listener listener) {
         this.began = began;
@@ -128,7 +135,7 @@
         settings(dial, coldFor);
     }
 
-    /** By these from now on. */
+    /** Applies changed settings. */
     public void settings(Duration dial, Duration cold) {
         awaited = dial.multipliedBy(AWAITED_DIALS);
         coldFor = cold;
@@ -138,16 +145,16 @@
         return places.computeIfAbsent(group, k -> new Place());
     }
 
-    /** In an earlier life this node led its group. */
+    /** Sets the primary of a group as stored by an earlier run. */
     public void recall(int group, String id) {
         place(group).former = id;
         place(group).leader = id;
     }
 
-    // ---- what lists say
+    // ---- member lists
 
     /**
-     * @param started null for long ago
+     * @param started null if the node started long ago
      */
     public void listed(int node, String id, int group, Duration started, boolean ready) {
         while (rows.size() <= node) {
@@ -168,7 +175,7 @@
         }
     }
 
-    /** Forgets a node that no list names any more. */
+    /** Removes a node that is no longer in any list. */
     public void forget(int node) {
         if (node < rows.size() && rows.get(node) != null) {
             place(rows.get(node).group).members.remove(rows.get(node));
@@ -176,14 +183,17 @@
         }
     }
 
-    /** Discovery tells its lists, or does not. */
+    /** Sets whether discovery delivers its lists. */
     public void discovery(boolean there) {
         discovery = there;
     }
 
-    // ---- what nodes say
+    // ---- node reports
 
-    /** A node answered; what it says of its role and its position, null where it does not. */
+    /**
+     * Handles an answer of a node, with the role and the replay position that it reports; null if
+     * it reports none.
+     */
     public void heard(int node, Role role, Duration position, Duration now) {
         Row row = node < rows.size() ? rows.get(node) : null;
         if (row == null) {
@@ -197,7 +207,7 @@
         }
         Place place = place(row.group);
         if (row.id.equals(place.former) && role != null) {
-            // He has spoken: what he says now counts, and no longer what was.
+            // The former primary has reported, so its present role replaces the stored one.
             place.confirmed = role == Role.PRIMARY;
             place.former = place.confirmed ? place.former : null;
         } else if (role == Role.PRIMARY && place.former != null && place.claimedAt == null) {
@@ -205,7 +215,7 @@
         }
     }
 
-    /** It was asked, and did not answer. */
+    /** Handles a missing answer. */
     public void silent(int node) {
         Row row = node < rows.size() ? rows.get(node) : null;
         if (row != null) {
@@ -214,9 +224,10 @@
     }
 
     /**
-     * Whether this node's word that it leads counts, as far as it is known who led before. His
-     * silence tells nothing until he has spoken: where power comes back, he may be the last to be
-     * there. Once he has said that he leads, it ends what is known of him.
+     * Returns whether the node's claim to be primary is accepted against the stored former primary.
+     * A former primary that has not reported yet may be the last to return after a power loss, so
+     * its missing answers do not count. Once it has reported as primary, missing answers end its
+     * precedence.
      */
     public boolean mayLead(int node, Duration now) {
         Row row = node < rows.size() ? rows.get(node) : null;
@@ -245,16 +256,16 @@
         return false;
     }
 
-    /** Whether a write may go to this node: not to one that may not lead. */
+    /** Returns whether a write may be sent to this node; counts the writes that may not. */
     public boolean mayWrite(int node, Duration now) {
         boolean may = mayLead(node, now);
         held += may ? 0 : 1;
         return may;
     }
 
-    // ---- the beat
+    // ---- clock
 
-    /** Advances the state of each group by what is known now. */
+    /** Updates the state of each group. */
     public void beat(Duration now) {
         places.forEach(
                 (group, place) -> {
@@ -313,9 +324,9 @@
         return row.started != null && row.started.plus(coldFor).compareTo(now) > 0;
     }
 
-    // ---- what may be asked
+    // ---- status
 
-    /** The state of each group, by its number. */
+    /** Returns the state of each group by its number. */
     public Map<Integer, State> states() {
         Map<Integer, State> states = new TreeMap<>();
         places.forEach(
@@ -327,7 +338,7 @@
         return states;
     }
 
-    /** Who is known to lead each group, or to have led it last. */
+    /** Returns the known or last known primary of each group. */
     public List<String> leaders() {
         List<String> leaders = new ArrayList<>();
         places.forEach(
@@ -339,18 +350,18 @@
         return leaders;
     }
 
-    /** Who led before and is awaited now; null where nobody is. */
+    /** Returns the former primary whose report is awaited; null if there is none. */
     public String awaits(int group) {
         Place place = places.get(group);
         return place == null || place.claimedAt == null || place.confirmed ? null : place.former;
     }
 
-    /** Sends of writes that were held back for that, since the start. */
+    /** Returns the sends of writes held back since the start. */
     public long held() {
         return held;
     }
 
-    /** What happened before this life began, as nodes' starts tell. */
+    /** Returns the scope of the outage before this run, judged by the start times of nodes. */
     public Loss loss() {
         Seen seen = seen();
         if (seen.nodes == 0 || seen.there == 0) {
@@ -360,8 +371,8 @@
     }
 
     /**
-     * How sure: 0 where half of the nodes tell this and half that, or none is there; 1 where all
-     * are and agree.
+     * Returns the confidence in {@link #loss}: 0 if half of the nodes contradict it or none
+     * answers, 1 if all nodes answer and agree.
      */
     public double sure() {
         Seen seen = seen();
@@ -372,7 +383,10 @@
 
     private record Seen(int nodes, int there, int young) {}
 
-    /** A node that began no more than a warm-up before this router is young. */
+    /**
+     * Counts the ready nodes; a node started recently if it did so at most one warm-up time before
+     * this router.
+     */
     private Seen seen() {
         int nodes = 0;
         int there = 0;
--- a/src/main/java/dillfront/router/recovery/Others.java
+++ b/src/main/java/dillfront/router/recovery/Others.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /**
- * What other instances have said that they have in doubt, and what they say that this one said in
- * an earlier life, which it may have forgotten with its disk. It restricts and never permits: an
- * instance that lies can hold back the writes of keys that it knows, and one in 10,000 others; one
- * that claims everything is not heard. Nobody is waited for.
+ * Tracks the in-doubt keys reported by other instances, and those that they report for an earlier
+ * run of this one, which it may have lost with its disk. The data only restricts and never permits:
+ * a lying instance can hold back writes of keys that it knows, and of one in 10,000 others; a
+ * filter that matches every key is rejected. No send waits for these reports.
  *
- * <p>Of each instance the latest word counts, and the last one of its life before that, for as long
- * as a client may come again: one that comes back without its disk says nothing, and knew
- * something. Rows are as many as instances.
+ * <p>For each instance the latest report counts, and the last one of its previous run, for as long
+ * as a client may retry: an instance that restarts without its disk reports nothing, although its
+ * previous run had keys in doubt. The number of rows is the number of instances.
  */
 public final class Others {
 
-    /** A word and when it came. */
+    /** A report, the run that it belongs to, and its arrival time. */
     private record Said(int life, Digest digest, Duration at) {}
 
     private static final class Row {
         Said now;
         Said former;
 
-        /** What it says that this instance said. */
+        /** What the instance reports for an earlier run of this one. */
         Said ours;
     }
 
@@ -34,7 +34,7 @@
     private long refused;
 
     /**
-     * @param keeps for how long a client may come again with the same key
+     * @param keeps how long a client may retry with the same key
      */
     public Others(int instances, Duration keeps) {
         this.keeps = keeps;
@@ -43,10 +43,7 @@
         }
     }
 
-    /**
-     * An instance says what it has in doubt, in this life of it: any other than the last is a new
-     * one.
-     */
+    /** Handles the in-doubt keys of an instance. A run other than the last one is a new run. */
     public void says(int instance, int life, long[] words, Duration now) {
         Digest digest = take(words);
         if (digest == null) {
@@ -59,7 +56,7 @@
         row.now = new Said(life, digest, now);
     }
 
-    /** An instance says what this one had in doubt in an earlier life. */
+    /** Handles the in-doubt keys that an instance remembers of an earlier run of this one. */
     public void echoes(int instance, long[] words, Duration now) {
         Digest digest = take(words);
         if (digest != null && !digest.isEmpty()) {
@@ -75,21 +72,21 @@
     }
 
     /**
-     * What an instance said in its life before this one, to be told back to it; null where nothing
-     * is known.
+     * Returns the keys that an instance reported in its previous run, to be sent back to it; null
+     * if none are known.
      */
     public long[] before(int instance) {
         Said said = rows.get(instance).former;
         return said == null ? null : said.digest.words();
     }
 
-    /** Which life of an instance has last said something; 0 where none has. */
+    /** Returns the run of an instance's latest report; 0 if there is none. */
     public int life(int instance) {
         Said said = rows.get(instance).now;
         return said == null ? 0 : said.life;
     }
 
-    /** Whether any of them may have this key in doubt. */
+    /** Returns whether any report contains this key. */
     public boolean mayDoubt(long key) {
         for (Row row : rows) {
             if (holds(row.now, key) || holds(row.former, key) || holds(row.ours, key)) {
@@ -103,7 +100,7 @@
         return said != null && said.digest.mayHold(key);
     }
 
-    /** Forgets what has expired by now. */
+    /** Removes expired reports. */
     public void expire(Duration now) {
         for (Iterator<Row> all = rows.iterator(); all.hasNext(); ) {
             Row row = all.next();
@@ -120,14 +117,14 @@
         return said != null && said.at.plus(keeps).compareTo(now) <= 0;
     }
 
-    /** How many say that they have anything in doubt, or had in their life before. */
+    /** Returns how many instances report keys in doubt, or did in their previous run. */
     public long telling() {
         return rows.stream()
                 .filter(r -> r.now != null && !r.now.digest.isEmpty() || r.former != null)
                 .count();
     }
 
-    /** How many say that this instance had something in doubt in an earlier life. */
+    /** Returns how many instances report keys in doubt for an earlier run of this one. */
     public long echoing() {
         return rows.stream().filter(r -> r.ours != null).count();
     }
@@ -136,7 +133,7 @@
         return heard;
     }
 
-    /** Words that claimed everything. */
+    /** Returns the reports rejected because they match every key. */
     public long refused() {
         return refused;
     }
--- a/src/main/java/dillfront/router/recovery/Reckoning.java
+++ b/src/main/java/dillfront/router/recovery/Reckoning.java
@@ -7,62 +7,58 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What nodes can do, as this router can tell: the work of a warm node of size one for this router,
- * in seconds of usual time a second. A cold node is sent its part of that, by its warmth; over all
- * routers it is then sent its part of what all do.
+ * Estimates the capacity of the nodes as seen by this router: the work of a warm node of size one
+ * for this router, in seconds of usual service time per second. A cold node is sent a part of that
+ * according to its warmth; over all routers this amounts to its part of the work of all.
  *
- * <p>Usually it is what warm nodes did, a plain mean over about the time in which one warms, held
- * for a while: in a trouble that leaves txns undone nodes can do what they did before it. A router
- * that began while no node was warm knows no such figure. It learns from cold nodes instead: what
- * they did, by their warmth, and somewhat more while that strains them little; and, so that it can
- * begin, a part of what it is asked for. Guards against a fleet that comes back cold as a whole, as
- * from a loss of power, and is sent nothing until it is warm, since every router waits for a warm
- * node to show what one can do.
+ * <p>Normally the estimate is the mean work of warm nodes over about the warm-up time, held for a
+ * while: in a failure that leaves transactions unfinished, nodes can still do what they did before.
+ * A router that started while no node was warm has no such figure. It learns from cold nodes: the
+ * work they did, scaled by their warmth, plus a margin while they are not strained, and initially a
+ * part of the requested load. Otherwise a fleet that restarts cold as a whole, as after a power
+ * loss, would be sent nothing, since every router would wait for a warm node.
  *
- * <p>Safe in the sum over routers, however many are back: what is learned is never more than nodes
- * did and kept up with, and the part of what is asked for is of what this router is asked, less
- * what is asked again, over all nodes that were ever listed at once, so that the few that are back
- * first do not get the share of all. Played in virtual time ({@code lab.Dark}) with three times the
- * usual in the first second and clients that ask thrice, cold nodes come to 0.65 of what tips them.
- * Harm: a router of few txns seldom has one for the node that it was dealt a share for, so many
- * such routers learn slowly.
+ * <p>Safe in the sum over routers, regardless of how many have restarted: the learned part never
+ * exceeds what nodes did and kept up with, and the initial part is taken from the load of this
+ * router, without retries, spread over all nodes that were ever listed at once, so that the first
+ * nodes to return do not get the share of all. In simulation ({@code lab.Dark}) with three times
+ * the usual load in the first second and clients that retry twice, cold nodes reach 0.65 of the
+ * load that overloads them. Its cost: a router with few transactions seldom has one for the node
+ * whose share it holds, so many such routers learn slowly.
  *
- * <p>Pure: no clock, no chance, no I/O. What it remembers is gone with the process: warmth from
- * before permits nothing.
+ * <p>Pure: no clock, no random source, no I/O. The estimate is not stored: warmth from before a
+ * restart permits nothing.
  */
 public final class Reckoning {
 
     /**
-     * The part of what is asked for that a fleet which is cold as a whole may be sent, by its
-     * warmth, before it did anything.
+     * Part of the requested load that an entirely cold fleet may be sent before it has done any
+     * work, scaled by warmth.
      */
     private static final double SEED = 1 / 4.0;
 
     /**
-     * So many times what it did by its warmth, while that strains no node; and once it strains one.
+     * Factor applied to the work that cold nodes did: while no node is strained, and once one is.
      */
     private static final double KEPT_UP = 1.5;
 
     private static final double STRAINS = 0.75;
 
-    /**
-     * A client that is declined then may come again after these parts of its usual pause, each as
-     * likely as the next.
-     */
+    /** Bounds of the random factor applied to the usual retry delay of a declined client. */
     private static final double NEAREST = 0.5;
 
     private static final double FURTHEST = 2;
 
     /**
-     * The fleet at a beat; sizes are sums over nodes.
+     * State of the fleet at a clock tick; sizes are sums over nodes.
      *
-     * @param warm nodes that are listed as ready and warm
-     * @param cold nodes that are listed as ready, in reach, and cold
-     * @param listed all that any list has named and that are not forgotten
-     * @param asked how many txns this router is asked for a second
-     * @param typical the usual time of one, in seconds
+     * @param warm listed as ready, and warm
+     * @param cold listed as ready, reachable and cold
+     * @param listed ever listed and not removed
+     * @param asked transactions requested from this router per second
+     * @param typical usual service time of a transaction, in seconds
      * @param easy no node is strained
-     * @param worked a warm node has worked for this router since it began
+     * @param worked a warm node has worked for this router since it started
      */
     public record Seen(
             double warm,
@@ -86,27 +82,27 @@
     private boolean returning;
 
     /**
-     * By these settings from now on.
+     * Applies changed settings.
      *
-     * @param coldFor how long a node warms
-     * @param tipAfter for how long too much must be sent to a cold node to push it over
+     * @param coldFor warm-up time of a node
+     * @param tipAfter how long an excessive load must last to overload a cold node
      */
     public void settings(Duration coldFor, Duration tipAfter) {
         coldSeconds = seconds(coldFor);
         windowSeconds = seconds(tipAfter);
     }
 
-    /** No node is warm, and none was since this router began. */
+    /** Returns whether no node is warm and none has been since this router started. */
     public boolean allCold() {
         return allCold;
     }
 
     /**
-     * After how long a client that is declined may come again. Where no node is warm and none was,
-     * declines come together, as those of a crowd that power has brought back at once, and would
-     * come again together: each is drawn by itself then.
+     * Returns the delay after which a declined client may retry. While the whole fleet is cold,
+     * declines come together, as from a burst of clients after a power loss, and their retries
+     * would too: each delay is then drawn at random.
      *
-     * @param pause in an ordinary time
+     * @param pause the usual delay
      */
     public Duration back(Duration pause, RandomGenerator chance) {
         return returning
@@ -115,17 +111,17 @@
     }
 
     /**
-     * A node has committed a txn.
+     * Records a committed transaction.
      *
-     * @param work its usual time, in seconds; of a cold node in place of a warm one's
-     * @param part of a warm node's work that this node can do at the least; 1 if it is warm
+     * @param work its usual service time, in seconds, on a warm node
+     * @param part minimum part of a warm node's work that this node can do; 1 if it is warm
      */
     public void did(double work, double part) {
         count++;
         done += part >= 1 ? work : allCold ? work / part : 0;
     }
 
-    /** So many seconds have gone by since the last beat. */
+    /** Updates the estimate after the given time since the last tick. */
     public void beat(double seconds, Seen seen) {
         fleet = Math.max(fleet, seen.listed);
         allCold = seen.warm == 0 && !seen.worked;
@@ -134,8 +130,8 @@
         if (by > 0) {
             double kept = kept(seconds);
             doneWeight = doneWeight * kept + seconds;
-            // The plain mean rises no faster than it falls: else it stands far too high at a router
-            // of few txns.
+            // The plain mean must not rise faster than it falls, or it would stand far too high at
+            // a router with few transactions.
             doneWeight =
                     allCold ? Math.min(doneWeight, Math.max(seconds, windowSeconds)) : doneWeight;
             doneRate += (done / by - doneRate * seconds) / doneWeight;
@@ -153,18 +149,27 @@
         done = 0;
     }
 
-    /** Of what is asked: who is not served asks again, up to twice. */
+    /**
+     * Estimates the requested load without retries: a client that is not served retries up to
+     * twice.
+     */
     private double firstTries(double asked) {
         double again = Math.max(0, 1 - served / Math.max(1e-9, asked));
         return asked / (1 + again + again * again);
     }
 
-    /** What is left after so long of what fades over about the time in which a node warms. */
+    /**
+     * Returns the remaining part, after the given time, of a quantity that decays over about the
+     * warm-up time.
+     */
     public double kept(double seconds) {
         return Math.exp(-seconds / (coldSeconds + 2));
     }
 
-    /** What a warm node of size one can do for this router, in usual times a second. */
+    /**
+     * Returns the work that a warm node of size one can do for this router, in usual service times
+     * per second.
+     */
     public double rate() {
         return rate;
     }
--- a/src/main/java/dillfront/router/recovery/Trust.java
+++ b/src/main/java/dillfront/router/recovery/Trust.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * What is trusted of each thing that is known from before, at each state of its group; the table of
- * docs/recovery.md in code. Nothing from before permits, at any state: it restricts, or it tells
- * where to look.
+ * Defines how much each kind of information from before a restart is trusted in each recovery state
+ * of its group; implements the table in docs/recovery.md. No such information permits anything: it
+ * restricts, or it tells which nodes to contact.
  */
 public enum Trust {
-    /** It counts for nothing. */
+    /** The information is ignored. */
     NONE,
-    /** It tells whom to ask; what is sent goes by the present alone. */
+    /** The information tells which nodes to contact; sends depend on present information alone. */
     ASKS,
-    /** It holds something back that the present would let through. */
+    /** The information holds back sends that present information would allow. */
     RESTRICTS;
 
-    /** A thing that an earlier life knew, or that others say it knew. */
+    /** Kind of information, known from an earlier run or reported by peers. */
     public enum Thing {
         LIST,
         CLOSING,
@@ -32,8 +32,7 @@
     private static final Map<Thing, Trust[]> TABLE =
             new EnumMap<>(
                     Map.of(
-                            //                            DARK       CONTESTED  KNOWN      COVERED
-                            //  WARM
+                            // Columns: DARK, CONTESTED, KNOWN, COVERED, WARM
                             Thing.LIST, new Trust[] {ASKS, ASKS, ASKS, ASKS, ASKS},
                             Thing.CLOSING,
                                     new Trust[] {
--- a/src/main/java/dillfront/router/recovery/package-info.java
+++ b/src/main/java/dillfront/router/recovery/package-info.java
@@ -1,2 +1,2 @@
-/** The return of a fleet that was lost as a whole. Without I/O. */
+/** Recovery of a fleet after a complete outage. Without I/O. */
 package dillfront.router.recovery;
