--- a/src/main/java/dillfront/router/plan/Estate.java
+++ b/src/main/java/dillfront/router/plan/Estate.java
@@ -7,21 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * What is planned for: the nodes of a list, the txn types of the settings, and how much is asked
- * where. All that is in it comes from what every router has alike, in an order of its own, so that
- * the same list makes the same plan everywhere.
+ * Input of the load planner: the listed nodes, the transaction types of the settings, and the load
+ * requested at each site. All of it is the same on every router and kept in a fixed order, so that
+ * the same list produces the same plan everywhere.
  */
 public final class Estate {
 
     /**
-     * @param capacity work a second, in units of a node of weight 1
+     * @param capacity work per second, in units of a node of weight 1
      */
     public record Node(String id, String site, int group, double capacity, boolean leads) {}
 
     /**
      * @param primaryOnly writes and fresh reads
-     * @param value of one txn
-     * @param share of the work that is asked
+     * @param value value of one transaction
+     * @param share part of the requested work
      */
     public record Kind(String name, boolean primaryOnly, double value, double share) {}
 
@@ -32,9 +32,9 @@
     private final double crossing;
 
     /**
-     * @param sites all of them, also those where no node stands
-     * @param use what is asked, as a part of what all nodes can do
-     * @param crossing what one txn that crosses sites costs, as a part of the mean value
+     * @param sites all sites, including those without nodes
+     * @param use requested work, as a part of the capacity of all nodes
+     * @param crossing cost of a transaction that crosses sites, as a part of the mean value
      */
     public Estate(
             List<String> sites, List<Node> nodes, List<Kind> kinds, double use, double crossing) {
@@ -63,7 +63,7 @@
         return use;
     }
 
-    /** What one crossing takes from the value of a txn. */
+    /** Returns the value that one cross-site transaction loses. */
     double crossingPrice() {
         double shares = kinds.stream().mapToDouble(Kind::share).sum();
         return shares == 0
@@ -71,21 +71,22 @@
                 : crossing * kinds.stream().mapToDouble(k -> k.value * k.share).sum() / shares;
     }
 
-    /** By group, all its members. */
+    /** Returns all members by group. */
     TreeMap<Integer, List<Node>> groups() {
         TreeMap<Integer, List<Node>> groups = new TreeMap<>();
         nodes.forEach(n -> groups.computeIfAbsent(n.group, k -> new ArrayList<>()).add(n));
         return groups;
     }
 
-    /** What nodes there can do, all together. */
+    /** Returns the total capacity of the nodes at a site. */
     double capacity(String site) {
         return nodes.stream().filter(n -> n.site.equals(site)).mapToDouble(Node::capacity).sum();
     }
 
     /**
-     * Of what is asked, the part whose clients come to this site once those are lost: clients stand
-     * where nodes do, and those of a lost site go to the others as much as they can do.
+     * Returns the part of the requested work that arrives at this site once the given sites are
+     * lost: clients are distributed like node capacity, and those of a lost site move to the
+     * remaining sites in proportion to their capacity.
      */
     double part(String site, Set<String> lost) {
         double left =
@@ -93,7 +94,7 @@
         return lost.contains(site) || left == 0 ? 0 : capacity(site) / left;
     }
 
-    /** Each site, and each pair of them, that may be lost with something left. */
+    /** Returns each site and each pair of sites whose loss leaves at least one site. */
     public List<Set<String>> losses() {
         List<Set<String>> losses = new ArrayList<>();
         for (int size = 1; size <= 2 && size < sites.size(); size++) {
--- a/src/main/java/dillfront/router/plan/Lists.java
+++ b/src/main/java/dillfront/router/plan/Lists.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** An estate out of what a router is told: the settings, and the list in discovery's form. */
+/**
+ * Reads the planner's input from a router's configuration: the settings and the member list in
+ * discovery's format.
+ */
 public final class Lists {
 
     private Lists() {}
 
     /**
-     * @param config a configuration, as the platform gives it to a router
-     * @param use what is asked, as a part of what all nodes can do
-     * @param mix the share of each txn type in the work; empty where all have the same
+     * @param config a configuration as the platform delivers it to a router
+     * @param use requested work, as a part of the capacity of all nodes
+     * @param mix share of each transaction type in the work; empty for equal shares
      */
     public static Estate read(Tree config, double use, Map<String, Double> mix) throws BadConfig {
         Tree settings = config.tree("settings");
@@ -33,7 +36,9 @@
         }
         if (!shares.isEmpty()) {
             throw new BadConfig(
-                    "no txn type '" + shares.keySet().iterator().next() + "' in the settings");
+                    "the settings define no transaction type '"
+                            + shares.keySet().iterator().next()
+                            + "'");
         }
         List<Estate.Node> nodes = new ArrayList<>();
         List<String> sites = new ArrayList<>();
@@ -56,7 +61,7 @@
                             entry.text("role").equals("leader")));
         }
         if (nodes.isEmpty()) {
-            throw new BadConfig("'known' lists no node that is ready");
+            throw new BadConfig("'known' lists no instance with lifecycle 'ready'");
         }
         return new Estate(
                 sites, nodes, kinds, use, settings.tree("charges").number("crossZone", 0));
--- a/src/main/java/dillfront/router/plan/Plan.java
+++ b/src/main/java/dillfront/router/plan/Plan.java
@@ -4,38 +4,39 @@
 import java.util.Set;
 
 /**
- * What becomes of all that is asked once these sites are lost. Amounts are work a second, in units
- * of a node of weight 1.
+ * Distribution of the requested load once the given sites are lost. Amounts are work per second, in
+ * units of a node of weight 1.
  *
- * @param lost none where this is the plan of an ordinary day
+ * @param lost empty for the plan without a loss
  */
 public record Plan(Set<String> lost, List<Group> groups) {
 
-    /** Why not all of a kind is served. */
+    /** Reason why the requested load is not served in full. */
     public enum Limit {
-        /** All is served. */
+        /** All requested load is served. */
         NONE,
         /** No member is left. */
         NO_MEMBER,
-        /** The one that leads, or may come to, is full. */
+        /** The primary, or the node that may become primary, is fully loaded. */
         PRIMARY,
-        /** All members that may take it are full. */
+        /** All members that may serve the load are fully loaded. */
         MEMBERS
     }
 
     /**
-     * @param primary who leads; where he is lost, the least of those who may come to, since nobody
-     *     knows who will
-     * @param elects the one that led is lost: until another does, the group takes no write
+     * @param primary the primary; if it is lost, the smallest of the nodes that may replace it,
+     *     since its successor is not known
+     * @param elects whether the primary is lost, so that the group accepts no writes until another
+     *     node takes over
      */
     public record Group(
             int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
 
     /**
-     * One kind of txn.
+     * Load of one transaction type.
      *
-     * @param asked of the group, at all sites
-     * @param limit what binds where not all is served
+     * @param asked work requested from the group, at all sites
+     * @param limit the binding limit if not all is served
      */
     public record Row(
             String kind,
@@ -45,7 +46,7 @@
             Limit limit,
             List<Flow> flows) {}
 
-    /** So much of what is asked at a site goes to a node. */
+    /** Part of the work requested at a site that is sent to a node. */
     public record Flow(String from, String node, String at, double amount) {}
 
     public double asked() {
@@ -56,7 +57,9 @@
         return groups.stream().flatMap(g -> g.rows.stream()).mapToDouble(Row::served).sum();
     }
 
-    /** Of what is asked of a kind, over all groups, the part that is refused. */
+    /**
+     * Returns the part of a transaction type's requested work, over all groups, that is refused.
+     */
     public double refused(String kind) {
         double asked = 0;
         double served = 0;
--- a/src/main/java/dillfront/router/plan/Planner.java
+++ b/src/main/java/dillfront/router/plan/Planner.java
@@ -18,27 +18,27 @@
 import org.apache.commons.math3.optim.nonlinear.scalar.GoalType;
 
 /**
- * Where all that is asked goes once sites are lost, so that as much value is served as the rest
- * can, with as few crossings as that allows. One linear programme a group, as groups share no node;
- * by a simplex of the registry, whose pivots are chosen by Bland's rule, so that the same estate
- * makes the same plan, to the byte.
+ * Computes where the requested load goes once sites are lost: the plan maximizes the served value
+ * within the remaining capacity, with as little cross-site traffic as that allows. Solves one
+ * linear program per group, as groups share no nodes, by the simplex method with Bland's rule for
+ * pivots, so that the same input produces the same plan to the byte.
  *
- * <p>A greedy order comes within a hundredth of a percent of it in the mean, and 0.2 % at the worst
- * ({@code make measure-site}); the plan is exact all the same, so that what it refuses finds no
- * room, whatever the order. Pure: no clock, no chance, no I/O.
+ * <p>A greedy order comes within a hundredth of a percent on average and 0.2 % in the worst case
+ * ({@code make measure-site}). The plan is exact nonetheless, so that refused load fits in no other
+ * order either. Pure: no clock, no random source, no I/O.
  */
 public final class Planner {
 
     /**
-     * Nodes are filled up to this part of what they can do: waiting times grow without bound at the
-     * whole of it (M/M/1).
+     * Part of a node's capacity that is used: queueing delay grows without bound near full load
+     * (M/M/1).
      */
     static final double FILL = 0.85;
 
     /**
-     * What a routed read that spills to the primary costs, as a part of its value and beside the
-     * price of a crossing: it goes to a replica of another site before that, as the mechanism has
-     * it.
+     * Cost of a routed read that spills to the primary, as a part of its value, in addition to the
+     * price of a crossing. The router sends such a read to a replica at another site first, and the
+     * plan must prefer that too.
      */
     private static final double SPILL = 0.02;
 
@@ -57,12 +57,12 @@
         return plan(estate, lost, Planner::solve);
     }
 
-    /** For comparison: the best gain first, as much of it as there is room for. */
+    /** Computes a plan greedily by descending gain, for comparison. */
     public static Plan greedy(Estate estate, Set<String> lost) {
         return plan(estate, lost, Planner::inOrder);
     }
 
-    /** How much goes each way. */
+    /** Assigns an amount to each route. */
     private interface Choice {
         double[] of(
                 Estate estate,
@@ -138,7 +138,7 @@
                 rows);
     }
 
-    /** What one unit of a kind is worth, served so. */
+    /** Returns the value of one unit of a transaction type served on the given route. */
     private static double gain(
             Estate estate, Estate.Kind kind, boolean atPrimary, boolean crosses) {
         double spills =
@@ -148,7 +148,7 @@
         return kind.value() - spills - (crosses ? estate.crossingPrice() : 0);
     }
 
-    /** A kind that is asked at a site, to a node. */
+    /** A route for a transaction type from the site where it is requested to a node. */
     private record Way(int site, int kind, Estate.Node node, double gain) {}
 
     private static double[] solve(
@@ -257,7 +257,7 @@
         return new Plan.Row(its.name(), asked, served, crosses, limit, List.copyOf(flows));
     }
 
-    /** What a plan is worth, by the estate's prices: what the solver maximised. */
+    /** Returns the value of a plan by the input's prices, the objective of the solver. */
     public static double worth(Estate estate, Plan plan) {
         double worth = 0;
         for (Plan.Group group : plan.groups()) {
@@ -276,7 +276,7 @@
         return worth;
     }
 
-    /** Of each node left, the part of what it can do that the plan gives it. */
+    /** Returns the planned part of the capacity of each remaining node. */
     static Map<String, Double> load(Plan plan, List<Estate.Node> nodes) {
         Map<String, Double> load = new TreeMap<>();
         nodes.stream()
--- a/src/main/java/dillfront/router/plan/package-info.java
+++ b/src/main/java/dillfront/router/plan/package-info.java
@@ -1,2 +1,2 @@
-/** Where load goes once sites are lost. Without I/O. */
+/** Load distribution after the loss of sites. Without I/O. */
 package dillfront.router.plan;
--- a/src/main/java/dillfront/router/site/Sites.java
+++ b/src/main/java/dillfront/router/site/Sites.java
@@ -10,45 +10,46 @@
 import java.util.TreeMap;
 
 /**
- * Which sites are lost, as far as this router can tell by itself: by what it sees of the nodes
- * there at each beat, and by nothing that others say. A verdict is about the way from here to
- * there; whether nodes died or the way did, it cannot tell and need not. It tells where all that it
- * hears of is at an end from where it is cut off itself.
+ * Determines which sites are lost from this router's own observations of their nodes at each clock
+ * tick; reports of peers do not count. A verdict is about the network path from this router to a
+ * site; whether the nodes or the path failed cannot be told and makes no difference. The class also
+ * distinguishes the loss of all other sites from an isolation of this router.
  *
- * <p>It goes down soon and up slowly: a site that is taken for lost for a moment costs crossings,
- * one that is taken back too soon costs the txns that are sent there. Each return that did not last
- * doubles the time the next has to, and that is forgiven with time; so a site that flaps ten times
- * in a minute stays out of use after the first few, instead of swinging.
+ * <p>A site is declared lost quickly and restored slowly: a wrong loss costs cross-site traffic for
+ * a moment, a wrong restoration costs the transactions sent there. Each restoration that does not
+ * last doubles the time required for the next one, and is forgiven after a quiet time; a site that
+ * flaps ten times in a minute thus stays out of use after the first few times.
  *
- * <p>Pure: the caller has the clock. Rows are as many as lists name nodes and sites.
+ * <p>Pure: the caller supplies the time. The number of rows is bounded by the nodes and sites in
+ * the lists.
  */
 public final class Sites {
 
-    /** What is held of a site. */
+    /** Verdict on a site. */
     public enum State {
-        /** Nothing is known that tells it from a site that is well. */
+        /** No observation; treated like a healthy site. */
         UNKNOWN,
         WELL,
-        /** Half of its nodes or more are ill, and some answer. */
+        /** At least half of the nodes are unhealthy, and some answer. */
         PARTLY,
-        /** Half or more are ill, and none answers. */
+        /** At least half of the nodes are unhealthy, and none answers. */
         LOST
     }
 
-    /** Where this router stands itself. */
+    /** Position of this router relative to the sites. */
     public enum Self {
-        /** Some site answers that is not its own, or there is none. */
+        /** Some other site answers, or there is no other site. */
         JOINED,
         /**
-         * No site answers but its own: the others are lost, or it and its site are cut off from
-         * them.
+         * Only the router's own site answers: the other sites are lost, or this site is cut off
+         * from them.
          */
         ISLAND,
-        /** None answers, its own neither. */
+        /** No site answers, including the router's own. */
         ALONE
     }
 
-    /** Who hears of changes. */
+    /** Receives verdict changes. */
     public interface Listener {
         void changed(String site, State from, State to);
 
@@ -56,15 +57,15 @@
     }
 
     /**
-     * A verdict for the worse has to hold for so long, in dial time-outs, and one for the better,
-     * at first and at the most.
+     * Time in dial timeouts for which a worse verdict must hold, and a better one initially and at
+     * most.
      */
     private static final int WORSE_DIALS = 1;
 
     private static final int BETTER_DIALS = 4;
     private static final int MOST_DIALS = 64;
 
-    /** After so long without a change, a return that did not last is forgiven. */
+    /** Time in dial timeouts without a change after which a failed restoration is forgiven. */
     private static final int FORGIVEN_DIALS = 128;
 
     private static final class Row {
@@ -80,18 +81,18 @@
     private static final class Place {
         State state = State.UNKNOWN;
 
-        /** What the last beat would have it be, and since when. */
+        /** Verdict of the latest observations, and the time since which it holds. */
         State would = State.UNKNOWN;
 
         Duration since = Duration.ZERO;
 
-        /** When a return was last forgiven. */
+        /** Time at which a failed restoration was last forgiven. */
         Duration calmFrom = Duration.ZERO;
 
-        /** Returns that did not last, and are not forgiven. */
+        /** Failed restorations that have not been forgiven. */
         int flaps;
 
-        /** It has been lost or partly before its present state. */
+        /** Whether the site has been lost or partly lost before its present state. */
         boolean returned;
     }
 
@@ -103,7 +104,7 @@
     private Self self = Self.JOINED;
 
     /**
-     * @param own the site where this router stands
+     * @param own the site of this router
      */
     public Sites(String own, Duration dial, Listener listener) {
         this.own = own;
@@ -115,7 +116,7 @@
         dial = dialTime;
     }
 
-    /** A member list names this node at this site. */
+    /** Records that a member list names this node at this site. */
     public void listed(int node, String site, boolean ready) {
         while (rows.size() <= node) {
             rows.add(null);
@@ -135,20 +136,20 @@
         }
     }
 
-    /** What this router sees of a node now. */
+    /** Records the router's observation of a node. */
     public void seen(int node, Sight sight) {
         if (node < rows.size() && rows.get(node) != null) {
             rows.get(node).health = sight.health();
         }
     }
 
-    /** Judges the sites anew; called at the interval that the settings give. */
+    /** Updates the verdicts; called at each clock tick. */
     public void beat(Duration now) {
         places.forEach(
                 (site, place) -> {
                     State is = looks(site);
-                    // A beat without evidence is none against a return: few ask where all was lost,
-                    // and not at every beat.
+                    // A tick without observations does not end a restoration: few transactions are
+                    // sent to a lost site, and not at every tick.
                     boolean silent =
                             is == State.UNKNOWN && place.state.compareTo(State.PARTLY) >= 0;
                     if (is != place.would && !silent) {
@@ -186,14 +187,16 @@
     }
 
     private void judge(String site, Place place, Duration now) {
-        // Quiet is what has not changed underneath either, whatever the verdict made of it.
+        // Quiet time starts only when the underlying observations are stable too, not just the
+        // verdict.
         Duration quietFrom = later(place.calmFrom, place.since);
         if (place.flaps > 0
                 && now.minus(quietFrom).compareTo(dial.multipliedBy(FORGIVEN_DIALS)) > 0) {
             place.flaps--;
             place.calmFrom = now;
         }
-        // What nothing is heard of stays what it was: nobody asks there, because it is lost.
+        // A verdict stays without observations: no transactions are sent to the site because it is
+        // lost.
         if (place.would == place.state
                 || place.would == State.UNKNOWN && place.state != State.WELL) {
             return;
@@ -203,7 +206,7 @@
                 worse
                         ? WORSE_DIALS
                         : Math.min(MOST_DIALS, BETTER_DIALS << Math.min(place.flaps, 8));
-        // The first word on a site counts at once.
+        // The first healthy observation of a site takes effect at once.
         boolean first = place.state == State.UNKNOWN && place.would == State.WELL;
         if (!first && now.minus(place.since).compareTo(dial.multipliedBy(dials)) < 0) {
             return;
--- a/src/main/java/dillfront/router/site/package-info.java
+++ b/src/main/java/dillfront/router/site/package-info.java
@@ -1,2 +1,2 @@
-/** Which sites are lost, by a router's own evidence. Without I/O. */
+/** Detection of lost sites from a router's own observations. Without I/O. */
 package dillfront.router.site;
