--- a/src/test/java/dillfront/router/gossip/CrowdTest.java
+++ b/src/test/java/dillfront/router/gossip/CrowdTest.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Many instances in virtual time, and what befalls them. */
+/**
+ * Runs the gossip protocol of many instances in virtual time under crashes, partitions, pauses,
+ * message loss and clock differences.
+ */
 class CrowdTest {
 
     private final Time time = new Time();
@@ -52,9 +55,9 @@
         one.at();
         one.gossip.claim(3, Symptom.HUNG, 4, Duration.ofMillis(80));
         until(10.1);
-        assertEquals(19, heard.size(), "all others within a tenth of a second");
+        assertEquals(19, heard.size(), "all others receive the claim within 100 ms");
         until(60);
-        assertTrue(rate(60) < 1000, "little is said where nothing happens");
+        assertTrue(rate(60) < 1000, "little traffic without events");
     }
 
     @Test
@@ -68,7 +71,7 @@
             }
             until(40 + i);
         }
-        // What is in the bucket at first, and what flows in.
+        // The initial content of the bucket plus its refill.
         assertTrue(
                 crowd.bytes() <= Tuning.USUAL.bytesPerSecond() * (70 + 3), "sent " + crowd.bytes());
         for (Crowd.Instance one : crowd.instances) {
@@ -84,8 +87,10 @@
             crowd.instances[3 + i].off = true;
         }
         until(70);
-        assertTrue(crowd.ghosts() < 0.05, "still held there: " + crowd.ghosts());
-        assertEquals(1.0, crowd.known(), "nobody who is there is held gone");
+        assertTrue(
+                crowd.ghosts() < 0.05,
+                "crashed instances still considered present: " + crowd.ghosts());
+        assertEquals(1.0, crowd.known(), "no running instance is considered gone");
     }
 
     @Test
@@ -101,10 +106,12 @@
             one.side = 0;
         }
         double healing = rate(20);
-        assertEquals(1.0, crowd.known(), "within twenty periods");
-        assertTrue(healing < Tuning.USUAL.bytesPerSecond(), "no storm: " + healing);
+        assertEquals(1.0, crowd.known(), "membership is complete within twenty periods");
+        assertTrue(
+                healing < Tuning.USUAL.bytesPerSecond(),
+                "traffic after the partition healed: " + healing);
         for (Crowd.Instance one : crowd.instances) {
-            assertTrue(one.gossip.incarnation() <= 3, "few had to speak up more than once");
+            assertTrue(one.gossip.incarnation() <= 3, "incarnations rise only slightly");
         }
     }
 
@@ -118,14 +125,16 @@
             until(time.now().toSeconds() + 30);
             one.start(List.of(0));
             until(time.now().toSeconds() + 15);
-            assertEquals(1.0, crowd.known(), "known again, and knowing all, in life " + life);
+            assertEquals(1.0, crowd.known(), "complete membership after restart " + life);
         }
         heard.clear();
         one.at();
         one.gossip.claim(2, Symptom.HUNG, 1, Duration.ZERO);
         until(time.now().toSeconds() + 2);
         assertEquals(
-                19, heard.size(), "its words count, though an earlier life used their numbers");
+                19,
+                heard.size(),
+                "updates are accepted although an earlier run used their numbers");
     }
 
     @Test
@@ -140,9 +149,9 @@
             gone += other != one && !one.gossip.members().present(other.index) ? 1 : 0;
         }
         assertEquals(0, gone);
-        assertTrue(one.gossip.members().ill() > 0, "it doubts itself first");
+        assertTrue(one.gossip.members().ill() > 0, "the pause raises its local health score");
         until(50);
-        assertEquals(1.0, crowd.known(), "nor is it condemned for good");
+        assertEquals(1.0, crowd.known(), "the paused instance is present again");
     }
 
     @Test
@@ -156,7 +165,7 @@
             until(s);
             least = Math.min(least, crowd.known());
         }
-        assertTrue(least > 0.97, "held there at the least: " + least);
+        assertTrue(least > 0.97, "minimum known part: " + least);
     }
 
     @Test
@@ -175,14 +184,14 @@
         for (Crowd.Instance one : crowd.instances) {
             one.clock = Duration.ofSeconds(one.index - 6);
         }
-        // Beyond what is believed.
+        // Beyond the accepted clock difference.
         crowd.instances[11].clock = Duration.ofSeconds(50);
         crowd.start();
         until(10);
         crowd.instances[0].at();
         crowd.instances[0].gossip.claim(1, Symptom.HUNG, 1, Duration.ZERO);
         until(12);
-        assertEquals(10, heard.size(), "all but the one whose clock is nowhere near");
+        assertEquals(10, heard.size(), "all except the instance with the wrong clock");
         heard.clear();
         crowd.instances[11].at();
         crowd.instances[11].gossip.claim(1, Symptom.HUNG, 1, Duration.ZERO);
@@ -192,7 +201,7 @@
         for (Crowd.Instance one : crowd.instances) {
             dropped += one.gossip.outOfTime();
         }
-        assertTrue(dropped > 1, "counted where it was dropped");
+        assertTrue(dropped > 1, "dropped claims are counted by the receivers");
     }
 
     @Test
@@ -239,7 +248,7 @@
         for (Crowd.Instance one : crowd.instances) {
             one.side = one.index % 2;
         }
-        // Each side holds a node of its own for hung, up to the moment at which they meet again.
+        // Each side claims that one node is hung, until the partition heals.
         for (int s = 11; s < 60; s++) {
             until(s);
             for (int i = 0; i < 8; i++) {
@@ -256,13 +265,14 @@
         for (Hearsay one : weighs) {
             one.at(time.now());
             one.woken();
-            assertTrue(!one.doubted(1) && !one.doubted(2), "nobody has evidence of his own");
+            assertTrue(
+                    !one.doubted(1) && !one.doubted(2), "no instance has observations of its own");
         }
         until(90);
         for (Hearsay one : weighs) {
             one.at(time.now());
             one.woken();
-            assertEquals(0, one.claims(1) + one.claims(2), "nor does an old word come back");
+            assertEquals(0, one.claims(1) + one.claims(2), "expired claims do not return");
         }
     }
 
@@ -287,7 +297,7 @@
                 one.start(List.of((minute + 1) % 10));
             }
             one.at();
-            // Nodes come and go: a new one each time.
+            // Nodes change all the time: a new node id in each claim.
             one.gossip.claim(node++, Symptom.UNREACHABLE, 1, Duration.ZERO);
             for (Crowd.Instance each : crowd.instances) {
                 most = Math.max(most, each.gossip.remembered());
--- a/src/test/java/dillfront/router/gossip/HearsayTest.java
+++ b/src/test/java/dillfront/router/gossip/HearsayTest.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** What claims are worth, by short stories of who says what and what this router sees. */
+/** Checks how claims are weighed, by short sequences of claims and own observations. */
 class HearsayTest {
 
     private static final int NODES = 8;
@@ -44,7 +44,7 @@
             assertFalse(hearsay.doubted(2));
         }
         says(4, 2, Symptom.HUNG);
-        assertTrue(hearsay.doubted(2), "a second one does, where one may lie");
+        assertTrue(hearsay.doubted(2), "two claims suffice if one instance may lie");
     }
 
     @Test
@@ -65,7 +65,7 @@
         at(10);
         hearsay.heard(3, 2, Symptom.HUNG, Duration.ofSeconds(4), Duration.ZERO);
         hearsay.heard(4, 2, Symptom.HUNG, Duration.ofSeconds(6), Duration.ZERO);
-        assertEquals(1, hearsay.claims(2), "the second was over before it came");
+        assertEquals(1, hearsay.claims(2), "the second claim had expired on arrival");
         at(11.1);
         assertEquals(0, hearsay.claims(2));
     }
@@ -78,7 +78,8 @@
         at(3);
         sees(2, Health.WELL, now);
         assertFalse(hearsay.doubted(2));
-        assertEquals(0.5, hearsay.credit(3), "they may have been right, and it is back");
+        assertEquals(
+                0.5, hearsay.credit(3), "the claim may have been right and the node has recovered");
     }
 
     @Test
@@ -92,8 +93,8 @@
             sees(2, Health.WELL, now);
         }
         gained = hearsay.credit(3);
-        assertTrue(gained > 0.85, "right six times: " + gained);
-        // Then it lies of a node that answers all the time.
+        assertTrue(gained > 0.85, "credit after six confirmed claims: " + gained);
+        // Then it makes false claims about a node that answers all the time.
         int lies = 0;
         for (double t = 100; hearsay.credit(3) >= 0.1 && lies < 50; t += 1, lies++) {
             at(t);
@@ -101,11 +102,11 @@
             at(t + 0.1);
             sees(5, Health.WELL, now);
         }
-        assertTrue(lies <= 12, "heard no more after " + lies + " lies");
+        assertTrue(lies <= 12, "claims still counted after " + lies + " false claims");
         at(200);
         says(3, 5, Symptom.HUNG);
         says(4, 5, Symptom.HUNG);
-        assertFalse(hearsay.doubted(5), "its voice adds nothing to another's");
+        assertFalse(hearsay.doubted(5), "a vote without credit adds nothing to another one");
     }
 
     @Test
@@ -117,12 +118,12 @@
         says(4, 2, Symptom.HUNG);
         assertFalse(hearsay.doubted(2));
         says(5, 2, Symptom.HUNG);
-        assertTrue(hearsay.doubted(2), "two others carry it by themselves");
+        assertTrue(hearsay.doubted(2), "two other votes suffice");
     }
 
     @Test
     void echoesAreOneVoice() {
-        // Three that speak together, of what answers all the time.
+        // Three instances make the same claim about a node that answers all the time.
         for (int round = 0; round < 2; round++) {
             at(10 * round + 1);
             for (int peer = 3; peer < 6; peer++) {
@@ -135,9 +136,11 @@
         for (int peer = 3; peer < 6; peer++) {
             says(peer, 6, Symptom.HUNG);
         }
-        assertFalse(hearsay.doubted(6), "one voice, and one may lie");
+        assertFalse(
+                hearsay.doubted(6),
+                "three correlated instances count as one vote, and one vote may be a lie");
         says(7, 6, Symptom.HUNG);
-        assertFalse(hearsay.doubted(6), "and the one that stands alone may be he who lies");
+        assertFalse(hearsay.doubted(6), "the only other vote may be a lie");
         says(8, 6, Symptom.HUNG);
         assertTrue(hearsay.doubted(6));
     }
@@ -155,7 +158,7 @@
         says(4, 2, Symptom.WELL);
         assertTrue(hearsay.better(2));
         assertFalse(hearsay.doubted(2));
-        assertFalse(says(9, 2, Symptom.WELL), "who never claimed it takes nothing back");
+        assertFalse(says(9, 2, Symptom.WELL), "no claim to withdraw");
     }
 
     @Test
@@ -166,7 +169,7 @@
         for (int peer = 0; peer < 2000; peer++) {
             passed += large.heard(peer, 1, Symptom.HUNG, Duration.ZERO, Duration.ZERO) ? 1 : 0;
         }
-        assertTrue(passed < 10, "what all see is told by a few: " + passed);
+        assertTrue(passed < 10, "forwarded claims: " + passed);
         assertTrue(large.claims(1) <= 8);
     }
 
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Power that goes at any write, a disk that is full, a file that is cut, spoilt, another's, held or
- * no such file.
+ * Checks the state store against a power loss at any write, a full disk, and files that are
+ * truncated, damaged, locked, of another router or of another format.
  */
 class MemoryTest {
 
@@ -41,26 +41,24 @@
     private final Log log = new Log(new PrintStream(lines, true));
 
     /**
-     * A disk in the test's hands: of what was written since the last sync any sector may be lost,
-     * and of names that were made, changed or removed since the last sync of the folder any by
-     * itself. A call may fail, with what it was to do done or not.
+     * A simulated disk. A power loss may drop any sector written since the last sync of its file,
+     * and any creation, change or removal of a name since the last sync of the folder. A call may
+     * fail with or without having had its effect.
      */
     private static final class Lossy implements StorageFolder {
 
         private final Map<String, byte[]> files = new TreeMap<>();
         private final Map<String, Integer> synced = new HashMap<>();
 
-        /** What else may be found under a name after a loss of power; null for no file. */
+        /** Other contents that may be found under a name after a power loss; null for no file. */
         private final Map<String, List<byte[]>> former = new TreeMap<>();
 
         private Runnable each = () -> {};
 
-        /** So many bytes may be written from now on. */
+        /** Bytes that may still be written. */
         private long room = Long.MAX_VALUE;
 
-        /**
-         * How many calls go well before one fails; and whether that one did its work all the same.
-         */
+        /** The call that fails, counted from now, and whether it has its effect all the same. */
         private int fine = Integer.MAX_VALUE;
 
         private boolean done;
@@ -70,7 +68,10 @@
             this.files.putAll(files);
         }
 
-        /** Whether this call is to do its work; it ends with failed() in any case. */
+        /**
+         * Returns whether this call has its effect; the caller then throws in any case if the call
+         * is to fail.
+         */
         private boolean works() {
             return --fine != 0 || done;
         }
@@ -161,7 +162,7 @@
             failed();
         }
 
-        /** This name is about to be another file's, or nobody's. */
+        /** Records that this name is about to refer to another file or to none. */
         private void named(String name) {
             former.computeIfAbsent(name, n -> new ArrayList<>()).add(files.get(name));
         }
@@ -170,8 +171,8 @@
         public void close() {}
 
         /**
-         * What may be found after a loss of power now; all of it where there is little, else by
-         * chance.
+         * Returns the possible contents after a power loss at this moment: all of them if they are
+         * few, else a random sample.
          */
         List<Map<String, byte[]>> after(SplittableRandom chance) {
             List<Map<String, byte[]>> all = new ArrayList<>();
@@ -200,7 +201,7 @@
                                     }
                                     end = there ? to : end;
                                 }
-                                // Zeros to the end, or a length that was not written either.
+                                // Zeros up to the end, or a length that was not written either.
                                 for (byte[] one :
                                         List.of(disk, Arrays.copyOf(disk, Math.max(from, end)))) {
                                     Map<String, byte[]> found = new TreeMap<>(names);
@@ -213,7 +214,7 @@
             return all;
         }
 
-        /** Every way in which the names may be found, each by itself as it is or as it was. */
+        /** Returns all combinations of names, each one as it is or as it was. */
         private List<Map<String, byte[]>> names() {
             List<Map<String, byte[]>> all = new ArrayList<>(List.of(new TreeMap<>(files)));
             former.forEach(
@@ -239,9 +240,9 @@
     }
 
     /**
-     * Power goes at each write, sync and change of names, and of what is not synced any sectors are
-     * lost. What the next life finds is all that was said to be kept, or that and the next put,
-     * whole; and it can go on from there, also if power goes again.
+     * Simulates a power loss at each write, sync and change of names, with any subset of the
+     * unsynced sectors lost. After a restart the store holds all acknowledged puts, or these and
+     * the next one, complete. It can be written to again, also across another power loss.
      */
     @Test
     void powerGoesAtEachWriteAndAnySubsetOfUnsyncedSectorsIsLost() throws Exception {
@@ -262,7 +263,7 @@
                                                         CompactingLog.open(next, "m", "r1");
                                                 assertTrue(
                                                         may.contains(state(again)),
-                                                        "at look "
+                                                        "at power loss "
                                                                 + looked[0]
                                                                 + ": "
                                                                 + state(again)
@@ -278,7 +279,7 @@
                                                         again.fault());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
-                                                        "at look " + looked[0], bad);
+                                                        "at power loss " + looked[0], bad);
                                             }
                                         });
         Map<String, String> texts = new TreeMap<>();
@@ -303,12 +304,12 @@
             may.add(texts + " " + numbers);
             shelf.put(named, numbered);
         }
-        assertTrue(looked[0] > 3000, "looked at " + looked[0] + " disks");
+        assertTrue(looked[0] > 3000, "checked " + looked[0] + " power losses");
     }
 
     /**
-     * A disk that is full, for any length of what still fits, loses nothing that was kept, and
-     * works on once there is room.
+     * A full disk, for any length of the remaining space, loses no acknowledged entry, and the
+     * store works again once there is space.
      */
     @Test
     void aDiskThatIsFullLosesNothing() throws Exception {
@@ -338,9 +339,9 @@
     }
 
     /**
-     * Any one call of the disk fails, with its work done or not, at any moment of many puts, and
-     * the disk works again. Whatever moment power goes at, the next life finds all that was said to
-     * be kept, with or without what was not, and never a file that is called damaged.
+     * Any single call of the disk fails, with or without its effect, at any moment of many puts;
+     * later calls succeed. At whatever moment a power loss follows, the next start finds all
+     * acknowledged puts, with or without the failed one, and never reports the file as damaged.
      */
     @Test
     void anyCallOfTheDiskMayFailOnce() throws Exception {
@@ -355,8 +356,7 @@
                 int now = call;
                 disk.each =
                         () -> {
-                            // Where nothing has failed, or that is long ago, the test above has
-                            // looked.
+                            // Moments without a recent failure are covered by the test above.
                             for (Map<String, byte[]> files :
                                     disk.fine > 2 || disk.fine < -8
                                             ? List.<Map<String, byte[]>>of()
@@ -388,7 +388,7 @@
                 Map<String, String> is = new TreeMap<>();
                 may.add(is + " {}");
                 for (int i = 0; i < 40; i++) {
-                    // Large texts, so that the file is written anew now and then.
+                    // Large texts, so that the file is rewritten now and then.
                     Map<String, String> put =
                             Map.of(
                                     "s-" + i % 3,
@@ -415,12 +415,12 @@
             }
         }
         assertTrue(failed[0] > 100, failed[0] + " puts failed");
-        assertTrue(looked[0] > 4_000, "looked at " + looked[0] + " disks");
+        assertTrue(looked[0] > 4_000, "checked " + looked[0] + " power losses");
     }
 
     /**
-     * Of a damaged file a process relies on nothing, in no later life either, wherever it ended
-     * while it found that out.
+     * A process uses nothing from a damaged file, and no later run does, at whatever moment the
+     * process ended while it detected the damage.
      */
     @Test
     void ofADamagedFileNothingIsReliedOn() throws Exception {
@@ -460,9 +460,9 @@
             assertEquals(Map.of("id", "another"), later.texts());
             damaged++;
         }
-        assertTrue(damaged > 100, damaged + " places");
-        // A first record that is torn or spoilt: it was synced before the file had its name, so it
-        // is no torn tail either.
+        assertTrue(damaged > 100, damaged + " damaged bytes checked");
+        // A first record that is torn or damaged: it was synced before the file got its name, so it
+        // is not a torn tail.
         Lossy fresh = new Lossy(Map.of());
         TextStore.openOn(fresh, "m", "r1");
         byte[] first = fresh.files.get(CompactingLog.FILE);
@@ -481,7 +481,8 @@
                             .isDamaged(),
                     "cut at " + at);
         }
-        // A file of its head alone: its first record was synced with it, so it is not a torn tail.
+        // A file with its header alone: its first record was synced with it, so it is not a torn
+        // tail.
         TextStore head =
                 TextStore.openOn(
                         new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))), "m", "r1");
@@ -491,7 +492,9 @@
         assertTrue(none.isDamaged());
     }
 
-    /** A text that the form cannot hold is refused, and leaves what was kept as it was. */
+    /**
+     * A text that is too long for the format is rejected and leaves the stored entries unchanged.
+     */
     @Test
     void aTextThatIsTooLongIsRefused() throws Exception {
         Lossy disk = new Lossy(Map.of());
@@ -509,8 +512,8 @@
     }
 
     /**
-     * A byte that goes bad: what was before it holds, the file as it was is set aside; a bad tail
-     * alone is cut.
+     * After a damaged byte the records before it are kept and the original file is set aside; a
+     * damaged tail alone is cut off.
      */
     @Test
     void whatIsSpoiltIsFoundAndWhatWasBeforeItHolds() throws Exception {
@@ -527,7 +530,7 @@
             Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
-                assertTrue(found.fault() != null, "at " + at + " nothing was found");
+                assertTrue(found.fault() != null, "damage at " + at + " was not detected");
                 assertTrue(found.texts().size() < 8, "at " + at);
                 assertEquals(
                         found.isMovedAside(), next.files.containsKey("memory.broken"), "at " + at);
@@ -540,7 +543,7 @@
         }
         assertTrue(
                 last > good.length - 60,
-                "a torn tail is the last record alone, not what begins at " + last);
+                "a torn tail is the last record only, not the data from " + last);
         for (int cut = 0; cut < good.length; cut++) {
             CompactingLog found =
                     CompactingLog.open(
@@ -551,7 +554,10 @@
         }
     }
 
-    /** What is no longer needed gives its space back: a file under txns does not grow with them. */
+    /**
+     * The space of removed entries is reclaimed, so the file does not grow with the number of
+     * transactions.
+     */
     @Test
     void theFileDoesNotGrowWithTheTxns() throws Exception {
         CompactingLog shelf = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
@@ -563,7 +569,7 @@
             most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE)));
         }
         shelf.close();
-        assertTrue(most > 60_000 && most < 70_000, "the file came to " + most + " bytes");
+        assertTrue(most > 60_000 && most < 70_000, "maximum file size: " + most + " bytes");
     }
 
     @Test
@@ -603,7 +609,7 @@
         Memory memory = Memory.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
-        assertTrue(Files.exists(folder.resolve("memory.broken")), "set aside");
+        assertTrue(Files.exists(folder.resolve("memory.broken")), "the damaged file is kept");
         assertTrue(
                 lines.toString(StandardCharsets.UTF_8)
                         .contains("memory-broken fault=\"" + folder.resolve(CompactingLog.FILE)),
--- a/src/test/java/dillfront/router/memory/StoredMemoryTest.java
+++ b/src/test/java/dillfront/router/memory/StoredMemoryTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The memory of a router that revision 6ff1719 wrote (src/test/resources/stored/router) is read in
- * full.
+ * Reads in full the state that a router of revision 6ff1719 stored
+ * (src/test/resources/stored/router).
  */
 class StoredMemoryTest {
 
--- a/src/test/java/dillfront/router/peers/CodecTest.java
+++ b/src/test/java/dillfront/router/peers/CodecTest.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Datagrams as they are, and as they should not be: what comes never throws, and is taken only from
- * who signed it.
+ * Checks valid and invalid datagrams: decoding never throws, and accepts data only from the
+ * instance that signed it.
  */
 class CodecTest {
 
@@ -45,7 +45,7 @@
             ring.add("r" + i, new InetSocketAddress("127.0.0.1", 7001 + i));
             ring.key(i, hex(KEYS[i]), Duration.ZERO, FOREVER);
         }
-        // The second has a new key from a day on, and its old one for an hour beside it.
+        // The second instance has a new key that is valid from one day on, beside its old one.
         ring.key(1, hex(KEYS[3]), UNIX.plus(DAY), FOREVER);
         alice = codec(0, KEYS[0]);
         bob = codec(1, KEYS[1]);
@@ -173,7 +173,7 @@
                         trace.add(why.toString());
                     }
                 });
-        assertEquals(before, bytes.readableBytes(), "the buffer stays the caller's");
+        assertEquals(before, bytes.readableBytes(), "the reader index is unchanged");
         return String.join("; ", trace);
     }
 
@@ -186,8 +186,8 @@
         assertEquals(
                 "r1 is at 7002; r1.2 PING 77 about -1 words [r1 ALIVE 1, r1 CLAIM 1234605616436508552]",
                 read(alice, bytes, UNIX));
-        assertEquals("REPLAY", read(alice, bytes, UNIX), "the same again");
-        assertEquals("NOT_MINE", read(carol, bytes, UNIX), "to another");
+        assertEquals("REPLAY", read(alice, bytes, UNIX), "the same datagram again");
+        assertEquals("NOT_MINE", read(carol, bytes, UNIX), "sent to another instance");
     }
 
     private static ByteBuf doubts(Codec by, int about, long... digest) {
@@ -203,13 +203,13 @@
         assertEquals("r1.2 life 9 doubts of r1 [7, -1]", read(alice, bytes, UNIX));
         assertEquals("r1.2 life 9 doubts of r1 []", read(alice, doubts(bob, 1), UNIX));
         assertEquals("r1.2 life 9 doubts of r0 [5]", read(alice, doubts(bob, 0, 5), UNIX));
-        assertEquals("FORM", read(alice, doubts(bob, 2, 5), UNIX), "of a third one");
-        assertEquals("FORM", read(alice, doubts(bob, -1, 5), UNIX), "of nobody");
+        assertEquals("FORM", read(alice, doubts(bob, 2, 5), UNIX), "about a third instance");
+        assertEquals("FORM", read(alice, doubts(bob, -1, 5), UNIX), "about no instance");
         ByteBuf cut = doubts(bob, 1, 5, 6);
         assertEquals(
                 "FORM",
                 read(alice, cut.slice(0, cut.readableBytes() - 8), UNIX),
-                "a part is missing");
+                "one part is missing");
         ByteBuf spoilt = doubts(bob, 1, 5, 6);
         spoilt.setByte(Codec.HEAD + 3, 1);
         assertEquals("SIGNATURE", read(alice, spoilt, UNIX));
@@ -218,11 +218,11 @@
         assertEquals("r1 closed [1, 42, 0]", read(alice, closed, UNIX));
         closed = Unpooled.buffer();
         bob.write(closed, 0, 2, new long[] {1, 42}, UNIX);
-        assertEquals("FORM", read(alice, closed, UNIX), "two parts of three");
+        assertEquals("FORM", read(alice, closed, UNIX), "two parts instead of three");
         assertEquals(
                 Codec.doubtBytes(Codec.mostParts(DATAGRAM)) - Codec.BELOW <= DATAGRAM,
                 true,
-                "the largest fits");
+                "the largest digest fits");
     }
 
     @Example
@@ -231,13 +231,13 @@
         assertEquals(
                 "r2.2 PUSH 77 about -1 words [r1 CLAIM 1234605616436508552]",
                 read(alice, write(carol, 0, Codec.Form.PUSH, UNIX, claim), UNIX));
-        // In another's name: signed by its own key, with the other's put in front.
+        // Forged origin: signed with the own key, with the key id of another instance in front.
         byte[] forged = carol.seal(claim(2, 3, UNIX)).sealed();
         System.arraycopy(claim.sealed(), 0, forged, 0, 8);
         assertEquals(
                 "WORD; r2.2 PUSH 77 about -1 words []",
                 read(alice, write(carol, 0, Codec.Form.PUSH, UNIX, claim.sealed(forged)), UNIX));
-        // That another has left, or is there: only it can say so.
+        // Only an instance itself can announce that it leaves or is alive.
         Word leaves = carol.seal(Word.of(2, 2, 9, Kind.LEAVING, 1, 0, 0, Duration.ZERO, UNIX));
         assertEquals(
                 "WORD; r2.2 PUSH 77 about -1 words []",
@@ -249,7 +249,7 @@
         ByteBuf bytes = write(carol, 0, Codec.Form.PING, UNIX);
         bytes.setLong(4, Ring.id(Ring.raw(KEYS[1].getPublic())));
         assertEquals("SIGNATURE", read(alice, bytes, UNIX));
-        // And it does not hide what the other says then.
+        // The forged datagram does not block the real sender's next one.
         assertEquals(
                 "r1.2 PING 77 about -1 words []",
                 read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX));
@@ -261,7 +261,7 @@
         ByteBuf bytes = write(bob, 0, Codec.Form.PUSH, UNIX, claim);
         now = now.plus(DAY);
         assertEquals("CLOCK", read(alice, bytes, UNIX.plus(DAY)));
-        // The word alone, passed on by another today.
+        // The update alone, forwarded by another instance a day later.
         assertEquals(
                 "WORD; r2.2 PUSH 77 about -1 words []",
                 read(
@@ -273,13 +273,14 @@
     @Example
     void keysChangeInService() throws Exception {
         Codec next = codec(1, KEYS[3]);
-        assertEquals("KEY", read(alice, write(next, 0, Codec.Form.PING, UNIX), UNIX), "not yet");
+        assertEquals(
+                "KEY", read(alice, write(next, 0, Codec.Form.PING, UNIX), UNIX), "not valid yet");
         Duration later = UNIX.plus(DAY);
         now = now.plus(DAY);
         assertEquals(
                 "r1.2 PING 77 about -1 words []",
                 read(alice, write(next, 0, Codec.Form.PING, later), later));
-        // Both, at once, and in any order.
+        // Both keys are valid, in any order of use.
         Codec old =
                 new Codec(
                         ring,
@@ -300,7 +301,7 @@
         assertEquals(
                 "KEY",
                 read(strict, write(old, 0, Codec.Form.PING, later), later),
-                "its time is over");
+                "no longer valid");
     }
 
     @Example
@@ -312,7 +313,7 @@
         assertTrue(read(alice, sent.get(69), UNIX).startsWith("r1.2 PING"));
         assertTrue(read(alice, sent.get(20), UNIX).startsWith("r1.2 PING"), "reordered");
         assertEquals("REPLAY", read(alice, sent.get(20), UNIX));
-        assertEquals("REPLAY", read(alice, sent.get(0), UNIX), "too late to tell");
+        assertEquals("REPLAY", read(alice, sent.get(0), UNIX), "older than the replay window");
     }
 
     @Example
@@ -327,7 +328,7 @@
         assertTrue(checked <= 130, "checked " + checked);
         assertTrue(
                 read(alice, write(bob, 0, Codec.Form.PING, UNIX), UNIX).startsWith("r1.2 PING"),
-                "others are heard");
+                "datagrams of other senders are accepted");
     }
 
     @Property(tries = 300, seed = "11")
@@ -335,7 +336,7 @@
         now = now.plusSeconds(5);
         ByteBuf in = Unpooled.wrappedBuffer(bytes);
         if (dressed && bytes.length > 60) {
-            // As far in as can be without a key: only the signature is missing.
+            // The most that can be forged without a key: only the signature is wrong.
             ByteBuf good = write(carol, 0, Codec.Form.PING, UNIX);
             good.getBytes(0, bytes, 0, 52);
         }
--- a/src/test/java/dillfront/router/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/PlannerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where load goes once sites are lost: by scenes to be read, against all there is to choose from,
- * and alike everywhere.
+ * Checks the load plans after the loss of sites: against recorded plans, against an exhaustive
+ * search, and for equal results on all routers.
  */
 class PlannerTest {
 
@@ -31,8 +31,8 @@
         List<Node> nodes = new ArrayList<>();
         for (int g = 0; g < 3; g++) {
             for (int m = 0; m < 3; m++) {
-                // The last group has two members in the smallest site's place, so a pair of losses
-                // leaves it none.
+                // The last group has two members at the same site, so the loss of two sites can
+                // leave it none.
                 String site = g == 2 && m == 2 ? "north" : List.of("north", "south", "west").get(m);
                 nodes.add(new Node("s-" + g + m, site, g, m == 2 ? 1 : 2, m == g % 3));
             }
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Every way to give whole units of what is asked to whole units of room, for estates so small
-     * that all can be tried.
+     * Searches all assignments of whole units of requested work to whole units of capacity, for
+     * inputs small enough.
      */
     private static double best(
             Estate estate,
@@ -173,8 +173,8 @@
     }
 
     /**
-     * The simplex finds what trying everything finds: amounts that are whole make plans that are
-     * whole (a transport problem).
+     * The simplex method finds the optimum of the exhaustive search: integral amounts have integral
+     * optimal plans (a transport problem).
      */
     @Test
     void noWayIsBetterThanThePlan() {
@@ -229,12 +229,12 @@
                     1e-6,
                     "round " + round);
         }
-        assertTrue(looked > 50, "looked at " + looked);
+        assertTrue(looked > 50, "compared " + looked + " plans");
     }
 
     /**
-     * The same list in another order is the same plan; nothing goes past what nodes or clients
-     * have.
+     * The same list in another order gives the same plan, and no plan exceeds the capacity of a
+     * node or the requested work.
      */
     @Test
     void theSameListMakesTheSamePlan() {
--- a/src/test/java/dillfront/router/recovery/DoubtsTest.java
+++ b/src/test/java/dillfront/router/recovery/DoubtsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is kept in mind of txns that may have run, what is told of it, and how far groups have come
- * back.
+ * Checks the tracking of in-doubt keys, their exchange with peers, and the recovery state of
+ * groups.
  */
 class DoubtsTest {
 
@@ -108,8 +108,7 @@
     }
 
     /**
-     * What is put in is found, whatever it is and however much of it there is, and it survives the
-     * wire.
+     * A filter contains every key that was added, whatever their number, also after it was sent.
      */
     @Property(tries = 200)
     void aDigestHoldsWhatWasPutIn(@ForAll @Size(max = 300) List<Long> keys) {
@@ -129,12 +128,13 @@
         Digest full = Digest.of(keys, 128);
         assertEquals(128, full.words().length);
         assertTrue(
-                full.mayHold(keys.get(1999)) && !full.mayHold(keys.get(0)), "the latest are told");
+                full.mayHold(keys.get(1999)) && !full.mayHold(keys.get(0)),
+                "only the latest keys are included");
         int seem = 0;
         for (int i = 0; i < 100_000; i++) {
             seem += full.mayHold(chance.nextLong()) ? 1 : 0;
         }
-        assertTrue(seem < 40, seem + " of 100,000 seem to be there");
+        assertTrue(seem < 40, seem + " false positives of 100,000");
         assertTrue(Digest.read(new long[0]).isEmpty());
         assertFalse(Digest.read(new long[] {0}).mayHold(1));
         assertEquals(null, Digest.read(new long[] {-1, -1}));
@@ -147,7 +147,7 @@
         others.says(0, 5, seven, ms(0));
         assertTrue(others.mayDoubt(7) && others.before(0) == null);
         others.says(0, 6, new long[0], ms(500));
-        assertTrue(others.mayDoubt(7), "it forgot, and had known");
+        assertTrue(others.mayDoubt(7), "its previous run reported the key");
         assertEquals(List.of(seven[0]), List.of(others.before(0)[0]));
         others.echoes(1, Digest.of(List.of(8L), 8).words(), ms(600));
         assertTrue(others.mayDoubt(8));
@@ -203,7 +203,7 @@
         at(10, "the list of the configuration", groups);
         assertFalse(
                 groups.mayWrite(0, ms(100_000)),
-                "while all is dark no time runs against the one that led before");
+                "the waiting time for the former primary starts only with another claim");
         groups.discovery(true);
         for (int n = 0; n < 3; n++) {
             groups.listed(n, "n" + n, 4, ms(100), true);
--- a/src/test/java/dillfront/router/site/SitesTest.java
+++ b/src/test/java/dillfront/router/site/SitesTest.java
@@ -9,7 +9,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** What one router makes of what it sees of nodes at three sites, two nodes each. */
+/**
+ * Checks the verdicts of one router on three sites with two nodes each, from its observations of
+ * the nodes.
+ */
 class SitesTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -62,8 +65,8 @@
     }
 
     /**
-     * Guards against a site that is well again and stays lost, because a router with few txns asks
-     * there now and then only.
+     * A recovered site with few transactions must not stay lost because the router gets an answer
+     * from it only now and then.
      */
     @Test
     void oneThatIsAskedNowAndThenComesBack() {
@@ -108,7 +111,7 @@
         Scene.compare("sites", trace);
     }
 
-    /** Guards against load that swings with a site that comes and goes ten times in a minute. */
+    /** Load must not swing with a site that goes down and recovers ten times in a minute. */
     @Test
     void oneThatFlapsStaysOutOfUse() throws IOException {
         begin();
@@ -118,7 +121,7 @@
             sees("c is back", "c", Health.WELL);
             to(now + 3000);
         }
-        assertTrue(changes < 3 + 10, "it changed " + changes + " times for twenty");
+        assertTrue(changes < 3 + 10, changes + " changes for twenty observations");
         to(now + 60_000);
         trace.append("a minute later c is ").append(sites.states().get("c")).append('\n');
         Scene.compare("sites-flap", trace);
