--- a/src/main/java/dillfront/router/gossip/Post.java
+++ b/src/main/java/dillfront/router/gossip/GossipTransport.java
@@ -6,30 +6,30 @@
 /**
  * Outgoing side of the gossip protocol. Each call sends at most one datagram, which may be lost.
  */
-public interface Post {
+public interface GossipTransport {
 
-    void ping(int to, int number, List<Word> words);
+    void ping(int to, int probeNumber, List<GossipUpdate> updates);
 
-    void ack(int to, int number, List<Word> words);
+    void ack(int to, int probeNumber, List<GossipUpdate> updates);
 
     /** Asks an instance to ping a third one and to return its ack. */
-    void ask(int to, int about, int number, List<Word> words);
+    void requestProbe(int to, int target, int probeNumber, List<GossipUpdate> updates);
 
     /** Sends updates alone; with {@code swap} set the receiver is asked for its table in return. */
-    void push(int to, boolean swap, List<Word> words);
+    void push(int to, boolean requestTable, List<GossipUpdate> updates);
 
     /** Signs an update of this instance. */
-    Word seal(Word own);
+    GossipUpdate sign(GossipUpdate update);
 
     /**
      * Returns the size on the wire, including IP and UDP headers, of a datagram with these updates.
      */
-    int bytes(List<Word> words);
+    int wireSize(List<GossipUpdate> updates);
 
     /**
      * Passes on a claim of a peer that is new to this instance.
      *
      * @param age time since the claim was made
      */
-    void claimed(Word claim, Duration age);
+    void claimReceived(GossipUpdate claim, Duration age);
 }
--- a/src/main/java/dillfront/router/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/LoopLagMonitor.java
@@ -16,51 +16,51 @@
  * long a turn handles queries, how old a query just read may be, and whether an expired time limit
  * is valid.
  */
-public final class Pace {
+public final class LoopLagMonitor {
 
     /** Duration of a turn in clock steps; the sockets are polled again after that. */
-    private static final double TURN = 1;
+    private static final double TURN_STEPS = 1;
 
     /**
      * Delay of a tick, in clock steps, that is within the timer's resolution and does not count as
      * lag.
      */
-    private static final double GRAIN = 1;
+    private static final double RESOLUTION_STEPS = 1;
 
-    private Duration turn;
-    private Duration grain;
-    private Duration due;
-    private Duration behind = Duration.ZERO;
-    private Duration longest = Duration.ZERO;
-    private boolean cameLate;
+    private Duration turnLimit;
+    private Duration resolution;
+    private Duration dueAt;
+    private Duration totalLag = Duration.ZERO;
+    private Duration longestLag = Duration.ZERO;
+    private boolean lastTickLate;
 
     /**
      * @param step the clock step, the shortest time that the router distinguishes
      */
-    public Pace(Duration step) {
-        step(step);
+    public LoopLagMonitor(Duration step) {
+        setStep(step);
     }
 
     /** Changes the clock step. */
-    public void step(Duration step) {
-        turn = times(step, TURN);
-        grain = times(step, GRAIN);
+    public void setStep(Duration step) {
+        turnLimit = times(step, TURN_STEPS);
+        resolution = times(step, RESOLUTION_STEPS);
     }
 
     /** Sets the time at which the next tick is due. */
-    public void expect(Duration when) {
-        due = when;
+    public void expectTick(Duration nextTickAt) {
+        dueAt = nextTickAt;
     }
 
     /** Records that the tick has run. */
-    public void came(Duration now) {
+    public void recordTick(Duration now) {
         Duration lag = lag(now);
-        cameLate = !lag.isZero();
-        if (cameLate) {
-            behind = behind.plus(lag);
-            longest = lag.compareTo(longest) > 0 ? lag : longest;
+        lastTickLate = !lag.isZero();
+        if (lastTickLate) {
+            totalLag = totalLag.plus(lag);
+            longestLag = lag.compareTo(longestLag) > 0 ? lag : longestLag;
         }
-        due = null;
+        dueAt = null;
     }
 
     /**
@@ -68,10 +68,10 @@
      * resolution.
      */
     public Duration lag(Duration now) {
-        if (due == null) {
+        if (dueAt == null) {
             return Duration.ZERO;
         }
-        Duration late = now.minus(due).minus(grain);
+        Duration late = now.minus(dueAt).minus(resolution);
         return late.isNegative() ? Duration.ZERO : late;
     }
 
@@ -80,20 +80,20 @@
      * ran on time, which it does after a poll of all sockets, and the next one is not overdue.
      * Otherwise the sockets are polled once more before a send.
      */
-    public boolean sure(Duration now) {
-        return due != null && !cameLate && lag(now).isZero();
+    public boolean isSocketDataRead(Duration now) {
+        return dueAt != null && !lastTickLate && lag(now).isZero();
     }
 
     /** Returns the total lag since the start; never decreases. */
-    public Duration behind(Duration now) {
-        return behind.plus(lag(now));
+    public Duration totalLag(Duration now) {
+        return totalLag.plus(lag(now));
     }
 
     /** Returns the longest lag since the last call. */
-    public Duration longest() {
-        Duration was = longest;
-        longest = Duration.ZERO;
-        return was;
+    public Duration longestLag() {
+        Duration previous = longestLag;
+        longestLag = Duration.ZERO;
+        return previous;
     }
 
     /**
@@ -101,7 +101,7 @@
      * socket while the thread was blocked. The maximum is used because an answer after the client's
      * time limit is useless.
      */
-    public Duration age(Duration now) {
+    public Duration maxQueryAge(Duration now) {
         return lag(now);
     }
 
@@ -110,8 +110,8 @@
      * does not delay the reading of list updates and answers: all sockets are polled between two
      * turns.
      */
-    public boolean takesMore(Duration began, Duration now) {
-        return now.minus(began).compareTo(turn) < 0;
+    public boolean mayContinueTurn(Duration turnStartedAt, Duration now) {
+        return now.minus(turnStartedAt).compareTo(turnLimit) < 0;
     }
 
     /**
@@ -119,9 +119,9 @@
      * limit was set: the answer may be waiting unread, so the sockets are polled once more.
      * Otherwise nodes would be blamed for the router's own pause.
      *
-     * @param behindThen total lag at the time when the limit was set
+     * @param lagAtStart total lag at the time when the limit was set
      */
-    public boolean believes(Duration behindThen, Duration now) {
-        return behind(now).compareTo(behindThen) <= 0;
+    public boolean isTimeLimitValid(Duration lagAtStart, Duration now) {
+        return totalLag(now).compareTo(lagAtStart) <= 0;
     }
 }
--- a/src/main/java/dillfront/router/peers/Drop.java
+++ b/src/main/java/dillfront/router/peers/DropReason.java
@@ -1,7 +1,7 @@
 package dillfront.router.peers;
 
 /** Reasons to drop a datagram or an update, in the order of the checks. */
-public enum Drop {
+public enum DropReason {
     /** Malformed datagram: wrong size, other version, or a count that does not match the size. */
     FORM,
     /** Sent to another instance, or by this one itself. */
--- /dev/null
+++ b/src/main/java/dillfront/router/peers/GossipCodec.java
@@ -0,0 +1,524 @@
+package dillfront.router.peers;
+
+import dillfront.router.gossip.ClockSkew;
+import dillfront.router.gossip.GossipUpdate;
+import dillfront.router.gossip.UpdateKind;
+import io.netty.buffer.ByteBuf;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.GeneralSecurityException;
+import java.security.PrivateKey;
+import java.security.Signature;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Encodes and decodes the datagrams between instances, version 1. All numbers are big-endian. A
+ * datagram takes 117 bytes plus 113 per update:
+ *
+ * <pre>
+ *   2 'd' 'f'   1 version   1 type   8 key id of the sender   4 its incarnation
+ *   8 sequence number, rising from its start on   8 send time, Unix microseconds
+ *   8 hash of the receiver's name   4 probe number   8 hash of the name it is about
+ *   1 number of updates   updates
+ *   64 Ed25519 signature of all before, prefixed with the text "dillfront datagram 1"
+ * </pre>
+ *
+ * <p>An update consists of: 8 key id of the origin, 4 incarnation, 4 number, 1 kind, 8 subject, 4
+ * detail, 2 evidence, 4 milliseconds since the symptom began, 8 creation time in Unix microseconds,
+ * 4 and 2 address and port for ALIVE, 64 Ed25519 signature of these prefixed with "dillfront word
+ * 1".
+ *
+ * <p>A datagram with in-doubt keys carries no updates. Its count field holds the number of 64-bit
+ * parts of a recovery.KeyDigest, which take the place of the updates, and the name it is about is
+ * the instance whose in-doubt keys these are. A datagram with closed nodes has the same layout with
+ * three parts for each node closed by the sender's member lists: the first 8 bytes of the SHA-256
+ * of its id, the generation of that list, and the start time of the process that the list refers
+ * to. Instances that do not know these types drop them.
+ *
+ * <p>Checks run in the order of their cost. No allocation depends on a length in the datagram: the
+ * count must match the received size. Signatures of updates that were verified before are
+ * recognized by their bytes.
+ */
+public final class GossipCodec {
+
+    static final int HEADER_BYTES = 53;
+    static final int UPDATE_BYTES = 113;
+    static final int SIGNATURE_BYTES = 64;
+
+    /** Bytes of the IP and UDP headers. */
+    static final int IP_UDP_HEADER_BYTES = 28;
+
+    private static final int SIGNED_UPDATE_BYTES = UPDATE_BYTES - SIGNATURE_BYTES;
+    private static final byte[] DATAGRAM_SIGNATURE_PREFIX =
+            "dillfront datagram 1".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] UPDATE_SIGNATURE_PREFIX =
+            "dillfront word 1".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_VERIFIED_UPDATES = 1024;
+    private static final int MAX_PARTS = 128;
+
+    /** Parts per closed node in a datagram with closed nodes. */
+    static final int PARTS_PER_CLOSED_NODE = 3;
+
+    /** Purpose of a datagram; the ordinal is on the wire. */
+    public enum DatagramType {
+        PING,
+        ACK,
+        PROBE_REQUEST,
+        PUSH,
+        TABLE_EXCHANGE,
+        IN_DOUBT_KEYS,
+        CLOSED_NODES
+    }
+
+    /** Receives the datagrams that passed all checks. */
+    public interface DatagramHandler {
+        /**
+         * @param sent send time by the sender's clock, in Unix time
+         * @param about index of the instance that the sender asks about; -1 if there is none
+         */
+        void receive(
+                int from,
+                int incarnation,
+                Duration sent,
+                DatagramType type,
+                int probe,
+                int about,
+                List<GossipUpdate> updates);
+
+        /**
+         * @param runId identifies the run of the sender
+         * @param about the instance whose in-doubt keys these are: the sender, or this instance in
+         *     an earlier run as remembered by the sender
+         */
+        void receiveInDoubtKeys(
+                int from, int incarnation, Duration sent, int runId, int about, long[] keys);
+
+        /**
+         * @param closedNodes three numbers for each node closed by the sender's member lists: hash
+         *     of its id, generation, start time
+         */
+        void receiveClosedNodes(int from, int incarnation, Duration sent, long[] closedNodes);
+
+        /** Reports the address in an instance's own ALIVE update. */
+        void learnAddress(int peer, int incarnation, InetSocketAddress address);
+
+        void onDropped(DropReason reason);
+    }
+
+    private final PeerRegistry registry;
+    private final int self;
+    private final long selfHash;
+    private final long keyId;
+    private final PrivateKey key;
+    private final InetSocketAddress address;
+    private final int maxDatagramBytes;
+    private final ReplayWindow replayWindow;
+    private final Signature signer;
+    private final Signature verifier;
+
+    /**
+     * Updates whose signature has been verified, keyed by all their bytes; the oldest entry is
+     * evicted first.
+     */
+    private final Map<ByteBuffer, Boolean> verifiedUpdates = new LinkedHashMap<>();
+
+    private long sequenceNumber;
+
+    /**
+     * @param keyId id of the registered key that belongs to the private key
+     * @param address address at which peers reach this instance
+     * @param maxDatagramBytes size of the largest datagram in bytes, without IP and UDP headers
+     * @param firstSequenceNumber sequence number of the first datagram, above any of an earlier
+     *     run: Unix time in microseconds
+     */
+    public GossipCodec(
+            PeerRegistry registry,
+            int self,
+            long keyId,
+            PrivateKey key,
+            InetSocketAddress address,
+            int maxDatagramBytes,
+            long firstSequenceNumber) {
+        this.registry = registry;
+        this.self = self;
+        this.keyId = keyId;
+        this.key = key;
+        this.address = address;
+        this.maxDatagramBytes = maxDatagramBytes;
+        selfHash = PeerRegistry.hash(registry.name(self));
+        sequenceNumber = firstSequenceNumber;
+        replayWindow = new ReplayWindow(registry.size());
+        try {
+            signer = Signature.getInstance("Ed25519");
+            verifier = Signature.getInstance("Ed25519");
+        } catch (GeneralSecurityException missing) {
+            throw new IllegalStateException(missing);
+        }
+    }
+
+    /** Returns the size on the wire of a datagram with the given number of updates. */
+    public static int wireSize(int updates) {
+        return IP_UDP_HEADER_BYTES + HEADER_BYTES + updates * UPDATE_BYTES + SIGNATURE_BYTES;
+    }
+
+    /**
+     * Returns the size on the wire of a datagram with the given number of 64-bit parts; the next
+     * method returns how many parts the largest datagram holds.
+     */
+    public static int partsWireSize(int parts) {
+        return IP_UDP_HEADER_BYTES + HEADER_BYTES + parts * Long.BYTES + SIGNATURE_BYTES;
+    }
+
+    public static int maxParts(int maxDatagramBytes) {
+        return Math.min(
+                MAX_PARTS, (maxDatagramBytes - HEADER_BYTES - SIGNATURE_BYTES) / Long.BYTES);
+    }
+
+    // ---- encoding
+
+    /** Signs an update of this instance. */
+    public GossipUpdate sign(GossipUpdate update) {
+        ByteBuffer out = ByteBuffer.allocate(UPDATE_BYTES);
+        out.putLong(keyId)
+                .putInt(update.incarnation())
+                .putInt(update.number())
+                .put((byte) update.kind().ordinal());
+        out.putLong(
+                update.kind() == UpdateKind.CLAIM
+                        ? update.subject()
+                        : PeerRegistry.hash(registry.name((int) update.subject())));
+        out.putInt(update.detail()).putShort((short) Math.min(update.evidence(), Short.MAX_VALUE));
+        out.putInt((int) Math.min(update.symptomDuration().toMillis(), Integer.MAX_VALUE))
+                .putLong(toMicros(update.createdAt()));
+        out.put(
+                update.kind() == UpdateKind.ALIVE
+                        ? address.getAddress().getAddress()
+                        : new byte[4]);
+        out.putShort((short) (update.kind() == UpdateKind.ALIVE ? address.getPort() : 0));
+        out.put(sign(UPDATE_SIGNATURE_PREFIX, out.array(), SIGNED_UPDATE_BYTES));
+        return update.signedBytes(out.array());
+    }
+
+    /** Writes one datagram; the buffer remains the caller's. */
+    public void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            DatagramType type,
+            int probe,
+            int about,
+            List<GossipUpdate> updates,
+            Duration unixTime) {
+        int start = writeHeader(out, to, incarnation, type, probe, about, updates.size(), unixTime);
+        for (GossipUpdate update : updates) {
+            out.writeBytes(update.signedBytes());
+        }
+        sign(out, start);
+    }
+
+    /** Writes one datagram of in-doubt keys. The probe field holds the id of the sender's run. */
+    public void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            int runId,
+            int about,
+            long[] digest,
+            Duration unixTime) {
+        write(out, to, incarnation, DatagramType.IN_DOUBT_KEYS, runId, about, digest, unixTime);
+    }
+
+    /** Writes one datagram of the nodes that this instance's member lists have closed. */
+    public void write(ByteBuf out, int to, int incarnation, long[] closed, Duration unixTime) {
+        write(out, to, incarnation, DatagramType.CLOSED_NODES, 0, self, closed, unixTime);
+    }
+
+    private void write(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            DatagramType type,
+            int runId,
+            int about,
+            long[] parts,
+            Duration unixTime) {
+        int start = writeHeader(out, to, incarnation, type, runId, about, parts.length, unixTime);
+        for (long part : parts) {
+            out.writeLong(part);
+        }
+        sign(out, start);
+    }
+
+    private int writeHeader(
+            ByteBuf out,
+            int to,
+            int incarnation,
+            DatagramType type,
+            int probe,
+            int about,
+            int count,
+            Duration unixTime) {
+        int start = out.writerIndex();
+        out.writeByte('d').writeByte('f').writeByte(1).writeByte(type.ordinal());
+        out.writeLong(keyId)
+                .writeInt(incarnation)
+                .writeLong(++sequenceNumber)
+                .writeLong(toMicros(unixTime));
+        out.writeLong(PeerRegistry.hash(registry.name(to)))
+                .writeInt(probe)
+                .writeLong(about < 0 ? 0 : PeerRegistry.hash(registry.name(about)));
+        out.writeByte(count);
+        return start;
+    }
+
+    private void sign(ByteBuf out, int start) {
+        byte[] all = new byte[out.writerIndex() - start];
+        out.getBytes(start, all);
+        out.writeBytes(sign(DATAGRAM_SIGNATURE_PREFIX, all, all.length));
+    }
+
+    private byte[] sign(byte[] prefix, byte[] bytes, int length) {
+        try {
+            signer.initSign(key);
+            signer.update(prefix);
+            signer.update(bytes, 0, length);
+            return signer.sign();
+        } catch (GeneralSecurityException bad) {
+            throw new IllegalStateException(bad);
+        }
+    }
+
+    // ---- decoding
+
+    /**
+     * Decodes one datagram and passes it to the reader; the buffer remains the caller's. Never
+     * throws for invalid input.
+     *
+     * @param now time since the start
+     * @param unixTime local Unix time
+     */
+    public void read(ByteBuf in, Duration now, Duration unixTime, DatagramHandler reader) {
+        int start = in.readerIndex();
+        int size = in.readableBytes();
+        if (size < HEADER_BYTES + SIGNATURE_BYTES
+                || size > maxDatagramBytes
+                || in.getByte(start) != 'd'
+                || in.getByte(start + 1) != 'f'
+                || in.getByte(start + 2) != 1
+                || in.getUnsignedByte(start + 3) >= DatagramType.values().length) {
+            reader.onDropped(DropReason.FORM);
+            return;
+        }
+        int count = in.getUnsignedByte(start + HEADER_BYTES - 1);
+        DatagramType type = DatagramType.values()[in.getByte(start + 3)];
+        if (size
+                != HEADER_BYTES
+                        + count
+                                * (type == DatagramType.IN_DOUBT_KEYS
+                                                || type == DatagramType.CLOSED_NODES
+                                        ? Long.BYTES
+                                        : UPDATE_BYTES)
+                        + SIGNATURE_BYTES) {
+            reader.onDropped(DropReason.FORM);
+            return;
+        }
+        if (in.getLong(start + 32) != selfHash) {
+            reader.onDropped(DropReason.NOT_MINE);
+            return;
+        }
+        PeerRegistry.PeerKey from = registry.key(in.getLong(start + 4), unixTime);
+        if (from == null || from.peer() == self) {
+            reader.onDropped(from == null ? DropReason.KEY : DropReason.NOT_MINE);
+            return;
+        }
+        if (isTooFarApart(unixTime, in.getLong(start + 24))) {
+            reader.onDropped(DropReason.CLOCK);
+            return;
+        }
+        long sequence = in.getLong(start + 16);
+        if (sequence < 0 || !replayWindow.mayBeNew(from.peer(), sequence, now)) {
+            reader.onDropped(DropReason.REPLAY);
+            return;
+        }
+        if (!replayWindow.tryTakeCheck(from.peer(), now)) {
+            reader.onDropped(DropReason.FLOOD);
+            return;
+        }
+        byte[] all = new byte[size];
+        in.getBytes(start, all);
+        if (!isSignatureValid(from, DATAGRAM_SIGNATURE_PREFIX, all, 0, size - SIGNATURE_BYTES)) {
+            reader.onDropped(DropReason.SIGNATURE);
+            return;
+        }
+        replayWindow.recordReceived(from.peer(), sequence, now);
+        int about = registry.peer(in.getLong(start + 44));
+        int incarnation = in.getInt(start + 12);
+        Duration sent = Duration.ofNanos(in.getLong(start + 24) * 1000);
+        if (type == DatagramType.IN_DOUBT_KEYS || type == DatagramType.CLOSED_NODES) {
+            long[] parts = new long[count];
+            ByteBuffer.wrap(all, HEADER_BYTES, count * Long.BYTES).asLongBuffer().get(parts);
+            boolean closed = type == DatagramType.CLOSED_NODES;
+            if (count > MAX_PARTS
+                    || about != from.peer() && (closed || about != self)
+                    || closed && count % PARTS_PER_CLOSED_NODE != 0) {
+                reader.onDropped(DropReason.FORM);
+            } else if (closed) {
+                reader.receiveClosedNodes(from.peer(), incarnation, sent, parts);
+            } else {
+                reader.receiveInDoubtKeys(
+                        from.peer(), incarnation, sent, in.getInt(start + 40), about, parts);
+            }
+            return;
+        }
+        GossipUpdate[] updates = new GossipUpdate[count];
+        int accepted = 0;
+        for (int i = 0; i < count; i++) {
+            GossipUpdate update =
+                    readUpdate(
+                            all,
+                            HEADER_BYTES + i * UPDATE_BYTES,
+                            from.peer(),
+                            now,
+                            unixTime,
+                            reader);
+            if (update == null) {
+                reader.onDropped(DropReason.WORD);
+            } else {
+                updates[accepted++] = update;
+            }
+        }
+        reader.receive(
+                from.peer(),
+                incarnation,
+                sent,
+                type,
+                in.getInt(start + 40),
+                about,
+                List.of(java.util.Arrays.copyOf(updates, accepted)));
+    }
+
+    /** Decodes one update; returns null if it is invalid or not signed by its origin. */
+    private GossipUpdate readUpdate(
+            byte[] all,
+            int offset,
+            int sender,
+            Duration now,
+            Duration unixTime,
+            DatagramHandler reader) {
+        ByteBuffer in = ByteBuffer.wrap(all, offset, UPDATE_BYTES);
+        PeerRegistry.PeerKey key = registry.key(in.getLong(), unixTime);
+        int incarnation = in.getInt();
+        int number = in.getInt();
+        int kindNumber = in.get();
+        if (key == null
+                || kindNumber < 0
+                || kindNumber >= UpdateKind.values().length
+                || incarnation < 0
+                || number < 0) {
+            return null;
+        }
+        UpdateKind kind = UpdateKind.values()[kindNumber];
+        long subject = in.getLong();
+        if (kind != UpdateKind.CLAIM) {
+            subject = registry.peer(subject);
+            boolean own = subject == key.peer();
+            if (subject < 0 || own != (kind != UpdateKind.SILENT)) {
+                return null;
+            }
+        }
+        int detail = in.getInt();
+        int evidence = in.getShort();
+        int symptomMillis = in.getInt();
+        long createdAt = in.getLong();
+        // Accusations and claims are valid only near their creation time; ALIVE and LEAVING updates
+        // are forwarded for as long as they apply.
+        boolean outdated =
+                (kind == UpdateKind.SILENT || kind == UpdateKind.CLAIM)
+                        && isTooFarApart(unixTime, createdAt);
+        if (outdated
+                || evidence < 0
+                || symptomMillis < 0
+                || createdAt < 0
+                || kind == UpdateKind.CLAIM
+                        && (detail < 0
+                                || detail >= dillfront.router.gossip.Symptom.values().length)) {
+            return null;
+        }
+        byte[] bytes = java.util.Arrays.copyOfRange(all, offset, offset + UPDATE_BYTES);
+        ByteBuffer signedUpdate = ByteBuffer.wrap(bytes);
+        if (!verifiedUpdates.containsKey(signedUpdate)) {
+            if (!replayWindow.tryTakeCheck(sender, now)
+                    || !isSignatureValid(
+                            key, UPDATE_SIGNATURE_PREFIX, bytes, 0, SIGNED_UPDATE_BYTES)) {
+                return null;
+            }
+            verifiedUpdates.put(signedUpdate, true);
+            if (verifiedUpdates.size() > MAX_VERIFIED_UPDATES) {
+                verifiedUpdates.remove(verifiedUpdates.keySet().iterator().next());
+            }
+        }
+        if (kind == UpdateKind.ALIVE) {
+            readAddress(key.peer(), incarnation, bytes, reader);
+        }
+        return new GossipUpdate(
+                key.peer(),
+                incarnation,
+                number,
+                kind,
+                subject,
+                detail,
+                evidence,
+                Duration.ofMillis(symptomMillis),
+                Duration.ofNanos(createdAt * 1000),
+                bytes);
+    }
+
+    private static void readAddress(
+            int peer, int incarnation, byte[] update, DatagramHandler reader) {
+        ByteBuffer in = ByteBuffer.wrap(update, SIGNED_UPDATE_BYTES - 6, 6);
+        byte[] ip = new byte[4];
+        in.get(ip);
+        int port = in.getShort() & 0xffff;
+        if (port > 0) {
+            try {
+                reader.learnAddress(
+                        peer,
+                        incarnation,
+                        new InetSocketAddress(InetAddress.getByAddress(ip), port));
+            } catch (UnknownHostException impossible) {
+                throw new IllegalStateException(impossible);
+            }
+        }
+    }
+
+    private boolean isSignatureValid(
+            PeerRegistry.PeerKey signerKey, byte[] prefix, byte[] bytes, int offset, int length) {
+        try {
+            verifier.initVerify(signerKey.key());
+            verifier.update(prefix);
+            verifier.update(bytes, offset, length);
+            return verifier.verify(bytes, offset + length, SIGNATURE_BYTES);
+        } catch (GeneralSecurityException bad) {
+            // A malformed signature counts as a wrong one.
+            return false;
+        }
+    }
+
+    /**
+     * Returns whether the time differs from local Unix time by more than the accepted clock
+     * difference or delay.
+     */
+    private static boolean isTooFarApart(Duration unixTime, long micros) {
+        return Math.abs(toMicros(unixTime) - micros) > toMicros(ClockSkew.MAX_DIFFERENCE);
+    }
+
+    private static long toMicros(Duration unixTime) {
+        return unixTime.toNanos() / 1000;
+    }
+}
--- a/src/main/java/dillfront/router/plan/Plan.java
+++ b/src/main/java/dillfront/router/plan/LoadPlan.java
@@ -9,7 +9,7 @@
  *
  * @param lost empty for the plan without a loss
  */
-public record Plan(Set<String> lost, List<Group> groups) {
+public record LoadPlan(Set<String> lost, List<Group> groups) {
 
     /** Reason why the requested load is not served in full. */
     public enum Limit {
@@ -26,49 +26,57 @@
     /**
      * @param primary the primary; if it is lost, the smallest of the nodes that may replace it,
      *     since its successor is not known
-     * @param elects whether the primary is lost, so that the group accepts no writes until another
-     *     node takes over
+     * @param needsElection whether the primary is lost, so that the group accepts no writes until
+     *     another node takes over
      */
     public record Group(
-            int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
+            int number,
+            int members,
+            int left,
+            String primary,
+            boolean needsElection,
+            List<TypeLoad> loads) {}
 
     /**
      * Load of one transaction type.
      *
-     * @param asked work requested from the group, at all sites
+     * @param requested work requested from the group, at all sites
      * @param limit the binding limit if not all is served
      */
-    public record Row(
-            String kind,
-            double asked,
+    public record TypeLoad(
+            String type,
+            double requested,
             double served,
-            double crosses,
+            double crossSite,
             Limit limit,
             List<Flow> flows) {}
 
     /** Part of the work requested at a site that is sent to a node. */
-    public record Flow(String from, String node, String at, double amount) {}
+    public record Flow(String fromSite, String node, String at, double amount) {}
 
-    public double asked() {
-        return groups.stream().flatMap(g -> g.rows.stream()).mapToDouble(Row::asked).sum();
+    public double requested() {
+        return groups.stream()
+                .flatMap(g -> g.loads.stream())
+                .mapToDouble(TypeLoad::requested)
+                .sum();
     }
 
     public double served() {
-        return groups.stream().flatMap(g -> g.rows.stream()).mapToDouble(Row::served).sum();
+        return groups.stream().flatMap(g -> g.loads.stream()).mapToDouble(TypeLoad::served).sum();
     }
 
     /**
      * Returns the part of a transaction type's requested work, over all groups, that is refused.
      */
-    public double refused(String kind) {
-        double asked = 0;
+    public double refusedPart(String type) {
+        double requested = 0;
         double served = 0;
         for (Group group : groups) {
-            for (Row row : group.rows) {
-                asked += row.kind.equals(kind) ? row.asked : 0;
-                served += row.kind.equals(kind) ? row.served : 0;
+            for (TypeLoad load : group.loads) {
+                requested += load.type.equals(type) ? load.requested : 0;
+                served += load.type.equals(type) ? load.served : 0;
             }
         }
-        return asked == 0 ? 0 : 1 - served / asked;
+        return requested == 0 ? 0 : 1 - served / requested;
     }
 }
--- a/src/main/java/dillfront/router/plan/Estate.java
+++ b/src/main/java/dillfront/router/plan/PlannerInput.java
@@ -11,33 +11,37 @@
  * requested at each site. All of it is the same on every router and kept in a fixed order, so that
  * the same list produces the same plan everywhere.
  */
-public final class Estate {
+public final class PlannerInput {
 
     /**
      * @param capacity work per second, in units of a node of weight 1
      */
-    public record Node(String id, String site, int group, double capacity, boolean leads) {}
+    public record Node(String id, String site, int group, double capacity, boolean isPrimary) {}
 
     /**
      * @param primaryOnly writes and fresh reads
      * @param value value of one transaction
      * @param share part of the requested work
      */
-    public record Kind(String name, boolean primaryOnly, double value, double share) {}
+    public record TransactionType(String name, boolean primaryOnly, double value, double share) {}
 
     private final List<String> sites;
     private final List<Node> nodes;
-    private final List<Kind> kinds;
-    private final double use;
-    private final double crossing;
+    private final List<TransactionType> transactionTypes;
+    private final double requestedPart;
+    private final double crossingCost;
 
     /**
      * @param sites all sites, including those without nodes
-     * @param use requested work, as a part of the capacity of all nodes
-     * @param crossing cost of a transaction that crosses sites, as a part of the mean value
+     * @param requestedPart requested work, as a part of the capacity of all nodes
+     * @param crossingCost cost of a transaction that crosses sites, as a part of the mean value
      */
-    public Estate(
-            List<String> sites, List<Node> nodes, List<Kind> kinds, double use, double crossing) {
+    public PlannerInput(
+            List<String> sites,
+            List<Node> nodes,
+            List<TransactionType> transactionTypes,
+            double requestedPart,
+            double crossingCost) {
         this.sites = List.copyOf(new TreeSet<>(sites));
         List<Node> sorted = new ArrayList<>(nodes);
         sorted.sort(
@@ -46,29 +50,31 @@
                                 ? Integer.compare(a.group, b.group)
                                 : a.id.compareTo(b.id));
         this.nodes = List.copyOf(sorted);
-        this.kinds = List.copyOf(kinds);
-        this.use = use;
-        this.crossing = crossing;
+        this.transactionTypes = List.copyOf(transactionTypes);
+        this.requestedPart = requestedPart;
+        this.crossingCost = crossingCost;
     }
 
     public List<String> sites() {
         return sites;
     }
 
-    public List<Kind> kinds() {
-        return kinds;
+    public List<TransactionType> transactionTypes() {
+        return transactionTypes;
     }
 
-    public double use() {
-        return use;
+    public double requestedPart() {
+        return requestedPart;
     }
 
     /** Returns the value that one cross-site transaction loses. */
     double crossingPrice() {
-        double shares = kinds.stream().mapToDouble(Kind::share).sum();
+        double shares = transactionTypes.stream().mapToDouble(TransactionType::share).sum();
         return shares == 0
                 ? 0
-                : crossing * kinds.stream().mapToDouble(k -> k.value * k.share).sum() / shares;
+                : crossingCost
+                        * transactionTypes.stream().mapToDouble(k -> k.value * k.share).sum()
+                        / shares;
     }
 
     /** Returns all members by group. */
@@ -88,14 +94,16 @@
      * lost: clients are distributed like node capacity, and those of a lost site move to the
      * remaining sites in proportion to their capacity.
      */
-    double part(String site, Set<String> lost) {
-        double left =
+    double demandPart(String site, Set<String> lost) {
+        double remainingCapacity =
                 sites.stream().filter(s -> !lost.contains(s)).mapToDouble(this::capacity).sum();
-        return lost.contains(site) || left == 0 ? 0 : capacity(site) / left;
+        return lost.contains(site) || remainingCapacity == 0
+                ? 0
+                : capacity(site) / remainingCapacity;
     }
 
     /** Returns each site and each pair of sites whose loss leaves at least one site. */
-    public List<Set<String>> losses() {
+    public List<Set<String>> siteLosses() {
         List<Set<String>> losses = new ArrayList<>();
         for (int size = 1; size <= 2 && size < sites.size(); size++) {
             for (int a = 0; a < sites.size(); a++) {
--- a/src/main/java/dillfront/router/plan/Lists.java
+++ b/src/main/java/dillfront/router/plan/PlannerInputReader.java
@@ -11,28 +11,31 @@
  * Reads the planner's input from a router's configuration: the settings and the member list in
  * discovery's format.
  */
-public final class Lists {
+public final class PlannerInputReader {
 
-    private Lists() {}
+    private PlannerInputReader() {}
 
     /**
      * @param config a configuration as the platform delivers it to a router
-     * @param use requested work, as a part of the capacity of all nodes
+     * @param requestedPart requested work, as a part of the capacity of all nodes
      * @param mix share of each transaction type in the work; empty for equal shares
      */
-    public static Estate read(Tree config, double use, Map<String, Double> mix) throws BadConfig {
+    public static PlannerInput read(Tree config, double requestedPart, Map<String, Double> mix)
+            throws BadConfig {
         Tree settings = config.tree("settings");
-        List<?> reads = settings.tree("familyInfo").list("classRead");
+        List<?> readClasses = settings.tree("familyInfo").list("classRead");
         List<Tree> types = settings.trees("classes");
-        List<Estate.Kind> kinds = new ArrayList<>();
+        List<PlannerInput.TransactionType> transactionTypes = new ArrayList<>();
         Map<String, Double> shares = new TreeMap<>(mix);
         for (int i = 0; i < types.size(); i++) {
             String name = types.get(i).text("name");
-            String read = i < reads.size() ? String.valueOf(reads.get(i)) : "";
-            boolean primaryOnly = !List.of("eventual", "lag_bound", "causal").contains(read);
+            String readClass = i < readClasses.size() ? String.valueOf(readClasses.get(i)) : "";
+            boolean primaryOnly = !List.of("eventual", "lag_bound", "causal").contains(readClass);
             Double share = mix.isEmpty() ? 1.0 / types.size() : shares.getOrDefault(name, 0.0);
             shares.remove(name);
-            kinds.add(new Estate.Kind(name, primaryOnly, types.get(i).number("worth", 1), share));
+            transactionTypes.add(
+                    new PlannerInput.TransactionType(
+                            name, primaryOnly, types.get(i).number("worth", 1), share));
         }
         if (!shares.isEmpty()) {
             throw new BadConfig(
@@ -40,7 +43,7 @@
                             + shares.keySet().iterator().next()
                             + "'");
         }
-        List<Estate.Node> nodes = new ArrayList<>();
+        List<PlannerInput.Node> nodes = new ArrayList<>();
         List<String> sites = new ArrayList<>();
         settings.list("zones").forEach(z -> sites.add(String.valueOf(z)));
         for (Tree entry : config.tree("known").trees("instances")) {
@@ -53,7 +56,7 @@
                 sites.add(site);
             }
             nodes.add(
-                    new Estate.Node(
+                    new PlannerInput.Node(
                             entry.text("instanceId"),
                             site,
                             (int) entry.whole("cell"),
@@ -63,7 +66,11 @@
         if (nodes.isEmpty()) {
             throw new BadConfig("'known' lists no instance with lifecycle 'ready'");
         }
-        return new Estate(
-                sites, nodes, kinds, use, settings.tree("charges").number("crossZone", 0));
+        return new PlannerInput(
+                sites,
+                nodes,
+                transactionTypes,
+                requestedPart,
+                settings.tree("charges").number("crossZone", 0));
     }
 }
--- a/src/main/java/dillfront/router/recovery/Doubts.java
+++ b/src/main/java/dillfront/router/recovery/InDoubtKeys.java
@@ -20,86 +20,86 @@
  * <p>A key is kept from before its first send until it is known that the transaction never ran, or
  * until its client has the answer. A key in doubt is kept for as long as clients may retry. The
  * number of keys is bounded: a transaction that finds no room is rejected. This prevents a write
- * from being applied twice, across restarts as well if a {@link Keeper} stores the keys. Its cost:
- * if the transaction never ran, its client cannot write with that key for as long as the key is
- * kept; it has to read the state and retry with a new key.
+ * from being applied twice, across restarts as well if a {@link KeyStore} stores the keys. Its
+ * cost: if the transaction never ran, its client cannot write with that key for as long as the key
+ * is kept; it has to read the state and retry with a new key.
  *
  * <p>Pure: no clock, no I/O. Once-only transactions carry no key and are not tracked here; they are
  * sent once by their id alone.
  */
-public final class Doubts {
+public final class InDoubtKeys {
 
     /**
      * Stands for a start time before this run: older than any window, with headroom for additions.
      */
-    public static final Duration LONG_AGO = Duration.ofSeconds(Long.MIN_VALUE / 8);
+    public static final Duration BEFORE_THIS_RUN = Duration.ofSeconds(Long.MIN_VALUE / 8);
 
     /** Stores keys for a later run. */
-    public interface Keeper {
+    public interface KeyStore {
 
         /** Returns whether keys can be stored now. */
-        boolean able();
+        boolean isWritable();
 
         /** Stores a key before the send that follows. */
-        void keep(long key);
+        void store(long key);
 
         /** Removes a key at any later time. */
-        void drop(long key);
+        void remove(long key);
     }
 
     /**
-     * @param most maximum number of keys
-     * @param keeps how long a client may retry with the same key
+     * @param maxKeys maximum number of keys
+     * @param retention how long a client may retry with the same key
      */
-    public record Bounds(int most, Duration keeps) {}
+    public record Limits(int maxKeys, Duration retention) {}
 
-    private static final class Row {
+    private static final class Entry {
         /** Open transactions of this key, and their submissions in flight. */
-        int here;
+        int openTransactions;
 
-        int out;
+        int inFlight;
 
         /**
          * Time since which the transaction may have run; null if no submission is known to have
          * been sent.
          */
-        Duration since;
+        Duration mayHaveRunSince;
 
         /** Whether some submission ended with an unknown outcome. */
-        boolean doubt;
+        boolean inDoubt;
 
         /** Time at which the key was last put in doubt. */
-        Duration at;
+        Duration inDoubtAt;
     }
 
-    private final Bounds bounds;
-    private final Keeper keeper;
+    private final Limits bounds;
+    private final KeyStore store;
 
     /** Keys with an open transaction; removed when their transactions end. */
-    private final Map<Long, Row> open = new HashMap<>();
+    private final Map<Long, Entry> openEntries = new HashMap<>();
 
     /** Keys in doubt without an open transaction, the oldest first; removed when they expire. */
-    private final LinkedHashMap<Long, Row> kept = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, Entry> inDoubtEntries = new LinkedHashMap<>();
 
     private long version;
     private long refused;
-    private long met;
-    private long settled;
+    private long repeated;
+    private long resolved;
 
     /**
-     * @param keeper null if keys are not stored
+     * @param store null if keys are not stored
      */
-    public Doubts(Bounds bounds, Keeper keeper) {
+    public InDoubtKeys(Limits bounds, KeyStore store) {
         this.bounds = bounds;
-        this.keeper = keeper;
+        this.store = store;
     }
 
     /**
      * Returns the hash of a group and an idempotency key. A collision can hold back a write, but
      * never permits one.
      */
-    public static long key(int group, long mark) {
-        long x = mark + group * 0x9E3779B97F4A7C15L;
+    public static long hash(int group, long idempotencyKey) {
+        long x = idempotencyKey + group * 0x9E3779B97F4A7C15L;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
         return x ^ x >>> 31;
@@ -109,36 +109,37 @@
      * Adds a key stored by an earlier run. It is in doubt from the start of this run, for as long
      * as a key of this run would be.
      */
-    public void recall(long key, Duration now) {
-        if (size() < bounds.most) {
-            Row row = new Row();
-            row.doubt = true;
-            row.since = LONG_AGO;
-            row.at = now;
-            kept.put(key, row);
+    public void restore(long key, Duration now) {
+        if (size() < bounds.maxKeys) {
+            Entry entry = new Entry();
+            entry.inDoubt = true;
+            entry.mayHaveRunSince = BEFORE_THIS_RUN;
+            entry.inDoubtAt = now;
+            inDoubtEntries.put(key, entry);
             version++;
         }
     }
 
     /** Opens a transaction of this key; returns false, without any effect, if there is no room. */
-    public boolean take(long key, Duration now) {
+    public boolean begin(long key, Duration now) {
         expire(now);
-        Row row = open.get(key);
-        row = row == null ? kept.get(key) : row;
-        boolean known = row != null && row.since != null;
+        Entry entry = openEntries.get(key);
+        entry = entry == null ? inDoubtEntries.get(key) : entry;
+        boolean known = entry != null && entry.mayHaveRunSince != null;
         // A key that cannot be stored must not be sent, so this is checked before the transaction
         // is accepted.
-        if (row == null && size() >= bounds.most || !known && keeper != null && !keeper.able()) {
+        if (entry == null && size() >= bounds.maxKeys
+                || !known && store != null && !store.isWritable()) {
             refused++;
             return false;
         }
-        if (kept.remove(key) != null) {
+        if (inDoubtEntries.remove(key) != null) {
             version++;
         }
-        row = row == null ? new Row() : row;
-        open.put(key, row);
-        row.here++;
-        met += row.since == null ? 0 : 1;
+        entry = entry == null ? new Entry() : entry;
+        openEntries.put(key, entry);
+        entry.openTransactions++;
+        repeated += entry.mayHaveRunSince == null ? 0 : 1;
         return true;
     }
 
@@ -146,18 +147,18 @@
      * Returns since when an earlier transaction of this key may have run, for a transaction just
      * opened; null if none has.
      */
-    public Duration ran(long key) {
-        return open.get(key).since;
+    public Duration mayHaveRunSince(long key) {
+        return openEntries.get(key).mayHaveRunSince;
     }
 
     /** Records that a submission is about to be sent. It may be sent once the key is stored. */
-    public void sends(long key, Duration now) {
-        Row row = open.get(key);
-        row.out++;
-        if (row.since == null) {
-            row.since = now;
-            if (keeper != null) {
-                keeper.keep(key);
+    public void recordSend(long key, Duration now) {
+        Entry entry = openEntries.get(key);
+        entry.inFlight++;
+        if (entry.mayHaveRunSince == null) {
+            entry.mayHaveRunSince = now;
+            if (store != null) {
+                store.store(key);
             }
         }
     }
@@ -166,34 +167,34 @@
      * Records the end of a submission.
      *
      * @param mayHaveRun whether the transaction may have run by this ending
-     * @param told whether this ending delivers the answer to the client, so that the outcome is
+     * @param answered whether this ending delivers the answer to the client, so that the outcome is
      *     known
      */
-    public void ended(long key, boolean mayHaveRun, boolean told) {
-        Row row = open.get(key);
-        row.out--;
-        if (told) {
-            settled += row.doubt ? 1 : 0;
-            row.doubt = false;
+    public void recordEnd(long key, boolean mayHaveRun, boolean answered) {
+        Entry entry = openEntries.get(key);
+        entry.inFlight--;
+        if (answered) {
+            resolved += entry.inDoubt ? 1 : 0;
+            entry.inDoubt = false;
         } else {
-            row.doubt |= mayHaveRun;
+            entry.inDoubt |= mayHaveRun;
         }
-        if (!row.doubt && row.out == 0 && row.since != null) {
-            row.since = null;
-            if (keeper != null) {
-                keeper.drop(key);
+        if (!entry.inDoubt && entry.inFlight == 0 && entry.mayHaveRunSince != null) {
+            entry.mayHaveRunSince = null;
+            if (store != null) {
+                store.remove(key);
             }
         }
     }
 
     /** Closes a transaction that has been answered and has no submission in flight. */
-    public void over(long key, Duration now) {
-        Row row = open.get(key);
-        if (--row.here == 0) {
-            open.remove(key);
-            if (row.doubt) {
-                row.at = now;
-                kept.put(key, row);
+    public void finish(long key, Duration now) {
+        Entry entry = openEntries.get(key);
+        if (--entry.openTransactions == 0) {
+            openEntries.remove(key);
+            if (entry.inDoubt) {
+                entry.inDoubtAt = now;
+                inDoubtEntries.put(key, entry);
                 version++;
             }
         }
@@ -201,30 +202,31 @@
 
     /** Removes expired keys. */
     public void expire(Duration now) {
-        for (Iterator<Map.Entry<Long, Row>> first = kept.entrySet().iterator(); first.hasNext(); ) {
-            Map.Entry<Long, Row> one = first.next();
-            if (one.getValue().at.plus(bounds.keeps).compareTo(now) > 0) {
+        for (Iterator<Map.Entry<Long, Entry>> oldest = inDoubtEntries.entrySet().iterator();
+                oldest.hasNext(); ) {
+            Map.Entry<Long, Entry> candidate = oldest.next();
+            if (candidate.getValue().inDoubtAt.plus(bounds.retention).compareTo(now) > 0) {
                 return;
             }
-            first.remove();
+            oldest.remove();
             version++;
-            if (keeper != null) {
-                keeper.drop(one.getKey());
+            if (store != null) {
+                store.remove(candidate.getKey());
             }
         }
     }
 
     /** Returns the keys in doubt for peers, the latest last. */
     public Iterable<Long> inDoubt() {
-        return kept.keySet();
+        return inDoubtEntries.keySet();
     }
 
-    public int doubted() {
-        return kept.size();
+    public int inDoubtCount() {
+        return inDoubtEntries.size();
     }
 
     public int size() {
-        return open.size() + kept.size();
+        return openEntries.size() + inDoubtEntries.size();
     }
 
     /** Returns a number that changes with {@link #inDoubt}. */
@@ -241,12 +243,12 @@
      * Returns the transactions since the start whose key was in doubt, so that they may have run
      * before.
      */
-    public long met() {
-        return met;
+    public long repeated() {
+        return repeated;
     }
 
     /** Returns the keys since the start whose doubt ended when a retry was answered. */
-    public long settled() {
-        return settled;
+    public long resolved() {
+        return resolved;
     }
 }
--- a/src/main/java/dillfront/router/recovery/Digest.java
+++ b/src/main/java/dillfront/router/recovery/KeyDigest.java
@@ -13,32 +13,32 @@
  * regardless of the number of keys, and the keys cannot be read from it. A false positive (one in
  * 10,000 keys) only restricts a write.
  */
-public final class Digest {
+public final class KeyDigest {
 
     /**
      * Bits per key, and bits set per key: a false positive rate of one in 10,000 (Bloom 1970; m/n =
      * 20, k = 14).
      */
-    static final int BITS = 20;
+    static final int BITS_PER_KEY = 20;
 
-    private static final int SET = 14;
+    private static final int HASHES_PER_KEY = 14;
 
     /**
      * Part of set bits above which a filter is rejected as forged to match every key: a valid one
      * has at most half of its bits set.
      */
-    private static final double FULL = 0.55;
+    private static final double MAX_SET_PART = 0.55;
 
     private final long[] words;
     private final SimpleBloomFilter filter;
 
-    private Digest(long[] words, SimpleBloomFilter filter) {
+    private KeyDigest(long[] words, SimpleBloomFilter filter) {
         this.words = words;
         this.filter = filter;
     }
 
     private static Shape shape(int words) {
-        return Shape.fromKM(SET, words * Long.SIZE);
+        return Shape.fromKM(HASHES_PER_KEY, words * Long.SIZE);
     }
 
     private static Hasher hasher(long key) {
@@ -51,26 +51,30 @@
      * included, since most clients retry soon.
      *
      * @param keys the latest last
-     * @param most maximum size in words of 64 bits
+     * @param maxWords maximum size in words of 64 bits
      */
-    public static Digest of(Iterable<Long> keys, int most) {
+    public static KeyDigest of(Iterable<Long> keys, int maxWords) {
         List<Long> all = new ArrayList<>();
         keys.forEach(all::add);
-        int words = Math.max(1, Math.min(most, (all.size() * BITS + Long.SIZE - 1) / Long.SIZE));
-        List<Long> told =
-                all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS), all.size());
+        int words =
+                Math.max(
+                        1,
+                        Math.min(
+                                maxWords, (all.size() * BITS_PER_KEY + Long.SIZE - 1) / Long.SIZE));
+        List<Long> included =
+                all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS_PER_KEY), all.size());
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(words));
-        told.forEach(key -> filter.merge(hasher(key)));
-        return new Digest(told.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
+        included.forEach(key -> filter.merge(hasher(key)));
+        return new KeyDigest(included.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
     }
 
     /** Reads a received filter; returns null if it matches more keys than a valid one can. */
-    public static Digest read(long[] words) {
+    public static KeyDigest parse(long[] words) {
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(Math.max(1, words.length)));
         filter.merge(BitMapExtractor.fromBitMapArray(words));
-        return filter.cardinality() > FULL * words.length * Long.SIZE
+        return filter.cardinality() > MAX_SET_PART * words.length * Long.SIZE
                 ? null
-                : new Digest(words, filter);
+                : new KeyDigest(words, filter);
     }
 
     public boolean isEmpty() {
@@ -81,7 +85,7 @@
         return words.clone();
     }
 
-    public boolean mayHold(long key) {
+    public boolean mayContain(long key) {
         return words.length > 0 && filter.contains(hasher(key));
     }
 }
--- a/src/main/java/dillfront/routing/Decide.java
+++ b/src/main/java/dillfront/routing/Decide.java
@@ -6,7 +6,7 @@
 import static dillfront.routing.api.Spans.seconds;
 import static dillfront.routing.api.Spans.times;
 
-import dillfront.router.recovery.Reckoning;
+import dillfront.router.recovery.CapacityEstimator;
 import dillfront.routing.api.Effect;
 import dillfront.routing.api.Handle;
 import dillfront.routing.api.NodeRow;
@@ -370,7 +370,7 @@
     private double takeRate;
 
     /** What nodes can do, in usual times, since a report may be worth twenty views. */
-    private final Reckoning reckoning = new Reckoning();
+    private final CapacityEstimator reckoning = new CapacityEstimator();
 
     private Duration coldAt = NEVER;
     private double median;
@@ -799,7 +799,7 @@
                         || t.type.set.effect() == Effect.REPEATABLE
                         || t.type.set.effect() == Effect.REFERENCED && !t.type.set.groupDrops();
         if (harmless) {
-            outlet.decline(t.id, earlier(reckoning.back(pause, chance), set.maxPause()));
+            outlet.decline(t.id, earlier(reckoning.retryDelay(pause, chance), set.maxPause()));
         } else {
             outlet.rollBack(t.id);
         }
@@ -1102,7 +1102,7 @@
         // Where answers are rare, each tells of all the time since the last.
         double weight = Math.max(GAIN, Math.min(1, since));
         if (result == Result.COMMITTED) {
-            reckoning.did(seconds(cost(type)), part(n));
+            reckoning.recordCommit(seconds(cost(type)), part(n));
             n.pace += weight * (Math.min(4, ratio(took, type.usual)) - n.pace);
             Duration usual = type.usual.plus(times(took.minus(type.usual), GAIN / 10));
             type.usual = earlier(usual, times(type.sla, 0.5));
@@ -1188,7 +1188,7 @@
      * What others say of a node is worth a doubt, by dillfront.gossip; or no longer. It gets one
      * txn to try, after a dial time-out or two, and its own answer then ends the doubt.
      */
-    public void doubted(int node, boolean doubted) {
+    public void setSuspected(int node, boolean doubted) {
         Node n = nodes.get(node);
         if (doubted && !n.doubted) {
             n.tryAt = later(n.tryAt, now.plus(times(set.dial(), 1 + chance.nextDouble())));
@@ -1209,7 +1209,7 @@
      * Others' doubt makes silence suspect sooner; it goes not back to them as this router's
      * evidence.
      */
-    public Sight sees(int node) {
+    public Sight observeHealth(int node) {
         Node n = nodes.get(node);
         boolean silent = !trusted(n) && n.silent && (n.out == 0 || mute(n, TOLD));
         boolean lately = n.wellAt.plus(times(slowest(), PATIENCE)).compareTo(now) > 0;
@@ -1291,12 +1291,12 @@
         }
         median = Spans.median(shares);
         strain = Spans.median(strains);
-        double kept = reckoning.kept(seconds);
+        double kept = reckoning.decayFactor(seconds);
         inWork = warm > 0 && strain < STRAINED ? Math.max(inWork * kept, out / warm) : inWork;
         boolean easy = strains.isEmpty() || strains.get(strains.size() - 1) < STRAINED / 2;
-        reckoning.beat(
+        reckoning.update(
                 seconds,
-                new Reckoning.Seen(
+                new CapacityEstimator.FleetState(
                         warm, cold, listed, takeRate, seconds(typical), easy, inWork > 0));
         takeRate += Math.min(1, seconds) * (taken / seconds - takeRate);
         taken = 0;
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -2,11 +2,11 @@
 
 import static dillfront.routing.api.Spans.seconds;
 
-import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.GossipConfig;
+import dillfront.router.gossip.GossipProtocol;
 import dillfront.router.gossip.Symptom;
-import dillfront.router.gossip.Tuning;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
 import dillfront.routing.Decide;
 import dillfront.routing.api.Effect;
 import dillfront.routing.api.Handle;
@@ -89,14 +89,14 @@
         void start(List<Router> routers);
 
         /** Its clocks set. */
-        Gossip of(int router);
+        GossipProtocol of(int router);
 
         /** The mean of what one has sent, in bytes. */
         double bytes();
     }
 
     private final Script script;
-    private final Tuning tuning = Tuning.USUAL;
+    private final GossipConfig tuning = GossipConfig.DEFAULT;
     private final List<Router> routers = new ArrayList<>();
     private final Wire wire;
 
@@ -118,14 +118,14 @@
         Crowd crowd =
                 new Crowd(
                         script.routers,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         script.seed + 1,
                         (at, claim, age) ->
                                 world[0].routers
                                         .get(at)
                                         .neighbours
-                                        .claimed(claim, age, time.now()));
+                                        .receiveClaim(claim, age, time.now()));
         world[0] =
                 new World(
                         script,
@@ -137,7 +137,7 @@
                             }
 
                             @Override
-                            public Gossip of(int router) {
+                            public GossipProtocol of(int router) {
                                 crowd.instances[router].at();
                                 return crowd.instances[router].gossip;
                             }
@@ -273,11 +273,11 @@
     }
 
     /** One router; all of it on its own clockwork. */
-    final class Router implements Outlet, Neighbours.Decisions {
+    final class Router implements Outlet, PeerHealthExchange.RoutingDecisions {
 
         final int index;
         final Clockwork time;
-        final Neighbours neighbours;
+        final PeerHealthExchange neighbours;
         private final Decide decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
@@ -302,8 +302,8 @@
             decide =
                     new Decide(
                             settings(script.routers), this, new SplittableRandom(mine.nextLong()));
-            neighbours = new Neighbours(tuning, script.routers, this);
-            neighbours.speaksBy(() -> wire.of(index));
+            neighbours = new PeerHealthExchange(tuning, script.routers, this);
+            neighbours.setGossip(() -> wire.of(index));
         }
 
         private boolean lies() {
@@ -322,7 +322,7 @@
                                 n % script.members == 0,
                                 null,
                                 Standing.READY));
-                neighbours.known(n, "node-" + n);
+                neighbours.addNode(n, "node-" + n);
             }
             decide.at(time.now());
             decide.list(true, rows);
@@ -344,8 +344,8 @@
                         };
                 if (says) {
                     wire.of(index)
-                            .claim(
-                                    Ring.hash("node-" + node),
+                            .publishClaim(
+                                    PeerRegistry.hash("node-" + node),
                                     Symptom.HUNG,
                                     5,
                                     Duration.ofSeconds(1));
@@ -391,17 +391,17 @@
                         decide.at(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.sees(script.hung).ill()) {
+                                && decide.observeHealth(script.hung).ill()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
                         if (script.gossip && !lies()) {
-                            neighbours.beat(time.now());
+                            neighbours.tick(time.now());
                             for (int n = 0; n < nodes(); n++) {
                                 beats++;
                                 boolean well =
                                         n != script.hung || time.now().compareTo(script.hangs) < 0;
-                                falseDoubts += neighbours.doubts(n) && well ? 1 : 0;
+                                falseDoubts += neighbours.isSuspected(n) && well ? 1 : 0;
                             }
                         }
                         beat();
@@ -409,18 +409,18 @@
         }
 
         @Override
-        public Sight sees(int node) {
-            return decide.sees(node);
+        public Sight observeHealth(int node) {
+            return decide.observeHealth(node);
         }
 
         @Override
-        public void doubted(int node, boolean doubted) {
+        public void setSuspected(int node, boolean doubted) {
             if (node == script.hung) {
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
             }
             decide.at(time.now());
-            decide.doubted(node, doubted);
+            decide.setSuspected(node, doubted);
         }
 
         @Override
--- a/src/test/java/dillfront/router/gossip/CrowdTest.java
+++ b/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
@@ -15,22 +15,22 @@
  * Runs the gossip protocol of many instances in virtual time under crashes, partitions, pauses,
  * message loss and clock differences.
  */
-class CrowdTest {
+class GossipProtocolTest {
 
     private final Time time = new Time();
-    private final Set<Integer> heard = new HashSet<>();
+    private final Set<Integer> receivers = new HashSet<>();
     private Crowd crowd;
 
     private Crowd crowd(int count, long seed) {
         crowd =
                 new Crowd(
                         count,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         seed,
                         (at, claim, age) -> {
-                            heard.add(at);
-                            crowd.instances[at].gossip.passOn(claim, claim.origin());
+                            receivers.add(at);
+                            crowd.instances[at].gossip.forward(claim, claim.origin());
                         });
         crowd.start();
         return crowd;
@@ -40,47 +40,48 @@
         time.until(Duration.ofMillis((long) (seconds * 1000)));
     }
 
-    private double rate(double seconds) {
+    private double bytesPerSecond(double seconds) {
         double before = crowd.bytes();
         until(time.now().toMillis() / 1000.0 + seconds);
         return (crowd.bytes() - before) / seconds;
     }
 
     @Test
-    void findsEachOtherAndTellsAll() {
+    void discoversAllInstancesAndSpreadsClaims() {
         crowd(20, 1);
         until(10);
         assertEquals(1.0, crowd.known());
-        Crowd.Instance one = crowd.instances[7];
-        one.at();
-        one.gossip.claim(3, Symptom.HUNG, 4, Duration.ofMillis(80));
+        Crowd.Instance instance = crowd.instances[7];
+        instance.at();
+        instance.gossip.publishClaim(3, Symptom.HUNG, 4, Duration.ofMillis(80));
         until(10.1);
-        assertEquals(19, heard.size(), "all others receive the claim within 100 ms");
+        assertEquals(19, receivers.size(), "all others receive the claim within 100 ms");
         until(60);
-        assertTrue(rate(60) < 1000, "little traffic without events");
+        assertTrue(bytesPerSecond(60) < 1000, "little traffic without events");
     }
 
     @Test
-    void staysWithinItsBytesWhateverIsTold() {
+    void staysWithinBandwidthBudget() {
         crowd(100, 2);
         until(40);
         for (int i = 0; i < 30; i++) {
-            for (Crowd.Instance one : crowd.instances) {
-                one.at();
-                one.gossip.claim(i, Symptom.HUNG, 4, Duration.ZERO);
+            for (Crowd.Instance instance : crowd.instances) {
+                instance.at();
+                instance.gossip.publishClaim(i, Symptom.HUNG, 4, Duration.ZERO);
             }
             until(40 + i);
         }
         // The initial content of the bucket plus its refill.
         assertTrue(
-                crowd.bytes() <= Tuning.USUAL.bytesPerSecond() * (70 + 3), "sent " + crowd.bytes());
-        for (Crowd.Instance one : crowd.instances) {
-            assertTrue(one.gossip.spreading() <= 64);
+                crowd.bytes() <= GossipConfig.DEFAULT.bytesPerSecond() * (70 + 3),
+                "sent " + crowd.bytes());
+        for (Crowd.Instance instance : crowd.instances) {
+            assertTrue(instance.gossip.queuedUpdates() <= 64);
         }
     }
 
     @Test
-    void aThirdVanishesAtOnce() {
+    void detectsSimultaneousCrashOfThird() {
         crowd(60, 3);
         until(40);
         for (int i = 0; i < 20; i++) {
@@ -94,118 +95,123 @@
     }
 
     @Test
-    void aPartingHeals() {
+    void mergesAfterPartition() {
         crowd(40, 4);
         until(30);
-        for (Crowd.Instance one : crowd.instances) {
-            one.side = one.index % 2;
+        for (Crowd.Instance instance : crowd.instances) {
+            instance.side = instance.index % 2;
         }
         until(80);
         assertTrue(crowd.known() < 0.55);
-        for (Crowd.Instance one : crowd.instances) {
-            one.side = 0;
+        for (Crowd.Instance instance : crowd.instances) {
+            instance.side = 0;
         }
-        double healing = rate(20);
+        double healing = bytesPerSecond(20);
         assertEquals(1.0, crowd.known(), "membership is complete within twenty periods");
         assertTrue(
-                healing < Tuning.USUAL.bytesPerSecond(),
+                healing < GossipConfig.DEFAULT.bytesPerSecond(),
                 "traffic after the partition healed: " + healing);
-        for (Crowd.Instance one : crowd.instances) {
-            assertTrue(one.gossip.incarnation() <= 3, "incarnations rise only slightly");
+        for (Crowd.Instance instance : crowd.instances) {
+            assertTrue(instance.gossip.incarnation() <= 3, "incarnations rise only slightly");
         }
     }
 
     @Test
-    void startsAnewWithNothingRemembered() {
+    void rejoinsAfterRestartWithoutState() {
         crowd(20, 5);
         until(15);
-        Crowd.Instance one = crowd.instances[9];
-        for (int life = 0; life < 3; life++) {
-            one.off = true;
+        Crowd.Instance instance = crowd.instances[9];
+        for (int run = 0; run < 3; run++) {
+            instance.off = true;
             until(time.now().toSeconds() + 30);
-            one.start(List.of(0));
+            instance.start(List.of(0));
             until(time.now().toSeconds() + 15);
-            assertEquals(1.0, crowd.known(), "complete membership after restart " + life);
+            assertEquals(1.0, crowd.known(), "complete membership after restart " + run);
         }
-        heard.clear();
-        one.at();
-        one.gossip.claim(2, Symptom.HUNG, 1, Duration.ZERO);
+        receivers.clear();
+        instance.at();
+        instance.gossip.publishClaim(2, Symptom.HUNG, 1, Duration.ZERO);
         until(time.now().toSeconds() + 2);
         assertEquals(
                 19,
-                heard.size(),
+                receivers.size(),
                 "updates are accepted although an earlier run used their numbers");
     }
 
     @Test
-    void whoStandsStillCondemnsNobody() {
+    void pausedInstanceDeclaresNoPeerGone() {
         crowd(20, 6);
         until(15);
-        Crowd.Instance one = crowd.instances[4];
-        one.standStill(Duration.ofSeconds(5));
+        Crowd.Instance instance = crowd.instances[4];
+        instance.standStill(Duration.ofSeconds(5));
         until(21);
         int gone = 0;
         for (Crowd.Instance other : crowd.instances) {
-            gone += other != one && !one.gossip.members().present(other.index) ? 1 : 0;
+            gone +=
+                    other != instance && !instance.gossip.membership().isPresent(other.index)
+                            ? 1
+                            : 0;
         }
         assertEquals(0, gone);
-        assertTrue(one.gossip.members().ill() > 0, "the pause raises its local health score");
+        assertTrue(
+                instance.gossip.membership().healthScore() > 0,
+                "the pause raises its local health score");
         until(50);
         assertEquals(1.0, crowd.known(), "the paused instance is present again");
     }
 
     @Test
-    void livesWithALossyNetwork() {
+    void toleratesLossyNetwork() {
         crowd = crowd(30, 7);
         crowd.lost = 0.3;
         crowd.doubled = 0.1;
         until(40);
-        double least = 1;
+        double minKnown = 1;
         for (int s = 41; s < 160; s++) {
             until(s);
-            least = Math.min(least, crowd.known());
+            minKnown = Math.min(minKnown, crowd.known());
         }
-        assertTrue(least > 0.97, "minimum known part: " + least);
+        assertTrue(minKnown > 0.97, "minimum known part: " + minKnown);
     }
 
     @Test
-    void clocksDiffer() {
+    void toleratesClockDifferences() {
         crowd =
                 new Crowd(
                         12,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         8,
                         (at, claim, age) -> {
-                            heard.add(at);
+                            receivers.add(at);
                             assertTrue(age.compareTo(Duration.ofSeconds(1)) < 0, "age " + age);
-                            crowd.instances[at].gossip.passOn(claim, claim.origin());
+                            crowd.instances[at].gossip.forward(claim, claim.origin());
                         });
-        for (Crowd.Instance one : crowd.instances) {
-            one.clock = Duration.ofSeconds(one.index - 6);
+        for (Crowd.Instance instance : crowd.instances) {
+            instance.clock = Duration.ofSeconds(instance.index - 6);
         }
         // Beyond the accepted clock difference.
         crowd.instances[11].clock = Duration.ofSeconds(50);
         crowd.start();
         until(10);
         crowd.instances[0].at();
-        crowd.instances[0].gossip.claim(1, Symptom.HUNG, 1, Duration.ZERO);
+        crowd.instances[0].gossip.publishClaim(1, Symptom.HUNG, 1, Duration.ZERO);
         until(12);
-        assertEquals(10, heard.size(), "all except the instance with the wrong clock");
-        heard.clear();
+        assertEquals(10, receivers.size(), "all except the instance with the wrong clock");
+        receivers.clear();
         crowd.instances[11].at();
-        crowd.instances[11].gossip.claim(1, Symptom.HUNG, 1, Duration.ZERO);
+        crowd.instances[11].gossip.publishClaim(1, Symptom.HUNG, 1, Duration.ZERO);
         until(14);
-        assertEquals(0, heard.size());
+        assertEquals(0, receivers.size());
         long dropped = 0;
-        for (Crowd.Instance one : crowd.instances) {
-            dropped += one.gossip.outOfTime();
+        for (Crowd.Instance instance : crowd.instances) {
+            dropped += instance.gossip.outdatedClaims();
         }
         assertTrue(dropped > 1, "dropped claims are counted by the receivers");
     }
 
     @Test
-    void leavesOnPurpose() {
+    void announcesShutdown() {
         crowd(15, 9);
         until(10);
         crowd.instances[5].at();
@@ -214,71 +220,76 @@
         until(14);
         for (Crowd.Instance other : crowd.instances) {
             if (other.index != 5) {
-                assertEquals(Members.State.LEFT, other.gossip.members().state(5));
+                assertEquals(MembershipList.State.LEFT, other.gossip.membership().state(5));
             }
         }
     }
 
     @Test
-    void claimsOfBothSidesEndAfterAParting() {
-        Hearsay[] weighs = new Hearsay[20];
-        for (int i = 0; i < weighs.length; i++) {
-            weighs[i] = new Hearsay(Tuning.USUAL, weighs.length);
-            weighs[i].nodes(8);
+    void expiresClaimsOfBothSidesAfterPartition() {
+        PeerClaims[] claims = new PeerClaims[20];
+        for (int i = 0; i < claims.length; i++) {
+            claims[i] = new PeerClaims(GossipConfig.DEFAULT, claims.length);
+            claims[i].nodes(8);
         }
         crowd =
                 new Crowd(
-                        weighs.length,
-                        Tuning.USUAL,
+                        claims.length,
+                        GossipConfig.DEFAULT,
                         time,
                         11,
                         (at, claim, age) -> {
-                            weighs[at].at(time.now());
-                            if (weighs[at].heard(
+                            claims[at].setClock(time.now());
+                            if (claims[at].receive(
                                     claim.origin(),
                                     (int) claim.subject(),
                                     Symptom.values()[claim.detail()],
                                     age,
-                                    claim.since())) {
-                                crowd.instances[at].gossip.passOn(claim, claim.origin());
+                                    claim.symptomDuration())) {
+                                crowd.instances[at].gossip.forward(claim, claim.origin());
                             }
                         });
         crowd.start();
         until(10);
-        for (Crowd.Instance one : crowd.instances) {
-            one.side = one.index % 2;
+        for (Crowd.Instance instance : crowd.instances) {
+            instance.side = instance.index % 2;
         }
         // Each side claims that one node is hung, until the partition heals.
         for (int s = 11; s < 60; s++) {
             until(s);
             for (int i = 0; i < 8; i++) {
                 crowd.instances[i].at();
-                crowd.instances[i].gossip.claim(
+                crowd.instances[i].gossip.publishClaim(
                         1 + i % 2, Symptom.HUNG, 1, Duration.ofSeconds(s - 11));
             }
         }
-        assertTrue(weighs[18].doubted(1) && !weighs[18].doubted(2));
-        for (Crowd.Instance one : crowd.instances) {
-            one.side = 0;
+        assertTrue(claims[18].isSuspected(1) && !claims[18].isSuspected(2));
+        for (Crowd.Instance instance : crowd.instances) {
+            instance.side = 0;
         }
-        until(60 + Tuning.USUAL.lasts().toSeconds());
-        for (Hearsay one : weighs) {
-            one.at(time.now());
-            one.woken();
+        until(60 + GossipConfig.DEFAULT.claimValidity().toSeconds());
+        for (PeerClaims instance : claims) {
+            instance.setClock(time.now());
+            instance.expireClaims();
             assertTrue(
-                    !one.doubted(1) && !one.doubted(2), "no instance has observations of its own");
+                    !instance.isSuspected(1) && !instance.isSuspected(2),
+                    "no instance has observations of its own");
         }
         until(90);
-        for (Hearsay one : weighs) {
-            one.at(time.now());
-            one.woken();
-            assertEquals(0, one.claims(1) + one.claims(2), "expired claims do not return");
+        for (PeerClaims instance : claims) {
+            instance.setClock(time.now());
+            instance.expireClaims();
+            assertEquals(
+                    0,
+                    instance.claimCount(1) + instance.claimCount(2),
+                    "expired claims do not return");
         }
     }
 
     @Test
-    void tablesStayWithinTheirBoundsAllDay() {
-        Tuning slow = new Tuning(Duration.ofSeconds(10), 3000, 1200, 1, Duration.ofSeconds(50));
+    void boundsTablesOverOneDay() {
+        GossipConfig slow =
+                new GossipConfig(Duration.ofSeconds(10), 3000, 1200, 1, Duration.ofSeconds(50));
         crowd =
                 new Crowd(
                         10,
@@ -286,22 +297,22 @@
                         time,
                         12,
                         (at, claim, age) ->
-                                crowd.instances[at].gossip.passOn(claim, claim.origin()));
+                                crowd.instances[at].gossip.forward(claim, claim.origin()));
         crowd.start();
         int most = 0;
         long node = 0;
         for (int minute = 1; minute <= 24 * 60; minute++) {
             until(60 * minute);
-            Crowd.Instance one = crowd.instances[minute % 10];
+            Crowd.Instance instance = crowd.instances[minute % 10];
             if (minute % 7 == 0) {
-                one.start(List.of((minute + 1) % 10));
+                instance.start(List.of((minute + 1) % 10));
             }
-            one.at();
+            instance.at();
             // Nodes change all the time: a new node id in each claim.
-            one.gossip.claim(node++, Symptom.UNREACHABLE, 1, Duration.ZERO);
+            instance.gossip.publishClaim(node++, Symptom.UNREACHABLE, 1, Duration.ZERO);
             for (Crowd.Instance each : crowd.instances) {
-                most = Math.max(most, each.gossip.remembered());
-                assertTrue(each.gossip.spreading() <= 64);
+                most = Math.max(most, each.gossip.rememberedClaims());
+                assertTrue(each.gossip.queuedUpdates() <= 64);
             }
         }
         assertTrue(most <= 9 * 32, "remembered " + most);
@@ -310,12 +321,12 @@
     }
 
     @Test
-    void sameSeedSameWords() {
+    void sameSeedSendsSameBytes() {
         crowd(30, 10);
         until(30);
         double first = crowd.bytes();
         Time again = new Time();
-        Crowd second = new Crowd(30, Tuning.USUAL, again, 10, (at, claim, age) -> {});
+        Crowd second = new Crowd(30, GossipConfig.DEFAULT, again, 10, (at, claim, age) -> {});
         second.start();
         again.until(Duration.ofSeconds(30));
         assertEquals(first, second.bytes());
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -32,7 +32,7 @@
  * Checks the state store against a power loss at any write, a full disk, and files that are
  * truncated, damaged, locked, of another router or of another format.
  */
-class MemoryTest {
+class RouterStateStoreTest {
 
     private static final int SECTOR = 512;
 
@@ -45,26 +45,26 @@
      * and any creation, change or removal of a name since the last sync of the folder. A call may
      * fail with or without having had its effect.
      */
-    private static final class Lossy implements StorageFolder {
+    private static final class LossyDisk implements StorageFolder {
 
         private final Map<String, byte[]> files = new TreeMap<>();
-        private final Map<String, Integer> synced = new HashMap<>();
+        private final Map<String, Integer> syncedLengths = new HashMap<>();
 
         /** Other contents that may be found under a name after a power loss; null for no file. */
-        private final Map<String, List<byte[]>> former = new TreeMap<>();
+        private final Map<String, List<byte[]>> formerContents = new TreeMap<>();
 
-        private Runnable each = () -> {};
+        private Runnable afterEachCall = () -> {};
 
         /** Bytes that may still be written. */
-        private long room = Long.MAX_VALUE;
+        private long freeBytes = Long.MAX_VALUE;
 
         /** The call that fails, counted from now, and whether it has its effect all the same. */
-        private int fine = Integer.MAX_VALUE;
+        private int callsUntilFailure = Integer.MAX_VALUE;
 
-        private boolean done;
-        private long written;
+        private boolean failedCallTakesEffect;
+        private long bytesWritten;
 
-        Lossy(Map<String, byte[]> files) {
+        LossyDisk(Map<String, byte[]> files) {
             this.files.putAll(files);
         }
 
@@ -72,12 +72,12 @@
          * Returns whether this call has its effect; the caller then throws in any case if the call
          * is to fail.
          */
-        private boolean works() {
-            return --fine != 0 || done;
+        private boolean takesEffect() {
+            return --callsUntilFailure != 0 || failedCallTakesEffect;
         }
 
-        private void failed() throws IOException {
-            if (fine == 0) {
+        private void throwIfFailing() throws IOException {
+            if (callsUntilFailure == 0) {
                 throw new IOException("Input/output error");
             }
         }
@@ -89,22 +89,22 @@
 
         @Override
         public void append(String name, ByteBuffer bytes) throws IOException {
-            if (works()) {
+            if (takesEffect()) {
                 byte[] before = files.get(name);
                 if (before == null) {
-                    named(name);
+                    recordName(name);
                     before = new byte[0];
                 }
-                int fits = (int) Math.min(bytes.remaining(), room);
+                int fits = (int) Math.min(bytes.remaining(), freeBytes);
                 byte[] after = Arrays.copyOf(before, before.length + fits);
                 bytes.get(after, before.length, fits);
                 files.put(name, after);
-                synced.putIfAbsent(name, before.length);
-                room -= fits;
-                written += fits;
-                each.run();
+                syncedLengths.putIfAbsent(name, before.length);
+                freeBytes -= fits;
+                bytesWritten += fits;
+                afterEachCall.run();
             }
-            failed();
+            throwIfFailing();
             if (bytes.hasRemaining()) {
                 throw new IOException("No space left on device");
             }
@@ -112,59 +112,59 @@
 
         @Override
         public void sync(String name) throws IOException {
-            if (works()) {
-                synced.remove(name);
+            if (takesEffect()) {
+                syncedLengths.remove(name);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void truncate(String name, long length) throws IOException {
-            if (works() && files.get(name).length > length) {
+            if (takesEffect() && files.get(name).length > length) {
                 files.put(name, Arrays.copyOf(files.get(name), (int) length));
-                synced.remove(name);
+                syncedLengths.remove(name);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
-            assertTrue(!synced.containsKey(from), "renamed before it was synced");
-            each.run();
-            if (works()) {
-                named(from);
-                named(to);
+            assertTrue(!syncedLengths.containsKey(from), "renamed before it was synced");
+            afterEachCall.run();
+            if (takesEffect()) {
+                recordName(from);
+                recordName(to);
                 files.put(to, files.remove(from));
-                synced.remove(to);
+                syncedLengths.remove(to);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void delete(String name) throws IOException {
-            if (works() && files.containsKey(name)) {
-                named(name);
+            if (takesEffect() && files.containsKey(name)) {
+                recordName(name);
                 files.remove(name);
-                synced.remove(name);
+                syncedLengths.remove(name);
             }
-            failed();
+            throwIfFailing();
         }
 
         @Override
         public void syncNames() throws IOException {
-            if (works()) {
-                former.clear();
+            if (takesEffect()) {
+                formerContents.clear();
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         /** Records that this name is about to refer to another file or to none. */
-        private void named(String name) {
-            former.computeIfAbsent(name, n -> new ArrayList<>()).add(files.get(name));
+        private void recordName(String name) {
+            formerContents.computeIfAbsent(name, n -> new ArrayList<>()).add(files.get(name));
         }
 
         @Override
@@ -174,11 +174,11 @@
          * Returns the possible contents after a power loss at this moment: all of them if they are
          * few, else a random sample.
          */
-        List<Map<String, byte[]>> after(SplittableRandom chance) {
+        List<Map<String, byte[]>> statesAfterPowerLoss(SplittableRandom random) {
             List<Map<String, byte[]>> all = new ArrayList<>();
-            for (Map<String, byte[]> names : names()) {
+            for (Map<String, byte[]> names : nameStates()) {
                 all.add(names);
-                synced.forEach(
+                syncedLengths.forEach(
                         (name, from) -> {
                             byte[] now = files.get(name);
                             if (names.get(name) != now) {
@@ -193,7 +193,7 @@
                                     boolean there =
                                             sectors <= 5
                                                     ? (subset >> k & 1) != 0
-                                                    : chance.nextBoolean();
+                                                    : random.nextBoolean();
                                     int at = Math.max(from, (first + k) * SECTOR);
                                     int to = Math.min(now.length, (first + k + 1) * SECTOR);
                                     if (!there) {
@@ -215,9 +215,9 @@
         }
 
         /** Returns all combinations of names, each one as it is or as it was. */
-        private List<Map<String, byte[]>> names() {
+        private List<Map<String, byte[]>> nameStates() {
             List<Map<String, byte[]>> all = new ArrayList<>(List.of(new TreeMap<>(files)));
-            former.forEach(
+            formerContents.forEach(
                     (name, was) -> {
                         for (Map<String, byte[]> one : new ArrayList<>(all)) {
                             for (byte[] file : was) {
@@ -235,8 +235,8 @@
         }
     }
 
-    private static String state(CompactingLog shelf) {
-        return new TreeMap<>(shelf.texts()) + " " + new TreeMap<>(shelf.numbers());
+    private static String state(CompactingLog storage) {
+        return new TreeMap<>(storage.texts()) + " " + new TreeMap<>(storage.numbers());
     }
 
     /**
@@ -245,26 +245,26 @@
      * the next one, complete. It can be written to again, also across another power loss.
      */
     @Test
-    void powerGoesAtEachWriteAndAnySubsetOfUnsyncedSectorsIsLost() throws Exception {
-        SplittableRandom chance = new SplittableRandom(6);
-        Lossy disk = new Lossy(Map.of());
-        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
+    void survivesPowerLossAtEachWrite() throws Exception {
+        SplittableRandom random = new SplittableRandom(6);
+        LossyDisk disk = new LossyDisk(Map.of());
+        CompactingLog storage = CompactingLog.open(disk, "m", "r1");
         List<String> may = new ArrayList<>();
-        int[] looked = new int[1];
-        disk.each =
+        int[] checked = new int[1];
+        disk.afterEachCall =
                 () ->
-                        disk.after(chance)
+                        disk.statesAfterPowerLoss(random)
                                 .forEach(
                                         files -> {
-                                            looked[0]++;
+                                            checked[0]++;
                                             try {
-                                                Lossy next = new Lossy(files);
+                                                LossyDisk next = new LossyDisk(files);
                                                 CompactingLog again =
                                                         CompactingLog.open(next, "m", "r1");
                                                 assertTrue(
                                                         may.contains(state(again)),
                                                         "at power loss "
-                                                                + looked[0]
+                                                                + checked[0]
                                                                 + ": "
                                                                 + state(again)
                                                                 + " of "
@@ -279,7 +279,7 @@
                                                         again.fault());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
-                                                        "at power loss " + looked[0], bad);
+                                                        "at power loss " + checked[0], bad);
                                             }
                                         });
         Map<String, String> texts = new TreeMap<>();
@@ -287,13 +287,13 @@
         for (int i = 0; i < 400; i++) {
             Map<String, String> named = new HashMap<>();
             Map<Long, Long> numbered = new HashMap<>();
-            for (int k = 0; k <= chance.nextInt(4); k++) {
+            for (int k = 0; k <= random.nextInt(4); k++) {
                 named.put(
-                        "s-" + chance.nextInt(40),
-                        chance.nextInt(4) == 0
+                        "s-" + random.nextInt(40),
+                        random.nextInt(4) == 0
                                 ? ""
-                                : "DRAINING 0 " + i + "x".repeat(chance.nextInt(300)));
-                numbered.put((long) chance.nextInt(60), chance.nextInt(3) == 0 ? null : (long) i);
+                                : "DRAINING 0 " + i + "x".repeat(random.nextInt(300)));
+                numbered.put((long) random.nextInt(60), random.nextInt(3) == 0 ? null : (long) i);
             }
             may.clear();
             may.add(texts + " " + numbers);
@@ -302,9 +302,9 @@
             numbers.putAll(numbered);
             numbers.values().removeIf(java.util.Objects::isNull);
             may.add(texts + " " + numbers);
-            shelf.put(named, numbered);
+            storage.put(named, numbered);
         }
-        assertTrue(looked[0] > 3000, "checked " + looked[0] + " power losses");
+        assertTrue(checked[0] > 3000, "checked " + checked[0] + " power losses");
     }
 
     /**
@@ -312,16 +312,16 @@
      * store works again once there is space.
      */
     @Test
-    void aDiskThatIsFullLosesNothing() throws Exception {
+    void fullDiskLosesNothing() throws Exception {
         for (int room = 0; room < 300; room += 7) {
-            Lossy disk = new Lossy(Map.of());
-            CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
-            shelf.put(Map.of("a", "1"), Map.of(7L, 7L));
-            disk.room = room;
+            LossyDisk disk = new LossyDisk(Map.of());
+            CompactingLog storage = CompactingLog.open(disk, "m", "r1");
+            storage.put(Map.of("a", "1"), Map.of(7L, 7L));
+            disk.freeBytes = room;
             long last = 7;
             try {
                 while (true) {
-                    shelf.put(Map.of(), Map.of(last + 1, 0L));
+                    storage.put(Map.of(), Map.of(last + 1, 0L));
                     last++;
                 }
             } catch (CompactingLog.UnusableLogException full) {
@@ -329,12 +329,12 @@
             }
             assertEquals(
                     last - 6,
-                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
-            disk.room = 1000;
-            shelf.put(Map.of(), Map.of(100L, 0L));
+                    CompactingLog.open(new LossyDisk(disk.files), "m", "r1").numbers().size());
+            disk.freeBytes = 1000;
+            storage.put(Map.of(), Map.of(100L, 0L));
             assertEquals(
                     last - 5,
-                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
+                    CompactingLog.open(new LossyDisk(disk.files), "m", "r1").numbers().size());
         }
     }
 
@@ -344,27 +344,27 @@
      * acknowledged puts, with or without the failed one, and never reports the file as damaged.
      */
     @Test
-    void anyCallOfTheDiskMayFailOnce() throws Exception {
+    void survivesAnySingleDiskFailure() throws Exception {
         int[] failed = new int[1];
-        int[] looked = new int[1];
+        int[] checked = new int[1];
         for (int call = 1; call <= 130; call++) {
             for (boolean done : new boolean[] {false, true}) {
-                SplittableRandom chance = new SplittableRandom(call);
-                Lossy disk = new Lossy(Map.of());
-                CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
+                SplittableRandom random = new SplittableRandom(call);
+                LossyDisk disk = new LossyDisk(Map.of());
+                CompactingLog storage = CompactingLog.open(disk, "m", "r1");
                 List<String> may = new ArrayList<>();
                 int now = call;
-                disk.each =
+                disk.afterEachCall =
                         () -> {
                             // Moments without a recent failure are covered by the test above.
                             for (Map<String, byte[]> files :
-                                    disk.fine > 2 || disk.fine < -8
+                                    disk.callsUntilFailure > 2 || disk.callsUntilFailure < -8
                                             ? List.<Map<String, byte[]>>of()
-                                            : disk.after(chance)) {
-                                looked[0]++;
+                                            : disk.statesAfterPowerLoss(random)) {
+                                checked[0]++;
                                 try {
                                     CompactingLog again =
-                                            CompactingLog.open(new Lossy(files), "m", "r1");
+                                            CompactingLog.open(new LossyDisk(files), "m", "r1");
                                     assertTrue(
                                             may.contains(state(again)),
                                             "call "
@@ -383,8 +383,8 @@
                                 }
                             }
                         };
-                disk.fine = call;
-                disk.done = done;
+                disk.callsUntilFailure = call;
+                disk.failedCallTakesEffect = done;
                 Map<String, String> is = new TreeMap<>();
                 may.add(is + " {}");
                 for (int i = 0; i < 40; i++) {
@@ -392,30 +392,31 @@
                     Map<String, String> put =
                             Map.of(
                                     "s-" + i % 3,
-                                    i + "x".repeat(chance.nextInt(12_000)),
+                                    i + "x".repeat(random.nextInt(12_000)),
                                     "n",
                                     "" + i);
                     Map<String, String> next = new TreeMap<>(is);
                     next.putAll(put);
                     may.add(next + " {}");
                     try {
-                        shelf.put(put, Map.of());
+                        storage.put(put, Map.of());
                         is = next;
                         may.clear();
                         may.add(is + " {}");
-                        assertEquals(is + " {}", state(shelf));
+                        assertEquals(is + " {}", state(storage));
                     } catch (CompactingLog.UnusableLogException bad) {
                         failed[0]++;
-                        assertEquals(is + " {}", state(shelf));
+                        assertEquals(is + " {}", state(storage));
                     }
                 }
                 assertTrue(
-                        may.contains(state(CompactingLog.open(new Lossy(disk.files), "m", "r1"))),
+                        may.contains(
+                                state(CompactingLog.open(new LossyDisk(disk.files), "m", "r1"))),
                         "call " + call + " " + done);
             }
         }
         assertTrue(failed[0] > 100, failed[0] + " puts failed");
-        assertTrue(looked[0] > 4_000, "checked " + looked[0] + " power losses");
+        assertTrue(checked[0] > 4_000, "checked " + checked[0] + " power losses");
     }
 
     /**
@@ -423,28 +424,30 @@
      * process ended while it detected the damage.
      */
     @Test
-    void ofADamagedFileNothingIsReliedOn() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        TextStore keep = TextStore.openOn(disk, "m", "r1");
+    void usesNothingFromDamagedFile() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        TextStore store = TextStore.openOn(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
-            keep.put(Map.of("s-" + i, "promised " + i));
+            store.put(Map.of("s-" + i, "promised " + i));
         }
         byte[] good = disk.files.get(CompactingLog.FILE);
-        SplittableRandom chance = new SplittableRandom(9);
+        SplittableRandom random = new SplittableRandom(9);
         int damaged = 0;
         for (int at = 25; at < good.length - 60; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
-            next.each =
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE, bad));
+            next.afterEachCall =
                     () ->
-                            next.after(chance)
+                            next.statesAfterPowerLoss(random)
                                     .forEach(
                                             files -> {
                                                 try {
                                                     TextStore again =
                                                             TextStore.openOn(
-                                                                    new Lossy(files), "m", "r1");
+                                                                    new LossyDisk(files),
+                                                                    "m",
+                                                                    "r1");
                                                     assertEquals(Map.of(), again.texts());
                                                 } catch (TextStore.StorageException broken) {
                                                     throw new AssertionError(broken);
@@ -453,9 +456,9 @@
             TextStore found = TextStore.openOn(next, "m", "r1");
             assertTrue(found.isDamaged(), "at " + at);
             assertEquals(Map.of(), found.texts());
-            next.each = () -> {};
+            next.afterEachCall = () -> {};
             found.put(Map.of("id", "another"));
-            TextStore later = TextStore.openOn(new Lossy(next.files), "m", "r1");
+            TextStore later = TextStore.openOn(new LossyDisk(next.files), "m", "r1");
             assertTrue(!later.isDamaged());
             assertEquals(Map.of("id", "another"), later.texts());
             damaged++;
@@ -463,19 +466,20 @@
         assertTrue(damaged > 100, damaged + " damaged bytes checked");
         // A first record that is torn or damaged: it was synced before the file got its name, so it
         // is not a torn tail.
-        Lossy fresh = new Lossy(Map.of());
+        LossyDisk fresh = new LossyDisk(Map.of());
         TextStore.openOn(fresh, "m", "r1");
         byte[] first = fresh.files.get(CompactingLog.FILE);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, bad)), "m", "r1")
+                    TextStore.openOn(new LossyDisk(Map.of(CompactingLog.FILE, bad)), "m", "r1")
                             .isDamaged(),
                     "at " + at);
             assertTrue(
                     TextStore.openOn(
-                                    new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
+                                    new LossyDisk(
+                                            Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
                                     "m",
                                     "r1")
                             .isDamaged(),
@@ -485,10 +489,12 @@
         // tail.
         TextStore head =
                 TextStore.openOn(
-                        new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))), "m", "r1");
+                        new LossyDisk(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))),
+                        "m",
+                        "r1");
         assertTrue(head.isDamaged());
         TextStore none =
-                TextStore.openOn(new Lossy(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
+                TextStore.openOn(new LossyDisk(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
         assertTrue(none.isDamaged());
     }
 
@@ -496,19 +502,19 @@
      * A text that is too long for the format is rejected and leaves the stored entries unchanged.
      */
     @Test
-    void aTextThatIsTooLongIsRefused() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        TextStore keep = TextStore.openOn(disk, "m", "r1");
+    void rejectsTooLongText() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        TextStore store = TextStore.openOn(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
-        keep.put(Map.of("a", longest));
+        store.put(Map.of("a", longest));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> keep.put(Map.of("b", "1", "a", longest + "x")));
-        assertThrows(IllegalArgumentException.class, () -> keep.put(Map.of(longest + "x", "1")));
-        keep.put(Map.of("c", "2"));
+                () -> store.put(Map.of("b", "1", "a", longest + "x")));
+        assertThrows(IllegalArgumentException.class, () -> store.put(Map.of(longest + "x", "1")));
+        store.put(Map.of("c", "2"));
         assertEquals(
                 Map.of("a", longest, "c", "2"),
-                TextStore.openOn(new Lossy(disk.files), "m", "r1").texts());
+                TextStore.openOn(new LossyDisk(disk.files), "m", "r1").texts());
     }
 
     /**
@@ -516,18 +522,18 @@
      * damaged tail alone is cut off.
      */
     @Test
-    void whatIsSpoiltIsFoundAndWhatWasBeforeItHolds() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
+    void keepsRecordsBeforeDamage() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        CompactingLog storage = CompactingLog.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
-            shelf.put(Map.of("s-" + i, "DRAINING"), Map.of());
+            storage.put(Map.of("s-" + i, "DRAINING"), Map.of());
         }
         byte[] good = disk.files.get(CompactingLog.FILE);
         int last = good.length;
         for (int at = 0; at < good.length; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x40;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE, bad));
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
                 assertTrue(found.fault() != null, "damage at " + at + " was not detected");
@@ -547,7 +553,7 @@
         for (int cut = 0; cut < good.length; cut++) {
             CompactingLog found =
                     CompactingLog.open(
-                            new Lossy(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
+                            new LossyDisk(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
                             "m",
                             "r1");
             assertTrue(found.texts().size() < 8, "cut at " + cut);
@@ -559,23 +565,23 @@
      * transactions.
      */
     @Test
-    void theFileDoesNotGrowWithTheTxns() throws Exception {
-        CompactingLog shelf = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
+    void fileSizeIsBounded() throws Exception {
+        CompactingLog storage = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
         long most = 0;
         for (long i = 0; i < 3000; i++) {
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
-            shelf.put(Map.of(), batch);
+            storage.put(Map.of(), batch);
             most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE)));
         }
-        shelf.close();
+        storage.close();
         assertTrue(most > 60_000 && most < 70_000, "maximum file size: " + most + " bytes");
     }
 
     @Test
-    void aWordIsThereInTheNextLife() throws Exception {
+    void restoresClosingsAfterRestart() throws Exception {
         Path folder = dir.resolve("r1");
-        Memory first = Memory.open(folder, "r1", log, Runnable::run);
+        RouterStateStore first = RouterStateStore.open(folder, "r1", log, Runnable::run);
         first.closed("s-1", Standing.DRAINING, 7, 42);
         first.closed("s-2", Standing.GONE, 0, 43);
         first.closed("s-3", Standing.GONE, 0, 44);
@@ -583,30 +589,30 @@
         Operator.BadOperator held =
                 assertThrows(
                         Operator.BadOperator.class,
-                        () -> Memory.open(folder, "r1", log, Runnable::run));
+                        () -> RouterStateStore.open(folder, "r1", log, Runnable::run));
         assertTrue(held.getMessage().contains("another process holds"), held.getMessage());
         first.close();
         Operator.BadOperator other =
                 assertThrows(
                         Operator.BadOperator.class,
-                        () -> Memory.open(folder, "r2", log, Runnable::run));
+                        () -> RouterStateStore.open(folder, "r2", log, Runnable::run));
         assertTrue(
                 other.getMessage().contains("is that of router 'r1', and this is 'r2'"),
                 other.getMessage());
-        Memory second = Memory.open(folder, "r1", log, Runnable::run);
+        RouterStateStore second = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(
                 Set.of(
-                        new Memory.Closing("s-1", Standing.DRAINING, 7, 42),
-                        new Memory.Closing("s-2", Standing.GONE, 0, 43)),
+                        new RouterStateStore.Closing("s-1", Standing.DRAINING, 7, 42),
+                        new RouterStateStore.Closing("s-2", Standing.GONE, 0, 43)),
                 Set.copyOf(second.closings()));
         second.close();
     }
 
     @Test
-    void whatIsNoSuchFileIsSetAsideAndNamed() throws Exception {
+    void setsAsideForeignFile() throws Exception {
         Path folder = Files.createDirectories(dir.resolve("r1"));
         Files.writeString(folder.resolve(CompactingLog.FILE), "no store at all ".repeat(1000));
-        Memory memory = Memory.open(folder, "r1", log, Runnable::run);
+        RouterStateStore memory = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "the damaged file is kept");
@@ -618,7 +624,7 @@
         Operator.BadOperator none =
                 assertThrows(
                         Operator.BadOperator.class,
-                        () -> Memory.open(file, "r1", log, Runnable::run));
+                        () -> RouterStateStore.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
 }
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -2,7 +2,7 @@
 
 import static dillfront.routing.Scene.ms;
 
-import dillfront.router.pace.Pace;
+import dillfront.router.pace.LoopLagMonitor;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,7 @@
 class PaceTest {
 
     private final StringBuilder trace = new StringBuilder();
-    private final Pace pace = new Pace(ms(5));
+    private final LoopLagMonitor pace = new LoopLagMonitor(ms(5));
 
     private void shows(String what, long at) {
         Duration now = ms(at);
@@ -24,9 +24,11 @@
                         at,
                         what,
                         pace.lag(now).toMillis(),
-                        pace.behind(now).toMillis(),
-                        pace.sure(now) ? "sure" : "not sure",
-                        pace.believes(Duration.ZERO, now) ? "believed" : "looked at again"));
+                        pace.totalLag(now).toMillis(),
+                        pace.isSocketDataRead(now) ? "sure" : "not sure",
+                        pace.isTimeLimitValid(Duration.ZERO, now)
+                                ? "believed"
+                                : "looked at again"));
     }
 
     /**
@@ -35,31 +37,31 @@
      */
     @Test
     void anOverdueBeatTellsOfThePauseAtOnce() throws IOException {
-        pace.expect(ms(20));
+        pace.expectTick(ms(20));
         shows("on time", 10);
         shows("within the timer's grain", 24);
-        pace.came(ms(24));
-        pace.expect(ms(44));
+        pace.recordTick(ms(24));
+        pace.expectTick(ms(44));
         shows("a beat later", 40);
         shows("stopped for 300 ms, reads first", 344);
-        pace.came(ms(346));
-        pace.expect(ms(366));
+        pace.recordTick(ms(346));
+        pace.expectTick(ms(366));
         shows("the beat has come", 346);
         shows("on time again", 360);
-        pace.came(ms(366));
-        pace.expect(ms(386));
+        pace.recordTick(ms(366));
+        pace.expectTick(ms(386));
         shows("and a beat later", 386);
-        pace.came(ms(386));
-        pace.expect(ms(700));
+        pace.recordTick(ms(386));
+        pace.expectTick(ms(700));
         shows("a dial time-out later it is calm", 650);
         trace.append("longest ")
-                .append(pace.longest().toMillis())
+                .append(pace.longestLag().toMillis())
                 .append(", then ")
-                .append(pace.longest().toMillis())
+                .append(pace.longestLag().toMillis())
                 .append("; a turn of 4 ms takes more: ")
-                .append(pace.takesMore(ms(1), ms(5)))
+                .append(pace.mayContinueTurn(ms(1), ms(5)))
                 .append(", of 5 ms: ")
-                .append(pace.takesMore(ms(1), ms(6)))
+                .append(pace.mayContinueTurn(ms(1), ms(6)))
                 .append('\n');
         Scene.compare("pace", trace);
     }
