--- a/src/main/java/dillfront/router/gossip/BroadcastQueue.java
+++ b/src/main/java/dillfront/router/gossip/BroadcastQueue.java
@@ -50,7 +50,7 @@
 
     /**
      * Counts a duplicate received from a peer as one transmission, since the update has reached
-     * that peer (Demers et al., rumor mongering with feedback).
+     * that peer (Demers et al., epidemic algorithms with feedback).
      */
     void countDuplicate(GossipUpdate update) {
         for (int i = 0; i < entries.size(); i++) {
--- a/src/main/java/dillfront/router/gossip/ClockSkew.java
+++ b/src/main/java/dillfront/router/gossip/ClockSkew.java
@@ -15,7 +15,7 @@
 
     /**
      * Clock difference above which an update is rejected: an update delayed for longer cannot be
-     * told from a new one.
+     * distinguished from a new one.
      */
     public static final Duration MAX_DIFFERENCE = Duration.ofSeconds(30);
 
@@ -40,7 +40,8 @@
     }
 
     /**
-     * Returns the age of an update arriving now; negative if the clocks are too far apart to tell.
+     * Returns the age of an update arriving now; negative if it is unknown because the clocks are
+     * too far apart.
      *
      * @param local local Unix time
      */
--- a/src/main/java/dillfront/router/gossip/GossipProtocol.java
+++ b/src/main/java/dillfront/router/gossip/GossipProtocol.java
@@ -285,7 +285,7 @@
         if (senderIncarnation < membership.incarnation(peer)
                 && formerUpdate != null
                 && requestsInPeriod++ < MAX_REQUESTS_PER_PERIOD) {
-            // The peer has restarted and lost its incarnation; its former update tells it.
+            // The peer has restarted and lost its incarnation; its former update contains that.
             push(peer, false, List.of(formerUpdate), BandwidthBudget.Purpose.PROBE);
         }
         if (membership.state(peer) != MembershipList.State.LEFT
@@ -418,10 +418,7 @@
         transport.claimReceived(update, age);
     }
 
-    /**
-     * Forwards a claim. The caller decides whether it is worth forwarding: a claim that adds
-     * nothing to those already received is not disseminated further.
-     */
+    /** Forwards a claim. The caller omits claims that add nothing to those already received. */
     public void forward(GossipUpdate update, int from) {
         queue.add(update);
         pushClaims(from);
--- a/src/main/java/dillfront/router/gossip/MembershipList.java
+++ b/src/main/java/dillfront/router/gossip/MembershipList.java
@@ -98,7 +98,10 @@
         return peers[peer] == null ? -1 : peers[peer].incarnation;
     }
 
-    /** Returns the number of present instances, including suspected ones and this one. */
+    /**
+     * Returns the number of present instances, including suspected ones and this one. The overload
+     * with arguments records that an instance is alive.
+     */
     public int alive() {
         return alive;
     }
@@ -137,9 +140,9 @@
     }
 
     /**
-     * Records that an instance is alive, by its own forwarded update or, if none is given, by a
-     * datagram from it. An update of an incarnation that has been accused since changes nothing, so
-     * that table exchanges do not bring back peers that are gone.
+     * Records that an instance is alive, from its forwarded update or, if none is given, from a
+     * datagram that it sent. An update of an incarnation that has been accused since changes
+     * nothing, so that table exchanges do not bring back peers that are gone.
      *
      * @return whether anything changed
      */
--- a/src/main/java/dillfront/router/gossip/PeerClaims.java
+++ b/src/main/java/dillfront/router/gossip/PeerClaims.java
@@ -250,7 +250,7 @@
             boolean contradicted =
                     state.healthyAt.compareTo(c.since.plus(overtakenWithin)) > 0
                             && state.healthyAt.plus(overtakenWithin).compareTo(c.reportedAt) < 0;
-            // The node answered right after the claim: so short a symptom was not worth a claim.
+            // The node answered right after the claim: so short a symptom did not justify a claim.
             boolean overtaken =
                     state.healthyAt.compareTo(c.reportedAt) > 0
                             && state.healthyAt.compareTo(c.reportedAt.plus(overtakenWithin)) < 0;
--- a/src/main/java/dillfront/router/peers/UdpGossipTransport.java
+++ b/src/main/java/dillfront/router/peers/UdpGossipTransport.java
@@ -263,7 +263,7 @@
 
     /**
      * Sends restrictions to one peer. The first datagram of a run is sent even if it is empty,
-     * since it tells the peer that this is a new run.
+     * since it announces the new run.
      */
     private boolean sendRestrictions(int peer, SyncState state) {
         Duration now = clock.get();
--- a/src/main/java/dillfront/router/recovery/GroupRecovery.java
+++ b/src/main/java/dillfront/router/recovery/GroupRecovery.java
@@ -11,8 +11,8 @@
  * Tracks how far each group has recovered since this router started, and which node's claim to be
  * primary is accepted. One state machine per group is driven by the reports of nodes, by missing
  * answers and by member lists. The primary stored by an earlier run restricts: another node that
- * claims to be primary by its own report alone gets no writes until the former primary has reported
- * its role, or a bounded time has passed.
+ * reports itself as primary gets no writes until the former primary has reported its role, or a
+ * bounded time has passed.
  *
  * <p>Otherwise writes could go to an outdated primary that is the first to return after a power
  * loss, or that an old list names, and they would be lost to the group. Within a run {@link
@@ -31,7 +31,7 @@
         DARK,
         /** Members answer, but no primary is accepted, or several members claim the role. */
         CONTESTED,
-        /** One member is primary by its own report. */
+        /** One member reports itself as primary. */
         KNOWN,
         /**
          * A replica has replayed everything committed before this run began, or the group has no
@@ -42,7 +42,7 @@
         WARM
     }
 
-    /** Scope of the outage before this run, as far as it can be told. */
+    /** Scope of the outage before this run, as far as known. */
     public enum OutageScope {
         /** Not enough is known. */
         UNSURE,
@@ -58,7 +58,7 @@
     public interface Listener {
         void groupStateChanged(int group, State from, State to);
 
-        /** Reports the node that now leads its group by its own report, to be stored. */
+        /** Reports the node that has become the accepted primary of its group, to be stored. */
         void leads(int group, String node);
     }
 
--- a/src/main/java/dillfront/router/recovery/InDoubtKeys.java
+++ b/src/main/java/dillfront/router/recovery/InDoubtKeys.java
@@ -11,7 +11,8 @@
  * idempotency key. A client that retries sends a new id with the same key: by the id alone the
  * retry would count as a new transaction and, after the deduplication window, take effect twice. An
  * entry holds the time since which the transaction may have run; {@link dillfront.routing.Decide}
- * then sends a retry only within the window, and afterwards answers that the outcome is uncertain.
+ * then sends a retry only within the window, and afterwards gives an answer that confirms no
+ * effect.
  *
  * <p>An entry from an earlier run or from another router has no usable time, since no clock covers
  * an outage: the transaction may have run at any time, so its window counts as over. Such an entry
--- a/src/main/java/dillfront/router/recovery/TrustPolicy.java
+++ b/src/main/java/dillfront/router/recovery/TrustPolicy.java
@@ -7,12 +7,12 @@
 /**
  * Defines how much each kind of information from before a restart is trusted in each recovery state
  * of its group; implements the table in docs/recovery.md. No such information permits anything: it
- * restricts, or it tells which nodes to contact.
+ * restricts, or it names the nodes to contact.
  */
 public enum TrustPolicy {
     /** The information is ignored. */
     IGNORED,
-    /** The information tells which nodes to contact; sends depend on present information alone. */
+    /** The information names the nodes to contact; sends depend on present information alone. */
     HINTS,
     /** The information holds back sends that present information would allow. */
     RESTRICTS;
--- a/src/main/java/dillfront/router/site/SiteHealthMonitor.java
+++ b/src/main/java/dillfront/router/site/SiteHealthMonitor.java
@@ -12,8 +12,8 @@
 /**
  * Determines which sites are lost from this router's own observations of their nodes at each clock
  * tick; reports of peers do not count. A verdict is about the network path from this router to a
- * site; whether the nodes or the path failed cannot be told and makes no difference. The class also
- * distinguishes the loss of all other sites from an isolation of this router.
+ * site; whether the nodes or the path failed cannot be distinguished and makes no difference. The
+ * class also distinguishes the loss of all other sites from an isolation of this router.
  *
  * <p>A site is declared lost quickly and restored slowly: a wrong loss costs cross-site traffic for
  * a moment, a wrong restoration costs the transactions sent there. Each restoration that does not
--- a/src/test/java/dillfront/router/peers/GossipCodecTest.java
+++ b/src/test/java/dillfront/router/peers/GossipCodecTest.java
@@ -133,9 +133,9 @@
                                 registry.name(from)
                                         + "."
                                         + incarnation
-                                        + " life "
+                                        + " run "
                                         + life
-                                        + " doubts of "
+                                        + " in-doubt keys of "
                                         + registry.name(about)
                                         + " "
                                         + java.util.Arrays.toString(digest));
@@ -215,10 +215,12 @@
         assertEquals(
                 GossipCodec.partsWireSize(2) - GossipCodec.IP_UDP_HEADER_BYTES,
                 bytes.readableBytes());
-        assertEquals("r1.2 life 9 doubts of r1 [7, -1]", read(alice, bytes, UNIX_TIME));
-        assertEquals("r1.2 life 9 doubts of r1 []", read(alice, inDoubtKeys(bob, 1), UNIX_TIME));
+        assertEquals("r1.2 run 9 in-doubt keys of r1 [7, -1]", read(alice, bytes, UNIX_TIME));
         assertEquals(
-                "r1.2 life 9 doubts of r0 [5]", read(alice, inDoubtKeys(bob, 0, 5), UNIX_TIME));
+                "r1.2 run 9 in-doubt keys of r1 []", read(alice, inDoubtKeys(bob, 1), UNIX_TIME));
+        assertEquals(
+                "r1.2 run 9 in-doubt keys of r0 [5]",
+                read(alice, inDoubtKeys(bob, 0, 5), UNIX_TIME));
         assertEquals(
                 "FORM", read(alice, inDoubtKeys(bob, 2, 5), UNIX_TIME), "about a third instance");
         assertEquals("FORM", read(alice, inDoubtKeys(bob, -1, 5), UNIX_TIME), "about no instance");
--- a/src/test/java/dillfront/router/plan/LoadPlannerTest.java
+++ b/src/test/java/dillfront/router/plan/LoadPlannerTest.java
@@ -231,7 +231,7 @@
                     1e-6,
                     "round " + round);
         }
-        assertTrue(compared > 50, "compared " + compared + " plans");
+        assertTrue(compared > 50, "compared plans: " + compared);
     }
 
     /**
--- a/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
+++ b/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
@@ -126,7 +126,7 @@
             observe("c is back", "c", Health.WELL);
             runUntil(now + 3000);
         }
-        assertTrue(changes < 3 + 10, changes + " changes for twenty observations");
+        assertTrue(changes < 3 + 10, "verdict changes: " + changes + " for twenty observations");
         runUntil(now + 60_000);
         trace.append("a minute later c is ").append(monitor.states().get("c")).append('\n');
         Scene.compare("sites-flap", trace);
