--- a/src/main/java/dillfront/router/gossip/BroadcastQueue.java
+++ b/src/main/java/dillfront/router/gossip/BroadcastQueue.java
@@ -79,7 +79,7 @@
      * has refuted them.
      */
     void remove(UpdateKind kind, long subject) {
-        entries.removeIf(r -> r.update.kind() == kind && r.update.subject() == subject);
+        entries.removeIf(entry -> entry.update.kind() == kind && entry.update.subject() == subject);
     }
 
     /**
--- a/src/main/java/dillfront/router/gossip/GossipProtocol.java
+++ b/src/main/java/dillfront/router/gossip/GossipProtocol.java
@@ -270,10 +270,10 @@
      * Handles the header of each datagram before its updates. The sender signed the datagram just
      * now, so it is alive.
      *
-     * @param sent send time by the sender's clock, in Unix time
+     * @param sentAt send time by the sender's clock, in Unix time
      */
-    public void receivedFrom(int peer, int senderIncarnation, Duration sent) {
-        clockSkew.recordDirect(peer, sent, unixTime);
+    public void receivedFrom(int peer, int senderIncarnation, Duration sentAt) {
+        clockSkew.recordDirect(peer, sentAt, unixTime);
         datagramsInPeriod++;
         if (membership.state(peer) == MembershipList.State.GONE
                 && senderIncarnation == membership.incarnation(peer)) {
--- a/src/main/java/dillfront/router/gossip/MembershipList.java
+++ b/src/main/java/dillfront/router/gossip/MembershipList.java
@@ -287,8 +287,8 @@
      */
     List<Integer> randomAlive(int count, int excluded) {
         List<Integer> result = new ArrayList<>(count);
-        int tries = 4 * count + 8;
-        while (result.size() < count && tries-- > 0) {
+        int attempts = 4 * count + 8;
+        while (result.size() < count && attempts-- > 0) {
             addIfAlive(random.nextInt(peers.length), excluded, result);
         }
         // Only few of the registered instances are present: scan from a random index.
--- a/src/main/java/dillfront/router/gossip/PeerClaims.java
+++ b/src/main/java/dillfront/router/gossip/PeerClaims.java
@@ -62,7 +62,7 @@
      * Number of common wrong claims after which two instances count as one vote, and for how many
      * claim validities they do.
      */
-    private static final int MAX_COMMON_ERRORS = 2;
+    private static final int MERGE_AFTER_COMMON_ERRORS = 2;
 
     private static final int VOTE_GROUP_VALIDITIES = 120;
     private static final int MAX_PAIRS = 256;
@@ -233,36 +233,38 @@
      * Compares the claims on a node with this router's own observations; credit changes here only.
      */
     private void updateCredit(NodeState state) {
-        state.withdrawn.removeIf(c -> c.reportedAt.plus(claimValidity).compareTo(now) <= 0);
+        state.withdrawn.removeIf(claim -> claim.reportedAt.plus(claimValidity).compareTo(now) <= 0);
         if (state.claims.isEmpty()) {
             return;
         }
         List<Claim> falseClaims = new ArrayList<>();
         for (int i = state.claims.size() - 1; i >= 0; i--) {
-            Claim c = state.claims.get(i);
-            if (state.unhealthy && !c.confirmed) {
-                c.confirmed = true;
+            Claim claim = state.claims.get(i);
+            if (state.unhealthy && !claim.confirmed) {
+                claim.confirmed = true;
                 confirmed++;
-                credit[c.peer] += CREDIT_GAIN * (1 - credit[c.peer]);
+                credit[claim.peer] += CREDIT_GAIN * (1 - credit[claim.peer]);
             }
             // The node answered after the symptom had allegedly begun and before the claim was
             // repeated, so the claim was false.
             boolean contradicted =
-                    state.healthyAt.compareTo(c.since.plus(overtakenWithin)) > 0
-                            && state.healthyAt.plus(overtakenWithin).compareTo(c.reportedAt) < 0;
+                    state.healthyAt.compareTo(claim.since.plus(overtakenWithin)) > 0
+                            && state.healthyAt.plus(overtakenWithin).compareTo(claim.reportedAt)
+                                    < 0;
             // The node answered right after the claim: so short a symptom did not justify a claim.
             boolean overtaken =
-                    state.healthyAt.compareTo(c.reportedAt) > 0
-                            && state.healthyAt.compareTo(c.reportedAt.plus(overtakenWithin)) < 0;
-            if ((contradicted || overtaken) && !c.confirmed) {
-                credit[c.peer] *= contradicted ? CONTRADICTED_FACTOR : OVERTAKEN_FACTOR;
-                falseClaims.add(c);
+                    state.healthyAt.compareTo(claim.reportedAt) > 0
+                            && state.healthyAt.compareTo(claim.reportedAt.plus(overtakenWithin))
+                                    < 0;
+            if ((contradicted || overtaken) && !claim.confirmed) {
+                credit[claim.peer] *= contradicted ? CONTRADICTED_FACTOR : OVERTAKEN_FACTOR;
+                falseClaims.add(claim);
             }
-            if (contradicted || state.healthyAt.compareTo(c.reportedAt) > 0) {
+            if (contradicted || state.healthyAt.compareTo(claim.reportedAt) > 0) {
                 overruled++;
-                removeClaim(state, c);
-            } else if (c.reportedAt.plus(claimValidity).compareTo(now) <= 0) {
-                removeClaim(state, c);
+                removeClaim(state, claim);
+            } else if (claim.reportedAt.plus(claimValidity).compareTo(now) <= 0) {
+                removeClaim(state, claim);
             }
         }
         for (int i = 0; i < falseClaims.size(); i++) {
@@ -288,7 +290,7 @@
         if (commonErrors.size() > MAX_PAIRS) {
             commonErrors.remove(commonErrors.keySet().iterator().next());
         }
-        if (errors >= MAX_COMMON_ERRORS && voteGroup[a] != voteGroup[b]) {
+        if (errors >= MERGE_AFTER_COMMON_ERRORS && voteGroup[a] != voteGroup[b]) {
             int mergedGroup = Math.max(voteGroup[a], voteGroup[b]);
             int targetGroup = Math.min(voteGroup[a], voteGroup[b]);
             for (int i = 0; i < voteGroup.length; i++) {
@@ -320,14 +322,16 @@
         double[] votes = new double[claims.size()];
         int[] groups = new int[votes.length];
         int count = 0;
-        for (Claim c : claims) {
+        for (Claim claim : claims) {
             double vote =
-                    claimsMostNodes(c.peer) || credit[c.peer] < MIN_CREDIT ? 0 : credit[c.peer];
+                    claimsMostNodes(claim.peer) || credit[claim.peer] < MIN_CREDIT
+                            ? 0
+                            : credit[claim.peer];
             int slot = 0;
-            while (slot < count && groups[slot] != voteGroup[c.peer]) {
+            while (slot < count && groups[slot] != voteGroup[claim.peer]) {
                 slot++;
             }
-            groups[slot] = voteGroup[c.peer];
+            groups[slot] = voteGroup[claim.peer];
             votes[slot] = slot < count ? Math.max(votes[slot], vote) : vote;
             count = Math.max(count, slot + 1);
         }
--- a/src/main/java/dillfront/router/peers/GossipCodec.java
+++ b/src/main/java/dillfront/router/peers/GossipCodec.java
@@ -79,13 +79,13 @@
     /** Receives the datagrams that passed all checks. */
     public interface DatagramHandler {
         /**
-         * @param sent send time by the sender's clock, in Unix time
+         * @param sentAt send time by the sender's clock, in Unix time
          * @param about index of the instance that the sender asks about; -1 if there is none
          */
         void receive(
                 int from,
                 int incarnation,
-                Duration sent,
+                Duration sentAt,
                 DatagramType type,
                 int probe,
                 int about,
@@ -97,13 +97,13 @@
          *     an earlier run as remembered by the sender
          */
         void receiveInDoubtKeys(
-                int from, int incarnation, Duration sent, int runId, int about, long[] keys);
+                int from, int incarnation, Duration sentAt, int runId, int about, long[] keys);
 
         /**
          * @param closedNodes three numbers for each node closed by the sender's member lists: hash
          *     of its id, generation, start time
          */
-        void receiveClosedNodes(int from, int incarnation, Duration sent, long[] closedNodes);
+        void receiveClosedNodes(int from, int incarnation, Duration sentAt, long[] closedNodes);
 
         /** Reports the address in an instance's own ALIVE update. */
         void learnAddress(int peer, int incarnation, InetSocketAddress address);
@@ -229,14 +229,14 @@
             int incarnation,
             int runId,
             int about,
-            long[] digest,
+            long[] keys,
             Duration unixTime) {
-        write(out, to, incarnation, DatagramType.IN_DOUBT_KEYS, runId, about, digest, unixTime);
+        write(out, to, incarnation, DatagramType.IN_DOUBT_KEYS, runId, about, keys, unixTime);
     }
 
     /** Writes one datagram of the nodes that this instance's member lists have closed. */
-    public void write(ByteBuf out, int to, int incarnation, long[] closed, Duration unixTime) {
-        write(out, to, incarnation, DatagramType.CLOSED_NODES, 0, self, closed, unixTime);
+    public void write(ByteBuf out, int to, int incarnation, long[] closedNodes, Duration unixTime) {
+        write(out, to, incarnation, DatagramType.CLOSED_NODES, 0, self, closedNodes, unixTime);
     }
 
     private void write(
@@ -289,8 +289,8 @@
             signer.update(prefix);
             signer.update(bytes, 0, length);
             return signer.sign();
-        } catch (GeneralSecurityException bad) {
-            throw new IllegalStateException(bad);
+        } catch (GeneralSecurityException failure) {
+            throw new IllegalStateException(failure);
         }
     }
 
@@ -303,7 +303,7 @@
      * @param now time since the start
      * @param unixTime local Unix time
      */
-    public void read(ByteBuf in, Duration now, Duration unixTime, DatagramHandler reader) {
+    public void read(ByteBuf in, Duration now, Duration unixTime, DatagramHandler handler) {
         int start = in.readerIndex();
         int size = in.readableBytes();
         if (size < HEADER_BYTES + SIGNATURE_BYTES
@@ -312,7 +312,7 @@
                 || in.getByte(start + 1) != 'f'
                 || in.getByte(start + 2) != 1
                 || in.getUnsignedByte(start + 3) >= DatagramType.values().length) {
-            reader.onDropped(DropReason.FORM);
+            handler.onDropped(DropReason.FORM);
             return;
         }
         int count = in.getUnsignedByte(start + HEADER_BYTES - 1);
@@ -325,41 +325,41 @@
                                         ? Long.BYTES
                                         : UPDATE_BYTES)
                         + SIGNATURE_BYTES) {
-            reader.onDropped(DropReason.FORM);
+            handler.onDropped(DropReason.FORM);
             return;
         }
         if (in.getLong(start + 32) != selfHash) {
-            reader.onDropped(DropReason.NOT_MINE);
+            handler.onDropped(DropReason.NOT_MINE);
             return;
         }
         PeerRegistry.PeerKey from = registry.key(in.getLong(start + 4), unixTime);
         if (from == null || from.peer() == self) {
-            reader.onDropped(from == null ? DropReason.KEY : DropReason.NOT_MINE);
+            handler.onDropped(from == null ? DropReason.KEY : DropReason.NOT_MINE);
             return;
         }
-        if (isTooFarApart(unixTime, in.getLong(start + 24))) {
-            reader.onDropped(DropReason.CLOCK);
+        if (isClockDifferenceTooLarge(unixTime, in.getLong(start + 24))) {
+            handler.onDropped(DropReason.CLOCK);
             return;
         }
         long sequence = in.getLong(start + 16);
         if (sequence < 0 || !replayWindow.mayBeNew(from.peer(), sequence, now)) {
-            reader.onDropped(DropReason.REPLAY);
+            handler.onDropped(DropReason.REPLAY);
             return;
         }
         if (!replayWindow.tryTakeCheck(from.peer(), now)) {
-            reader.onDropped(DropReason.FLOOD);
+            handler.onDropped(DropReason.FLOOD);
             return;
         }
         byte[] all = new byte[size];
         in.getBytes(start, all);
         if (!isSignatureValid(from, DATAGRAM_SIGNATURE_PREFIX, all, 0, size - SIGNATURE_BYTES)) {
-            reader.onDropped(DropReason.SIGNATURE);
+            handler.onDropped(DropReason.SIGNATURE);
             return;
         }
         replayWindow.recordReceived(from.peer(), sequence, now);
         int about = registry.peer(in.getLong(start + 44));
         int incarnation = in.getInt(start + 12);
-        Duration sent = Duration.ofNanos(in.getLong(start + 24) * 1000);
+        Duration sentAt = Duration.ofNanos(in.getLong(start + 24) * 1000);
         if (type == DatagramType.IN_DOUBT_KEYS || type == DatagramType.CLOSED_NODES) {
             long[] parts = new long[count];
             ByteBuffer.wrap(all, HEADER_BYTES, count * Long.BYTES).asLongBuffer().get(parts);
@@ -367,12 +367,12 @@
             if (count > MAX_PARTS
                     || about != from.peer() && (closed || about != self)
                     || closed && count % PARTS_PER_CLOSED_NODE != 0) {
-                reader.onDropped(DropReason.FORM);
+                handler.onDropped(DropReason.FORM);
             } else if (closed) {
-                reader.receiveClosedNodes(from.peer(), incarnation, sent, parts);
+                handler.receiveClosedNodes(from.peer(), incarnation, sentAt, parts);
             } else {
-                reader.receiveInDoubtKeys(
-                        from.peer(), incarnation, sent, in.getInt(start + 40), about, parts);
+                handler.receiveInDoubtKeys(
+                        from.peer(), incarnation, sentAt, in.getInt(start + 40), about, parts);
             }
             return;
         }
@@ -386,17 +386,17 @@
                             from.peer(),
                             now,
                             unixTime,
-                            reader);
+                            handler);
             if (update == null) {
-                reader.onDropped(DropReason.WORD);
+                handler.onDropped(DropReason.WORD);
             } else {
                 updates[accepted++] = update;
             }
         }
-        reader.receive(
+        handler.receive(
                 from.peer(),
                 incarnation,
-                sent,
+                sentAt,
                 type,
                 in.getInt(start + 40),
                 about,
@@ -410,25 +410,25 @@
             int sender,
             Duration now,
             Duration unixTime,
-            DatagramHandler reader) {
+            DatagramHandler handler) {
         ByteBuffer in = ByteBuffer.wrap(all, offset, UPDATE_BYTES);
         PeerRegistry.PeerKey key = registry.key(in.getLong(), unixTime);
         int incarnation = in.getInt();
         int number = in.getInt();
-        int kindNumber = in.get();
+        int kindOrdinal = in.get();
         if (key == null
-                || kindNumber < 0
-                || kindNumber >= UpdateKind.values().length
+                || kindOrdinal < 0
+                || kindOrdinal >= UpdateKind.values().length
                 || incarnation < 0
                 || number < 0) {
             return null;
         }
-        UpdateKind kind = UpdateKind.values()[kindNumber];
+        UpdateKind kind = UpdateKind.values()[kindOrdinal];
         long subject = in.getLong();
         if (kind != UpdateKind.CLAIM) {
             subject = registry.peer(subject);
-            boolean own = subject == key.peer();
-            if (subject < 0 || own != (kind != UpdateKind.SILENT)) {
+            boolean isOrigin = subject == key.peer();
+            if (subject < 0 || isOrigin != (kind != UpdateKind.SILENT)) {
                 return null;
             }
         }
@@ -440,7 +440,7 @@
         // are forwarded for as long as they apply.
         boolean outdated =
                 (kind == UpdateKind.SILENT || kind == UpdateKind.CLAIM)
-                        && isTooFarApart(unixTime, createdAt);
+                        && isClockDifferenceTooLarge(unixTime, createdAt);
         if (outdated
                 || evidence < 0
                 || symptomMillis < 0
@@ -464,7 +464,7 @@
             }
         }
         if (kind == UpdateKind.ALIVE) {
-            readAddress(key.peer(), incarnation, bytes, reader);
+            readAddress(key.peer(), incarnation, bytes, handler);
         }
         return new GossipUpdate(
                 key.peer(),
@@ -480,14 +480,14 @@
     }
 
     private static void readAddress(
-            int peer, int incarnation, byte[] update, DatagramHandler reader) {
+            int peer, int incarnation, byte[] update, DatagramHandler handler) {
         ByteBuffer in = ByteBuffer.wrap(update, SIGNED_UPDATE_BYTES - 6, 6);
         byte[] ip = new byte[4];
         in.get(ip);
         int port = in.getShort() & 0xffff;
         if (port > 0) {
             try {
-                reader.learnAddress(
+                handler.learnAddress(
                         peer,
                         incarnation,
                         new InetSocketAddress(InetAddress.getByAddress(ip), port));
@@ -514,7 +514,7 @@
      * Returns whether the time differs from local Unix time by more than the accepted clock
      * difference or delay.
      */
-    private static boolean isTooFarApart(Duration unixTime, long micros) {
+    private static boolean isClockDifferenceTooLarge(Duration unixTime, long micros) {
         return Math.abs(toMicros(unixTime) - micros) > toMicros(ClockSkew.MAX_DIFFERENCE);
     }
 
--- a/src/main/java/dillfront/router/peers/PeerHealthExchange.java
+++ b/src/main/java/dillfront/router/peers/PeerHealthExchange.java
@@ -51,7 +51,7 @@
     private final Map<Long, Integer> nodes = new HashMap<>();
 
     /** By the router's node index; null for an unused index. */
-    private final List<NodeState> rows = new ArrayList<>();
+    private final List<NodeState> nodeStates = new ArrayList<>();
 
     private Supplier<GossipProtocol> gossip;
     private Duration now = Duration.ZERO;
@@ -73,22 +73,22 @@
 
     /** Adds a listed node. */
     public void addNode(int node, String id) {
-        while (rows.size() <= node) {
-            rows.add(null);
+        while (nodeStates.size() <= node) {
+            nodeStates.add(null);
         }
-        if (rows.get(node) == null || !rows.get(node).id.equals(id)) {
+        if (nodeStates.get(node) == null || !nodeStates.get(node).id.equals(id)) {
             removeNode(node);
-            rows.set(node, new NodeState(id));
-            nodes.put(rows.get(node).idHash, node);
+            nodeStates.set(node, new NodeState(id));
+            nodes.put(nodeStates.get(node).idHash, node);
         }
         claims.nodes(nodes.size());
     }
 
     /** Removes a node and the claims about it. */
     public void removeNode(int node) {
-        if (node < rows.size() && rows.get(node) != null) {
-            nodes.remove(rows.get(node).idHash);
-            rows.set(node, null);
+        if (node < nodeStates.size() && nodeStates.get(node) != null) {
+            nodes.remove(nodeStates.get(node).idHash);
+            nodeStates.set(node, null);
             claims.removeNode(node);
             reporter.removeNode(node);
             claims.nodes(nodes.size());
@@ -99,8 +99,8 @@
     public void tick(Duration clock) {
         now = clock;
         claims.setClock(now);
-        for (int node = 0; node < rows.size(); node++) {
-            NodeState state = rows.get(node);
+        for (int node = 0; node < nodeStates.size(); node++) {
+            NodeState state = nodeStates.get(node);
             if (state == null) {
                 continue;
             }
@@ -112,8 +112,10 @@
                         sight,
                         claims.hasEnoughClaims(node),
                         now,
-                        (n, symptom, evidence, since) ->
-                                gossip.get().publishClaim(state.idHash, symptom, evidence, since));
+                        (n, symptom, evidence, symptomDuration) ->
+                                gossip.get()
+                                        .publishClaim(
+                                                state.idHash, symptom, evidence, symptomDuration));
             }
             updateSuspicion(node);
         }
@@ -140,7 +142,7 @@
     }
 
     private void updateSuspicion(int node) {
-        NodeState state = rows.get(node);
+        NodeState state = nodeStates.get(node);
         boolean suspected = claims.isSuspected(node);
         // Repeated at each tick: the node's own answer may have ended the suspicion in the
         // meantime, unless the claims are newer.
@@ -157,15 +159,17 @@
 
     /** Calls back with the id and index of each known node. */
     public void nodes(BiConsumer<String, Integer> each) {
-        for (int node = 0; node < rows.size(); node++) {
-            if (rows.get(node) != null) {
-                each.accept(rows.get(node).id, node);
+        for (int node = 0; node < nodeStates.size(); node++) {
+            if (nodeStates.get(node) != null) {
+                each.accept(nodeStates.get(node).id, node);
             }
         }
     }
 
     /** Returns whether the claims of peers make the node suspected. */
     public boolean isSuspected(int node) {
-        return node < rows.size() && rows.get(node) != null && rows.get(node).suspected;
+        return node < nodeStates.size()
+                && nodeStates.get(node) != null
+                && nodeStates.get(node).suspected;
     }
 }
--- a/src/main/java/dillfront/router/peers/PeerRegistry.java
+++ b/src/main/java/dillfront/router/peers/PeerRegistry.java
@@ -118,8 +118,8 @@
     private static long hashPrefix(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
-        } catch (GeneralSecurityException none) {
-            throw new IllegalStateException(none);
+        } catch (GeneralSecurityException missing) {
+            throw new IllegalStateException(missing);
         }
     }
 
@@ -186,8 +186,8 @@
     public static final class InvalidPeerException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidPeerException(String fault) {
-            super(fault);
+        InvalidPeerException(String message) {
+            super(message);
         }
     }
 }
--- a/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
+++ b/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
@@ -58,10 +58,10 @@
     }
 
     @Override
-    public long[] ownInDoubtKeys(int mostParts) {
+    public long[] ownInDoubtKeys(int maxParts) {
         return inDoubtKeys == null
                 ? new long[0]
-                : KeyDigest.of(inDoubtKeys.inDoubt(), mostParts).words();
+                : KeyDigest.of(inDoubtKeys.inDoubt(), maxParts).words();
     }
 
     @Override
@@ -94,13 +94,13 @@
     }
 
     @Override
-    public long[] closedNodes(int mostParts) {
+    public long[] closedNodes(int maxParts) {
         List<Map.Entry<String, long[]>> closedNodes = new ArrayList<>(lists.closed().entrySet());
         List<Map.Entry<String, long[]>> included =
                 closedNodes.subList(
                         Math.max(
                                 0,
-                                closedNodes.size() - mostParts / GossipCodec.PARTS_PER_CLOSED_NODE),
+                                closedNodes.size() - maxParts / GossipCodec.PARTS_PER_CLOSED_NODE),
                         closedNodes.size());
         long[] parts = new long[included.size() * GossipCodec.PARTS_PER_CLOSED_NODE];
         int index = 0;
--- a/src/main/java/dillfront/router/peers/UdpGossipTransport.java
+++ b/src/main/java/dillfront/router/peers/UdpGossipTransport.java
@@ -46,11 +46,11 @@
     private final Supplier<Duration> unixTime;
     private final BiConsumer<GossipUpdate, Duration> claimListener;
     private final NioDatagramChannel channel = new NioDatagramChannel();
-    private final long[] dropped = new long[DropReason.values().length];
+    private final long[] dropCounts = new long[DropReason.values().length];
     private final int[] addressIncarnation;
     private final List<SyncState> syncStates = new ArrayList<>();
     private int nextPeer;
-    private long read;
+    private long readDatagrams;
     private long sentDatagrams;
     private long unsentForAddress;
     private boolean closed;
@@ -219,7 +219,7 @@
                             at();
                             gossip.join(
                                     java.util.stream.IntStream.range(0, registry.size())
-                                            .filter(p -> registry.address(p) != null)
+                                            .filter(peer -> registry.address(peer) != null)
                                             .boxed()
                                             .toList());
                             tick();
@@ -325,16 +325,17 @@
         if (sentRecently || state.closedVersion == restrictions.closedVersion() && !repeat) {
             return false;
         }
-        long[] closed = restrictions.closedNodes(GossipCodec.maxParts(config.maxDatagramBytes()));
-        if (closed.length == 0 && state.closedSentAt == null) {
+        long[] closedNodes =
+                restrictions.closedNodes(GossipCodec.maxParts(config.maxDatagramBytes()));
+        if (closedNodes.length == 0 && state.closedSentAt == null) {
             state.closedVersion = restrictions.closedVersion();
             return false;
         }
-        if (!send(peer, self, closed, true)) {
+        if (!send(peer, self, closedNodes, true)) {
             return false;
         }
         state.closedVersion = restrictions.closedVersion();
-        state.closedSentAt = closed.length == 0 ? null : now;
+        state.closedSentAt = closedNodes.length == 0 ? null : now;
         return true;
     }
 
@@ -394,13 +395,13 @@
             int probe,
             int about,
             List<GossipUpdate> updates) {
-        read++;
+        readDatagrams++;
         // The source of a fresh signed datagram is the peer's current address.
         registry.address(from, sender);
         addressIncarnation[from] = Math.max(addressIncarnation[from], incarnation);
         at();
         gossip.receivedFrom(from, incarnation, sentAt);
-        updates.forEach(w -> gossip.receiveUpdate(w, from));
+        updates.forEach(update -> gossip.receiveUpdate(update, from));
         switch (type) {
             case PING -> gossip.handlePing(from, probe);
             case ACK -> gossip.handleAck(from, probe);
@@ -416,7 +417,7 @@
 
     /** Records that the sender is alive, since it signed the datagram just now. */
     private void recordSender(int from, int incarnation, Duration sentAt) {
-        read++;
+        readDatagrams++;
         registry.address(from, sender);
         addressIncarnation[from] = Math.max(addressIncarnation[from], incarnation);
         at();
@@ -452,7 +453,7 @@
 
     @Override
     public void onDropped(DropReason reason) {
-        dropped[reason.ordinal()]++;
+        dropCounts[reason.ordinal()]++;
     }
 
     // ---- sending
@@ -527,7 +528,7 @@
     }
 
     public long datagramsRead() {
-        return read;
+        return readDatagrams;
     }
 
     public long datagramsSent() {
@@ -539,6 +540,6 @@
     }
 
     public long dropCount(DropReason reason) {
-        return dropped[reason.ordinal()];
+        return dropCounts[reason.ordinal()];
     }
 }
--- a/src/main/java/dillfront/router/plan/LoadPlanner.java
+++ b/src/main/java/dillfront/router/plan/LoadPlanner.java
@@ -156,12 +156,12 @@
             PlannerInput input,
             PlannerInput.TransactionType type,
             boolean atPrimary,
-            boolean crosses) {
+            boolean crossesSites) {
         double spillCost =
                 !type.primaryOnly() && atPrimary
                         ? SPILL_COST * type.value() + input.crossingPrice()
                         : 0;
-        return type.value() - spillCost - (crosses ? input.crossingPrice() : 0);
+        return type.value() - spillCost - (crossesSites ? input.crossingPrice() : 0);
     }
 
     /** A route for a transaction type from the site where it is requested to a node. */
@@ -242,14 +242,14 @@
 
     private static void addConstraint(
             List<LinearConstraint> limits, List<Route> routes, RouteFilter filter, double limit) {
-        double[] sum = new double[routes.size()];
+        double[] coefficients = new double[routes.size()];
         boolean hasRoutes = false;
-        for (int i = 0; i < sum.length; i++) {
-            sum[i] = filter.includes(routes.get(i)) ? 1 : 0;
-            hasRoutes |= sum[i] > 0;
+        for (int i = 0; i < coefficients.length; i++) {
+            coefficients[i] = filter.includes(routes.get(i)) ? 1 : 0;
+            hasRoutes |= coefficients[i] > 0;
         }
         if (hasRoutes) {
-            limits.add(new LinearConstraint(sum, Relationship.LEQ, limit));
+            limits.add(new LinearConstraint(coefficients, Relationship.LEQ, limit));
         }
     }
 
--- a/src/main/java/dillfront/router/recovery/GroupRecovery.java
+++ b/src/main/java/dillfront/router/recovery/GroupRecovery.java
@@ -271,9 +271,9 @@
 
     /** Returns whether a write may be sent to this node; counts the writes that may not. */
     public boolean mayWrite(int node, Duration now) {
-        boolean may = isPrimaryAccepted(node, now);
-        heldWrites += may ? 0 : 1;
-        return may;
+        boolean allowed = isPrimaryAccepted(node, now);
+        heldWrites += allowed ? 0 : 1;
+        return allowed;
     }
 
     // ---- clock
@@ -312,15 +312,15 @@
     private State evaluate(GroupState state, Duration now) {
         boolean anyAnswers = false;
         boolean allAnswer = true;
-        boolean cold = false;
-        boolean replicas = false;
+        boolean anyWarmingUp = false;
+        boolean hasReplica = false;
         boolean covered = false;
         for (NodeState nodeState : state.members) {
             anyAnswers |= nodeState.isPresent();
             allAnswer &= nodeState.isPresent() || !nodeState.ready;
-            cold |= nodeState.ready && cold(nodeState, now);
+            anyWarmingUp |= nodeState.ready && isWarmingUp(nodeState, now);
             if (nodeState.ready && nodeState.role != Role.PRIMARY) {
-                replicas = true;
+                hasReplica = true;
                 covered |=
                         nodeState.isPresent()
                                 && nodeState.position != null
@@ -336,10 +336,12 @@
                         && !primaries.get(0).id.equals(state.formerPrimary)) {
             return State.CONTESTED;
         }
-        return replicas && !covered ? State.KNOWN : allAnswer && !cold ? State.WARM : State.COVERED;
+        return hasReplica && !covered
+                ? State.KNOWN
+                : allAnswer && !anyWarmingUp ? State.WARM : State.COVERED;
     }
 
-    private boolean cold(NodeState nodeState, Duration now) {
+    private boolean isWarmingUp(NodeState nodeState, Duration now) {
         return nodeState.startedAt != null
                 && nodeState.startedAt.plus(warmUpTime).compareTo(now) > 0;
     }
@@ -385,11 +387,11 @@
 
     /** Returns the scope of the outage before this run, judged by the start times of nodes. */
     public OutageScope outageScope() {
-        NodeCounts seen = countNodes();
-        if (seen.nodes == 0 || seen.present == 0) {
+        NodeCounts counts = countNodes();
+        if (counts.nodes == 0 || counts.present == 0) {
             return OutageScope.UNSURE;
         }
-        return 2 * seen.startedRecently > seen.nodes
+        return 2 * counts.startedRecently > counts.nodes
                 ? OutageScope.ALL
                 : discoveryAvailable ? OutageScope.ROUTER : OutageScope.DISCOVERY;
     }
@@ -399,10 +401,12 @@
      * answers, 1 if all nodes answer and agree.
      */
     public double confidence() {
-        NodeCounts seen = countNodes();
-        return seen.nodes == 0
+        NodeCounts counts = countNodes();
+        return counts.nodes == 0
                 ? 0
-                : Math.abs(2.0 * seen.startedRecently / seen.nodes - 1) * seen.present / seen.nodes;
+                : Math.abs(2.0 * counts.startedRecently / counts.nodes - 1)
+                        * counts.present
+                        / counts.nodes;
     }
 
     private record NodeCounts(int nodes, int present, int startedRecently) {}
--- a/src/main/java/dillfront/router/recovery/InDoubtKeys.java
+++ b/src/main/java/dillfront/router/recovery/InDoubtKeys.java
@@ -73,7 +73,7 @@
         Duration inDoubtAt;
     }
 
-    private final Limits bounds;
+    private final Limits limits;
     private final KeyStore store;
 
     /** Keys with an open transaction; removed when their transactions end. */
@@ -90,8 +90,8 @@
     /**
      * @param store null if keys are not stored
      */
-    public InDoubtKeys(Limits bounds, KeyStore store) {
-        this.bounds = bounds;
+    public InDoubtKeys(Limits limits, KeyStore store) {
+        this.limits = limits;
         this.store = store;
     }
 
@@ -111,7 +111,7 @@
      * as a key of this run would be.
      */
     public void restore(long key, Duration now) {
-        if (size() < bounds.maxKeys) {
+        if (size() < limits.maxKeys) {
             Entry entry = new Entry();
             entry.inDoubt = true;
             entry.mayHaveRunSince = BEFORE_THIS_RUN;
@@ -129,7 +129,7 @@
         boolean known = entry != null && entry.mayHaveRunSince != null;
         // A key that cannot be stored must not be sent, so this is checked before the transaction
         // is accepted.
-        if (entry == null && size() >= bounds.maxKeys
+        if (entry == null && size() >= limits.maxKeys
                 || !known && store != null && !store.isWritable()) {
             refused++;
             return false;
@@ -206,7 +206,7 @@
         for (Iterator<Map.Entry<Long, Entry>> oldest = inDoubtEntries.entrySet().iterator();
                 oldest.hasNext(); ) {
             Map.Entry<Long, Entry> candidate = oldest.next();
-            if (candidate.getValue().inDoubtAt.plus(bounds.retention).compareTo(now) > 0) {
+            if (candidate.getValue().inDoubtAt.plus(limits.retention).compareTo(now) > 0) {
                 return;
             }
             oldest.remove();
--- a/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
+++ b/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
@@ -145,14 +145,14 @@
         Crowd.Instance instance = crowd.instances[4];
         instance.standStill(Duration.ofSeconds(5));
         until(21);
-        int gone = 0;
+        int missing = 0;
         for (Crowd.Instance other : crowd.instances) {
-            gone +=
+            missing +=
                     other != instance && !instance.gossip.membership().isPresent(other.index)
                             ? 1
                             : 0;
         }
-        assertEquals(0, gone);
+        assertEquals(0, missing);
         assertTrue(
                 instance.gossip.membership().healthScore() > 0,
                 "the pause raises its local health score");
@@ -299,7 +299,7 @@
                         (at, claim, age) ->
                                 crowd.instances[at].gossip.forward(claim, claim.origin()));
         crowd.start();
-        int most = 0;
+        int maxRemembered = 0;
         long node = 0;
         for (int minute = 1; minute <= 24 * 60; minute++) {
             until(60 * minute);
@@ -311,11 +311,11 @@
             // Nodes change all the time: a new node id in each claim.
             instance.gossip.publishClaim(node++, Symptom.UNREACHABLE, 1, Duration.ZERO);
             for (Crowd.Instance each : crowd.instances) {
-                most = Math.max(most, each.gossip.rememberedClaims());
+                maxRemembered = Math.max(maxRemembered, each.gossip.rememberedClaims());
                 assertTrue(each.gossip.queuedUpdates() <= 64);
             }
         }
-        assertTrue(most <= 9 * 32, "remembered " + most);
+        assertTrue(maxRemembered <= 9 * 32, "remembered " + maxRemembered);
         until(24 * 3600 + 200);
         assertEquals(1.0, crowd.known());
     }
--- a/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -249,7 +249,7 @@
         SplittableRandom random = new SplittableRandom(6);
         LossyDisk disk = new LossyDisk(Map.of());
         CompactingLog storage = CompactingLog.open(disk, "m", "r1");
-        List<String> may = new ArrayList<>();
+        List<String> allowedStates = new ArrayList<>();
         int[] checked = new int[1];
         disk.afterEachCall =
                 () ->
@@ -258,25 +258,27 @@
                                         files -> {
                                             checked[0]++;
                                             try {
-                                                LossyDisk next = new LossyDisk(files);
-                                                CompactingLog again =
-                                                        CompactingLog.open(next, "m", "r1");
+                                                LossyDisk nextDisk = new LossyDisk(files);
+                                                CompactingLog reopened =
+                                                        CompactingLog.open(nextDisk, "m", "r1");
                                                 assertTrue(
-                                                        may.contains(state(again)),
+                                                        allowedStates.contains(state(reopened)),
                                                         "at power loss "
                                                                 + checked[0]
                                                                 + ": "
-                                                                + state(again)
+                                                                + state(reopened)
                                                                 + " of "
-                                                                + may);
-                                                again.put(Map.of("after", "this"), Map.of());
+                                                                + allowedStates);
+                                                reopened.put(Map.of("after", "this"), Map.of());
                                                 assertEquals(
-                                                        state(again),
-                                                        state(CompactingLog.open(next, "m", "r1")));
+                                                        state(reopened),
+                                                        state(
+                                                                CompactingLog.open(
+                                                                        nextDisk, "m", "r1")));
                                                 assertTrue(
-                                                        again.fault() == null
-                                                                || !again.isMovedAside(),
-                                                        again.fault());
+                                                        reopened.fault() == null
+                                                                || !reopened.isMovedAside(),
+                                                        reopened.fault());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
                                                         "at power loss " + checked[0], bad);
@@ -285,24 +287,24 @@
         Map<String, String> texts = new TreeMap<>();
         Map<Long, Long> numbers = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
-            Map<String, String> named = new HashMap<>();
-            Map<Long, Long> numbered = new HashMap<>();
+            Map<String, String> textBatch = new HashMap<>();
+            Map<Long, Long> keyBatch = new HashMap<>();
             for (int k = 0; k <= random.nextInt(4); k++) {
-                named.put(
+                textBatch.put(
                         "s-" + random.nextInt(40),
                         random.nextInt(4) == 0
                                 ? ""
                                 : "DRAINING 0 " + i + "x".repeat(random.nextInt(300)));
-                numbered.put((long) random.nextInt(60), random.nextInt(3) == 0 ? null : (long) i);
+                keyBatch.put((long) random.nextInt(60), random.nextInt(3) == 0 ? null : (long) i);
             }
-            may.clear();
-            may.add(texts + " " + numbers);
-            texts.putAll(named);
+            allowedStates.clear();
+            allowedStates.add(texts + " " + numbers);
+            texts.putAll(textBatch);
             texts.values().removeIf(String::isEmpty);
-            numbers.putAll(numbered);
+            numbers.putAll(keyBatch);
             numbers.values().removeIf(java.util.Objects::isNull);
-            may.add(texts + " " + numbers);
-            storage.put(named, numbered);
+            allowedStates.add(texts + " " + numbers);
+            storage.put(textBatch, keyBatch);
         }
         assertTrue(checked[0] > 3000, "checked " + checked[0] + " power losses");
     }
@@ -352,8 +354,8 @@
                 SplittableRandom random = new SplittableRandom(call);
                 LossyDisk disk = new LossyDisk(Map.of());
                 CompactingLog storage = CompactingLog.open(disk, "m", "r1");
-                List<String> may = new ArrayList<>();
-                int now = call;
+                List<String> allowedStates = new ArrayList<>();
+                int currentCall = call;
                 disk.afterEachCall =
                         () -> {
                             // Moments without a recent failure are covered by the test above.
@@ -363,30 +365,35 @@
                                             : disk.statesAfterPowerLoss(random)) {
                                 checked[0]++;
                                 try {
-                                    CompactingLog again =
+                                    CompactingLog reopened =
                                             CompactingLog.open(new LossyDisk(files), "m", "r1");
                                     assertTrue(
-                                            may.contains(state(again)),
+                                            allowedStates.contains(state(reopened)),
                                             "call "
-                                                    + now
+                                                    + currentCall
                                                     + " "
                                                     + done
                                                     + ": "
-                                                    + state(again).length()
+                                                    + state(reopened).length()
                                                     + " of "
-                                                    + may.size());
+                                                    + allowedStates.size());
                                     assertTrue(
-                                            !again.isMovedAside(),
-                                            "call " + now + " " + done + ": " + again.fault());
+                                            !reopened.isMovedAside(),
+                                            "call "
+                                                    + currentCall
+                                                    + " "
+                                                    + done
+                                                    + ": "
+                                                    + reopened.fault());
                                 } catch (CompactingLog.UnusableLogException bad) {
-                                    throw new AssertionError("call " + now, bad);
+                                    throw new AssertionError("call " + currentCall, bad);
                                 }
                             }
                         };
                 disk.callsUntilFailure = call;
                 disk.failedCallTakesEffect = done;
-                Map<String, String> is = new TreeMap<>();
-                may.add(is + " {}");
+                Map<String, String> expected = new TreeMap<>();
+                allowedStates.add(expected + " {}");
                 for (int i = 0; i < 40; i++) {
                     // Large texts, so that the file is rewritten now and then.
                     Map<String, String> put =
@@ -395,22 +402,22 @@
                                     i + "x".repeat(random.nextInt(12_000)),
                                     "n",
                                     "" + i);
-                    Map<String, String> next = new TreeMap<>(is);
+                    Map<String, String> next = new TreeMap<>(expected);
                     next.putAll(put);
-                    may.add(next + " {}");
+                    allowedStates.add(next + " {}");
                     try {
                         storage.put(put, Map.of());
-                        is = next;
-                        may.clear();
-                        may.add(is + " {}");
-                        assertEquals(is + " {}", state(storage));
+                        expected = next;
+                        allowedStates.clear();
+                        allowedStates.add(expected + " {}");
+                        assertEquals(expected + " {}", state(storage));
                     } catch (CompactingLog.UnusableLogException bad) {
                         failed[0]++;
-                        assertEquals(is + " {}", state(storage));
+                        assertEquals(expected + " {}", state(storage));
                     }
                 }
                 assertTrue(
-                        may.contains(
+                        allowedStates.contains(
                                 state(CompactingLog.open(new LossyDisk(disk.files), "m", "r1"))),
                         "call " + call + " " + done);
             }
@@ -567,15 +574,16 @@
     @Test
     void fileSizeIsBounded() throws Exception {
         CompactingLog storage = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
-        long most = 0;
+        long maxSize = 0;
         for (long i = 0; i < 3000; i++) {
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
             storage.put(Map.of(), batch);
-            most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE)));
+            maxSize = Math.max(maxSize, Files.size(dir.resolve(CompactingLog.FILE)));
         }
         storage.close();
-        assertTrue(most > 60_000 && most < 70_000, "maximum file size: " + most + " bytes");
+        assertTrue(
+                maxSize > 60_000 && maxSize < 70_000, "maximum file size: " + maxSize + " bytes");
     }
 
     @Test
@@ -586,19 +594,21 @@
         first.closed("s-2", Standing.GONE, 0, 43);
         first.closed("s-3", Standing.GONE, 0, 44);
         first.opened("s-3");
-        Operator.BadOperator held =
+        Operator.BadOperator lockedFailure =
                 assertThrows(
                         Operator.BadOperator.class,
                         () -> RouterStateStore.open(folder, "r1", log, Runnable::run));
-        assertTrue(held.getMessage().contains("another process holds"), held.getMessage());
+        assertTrue(
+                lockedFailure.getMessage().contains("another process holds"),
+                lockedFailure.getMessage());
         first.close();
-        Operator.BadOperator other =
+        Operator.BadOperator otherNameFailure =
                 assertThrows(
                         Operator.BadOperator.class,
                         () -> RouterStateStore.open(folder, "r2", log, Runnable::run));
         assertTrue(
-                other.getMessage().contains("is that of router 'r1', and this is 'r2'"),
-                other.getMessage());
+                otherNameFailure.getMessage().contains("is that of router 'r1', and this is 'r2'"),
+                otherNameFailure.getMessage());
         RouterStateStore second = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(
                 Set.of(
--- a/src/test/java/dillfront/router/peers/GossipCodecTest.java
+++ b/src/test/java/dillfront/router/peers/GossipCodecTest.java
@@ -126,19 +126,19 @@
                             int from,
                             int incarnation,
                             Duration sent,
-                            int life,
+                            int runId,
                             int about,
-                            long[] digest) {
+                            long[] keys) {
                         trace.add(
                                 registry.name(from)
                                         + "."
                                         + incarnation
                                         + " run "
-                                        + life
+                                        + runId
                                         + " in-doubt keys of "
                                         + registry.name(about)
                                         + " "
-                                        + java.util.Arrays.toString(digest));
+                                        + java.util.Arrays.toString(keys));
                     }
 
                     @Override
@@ -203,9 +203,9 @@
         assertEquals("NOT_MINE", read(carol, bytes, UNIX_TIME), "sent to another instance");
     }
 
-    private static ByteBuf inDoubtKeys(GossipCodec by, int about, long... digest) {
+    private static ByteBuf inDoubtKeys(GossipCodec by, int about, long... keys) {
         ByteBuf out = Unpooled.buffer();
-        by.write(out, 0, 2, 9, about, digest, UNIX_TIME);
+        by.write(out, 0, 2, 9, about, keys, UNIX_TIME);
         return out;
     }
 
@@ -381,7 +381,7 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void neverThrowsForArbitraryBytes(
+    void rejectsArbitraryBytes(
             @ForAll @Size(max = 1400) byte[] bytes, @ForAll boolean validHeader) {
         now = now.plusSeconds(5);
         ByteBuf in = Unpooled.wrappedBuffer(bytes);
@@ -469,9 +469,9 @@
                             int from,
                             int incarnation,
                             Duration sent,
-                            int life,
+                            int runId,
                             int about,
-                            long[] digest) {}
+                            long[] keys) {}
 
                     @Override
                     public void receive(
--- a/src/test/java/dillfront/router/recovery/RecoveryStateTest.java
+++ b/src/test/java/dillfront/router/recovery/RecoveryStateTest.java
@@ -48,17 +48,17 @@
         }
     }
 
-    private void appendState(String what, InDoubtKeys doubts, long key) {
-        Duration ran = doubts.mayHaveRunSince(key);
+    private void appendState(String event, InDoubtKeys keys, long key) {
+        Duration ran = keys.mayHaveRunSince(key);
         trace.append(
                 String.format(
                         "%-46s may have run %s; %d in doubt of %d\n",
-                        what,
+                        event,
                         ran == null
                                 ? "never"
                                 : ran.isNegative() ? "long ago" : "at " + ran.toMillis(),
-                        doubts.inDoubtCount(),
-                        doubts.size()));
+                        keys.inDoubtCount(),
+                        keys.size()));
     }
 
     @Test
@@ -158,13 +158,13 @@
         assertFalse(reports.mayBeInDoubt(8));
     }
 
-    private void appendGroupState(long when, String what, GroupRecovery groups) {
+    private void appendGroupState(long when, String event, GroupRecovery groups) {
         groups.tick(ms(when));
         trace.append(
                 String.format(
                         "%5d %-46s %-10s loss %s, sure %.2f, to n0 %s, to n1 %s\n",
                         when,
-                        what,
+                        event,
                         groups.states().get(4),
                         groups.outageScope(),
                         groups.confidence(),
--- a/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
+++ b/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
@@ -43,8 +43,8 @@
                         }
                     });
 
-    private void observe(String what, String site, Health... health) {
-        trace.append(String.format("%6d %s\n", now, what));
+    private void observe(String event, String site, Health... health) {
+        trace.append(String.format("%6d %s\n", now, event));
         for (int i = 0; i < 2; i++) {
             monitor.observe(
                     (site.charAt(0) - 'a') * 2 + i,
