--- a/src/main/java/dillfront/router/gossip/GossipProtocol.java
+++ b/src/main/java/dillfront/router/gossip/GossipProtocol.java
@@ -294,6 +294,7 @@
         }
     }
 
+    /** Acknowledges a ping, up to the limit of requests per period. */
     public void handlePing(int from, int senderProbe) {
         if (requestsInPeriod++ < MAX_REQUESTS_PER_PERIOD) {
             send(
--- a/src/main/java/dillfront/router/gossip/GossipTransport.java
+++ b/src/main/java/dillfront/router/gossip/GossipTransport.java
@@ -15,7 +15,10 @@
     /** Asks an instance to ping a third one and to return its ack. */
     void requestProbe(int to, int target, int probeNumber, List<GossipUpdate> updates);
 
-    /** Sends updates alone; with {@code swap} set the receiver is asked for its table in return. */
+    /**
+     * Sends updates alone; with {@code requestTable} set the receiver is asked for its table in
+     * return.
+     */
     void push(int to, boolean requestTable, List<GossipUpdate> updates);
 
     /** Signs an update of this instance. */
--- a/src/main/java/dillfront/router/gossip/GossipUpdate.java
+++ b/src/main/java/dillfront/router/gossip/GossipUpdate.java
@@ -55,6 +55,7 @@
                 UNSIGNED);
     }
 
+    /** Returns a copy of this update with the given signed bytes. */
     public GossipUpdate signedBytes(byte[] bytes) {
         return new GossipUpdate(
                 origin,
--- a/src/main/java/dillfront/router/gossip/MembershipList.java
+++ b/src/main/java/dillfront/router/gossip/MembershipList.java
@@ -142,7 +142,7 @@
     /**
      * Records that an instance is alive, from its forwarded update or, if none is given, from a
      * datagram that it sent. An update of an incarnation that has been accused since changes
-     * nothing, so that table exchanges do not bring back peers that are gone.
+     * nothing, so that table exchanges do not make peers present again that are gone.
      *
      * @return whether anything changed
      */
--- a/src/main/java/dillfront/router/plan/LoadPlan.java
+++ b/src/main/java/dillfront/router/plan/LoadPlan.java
@@ -54,6 +54,7 @@
     /** Part of the work requested at a site that is sent to a node. */
     public record Flow(String fromSite, String node, String at, double amount) {}
 
+    /** Returns the work requested from all groups. */
     public double requested() {
         return groups.stream()
                 .flatMap(g -> g.loads.stream())
--- a/src/main/java/dillfront/router/recovery/GroupRecovery.java
+++ b/src/main/java/dillfront/router/recovery/GroupRecovery.java
@@ -17,8 +17,8 @@
  * <p>Otherwise writes could go to an outdated primary that is the first to return after a power
  * loss, or that an old list names, and they would be lost to the group. Within a run {@link
  * dillfront.routing.Decide} accepts the latest report, since a hung node must not block a group.
- * Its cost: if the former primary is gone for good but still listed, writes of its group wait for
- * that time once, and clients are told to retry later.
+ * Its cost: if the former primary is lost permanently but still listed, writes of its group wait
+ * for that time once, and clients get an answer that asks for a later retry.
  *
  * <p>Pure: the caller supplies the time and passes in each report once. The number of rows is
  * bounded by the nodes and groups in the lists.
