--- a/src/main/java/dillfront/router/memory/RouterStateStore.java
+++ b/src/main/java/dillfront/router/memory/RouterStateStore.java
@@ -104,7 +104,7 @@
         this.storage = storage;
         this.log = log;
         this.loop = loop;
-        storage.texts()
+        storage.strings()
                 .forEach(
                         (name, text) -> {
                             String id = name.substring(1);
@@ -144,11 +144,11 @@
         } catch (IOException | CompactingLog.LockedException unusable) {
             throw new Operator.BadOperator("memory " + folder + ": " + unusable.getMessage());
         }
-        if (storage.fault() != null) {
+        if (storage.damage() != null) {
             log.warn(
-                    storage.isMovedAside() ? "memory-broken" : "memory-tail-cut",
+                    storage.isQuarantined() ? "memory-broken" : "memory-tail-cut",
                     "fault",
-                    storage.fault());
+                    storage.damage());
         }
         RouterStateStore store = new RouterStateStore(folder, storage, log, loop);
         log.info(
--- a/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -6,8 +6,8 @@
 
 import dillfront.common.logging.Log;
 import dillfront.common.storage.CompactingLog;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.common.storage.StorageFolder;
-import dillfront.common.storage.TextStore;
 import dillfront.router.operator.Operator;
 import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
@@ -154,7 +154,7 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
+        public void syncDirectory() throws IOException {
             if (takesEffect()) {
                 formerContents.clear();
             }
@@ -236,7 +236,7 @@
     }
 
     private static String state(CompactingLog storage) {
-        return new TreeMap<>(storage.texts()) + " " + new TreeMap<>(storage.numbers());
+        return new TreeMap<>(storage.strings()) + " " + new TreeMap<>(storage.numbers());
     }
 
     /**
@@ -276,9 +276,9 @@
                                                                 CompactingLog.open(
                                                                         nextDisk, "m", "r1")));
                                                 assertTrue(
-                                                        reopened.fault() == null
-                                                                || !reopened.isMovedAside(),
-                                                        reopened.fault());
+                                                        reopened.damage() == null
+                                                                || !reopened.isQuarantined(),
+                                                        reopened.damage());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
                                                         "at power loss " + checked[0], bad);
@@ -378,13 +378,13 @@
                                                     + " of "
                                                     + allowedStates.size());
                                     assertTrue(
-                                            !reopened.isMovedAside(),
+                                            !reopened.isQuarantined(),
                                             "call "
                                                     + currentCall
                                                     + " "
                                                     + done
                                                     + ": "
-                                                    + reopened.fault());
+                                                    + reopened.damage());
                                 } catch (CompactingLog.UnusableLogException bad) {
                                     throw new AssertionError("call " + currentCall, bad);
                                 }
@@ -433,60 +433,63 @@
     @Test
     void usesNothingFromDamagedFile() throws Exception {
         LossyDisk disk = new LossyDisk(Map.of());
-        TextStore store = TextStore.openOn(disk, "m", "r1");
+        KeyValueStore store = KeyValueStore.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
             store.put(Map.of("s-" + i, "promised " + i));
         }
-        byte[] good = disk.files.get(CompactingLog.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE_NAME);
         SplittableRandom random = new SplittableRandom(9);
         int damaged = 0;
         for (int at = 25; at < good.length - 60; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
-            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE, bad));
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad));
             next.afterEachCall =
                     () ->
                             next.statesAfterPowerLoss(random)
                                     .forEach(
                                             files -> {
                                                 try {
-                                                    TextStore again =
-                                                            TextStore.openOn(
+                                                    KeyValueStore again =
+                                                            KeyValueStore.open(
                                                                     new LossyDisk(files),
                                                                     "m",
                                                                     "r1");
-                                                    assertEquals(Map.of(), again.texts());
-                                                } catch (TextStore.StorageException broken) {
+                                                    assertEquals(Map.of(), again.entries());
+                                                } catch (KeyValueStore.StorageException broken) {
                                                     throw new AssertionError(broken);
                                                 }
                                             });
-            TextStore found = TextStore.openOn(next, "m", "r1");
+            KeyValueStore found = KeyValueStore.open(next, "m", "r1");
             assertTrue(found.isDamaged(), "at " + at);
-            assertEquals(Map.of(), found.texts());
+            assertEquals(Map.of(), found.entries());
             next.afterEachCall = () -> {};
             found.put(Map.of("id", "another"));
-            TextStore later = TextStore.openOn(new LossyDisk(next.files), "m", "r1");
+            KeyValueStore later = KeyValueStore.open(new LossyDisk(next.files), "m", "r1");
             assertTrue(!later.isDamaged());
-            assertEquals(Map.of("id", "another"), later.texts());
+            assertEquals(Map.of("id", "another"), later.entries());
             damaged++;
         }
         assertTrue(damaged > 100, damaged + " damaged bytes checked");
         // A first record that is torn or damaged: it was synced before the file got its name, so it
         // is not a torn tail.
         LossyDisk fresh = new LossyDisk(Map.of());
-        TextStore.openOn(fresh, "m", "r1");
-        byte[] first = fresh.files.get(CompactingLog.FILE);
+        KeyValueStore.open(fresh, "m", "r1");
+        byte[] first = fresh.files.get(CompactingLog.FILE_NAME);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    TextStore.openOn(new LossyDisk(Map.of(CompactingLog.FILE, bad)), "m", "r1")
+                    KeyValueStore.open(
+                                    new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad)), "m", "r1")
                             .isDamaged(),
                     "at " + at);
             assertTrue(
-                    TextStore.openOn(
+                    KeyValueStore.open(
                                     new LossyDisk(
-                                            Map.of(CompactingLog.FILE, Arrays.copyOf(first, at))),
+                                            Map.of(
+                                                    CompactingLog.FILE_NAME,
+                                                    Arrays.copyOf(first, at))),
                                     "m",
                                     "r1")
                             .isDamaged(),
@@ -494,14 +497,15 @@
         }
         // A file with its header alone: its first record was synced with it, so it is not a torn
         // tail.
-        TextStore head =
-                TextStore.openOn(
-                        new LossyDisk(Map.of(CompactingLog.FILE, Arrays.copyOf(good, 19))),
+        KeyValueStore head =
+                KeyValueStore.open(
+                        new LossyDisk(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, 19))),
                         "m",
                         "r1");
         assertTrue(head.isDamaged());
-        TextStore none =
-                TextStore.openOn(new LossyDisk(Map.of(CompactingLog.FILE, new byte[0])), "m", "r1");
+        KeyValueStore none =
+                KeyValueStore.open(
+                        new LossyDisk(Map.of(CompactingLog.FILE_NAME, new byte[0])), "m", "r1");
         assertTrue(none.isDamaged());
     }
 
@@ -511,7 +515,7 @@
     @Test
     void rejectsTooLongText() throws Exception {
         LossyDisk disk = new LossyDisk(Map.of());
-        TextStore store = TextStore.openOn(disk, "m", "r1");
+        KeyValueStore store = KeyValueStore.open(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
         store.put(Map.of("a", longest));
         assertThrows(
@@ -521,7 +525,7 @@
         store.put(Map.of("c", "2"));
         assertEquals(
                 Map.of("a", longest, "c", "2"),
-                TextStore.openOn(new LossyDisk(disk.files), "m", "r1").texts());
+                KeyValueStore.open(new LossyDisk(disk.files), "m", "r1").entries());
     }
 
     /**
@@ -535,19 +539,19 @@
         for (int i = 0; i < 8; i++) {
             storage.put(Map.of("s-" + i, "DRAINING"), Map.of());
         }
-        byte[] good = disk.files.get(CompactingLog.FILE);
+        byte[] good = disk.files.get(CompactingLog.FILE_NAME);
         int last = good.length;
         for (int at = 0; at < good.length; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x40;
-            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE, bad));
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
-                assertTrue(found.fault() != null, "damage at " + at + " was not detected");
-                assertTrue(found.texts().size() < 8, "at " + at);
+                assertTrue(found.damage() != null, "damage at " + at + " was not detected");
+                assertTrue(found.strings().size() < 8, "at " + at);
                 assertEquals(
-                        found.isMovedAside(), next.files.containsKey("memory.broken"), "at " + at);
-                last = found.isMovedAside() ? last : Math.min(last, at);
+                        found.isQuarantined(), next.files.containsKey("memory.broken"), "at " + at);
+                last = found.isQuarantined() ? last : Math.min(last, at);
             } catch (CompactingLog.UnusableLogException format) {
                 assertTrue(
                         format.getMessage().startsWith("m/memory.log is of format"),
@@ -560,10 +564,11 @@
         for (int cut = 0; cut < good.length; cut++) {
             CompactingLog found =
                     CompactingLog.open(
-                            new LossyDisk(Map.of(CompactingLog.FILE, Arrays.copyOf(good, cut))),
+                            new LossyDisk(
+                                    Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, cut))),
                             "m",
                             "r1");
-            assertTrue(found.texts().size() < 8, "cut at " + cut);
+            assertTrue(found.strings().size() < 8, "cut at " + cut);
         }
     }
 
@@ -579,7 +584,7 @@
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
             storage.put(Map.of(), batch);
-            maxSize = Math.max(maxSize, Files.size(dir.resolve(CompactingLog.FILE)));
+            maxSize = Math.max(maxSize, Files.size(dir.resolve(CompactingLog.FILE_NAME)));
         }
         storage.close();
         assertTrue(
@@ -621,14 +626,15 @@
     @Test
     void setsAsideForeignFile() throws Exception {
         Path folder = Files.createDirectories(dir.resolve("r1"));
-        Files.writeString(folder.resolve(CompactingLog.FILE), "no store at all ".repeat(1000));
+        Files.writeString(folder.resolve(CompactingLog.FILE_NAME), "no store at all ".repeat(1000));
         RouterStateStore memory = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "the damaged file is kept");
         assertTrue(
                 lines.toString(StandardCharsets.UTF_8)
-                        .contains("memory-broken fault=\"" + folder.resolve(CompactingLog.FILE)),
+                        .contains(
+                                "memory-broken fault=\"" + folder.resolve(CompactingLog.FILE_NAME)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
         Operator.BadOperator none =
