--- a/src/main/java/dillfront/routing/Decide.java
+++ b/src/main/java/dillfront/routing/Decide.java
@@ -29,165 +29,195 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Every decision of the router, one object a router. Its interface is the package dillfront.port.
+ * Routes transactions to database nodes. Each router has one instance, which does no I/O; {@link
+ * dillfront.routing.api} holds its interface types.
  *
- * <p>The caller sets the clock with at(), then makes one call an event: list(), take(), probed(),
- * woken(), and, on the Handle that take() gave, ended() and left(). Decisions leave through the
- * Outlet during the call. Times are spans since the zero of positions, so a position and a time
+ * <p>The caller sets the clock with {@link #at}, then makes one call per event: {@link #list},
+ * {@link #take}, {@link #probed}, {@link #woken}, and on the {@link Handle} of a transaction {@link
+ * Handle#ended} and {@link Handle#left}. The instance requests its actions from the {@link Outlet}
+ * during the call. Times are durations since the zero of log positions, so that positions and times
  * compare directly.
  *
- * <p>The ordinary path: writes and fresh reads to the primary; bounded, any and session reads to
- * the least busy replica known within bound, a bounded share of them to the primary while it is
- * calm; replica errors back to the primary; time-outs surfaced. What cannot go anywhere is held,
- * and answered before its time.
+ * <p>Writes and strongly consistent reads go to the primary. Other reads go to the least loaded
+ * replica that is known to be current enough, and a limited share of them to the primary while its
+ * load is low. A read that a replica fails falls back to the primary; a time-out is reported to the
+ * client. A transaction that no node can take is queued, and answered before its client's timeout.
  */
 public final class Decide {
 
     /**
-     * Session indices run below this. Sessions may share one: they then see later writes than they
-     * need.
+     * Number of slots for the last writes of sessions. Sessions that share a slot also wait for
+     * each other's writes.
      */
     public static final int SESSIONS = 1 << 13;
 
     private static final Duration NEVER = Duration.ofSeconds(Long.MIN_VALUE / 4);
 
-    /** The time of what a list says of roles: older than all that a node says itself. */
+    /** Time assigned to roles of the member list: older than every role that a node reports. */
     private static final Duration LISTED = NEVER.plusSeconds(1);
 
-    // Ratios. Beats are in steps of the clock; gaps in dial time-outs, the site's own idea of a
-    // long wait.
+    /** Interval of the periodic work, in steps of the clock. */
     private static final int BEAT = 4;
+
+    /**
+     * Base interval between trial transactions to a node on trial, and between searches for a
+     * primary, in dial timeouts.
+     */
     private static final double TRIAL_GAP = 4;
+
+    /** The interval between trials grows up to this multiple of its base. */
     private static final int TRIALS = 4;
+
+    /** Minimum interval between probes on behalf of queued transactions, in dial timeouts. */
     private static final double SEEK_GAP = 0.25;
+
+    /** Replicas probed at a time on behalf of queued transactions. */
     private static final int SOUGHT = 2;
 
-    /**
-     * What probing may cost of the service, as the settings price it: so many probes a txn at the
-     * most.
-     */
+    /** Cost of probes allowed per accepted transaction, in transactions. */
     private static final double PROBE_COST = 0.01;
 
     /**
-     * An any read asks for this many times the bound of bounded reads: 1 s where that is 200 ms.
+     * Preferred staleness bound of eventually consistent reads, in multiples of the tightest bound
+     * of bounded reads: 1 s where that is 200 ms.
      */
     private static final double ANY_BOUND = 5;
 
-    /** Of the reads that could be routed, the share that may go to a calm primary. */
+    /** Maximum share of the replica reads that a primary with low load may serve. */
     private static final double SPILL = 0.5;
 
+    /** Maximum number of replica reads that may go to the primary at once. */
     private static final double SPILL_BURST = 8;
 
-    /** A primary is calm while its answers take less than this many times the fleet's usual. */
+    /** A primary serves replica reads below this multiple of the fleet's typical response time. */
     private static final double CALM = 1.5;
 
-    /** And while they take less than this part of what strains a node. */
+    /** A primary serves replica reads below this share of the overload threshold. */
     private static final double CALM_PART = 0.9;
 
-    /** How much busier a replica of this zone may be than one across zones. */
+    /** Load factor of nodes in other zones; prefers nodes of this zone up to that ratio of load. */
     private static final double FAR = 1.5;
 
-    /** How much busier a replica within an any read's bound may be than one that is past it. */
+    /** Load factor of replicas beyond the bound of an eventually consistent read. */
     private static final double OLD = 1.5;
 
-    /** For so many dial time-outs after a refused connection no free one is kept. */
+    /** How long idle connections are closed after a refused connection, in dial timeouts. */
     private static final double SCARCE = 16;
 
     /**
-     * A repeat's length is this far off that of first tries, as a part of all the client's time.
+     * A client timeout is taken for that of a retry if it differs from the timeout of first tries
+     * by more than this share of the client's total time.
      */
     private static final double OFF = 0.04;
 
     /**
-     * The share sent of the load that would push a cold node over: warm nodes may be nearly full.
+     * Share sent to a cold node of the load that would overload it. The margin covers estimates
+     * taken from warm nodes that were not fully loaded.
      */
     private static final double COLD_SHARE = 0.6;
 
     /**
-     * The budget is dealt out for this part of the time in which too much load pushes a cold node
-     * over.
+     * Interval at which cold nodes are granted work, as a share of the time for which excess load
+     * must last to overload them.
      */
     private static final double COLD_WINDOW = 0.25;
 
     /**
-     * A tenant may be ahead by so many txns, or by its second's worth: few come, and never evenly.
+     * Minimum burst of transactions that a tenant may send beyond its quota; the other limit is its
+     * quota of one second. Guards against rejecting the uneven arrivals of small tenants.
      */
     private static final double QUOTA_BURST = 8;
 
-    /** The part of a node's room that is open to what earns next to nothing. */
+    /** Share of a node's concurrency limit that low-priority transactions may use. */
     private static final double SPARE_ROOM = 0.5;
 
     /**
-     * A submission waits this many times what its type usually takes, where late answers earn
-     * nothing.
+     * Time limit of a read submission, in typical response times of its type, where late answers
+     * have no value.
      */
     private static final double PATIENCE = 8;
 
-    /** A node with n submissions out is silent after the larger of these, in usual times. */
+    /**
+     * A node with n pending submissions counts as silent after this many typical response times
+     * divided by n, but not before the minimum below.
+     */
     private static final double SILENCE = 6;
 
+    /** Minimum time without an answer before a node counts as silent, in typical response times. */
     private static final double SILENCE_LEAST = 1.5;
 
-    /**
-     * Others doubt a node: its silence is believed after this part of that, and others are taken
-     * first.
-     */
+    /** Share of the silence time after which a node that peers suspect counts as silent. */
     private static final double DOUBT = 0.5;
 
+    /** Load factor of nodes that peers suspect. */
     private static final double DOUBTED = 4;
 
     /**
-     * Silence that is told to others has lasted longer: a false alarm costs them more than this
-     * router.
+     * Multiple of the silence time after which silence is reported to peers. A false alarm costs
+     * all of them more than it costs this router.
      */
     private static final double TOLD = 2;
 
-    /** A node fails when its share of failures is this far above the fleet's median. */
+    /** A node is failing if its failure rate exceeds the fleet's median by this much. */
     private static final double FAILING = 0.5;
 
     /**
-     * The part of its absence that a node's position may be behind if it was never down; of cold
-     * time.
+     * A replica counts as running throughout an outage if its position lags by at most this share
+     * of the outage; a primary, if the outage was longer than this share of the warm-up time.
      */
     private static final double UP = 0.25;
 
+    /** Smoothing factor of failure rates. */
     private static final double FAIL_GAIN = 0.2;
+
+    /** Smoothing factor of failure rates for failed connection attempts. */
     private static final double LOST_GAIN = 0.4;
+
+    /** Smoothing factor of response times. */
     private static final double GAIN = 0.2;
 
     /**
-     * Answers slower than this part of the SLA time shrink the room at a node, faster ones widen
-     * it.
+     * A node is overloaded if its response times exceed this share of the SLA time. Its concurrency
+     * limit shrinks above this threshold and grows below it.
      */
     private static final double STRAINED = 0.45;
 
-    /** A node is strained like the fleet up to this many times the fleet's median. */
+    /** An overloaded node is as slow as the fleet up to this multiple of the fleet's median. */
     private static final double ALIKE = 1.5;
 
     /**
-     * Room for submissions at a node, over all routers; below one it is one in so many usual times.
+     * Initial concurrency limit of a node, over all routers. A limit below 1 permits one submission
+     * per 1/limit typical response times.
      */
     private static final double ROOM_START = 24;
 
+    /** Minimum concurrency limit of a node, over all routers. */
     private static final double ROOM_LEAST = 0.3;
+
+    /** Factor applied to the concurrency limit of an overloaded node. */
     private static final double ROOM_CUT = 0.85;
-    private static final double FULL_CUT = 0.5;
 
     /**
-     * What waits is answered by this part of its client's time: an early answer leaves time to ask
-     * again.
+     * Factor applied to the concurrency limit of a node that rejects work or whose work times out.
      */
-    private static final double HELD = 0.5;
+    private static final double FULL_CUT = 0.5;
 
     /**
-     * Below one, room doubles in so many dial time-outs; more of them for many routers at a jammed
-     * node.
+     * Share of the client's timeout that a transaction may spend in the queue; the rest leaves the
+     * client time to retry.
      */
+    private static final double HELD = 0.5;
+
+    /** Dial timeouts in which a concurrency limit below 1 doubles, at least. */
     private static final double ROOM_BACK = 8;
 
+    /**
+     * Routers per dial timeout of that doubling time. With many routers the limits grow more
+     * slowly, so that an overloaded node is not flooded by all of them.
+     */
     private static final double ROOM_BACK_ROUTERS = 3;
 
-    /** One row a txn type. */
+    /** Learned state of one transaction type. */
     private static final class Type {
         final TxnType set;
         final Read read;
@@ -195,19 +225,18 @@
         final Duration sla;
         final boolean lateEarns;
 
-        /** How long a client's first try is given, by the running median of all tries. */
+        /** Client timeout of first tries: the running median of all tries. */
         Duration firstTry;
 
+        /** Typical response time. */
         Duration usual;
 
-        /**
-         * The share of its answers that came from a replica which had applied nothing while it ran.
-         */
+        /** Smoothed share of answers from replicas that applied no log during the read. */
         double stalls = 1;
 
         /**
-         * What was asked of it, in seconds of usual time, over about the time in which a node
-         * warms.
+         * Requested work, in seconds of typical response time; decays over about the warm-up time
+         * of a node.
          */
         double work;
 
@@ -220,6 +249,9 @@
             usual = times(sla, 0.25);
         }
 
+        /**
+         * Updates the median client timeout, and returns whether this timeout is that of a retry.
+         */
         boolean repeated(Duration patience) {
             Duration off = patience.minus(firstTry == null ? patience : firstTry);
             firstTry =
@@ -228,24 +260,27 @@
             return off.abs().compareTo(times(set.longest(), OFF)) > 0;
         }
 
+        /** Returns whether replicas may serve this type. */
         boolean routed() {
             return read == Read.ANY || read == Read.BOUNDED || read == Read.SESSION;
         }
 
+        /**
+         * Returns the value per typical response time, by which queued transactions are ordered.
+         */
         double rank() {
             return set.value() / (usual.toNanos() + 1);
         }
 
-        /** It puts a replica out of the tightest bound: none applies the log while it holds one. */
+        /**
+         * Returns whether its reads keep a replica from applying the log beyond the tightest bound.
+         */
         boolean stalling(Duration tightest) {
             return read == Read.ANY && stalls > 0.5 && usual.compareTo(tightest) > 0;
         }
     }
 
-    /**
-     * One row a machine in the list, and until nothing of it is out; used again once it is
-     * forgotten.
-     */
+    /** State of one node, by its index. The index is reused after the node is forgotten. */
     private static final class Node {
         final int id;
         Group group;
@@ -255,52 +290,77 @@
         Duration started = NEVER;
         Duration position = NEVER;
 
-        /** How far behind it was when an answer last told, and when that was. */
+        /** Replication lag at its last measurement by an answer. */
         Duration behind = Duration.ZERO;
 
+        /** When an answer last measured the replication lag. */
         Duration toldAt = NEVER;
 
-        /** The latest time at which it is known to have been the primary, and to have been none. */
+        /** Latest time at which the node is known to have been the primary. */
         Duration claimed = NEVER;
 
+        /** Latest time at which the node is known to have been a replica. */
         Duration denied = NEVER;
+
+        /** Number of pending submissions. */
         int out;
 
-        /** While anything is out: since when nothing has been heard. */
+        /** While submissions are pending: since when the node has not answered. */
         Duration quiet = NEVER;
 
         boolean silent;
 
-        /** Others say that it is ill, and it has not answered since. */
+        /** Whether peers reported the node as faulty and it has not answered since. */
         boolean doubted;
 
+        /** Whether the node is failing and its last connection attempt failed. */
         boolean lost;
 
-        /** When it last answered anything, or came into the list. */
+        /** When the node last answered, or first appeared in the member list. */
         Duration heardAt = NEVER;
 
-        /** A probe was lost too. */
+        /** Whether a probe also failed since the node became unreachable. */
         boolean unheard;
 
-        /** Its last connection that failed did so at once, not by the dial time-out. */
+        /** Whether the last failed connection was refused in less than half the dial timeout. */
         boolean atOnce;
 
+        /** Smoothed share of submissions that failed. */
         double failures;
+
+        /** Smoothed ratio of response times to the SLA time of their types. */
         double strain;
+
+        /** Smoothed ratio of response times to the typical times of their types. */
         double pace = 1;
+
+        /** Concurrency limit for this router's submissions; below 1, a limit on their rate. */
         double room;
+
         Duration sentAt = NEVER;
 
-        /** Between its last two sends. */
+        /** Interval between the last two submissions. */
         Duration gap = Duration.ZERO;
 
+        /** When a submission last updated the smoothed response times. */
         Duration answeredAt = Duration.ZERO;
+
+        /** When a submission last got an answer other than a rejection for lack of capacity. */
         Duration wellAt = NEVER;
+
+        /** When the concurrency limit was last reduced. */
         Duration cutAt = NEVER;
+
+        /** Earliest time of the next trial transaction while the node is on trial. */
         Duration tryAt = NEVER;
+
+        /** Next multiple of the base interval between trials. */
         int trials = 1;
+
         Duration probedAt = NEVER;
         boolean probing;
+
+        /** Work that may be sent to the node while cold, in seconds of typical response time. */
         double coldCredit;
 
         Node(int id, int routers) {
@@ -309,9 +369,11 @@
         }
     }
 
-    /** One row a tenant of the settings. */
+    /** Quota and unused share of one tenant. */
     private static final class Tenant {
         final double quota;
+
+        /** Transactions that the tenant may send at full priority now. */
         double allowance;
 
         Tenant(double quota, int routers) {
@@ -320,23 +382,30 @@
         }
     }
 
+    /** Nodes that replicate one primary, and the transactions queued for them. */
     private static final class Group {
-        /** Those in the list now, sorted. */
+        /** Nodes of the current member list, by index. */
         final List<Node> members = new ArrayList<>();
 
-        /**
-         * Txns waiting for a node, best value for its time first; each leaves at its give-up time.
-         */
+        /** Queued transactions, highest value per response time first. */
         final List<Txn> held = new ArrayList<>();
 
+        /** Number of replica reads that may go to the primary now. */
         double spill = SPILL_BURST;
 
-        /** The search for a primary by writes: whose turn, how many have missed, when to go on. */
+        /** Member that the search for a primary tries next. */
         int turn;
 
+        /** Members that rejected a write in the current round of the search. */
         int misses;
+
+        /** Earliest time of the next round of the search. */
         Duration searchAt = NEVER;
+
+        /** When replicas were last probed on behalf of queued transactions. */
         Duration soughtAt = NEVER;
+
+        /** Whether a write of the search is pending. */
         boolean searching;
     }
 
@@ -349,56 +418,70 @@
     private final List<Node> nodes = new ArrayList<>();
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
 
-    /** The last commit of each session index; of fixed size. */
+    /** Position of the last commit of each session slot. */
     private final Duration[] written = new Duration[SESSIONS];
 
     private Duration beat;
+
+    /** Tightest staleness bound of all bounded reads. */
     private Duration tightest;
+
     private Duration anyBound;
     private double roomLeast;
     private Duration now = Duration.ZERO;
     private Duration beatAt = NEVER;
     private boolean awake;
 
-    /** For how long the caller was away since the start, in all. */
+    /** Total time since the start for which the calling process was paused. */
     private Duration away = Duration.ZERO;
 
-    /** Probes that may be sent: filled by txns, at most one for each node. */
+    /** Probes that may be sent. Transactions add to the credit, up to one probe per node. */
     private double probeCredit;
 
+    /** Transactions accepted since the last tick. */
     private int taken;
+
+    /** Smoothed rate of accepted transactions, per second. */
     private double takeRate;
 
-    /** What nodes can do, in usual times, since a report may be worth twenty views. */
+    /**
+     * Estimate of the nodes' capacity, in typical response times rather than transactions, since a
+     * report may cost as much as twenty page views.
+     */
     private final Reckoning reckoning = new Reckoning();
 
+    /** When cold nodes are granted work next. */
     private Duration coldAt = NEVER;
+
+    /** Median failure rate of the nodes. */
     private double median;
 
-    /**
-     * How strained the fleet's median is, and what was out to a warm node at most while it was not.
-     */
+    /** Median ratio of response times to SLA times. */
     private double strain;
 
+    /** Peak of the pending submissions per warm node while the fleet was not overloaded; decays. */
     private double inWork;
 
-    /** The usual time of a txn, over all that were asked. */
+    /** Typical response time over all requested transactions. */
     private Duration typical;
 
-    /** The part of stalling reads in the work of them and of reads that must be current. */
+    /** Share of reads that stall replication in the work of those and of current reads. */
     private double stallPart;
 
-    /** Of the errors that were tried at a second node, the share that came there too. */
+    /**
+     * Smoothed share of failed transactions, of those tried at a second node, that failed there.
+     */
     private double ownFault;
 
     private Duration askedAt = NEVER;
     private boolean following;
 
-    /** When a node that gave this router no connection last showed that it was up. */
+    /** When a node that had refused this router's connections last proved to be up. */
     private Duration scarceAt = NEVER;
 
     /**
-     * @param set the deployment's settings; the outlet gets every decision, at once or later
+     * @param set the settings of the deployment
+     * @param outlet receives every action
      */
     public Decide(Settings set, Outlet outlet, RandomGenerator chance) {
         this.outlet = outlet;
@@ -408,9 +491,9 @@
     }
 
     /**
-     * Other settings from now on; their zones count from the next list. What was taken goes on by
-     * the row of its own txn type, and what is known of nodes stays; what is usual for a txn type
-     * is learned anew.
+     * Replaces the settings. Accepted transactions keep their type, and the state of nodes stays;
+     * typical response times are learned anew. A changed zone takes effect with the next member
+     * list.
      */
     public void settings(Settings next) {
         set = next;
@@ -439,7 +522,7 @@
         gather();
     }
 
-    /** Moves the clock; calls that follow happen at this time. */
+    /** Sets the current time for the calls that follow. */
     public void at(Duration clock) {
         now = clock;
         if (!awake) {
@@ -450,9 +533,8 @@
     }
 
     /**
-     * The caller itself was away for so long, and what nodes said meanwhile is only heard now.
-     * Guards against a router on part of a core that takes its own pause for the silence of every
-     * node at once.
+     * Records a pause of the calling process, during which it read no answers. Guards against a
+     * router with part of a CPU core that takes its own pause for the silence of every node.
      */
     public void late(Duration by) {
         away = away.plus(by);
@@ -461,7 +543,7 @@
 
     // ---- the member list
 
-    /** Takes a member list: the complete one, or only what has changed. */
+    /** Applies a complete member list, or the changes of one. */
     public void list(boolean whole, List<NodeRow> rows) {
         if (whole) {
             nodes.forEach(
@@ -475,7 +557,8 @@
             Node n = nodes.get(row.node());
             probeCredit += n.group == null ? 1 : 0;
             n.heardAt = n.group == null ? now : n.heardAt;
-            // Where only draining binds, it binds until the node is listed as ready again.
+            // If nodes missing from the list stay open, a draining node stays closed until it is
+            // listed as ready again.
             if (!set.goneStaysOpen()
                     || n.standing != Standing.DRAINING
                     || row.standing() != Standing.GONE) {
@@ -510,9 +593,9 @@
     }
 
     /**
-     * A node has left the list: gives its row back if nothing is out there, so no table grows all
-     * day. Where gone stays open, only once it has also been out of reach for the time in which one
-     * warms.
+     * Removes a node that left the list, so that its index can be reused and the table does not
+     * grow. Returns false while the node is listed or has pending work. A node that stays open
+     * without being listed is removed after it was unreachable for the warm-up time.
      */
     public boolean forget(int node) {
         Node n = nodes.get(node);
@@ -527,23 +610,22 @@
         return true;
     }
 
+    /** Records that the member list's subscription failed, so that it is requested again. */
     public void listFailed() {
         following = false;
     }
 
-    // ---- txns
+    // ---- transactions
 
     /**
-     * Takes a txn, and owes it a final answer.
+     * Accepts a transaction, which gets exactly one final answer unless its client disconnects.
      *
-     * @param session its index below SESSIONS, or negative
-     * @param expiry how long the client waits
-     * @param token how long ago its session last wrote; null where txns carry none, zero where it
-     *     has not
-     * @param waited how long it has lain here before this call; what it wanted of its time is over
-     *     by then
-     * @param ran since when it may have run by an earlier try of its client (recovery.Doubts), or
-     *     null
+     * @param session the session's slot below {@link #SESSIONS}, or negative
+     * @param expiry the client's timeout, counted from its request's arrival
+     * @param token how long ago the session last wrote; null if requests carry no such token, zero
+     *     if the session has not written
+     * @param waited the time since the request's arrival at this router
+     * @param ran since when an earlier try of the client may have executed the transaction, or null
      */
     public Handle take(
             int id,
@@ -574,14 +656,14 @@
             if (token == null) {
                 t.need = session < 0 ? NEVER : written[session];
             } else if (!token.isZero()) {
-                // Fixed at arrival; a millisecond for the rounding of both figures.
+                // One millisecond is added, as both the token and the position are rounded.
                 t.need = now.minus(token).plusMillis(1);
             }
         }
         probeCredit =
                 Math.min(nodes.size(), probeCredit + Math.min(1, PROBE_COST / set.probePrice()));
         t.group.spill = Math.min(SPILL_BURST, t.group.spill + (t.type.routed() ? SPILL : 0));
-        // Its time went by in line at this router, which has more to do than it can.
+        // Its time passed in the receive queue of this overloaded router.
         boolean overdue = t.spare && waited.compareTo(beat) > 0;
         if (overdue || !resendable(t) || !submit(t)) {
             hold(t);
@@ -589,27 +671,43 @@
         return t;
     }
 
+    /** State of one accepted transaction. */
     private final class Txn implements Handle {
         final int id;
         final Type type;
         final Group group;
         final int session;
         final Duration expiry;
+
+        /** When it is answered if it is still queued. */
         final Duration giveUp;
+
+        /** Position that a replica must have applied to serve this session's read. */
         Duration need = NEVER;
+
         int submissions;
+
+        /** Whether the client has its final answer or disconnected. */
         boolean closed;
+
+        /** Whether an earlier submission failed, so that the primary may serve the read. */
         boolean fellBack;
 
-        /** Earns next to nothing: past its SLA time already, or beyond its tenant's share. */
+        /** Low priority: past its SLA time, or beyond its tenant's quota. */
         boolean spare;
 
+        /** Since when it may have been executed; null if it was certainly not. */
         Duration ranAt;
+
         Duration sentAt;
+
+        /** Total pause of this process when it was sent. */
         Duration sentAway;
+
+        /** Whether its pending submission searches for the primary. */
         boolean searches;
 
-        /** Where it last ended in an error, and how often. */
+        /** Node that last answered with an error. */
         Node errs;
 
         int errors;
@@ -629,8 +727,8 @@
             this.session = session;
             Duration came = now.minus(waited);
             expiry = came.plus(patience);
-            // A try of another length than the first has all that is left to the client: that tells
-            // its age.
+            // The timeout of a retry is all the time left to the client, which gives the age of the
+            // first try.
             Duration age =
                     type.repeated(patience) ? type.set.longest().minus(patience) : Duration.ZERO;
             Duration useful = came.plus(type.sla).minus(age);
@@ -649,8 +747,9 @@
                 searches = false;
                 group.searching = false;
             }
-            // Of a time in which this router was away, what is usual there is believed, within what
-            // can be.
+            // The measured time may include a pause of this process: assumes the node's typical
+            // time,
+            // limited to the range that the pause permits.
             Duration least = took.minus(away.minus(sentAway));
             judge(n, type, result, later(least, earlier(took, times(type.usual, n.pace))));
             if (result == Result.ERROR || result == Result.COMMITTED) {
@@ -658,7 +757,8 @@
             }
             Report seen = note;
             if (result == Result.COMMITTED && type.read == Read.WRITE && note.position() != null) {
-                // A commit is rounded up, a position down: what was applied is a millisecond less.
+                // The commit's position is rounded up and an applied position down, so one
+                // millisecond less counts as applied.
                 seen = new Report(note.position().minusMillis(1), note.role());
                 if (session >= 0) {
                     written[session] = later(written[session], note.position());
@@ -680,11 +780,10 @@
                 goOn(this, n, result);
             }
             place(n.group);
-            // Nodes that are up take no more connections: what this router keeps open, others wait
-            // for. Not
-            // where connections fail by time-out: those are slow to make, and what is open is worth
-            // keeping.
-            // Nor what is soon used again, which would only be opened anew.
+            // Running nodes refuse connections: this router closes its idle ones, since other
+            // routers
+            // wait for them. Exceptions are connections that fail by timeout, as they are
+            // slow to open again, and connections that are likely to be reused soon.
             if (n.out == 0
                     && now.compareTo(scarceAt.plus(times(set.dial(), SCARCE))) < 0
                     && n.gap.compareTo(times(typical, PATIENCE)) > 0) {
@@ -693,10 +792,10 @@
         }
 
         /**
-         * An error is a node's when another node then commits the txn, and the txn's own when that
-         * errs too. Guards against errors that come at any node alike: they cost no node its
-         * standing. A node that errs on writes alone is never found out by this; only its group's
-         * next primary would help there.
+         * Attributes an error to the node if another node then commits the transaction, and to the
+         * transaction if the other node fails too. Guards against excluding nodes for errors that
+         * occur on every node. A primary that fails writes only is not detected by this; that needs
+         * another primary of its group.
          */
         private void blame(Node n, boolean erred) {
             if (errs != null && errs != n) {
@@ -725,16 +824,16 @@
         }
     }
 
-    /** After an ending that left the txn open. */
+    /** Continues a transaction whose submission ended without a final answer for the client. */
     private void goOn(Txn t, Node n, Result result) {
         if (result == Result.TIMED_OUT || result == Result.MOOT) {
-            // Surfaced, not re-run: the statement would be as slow elsewhere, and the client may
-            // ask again.
+            // Reported to the client, not submitted again: the statement would be as slow on
+            // another node, and the client can retry.
             finish(t, Duration.ZERO);
             return;
         }
-        // While errors are the txns' own, falling back would double what the primary gets; some
-        // still try.
+        // While most errors are caused by the transactions, falling back would double the load of
+        // the primary; a random share still falls back, to detect when that changes.
         boolean own = ownFault > 0.5 && chance.nextDouble() > FAIL_GAIN;
         boolean lostRole = t.type.read == Read.WRITE && n.denied.equals(now);
         if (result == Result.ERROR && (t.errors > 1 || own && !lostRole)) {
@@ -755,7 +854,10 @@
         return t.submissions < set.maxSubmissions() && remembered(t);
     }
 
-    /** Never ran, may run again, or its repeat would still be known. */
+    /**
+     * Returns whether another submission cannot apply the transaction twice: it was never executed,
+     * is idempotent, or its nodes still recognize its idempotency key.
+     */
     private boolean remembered(Txn t) {
         Effect effect = t.type.set.effect();
         return t.ranAt == null
@@ -764,11 +866,12 @@
                         && now.plus(set.step()).compareTo(t.ranAt.plus(t.type.set.window())) < 0;
     }
 
-    /** What is spare takes room only where there is plenty, and is never held. */
+    /** Returns the concurrency limit for the transaction's priority. */
     private double room(Node n, Txn t) {
         return t.spare ? n.room * SPARE_ROOM : n.room;
     }
 
+    /** Queues a transaction; rejects one of low priority instead. */
     private void hold(Txn t) {
         if (t.spare && resendable(t)) {
             finish(t, set.maxPause());
@@ -782,7 +885,7 @@
         }
     }
 
-    /** Its time is up, or it may not go again: then it is answered. */
+    /** Answers a transaction whose queue time is over or that may not be submitted again. */
     private boolean over(Txn t) {
         boolean over = !resendable(t) || now.compareTo(t.giveUp) >= 0;
         if (over) {
@@ -791,7 +894,7 @@
         return over;
     }
 
-    /** The final answer: declined where a retry is harmless, else rolled back. */
+    /** Answers the client: a retry is harmless, or else the outcome is unknown. */
     private void finish(Txn t, Duration pause) {
         t.closed = true;
         boolean harmless =
@@ -805,7 +908,7 @@
         }
     }
 
-    /** Tries every held txn of a group again; ends those whose time is up. */
+    /** Submits the group's queued transactions where possible, and answers expired ones. */
     private void place(Group g) {
         if (g.held.isEmpty()) {
             return;
@@ -821,7 +924,7 @@
         }
     }
 
-    // ---- where a txn goes
+    // ---- selection of nodes
 
     private boolean submit(Txn t) {
         Duration left = t.expiry.minus(now).minus(beat);
@@ -842,7 +945,7 @@
         if (!onTrial(n)) {
             n.trials = 1;
         } else {
-            // By chance, so that routers do not all try a node that comes back at the same moment.
+            // Random, so that routers do not all try a recovering node at the same moment.
             double gap = TRIAL_GAP * Math.min(n.trials++, TRIALS) * (1 + chance.nextDouble() / 2);
             n.tryAt = now.plus(times(set.dial(), gap));
         }
@@ -865,8 +968,8 @@
     }
 
     /**
-     * No primary to be trusted: one write at a time asks the members in turn, and waits after each
-     * round.
+     * Selects a node while no trusted primary is known: one write at a time is sent to the members
+     * in turn, with a pause after each round.
      */
     private Node search(Txn t) {
         Group g = t.group;
@@ -931,10 +1034,11 @@
     }
 
     /**
-     * Where nodes refuse reads that they are too far behind for, untouched, a replica may be tried
-     * for any read, unless its last answer within an any read's bound showed it too far behind.
-     * Guards against positions that are dear or late to learn, as they are for a router with few
-     * txns; it costs a miss where a replica has just begun to lag.
+     * Returns whether a replica may be current enough although its known position is not. Applies
+     * only if nodes reject reads that they are too far behind for. A replica qualifies if its last
+     * measured lag fits the read twice over, or was measured too long ago. Guards against positions
+     * that a router with few transactions learns late; the cost is a rejected read when a replica
+     * starts to lag.
      */
     private boolean keepsUp(Node n, Duration need) {
         return set.nodesRefuse()
@@ -943,11 +1047,11 @@
     }
 
     /**
-     * A read that stalls a replica goes to the one that is furthest behind: the routers agree on it
-     * without a word, it stays behind while it gets them, and the others keep up. Guards against
-     * reads that must be current finding no replica, as every one holds such a read now and then.
-     * No more replicas are given up to such reads than is their part of the work; past that they
-     * wait.
+     * Selects a node for a read that stalls replication: the replica with the largest lag, on which
+     * all routers agree without coordination. That replica stays behind while the others keep up.
+     * Guards against stalling every replica in turn, which leaves none for reads that must be
+     * current. Such reads use at most the share of replicas that matches their share of the work,
+     * and are queued beyond that.
      */
     private Node furthestBehind(Txn t, Node pri) {
         List<Node> replicas = new ArrayList<>();
@@ -967,22 +1071,24 @@
     }
 
     /**
-     * What waits at a node, with more for what other routers have there: by chance, one in the
-     * mean. A router that has nothing out knows no order among its replicas, and many such must not
-     * all choose the same.
+     * Returns the estimated load of a node.
+     *
+     * @param others the estimated submissions of other routers: random with mean one, so that idle
+     *     routers do not all choose the same replica
      */
     private double busy(Node n, double others) {
         return (n.out + others) / n.size * n.pace * (n.far ? FAR : 1) * (n.doubted ? DOUBTED : 1);
     }
 
+    /** Returns whether the member list permits new transactions to the node. */
     private boolean listed(Node n) {
         return n.standing == Standing.READY || n.standing == Standing.GONE && set.goneStaysOpen();
     }
 
     /**
-     * Whether a node may be sent one more txn now. One out of reach must first answer a probe,
-     * which costs no txn its time; one that is reached but answers nothing gets a txn to try, at
-     * growing gaps.
+     * Returns whether a node may be sent another transaction now. An unreachable node must first
+     * answer a probe, which delays no transaction. A node that accepts connections but is silent or
+     * failing gets single trial transactions at growing intervals.
      */
     private boolean open(Node n, double room) {
         if (!listed(n) || cold(n) && n.coldCredit <= 0) {
@@ -999,8 +1105,9 @@
                                 >= 0);
     }
 
-    // ---- who is the primary
+    // ---- primary of a group
 
+    /** Returns the member most recently known to be the primary, or null. */
     private Node primary(Group g) {
         Node pri = null;
         for (Node n : g.members) {
@@ -1012,6 +1119,7 @@
         return pri;
     }
 
+    /** Records that a node was the primary at a time, unless newer information contradicts. */
     private void claim(Node n, Duration when) {
         if (n.group == null || when.compareTo(n.denied) <= 0 || when.compareTo(n.claimed) < 0) {
             return;
@@ -1029,6 +1137,7 @@
         }
     }
 
+    /** Records that a node was a replica at a time. */
     private void deny(Node n, Duration when) {
         n.denied = later(n.denied, when);
         if (n.claimed.compareTo(when) <= 0) {
@@ -1036,7 +1145,12 @@
         }
     }
 
-    /** What a node says of itself: in a note, of this moment; in a report, of some time ago. */
+    /**
+     * Applies the state that a node reported about itself.
+     *
+     * @param note the state at this moment
+     * @param report the state at some earlier time
+     */
     public void heard(int node, Report note, Report report) {
         Node n = nodes.get(node);
         if (note.role() == Role.PRIMARY) {
@@ -1044,8 +1158,8 @@
         } else if (note.role() == Role.REPLICA) {
             deny(n, now);
         }
-        // A primary stands at the present, so its position is the report's time; a replica's is
-        // older.
+        // A primary's position is the time of its report; a replica's position is older than its
+        // report.
         if (report.position() != null && report.role() == Role.PRIMARY) {
             claim(n, report.position());
         } else if (report.position() != null && report.role() == Role.REPLICA) {
@@ -1061,6 +1175,7 @@
 
     // ---- health
 
+    /** Updates a node's health and concurrency limit with the result of a submission. */
     private void judge(Node n, Type type, Result result, Duration took) {
         if (result == Result.WITHDRAWN || result == Result.MOOT || result == Result.UNSENT) {
             return;
@@ -1069,8 +1184,8 @@
                 result == Result.TIMED_OUT
                         || result == Result.UNREACHABLE
                         || result == Result.RESET;
-        // Connections break at any node alike, so a reset tells little; what has died refuses the
-        // next one.
+        // Connections also break on healthy nodes, so a reset counts half; a node that is down
+        // refuses the next connection.
         double gain =
                 result == Result.ERROR || result == Result.SPOILT
                         ? 0
@@ -1078,8 +1193,7 @@
                                 ? LOST_GAIN
                                 : result == Result.RESET ? FAIL_GAIN / 2 : FAIL_GAIN;
         n.failures += gain * ((bad ? 1 : 0) - n.failures);
-        // One that only turns work away does none: it has hung with its queue full, or might as
-        // well have.
+        // A node that has only rejected work for this long counts as hung with a full queue.
         double since = ratio(now.minus(n.answeredAt), times(slowest(), PATIENCE));
         if (!bad && result != Result.FULL) {
             n.quiet = now;
@@ -1099,7 +1213,7 @@
             back(n);
         }
         n.heardAt = bad ? n.heardAt : now;
-        // Where answers are rare, each tells of all the time since the last.
+        // The rarer the answers, the more weight each one has.
         double weight = Math.max(GAIN, Math.min(1, since));
         if (result == Result.COMMITTED) {
             reckoning.did(seconds(cost(type)), part(n));
@@ -1107,8 +1221,8 @@
             Duration usual = type.usual.plus(times(took.minus(type.usual), GAIN / 10));
             type.usual = earlier(usual, times(type.sla, 0.5));
         }
-        // Time-outs at one node more than at most tell of work waiting there; else they tell of
-        // losses.
+        // More timeouts at this node than at most others indicate queued work there; otherwise they
+        // indicate lost messages.
         boolean jammed =
                 result == Result.TIMED_OUT
                         && (n.strain > STRAINED / 2 || n.failures > median + FAIL_GAIN / 2);
@@ -1116,15 +1230,15 @@
             n.strain += weight * (Math.min(2, ratio(took, type.sla)) - n.strain);
             n.answeredAt = now;
         }
-        // Room is cut from what was used: by what is out or, where that is nothing, by how often
-        // one is sent.
+        // The limit is reduced from its actual use: the pending submissions or, without any, the
+        // rate of submissions.
         if (result == Result.FULL || n.strain > STRAINED) {
             if (result == Result.FULL || now.compareTo(n.cutAt.plus(type.usual)) >= 0) {
                 n.cutAt = now;
                 double used = n.out > 0 ? n.out : Math.min(1, ratio(typical, n.gap));
                 double cut = result == Result.FULL || jammed ? FULL_CUT : ROOM_CUT;
-                // Slow like all the fleet: less at once than it did without strain would leave it
-                // idle.
+                // If the whole fleet is as slow, the limit stays at the fleet's peak without
+                // overload; a lower one would leave nodes idle.
                 boolean alone = result == Result.FULL || n.strain > strain * ALIKE;
                 double least = alone ? roomLeast : Math.max(roomLeast, inWork * n.size);
                 n.room = Math.max(Math.min(n.room, least), Math.min(n.room, used) * cut);
@@ -1135,10 +1249,10 @@
     }
 
     /**
-     * It was out of reach and answers again. Perhaps it is newly started, whatever the list says
-     * yet; but not one that answered its first probe (it takes no more connections), that applied
-     * the log all the while, or is still the primary. Harm: one that restarts unseen and catches up
-     * is warm until it is listed.
+     * Records that an unreachable node answers again. The node counts as restarted and cold, even
+     * before the member list says so, unless it answered its first probe (it only refused new
+     * connections), applied the log throughout the outage, or is still the primary. A node that
+     * restarts unnoticed and catches up counts as warm until the list reports its start.
      */
     private void back(Node n) {
         n.lost = false;
@@ -1148,8 +1262,8 @@
                         ? away.compareTo(times(set.coldFor(), UP)) > 0
                         : n.position.compareTo(now.minus(times(away, UP))) > 0;
         if (n.unheard) {
-            // What failed was the way there: one answered txn is enough, and no work has waited
-            // there since.
+            // The network path failed: one answer restores trust, and no work is queued at the
+            // node.
             n.tryAt = NEVER;
             n.trials = 1;
             n.failures = Math.min(n.failures, FAILING);
@@ -1161,12 +1275,18 @@
         n.unheard = false;
     }
 
-    /** Against the median, but where most of the fleet fails the median excuses nobody. */
+    /**
+     * Compares the failure rate with the fleet's median. The median is capped, so that nodes count
+     * as failing even if most of the fleet fails.
+     */
     private boolean failing(Node n) {
         return n.failures > Math.min(median, FAILING / 2) + FAILING;
     }
 
-    /** Silence is judged by how much is out: the more, the sooner an answer should have come. */
+    /**
+     * Returns whether the node is neither silent nor failing. The more submissions are pending, the
+     * sooner an answer is expected.
+     */
     private boolean trusted(Node n) {
         if (!n.silent && n.out > 0) {
             n.silent = mute(n, n.doubted ? DOUBT : 1);
@@ -1174,19 +1294,20 @@
         return !n.silent && !failing(n);
     }
 
-    /** It gets single txns to try, at growing gaps. */
+    /** Returns whether the node only gets trial transactions. */
     private boolean onTrial(Node n) {
         return !trusted(n) || n.doubted;
     }
 
+    /** Returns whether pending submissions have been unanswered for this share of the limit. */
     private boolean mute(Node n, double part) {
         double wait = Math.max(SILENCE_LEAST, SILENCE / Math.max(1, n.out)) * part;
         return now.compareTo(n.quiet.plus(times(slowest(), wait))) > 0;
     }
 
     /**
-     * What others say of a node is worth a doubt, by dillfront.gossip; or no longer. It gets one
-     * txn to try, after a dial time-out or two, and its own answer then ends the doubt.
+     * Sets whether peers suspect a node, as found by gossip. A suspected node gets one trial
+     * transaction after one to two dial timeouts, and its own answer ends the suspicion.
      */
     public void doubted(int node, boolean doubted) {
         Node n = nodes.get(node);
@@ -1197,8 +1318,8 @@
     }
 
     /**
-     * Others have had its answers again: worth a try before its time, each router at a moment of
-     * its own.
+     * Records that peers got answers from the node again: advances its next trial to a random
+     * moment within one dial timeout, so that routers do not all try at once.
      */
     public void better(int node) {
         Node n = nodes.get(node);
@@ -1206,8 +1327,8 @@
     }
 
     /**
-     * Others' doubt makes silence suspect sooner; it goes not back to them as this router's
-     * evidence.
+     * Returns the health of a node as this router observes it. Suspicion by peers shortens the
+     * silence time here, but is not returned as this router's own evidence.
      */
     public Sight sees(int node) {
         Node n = nodes.get(node);
@@ -1235,30 +1356,31 @@
         return most;
     }
 
-    /**
-     * Counted from its start: what it can do by then at the least, so the rule holds with room to
-     * spare.
-     */
+    /** Returns whether the warm-up time since the node's start is not over. */
     private boolean cold(Node n) {
         return now.compareTo(n.started.plus(set.coldFor())) < 0;
     }
 
-    /** The part of a warm node's work that it can do by now at the least. */
+    /** Returns the minimum share of its full capacity that the node has reached by now. */
     private double part(Node n) {
         double age = cold(n) ? ratio(now.minus(n.started), set.coldFor()) : 1;
         return set.coldFrom() + (1 - set.coldFrom()) * Math.max(0, Math.min(1, age));
     }
 
     /**
-     * While little is known, a cold node's budget is charged as much for a light txn as for most.
+     * Returns the work of one transaction. While all nodes are cold and little is known, a light
+     * transaction counts as a typical one.
      */
     private Duration cost(Type type) {
         return reckoning.allCold() ? later(typical, type.usual) : type.usual;
     }
 
-    // ---- the beat
+    // ---- periodic work
 
-    /** Runs what was due by now; the adapter calls it at the time that it was asked to. */
+    /**
+     * Runs the periodic work if due. The adapter calls this at the time that {@link Outlet#wake}
+     * set.
+     */
     public void woken() {
         if (now.compareTo(beatAt.plus(beat)) < 0) {
             return;
@@ -1326,9 +1448,9 @@
                 if (cold(n)) {
                     double safe =
                             part(n) * reckoning.rate() * n.size * COLD_SHARE * set.tipMultiple();
-                    // What is over lapses by chance, within that time in the mean: what many
-                    // routers hold
-                    // and might spend at once is then no more than they are dealt in it.
+                    // Unused credit expires at random, on average after the time in which excess
+                    // load overloads a node, so that many routers that spend their credit at once
+                    // send no more than was granted in that time.
                     boolean lapses = chance.nextDouble() < COLD_WINDOW;
                     double dealt = Math.floor(safe * seconds(window) / piece + chance.nextDouble());
                     n.coldCredit =
@@ -1347,9 +1469,9 @@
     }
 
     /**
-     * A fresh router probes each node once, then those unheard for an any read's bound, while half
-     * its credit is there: a router with few txns keeps the rest for the reads that wait for a
-     * position.
+     * Probes each new node once, and later those whose position is older than the bound of
+     * eventually consistent reads. The latter uses at most half of the probe credit: a router with
+     * few transactions keeps the rest for queued reads that need a position.
      */
     private void lookAround() {
         for (Node n : nodes) {
@@ -1363,9 +1485,9 @@
     }
 
     /**
-     * Txns wait in this group. No primary to be trusted: all are asked. Else two replicas that
-     * could take a txn, by chance: asking all would spend at once what a router with few txns can
-     * pay.
+     * Probes nodes on behalf of queued transactions: all members if no trusted primary is known,
+     * otherwise two random replicas that could take a transaction. Probing all replicas would use
+     * up the probe credit of a router with few transactions.
      */
     private void seek(Group g) {
         Node pri = primary(g);
@@ -1385,6 +1507,7 @@
         }
     }
 
+    /** Sends a probe if the credit and the minimum interval since the last probe permit. */
     private boolean probe(Node n, Duration gap) {
         if (!set.probes()
                 || !listed(n)
@@ -1400,7 +1523,7 @@
         return true;
     }
 
-    /** Takes the outcome of a health check. */
+    /** Records the result of a health check. */
     public void probed(int node, boolean answered, Report report) {
         Node n = nodes.get(node);
         n.probing = false;
--- a/src/main/java/dillfront/routing/api/Effect.java
+++ b/src/main/java/dillfront/routing/api/Effect.java
@@ -1,8 +1,13 @@
 package dillfront.routing.api;
 
-/** What a second run of a txn would do. */
+/** Whether a transaction may be executed a second time. */
 public enum Effect {
+    /** A second execution is harmless. */
     REPEATABLE,
+
+    /** The nodes drop a second execution by its idempotency key within a time window. */
     REFERENCED,
+
+    /** A second execution would apply the transaction twice. */
     ONCE_ONLY
 }
--- a/src/main/java/dillfront/routing/api/Handle.java
+++ b/src/main/java/dillfront/routing/api/Handle.java
@@ -2,24 +2,28 @@
 
 import java.time.Duration;
 
-/** A txn that was taken. Calls may go on after its final answer: they still tell of the node. */
+/**
+ * Reports the progress of one accepted transaction to the routing engine. Submissions may end after
+ * the client has its final answer; their results still update the node's health.
+ */
 public interface Handle {
 
     /**
-     * A submission ended.
+     * Records the end of a submission to a node.
      *
-     * @param closed the client has its final answer, by this ending or before it
-     * @param note what the answer itself says, of the moment it was given
-     * @param report a load report that came with it, some time old
+     * @param closed whether the client has its final answer, from this submission or an earlier one
+     * @param note the node's state at the moment of its answer
+     * @param report the node's state in the load report attached to the answer, measured some time
+     *     earlier
      */
     void ended(int node, Result result, Duration took, boolean closed, Report note, Report report);
 
     /**
-     * A submission could not be sent at once, since a connection had to be opened: whether it may
-     * go now. If not, it is never sent, and ends as UNSENT.
+     * Checks again whether a submission may be sent after it waited for a new connection. If not,
+     * the adapter drops it and reports {@link Result#UNSENT}.
      */
     boolean stands(int node);
 
-    /** The client went away; nothing is owed any more. */
+    /** Records that the client disconnected and needs no answer. */
     void left();
 }
--- a/src/main/java/dillfront/routing/api/NodeRow.java
+++ b/src/main/java/dillfront/routing/api/NodeRow.java
@@ -3,9 +3,12 @@
 import java.time.Duration;
 
 /**
- * One row of the member list.
+ * One node of the member list.
  *
- * @param started when it last started; null where that is long ago
+ * @param group the replication group of the node
+ * @param size the node's capacity relative to a node of size 1
+ * @param primary whether the list names the node as its group's primary
+ * @param started when the node last started; null if that is long ago
  */
 public record NodeRow(
         int node,
--- a/src/main/java/dillfront/routing/api/Outlet.java
+++ b/src/main/java/dillfront/routing/api/Outlet.java
@@ -2,24 +2,30 @@
 
 import java.time.Duration;
 
-/** Where the decisions leave. Txns and nodes go by the small indices that the caller gave them. */
+/**
+ * Actions that the routing engine requests from its adapter. Transactions and nodes are identified
+ * by the small indices that the caller assigned.
+ */
 public interface Outlet {
 
+    /** Sends the transaction to a node, with a limit on the time until its answer. */
     void submit(int txn, int node, Duration limit);
 
-    /** The final answer that a further try is harmless. */
+    /** Answers the client that a retry is harmless, and is sensible after the given pause. */
     void decline(int txn, Duration pause);
 
-    /** The final answer that promises nothing. */
+    /** Answers the client that the outcome is unknown, so that a retry may apply a write twice. */
     void rollBack(int txn);
 
-    /** Closes the connections to a node that carry nothing. */
+    /** Closes the idle connections to a node. */
     void release(int node);
 
+    /** Sends a health check to a node. */
     void probe(int node);
 
-    /** Asks for the member list's changes from now on, where they come only when asked for. */
+    /** Subscribes to changes of the member list, where the discovery service requires a request. */
     void follow();
 
+    /** Schedules the next call of {@link dillfront.routing.Decide#woken}. */
     void wake(Duration in);
 }
--- a/src/main/java/dillfront/routing/api/Read.java
+++ b/src/main/java/dillfront/routing/api/Read.java
@@ -1,12 +1,19 @@
 package dillfront.routing.api;
 
-/**
- * How current the data must be that a txn type is answered from; a write goes to the primary alone.
- */
+/** How current the data read by a transaction type must be; writes go to the primary only. */
 public enum Read {
+    /** Any replica, preferably within a multiple of the tightest staleness bound. */
     ANY,
+
+    /** A replica within the staleness bound of the transaction type. */
     BOUNDED,
+
+    /** A replica that has applied the session's last write. */
     SESSION,
+
+    /** The primary. */
     FRESH,
+
+    /** The primary, as the transaction writes. */
     WRITE
 }
--- a/src/main/java/dillfront/routing/api/Report.java
+++ b/src/main/java/dillfront/routing/api/Report.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * What a node told of itself: in the note of an answer, or in a load report, which is some time
- * old.
+ * State that a node reports about itself, in an answer or in a load report measured some time
+ * earlier.
  *
- * @param position up to where it has applied every commit; null where it did not say
- * @param role null where it did not say
+ * @param position the log position up to which the node has applied every commit; null if unknown
+ * @param role null if unknown
  */
 public record Report(Duration position, Role role) {
 
--- a/src/main/java/dillfront/routing/api/Role.java
+++ b/src/main/java/dillfront/routing/api/Role.java
@@ -1,6 +1,6 @@
 package dillfront.routing.api;
 
-/** What a node said it was. */
+/** Replication role that a node reports. */
 public enum Role {
     PRIMARY,
     REPLICA
--- a/src/main/java/dillfront/routing/api/Settings.java
+++ b/src/main/java/dillfront/routing/api/Settings.java
@@ -4,17 +4,26 @@
 import java.util.List;
 
 /**
- * What an instance is told at its start. Times count from the zero of positions.
+ * Settings of the routing engine. Times are durations since the zero of log positions.
  *
- * @param step the shortest time between two calls of the clock
- * @param zone where this router stands
- * @param dial a connection not up within this is given up
- * @param maxPause the longest come-back time that a client heeds; zero where none can be given
- * @param listAsked the member list comes only when asked for
- * @param askWithin where it is asked for: how long an unasked list counts as told
- * @param goneStaysOpen only a node listed as draining is closed to new txns; one gone from the list
- *     is not
- * @param quotas txns a second, over all routers, within each tenant's share
+ * @param step the shortest time between two updates of the clock
+ * @param zone the availability zone of this router
+ * @param dial the time limit for opening a connection
+ * @param maxPause the longest retry delay that clients honour; zero if no delay can be sent
+ * @param maxSubmissions how often one transaction may be submitted to nodes
+ * @param probes whether health checks may be sent
+ * @param listAsked whether the member list is sent only on request
+ * @param askWithin how long a member list that was not requested is valid, if sent only on request
+ * @param nodesRefuse whether nodes reject reads that they are too far behind for
+ * @param goneStaysOpen whether only draining nodes are closed to new transactions, so that nodes
+ *     missing from the list stay open
+ * @param coldFrom the share of its full capacity that a node has just after its start
+ * @param coldFor how long a node takes to reach full capacity after its start
+ * @param tipMultiple the multiple of its capacity that overloads a cold node
+ * @param tipAfter how long that load must last to overload the node
+ * @param probePrice the cost of one health check, in transactions
+ * @param routers the number of routers that share the nodes
+ * @param quotas the transactions per second, over all routers, in each tenant's share
  */
 public record Settings(
         Duration step,
--- a/src/main/java/dillfront/routing/api/Sight.java
+++ b/src/main/java/dillfront/routing/api/Sight.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * What this router itself knows of a node's health; nothing in it comes from others.
+ * Health of a node as this router itself observes it; reports from other routers are not included.
  *
- * @param wellAt when a submission there last got an answer that was no refusal for want of room
- * @param evidence how many submissions tell of it now; zero where only what is past does
+ * @param wellAt when a submission last got an answer other than a rejection for lack of capacity
+ * @param evidence the number of pending submissions that show the fault now; zero if only earlier
+ *     submissions did
  */
 public record Sight(Health health, Duration wellAt, int evidence) {
 
-    /** UNKNOWN is neither: too little was sent there of late. */
+    /** State of a node; UNKNOWN if too few transactions were sent to it recently. */
     public enum Health {
         WELL,
         UNKNOWN,
@@ -19,6 +20,7 @@
         LOST
     }
 
+    /** Returns whether the node shows a fault; false for UNKNOWN. */
     public boolean ill() {
         return health != Health.WELL && health != Health.UNKNOWN;
     }
--- a/src/main/java/dillfront/routing/api/Spans.java
+++ b/src/main/java/dillfront/routing/api/Spans.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.List;
 
-/** What every decision counts with. */
+/** Arithmetic on durations. */
 public final class Spans {
 
     private Spans() {}
 
-    /** A part of a span, or a multiple of it. */
+    /** Returns the duration multiplied by a factor. */
     public static Duration times(Duration span, double by) {
         return Duration.ofNanos((long) (span.toNanos() * by));
     }
@@ -17,6 +17,7 @@
         return span.toNanos() / 1e9;
     }
 
+    /** Returns a / b; the extra nanosecond in the divisor avoids a division by zero. */
     public static double ratio(Duration a, Duration b) {
         return (double) a.toNanos() / (b.toNanos() + 1);
     }
@@ -29,7 +30,7 @@
         return a.compareTo(b) >= 0 ? a : b;
     }
 
-    /** Sorts what it is given. */
+    /** Returns the upper median, or zero for an empty list. Sorts the list. */
     public static double median(List<Double> of) {
         of.sort(null);
         return of.isEmpty() ? 0 : of.get(of.size() / 2);
--- a/src/main/java/dillfront/routing/api/Standing.java
+++ b/src/main/java/dillfront/routing/api/Standing.java
@@ -1,6 +1,6 @@
 package dillfront.routing.api;
 
-/** What the member list says of a node. */
+/** State of a node in the member list. */
 public enum Standing {
     READY,
     DRAINING,
--- a/src/main/java/dillfront/routing/api/TxnType.java
+++ b/src/main/java/dillfront/routing/api/TxnType.java
@@ -3,13 +3,16 @@
 import java.time.Duration;
 
 /**
- * The settings of one txn type.
+ * Settings of one transaction type.
  *
- * @param groupDrops a referenced txn's repeats are dropped by its own group only, not by every node
- * @param window how long repeats of a referenced txn are known
- * @param bound how old a bounded read's data may be at the send
+ * @param groupDrops whether only the transaction's own replication group recognizes a repeated
+ *     idempotency key, rather than every node
+ * @param window how long nodes recognize a repeated idempotency key
+ * @param bound how old the data of a bounded read may be when the read is sent
+ * @param sla the response time up to which an answer earns its full value
  * @param longest how long a client waits, over all its tries
- * @param lateShare the share of its value that an answer after the SLA time still earns
+ * @param value the value of an answer within the SLA time
+ * @param lateShare the share of the value that an answer after the SLA time still earns
  */
 public record TxnType(
         Effect effect,
--- a/src/main/java/dillfront/routing/api/package-info.java
+++ b/src/main/java/dillfront/routing/api/package-info.java
@@ -1,2 +1,4 @@
-/** The interface of the decisions: settings, node rows, results, and the port to their adapter. */
+/**
+ * Interface of the routing engine: settings, node records, results, and the port to its adapter.
+ */
 package dillfront.routing.api;
--- a/src/main/java/dillfront/routing/package-info.java
+++ b/src/main/java/dillfront/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions of the router, without I/O: {@link dillfront.routing.Decide}. */
+/** Routing decisions of the database router, without I/O: {@link dillfront.routing.Decide}. */
 package dillfront.routing;
--- a/src/main/java/dillfront/routing/simulator/BadInput.java
+++ b/src/main/java/dillfront/routing/simulator/BadInput.java
@@ -1,6 +1,6 @@
 package dillfront.routing.simulator;
 
-/** The input is not the simulator's wire; the message names the line and the fault. */
+/** Thrown for input that violates the simulator's protocol; the message names line and error. */
 public final class BadInput extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/dillfront/routing/simulator/Drill.java
+++ b/src/main/java/dillfront/routing/simulator/Drill.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The simulator's wire: batches of events for many routers in, one reply for each batch out. */
+/**
+ * Serves the simulator's protocol: reads batches of events for many routers, one JSON object per
+ * line, and writes one reply per batch.
+ */
 public final class Drill {
 
     private final JsonParser json;
@@ -24,14 +27,15 @@
     private final JsonGenerator reply;
     private final Event event = new Event();
 
-    /** Emptied by each router's end. */
+    /** Router instances by id; a Destroy event removes its instance. */
     private final Map<Integer, Instance> instances = new HashMap<>();
 
-    /** Sixteen numbers, used again and again. */
+    /** Member lists by buffer number; the simulator reuses sixteen numbers. */
     private final Map<Integer, List<Tree>> tables = new HashMap<>();
 
     /**
-     * @param in the simulator's events; out gets a reply to each batch
+     * @param in the simulator's events
+     * @param out receives one reply per batch
      */
     public Drill(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
@@ -41,14 +45,14 @@
         reply.setPrettyPrinter(new MinimalPrettyPrinter(""));
     }
 
-    /** Runs until the input ends; what a faulty batch would have answered is not written. */
+    /** Serves until the input ends. The reply to an invalid batch is not written. */
     public void run() throws IOException, BadInput {
         long clockUs = Long.MIN_VALUE;
         try {
             while (event.read(json)) {
                 if (event.kind.equals("Batch")) {
                     if (event.timeUs == Long.MIN_VALUE) {
-                        throw event.fault("no timeUs");
+                        throw event.fault("timeUs is missing");
                     }
                     clockUs = event.timeUs;
                 } else if (clockUs == Long.MIN_VALUE) {
@@ -69,7 +73,7 @@
             throw new BadInput(line, "malformed: " + fault.lines().findFirst().orElse(""));
         }
         if (clockUs != Long.MIN_VALUE) {
-            throw event.fault("the input ends within a batch");
+            throw event.fault("input ends within a batch");
         }
     }
 
@@ -88,13 +92,13 @@
         switch (event.kind) {
             case "Table" -> {
                 if (event.rows == null || event.buffer < 0) {
-                    throw event.fault("no buffer or no rowsIn");
+                    throw event.fault("buffer or rowsIn is missing");
                 }
                 tables.put(event.buffer, event.rows);
             }
             case "NewInstance" -> {
                 if (event.setup == null || event.who < 0) {
-                    throw event.fault("no who or no setup");
+                    throw event.fault("who or setup is missing");
                 }
                 Instance fresh = new Instance(event.who, event.seed, event.setup, reply);
                 fresh.at(clockUs);
@@ -112,14 +116,14 @@
                 }
                 List<Tree> rows = tables.get(event.buffer);
                 if (rows == null) {
-                    throw event.fault("list " + event.buffer + " was never defined");
+                    throw event.fault("buffer " + event.buffer + " has no member list");
                 }
                 instance.list(event.scope != 0, rows);
             }
             case "NewRequest" -> {
                 Instance instance = instance(clockUs);
                 if (event.corr < 0 || event.expiresInUs < 0 || Double.isNaN(event.partitionNo)) {
-                    throw event.fault("no corr, no expiresInUs or no partitionNo");
+                    throw event.fault("corr, expiresInUs or partitionNo is missing");
                 }
                 instance.arrived(event);
             }
--- a/src/main/java/dillfront/routing/simulator/Event.java
+++ b/src/main/java/dillfront/routing/simulator/Event.java
@@ -11,9 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The fields of the line being read; one object serves every line. */
+/**
+ * One event of the simulator's protocol. The fields are named after their keys in the protocol; one
+ * object is reused for every line.
+ */
 final class Event {
 
+    /** Results by their number in the protocol. */
     private static final Result[] RESULTS = {
         null,
         Result.COMMITTED,
@@ -51,7 +55,7 @@
     Tree setup;
     List<Tree> rows;
 
-    /** Reads one line; false at the end of the input. */
+    /** Reads one event; returns false at the end of the input. */
     boolean read(JsonParser json) throws IOException, BadInput {
         clear();
         JsonToken token = json.nextToken();
@@ -68,7 +72,7 @@
             field(name, json);
         }
         if (kind == null) {
-            throw fault("no kind");
+            throw fault("kind is missing");
         }
         return true;
     }
@@ -141,8 +145,8 @@
     }
 
     /**
-     * A reported position was rounded by its writer, to no more than a millisecond: the lower one
-     * counts.
+     * Reads a load report. The node rounds its position to a millisecond, so one millisecond is
+     * subtracted to stay below the actual position.
      */
     private static Report telemetry(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
--- a/src/main/java/dillfront/routing/simulator/Instance.java
+++ b/src/main/java/dillfront/routing/simulator/Instance.java
@@ -20,7 +20,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** One router: its own module, and the indices that stand for the wire's ids. */
+/** One simulated router: its routing engine, and the indices assigned to the protocol's ids. */
 final class Instance implements Outlet {
 
     private final int who;
@@ -29,18 +29,18 @@
     private final long zeroUs;
     private final Setup setup;
 
-    /** Grows with the machines that any list has named. */
+    /** Node indices by id; grows with each node that appears in a member list. */
     private final Map<String, Integer> nodes = new HashMap<>();
 
     private final List<String> nodeIds = new ArrayList<>();
 
-    /** Held from the txn's arrival until it is answered and nothing of it is out. */
+    /** Slots by transaction id, until the transaction is answered and no submission is pending. */
     private final Map<Long, Integer> txns = new HashMap<>();
 
     private final List<Txn> slots = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
 
-    /** What the adapter keeps of a txn; the slot is used again once it is over. */
+    /** Adapter state of one transaction; its slot is reused after the transaction has finished. */
     private static final class Txn {
         long corr;
         Handle handle;
--- a/src/main/java/dillfront/routing/simulator/package-info.java
+++ b/src/main/java/dillfront/routing/simulator/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions on the simulator's wire. */
+/** Adapter that runs the routing engine over the simulator's JSON protocol. */
 package dillfront.routing.simulator;
--- a/src/test/java/dillfront/routing/DecideTest.java
+++ b/src/test/java/dillfront/routing/DecideTest.java
@@ -19,7 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each test plays a short scene; its decisions are kept, to be read, in src/test/resources/traces.
+ * Each test runs a short sequence of events and compares the engine's actions with the expected
+ * trace in src/test/resources/traces.
  */
 class DecideTest {
 
@@ -58,8 +59,8 @@
     }
 
     /**
-     * Guards against reads that were fresh when they were decided and are old when a connection is
-     * up.
+     * Guards against sending a read whose replica was current at its selection but is too far
+     * behind once a connection is open.
      */
     @Test
     void whatWaitedForAConnectionIsTestedAgain() throws IOException {
@@ -238,7 +239,8 @@
     }
 
     /**
-     * Guards against a list that calls serving nodes gone, and against taking a drain back with it.
+     * Guards against closing running nodes that are missing from the member list, and against
+     * reopening a draining node along with them.
      */
     @Test
     void whatIsWronglyListedAsGoneServesOn() throws IOException {
@@ -286,9 +288,7 @@
         r.compare("wrong-list");
     }
 
-    /**
-     * Guards against reads that wait at a replica which is known to lag, a tenth of a second each.
-     */
+    /** Guards against reads that each wait 100 ms at a replica that is known to lag. */
     @Test
     void aReadThatWaitedInVainTellsHowFarBehindItsReplicaIs() throws IOException {
         Scene r = new Scene(true).three();
@@ -311,7 +311,7 @@
         r.compare("waiting-read");
     }
 
-    /** Guards against a fleet whose sizes nobody tells being filled as if all were alike. */
+    /** Guards against equal load on nodes of different speed if the list gives no sizes. */
     @Test
     void aNodeOfHalfTheSpeedGetsLessWhereNoSizeIsTold() throws IOException {
         s.to(10);
@@ -345,8 +345,8 @@
     }
 
     /**
-     * Guards against long reads that keep every replica behind, and against their being held to one
-     * that others need.
+     * Guards against long reads that stall replication on every replica, and against tying them to
+     * one replica after they no longer stall it.
      */
     @Test
     void readsThatStallGoToTheReplicaFurthestBehind() throws IOException {
@@ -383,7 +383,7 @@
         r.compare("stalling-reads");
     }
 
-    /** Guards against nodes left idle because all are slow at once. */
+    /** Guards against idle nodes after reducing every limit because all nodes are slow. */
     @Test
     void whereAllAreSlowAlikeRoomStays() throws IOException {
         s.to(10);
@@ -495,7 +495,8 @@
     }
 
     /**
-     * Guards against counting an absence from when a node was given up: much of it is over by then.
+     * Guards against measuring an outage from the node's removal rather than from its last answer,
+     * which makes the outage seem short and a running primary seem restarted.
      */
     @Test
     void aPrimaryCutOffAndStillPrimaryIsNotTakenForColdOnceItIsBack() throws IOException {
@@ -555,7 +556,7 @@
         s.compare("out-of-reach");
     }
 
-    /** Gives no connection at node 0, each after that time; then it answers its first probe. */
+    /** Fails connections to node 0, each after the given time; then its first probe succeeds. */
     private void returns(long took) {
         int fresh = s.take(ONCE);
         s.mute(
@@ -616,7 +617,7 @@
         s.compare("errors-anywhere");
     }
 
-    /** Guards against leaving nodes out for answers that come spoilt from any of them. */
+    /** Guards against excluding nodes because of malformed answers that every node returns. */
     @Test
     void spoiltAnswersFallBackAndCostNoNodeItsStanding() throws IOException {
         s.to(10);
@@ -647,7 +648,8 @@
     }
 
     /**
-     * Guards against leaving nodes out for connections that break at any node, kept ones above all.
+     * Guards against excluding nodes because of broken connections, which occur on every node,
+     * mostly with pooled connections.
      */
     @Test
     void fewResetsInARowCostNoNodeItsStanding() throws IOException {
@@ -675,8 +677,8 @@
     }
 
     /**
-     * Guards against tables that grow with machines that are replaced, and against words meant for
-     * the last holder.
+     * Guards against a node table that grows with every replaced machine, and against applying
+     * events of a removed node to the next node with its index.
      */
     @Test
     void aNodeThatLeftGivesItsRowBackOnceNothingIsOut() throws IOException {
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -7,10 +7,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/**
- * A router that stands still for a while: what it makes of its own time, and what the module makes
- * of it.
- */
+/** Detection of pauses of the router's own thread, and their effect on routing. */
 class PaceTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -30,8 +27,8 @@
     }
 
     /**
-     * Guards against pauses that are seen only once the beat has come, after all that lay unread
-     * was judged.
+     * Guards against detecting a pause only at the next tick, after the answers that arrived during
+     * the pause were already evaluated.
      */
     @Test
     void anOverdueBeatTellsOfThePauseAtOnce() throws IOException {
@@ -64,10 +61,7 @@
         Scene.compare("pace", trace);
     }
 
-    /**
-     * Guards against a router that takes its own pause for the silence of all nodes, and for their
-     * slowness.
-     */
+    /** Guards against a router that takes its own pause for silence or slowness of all nodes. */
     @Test
     void itsOwnPauseIsNoNodesFault() throws IOException {
         for (boolean told : new boolean[] {false, true}) {
@@ -103,8 +97,8 @@
     }
 
     /**
-     * Guards against work for a node that nobody waits for any more, since it lay in line at this
-     * router.
+     * Guards against sending requests to a node after their client's useful time passed in this
+     * router's receive queue.
      */
     @Test
     void whatLayInLineTooLongIsDeclinedWithATimeToComeBack() throws IOException {
--- a/src/test/java/dillfront/routing/Scene.java
+++ b/src/test/java/dillfront/routing/Scene.java
@@ -27,7 +27,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One router and a clock; what the module does is written down, a line a decision, and compared.
+ * Runs one routing engine on a simulated clock and records its actions, one per line, in a trace
+ * that is compared with an expected one.
  */
 public final class Scene implements Outlet {
 
@@ -47,14 +48,14 @@
     final Decide decide;
     long ms;
 
-    /** In line at the router, before it is taken. */
+    /** Time that requests spend in the router's receive queue before they are accepted. */
     Duration waited = Duration.ZERO;
 
     Duration ran;
     private final Map<Integer, Integer> at = new TreeMap<>();
 
     /**
-     * @param nodesRefuse nodes turn away reads that they are too far behind for
+     * @param nodesRefuse whether nodes reject reads that they are too far behind for
      */
     Scene(boolean nodesRefuse) {
         this(nodesRefuse, false, false);
@@ -65,8 +66,8 @@
     }
 
     /**
-     * @param anySla the SLA time of any reads: a quarter of it is what they are taken to last at
-     *     first
+     * @param anySla the SLA time of eventually consistent reads in ms; their typical response time
+     *     starts at a quarter of it
      */
     Scene(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen, long anySla) {
         List<TxnType> types =
@@ -161,7 +162,7 @@
         return Duration.ofMillis(n);
     }
 
-    /** Three members of one group, all in this zone; node 0 is listed as the primary. */
+    /** Lists three members of one group in this zone, with node 0 as the primary. */
     Scene three() {
         decide.list(
                 true,
@@ -180,7 +181,7 @@
         decide.list(false, List.of(rows));
     }
 
-    /** Moves the clock on, with every wake on the way. */
+    /** Advances the clock, and runs the periodic work that is due on the way. */
     void to(long then) {
         while (wakeAt >= 0 && wakeAt <= then) {
             ms = wakeAt;
@@ -197,7 +198,7 @@
         return this;
     }
 
-    /** Ends the txn well after the time it took at its node, whatever that is. */
+    /** Commits the transaction at its node after the given time in ms. */
     void well(int txn, long took) {
         ended(
                 txn,
@@ -207,7 +208,7 @@
                 ms);
     }
 
-    /** Where the txn is out to; -1 where nowhere. */
+    /** Returns the node that the transaction is submitted to, or -1. */
     int whereIs(int txn) {
         return at.getOrDefault(txn, -1);
     }
@@ -216,12 +217,12 @@
         trace.append("# ").append(what).append('\n');
     }
 
-    /** What a node says of itself by a probe's report. */
+    /** Delivers a node's report as the answer to a probe. */
     void report(int node, long position, Role role) {
         decide.probed(node, true, new Report(ms(position), role));
     }
 
-    /** A few lines that say nothing new are left out of the trace. */
+    /** Runs steps without recording them in the trace. */
     void mute(Runnable scene) {
         int length = trace.length();
         scene.run();
@@ -255,7 +256,7 @@
         return id;
     }
 
-    /** Its connection is up only now: may it still go? If not, it ends unsent. */
+    /** Opens the connection for a submission late; the submission ends unsent if it is outdated. */
     void connected(int txn) {
         boolean stands = txns.get(txn).stands(at.get(txn));
         say(
@@ -266,7 +267,7 @@
         }
     }
 
-    /** Nothing happens where the txn is not out. */
+    /** Ends the transaction's pending submission, if there is one. */
     void ended(int txn, Result result, long took, Role role, long position) {
         if (!at.containsKey(txn)) {
             return;
@@ -285,19 +286,20 @@
     }
 
     /**
-     * What was seen is also left in target/traces, to be read and kept where a change was meant.
+     * Compares the trace with the expected one. The actual trace is written to target/traces, from
+     * where it can replace the expected trace after an intended change.
      */
     void compare(String name) throws IOException {
         compare(name, trace);
     }
 
-    /** For the traces of other parts too. */
+    /** Compares any trace with the expected trace of that name in src/test/resources/traces. */
     public static void compare(String name, CharSequence trace) throws IOException {
         Path seen = Path.of("target", "traces", name + ".txt");
         Files.createDirectories(seen.getParent());
         Files.writeString(seen, trace);
         try (InputStream kept = Scene.class.getResourceAsStream("/traces/" + name + ".txt")) {
-            assertNotNull(kept, () -> "no trace kept for " + name);
+            assertNotNull(kept, () -> "no expected trace in src/test/resources/traces for " + name);
             assertEquals(new String(kept.readAllBytes(), StandardCharsets.UTF_8), trace.toString());
         }
     }
--- a/src/test/java/dillfront/routing/simulator/DrillTest.java
+++ b/src/test/java/dillfront/routing/simulator/DrillTest.java
@@ -10,10 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/**
- * The adapter on small batches: what goes out for what comes in, and how it ends on what is no
- * batch.
- */
+/** Replies of the simulator adapter to small batches, and its errors for invalid input. */
 class DrillTest {
 
     private static final String SETUP =
@@ -75,7 +72,7 @@
             {
                 START
                         + "{'kind':'Batch','timeUs':2000}\n{'kind':'Topology','who':4,'scope':1,'buffer':9}\n",
-                "line 7: Topology: list 9 was never defined"
+                "line 7: Topology: buffer 9 has no member list"
             },
             {
                 START + "{'kind':'Batch','timeUs':2000}\n" + TXN.replace("'w'", "'v'"),
