--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -11,8 +11,8 @@
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
 import dillfront.router.operator.Operator;
-import dillfront.routing.simulator.BadInput;
-import dillfront.routing.simulator.Drill;
+import dillfront.routing.simulator.InvalidInputException;
+import dillfront.routing.simulator.SimulatorServer;
 import java.io.IOException;
 import java.util.List;
 
@@ -57,7 +57,7 @@
                 dillfront.bootstrap.WarmUp.run();
                 System.exit(0);
             } else {
-                new Drill(System.in, System.out).run();
+                new SimulatorServer(System.in, System.out).run();
             }
         } catch (BadConfig bad) {
             System.err.println("dillfront: " + bad.getMessage());
@@ -68,7 +68,7 @@
         } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
-        } catch (BadInput bad) {
+        } catch (InvalidInputException bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
         } catch (IOException broken) {
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -1,6 +1,6 @@
 package dillfront.common.logging;
 
-import dillfront.routing.api.Result;
+import dillfront.routing.api.SubmissionResult;
 
 /** What one router took in, sent and answered; and what it holds now, all zero once it is idle. */
 public final class Counters {
@@ -23,7 +23,7 @@
     public long lists;
     public long listFaults;
     public long longestTurnMs;
-    private final long[] ended = new long[Result.values().length];
+    private final long[] ended = new long[SubmissionResult.values().length];
 
     // Held now.
     public int txns;
@@ -35,7 +35,7 @@
     public int nodeConnections;
     public int timers;
 
-    public void ended(Result result) {
+    public void ended(SubmissionResult result) {
         ended[result.ordinal()]++;
     }
 
@@ -88,7 +88,7 @@
                 }) {
             line[at++] = o;
         }
-        for (Result result : Result.values()) {
+        for (SubmissionResult result : SubmissionResult.values()) {
             line[at++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
             line[at++] = ended[result.ordinal()];
         }
--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -8,13 +8,13 @@
 import dillfront.router.recovery.Groups;
 import dillfront.router.recovery.Others;
 import dillfront.router.site.Sites;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -73,7 +73,7 @@
             Log log) {
         this.log = log;
         this.memory = memory;
-        Settings settings = setup.settings();
+        RoutingSettings settings = setup.settings();
         dial = settings.dial();
         named(setup);
         sites =
@@ -142,15 +142,21 @@
     }
 
     /** A submission ended, of a txn with a key or without (0). */
-    void ended(long key, int node, Result result, boolean told, Report note, Duration clock) {
+    void ended(
+            long key,
+            int node,
+            SubmissionResult result,
+            boolean told,
+            NodeReport note,
+            Duration clock) {
         if (key != 0) {
             doubts.ended(key, result.mayHaveRun(), told);
         }
-        if (result == Result.UNREACHABLE || result == Result.TIMED_OUT) {
+        if (result == SubmissionResult.UNREACHABLE || result == SubmissionResult.TIMED_OUT) {
             groups.silent(node);
-        } else if (result != Result.UNSENT
-                && result != Result.WITHDRAWN
-                && result != Result.RESET) {
+        } else if (result != SubmissionResult.UNSENT
+                && result != SubmissionResult.WITHDRAWN
+                && result != SubmissionResult.RESET) {
             groups.heard(node, note.role(), note.position(), clock);
         }
     }
@@ -168,13 +174,15 @@
      * One that claims to lead, and gets no write, stands at no present either: nothing that it says
      * of itself counts.
      */
-    Report believed(int node, Report says, Duration clock) {
-        return says.role() == Role.PRIMARY && !groups.mayLead(node, clock) ? Report.NOTHING : says;
+    NodeReport believed(int node, NodeReport says, Duration clock) {
+        return says.role() == NodeRole.PRIMARY && !groups.mayLead(node, clock)
+                ? NodeReport.NOTHING
+                : says;
     }
 
     // ---- nodes
 
-    void probed(int node, boolean answered, Report report, Duration clock) {
+    void probed(int node, boolean answered, NodeReport report, Duration clock) {
         if (answered) {
             groups.heard(node, report.role(), report.position(), clock);
         } else {
@@ -190,12 +198,12 @@
                     m.id(),
                     row.group(),
                     row.started(),
-                    row.standing() == Standing.READY);
+                    row.standing() == MemberState.READY);
             if (sites != null) {
                 sites.listed(
                         row.node(),
                         zones.getOrDefault(row.zone(), "?"),
-                        row.standing() == Standing.READY);
+                        row.standing() == MemberState.READY);
             }
         }
     }
@@ -214,7 +222,7 @@
     /**
      * @param sees what the router sees of each node, by its index, of so many
      */
-    void beat(Duration clock, int nodes, IntFunction<Sight> sees) {
+    void beat(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
         now = clock;
         groups.beat(clock);
         for (int node = 0; node < nodes && sites != null; node++) {
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -20,13 +20,13 @@
 import dillfront.router.peers.Telling;
 import dillfront.router.pgwire.Statement;
 import dillfront.router.recovery.Doubts;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import java.time.Duration;
@@ -44,7 +44,7 @@
  * The module and what it drives: words of the network become its calls, its results go out again.
  */
 final class Router
-        implements Outlet,
+        implements RoutingActions,
                 Desk,
                 Fleet.Listener,
                 Watch.Listener,
@@ -65,7 +65,7 @@
     private Duration told = Duration.ZERO;
 
     private final MemberList members;
-    private final Decide decide;
+    private final RoutingEngine decide;
     private final Fleet fleet;
 
     /** A slot is used again once its txn is over. */
@@ -115,7 +115,7 @@
                         nodeConnections,
                         (int) (config.memoryMb() << 20) / LONGEST_PART,
                         this);
-        decide = new Decide(setup.settings(), this, new SplittableRandom(config.seed()));
+        decide = new RoutingEngine(setup.settings(), this, new SplittableRandom(config.seed()));
     }
 
     /** Some list is there: before that, nothing can be served. */
@@ -277,7 +277,7 @@
                 ledger != null
                         && ledger.keeps()
                         && statement.mark != 0
-                        && setup.settings().types().get(type).effect() == Effect.REFERENCED;
+                        && setup.settings().types().get(type).effect() == Repeatability.REFERENCED;
         long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
@@ -329,14 +329,15 @@
     }
 
     @Override
-    public void ended(Exchange exchange, int node, Result result, boolean told, Report note) {
+    public void ended(
+            Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
         if (ledger != null) {
             ledger.ended(exchange.key(), node, result, told, note, clock.now());
         }
     }
 
     @Override
-    public Report believed(int node, Report says) {
+    public NodeReport believed(int node, NodeReport says) {
         return ledger == null ? says : ledger.believed(node, says, clock.now());
     }
 
@@ -370,7 +371,7 @@
     }
 
     @Override
-    public void probed(int node, boolean answered, Report report) {
+    public void probed(int node, boolean answered, NodeReport report) {
         tick();
         if (ledger != null) {
             ledger.probed(node, answered, report, clock.now());
@@ -429,7 +430,7 @@
     }
 
     @Override
-    public Sight sees(int node) {
+    public HealthObservation sees(int node) {
         return decide.sees(node);
     }
 
--- a/src/main/java/dillfront/router/gossip/Budget.java
+++ b/src/main/java/dillfront/router/gossip/Budget.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.seconds;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/router/gossip/Gossip.java
+++ b/src/main/java/dillfront/router/gossip/Gossip.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.times;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/dillfront/router/gossip/Hearsay.java
+++ b/src/main/java/dillfront/router/gossip/Hearsay.java
@@ -1,8 +1,8 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.times;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -208,7 +208,7 @@
     }
 
     /** What this router sees of a node itself. */
-    public void seen(int node, Sight sight) {
+    public void seen(int node, HealthObservation sight) {
         Row row = row(node);
         row.ill = sight.ill();
         row.wellAt = sight.wellAt().compareTo(row.wellAt) > 0 ? sight.wellAt() : row.wellAt;
--- a/src/main/java/dillfront/router/gossip/Witness.java
+++ b/src/main/java/dillfront/router/gossip/Witness.java
@@ -1,8 +1,8 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.times;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -45,7 +45,8 @@
     /**
      * @param enough others have said it already, so that one more voice adds nothing
      */
-    public void seen(int node, Sight sight, boolean enough, Duration now, Telling telling) {
+    public void seen(
+            int node, HealthObservation sight, boolean enough, Duration now, Telling telling) {
         while (rows.size() <= node) {
             rows.add(new Row());
         }
@@ -57,7 +58,7 @@
         filledAt = now;
         Row row = rows.get(node);
         if (!sight.ill()) {
-            if (row.said && sight.health() == Sight.Health.WELL) {
+            if (row.said && sight.health() == HealthObservation.Health.WELL) {
                 telling.say(node, Symptom.WELL, 0, Duration.ZERO);
                 row.said = false;
             }
--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -6,7 +6,7 @@
 import dillfront.router.discovery.Closings;
 import dillfront.router.operator.Operator;
 import dillfront.router.recovery.Doubts;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
 public final class Memory implements Closings.Keeper, Doubts.Keeper {
 
     /** One word that closed a node. */
-    public record Closing(String id, Standing standing, long startedMs, long generation) {
+    public record Closing(String id, MemberState standing, long startedMs, long generation) {
 
         String text() {
             return standing + " " + startedMs + " " + generation;
@@ -48,7 +48,7 @@
                         ? null
                         : new Closing(
                                 id,
-                                Standing.valueOf(parts[0]),
+                                MemberState.valueOf(parts[0]),
                                 Long.parseLong(parts[1]),
                                 Long.parseLong(parts[2]));
             } catch (IllegalArgumentException bad) {
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void closed(String id, Standing standing, long startedMs, long generation) {
+    public void closed(String id, MemberState standing, long startedMs, long generation) {
         put(CLOSED + id, new Closing(id, standing, startedMs, generation).text());
     }
 
--- a/src/main/java/dillfront/router/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/Pace.java
@@ -1,6 +1,6 @@
 package dillfront.router.pace;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.times;
 
 import java.time.Duration;
 
--- a/src/main/java/dillfront/router/peers/Neighbours.java
+++ b/src/main/java/dillfront/router/peers/Neighbours.java
@@ -6,7 +6,7 @@
 import dillfront.router.gossip.Tuning;
 import dillfront.router.gossip.Witness;
 import dillfront.router.gossip.Word;
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
 
     /** The decisions, as far as gossip has to do with them. */
     public interface Decisions {
-        Sight sees(int node);
+        HealthObservation sees(int node);
 
         void doubted(int node, boolean doubted);
 
@@ -104,7 +104,7 @@
             if (row == null) {
                 continue;
             }
-            Sight sight = decisions.sees(node);
+            HealthObservation sight = decisions.sees(node);
             hearsay.seen(node, sight);
             if (gossip != null) {
                 witness.seen(
--- a/src/main/java/dillfront/router/recovery/Doubts.java
+++ b/src/main/java/dillfront/router/recovery/Doubts.java
@@ -10,8 +10,8 @@
  * The referenced txns that may have run and of which nobody knows whether they did, by group and
  * idempotency key. A client that asks again comes with a new id and the same key: by the id alone
  * it would be a new txn, and past the set's window it would have its effect twice. What is here
- * says since when it may have run; {@link dillfront.routing.Decide} then sends it only within the
- * window, and answers it with what promises nothing after that.
+ * says since when it may have run; {@link dillfront.routing.RoutingEngine} then sends it only
+ * within the window, and answers it with what promises nothing after that.
  *
  * <p>What an earlier life or another router tells has no time that could be trusted, since no clock
  * counts an outage: it may have run at any time, so its window counts as over. It restricts and
--- a/src/main/java/dillfront/router/recovery/Groups.java
+++ b/src/main/java/dillfront/router/recovery/Groups.java
@@ -1,6 +1,6 @@
 package dillfront.router.recovery;
 
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeRole;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,9 +15,9 @@
  *
  * <p>Guards against a former primary that is back first after a loss of power and still believes in
  * itself, or that an old list names: what it takes is lost to the group. Within a life {@link
- * dillfront.routing.Decide} believes the latest word, as nodes that hang must not hold a group.
- * Harm: where the one that led is gone for good, and still listed, writes of its group wait for
- * that time once, and clients are told to come back.
+ * dillfront.routing.RoutingEngine} believes the latest word, as nodes that hang must not hold a
+ * group. Harm: where the one that led is gone for good, and still listed, writes of its group wait
+ * for that time once, and clients are told to come back.
  *
  * <p>Pure: the caller has the clock, and feeds each word once. Rows are as many as lists name nodes
  * and groups.
@@ -71,7 +71,7 @@
         Duration started;
         Duration heardAt;
         boolean silent;
-        Role role;
+        NodeRole role;
         Duration position;
 
         Row(String id) {
@@ -184,7 +184,7 @@
     // ---- what nodes say
 
     /** A node answered; what it says of its role and its position, null where it does not. */
-    public void heard(int node, Role role, Duration position, Duration now) {
+    public void heard(int node, NodeRole role, Duration position, Duration now) {
         Row row = node < rows.size() ? rows.get(node) : null;
         if (row == null) {
             return;
@@ -198,9 +198,9 @@
         Place place = place(row.group);
         if (row.id.equals(place.former) && role != null) {
             // He has spoken: what he says now counts, and no longer what was.
-            place.confirmed = role == Role.PRIMARY;
+            place.confirmed = role == NodeRole.PRIMARY;
             place.former = place.confirmed ? place.former : null;
-        } else if (role == Role.PRIMARY && place.former != null && place.claimedAt == null) {
+        } else if (role == NodeRole.PRIMARY && place.former != null && place.claimedAt == null) {
             place.claimedAt = now;
         }
     }
@@ -275,7 +275,7 @@
     private static List<Row> leading(Place place) {
         List<Row> leading = new ArrayList<>();
         for (Row row : place.members) {
-            if (row.there() && row.role == Role.PRIMARY) {
+            if (row.there() && row.role == NodeRole.PRIMARY) {
                 leading.add(row);
             }
         }
@@ -292,7 +292,7 @@
             any |= row.there();
             all &= row.there() || !row.ready;
             cold |= row.ready && cold(row, now);
-            if (row.ready && row.role != Role.PRIMARY) {
+            if (row.ready && row.role != NodeRole.PRIMARY) {
                 replicas = true;
                 covered |=
                         row.there() && row.position != null && row.position.compareTo(began) >= 0;
--- a/src/main/java/dillfront/router/recovery/Reckoning.java
+++ b/src/main/java/dillfront/router/recovery/Reckoning.java
@@ -1,7 +1,7 @@
 package dillfront.router.recovery;
 
-import static dillfront.routing.api.Spans.seconds;
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.seconds;
+import static dillfront.routing.api.Durations.times;
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
--- a/src/main/java/dillfront/router/site/Sites.java
+++ b/src/main/java/dillfront/router/site/Sites.java
@@ -1,8 +1,8 @@
 package dillfront.router.site;
 
-import static dillfront.routing.api.Spans.later;
+import static dillfront.routing.api.Durations.later;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -70,7 +70,7 @@
     private static final class Row {
         final String site;
         boolean ready;
-        Sight.Health health = Sight.Health.UNKNOWN;
+        HealthObservation.Health health = HealthObservation.Health.UNKNOWN;
 
         Row(String site) {
             this.site = site;
@@ -136,7 +136,7 @@
     }
 
     /** What this router sees of a node now. */
-    public void seen(int node, Sight sight) {
+    public void seen(int node, HealthObservation sight) {
         if (node < rows.size() && rows.get(node) != null) {
             rows.get(node).health = sight.health();
         }
@@ -172,9 +172,10 @@
         for (Row row : rows) {
             if (row != null && row.ready && row.site.equals(site)) {
                 nodes++;
-                well += row.health == Sight.Health.WELL ? 1 : 0;
+                well += row.health == HealthObservation.Health.WELL ? 1 : 0;
                 ill +=
-                        row.health != Sight.Health.WELL && row.health != Sight.Health.UNKNOWN
+                        row.health != HealthObservation.Health.WELL
+                                        && row.health != HealthObservation.Health.UNKNOWN
                                 ? 1
                                 : 0;
             }
--- a/src/main/java/dillfront/routing/Decide.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -1,25 +1,25 @@
 package dillfront.routing;
 
-import static dillfront.routing.api.Spans.earlier;
-import static dillfront.routing.api.Spans.later;
-import static dillfront.routing.api.Spans.ratio;
-import static dillfront.routing.api.Spans.seconds;
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.earlier;
+import static dillfront.routing.api.Durations.later;
+import static dillfront.routing.api.Durations.ratio;
+import static dillfront.routing.api.Durations.seconds;
+import static dillfront.routing.api.Durations.times;
 
 import dillfront.router.recovery.Reckoning;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.Durations;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Spans;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -33,17 +33,17 @@
  * dillfront.routing.api} holds its interface types.
  *
  * <p>The caller sets the clock with {@link #at}, then makes one call per event: {@link #list},
- * {@link #take}, {@link #probed}, {@link #woken}, and on the {@link Handle} of a transaction {@link
- * Handle#ended} and {@link Handle#left}. The instance requests its actions from the {@link Outlet}
- * during the call. Times are durations since the zero of log positions, so that positions and times
- * compare directly.
+ * {@link #take}, {@link #probed}, {@link #woken}, and on the {@link TransactionHandle} of a
+ * transaction {@link TransactionHandle#ended} and {@link TransactionHandle#left}. The instance
+ * requests its actions from the {@link RoutingActions} during the call. Times are durations since
+ * the zero of log positions, so that positions and times compare directly.
  *
  * <p>Writes and strongly consistent reads go to the primary. Other reads go to the least loaded
  * replica that is known to be current enough, and a limited share of them to the primary while its
  * load is low. A read that a replica fails falls back to the primary; a time-out is reported to the
  * client. A transaction that no node can take is queued, and answered before its client's timeout.
  */
-public final class Decide {
+public final class RoutingEngine {
 
     /**
      * Number of slots for the last writes of sessions. Sessions that share a slot also wait for
@@ -219,8 +219,8 @@
 
     /** Learned state of one transaction type. */
     private static final class Type {
-        final TxnType set;
-        final Read read;
+        final TransactionType set;
+        final Consistency read;
         final Duration bound;
         final Duration sla;
         final boolean lateEarns;
@@ -240,10 +240,10 @@
          */
         double work;
 
-        Type(TxnType t, Duration anyBound) {
+        Type(TransactionType t, Duration anyBound) {
             set = t;
             read = t.read();
-            bound = read == Read.ANY ? anyBound : t.bound();
+            bound = read == Consistency.ANY ? anyBound : t.bound();
             sla = t.sla();
             lateEarns = t.lateShare() > 0;
             usual = times(sla, 0.25);
@@ -262,7 +262,9 @@
 
         /** Returns whether replicas may serve this type. */
         boolean routed() {
-            return read == Read.ANY || read == Read.BOUNDED || read == Read.SESSION;
+            return read == Consistency.ANY
+                    || read == Consistency.BOUNDED
+                    || read == Consistency.SESSION;
         }
 
         /**
@@ -276,7 +278,7 @@
          * Returns whether its reads keep a replica from applying the log beyond the tightest bound.
          */
         boolean stalling(Duration tightest) {
-            return read == Read.ANY && stalls > 0.5 && usual.compareTo(tightest) > 0;
+            return read == Consistency.ANY && stalls > 0.5 && usual.compareTo(tightest) > 0;
         }
     }
 
@@ -286,7 +288,7 @@
         Group group;
         boolean far;
         double size = 1;
-        Standing standing = Standing.GONE;
+        MemberState standing = MemberState.GONE;
         Duration started = NEVER;
         Duration position = NEVER;
 
@@ -409,8 +411,8 @@
         boolean searching;
     }
 
-    private Settings set;
-    private final Outlet outlet;
+    private RoutingSettings set;
+    private final RoutingActions outlet;
     private final RandomGenerator chance;
     private Type[] types;
     private List<Tenant> tenants;
@@ -483,7 +485,7 @@
      * @param set the settings of the deployment
      * @param outlet receives every action
      */
-    public Decide(Settings set, Outlet outlet, RandomGenerator chance) {
+    public RoutingEngine(RoutingSettings set, RoutingActions outlet, RandomGenerator chance) {
         this.outlet = outlet;
         this.chance = chance;
         Arrays.fill(written, NEVER);
@@ -495,12 +497,12 @@
      * typical response times are learned anew. A changed zone takes effect with the next member
      * list.
      */
-    public void settings(Settings next) {
+    public void settings(RoutingSettings next) {
         set = next;
         beat = next.step().multipliedBy(BEAT);
         tightest = null;
-        for (TxnType t : next.types()) {
-            Duration bound = t.read() != Read.BOUNDED ? tightest : t.bound();
+        for (TransactionType t : next.types()) {
+            Duration bound = t.read() != Consistency.BOUNDED ? tightest : t.bound();
             tightest = tightest == null ? bound : earlier(bound, tightest);
         }
         tightest = tightest == null ? next.dial() : tightest;
@@ -547,7 +549,11 @@
     public void list(boolean whole, List<NodeRow> rows) {
         if (whole) {
             nodes.forEach(
-                    n -> n.standing = n.standing == Standing.DRAINING ? n.standing : Standing.GONE);
+                    n ->
+                            n.standing =
+                                    n.standing == MemberState.DRAINING
+                                            ? n.standing
+                                            : MemberState.GONE);
         }
         following = askedAt.compareTo(NEVER) > 0;
         for (NodeRow row : rows) {
@@ -560,8 +566,8 @@
             // If nodes missing from the list stay open, a draining node stays closed until it is
             // listed as ready again.
             if (!set.goneStaysOpen()
-                    || n.standing != Standing.DRAINING
-                    || row.standing() != Standing.GONE) {
+                    || n.standing != MemberState.DRAINING
+                    || row.standing() != MemberState.GONE) {
                 n.standing = row.standing();
             }
             n.far = row.zone() != set.zone();
@@ -586,7 +592,7 @@
     private void gather() {
         groups.values().forEach(g -> g.members.clear());
         for (Node n : nodes) {
-            if (n.group != null && (n.standing != Standing.GONE || set.goneStaysOpen())) {
+            if (n.group != null && (n.standing != MemberState.GONE || set.goneStaysOpen())) {
                 n.group.members.add(n);
             }
         }
@@ -627,7 +633,7 @@
      * @param waited the time since the request's arrival at this router
      * @param ran since when an earlier try of the client may have executed the transaction, or null
      */
-    public Handle take(
+    public TransactionHandle take(
             int id,
             int type,
             int tenant,
@@ -652,7 +658,7 @@
             tenants.get(tenant).allowance++;
             t.spare = true;
         }
-        if (t.type.read == Read.SESSION) {
+        if (t.type.read == Consistency.SESSION) {
             if (token == null) {
                 t.need = session < 0 ? NEVER : written[session];
             } else if (!token.isZero()) {
@@ -672,7 +678,7 @@
     }
 
     /** State of one accepted transaction. */
-    private final class Txn implements Handle {
+    private final class Txn implements TransactionHandle {
         final int id;
         final Type type;
         final Group group;
@@ -740,7 +746,12 @@
 
         @Override
         public void ended(
-                int node, Result result, Duration took, boolean over, Report note, Report report) {
+                int node,
+                SubmissionResult result,
+                Duration took,
+                boolean over,
+                NodeReport note,
+                NodeReport report) {
             Node n = nodes.get(node);
             n.out--;
             if (searches) {
@@ -752,21 +763,23 @@
             // limited to the range that the pause permits.
             Duration least = took.minus(away.minus(sentAway));
             judge(n, type, result, later(least, earlier(took, times(type.usual, n.pace))));
-            if (result == Result.ERROR || result == Result.COMMITTED) {
-                blame(n, result == Result.ERROR);
+            if (result == SubmissionResult.ERROR || result == SubmissionResult.COMMITTED) {
+                blame(n, result == SubmissionResult.ERROR);
             }
-            Report seen = note;
-            if (result == Result.COMMITTED && type.read == Read.WRITE && note.position() != null) {
+            NodeReport seen = note;
+            if (result == SubmissionResult.COMMITTED
+                    && type.read == Consistency.WRITE
+                    && note.position() != null) {
                 // The commit's position is rounded up and an applied position down, so one
                 // millisecond less counts as applied.
-                seen = new Report(note.position().minusMillis(1), note.role());
+                seen = new NodeReport(note.position().minusMillis(1), note.role());
                 if (session >= 0) {
                     written[session] = later(written[session], note.position());
                 }
             }
             heard(node, seen, report);
-            if (result == Result.COMMITTED
-                    && note.role() == Role.REPLICA
+            if (result == SubmissionResult.COMMITTED
+                    && note.role() == NodeRole.REPLICA
                     && note.position() != null) {
                 double still = n.behind.compareTo(times(took, 0.5)) > 0 ? 1 : 0;
                 type.stalls += GAIN * (still - type.stalls);
@@ -810,8 +823,8 @@
         public boolean stands(int node) {
             Node n = nodes.get(node);
             boolean old =
-                    type.read == Read.FRESH
-                            || type.read == Read.BOUNDED
+                    type.read == Consistency.FRESH
+                            || type.read == Consistency.BOUNDED
                                     && n.position.compareTo(now.minus(type.bound)) < 0
                                     && !keepsUp(n, now.minus(type.bound));
             return !closed && listed(n) && remembered(this) && (!old || n == primary(group));
@@ -825,8 +838,8 @@
     }
 
     /** Continues a transaction whose submission ended without a final answer for the client. */
-    private void goOn(Txn t, Node n, Result result) {
-        if (result == Result.TIMED_OUT || result == Result.MOOT) {
+    private void goOn(Txn t, Node n, SubmissionResult result) {
+        if (result == SubmissionResult.TIMED_OUT || result == SubmissionResult.MOOT) {
             // Reported to the client, not submitted again: the statement would be as slow on
             // another node, and the client can retry.
             finish(t, Duration.ZERO);
@@ -835,12 +848,12 @@
         // While most errors are caused by the transactions, falling back would double the load of
         // the primary; a random share still falls back, to detect when that changes.
         boolean own = ownFault > 0.5 && chance.nextDouble() > FAIL_GAIN;
-        boolean lostRole = t.type.read == Read.WRITE && n.denied.equals(now);
-        if (result == Result.ERROR && (t.errors > 1 || own && !lostRole)) {
+        boolean lostRole = t.type.read == Consistency.WRITE && n.denied.equals(now);
+        if (result == SubmissionResult.ERROR && (t.errors > 1 || own && !lostRole)) {
             finish(t, t.type.sla);
             return;
         }
-        if (t.type.read == Read.WRITE && result == Result.MISS) {
+        if (t.type.read == Consistency.WRITE && result == SubmissionResult.MISS) {
             t.group.misses++;
             t.group.turn++;
         }
@@ -859,10 +872,10 @@
      * is idempotent, or its nodes still recognize its idempotency key.
      */
     private boolean remembered(Txn t) {
-        Effect effect = t.type.set.effect();
+        Repeatability effect = t.type.set.effect();
         return t.ranAt == null
-                || effect == Effect.REPEATABLE
-                || effect == Effect.REFERENCED
+                || effect == Repeatability.REPEATABLE
+                || effect == Repeatability.REFERENCED
                         && now.plus(set.step()).compareTo(t.ranAt.plus(t.type.set.window())) < 0;
     }
 
@@ -899,8 +912,9 @@
         t.closed = true;
         boolean harmless =
                 t.ranAt == null
-                        || t.type.set.effect() == Effect.REPEATABLE
-                        || t.type.set.effect() == Effect.REFERENCED && !t.type.set.groupDrops();
+                        || t.type.set.effect() == Repeatability.REPEATABLE
+                        || t.type.set.effect() == Repeatability.REFERENCED
+                                && !t.type.set.groupDrops();
         if (harmless) {
             outlet.decline(t.id, earlier(reckoning.back(pause, chance), set.maxPause()));
         } else {
@@ -936,7 +950,7 @@
             return false;
         }
         Duration limit =
-                t.type.lateEarns || t.type.read == Read.WRITE
+                t.type.lateEarns || t.type.read == Consistency.WRITE
                         ? left
                         : earlier(left, times(t.type.usual, PATIENCE));
         t.submissions++;
@@ -964,7 +978,9 @@
         if (pri != null && open(pri, 2 * room(pri, t))) {
             return pri;
         }
-        return t.type.read == Read.WRITE && (pri == null || !trusted(pri)) ? search(t) : null;
+        return t.type.read == Consistency.WRITE && (pri == null || !trusted(pri))
+                ? search(t)
+                : null;
     }
 
     /**
@@ -1003,13 +1019,13 @@
         }
         Node best = null;
         double least = Double.MAX_VALUE;
-        Duration need = t.type.read == Read.SESSION ? t.need : now.minus(t.type.bound);
+        Duration need = t.type.read == Consistency.SESSION ? t.need : now.minus(t.type.bound);
         for (Node n : g.members) {
             if (n == pri || !open(n, room(n, t))) {
                 continue;
             }
             boolean fresh = n.position.compareTo(need) >= 0 || keepsUp(n, need);
-            if (fresh || t.type.read == Read.ANY) {
+            if (fresh || t.type.read == Consistency.ANY) {
                 double load = busy(n, -Math.log(1 - chance.nextDouble())) * (fresh ? 1 : OLD);
                 if (load < least) {
                     best = n;
@@ -1082,7 +1098,8 @@
 
     /** Returns whether the member list permits new transactions to the node. */
     private boolean listed(Node n) {
-        return n.standing == Standing.READY || n.standing == Standing.GONE && set.goneStaysOpen();
+        return n.standing == MemberState.READY
+                || n.standing == MemberState.GONE && set.goneStaysOpen();
     }
 
     /**
@@ -1151,18 +1168,18 @@
      * @param note the state at this moment
      * @param report the state at some earlier time
      */
-    public void heard(int node, Report note, Report report) {
+    public void heard(int node, NodeReport note, NodeReport report) {
         Node n = nodes.get(node);
-        if (note.role() == Role.PRIMARY) {
+        if (note.role() == NodeRole.PRIMARY) {
             claim(n, now);
-        } else if (note.role() == Role.REPLICA) {
+        } else if (note.role() == NodeRole.REPLICA) {
             deny(n, now);
         }
         // A primary's position is the time of its report; a replica's position is older than its
         // report.
-        if (report.position() != null && report.role() == Role.PRIMARY) {
+        if (report.position() != null && report.role() == NodeRole.PRIMARY) {
             claim(n, report.position());
-        } else if (report.position() != null && report.role() == Role.REPLICA) {
+        } else if (report.position() != null && report.role() == NodeRole.REPLICA) {
             deny(n, report.position());
         }
         if (note.position() != null) {
@@ -1176,38 +1193,40 @@
     // ---- health
 
     /** Updates a node's health and concurrency limit with the result of a submission. */
-    private void judge(Node n, Type type, Result result, Duration took) {
-        if (result == Result.WITHDRAWN || result == Result.MOOT || result == Result.UNSENT) {
+    private void judge(Node n, Type type, SubmissionResult result, Duration took) {
+        if (result == SubmissionResult.WITHDRAWN
+                || result == SubmissionResult.MOOT
+                || result == SubmissionResult.UNSENT) {
             return;
         }
         boolean bad =
-                result == Result.TIMED_OUT
-                        || result == Result.UNREACHABLE
-                        || result == Result.RESET;
+                result == SubmissionResult.TIMED_OUT
+                        || result == SubmissionResult.UNREACHABLE
+                        || result == SubmissionResult.RESET;
         // Connections also break on healthy nodes, so a reset counts half; a node that is down
         // refuses the next connection.
         double gain =
-                result == Result.ERROR || result == Result.SPOILT
+                result == SubmissionResult.ERROR || result == SubmissionResult.SPOILT
                         ? 0
-                        : result == Result.UNREACHABLE
+                        : result == SubmissionResult.UNREACHABLE
                                 ? LOST_GAIN
-                                : result == Result.RESET ? FAIL_GAIN / 2 : FAIL_GAIN;
+                                : result == SubmissionResult.RESET ? FAIL_GAIN / 2 : FAIL_GAIN;
         n.failures += gain * ((bad ? 1 : 0) - n.failures);
         // A node that has only rejected work for this long counts as hung with a full queue.
         double since = ratio(now.minus(n.answeredAt), times(slowest(), PATIENCE));
-        if (!bad && result != Result.FULL) {
+        if (!bad && result != SubmissionResult.FULL) {
             n.quiet = now;
             n.silent = false;
             n.doubted = false;
             n.wellAt = now;
-        } else if (result == Result.FULL && since > 1) {
+        } else if (result == SubmissionResult.FULL && since > 1) {
             n.silent = true;
         }
         n.atOnce =
-                result == Result.UNREACHABLE
+                result == SubmissionResult.UNREACHABLE
                         ? took.compareTo(times(set.dial(), 0.5)) < 0
                         : n.atOnce;
-        if (result == Result.UNREACHABLE && failing(n)) {
+        if (result == SubmissionResult.UNREACHABLE && failing(n)) {
             n.lost = true;
         } else if (!bad && n.lost) {
             back(n);
@@ -1215,7 +1234,7 @@
         n.heardAt = bad ? n.heardAt : now;
         // The rarer the answers, the more weight each one has.
         double weight = Math.max(GAIN, Math.min(1, since));
-        if (result == Result.COMMITTED) {
+        if (result == SubmissionResult.COMMITTED) {
             reckoning.did(seconds(cost(type)), part(n));
             n.pace += weight * (Math.min(4, ratio(took, type.usual)) - n.pace);
             Duration usual = type.usual.plus(times(took.minus(type.usual), GAIN / 10));
@@ -1224,26 +1243,26 @@
         // More timeouts at this node than at most others indicate queued work there; otherwise they
         // indicate lost messages.
         boolean jammed =
-                result == Result.TIMED_OUT
+                result == SubmissionResult.TIMED_OUT
                         && (n.strain > STRAINED / 2 || n.failures > median + FAIL_GAIN / 2);
-        if (result == Result.COMMITTED || jammed) {
+        if (result == SubmissionResult.COMMITTED || jammed) {
             n.strain += weight * (Math.min(2, ratio(took, type.sla)) - n.strain);
             n.answeredAt = now;
         }
         // The limit is reduced from its actual use: the pending submissions or, without any, the
         // rate of submissions.
-        if (result == Result.FULL || n.strain > STRAINED) {
-            if (result == Result.FULL || now.compareTo(n.cutAt.plus(type.usual)) >= 0) {
+        if (result == SubmissionResult.FULL || n.strain > STRAINED) {
+            if (result == SubmissionResult.FULL || now.compareTo(n.cutAt.plus(type.usual)) >= 0) {
                 n.cutAt = now;
                 double used = n.out > 0 ? n.out : Math.min(1, ratio(typical, n.gap));
-                double cut = result == Result.FULL || jammed ? FULL_CUT : ROOM_CUT;
+                double cut = result == SubmissionResult.FULL || jammed ? FULL_CUT : ROOM_CUT;
                 // If the whole fleet is as slow, the limit stays at the fleet's peak without
                 // overload; a lower one would leave nodes idle.
-                boolean alone = result == Result.FULL || n.strain > strain * ALIKE;
+                boolean alone = result == SubmissionResult.FULL || n.strain > strain * ALIKE;
                 double least = alone ? roomLeast : Math.max(roomLeast, inWork * n.size);
                 n.room = Math.max(Math.min(n.room, least), Math.min(n.room, used) * cut);
             }
-        } else if (result == Result.COMMITTED && n.out + 1 >= n.room * 0.8) {
+        } else if (result == SubmissionResult.COMMITTED && n.out + 1 >= n.room * 0.8) {
             n.room += Math.min(n.room, 1 / n.room) * GAIN;
         }
     }
@@ -1330,20 +1349,20 @@
      * Returns the health of a node as this router observes it. Suspicion by peers shortens the
      * silence time here, but is not returned as this router's own evidence.
      */
-    public Sight sees(int node) {
+    public HealthObservation sees(int node) {
         Node n = nodes.get(node);
         boolean silent = !trusted(n) && n.silent && (n.out == 0 || mute(n, TOLD));
         boolean lately = n.wellAt.plus(times(slowest(), PATIENCE)).compareTo(now) > 0;
-        return new Sight(
+        return new HealthObservation(
                 n.lost
-                        ? Sight.Health.LOST
+                        ? HealthObservation.Health.LOST
                         : failing(n)
-                                ? Sight.Health.FAILING
+                                ? HealthObservation.Health.FAILING
                                 : silent
-                                        ? Sight.Health.SILENT
+                                        ? HealthObservation.Health.SILENT
                                         : lately && !n.silent
-                                                ? Sight.Health.WELL
-                                                : Sight.Health.UNKNOWN,
+                                                ? HealthObservation.Health.WELL
+                                                : HealthObservation.Health.UNKNOWN,
                 n.wellAt,
                 n.out > 0 && mute(n, TOLD) ? n.out : 0);
     }
@@ -1378,8 +1397,8 @@
     // ---- periodic work
 
     /**
-     * Runs the periodic work if due. The adapter calls this at the time that {@link Outlet#wake}
-     * set.
+     * Runs the periodic work if due. The adapter calls this at the time that {@link
+     * RoutingActions#wake} set.
      */
     public void woken() {
         if (now.compareTo(beatAt.plus(beat)) < 0) {
@@ -1396,7 +1415,7 @@
         List<Double> strains = new ArrayList<>();
         int out = 0;
         for (Node n : nodes) {
-            if (n.group != null && (n.standing == Standing.READY || listed(n) && !n.lost)) {
+            if (n.group != null && (n.standing == MemberState.READY || listed(n) && !n.lost)) {
                 warm += cold(n) ? 0 : n.size;
                 shares.add(n.failures);
                 strains.add(n.strain);
@@ -1404,15 +1423,15 @@
             }
             listed += n.group != null ? n.size : 0;
             cold +=
-                    n.group != null && n.standing == Standing.READY && !n.lost && cold(n)
+                    n.group != null && n.standing == MemberState.READY && !n.lost && cold(n)
                             ? n.size
                             : 0;
             if (n.room < 1) {
                 n.room *= Math.pow(2, seconds / (seconds(set.dial()) * back));
             }
         }
-        median = Spans.median(shares);
-        strain = Spans.median(strains);
+        median = Durations.median(shares);
+        strain = Durations.median(strains);
         double kept = reckoning.kept(seconds);
         inWork = warm > 0 && strain < STRAINED ? Math.max(inWork * kept, out / warm) : inWork;
         boolean easy = strains.isEmpty() || strains.get(strains.size() - 1) < STRAINED / 2;
@@ -1430,7 +1449,7 @@
             work += t.work;
             txns += t.work / seconds(t.usual);
             stalling += t.stalling(tightest) ? t.work : 0;
-            current += t.read == Read.BOUNDED || t.read == Read.SESSION ? t.work : 0;
+            current += t.read == Consistency.BOUNDED || t.read == Consistency.SESSION ? t.work : 0;
             t.work *= kept;
         }
         stallPart = stalling / Math.max(1e-9, stalling + current);
@@ -1524,12 +1543,12 @@
     }
 
     /** Records the result of a health check. */
-    public void probed(int node, boolean answered, Report report) {
+    public void probed(int node, boolean answered, NodeReport report) {
         Node n = nodes.get(node);
         n.probing = false;
         n.unheard |= n.lost && !answered;
         if (answered) {
-            heard(node, Report.NOTHING, report);
+            heard(node, NodeReport.NOTHING, report);
             if (n.lost) {
                 back(n);
             }
--- a/src/main/java/dillfront/routing/api/Read.java
+++ b/src/main/java/dillfront/routing/api/Consistency.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** How current the data read by a transaction type must be; writes go to the primary only. */
-public enum Read {
+public enum Consistency {
     /** Any replica, preferably within a multiple of the tightest staleness bound. */
     ANY,
 
--- a/src/main/java/dillfront/routing/api/Spans.java
+++ b/src/main/java/dillfront/routing/api/Durations.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** Arithmetic on durations. */
-public final class Spans {
+public final class Durations {
 
-    private Spans() {}
+    private Durations() {}
 
     /** Returns the duration multiplied by a factor. */
     public static Duration times(Duration span, double by) {
--- a/src/main/java/dillfront/routing/api/Sight.java
+++ b/src/main/java/dillfront/routing/api/HealthObservation.java
@@ -9,7 +9,7 @@
  * @param evidence the number of pending submissions that show the fault now; zero if only earlier
  *     submissions did
  */
-public record Sight(Health health, Duration wellAt, int evidence) {
+public record HealthObservation(Health health, Duration wellAt, int evidence) {
 
     /** State of a node; UNKNOWN if too few transactions were sent to it recently. */
     public enum Health {
--- a/src/main/java/dillfront/routing/api/Standing.java
+++ b/src/main/java/dillfront/routing/api/MemberState.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** State of a node in the member list. */
-public enum Standing {
+public enum MemberState {
     READY,
     DRAINING,
     GONE
--- a/src/main/java/dillfront/routing/api/Report.java
+++ b/src/main/java/dillfront/routing/api/NodeReport.java
@@ -9,7 +9,7 @@
  * @param position the log position up to which the node has applied every commit; null if unknown
  * @param role null if unknown
  */
-public record Report(Duration position, Role role) {
+public record NodeReport(Duration position, NodeRole role) {
 
-    public static final Report NOTHING = new Report(null, null);
+    public static final NodeReport NOTHING = new NodeReport(null, null);
 }
--- a/src/main/java/dillfront/routing/api/Role.java
+++ b/src/main/java/dillfront/routing/api/NodeRole.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** Replication role that a node reports. */
-public enum Role {
+public enum NodeRole {
     PRIMARY,
     REPLICA
 }
--- a/src/main/java/dillfront/routing/api/NodeRow.java
+++ b/src/main/java/dillfront/routing/api/NodeRow.java
@@ -17,4 +17,4 @@
         double size,
         boolean primary,
         Duration started,
-        Standing standing) {}
+        MemberState standing) {}
--- a/src/main/java/dillfront/routing/api/Effect.java
+++ b/src/main/java/dillfront/routing/api/Repeatability.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** Whether a transaction may be executed a second time. */
-public enum Effect {
+public enum Repeatability {
     /** A second execution is harmless. */
     REPEATABLE,
 
--- a/src/main/java/dillfront/routing/api/Outlet.java
+++ b/src/main/java/dillfront/routing/api/RoutingActions.java
@@ -6,7 +6,7 @@
  * Actions that the routing engine requests from its adapter. Transactions and nodes are identified
  * by the small indices that the caller assigned.
  */
-public interface Outlet {
+public interface RoutingActions {
 
     /** Sends the transaction to a node, with a limit on the time until its answer. */
     void submit(int txn, int node, Duration limit);
@@ -26,6 +26,6 @@
     /** Subscribes to changes of the member list, where the discovery service requires a request. */
     void follow();
 
-    /** Schedules the next call of {@link dillfront.routing.Decide#woken}. */
+    /** Schedules the next call of {@link dillfront.routing.RoutingEngine#woken}. */
     void wake(Duration in);
 }
--- a/src/main/java/dillfront/routing/api/Settings.java
+++ b/src/main/java/dillfront/routing/api/RoutingSettings.java
@@ -25,7 +25,7 @@
  * @param routers the number of routers that share the nodes
  * @param quotas the transactions per second, over all routers, in each tenant's share
  */
-public record Settings(
+public record RoutingSettings(
         Duration step,
         int zone,
         Duration dial,
@@ -42,5 +42,5 @@
         Duration tipAfter,
         double probePrice,
         int routers,
-        List<TxnType> types,
+        List<TransactionType> types,
         List<Double> quotas) {}
--- a/src/main/java/dillfront/routing/api/Result.java
+++ b/src/main/java/dillfront/routing/api/SubmissionResult.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** How a submission of a transaction to a node ended. */
-public enum Result {
+public enum SubmissionResult {
     COMMITTED(true),
 
     /** The node answered with a database error. */
@@ -32,7 +32,7 @@
 
     private final boolean mayHaveRun;
 
-    Result(boolean mayHaveRun) {
+    SubmissionResult(boolean mayHaveRun) {
         this.mayHaveRun = mayHaveRun;
     }
 
--- a/src/main/java/dillfront/routing/api/Handle.java
+++ b/src/main/java/dillfront/routing/api/TransactionHandle.java
@@ -6,7 +6,7 @@
  * Reports the progress of one accepted transaction to the routing engine. Submissions may end after
  * the client has its final answer; their results still update the node's health.
  */
-public interface Handle {
+public interface TransactionHandle {
 
     /**
      * Records the end of a submission to a node.
@@ -16,11 +16,17 @@
      * @param report the node's state in the load report attached to the answer, measured some time
      *     earlier
      */
-    void ended(int node, Result result, Duration took, boolean closed, Report note, Report report);
+    void ended(
+            int node,
+            SubmissionResult result,
+            Duration took,
+            boolean closed,
+            NodeReport note,
+            NodeReport report);
 
     /**
      * Checks again whether a submission may be sent after it waited for a new connection. If not,
-     * the adapter drops it and reports {@link Result#UNSENT}.
+     * the adapter drops it and reports {@link SubmissionResult#UNSENT}.
      */
     boolean stands(int node);
 
--- a/src/main/java/dillfront/routing/api/TxnType.java
+++ b/src/main/java/dillfront/routing/api/TransactionType.java
@@ -14,11 +14,11 @@
  * @param value the value of an answer within the SLA time
  * @param lateShare the share of the value that an answer after the SLA time still earns
  */
-public record TxnType(
-        Effect effect,
+public record TransactionType(
+        Repeatability effect,
         boolean groupDrops,
         Duration window,
-        Read read,
+        Consistency read,
         Duration bound,
         Duration sla,
         Duration longest,
--- a/src/main/java/dillfront/routing/package-info.java
+++ b/src/main/java/dillfront/routing/package-info.java
@@ -1,2 +1,4 @@
-/** Routing decisions of the database router, without I/O: {@link dillfront.routing.Decide}. */
+/**
+ * Routing decisions of the database router, without I/O: {@link dillfront.routing.RoutingEngine}.
+ */
 package dillfront.routing;
--- a/src/main/java/dillfront/routing/simulator/BadInput.java
+++ b/src/main/java/dillfront/routing/simulator/InvalidInputException.java
@@ -1,11 +1,11 @@
 package dillfront.routing.simulator;
 
 /** Thrown for input that violates the simulator's protocol; the message names line and error. */
-public final class BadInput extends Exception {
+public final class InvalidInputException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    BadInput(int line, String fault) {
+    InvalidInputException(int line, String fault) {
         super("line " + line + ": " + fault);
     }
 }
--- a/src/main/java/dillfront/routing/simulator/Instance.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import dillfront.router.config.Setup;
 import dillfront.router.config.Tree;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
@@ -21,11 +21,11 @@
 import java.util.random.RandomGenerator;
 
 /** One simulated router: its routing engine, and the indices assigned to the protocol's ids. */
-final class Instance implements Outlet {
+final class SimulatedRouter implements RoutingActions {
 
     private final int who;
     private final JsonGenerator reply;
-    private final Decide decide;
+    private final RoutingEngine decide;
     private final long zeroUs;
     private final Setup setup;
 
@@ -43,18 +43,18 @@
     /** Adapter state of one transaction; its slot is reused after the transaction has finished. */
     private static final class Txn {
         long corr;
-        Handle handle;
+        TransactionHandle handle;
         int out;
         boolean answered;
     }
 
-    Instance(int who, long seed, Tree setup, JsonGenerator reply) {
+    SimulatedRouter(int who, long seed, Tree setup, JsonGenerator reply) {
         this.who = who;
         this.reply = reply;
         this.setup = Setup.read(setup);
         zeroUs = setup.tree("familyInfo").whole("originTimeUs");
         RandomGenerator chance = new SplittableRandom(seed);
-        decide = new Decide(this.setup.settings(), this, chance);
+        decide = new RoutingEngine(this.setup.settings(), this, chance);
     }
 
     void at(long clockUs) {
@@ -81,9 +81,9 @@
                             entry.number("primary", 0) == 1,
                             started == 0 ? null : Tree.micros(started - zeroUs),
                             switch ((int) entry.whole("availability")) {
-                                case 1 -> Standing.READY;
-                                case 2 -> Standing.DRAINING;
-                                default -> Standing.GONE;
+                                case 1 -> MemberState.READY;
+                                case 2 -> MemberState.DRAINING;
+                                default -> MemberState.GONE;
                             }));
         }
         decide.list(whole, rows);
@@ -93,7 +93,7 @@
         decide.listFailed();
     }
 
-    void arrived(Event e) throws BadInput {
+    void arrived(SimulatorEvent e) throws InvalidInputException {
         Integer type = setup.types().get(e.qos);
         if (type == null) {
             throw e.fault("unknown qos '" + e.qos + "'");
@@ -127,9 +127,9 @@
         releaseIfOver(slot);
     }
 
-    void ended(Event e) throws BadInput {
-        Result result = e.result();
-        Report note = note(e.stand);
+    void ended(SimulatorEvent e) throws InvalidInputException {
+        SubmissionResult result = e.result();
+        NodeReport note = note(e.stand);
         Integer node = nodes.get(e.node);
         Integer slot = txns.get(e.corr);
         if (node == null) {
@@ -146,15 +146,16 @@
         releaseIfOver(slot);
     }
 
-    private static Report note(long note) {
+    private static NodeReport note(long note) {
         if (note == 0) {
-            return Report.NOTHING;
+            return NodeReport.NOTHING;
         }
         long ms = note / 4;
-        return new Report(ms == 0 ? null : Duration.ofMillis(ms), Event.role(note % 4));
+        return new NodeReport(
+                ms == 0 ? null : Duration.ofMillis(ms), SimulatorEvent.role(note % 4));
     }
 
-    void left(Event e) {
+    void left(SimulatorEvent e) {
         Integer slot = txns.get(e.corr);
         if (slot != null) {
             Txn txn = slots.get(slot);
@@ -164,10 +165,10 @@
         }
     }
 
-    void probed(Event e) throws BadInput {
+    void probed(SimulatorEvent e) throws InvalidInputException {
         Integer node = nodes.get(e.node);
         if (node != null) {
-            decide.probed(node, e.result() == Result.COMMITTED, e.report);
+            decide.probed(node, e.result() == SubmissionResult.COMMITTED, e.report);
         }
     }
 
--- a/src/main/java/dillfront/routing/simulator/Event.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import dillfront.router.config.Tree;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
+import dillfront.routing.api.SubmissionResult;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,20 +15,20 @@
  * One event of the simulator's protocol. The fields are named after their keys in the protocol; one
  * object is reused for every line.
  */
-final class Event {
+final class SimulatorEvent {
 
     /** Results by their number in the protocol. */
-    private static final Result[] RESULTS = {
+    private static final SubmissionResult[] RESULTS = {
         null,
-        Result.COMMITTED,
-        Result.ERROR,
-        Result.FULL,
-        Result.TIMED_OUT,
-        Result.UNREACHABLE,
-        Result.RESET,
-        Result.WITHDRAWN,
-        Result.MOOT,
-        Result.MISS
+        SubmissionResult.COMMITTED,
+        SubmissionResult.ERROR,
+        SubmissionResult.FULL,
+        SubmissionResult.TIMED_OUT,
+        SubmissionResult.UNREACHABLE,
+        SubmissionResult.RESET,
+        SubmissionResult.WITHDRAWN,
+        SubmissionResult.MOOT,
+        SubmissionResult.MISS
     };
 
     int line;
@@ -51,12 +51,12 @@
     int scope;
     boolean finished;
     boolean hasUser;
-    Report report;
+    NodeReport report;
     Tree setup;
     List<Tree> rows;
 
     /** Reads one event; returns false at the end of the input. */
-    boolean read(JsonParser json) throws IOException, BadInput {
+    boolean read(JsonParser json) throws IOException, InvalidInputException {
         clear();
         JsonToken token = json.nextToken();
         if (token == null) {
@@ -97,7 +97,7 @@
         lastWriteMs = Double.NaN;
         finished = false;
         hasUser = false;
-        report = Report.NOTHING;
+        report = NodeReport.NOTHING;
         setup = null;
         rows = null;
     }
@@ -148,31 +148,31 @@
      * Reads a load report. The node rounds its position to a millisecond, so one millisecond is
      * subtracted to stay below the actual position.
      */
-    private static Report telemetry(JsonParser json) throws IOException {
+    private static NodeReport telemetry(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
             json.skipChildren();
-            return Report.NOTHING;
+            return NodeReport.NOTHING;
         }
         Tree values = Tree.read(json);
         double x0 = values.number("x0", Double.NaN);
         double x1 = values.number("x1", Double.NaN);
-        return new Report(
+        return new NodeReport(
                 Double.isNaN(x0) ? null : Duration.ofMillis((long) Math.floor(x0 * 1000 - 1)),
-                Double.isNaN(x1) ? null : x1 == 1 ? Role.PRIMARY : Role.REPLICA);
+                Double.isNaN(x1) ? null : x1 == 1 ? NodeRole.PRIMARY : NodeRole.REPLICA);
     }
 
-    static Role role(long mark) {
-        return mark == 1 ? Role.PRIMARY : mark == 2 ? Role.REPLICA : null;
+    static NodeRole role(long mark) {
+        return mark == 1 ? NodeRole.PRIMARY : mark == 2 ? NodeRole.REPLICA : null;
     }
 
-    Result result() throws BadInput {
+    SubmissionResult result() throws InvalidInputException {
         if (ending < 1 || ending >= RESULTS.length) {
             throw fault("unknown ending " + ending);
         }
         return RESULTS[ending];
     }
 
-    BadInput fault(String what) {
-        return new BadInput(line, (kind == null ? "" : kind + ": ") + what);
+    InvalidInputException fault(String what) {
+        return new InvalidInputException(line, (kind == null ? "" : kind + ": ") + what);
     }
 }
--- a/src/main/java/dillfront/routing/simulator/Drill.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorServer.java
@@ -19,16 +19,16 @@
  * Serves the simulator's protocol: reads batches of events for many routers, one JSON object per
  * line, and writes one reply per batch.
  */
-public final class Drill {
+public final class SimulatorServer {
 
     private final JsonParser json;
     private final OutputStream out;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream(1 << 16);
     private final JsonGenerator reply;
-    private final Event event = new Event();
+    private final SimulatorEvent event = new SimulatorEvent();
 
     /** Router instances by id; a Destroy event removes its instance. */
-    private final Map<Integer, Instance> instances = new HashMap<>();
+    private final Map<Integer, SimulatedRouter> instances = new HashMap<>();
 
     /** Member lists by buffer number; the simulator reuses sixteen numbers. */
     private final Map<Integer, List<Tree>> tables = new HashMap<>();
@@ -37,7 +37,7 @@
      * @param in the simulator's events
      * @param out receives one reply per batch
      */
-    public Drill(InputStream in, OutputStream out) throws IOException {
+    public SimulatorServer(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
         json = factory.createParser(in);
         this.out = out;
@@ -46,7 +46,7 @@
     }
 
     /** Serves until the input ends. The reply to an invalid batch is not written. */
-    public void run() throws IOException, BadInput {
+    public void run() throws IOException, InvalidInputException {
         long clockUs = Long.MIN_VALUE;
         try {
             while (event.read(json)) {
@@ -70,7 +70,8 @@
                             ? "number out of range"
                             : bad.getOriginalMessage();
             int line = bad.getLocation() == null ? event.line : bad.getLocation().getLineNr();
-            throw new BadInput(line, "malformed: " + fault.lines().findFirst().orElse(""));
+            throw new InvalidInputException(
+                    line, "malformed: " + fault.lines().findFirst().orElse(""));
         }
         if (clockUs != Long.MIN_VALUE) {
             throw event.fault("input ends within a batch");
@@ -88,7 +89,7 @@
         pending.reset();
     }
 
-    private void handle(long clockUs) throws BadInput {
+    private void handle(long clockUs) throws InvalidInputException {
         switch (event.kind) {
             case "Table" -> {
                 if (event.rows == null || event.buffer < 0) {
@@ -100,7 +101,8 @@
                 if (event.setup == null || event.who < 0) {
                     throw event.fault("who or setup is missing");
                 }
-                Instance fresh = new Instance(event.who, event.seed, event.setup, reply);
+                SimulatedRouter fresh =
+                        new SimulatedRouter(event.who, event.seed, event.setup, reply);
                 fresh.at(clockUs);
                 instances.put(event.who, fresh);
             }
@@ -109,7 +111,7 @@
                 instances.remove(event.who);
             }
             case "Topology" -> {
-                Instance instance = instance(clockUs);
+                SimulatedRouter instance = instance(clockUs);
                 if (event.scope == 3) {
                     instance.listFailed();
                     return;
@@ -121,7 +123,7 @@
                 instance.list(event.scope != 0, rows);
             }
             case "NewRequest" -> {
-                Instance instance = instance(clockUs);
+                SimulatedRouter instance = instance(clockUs);
                 if (event.corr < 0 || event.expiresInUs < 0 || Double.isNaN(event.partitionNo)) {
                     throw event.fault("corr, expiresInUs or partitionNo is missing");
                 }
@@ -136,8 +138,8 @@
         }
     }
 
-    private Instance instance(long clockUs) throws BadInput {
-        Instance instance = instances.get(event.who);
+    private SimulatedRouter instance(long clockUs) throws InvalidInputException {
+        SimulatedRouter instance = instances.get(event.who);
         if (instance == null) {
             throw event.fault("unknown instance " + event.who);
         }
--- a/src/main/java/dillfront/simulation/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -1,17 +1,17 @@
 package dillfront.simulation;
 
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,9 +21,9 @@
 
 /**
  * A fleet that comes back cold as a whole, in virtual time: as many routers as there may be, each
- * deciding by {@link Decide} itself, before nodes that warm up as slowly as their settings allow
- * and fall over where they are pushed. Clients try again. Rougher than the world: one core a node,
- * one time for all statements, no connections, no lost messages. Same case, same run.
+ * deciding by {@link RoutingEngine} itself, before nodes that warm up as slowly as their settings
+ * allow and fall over where they are pushed. Clients try again. Rougher than the world: one core a
+ * node, one time for all statements, no connections, no lost messages. Same case, same run.
  */
 public final class Dark {
 
@@ -243,7 +243,7 @@
         }
     }
 
-    private final class Router implements Outlet {
+    private final class Router implements RoutingActions {
         final double startsAt;
 
         /** Some get several times the mean. */
@@ -251,7 +251,7 @@
 
         final long seed;
         double rate;
-        Decide decide;
+        RoutingEngine decide;
         private final List<Txn> txns = new ArrayList<>();
         private final List<Integer> free = new ArrayList<>();
 
@@ -261,7 +261,7 @@
         }
 
         void start() {
-            decide = new Decide(settings(), this, new SplittableRandom(seed));
+            decide = new RoutingEngine(settings(), this, new SplittableRandom(seed));
             decide.at(span(now));
             list();
         }
@@ -280,7 +280,7 @@
                                     1,
                                     node.leads(),
                                     span(node.startsAt),
-                                    Standing.READY));
+                                    MemberState.READY));
                 } else {
                     next = Math.min(next, node.startsAt - now);
                 }
@@ -359,9 +359,11 @@
                         decide.probed(
                                 node,
                                 true,
-                                new Report(
+                                new NodeReport(
                                         span(now),
-                                        nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA));
+                                        nodes.get(node).leads()
+                                                ? NodeRole.PRIMARY
+                                                : NodeRole.REPLICA));
                     });
         }
 
@@ -382,7 +384,7 @@
             final int slot;
             final Router client;
             final int tries;
-            Handle handle;
+            TransactionHandle handle;
             int out;
             boolean answered;
             boolean over;
@@ -401,14 +403,14 @@
                     done++;
                     first = Double.isNaN(first) ? now : first;
                 }
-                Role role = nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA;
+                NodeRole role = nodes.get(node).leads() ? NodeRole.PRIMARY : NodeRole.REPLICA;
                 handle.ended(
                         node,
-                        intime ? Result.COMMITTED : Result.TIMED_OUT,
+                        intime ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                         span(took),
                         answered,
-                        intime ? new Report(span(now), role) : Report.NOTHING,
-                        Report.NOTHING);
+                        intime ? new NodeReport(span(now), role) : NodeReport.NOTHING,
+                        NodeReport.NOTHING);
                 end();
             }
 
@@ -421,13 +423,13 @@
         }
     }
 
-    private Settings settings() {
-        List<TxnType> types =
+    private RoutingSettings settings() {
+        List<TransactionType> types =
                 List.of(
-                        type(Effect.REFERENCED, Read.WRITE, 6),
-                        type(Effect.REPEATABLE, Read.BOUNDED, 3),
-                        type(Effect.REPEATABLE, Read.ANY, 2));
-        return new Settings(
+                        type(Repeatability.REFERENCED, Consistency.WRITE, 6),
+                        type(Repeatability.REPEATABLE, Consistency.BOUNDED, 3),
+                        type(Repeatability.REPEATABLE, Consistency.ANY, 2));
+        return new RoutingSettings(
                 STEP,
                 0,
                 Duration.ofMillis(250),
@@ -448,8 +450,8 @@
                 List.of());
     }
 
-    private static TxnType type(Effect effect, Read read, double value) {
-        return new TxnType(
+    private static TransactionType type(Repeatability effect, Consistency read, double value) {
+        return new TransactionType(
                 effect,
                 true,
                 Duration.ofSeconds(2),
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -2,7 +2,7 @@
 
 import dillfront.common.logging.Log;
 import dillfront.router.memory.Memory;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import dillfront.simulation.processes.Audit;
 import dillfront.simulation.processes.Load;
 import dillfront.simulation.processes.Mix;
@@ -194,7 +194,7 @@
         try {
             Memory first = Memory.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                first.closed("s-" + i, Standing.DRAINING, i, i);
+                first.closed("s-" + i, MemberState.DRAINING, i, i);
             }
             CountDownLatch kept = new CountDownLatch(1);
             first.whenKept(well -> kept.countDown());
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -2,18 +2,18 @@
 
 import dillfront.router.discovery.Closings;
 import dillfront.router.recovery.Doubts;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,11 +26,11 @@
 
 /**
  * All that can happen in a world so small that it can be gone through: two routers that decide by
- * {@link Decide}, {@link Doubts} and {@link Closings} themselves, three nodes of one group, two
- * keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's end,
- * power lost by all, and time, in every order up to a depth. Each state is reached anew from the
- * beginning, so nothing in the decisions is copied; two orders are one state where each router has
- * had the same words at the same times, and the rest of the world is the same.
+ * {@link RoutingEngine}, {@link Doubts} and {@link Closings} themselves, three nodes of one group,
+ * two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's
+ * end, power lost by all, and time, in every order up to a depth. Each state is reached anew from
+ * the beginning, so nothing in the decisions is copied; two orders are one state where each router
+ * has had the same words at the same times, and the rest of the world is the same.
  *
  * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router
  * that lives has one answer by its expiry; nothing is sent to a node that a router knows to drain,
@@ -121,7 +121,7 @@
         final int key;
 
         final Duration at;
-        Handle handle;
+        TransactionHandle handle;
         int out;
         String answer;
         boolean ran;
@@ -150,8 +150,8 @@
         final Duration until;
         final Duration at;
         Where where;
-        Result result;
-        Report note;
+        SubmissionResult result;
+        NodeReport note;
 
         Sent(Ask ask, int node, Duration limit, Duration at, Where where) {
             this.ask = ask;
@@ -295,7 +295,7 @@
                                     () -> {
                                         breaks++;
                                         boolean yet = one.where == Where.OUT;
-                                        answered(one, Result.RESET);
+                                        answered(one, SubmissionResult.RESET);
                                         one.where = yet ? Where.STRAY : Where.OVER;
                                     }));
                 }
@@ -350,10 +350,10 @@
                 if ((one.where == Where.OUT || one.where == Where.BACK)
                         && one.until.compareTo(now) <= 0) {
                     boolean yet = one.where == Where.OUT;
-                    answered(one, Result.TIMED_OUT);
+                    answered(one, SubmissionResult.TIMED_OUT);
                     one.where = yet ? Where.STRAY : Where.OVER;
                 } else if (one.where == Where.WAITS && one.until.compareTo(now) <= 0) {
-                    answered(one, Result.UNSENT);
+                    answered(one, SubmissionResult.UNSENT);
                 }
             }
             for (Life life : lives) {
@@ -372,12 +372,15 @@
             boolean stray = one.where == Where.STRAY;
             one.where = stray ? Where.OVER : Where.BACK;
             int key = one.ask.key;
-            one.note = new Report(position[one.node], one.node == 0 ? Role.PRIMARY : Role.REPLICA);
+            one.note =
+                    new NodeReport(
+                            position[one.node],
+                            one.node == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA);
             if (key >= 0 && one.node != 0) {
-                one.result = Result.MISS;
+                one.result = SubmissionResult.MISS;
                 return;
             }
-            one.result = Result.COMMITTED;
+            one.result = SubmissionResult.COMMITTED;
             if (key >= 0 && (effect[key] == null || now.minus(effect[key]).compareTo(WINDOW) > 0)) {
                 effect[key] = now;
                 one.ask.ran = true;
@@ -395,7 +398,7 @@
             }
         }
 
-        void answered(Sent one, Result result) {
+        void answered(Sent one, SubmissionResult result) {
             one.where = Where.OVER;
             Life life = one.ask.of;
             if (lives[life.index] == life) {
@@ -444,7 +447,7 @@
     }
 
     /** One life of a router: the decisions, and the little that lies between them and the world. */
-    private static final class Life implements Outlet, Doubts.Keeper, Closings.Keeper {
+    private static final class Life implements RoutingActions, Doubts.Keeper, Closings.Keeper {
         final World world;
         final int index;
         final List<Ask> asks = new ArrayList<>();
@@ -457,7 +460,7 @@
         final TreeSet<String> unsynced = new TreeSet<>();
 
         final Duration began;
-        final Decide decide;
+        final RoutingEngine decide;
         final Doubts doubts;
         final Closings closings = new Closings();
         final Set<Integer> others = new TreeSet<>();
@@ -469,43 +472,43 @@
             this.index = index;
             began = world.now;
             doubts = new Doubts(new Doubts.Bounds(16, Duration.ofHours(1)), this);
-            decide = new Decide(settings(), this, new SplittableRandom(index));
+            decide = new RoutingEngine(settings(), this, new SplittableRandom(index));
         }
 
-        private static Settings settings() {
-            List<TxnType> types =
+        private static RoutingSettings settings() {
+            List<TransactionType> types =
                     List.of(
-                            new TxnType(
-                                    Effect.REFERENCED,
+                            new TransactionType(
+                                    Repeatability.REFERENCED,
                                     true,
                                     WINDOW,
-                                    Read.WRITE,
+                                    Consistency.WRITE,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     6,
                                     0.3),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.REPEATABLE,
                                     true,
                                     WINDOW,
-                                    Read.BOUNDED,
+                                    Consistency.BOUNDED,
                                     BOUND,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.REPEATABLE,
                                     true,
                                     WINDOW,
-                                    Read.ANY,
+                                    Consistency.ANY,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0));
-            return new Settings(
+            return new RoutingSettings(
                     Duration.ofMillis(5),
                     0,
                     TICK,
@@ -535,7 +538,7 @@
             if (world.plant != Plant.FORGETS_DRAINS) {
                 world.keptDrains
                         .get(index)
-                        .forEach(id -> closings.close(id, Standing.DRAINING, 0, 2));
+                        .forEach(id -> closings.close(id, MemberState.DRAINING, 0, 2));
             }
             decide.at(world.now);
             for (int key : world.keptKeys.get(index)) {
@@ -558,15 +561,16 @@
             words.add("list " + of + "@" + world.now.toMillis());
             List<NodeRow> rows = new ArrayList<>();
             for (int n = 0; n < NODES; n++) {
-                Standing said = of > 1 && n == 2 ? Standing.DRAINING : Standing.READY;
-                Standing holds = closings.heard("n" + n, said, 0, of);
+                MemberState said = of > 1 && n == 2 ? MemberState.DRAINING : MemberState.READY;
+                MemberState holds = closings.heard("n" + n, said, 0, of);
                 rows.add(new NodeRow(n, 0, 0, 1, n == 0, null, holds));
             }
             decide.at(world.now);
             decide.list(true, rows);
             if (world.plant == Plant.KEEPS_POSITIONS && world.started != null) {
                 // What a former life knew of the second replica, as if it held.
-                decide.heard(1, Report.NOTHING, new Report(world.started, Role.REPLICA));
+                decide.heard(
+                        1, NodeReport.NOTHING, new NodeReport(world.started, NodeRole.REPLICA));
             }
         }
 
@@ -646,11 +650,11 @@
             }
         }
 
-        void ended(Sent one, Result result) {
+        void ended(Sent one, SubmissionResult result) {
             Ask ask = one.ask;
             words.add("end " + asks.indexOf(ask) + result + one.node + "@" + world.now.toMillis());
             ask.out--;
-            boolean told = result == Result.COMMITTED && ask.answer == null;
+            boolean told = result == SubmissionResult.COMMITTED && ask.answer == null;
             if (ask.key >= 0) {
                 doubts.ended(ask.key, result.mayHaveRun(), told);
             }
@@ -661,14 +665,14 @@
                 }
             }
             decide.at(world.now);
-            boolean spoke = result == Result.COMMITTED || result == Result.MISS;
+            boolean spoke = result == SubmissionResult.COMMITTED || result == SubmissionResult.MISS;
             ask.handle.ended(
                     one.node,
                     result,
                     world.now.minus(one.at),
                     ask.answer != null,
-                    spoke ? one.note : Report.NOTHING,
-                    Report.NOTHING);
+                    spoke ? one.note : NodeReport.NOTHING,
+                    NodeReport.NOTHING);
             end(ask);
         }
 
@@ -708,7 +712,7 @@
                             && one.ask.handle.stands(one.node)) {
                         goes(one);
                     } else {
-                        world.answered(one, Result.UNSENT);
+                        world.answered(one, SubmissionResult.UNSENT);
                     }
                 }
             }
@@ -804,7 +808,7 @@
         }
 
         @Override
-        public void closed(String id, Standing standing, long startedMs, long of) {
+        public void closed(String id, MemberState standing, long startedMs, long of) {
             unsynced.add(id);
         }
 
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,25 +1,25 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.seconds;
 
 import dillfront.router.gossip.Gossip;
 import dillfront.router.gossip.Symptom;
 import dillfront.router.gossip.Tuning;
 import dillfront.router.peers.Neighbours;
 import dillfront.router.peers.Ring;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -207,9 +207,9 @@
                 && at.compareTo(script.hangs.plus(script.lasts)) < 0;
     }
 
-    private static Settings settings(int routers) {
+    private static RoutingSettings settings(int routers) {
         Duration ms = Duration.ofMillis(1);
-        return new Settings(
+        return new RoutingSettings(
                 ms.multipliedBy(5),
                 0,
                 DIAL,
@@ -227,31 +227,31 @@
                 0.012,
                 routers,
                 List.of(
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 false,
                                 Duration.ZERO,
-                                Read.BOUNDED,
+                                Consistency.BOUNDED,
                                 ms.multipliedBy(200),
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 3,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 false,
                                 Duration.ZERO,
-                                Read.ANY,
+                                Consistency.ANY,
                                 Duration.ZERO,
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REFERENCED,
+                        new TransactionType(
+                                Repeatability.REFERENCED,
                                 true,
                                 Duration.ofSeconds(2),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 Duration.ZERO,
                                 CLIENT,
                                 CLIENT,
@@ -263,7 +263,7 @@
     private static final class Txn {
         final int type;
         final Duration came;
-        Handle handle;
+        TransactionHandle handle;
         boolean over;
 
         Txn(int type, Duration came) {
@@ -273,12 +273,12 @@
     }
 
     /** One router; all of it on its own clockwork. */
-    final class Router implements Outlet, Neighbours.Decisions {
+    final class Router implements RoutingActions, Neighbours.Decisions {
 
         final int index;
         final Clockwork time;
         final Neighbours neighbours;
-        private final Decide decide;
+        private final RoutingEngine decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
 
@@ -300,7 +300,7 @@
             this.time = time;
             mine = new SplittableRandom(script.seed * 1_000_003 + index);
             decide =
-                    new Decide(
+                    new RoutingEngine(
                             settings(script.routers), this, new SplittableRandom(mine.nextLong()));
             neighbours = new Neighbours(tuning, script.routers, this);
             neighbours.speaksBy(() -> wire.of(index));
@@ -321,7 +321,7 @@
                                 1,
                                 n % script.members == 0,
                                 null,
-                                Standing.READY));
+                                MemberState.READY));
                 neighbours.known(n, "node-" + n);
             }
             decide.at(time.now());
@@ -409,7 +409,7 @@
         }
 
         @Override
-        public Sight sees(int node) {
+        public HealthObservation sees(int node) {
             return decide.sees(node);
         }
 
@@ -453,7 +453,8 @@
                         outAtHung -= node == script.hung ? 1 : 0;
                         Duration position =
                                 time.now().minusMillis(node % script.members == 0 ? 0 : 20);
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         boolean first = answers && !txn.over;
                         if (first) {
                             txn.over = true;
@@ -462,14 +463,15 @@
                                             <= (txn.type == 2 ? 750 : 300);
                             earned += timely ? VALUES[txn.type] : 0;
                         }
-                        Report note = answers ? new Report(position, role) : Report.NOTHING;
+                        NodeReport note =
+                                answers ? new NodeReport(position, role) : NodeReport.NOTHING;
                         txn.handle.ended(
                                 node,
-                                answers ? Result.COMMITTED : Result.TIMED_OUT,
+                                answers ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 time.now().minus(now),
                                 txn.over,
                                 note,
-                                Report.NOTHING);
+                                NodeReport.NOTHING);
                     });
         }
 
@@ -494,13 +496,14 @@
                     answers ? Duration.ofMillis(2) : DIAL,
                     () -> {
                         decide.at(time.now());
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         decide.probed(
                                 node,
                                 answers,
                                 answers
-                                        ? new Report(time.now().minusMillis(20), role)
-                                        : Report.NOTHING);
+                                        ? new NodeReport(time.now().minusMillis(20), role)
+                                        : NodeReport.NOTHING);
                     });
         }
 
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -9,7 +9,7 @@
 import dillfront.common.storage.StorageFolder;
 import dillfront.common.storage.TextStore;
 import dillfront.router.operator.Operator;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -570,9 +570,9 @@
     void aWordIsThereInTheNextLife() throws Exception {
         Path folder = dir.resolve("r1");
         Memory first = Memory.open(folder, "r1", log, Runnable::run);
-        first.closed("s-1", Standing.DRAINING, 7, 42);
-        first.closed("s-2", Standing.GONE, 0, 43);
-        first.closed("s-3", Standing.GONE, 0, 44);
+        first.closed("s-1", MemberState.DRAINING, 7, 42);
+        first.closed("s-2", MemberState.GONE, 0, 43);
+        first.closed("s-3", MemberState.GONE, 0, 44);
         first.opened("s-3");
         Operator.BadOperator held =
                 assertThrows(
@@ -590,8 +590,8 @@
         Memory second = Memory.open(folder, "r1", log, Runnable::run);
         assertEquals(
                 Set.of(
-                        new Memory.Closing("s-1", Standing.DRAINING, 7, 42),
-                        new Memory.Closing("s-2", Standing.GONE, 0, 43)),
+                        new Memory.Closing("s-1", MemberState.DRAINING, 7, 42),
+                        new Memory.Closing("s-2", MemberState.GONE, 0, 43)),
                 Set.copyOf(second.closings()));
         second.close();
     }
--- a/src/test/java/dillfront/router/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/PlannerTest.java
@@ -5,7 +5,7 @@
 
 import dillfront.router.plan.Estate.Kind;
 import dillfront.router.plan.Estate.Node;
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -89,7 +89,7 @@
                 }
             }
         }
-        Scene.compare("site-plans", trace);
+        RoutingHarness.compare("site-plans", trace);
     }
 
     /**
--- a/src/test/java/dillfront/router/recovery/DoubtsTest.java
+++ b/src/test/java/dillfront/router/recovery/DoubtsTest.java
@@ -1,12 +1,12 @@
 package dillfront.router.recovery;
 
-import static dillfront.routing.api.Role.PRIMARY;
-import static dillfront.routing.api.Role.REPLICA;
+import static dillfront.routing.api.NodeRole.PRIMARY;
+import static dillfront.routing.api.NodeRole.REPLICA;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -104,7 +104,7 @@
         trace.append("a second after 9 was met: ").append(doubts.size()).append(" are kept\n");
         doubts.expire(ms(1140));
         trace.append("a second after the others: ").append(doubts.size()).append('\n');
-        Scene.compare("doubts", trace);
+        RoutingHarness.compare("doubts", trace);
     }
 
     /**
@@ -242,6 +242,6 @@
         at(10, "n0 leads", other);
         at(2009, "just before the time is over", other);
         at(2010, "it is over", other);
-        Scene.compare("groups", trace);
+        RoutingHarness.compare("groups", trace);
     }
 }
--- a/src/test/java/dillfront/router/site/SitesTest.java
+++ b/src/test/java/dillfront/router/site/SitesTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.routing.Scene;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Sight.Health;
+import dillfront.routing.RoutingHarness;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.HealthObservation.Health;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
         for (int i = 0; i < 2; i++) {
             sites.seen(
                     (site.charAt(0) - 'a') * 2 + i,
-                    new Sight(health[i % health.length], Duration.ZERO, 0));
+                    new HealthObservation(health[i % health.length], Duration.ZERO, 0));
         }
     }
 
@@ -105,7 +105,7 @@
         to(13_000);
         sees("and b", "b", Health.WELL);
         to(16_000);
-        Scene.compare("sites", trace);
+        RoutingHarness.compare("sites", trace);
     }
 
     /** Guards against load that swings with a site that comes and goes ten times in a minute. */
@@ -121,6 +121,6 @@
         assertTrue(changes < 3 + 10, "it changed " + changes + " times for twenty");
         to(now + 60_000);
         trace.append("a minute later c is ").append(sites.states().get("c")).append('\n');
-        Scene.compare("sites-flap", trace);
+        RoutingHarness.compare("sites-flap", trace);
     }
 }
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -1,6 +1,6 @@
 package dillfront.routing;
 
-import static dillfront.routing.Scene.ms;
+import static dillfront.routing.RoutingHarness.ms;
 
 import dillfront.router.pace.Pace;
 import java.io.IOException;
@@ -58,19 +58,23 @@
                 .append(", of 5 ms: ")
                 .append(pace.takesMore(ms(1), ms(6)))
                 .append('\n');
-        Scene.compare("pace", trace);
+        RoutingHarness.compare("pace", trace);
     }
 
     /** Guards against a router that takes its own pause for silence or slowness of all nodes. */
     @Test
     void itsOwnPauseIsNoNodesFault() throws IOException {
         for (boolean told : new boolean[] {false, true}) {
-            Scene s = new Scene(false).three();
+            RoutingHarness s = new RoutingHarness(false).three();
             for (int i = 0; i < 40; i++) {
                 s.to(s.ms + 30);
-                s.well(s.take(Scene.FRESH), 20);
+                s.well(s.take(RoutingHarness.FRESH), 20);
             }
-            int[] out = {s.take(Scene.FRESH), s.take(Scene.FRESH), s.take(Scene.FRESH)};
+            int[] out = {
+                s.take(RoutingHarness.FRESH),
+                s.take(RoutingHarness.FRESH),
+                s.take(RoutingHarness.FRESH)
+            };
             s.trace.setLength(0);
             s.note(
                     (told ? "told of" : "not told of")
@@ -81,19 +85,19 @@
                 s.decide.late(ms(780));
             }
             s.note("two more before any answer is read");
-            s.take(Scene.FRESH);
-            s.take(Scene.FRESH);
+            s.take(RoutingHarness.FRESH);
+            s.take(RoutingHarness.FRESH);
             s.note("the answers");
             for (int txn : out) {
                 s.well(txn, 800);
             }
             s.note("six more");
             for (int i = 0; i < 6; i++) {
-                s.take(Scene.FRESH);
+                s.take(RoutingHarness.FRESH);
             }
             trace.append(s.trace);
         }
-        Scene.compare("own-pause", trace);
+        RoutingHarness.compare("own-pause", trace);
     }
 
     /**
@@ -102,13 +106,13 @@
      */
     @Test
     void whatLayInLineTooLongIsDeclinedWithATimeToComeBack() throws IOException {
-        Scene s = new Scene(false).three();
+        RoutingHarness s = new RoutingHarness(false).three();
         for (int waited : new int[] {0, 15, 100, 280, 600}) {
             s.note("waited " + waited + " ms of an SLA time of 400");
             s.waited = ms(waited);
-            s.take(Scene.FRESH);
+            s.take(RoutingHarness.FRESH);
             s.to(s.ms + 30);
         }
-        Scene.compare("in-line", s.trace);
+        RoutingHarness.compare("in-line", s.trace);
     }
 }
--- a/src/test/java/dillfront/routing/DecideTest.java
+++ b/src/test/java/dillfront/routing/RoutingEngineTest.java
@@ -1,19 +1,19 @@
 package dillfront.routing;
 
-import static dillfront.routing.Scene.ANY;
-import static dillfront.routing.Scene.FRESH;
-import static dillfront.routing.Scene.MOVE;
-import static dillfront.routing.Scene.ONCE;
-import static dillfront.routing.Scene.OWN;
-import static dillfront.routing.Scene.VIEW;
-import static dillfront.routing.Scene.ms;
-import static dillfront.routing.Scene.row;
-import static dillfront.routing.api.Role.PRIMARY;
-import static dillfront.routing.api.Role.REPLICA;
-
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Standing;
+import static dillfront.routing.RoutingHarness.ANY;
+import static dillfront.routing.RoutingHarness.FRESH;
+import static dillfront.routing.RoutingHarness.MOVE;
+import static dillfront.routing.RoutingHarness.ONCE;
+import static dillfront.routing.RoutingHarness.OWN;
+import static dillfront.routing.RoutingHarness.VIEW;
+import static dillfront.routing.RoutingHarness.ms;
+import static dillfront.routing.RoutingHarness.row;
+import static dillfront.routing.api.NodeRole.PRIMARY;
+import static dillfront.routing.api.NodeRole.REPLICA;
+
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.SubmissionResult;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,9 +22,9 @@
  * Each test runs a short sequence of events and compares the engine's actions with the expected
  * trace in src/test/resources/traces.
  */
-class DecideTest {
+class RoutingEngineTest {
 
-    private final Scene s = new Scene(false).three();
+    private final RoutingHarness s = new RoutingHarness(false).three();
 
     private void known(long position) {
         s.report(0, position, PRIMARY);
@@ -74,7 +74,7 @@
         s.note("the primary says that it is none, then drains");
         s.report(0, 206, REPLICA);
         s.connected(reads[3]);
-        s.change(row(0, false, null, Standing.DRAINING));
+        s.change(row(0, false, null, MemberState.DRAINING));
         s.connected(reads[2]);
         s.compare("connected-late");
     }
@@ -85,7 +85,7 @@
         known(5);
         int write = s.take(MOVE);
         s.to(60);
-        s.ended(write, Result.COMMITTED, 50, PRIMARY, 52);
+        s.ended(write, SubmissionResult.COMMITTED, 50, PRIMARY, 52);
         s.note("its writes stand at 52; the replicas are known to 5, then node 2 to 52");
         s.take(OWN);
         s.report(2, 52, REPLICA);
@@ -103,10 +103,10 @@
         int broken = s.take(ANY);
         int slow = s.take(OWN);
         s.to(20);
-        s.ended(refused, Result.MISS, 10, REPLICA, 5);
-        s.ended(broken, Result.RESET, 10, null, 0);
+        s.ended(refused, SubmissionResult.MISS, 10, REPLICA, 5);
+        s.ended(broken, SubmissionResult.RESET, 10, null, 0);
         s.to(700);
-        s.ended(slow, Result.TIMED_OUT, 600, null, 0);
+        s.ended(slow, SubmissionResult.TIMED_OUT, 600, null, 0);
         s.compare("errors-and-time-outs");
     }
 
@@ -118,9 +118,9 @@
         int once = s.take(ONCE);
         int untouched = s.take(ONCE);
         s.to(20);
-        s.ended(move, Result.RESET, 10, null, 0);
-        s.ended(once, Result.RESET, 10, null, 0);
-        s.ended(untouched, Result.UNREACHABLE, 10, null, 0);
+        s.ended(move, SubmissionResult.RESET, 10, null, 0);
+        s.ended(once, SubmissionResult.RESET, 10, null, 0);
+        s.ended(untouched, SubmissionResult.UNREACHABLE, 10, null, 0);
         s.to(2100);
         s.compare("may-have-run");
     }
@@ -131,9 +131,9 @@
         known(5);
         int write = s.take(ONCE);
         s.to(20);
-        s.ended(write, Result.MISS, 10, REPLICA, 5);
-        s.ended(write, Result.MISS, 5, REPLICA, 5);
-        s.ended(write, Result.MISS, 5, REPLICA, 5);
+        s.ended(write, SubmissionResult.MISS, 10, REPLICA, 5);
+        s.ended(write, SubmissionResult.MISS, 5, REPLICA, 5);
+        s.ended(write, SubmissionResult.MISS, 5, REPLICA, 5);
         s.note("one round of misses: waits until one says that it is the primary");
         s.to(300);
         s.report(2, 290, PRIMARY);
@@ -158,10 +158,10 @@
     void drainsAreKept() throws IOException {
         s.to(10);
         known(5);
-        s.change(row(1, false, null, Standing.DRAINING), row(2, false, null, Standing.GONE));
+        s.change(row(1, false, null, MemberState.DRAINING), row(2, false, null, MemberState.GONE));
         s.take(VIEW);
         s.take(ANY);
-        s.change(row(0, true, null, Standing.DRAINING));
+        s.change(row(0, true, null, MemberState.DRAINING));
         s.take(MOVE, 500, null);
         s.to(600);
         s.compare("drains");
@@ -171,7 +171,7 @@
     void aColdNodeIsRampedUp() throws IOException {
         s.to(10);
         known(5);
-        s.change(row(1, false, ms(10), Standing.READY));
+        s.change(row(1, false, ms(10), MemberState.READY));
         for (int quarter = 0; quarter < 4; quarter++) {
             int[] went = new int[3];
             s.mute(
@@ -220,7 +220,7 @@
 
     @Test
     void refusingNodesAreTriedUntilTheyRefuse() throws IOException {
-        Scene r = new Scene(true).three();
+        RoutingHarness r = new RoutingHarness(true).three();
         r.to(10);
         r.report(0, 5, PRIMARY);
         r.report(1, 5, REPLICA);
@@ -229,7 +229,7 @@
                 "node 1 is known to 5 only, and it is 600: it may be tried, as it turns away what it cannot answer");
         int view = r.take(VIEW);
         r.to(605);
-        r.ended(view, Result.MISS, 5, REPLICA, 0);
+        r.ended(view, SubmissionResult.MISS, 5, REPLICA, 0);
         r.note("it has refused one: no more until it is known past that");
         r.take(OWN, 2000, ms(100));
         r.report(1, 606, REPLICA);
@@ -244,15 +244,15 @@
      */
     @Test
     void whatIsWronglyListedAsGoneServesOn() throws IOException {
-        Scene r = new Scene(false, false, true).three();
+        RoutingHarness r = new RoutingHarness(false, false, true).three();
         r.to(10);
         r.report(0, 9, PRIMARY);
         r.report(1, 9, REPLICA);
         r.report(2, 9, REPLICA);
-        r.change(row(2, false, null, Standing.DRAINING));
+        r.change(row(2, false, null, MemberState.DRAINING));
         r.note("node 2 drains, then the list calls all three gone");
         r.decide.list(true, List.of());
-        r.change(row(2, false, null, Standing.GONE));
+        r.change(row(2, false, null, MemberState.GONE));
         int view = r.take(VIEW);
         int move = r.take(MOVE);
         r.to(60);
@@ -265,7 +265,7 @@
             int one = r.take(ANY);
             r.to(r.ms + 50);
             if (r.whereIs(one) == 1) {
-                r.ended(one, Result.UNREACHABLE, 1, null, 0);
+                r.ended(one, SubmissionResult.UNREACHABLE, 1, null, 0);
             } else {
                 r.well(one, 50);
             }
@@ -273,16 +273,16 @@
         r.note("node 1 forgotten now: " + r.decide.forget(1));
         r.mute(
                 () -> {
-                    r.decide.probed(1, false, Report.NOTHING);
+                    r.decide.probed(1, false, NodeReport.NOTHING);
                     r.to(r.ms + 17_000);
-                    r.decide.probed(1, false, Report.NOTHING);
+                    r.decide.probed(1, false, NodeReport.NOTHING);
                 });
         r.note(
                 "and 17 s later: "
                         + r.decide.forget(1)
                         + "; node 0, which answers: "
                         + r.decide.forget(0));
-        r.change(row(2, false, null, Standing.READY));
+        r.change(row(2, false, null, MemberState.READY));
         r.note("node 2 is listed as ready again");
         r.take(ANY);
         r.compare("wrong-list");
@@ -291,7 +291,7 @@
     /** Guards against reads that each wait 100 ms at a replica that is known to lag. */
     @Test
     void aReadThatWaitedInVainTellsHowFarBehindItsReplicaIs() throws IOException {
-        Scene r = new Scene(true).three();
+        RoutingHarness r = new RoutingHarness(true).three();
         r.to(1000);
         r.report(0, 995, PRIMARY);
         r.report(1, 500, REPLICA);
@@ -300,7 +300,7 @@
         int view = r.take(VIEW);
         r.to(1100);
         r.note("it waited for 100 ms there, and the replica was at 700");
-        r.ended(view, Result.MISS, 100, REPLICA, 700);
+        r.ended(view, SubmissionResult.MISS, 100, REPLICA, 700);
         r.to(1110);
         r.take(VIEW);
         r.take(VIEW);
@@ -350,7 +350,7 @@
      */
     @Test
     void readsThatStallGoToTheReplicaFurthestBehind() throws IOException {
-        Scene r = new Scene(true, false, false, 2000).three();
+        RoutingHarness r = new RoutingHarness(true, false, false, 2000).three();
         r.to(10);
         r.report(1, 5, REPLICA);
         r.report(2, 8, REPLICA);
@@ -360,20 +360,20 @@
         r.note(
                 "their answers come from positions that stood still: node 1 keeps them, current reads go to node 2");
         for (int txn : long1) {
-            r.ended(txn, Result.COMMITTED, 390, REPLICA, 6);
+            r.ended(txn, SubmissionResult.COMMITTED, 390, REPLICA, 6);
         }
         r.report(2, 395, REPLICA);
         int view = r.take(VIEW);
         int more = r.take(ANY);
         r.to(800);
-        r.ended(view, Result.COMMITTED, 100, REPLICA, 795);
-        r.ended(more, Result.COMMITTED, 400, REPLICA, 7);
+        r.ended(view, SubmissionResult.COMMITTED, 100, REPLICA, 795);
+        r.ended(more, SubmissionResult.COMMITTED, 400, REPLICA, 7);
         r.mute(
                 () -> {
                     for (int i = 0; i < 6; i++) {
                         int one = r.take(ANY);
                         r.to(r.ms + 400);
-                        r.ended(one, Result.COMMITTED, 400, REPLICA, r.ms - 10);
+                        r.ended(one, SubmissionResult.COMMITTED, 400, REPLICA, r.ms - 10);
                     }
                 });
         r.note("six answers told of positions that went on: it stalls nothing, and goes to either");
@@ -426,7 +426,7 @@
 
     @Test
     void probesArePaidFor() throws IOException {
-        Scene r = new Scene(false).showProbes().three();
+        RoutingHarness r = new RoutingHarness(false).showProbes().three();
         r.note("a fresh router probes each once, then only as its txns pay for");
         r.to(3000);
         r.take(ANY);
@@ -443,7 +443,7 @@
                     for (int i = 0; i < 12; i++) {
                         s.to(s.ms + 50);
                         known(s.ms);
-                        s.ended(s.take(ANY), Result.UNREACHABLE, 1, null, 0);
+                        s.ended(s.take(ANY), SubmissionResult.UNREACHABLE, 1, null, 0);
                     }
                 });
         s.note(
@@ -479,12 +479,12 @@
 
     @Test
     void whereTheListIsAskedForAndGoneStaysOpen() throws IOException {
-        Scene r = new Scene(false, true, true).three();
+        RoutingHarness r = new RoutingHarness(false, true, true).three();
         r.to(30);
         r.note(
                 "node 1 is gone from the list, which proves nothing here; node 2 drains first, and stays closed");
-        r.change(row(1, false, null, Standing.GONE), row(2, false, null, Standing.DRAINING));
-        r.change(row(2, false, null, Standing.GONE));
+        r.change(row(1, false, null, MemberState.GONE), row(2, false, null, MemberState.DRAINING));
+        r.change(row(2, false, null, MemberState.GONE));
         r.report(1, 25, REPLICA);
         r.report(2, 25, REPLICA);
         r.take(VIEW);
@@ -511,14 +511,14 @@
                 });
         s.note("last heard at 985; time-outs, and much later no connections");
         for (int txn : new int[] {s.take(FRESH), s.take(FRESH), s.take(FRESH), s.take(FRESH)}) {
-            s.ended(txn, Result.TIMED_OUT, 1000, null, 0);
+            s.ended(txn, SubmissionResult.TIMED_OUT, 1000, null, 0);
         }
         s.to(6500);
-        s.ended(s.take(FRESH), Result.UNREACHABLE, 250, null, 0);
+        s.ended(s.take(FRESH), SubmissionResult.UNREACHABLE, 250, null, 0);
         s.to(9000);
         s.note(
                 "at 9000 its first probe is lost as well, the next is answered: it still is the primary");
-        s.decide.probed(0, false, Report.NOTHING);
+        s.decide.probed(0, false, NodeReport.NOTHING);
         s.to(9250);
         s.report(0, 9240, PRIMARY);
         int[] went = new int[2];
@@ -544,13 +544,18 @@
     void aNodeOutOfReachAnswersAProbeFirst() throws IOException {
         s.to(10);
         known(5);
-        s.change(row(1, false, null, Standing.GONE));
+        s.change(row(1, false, null, MemberState.GONE));
         for (int i = 0; i < 6; i++) {
             s.to(s.ms + 500);
             s.report(0, s.ms, PRIMARY);
             s.mute(() -> s.report(2, s.ms, REPLICA));
             int txn = s.take(ONCE, 1500, null);
-            s.ended(txn, i < 3 ? Result.UNREACHABLE : Result.COMMITTED, 1, PRIMARY, s.ms);
+            s.ended(
+                    txn,
+                    i < 3 ? SubmissionResult.UNREACHABLE : SubmissionResult.COMMITTED,
+                    1,
+                    PRIMARY,
+                    s.ms);
         }
         s.to(6000);
         s.compare("out-of-reach");
@@ -562,10 +567,10 @@
         s.mute(
                 () -> {
                     for (int i = 0; i < 4; i++) {
-                        s.ended(fresh, Result.UNREACHABLE, took, null, 0);
+                        s.ended(fresh, SubmissionResult.UNREACHABLE, took, null, 0);
                         s.to(s.ms + 1500);
                         s.report(0, s.ms, PRIMARY);
-                        s.ended(s.take(ONCE), Result.UNREACHABLE, took, null, 0);
+                        s.ended(s.take(ONCE), SubmissionResult.UNREACHABLE, took, null, 0);
                     }
                     s.to(s.ms + 200);
                 });
@@ -606,8 +611,8 @@
             known(s.ms);
             int bad = s.take(VIEW);
             s.to(s.ms + 20);
-            s.ended(bad, Result.ERROR, 5, null, 0);
-            s.ended(bad, Result.ERROR, 5, null, 0);
+            s.ended(bad, SubmissionResult.ERROR, 5, null, 0);
+            s.ended(bad, SubmissionResult.ERROR, 5, null, 0);
         }
         s.note("no node has lost its standing");
         known(s.ms);
@@ -627,7 +632,7 @@
         int[] txns = {s.take(VIEW), s.take(MOVE), s.take(ONCE)};
         s.to(30);
         for (int txn : txns) {
-            s.ended(txn, Result.SPOILT, 20, null, 0);
+            s.ended(txn, SubmissionResult.SPOILT, 20, null, 0);
         }
         s.mute(
                 () -> {
@@ -635,7 +640,7 @@
                         known(s.ms);
                         int bad = s.take(ANY);
                         s.to(s.ms + 20);
-                        s.ended(bad, Result.SPOILT, 20, null, 0);
+                        s.ended(bad, SubmissionResult.SPOILT, 20, null, 0);
                         s.well(bad, 20);
                     }
                 });
@@ -659,7 +664,7 @@
         int write = s.take(MOVE);
         for (int i = 0; i < 4; i++) {
             s.to(s.ms + 1);
-            s.ended(write, Result.RESET, 0, null, 0);
+            s.ended(write, SubmissionResult.RESET, 0, null, 0);
         }
         s.note("a fresh read still goes there");
         s.take(FRESH);
@@ -667,7 +672,7 @@
         s.mute(
                 () -> {
                     for (int i = 0; i < 12; i++) {
-                        s.ended(s.take(ONCE), Result.RESET, 0, null, 0);
+                        s.ended(s.take(ONCE), SubmissionResult.RESET, 0, null, 0);
                     }
                 });
         s.note("where no more than resets comes it is left out, but for trials");
@@ -685,7 +690,7 @@
         s.to(10);
         known(5);
         int[] reads = {s.take(ANY), s.take(ANY), s.take(ANY)};
-        s.change(row(1, false, null, Standing.GONE));
+        s.change(row(1, false, null, MemberState.GONE));
         s.note("listed: " + s.decide.forget(2) + ", something out: " + s.decide.forget(1));
         s.to(20);
         for (int read : reads) {
@@ -694,7 +699,7 @@
         s.note("all ended: " + s.decide.forget(1));
         s.to(2000);
         s.note("the index names a new node, of which nothing is known: it is probed");
-        s.showProbes().change(row(1, false, ms(1990), Standing.READY));
+        s.showProbes().change(row(1, false, ms(1990), MemberState.READY));
         s.compare("row-given-back");
     }
 
@@ -709,7 +714,7 @@
             s.mute(() -> known(s.ms));
             int write = s.take(ONCE, 300, null);
             while (s.whereIs(write) >= 0) {
-                s.ended(write, Result.FULL, 1, null, 0);
+                s.ended(write, SubmissionResult.FULL, 1, null, 0);
             }
         }
         s.compare("only-full");
--- a/src/test/java/dillfront/routing/Scene.java
+++ b/src/test/java/dillfront/routing/RoutingHarness.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -30,7 +30,7 @@
  * Runs one routing engine on a simulated clock and records its actions, one per line, in a trace
  * that is compared with an expected one.
  */
-public final class Scene implements Outlet {
+public final class RoutingHarness implements RoutingActions {
 
     static final int VIEW = 0;
     static final int OWN = 1;
@@ -41,11 +41,11 @@
     private static final String[] NAMES = {"view", "own", "any", "fresh", "move", "once"};
 
     final StringBuilder trace = new StringBuilder();
-    final List<Handle> txns = new ArrayList<>();
+    final List<TransactionHandle> txns = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
     private boolean showProbes;
     private long wakeAt = -1;
-    final Decide decide;
+    final RoutingEngine decide;
     long ms;
 
     /** Time that requests spend in the router's receive queue before they are accepted. */
@@ -57,11 +57,11 @@
     /**
      * @param nodesRefuse whether nodes reject reads that they are too far behind for
      */
-    Scene(boolean nodesRefuse) {
+    RoutingHarness(boolean nodesRefuse) {
         this(nodesRefuse, false, false);
     }
 
-    Scene(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen) {
+    RoutingHarness(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen) {
         this(nodesRefuse, listAsked, goneStaysOpen, 300);
     }
 
@@ -69,72 +69,72 @@
      * @param anySla the SLA time of eventually consistent reads in ms; their typical response time
      *     starts at a quarter of it
      */
-    Scene(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen, long anySla) {
-        List<TxnType> types =
+    RoutingHarness(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen, long anySla) {
+        List<TransactionType> types =
                 List.of(
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Read.BOUNDED,
+                                Consistency.BOUNDED,
                                 ms(200),
                                 ms(300),
                                 ms(2000),
                                 3,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Read.SESSION,
+                                Consistency.SESSION,
                                 ms(0),
                                 ms(600),
                                 ms(2000),
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Read.ANY,
+                                Consistency.ANY,
                                 ms(0),
                                 ms(anySla),
                                 ms(2000),
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Read.FRESH,
+                                Consistency.FRESH,
                                 ms(0),
                                 ms(400),
                                 ms(2000),
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REFERENCED,
+                        new TransactionType(
+                                Repeatability.REFERENCED,
                                 true,
                                 ms(2000),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 ms(0),
                                 ms(750),
                                 ms(2000),
                                 6,
                                 0.3),
-                        new TxnType(
-                                Effect.ONCE_ONLY,
+                        new TransactionType(
+                                Repeatability.ONCE_ONLY,
                                 true,
                                 ms(2000),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 ms(0),
                                 ms(750),
                                 ms(2000),
                                 6,
                                 0.3));
         decide =
-                new Decide(
-                        new Settings(
+                new RoutingEngine(
+                        new RoutingSettings(
                                 ms(5),
                                 0,
                                 ms(250),
@@ -163,17 +163,17 @@
     }
 
     /** Lists three members of one group in this zone, with node 0 as the primary. */
-    Scene three() {
+    RoutingHarness three() {
         decide.list(
                 true,
                 List.of(
-                        row(0, true, null, Standing.READY),
-                        row(1, false, null, Standing.READY),
-                        row(2, false, null, Standing.READY)));
+                        row(0, true, null, MemberState.READY),
+                        row(1, false, null, MemberState.READY),
+                        row(2, false, null, MemberState.READY)));
         return this;
     }
 
-    static NodeRow row(int node, boolean primary, Duration started, Standing standing) {
+    static NodeRow row(int node, boolean primary, Duration started, MemberState standing) {
         return new NodeRow(node, 7, 0, 1, primary, started, standing);
     }
 
@@ -193,7 +193,7 @@
         decide.at(ms(ms));
     }
 
-    Scene showProbes() {
+    RoutingHarness showProbes() {
         showProbes = true;
         return this;
     }
@@ -202,9 +202,9 @@
     void well(int txn, long took) {
         ended(
                 txn,
-                Result.COMMITTED,
+                SubmissionResult.COMMITTED,
                 took,
-                at.getOrDefault(txn, 0) == 0 ? Role.PRIMARY : Role.REPLICA,
+                at.getOrDefault(txn, 0) == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA,
                 ms);
     }
 
@@ -218,8 +218,8 @@
     }
 
     /** Delivers a node's report as the answer to a probe. */
-    void report(int node, long position, Role role) {
-        decide.probed(node, true, new Report(ms(position), role));
+    void report(int node, long position, NodeRole role) {
+        decide.probed(node, true, new NodeReport(ms(position), role));
     }
 
     /** Runs steps without recording them in the trace. */
@@ -263,17 +263,17 @@
                 "%s connected to node %d: %s",
                 names.get(txn), at.get(txn), stands ? "goes" : "goes no more");
         if (!stands) {
-            ended(txn, Result.UNSENT, 0, null, 0);
+            ended(txn, SubmissionResult.UNSENT, 0, null, 0);
         }
     }
 
     /** Ends the transaction's pending submission, if there is one. */
-    void ended(int txn, Result result, long took, Role role, long position) {
+    void ended(int txn, SubmissionResult result, long took, NodeRole role, long position) {
         if (!at.containsKey(txn)) {
             return;
         }
         int node = at.remove(txn);
-        boolean closed = result == Result.COMMITTED;
+        boolean closed = result == SubmissionResult.COMMITTED;
         trace.append(String.format("%5d   %s at node %d: %s\n", ms, names.get(txn), node, result));
         txns.get(txn)
                 .ended(
@@ -281,8 +281,8 @@
                         result,
                         ms(took),
                         closed,
-                        new Report(role == null ? null : ms(position), role),
-                        Report.NOTHING);
+                        new NodeReport(role == null ? null : ms(position), role),
+                        NodeReport.NOTHING);
     }
 
     /**
@@ -298,7 +298,8 @@
         Path seen = Path.of("target", "traces", name + ".txt");
         Files.createDirectories(seen.getParent());
         Files.writeString(seen, trace);
-        try (InputStream kept = Scene.class.getResourceAsStream("/traces/" + name + ".txt")) {
+        try (InputStream kept =
+                RoutingHarness.class.getResourceAsStream("/traces/" + name + ".txt")) {
             assertNotNull(kept, () -> "no expected trace in src/test/resources/traces for " + name);
             assertEquals(new String(kept.readAllBytes(), StandardCharsets.UTF_8), trace.toString());
         }
--- a/src/test/java/dillfront/routing/simulator/DrillTest.java
+++ b/src/test/java/dillfront/routing/simulator/SimulatorServerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Replies of the simulator adapter to small batches, and its errors for invalid input. */
-class DrillTest {
+class SimulatorServerTest {
 
     private static final String SETUP =
             "{'az':'a','zones':['a','b'],'stepUs':5000,'new':{'x':[1,{}]},"
@@ -32,8 +32,8 @@
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
-    private String run(String wire) throws IOException, BadInput {
-        new Drill(
+    private String run(String wire) throws IOException, InvalidInputException {
+        new SimulatorServer(
                         new ByteArrayInputStream(
                                 wire.replace('\'', '"').getBytes(StandardCharsets.UTF_8)),
                         out)
@@ -91,7 +91,8 @@
         };
         for (String[] fault : faults) {
             out.reset();
-            BadInput bad = assertThrows(BadInput.class, () -> run(fault[0]), fault[1]);
+            InvalidInputException bad =
+                    assertThrows(InvalidInputException.class, () -> run(fault[0]), fault[1]);
             assertTrue(
                     bad.getMessage().startsWith(fault[1]), bad.getMessage() + " for " + fault[1]);
             assertEquals(1, out.toString(StandardCharsets.UTF_8).split("Yield").length - 1);
