--- a/src/main/java/dillfront/bootstrap/SettingsSource.java
+++ b/src/main/java/dillfront/bootstrap/SettingsSource.java
@@ -10,5 +10,5 @@
      *
      * @throws NodeSettings.InvalidSettingsException with the file, the place and the fault
      */
-    NodeSettings read() throws NodeSettings.InvalidSettingsException;
+    NodeSettings consistency() throws NodeSettings.InvalidSettingsException;
 }
--- a/src/main/java/dillfront/router/peers/Neighbours.java
+++ b/src/main/java/dillfront/router/peers/Neighbours.java
@@ -25,11 +25,11 @@
 
     /** The decisions, as far as gossip has to do with them. */
     public interface Decisions {
-        HealthObservation sees(int node);
+        HealthObservation observeHealth(int node);
 
-        void doubted(int node, boolean doubted);
+        void setSuspected(int node, boolean doubted);
 
-        void better(int node);
+        void advanceTrial(int node);
     }
 
     /** One node of the list. */
@@ -104,7 +104,7 @@
             if (row == null) {
                 continue;
             }
-            HealthObservation sight = decisions.sees(node);
+            HealthObservation sight = decisions.observeHealth(node);
             hearsay.seen(node, sight);
             if (gossip != null) {
                 witness.seen(
@@ -144,12 +144,12 @@
         // Said again at each beat: the node's own answer has ended it meanwhile, unless the doubt
         // is newer.
         if (doubts || row.doubted) {
-            decisions.doubted(node, doubts);
+            decisions.setSuspected(node, doubts);
         }
         row.doubted = doubts;
-        boolean better = hearsay.better(node);
+        boolean better = hearsay.advanceTrial(node);
         if (better && !row.better) {
-            decisions.better(node);
+            decisions.advanceTrial(node);
         }
         row.better = better;
     }
--- a/src/test/java/dillfront/bootstrap/ControlProcess.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -207,7 +207,7 @@
         return call("POST", "/Configuration.Replace", configuration);
     }
 
-    Answer read() {
+    Answer consistency() {
         return call("GET", "/Configuration.Read", "");
     }
 
--- a/src/test/java/dillfront/simulation/HistoryTest.java
+++ b/src/test/java/dillfront/simulation/HistoryTest.java
@@ -24,7 +24,7 @@
         return history.begin(at++, "a", number, digest);
     }
 
-    private int read() {
+    private int consistency() {
         return history.begin(at++, "b");
     }
 
@@ -41,7 +41,7 @@
     }
 
     private void reads(long number, String digest) {
-        history.end(read(), at++, number, digest);
+        history.end(consistency(), at++, number, digest);
     }
 
     private void breaks(String... words) {
@@ -99,8 +99,8 @@
     void concurrentCallsMayGoEitherWay() {
         int x = order(1, "x");
         int y = order(2, "y");
-        int old = read();
-        int fresh = read();
+        int old = consistency();
+        int fresh = consistency();
         history.end(fresh, at++, 2, "y");
         history.end(old, at++, 1, "x");
         ends(y, Outcome.ACKNOWLEDGED);
@@ -189,9 +189,9 @@
 
     @Test
     void aReadThatBeganAfterTheAnswerMustHaveIt() {
-        int early = read();
+        int early = consistency();
         acknowledged(1, "x");
-        int late = read();
+        int late = consistency();
         history.end(early, at++, History.NONE, "");
         assertNull(history.check());
         history.end(late, at++, History.NONE, "");
