--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -30,7 +30,7 @@
      */
     public static void run(SettingsSource source)
             throws InvalidSettingsException, IOException, TextStore.StorageException {
-        NodeSettings settings = source.consistency();
+        NodeSettings settings = source.read();
         Log log = new Log(System.err);
         if (settings.controlAddress() == null || settings.dataDirectory() == null) {
             throw new InvalidSettingsException(
@@ -97,7 +97,7 @@
     private static void reloadSettings(
             SettingsSource source, ControlNode node, NettyEnvironment environment, Log log) {
         try {
-            NodeSettings next = source.consistency();
+            NodeSettings next = source.read();
             environment.eventLoop().execute(() -> node.addSeeds(next.seedIps()));
             log.info("settings", "seeds", next.seedAddresses());
         } catch (InvalidSettingsException bad) {
--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -32,7 +32,7 @@
      */
     public static void run(SettingsSource source) throws InvalidSettingsException, IOException {
         Log log = new Log(System.err);
-        NodeSettings settings = source.consistency();
+        NodeSettings settings = source.read();
         if (settings.frontAddress() == null || settings.readinessAddress() == null) {
             throw new InvalidSettingsException(
                     "listen_addresses: no front_address or no readiness_address, which a data plane"
@@ -102,7 +102,7 @@
 
     private static void reloadSettings(DataPlaneNode node, SettingsSource source, Log log) {
         try {
-            node.updateSettings(source.consistency());
+            node.updateSettings(source.read());
             log.info("settings", "seeds", node.settings().seedAddresses());
         } catch (InvalidSettingsException bad) {
             log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
--- a/src/main/java/dillfront/bootstrap/SettingsSource.java
+++ b/src/main/java/dillfront/bootstrap/SettingsSource.java
@@ -10,5 +10,5 @@
      *
      * @throws NodeSettings.InvalidSettingsException with the file, the place and the fault
      */
-    NodeSettings consistency() throws NodeSettings.InvalidSettingsException;
+    NodeSettings read() throws NodeSettings.InvalidSettingsException;
 }
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/Site.java
@@ -189,7 +189,7 @@
                                     "%n%s, group %d: %d of %d members left, %s",
                                     name(plan),
                                     group.number(),
-                                    group.clientDisconnected(),
+                                    group.left(),
                                     group.members(),
                                     group.primary() == null
                                             ? "none to lead"
@@ -239,7 +239,7 @@
                     out.writeStartObject();
                     out.writeNumberField("group", group.number());
                     out.writeNumberField("members", group.members());
-                    out.writeNumberField("left", group.clientDisconnected());
+                    out.writeNumberField("left", group.left());
                     out.writeStringField("primary", group.primary());
                     out.writeBooleanField("elects", group.elects());
                     out.writeArrayFieldStart("kinds");
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -51,7 +51,7 @@
 
     /** Where a configuration is read from anew. */
     public interface Source {
-        Config consistency() throws BadConfig;
+        Config read() throws BadConfig;
     }
 
     private final long beganNanos = System.nanoTime();
@@ -110,7 +110,7 @@
         discovery = config.discovery();
         setup = config.setup();
         named = config.named();
-        rereading = new Rereading(config.setup().settings().dialTimeout());
+        rereading = new Rereading(config.setup().settings().dial());
     }
 
     Log log() {
@@ -155,7 +155,7 @@
                                                 share,
                                                 config.sockets() * 3 / 10,
                                                 (config.memoryMb() << 20) / WAITING_PART,
-                                                config.setup().settings().dialTimeout());
+                                                config.setup().settings().dial());
                                 side =
                                         operator == Operator.NONE
                                                 ? null
@@ -169,7 +169,7 @@
                                 watch =
                                         new Watch(
                                                 discovery,
-                                                config.setup().settings().dialTimeout(),
+                                                config.setup().settings().dial(),
                                                 counters,
                                                 log,
                                                 loop,
@@ -182,15 +182,13 @@
                     .sync();
             // What discovery has told is known before the door opens; if it says nothing, the known
             // list will do.
-            long due =
-                    System.nanoTime()
-                            + NEWS_DIALS * config.setup().settings().dialTimeout().toNanos();
+            long due = System.nanoTime() + NEWS_DIALS * config.setup().settings().dial().toNanos();
             while (!loop.submit(
                             () ->
                                     router.listed()
                                             && (watch.answered() || System.nanoTime() - due > 0))
                     .get()) {
-                Thread.sleep(config.setup().settings().clockStep().toMillis() + 1);
+                Thread.sleep(config.setup().settings().step().toMillis() + 1);
             }
             rest();
             loop.submit(() -> clients.open(config.listen())).get().sync();
@@ -264,7 +262,7 @@
      */
     public synchronized void reload(Source source) {
         try {
-            goOver(source.consistency(), "SIGHUP");
+            goOver(source.read(), "SIGHUP");
         } catch (BadConfig bad) {
             onLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
         }
@@ -291,8 +289,8 @@
         }
 
         @Override
-        public void memberListFailed() {
-            router.memberListFailed();
+        public void listFailed() {
+            router.listFailed();
             if (source != null && !looking && rereading.lost(router.clock().now())) {
                 looking = true;
                 // Not on the loop, which waits for no disk; rare, so it needs no thread that stays.
@@ -310,7 +308,7 @@
      */
     private synchronized void lookAgain() {
         try {
-            Config next = source.consistency();
+            Config next = source.read();
             if (!next.named().equals(named)) {
                 goOver(next, "file");
             }
@@ -371,7 +369,7 @@
             Duration now = router.clock().now();
             due =
                     (router.owedUntil().compareTo(now) > 0 ? router.owedUntil() : now)
-                            .plus(setup.settings().dialTimeout().multipliedBy(LAST_DIALS));
+                            .plus(setup.settings().dial().multipliedBy(LAST_DIALS));
         } finally {
             lookIfOver();
         }
@@ -388,7 +386,7 @@
         if (!over && due != null && router.clock().now().compareTo(due) < 0) {
             loop.schedule(
                     this::lookIfOver,
-                    config.setup().settings().clockStep().toNanos(),
+                    config.setup().settings().step().toNanos(),
                     TimeUnit.NANOSECONDS);
             return;
         }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -102,7 +102,7 @@
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new Pace(setup.settings().clockStep());
+        pace = new Pace(setup.settings().step());
         members = new MemberList(setup, clock, log);
         fleet =
                 new Fleet(
@@ -175,10 +175,10 @@
     void settings(Setup next) {
         tick();
         setup = next;
-        pace.step(next.settings().clockStep());
+        pace.step(next.settings().step());
         members.settings(next);
         fleet.settings(next);
-        decide.applySettings(next.settings());
+        decide.settings(next.settings());
         if (ledger != null) {
             ledger.settings(next);
         }
@@ -190,9 +190,9 @@
     public void tick() {
         Duration now = clock.now();
         Duration behind = pace.behind(now);
-        decide.setTime(now);
+        decide.at(now);
         if (behind.compareTo(told) > 0) {
-            decide.recordPause(behind.minus(told));
+            decide.late(behind.minus(told));
             told = behind;
         }
     }
@@ -215,7 +215,7 @@
         for (Member m : read) {
             rows.add(m.row());
         }
-        decide.updateMembers(list.flag("reset"), rows);
+        decide.list(list.flag("reset"), rows);
         if (neighbours != null) {
             read.forEach(m -> neighbours.known(m.row().node(), m.id()));
         }
@@ -229,7 +229,7 @@
     private void forget() {
         members.forget(
                 node -> {
-                    boolean over = decide.forgetNode(node);
+                    boolean over = decide.forget(node);
                     if (over) {
                         fleet.forget(node);
                         if (neighbours != null) {
@@ -252,12 +252,12 @@
     }
 
     @Override
-    public void memberListFailed() {
+    public void listFailed() {
         tick();
         if (ledger != null) {
             ledger.discovery(false);
         }
-        decide.memberListFailed();
+        decide.listFailed();
     }
 
     @Override
@@ -277,8 +277,7 @@
                 ledger != null
                         && ledger.keeps()
                         && statement.mark != 0
-                        && setup.settings().transactionTypes().get(type).repeatability()
-                                == Repeatability.DEDUPLICATED;
+                        && setup.settings().types().get(type).effect() == Repeatability.REFERENCED;
         long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
@@ -303,7 +302,7 @@
         Duration expiry = now.minus(waited).plus(patience);
         owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
         exchange.taken(
-                decide.accept(
+                decide.take(
                         slot,
                         type,
                         tenant,
@@ -324,7 +323,7 @@
         ids.remove(statement.id);
         counters.taken++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxRetryDelay());
+        never.decline(setup.settings().maxPause());
         message.release();
         return never;
     }
@@ -356,8 +355,7 @@
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
     private Duration patience(Statement statement, int type) {
-        long longest =
-                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
+        long longest = setup.settings().types().get(type).longest().toMillis();
         return Duration.ofMillis(Math.min(statement.waitMs, longest));
     }
 
@@ -373,12 +371,12 @@
     }
 
     @Override
-    public void probeCompleted(int node, boolean answered, NodeReport report) {
+    public void probed(int node, boolean answered, NodeReport report) {
         tick();
         if (ledger != null) {
             ledger.probed(node, answered, report, clock.now());
         }
-        decide.probeCompleted(node, answered, believed(node, report));
+        decide.probed(node, answered, believed(node, report));
     }
 
     // ---- what others say
@@ -424,7 +422,7 @@
         }
         if (!closed.isEmpty()) {
             tick();
-            decide.updateMembers(false, closed.stream().map(Member::row).toList());
+            decide.list(false, closed.stream().map(Member::row).toList());
             if (ledger != null) {
                 ledger.listed(closed);
             }
@@ -432,20 +430,20 @@
     }
 
     @Override
-    public HealthObservation observeHealth(int node) {
-        return decide.observeHealth(node);
+    public HealthObservation sees(int node) {
+        return decide.sees(node);
     }
 
     @Override
-    public void setSuspected(int node, boolean doubted) {
+    public void doubted(int node, boolean doubted) {
         tick();
-        decide.setSuspected(node, doubted);
+        decide.doubted(node, doubted);
     }
 
     @Override
-    public void advanceTrial(int node) {
+    public void better(int node) {
         tick();
-        decide.advanceTrial(node);
+        decide.better(node);
     }
 
     // ---- results of the module
@@ -466,13 +464,13 @@
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
+    public void rollBack(int txn) {
         slots.get(txn).rollBack();
     }
 
     @Override
-    public void closeIdleConnections(int node) {
-        fleet.closeIdleConnections(node);
+    public void release(int node) {
+        fleet.release(node);
     }
 
     @Override
@@ -482,10 +480,10 @@
 
     /** The watch goes on by itself on sockets. */
     @Override
-    public void watchMemberList() {}
+    public void follow() {}
 
     @Override
-    public void scheduleWakeUp(Duration in) {
+    public void wake(Duration in) {
         pace.expect(clock.now().plus(in));
         loop.schedule(
                 () -> {
@@ -494,12 +492,12 @@
                         pace.came(clock.now());
                         counters.longestTurnMs =
                                 Math.max(counters.longestTurnMs, pace.longest().toMillis());
-                        decide.onWakeUp();
+                        decide.woken();
                         if (neighbours != null) {
                             neighbours.beat(clock.now());
                         }
                         if (ledger != null) {
-                            ledger.beat(clock.now(), members.indices(), decide::observeHealth);
+                            ledger.beat(clock.now(), members.indices(), decide::sees);
                         }
                         forget();
                     } catch (RuntimeException fault) {
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -25,7 +25,7 @@
 
     /** Where the word of a probe goes. */
     public interface Listener {
-        void probeCompleted(int node, boolean answered, NodeReport report);
+        void probed(int node, boolean answered, NodeReport report);
     }
 
     /**
@@ -93,8 +93,8 @@
         this.most = most;
         this.longest = longest;
         this.listener = listener;
-        restNanos = setup.settings().dialTimeout().toNanos() / 4;
-        Duration every = setup.settings().dialTimeout();
+        restNanos = setup.settings().dial().toNanos() / 4;
+        Duration every = setup.settings().dial();
         loop.scheduleWithFixedDelay(
                 this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -114,7 +114,7 @@
 
     public void news(Runnable look) {
         news = look;
-        lookedNanos = System.nanoTime() - setup.settings().clockStep().toNanos();
+        lookedNanos = System.nanoTime() - setup.settings().step().toNanos();
     }
 
     /**
@@ -128,7 +128,7 @@
             return;
         }
         long now = System.nanoTime();
-        if (now - lookedNanos >= setup.settings().clockStep().toNanos()) {
+        if (now - lookedNanos >= setup.settings().step().toNanos()) {
             lookedNanos = now;
             news.run();
         }
@@ -182,7 +182,7 @@
                     long most =
                             Math.min(
                                     limit.toNanos(),
-                                    KEPT_DIALS * setup.settings().dialTimeout().toNanos());
+                                    KEPT_DIALS * setup.settings().dial().toNanos());
                     counters.timers++;
                     submission.limit =
                             loop.schedule(
@@ -212,7 +212,7 @@
     @Override
     public void probe(int node) {
         counters.probes++;
-        start(new Probe(pools.get(node)), setup.settings().dialTimeout());
+        start(new Probe(pools.get(node)), setup.settings().dial());
     }
 
     /**
@@ -273,12 +273,12 @@
     }
 
     @Override
-    public void closeIdleConnections(int node) {
+    public void release(int node) {
         loop.execute(pools.get(node)::closeIdle);
     }
 
-    void probeCompleted(int node, boolean answered, NodeReport report) {
-        listener.probeCompleted(node, answered, report);
+    void probed(int node, boolean answered, NodeReport report) {
+        listener.probed(node, answered, report);
     }
 
     void opened(Connection connection) {
@@ -294,7 +294,7 @@
 
     /** Before the node does: what is written to a connection that it has closed is lost. */
     private void closeOld() {
-        long margin = 4 * setup.settings().dialTimeout().toNanos();
+        long margin = 4 * setup.settings().dial().toNanos();
         long idle = Math.max(setup.idle().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (Pool pool : pools) {
@@ -401,7 +401,7 @@
     }
 
     private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dialTimeout().toMillis()
+        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dial().toMillis()
                 ? null
                 : clock.since(ms);
     }
@@ -429,7 +429,7 @@
         } catch (NumberFormatException none) {
             log.warn(
                     "report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
-            return NodeReport.EMPTY;
+            return NodeReport.NOTHING;
         }
         return new NodeReport(position, role);
     }
--- a/src/main/java/dillfront/router/backend/Probe.java
+++ b/src/main/java/dillfront/router/backend/Probe.java
@@ -42,7 +42,7 @@
             answer.release();
         }
         // One that answers in no form is up.
-        pool.fleet.probeCompleted(
+        pool.fleet.probed(
                 pool.node,
                 result == SubmissionResult.COMMITTED || result == SubmissionResult.SPOILT,
                 told);
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -26,7 +26,7 @@
 
     @Override
     boolean stands() {
-        return exchange.maySend(pool.node);
+        return exchange.stands(pool.node);
     }
 
     /** The client's statement as it came, but for how long to wait. */
--- a/src/main/java/dillfront/router/discovery/Watch.java
+++ b/src/main/java/dillfront/router/discovery/Watch.java
@@ -30,7 +30,7 @@
         void list(Tree list);
 
         /** The watch broke; the last list holds. */
-        void memberListFailed();
+        void listFailed();
     }
 
     /**
@@ -323,7 +323,7 @@
                 log.warn("list-unreachable", "address", at);
             }
             if (!closed) {
-                listener.memberListFailed();
+                listener.listFailed();
                 // One that has answered is asked again at once: until then nothing is heard of
                 // drains.
                 loop.schedule(Watch.this::start, proven ? 0 : dialNanos / 4, TimeUnit.NANOSECONDS);
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -88,13 +88,13 @@
     // ---- from the client side
 
     /** The client's connection is gone; an answer is not delivered any more. */
-    public void clientDisconnected() {
+    public void left() {
         if (answered) {
             return;
         }
         answered = true;
         desk.tick();
-        handle.clientDisconnected();
+        handle.left();
         releaseIfOver();
     }
 
@@ -103,9 +103,9 @@
     /**
      * Whether a submission that waited for its connection may still go; if not, it ends as unsent.
      */
-    public boolean maySend(int node) {
+    public boolean stands(int node) {
         desk.tick();
-        return !answered && desk.may(this, node) && handle.maySend(node);
+        return !answered && desk.may(this, node) && handle.stands(node);
     }
 
     /**
@@ -128,7 +128,7 @@
         } else if (answer != null) {
             answer.release();
         }
-        handle.submissionEnded(
+        handle.ended(
                 node,
                 result,
                 took,
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -496,7 +496,7 @@
             clients.counters.left++;
             Exchange out = exchange;
             exchange = null;
-            out.clientDisconnected();
+            out.left();
         }
     }
 
--- a/src/main/java/dillfront/router/gossip/Hearsay.java
+++ b/src/main/java/dillfront/router/gossip/Hearsay.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.multiply;
+import static dillfront.routing.api.Durations.times;
 
 import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
@@ -117,7 +117,7 @@
         // Enough to leave out the liars twice over, and to see who was right.
         most = 3 * (liars + 1) + 2;
         lasts = tuning.lasts();
-        soon = multiply(lasts, SOON);
+        soon = times(lasts, SOON);
         credit = new double[instances];
         Arrays.fill(credit, CREDIT_START);
         voice = new int[instances];
@@ -210,11 +210,8 @@
     /** What this router sees of a node itself. */
     public void seen(int node, HealthObservation sight) {
         Row row = row(node);
-        row.ill = sight.isFaulty();
-        row.wellAt =
-                sight.lastHealthyAt().compareTo(row.wellAt) > 0
-                        ? sight.lastHealthyAt()
-                        : row.wellAt;
+        row.ill = sight.ill();
+        row.wellAt = sight.wellAt().compareTo(row.wellAt) > 0 ? sight.wellAt() : row.wellAt;
         judge(row);
     }
 
@@ -284,14 +281,14 @@
         if (node >= rows.size() || rows.get(node).claims.isEmpty() || rows.get(node).ill) {
             return false;
         }
-        return weight(rows.get(node).claims) >= CARRIES && !advanceTrial(node);
+        return weight(rows.get(node).claims) >= CARRIES && !better(node);
     }
 
     /**
      * Whether enough of those who claimed it ill have had an answer of it since. Worth a try sooner
      * where this router still waits to try it; and no more than that.
      */
-    public boolean advanceTrial(int node) {
+    public boolean better(int node) {
         return node < rows.size()
                 && !rows.get(node).back.isEmpty()
                 && weight(rows.get(node).back) >= CARRIES;
--- a/src/main/java/dillfront/router/peers/Neighbours.java
+++ b/src/main/java/dillfront/router/peers/Neighbours.java
@@ -25,11 +25,11 @@
 
     /** The decisions, as far as gossip has to do with them. */
     public interface Decisions {
-        HealthObservation observeHealth(int node);
+        HealthObservation sees(int node);
 
-        void setSuspected(int node, boolean doubted);
+        void doubted(int node, boolean doubted);
 
-        void advanceTrial(int node);
+        void better(int node);
     }
 
     /** One node of the list. */
@@ -104,7 +104,7 @@
             if (row == null) {
                 continue;
             }
-            HealthObservation sight = decisions.observeHealth(node);
+            HealthObservation sight = decisions.sees(node);
             hearsay.seen(node, sight);
             if (gossip != null) {
                 witness.seen(
@@ -144,12 +144,12 @@
         // Said again at each beat: the node's own answer has ended it meanwhile, unless the doubt
         // is newer.
         if (doubts || row.doubted) {
-            decisions.setSuspected(node, doubts);
+            decisions.doubted(node, doubts);
         }
         row.doubted = doubts;
-        boolean better = hearsay.advanceTrial(node);
+        boolean better = hearsay.better(node);
         if (better && !row.better) {
-            decisions.advanceTrial(node);
+            decisions.better(node);
         }
         row.better = better;
     }
--- a/src/main/java/dillfront/router/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -66,7 +66,7 @@
     /** Reads a query message, type and length before it and a zero behind. */
     public static Statement read(ByteBuf message) throws BadStatement {
         Statement statement = new Statement(message);
-        statement.consistency();
+        statement.read();
         return statement;
     }
 
@@ -85,7 +85,7 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private void consistency() throws BadStatement {
+    private void read() throws BadStatement {
         if (end < at || message.getByte(end) != 0) {
             throw new BadStatement("no zero behind the statement");
         }
--- a/src/main/java/dillfront/router/plan/Plan.java
+++ b/src/main/java/dillfront/router/plan/Plan.java
@@ -29,12 +29,7 @@
      * @param elects the one that led is lost: until another does, the group takes no write
      */
     public record Group(
-            int number,
-            int members,
-            int clientDisconnected,
-            String primary,
-            boolean elects,
-            List<Row> rows) {}
+            int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
 
     /**
      * One kind of txn.
--- a/src/main/java/dillfront/router/script/Script.java
+++ b/src/main/java/dillfront/router/script/Script.java
@@ -280,7 +280,7 @@
             }
             return -number(unary.at(), value);
         } else if (of instanceof Tree.Binary binary) {
-            Object left = value(binary.clientDisconnected());
+            Object left = value(binary.left());
             if (binary.at().is("and") || binary.at().is("or")) {
                 return truth(left) == binary.at().is("or") ? left : value(binary.right());
             }
--- a/src/main/java/dillfront/router/script/Tree.java
+++ b/src/main/java/dillfront/router/script/Tree.java
@@ -43,7 +43,7 @@
 
     record Unary(Token at, Value of) implements Value {}
 
-    record Binary(Token at, Value clientDisconnected, Value right) implements Value {}
+    record Binary(Token at, Value left, Value right) implements Value {}
 
     record Choice(Token at, Value when, Value then, Value otherwise) implements Value {}
 
--- a/src/main/java/dillfront/routing/api/Repeatability.java
+++ b/src/main/java/dillfront/routing/api/Repeatability.java
@@ -3,11 +3,11 @@
 /** Whether a transaction may be executed a second time. */
 public enum Repeatability {
     /** A second execution is harmless. */
-    IDEMPOTENT,
+    REPEATABLE,
 
     /** The nodes drop a second execution by its idempotency key within a time window. */
-    DEDUPLICATED,
+    REFERENCED,
 
     /** A second execution would apply the transaction twice. */
-    NOT_REPEATABLE
+    ONCE_ONLY
 }
--- a/src/main/java/dillfront/routing/api/RoutingActions.java
+++ b/src/main/java/dillfront/routing/api/RoutingActions.java
@@ -9,23 +9,23 @@
 public interface RoutingActions {
 
     /** Sends the transaction to a node, with a limit on the time until its answer. */
-    void submit(int transaction, int node, Duration timeout);
+    void submit(int txn, int node, Duration limit);
 
     /** Answers the client that a retry is harmless, and is sensible after the given pause. */
-    void decline(int transaction, Duration retryDelay);
+    void decline(int txn, Duration pause);
 
     /** Answers the client that the outcome is unknown, so that a retry may apply a write twice. */
-    void reportUnknownOutcome(int transaction);
+    void rollBack(int txn);
 
     /** Closes the idle connections to a node. */
-    void closeIdleConnections(int node);
+    void release(int node);
 
     /** Sends a health check to a node. */
     void probe(int node);
 
     /** Subscribes to changes of the member list, where the discovery service requires a request. */
-    void watchMemberList();
+    void follow();
 
-    /** Schedules the next call of {@link dillfront.routing.RoutingEngine#onWakeUp}. */
-    void scheduleWakeUp(Duration delay);
+    /** Schedules the next call of {@link dillfront.routing.RoutingEngine#woken}. */
+    void wake(Duration in);
 }
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -58,7 +58,7 @@
     }
 
     void at(long clockUs) {
-        decide.setTime(Tree.micros(clockUs - zeroUs));
+        decide.at(Tree.micros(clockUs - zeroUs));
     }
 
     void list(boolean whole, List<Tree> entries) {
@@ -86,11 +86,11 @@
                                 default -> MemberState.GONE;
                             }));
         }
-        decide.updateMembers(whole, rows);
+        decide.list(whole, rows);
     }
 
-    void memberListFailed() {
-        decide.memberListFailed();
+    void listFailed() {
+        decide.listFailed();
     }
 
     void arrived(SimulatorEvent e) throws InvalidInputException {
@@ -114,7 +114,7 @@
                         ? null
                         : Duration.ofNanos((long) Math.floor(e.lastWriteMs * 1e6));
         txn.handle =
-                decide.accept(
+                decide.take(
                         slot,
                         type,
                         setup.tenants().getOrDefault(e.account, -1),
@@ -136,20 +136,19 @@
             return;
         }
         if (slot == null) {
-            decide.nodeReported(node, note, e.report);
+            decide.heard(node, note, e.report);
             return;
         }
         Txn txn = slots.get(slot);
         txn.out--;
         txn.answered |= e.finished;
-        txn.handle.submissionEnded(
-                node, result, Tree.micros(e.durationUs), e.finished, note, e.report);
+        txn.handle.ended(node, result, Tree.micros(e.durationUs), e.finished, note, e.report);
         releaseIfOver(slot);
     }
 
     private static NodeReport note(long note) {
         if (note == 0) {
-            return NodeReport.EMPTY;
+            return NodeReport.NOTHING;
         }
         long ms = note / 4;
         return new NodeReport(
@@ -161,7 +160,7 @@
         if (slot != null) {
             Txn txn = slots.get(slot);
             txn.answered = true;
-            txn.handle.clientDisconnected();
+            txn.handle.left();
             releaseIfOver(slot);
         }
     }
@@ -169,12 +168,12 @@
     void probed(SimulatorEvent e) throws InvalidInputException {
         Integer node = nodes.get(e.node);
         if (node != null) {
-            decide.probeCompleted(node, e.result() == SubmissionResult.COMMITTED, e.report);
+            decide.probed(node, e.result() == SubmissionResult.COMMITTED, e.report);
         }
     }
 
     void woken() {
-        decide.onWakeUp();
+        decide.woken();
     }
 
     private void releaseIfOver(int slot) {
@@ -229,13 +228,13 @@
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
+    public void rollBack(int txn) {
         slots.get(txn).answered = true;
         write("EndFailed", () -> reply.writeNumberField("corr", slots.get(txn).corr));
     }
 
     @Override
-    public void closeIdleConnections(int node) {
+    public void release(int node) {
         write("DropConns", () -> reply.writeStringField("node", nodeIds.get(node)));
     }
 
@@ -245,12 +244,12 @@
     }
 
     @Override
-    public void watchMemberList() {
+    public void follow() {
         write("Tail", () -> reply.writeBooleanField("on", true));
     }
 
     @Override
-    public void scheduleWakeUp(Duration in) {
+    public void wake(Duration in) {
         write(
                 "WakeAt",
                 () -> {
--- a/src/main/java/dillfront/routing/simulator/SimulatorServer.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorServer.java
@@ -113,7 +113,7 @@
             case "Topology" -> {
                 SimulatedRouter instance = instance(clockUs);
                 if (event.scope == 3) {
-                    instance.memberListFailed();
+                    instance.listFailed();
                     return;
                 }
                 List<Tree> rows = tables.get(event.buffer);
--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -379,7 +379,7 @@
                 told.add("gives up " + step.a);
                 asked[step.a] = null;
             }
-            case READ -> processes[step.a].consistency();
+            case READ -> processes[step.a].read();
             case SETS -> processes[step.a].sets(step.b);
             case SERVER -> processes[step.a].server(step.b / 3, step.b % 3);
             case RECORD -> processes[step.a].record("s" + step.b);
@@ -1086,7 +1086,7 @@
             }
         }
 
-        void consistency() {
+        void read() {
             readings.add(new Read(history.begin(now, "reader at " + index), ++token));
             told.add("reads " + index);
         }
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -479,7 +479,7 @@
             List<TransactionType> types =
                     List.of(
                             new TransactionType(
-                                    Repeatability.DEDUPLICATED,
+                                    Repeatability.REFERENCED,
                                     true,
                                     WINDOW,
                                     Consistency.WRITE,
@@ -489,20 +489,20 @@
                                     6,
                                     0.3),
                             new TransactionType(
-                                    Repeatability.IDEMPOTENT,
+                                    Repeatability.REPEATABLE,
                                     true,
                                     WINDOW,
-                                    Consistency.BOUNDED_STALENESS,
+                                    Consistency.BOUNDED,
                                     BOUND,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0),
                             new TransactionType(
-                                    Repeatability.IDEMPOTENT,
+                                    Repeatability.REPEATABLE,
                                     true,
                                     WINDOW,
-                                    Consistency.EVENTUAL,
+                                    Consistency.ANY,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
@@ -540,7 +540,7 @@
                         .get(index)
                         .forEach(id -> closings.close(id, MemberState.DRAINING, 0, 2));
             }
-            decide.setTime(world.now);
+            decide.at(world.now);
             for (int key : world.keptKeys.get(index)) {
                 if (world.plant == Plant.BELIEVES_OLD_TIMES) {
                     doubts.take(key, world.now);
@@ -565,12 +565,12 @@
                 MemberState holds = closings.heard("n" + n, said, 0, of);
                 rows.add(new NodeRow(n, 0, 0, 1, n == 0, null, holds));
             }
-            decide.setTime(world.now);
-            decide.updateMembers(true, rows);
+            decide.at(world.now);
+            decide.list(true, rows);
             if (world.plant == Plant.KEEPS_POSITIONS && world.started != null) {
                 // What a former life knew of the second replica, as if it held.
-                decide.nodeReported(
-                        1, NodeReport.EMPTY, new NodeReport(world.started, NodeRole.REPLICA));
+                decide.heard(
+                        1, NodeReport.NOTHING, new NodeReport(world.started, NodeRole.REPLICA));
             }
         }
 
@@ -580,8 +580,8 @@
 
         void woken() {
             words.add("wake@" + world.now.toMillis());
-            decide.setTime(world.now);
-            decide.onWakeUp();
+            decide.at(world.now);
+            decide.woken();
         }
 
         void hears(Life other) {
@@ -608,7 +608,7 @@
             world.asks.add(ask);
             asks.add(ask);
             words.add("ask " + key + "@" + world.now.toMillis());
-            decide.setTime(world.now);
+            decide.at(world.now);
             if (key >= 0 && !doubts.take(key, world.now)) {
                 answer(ask, "declined");
                 return;
@@ -616,7 +616,7 @@
             Duration ran = key < 0 ? null : doubts.ran(key);
             ran = ran == null && others.contains(key) ? Doubts.LONG_AGO : ran;
             ask.handle =
-                    decide.accept(
+                    decide.take(
                             asks.size() - 1,
                             key < 0 ? -key : 0,
                             -1,
@@ -664,15 +664,15 @@
                     world.knows[index][ask.key] = null;
                 }
             }
-            decide.setTime(world.now);
+            decide.at(world.now);
             boolean spoke = result == SubmissionResult.COMMITTED || result == SubmissionResult.MISS;
-            ask.handle.submissionEnded(
+            ask.handle.ended(
                     one.node,
                     result,
                     world.now.minus(one.at),
                     ask.answer != null,
-                    spoke ? one.note : NodeReport.EMPTY,
-                    NodeReport.EMPTY);
+                    spoke ? one.note : NodeReport.NOTHING,
+                    NodeReport.NOTHING);
             end(ask);
         }
 
@@ -706,10 +706,10 @@
             unsynced.clear();
             for (Sent one : List.copyOf(world.sent)) {
                 if (one.where == Where.WAITS && one.ask.of == this) {
-                    decide.setTime(world.now);
+                    decide.at(world.now);
                     if (one.ask.answer == null
                             && !others.contains(one.ask.key)
-                            && one.ask.handle.maySend(one.node)) {
+                            && one.ask.handle.stands(one.node)) {
                         goes(one);
                     } else {
                         world.answered(one, SubmissionResult.UNSENT);
@@ -772,21 +772,21 @@
         }
 
         @Override
-        public void reportUnknownOutcome(int txn) {
+        public void rollBack(int txn) {
             answer(asks.get(txn), "rolled back");
         }
 
         @Override
-        public void closeIdleConnections(int node) {}
+        public void release(int node) {}
 
         @Override
         public void probe(int node) {}
 
         @Override
-        public void watchMemberList() {}
+        public void follow() {}
 
         @Override
-        public void scheduleWakeUp(Duration in) {}
+        public void wake(Duration in) {}
 
         // ---- the disk
 
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Durations.toSeconds;
+import static dillfront.routing.api.Durations.seconds;
 
 import dillfront.router.gossip.Gossip;
 import dillfront.router.gossip.Symptom;
@@ -194,7 +194,7 @@
                 stopped,
                 poured,
                 falseDoubts / (double) Math.max(1, beats),
-                script.gossip ? wire.bytes() / toSeconds(script.end) : 0);
+                script.gossip ? wire.bytes() / seconds(script.end) : 0);
     }
 
     private int nodes() {
@@ -228,27 +228,27 @@
                 routers,
                 List.of(
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 false,
                                 Duration.ZERO,
-                                Consistency.BOUNDED_STALENESS,
+                                Consistency.BOUNDED,
                                 ms.multipliedBy(200),
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 3,
                                 0),
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 false,
                                 Duration.ZERO,
-                                Consistency.EVENTUAL,
+                                Consistency.ANY,
                                 Duration.ZERO,
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.DEDUPLICATED,
+                                Repeatability.REFERENCED,
                                 true,
                                 Duration.ofSeconds(2),
                                 Consistency.WRITE,
@@ -324,8 +324,8 @@
                                 MemberState.READY));
                 neighbours.known(n, "node-" + n);
             }
-            decide.setTime(time.now());
-            decide.updateMembers(true, rows);
+            decide.at(time.now());
+            decide.list(true, rows);
             arrive();
             beat();
             if (lies()) {
@@ -366,10 +366,10 @@
                         Txn txn = new Txn(type, time.now());
                         txns.add(txn);
                         asked += VALUES[type];
-                        decide.setTime(time.now());
+                        decide.at(time.now());
                         int id = txns.size() - 1;
                         txn.handle =
-                                decide.accept(
+                                decide.take(
                                         id,
                                         type,
                                         -1,
@@ -388,10 +388,10 @@
             time.after(
                     BEAT,
                     () -> {
-                        decide.setTime(time.now());
+                        decide.at(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.observeHealth(script.hung).isFaulty()) {
+                                && decide.sees(script.hung).ill()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
@@ -409,24 +409,24 @@
         }
 
         @Override
-        public HealthObservation observeHealth(int node) {
-            return decide.observeHealth(node);
+        public HealthObservation sees(int node) {
+            return decide.sees(node);
         }
 
         @Override
-        public void setSuspected(int node, boolean doubted) {
+        public void doubted(int node, boolean doubted) {
             if (node == script.hung) {
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
             }
-            decide.setTime(time.now());
-            decide.setSuspected(node, doubted);
+            decide.at(time.now());
+            decide.doubted(node, doubted);
         }
 
         @Override
-        public void advanceTrial(int node) {
-            decide.setTime(time.now());
-            decide.advanceTrial(node);
+        public void better(int node) {
+            decide.at(time.now());
+            decide.better(node);
         }
 
         @Override
@@ -449,7 +449,7 @@
             time.after(
                     answers ? work : limit,
                     () -> {
-                        decide.setTime(time.now());
+                        decide.at(time.now());
                         outAtHung -= node == script.hung ? 1 : 0;
                         Duration position =
                                 time.now().minusMillis(node % script.members == 0 ? 0 : 20);
@@ -464,14 +464,14 @@
                             earned += timely ? VALUES[txn.type] : 0;
                         }
                         NodeReport note =
-                                answers ? new NodeReport(position, role) : NodeReport.EMPTY;
-                        txn.handle.submissionEnded(
+                                answers ? new NodeReport(position, role) : NodeReport.NOTHING;
+                        txn.handle.ended(
                                 node,
                                 answers ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 time.now().minus(now),
                                 txn.over,
                                 note,
-                                NodeReport.EMPTY);
+                                NodeReport.NOTHING);
                     });
         }
 
@@ -481,12 +481,12 @@
         }
 
         @Override
-        public void reportUnknownOutcome(int txn) {
+        public void rollBack(int txn) {
             txns.get(txn).over = true;
         }
 
         @Override
-        public void closeIdleConnections(int node) {}
+        public void release(int node) {}
 
         /** A hung node answers no probe either. */
         @Override
@@ -495,28 +495,28 @@
             time.after(
                     answers ? Duration.ofMillis(2) : DIAL,
                     () -> {
-                        decide.setTime(time.now());
+                        decide.at(time.now());
                         NodeRole role =
                                 node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
-                        decide.probeCompleted(
+                        decide.probed(
                                 node,
                                 answers,
                                 answers
                                         ? new NodeReport(time.now().minusMillis(20), role)
-                                        : NodeReport.EMPTY);
+                                        : NodeReport.NOTHING);
                     });
         }
 
         @Override
-        public void watchMemberList() {}
+        public void follow() {}
 
         @Override
-        public void scheduleWakeUp(Duration in) {
+        public void wake(Duration in) {
             time.after(
                     in,
                     () -> {
-                        decide.setTime(time.now());
-                        decide.onWakeUp();
+                        decide.at(time.now());
+                        decide.woken();
                     });
         }
     }
--- a/src/main/java/dillfront/simulation/processes/Audit.java
+++ b/src/main/java/dillfront/simulation/processes/Audit.java
@@ -274,7 +274,7 @@
         Mix.Type type = Mix.type(r.type());
         Happening.Asked asked = txn(r.txn()).asked;
         long ageMs = r.unixMs() - r.positionMs();
-        if (type.consistency().equals("causal")
+        if (type.read().equals("causal")
                 && asked != null
                 && asked.afterMs() > 0
                 && r.positionMs() < asked.afterMs()) {
@@ -287,8 +287,8 @@
                             + (asked.afterMs() - r.positionMs())
                             + " ms behind");
         }
-        if (type.consistency().equals("lag_bound") && ageMs > type.boundMs() + SLACK_MS
-                || type.consistency().equals("strong") && ageMs > SLACK_MS) {
+        if (type.read().equals("lag_bound") && ageMs > type.boundMs() + SLACK_MS
+                || type.read().equals("strong") && ageMs > SLACK_MS) {
             breach(
                     5,
                     r.txn()
--- a/src/main/java/dillfront/simulation/processes/Mix.java
+++ b/src/main/java/dillfront/simulation/processes/Mix.java
@@ -8,10 +8,10 @@
     /**
      * @param boundMs how old a bounded read's data may be
      */
-    public record Type(String name, String effect, String consistency, long boundMs) {
+    public record Type(String name, String effect, String read, long boundMs) {
 
         public boolean write() {
-            return consistency.equals("mutate");
+            return read.equals("mutate");
         }
 
         boolean referenced() {
@@ -59,7 +59,7 @@
                                     expiryMs * 1000,
                                     t.write() ? "6.0" : "2.0",
                                     t.write() ? "0.3" : "0.0"));
-            reads.append(comma).append('\'').append(t.consistency).append('\'');
+            reads.append(comma).append('\'').append(t.read).append('\'');
             bounds.append(comma).append(t.boundMs * 1000);
         }
         return "{'az':'"
--- a/src/test/java/dillfront/bootstrap/ControlProcess.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -207,7 +207,7 @@
         return call("POST", "/Configuration.Replace", configuration);
     }
 
-    Answer consistency() {
+    Answer read() {
         return call("GET", "/Configuration.Read", "");
     }
 
--- a/src/test/java/dillfront/bootstrap/ControlProcessTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -81,7 +81,7 @@
         acknowledged(configuration(1, 500), seeds);
         until(
                 "all three answer a read",
-                () -> seeds.stream().allMatch(one -> one.consistency().status() == 200));
+                () -> seeds.stream().allMatch(one -> one.read().status() == 200));
     }
 
     /** What a machine under load takes until programs run is no part of any scene. */
@@ -182,7 +182,7 @@
         long from = System.nanoTime();
         for (int i = 0; System.nanoTime() - from < 2_400_000_000L; i++) {
             orders.add(a.replace(configuration(10 + i, 600)).status());
-            reads.add(a.consistency().status());
+            reads.add(a.read().status());
         }
         for (int status : orders) {
             assertTrue(
@@ -201,7 +201,7 @@
         until(
                 "a read at the one that was cut off is the newest",
                 () -> {
-                    ControlProcess.Answer is = a.consistency();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(
                             is.status() == 503 || is.status() == 0 || version(is) == 1_000,
                             is.body());
@@ -271,7 +271,7 @@
                     for (ControlProcess.Answer is :
                             List.of(
                                     a.replace(configuration(version + 1, 600 + version)),
-                                    a.consistency())) {
+                                    a.read())) {
                         answers.add(is.status());
                         assertTrue(
                                 is.status() == 503 || is.status() == 307,
@@ -279,7 +279,7 @@
                     }
                 }
                 long asked = System.nanoTime();
-                assertEquals(307, a.consistency().status(), what);
+                assertEquals(307, a.read().status(), what);
                 long took = (System.nanoTime() - asked) / 1_000_000;
                 assertTrue(
                         a.status().contains(" alone ") && took < 500,
@@ -292,7 +292,7 @@
                 until(
                         "a read at the one that was cut off is the newest; " + what,
                         () -> {
-                            ControlProcess.Answer is = a.consistency();
+                            ControlProcess.Answer is = a.read();
                             assertTrue(
                                     is.status() == 503
                                             || is.status() == 307
@@ -345,7 +345,7 @@
         until(
                 "it answers a read with the newest",
                 () -> {
-                    ControlProcess.Answer is = a.consistency();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(is.status() != 200 || version(is) == 6, is.body());
                     return is.status() == 200;
                 });
@@ -639,7 +639,7 @@
                                 && promise(is).equals(promise(newer))
                                 && leads(leads, is);
                     });
-            ControlProcess.Answer read = old.consistency();
+            ControlProcess.Answer read = old.read();
             assertTrue(read.status() != 200 || version(read) == 5, read.body());
             List<Call> made = List.copyOf(cloud.calls);
             List<String> said = List.copyOf(cloud.words).subList(words, cloud.words.size());
@@ -865,7 +865,7 @@
                     until(
                             "the third reads what was decided under " + v,
                             () -> {
-                                ControlProcess.Answer is = c.consistency();
+                                ControlProcess.Answer is = c.read();
                                 assertTrue(
                                         is.status() != 200 || is.body().equals(decided),
                                         () -> "in force under " + number + ": " + is.body());
@@ -905,7 +905,7 @@
             until(
                     "it reads the newest, which an older one sent again has not changed",
                     () -> {
-                        ControlProcess.Answer is = one.consistency();
+                        ControlProcess.Answer is = one.read();
                         assertTrue(is.status() != 200 || version(is) == 51, is.body());
                         return is.status() == 200;
                     });
@@ -956,8 +956,8 @@
         until(
                 "both read what was acknowledged",
                 () ->
-                        b.consistency().body().equals(configuration(4, 504))
-                                && c.consistency().body().equals(configuration(4, 504)));
+                        b.read().body().equals(configuration(4, 504))
+                                && c.read().body().equals(configuration(4, 504)));
         // Another machine takes the place of the one that is gone; only the living are told to it.
         ControlProcess d = control(4);
         d.start(false, List.of(b, c));
@@ -976,13 +976,13 @@
                                                                 && !is.contains(" outgoing=")));
         // Both have accepted that; the repair is over once it is known to be decided where somebody
         // stays who knows it.
-        until("the repair is known to be over", () -> c.consistency().status() == 200);
+        until("the repair is known to be over", () -> c.read().status() == 200);
         b.kill();
         acknowledged(configuration(5, 505), List.of(c, d));
         for (ControlProcess one : List.of(c, d)) {
             until(
                     "the two that are left read it",
-                    () -> one.consistency().body().equals(configuration(5, 505)));
+                    () -> one.read().body().equals(configuration(5, 505)));
         }
         // The first one comes back with its disk, and with what it knew when it went.
         a.start(false, List.of(a, b, c));
@@ -990,7 +990,7 @@
         until(
                 "who was away reads the newest, and never an older one",
                 () -> {
-                    ControlProcess.Answer is = a.consistency();
+                    ControlProcess.Answer is = a.read();
                     assertTrue(is.status() != 200 || version(is) == 5, is.body());
                     return is.status() == 200;
                 });
@@ -1024,7 +1024,7 @@
         until(
                 "it reads the newest, and never an older one",
                 () -> {
-                    ControlProcess.Answer is = c.consistency();
+                    ControlProcess.Answer is = c.read();
                     assertTrue(is.status() != 200 || version(is) == 101, is.body());
                     return is.status() == 200;
                 });
--- a/src/test/java/dillfront/router/gossip/HearsayTest.java
+++ b/src/test/java/dillfront/router/gossip/HearsayTest.java
@@ -150,10 +150,10 @@
         says(5, 2, Symptom.HUNG);
         at(2);
         says(3, 2, Symptom.WELL);
-        assertFalse(hearsay.advanceTrial(2));
+        assertFalse(hearsay.better(2));
         assertTrue(hearsay.doubted(2));
         says(4, 2, Symptom.WELL);
-        assertTrue(hearsay.advanceTrial(2));
+        assertTrue(hearsay.better(2));
         assertFalse(hearsay.doubted(2));
         assertFalse(says(9, 2, Symptom.WELL), "who never claimed it takes nothing back");
     }
--- a/src/test/java/dillfront/router/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/PlannerTest.java
@@ -60,7 +60,7 @@
                                     Locale.ROOT,
                                     "  group %d: %d of %d left, primary %s%s\n",
                                     group.number(),
-                                    group.clientDisconnected(),
+                                    group.left(),
                                     group.members(),
                                     group.primary(),
                                     group.elects() ? ", to be elected" : ""));
--- a/src/test/java/dillfront/routing/RoutingHarness.java
+++ b/src/test/java/dillfront/routing/RoutingHarness.java
@@ -73,17 +73,17 @@
         List<TransactionType> types =
                 List.of(
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Consistency.BOUNDED_STALENESS,
+                                Consistency.BOUNDED,
                                 ms(200),
                                 ms(300),
                                 ms(2000),
                                 3,
                                 0),
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
                                 Consistency.SESSION,
@@ -93,27 +93,27 @@
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Consistency.EVENTUAL,
+                                Consistency.ANY,
                                 ms(0),
                                 ms(anySla),
                                 ms(2000),
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.IDEMPOTENT,
+                                Repeatability.REPEATABLE,
                                 true,
                                 ms(2000),
-                                Consistency.STRONG,
+                                Consistency.FRESH,
                                 ms(0),
                                 ms(400),
                                 ms(2000),
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.DEDUPLICATED,
+                                Repeatability.REFERENCED,
                                 true,
                                 ms(2000),
                                 Consistency.WRITE,
@@ -123,7 +123,7 @@
                                 6,
                                 0.3),
                         new TransactionType(
-                                Repeatability.NOT_REPEATABLE,
+                                Repeatability.ONCE_ONLY,
                                 true,
                                 ms(2000),
                                 Consistency.WRITE,
@@ -155,7 +155,7 @@
                                 List.of(50.0, 50.0)),
                         this,
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1));
-        decide.setTime(ms(0));
+        decide.at(ms(0));
     }
 
     static Duration ms(long n) {
@@ -164,7 +164,7 @@
 
     /** Lists three members of one group in this zone, with node 0 as the primary. */
     RoutingHarness three() {
-        decide.updateMembers(
+        decide.list(
                 true,
                 List.of(
                         row(0, true, null, MemberState.READY),
@@ -178,7 +178,7 @@
     }
 
     void change(NodeRow... rows) {
-        decide.updateMembers(false, List.of(rows));
+        decide.list(false, List.of(rows));
     }
 
     /** Advances the clock, and runs the periodic work that is due on the way. */
@@ -186,11 +186,11 @@
         while (wakeAt >= 0 && wakeAt <= then) {
             ms = wakeAt;
             wakeAt = -1;
-            decide.setTime(ms(ms));
-            decide.onWakeUp();
+            decide.at(ms(ms));
+            decide.woken();
         }
         ms = then;
-        decide.setTime(ms(ms));
+        decide.at(ms(ms));
     }
 
     RoutingHarness showProbes() {
@@ -219,7 +219,7 @@
 
     /** Delivers a node's report as the answer to a probe. */
     void report(int node, long position, NodeRole role) {
-        decide.probeCompleted(node, true, new NodeReport(ms(position), role));
+        decide.probed(node, true, new NodeReport(ms(position), role));
     }
 
     /** Runs steps without recording them in the trace. */
@@ -243,7 +243,7 @@
         txns.add(null);
         txns.set(
                 id,
-                decide.accept(
+                decide.take(
                         id,
                         type,
                         tenant,
@@ -258,7 +258,7 @@
 
     /** Opens the connection for a submission late; the submission ends unsent if it is outdated. */
     void connected(int txn) {
-        boolean stands = txns.get(txn).maySend(at.get(txn));
+        boolean stands = txns.get(txn).stands(at.get(txn));
         say(
                 "%s connected to node %d: %s",
                 names.get(txn), at.get(txn), stands ? "goes" : "goes no more");
@@ -276,13 +276,13 @@
         boolean closed = result == SubmissionResult.COMMITTED;
         trace.append(String.format("%5d   %s at node %d: %s\n", ms, names.get(txn), node, result));
         txns.get(txn)
-                .submissionEnded(
+                .ended(
                         node,
                         result,
                         ms(took),
                         closed,
                         new NodeReport(role == null ? null : ms(position), role),
-                        NodeReport.EMPTY);
+                        NodeReport.NOTHING);
     }
 
     /**
@@ -321,12 +321,12 @@
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
+    public void rollBack(int txn) {
         say("%s rolled back", names.get(txn));
     }
 
     @Override
-    public void closeIdleConnections(int node) {
+    public void release(int node) {
         say("free connections to node %d closed", node);
     }
 
@@ -338,12 +338,12 @@
     }
 
     @Override
-    public void watchMemberList() {
+    public void follow() {
         say("asks for the list");
     }
 
     @Override
-    public void scheduleWakeUp(Duration in) {
+    public void wake(Duration in) {
         wakeAt = ms + in.toMillis();
     }
 }
--- a/src/test/java/dillfront/simulation/HistoryTest.java
+++ b/src/test/java/dillfront/simulation/HistoryTest.java
@@ -24,7 +24,7 @@
         return history.begin(at++, "a", number, digest);
     }
 
-    private int consistency() {
+    private int read() {
         return history.begin(at++, "b");
     }
 
@@ -41,7 +41,7 @@
     }
 
     private void reads(long number, String digest) {
-        history.end(consistency(), at++, number, digest);
+        history.end(read(), at++, number, digest);
     }
 
     private void breaks(String... words) {
@@ -99,8 +99,8 @@
     void concurrentCallsMayGoEitherWay() {
         int x = order(1, "x");
         int y = order(2, "y");
-        int old = consistency();
-        int fresh = consistency();
+        int old = read();
+        int fresh = read();
         history.end(fresh, at++, 2, "y");
         history.end(old, at++, 1, "x");
         ends(y, Outcome.ACKNOWLEDGED);
@@ -189,9 +189,9 @@
 
     @Test
     void aReadThatBeganAfterTheAnswerMustHaveIt() {
-        int early = consistency();
+        int early = read();
         acknowledged(1, "x");
-        int late = consistency();
+        int late = read();
         history.end(early, at++, History.NONE, "");
         assertNull(history.check());
         history.end(late, at++, History.NONE, "");
