--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -74,14 +74,14 @@
         this.log = log;
         this.memory = memory;
         RoutingSettings settings = setup.settings();
-        dial = settings.dial();
+        dial = settings.dialTimeout();
         named(setup);
         sites =
                 watchesSites
                         ? new Sites(zones.getOrDefault(settings.zone(), ""), dial, this)
                         : null;
         doubts = bounds == null ? null : new Doubts(bounds, memory);
-        groups = new Groups(began, dial, settings.coldFor(), this);
+        groups = new Groups(began, dial, settings.warmUpTime(), this);
         if (memory != null) {
             memory.leaders().forEach(groups::recall);
             if (doubts != null) {
@@ -103,8 +103,8 @@
     }
 
     void settings(Setup next) {
-        dial = next.settings().dial();
-        groups.settings(dial, next.settings().coldFor());
+        dial = next.settings().dialTimeout();
+        groups.settings(dial, next.settings().warmUpTime());
         named(next);
         if (sites != null) {
             sites.settings(dial);
@@ -176,7 +176,7 @@
      */
     NodeReport believed(int node, NodeReport says, Duration clock) {
         return says.role() == NodeRole.PRIMARY && !groups.mayLead(node, clock)
-                ? NodeReport.NOTHING
+                ? NodeReport.EMPTY
                 : says;
     }
 
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -102,7 +102,7 @@
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new Pace(setup.settings().step());
+        pace = new Pace(setup.settings().clockStep());
         members = new MemberList(setup, clock, log);
         fleet =
                 new Fleet(
@@ -175,10 +175,10 @@
     void settings(Setup next) {
         tick();
         setup = next;
-        pace.step(next.settings().step());
+        pace.step(next.settings().clockStep());
         members.settings(next);
         fleet.settings(next);
-        decide.settings(next.settings());
+        decide.applySettings(next.settings());
         if (ledger != null) {
             ledger.settings(next);
         }
@@ -190,9 +190,9 @@
     public void tick() {
         Duration now = clock.now();
         Duration behind = pace.behind(now);
-        decide.at(now);
+        decide.setTime(now);
         if (behind.compareTo(told) > 0) {
-            decide.late(behind.minus(told));
+            decide.recordPause(behind.minus(told));
             told = behind;
         }
     }
@@ -215,7 +215,7 @@
         for (Member m : read) {
             rows.add(m.row());
         }
-        decide.list(list.flag("reset"), rows);
+        decide.updateMembers(list.flag("reset"), rows);
         if (neighbours != null) {
             read.forEach(m -> neighbours.known(m.row().node(), m.id()));
         }
@@ -229,7 +229,7 @@
     private void forget() {
         members.forget(
                 node -> {
-                    boolean over = decide.forget(node);
+                    boolean over = decide.forgetNode(node);
                     if (over) {
                         fleet.forget(node);
                         if (neighbours != null) {
@@ -277,7 +277,8 @@
                 ledger != null
                         && ledger.keeps()
                         && statement.mark != 0
-                        && setup.settings().types().get(type).effect() == Repeatability.REFERENCED;
+                        && setup.settings().transactionTypes().get(type).repeatability()
+                                == Repeatability.DEDUPLICATED;
         long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
@@ -302,7 +303,7 @@
         Duration expiry = now.minus(waited).plus(patience);
         owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
         exchange.taken(
-                decide.take(
+                decide.accept(
                         slot,
                         type,
                         tenant,
@@ -323,7 +324,7 @@
         ids.remove(statement.id);
         counters.taken++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxPause());
+        never.decline(setup.settings().maxRetryDelay());
         message.release();
         return never;
     }
@@ -355,7 +356,8 @@
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
     private Duration patience(Statement statement, int type) {
-        long longest = setup.settings().types().get(type).longest().toMillis();
+        long longest =
+                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
         return Duration.ofMillis(Math.min(statement.waitMs, longest));
     }
 
@@ -422,7 +424,7 @@
         }
         if (!closed.isEmpty()) {
             tick();
-            decide.list(false, closed.stream().map(Member::row).toList());
+            decide.updateMembers(false, closed.stream().map(Member::row).toList());
             if (ledger != null) {
                 ledger.listed(closed);
             }
@@ -464,7 +466,7 @@
     }
 
     @Override
-    public void rollBack(int txn) {
+    public void reportUnknownOutcome(int txn) {
         slots.get(txn).rollBack();
     }
 
@@ -480,10 +482,10 @@
 
     /** The watch goes on by itself on sockets. */
     @Override
-    public void follow() {}
+    public void watchMemberList() {}
 
     @Override
-    public void wake(Duration in) {
+    public void scheduleWakeUp(Duration in) {
         pace.expect(clock.now().plus(in));
         loop.schedule(
                 () -> {
@@ -492,7 +494,7 @@
                         pace.came(clock.now());
                         counters.longestTurnMs =
                                 Math.max(counters.longestTurnMs, pace.longest().toMillis());
-                        decide.woken();
+                        decide.onWakeUp();
                         if (neighbours != null) {
                             neighbours.beat(clock.now());
                         }
--- a/src/main/java/dillfront/router/backend/Call.java
+++ b/src/main/java/dillfront/router/backend/Call.java
@@ -47,7 +47,7 @@
     String code;
     private Duration position;
     private NodeRole role;
-    private NodeReport report = NodeReport.NOTHING;
+    private NodeReport report = NodeReport.EMPTY;
 
     Call(Pool pool) {
         this.pool = pool;
@@ -162,8 +162,8 @@
                 result,
                 Duration.ofNanos(System.nanoTime() - startedNanos),
                 answer,
-                spoilt ? NodeReport.NOTHING : new NodeReport(position, role),
-                spoilt ? NodeReport.NOTHING : report);
+                spoilt ? NodeReport.EMPTY : new NodeReport(position, role),
+                spoilt ? NodeReport.EMPTY : report);
     }
 
     private static void release(ByteBuf message) {
--- a/src/main/java/dillfront/router/backend/Connection.java
+++ b/src/main/java/dillfront/router/backend/Connection.java
@@ -71,7 +71,7 @@
                         fleet.loop,
                         address,
                         this,
-                        (int) fleet.setup.settings().dial().toMillis() + 1);
+                        (int) fleet.setup.settings().dialTimeout().toMillis() + 1);
         if (connecting == null) {
             close();
             return;
@@ -80,7 +80,9 @@
         fleet.counters.timers++;
         dialing =
                 fleet.loop.schedule(
-                        this::close, fleet.setup.settings().dial().toNanos(), TimeUnit.NANOSECONDS);
+                        this::close,
+                        fleet.setup.settings().dialTimeout().toNanos(),
+                        TimeUnit.NANOSECONDS);
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
@@ -169,7 +171,7 @@
                     channel.eventLoop()
                             .schedule(
                                     () -> spoilt("an answer that does not go on"),
-                                    fleet.setup.settings().dial().toNanos(),
+                                    fleet.setup.settings().dialTimeout().toNanos(),
                                     TimeUnit.NANOSECONDS);
         }
     }
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -93,8 +93,8 @@
         this.most = most;
         this.longest = longest;
         this.listener = listener;
-        restNanos = setup.settings().dial().toNanos() / 4;
-        Duration every = setup.settings().dial();
+        restNanos = setup.settings().dialTimeout().toNanos() / 4;
+        Duration every = setup.settings().dialTimeout();
         loop.scheduleWithFixedDelay(
                 this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -114,7 +114,7 @@
 
     public void news(Runnable look) {
         news = look;
-        lookedNanos = System.nanoTime() - setup.settings().step().toNanos();
+        lookedNanos = System.nanoTime() - setup.settings().clockStep().toNanos();
     }
 
     /**
@@ -128,7 +128,7 @@
             return;
         }
         long now = System.nanoTime();
-        if (now - lookedNanos >= setup.settings().step().toNanos()) {
+        if (now - lookedNanos >= setup.settings().clockStep().toNanos()) {
             lookedNanos = now;
             news.run();
         }
@@ -182,7 +182,7 @@
                     long most =
                             Math.min(
                                     limit.toNanos(),
-                                    KEPT_DIALS * setup.settings().dial().toNanos());
+                                    KEPT_DIALS * setup.settings().dialTimeout().toNanos());
                     counters.timers++;
                     submission.limit =
                             loop.schedule(
@@ -212,7 +212,7 @@
     @Override
     public void probe(int node) {
         counters.probes++;
-        start(new Probe(pools.get(node)), setup.settings().dial());
+        start(new Probe(pools.get(node)), setup.settings().dialTimeout());
     }
 
     /**
@@ -294,7 +294,7 @@
 
     /** Before the node does: what is written to a connection that it has closed is lost. */
     private void closeOld() {
-        long margin = 4 * setup.settings().dial().toNanos();
+        long margin = 4 * setup.settings().dialTimeout().toNanos();
         long idle = Math.max(setup.idle().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (Pool pool : pools) {
@@ -401,7 +401,7 @@
     }
 
     private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dial().toMillis()
+        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dialTimeout().toMillis()
                 ? null
                 : clock.since(ms);
     }
@@ -429,7 +429,7 @@
         } catch (NumberFormatException none) {
             log.warn(
                     "report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
-            return NodeReport.NOTHING;
+            return NodeReport.EMPTY;
         }
         return new NodeReport(position, role);
     }
--- a/src/main/java/dillfront/router/config/Setup.java
+++ b/src/main/java/dillfront/router/config/Setup.java
@@ -52,7 +52,7 @@
 
     /** Spreads the numbers that stand for sessions over the module's indices. */
     public static int session(long number) {
-        return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, RoutingEngine.SESSIONS);
+        return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, RoutingEngine.SESSION_SLOTS);
     }
 
     // Loops, not streams: these are read at every start, which pays for each class of the JDK that
@@ -85,9 +85,9 @@
             rows.add(
                     new TransactionType(
                             switch (type.text("effect")) {
-                                case "retryable" -> Repeatability.REPEATABLE;
-                                case "dedup" -> Repeatability.REFERENCED;
-                                default -> Repeatability.ONCE_ONLY;
+                                case "retryable" -> Repeatability.IDEMPOTENT;
+                                case "dedup" -> Repeatability.DEDUPLICATED;
+                                default -> Repeatability.NOT_REPEATABLE;
                             },
                             !type.text("dedupScope").equals("all"),
                             type.span("dedupWindowUs"),
@@ -131,11 +131,11 @@
 
     private static Consistency read(List<?> reads, int i) {
         return switch (i < reads.size() ? String.valueOf(reads.get(i)) : "") {
-            case "eventual" -> Consistency.ANY;
-            case "lag_bound" -> Consistency.BOUNDED;
+            case "eventual" -> Consistency.EVENTUAL;
+            case "lag_bound" -> Consistency.BOUNDED_STALENESS;
             case "causal" -> Consistency.SESSION;
             case "mutate" -> Consistency.WRITE;
-            default -> Consistency.FRESH;
+            default -> Consistency.STRONG;
         };
     }
 
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -128,7 +128,7 @@
         } else if (answer != null) {
             answer.release();
         }
-        handle.ended(
+        handle.submissionEnded(
                 node,
                 result,
                 took,
--- a/src/main/java/dillfront/router/gossip/Budget.java
+++ b/src/main/java/dillfront/router/gossip/Budget.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 
@@ -47,7 +47,7 @@
 
     /** Whether so many bytes may go now; if so they are counted as sent. */
     boolean takes(int bytes, Use use, Duration now) {
-        double seconds = seconds(now.minus(filledAt));
+        double seconds = toSeconds(now.minus(filledAt));
         tokens = Math.min(rate * FULL, tokens + Math.max(0, seconds) * rate);
         filledAt = now;
         if (tokens - bytes < use.left * rate * FULL) {
--- a/src/main/java/dillfront/router/gossip/Gossip.java
+++ b/src/main/java/dillfront/router/gossip/Gossip.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -386,7 +386,7 @@
     public void woken() {
         if (wokenAt != null) {
             Duration gap = now.minus(wokenAt);
-            Duration most = times(tuning.period(), AWAY);
+            Duration most = multiply(tuning.period(), AWAY);
             if (gap.compareTo(most) > 0) {
                 // Guards against a router that was stopped and then holds all others for silent.
                 Duration away = gap.minus(most);
@@ -399,7 +399,7 @@
         wokenAt = now;
         members.condemn(now);
         passed.values().removeIf(p -> now.minus(p.at).compareTo(tuning.period()) > 0);
-        Duration ack = members.patient(times(tuning.period(), ACK));
+        Duration ack = members.patient(multiply(tuning.period(), ACK));
         if (probed >= 0 && !answered && !helped && now.minus(probedAt).compareTo(ack) > 0) {
             helped = true;
             int about = probed;
@@ -431,7 +431,7 @@
         heard = 0;
         // Not all at the same moment, whoever started together.
         double spread = 0.9 + 0.2 * chance.nextDouble();
-        probeAt = now.plus(times(members.patient(tuning.period()), spread));
+        probeAt = now.plus(multiply(members.patient(tuning.period()), spread));
         probed = members.next();
         answered = false;
         helped = false;
--- a/src/main/java/dillfront/router/gossip/Hearsay.java
+++ b/src/main/java/dillfront/router/gossip/Hearsay.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
@@ -117,7 +117,7 @@
         // Enough to leave out the liars twice over, and to see who was right.
         most = 3 * (liars + 1) + 2;
         lasts = tuning.lasts();
-        soon = times(lasts, SOON);
+        soon = multiply(lasts, SOON);
         credit = new double[instances];
         Arrays.fill(credit, CREDIT_START);
         voice = new int[instances];
@@ -210,8 +210,11 @@
     /** What this router sees of a node itself. */
     public void seen(int node, HealthObservation sight) {
         Row row = row(node);
-        row.ill = sight.ill();
-        row.wellAt = sight.wellAt().compareTo(row.wellAt) > 0 ? sight.wellAt() : row.wellAt;
+        row.ill = sight.isFaulty();
+        row.wellAt =
+                sight.lastHealthyAt().compareTo(row.wellAt) > 0
+                        ? sight.lastHealthyAt()
+                        : row.wellAt;
         judge(row);
     }
 
--- a/src/main/java/dillfront/router/gossip/Members.java
+++ b/src/main/java/dillfront/router/gossip/Members.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -228,7 +228,7 @@
         double shortest = SUSPICION * Math.max(1, Math.log10(there + 1));
         double longest = shortest * SUSPICION_LONGEST;
         double part = Math.log(accusers) / Math.log(ACCUSERS + 1);
-        return times(period, longest - (longest - shortest) * Math.min(1, part));
+        return multiply(period, longest - (longest - shortest) * Math.min(1, part));
     }
 
     private void enter(Peer p, int peer, State state, Duration now) {
--- a/src/main/java/dillfront/router/gossip/Witness.java
+++ b/src/main/java/dillfront/router/gossip/Witness.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
@@ -57,7 +57,7 @@
                                 + MOST * (double) now.minus(filledAt).toNanos() / lasts.toNanos());
         filledAt = now;
         Row row = rows.get(node);
-        if (!sight.ill()) {
+        if (!sight.isFaulty()) {
             if (row.said && sight.health() == HealthObservation.Health.WELL) {
                 telling.say(node, Symptom.WELL, 0, Duration.ZERO);
                 row.said = false;
@@ -68,7 +68,7 @@
         row.since = row.ill ? row.since : now;
         boolean due =
                 !row.ill
-                        || now.minus(row.saidAt).compareTo(times(lasts, AGAIN)) >= 0
+                        || now.minus(row.saidAt).compareTo(multiply(lasts, AGAIN)) >= 0
                                 && sight.evidence() > 0;
         row.ill = true;
         if (due && !enough && allowance >= 1) {
--- a/src/main/java/dillfront/router/identity/Gate.java
+++ b/src/main/java/dillfront/router/identity/Gate.java
@@ -1,6 +1,6 @@
 package dillfront.router.identity;
 
-import static dillfront.routing.api.Durations.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -223,11 +223,11 @@
         }
 
         private void fill() {
-            double most = Math.max(1, principal.rate() * seconds(AHEAD));
+            double most = Math.max(1, principal.rate() * toSeconds(AHEAD));
             double seconds =
                     use.filledAt.isZero()
                             ? most / principal.rate()
-                            : seconds(now.minus(use.filledAt));
+                            : toSeconds(now.minus(use.filledAt));
             use.allowance = Math.min(most, use.allowance + seconds * principal.rate());
             use.filledAt = now;
         }
--- a/src/main/java/dillfront/router/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/Pace.java
@@ -1,6 +1,6 @@
 package dillfront.router.pace;
 
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 
@@ -40,8 +40,8 @@
 
     /** The clock has another step from now on. */
     public void step(Duration step) {
-        turn = times(step, TURN);
-        grain = times(step, GRAIN);
+        turn = multiply(step, TURN);
+        grain = multiply(step, GRAIN);
     }
 
     /** The next beat is to come then. */
--- a/src/main/java/dillfront/router/recovery/Reckoning.java
+++ b/src/main/java/dillfront/router/recovery/Reckoning.java
@@ -1,7 +1,7 @@
 package dillfront.router.recovery;
 
-import static dillfront.routing.api.Durations.seconds;
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.multiply;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
@@ -92,8 +92,8 @@
      * @param tipAfter for how long too much must be sent to a cold node to push it over
      */
     public void settings(Duration coldFor, Duration tipAfter) {
-        coldSeconds = seconds(coldFor);
-        windowSeconds = seconds(tipAfter);
+        coldSeconds = toSeconds(coldFor);
+        windowSeconds = toSeconds(tipAfter);
     }
 
     /** No node is warm, and none was since this router began. */
@@ -110,7 +110,7 @@
      */
     public Duration back(Duration pause, RandomGenerator chance) {
         return returning
-                ? times(pause, NEAREST + chance.nextDouble() * (FURTHEST - NEAREST))
+                ? multiply(pause, NEAREST + chance.nextDouble() * (FURTHEST - NEAREST))
                 : pause;
     }
 
--- a/src/main/java/dillfront/router/site/Sites.java
+++ b/src/main/java/dillfront/router/site/Sites.java
@@ -1,6 +1,6 @@
 package dillfront.router.site;
 
-import static dillfront.routing.api.Durations.later;
+import static dillfront.routing.api.Durations.max;
 
 import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
@@ -188,7 +188,7 @@
 
     private void judge(String site, Place place, Duration now) {
         // Quiet is what has not changed underneath either, whatever the verdict made of it.
-        Duration quietFrom = later(place.calmFrom, place.since);
+        Duration quietFrom = max(place.calmFrom, place.since);
         if (place.flaps > 0
                 && now.minus(quietFrom).compareTo(dial.multipliedBy(FORGIVEN_DIALS)) > 0) {
             place.flaps--;
--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -1,10 +1,10 @@
 package dillfront.routing;
 
-import static dillfront.routing.api.Durations.earlier;
-import static dillfront.routing.api.Durations.later;
+import static dillfront.routing.api.Durations.max;
+import static dillfront.routing.api.Durations.min;
+import static dillfront.routing.api.Durations.multiply;
 import static dillfront.routing.api.Durations.ratio;
-import static dillfront.routing.api.Durations.seconds;
-import static dillfront.routing.api.Durations.times;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import dillfront.router.recovery.Reckoning;
 import dillfront.routing.api.Consistency;
@@ -32,11 +32,12 @@
  * Routes transactions to database nodes. Each router has one instance, which does no I/O; {@link
  * dillfront.routing.api} holds its interface types.
  *
- * <p>The caller sets the clock with {@link #at}, then makes one call per event: {@link #list},
- * {@link #take}, {@link #probed}, {@link #woken}, and on the {@link TransactionHandle} of a
- * transaction {@link TransactionHandle#ended} and {@link TransactionHandle#left}. The instance
- * requests its actions from the {@link RoutingActions} during the call. Times are durations since
- * the zero of log positions, so that positions and times compare directly.
+ * <p>The caller sets the clock with {@link #setTime}, then makes one call per event: {@link
+ * #updateMembers}, {@link #accept}, {@link #probed}, {@link #onWakeUp}, and on the {@link
+ * TransactionHandle} of a transaction {@link TransactionHandle#submissionEnded} and {@link
+ * TransactionHandle#left}. The instance requests its actions from the {@link RoutingActions} during
+ * the call. Times are durations since the zero of log positions, so that positions and times
+ * compare directly.
  *
  * <p>Writes and strongly consistent reads go to the primary. Other reads go to the least loaded
  * replica that is known to be current enough, and a limited share of them to the primary while its
@@ -49,7 +50,7 @@
      * Number of slots for the last writes of sessions. Sessions that share a slot also wait for
      * each other's writes.
      */
-    public static final int SESSIONS = 1 << 13;
+    public static final int SESSION_SLOTS = 1 << 13;
 
     private static final Duration NEVER = Duration.ofSeconds(Long.MIN_VALUE / 4);
 
@@ -243,10 +244,10 @@
         Type(TransactionType t, Duration anyBound) {
             set = t;
             read = t.read();
-            bound = read == Consistency.ANY ? anyBound : t.bound();
-            sla = t.sla();
-            lateEarns = t.lateShare() > 0;
-            usual = times(sla, 0.25);
+            bound = read == Consistency.EVENTUAL ? anyBound : t.stalenessBound();
+            sla = t.slaTime();
+            lateEarns = t.lateValueShare() > 0;
+            usual = multiply(sla, 0.25);
         }
 
         /**
@@ -256,14 +257,17 @@
             Duration off = patience.minus(firstTry == null ? patience : firstTry);
             firstTry =
                     patience.minus(off)
-                            .plus(times(set.longest(), Math.signum(off.toNanos()) * OFF / 8));
-            return off.abs().compareTo(times(set.longest(), OFF)) > 0;
+                            .plus(
+                                    multiply(
+                                            set.totalClientTimeout(),
+                                            Math.signum(off.toNanos()) * OFF / 8));
+            return off.abs().compareTo(multiply(set.totalClientTimeout(), OFF)) > 0;
         }
 
         /** Returns whether replicas may serve this type. */
         boolean routed() {
-            return read == Consistency.ANY
-                    || read == Consistency.BOUNDED
+            return read == Consistency.EVENTUAL
+                    || read == Consistency.BOUNDED_STALENESS
                     || read == Consistency.SESSION;
         }
 
@@ -278,7 +282,7 @@
          * Returns whether its reads keep a replica from applying the log beyond the tightest bound.
          */
         boolean stalling(Duration tightest) {
-            return read == Consistency.ANY && stalls > 0.5 && usual.compareTo(tightest) > 0;
+            return read == Consistency.EVENTUAL && stalls > 0.5 && usual.compareTo(tightest) > 0;
         }
     }
 
@@ -421,7 +425,7 @@
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
 
     /** Position of the last commit of each session slot. */
-    private final Duration[] written = new Duration[SESSIONS];
+    private final Duration[] written = new Duration[SESSION_SLOTS];
 
     private Duration beat;
 
@@ -489,7 +493,7 @@
         this.outlet = outlet;
         this.chance = chance;
         Arrays.fill(written, NEVER);
-        settings(set);
+        applySettings(set);
     }
 
     /**
@@ -497,40 +501,41 @@
      * typical response times are learned anew. A changed zone takes effect with the next member
      * list.
      */
-    public void settings(RoutingSettings next) {
+    public void applySettings(RoutingSettings next) {
         set = next;
-        beat = next.step().multipliedBy(BEAT);
+        beat = next.clockStep().multipliedBy(BEAT);
         tightest = null;
-        for (TransactionType t : next.types()) {
-            Duration bound = t.read() != Consistency.BOUNDED ? tightest : t.bound();
-            tightest = tightest == null ? bound : earlier(bound, tightest);
-        }
-        tightest = tightest == null ? next.dial() : tightest;
-        anyBound = times(tightest, ANY_BOUND);
-        types = new Type[next.types().size()];
+        for (TransactionType t : next.transactionTypes()) {
+            Duration bound =
+                    t.read() != Consistency.BOUNDED_STALENESS ? tightest : t.stalenessBound();
+            tightest = tightest == null ? bound : min(bound, tightest);
+        }
+        tightest = tightest == null ? next.dialTimeout() : tightest;
+        anyBound = multiply(tightest, ANY_BOUND);
+        types = new Type[next.transactionTypes().size()];
         for (int i = 0; i < types.length; i++) {
-            types[i] = new Type(next.types().get(i), anyBound);
+            types[i] = new Type(next.transactionTypes().get(i), anyBound);
         }
         tenants = new ArrayList<>();
         double sum = 0;
-        for (double quota : next.quotas()) {
-            tenants.add(new Tenant(quota, next.routers()));
+        for (double quota : next.tenantQuotas()) {
+            tenants.add(new Tenant(quota, next.routerCount()));
             sum += quota;
         }
         allQuotas = sum;
-        roomLeast = ROOM_LEAST / next.routers();
+        roomLeast = ROOM_LEAST / next.routerCount();
         typical = slowest();
-        reckoning.settings(next.coldFor(), next.tipAfter());
+        reckoning.settings(next.warmUpTime(), next.overloadTime());
         gather();
     }
 
     /** Sets the current time for the calls that follow. */
-    public void at(Duration clock) {
+    public void setTime(Duration clock) {
         now = clock;
         if (!awake) {
             awake = true;
             beatAt = now;
-            outlet.wake(beat);
+            outlet.scheduleWakeUp(beat);
         }
     }
 
@@ -538,7 +543,7 @@
      * Records a pause of the calling process, during which it read no answers. Guards against a
      * router with part of a CPU core that takes its own pause for the silence of every node.
      */
-    public void late(Duration by) {
+    public void recordPause(Duration by) {
         away = away.plus(by);
         nodes.forEach(n -> n.quiet = n.out > 0 ? n.quiet.plus(by) : n.quiet);
     }
@@ -546,7 +551,7 @@
     // ---- the member list
 
     /** Applies a complete member list, or the changes of one. */
-    public void list(boolean whole, List<NodeRow> rows) {
+    public void updateMembers(boolean whole, List<NodeRow> rows) {
         if (whole) {
             nodes.forEach(
                     n ->
@@ -558,14 +563,14 @@
         following = askedAt.compareTo(NEVER) > 0;
         for (NodeRow row : rows) {
             while (nodes.size() <= row.node()) {
-                nodes.add(new Node(nodes.size(), set.routers()));
+                nodes.add(new Node(nodes.size(), set.routerCount()));
             }
             Node n = nodes.get(row.node());
             probeCredit += n.group == null ? 1 : 0;
             n.heardAt = n.group == null ? now : n.heardAt;
             // If nodes missing from the list stay open, a draining node stays closed until it is
             // listed as ready again.
-            if (!set.goneStaysOpen()
+            if (!set.unlistedNodesStayOpen()
                     || n.standing != MemberState.DRAINING
                     || row.standing() != MemberState.GONE) {
                 n.standing = row.standing();
@@ -592,7 +597,8 @@
     private void gather() {
         groups.values().forEach(g -> g.members.clear());
         for (Node n : nodes) {
-            if (n.group != null && (n.standing != MemberState.GONE || set.goneStaysOpen())) {
+            if (n.group != null
+                    && (n.standing != MemberState.GONE || set.unlistedNodesStayOpen())) {
                 n.group.members.add(n);
             }
         }
@@ -603,16 +609,16 @@
      * grow. Returns false while the node is listed or has pending work. A node that stays open
      * without being listed is removed after it was unreachable for the warm-up time.
      */
-    public boolean forget(int node) {
+    public boolean forgetNode(int node) {
         Node n = nodes.get(node);
-        boolean away = n.lost && n.heardAt.plus(set.coldFor()).compareTo(now) < 0;
+        boolean away = n.lost && n.heardAt.plus(set.warmUpTime()).compareTo(now) < 0;
         if (listed(n) && !away || n.out > 0 || n.probing) {
             return false;
         }
         if (n.group != null) {
             n.group.members.remove(n);
         }
-        nodes.set(node, new Node(node, set.routers()));
+        nodes.set(node, new Node(node, set.routerCount()));
         return true;
     }
 
@@ -626,14 +632,14 @@
     /**
      * Accepts a transaction, which gets exactly one final answer unless its client disconnects.
      *
-     * @param session the session's slot below {@link #SESSIONS}, or negative
+     * @param session the session's slot below {@link #SESSION_SLOTS}, or negative
      * @param expiry the client's timeout, counted from its request's arrival
      * @param token how long ago the session last wrote; null if requests carry no such token, zero
      *     if the session has not written
      * @param waited the time since the request's arrival at this router
      * @param ran since when an earlier try of the client may have executed the transaction, or null
      */
-    public TransactionHandle take(
+    public TransactionHandle accept(
             int id,
             int type,
             int tenant,
@@ -653,7 +659,7 @@
                         waited,
                         ran);
         taken++;
-        t.type.work += seconds(t.type.usual);
+        t.type.work += toSeconds(t.type.usual);
         if (tenant >= 0 && tenants.get(tenant).quota > 0 && tenants.get(tenant).allowance-- < 1) {
             tenants.get(tenant).allowance++;
             t.spare = true;
@@ -667,7 +673,7 @@
             }
         }
         probeCredit =
-                Math.min(nodes.size(), probeCredit + Math.min(1, PROBE_COST / set.probePrice()));
+                Math.min(nodes.size(), probeCredit + Math.min(1, PROBE_COST / set.probeCost()));
         t.group.spill = Math.min(SPILL_BURST, t.group.spill + (t.type.routed() ? SPILL : 0));
         // Its time passed in the receive queue of this overloaded router.
         boolean overdue = t.spare && waited.compareTo(beat) > 0;
@@ -736,16 +742,18 @@
             // The timeout of a retry is all the time left to the client, which gives the age of the
             // first try.
             Duration age =
-                    type.repeated(patience) ? type.set.longest().minus(patience) : Duration.ZERO;
+                    type.repeated(patience)
+                            ? type.set.totalClientTimeout().minus(patience)
+                            : Duration.ZERO;
             Duration useful = came.plus(type.sla).minus(age);
-            Duration last = type.lateEarns ? expiry : earlier(expiry, useful);
-            Duration held = came.plus(times(patience, HELD));
-            giveUp = earlier(last.minus(type.usual), held).minus(beat.multipliedBy(2));
+            Duration last = type.lateEarns ? expiry : min(expiry, useful);
+            Duration held = came.plus(multiply(patience, HELD));
+            giveUp = min(last.minus(type.usual), held).minus(beat.multipliedBy(2));
             spare = giveUp.compareTo(now) <= 0;
         }
 
         @Override
-        public void ended(
+        public void submissionEnded(
                 int node,
                 SubmissionResult result,
                 Duration took,
@@ -762,7 +770,7 @@
             // time,
             // limited to the range that the pause permits.
             Duration least = took.minus(away.minus(sentAway));
-            judge(n, type, result, later(least, earlier(took, times(type.usual, n.pace))));
+            judge(n, type, result, max(least, min(took, multiply(type.usual, n.pace))));
             if (result == SubmissionResult.ERROR || result == SubmissionResult.COMMITTED) {
                 blame(n, result == SubmissionResult.ERROR);
             }
@@ -774,14 +782,14 @@
                 // millisecond less counts as applied.
                 seen = new NodeReport(note.position().minusMillis(1), note.role());
                 if (session >= 0) {
-                    written[session] = later(written[session], note.position());
+                    written[session] = max(written[session], note.position());
                 }
             }
-            heard(node, seen, report);
+            nodeReported(node, seen, report);
             if (result == SubmissionResult.COMMITTED
                     && note.role() == NodeRole.REPLICA
                     && note.position() != null) {
-                double still = n.behind.compareTo(times(took, 0.5)) > 0 ? 1 : 0;
+                double still = n.behind.compareTo(multiply(took, 0.5)) > 0 ? 1 : 0;
                 type.stalls += GAIN * (still - type.stalls);
             }
             if (result.mayHaveRun() && ranAt == null) {
@@ -798,8 +806,8 @@
             // wait for them. Exceptions are connections that fail by timeout, as they are
             // slow to open again, and connections that are likely to be reused soon.
             if (n.out == 0
-                    && now.compareTo(scarceAt.plus(times(set.dial(), SCARCE))) < 0
-                    && n.gap.compareTo(times(typical, PATIENCE)) > 0) {
+                    && now.compareTo(scarceAt.plus(multiply(set.dialTimeout(), SCARCE))) < 0
+                    && n.gap.compareTo(multiply(typical, PATIENCE)) > 0) {
                 outlet.release(n.id);
             }
         }
@@ -823,8 +831,8 @@
         public boolean stands(int node) {
             Node n = nodes.get(node);
             boolean old =
-                    type.read == Consistency.FRESH
-                            || type.read == Consistency.BOUNDED
+                    type.read == Consistency.STRONG
+                            || type.read == Consistency.BOUNDED_STALENESS
                                     && n.position.compareTo(now.minus(type.bound)) < 0
                                     && !keepsUp(n, now.minus(type.bound));
             return !closed && listed(n) && remembered(this) && (!old || n == primary(group));
@@ -872,11 +880,13 @@
      * is idempotent, or its nodes still recognize its idempotency key.
      */
     private boolean remembered(Txn t) {
-        Repeatability effect = t.type.set.effect();
+        Repeatability effect = t.type.set.repeatability();
         return t.ranAt == null
-                || effect == Repeatability.REPEATABLE
-                || effect == Repeatability.REFERENCED
-                        && now.plus(set.step()).compareTo(t.ranAt.plus(t.type.set.window())) < 0;
+                || effect == Repeatability.IDEMPOTENT
+                || effect == Repeatability.DEDUPLICATED
+                        && now.plus(set.clockStep())
+                                        .compareTo(t.ranAt.plus(t.type.set.deduplicationWindow()))
+                                < 0;
     }
 
     /** Returns the concurrency limit for the transaction's priority. */
@@ -887,7 +897,7 @@
     /** Queues a transaction; rejects one of low priority instead. */
     private void hold(Txn t) {
         if (t.spare && resendable(t)) {
-            finish(t, set.maxPause());
+            finish(t, set.maxRetryDelay());
         } else if (!over(t)) {
             int at = t.group.held.size();
             while (at > 0 && t.group.held.get(at - 1).type.rank() < t.type.rank()) {
@@ -912,13 +922,13 @@
         t.closed = true;
         boolean harmless =
                 t.ranAt == null
-                        || t.type.set.effect() == Repeatability.REPEATABLE
-                        || t.type.set.effect() == Repeatability.REFERENCED
-                                && !t.type.set.groupDrops();
+                        || t.type.set.repeatability() == Repeatability.IDEMPOTENT
+                        || t.type.set.repeatability() == Repeatability.DEDUPLICATED
+                                && !t.type.set.deduplicatedByGroup();
         if (harmless) {
-            outlet.decline(t.id, earlier(reckoning.back(pause, chance), set.maxPause()));
+            outlet.decline(t.id, min(reckoning.back(pause, chance), set.maxRetryDelay()));
         } else {
-            outlet.rollBack(t.id);
+            outlet.reportUnknownOutcome(t.id);
         }
     }
 
@@ -952,7 +962,7 @@
         Duration limit =
                 t.type.lateEarns || t.type.read == Consistency.WRITE
                         ? left
-                        : earlier(left, times(t.type.usual, PATIENCE));
+                        : min(left, multiply(t.type.usual, PATIENCE));
         t.submissions++;
         t.sentAt = now;
         t.sentAway = away;
@@ -961,14 +971,14 @@
         } else {
             // Random, so that routers do not all try a recovering node at the same moment.
             double gap = TRIAL_GAP * Math.min(n.trials++, TRIALS) * (1 + chance.nextDouble() / 2);
-            n.tryAt = now.plus(times(set.dial(), gap));
+            n.tryAt = now.plus(multiply(set.dialTimeout(), gap));
         }
         if (n.out++ == 0) {
             n.quiet = now;
         }
         n.gap = n.sentAt.equals(NEVER) ? n.gap : now.minus(n.sentAt);
         n.sentAt = now;
-        n.coldCredit -= seconds(cost(t.type));
+        n.coldCredit -= toSeconds(cost(t.type));
         outlet.submit(t.id, n.id, limit);
         return true;
     }
@@ -996,7 +1006,7 @@
         }
         if (g.misses >= g.members.size()) {
             g.misses = 0;
-            g.searchAt = now.plus(times(set.dial(), TRIAL_GAP));
+            g.searchAt = now.plus(multiply(set.dialTimeout(), TRIAL_GAP));
             return null;
         }
         for (int i = 0; i < g.members.size(); i++) {
@@ -1025,7 +1035,7 @@
                 continue;
             }
             boolean fresh = n.position.compareTo(need) >= 0 || keepsUp(n, need);
-            if (fresh || t.type.read == Consistency.ANY) {
+            if (fresh || t.type.read == Consistency.EVENTUAL) {
                 double load = busy(n, -Math.log(1 - chance.nextDouble())) * (fresh ? 1 : OLD);
                 if (load < least) {
                     best = n;
@@ -1057,8 +1067,8 @@
      * starts to lag.
      */
     private boolean keepsUp(Node n, Duration need) {
-        return set.nodesRefuse()
-                && (now.minus(times(n.behind, 2)).compareTo(need) >= 0
+        return set.nodesRejectStaleReads()
+                && (now.minus(multiply(n.behind, 2)).compareTo(need) >= 0
                         || n.toldAt.plus(anyBound).compareTo(now) < 0);
     }
 
@@ -1079,7 +1089,7 @@
         replicas.sort(Comparator.comparing(n -> n.position));
         int most = Math.max(1, (int) Math.round(replicas.size() * stallPart));
         for (Node n : replicas.subList(0, Math.min(most, replicas.size()))) {
-            if (open(n, room(n, t)) && (!cold(n) || n.coldCredit >= seconds(t.type.usual))) {
+            if (open(n, room(n, t)) && (!cold(n) || n.coldCredit >= toSeconds(t.type.usual))) {
                 return n;
             }
         }
@@ -1099,7 +1109,7 @@
     /** Returns whether the member list permits new transactions to the node. */
     private boolean listed(Node n) {
         return n.standing == MemberState.READY
-                || n.standing == MemberState.GONE && set.goneStaysOpen();
+                || n.standing == MemberState.GONE && set.unlistedNodesStayOpen();
     }
 
     /**
@@ -1112,13 +1122,13 @@
             return false;
         }
         if (onTrial(n)) {
-            return n.out == 0 && !(n.lost && set.probes()) && now.compareTo(n.tryAt) >= 0;
+            return n.out == 0 && !(n.lost && set.probesEnabled()) && now.compareTo(n.tryAt) >= 0;
         }
         return n.out < room
                 && (room >= 1
                         || now.compareTo(
                                         n.sentAt.plus(
-                                                times(typical, 1 / Math.max(room, roomLeast))))
+                                                multiply(typical, 1 / Math.max(room, roomLeast))))
                                 >= 0);
     }
 
@@ -1156,7 +1166,7 @@
 
     /** Records that a node was a replica at a time. */
     private void deny(Node n, Duration when) {
-        n.denied = later(n.denied, when);
+        n.denied = max(n.denied, when);
         if (n.claimed.compareTo(when) <= 0) {
             n.claimed = NEVER;
         }
@@ -1168,7 +1178,7 @@
      * @param note the state at this moment
      * @param report the state at some earlier time
      */
-    public void heard(int node, NodeReport note, NodeReport report) {
+    public void nodeReported(int node, NodeReport note, NodeReport report) {
         Node n = nodes.get(node);
         if (note.role() == NodeRole.PRIMARY) {
             claim(n, now);
@@ -1183,11 +1193,11 @@
             deny(n, report.position());
         }
         if (note.position() != null) {
-            n.position = later(n.position, note.position());
+            n.position = max(n.position, note.position());
             n.behind = now.minus(n.position);
             n.toldAt = now;
         }
-        n.position = report.position() == null ? n.position : later(n.position, report.position());
+        n.position = report.position() == null ? n.position : max(n.position, report.position());
     }
 
     // ---- health
@@ -1213,7 +1223,7 @@
                                 : result == SubmissionResult.RESET ? FAIL_GAIN / 2 : FAIL_GAIN;
         n.failures += gain * ((bad ? 1 : 0) - n.failures);
         // A node that has only rejected work for this long counts as hung with a full queue.
-        double since = ratio(now.minus(n.answeredAt), times(slowest(), PATIENCE));
+        double since = ratio(now.minus(n.answeredAt), multiply(slowest(), PATIENCE));
         if (!bad && result != SubmissionResult.FULL) {
             n.quiet = now;
             n.silent = false;
@@ -1224,7 +1234,7 @@
         }
         n.atOnce =
                 result == SubmissionResult.UNREACHABLE
-                        ? took.compareTo(times(set.dial(), 0.5)) < 0
+                        ? took.compareTo(multiply(set.dialTimeout(), 0.5)) < 0
                         : n.atOnce;
         if (result == SubmissionResult.UNREACHABLE && failing(n)) {
             n.lost = true;
@@ -1235,10 +1245,10 @@
         // The rarer the answers, the more weight each one has.
         double weight = Math.max(GAIN, Math.min(1, since));
         if (result == SubmissionResult.COMMITTED) {
-            reckoning.did(seconds(cost(type)), part(n));
+            reckoning.did(toSeconds(cost(type)), part(n));
             n.pace += weight * (Math.min(4, ratio(took, type.usual)) - n.pace);
-            Duration usual = type.usual.plus(times(took.minus(type.usual), GAIN / 10));
-            type.usual = earlier(usual, times(type.sla, 0.5));
+            Duration usual = type.usual.plus(multiply(took.minus(type.usual), GAIN / 10));
+            type.usual = min(usual, multiply(type.sla, 0.5));
         }
         // More timeouts at this node than at most others indicate queued work there; otherwise they
         // indicate lost messages.
@@ -1278,16 +1288,16 @@
         Duration away = now.minus(n.heardAt);
         boolean followed =
                 n.claimed.compareTo(LISTED) > 0
-                        ? away.compareTo(times(set.coldFor(), UP)) > 0
-                        : n.position.compareTo(now.minus(times(away, UP))) > 0;
+                        ? away.compareTo(multiply(set.warmUpTime(), UP)) > 0
+                        : n.position.compareTo(now.minus(multiply(away, UP))) > 0;
         if (n.unheard) {
             // The network path failed: one answer restores trust, and no work is queued at the
             // node.
             n.tryAt = NEVER;
             n.trials = 1;
             n.failures = Math.min(n.failures, FAILING);
-            n.room = Math.max(n.room, ROOM_START / set.routers());
-            n.started = followed ? n.started : later(n.started, now);
+            n.room = Math.max(n.room, ROOM_START / set.routerCount());
+            n.started = followed ? n.started : max(n.started, now);
             n.coldCredit = 0;
         }
         scarceAt = n.unheard || !n.atOnce ? scarceAt : now;
@@ -1321,7 +1331,7 @@
     /** Returns whether pending submissions have been unanswered for this share of the limit. */
     private boolean mute(Node n, double part) {
         double wait = Math.max(SILENCE_LEAST, SILENCE / Math.max(1, n.out)) * part;
-        return now.compareTo(n.quiet.plus(times(slowest(), wait))) > 0;
+        return now.compareTo(n.quiet.plus(multiply(slowest(), wait))) > 0;
     }
 
     /**
@@ -1331,7 +1341,7 @@
     public void doubted(int node, boolean doubted) {
         Node n = nodes.get(node);
         if (doubted && !n.doubted) {
-            n.tryAt = later(n.tryAt, now.plus(times(set.dial(), 1 + chance.nextDouble())));
+            n.tryAt = max(n.tryAt, now.plus(multiply(set.dialTimeout(), 1 + chance.nextDouble())));
         }
         n.doubted = doubted;
     }
@@ -1342,7 +1352,7 @@
      */
     public void better(int node) {
         Node n = nodes.get(node);
-        n.tryAt = earlier(n.tryAt, now.plus(times(set.dial(), chance.nextDouble())));
+        n.tryAt = min(n.tryAt, now.plus(multiply(set.dialTimeout(), chance.nextDouble())));
     }
 
     /**
@@ -1352,7 +1362,7 @@
     public HealthObservation sees(int node) {
         Node n = nodes.get(node);
         boolean silent = !trusted(n) && n.silent && (n.out == 0 || mute(n, TOLD));
-        boolean lately = n.wellAt.plus(times(slowest(), PATIENCE)).compareTo(now) > 0;
+        boolean lately = n.wellAt.plus(multiply(slowest(), PATIENCE)).compareTo(now) > 0;
         return new HealthObservation(
                 n.lost
                         ? HealthObservation.Health.LOST
@@ -1370,20 +1380,21 @@
     private Duration slowest() {
         Duration most = Duration.ZERO;
         for (Type t : types) {
-            most = later(most, t.usual);
+            most = max(most, t.usual);
         }
         return most;
     }
 
     /** Returns whether the warm-up time since the node's start is not over. */
     private boolean cold(Node n) {
-        return now.compareTo(n.started.plus(set.coldFor())) < 0;
+        return now.compareTo(n.started.plus(set.warmUpTime())) < 0;
     }
 
     /** Returns the minimum share of its full capacity that the node has reached by now. */
     private double part(Node n) {
-        double age = cold(n) ? ratio(now.minus(n.started), set.coldFor()) : 1;
-        return set.coldFrom() + (1 - set.coldFrom()) * Math.max(0, Math.min(1, age));
+        double age = cold(n) ? ratio(now.minus(n.started), set.warmUpTime()) : 1;
+        return set.coldCapacityShare()
+                + (1 - set.coldCapacityShare()) * Math.max(0, Math.min(1, age));
     }
 
     /**
@@ -1391,26 +1402,26 @@
      * transaction counts as a typical one.
      */
     private Duration cost(Type type) {
-        return reckoning.allCold() ? later(typical, type.usual) : type.usual;
+        return reckoning.allCold() ? max(typical, type.usual) : type.usual;
     }
 
     // ---- periodic work
 
     /**
      * Runs the periodic work if due. The adapter calls this at the time that {@link
-     * RoutingActions#wake} set.
+     * RoutingActions#scheduleWakeUp} set.
      */
-    public void woken() {
+    public void onWakeUp() {
         if (now.compareTo(beatAt.plus(beat)) < 0) {
             return;
         }
-        double seconds = seconds(now.minus(beatAt));
+        double seconds = toSeconds(now.minus(beatAt));
         beatAt = now;
-        outlet.wake(beat);
+        outlet.scheduleWakeUp(beat);
         double warm = 0;
         double cold = 0;
         double listed = 0;
-        double back = Math.max(ROOM_BACK, set.routers() / ROOM_BACK_ROUTERS);
+        double back = Math.max(ROOM_BACK, set.routerCount() / ROOM_BACK_ROUTERS);
         List<Double> shares = new ArrayList<>();
         List<Double> strains = new ArrayList<>();
         int out = 0;
@@ -1427,7 +1438,7 @@
                             ? n.size
                             : 0;
             if (n.room < 1) {
-                n.room *= Math.pow(2, seconds / (seconds(set.dial()) * back));
+                n.room *= Math.pow(2, seconds / (toSeconds(set.dialTimeout()) * back));
             }
         }
         median = Durations.median(shares);
@@ -1438,7 +1449,7 @@
         reckoning.beat(
                 seconds,
                 new Reckoning.Seen(
-                        warm, cold, listed, takeRate, seconds(typical), easy, inWork > 0));
+                        warm, cold, listed, takeRate, toSeconds(typical), easy, inWork > 0));
         takeRate += Math.min(1, seconds) * (taken / seconds - takeRate);
         taken = 0;
         double work = 0;
@@ -1447,41 +1458,49 @@
         double current = 0;
         for (Type t : types) {
             work += t.work;
-            txns += t.work / seconds(t.usual);
+            txns += t.work / toSeconds(t.usual);
             stalling += t.stalling(tightest) ? t.work : 0;
-            current += t.read == Consistency.BOUNDED || t.read == Consistency.SESSION ? t.work : 0;
+            current +=
+                    t.read == Consistency.BOUNDED_STALENESS || t.read == Consistency.SESSION
+                            ? t.work
+                            : 0;
             t.work *= kept;
         }
         stallPart = stalling / Math.max(1e-9, stalling + current);
         typical = txns > 0 ? Duration.ofNanos((long) (work / txns * 1e9)) : slowest();
         for (Tenant t : tenants) {
-            double entitled = Math.max(t.quota / set.routers(), takeRate * t.quota / allQuotas);
+            double entitled = Math.max(t.quota / set.routerCount(), takeRate * t.quota / allQuotas);
             t.allowance =
                     Math.min(Math.max(QUOTA_BURST, entitled), t.allowance + entitled * seconds);
         }
         if (now.compareTo(coldAt) >= 0) {
-            double piece = seconds(typical);
-            Duration window = times(set.tipAfter(), COLD_WINDOW);
+            double piece = toSeconds(typical);
+            Duration window = multiply(set.overloadTime(), COLD_WINDOW);
             coldAt = now.plus(window);
             for (Node n : nodes) {
                 if (cold(n)) {
                     double safe =
-                            part(n) * reckoning.rate() * n.size * COLD_SHARE * set.tipMultiple();
+                            part(n)
+                                    * reckoning.rate()
+                                    * n.size
+                                    * COLD_SHARE
+                                    * set.overloadMultiple();
                     // Unused credit expires at random, on average after the time in which excess
                     // load overloads a node, so that many routers that spend their credit at once
                     // send no more than was granted in that time.
                     boolean lapses = chance.nextDouble() < COLD_WINDOW;
-                    double dealt = Math.floor(safe * seconds(window) / piece + chance.nextDouble());
+                    double dealt =
+                            Math.floor(safe * toSeconds(window) / piece + chance.nextDouble());
                     n.coldCredit =
                             (lapses ? Math.min(0, n.coldCredit) : n.coldCredit) + dealt * piece;
                 }
             }
         }
-        if (set.listAsked()
+        if (set.memberListOnRequest()
                 && !following
-                && now.compareTo(askedAt.plus(times(set.askWithin(), 0.25))) > 0) {
+                && now.compareTo(askedAt.plus(multiply(set.memberListValidity(), 0.25))) > 0) {
             askedAt = now;
-            outlet.follow();
+            outlet.watchMemberList();
         }
         lookAround();
         groups.values().forEach(this::place);
@@ -1497,7 +1516,7 @@
             boolean may = n.probedAt.equals(NEVER) || probeCredit > nodes.size() / 2.0;
             if (n.group != null
                     && may
-                    && later(n.position, n.claimed).plus(anyBound).compareTo(now) < 0) {
+                    && max(n.position, n.claimed).plus(anyBound).compareTo(now) < 0) {
                 probe(n, anyBound);
             }
         }
@@ -1510,7 +1529,7 @@
      */
     private void seek(Group g) {
         Node pri = primary(g);
-        Duration gap = times(set.dial(), SEEK_GAP);
+        Duration gap = multiply(set.dialTimeout(), SEEK_GAP);
         if (pri == null || !trusted(pri)) {
             g.members.forEach(n -> probe(n, gap));
         } else if (now.compareTo(g.soughtAt.plus(gap)) >= 0) {
@@ -1528,7 +1547,7 @@
 
     /** Sends a probe if the credit and the minimum interval since the last probe permit. */
     private boolean probe(Node n, Duration gap) {
-        if (!set.probes()
+        if (!set.probesEnabled()
                 || !listed(n)
                 || n.probing
                 || probeCredit < 1
@@ -1548,7 +1567,7 @@
         n.probing = false;
         n.unheard |= n.lost && !answered;
         if (answered) {
-            heard(node, NodeReport.NOTHING, report);
+            nodeReported(node, NodeReport.EMPTY, report);
             if (n.lost) {
                 back(n);
             }
--- a/src/main/java/dillfront/routing/api/Durations.java
+++ b/src/main/java/dillfront/routing/api/Durations.java
@@ -9,12 +9,12 @@
     private Durations() {}
 
     /** Returns the duration multiplied by a factor. */
-    public static Duration times(Duration span, double by) {
-        return Duration.ofNanos((long) (span.toNanos() * by));
+    public static Duration multiply(Duration duration, double factor) {
+        return Duration.ofNanos((long) (duration.toNanos() * factor));
     }
 
-    public static double seconds(Duration span) {
-        return span.toNanos() / 1e9;
+    public static double toSeconds(Duration duration) {
+        return duration.toNanos() / 1e9;
     }
 
     /** Returns a / b; the extra nanosecond in the divisor avoids a division by zero. */
@@ -22,17 +22,17 @@
         return (double) a.toNanos() / (b.toNanos() + 1);
     }
 
-    public static Duration earlier(Duration a, Duration b) {
+    public static Duration min(Duration a, Duration b) {
         return a.compareTo(b) <= 0 ? a : b;
     }
 
-    public static Duration later(Duration a, Duration b) {
+    public static Duration max(Duration a, Duration b) {
         return a.compareTo(b) >= 0 ? a : b;
     }
 
     /** Returns the upper median, or zero for an empty list. Sorts the list. */
-    public static double median(List<Double> of) {
-        of.sort(null);
-        return of.isEmpty() ? 0 : of.get(of.size() / 2);
+    public static double median(List<Double> values) {
+        values.sort(null);
+        return values.isEmpty() ? 0 : values.get(values.size() / 2);
     }
 }
--- a/src/main/java/dillfront/routing/api/NodeReport.java
+++ b/src/main/java/dillfront/routing/api/NodeReport.java
@@ -11,5 +11,5 @@
  */
 public record NodeReport(Duration position, NodeRole role) {
 
-    public static final NodeReport NOTHING = new NodeReport(null, null);
+    public static final NodeReport EMPTY = new NodeReport(null, null);
 }
--- a/src/main/java/dillfront/routing/api/RoutingActions.java
+++ b/src/main/java/dillfront/routing/api/RoutingActions.java
@@ -9,13 +9,13 @@
 public interface RoutingActions {
 
     /** Sends the transaction to a node, with a limit on the time until its answer. */
-    void submit(int txn, int node, Duration limit);
+    void submit(int transaction, int node, Duration timeout);
 
     /** Answers the client that a retry is harmless, and is sensible after the given pause. */
-    void decline(int txn, Duration pause);
+    void decline(int transaction, Duration retryDelay);
 
     /** Answers the client that the outcome is unknown, so that a retry may apply a write twice. */
-    void rollBack(int txn);
+    void reportUnknownOutcome(int transaction);
 
     /** Closes the idle connections to a node. */
     void release(int node);
@@ -24,8 +24,8 @@
     void probe(int node);
 
     /** Subscribes to changes of the member list, where the discovery service requires a request. */
-    void follow();
+    void watchMemberList();
 
-    /** Schedules the next call of {@link dillfront.routing.RoutingEngine#woken}. */
-    void wake(Duration in);
+    /** Schedules the next call of {@link dillfront.routing.RoutingEngine#onWakeUp}. */
+    void scheduleWakeUp(Duration delay);
 }
--- a/src/main/java/dillfront/routing/api/TransactionHandle.java
+++ b/src/main/java/dillfront/routing/api/TransactionHandle.java
@@ -11,17 +11,18 @@
     /**
      * Records the end of a submission to a node.
      *
-     * @param closed whether the client has its final answer, from this submission or an earlier one
-     * @param note the node's state at the moment of its answer
+     * @param answered whether the client has its final answer, from this submission or an earlier
+     *     one
+     * @param current the node's state at the moment of its answer
      * @param report the node's state in the load report attached to the answer, measured some time
      *     earlier
      */
-    void ended(
+    void submissionEnded(
             int node,
             SubmissionResult result,
-            Duration took,
-            boolean closed,
-            NodeReport note,
+            Duration duration,
+            boolean answered,
+            NodeReport current,
             NodeReport report);
 
     /**
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -58,7 +58,7 @@
     }
 
     void at(long clockUs) {
-        decide.at(Tree.micros(clockUs - zeroUs));
+        decide.setTime(Tree.micros(clockUs - zeroUs));
     }
 
     void list(boolean whole, List<Tree> entries) {
@@ -86,7 +86,7 @@
                                 default -> MemberState.GONE;
                             }));
         }
-        decide.list(whole, rows);
+        decide.updateMembers(whole, rows);
     }
 
     void listFailed() {
@@ -114,7 +114,7 @@
                         ? null
                         : Duration.ofNanos((long) Math.floor(e.lastWriteMs * 1e6));
         txn.handle =
-                decide.take(
+                decide.accept(
                         slot,
                         type,
                         setup.tenants().getOrDefault(e.account, -1),
@@ -136,19 +136,20 @@
             return;
         }
         if (slot == null) {
-            decide.heard(node, note, e.report);
+            decide.nodeReported(node, note, e.report);
             return;
         }
         Txn txn = slots.get(slot);
         txn.out--;
         txn.answered |= e.finished;
-        txn.handle.ended(node, result, Tree.micros(e.durationUs), e.finished, note, e.report);
+        txn.handle.submissionEnded(
+                node, result, Tree.micros(e.durationUs), e.finished, note, e.report);
         releaseIfOver(slot);
     }
 
     private static NodeReport note(long note) {
         if (note == 0) {
-            return NodeReport.NOTHING;
+            return NodeReport.EMPTY;
         }
         long ms = note / 4;
         return new NodeReport(
@@ -173,7 +174,7 @@
     }
 
     void woken() {
-        decide.woken();
+        decide.onWakeUp();
     }
 
     private void releaseIfOver(int slot) {
@@ -228,7 +229,7 @@
     }
 
     @Override
-    public void rollBack(int txn) {
+    public void reportUnknownOutcome(int txn) {
         slots.get(txn).answered = true;
         write("EndFailed", () -> reply.writeNumberField("corr", slots.get(txn).corr));
     }
@@ -244,12 +245,12 @@
     }
 
     @Override
-    public void follow() {
+    public void watchMemberList() {
         write("Tail", () -> reply.writeBooleanField("on", true));
     }
 
     @Override
-    public void wake(Duration in) {
+    public void scheduleWakeUp(Duration in) {
         write(
                 "WakeAt",
                 () -> {
--- a/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
@@ -97,7 +97,7 @@
         lastWriteMs = Double.NaN;
         finished = false;
         hasUser = false;
-        report = NodeReport.NOTHING;
+        report = NodeReport.EMPTY;
         setup = null;
         rows = null;
     }
@@ -151,7 +151,7 @@
     private static NodeReport telemetry(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
             json.skipChildren();
-            return NodeReport.NOTHING;
+            return NodeReport.EMPTY;
         }
         Tree values = Tree.read(json);
         double x0 = values.number("x0", Double.NaN);
--- a/src/main/java/dillfront/simulation/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -262,7 +262,7 @@
 
         void start() {
             decide = new RoutingEngine(settings(), this, new SplittableRandom(seed));
-            decide.at(span(now));
+            decide.setTime(span(now));
             list();
         }
 
@@ -285,8 +285,8 @@
                     next = Math.min(next, node.startsAt - now);
                 }
             }
-            decide.at(span(now));
-            decide.list(true, rows);
+            decide.setTime(span(now));
+            decide.updateMembers(true, rows);
             if (next < Double.MAX_VALUE) {
                 after(next + 1e-6, this::list);
             }
@@ -300,10 +300,10 @@
             } else {
                 txns.set(slot, txn);
             }
-            decide.at(span(now));
+            decide.setTime(span(now));
             int type = chance.nextInt(10) < 3 ? 0 : chance.nextInt(10) < 5 ? 1 : 2;
             txn.handle =
-                    decide.take(
+                    decide.accept(
                             slot,
                             type,
                             -1,
@@ -343,7 +343,7 @@
         }
 
         @Override
-        public void rollBack(int slot) {
+        public void reportUnknownOutcome(int slot) {
             txns.get(slot).answered = true;
         }
 
@@ -355,7 +355,7 @@
             after(
                     2 * WIRE,
                     () -> {
-                        decide.at(span(now));
+                        decide.setTime(span(now));
                         decide.probed(
                                 node,
                                 true,
@@ -368,15 +368,15 @@
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {
+        public void scheduleWakeUp(Duration in) {
             after(
                     in.toNanos() / 1e9,
                     () -> {
-                        decide.at(span(now));
-                        decide.woken();
+                        decide.setTime(span(now));
+                        decide.onWakeUp();
                     });
         }
 
@@ -397,20 +397,20 @@
 
             void ended(int node, boolean intime, double took) {
                 out--;
-                decide.at(span(now));
+                decide.setTime(span(now));
                 if (intime && !answered) {
                     answered = true;
                     done++;
                     first = Double.isNaN(first) ? now : first;
                 }
                 NodeRole role = nodes.get(node).leads() ? NodeRole.PRIMARY : NodeRole.REPLICA;
-                handle.ended(
+                handle.submissionEnded(
                         node,
                         intime ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                         span(took),
                         answered,
-                        intime ? new NodeReport(span(now), role) : NodeReport.NOTHING,
-                        NodeReport.NOTHING);
+                        intime ? new NodeReport(span(now), role) : NodeReport.EMPTY,
+                        NodeReport.EMPTY);
                 end();
             }
 
@@ -426,9 +426,9 @@
     private RoutingSettings settings() {
         List<TransactionType> types =
                 List.of(
-                        type(Repeatability.REFERENCED, Consistency.WRITE, 6),
-                        type(Repeatability.REPEATABLE, Consistency.BOUNDED, 3),
-                        type(Repeatability.REPEATABLE, Consistency.ANY, 2));
+                        type(Repeatability.DEDUPLICATED, Consistency.WRITE, 6),
+                        type(Repeatability.IDEMPOTENT, Consistency.BOUNDED_STALENESS, 3),
+                        type(Repeatability.IDEMPOTENT, Consistency.EVENTUAL, 2));
         return new RoutingSettings(
                 STEP,
                 0,
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -479,7 +479,7 @@
             List<TransactionType> types =
                     List.of(
                             new TransactionType(
-                                    Repeatability.REFERENCED,
+                                    Repeatability.DEDUPLICATED,
                                     true,
                                     WINDOW,
                                     Consistency.WRITE,
@@ -489,20 +489,20 @@
                                     6,
                                     0.3),
                             new TransactionType(
-                                    Repeatability.REPEATABLE,
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     WINDOW,
-                                    Consistency.BOUNDED,
+                                    Consistency.BOUNDED_STALENESS,
                                     BOUND,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0),
                             new TransactionType(
-                                    Repeatability.REPEATABLE,
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     WINDOW,
-                                    Consistency.ANY,
+                                    Consistency.EVENTUAL,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
@@ -540,7 +540,7 @@
                         .get(index)
                         .forEach(id -> closings.close(id, MemberState.DRAINING, 0, 2));
             }
-            decide.at(world.now);
+            decide.setTime(world.now);
             for (int key : world.keptKeys.get(index)) {
                 if (world.plant == Plant.BELIEVES_OLD_TIMES) {
                     doubts.take(key, world.now);
@@ -565,12 +565,12 @@
                 MemberState holds = closings.heard("n" + n, said, 0, of);
                 rows.add(new NodeRow(n, 0, 0, 1, n == 0, null, holds));
             }
-            decide.at(world.now);
-            decide.list(true, rows);
+            decide.setTime(world.now);
+            decide.updateMembers(true, rows);
             if (world.plant == Plant.KEEPS_POSITIONS && world.started != null) {
                 // What a former life knew of the second replica, as if it held.
-                decide.heard(
-                        1, NodeReport.NOTHING, new NodeReport(world.started, NodeRole.REPLICA));
+                decide.nodeReported(
+                        1, NodeReport.EMPTY, new NodeReport(world.started, NodeRole.REPLICA));
             }
         }
 
@@ -580,8 +580,8 @@
 
         void woken() {
             words.add("wake@" + world.now.toMillis());
-            decide.at(world.now);
-            decide.woken();
+            decide.setTime(world.now);
+            decide.onWakeUp();
         }
 
         void hears(Life other) {
@@ -608,7 +608,7 @@
             world.asks.add(ask);
             asks.add(ask);
             words.add("ask " + key + "@" + world.now.toMillis());
-            decide.at(world.now);
+            decide.setTime(world.now);
             if (key >= 0 && !doubts.take(key, world.now)) {
                 answer(ask, "declined");
                 return;
@@ -616,7 +616,7 @@
             Duration ran = key < 0 ? null : doubts.ran(key);
             ran = ran == null && others.contains(key) ? Doubts.LONG_AGO : ran;
             ask.handle =
-                    decide.take(
+                    decide.accept(
                             asks.size() - 1,
                             key < 0 ? -key : 0,
                             -1,
@@ -664,15 +664,15 @@
                     world.knows[index][ask.key] = null;
                 }
             }
-            decide.at(world.now);
+            decide.setTime(world.now);
             boolean spoke = result == SubmissionResult.COMMITTED || result == SubmissionResult.MISS;
-            ask.handle.ended(
+            ask.handle.submissionEnded(
                     one.node,
                     result,
                     world.now.minus(one.at),
                     ask.answer != null,
-                    spoke ? one.note : NodeReport.NOTHING,
-                    NodeReport.NOTHING);
+                    spoke ? one.note : NodeReport.EMPTY,
+                    NodeReport.EMPTY);
             end(ask);
         }
 
@@ -706,7 +706,7 @@
             unsynced.clear();
             for (Sent one : List.copyOf(world.sent)) {
                 if (one.where == Where.WAITS && one.ask.of == this) {
-                    decide.at(world.now);
+                    decide.setTime(world.now);
                     if (one.ask.answer == null
                             && !others.contains(one.ask.key)
                             && one.ask.handle.stands(one.node)) {
@@ -772,7 +772,7 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             answer(asks.get(txn), "rolled back");
         }
 
@@ -783,10 +783,10 @@
         public void probe(int node) {}
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {}
+        public void scheduleWakeUp(Duration in) {}
 
         // ---- the disk
 
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Durations.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import dillfront.router.gossip.Gossip;
 import dillfront.router.gossip.Symptom;
@@ -194,7 +194,7 @@
                 stopped,
                 poured,
                 falseDoubts / (double) Math.max(1, beats),
-                script.gossip ? wire.bytes() / seconds(script.end) : 0);
+                script.gossip ? wire.bytes() / toSeconds(script.end) : 0);
     }
 
     private int nodes() {
@@ -228,27 +228,27 @@
                 routers,
                 List.of(
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Consistency.BOUNDED,
+                                Consistency.BOUNDED_STALENESS,
                                 ms.multipliedBy(200),
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 3,
                                 0),
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Consistency.ANY,
+                                Consistency.EVENTUAL,
                                 Duration.ZERO,
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.REFERENCED,
+                                Repeatability.DEDUPLICATED,
                                 true,
                                 Duration.ofSeconds(2),
                                 Consistency.WRITE,
@@ -324,8 +324,8 @@
                                 MemberState.READY));
                 neighbours.known(n, "node-" + n);
             }
-            decide.at(time.now());
-            decide.list(true, rows);
+            decide.setTime(time.now());
+            decide.updateMembers(true, rows);
             arrive();
             beat();
             if (lies()) {
@@ -366,10 +366,10 @@
                         Txn txn = new Txn(type, time.now());
                         txns.add(txn);
                         asked += VALUES[type];
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         int id = txns.size() - 1;
                         txn.handle =
-                                decide.take(
+                                decide.accept(
                                         id,
                                         type,
                                         -1,
@@ -388,10 +388,10 @@
             time.after(
                     BEAT,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.sees(script.hung).ill()) {
+                                && decide.sees(script.hung).isFaulty()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
@@ -419,13 +419,13 @@
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
             }
-            decide.at(time.now());
+            decide.setTime(time.now());
             decide.doubted(node, doubted);
         }
 
         @Override
         public void better(int node) {
-            decide.at(time.now());
+            decide.setTime(time.now());
             decide.better(node);
         }
 
@@ -449,7 +449,7 @@
             time.after(
                     answers ? work : limit,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         outAtHung -= node == script.hung ? 1 : 0;
                         Duration position =
                                 time.now().minusMillis(node % script.members == 0 ? 0 : 20);
@@ -464,14 +464,14 @@
                             earned += timely ? VALUES[txn.type] : 0;
                         }
                         NodeReport note =
-                                answers ? new NodeReport(position, role) : NodeReport.NOTHING;
-                        txn.handle.ended(
+                                answers ? new NodeReport(position, role) : NodeReport.EMPTY;
+                        txn.handle.submissionEnded(
                                 node,
                                 answers ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 time.now().minus(now),
                                 txn.over,
                                 note,
-                                NodeReport.NOTHING);
+                                NodeReport.EMPTY);
                     });
         }
 
@@ -481,7 +481,7 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             txns.get(txn).over = true;
         }
 
@@ -495,7 +495,7 @@
             time.after(
                     answers ? Duration.ofMillis(2) : DIAL,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         NodeRole role =
                                 node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         decide.probed(
@@ -503,20 +503,20 @@
                                 answers,
                                 answers
                                         ? new NodeReport(time.now().minusMillis(20), role)
-                                        : NodeReport.NOTHING);
+                                        : NodeReport.EMPTY);
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {
+        public void scheduleWakeUp(Duration in) {
             time.after(
                     in,
                     () -> {
-                        decide.at(time.now());
-                        decide.woken();
+                        decide.setTime(time.now());
+                        decide.onWakeUp();
                     });
         }
     }
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -80,9 +80,9 @@
                     (told ? "told of" : "not told of")
                             + " a pause of 800 ms, with three txns out to the primary");
             s.ms += 800;
-            s.decide.at(ms(s.ms));
+            s.decide.setTime(ms(s.ms));
             if (told) {
-                s.decide.late(ms(780));
+                s.decide.recordPause(ms(780));
             }
             s.note("two more before any answer is read");
             s.take(RoutingHarness.FRESH);
--- a/src/test/java/dillfront/routing/RoutingEngineTest.java
+++ b/src/test/java/dillfront/routing/RoutingEngineTest.java
@@ -251,7 +251,7 @@
         r.report(2, 9, REPLICA);
         r.change(row(2, false, null, MemberState.DRAINING));
         r.note("node 2 drains, then the list calls all three gone");
-        r.decide.list(true, List.of());
+        r.decide.updateMembers(true, List.of());
         r.change(row(2, false, null, MemberState.GONE));
         int view = r.take(VIEW);
         int move = r.take(MOVE);
@@ -270,18 +270,18 @@
                 r.well(one, 50);
             }
         }
-        r.note("node 1 forgotten now: " + r.decide.forget(1));
+        r.note("node 1 forgotten now: " + r.decide.forgetNode(1));
         r.mute(
                 () -> {
-                    r.decide.probed(1, false, NodeReport.NOTHING);
+                    r.decide.probed(1, false, NodeReport.EMPTY);
                     r.to(r.ms + 17_000);
-                    r.decide.probed(1, false, NodeReport.NOTHING);
+                    r.decide.probed(1, false, NodeReport.EMPTY);
                 });
         r.note(
                 "and 17 s later: "
-                        + r.decide.forget(1)
+                        + r.decide.forgetNode(1)
                         + "; node 0, which answers: "
-                        + r.decide.forget(0));
+                        + r.decide.forgetNode(0));
         r.change(row(2, false, null, MemberState.READY));
         r.note("node 2 is listed as ready again");
         r.take(ANY);
@@ -518,7 +518,7 @@
         s.to(9000);
         s.note(
                 "at 9000 its first probe is lost as well, the next is answered: it still is the primary");
-        s.decide.probed(0, false, NodeReport.NOTHING);
+        s.decide.probed(0, false, NodeReport.EMPTY);
         s.to(9250);
         s.report(0, 9240, PRIMARY);
         int[] went = new int[2];
@@ -691,12 +691,12 @@
         known(5);
         int[] reads = {s.take(ANY), s.take(ANY), s.take(ANY)};
         s.change(row(1, false, null, MemberState.GONE));
-        s.note("listed: " + s.decide.forget(2) + ", something out: " + s.decide.forget(1));
+        s.note("listed: " + s.decide.forgetNode(2) + ", something out: " + s.decide.forgetNode(1));
         s.to(20);
         for (int read : reads) {
             s.well(read, 10);
         }
-        s.note("all ended: " + s.decide.forget(1));
+        s.note("all ended: " + s.decide.forgetNode(1));
         s.to(2000);
         s.note("the index names a new node, of which nothing is known: it is probed");
         s.showProbes().change(row(1, false, ms(1990), MemberState.READY));
--- a/src/test/java/dillfront/routing/RoutingHarness.java
+++ b/src/test/java/dillfront/routing/RoutingHarness.java
@@ -73,17 +73,17 @@
         List<TransactionType> types =
                 List.of(
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 true,
                                 ms(2000),
-                                Consistency.BOUNDED,
+                                Consistency.BOUNDED_STALENESS,
                                 ms(200),
                                 ms(300),
                                 ms(2000),
                                 3,
                                 0),
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 true,
                                 ms(2000),
                                 Consistency.SESSION,
@@ -93,27 +93,27 @@
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 true,
                                 ms(2000),
-                                Consistency.ANY,
+                                Consistency.EVENTUAL,
                                 ms(0),
                                 ms(anySla),
                                 ms(2000),
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.REPEATABLE,
+                                Repeatability.IDEMPOTENT,
                                 true,
                                 ms(2000),
-                                Consistency.FRESH,
+                                Consistency.STRONG,
                                 ms(0),
                                 ms(400),
                                 ms(2000),
                                 2,
                                 0),
                         new TransactionType(
-                                Repeatability.REFERENCED,
+                                Repeatability.DEDUPLICATED,
                                 true,
                                 ms(2000),
                                 Consistency.WRITE,
@@ -123,7 +123,7 @@
                                 6,
                                 0.3),
                         new TransactionType(
-                                Repeatability.ONCE_ONLY,
+                                Repeatability.NOT_REPEATABLE,
                                 true,
                                 ms(2000),
                                 Consistency.WRITE,
@@ -155,7 +155,7 @@
                                 List.of(50.0, 50.0)),
                         this,
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1));
-        decide.at(ms(0));
+        decide.setTime(ms(0));
     }
 
     static Duration ms(long n) {
@@ -164,7 +164,7 @@
 
     /** Lists three members of one group in this zone, with node 0 as the primary. */
     RoutingHarness three() {
-        decide.list(
+        decide.updateMembers(
                 true,
                 List.of(
                         row(0, true, null, MemberState.READY),
@@ -178,7 +178,7 @@
     }
 
     void change(NodeRow... rows) {
-        decide.list(false, List.of(rows));
+        decide.updateMembers(false, List.of(rows));
     }
 
     /** Advances the clock, and runs the periodic work that is due on the way. */
@@ -186,11 +186,11 @@
         while (wakeAt >= 0 && wakeAt <= then) {
             ms = wakeAt;
             wakeAt = -1;
-            decide.at(ms(ms));
-            decide.woken();
+            decide.setTime(ms(ms));
+            decide.onWakeUp();
         }
         ms = then;
-        decide.at(ms(ms));
+        decide.setTime(ms(ms));
     }
 
     RoutingHarness showProbes() {
@@ -243,7 +243,7 @@
         txns.add(null);
         txns.set(
                 id,
-                decide.take(
+                decide.accept(
                         id,
                         type,
                         tenant,
@@ -276,13 +276,13 @@
         boolean closed = result == SubmissionResult.COMMITTED;
         trace.append(String.format("%5d   %s at node %d: %s\n", ms, names.get(txn), node, result));
         txns.get(txn)
-                .ended(
+                .submissionEnded(
                         node,
                         result,
                         ms(took),
                         closed,
                         new NodeReport(role == null ? null : ms(position), role),
-                        NodeReport.NOTHING);
+                        NodeReport.EMPTY);
     }
 
     /**
@@ -321,7 +321,7 @@
     }
 
     @Override
-    public void rollBack(int txn) {
+    public void reportUnknownOutcome(int txn) {
         say("%s rolled back", names.get(txn));
     }
 
@@ -338,12 +338,12 @@
     }
 
     @Override
-    public void follow() {
+    public void watchMemberList() {
         say("asks for the list");
     }
 
     @Override
-    public void wake(Duration in) {
+    public void scheduleWakeUp(Duration in) {
         wakeAt = ms + in.toMillis();
     }
 }
