--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -55,336 +55,350 @@
     private static final Duration NEVER = Duration.ofSeconds(Long.MIN_VALUE / 4);
 
     /** Time assigned to roles of the member list: older than every role that a node reports. */
-    private static final Duration LISTED = NEVER.plusSeconds(1);
+    private static final Duration LISTED_AT = NEVER.plusSeconds(1);
 
     /** Interval of the periodic work, in steps of the clock. */
-    private static final int BEAT = 4;
+    private static final int TICK_STEPS = 4;
 
     /**
      * Base interval between trial transactions to a node on trial, and between searches for a
      * primary, in dial timeouts.
      */
-    private static final double TRIAL_GAP = 4;
+    private static final double TRIAL_INTERVAL_DIAL_TIMEOUTS = 4;
 
     /** The interval between trials grows up to this multiple of its base. */
-    private static final int TRIALS = 4;
+    private static final int MAX_TRIAL_BACKOFF = 4;
 
     /** Minimum interval between probes on behalf of queued transactions, in dial timeouts. */
-    private static final double SEEK_GAP = 0.25;
+    private static final double MIN_PROBE_INTERVAL_DIAL_TIMEOUTS = 0.25;
 
     /** Replicas probed at a time on behalf of queued transactions. */
-    private static final int SOUGHT = 2;
+    private static final int MAX_REPLICAS_PROBED = 2;
 
     /** Cost of probes allowed per accepted transaction, in transactions. */
-    private static final double PROBE_COST = 0.01;
+    private static final double MAX_PROBE_COST_PER_TRANSACTION = 0.01;
 
     /**
      * Preferred staleness bound of eventually consistent reads, in multiples of the tightest bound
      * of bounded reads: 1 s where that is 200 ms.
      */
-    private static final double ANY_BOUND = 5;
+    private static final double EVENTUAL_BOUND_MULTIPLE = 5;
 
     /** Maximum share of the replica reads that a primary with low load may serve. */
-    private static final double SPILL = 0.5;
+    private static final double MAX_PRIMARY_READ_SHARE = 0.5;
 
     /** Maximum number of replica reads that may go to the primary at once. */
-    private static final double SPILL_BURST = 8;
+    private static final double MAX_PRIMARY_READ_BURST = 8;
 
     /** A primary serves replica reads below this multiple of the fleet's typical response time. */
-    private static final double CALM = 1.5;
+    private static final double MAX_CALM_SLOWDOWN = 1.5;
 
     /** A primary serves replica reads below this share of the overload threshold. */
-    private static final double CALM_PART = 0.9;
+    private static final double MAX_CALM_OVERLOAD_SHARE = 0.9;
 
     /** Load factor of nodes in other zones; prefers nodes of this zone up to that ratio of load. */
-    private static final double FAR = 1.5;
+    private static final double OTHER_ZONE_LOAD_FACTOR = 1.5;
 
     /** Load factor of replicas beyond the bound of an eventually consistent read. */
-    private static final double OLD = 1.5;
+    private static final double STALE_REPLICA_LOAD_FACTOR = 1.5;
 
     /** How long idle connections are closed after a refused connection, in dial timeouts. */
-    private static final double SCARCE = 16;
+    private static final double CONNECTION_SHORTAGE_DIAL_TIMEOUTS = 16;
 
     /**
      * A client timeout is taken for that of a retry if it differs from the timeout of first tries
      * by more than this share of the client's total time.
      */
-    private static final double OFF = 0.04;
+    private static final double RETRY_TIMEOUT_TOLERANCE = 0.04;
 
     /**
      * Share sent to a cold node of the load that would overload it. The margin covers estimates
      * taken from warm nodes that were not fully loaded.
      */
-    private static final double COLD_SHARE = 0.6;
+    private static final double COLD_LOAD_SHARE = 0.6;
 
     /**
      * Interval at which cold nodes are granted work, as a share of the time for which excess load
      * must last to overload them.
      */
-    private static final double COLD_WINDOW = 0.25;
+    private static final double COLD_GRANT_INTERVAL_SHARE = 0.25;
 
     /**
      * Minimum burst of transactions that a tenant may send beyond its quota; the other limit is its
      * quota of one second. Guards against rejecting the uneven arrivals of small tenants.
      */
-    private static final double QUOTA_BURST = 8;
+    private static final double MIN_TENANT_BURST_TRANSACTIONS = 8;
 
     /** Share of a node's concurrency limit that low-priority transactions may use. */
-    private static final double SPARE_ROOM = 0.5;
+    private static final double LOW_PRIORITY_CONCURRENCY_SHARE = 0.5;
 
     /**
      * Time limit of a read submission, in typical response times of its type, where late answers
      * have no value.
      */
-    private static final double PATIENCE = 8;
+    private static final double READ_TIMEOUT_TYPICAL_TIMES = 8;
 
     /**
      * A node with n pending submissions counts as silent after this many typical response times
      * divided by n, but not before the minimum below.
      */
-    private static final double SILENCE = 6;
+    private static final double SILENCE_TYPICAL_TIMES = 6;
 
     /** Minimum time without an answer before a node counts as silent, in typical response times. */
-    private static final double SILENCE_LEAST = 1.5;
+    private static final double MIN_SILENCE_TYPICAL_TIMES = 1.5;
 
     /** Share of the silence time after which a node that peers suspect counts as silent. */
-    private static final double DOUBT = 0.5;
+    private static final double SUSPECTED_SILENCE_SHARE = 0.5;
 
     /** Load factor of nodes that peers suspect. */
-    private static final double DOUBTED = 4;
+    private static final double SUSPECTED_LOAD_FACTOR = 4;
 
     /**
      * Multiple of the silence time after which silence is reported to peers. A false alarm costs
      * all of them more than it costs this router.
      */
-    private static final double TOLD = 2;
+    private static final double REPORTED_SILENCE_MULTIPLE = 2;
 
     /** A node is failing if its failure rate exceeds the fleet's median by this much. */
-    private static final double FAILING = 0.5;
+    private static final double FAILING_RATE_MARGIN = 0.5;
 
     /**
      * A replica counts as running throughout an outage if its position lags by at most this share
      * of the outage; a primary, if the outage was longer than this share of the warm-up time.
      */
-    private static final double UP = 0.25;
+    private static final double RUNNING_OUTAGE_SHARE = 0.25;
 
     /** Smoothing factor of failure rates. */
-    private static final double FAIL_GAIN = 0.2;
+    private static final double FAILURE_SMOOTHING = 0.2;
 
     /** Smoothing factor of failure rates for failed connection attempts. */
-    private static final double LOST_GAIN = 0.4;
+    private static final double UNREACHABLE_SMOOTHING = 0.4;
 
     /** Smoothing factor of response times. */
-    private static final double GAIN = 0.2;
+    private static final double RESPONSE_TIME_SMOOTHING = 0.2;
 
     /**
      * A node is overloaded if its response times exceed this share of the SLA time. Its concurrency
      * limit shrinks above this threshold and grows below it.
      */
-    private static final double STRAINED = 0.45;
+    private static final double OVERLOAD_SLA_RATIO = 0.45;
 
     /** An overloaded node is as slow as the fleet up to this multiple of the fleet's median. */
-    private static final double ALIKE = 1.5;
+    private static final double FLEET_OVERLOAD_MULTIPLE = 1.5;
 
     /**
      * Initial concurrency limit of a node, over all routers. A limit below 1 permits one submission
      * per 1/limit typical response times.
      */
-    private static final double ROOM_START = 24;
+    private static final double INITIAL_CONCURRENCY = 24;
 
     /** Minimum concurrency limit of a node, over all routers. */
-    private static final double ROOM_LEAST = 0.3;
+    private static final double MIN_CONCURRENCY = 0.3;
 
     /** Factor applied to the concurrency limit of an overloaded node. */
-    private static final double ROOM_CUT = 0.85;
+    private static final double OVERLOAD_DECREASE_FACTOR = 0.85;
 
     /**
      * Factor applied to the concurrency limit of a node that rejects work or whose work times out.
      */
-    private static final double FULL_CUT = 0.5;
+    private static final double REJECTED_DECREASE_FACTOR = 0.5;
 
     /**
      * Share of the client's timeout that a transaction may spend in the queue; the rest leaves the
      * client time to retry.
      */
-    private static final double HELD = 0.5;
+    private static final double MAX_QUEUE_TIME_SHARE = 0.5;
 
     /** Dial timeouts in which a concurrency limit below 1 doubles, at least. */
-    private static final double ROOM_BACK = 8;
+    private static final double MIN_DOUBLING_DIAL_TIMEOUTS = 8;
 
     /**
      * Routers per dial timeout of that doubling time. With many routers the limits grow more
      * slowly, so that an overloaded node is not flooded by all of them.
      */
-    private static final double ROOM_BACK_ROUTERS = 3;
+    private static final double ROUTERS_PER_DOUBLING_DIAL_TIMEOUT = 3;
 
     /** Learned state of one transaction type. */
-    private static final class Type {
-        final TransactionType set;
-        final Consistency read;
-        final Duration bound;
-        final Duration sla;
-        final boolean lateEarns;
+    private static final class TypeState {
+        final TransactionType settings;
+        final Consistency consistency;
+        final Duration stalenessBound;
+        final Duration slaTime;
+        final boolean lateAnswersHaveValue;
 
         /** Client timeout of first tries: the running median of all tries. */
-        Duration firstTry;
+        Duration firstTryTimeout;
 
         /** Typical response time. */
-        Duration usual;
+        Duration typicalTime;
 
         /** Smoothed share of answers from replicas that applied no log during the read. */
-        double stalls = 1;
+        double stallShare = 1;
 
         /**
          * Requested work, in seconds of typical response time; decays over about the warm-up time
          * of a node.
          */
-        double work;
+        double requestedSeconds;
 
-        Type(TransactionType t, Duration anyBound) {
-            set = t;
-            read = t.read();
-            bound = read == Consistency.EVENTUAL ? anyBound : t.stalenessBound();
-            sla = t.slaTime();
-            lateEarns = t.lateValueShare() > 0;
-            usual = multiply(sla, 0.25);
+        TypeState(TransactionType transactionType, Duration eventualBound) {
+            settings = transactionType;
+            consistency = transactionType.read();
+            stalenessBound =
+                    consistency == Consistency.EVENTUAL
+                            ? eventualBound
+                            : transactionType.stalenessBound();
+            slaTime = transactionType.slaTime();
+            lateAnswersHaveValue = transactionType.lateValueShare() > 0;
+            typicalTime = multiply(slaTime, 0.25);
         }
 
         /**
          * Updates the median client timeout, and returns whether this timeout is that of a retry.
          */
-        boolean repeated(Duration patience) {
-            Duration off = patience.minus(firstTry == null ? patience : firstTry);
-            firstTry =
-                    patience.minus(off)
+        boolean detectRetry(Duration clientTimeout) {
+            Duration difference =
+                    clientTimeout.minus(firstTryTimeout == null ? clientTimeout : firstTryTimeout);
+            firstTryTimeout =
+                    clientTimeout
+                            .minus(difference)
                             .plus(
                                     multiply(
-                                            set.totalClientTimeout(),
-                                            Math.signum(off.toNanos()) * OFF / 8));
-            return off.abs().compareTo(multiply(set.totalClientTimeout(), OFF)) > 0;
+                                            settings.totalClientTimeout(),
+                                            Math.signum(difference.toNanos())
+                                                    * RETRY_TIMEOUT_TOLERANCE
+                                                    / 8));
+            return difference
+                            .abs()
+                            .compareTo(
+                                    multiply(
+                                            settings.totalClientTimeout(), RETRY_TIMEOUT_TOLERANCE))
+                    > 0;
         }
 
         /** Returns whether replicas may serve this type. */
-        boolean routed() {
-            return read == Consistency.EVENTUAL
-                    || read == Consistency.BOUNDED_STALENESS
-                    || read == Consistency.SESSION;
+        boolean isReplicaRead() {
+            return consistency == Consistency.EVENTUAL
+                    || consistency == Consistency.BOUNDED_STALENESS
+                    || consistency == Consistency.SESSION;
         }
 
         /**
          * Returns the value per typical response time, by which queued transactions are ordered.
          */
-        double rank() {
-            return set.value() / (usual.toNanos() + 1);
+        double valuePerTime() {
+            return settings.value() / (typicalTime.toNanos() + 1);
         }
 
         /**
          * Returns whether its reads keep a replica from applying the log beyond the tightest bound.
          */
-        boolean stalling(Duration tightest) {
-            return read == Consistency.EVENTUAL && stalls > 0.5 && usual.compareTo(tightest) > 0;
+        boolean stallsReplication(Duration tightestBound) {
+            return consistency == Consistency.EVENTUAL
+                    && stallShare > 0.5
+                    && typicalTime.compareTo(tightestBound) > 0;
         }
     }
 
     /** State of one node, by its index. The index is reused after the node is forgotten. */
     private static final class Node {
-        final int id;
+        final int index;
         Group group;
-        boolean far;
+        boolean inOtherZone;
         double size = 1;
-        MemberState standing = MemberState.GONE;
-        Duration started = NEVER;
+        MemberState listedState = MemberState.GONE;
+        Duration startedAt = NEVER;
         Duration position = NEVER;
 
         /** Replication lag at its last measurement by an answer. */
-        Duration behind = Duration.ZERO;
+        Duration measuredLag = Duration.ZERO;
 
         /** When an answer last measured the replication lag. */
-        Duration toldAt = NEVER;
+        Duration lagMeasuredAt = NEVER;
 
         /** Latest time at which the node is known to have been the primary. */
-        Duration claimed = NEVER;
+        Duration lastPrimaryAt = NEVER;
 
         /** Latest time at which the node is known to have been a replica. */
-        Duration denied = NEVER;
+        Duration lastReplicaAt = NEVER;
 
         /** Number of pending submissions. */
-        int out;
+        int pending;
 
         /** While submissions are pending: since when the node has not answered. */
-        Duration quiet = NEVER;
+        Duration silentSince = NEVER;
 
         boolean silent;
 
         /** Whether peers reported the node as faulty and it has not answered since. */
-        boolean doubted;
+        boolean suspected;
 
         /** Whether the node is failing and its last connection attempt failed. */
-        boolean lost;
+        boolean unreachable;
 
         /** When the node last answered, or first appeared in the member list. */
-        Duration heardAt = NEVER;
+        Duration lastAnswerAt = NEVER;
 
         /** Whether a probe also failed since the node became unreachable. */
-        boolean unheard;
+        boolean probeFailed;
 
         /** Whether the last failed connection was refused in less than half the dial timeout. */
-        boolean atOnce;
+        boolean refusedAtOnce;
 
         /** Smoothed share of submissions that failed. */
-        double failures;
+        double failureRate;
 
         /** Smoothed ratio of response times to the SLA time of their types. */
-        double strain;
+        double slaRatio;
 
         /** Smoothed ratio of response times to the typical times of their types. */
-        double pace = 1;
+        double slowdown = 1;
 
         /** Concurrency limit for this router's submissions; below 1, a limit on their rate. */
-        double room;
+        double concurrencyLimit;
 
-        Duration sentAt = NEVER;
+        Duration lastSubmissionAt = NEVER;
 
         /** Interval between the last two submissions. */
-        Duration gap = Duration.ZERO;
+        Duration submissionInterval = Duration.ZERO;
 
         /** When a submission last updated the smoothed response times. */
-        Duration answeredAt = Duration.ZERO;
+        Duration responseTimeUpdatedAt = Duration.ZERO;
 
         /** When a submission last got an answer other than a rejection for lack of capacity. */
-        Duration wellAt = NEVER;
+        Duration lastHealthyAt = NEVER;
 
         /** When the concurrency limit was last reduced. */
-        Duration cutAt = NEVER;
+        Duration limitReducedAt = NEVER;
 
         /** Earliest time of the next trial transaction while the node is on trial. */
-        Duration tryAt = NEVER;
+        Duration nextTrialAt = NEVER;
 
         /** Next multiple of the base interval between trials. */
-        int trials = 1;
+        int trialBackoff = 1;
 
-        Duration probedAt = NEVER;
-        boolean probing;
+        Duration lastProbeAt = NEVER;
+        boolean probePending;
 
         /** Work that may be sent to the node while cold, in seconds of typical response time. */
-        double coldCredit;
+        double coldCreditSeconds;
 
-        Node(int id, int routers) {
-            this.id = id;
-            room = Math.max(1, ROOM_START / routers);
+        Node(int index, int routerCount) {
+            this.index = index;
+            concurrencyLimit = Math.max(1, INITIAL_CONCURRENCY / routerCount);
         }
     }
 
     /** Quota and unused share of one tenant. */
     private static final class Tenant {
-        final double quota;
+        final double quotaPerSecond;
 
         /** Transactions that the tenant may send at full priority now. */
-        double allowance;
+        double credit;
 
-        Tenant(double quota, int routers) {
-            this.quota = quota;
-            allowance = Math.max(QUOTA_BURST, quota / routers);
+        Tenant(double quotaPerSecond, int routerCount) {
+            this.quotaPerSecond = quotaPerSecond;
+            credit = Math.max(MIN_TENANT_BURST_TRANSACTIONS, quotaPerSecond / routerCount);
         }
     }
 
@@ -394,106 +408,106 @@
         final List<Node> members = new ArrayList<>();
 
         /** Queued transactions, highest value per response time first. */
-        final List<Txn> held = new ArrayList<>();
+        final List<Transaction> queue = new ArrayList<>();
 
         /** Number of replica reads that may go to the primary now. */
-        double spill = SPILL_BURST;
+        double primaryReadCredit = MAX_PRIMARY_READ_BURST;
 
         /** Member that the search for a primary tries next. */
-        int turn;
+        int searchIndex;
 
         /** Members that rejected a write in the current round of the search. */
-        int misses;
+        int searchMisses;
 
         /** Earliest time of the next round of the search. */
-        Duration searchAt = NEVER;
+        Duration nextSearchAt = NEVER;
 
         /** When replicas were last probed on behalf of queued transactions. */
-        Duration soughtAt = NEVER;
+        Duration replicasProbedAt = NEVER;
 
         /** Whether a write of the search is pending. */
-        boolean searching;
+        boolean searchPending;
     }
 
-    private RoutingSettings set;
-    private final RoutingActions outlet;
-    private final RandomGenerator chance;
-    private Type[] types;
+    private RoutingSettings settings;
+    private final RoutingActions actions;
+    private final RandomGenerator random;
+    private TypeState[] types;
     private List<Tenant> tenants;
-    private double allQuotas;
+    private double quotaSum;
     private final List<Node> nodes = new ArrayList<>();
     private final TreeMap<Integer, Group> groups = new TreeMap<>();
 
     /** Position of the last commit of each session slot. */
-    private final Duration[] written = new Duration[SESSION_SLOTS];
+    private final Duration[] lastCommits = new Duration[SESSION_SLOTS];
 
-    private Duration beat;
+    private Duration tickInterval;
 
     /** Tightest staleness bound of all bounded reads. */
-    private Duration tightest;
+    private Duration tightestBound;
 
-    private Duration anyBound;
-    private double roomLeast;
+    private Duration eventualBound;
+    private double minConcurrency;
     private Duration now = Duration.ZERO;
-    private Duration beatAt = NEVER;
-    private boolean awake;
+    private Duration lastTickAt = NEVER;
+    private boolean started;
 
     /** Total time since the start for which the calling process was paused. */
-    private Duration away = Duration.ZERO;
+    private Duration totalPause = Duration.ZERO;
 
     /** Probes that may be sent. Transactions add to the credit, up to one probe per node. */
     private double probeCredit;
 
     /** Transactions accepted since the last tick. */
-    private int taken;
+    private int acceptedSinceTick;
 
     /** Smoothed rate of accepted transactions, per second. */
-    private double takeRate;
+    private double acceptedPerSecond;
 
     /**
      * Estimate of the nodes' capacity, in typical response times rather than transactions, since a
      * report may cost as much as twenty page views.
      */
-    private final Reckoning reckoning = new Reckoning();
+    private final Reckoning capacityEstimate = new Reckoning();
 
     /** When cold nodes are granted work next. */
-    private Duration coldAt = NEVER;
+    private Duration nextColdGrantAt = NEVER;
 
     /** Median failure rate of the nodes. */
-    private double median;
+    private double medianFailureRate;
 
     /** Median ratio of response times to SLA times. */
-    private double strain;
+    private double medianSlaRatio;
 
     /** Peak of the pending submissions per warm node while the fleet was not overloaded; decays. */
-    private double inWork;
+    private double peakPendingPerNode;
 
     /** Typical response time over all requested transactions. */
-    private Duration typical;
+    private Duration typicalTime;
 
     /** Share of reads that stall replication in the work of those and of current reads. */
-    private double stallPart;
+    private double stallingWorkShare;
 
     /**
      * Smoothed share of failed transactions, of those tried at a second node, that failed there.
      */
-    private double ownFault;
+    private double transactionErrorShare;
 
-    private Duration askedAt = NEVER;
-    private boolean following;
+    private Duration listRequestedAt = NEVER;
+    private boolean watchingMemberList;
 
     /** When a node that had refused this router's connections last proved to be up. */
-    private Duration scarceAt = NEVER;
+    private Duration connectionShortageAt = NEVER;
 
     /**
-     * @param set the settings of the deployment
-     * @param outlet receives every action
+     * @param settings the settings of the deployment
+     * @param actions receives every action
      */
-    public RoutingEngine(RoutingSettings set, RoutingActions outlet, RandomGenerator chance) {
-        this.outlet = outlet;
-        this.chance = chance;
-        Arrays.fill(written, NEVER);
-        applySettings(set);
+    public RoutingEngine(RoutingSettings settings, RoutingActions actions, RandomGenerator random) {
+        this.actions = actions;
+        this.random = random;
+        Arrays.fill(lastCommits, NEVER);
+        applySettings(settings);
     }
 
     /**
@@ -502,19 +516,21 @@
      * list.
      */
     public void applySettings(RoutingSettings next) {
-        set = next;
-        beat = next.clockStep().multipliedBy(BEAT);
-        tightest = null;
-        for (TransactionType t : next.transactionTypes()) {
+        settings = next;
+        tickInterval = next.clockStep().multipliedBy(TICK_STEPS);
+        tightestBound = null;
+        for (TransactionType type : next.transactionTypes()) {
             Duration bound =
-                    t.read() != Consistency.BOUNDED_STALENESS ? tightest : t.stalenessBound();
-            tightest = tightest == null ? bound : min(bound, tightest);
-        }
-        tightest = tightest == null ? next.dialTimeout() : tightest;
-        anyBound = multiply(tightest, ANY_BOUND);
-        types = new Type[next.transactionTypes().size()];
+                    type.read() != Consistency.BOUNDED_STALENESS
+                            ? tightestBound
+                            : type.stalenessBound();
+            tightestBound = tightestBound == null ? bound : min(bound, tightestBound);
+        }
+        tightestBound = tightestBound == null ? next.dialTimeout() : tightestBound;
+        eventualBound = multiply(tightestBound, EVENTUAL_BOUND_MULTIPLE);
+        types = new TypeState[next.transactionTypes().size()];
         for (int i = 0; i < types.length; i++) {
-            types[i] = new Type(next.transactionTypes().get(i), anyBound);
+            types[i] = new TypeState(next.transactionTypes().get(i), eventualBound);
         }
         tenants = new ArrayList<>();
         double sum = 0;
@@ -522,20 +538,20 @@
             tenants.add(new Tenant(quota, next.routerCount()));
             sum += quota;
         }
-        allQuotas = sum;
-        roomLeast = ROOM_LEAST / next.routerCount();
-        typical = slowest();
-        reckoning.settings(next.warmUpTime(), next.overloadTime());
-        gather();
+        quotaSum = sum;
+        minConcurrency = MIN_CONCURRENCY / next.routerCount();
+        typicalTime = longestTypicalTime();
+        capacityEstimate.settings(next.warmUpTime(), next.overloadTime());
+        rebuildGroups();
     }
 
     /** Sets the current time for the calls that follow. */
-    public void setTime(Duration clock) {
-        now = clock;
-        if (!awake) {
-            awake = true;
-            beatAt = now;
-            outlet.scheduleWakeUp(beat);
+    public void setTime(Duration time) {
+        now = time;
+        if (!started) {
+            started = true;
+            lastTickAt = now;
+            actions.scheduleWakeUp(tickInterval);
         }
     }
 
@@ -543,63 +559,69 @@
      * Records a pause of the calling process, during which it read no answers. Guards against a
      * router with part of a CPU core that takes its own pause for the silence of every node.
      */
-    public void recordPause(Duration by) {
-        away = away.plus(by);
-        nodes.forEach(n -> n.quiet = n.out > 0 ? n.quiet.plus(by) : n.quiet);
+    public void recordPause(Duration pause) {
+        totalPause = totalPause.plus(pause);
+        nodes.forEach(
+                node ->
+                        node.silentSince =
+                                node.pending > 0 ? node.silentSince.plus(pause) : node.silentSince);
     }
 
     // ---- the member list
 
     /** Applies a complete member list, or the changes of one. */
-    public void updateMembers(boolean whole, List<NodeRow> rows) {
-        if (whole) {
+    public void updateMembers(boolean complete, List<NodeRow> rows) {
+        if (complete) {
             nodes.forEach(
-                    n ->
-                            n.standing =
-                                    n.standing == MemberState.DRAINING
-                                            ? n.standing
+                    node ->
+                            node.listedState =
+                                    node.listedState == MemberState.DRAINING
+                                            ? node.listedState
                                             : MemberState.GONE);
         }
-        following = askedAt.compareTo(NEVER) > 0;
+        watchingMemberList = listRequestedAt.compareTo(NEVER) > 0;
         for (NodeRow row : rows) {
             while (nodes.size() <= row.node()) {
-                nodes.add(new Node(nodes.size(), set.routerCount()));
+                nodes.add(new Node(nodes.size(), settings.routerCount()));
             }
-            Node n = nodes.get(row.node());
-            probeCredit += n.group == null ? 1 : 0;
-            n.heardAt = n.group == null ? now : n.heardAt;
+            Node node = nodes.get(row.node());
+            probeCredit += node.group == null ? 1 : 0;
+            node.lastAnswerAt = node.group == null ? now : node.lastAnswerAt;
             // If nodes missing from the list stay open, a draining node stays closed until it is
             // listed as ready again.
-            if (!set.unlistedNodesStayOpen()
-                    || n.standing != MemberState.DRAINING
+            if (!settings.unlistedNodesStayOpen()
+                    || node.listedState != MemberState.DRAINING
                     || row.standing() != MemberState.GONE) {
-                n.standing = row.standing();
+                node.listedState = row.standing();
             }
-            n.far = row.zone() != set.zone();
-            n.size = row.size() > 0 ? row.size() : 1;
-            if (row.started() != null && row.started().compareTo(n.started) > 0) {
-                n.started = row.started();
-                n.coldCredit = 0;
+            node.inOtherZone = row.zone() != settings.zone();
+            node.size = row.size() > 0 ? row.size() : 1;
+            if (row.started() != null && row.started().compareTo(node.startedAt) > 0) {
+                node.startedAt = row.started();
+                node.coldCreditSeconds = 0;
             }
-            n.group = groups.computeIfAbsent(row.group(), k -> new Group());
-            n.claimed = !row.primary() && n.claimed.equals(LISTED) ? NEVER : n.claimed;
+            node.group = groups.computeIfAbsent(row.group(), k -> new Group());
+            node.lastPrimaryAt =
+                    !row.primary() && node.lastPrimaryAt.equals(LISTED_AT)
+                            ? NEVER
+                            : node.lastPrimaryAt;
         }
-        gather();
+        rebuildGroups();
         for (NodeRow row : rows) {
             if (row.primary()) {
-                claim(nodes.get(row.node()), LISTED);
+                recordPrimary(nodes.get(row.node()), LISTED_AT);
             }
         }
-        lookAround();
-        groups.values().forEach(this::place);
+        probeStaleNodes();
+        groups.values().forEach(this::submitQueued);
     }
 
-    private void gather() {
-        groups.values().forEach(g -> g.members.clear());
-        for (Node n : nodes) {
-            if (n.group != null
-                    && (n.standing != MemberState.GONE || set.unlistedNodesStayOpen())) {
-                n.group.members.add(n);
+    private void rebuildGroups() {
+        groups.values().forEach(group -> group.members.clear());
+        for (Node node : nodes) {
+            if (node.group != null
+                    && (node.listedState != MemberState.GONE || settings.unlistedNodesStayOpen())) {
+                node.group.members.add(node);
             }
         }
     }
@@ -609,22 +631,24 @@
      * grow. Returns false while the node is listed or has pending work. A node that stays open
      * without being listed is removed after it was unreachable for the warm-up time.
      */
-    public boolean forgetNode(int node) {
-        Node n = nodes.get(node);
-        boolean away = n.lost && n.heardAt.plus(set.warmUpTime()).compareTo(now) < 0;
-        if (listed(n) && !away || n.out > 0 || n.probing) {
+    public boolean forgetNode(int nodeIndex) {
+        Node node = nodes.get(nodeIndex);
+        boolean unreachableForWarmUp =
+                node.unreachable
+                        && node.lastAnswerAt.plus(settings.warmUpTime()).compareTo(now) < 0;
+        if (isOpenByList(node) && !unreachableForWarmUp || node.pending > 0 || node.probePending) {
             return false;
         }
-        if (n.group != null) {
-            n.group.members.remove(n);
+        if (node.group != null) {
+            node.group.members.remove(node);
         }
-        nodes.set(node, new Node(node, set.routerCount()));
+        nodes.set(nodeIndex, new Node(nodeIndex, settings.routerCount()));
         return true;
     }
 
     /** Records that the member list's subscription failed, so that it is requested again. */
     public void listFailed() {
-        following = false;
+        watchingMemberList = false;
     }
 
     // ---- transactions
@@ -633,11 +657,12 @@
      * Accepts a transaction, which gets exactly one final answer unless its client disconnects.
      *
      * @param session the session's slot below {@link #SESSION_SLOTS}, or negative
-     * @param expiry the client's timeout, counted from its request's arrival
-     * @param token how long ago the session last wrote; null if requests carry no such token, zero
-     *     if the session has not written
-     * @param waited the time since the request's arrival at this router
-     * @param ran since when an earlier try of the client may have executed the transaction, or null
+     * @param clientTimeout the client's timeout, counted from its request's arrival
+     * @param sinceLastWrite how long ago the session last wrote; null if requests carry no such
+     *     token, zero if the session has not written
+     * @param queueTime the time since the request's arrival at this router
+     * @param earlierRunSince since when an earlier try of the client may have executed the
+     *     transaction, or null
      */
     public TransactionHandle accept(
             int id,
@@ -645,170 +670,195 @@
             int tenant,
             int session,
             int group,
-            Duration expiry,
-            Duration token,
-            Duration waited,
-            Duration ran) {
-        Txn t =
-                new Txn(
+            Duration clientTimeout,
+            Duration sinceLastWrite,
+            Duration queueTime,
+            Duration earlierRunSince) {
+        Transaction transaction =
+                new Transaction(
                         id,
                         types[type],
                         groups.computeIfAbsent(group, k -> new Group()),
                         session,
-                        expiry,
-                        waited,
-                        ran);
-        taken++;
-        t.type.work += toSeconds(t.type.usual);
-        if (tenant >= 0 && tenants.get(tenant).quota > 0 && tenants.get(tenant).allowance-- < 1) {
-            tenants.get(tenant).allowance++;
-            t.spare = true;
-        }
-        if (t.type.read == Consistency.SESSION) {
-            if (token == null) {
-                t.need = session < 0 ? NEVER : written[session];
-            } else if (!token.isZero()) {
+                        clientTimeout,
+                        queueTime,
+                        earlierRunSince);
+        acceptedSinceTick++;
+        transaction.type.requestedSeconds += toSeconds(transaction.type.typicalTime);
+        if (tenant >= 0
+                && tenants.get(tenant).quotaPerSecond > 0
+                && tenants.get(tenant).credit-- < 1) {
+            tenants.get(tenant).credit++;
+            transaction.lowPriority = true;
+        }
+        if (transaction.type.consistency == Consistency.SESSION) {
+            if (sinceLastWrite == null) {
+                transaction.requiredPosition = session < 0 ? NEVER : lastCommits[session];
+            } else if (!sinceLastWrite.isZero()) {
                 // One millisecond is added, as both the token and the position are rounded.
-                t.need = now.minus(token).plusMillis(1);
+                transaction.requiredPosition = now.minus(sinceLastWrite).plusMillis(1);
             }
         }
         probeCredit =
-                Math.min(nodes.size(), probeCredit + Math.min(1, PROBE_COST / set.probeCost()));
-        t.group.spill = Math.min(SPILL_BURST, t.group.spill + (t.type.routed() ? SPILL : 0));
+                Math.min(
+                        nodes.size(),
+                        probeCredit
+                                + Math.min(
+                                        1, MAX_PROBE_COST_PER_TRANSACTION / settings.probeCost()));
+        transaction.group.primaryReadCredit =
+                Math.min(
+                        MAX_PRIMARY_READ_BURST,
+                        transaction.group.primaryReadCredit
+                                + (transaction.type.isReplicaRead() ? MAX_PRIMARY_READ_SHARE : 0));
         // Its time passed in the receive queue of this overloaded router.
-        boolean overdue = t.spare && waited.compareTo(beat) > 0;
-        if (overdue || !resendable(t) || !submit(t)) {
-            hold(t);
+        boolean overdue = transaction.lowPriority && queueTime.compareTo(tickInterval) > 0;
+        if (overdue || !maySubmitAgain(transaction) || !submit(transaction)) {
+            enqueue(transaction);
         }
-        return t;
+        return transaction;
     }
 
     /** State of one accepted transaction. */
-    private final class Txn implements TransactionHandle {
+    private final class Transaction implements TransactionHandle {
         final int id;
-        final Type type;
+        final TypeState type;
         final Group group;
         final int session;
-        final Duration expiry;
+        final Duration expiresAt;
 
         /** When it is answered if it is still queued. */
-        final Duration giveUp;
+        final Duration queueExpiresAt;
 
         /** Position that a replica must have applied to serve this session's read. */
-        Duration need = NEVER;
+        Duration requiredPosition = NEVER;
 
         int submissions;
 
         /** Whether the client has its final answer or disconnected. */
-        boolean closed;
+        boolean finished;
 
         /** Whether an earlier submission failed, so that the primary may serve the read. */
         boolean fellBack;
 
         /** Low priority: past its SLA time, or beyond its tenant's quota. */
-        boolean spare;
+        boolean lowPriority;
 
         /** Since when it may have been executed; null if it was certainly not. */
-        Duration ranAt;
+        Duration mayHaveRunSince;
 
-        Duration sentAt;
+        Duration submittedAt;
 
         /** Total pause of this process when it was sent. */
-        Duration sentAway;
+        Duration pauseAtSubmission;
 
         /** Whether its pending submission searches for the primary. */
-        boolean searches;
+        boolean searchesPrimary;
 
         /** Node that last answered with an error. */
-        Node errs;
+        Node erredNode;
 
-        int errors;
+        int errorCount;
 
-        Txn(
+        Transaction(
                 int id,
-                Type type,
+                TypeState type,
                 Group group,
                 int session,
-                Duration patience,
-                Duration waited,
-                Duration ran) {
-            ranAt = ran;
+                Duration clientTimeout,
+                Duration queueTime,
+                Duration earlierRunSince) {
+            mayHaveRunSince = earlierRunSince;
             this.id = id;
             this.type = type;
             this.group = group;
             this.session = session;
-            Duration came = now.minus(waited);
-            expiry = came.plus(patience);
+            Duration arrivedAt = now.minus(queueTime);
+            expiresAt = arrivedAt.plus(clientTimeout);
             // The timeout of a retry is all the time left to the client, which gives the age of the
             // first try.
             Duration age =
-                    type.repeated(patience)
-                            ? type.set.totalClientTimeout().minus(patience)
+                    type.detectRetry(clientTimeout)
+                            ? type.settings.totalClientTimeout().minus(clientTimeout)
                             : Duration.ZERO;
-            Duration useful = came.plus(type.sla).minus(age);
-            Duration last = type.lateEarns ? expiry : min(expiry, useful);
-            Duration held = came.plus(multiply(patience, HELD));
-            giveUp = min(last.minus(type.usual), held).minus(beat.multipliedBy(2));
-            spare = giveUp.compareTo(now) <= 0;
+            Duration usefulUntil = arrivedAt.plus(type.slaTime).minus(age);
+            Duration latestAnswerAt =
+                    type.lateAnswersHaveValue ? expiresAt : min(expiresAt, usefulUntil);
+            Duration maxQueuedUntil = arrivedAt.plus(multiply(clientTimeout, MAX_QUEUE_TIME_SHARE));
+            queueExpiresAt =
+                    min(latestAnswerAt.minus(type.typicalTime), maxQueuedUntil)
+                            .minus(tickInterval.multipliedBy(2));
+            lowPriority = queueExpiresAt.compareTo(now) <= 0;
         }
 
         @Override
         public void submissionEnded(
-                int node,
+                int nodeIndex,
                 SubmissionResult result,
-                Duration took,
-                boolean over,
-                NodeReport note,
+                Duration measuredTime,
+                boolean answered,
+                NodeReport current,
                 NodeReport report) {
-            Node n = nodes.get(node);
-            n.out--;
-            if (searches) {
-                searches = false;
-                group.searching = false;
+            Node node = nodes.get(nodeIndex);
+            node.pending--;
+            if (searchesPrimary) {
+                searchesPrimary = false;
+                group.searchPending = false;
             }
             // The measured time may include a pause of this process: assumes the node's typical
             // time,
             // limited to the range that the pause permits.
-            Duration least = took.minus(away.minus(sentAway));
-            judge(n, type, result, max(least, min(took, multiply(type.usual, n.pace))));
+            Duration minTime = measuredTime.minus(totalPause.minus(pauseAtSubmission));
+            recordResult(
+                    node,
+                    type,
+                    result,
+                    max(minTime, min(measuredTime, multiply(type.typicalTime, node.slowdown))));
             if (result == SubmissionResult.ERROR || result == SubmissionResult.COMMITTED) {
-                blame(n, result == SubmissionResult.ERROR);
+                attributeError(node, result == SubmissionResult.ERROR);
             }
-            NodeReport seen = note;
+            NodeReport applied = current;
             if (result == SubmissionResult.COMMITTED
-                    && type.read == Consistency.WRITE
-                    && note.position() != null) {
+                    && type.consistency == Consistency.WRITE
+                    && current.position() != null) {
                 // The commit's position is rounded up and an applied position down, so one
                 // millisecond less counts as applied.
-                seen = new NodeReport(note.position().minusMillis(1), note.role());
+                applied = new NodeReport(current.position().minusMillis(1), current.role());
                 if (session >= 0) {
-                    written[session] = max(written[session], note.position());
+                    lastCommits[session] = max(lastCommits[session], current.position());
                 }
             }
-            nodeReported(node, seen, report);
+            nodeReported(nodeIndex, applied, report);
             if (result == SubmissionResult.COMMITTED
-                    && note.role() == NodeRole.REPLICA
-                    && note.position() != null) {
-                double still = n.behind.compareTo(multiply(took, 0.5)) > 0 ? 1 : 0;
-                type.stalls += GAIN * (still - type.stalls);
+                    && current.role() == NodeRole.REPLICA
+                    && current.position() != null) {
+                double stalled =
+                        node.measuredLag.compareTo(multiply(measuredTime, 0.5)) > 0 ? 1 : 0;
+                type.stallShare += RESPONSE_TIME_SMOOTHING * (stalled - type.stallShare);
             }
-            if (result.mayHaveRun() && ranAt == null) {
-                ranAt = sentAt;
+            if (result.mayHaveRun() && mayHaveRunSince == null) {
+                mayHaveRunSince = submittedAt;
             }
-            if (over || closed) {
-                closed = true;
+            if (answered || finished) {
+                finished = true;
             } else {
-                goOn(this, n, result);
+                continueTransaction(this, node, result);
             }
-            place(n.group);
+            submitQueued(node.group);
             // Running nodes refuse connections: this router closes its idle ones, since other
             // routers
             // wait for them. Exceptions are connections that fail by timeout, as they are
             // slow to open again, and connections that are likely to be reused soon.
-            if (n.out == 0
-                    && now.compareTo(scarceAt.plus(multiply(set.dialTimeout(), SCARCE))) < 0
-                    && n.gap.compareTo(multiply(typical, PATIENCE)) > 0) {
-                outlet.release(n.id);
+            if (node.pending == 0
+                    && now.compareTo(
+                                    connectionShortageAt.plus(
+                                            multiply(
+                                                    settings.dialTimeout(),
+                                                    CONNECTION_SHORTAGE_DIAL_TIMEOUTS)))
+                            < 0
+                    && node.submissionInterval.compareTo(
+                                    multiply(typicalTime, READ_TIMEOUT_TYPICAL_TIMES))
+                            > 0) {
+                actions.release(node.index);
             }
         }
 
@@ -818,178 +868,209 @@
          * occur on every node. A primary that fails writes only is not detected by this; that needs
          * another primary of its group.
          */
-        private void blame(Node n, boolean erred) {
-            if (errs != null && errs != n) {
-                ownFault += FAIL_GAIN * ((erred ? 1 : 0) - ownFault);
-                errs.failures += erred ? 0 : FAIL_GAIN * (1 - errs.failures);
+        private void attributeError(Node node, boolean erred) {
+            if (erredNode != null && erredNode != node) {
+                transactionErrorShare +=
+                        FAILURE_SMOOTHING * ((erred ? 1 : 0) - transactionErrorShare);
+                erredNode.failureRate +=
+                        erred ? 0 : FAILURE_SMOOTHING * (1 - erredNode.failureRate);
             }
-            errors += erred ? 1 : 0;
-            errs = erred ? n : null;
+            errorCount += erred ? 1 : 0;
+            erredNode = erred ? node : null;
         }
 
         @Override
-        public boolean stands(int node) {
-            Node n = nodes.get(node);
-            boolean old =
-                    type.read == Consistency.STRONG
-                            || type.read == Consistency.BOUNDED_STALENESS
-                                    && n.position.compareTo(now.minus(type.bound)) < 0
-                                    && !keepsUp(n, now.minus(type.bound));
-            return !closed && listed(n) && remembered(this) && (!old || n == primary(group));
+        public boolean stands(int nodeIndex) {
+            Node node = nodes.get(nodeIndex);
+            boolean outdated =
+                    type.consistency == Consistency.STRONG
+                            || type.consistency == Consistency.BOUNDED_STALENESS
+                                    && node.position.compareTo(now.minus(type.stalenessBound)) < 0
+                                    && !mayBeCurrent(node, now.minus(type.stalenessBound));
+            return !finished
+                    && isOpenByList(node)
+                    && isSafeToRepeat(this)
+                    && (!outdated || node == findPrimary(group));
         }
 
         @Override
         public void left() {
-            closed = true;
-            group.held.remove(this);
+            finished = true;
+            group.queue.remove(this);
         }
     }
 
     /** Continues a transaction whose submission ended without a final answer for the client. */
-    private void goOn(Txn t, Node n, SubmissionResult result) {
+    private void continueTransaction(Transaction transaction, Node node, SubmissionResult result) {
         if (result == SubmissionResult.TIMED_OUT || result == SubmissionResult.MOOT) {
             // Reported to the client, not submitted again: the statement would be as slow on
             // another node, and the client can retry.
-            finish(t, Duration.ZERO);
+            finish(transaction, Duration.ZERO);
             return;
         }
         // While most errors are caused by the transactions, falling back would double the load of
         // the primary; a random share still falls back, to detect when that changes.
-        boolean own = ownFault > 0.5 && chance.nextDouble() > FAIL_GAIN;
-        boolean lostRole = t.type.read == Consistency.WRITE && n.denied.equals(now);
-        if (result == SubmissionResult.ERROR && (t.errors > 1 || own && !lostRole)) {
-            finish(t, t.type.sla);
+        boolean transactionsCauseErrors =
+                transactionErrorShare > 0.5 && random.nextDouble() > FAILURE_SMOOTHING;
+        boolean lostRole =
+                transaction.type.consistency == Consistency.WRITE && node.lastReplicaAt.equals(now);
+        if (result == SubmissionResult.ERROR
+                && (transaction.errorCount > 1 || transactionsCauseErrors && !lostRole)) {
+            finish(transaction, transaction.type.slaTime);
             return;
         }
-        if (t.type.read == Consistency.WRITE && result == SubmissionResult.MISS) {
-            t.group.misses++;
-            t.group.turn++;
+        if (transaction.type.consistency == Consistency.WRITE && result == SubmissionResult.MISS) {
+            transaction.group.searchMisses++;
+            transaction.group.searchIndex++;
         }
-        t.fellBack = true;
-        if (!resendable(t) || !submit(t)) {
-            hold(t);
+        transaction.fellBack = true;
+        if (!maySubmitAgain(transaction) || !submit(transaction)) {
+            enqueue(transaction);
         }
     }
 
-    private boolean resendable(Txn t) {
-        return t.submissions < set.maxSubmissions() && remembered(t);
+    private boolean maySubmitAgain(Transaction transaction) {
+        return transaction.submissions < settings.maxSubmissions() && isSafeToRepeat(transaction);
     }
 
     /**
      * Returns whether another submission cannot apply the transaction twice: it was never executed,
      * is idempotent, or its nodes still recognize its idempotency key.
      */
-    private boolean remembered(Txn t) {
-        Repeatability effect = t.type.set.repeatability();
-        return t.ranAt == null
-                || effect == Repeatability.IDEMPOTENT
-                || effect == Repeatability.DEDUPLICATED
-                        && now.plus(set.clockStep())
-                                        .compareTo(t.ranAt.plus(t.type.set.deduplicationWindow()))
+    private boolean isSafeToRepeat(Transaction transaction) {
+        Repeatability repeatability = transaction.type.settings.repeatability();
+        return transaction.mayHaveRunSince == null
+                || repeatability == Repeatability.IDEMPOTENT
+                || repeatability == Repeatability.DEDUPLICATED
+                        && now.plus(settings.clockStep())
+                                        .compareTo(
+                                                transaction.mayHaveRunSince.plus(
+                                                        transaction.type.settings
+                                                                .deduplicationWindow()))
                                 < 0;
     }
 
     /** Returns the concurrency limit for the transaction's priority. */
-    private double room(Node n, Txn t) {
-        return t.spare ? n.room * SPARE_ROOM : n.room;
+    private double concurrencyLimit(Node node, Transaction transaction) {
+        return transaction.lowPriority
+                ? node.concurrencyLimit * LOW_PRIORITY_CONCURRENCY_SHARE
+                : node.concurrencyLimit;
     }
 
     /** Queues a transaction; rejects one of low priority instead. */
-    private void hold(Txn t) {
-        if (t.spare && resendable(t)) {
-            finish(t, set.maxRetryDelay());
-        } else if (!over(t)) {
-            int at = t.group.held.size();
-            while (at > 0 && t.group.held.get(at - 1).type.rank() < t.type.rank()) {
-                at--;
+    private void enqueue(Transaction transaction) {
+        if (transaction.lowPriority && maySubmitAgain(transaction)) {
+            finish(transaction, settings.maxRetryDelay());
+        } else if (!finishIfExpired(transaction)) {
+            int index = transaction.group.queue.size();
+            while (index > 0
+                    && transaction.group.queue.get(index - 1).type.valuePerTime()
+                            < transaction.type.valuePerTime()) {
+                index--;
             }
-            t.group.held.add(at, t);
-            seek(t.group);
+            transaction.group.queue.add(index, transaction);
+            probeForQueue(transaction.group);
         }
     }
 
     /** Answers a transaction whose queue time is over or that may not be submitted again. */
-    private boolean over(Txn t) {
-        boolean over = !resendable(t) || now.compareTo(t.giveUp) >= 0;
-        if (over) {
-            finish(t, t.type.sla);
+    private boolean finishIfExpired(Transaction transaction) {
+        boolean expired =
+                !maySubmitAgain(transaction) || now.compareTo(transaction.queueExpiresAt) >= 0;
+        if (expired) {
+            finish(transaction, transaction.type.slaTime);
         }
-        return over;
+        return expired;
     }
 
     /** Answers the client: a retry is harmless, or else the outcome is unknown. */
-    private void finish(Txn t, Duration pause) {
-        t.closed = true;
+    private void finish(Transaction transaction, Duration retryDelay) {
+        transaction.finished = true;
         boolean harmless =
-                t.ranAt == null
-                        || t.type.set.repeatability() == Repeatability.IDEMPOTENT
-                        || t.type.set.repeatability() == Repeatability.DEDUPLICATED
-                                && !t.type.set.deduplicatedByGroup();
+                transaction.mayHaveRunSince == null
+                        || transaction.type.settings.repeatability() == Repeatability.IDEMPOTENT
+                        || transaction.type.settings.repeatability() == Repeatability.DEDUPLICATED
+                                && !transaction.type.settings.deduplicatedByGroup();
         if (harmless) {
-            outlet.decline(t.id, min(reckoning.back(pause, chance), set.maxRetryDelay()));
+            actions.decline(
+                    transaction.id,
+                    min(capacityEstimate.back(retryDelay, random), settings.maxRetryDelay()));
         } else {
-            outlet.reportUnknownOutcome(t.id);
+            actions.reportUnknownOutcome(transaction.id);
         }
     }
 
     /** Submits the group's queued transactions where possible, and answers expired ones. */
-    private void place(Group g) {
-        if (g.held.isEmpty()) {
+    private void submitQueued(Group group) {
+        if (group.queue.isEmpty()) {
             return;
         }
-        List<Txn> waiting = new ArrayList<>(g.held);
-        for (Txn t : waiting) {
-            if (over(t) || submit(t)) {
-                g.held.remove(t);
+        List<Transaction> waiting = new ArrayList<>(group.queue);
+        for (Transaction transaction : waiting) {
+            if (finishIfExpired(transaction) || submit(transaction)) {
+                group.queue.remove(transaction);
             }
         }
-        if (!g.held.isEmpty()) {
-            seek(g);
+        if (!group.queue.isEmpty()) {
+            probeForQueue(group);
         }
     }
 
     // ---- selection of nodes
 
-    private boolean submit(Txn t) {
-        Duration left = t.expiry.minus(now).minus(beat);
-        Node n =
-                left.isNegative() || left.isZero()
+    private boolean submit(Transaction transaction) {
+        Duration remaining = transaction.expiresAt.minus(now).minus(tickInterval);
+        Node node =
+                remaining.isNegative() || remaining.isZero()
                         ? null
-                        : t.type.routed() ? route(t) : primaryFor(t);
-        if (n == null) {
+                        : transaction.type.isReplicaRead()
+                                ? selectReadNode(transaction)
+                                : selectPrimary(transaction);
+        if (node == null) {
             return false;
         }
-        Duration limit =
-                t.type.lateEarns || t.type.read == Consistency.WRITE
-                        ? left
-                        : min(left, multiply(t.type.usual, PATIENCE));
-        t.submissions++;
-        t.sentAt = now;
-        t.sentAway = away;
-        if (!onTrial(n)) {
-            n.trials = 1;
+        Duration timeout =
+                transaction.type.lateAnswersHaveValue
+                                || transaction.type.consistency == Consistency.WRITE
+                        ? remaining
+                        : min(
+                                remaining,
+                                multiply(transaction.type.typicalTime, READ_TIMEOUT_TYPICAL_TIMES));
+        transaction.submissions++;
+        transaction.submittedAt = now;
+        transaction.pauseAtSubmission = totalPause;
+        if (!isOnTrial(node)) {
+            node.trialBackoff = 1;
         } else {
             // Random, so that routers do not all try a recovering node at the same moment.
-            double gap = TRIAL_GAP * Math.min(n.trials++, TRIALS) * (1 + chance.nextDouble() / 2);
-            n.tryAt = now.plus(multiply(set.dialTimeout(), gap));
-        }
-        if (n.out++ == 0) {
-            n.quiet = now;
-        }
-        n.gap = n.sentAt.equals(NEVER) ? n.gap : now.minus(n.sentAt);
-        n.sentAt = now;
-        n.coldCredit -= toSeconds(cost(t.type));
-        outlet.submit(t.id, n.id, limit);
+            double trialInterval =
+                    TRIAL_INTERVAL_DIAL_TIMEOUTS
+                            * Math.min(node.trialBackoff++, MAX_TRIAL_BACKOFF)
+                            * (1 + random.nextDouble() / 2);
+            node.nextTrialAt = now.plus(multiply(settings.dialTimeout(), trialInterval));
+        }
+        if (node.pending++ == 0) {
+            node.silentSince = now;
+        }
+        node.submissionInterval =
+                node.lastSubmissionAt.equals(NEVER)
+                        ? node.submissionInterval
+                        : now.minus(node.lastSubmissionAt);
+        node.lastSubmissionAt = now;
+        node.coldCreditSeconds -= toSeconds(transactionWork(transaction.type));
+        actions.submit(transaction.id, node.index, timeout);
         return true;
     }
 
-    private Node primaryFor(Txn t) {
-        Node pri = primary(t.group);
-        if (pri != null && open(pri, 2 * room(pri, t))) {
-            return pri;
+    private Node selectPrimary(Transaction transaction) {
+        Node primary = findPrimary(transaction.group);
+        if (primary != null
+                && acceptsSubmission(primary, 2 * concurrencyLimit(primary, transaction))) {
+            return primary;
         }
-        return t.type.read == Consistency.WRITE && (pri == null || !trusted(pri))
-                ? search(t)
+        return transaction.type.consistency == Consistency.WRITE
+                        && (primary == null || !isTrusted(primary))
+                ? selectSearchTarget(transaction)
                 : null;
     }
 
@@ -997,64 +1078,74 @@
      * Selects a node while no trusted primary is known: one write at a time is sent to the members
      * in turn, with a pause after each round.
      */
-    private Node search(Txn t) {
-        Group g = t.group;
-        if (g.searching
-                || now.compareTo(g.searchAt) < 0
-                || t.submissions >= set.maxSubmissions() / 2) {
+    private Node selectSearchTarget(Transaction transaction) {
+        Group group = transaction.group;
+        if (group.searchPending
+                || now.compareTo(group.nextSearchAt) < 0
+                || transaction.submissions >= settings.maxSubmissions() / 2) {
             return null;
         }
-        if (g.misses >= g.members.size()) {
-            g.misses = 0;
-            g.searchAt = now.plus(multiply(set.dialTimeout(), TRIAL_GAP));
+        if (group.searchMisses >= group.members.size()) {
+            group.searchMisses = 0;
+            group.nextSearchAt =
+                    now.plus(multiply(settings.dialTimeout(), TRIAL_INTERVAL_DIAL_TIMEOUTS));
             return null;
         }
-        for (int i = 0; i < g.members.size(); i++) {
-            Node n = g.members.get((g.turn + i) % g.members.size());
-            if (open(n, n.room)) {
-                g.turn = (g.turn + i) % g.members.size();
-                g.searching = true;
-                t.searches = true;
-                return n;
+        for (int i = 0; i < group.members.size(); i++) {
+            Node node = group.members.get((group.searchIndex + i) % group.members.size());
+            if (acceptsSubmission(node, node.concurrencyLimit)) {
+                group.searchIndex = (group.searchIndex + i) % group.members.size();
+                group.searchPending = true;
+                transaction.searchesPrimary = true;
+                return node;
             }
         }
         return null;
     }
 
-    private Node route(Txn t) {
-        Group g = t.group;
-        Node pri = primary(g);
-        if (t.type.stalling(tightest)) {
-            return furthestBehind(t, pri);
+    private Node selectReadNode(Transaction transaction) {
+        Group group = transaction.group;
+        Node primary = findPrimary(group);
+        if (transaction.type.stallsReplication(tightestBound)) {
+            return selectMostLagging(transaction, primary);
         }
         Node best = null;
-        double least = Double.MAX_VALUE;
-        Duration need = t.type.read == Consistency.SESSION ? t.need : now.minus(t.type.bound);
-        for (Node n : g.members) {
-            if (n == pri || !open(n, room(n, t))) {
+        double lowestLoad = Double.MAX_VALUE;
+        Duration requiredPosition =
+                transaction.type.consistency == Consistency.SESSION
+                        ? transaction.requiredPosition
+                        : now.minus(transaction.type.stalenessBound);
+        for (Node node : group.members) {
+            if (node == primary || !acceptsSubmission(node, concurrencyLimit(node, transaction))) {
                 continue;
             }
-            boolean fresh = n.position.compareTo(need) >= 0 || keepsUp(n, need);
-            if (fresh || t.type.read == Consistency.EVENTUAL) {
-                double load = busy(n, -Math.log(1 - chance.nextDouble())) * (fresh ? 1 : OLD);
-                if (load < least) {
-                    best = n;
-                    least = load;
+            boolean current =
+                    node.position.compareTo(requiredPosition) >= 0
+                            || mayBeCurrent(node, requiredPosition);
+            if (current || transaction.type.consistency == Consistency.EVENTUAL) {
+                double load =
+                        estimateLoad(node, -Math.log(1 - random.nextDouble()))
+                                * (current ? 1 : STALE_REPLICA_LOAD_FACTOR);
+                if (load < lowestLoad) {
+                    best = node;
+                    lowestLoad = load;
                 }
             }
         }
-        boolean spills =
-                pri != null
-                        && !t.spare
-                        && pri.claimed.compareTo(LISTED) > 0
-                        && open(pri, pri.room)
-                        && trusted(pri)
-                        && pri.pace < CALM
-                        && pri.strain < STRAINED * CALM_PART
-                        && !cold(pri);
-        if (spills && (t.fellBack || g.spill >= 1 && busy(pri, 1) < least)) {
-            g.spill = Math.max(0, g.spill - 1);
-            return pri;
+        boolean primaryMayServe =
+                primary != null
+                        && !transaction.lowPriority
+                        && primary.lastPrimaryAt.compareTo(LISTED_AT) > 0
+                        && acceptsSubmission(primary, primary.concurrencyLimit)
+                        && isTrusted(primary)
+                        && primary.slowdown < MAX_CALM_SLOWDOWN
+                        && primary.slaRatio < OVERLOAD_SLA_RATIO * MAX_CALM_OVERLOAD_SHARE
+                        && !isCold(primary);
+        if (primaryMayServe
+                && (transaction.fellBack
+                        || group.primaryReadCredit >= 1 && estimateLoad(primary, 1) < lowestLoad)) {
+            group.primaryReadCredit = Math.max(0, group.primaryReadCredit - 1);
+            return primary;
         }
         return best;
     }
@@ -1066,10 +1157,10 @@
      * that a router with few transactions learns late; the cost is a rejected read when a replica
      * starts to lag.
      */
-    private boolean keepsUp(Node n, Duration need) {
-        return set.nodesRejectStaleReads()
-                && (now.minus(multiply(n.behind, 2)).compareTo(need) >= 0
-                        || n.toldAt.plus(anyBound).compareTo(now) < 0);
+    private boolean mayBeCurrent(Node node, Duration requiredPosition) {
+        return settings.nodesRejectStaleReads()
+                && (now.minus(multiply(node.measuredLag, 2)).compareTo(requiredPosition) >= 0
+                        || node.lagMeasuredAt.plus(eventualBound).compareTo(now) < 0);
     }
 
     /**
@@ -1079,18 +1170,20 @@
      * current. Such reads use at most the share of replicas that matches their share of the work,
      * and are queued beyond that.
      */
-    private Node furthestBehind(Txn t, Node pri) {
+    private Node selectMostLagging(Transaction transaction, Node primary) {
         List<Node> replicas = new ArrayList<>();
-        for (Node n : t.group.members) {
-            if (n != pri && listed(n) && trusted(n)) {
-                replicas.add(n);
+        for (Node node : transaction.group.members) {
+            if (node != primary && isOpenByList(node) && isTrusted(node)) {
+                replicas.add(node);
             }
         }
-        replicas.sort(Comparator.comparing(n -> n.position));
-        int most = Math.max(1, (int) Math.round(replicas.size() * stallPart));
-        for (Node n : replicas.subList(0, Math.min(most, replicas.size()))) {
-            if (open(n, room(n, t)) && (!cold(n) || n.coldCredit >= toSeconds(t.type.usual))) {
-                return n;
+        replicas.sort(Comparator.comparing(node -> node.position));
+        int maxReplicas = Math.max(1, (int) Math.round(replicas.size() * stallingWorkShare));
+        for (Node node : replicas.subList(0, Math.min(maxReplicas, replicas.size()))) {
+            if (acceptsSubmission(node, concurrencyLimit(node, transaction))
+                    && (!isCold(node)
+                            || node.coldCreditSeconds >= toSeconds(transaction.type.typicalTime))) {
+                return node;
             }
         }
         return null;
@@ -1099,17 +1192,21 @@
     /**
      * Returns the estimated load of a node.
      *
-     * @param others the estimated submissions of other routers: random with mean one, so that idle
-     *     routers do not all choose the same replica
+     * @param otherSubmissions the estimated submissions of other routers: random with mean one, so
+     *     that idle routers do not all choose the same replica
      */
-    private double busy(Node n, double others) {
-        return (n.out + others) / n.size * n.pace * (n.far ? FAR : 1) * (n.doubted ? DOUBTED : 1);
+    private double estimateLoad(Node node, double otherSubmissions) {
+        return (node.pending + otherSubmissions)
+                / node.size
+                * node.slowdown
+                * (node.inOtherZone ? OTHER_ZONE_LOAD_FACTOR : 1)
+                * (node.suspected ? SUSPECTED_LOAD_FACTOR : 1);
     }
 
     /** Returns whether the member list permits new transactions to the node. */
-    private boolean listed(Node n) {
-        return n.standing == MemberState.READY
-                || n.standing == MemberState.GONE && set.unlistedNodesStayOpen();
+    private boolean isOpenByList(Node node) {
+        return node.listedState == MemberState.READY
+                || node.listedState == MemberState.GONE && settings.unlistedNodesStayOpen();
     }
 
     /**
@@ -1117,163 +1214,202 @@
      * answer a probe, which delays no transaction. A node that accepts connections but is silent or
      * failing gets single trial transactions at growing intervals.
      */
-    private boolean open(Node n, double room) {
-        if (!listed(n) || cold(n) && n.coldCredit <= 0) {
+    private boolean acceptsSubmission(Node node, double limit) {
+        if (!isOpenByList(node) || isCold(node) && node.coldCreditSeconds <= 0) {
             return false;
         }
-        if (onTrial(n)) {
-            return n.out == 0 && !(n.lost && set.probesEnabled()) && now.compareTo(n.tryAt) >= 0;
+        if (isOnTrial(node)) {
+            return node.pending == 0
+                    && !(node.unreachable && settings.probesEnabled())
+                    && now.compareTo(node.nextTrialAt) >= 0;
         }
-        return n.out < room
-                && (room >= 1
+        return node.pending < limit
+                && (limit >= 1
                         || now.compareTo(
-                                        n.sentAt.plus(
-                                                multiply(typical, 1 / Math.max(room, roomLeast))))
+                                        node.lastSubmissionAt.plus(
+                                                multiply(
+                                                        typicalTime,
+                                                        1 / Math.max(limit, minConcurrency))))
                                 >= 0);
     }
 
     // ---- primary of a group
 
     /** Returns the member most recently known to be the primary, or null. */
-    private Node primary(Group g) {
-        Node pri = null;
-        for (Node n : g.members) {
-            if (n.claimed.compareTo(NEVER) > 0
-                    && (pri == null || n.claimed.compareTo(pri.claimed) > 0)) {
-                pri = n;
+    private Node findPrimary(Group group) {
+        Node primary = null;
+        for (Node node : group.members) {
+            if (node.lastPrimaryAt.compareTo(NEVER) > 0
+                    && (primary == null
+                            || node.lastPrimaryAt.compareTo(primary.lastPrimaryAt) > 0)) {
+                primary = node;
             }
         }
-        return pri;
+        return primary;
     }
 
     /** Records that a node was the primary at a time, unless newer information contradicts. */
-    private void claim(Node n, Duration when) {
-        if (n.group == null || when.compareTo(n.denied) <= 0 || when.compareTo(n.claimed) < 0) {
+    private void recordPrimary(Node node, Duration time) {
+        if (node.group == null
+                || time.compareTo(node.lastReplicaAt) <= 0
+                || time.compareTo(node.lastPrimaryAt) < 0) {
             return;
         }
-        for (Node other : n.group.members) {
-            if (other != n && other.claimed.compareTo(when) >= 0) {
+        for (Node other : node.group.members) {
+            if (other != node && other.lastPrimaryAt.compareTo(time) >= 0) {
                 return;
             }
         }
-        n.group.members.forEach(other -> other.claimed = NEVER);
-        n.claimed = when;
-        if (when.compareTo(LISTED) > 0) {
-            n.group.misses = 0;
-            n.group.turn = Math.max(0, n.group.members.indexOf(n));
+        node.group.members.forEach(other -> other.lastPrimaryAt = NEVER);
+        node.lastPrimaryAt = time;
+        if (time.compareTo(LISTED_AT) > 0) {
+            node.group.searchMisses = 0;
+            node.group.searchIndex = Math.max(0, node.group.members.indexOf(node));
         }
     }
 
     /** Records that a node was a replica at a time. */
-    private void deny(Node n, Duration when) {
-        n.denied = max(n.denied, when);
-        if (n.claimed.compareTo(when) <= 0) {
-            n.claimed = NEVER;
+    private void recordReplica(Node node, Duration time) {
+        node.lastReplicaAt = max(node.lastReplicaAt, time);
+        if (node.lastPrimaryAt.compareTo(time) <= 0) {
+            node.lastPrimaryAt = NEVER;
         }
     }
 
     /**
      * Applies the state that a node reported about itself.
      *
-     * @param note the state at this moment
+     * @param current the state at this moment
      * @param report the state at some earlier time
      */
-    public void nodeReported(int node, NodeReport note, NodeReport report) {
-        Node n = nodes.get(node);
-        if (note.role() == NodeRole.PRIMARY) {
-            claim(n, now);
-        } else if (note.role() == NodeRole.REPLICA) {
-            deny(n, now);
+    public void nodeReported(int nodeIndex, NodeReport current, NodeReport report) {
+        Node node = nodes.get(nodeIndex);
+        if (current.role() == NodeRole.PRIMARY) {
+            recordPrimary(node, now);
+        } else if (current.role() == NodeRole.REPLICA) {
+            recordReplica(node, now);
         }
         // A primary's position is the time of its report; a replica's position is older than its
         // report.
         if (report.position() != null && report.role() == NodeRole.PRIMARY) {
-            claim(n, report.position());
+            recordPrimary(node, report.position());
         } else if (report.position() != null && report.role() == NodeRole.REPLICA) {
-            deny(n, report.position());
+            recordReplica(node, report.position());
         }
-        if (note.position() != null) {
-            n.position = max(n.position, note.position());
-            n.behind = now.minus(n.position);
-            n.toldAt = now;
+        if (current.position() != null) {
+            node.position = max(node.position, current.position());
+            node.measuredLag = now.minus(node.position);
+            node.lagMeasuredAt = now;
         }
-        n.position = report.position() == null ? n.position : max(n.position, report.position());
+        node.position =
+                report.position() == null ? node.position : max(node.position, report.position());
     }
 
     // ---- health
 
     /** Updates a node's health and concurrency limit with the result of a submission. */
-    private void judge(Node n, Type type, SubmissionResult result, Duration took) {
+    private void recordResult(
+            Node node, TypeState type, SubmissionResult result, Duration responseTime) {
         if (result == SubmissionResult.WITHDRAWN
                 || result == SubmissionResult.MOOT
                 || result == SubmissionResult.UNSENT) {
             return;
         }
-        boolean bad =
+        boolean failed =
                 result == SubmissionResult.TIMED_OUT
                         || result == SubmissionResult.UNREACHABLE
                         || result == SubmissionResult.RESET;
         // Connections also break on healthy nodes, so a reset counts half; a node that is down
         // refuses the next connection.
-        double gain =
+        double smoothing =
                 result == SubmissionResult.ERROR || result == SubmissionResult.SPOILT
                         ? 0
                         : result == SubmissionResult.UNREACHABLE
-                                ? LOST_GAIN
-                                : result == SubmissionResult.RESET ? FAIL_GAIN / 2 : FAIL_GAIN;
-        n.failures += gain * ((bad ? 1 : 0) - n.failures);
+                                ? UNREACHABLE_SMOOTHING
+                                : result == SubmissionResult.RESET
+                                        ? FAILURE_SMOOTHING / 2
+                                        : FAILURE_SMOOTHING;
+        node.failureRate += smoothing * ((failed ? 1 : 0) - node.failureRate);
         // A node that has only rejected work for this long counts as hung with a full queue.
-        double since = ratio(now.minus(n.answeredAt), multiply(slowest(), PATIENCE));
-        if (!bad && result != SubmissionResult.FULL) {
-            n.quiet = now;
-            n.silent = false;
-            n.doubted = false;
-            n.wellAt = now;
-        } else if (result == SubmissionResult.FULL && since > 1) {
-            n.silent = true;
-        }
-        n.atOnce =
+        double sinceUpdate =
+                ratio(
+                        now.minus(node.responseTimeUpdatedAt),
+                        multiply(longestTypicalTime(), READ_TIMEOUT_TYPICAL_TIMES));
+        if (!failed && result != SubmissionResult.FULL) {
+            node.silentSince = now;
+            node.silent = false;
+            node.suspected = false;
+            node.lastHealthyAt = now;
+        } else if (result == SubmissionResult.FULL && sinceUpdate > 1) {
+            node.silent = true;
+        }
+        node.refusedAtOnce =
                 result == SubmissionResult.UNREACHABLE
-                        ? took.compareTo(multiply(set.dialTimeout(), 0.5)) < 0
-                        : n.atOnce;
-        if (result == SubmissionResult.UNREACHABLE && failing(n)) {
-            n.lost = true;
-        } else if (!bad && n.lost) {
-            back(n);
-        }
-        n.heardAt = bad ? n.heardAt : now;
+                        ? responseTime.compareTo(multiply(settings.dialTimeout(), 0.5)) < 0
+                        : node.refusedAtOnce;
+        if (result == SubmissionResult.UNREACHABLE && isFailing(node)) {
+            node.unreachable = true;
+        } else if (!failed && node.unreachable) {
+            recordReachable(node);
+        }
+        node.lastAnswerAt = failed ? node.lastAnswerAt : now;
         // The rarer the answers, the more weight each one has.
-        double weight = Math.max(GAIN, Math.min(1, since));
+        double weight = Math.max(RESPONSE_TIME_SMOOTHING, Math.min(1, sinceUpdate));
         if (result == SubmissionResult.COMMITTED) {
-            reckoning.did(toSeconds(cost(type)), part(n));
-            n.pace += weight * (Math.min(4, ratio(took, type.usual)) - n.pace);
-            Duration usual = type.usual.plus(multiply(took.minus(type.usual), GAIN / 10));
-            type.usual = min(usual, multiply(type.sla, 0.5));
+            capacityEstimate.did(toSeconds(transactionWork(type)), capacityShare(node));
+            node.slowdown +=
+                    weight * (Math.min(4, ratio(responseTime, type.typicalTime)) - node.slowdown);
+            Duration smoothedTime =
+                    type.typicalTime.plus(
+                            multiply(
+                                    responseTime.minus(type.typicalTime),
+                                    RESPONSE_TIME_SMOOTHING / 10));
+            type.typicalTime = min(smoothedTime, multiply(type.slaTime, 0.5));
         }
         // More timeouts at this node than at most others indicate queued work there; otherwise they
         // indicate lost messages.
-        boolean jammed =
+        boolean queuedWork =
                 result == SubmissionResult.TIMED_OUT
-                        && (n.strain > STRAINED / 2 || n.failures > median + FAIL_GAIN / 2);
-        if (result == SubmissionResult.COMMITTED || jammed) {
-            n.strain += weight * (Math.min(2, ratio(took, type.sla)) - n.strain);
-            n.answeredAt = now;
+                        && (node.slaRatio > OVERLOAD_SLA_RATIO / 2
+                                || node.failureRate > medianFailureRate + FAILURE_SMOOTHING / 2);
+        if (result == SubmissionResult.COMMITTED || queuedWork) {
+            node.slaRatio +=
+                    weight * (Math.min(2, ratio(responseTime, type.slaTime)) - node.slaRatio);
+            node.responseTimeUpdatedAt = now;
         }
         // The limit is reduced from its actual use: the pending submissions or, without any, the
         // rate of submissions.
-        if (result == SubmissionResult.FULL || n.strain > STRAINED) {
-            if (result == SubmissionResult.FULL || now.compareTo(n.cutAt.plus(type.usual)) >= 0) {
-                n.cutAt = now;
-                double used = n.out > 0 ? n.out : Math.min(1, ratio(typical, n.gap));
-                double cut = result == SubmissionResult.FULL || jammed ? FULL_CUT : ROOM_CUT;
+        if (result == SubmissionResult.FULL || node.slaRatio > OVERLOAD_SLA_RATIO) {
+            if (result == SubmissionResult.FULL
+                    || now.compareTo(node.limitReducedAt.plus(type.typicalTime)) >= 0) {
+                node.limitReducedAt = now;
+                double used =
+                        node.pending > 0
+                                ? node.pending
+                                : Math.min(1, ratio(typicalTime, node.submissionInterval));
+                double decreaseFactor =
+                        result == SubmissionResult.FULL || queuedWork
+                                ? REJECTED_DECREASE_FACTOR
+                                : OVERLOAD_DECREASE_FACTOR;
                 // If the whole fleet is as slow, the limit stays at the fleet's peak without
                 // overload; a lower one would leave nodes idle.
-                boolean alone = result == SubmissionResult.FULL || n.strain > strain * ALIKE;
-                double least = alone ? roomLeast : Math.max(roomLeast, inWork * n.size);
-                n.room = Math.max(Math.min(n.room, least), Math.min(n.room, used) * cut);
+                boolean onlyThisNode =
+                        result == SubmissionResult.FULL
+                                || node.slaRatio > medianSlaRatio * FLEET_OVERLOAD_MULTIPLE;
+                double minLimit =
+                        onlyThisNode
+                                ? minConcurrency
+                                : Math.max(minConcurrency, peakPendingPerNode * node.size);
+                node.concurrencyLimit =
+                        Math.max(
+                                Math.min(node.concurrencyLimit, minLimit),
+                                Math.min(node.concurrencyLimit, used) * decreaseFactor);
             }
-        } else if (result == SubmissionResult.COMMITTED && n.out + 1 >= n.room * 0.8) {
-            n.room += Math.min(n.room, 1 / n.room) * GAIN;
+        } else if (result == SubmissionResult.COMMITTED
+                && node.pending + 1 >= node.concurrencyLimit * 0.8) {
+            node.concurrencyLimit +=
+                    Math.min(node.concurrencyLimit, 1 / node.concurrencyLimit)
+                            * RESPONSE_TIME_SMOOTHING;
         }
     }
 
@@ -1283,126 +1419,149 @@
      * connections), applied the log throughout the outage, or is still the primary. A node that
      * restarts unnoticed and catches up counts as warm until the list reports its start.
      */
-    private void back(Node n) {
-        n.lost = false;
-        Duration away = now.minus(n.heardAt);
-        boolean followed =
-                n.claimed.compareTo(LISTED) > 0
-                        ? away.compareTo(multiply(set.warmUpTime(), UP)) > 0
-                        : n.position.compareTo(now.minus(multiply(away, UP))) > 0;
-        if (n.unheard) {
+    private void recordReachable(Node node) {
+        node.unreachable = false;
+        Duration outage = now.minus(node.lastAnswerAt);
+        boolean stayedRunning =
+                node.lastPrimaryAt.compareTo(LISTED_AT) > 0
+                        ? outage.compareTo(multiply(settings.warmUpTime(), RUNNING_OUTAGE_SHARE))
+                                > 0
+                        : node.position.compareTo(now.minus(multiply(outage, RUNNING_OUTAGE_SHARE)))
+                                > 0;
+        if (node.probeFailed) {
             // The network path failed: one answer restores trust, and no work is queued at the
             // node.
-            n.tryAt = NEVER;
-            n.trials = 1;
-            n.failures = Math.min(n.failures, FAILING);
-            n.room = Math.max(n.room, ROOM_START / set.routerCount());
-            n.started = followed ? n.started : max(n.started, now);
-            n.coldCredit = 0;
-        }
-        scarceAt = n.unheard || !n.atOnce ? scarceAt : now;
-        n.unheard = false;
+            node.nextTrialAt = NEVER;
+            node.trialBackoff = 1;
+            node.failureRate = Math.min(node.failureRate, FAILING_RATE_MARGIN);
+            node.concurrencyLimit =
+                    Math.max(node.concurrencyLimit, INITIAL_CONCURRENCY / settings.routerCount());
+            node.startedAt = stayedRunning ? node.startedAt : max(node.startedAt, now);
+            node.coldCreditSeconds = 0;
+        }
+        connectionShortageAt = node.probeFailed || !node.refusedAtOnce ? connectionShortageAt : now;
+        node.probeFailed = false;
     }
 
     /**
      * Compares the failure rate with the fleet's median. The median is capped, so that nodes count
      * as failing even if most of the fleet fails.
      */
-    private boolean failing(Node n) {
-        return n.failures > Math.min(median, FAILING / 2) + FAILING;
+    private boolean isFailing(Node node) {
+        return node.failureRate
+                > Math.min(medianFailureRate, FAILING_RATE_MARGIN / 2) + FAILING_RATE_MARGIN;
     }
 
     /**
      * Returns whether the node is neither silent nor failing. The more submissions are pending, the
      * sooner an answer is expected.
      */
-    private boolean trusted(Node n) {
-        if (!n.silent && n.out > 0) {
-            n.silent = mute(n, n.doubted ? DOUBT : 1);
+    private boolean isTrusted(Node node) {
+        if (!node.silent && node.pending > 0) {
+            node.silent = isSilent(node, node.suspected ? SUSPECTED_SILENCE_SHARE : 1);
         }
-        return !n.silent && !failing(n);
+        return !node.silent && !isFailing(node);
     }
 
     /** Returns whether the node only gets trial transactions. */
-    private boolean onTrial(Node n) {
-        return !trusted(n) || n.doubted;
+    private boolean isOnTrial(Node node) {
+        return !isTrusted(node) || node.suspected;
     }
 
     /** Returns whether pending submissions have been unanswered for this share of the limit. */
-    private boolean mute(Node n, double part) {
-        double wait = Math.max(SILENCE_LEAST, SILENCE / Math.max(1, n.out)) * part;
-        return now.compareTo(n.quiet.plus(multiply(slowest(), wait))) > 0;
+    private boolean isSilent(Node node, double share) {
+        double typicalTimes =
+                Math.max(
+                                MIN_SILENCE_TYPICAL_TIMES,
+                                SILENCE_TYPICAL_TIMES / Math.max(1, node.pending))
+                        * share;
+        return now.compareTo(node.silentSince.plus(multiply(longestTypicalTime(), typicalTimes)))
+                > 0;
     }
 
     /**
      * Sets whether peers suspect a node, as found by gossip. A suspected node gets one trial
      * transaction after one to two dial timeouts, and its own answer ends the suspicion.
      */
-    public void doubted(int node, boolean doubted) {
-        Node n = nodes.get(node);
-        if (doubted && !n.doubted) {
-            n.tryAt = max(n.tryAt, now.plus(multiply(set.dialTimeout(), 1 + chance.nextDouble())));
-        }
-        n.doubted = doubted;
+    public void doubted(int nodeIndex, boolean suspected) {
+        Node node = nodes.get(nodeIndex);
+        if (suspected && !node.suspected) {
+            node.nextTrialAt =
+                    max(
+                            node.nextTrialAt,
+                            now.plus(multiply(settings.dialTimeout(), 1 + random.nextDouble())));
+        }
+        node.suspected = suspected;
     }
 
     /**
      * Records that peers got answers from the node again: advances its next trial to a random
      * moment within one dial timeout, so that routers do not all try at once.
      */
-    public void better(int node) {
-        Node n = nodes.get(node);
-        n.tryAt = min(n.tryAt, now.plus(multiply(set.dialTimeout(), chance.nextDouble())));
+    public void better(int nodeIndex) {
+        Node node = nodes.get(nodeIndex);
+        node.nextTrialAt =
+                min(
+                        node.nextTrialAt,
+                        now.plus(multiply(settings.dialTimeout(), random.nextDouble())));
     }
 
     /**
      * Returns the health of a node as this router observes it. Suspicion by peers shortens the
      * silence time here, but is not returned as this router's own evidence.
      */
-    public HealthObservation sees(int node) {
-        Node n = nodes.get(node);
-        boolean silent = !trusted(n) && n.silent && (n.out == 0 || mute(n, TOLD));
-        boolean lately = n.wellAt.plus(multiply(slowest(), PATIENCE)).compareTo(now) > 0;
+    public HealthObservation sees(int nodeIndex) {
+        Node node = nodes.get(nodeIndex);
+        boolean silent =
+                !isTrusted(node)
+                        && node.silent
+                        && (node.pending == 0 || isSilent(node, REPORTED_SILENCE_MULTIPLE));
+        boolean recentlyHealthy =
+                node.lastHealthyAt
+                                .plus(multiply(longestTypicalTime(), READ_TIMEOUT_TYPICAL_TIMES))
+                                .compareTo(now)
+                        > 0;
         return new HealthObservation(
-                n.lost
+                node.unreachable
                         ? HealthObservation.Health.LOST
-                        : failing(n)
+                        : isFailing(node)
                                 ? HealthObservation.Health.FAILING
                                 : silent
                                         ? HealthObservation.Health.SILENT
-                                        : lately && !n.silent
+                                        : recentlyHealthy && !node.silent
                                                 ? HealthObservation.Health.WELL
                                                 : HealthObservation.Health.UNKNOWN,
-                n.wellAt,
-                n.out > 0 && mute(n, TOLD) ? n.out : 0);
+                node.lastHealthyAt,
+                node.pending > 0 && isSilent(node, REPORTED_SILENCE_MULTIPLE) ? node.pending : 0);
     }
 
-    private Duration slowest() {
-        Duration most = Duration.ZERO;
-        for (Type t : types) {
-            most = max(most, t.usual);
+    private Duration longestTypicalTime() {
+        Duration longest = Duration.ZERO;
+        for (TypeState type : types) {
+            longest = max(longest, type.typicalTime);
         }
-        return most;
+        return longest;
     }
 
     /** Returns whether the warm-up time since the node's start is not over. */
-    private boolean cold(Node n) {
-        return now.compareTo(n.started.plus(set.warmUpTime())) < 0;
+    private boolean isCold(Node node) {
+        return now.compareTo(node.startedAt.plus(settings.warmUpTime())) < 0;
     }
 
     /** Returns the minimum share of its full capacity that the node has reached by now. */
-    private double part(Node n) {
-        double age = cold(n) ? ratio(now.minus(n.started), set.warmUpTime()) : 1;
-        return set.coldCapacityShare()
-                + (1 - set.coldCapacityShare()) * Math.max(0, Math.min(1, age));
+    private double capacityShare(Node node) {
+        double warmUpProgress =
+                isCold(node) ? ratio(now.minus(node.startedAt), settings.warmUpTime()) : 1;
+        return settings.coldCapacityShare()
+                + (1 - settings.coldCapacityShare()) * Math.max(0, Math.min(1, warmUpProgress));
     }
 
     /**
      * Returns the work of one transaction. While all nodes are cold and little is known, a light
      * transaction counts as a typical one.
      */
-    private Duration cost(Type type) {
-        return reckoning.allCold() ? max(typical, type.usual) : type.usual;
+    private Duration transactionWork(TypeState type) {
+        return capacityEstimate.allCold() ? max(typicalTime, type.typicalTime) : type.typicalTime;
     }
 
     // ---- periodic work
@@ -1412,98 +1571,137 @@
      * RoutingActions#scheduleWakeUp} set.
      */
     public void onWakeUp() {
-        if (now.compareTo(beatAt.plus(beat)) < 0) {
+        if (now.compareTo(lastTickAt.plus(tickInterval)) < 0) {
             return;
         }
-        double seconds = toSeconds(now.minus(beatAt));
-        beatAt = now;
-        outlet.scheduleWakeUp(beat);
-        double warm = 0;
-        double cold = 0;
-        double listed = 0;
-        double back = Math.max(ROOM_BACK, set.routerCount() / ROOM_BACK_ROUTERS);
-        List<Double> shares = new ArrayList<>();
-        List<Double> strains = new ArrayList<>();
-        int out = 0;
-        for (Node n : nodes) {
-            if (n.group != null && (n.standing == MemberState.READY || listed(n) && !n.lost)) {
-                warm += cold(n) ? 0 : n.size;
-                shares.add(n.failures);
-                strains.add(n.strain);
-                out += cold(n) ? 0 : n.out;
+        double elapsedSeconds = toSeconds(now.minus(lastTickAt));
+        lastTickAt = now;
+        actions.scheduleWakeUp(tickInterval);
+        double warmSize = 0;
+        double coldSize = 0;
+        double totalSize = 0;
+        double doublingDialTimeouts =
+                Math.max(
+                        MIN_DOUBLING_DIAL_TIMEOUTS,
+                        settings.routerCount() / ROUTERS_PER_DOUBLING_DIAL_TIMEOUT);
+        List<Double> failureRates = new ArrayList<>();
+        List<Double> slaRatios = new ArrayList<>();
+        int pending = 0;
+        for (Node node : nodes) {
+            if (node.group != null
+                    && (node.listedState == MemberState.READY
+                            || isOpenByList(node) && !node.unreachable)) {
+                warmSize += isCold(node) ? 0 : node.size;
+                failureRates.add(node.failureRate);
+                slaRatios.add(node.slaRatio);
+                pending += isCold(node) ? 0 : node.pending;
             }
-            listed += n.group != null ? n.size : 0;
-            cold +=
-                    n.group != null && n.standing == MemberState.READY && !n.lost && cold(n)
-                            ? n.size
+            totalSize += node.group != null ? node.size : 0;
+            coldSize +=
+                    node.group != null
+                                    && node.listedState == MemberState.READY
+                                    && !node.unreachable
+                                    && isCold(node)
+                            ? node.size
                             : 0;
-            if (n.room < 1) {
-                n.room *= Math.pow(2, seconds / (toSeconds(set.dialTimeout()) * back));
+            if (node.concurrencyLimit < 1) {
+                node.concurrencyLimit *=
+                        Math.pow(
+                                2,
+                                elapsedSeconds
+                                        / (toSeconds(settings.dialTimeout())
+                                                * doublingDialTimeouts));
             }
         }
-        median = Durations.median(shares);
-        strain = Durations.median(strains);
-        double kept = reckoning.kept(seconds);
-        inWork = warm > 0 && strain < STRAINED ? Math.max(inWork * kept, out / warm) : inWork;
-        boolean easy = strains.isEmpty() || strains.get(strains.size() - 1) < STRAINED / 2;
-        reckoning.beat(
-                seconds,
+        medianFailureRate = Durations.median(failureRates);
+        medianSlaRatio = Durations.median(slaRatios);
+        double decay = capacityEstimate.kept(elapsedSeconds);
+        peakPendingPerNode =
+                warmSize > 0 && medianSlaRatio < OVERLOAD_SLA_RATIO
+                        ? Math.max(peakPendingPerNode * decay, pending / warmSize)
+                        : peakPendingPerNode;
+        boolean noOverload =
+                slaRatios.isEmpty() || slaRatios.get(slaRatios.size() - 1) < OVERLOAD_SLA_RATIO / 2;
+        capacityEstimate.beat(
+                elapsedSeconds,
                 new Reckoning.Seen(
-                        warm, cold, listed, takeRate, toSeconds(typical), easy, inWork > 0));
-        takeRate += Math.min(1, seconds) * (taken / seconds - takeRate);
-        taken = 0;
-        double work = 0;
-        double txns = 0;
-        double stalling = 0;
-        double current = 0;
-        for (Type t : types) {
-            work += t.work;
-            txns += t.work / toSeconds(t.usual);
-            stalling += t.stalling(tightest) ? t.work : 0;
-            current +=
-                    t.read == Consistency.BOUNDED_STALENESS || t.read == Consistency.SESSION
-                            ? t.work
+                        warmSize,
+                        coldSize,
+                        totalSize,
+                        acceptedPerSecond,
+                        toSeconds(typicalTime),
+                        noOverload,
+                        peakPendingPerNode > 0));
+        acceptedPerSecond +=
+                Math.min(1, elapsedSeconds)
+                        * (acceptedSinceTick / elapsedSeconds - acceptedPerSecond);
+        acceptedSinceTick = 0;
+        double requestedSeconds = 0;
+        double transactions = 0;
+        double stallingSeconds = 0;
+        double currentReadSeconds = 0;
+        for (TypeState t : types) {
+            requestedSeconds += t.requestedSeconds;
+            transactions += t.requestedSeconds / toSeconds(t.typicalTime);
+            stallingSeconds += t.stallsReplication(tightestBound) ? t.requestedSeconds : 0;
+            currentReadSeconds +=
+                    t.consistency == Consistency.BOUNDED_STALENESS
+                                    || t.consistency == Consistency.SESSION
+                            ? t.requestedSeconds
                             : 0;
-            t.work *= kept;
+            t.requestedSeconds *= decay;
         }
-        stallPart = stalling / Math.max(1e-9, stalling + current);
-        typical = txns > 0 ? Duration.ofNanos((long) (work / txns * 1e9)) : slowest();
+        stallingWorkShare = stallingSeconds / Math.max(1e-9, stallingSeconds + currentReadSeconds);
+        typicalTime =
+                transactions > 0
+                        ? Duration.ofNanos((long) (requestedSeconds / transactions * 1e9))
+                        : longestTypicalTime();
         for (Tenant t : tenants) {
-            double entitled = Math.max(t.quota / set.routerCount(), takeRate * t.quota / allQuotas);
-            t.allowance =
-                    Math.min(Math.max(QUOTA_BURST, entitled), t.allowance + entitled * seconds);
-        }
-        if (now.compareTo(coldAt) >= 0) {
-            double piece = toSeconds(typical);
-            Duration window = multiply(set.overloadTime(), COLD_WINDOW);
-            coldAt = now.plus(window);
-            for (Node n : nodes) {
-                if (cold(n)) {
-                    double safe =
-                            part(n)
-                                    * reckoning.rate()
-                                    * n.size
-                                    * COLD_SHARE
-                                    * set.overloadMultiple();
+            double shareOfTenant =
+                    Math.max(
+                            t.quotaPerSecond / settings.routerCount(),
+                            acceptedPerSecond * t.quotaPerSecond / quotaSum);
+            t.credit =
+                    Math.min(
+                            Math.max(MIN_TENANT_BURST_TRANSACTIONS, shareOfTenant),
+                            t.credit + shareOfTenant * elapsedSeconds);
+        }
+        if (now.compareTo(nextColdGrantAt) >= 0) {
+            double typicalSeconds = toSeconds(typicalTime);
+            Duration window = multiply(settings.overloadTime(), COLD_GRANT_INTERVAL_SHARE);
+            nextColdGrantAt = now.plus(window);
+            for (Node node : nodes) {
+                if (isCold(node)) {
+                    double safeRate =
+                            capacityShare(node)
+                                    * capacityEstimate.rate()
+                                    * node.size
+                                    * COLD_LOAD_SHARE
+                                    * settings.overloadMultiple();
                     // Unused credit expires at random, on average after the time in which excess
                     // load overloads a node, so that many routers that spend their credit at once
                     // send no more than was granted in that time.
-                    boolean lapses = chance.nextDouble() < COLD_WINDOW;
-                    double dealt =
-                            Math.floor(safe * toSeconds(window) / piece + chance.nextDouble());
-                    n.coldCredit =
-                            (lapses ? Math.min(0, n.coldCredit) : n.coldCredit) + dealt * piece;
+                    boolean expires = random.nextDouble() < COLD_GRANT_INTERVAL_SHARE;
+                    double granted =
+                            Math.floor(
+                                    safeRate * toSeconds(window) / typicalSeconds
+                                            + random.nextDouble());
+                    node.coldCreditSeconds =
+                            (expires ? Math.min(0, node.coldCreditSeconds) : node.coldCreditSeconds)
+                                    + granted * typicalSeconds;
                 }
             }
         }
-        if (set.memberListOnRequest()
-                && !following
-                && now.compareTo(askedAt.plus(multiply(set.memberListValidity(), 0.25))) > 0) {
-            askedAt = now;
-            outlet.watchMemberList();
+        if (settings.memberListOnRequest()
+                && !watchingMemberList
+                && now.compareTo(
+                                listRequestedAt.plus(multiply(settings.memberListValidity(), 0.25)))
+                        > 0) {
+            listRequestedAt = now;
+            actions.watchMemberList();
         }
-        lookAround();
-        groups.values().forEach(this::place);
+        probeStaleNodes();
+        groups.values().forEach(this::submitQueued);
     }
 
     /**
@@ -1511,13 +1709,14 @@
      * eventually consistent reads. The latter uses at most half of the probe credit: a router with
      * few transactions keeps the rest for queued reads that need a position.
      */
-    private void lookAround() {
-        for (Node n : nodes) {
-            boolean may = n.probedAt.equals(NEVER) || probeCredit > nodes.size() / 2.0;
-            if (n.group != null
-                    && may
-                    && max(n.position, n.claimed).plus(anyBound).compareTo(now) < 0) {
-                probe(n, anyBound);
+    private void probeStaleNodes() {
+        for (Node node : nodes) {
+            boolean hasCredit = node.lastProbeAt.equals(NEVER) || probeCredit > nodes.size() / 2.0;
+            if (node.group != null
+                    && hasCredit
+                    && max(node.position, node.lastPrimaryAt).plus(eventualBound).compareTo(now)
+                            < 0) {
+                probe(node, eventualBound);
             }
         }
     }
@@ -1527,52 +1726,54 @@
      * otherwise two random replicas that could take a transaction. Probing all replicas would use
      * up the probe credit of a router with few transactions.
      */
-    private void seek(Group g) {
-        Node pri = primary(g);
-        Duration gap = multiply(set.dialTimeout(), SEEK_GAP);
-        if (pri == null || !trusted(pri)) {
-            g.members.forEach(n -> probe(n, gap));
-        } else if (now.compareTo(g.soughtAt.plus(gap)) >= 0) {
-            g.soughtAt = now;
-            int first = chance.nextInt(g.members.size());
-            int asked = 0;
-            for (int i = 0; i < g.members.size() && asked < SOUGHT; i++) {
-                Node n = g.members.get((first + i) % g.members.size());
-                if (n != pri && (n.lost || open(n, n.room)) && probe(n, gap)) {
-                    asked++;
+    private void probeForQueue(Group group) {
+        Node primary = findPrimary(group);
+        Duration minInterval = multiply(settings.dialTimeout(), MIN_PROBE_INTERVAL_DIAL_TIMEOUTS);
+        if (primary == null || !isTrusted(primary)) {
+            group.members.forEach(node -> probe(node, minInterval));
+        } else if (now.compareTo(group.replicasProbedAt.plus(minInterval)) >= 0) {
+            group.replicasProbedAt = now;
+            int first = random.nextInt(group.members.size());
+            int probed = 0;
+            for (int i = 0; i < group.members.size() && probed < MAX_REPLICAS_PROBED; i++) {
+                Node node = group.members.get((first + i) % group.members.size());
+                if (node != primary
+                        && (node.unreachable || acceptsSubmission(node, node.concurrencyLimit))
+                        && probe(node, minInterval)) {
+                    probed++;
                 }
             }
         }
     }
 
     /** Sends a probe if the credit and the minimum interval since the last probe permit. */
-    private boolean probe(Node n, Duration gap) {
-        if (!set.probesEnabled()
-                || !listed(n)
-                || n.probing
+    private boolean probe(Node node, Duration minInterval) {
+        if (!settings.probesEnabled()
+                || !isOpenByList(node)
+                || node.probePending
                 || probeCredit < 1
-                || now.compareTo(n.probedAt.plus(gap)) < 0) {
+                || now.compareTo(node.lastProbeAt.plus(minInterval)) < 0) {
             return false;
         }
         probeCredit--;
-        n.probing = true;
-        n.probedAt = now;
-        outlet.probe(n.id);
+        node.probePending = true;
+        node.lastProbeAt = now;
+        actions.probe(node.index);
         return true;
     }
 
     /** Records the result of a health check. */
-    public void probed(int node, boolean answered, NodeReport report) {
-        Node n = nodes.get(node);
-        n.probing = false;
-        n.unheard |= n.lost && !answered;
+    public void probed(int nodeIndex, boolean answered, NodeReport report) {
+        Node node = nodes.get(nodeIndex);
+        node.probePending = false;
+        node.probeFailed |= node.unreachable && !answered;
         if (answered) {
-            nodeReported(node, NodeReport.EMPTY, report);
-            if (n.lost) {
-                back(n);
+            nodeReported(nodeIndex, NodeReport.EMPTY, report);
+            if (node.unreachable) {
+                recordReachable(node);
             }
-            n.heardAt = now;
-            place(n.group);
+            node.lastAnswerAt = now;
+            submitQueued(node.group);
         }
     }
 }
--- a/src/main/java/dillfront/routing/simulator/InvalidInputException.java
+++ b/src/main/java/dillfront/routing/simulator/InvalidInputException.java
@@ -5,7 +5,7 @@
 
     private static final long serialVersionUID = 1L;
 
-    InvalidInputException(int line, String fault) {
-        super("line " + line + ": " + fault);
+    InvalidInputException(int line, String error) {
+        super("line " + line + ": " + error);
     }
 }
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -23,10 +23,10 @@
 /** One simulated router: its routing engine, and the indices assigned to the protocol's ids. */
 final class SimulatedRouter implements RoutingActions {
 
-    private final int who;
-    private final JsonGenerator reply;
-    private final RoutingEngine decide;
-    private final long zeroUs;
+    private final int id;
+    private final JsonGenerator replyWriter;
+    private final RoutingEngine engine;
+    private final long originUs;
     private final Setup setup;
 
     /** Node indices by id; grows with each node that appears in a member list. */
@@ -35,33 +35,33 @@
     private final List<String> nodeIds = new ArrayList<>();
 
     /** Slots by transaction id, until the transaction is answered and no submission is pending. */
-    private final Map<Long, Integer> txns = new HashMap<>();
+    private final Map<Long, Integer> slotsById = new HashMap<>();
 
-    private final List<Txn> slots = new ArrayList<>();
-    private final List<Integer> free = new ArrayList<>();
+    private final List<Transaction> slots = new ArrayList<>();
+    private final List<Integer> freeSlots = new ArrayList<>();
 
     /** Adapter state of one transaction; its slot is reused after the transaction has finished. */
-    private static final class Txn {
+    private static final class Transaction {
         long corr;
         TransactionHandle handle;
-        int out;
+        int pending;
         boolean answered;
     }
 
-    SimulatedRouter(int who, long seed, Tree setup, JsonGenerator reply) {
-        this.who = who;
-        this.reply = reply;
+    SimulatedRouter(int id, long seed, Tree setup, JsonGenerator replyWriter) {
+        this.id = id;
+        this.replyWriter = replyWriter;
         this.setup = Setup.read(setup);
-        zeroUs = setup.tree("familyInfo").whole("originTimeUs");
-        RandomGenerator chance = new SplittableRandom(seed);
-        decide = new RoutingEngine(this.setup.settings(), this, chance);
+        originUs = setup.tree("familyInfo").whole("originTimeUs");
+        RandomGenerator random = new SplittableRandom(seed);
+        engine = new RoutingEngine(this.setup.settings(), this, random);
     }
 
-    void at(long clockUs) {
-        decide.setTime(Tree.micros(clockUs - zeroUs));
+    void setTime(long timeUs) {
+        engine.setTime(Tree.micros(timeUs - originUs));
     }
 
-    void list(boolean whole, List<Tree> entries) {
+    void updateMembers(boolean complete, List<Tree> entries) {
         List<NodeRow> rows = new ArrayList<>();
         for (Tree entry : entries) {
             String id = entry.text("node");
@@ -71,7 +71,7 @@
                 nodes.put(id, node);
                 nodeIds.add(id);
             }
-            long started = entry.whole("lastStartUs");
+            long startedUs = entry.whole("lastStartUs");
             rows.add(
                     new NodeRow(
                             node,
@@ -79,183 +79,184 @@
                             setup.zone(entry.text("locality")),
                             entry.number("scale", 1),
                             entry.number("primary", 0) == 1,
-                            started == 0 ? null : Tree.micros(started - zeroUs),
+                            startedUs == 0 ? null : Tree.micros(startedUs - originUs),
                             switch ((int) entry.whole("availability")) {
                                 case 1 -> MemberState.READY;
                                 case 2 -> MemberState.DRAINING;
                                 default -> MemberState.GONE;
                             }));
         }
-        decide.updateMembers(whole, rows);
+        engine.updateMembers(complete, rows);
     }
 
     void listFailed() {
-        decide.listFailed();
+        engine.listFailed();
     }
 
-    void arrived(SimulatorEvent e) throws InvalidInputException {
-        Integer type = setup.types().get(e.qos);
+    void requestArrived(SimulatorEvent event) throws InvalidInputException {
+        Integer type = setup.types().get(event.qos);
         if (type == null) {
-            throw e.fault("unknown qos '" + e.qos + "'");
+            throw event.invalid("unknown qos '" + event.qos + "'");
         }
-        int slot = free.isEmpty() ? slots.size() : free.remove(free.size() - 1);
+        int slot = freeSlots.isEmpty() ? slots.size() : freeSlots.remove(freeSlots.size() - 1);
         if (slot == slots.size()) {
-            slots.add(new Txn());
+            slots.add(new Transaction());
         }
-        Txn txn = slots.get(slot);
-        txn.corr = e.corr;
-        txn.out = 0;
-        txn.answered = false;
-        txn.handle = null;
-        txns.put(e.corr, slot);
-        int session = e.hasUser ? Setup.session(e.user) : -1;
-        Duration token =
-                !setup.tokensCarried() || Double.isNaN(e.lastWriteMs)
+        Transaction transaction = slots.get(slot);
+        transaction.corr = event.corr;
+        transaction.pending = 0;
+        transaction.answered = false;
+        transaction.handle = null;
+        slotsById.put(event.corr, slot);
+        int session = event.hasUser ? Setup.session(event.user) : -1;
+        Duration sinceLastWrite =
+                !setup.tokensCarried() || Double.isNaN(event.lastWriteMs)
                         ? null
-                        : Duration.ofNanos((long) Math.floor(e.lastWriteMs * 1e6));
-        txn.handle =
-                decide.accept(
+                        : Duration.ofNanos((long) Math.floor(event.lastWriteMs * 1e6));
+        transaction.handle =
+                engine.accept(
                         slot,
                         type,
-                        setup.tenants().getOrDefault(e.account, -1),
+                        setup.tenants().getOrDefault(event.account, -1),
                         session,
-                        (int) e.partitionNo,
-                        Tree.micros(e.expiresInUs),
-                        token,
+                        (int) event.partitionNo,
+                        Tree.micros(event.expiresInUs),
+                        sinceLastWrite,
                         Duration.ZERO,
                         null);
-        releaseIfOver(slot);
+        releaseIfFinished(slot);
     }
 
-    void ended(SimulatorEvent e) throws InvalidInputException {
-        SubmissionResult result = e.result();
-        NodeReport note = note(e.stand);
-        Integer node = nodes.get(e.node);
-        Integer slot = txns.get(e.corr);
+    void attemptEnded(SimulatorEvent event) throws InvalidInputException {
+        SubmissionResult result = event.result();
+        NodeReport current = nodeState(event.stand);
+        Integer node = nodes.get(event.node);
+        Integer slot = slotsById.get(event.corr);
         if (node == null) {
             return;
         }
         if (slot == null) {
-            decide.nodeReported(node, note, e.report);
+            engine.nodeReported(node, current, event.report);
             return;
         }
-        Txn txn = slots.get(slot);
-        txn.out--;
-        txn.answered |= e.finished;
-        txn.handle.submissionEnded(
-                node, result, Tree.micros(e.durationUs), e.finished, note, e.report);
-        releaseIfOver(slot);
+        Transaction transaction = slots.get(slot);
+        transaction.pending--;
+        transaction.answered |= event.finished;
+        transaction.handle.submissionEnded(
+                node, result, Tree.micros(event.durationUs), event.finished, current, event.report);
+        releaseIfFinished(slot);
     }
 
-    private static NodeReport note(long note) {
-        if (note == 0) {
+    private static NodeReport nodeState(long stand) {
+        if (stand == 0) {
             return NodeReport.EMPTY;
         }
-        long ms = note / 4;
+        long positionMillis = stand / 4;
         return new NodeReport(
-                ms == 0 ? null : Duration.ofMillis(ms), SimulatorEvent.role(note % 4));
+                positionMillis == 0 ? null : Duration.ofMillis(positionMillis),
+                SimulatorEvent.role(stand % 4));
     }
 
-    void left(SimulatorEvent e) {
-        Integer slot = txns.get(e.corr);
+    void clientDisconnected(SimulatorEvent event) {
+        Integer slot = slotsById.get(event.corr);
         if (slot != null) {
-            Txn txn = slots.get(slot);
-            txn.answered = true;
-            txn.handle.left();
-            releaseIfOver(slot);
+            Transaction transaction = slots.get(slot);
+            transaction.answered = true;
+            transaction.handle.left();
+            releaseIfFinished(slot);
         }
     }
 
-    void probed(SimulatorEvent e) throws InvalidInputException {
-        Integer node = nodes.get(e.node);
+    void probeAnswered(SimulatorEvent event) throws InvalidInputException {
+        Integer node = nodes.get(event.node);
         if (node != null) {
-            decide.probed(node, e.result() == SubmissionResult.COMMITTED, e.report);
+            engine.probed(node, event.result() == SubmissionResult.COMMITTED, event.report);
         }
     }
 
-    void woken() {
-        decide.onWakeUp();
+    void onWakeUp() {
+        engine.onWakeUp();
     }
 
-    private void releaseIfOver(int slot) {
-        Txn txn = slots.get(slot);
-        if (txn.handle != null && txn.answered && txn.out <= 0) {
-            txns.remove(txn.corr, slot);
-            txn.handle = null;
-            free.add(slot);
+    private void releaseIfFinished(int slot) {
+        Transaction transaction = slots.get(slot);
+        if (transaction.handle != null && transaction.answered && transaction.pending <= 0) {
+            slotsById.remove(transaction.corr, slot);
+            transaction.handle = null;
+            freeSlots.add(slot);
         }
     }
 
-    private void write(String kind, Fields fields) {
+    private void write(String kind, FieldWriter fieldWriter) {
         try {
-            reply.writeStartObject();
-            reply.writeStringField("kind", kind);
-            reply.writeNumberField("who", who);
-            fields.write();
-            reply.writeEndObject();
-            reply.writeRaw('\n');
+            replyWriter.writeStartObject();
+            replyWriter.writeStringField("kind", kind);
+            replyWriter.writeNumberField("who", id);
+            fieldWriter.write();
+            replyWriter.writeEndObject();
+            replyWriter.writeRaw('\n');
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private interface Fields {
+    private interface FieldWriter {
         void write() throws IOException;
     }
 
     @Override
-    public void submit(int txn, int node, Duration limit) {
-        slots.get(txn).out++;
+    public void submit(int slot, int node, Duration timeout) {
+        slots.get(slot).pending++;
         write(
                 "HandOff",
                 () -> {
-                    reply.writeNumberField("corr", slots.get(txn).corr);
-                    reply.writeNumberField("limitUs", limit.toNanos() / 1000);
-                    reply.writeStringField("node", nodeIds.get(node));
+                    replyWriter.writeNumberField("corr", slots.get(slot).corr);
+                    replyWriter.writeNumberField("limitUs", timeout.toNanos() / 1000);
+                    replyWriter.writeStringField("node", nodeIds.get(node));
                 });
     }
 
     @Override
-    public void decline(int txn, Duration pause) {
-        slots.get(txn).answered = true;
+    public void decline(int slot, Duration retryDelay) {
+        slots.get(slot).answered = true;
         write(
                 "Reject",
                 () -> {
-                    reply.writeNumberField("corr", slots.get(txn).corr);
-                    if (!pause.isZero()) {
-                        reply.writeNumberField("pauseUs", pause.toNanos() / 1000);
+                    replyWriter.writeNumberField("corr", slots.get(slot).corr);
+                    if (!retryDelay.isZero()) {
+                        replyWriter.writeNumberField("pauseUs", retryDelay.toNanos() / 1000);
                     }
                 });
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
-        slots.get(txn).answered = true;
-        write("EndFailed", () -> reply.writeNumberField("corr", slots.get(txn).corr));
+    public void reportUnknownOutcome(int slot) {
+        slots.get(slot).answered = true;
+        write("EndFailed", () -> replyWriter.writeNumberField("corr", slots.get(slot).corr));
     }
 
     @Override
     public void release(int node) {
-        write("DropConns", () -> reply.writeStringField("node", nodeIds.get(node)));
+        write("DropConns", () -> replyWriter.writeStringField("node", nodeIds.get(node)));
     }
 
     @Override
     public void probe(int node) {
-        write("Touch", () -> reply.writeStringField("node", nodeIds.get(node)));
+        write("Touch", () -> replyWriter.writeStringField("node", nodeIds.get(node)));
     }
 
     @Override
     public void watchMemberList() {
-        write("Tail", () -> reply.writeBooleanField("on", true));
+        write("Tail", () -> replyWriter.writeBooleanField("on", true));
     }
 
     @Override
-    public void scheduleWakeUp(Duration in) {
+    public void scheduleWakeUp(Duration delay) {
         write(
                 "WakeAt",
                 () -> {
-                    reply.writeNumberField("sleepForUs", in.toNanos() / 1000);
-                    reply.writeNumberField("ctx", 0);
+                    replyWriter.writeNumberField("sleepForUs", delay.toNanos() / 1000);
+                    replyWriter.writeNumberField("ctx", 0);
                 });
     }
 }
--- a/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
@@ -56,23 +56,23 @@
     List<Tree> rows;
 
     /** Reads one event; returns false at the end of the input. */
-    boolean read(JsonParser json) throws IOException, InvalidInputException {
+    boolean read(JsonParser parser) throws IOException, InvalidInputException {
         clear();
-        JsonToken token = json.nextToken();
+        JsonToken token = parser.nextToken();
         if (token == null) {
             return false;
         }
-        line = json.currentTokenLocation().getLineNr();
+        line = parser.currentTokenLocation().getLineNr();
         if (token != JsonToken.START_OBJECT) {
-            throw fault("not an object");
+            throw invalid("not an object");
         }
-        while (json.nextToken() != JsonToken.END_OBJECT) {
-            String name = json.currentName();
-            json.nextToken();
-            field(name, json);
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            readField(name, parser);
         }
         if (kind == null) {
-            throw fault("kind is missing");
+            throw invalid("kind is missing");
         }
         return true;
     }
@@ -102,45 +102,48 @@
         rows = null;
     }
 
-    private void field(String name, JsonParser json) throws IOException {
+    private void readField(String name, JsonParser parser) throws IOException {
         switch (name) {
-            case "kind" -> kind = json.getText();
-            case "who" -> who = json.getIntValue();
-            case "timeUs" -> timeUs = json.getLongValue();
-            case "corr" -> corr = json.getLongValue();
-            case "qos" -> qos = json.getText();
-            case "account" -> account = json.getText();
+            case "kind" -> kind = parser.getText();
+            case "who" -> who = parser.getIntValue();
+            case "timeUs" -> timeUs = parser.getLongValue();
+            case "corr" -> corr = parser.getLongValue();
+            case "qos" -> qos = parser.getText();
+            case "account" -> account = parser.getText();
             case "user" -> {
-                user = json.getLongValue();
+                user = parser.getLongValue();
                 hasUser = true;
             }
-            case "expiresInUs" -> expiresInUs = json.getLongValue();
-            case "partitionNo" -> partitionNo = json.getDoubleValue();
-            case "lastWriteMs" -> lastWriteMs = json.getDoubleValue();
-            case "node" -> node = json.getText();
-            case "durationUs" -> durationUs = json.getLongValue();
-            case "ending" -> ending = json.getIntValue();
-            case "finished" -> finished = json.getBooleanValue();
-            case "stand" -> stand = json.getLongValue();
-            case "telemetry" -> report = telemetry(json);
-            case "buffer" -> buffer = json.getIntValue();
-            case "scope" -> scope = json.getIntValue();
+            case "expiresInUs" -> expiresInUs = parser.getLongValue();
+            case "partitionNo" -> partitionNo = parser.getDoubleValue();
+            case "lastWriteMs" -> lastWriteMs = parser.getDoubleValue();
+            case "node" -> node = parser.getText();
+            case "durationUs" -> durationUs = parser.getLongValue();
+            case "ending" -> ending = parser.getIntValue();
+            case "finished" -> finished = parser.getBooleanValue();
+            case "stand" -> stand = parser.getLongValue();
+            case "telemetry" -> report = readLoadReport(parser);
+            case "buffer" -> buffer = parser.getIntValue();
+            case "scope" -> scope = parser.getIntValue();
             case "seed" ->
                     seed =
-                            json.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                                    ? json.getBigIntegerValue().longValue()
-                                    : json.getLongValue();
+                            parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                                    ? parser.getBigIntegerValue().longValue()
+                                    : parser.getLongValue();
             case "setup" ->
-                    setup = json.currentToken() == JsonToken.START_OBJECT ? Tree.read(json) : null;
+                    setup =
+                            parser.currentToken() == JsonToken.START_OBJECT
+                                    ? Tree.read(parser)
+                                    : null;
             case "rowsIn" -> {
-                if (json.currentToken() == JsonToken.START_ARRAY) {
+                if (parser.currentToken() == JsonToken.START_ARRAY) {
                     rows = new ArrayList<>();
-                    while (json.nextToken() == JsonToken.START_OBJECT) {
-                        rows.add(Tree.read(json));
+                    while (parser.nextToken() == JsonToken.START_OBJECT) {
+                        rows.add(Tree.read(parser));
                     }
                 }
             }
-            default -> json.skipChildren();
+            default -> parser.skipChildren();
         }
     }
 
@@ -148,12 +151,12 @@
      * Reads a load report. The node rounds its position to a millisecond, so one millisecond is
      * subtracted to stay below the actual position.
      */
-    private static NodeReport telemetry(JsonParser json) throws IOException {
-        if (json.currentToken() != JsonToken.START_OBJECT) {
-            json.skipChildren();
+    private static NodeReport readLoadReport(JsonParser parser) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
+            parser.skipChildren();
             return NodeReport.EMPTY;
         }
-        Tree values = Tree.read(json);
+        Tree values = Tree.read(parser);
         double x0 = values.number("x0", Double.NaN);
         double x1 = values.number("x1", Double.NaN);
         return new NodeReport(
@@ -161,18 +164,18 @@
                 Double.isNaN(x1) ? null : x1 == 1 ? NodeRole.PRIMARY : NodeRole.REPLICA);
     }
 
-    static NodeRole role(long mark) {
-        return mark == 1 ? NodeRole.PRIMARY : mark == 2 ? NodeRole.REPLICA : null;
+    static NodeRole role(long code) {
+        return code == 1 ? NodeRole.PRIMARY : code == 2 ? NodeRole.REPLICA : null;
     }
 
     SubmissionResult result() throws InvalidInputException {
         if (ending < 1 || ending >= RESULTS.length) {
-            throw fault("unknown ending " + ending);
+            throw invalid("unknown ending " + ending);
         }
         return RESULTS[ending];
     }
 
-    InvalidInputException fault(String what) {
-        return new InvalidInputException(line, (kind == null ? "" : kind + ": ") + what);
+    InvalidInputException invalid(String error) {
+        return new InvalidInputException(line, (kind == null ? "" : kind + ": ") + error);
     }
 }
--- a/src/main/java/dillfront/routing/simulator/SimulatorServer.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorServer.java
@@ -21,17 +21,17 @@
  */
 public final class SimulatorServer {
 
-    private final JsonParser json;
+    private final JsonParser parser;
     private final OutputStream out;
-    private final ByteArrayOutputStream pending = new ByteArrayOutputStream(1 << 16);
-    private final JsonGenerator reply;
+    private final ByteArrayOutputStream replyBuffer = new ByteArrayOutputStream(1 << 16);
+    private final JsonGenerator replyWriter;
     private final SimulatorEvent event = new SimulatorEvent();
 
     /** Router instances by id; a Destroy event removes its instance. */
-    private final Map<Integer, SimulatedRouter> instances = new HashMap<>();
+    private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
 
     /** Member lists by buffer number; the simulator reuses sixteen numbers. */
-    private final Map<Integer, List<Tree>> tables = new HashMap<>();
+    private final Map<Integer, List<Tree>> memberLists = new HashMap<>();
 
     /**
      * @param in the simulator's events
@@ -39,111 +39,114 @@
      */
     public SimulatorServer(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
-        json = factory.createParser(in);
+        parser = factory.createParser(in);
         this.out = out;
-        reply = factory.createGenerator(pending);
-        reply.setPrettyPrinter(new MinimalPrettyPrinter(""));
+        replyWriter = factory.createGenerator(replyBuffer);
+        replyWriter.setPrettyPrinter(new MinimalPrettyPrinter(""));
     }
 
     /** Serves until the input ends. The reply to an invalid batch is not written. */
     public void run() throws IOException, InvalidInputException {
-        long clockUs = Long.MIN_VALUE;
+        long batchTimeUs = Long.MIN_VALUE;
         try {
-            while (event.read(json)) {
+            while (event.read(parser)) {
                 if (event.kind.equals("Batch")) {
                     if (event.timeUs == Long.MIN_VALUE) {
-                        throw event.fault("timeUs is missing");
+                        throw event.invalid("timeUs is missing");
                     }
-                    clockUs = event.timeUs;
-                } else if (clockUs == Long.MIN_VALUE) {
-                    throw event.fault("outside a batch");
+                    batchTimeUs = event.timeUs;
+                } else if (batchTimeUs == Long.MIN_VALUE) {
+                    throw event.invalid("outside a batch");
                 } else if (event.kind.equals("Go")) {
-                    answer();
-                    clockUs = Long.MIN_VALUE;
+                    writeReply();
+                    batchTimeUs = Long.MIN_VALUE;
                 } else {
-                    handle(clockUs);
+                    handle(batchTimeUs);
                 }
             }
-        } catch (JsonProcessingException bad) {
-            String fault =
-                    bad instanceof InputCoercionException
+        } catch (JsonProcessingException exception) {
+            String error =
+                    exception instanceof InputCoercionException
                             ? "number out of range"
-                            : bad.getOriginalMessage();
-            int line = bad.getLocation() == null ? event.line : bad.getLocation().getLineNr();
+                            : exception.getOriginalMessage();
+            int line =
+                    exception.getLocation() == null
+                            ? event.line
+                            : exception.getLocation().getLineNr();
             throw new InvalidInputException(
-                    line, "malformed: " + fault.lines().findFirst().orElse(""));
+                    line, "malformed: " + error.lines().findFirst().orElse(""));
         }
-        if (clockUs != Long.MIN_VALUE) {
-            throw event.fault("input ends within a batch");
+        if (batchTimeUs != Long.MIN_VALUE) {
+            throw event.invalid("input ends within a batch");
         }
     }
 
-    private void answer() throws IOException {
-        reply.writeStartObject();
-        reply.writeStringField("kind", "Yield");
-        reply.writeEndObject();
-        reply.writeRaw('\n');
-        reply.flush();
-        pending.writeTo(out);
+    private void writeReply() throws IOException {
+        replyWriter.writeStartObject();
+        replyWriter.writeStringField("kind", "Yield");
+        replyWriter.writeEndObject();
+        replyWriter.writeRaw('\n');
+        replyWriter.flush();
+        replyBuffer.writeTo(out);
         out.flush();
-        pending.reset();
+        replyBuffer.reset();
     }
 
-    private void handle(long clockUs) throws InvalidInputException {
+    private void handle(long batchTimeUs) throws InvalidInputException {
         switch (event.kind) {
             case "Table" -> {
                 if (event.rows == null || event.buffer < 0) {
-                    throw event.fault("buffer or rowsIn is missing");
+                    throw event.invalid("buffer or rowsIn is missing");
                 }
-                tables.put(event.buffer, event.rows);
+                memberLists.put(event.buffer, event.rows);
             }
             case "NewInstance" -> {
                 if (event.setup == null || event.who < 0) {
-                    throw event.fault("who or setup is missing");
+                    throw event.invalid("who or setup is missing");
                 }
-                SimulatedRouter fresh =
-                        new SimulatedRouter(event.who, event.seed, event.setup, reply);
-                fresh.at(clockUs);
-                instances.put(event.who, fresh);
+                SimulatedRouter router =
+                        new SimulatedRouter(event.who, event.seed, event.setup, replyWriter);
+                router.setTime(batchTimeUs);
+                routers.put(event.who, router);
             }
             case "Destroy" -> {
-                instance(clockUs);
-                instances.remove(event.who);
+                router(batchTimeUs);
+                routers.remove(event.who);
             }
             case "Topology" -> {
-                SimulatedRouter instance = instance(clockUs);
+                SimulatedRouter router = router(batchTimeUs);
                 if (event.scope == 3) {
-                    instance.listFailed();
+                    router.listFailed();
                     return;
                 }
-                List<Tree> rows = tables.get(event.buffer);
+                List<Tree> rows = memberLists.get(event.buffer);
                 if (rows == null) {
-                    throw event.fault("buffer " + event.buffer + " has no member list");
+                    throw event.invalid("buffer " + event.buffer + " has no member list");
                 }
-                instance.list(event.scope != 0, rows);
+                router.updateMembers(event.scope != 0, rows);
             }
             case "NewRequest" -> {
-                SimulatedRouter instance = instance(clockUs);
+                SimulatedRouter router = router(batchTimeUs);
                 if (event.corr < 0 || event.expiresInUs < 0 || Double.isNaN(event.partitionNo)) {
-                    throw event.fault("corr, expiresInUs or partitionNo is missing");
+                    throw event.invalid("corr, expiresInUs or partitionNo is missing");
                 }
-                instance.arrived(event);
+                router.requestArrived(event);
             }
-            case "AttemptEnd" -> instance(clockUs).ended(event);
-            case "Dropped" -> instance(clockUs).left(event);
-            case "Pong" -> instance(clockUs).probed(event);
-            case "Ring" -> instance(clockUs).woken();
-            case "Started", "NeighbourSays" -> instance(clockUs);
-            default -> throw event.fault("unknown kind");
+            case "AttemptEnd" -> router(batchTimeUs).attemptEnded(event);
+            case "Dropped" -> router(batchTimeUs).clientDisconnected(event);
+            case "Pong" -> router(batchTimeUs).probeAnswered(event);
+            case "Ring" -> router(batchTimeUs).onWakeUp();
+            case "Started", "NeighbourSays" -> router(batchTimeUs);
+            default -> throw event.invalid("unknown kind");
         }
     }
 
-    private SimulatedRouter instance(long clockUs) throws InvalidInputException {
-        SimulatedRouter instance = instances.get(event.who);
-        if (instance == null) {
-            throw event.fault("unknown instance " + event.who);
+    private SimulatedRouter router(long batchTimeUs) throws InvalidInputException {
+        SimulatedRouter router = routers.get(event.who);
+        if (router == null) {
+            throw event.invalid("unknown instance " + event.who);
         }
-        instance.at(clockUs);
-        return instance;
+        router.setTime(batchTimeUs);
+        return router;
     }
 }
