--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -83,7 +83,7 @@
         trace.append("longer: ")
                 .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST + 1)))
                 .append('\n');
-        RoutingHarness.compare("messages", trace);
+        RoutingHarness.assertTraceEquals("messages", trace);
     }
 
     /** Slices that are out must not move when the buffer they were cut from grows. */
@@ -165,7 +165,7 @@
             }
             trace.append('\n');
         }
-        RoutingHarness.compare("statements", trace);
+        RoutingHarness.assertTraceEquals("statements", trace);
         // Cut short anywhere, it is out of form, never half a txn.
         for (int length = 0; length < write.length(); length++) {
             ByteBuf message = query(write.substring(0, length));
--- a/src/test/java/dillfront/router/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/PlannerTest.java
@@ -89,7 +89,7 @@
                 }
             }
         }
-        RoutingHarness.compare("site-plans", trace);
+        RoutingHarness.assertTraceEquals("site-plans", trace);
     }
 
     /**
--- a/src/test/java/dillfront/router/recovery/DoubtsTest.java
+++ b/src/test/java/dillfront/router/recovery/DoubtsTest.java
@@ -104,7 +104,7 @@
         trace.append("a second after 9 was met: ").append(doubts.size()).append(" are kept\n");
         doubts.expire(ms(1140));
         trace.append("a second after the others: ").append(doubts.size()).append('\n');
-        RoutingHarness.compare("doubts", trace);
+        RoutingHarness.assertTraceEquals("doubts", trace);
     }
 
     /**
@@ -242,6 +242,6 @@
         at(10, "n0 leads", other);
         at(2009, "just before the time is over", other);
         at(2010, "it is over", other);
-        RoutingHarness.compare("groups", trace);
+        RoutingHarness.assertTraceEquals("groups", trace);
     }
 }
--- a/src/test/java/dillfront/router/site/SitesTest.java
+++ b/src/test/java/dillfront/router/site/SitesTest.java
@@ -105,7 +105,7 @@
         to(13_000);
         sees("and b", "b", Health.WELL);
         to(16_000);
-        RoutingHarness.compare("sites", trace);
+        RoutingHarness.assertTraceEquals("sites", trace);
     }
 
     /** Guards against load that swings with a site that comes and goes ten times in a minute. */
@@ -121,6 +121,6 @@
         assertTrue(changes < 3 + 10, "it changed " + changes + " times for twenty");
         to(now + 60_000);
         trace.append("a minute later c is ").append(sites.states().get("c")).append('\n');
-        RoutingHarness.compare("sites-flap", trace);
+        RoutingHarness.assertTraceEquals("sites-flap", trace);
     }
 }
--- a/src/test/java/dillfront/routing/RoutingEngineTest.java
+++ b/src/test/java/dillfront/routing/RoutingEngineTest.java
@@ -1,13 +1,13 @@
 package dillfront.routing;
 
-import static dillfront.routing.RoutingHarness.ANY;
-import static dillfront.routing.RoutingHarness.FRESH;
-import static dillfront.routing.RoutingHarness.MOVE;
-import static dillfront.routing.RoutingHarness.ONCE;
-import static dillfront.routing.RoutingHarness.OWN;
-import static dillfront.routing.RoutingHarness.VIEW;
-import static dillfront.routing.RoutingHarness.ms;
-import static dillfront.routing.RoutingHarness.row;
+import static dillfront.routing.RoutingHarness.BOUNDED_READ;
+import static dillfront.routing.RoutingHarness.DEDUPLICATED_WRITE;
+import static dillfront.routing.RoutingHarness.EVENTUAL_READ;
+import static dillfront.routing.RoutingHarness.SESSION_READ;
+import static dillfront.routing.RoutingHarness.STRONG_READ;
+import static dillfront.routing.RoutingHarness.UNREPEATABLE_WRITE;
+import static dillfront.routing.RoutingHarness.millis;
+import static dillfront.routing.RoutingHarness.nodeRow;
 import static dillfront.routing.api.NodeRole.PRIMARY;
 import static dillfront.routing.api.NodeRole.REPLICA;
 
@@ -24,38 +24,46 @@
  */
 class RoutingEngineTest {
 
-    private final RoutingHarness s = new RoutingHarness(false).three();
+    private final RoutingHarness harness = new RoutingHarness(false).withThreeNodes();
 
-    private void known(long position) {
-        s.report(0, position, PRIMARY);
-        s.report(1, position, REPLICA);
-        s.report(2, position, REPLICA);
+    private void reportAllNodes(long positionMillis) {
+        harness.reportNode(0, positionMillis, PRIMARY);
+        harness.reportNode(1, positionMillis, REPLICA);
+        harness.reportNode(2, positionMillis, REPLICA);
     }
 
     @Test
-    void classSplit() throws IOException {
-        s.to(10);
-        known(5);
-        for (int type : new int[] {VIEW, OWN, ANY, FRESH, MOVE, ONCE}) {
-            s.take(type);
+    void sendsEachTransactionTypeToPermittedNodes() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        for (int type :
+                new int[] {
+                    BOUNDED_READ,
+                    SESSION_READ,
+                    EVENTUAL_READ,
+                    STRONG_READ,
+                    DEDUPLICATED_WRITE,
+                    UNREPEATABLE_WRITE
+                }) {
+            harness.accept(type);
         }
-        s.compare("class-split");
+        harness.assertTraceEquals("class-split");
     }
 
     @Test
-    void boundedReadsNeedAKnownPosition() throws IOException {
-        s.to(10);
-        known(5);
-        s.to(205);
-        s.take(VIEW);
-        s.note("a position ages: 5 is 201 old");
-        s.to(206);
+    void queuesBoundedReadsUntilAPositionIsKnown() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.advanceTo(205);
+        harness.accept(BOUNDED_READ);
+        harness.comment("a position ages: 5 is 201 old");
+        harness.advanceTo(206);
         for (int i = 0; i < 12; i++) {
-            s.take(VIEW);
+            harness.accept(BOUNDED_READ);
         }
-        s.note("a report frees what was held");
-        s.report(2, 200, REPLICA);
-        s.compare("bounded-read");
+        harness.comment("a report frees what was held");
+        harness.reportNode(2, 200, REPLICA);
+        harness.assertTraceEquals("bounded-read");
     }
 
     /**
@@ -63,179 +71,192 @@
      * behind once a connection is open.
      */
     @Test
-    void whatWaitedForAConnectionIsTestedAgain() throws IOException {
-        s.to(10);
-        known(5);
-        int[] reads = {s.take(VIEW), s.take(VIEW), s.take(ANY), s.take(FRESH)};
-        s.to(205);
-        s.connected(reads[0]);
-        s.to(206);
-        s.connected(reads[1]);
-        s.note("the primary says that it is none, then drains");
-        s.report(0, 206, REPLICA);
-        s.connected(reads[3]);
-        s.change(row(0, false, null, MemberState.DRAINING));
-        s.connected(reads[2]);
-        s.compare("connected-late");
+    void checksSubmissionAgainAfterWaitForConnection() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int[] reads = {
+            harness.accept(BOUNDED_READ),
+            harness.accept(BOUNDED_READ),
+            harness.accept(EVENTUAL_READ),
+            harness.accept(STRONG_READ)
+        };
+        harness.advanceTo(205);
+        harness.openConnection(reads[0]);
+        harness.advanceTo(206);
+        harness.openConnection(reads[1]);
+        harness.comment("the primary says that it is none, then drains");
+        harness.reportNode(0, 206, REPLICA);
+        harness.openConnection(reads[3]);
+        harness.changeMembers(nodeRow(0, false, null, MemberState.DRAINING));
+        harness.openConnection(reads[2]);
+        harness.assertTraceEquals("connected-late");
     }
 
     @Test
-    void sessionReadsSeeTheirWrites() throws IOException {
-        s.to(10);
-        known(5);
-        int write = s.take(MOVE);
-        s.to(60);
-        s.ended(write, SubmissionResult.COMMITTED, 50, PRIMARY, 52);
-        s.note("its writes stand at 52; the replicas are known to 5, then node 2 to 52");
-        s.take(OWN);
-        s.report(2, 52, REPLICA);
-        s.take(OWN);
-        s.note("carried: written 20 before, so at 40; a millisecond is kept for rounding");
-        s.take(OWN, 2000, ms(20));
-        s.compare("session-read");
+    void sessionReadsSeeTheWritesOfTheirSession() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int write = harness.accept(DEDUPLICATED_WRITE);
+        harness.advanceTo(60);
+        harness.endSubmission(write, SubmissionResult.COMMITTED, 50, PRIMARY, 52);
+        harness.comment("its writes stand at 52; the replicas are known to 5, then node 2 to 52");
+        harness.accept(SESSION_READ);
+        harness.reportNode(2, 52, REPLICA);
+        harness.accept(SESSION_READ);
+        harness.comment("carried: written 20 before, so at 40; a millisecond is kept for rounding");
+        harness.accept(SESSION_READ, 2000, millis(20));
+        harness.assertTraceEquals("session-read");
     }
 
     @Test
-    void replicaErrorsFallBackAndTimeOutsAreSurfaced() throws IOException {
-        s.to(10);
-        known(5);
-        int refused = s.take(VIEW);
-        int broken = s.take(ANY);
-        int slow = s.take(OWN);
-        s.to(20);
-        s.ended(refused, SubmissionResult.MISS, 10, REPLICA, 5);
-        s.ended(broken, SubmissionResult.RESET, 10, null, 0);
-        s.to(700);
-        s.ended(slow, SubmissionResult.TIMED_OUT, 600, null, 0);
-        s.compare("errors-and-time-outs");
+    void replicaErrorsFallBackToPrimaryAndTimeoutsAreReported() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int refused = harness.accept(BOUNDED_READ);
+        int broken = harness.accept(EVENTUAL_READ);
+        int slow = harness.accept(SESSION_READ);
+        harness.advanceTo(20);
+        harness.endSubmission(refused, SubmissionResult.MISS, 10, REPLICA, 5);
+        harness.endSubmission(broken, SubmissionResult.RESET, 10, null, 0);
+        harness.advanceTo(700);
+        harness.endSubmission(slow, SubmissionResult.TIMED_OUT, 600, null, 0);
+        harness.assertTraceEquals("errors-and-time-outs");
     }
 
     @Test
-    void writesThatMayHaveRun() throws IOException {
-        s.to(10);
-        known(5);
-        int move = s.take(MOVE);
-        int once = s.take(ONCE);
-        int untouched = s.take(ONCE);
-        s.to(20);
-        s.ended(move, SubmissionResult.RESET, 10, null, 0);
-        s.ended(once, SubmissionResult.RESET, 10, null, 0);
-        s.ended(untouched, SubmissionResult.UNREACHABLE, 10, null, 0);
-        s.to(2100);
-        s.compare("may-have-run");
+    void resubmitsWritesThatMayHaveRunOnlyIfSafe() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int move = harness.accept(DEDUPLICATED_WRITE);
+        int once = harness.accept(UNREPEATABLE_WRITE);
+        int untouched = harness.accept(UNREPEATABLE_WRITE);
+        harness.advanceTo(20);
+        harness.endSubmission(move, SubmissionResult.RESET, 10, null, 0);
+        harness.endSubmission(once, SubmissionResult.RESET, 10, null, 0);
+        harness.endSubmission(untouched, SubmissionResult.UNREACHABLE, 10, null, 0);
+        harness.advanceTo(2100);
+        harness.assertTraceEquals("may-have-run");
     }
 
     @Test
-    void aLostPrimaryIsSearchedFor() throws IOException {
-        s.to(10);
-        known(5);
-        int write = s.take(ONCE);
-        s.to(20);
-        s.ended(write, SubmissionResult.MISS, 10, REPLICA, 5);
-        s.ended(write, SubmissionResult.MISS, 5, REPLICA, 5);
-        s.ended(write, SubmissionResult.MISS, 5, REPLICA, 5);
-        s.note("one round of misses: waits until one says that it is the primary");
-        s.to(300);
-        s.report(2, 290, PRIMARY);
-        s.compare("lost-primary");
+    void searchesForPrimaryAfterRejectedWrite() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int write = harness.accept(UNREPEATABLE_WRITE);
+        harness.advanceTo(20);
+        harness.endSubmission(write, SubmissionResult.MISS, 10, REPLICA, 5);
+        harness.endSubmission(write, SubmissionResult.MISS, 5, REPLICA, 5);
+        harness.endSubmission(write, SubmissionResult.MISS, 5, REPLICA, 5);
+        harness.comment("one round of misses: waits until one says that it is the primary");
+        harness.advanceTo(300);
+        harness.reportNode(2, 290, PRIMARY);
+        harness.assertTraceEquals("lost-primary");
     }
 
     @Test
-    void aHungPrimaryIsSentNoMore() throws IOException {
-        s.to(10);
-        known(5);
+    void sendsNothingMoreToHungPrimary() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
         for (int i = 0; i < 4; i++) {
-            s.take(ONCE);
+            harness.accept(UNREPEATABLE_WRITE);
         }
-        s.to(500);
-        s.note("four are out and nothing has come back: the next is held, then declined in time");
-        s.take(ONCE, 1000, null);
-        s.to(1600);
-        s.compare("hung-primary");
+        harness.advanceTo(500);
+        harness.comment(
+                "four are out and nothing has come back: the next is held, then declined in time");
+        harness.accept(UNREPEATABLE_WRITE, 1000, null);
+        harness.advanceTo(1600);
+        harness.assertTraceEquals("hung-primary");
     }
 
     @Test
-    void drainsAreKept() throws IOException {
-        s.to(10);
-        known(5);
-        s.change(row(1, false, null, MemberState.DRAINING), row(2, false, null, MemberState.GONE));
-        s.take(VIEW);
-        s.take(ANY);
-        s.change(row(0, true, null, MemberState.DRAINING));
-        s.take(MOVE, 500, null);
-        s.to(600);
-        s.compare("drains");
+    void sendsNothingToDrainingNodes() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.changeMembers(
+                nodeRow(1, false, null, MemberState.DRAINING),
+                nodeRow(2, false, null, MemberState.GONE));
+        harness.accept(BOUNDED_READ);
+        harness.accept(EVENTUAL_READ);
+        harness.changeMembers(nodeRow(0, true, null, MemberState.DRAINING));
+        harness.accept(DEDUPLICATED_WRITE, 500, null);
+        harness.advanceTo(600);
+        harness.assertTraceEquals("drains");
     }
 
     @Test
-    void aColdNodeIsRampedUp() throws IOException {
-        s.to(10);
-        known(5);
-        s.change(row(1, false, ms(10), MemberState.READY));
+    void rampsUpLoadOnColdNode() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.changeMembers(nodeRow(1, false, millis(10), MemberState.READY));
         for (int quarter = 0; quarter < 4; quarter++) {
-            int[] went = new int[3];
-            s.mute(
+            int[] sentToNode = new int[3];
+            harness.runUntraced(
                     () -> {
                         for (int i = 0; i < 50; i++) {
-                            s.to(s.ms + 80);
-                            known(s.ms);
-                            int[] txns = {s.take(VIEW), s.take(VIEW), s.take(VIEW), s.take(VIEW)};
-                            for (int txn : txns) {
-                                went[s.whereIs(txn)]++;
-                                s.well(txn, 80);
+                            harness.advanceTo(harness.millis + 80);
+                            reportAllNodes(harness.millis);
+                            int[] transactions = {
+                                harness.accept(BOUNDED_READ),
+                                harness.accept(BOUNDED_READ),
+                                harness.accept(BOUNDED_READ),
+                                harness.accept(BOUNDED_READ)
+                            };
+                            for (int transaction : transactions) {
+                                sentToNode[harness.nodeOf(transaction)]++;
+                                harness.commit(transaction, 80);
                             }
                         }
                     });
-            s.note(
-                    went[1]
+            harness.comment(
+                    sentToNode[1]
                             + " of 200 to the cold node 1, "
-                            + went[2]
+                            + sentToNode[2]
                             + " to node 2, "
-                            + went[0]
+                            + sentToNode[0]
                             + " to the primary");
         }
-        s.compare("cold-node");
+        harness.assertTraceEquals("cold-node");
     }
 
     @Test
-    void aSlowNodeGetsLessRoom() throws IOException {
-        s.to(10);
-        known(5);
-        s.mute(
+    void reducesConcurrencyLimitOfSlowNode() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 40; i++) {
-                        s.to(s.ms + 100);
-                        known(s.ms);
-                        s.well(s.take(FRESH), 700);
+                        harness.advanceTo(harness.millis + 100);
+                        reportAllNodes(harness.millis);
+                        harness.commit(harness.accept(STRONG_READ), 700);
                     }
                 });
-        s.note(
+        harness.comment(
                 "answers took 700 of an SLA time of 400: how many are let out now, before and after a second");
         for (int i = 0; i < 4; i++) {
-            s.take(FRESH, 1500, null);
+            harness.accept(STRONG_READ, 1500, null);
         }
-        s.to(s.ms + 1000);
-        s.compare("slow-node");
+        harness.advanceTo(harness.millis + 1000);
+        harness.assertTraceEquals("slow-node");
     }
 
     @Test
-    void refusingNodesAreTriedUntilTheyRefuse() throws IOException {
-        RoutingHarness r = new RoutingHarness(true).three();
-        r.to(10);
-        r.report(0, 5, PRIMARY);
-        r.report(1, 5, REPLICA);
-        r.to(600);
-        r.note(
+    void triesReplicasOfUnknownLagUntilTheyRejectReads() throws IOException {
+        RoutingHarness configured = new RoutingHarness(true).withThreeNodes();
+        configured.advanceTo(10);
+        configured.reportNode(0, 5, PRIMARY);
+        configured.reportNode(1, 5, REPLICA);
+        configured.advanceTo(600);
+        configured.comment(
                 "node 1 is known to 5 only, and it is 600: it may be tried, as it turns away what it cannot answer");
-        int view = r.take(VIEW);
-        r.to(605);
-        r.ended(view, SubmissionResult.MISS, 5, REPLICA, 0);
-        r.note("it has refused one: no more until it is known past that");
-        r.take(OWN, 2000, ms(100));
-        r.report(1, 606, REPLICA);
-        r.to(900);
-        r.take(VIEW);
-        r.compare("refusing-nodes");
+        int view = configured.accept(BOUNDED_READ);
+        configured.advanceTo(605);
+        configured.endSubmission(view, SubmissionResult.MISS, 5, REPLICA, 0);
+        configured.comment("it has refused one: no more until it is known past that");
+        configured.accept(SESSION_READ, 2000, millis(100));
+        configured.reportNode(1, 606, REPLICA);
+        configured.advanceTo(900);
+        configured.accept(BOUNDED_READ);
+        configured.assertTraceEquals("refusing-nodes");
     }
 
     /**
@@ -243,105 +264,111 @@
      * reopening a draining node along with them.
      */
     @Test
-    void whatIsWronglyListedAsGoneServesOn() throws IOException {
-        RoutingHarness r = new RoutingHarness(false, false, true).three();
-        r.to(10);
-        r.report(0, 9, PRIMARY);
-        r.report(1, 9, REPLICA);
-        r.report(2, 9, REPLICA);
-        r.change(row(2, false, null, MemberState.DRAINING));
-        r.note("node 2 drains, then the list calls all three gone");
-        r.decide.updateMembers(true, List.of());
-        r.change(row(2, false, null, MemberState.GONE));
-        int view = r.take(VIEW);
-        int move = r.take(MOVE);
-        r.to(60);
-        r.well(view, 50);
-        r.well(move, 50);
-        r.note(
+    void keepsUsingRunningNodesMissingFromTheList() throws IOException {
+        RoutingHarness configured = new RoutingHarness(false, false, true).withThreeNodes();
+        configured.advanceTo(10);
+        configured.reportNode(0, 9, PRIMARY);
+        configured.reportNode(1, 9, REPLICA);
+        configured.reportNode(2, 9, REPLICA);
+        configured.changeMembers(nodeRow(2, false, null, MemberState.DRAINING));
+        configured.comment("node 2 drains, then the list calls all three gone");
+        configured.engine.updateMembers(true, List.of());
+        configured.changeMembers(nodeRow(2, false, null, MemberState.GONE));
+        int view = configured.accept(BOUNDED_READ);
+        int move = configured.accept(DEDUPLICATED_WRITE);
+        configured.advanceTo(60);
+        configured.commit(view, 50);
+        configured.commit(move, 50);
+        configured.comment(
                 "node 1 has really died: found by its answers, and its row is given back once it has been away for the warm-up");
         for (int i = 0; i < 8; i++) {
-            r.report(0, r.ms, PRIMARY);
-            int one = r.take(ANY);
-            r.to(r.ms + 50);
-            if (r.whereIs(one) == 1) {
-                r.ended(one, SubmissionResult.UNREACHABLE, 1, null, 0);
+            configured.reportNode(0, configured.millis, PRIMARY);
+            int one = configured.accept(EVENTUAL_READ);
+            configured.advanceTo(configured.millis + 50);
+            if (configured.nodeOf(one) == 1) {
+                configured.endSubmission(one, SubmissionResult.UNREACHABLE, 1, null, 0);
             } else {
-                r.well(one, 50);
+                configured.commit(one, 50);
             }
         }
-        r.note("node 1 forgotten now: " + r.decide.forgetNode(1));
-        r.mute(
+        configured.comment("node 1 forgotten now: " + configured.engine.forgetNode(1));
+        configured.runUntraced(
                 () -> {
-                    r.decide.probed(1, false, NodeReport.EMPTY);
-                    r.to(r.ms + 17_000);
-                    r.decide.probed(1, false, NodeReport.EMPTY);
+                    configured.engine.probed(1, false, NodeReport.EMPTY);
+                    configured.advanceTo(configured.millis + 17_000);
+                    configured.engine.probed(1, false, NodeReport.EMPTY);
                 });
-        r.note(
+        configured.comment(
                 "and 17 s later: "
-                        + r.decide.forgetNode(1)
+                        + configured.engine.forgetNode(1)
                         + "; node 0, which answers: "
-                        + r.decide.forgetNode(0));
-        r.change(row(2, false, null, MemberState.READY));
-        r.note("node 2 is listed as ready again");
-        r.take(ANY);
-        r.compare("wrong-list");
+                        + configured.engine.forgetNode(0));
+        configured.changeMembers(nodeRow(2, false, null, MemberState.READY));
+        configured.comment("node 2 is listed as ready again");
+        configured.accept(EVENTUAL_READ);
+        configured.assertTraceEquals("wrong-list");
     }
 
     /** Guards against reads that each wait 100 ms at a replica that is known to lag. */
     @Test
-    void aReadThatWaitedInVainTellsHowFarBehindItsReplicaIs() throws IOException {
-        RoutingHarness r = new RoutingHarness(true).three();
-        r.to(1000);
-        r.report(0, 995, PRIMARY);
-        r.report(1, 500, REPLICA);
-        r.report(2, 500, REPLICA);
-        r.note("positions are older than the bound; the nodes guard it, so one is tried");
-        int view = r.take(VIEW);
-        r.to(1100);
-        r.note("it waited for 100 ms there, and the replica was at 700");
-        r.ended(view, SubmissionResult.MISS, 100, REPLICA, 700);
-        r.to(1110);
-        r.take(VIEW);
-        r.take(VIEW);
-        r.note("within the bound again by its own word");
-        r.report(1, 1109, REPLICA);
-        r.report(2, 1109, REPLICA);
-        r.take(VIEW);
-        r.compare("waiting-read");
+    void learnsReplicaLagFromRejectedRead() throws IOException {
+        RoutingHarness configured = new RoutingHarness(true).withThreeNodes();
+        configured.advanceTo(1000);
+        configured.reportNode(0, 995, PRIMARY);
+        configured.reportNode(1, 500, REPLICA);
+        configured.reportNode(2, 500, REPLICA);
+        configured.comment(
+                "positions are older than the bound; the nodes guard it, so one is tried");
+        int view = configured.accept(BOUNDED_READ);
+        configured.advanceTo(1100);
+        configured.comment("it waited for 100 ms there, and the replica was at 700");
+        configured.endSubmission(view, SubmissionResult.MISS, 100, REPLICA, 700);
+        configured.advanceTo(1110);
+        configured.accept(BOUNDED_READ);
+        configured.accept(BOUNDED_READ);
+        configured.comment("within the bound again by its own word");
+        configured.reportNode(1, 1109, REPLICA);
+        configured.reportNode(2, 1109, REPLICA);
+        configured.accept(BOUNDED_READ);
+        configured.assertTraceEquals("waiting-read");
     }
 
     /** Guards against equal load on nodes of different speed if the list gives no sizes. */
     @Test
-    void aNodeOfHalfTheSpeedGetsLessWhereNoSizeIsTold() throws IOException {
-        s.to(10);
-        known(5);
-        int[] went = new int[3];
-        s.mute(
+    void sendsLessToSlowerNodeWithoutListedSizes() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int[] sentToNode = new int[3];
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 100; i++) {
-                        s.to(s.ms + 120);
-                        known(s.ms);
-                        int[] views = {s.take(ANY), s.take(ANY), s.take(ANY), s.take(ANY)};
-                        s.to(s.ms + 10);
+                        harness.advanceTo(harness.millis + 120);
+                        reportAllNodes(harness.millis);
+                        int[] views = {
+                            harness.accept(EVENTUAL_READ),
+                            harness.accept(EVENTUAL_READ),
+                            harness.accept(EVENTUAL_READ),
+                            harness.accept(EVENTUAL_READ)
+                        };
+                        harness.advanceTo(harness.millis + 10);
                         for (int view : views) {
-                            int where = s.whereIs(view);
+                            int where = harness.nodeOf(view);
                             if (where >= 0) {
-                                went[where] += i < 50 ? 0 : 1;
-                                s.well(view, where == 1 ? 100 : 50);
+                                sentToNode[where] += i < 50 ? 0 : 1;
+                                harness.commit(view, where == 1 ? 100 : 50);
                             }
                         }
                     }
                 });
-        s.note(
+        harness.comment(
                 "of 200, after as many to learn: "
-                        + went[1]
+                        + sentToNode[1]
                         + " to node 1, which takes twice as long, "
-                        + went[2]
+                        + sentToNode[2]
                         + " to node 2, "
-                        + went[0]
+                        + sentToNode[0]
                         + " to the primary");
-        s.compare("no-sizes");
+        harness.assertTraceEquals("no-sizes");
     }
 
     /**
@@ -349,149 +376,167 @@
      * one replica after they no longer stall it.
      */
     @Test
-    void readsThatStallGoToTheReplicaFurthestBehind() throws IOException {
-        RoutingHarness r = new RoutingHarness(true, false, false, 2000).three();
-        r.to(10);
-        r.report(1, 5, REPLICA);
-        r.report(2, 8, REPLICA);
-        r.note("any reads last longer than the tightest bound: node 1 is furthest behind");
-        int[] long1 = {r.take(ANY), r.take(ANY)};
-        r.to(400);
-        r.note(
+    void sendsReplicationStallingReadsToMostLaggingReplica() throws IOException {
+        RoutingHarness configured = new RoutingHarness(true, false, false, 2000).withThreeNodes();
+        configured.advanceTo(10);
+        configured.reportNode(1, 5, REPLICA);
+        configured.reportNode(2, 8, REPLICA);
+        configured.comment(
+                "any reads last longer than the tightest bound: node 1 is furthest behind");
+        int[] long1 = {configured.accept(EVENTUAL_READ), configured.accept(EVENTUAL_READ)};
+        configured.advanceTo(400);
+        configured.comment(
                 "their answers come from positions that stood still: node 1 keeps them, current reads go to node 2");
-        for (int txn : long1) {
-            r.ended(txn, SubmissionResult.COMMITTED, 390, REPLICA, 6);
+        for (int transaction : long1) {
+            configured.endSubmission(transaction, SubmissionResult.COMMITTED, 390, REPLICA, 6);
         }
-        r.report(2, 395, REPLICA);
-        int view = r.take(VIEW);
-        int more = r.take(ANY);
-        r.to(800);
-        r.ended(view, SubmissionResult.COMMITTED, 100, REPLICA, 795);
-        r.ended(more, SubmissionResult.COMMITTED, 400, REPLICA, 7);
-        r.mute(
+        configured.reportNode(2, 395, REPLICA);
+        int view = configured.accept(BOUNDED_READ);
+        int more = configured.accept(EVENTUAL_READ);
+        configured.advanceTo(800);
+        configured.endSubmission(view, SubmissionResult.COMMITTED, 100, REPLICA, 795);
+        configured.endSubmission(more, SubmissionResult.COMMITTED, 400, REPLICA, 7);
+        configured.runUntraced(
                 () -> {
                     for (int i = 0; i < 6; i++) {
-                        int one = r.take(ANY);
-                        r.to(r.ms + 400);
-                        r.ended(one, SubmissionResult.COMMITTED, 400, REPLICA, r.ms - 10);
+                        int one = configured.accept(EVENTUAL_READ);
+                        configured.advanceTo(configured.millis + 400);
+                        configured.endSubmission(
+                                one,
+                                SubmissionResult.COMMITTED,
+                                400,
+                                REPLICA,
+                                configured.millis - 10);
                     }
                 });
-        r.note("six answers told of positions that went on: it stalls nothing, and goes to either");
+        configured.comment(
+                "six answers told of positions that went on: it stalls nothing, and goes to either");
         for (int i = 0; i < 4; i++) {
-            r.take(ANY);
+            configured.accept(EVENTUAL_READ);
         }
-        r.compare("stalling-reads");
+        configured.assertTraceEquals("stalling-reads");
     }
 
     /** Guards against idle nodes after reducing every limit because all nodes are slow. */
     @Test
-    void whereAllAreSlowAlikeRoomStays() throws IOException {
-        s.to(10);
-        known(5);
-        s.mute(
+    void keepsConcurrencyLimitsIfAllNodesAreSlow() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 40; i++) {
-                        s.to(s.ms + 50);
-                        known(s.ms);
+                        harness.advanceTo(harness.millis + 50);
+                        reportAllNodes(harness.millis);
                         int[] views = {
-                            s.take(VIEW),
-                            s.take(VIEW),
-                            s.take(VIEW),
-                            s.take(VIEW),
-                            s.take(VIEW),
-                            s.take(VIEW)
+                            harness.accept(BOUNDED_READ),
+                            harness.accept(BOUNDED_READ),
+                            harness.accept(BOUNDED_READ),
+                            harness.accept(BOUNDED_READ),
+                            harness.accept(BOUNDED_READ),
+                            harness.accept(BOUNDED_READ)
                         };
-                        s.to(s.ms + 50);
+                        harness.advanceTo(harness.millis + 50);
                         for (int view : views) {
-                            s.well(view, i < 20 ? 50 : 240);
+                            harness.commit(view, i < 20 ? 50 : 240);
                         }
                     }
                 });
-        s.note(
+        harness.comment(
                 "answers take 240 of an SLA time of 300 at every node; out at once to nodes 0, 1, 2:");
         int[] out = new int[3];
-        known(s.ms);
-        s.mute(
+        reportAllNodes(harness.millis);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 12; i++) {
-                        int where = s.whereIs(s.take(VIEW));
+                        int where = harness.nodeOf(harness.accept(BOUNDED_READ));
                         if (where >= 0) {
                             out[where]++;
                         }
                     }
                 });
-        s.note(out[0] + ", " + out[1] + ", " + out[2]);
-        s.compare("slow-alike");
+        harness.comment(out[0] + ", " + out[1] + ", " + out[2]);
+        harness.assertTraceEquals("slow-alike");
     }
 
     @Test
-    void probesArePaidFor() throws IOException {
-        RoutingHarness r = new RoutingHarness(false).showProbes().three();
-        r.note("a fresh router probes each once, then only as its txns pay for");
-        r.to(3000);
-        r.take(ANY);
-        r.to(3020);
-        r.compare("probes");
+    void limitsProbesByAcceptedTransactions() throws IOException {
+        RoutingHarness configured = new RoutingHarness(false).traceProbes().withThreeNodes();
+        configured.comment("a fresh router probes each once, then only as its txns pay for");
+        configured.advanceTo(3000);
+        configured.accept(EVENTUAL_READ);
+        configured.advanceTo(3020);
+        configured.assertTraceEquals("probes");
     }
 
     @Test
-    void whereMostNodesFailTheyAreStillLeftAlone() throws IOException {
-        s.to(10);
-        known(5);
-        s.mute(
+    void excludesFailingNodesEvenIfMostFail() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 12; i++) {
-                        s.to(s.ms + 50);
-                        known(s.ms);
-                        s.ended(s.take(ANY), SubmissionResult.UNREACHABLE, 1, null, 0);
+                        harness.advanceTo(harness.millis + 50);
+                        reportAllNodes(harness.millis);
+                        harness.endSubmission(
+                                harness.accept(EVENTUAL_READ),
+                                SubmissionResult.UNREACHABLE,
+                                1,
+                                null,
+                                0);
                     }
                 });
-        s.note(
+        harness.comment(
                 "all three are out of reach: one trial each a second, the rest is held and declined");
         for (int i = 0; i < 6; i++) {
-            s.take(ANY);
+            harness.accept(EVENTUAL_READ);
         }
-        s.to(s.ms + 400);
-        s.compare("most-nodes-fail");
+        harness.advanceTo(harness.millis + 400);
+        harness.assertTraceEquals("most-nodes-fail");
     }
 
     @Test
-    void spareTxnsTakeOnlyPlentyOfRoom() throws IOException {
-        s.to(10);
-        known(5);
-        s.note("of two tenants with 50 a second each over three routers, one sends 30 at once");
-        int[] went = new int[2];
-        s.mute(
+    void limitsConcurrencyOfLowPriorityTransactions() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
+                "of two tenants with 50 a second each over three routers, one sends 30 at once");
+        int[] sentToNode = new int[2];
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 30; i++) {
-                        went[s.whereIs(s.take(FRESH, 0, 2000, null)) < 0 ? 1 : 0]++;
+                        sentToNode[
+                                harness.nodeOf(harness.accept(STRONG_READ, 0, 2000, null)) < 0
+                                        ? 1
+                                        : 0]++;
                     }
                 });
-        s.note(
-                went[0]
+        harness.comment(
+                sentToNode[0]
                         + " were sent, "
-                        + went[1]
+                        + sentToNode[1]
                         + " declined; the other tenant, and a repeat past its SLA time:");
-        s.take(FRESH, 1, 2000, null);
-        s.take(FRESH, 1, 1500, null);
-        s.compare("spare");
+        harness.accept(STRONG_READ, 1, 2000, null);
+        harness.accept(STRONG_READ, 1, 1500, null);
+        harness.assertTraceEquals("spare");
     }
 
     @Test
-    void whereTheListIsAskedForAndGoneStaysOpen() throws IOException {
-        RoutingHarness r = new RoutingHarness(false, true, true).three();
-        r.to(30);
-        r.note(
+    void requestsListAgainAndKeepsUnlistedNodesOpen() throws IOException {
+        RoutingHarness configured = new RoutingHarness(false, true, true).withThreeNodes();
+        configured.advanceTo(30);
+        configured.comment(
                 "node 1 is gone from the list, which proves nothing here; node 2 drains first, and stays closed");
-        r.change(row(1, false, null, MemberState.GONE), row(2, false, null, MemberState.DRAINING));
-        r.change(row(2, false, null, MemberState.GONE));
-        r.report(1, 25, REPLICA);
-        r.report(2, 25, REPLICA);
-        r.take(VIEW);
-        r.take(VIEW);
-        r.decide.listFailed();
-        r.to(3000);
-        r.compare("asked-list");
+        configured.changeMembers(
+                nodeRow(1, false, null, MemberState.GONE),
+                nodeRow(2, false, null, MemberState.DRAINING));
+        configured.changeMembers(nodeRow(2, false, null, MemberState.GONE));
+        configured.reportNode(1, 25, REPLICA);
+        configured.reportNode(2, 25, REPLICA);
+        configured.accept(BOUNDED_READ);
+        configured.accept(BOUNDED_READ);
+        configured.engine.listFailed();
+        configured.advanceTo(3000);
+        configured.assertTraceEquals("asked-list");
     }
 
     /**
@@ -499,157 +544,175 @@
      * which makes the outage seem short and a running primary seem restarted.
      */
     @Test
-    void aPrimaryCutOffAndStillPrimaryIsNotTakenForColdOnceItIsBack() throws IOException {
-        s.to(10);
-        known(5);
-        s.mute(
+    void doesNotTreatReconnectedPrimaryAsCold() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 40; i++) {
-                        s.to(10 + 25 * i);
-                        s.well(s.take(FRESH), 50);
+                        harness.advanceTo(10 + 25 * i);
+                        harness.commit(harness.accept(STRONG_READ), 50);
                     }
                 });
-        s.note("last heard at 985; time-outs, and much later no connections");
-        for (int txn : new int[] {s.take(FRESH), s.take(FRESH), s.take(FRESH), s.take(FRESH)}) {
-            s.ended(txn, SubmissionResult.TIMED_OUT, 1000, null, 0);
+        harness.comment("last heard at 985; time-outs, and much later no connections");
+        for (int transaction :
+                new int[] {
+                    harness.accept(STRONG_READ),
+                    harness.accept(STRONG_READ),
+                    harness.accept(STRONG_READ),
+                    harness.accept(STRONG_READ)
+                }) {
+            harness.endSubmission(transaction, SubmissionResult.TIMED_OUT, 1000, null, 0);
         }
-        s.to(6500);
-        s.ended(s.take(FRESH), SubmissionResult.UNREACHABLE, 250, null, 0);
-        s.to(9000);
-        s.note(
+        harness.advanceTo(6500);
+        harness.endSubmission(
+                harness.accept(STRONG_READ), SubmissionResult.UNREACHABLE, 250, null, 0);
+        harness.advanceTo(9000);
+        harness.comment(
                 "at 9000 its first probe is lost as well, the next is answered: it still is the primary");
-        s.decide.probed(0, false, NodeReport.EMPTY);
-        s.to(9250);
-        s.report(0, 9240, PRIMARY);
-        int[] went = new int[2];
-        s.mute(
+        harness.engine.probed(0, false, NodeReport.EMPTY);
+        harness.advanceTo(9250);
+        harness.reportNode(0, 9240, PRIMARY);
+        int[] sentToNode = new int[2];
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 40; i++) {
-                        s.to(9250 + 50 * i);
-                        int txn = s.take(FRESH);
-                        went[s.whereIs(txn) < 0 ? 1 : 0]++;
-                        s.well(txn, 50);
+                        harness.advanceTo(9250 + 50 * i);
+                        int transaction = harness.accept(STRONG_READ);
+                        sentToNode[harness.nodeOf(transaction) < 0 ? 1 : 0]++;
+                        harness.commit(transaction, 50);
                     }
                 });
-        s.note(
+        harness.comment(
                 "of 40 in the next two seconds "
-                        + went[0]
+                        + sentToNode[0]
                         + " are sent at once, "
-                        + went[1]
+                        + sentToNode[1]
                         + " are not");
-        s.compare("cut-off");
+        harness.assertTraceEquals("cut-off");
     }
 
     @Test
-    void aNodeOutOfReachAnswersAProbeFirst() throws IOException {
-        s.to(10);
-        known(5);
-        s.change(row(1, false, null, MemberState.GONE));
+    void requiresProbeAnswerFromUnreachableNode() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.changeMembers(nodeRow(1, false, null, MemberState.GONE));
         for (int i = 0; i < 6; i++) {
-            s.to(s.ms + 500);
-            s.report(0, s.ms, PRIMARY);
-            s.mute(() -> s.report(2, s.ms, REPLICA));
-            int txn = s.take(ONCE, 1500, null);
-            s.ended(
-                    txn,
+            harness.advanceTo(harness.millis + 500);
+            harness.reportNode(0, harness.millis, PRIMARY);
+            harness.runUntraced(() -> harness.reportNode(2, harness.millis, REPLICA));
+            int transaction = harness.accept(UNREPEATABLE_WRITE, 1500, null);
+            harness.endSubmission(
+                    transaction,
                     i < 3 ? SubmissionResult.UNREACHABLE : SubmissionResult.COMMITTED,
                     1,
                     PRIMARY,
-                    s.ms);
+                    harness.millis);
         }
-        s.to(6000);
-        s.compare("out-of-reach");
+        harness.advanceTo(6000);
+        harness.assertTraceEquals("out-of-reach");
     }
 
     /** Fails connections to node 0, each after the given time; then its first probe succeeds. */
-    private void returns(long took) {
-        int fresh = s.take(ONCE);
-        s.mute(
+    private void failConnectionsThenAnswerProbe(long tookMillis) {
+        int write = harness.accept(UNREPEATABLE_WRITE);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 4; i++) {
-                        s.ended(fresh, SubmissionResult.UNREACHABLE, took, null, 0);
-                        s.to(s.ms + 1500);
-                        s.report(0, s.ms, PRIMARY);
-                        s.ended(s.take(ONCE), SubmissionResult.UNREACHABLE, took, null, 0);
+                        harness.endSubmission(
+                                write, SubmissionResult.UNREACHABLE, tookMillis, null, 0);
+                        harness.advanceTo(harness.millis + 1500);
+                        harness.reportNode(0, harness.millis, PRIMARY);
+                        harness.endSubmission(
+                                harness.accept(UNREPEATABLE_WRITE),
+                                SubmissionResult.UNREACHABLE,
+                                tookMillis,
+                                null,
+                                0);
                     }
-                    s.to(s.ms + 200);
+                    harness.advanceTo(harness.millis + 200);
                 });
-        known(s.ms);
+        reportAllNodes(harness.millis);
     }
 
-    private void oneView() {
-        int view = s.take(VIEW);
-        s.to(s.ms + 40);
-        s.well(view, 40);
+    private void commitBoundedRead() {
+        int view = harness.accept(BOUNDED_READ);
+        harness.advanceTo(harness.millis + 40);
+        harness.commit(view, 40);
     }
 
     @Test
-    void refusedConnectionsAreNoDeath() throws IOException {
-        s.to(10);
-        known(5);
-        s.note(
+    void doesNotTreatRefusedConnectionsAsRestart() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
                 "node 0 refuses connections at once but answers its first probe: it is up, and free ones are closed");
-        returns(1);
-        oneView();
-        oneView();
-        s.to(s.ms + 4000);
-        known(s.ms);
-        s.note(
+        failConnectionsThenAnswerProbe(1);
+        commitBoundedRead();
+        commitBoundedRead();
+        harness.advanceTo(harness.millis + 4000);
+        reportAllNodes(harness.millis);
+        harness.comment(
                 "four seconds later they are kept again, and also where connections fail by time-out");
-        oneView();
-        returns(250);
-        oneView();
-        s.compare("refused-connections");
+        commitBoundedRead();
+        failConnectionsThenAnswerProbe(250);
+        commitBoundedRead();
+        harness.assertTraceEquals("refused-connections");
     }
 
     @Test
-    void errorsAtAnyNodeAreTheTxns() throws IOException {
-        s.to(10);
-        known(5);
-        s.note("each read errs at a second node too: that is surfaced, then the first error is");
+    void doesNotBlameNodesForErrorsOnEveryNode() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
+                "each read errs at a second node too: that is surfaced, then the first error is");
         for (int i = 0; i < 8; i++) {
-            known(s.ms);
-            int bad = s.take(VIEW);
-            s.to(s.ms + 20);
-            s.ended(bad, SubmissionResult.ERROR, 5, null, 0);
-            s.ended(bad, SubmissionResult.ERROR, 5, null, 0);
+            reportAllNodes(harness.millis);
+            int bad = harness.accept(BOUNDED_READ);
+            harness.advanceTo(harness.millis + 20);
+            harness.endSubmission(bad, SubmissionResult.ERROR, 5, null, 0);
+            harness.endSubmission(bad, SubmissionResult.ERROR, 5, null, 0);
         }
-        s.note("no node has lost its standing");
-        known(s.ms);
-        s.take(VIEW);
-        s.take(FRESH);
-        s.take(ANY);
-        s.compare("errors-anywhere");
+        harness.comment("no node has lost its standing");
+        reportAllNodes(harness.millis);
+        harness.accept(BOUNDED_READ);
+        harness.accept(STRONG_READ);
+        harness.accept(EVENTUAL_READ);
+        harness.assertTraceEquals("errors-anywhere");
     }
 
     /** Guards against excluding nodes because of malformed answers that every node returns. */
     @Test
-    void spoiltAnswersFallBackAndCostNoNodeItsStanding() throws IOException {
-        s.to(10);
-        known(5);
-        s.note(
+    void malformedAnswersFallBackWithoutExcludingNodes() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
                 "may have run: a read falls back, a referenced write goes again, one that runs once is rolled back");
-        int[] txns = {s.take(VIEW), s.take(MOVE), s.take(ONCE)};
-        s.to(30);
-        for (int txn : txns) {
-            s.ended(txn, SubmissionResult.SPOILT, 20, null, 0);
+        int[] transactions = {
+            harness.accept(BOUNDED_READ),
+            harness.accept(DEDUPLICATED_WRITE),
+            harness.accept(UNREPEATABLE_WRITE)
+        };
+        harness.advanceTo(30);
+        for (int transaction : transactions) {
+            harness.endSubmission(transaction, SubmissionResult.SPOILT, 20, null, 0);
         }
-        s.mute(
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 9; i++) {
-                        known(s.ms);
-                        int bad = s.take(ANY);
-                        s.to(s.ms + 20);
-                        s.ended(bad, SubmissionResult.SPOILT, 20, null, 0);
-                        s.well(bad, 20);
+                        reportAllNodes(harness.millis);
+                        int bad = harness.accept(EVENTUAL_READ);
+                        harness.advanceTo(harness.millis + 20);
+                        harness.endSubmission(bad, SubmissionResult.SPOILT, 20, null, 0);
+                        harness.commit(bad, 20);
                     }
                 });
-        s.note("nine more came spoilt: no node has lost its standing");
-        known(s.ms);
-        s.take(ANY);
-        s.take(ANY);
-        s.take(FRESH);
-        s.compare("spoilt");
+        harness.comment("nine more came spoilt: no node has lost its standing");
+        reportAllNodes(harness.millis);
+        harness.accept(EVENTUAL_READ);
+        harness.accept(EVENTUAL_READ);
+        harness.accept(STRONG_READ);
+        harness.assertTraceEquals("spoilt");
     }
 
     /**
@@ -657,28 +720,34 @@
      * mostly with pooled connections.
      */
     @Test
-    void fewResetsInARowCostNoNodeItsStanding() throws IOException {
-        s.to(10);
-        known(5);
-        s.note("the primary's connections break four times for one write; it goes again each time");
-        int write = s.take(MOVE);
+    void fewConsecutiveResetsDoNotExcludeNode() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
+                "the primary's connections break four times for one write; it goes again each time");
+        int write = harness.accept(DEDUPLICATED_WRITE);
         for (int i = 0; i < 4; i++) {
-            s.to(s.ms + 1);
-            s.ended(write, SubmissionResult.RESET, 0, null, 0);
+            harness.advanceTo(harness.millis + 1);
+            harness.endSubmission(write, SubmissionResult.RESET, 0, null, 0);
         }
-        s.note("a fresh read still goes there");
-        s.take(FRESH);
-        s.well(write, 20);
-        s.mute(
+        harness.comment("a fresh read still goes there");
+        harness.accept(STRONG_READ);
+        harness.commit(write, 20);
+        harness.runUntraced(
                 () -> {
                     for (int i = 0; i < 12; i++) {
-                        s.ended(s.take(ONCE), SubmissionResult.RESET, 0, null, 0);
+                        harness.endSubmission(
+                                harness.accept(UNREPEATABLE_WRITE),
+                                SubmissionResult.RESET,
+                                0,
+                                null,
+                                0);
                     }
                 });
-        s.note("where no more than resets comes it is left out, but for trials");
-        s.take(ONCE);
-        s.take(ONCE);
-        s.compare("resets");
+        harness.comment("where no more than resets comes it is left out, but for trials");
+        harness.accept(UNREPEATABLE_WRITE);
+        harness.accept(UNREPEATABLE_WRITE);
+        harness.assertTraceEquals("resets");
     }
 
     /**
@@ -686,37 +755,45 @@
      * events of a removed node to the next node with its index.
      */
     @Test
-    void aNodeThatLeftGivesItsRowBackOnceNothingIsOut() throws IOException {
-        s.to(10);
-        known(5);
-        int[] reads = {s.take(ANY), s.take(ANY), s.take(ANY)};
-        s.change(row(1, false, null, MemberState.GONE));
-        s.note("listed: " + s.decide.forgetNode(2) + ", something out: " + s.decide.forgetNode(1));
-        s.to(20);
+    void removesUnlistedNodeAfterItsLastSubmission() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        int[] reads = {
+            harness.accept(EVENTUAL_READ),
+            harness.accept(EVENTUAL_READ),
+            harness.accept(EVENTUAL_READ)
+        };
+        harness.changeMembers(nodeRow(1, false, null, MemberState.GONE));
+        harness.comment(
+                "listed: "
+                        + harness.engine.forgetNode(2)
+                        + ", something out: "
+                        + harness.engine.forgetNode(1));
+        harness.advanceTo(20);
         for (int read : reads) {
-            s.well(read, 10);
+            harness.commit(read, 10);
         }
-        s.note("all ended: " + s.decide.forgetNode(1));
-        s.to(2000);
-        s.note("the index names a new node, of which nothing is known: it is probed");
-        s.showProbes().change(row(1, false, ms(1990), MemberState.READY));
-        s.compare("row-given-back");
+        harness.comment("all ended: " + harness.engine.forgetNode(1));
+        harness.advanceTo(2000);
+        harness.comment("the index names a new node, of which nothing is known: it is probed");
+        harness.traceProbes().changeMembers(nodeRow(1, false, millis(1990), MemberState.READY));
+        harness.assertTraceEquals("row-given-back");
     }
 
     @Test
-    void aNodeThatOnlyTurnsWorkAwayIsTriedAtGaps() throws IOException {
-        s.to(10);
-        known(5);
-        s.note(
+    void sendsOnlyTrialsToNodeThatRejectsAllWork() throws IOException {
+        harness.advanceTo(10);
+        reportAllNodes(5);
+        harness.comment(
                 "the primary has hung with its queue full: it answers at once, and its probes are well");
         for (int i = 0; i < 12; i++) {
-            s.to(s.ms + 400);
-            s.mute(() -> known(s.ms));
-            int write = s.take(ONCE, 300, null);
-            while (s.whereIs(write) >= 0) {
-                s.ended(write, SubmissionResult.FULL, 1, null, 0);
+            harness.advanceTo(harness.millis + 400);
+            harness.runUntraced(() -> reportAllNodes(harness.millis));
+            int write = harness.accept(UNREPEATABLE_WRITE, 300, null);
+            while (harness.nodeOf(write) >= 0) {
+                harness.endSubmission(write, SubmissionResult.FULL, 1, null, 0);
             }
         }
-        s.compare("only-full");
+        harness.assertTraceEquals("only-full");
     }
 }
--- a/src/test/java/dillfront/routing/RoutingHarness.java
+++ b/src/test/java/dillfront/routing/RoutingHarness.java
@@ -32,256 +32,272 @@
  */
 public final class RoutingHarness implements RoutingActions {
 
-    static final int VIEW = 0;
-    static final int OWN = 1;
-    static final int ANY = 2;
-    static final int FRESH = 3;
-    static final int MOVE = 4;
-    static final int ONCE = 5;
-    private static final String[] NAMES = {"view", "own", "any", "fresh", "move", "once"};
+    static final int BOUNDED_READ = 0;
+    static final int SESSION_READ = 1;
+    static final int EVENTUAL_READ = 2;
+    static final int STRONG_READ = 3;
+    static final int DEDUPLICATED_WRITE = 4;
+    static final int UNREPEATABLE_WRITE = 5;
+    private static final String[] TYPE_NAMES = {"view", "own", "any", "fresh", "move", "once"};
 
     final StringBuilder trace = new StringBuilder();
-    final List<TransactionHandle> txns = new ArrayList<>();
+    final List<TransactionHandle> handles = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
-    private boolean showProbes;
-    private long wakeAt = -1;
-    final RoutingEngine decide;
-    long ms;
+    private boolean traceProbes;
+    private long wakeUpMillis = -1;
+    final RoutingEngine engine;
+    long millis;
 
     /** Time that requests spend in the router's receive queue before they are accepted. */
-    Duration waited = Duration.ZERO;
+    Duration queueTime = Duration.ZERO;
 
-    Duration ran;
-    private final Map<Integer, Integer> at = new TreeMap<>();
+    Duration earlierRunSince;
+    private final Map<Integer, Integer> submittedTo = new TreeMap<>();
 
     /**
-     * @param nodesRefuse whether nodes reject reads that they are too far behind for
+     * @param nodesRejectStaleReads whether nodes reject reads that they are too far behind for
      */
-    RoutingHarness(boolean nodesRefuse) {
-        this(nodesRefuse, false, false);
+    RoutingHarness(boolean nodesRejectStaleReads) {
+        this(nodesRejectStaleReads, false, false);
     }
 
-    RoutingHarness(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen) {
-        this(nodesRefuse, listAsked, goneStaysOpen, 300);
+    RoutingHarness(
+            boolean nodesRejectStaleReads,
+            boolean memberListOnRequest,
+            boolean unlistedNodesStayOpen) {
+        this(nodesRejectStaleReads, memberListOnRequest, unlistedNodesStayOpen, 300);
     }
 
     /**
-     * @param anySla the SLA time of eventually consistent reads in ms; their typical response time
-     *     starts at a quarter of it
+     * @param eventualSlaMillis the SLA time of eventually consistent reads in ms; their typical
+     *     response time starts at a quarter of it
      */
-    RoutingHarness(boolean nodesRefuse, boolean listAsked, boolean goneStaysOpen, long anySla) {
+    RoutingHarness(
+            boolean nodesRejectStaleReads,
+            boolean memberListOnRequest,
+            boolean unlistedNodesStayOpen,
+            long eventualSlaMillis) {
         List<TransactionType> types =
                 List.of(
                         new TransactionType(
                                 Repeatability.IDEMPOTENT,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.BOUNDED_STALENESS,
-                                ms(200),
-                                ms(300),
-                                ms(2000),
+                                millis(200),
+                                millis(300),
+                                millis(2000),
                                 3,
                                 0),
                         new TransactionType(
                                 Repeatability.IDEMPOTENT,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.SESSION,
-                                ms(0),
-                                ms(600),
-                                ms(2000),
+                                millis(0),
+                                millis(600),
+                                millis(2000),
                                 2,
                                 0),
                         new TransactionType(
                                 Repeatability.IDEMPOTENT,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.EVENTUAL,
-                                ms(0),
-                                ms(anySla),
-                                ms(2000),
+                                millis(0),
+                                millis(eventualSlaMillis),
+                                millis(2000),
                                 2,
                                 0),
                         new TransactionType(
                                 Repeatability.IDEMPOTENT,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.STRONG,
-                                ms(0),
-                                ms(400),
-                                ms(2000),
+                                millis(0),
+                                millis(400),
+                                millis(2000),
                                 2,
                                 0),
                         new TransactionType(
                                 Repeatability.DEDUPLICATED,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.WRITE,
-                                ms(0),
-                                ms(750),
-                                ms(2000),
+                                millis(0),
+                                millis(750),
+                                millis(2000),
                                 6,
                                 0.3),
                         new TransactionType(
                                 Repeatability.NOT_REPEATABLE,
                                 true,
-                                ms(2000),
+                                millis(2000),
                                 Consistency.WRITE,
-                                ms(0),
-                                ms(750),
-                                ms(2000),
+                                millis(0),
+                                millis(750),
+                                millis(2000),
                                 6,
                                 0.3));
-        decide =
+        engine =
                 new RoutingEngine(
                         new RoutingSettings(
-                                ms(5),
+                                millis(5),
                                 0,
-                                ms(250),
-                                ms(2000),
+                                millis(250),
+                                millis(2000),
                                 6,
                                 true,
-                                listAsked,
-                                ms(10000),
-                                nodesRefuse,
-                                goneStaysOpen,
+                                memberListOnRequest,
+                                millis(10000),
+                                nodesRejectStaleReads,
+                                unlistedNodesStayOpen,
                                 0.16,
-                                ms(16000),
+                                millis(16000),
                                 2,
-                                ms(1000),
+                                millis(1000),
                                 0.012,
                                 3,
                                 types,
                                 List.of(50.0, 50.0)),
                         this,
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1));
-        decide.setTime(ms(0));
+        engine.setTime(millis(0));
     }
 
-    static Duration ms(long n) {
-        return Duration.ofMillis(n);
+    static Duration millis(long count) {
+        return Duration.ofMillis(count);
     }
 
     /** Lists three members of one group in this zone, with node 0 as the primary. */
-    RoutingHarness three() {
-        decide.updateMembers(
+    RoutingHarness withThreeNodes() {
+        engine.updateMembers(
                 true,
                 List.of(
-                        row(0, true, null, MemberState.READY),
-                        row(1, false, null, MemberState.READY),
-                        row(2, false, null, MemberState.READY)));
+                        nodeRow(0, true, null, MemberState.READY),
+                        nodeRow(1, false, null, MemberState.READY),
+                        nodeRow(2, false, null, MemberState.READY)));
         return this;
     }
 
-    static NodeRow row(int node, boolean primary, Duration started, MemberState standing) {
-        return new NodeRow(node, 7, 0, 1, primary, started, standing);
+    static NodeRow nodeRow(int node, boolean primary, Duration startedAt, MemberState standing) {
+        return new NodeRow(node, 7, 0, 1, primary, startedAt, standing);
     }
 
-    void change(NodeRow... rows) {
-        decide.updateMembers(false, List.of(rows));
+    void changeMembers(NodeRow... rows) {
+        engine.updateMembers(false, List.of(rows));
     }
 
     /** Advances the clock, and runs the periodic work that is due on the way. */
-    void to(long then) {
-        while (wakeAt >= 0 && wakeAt <= then) {
-            ms = wakeAt;
-            wakeAt = -1;
-            decide.setTime(ms(ms));
-            decide.onWakeUp();
+    void advanceTo(long untilMillis) {
+        while (wakeUpMillis >= 0 && wakeUpMillis <= untilMillis) {
+            millis = wakeUpMillis;
+            wakeUpMillis = -1;
+            engine.setTime(millis(millis));
+            engine.onWakeUp();
         }
-        ms = then;
-        decide.setTime(ms(ms));
+        millis = untilMillis;
+        engine.setTime(millis(millis));
     }
 
-    RoutingHarness showProbes() {
-        showProbes = true;
+    RoutingHarness traceProbes() {
+        traceProbes = true;
         return this;
     }
 
     /** Commits the transaction at its node after the given time in ms. */
-    void well(int txn, long took) {
-        ended(
-                txn,
+    void commit(int transaction, long tookMillis) {
+        endSubmission(
+                transaction,
                 SubmissionResult.COMMITTED,
-                took,
-                at.getOrDefault(txn, 0) == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA,
-                ms);
+                tookMillis,
+                submittedTo.getOrDefault(transaction, 0) == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA,
+                millis);
     }
 
     /** Returns the node that the transaction is submitted to, or -1. */
-    int whereIs(int txn) {
-        return at.getOrDefault(txn, -1);
+    int nodeOf(int transaction) {
+        return submittedTo.getOrDefault(transaction, -1);
     }
 
-    void note(String what) {
-        trace.append("# ").append(what).append('\n');
+    void comment(String text) {
+        trace.append("# ").append(text).append('\n');
     }
 
     /** Delivers a node's report as the answer to a probe. */
-    void report(int node, long position, NodeRole role) {
-        decide.probed(node, true, new NodeReport(ms(position), role));
+    void reportNode(int node, long positionMillis, NodeRole role) {
+        engine.probed(node, true, new NodeReport(millis(positionMillis), role));
     }
 
     /** Runs steps without recording them in the trace. */
-    void mute(Runnable scene) {
+    void runUntraced(Runnable steps) {
         int length = trace.length();
-        scene.run();
+        steps.run();
         trace.setLength(length);
     }
 
-    int take(int type) {
-        return take(type, 2000, null);
+    int accept(int type) {
+        return accept(type, 2000, null);
     }
 
-    int take(int type, long expiry, Duration token) {
-        return take(type, -1, expiry, token);
+    int accept(int type, long timeoutMillis, Duration sinceLastWrite) {
+        return accept(type, -1, timeoutMillis, sinceLastWrite);
     }
 
-    int take(int type, int tenant, long expiry, Duration token) {
-        int id = txns.size();
-        names.add(NAMES[type] + id);
-        txns.add(null);
-        txns.set(
+    int accept(int type, int tenant, long timeoutMillis, Duration sinceLastWrite) {
+        int id = handles.size();
+        names.add(TYPE_NAMES[type] + id);
+        handles.add(null);
+        handles.set(
                 id,
-                decide.accept(
+                engine.accept(
                         id,
                         type,
                         tenant,
-                        type == OWN || type == MOVE ? 3 : -1,
+                        type == SESSION_READ || type == DEDUPLICATED_WRITE ? 3 : -1,
                         7,
-                        ms(expiry),
-                        token,
-                        waited,
-                        ran));
+                        millis(timeoutMillis),
+                        sinceLastWrite,
+                        queueTime,
+                        earlierRunSince));
         return id;
     }
 
     /** Opens the connection for a submission late; the submission ends unsent if it is outdated. */
-    void connected(int txn) {
-        boolean stands = txns.get(txn).stands(at.get(txn));
-        say(
+    void openConnection(int transaction) {
+        boolean maySend = handles.get(transaction).stands(submittedTo.get(transaction));
+        record(
                 "%s connected to node %d: %s",
-                names.get(txn), at.get(txn), stands ? "goes" : "goes no more");
-        if (!stands) {
-            ended(txn, SubmissionResult.UNSENT, 0, null, 0);
+                names.get(transaction),
+                submittedTo.get(transaction),
+                maySend ? "goes" : "goes no more");
+        if (!maySend) {
+            endSubmission(transaction, SubmissionResult.UNSENT, 0, null, 0);
         }
     }
 
     /** Ends the transaction's pending submission, if there is one. */
-    void ended(int txn, SubmissionResult result, long took, NodeRole role, long position) {
-        if (!at.containsKey(txn)) {
+    void endSubmission(
+            int transaction,
+            SubmissionResult result,
+            long tookMillis,
+            NodeRole role,
+            long positionMillis) {
+        if (!submittedTo.containsKey(transaction)) {
             return;
         }
-        int node = at.remove(txn);
-        boolean closed = result == SubmissionResult.COMMITTED;
-        trace.append(String.format("%5d   %s at node %d: %s\n", ms, names.get(txn), node, result));
-        txns.get(txn)
+        int node = submittedTo.remove(transaction);
+        boolean answered = result == SubmissionResult.COMMITTED;
+        trace.append(
+                String.format(
+                        "%5d   %s at node %d: %s\n", millis, names.get(transaction), node, result));
+        handles.get(transaction)
                 .submissionEnded(
                         node,
                         result,
-                        ms(took),
-                        closed,
-                        new NodeReport(role == null ? null : ms(position), role),
+                        millis(tookMillis),
+                        answered,
+                        new NodeReport(role == null ? null : millis(positionMillis), role),
                         NodeReport.EMPTY);
     }
 
@@ -289,61 +305,65 @@
      * Compares the trace with the expected one. The actual trace is written to target/traces, from
      * where it can replace the expected trace after an intended change.
      */
-    void compare(String name) throws IOException {
-        compare(name, trace);
+    void assertTraceEquals(String name) throws IOException {
+        assertTraceEquals(name, trace);
     }
 
     /** Compares any trace with the expected trace of that name in src/test/resources/traces. */
-    public static void compare(String name, CharSequence trace) throws IOException {
-        Path seen = Path.of("target", "traces", name + ".txt");
-        Files.createDirectories(seen.getParent());
-        Files.writeString(seen, trace);
-        try (InputStream kept =
+    public static void assertTraceEquals(String name, CharSequence trace) throws IOException {
+        Path actual = Path.of("target", "traces", name + ".txt");
+        Files.createDirectories(actual.getParent());
+        Files.writeString(actual, trace);
+        try (InputStream expected =
                 RoutingHarness.class.getResourceAsStream("/traces/" + name + ".txt")) {
-            assertNotNull(kept, () -> "no expected trace in src/test/resources/traces for " + name);
-            assertEquals(new String(kept.readAllBytes(), StandardCharsets.UTF_8), trace.toString());
+            assertNotNull(
+                    expected, () -> "no expected trace in src/test/resources/traces for " + name);
+            assertEquals(
+                    new String(expected.readAllBytes(), StandardCharsets.UTF_8), trace.toString());
         }
     }
 
-    private void say(String what, Object... args) {
-        trace.append(String.format("%5d ", ms)).append(String.format(what, args)).append('\n');
+    private void record(String format, Object... args) {
+        trace.append(String.format("%5d ", millis))
+                .append(String.format(format, args))
+                .append('\n');
     }
 
     @Override
-    public void submit(int txn, int node, Duration limit) {
-        at.put(txn, node);
-        say("%s -> node %d, limit %d", names.get(txn), node, limit.toMillis());
+    public void submit(int transaction, int node, Duration timeout) {
+        submittedTo.put(transaction, node);
+        record("%s -> node %d, limit %d", names.get(transaction), node, timeout.toMillis());
     }
 
     @Override
-    public void decline(int txn, Duration pause) {
-        say("%s declined, back in %d", names.get(txn), pause.toMillis());
+    public void decline(int transaction, Duration retryDelay) {
+        record("%s declined, back in %d", names.get(transaction), retryDelay.toMillis());
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
-        say("%s rolled back", names.get(txn));
+    public void reportUnknownOutcome(int transaction) {
+        record("%s rolled back", names.get(transaction));
     }
 
     @Override
     public void release(int node) {
-        say("free connections to node %d closed", node);
+        record("free connections to node %d closed", node);
     }
 
     @Override
     public void probe(int node) {
-        if (showProbes) {
-            say("probe node %d", node);
+        if (traceProbes) {
+            record("probe node %d", node);
         }
     }
 
     @Override
     public void watchMemberList() {
-        say("asks for the list");
+        record("asks for the list");
     }
 
     @Override
-    public void scheduleWakeUp(Duration in) {
-        wakeAt = ms + in.toMillis();
+    public void scheduleWakeUp(Duration delay) {
+        wakeUpMillis = millis + delay.toMillis();
     }
 }
--- a/src/test/java/dillfront/simulation/processes/AuditTest.java
+++ b/src/test/java/dillfront/simulation/processes/AuditTest.java
@@ -140,7 +140,7 @@
                 "its own write unseen",
                 new Asked(0, "t1", "own", 0, "k", 500, 9_000, "r0#1"),
                 new Read("s-1", "t1", "own", 8_999, 10_000));
-        RoutingHarness.compare("audit", trace);
+        RoutingHarness.assertTraceEquals("audit", trace);
     }
 
     private static Happening[] with(List<Happening> first, Happening... then) {
