--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -110,7 +110,7 @@
         discovery = config.discovery();
         setup = config.setup();
         named = config.named();
-        rereading = new Rereading(config.setup().settings().dialTimeout());
+        rereading = new Rereading(config.setup().settings().connectTimeout());
     }
 
     Log log() {
@@ -155,7 +155,7 @@
                                                 share,
                                                 config.sockets() * 3 / 10,
                                                 (config.memoryMb() << 20) / WAITING_PART,
-                                                config.setup().settings().dialTimeout());
+                                                config.setup().settings().connectTimeout());
                                 side =
                                         operator == Operator.NONE
                                                 ? null
@@ -169,7 +169,7 @@
                                 watch =
                                         new Watch(
                                                 discovery,
-                                                config.setup().settings().dialTimeout(),
+                                                config.setup().settings().connectTimeout(),
                                                 counters,
                                                 log,
                                                 loop,
@@ -184,7 +184,7 @@
             // list will do.
             long due =
                     System.nanoTime()
-                            + NEWS_DIALS * config.setup().settings().dialTimeout().toNanos();
+                            + NEWS_DIALS * config.setup().settings().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
                                     router.listed()
@@ -371,7 +371,7 @@
             Duration now = router.clock().now();
             due =
                     (router.owedUntil().compareTo(now) > 0 ? router.owedUntil() : now)
-                            .plus(setup.settings().dialTimeout().multipliedBy(LAST_DIALS));
+                            .plus(setup.settings().connectTimeout().multipliedBy(LAST_DIALS));
         } finally {
             lookIfOver();
         }
--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -74,7 +74,7 @@
         this.log = log;
         this.memory = memory;
         RoutingSettings settings = setup.settings();
-        dial = settings.dialTimeout();
+        dial = settings.connectTimeout();
         named(setup);
         sites =
                 watchesSites
@@ -103,7 +103,7 @@
     }
 
     void settings(Setup next) {
-        dial = next.settings().dialTimeout();
+        dial = next.settings().connectTimeout();
         groups.settings(dial, next.settings().warmUpTime());
         named(next);
         if (sites != null) {
--- a/src/main/java/dillfront/router/backend/Connection.java
+++ b/src/main/java/dillfront/router/backend/Connection.java
@@ -71,7 +71,7 @@
                         fleet.loop,
                         address,
                         this,
-                        (int) fleet.setup.settings().dialTimeout().toMillis() + 1);
+                        (int) fleet.setup.settings().connectTimeout().toMillis() + 1);
         if (connecting == null) {
             close();
             return;
@@ -81,7 +81,7 @@
         dialing =
                 fleet.loop.schedule(
                         this::close,
-                        fleet.setup.settings().dialTimeout().toNanos(),
+                        fleet.setup.settings().connectTimeout().toNanos(),
                         TimeUnit.NANOSECONDS);
         connecting.addListener(
                 done -> {
@@ -171,7 +171,7 @@
                     channel.eventLoop()
                             .schedule(
                                     () -> spoilt("an answer that does not go on"),
-                                    fleet.setup.settings().dialTimeout().toNanos(),
+                                    fleet.setup.settings().connectTimeout().toNanos(),
                                     TimeUnit.NANOSECONDS);
         }
     }
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -93,8 +93,8 @@
         this.most = most;
         this.longest = longest;
         this.listener = listener;
-        restNanos = setup.settings().dialTimeout().toNanos() / 4;
-        Duration every = setup.settings().dialTimeout();
+        restNanos = setup.settings().connectTimeout().toNanos() / 4;
+        Duration every = setup.settings().connectTimeout();
         loop.scheduleWithFixedDelay(
                 this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -182,7 +182,7 @@
                     long most =
                             Math.min(
                                     limit.toNanos(),
-                                    KEPT_DIALS * setup.settings().dialTimeout().toNanos());
+                                    KEPT_DIALS * setup.settings().connectTimeout().toNanos());
                     counters.timers++;
                     submission.limit =
                             loop.schedule(
@@ -212,7 +212,7 @@
     @Override
     public void probe(int node) {
         counters.probes++;
-        start(new Probe(pools.get(node)), setup.settings().dialTimeout());
+        start(new Probe(pools.get(node)), setup.settings().connectTimeout());
     }
 
     /**
@@ -294,7 +294,7 @@
 
     /** Before the node does: what is written to a connection that it has closed is lost. */
     private void closeOld() {
-        long margin = 4 * setup.settings().dialTimeout().toNanos();
+        long margin = 4 * setup.settings().connectTimeout().toNanos();
         long idle = Math.max(setup.idle().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (Pool pool : pools) {
@@ -401,7 +401,7 @@
     }
 
     private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dialTimeout().toMillis()
+        return ms <= 0 || ms > clock.unixMillis() + setup.settings().connectTimeout().toMillis()
                 ? null
                 : clock.since(ms);
     }
--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -64,13 +64,13 @@
      * Base interval between trial transactions to a node on trial, and between searches for a
      * primary, in dial timeouts.
      */
-    private static final double TRIAL_INTERVAL_DIAL_TIMEOUTS = 4;
+    private static final double TRIAL_INTERVAL_CONNECT_TIMEOUTS = 4;
 
     /** The interval between trials grows up to this multiple of its base. */
     private static final int MAX_TRIAL_BACKOFF = 4;
 
     /** Minimum interval between probes on behalf of queued transactions, in dial timeouts. */
-    private static final double MIN_PROBE_INTERVAL_DIAL_TIMEOUTS = 0.25;
+    private static final double MIN_PROBE_INTERVAL_CONNECT_TIMEOUTS = 0.25;
 
     /** Replicas probed at a time on behalf of queued transactions. */
     private static final int MAX_REPLICAS_PROBED = 2;
@@ -91,10 +91,10 @@
     private static final double MAX_PRIMARY_READ_BURST = 8;
 
     /** A primary serves replica reads below this multiple of the fleet's typical response time. */
-    private static final double MAX_CALM_SLOWDOWN = 1.5;
+    private static final double MAX_LOW_LOAD_SLOWDOWN = 1.5;
 
     /** A primary serves replica reads below this share of the overload threshold. */
-    private static final double MAX_CALM_OVERLOAD_SHARE = 0.9;
+    private static final double MAX_LOW_LOAD_OVERLOAD_SHARE = 0.9;
 
     /** Load factor of nodes in other zones; prefers nodes of this zone up to that ratio of load. */
     private static final double OTHER_ZONE_LOAD_FACTOR = 1.5;
@@ -103,7 +103,7 @@
     private static final double STALE_REPLICA_LOAD_FACTOR = 1.5;
 
     /** How long idle connections are closed after a refused connection, in dial timeouts. */
-    private static final double CONNECTION_SHORTAGE_DIAL_TIMEOUTS = 16;
+    private static final double CONNECTION_SHORTAGE_CONNECT_TIMEOUTS = 16;
 
     /**
      * A client timeout is taken for that of a retry if it differs from the timeout of first tries
@@ -115,13 +115,13 @@
      * Share sent to a cold node of the load that would overload it. The margin covers estimates
      * taken from warm nodes that were not fully loaded.
      */
-    private static final double COLD_LOAD_SHARE = 0.6;
+    private static final double WARM_UP_LOAD_SHARE = 0.6;
 
     /**
      * Interval at which cold nodes are granted work, as a share of the time for which excess load
      * must last to overload them.
      */
-    private static final double COLD_GRANT_INTERVAL_SHARE = 0.25;
+    private static final double WARM_UP_GRANT_INTERVAL_SHARE = 0.25;
 
     /**
      * Minimum burst of transactions that a tenant may send beyond its quota; the other limit is its
@@ -142,13 +142,13 @@
      * A node with n pending submissions counts as silent after this many typical response times
      * divided by n, but not before the minimum below.
      */
-    private static final double SILENCE_TYPICAL_TIMES = 6;
+    private static final double UNRESPONSIVE_TYPICAL_TIMES = 6;
 
     /** Minimum time without an answer before a node counts as silent, in typical response times. */
-    private static final double MIN_SILENCE_TYPICAL_TIMES = 1.5;
+    private static final double MIN_UNRESPONSIVE_TYPICAL_TIMES = 1.5;
 
     /** Share of the silence time after which a node that peers suspect counts as silent. */
-    private static final double SUSPECTED_SILENCE_SHARE = 0.5;
+    private static final double SUSPECTED_UNRESPONSIVE_SHARE = 0.5;
 
     /** Load factor of nodes that peers suspect. */
     private static final double SUSPECTED_LOAD_FACTOR = 4;
@@ -157,7 +157,7 @@
      * Multiple of the silence time after which silence is reported to peers. A false alarm costs
      * all of them more than it costs this router.
      */
-    private static final double REPORTED_SILENCE_MULTIPLE = 2;
+    private static final double REPORTED_UNRESPONSIVE_MULTIPLE = 2;
 
     /** A node is failing if its failure rate exceeds the fleet's median by this much. */
     private static final double FAILING_RATE_MARGIN = 0.5;
@@ -210,13 +210,13 @@
     private static final double MAX_QUEUE_TIME_SHARE = 0.5;
 
     /** Dial timeouts in which a concurrency limit below 1 doubles, at least. */
-    private static final double MIN_DOUBLING_DIAL_TIMEOUTS = 8;
+    private static final double MIN_DOUBLING_CONNECT_TIMEOUTS = 8;
 
     /**
      * Routers per dial timeout of that doubling time. With many routers the limits grow more
      * slowly, so that an overloaded node is not flooded by all of them.
      */
-    private static final double ROUTERS_PER_DOUBLING_DIAL_TIMEOUT = 3;
+    private static final double ROUTERS_PER_DOUBLING_CONNECT_TIMEOUT = 3;
 
     /** Learned state of one transaction type. */
     private static final class TypeState {
@@ -326,9 +326,9 @@
         int pending;
 
         /** While submissions are pending: since when the node has not answered. */
-        Duration silentSince = NEVER;
+        Duration unansweredSince = NEVER;
 
-        boolean silent;
+        boolean unresponsive;
 
         /** Whether peers reported the node as faulty and it has not answered since. */
         boolean suspected;
@@ -381,7 +381,7 @@
         boolean probePending;
 
         /** Work that may be sent to the node while cold, in seconds of typical response time. */
-        double coldCreditSeconds;
+        double warmUpCreditSeconds;
 
         Node(int index, int routerCount) {
             this.index = index;
@@ -471,7 +471,7 @@
     private final Reckoning capacityEstimate = new Reckoning();
 
     /** When cold nodes are granted work next. */
-    private Duration nextColdGrantAt = NEVER;
+    private Duration nextWarmUpGrantAt = NEVER;
 
     /** Median failure rate of the nodes. */
     private double medianFailureRate;
@@ -526,7 +526,7 @@
                             : type.stalenessBound();
             tightestBound = tightestBound == null ? bound : min(bound, tightestBound);
         }
-        tightestBound = tightestBound == null ? next.dialTimeout() : tightestBound;
+        tightestBound = tightestBound == null ? next.connectTimeout() : tightestBound;
         eventualBound = multiply(tightestBound, EVENTUAL_BOUND_MULTIPLE);
         types = new TypeState[next.transactionTypes().size()];
         for (int i = 0; i < types.length; i++) {
@@ -563,8 +563,10 @@
         totalPause = totalPause.plus(pause);
         nodes.forEach(
                 node ->
-                        node.silentSince =
-                                node.pending > 0 ? node.silentSince.plus(pause) : node.silentSince);
+                        node.unansweredSince =
+                                node.pending > 0
+                                        ? node.unansweredSince.plus(pause)
+                                        : node.unansweredSince);
     }
 
     // ---- the member list
@@ -598,7 +600,7 @@
             node.size = row.size() > 0 ? row.size() : 1;
             if (row.started() != null && row.started().compareTo(node.startedAt) > 0) {
                 node.startedAt = row.started();
-                node.coldCreditSeconds = 0;
+                node.warmUpCreditSeconds = 0;
             }
             node.group = groups.computeIfAbsent(row.group(), k -> new Group());
             node.lastPrimaryAt =
@@ -852,8 +854,8 @@
                     && now.compareTo(
                                     connectionShortageAt.plus(
                                             multiply(
-                                                    settings.dialTimeout(),
-                                                    CONNECTION_SHORTAGE_DIAL_TIMEOUTS)))
+                                                    settings.connectTimeout(),
+                                                    CONNECTION_SHORTAGE_CONNECT_TIMEOUTS)))
                             < 0
                     && node.submissionInterval.compareTo(
                                     multiply(typicalTime, READ_TIMEOUT_TYPICAL_TIMES))
@@ -1044,20 +1046,20 @@
         } else {
             // Random, so that routers do not all try a recovering node at the same moment.
             double trialInterval =
-                    TRIAL_INTERVAL_DIAL_TIMEOUTS
+                    TRIAL_INTERVAL_CONNECT_TIMEOUTS
                             * Math.min(node.trialBackoff++, MAX_TRIAL_BACKOFF)
                             * (1 + random.nextDouble() / 2);
-            node.nextTrialAt = now.plus(multiply(settings.dialTimeout(), trialInterval));
+            node.nextTrialAt = now.plus(multiply(settings.connectTimeout(), trialInterval));
         }
         if (node.pending++ == 0) {
-            node.silentSince = now;
+            node.unansweredSince = now;
         }
         node.submissionInterval =
                 node.lastSubmissionAt.equals(NEVER)
                         ? node.submissionInterval
                         : now.minus(node.lastSubmissionAt);
         node.lastSubmissionAt = now;
-        node.coldCreditSeconds -= toSeconds(transactionWork(transaction.type));
+        node.warmUpCreditSeconds -= toSeconds(transactionWork(transaction.type));
         actions.submit(transaction.id, node.index, timeout);
         return true;
     }
@@ -1088,7 +1090,7 @@
         if (group.searchMisses >= group.members.size()) {
             group.searchMisses = 0;
             group.nextSearchAt =
-                    now.plus(multiply(settings.dialTimeout(), TRIAL_INTERVAL_DIAL_TIMEOUTS));
+                    now.plus(multiply(settings.connectTimeout(), TRIAL_INTERVAL_CONNECT_TIMEOUTS));
             return null;
         }
         for (int i = 0; i < group.members.size(); i++) {
@@ -1107,7 +1109,7 @@
         Group group = transaction.group;
         Node primary = findPrimary(group);
         if (transaction.type.stallsReplication(tightestBound)) {
-            return selectMostLagging(transaction, primary);
+            return selectFurthestLagging(transaction, primary);
         }
         Node best = null;
         double lowestLoad = Double.MAX_VALUE;
@@ -1138,9 +1140,9 @@
                         && primary.lastPrimaryAt.compareTo(LISTED_AT) > 0
                         && acceptsSubmission(primary, primary.concurrencyLimit)
                         && isTrusted(primary)
-                        && primary.slowdown < MAX_CALM_SLOWDOWN
-                        && primary.slaRatio < OVERLOAD_SLA_RATIO * MAX_CALM_OVERLOAD_SHARE
-                        && !isCold(primary);
+                        && primary.slowdown < MAX_LOW_LOAD_SLOWDOWN
+                        && primary.slaRatio < OVERLOAD_SLA_RATIO * MAX_LOW_LOAD_OVERLOAD_SHARE
+                        && !isWarmingUp(primary);
         if (primaryMayServe
                 && (transaction.fellBack
                         || group.primaryReadCredit >= 1 && estimateLoad(primary, 1) < lowestLoad)) {
@@ -1170,7 +1172,7 @@
      * current. Such reads use at most the share of replicas that matches their share of the work,
      * and are queued beyond that.
      */
-    private Node selectMostLagging(Transaction transaction, Node primary) {
+    private Node selectFurthestLagging(Transaction transaction, Node primary) {
         List<Node> replicas = new ArrayList<>();
         for (Node node : transaction.group.members) {
             if (node != primary && isOpenByList(node) && isTrusted(node)) {
@@ -1181,8 +1183,9 @@
         int maxReplicas = Math.max(1, (int) Math.round(replicas.size() * stallingWorkShare));
         for (Node node : replicas.subList(0, Math.min(maxReplicas, replicas.size()))) {
             if (acceptsSubmission(node, concurrencyLimit(node, transaction))
-                    && (!isCold(node)
-                            || node.coldCreditSeconds >= toSeconds(transaction.type.typicalTime))) {
+                    && (!isWarmingUp(node)
+                            || node.warmUpCreditSeconds
+                                    >= toSeconds(transaction.type.typicalTime))) {
                 return node;
             }
         }
@@ -1215,7 +1218,7 @@
      * failing gets single trial transactions at growing intervals.
      */
     private boolean acceptsSubmission(Node node, double limit) {
-        if (!isOpenByList(node) || isCold(node) && node.coldCreditSeconds <= 0) {
+        if (!isOpenByList(node) || isWarmingUp(node) && node.warmUpCreditSeconds <= 0) {
             return false;
         }
         if (isOnTrial(node)) {
@@ -1336,16 +1339,16 @@
                         now.minus(node.responseTimeUpdatedAt),
                         multiply(longestTypicalTime(), READ_TIMEOUT_TYPICAL_TIMES));
         if (!failed && result != SubmissionResult.FULL) {
-            node.silentSince = now;
-            node.silent = false;
+            node.unansweredSince = now;
+            node.unresponsive = false;
             node.suspected = false;
             node.lastHealthyAt = now;
         } else if (result == SubmissionResult.FULL && sinceUpdate > 1) {
-            node.silent = true;
+            node.unresponsive = true;
         }
         node.refusedAtOnce =
                 result == SubmissionResult.UNREACHABLE
-                        ? responseTime.compareTo(multiply(settings.dialTimeout(), 0.5)) < 0
+                        ? responseTime.compareTo(multiply(settings.connectTimeout(), 0.5)) < 0
                         : node.refusedAtOnce;
         if (result == SubmissionResult.UNREACHABLE && isFailing(node)) {
             node.unreachable = true;
@@ -1437,7 +1440,7 @@
             node.concurrencyLimit =
                     Math.max(node.concurrencyLimit, INITIAL_CONCURRENCY / settings.routerCount());
             node.startedAt = stayedRunning ? node.startedAt : max(node.startedAt, now);
-            node.coldCreditSeconds = 0;
+            node.warmUpCreditSeconds = 0;
         }
         connectionShortageAt = node.probeFailed || !node.refusedAtOnce ? connectionShortageAt : now;
         node.probeFailed = false;
@@ -1457,10 +1460,11 @@
      * sooner an answer is expected.
      */
     private boolean isTrusted(Node node) {
-        if (!node.silent && node.pending > 0) {
-            node.silent = isSilent(node, node.suspected ? SUSPECTED_SILENCE_SHARE : 1);
+        if (!node.unresponsive && node.pending > 0) {
+            node.unresponsive =
+                    isUnresponsive(node, node.suspected ? SUSPECTED_UNRESPONSIVE_SHARE : 1);
         }
-        return !node.silent && !isFailing(node);
+        return !node.unresponsive && !isFailing(node);
     }
 
     /** Returns whether the node only gets trial transactions. */
@@ -1469,13 +1473,14 @@
     }
 
     /** Returns whether pending submissions have been unanswered for this share of the limit. */
-    private boolean isSilent(Node node, double share) {
+    private boolean isUnresponsive(Node node, double share) {
         double typicalTimes =
                 Math.max(
-                                MIN_SILENCE_TYPICAL_TIMES,
-                                SILENCE_TYPICAL_TIMES / Math.max(1, node.pending))
+                                MIN_UNRESPONSIVE_TYPICAL_TIMES,
+                                UNRESPONSIVE_TYPICAL_TIMES / Math.max(1, node.pending))
                         * share;
-        return now.compareTo(node.silentSince.plus(multiply(longestTypicalTime(), typicalTimes)))
+        return now.compareTo(
+                        node.unansweredSince.plus(multiply(longestTypicalTime(), typicalTimes)))
                 > 0;
     }
 
@@ -1489,7 +1494,7 @@
             node.nextTrialAt =
                     max(
                             node.nextTrialAt,
-                            now.plus(multiply(settings.dialTimeout(), 1 + random.nextDouble())));
+                            now.plus(multiply(settings.connectTimeout(), 1 + random.nextDouble())));
         }
         node.suspected = suspected;
     }
@@ -1503,7 +1508,7 @@
         node.nextTrialAt =
                 min(
                         node.nextTrialAt,
-                        now.plus(multiply(settings.dialTimeout(), random.nextDouble())));
+                        now.plus(multiply(settings.connectTimeout(), random.nextDouble())));
     }
 
     /**
@@ -1512,10 +1517,11 @@
      */
     public HealthObservation sees(int nodeIndex) {
         Node node = nodes.get(nodeIndex);
-        boolean silent =
+        boolean unresponsive =
                 !isTrusted(node)
-                        && node.silent
-                        && (node.pending == 0 || isSilent(node, REPORTED_SILENCE_MULTIPLE));
+                        && node.unresponsive
+                        && (node.pending == 0
+                                || isUnresponsive(node, REPORTED_UNRESPONSIVE_MULTIPLE));
         boolean recentlyHealthy =
                 node.lastHealthyAt
                                 .plus(multiply(longestTypicalTime(), READ_TIMEOUT_TYPICAL_TIMES))
@@ -1526,13 +1532,15 @@
                         ? HealthObservation.Health.LOST
                         : isFailing(node)
                                 ? HealthObservation.Health.FAILING
-                                : silent
+                                : unresponsive
                                         ? HealthObservation.Health.SILENT
-                                        : recentlyHealthy && !node.silent
+                                        : recentlyHealthy && !node.unresponsive
                                                 ? HealthObservation.Health.WELL
                                                 : HealthObservation.Health.UNKNOWN,
                 node.lastHealthyAt,
-                node.pending > 0 && isSilent(node, REPORTED_SILENCE_MULTIPLE) ? node.pending : 0);
+                node.pending > 0 && isUnresponsive(node, REPORTED_UNRESPONSIVE_MULTIPLE)
+                        ? node.pending
+                        : 0);
     }
 
     private Duration longestTypicalTime() {
@@ -1544,16 +1552,16 @@
     }
 
     /** Returns whether the warm-up time since the node's start is not over. */
-    private boolean isCold(Node node) {
+    private boolean isWarmingUp(Node node) {
         return now.compareTo(node.startedAt.plus(settings.warmUpTime())) < 0;
     }
 
     /** Returns the minimum share of its full capacity that the node has reached by now. */
     private double capacityShare(Node node) {
         double warmUpProgress =
-                isCold(node) ? ratio(now.minus(node.startedAt), settings.warmUpTime()) : 1;
-        return settings.coldCapacityShare()
-                + (1 - settings.coldCapacityShare()) * Math.max(0, Math.min(1, warmUpProgress));
+                isWarmingUp(node) ? ratio(now.minus(node.startedAt), settings.warmUpTime()) : 1;
+        return settings.initialCapacityShare()
+                + (1 - settings.initialCapacityShare()) * Math.max(0, Math.min(1, warmUpProgress));
     }
 
     /**
@@ -1578,12 +1586,12 @@
         lastTickAt = now;
         actions.scheduleWakeUp(tickInterval);
         double warmSize = 0;
-        double coldSize = 0;
+        double warmingSize = 0;
         double totalSize = 0;
-        double doublingDialTimeouts =
+        double doublingConnectTimeouts =
                 Math.max(
-                        MIN_DOUBLING_DIAL_TIMEOUTS,
-                        settings.routerCount() / ROUTERS_PER_DOUBLING_DIAL_TIMEOUT);
+                        MIN_DOUBLING_CONNECT_TIMEOUTS,
+                        settings.routerCount() / ROUTERS_PER_DOUBLING_CONNECT_TIMEOUT);
         List<Double> failureRates = new ArrayList<>();
         List<Double> slaRatios = new ArrayList<>();
         int pending = 0;
@@ -1591,17 +1599,17 @@
             if (node.group != null
                     && (node.listedState == MemberState.READY
                             || isOpenByList(node) && !node.unreachable)) {
-                warmSize += isCold(node) ? 0 : node.size;
+                warmSize += isWarmingUp(node) ? 0 : node.size;
                 failureRates.add(node.failureRate);
                 slaRatios.add(node.slaRatio);
-                pending += isCold(node) ? 0 : node.pending;
+                pending += isWarmingUp(node) ? 0 : node.pending;
             }
             totalSize += node.group != null ? node.size : 0;
-            coldSize +=
+            warmingSize +=
                     node.group != null
                                     && node.listedState == MemberState.READY
                                     && !node.unreachable
-                                    && isCold(node)
+                                    && isWarmingUp(node)
                             ? node.size
                             : 0;
             if (node.concurrencyLimit < 1) {
@@ -1609,8 +1617,8 @@
                         Math.pow(
                                 2,
                                 elapsedSeconds
-                                        / (toSeconds(settings.dialTimeout())
-                                                * doublingDialTimeouts));
+                                        / (toSeconds(settings.connectTimeout())
+                                                * doublingConnectTimeouts));
             }
         }
         medianFailureRate = Durations.median(failureRates);
@@ -1626,7 +1634,7 @@
                 elapsedSeconds,
                 new Reckoning.Seen(
                         warmSize,
-                        coldSize,
+                        warmingSize,
                         totalSize,
                         acceptedPerSecond,
                         toSeconds(typicalTime),
@@ -1657,37 +1665,39 @@
                         ? Duration.ofNanos((long) (requestedSeconds / transactions * 1e9))
                         : longestTypicalTime();
         for (Tenant t : tenants) {
-            double shareOfTenant =
+            double tenantRate =
                     Math.max(
                             t.quotaPerSecond / settings.routerCount(),
                             acceptedPerSecond * t.quotaPerSecond / quotaSum);
             t.credit =
                     Math.min(
-                            Math.max(MIN_TENANT_BURST_TRANSACTIONS, shareOfTenant),
-                            t.credit + shareOfTenant * elapsedSeconds);
+                            Math.max(MIN_TENANT_BURST_TRANSACTIONS, tenantRate),
+                            t.credit + tenantRate * elapsedSeconds);
         }
-        if (now.compareTo(nextColdGrantAt) >= 0) {
+        if (now.compareTo(nextWarmUpGrantAt) >= 0) {
             double typicalSeconds = toSeconds(typicalTime);
-            Duration window = multiply(settings.overloadTime(), COLD_GRANT_INTERVAL_SHARE);
-            nextColdGrantAt = now.plus(window);
+            Duration window = multiply(settings.overloadTime(), WARM_UP_GRANT_INTERVAL_SHARE);
+            nextWarmUpGrantAt = now.plus(window);
             for (Node node : nodes) {
-                if (isCold(node)) {
+                if (isWarmingUp(node)) {
                     double safeRate =
                             capacityShare(node)
                                     * capacityEstimate.rate()
                                     * node.size
-                                    * COLD_LOAD_SHARE
+                                    * WARM_UP_LOAD_SHARE
                                     * settings.overloadMultiple();
                     // Unused credit expires at random, on average after the time in which excess
                     // load overloads a node, so that many routers that spend their credit at once
                     // send no more than was granted in that time.
-                    boolean expires = random.nextDouble() < COLD_GRANT_INTERVAL_SHARE;
+                    boolean expires = random.nextDouble() < WARM_UP_GRANT_INTERVAL_SHARE;
                     double granted =
                             Math.floor(
                                     safeRate * toSeconds(window) / typicalSeconds
                                             + random.nextDouble());
-                    node.coldCreditSeconds =
-                            (expires ? Math.min(0, node.coldCreditSeconds) : node.coldCreditSeconds)
+                    node.warmUpCreditSeconds =
+                            (expires
+                                            ? Math.min(0, node.warmUpCreditSeconds)
+                                            : node.warmUpCreditSeconds)
                                     + granted * typicalSeconds;
                 }
             }
@@ -1728,7 +1738,8 @@
      */
     private void probeForQueue(Group group) {
         Node primary = findPrimary(group);
-        Duration minInterval = multiply(settings.dialTimeout(), MIN_PROBE_INTERVAL_DIAL_TIMEOUTS);
+        Duration minInterval =
+                multiply(settings.connectTimeout(), MIN_PROBE_INTERVAL_CONNECT_TIMEOUTS);
         if (primary == null || !isTrusted(primary)) {
             group.members.forEach(node -> probe(node, minInterval));
         } else if (now.compareTo(group.replicasProbedAt.plus(minInterval)) >= 0) {
--- a/src/main/java/dillfront/routing/api/RoutingSettings.java
+++ b/src/main/java/dillfront/routing/api/RoutingSettings.java
@@ -8,7 +8,7 @@
  *
  * @param clockStep the shortest time between two updates of the clock
  * @param zone the availability zone of this router
- * @param dialTimeout the time limit for opening a connection
+ * @param connectTimeout the time limit for opening a connection
  * @param maxRetryDelay the longest retry delay that clients honour; zero if no delay can be sent
  * @param maxSubmissions how often one transaction may be submitted to nodes
  * @param probesEnabled whether health checks may be sent
@@ -18,7 +18,7 @@
  * @param nodesRejectStaleReads whether nodes reject reads that they are too far behind for
  * @param unlistedNodesStayOpen whether only draining nodes are closed to new transactions, so that
  *     nodes missing from the list stay open
- * @param coldCapacityShare the share of its full capacity that a node has just after its start
+ * @param initialCapacityShare the share of its full capacity that a node has just after its start
  * @param warmUpTime how long a node takes to reach full capacity after its start
  * @param overloadMultiple the multiple of its capacity that overloads a cold node
  * @param overloadTime how long that load must last to overload the node
@@ -29,7 +29,7 @@
 public record RoutingSettings(
         Duration clockStep,
         int zone,
-        Duration dialTimeout,
+        Duration connectTimeout,
         Duration maxRetryDelay,
         int maxSubmissions,
         boolean probesEnabled,
@@ -37,7 +37,7 @@
         Duration memberListValidity,
         boolean nodesRejectStaleReads,
         boolean unlistedNodesStayOpen,
-        double coldCapacityShare,
+        double initialCapacityShare,
         Duration warmUpTime,
         double overloadMultiple,
         Duration overloadTime,
--- a/src/test/java/dillfront/routing/RoutingEngineTest.java
+++ b/src/test/java/dillfront/routing/RoutingEngineTest.java
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void rampsUpLoadOnColdNode() throws IOException {
+    void rampsUpLoadOnWarmingNode() throws IOException {
         harness.advanceTo(10);
         reportAllNodes(5);
         harness.changeMembers(nodeRow(1, false, millis(10), MemberState.READY));
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void triesReplicasOfUnknownLagUntilTheyRejectReads() throws IOException {
+    void sendsReadsToReplicasOfUnknownLagUntilRejected() throws IOException {
         RoutingHarness configured = new RoutingHarness(true).withThreeNodes();
         configured.advanceTo(10);
         configured.reportNode(0, 5, PRIMARY);
@@ -376,7 +376,7 @@
      * one replica after they no longer stall it.
      */
     @Test
-    void sendsReplicationStallingReadsToMostLaggingReplica() throws IOException {
+    void sendsReplicationStallingReadsToFurthestLaggingReplica() throws IOException {
         RoutingHarness configured = new RoutingHarness(true, false, false, 2000).withThreeNodes();
         configured.advanceTo(10);
         configured.reportNode(1, 5, REPLICA);
@@ -469,7 +469,7 @@
     }
 
     @Test
-    void excludesFailingNodesEvenIfMostFail() throws IOException {
+    void excludesFailingNodesEvenIfTheMajorityFails() throws IOException {
         harness.advanceTo(10);
         reportAllNodes(5);
         harness.runUntraced(
@@ -544,7 +544,7 @@
      * which makes the outage seem short and a running primary seem restarted.
      */
     @Test
-    void doesNotTreatReconnectedPrimaryAsCold() throws IOException {
+    void doesNotTreatReconnectedPrimaryAsRestarted() throws IOException {
         harness.advanceTo(10);
         reportAllNodes(5);
         harness.runUntraced(
