--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -41,7 +41,7 @@
  *
  * <p>Writes and strongly consistent reads go to the primary. Other reads go to the least loaded
  * replica that is known to be current enough, and a limited share of them to the primary while its
- * load is low. A read that a replica fails falls back to the primary; a time-out is reported to the
+ * load is low. A read that a replica fails falls back to the primary; a timeout is reported to the
  * client. A transaction that no node can take is queued, and answered before its client's timeout.
  */
 public final class RoutingEngine {
@@ -62,14 +62,14 @@
 
     /**
      * Base interval between trial transactions to a node on trial, and between searches for a
-     * primary, in dial timeouts.
+     * primary, in connect timeouts.
      */
     private static final double TRIAL_INTERVAL_CONNECT_TIMEOUTS = 4;
 
     /** The interval between trials grows up to this multiple of its base. */
     private static final int MAX_TRIAL_BACKOFF = 4;
 
-    /** Minimum interval between probes on behalf of queued transactions, in dial timeouts. */
+    /** Minimum interval between probes on behalf of queued transactions, in connect timeouts. */
     private static final double MIN_PROBE_INTERVAL_CONNECT_TIMEOUTS = 0.25;
 
     /** Replicas probed at a time on behalf of queued transactions. */
@@ -102,24 +102,24 @@
     /** Load factor of replicas beyond the bound of an eventually consistent read. */
     private static final double STALE_REPLICA_LOAD_FACTOR = 1.5;
 
-    /** How long idle connections are closed after a refused connection, in dial timeouts. */
+    /** How long idle connections are closed after a refused connection, in connect timeouts. */
     private static final double CONNECTION_SHORTAGE_CONNECT_TIMEOUTS = 16;
 
     /**
-     * A client timeout is taken for that of a retry if it differs from the timeout of first tries
-     * by more than this share of the client's total time.
+     * A client timeout is treated as that of a retry if it differs from the timeout of first
+     * attempts by more than this share of the client's total time.
      */
     private static final double RETRY_TIMEOUT_TOLERANCE = 0.04;
 
     /**
-     * Share sent to a cold node of the load that would overload it. The margin covers estimates
-     * taken from warm nodes that were not fully loaded.
+     * Share sent to a node that warms up of the load that would overload it. The margin covers
+     * estimates taken from warm nodes that were not fully loaded.
      */
     private static final double WARM_UP_LOAD_SHARE = 0.6;
 
     /**
-     * Interval at which cold nodes are granted work, as a share of the time for which excess load
-     * must last to overload them.
+     * Interval at which nodes that warm up are granted work, as a share of the time for which
+     * excess load must last to overload them.
      */
     private static final double WARM_UP_GRANT_INTERVAL_SHARE = 0.25;
 
@@ -139,23 +139,23 @@
     private static final double READ_TIMEOUT_TYPICAL_TIMES = 8;
 
     /**
-     * A node with n pending submissions counts as silent after this many typical response times
-     * divided by n, but not before the minimum below.
+     * A node with n pending submissions counts as unresponsive after this many typical response
+     * times divided by n, but not before the minimum below.
      */
     private static final double UNRESPONSIVE_TYPICAL_TIMES = 6;
 
-    /** Minimum time without an answer before a node counts as silent, in typical response times. */
+    /** Minimum time without an answer for an unresponsive node, in typical response times. */
     private static final double MIN_UNRESPONSIVE_TYPICAL_TIMES = 1.5;
 
-    /** Share of the silence time after which a node that peers suspect counts as silent. */
+    /** Share of that time after which a node that peers suspect counts as unresponsive. */
     private static final double SUSPECTED_UNRESPONSIVE_SHARE = 0.5;
 
     /** Load factor of nodes that peers suspect. */
     private static final double SUSPECTED_LOAD_FACTOR = 4;
 
     /**
-     * Multiple of the silence time after which silence is reported to peers. A false alarm costs
-     * all of them more than it costs this router.
+     * Multiple of that time after which an unresponsive node is reported to peers. A false alarm
+     * costs all of them more than it costs this router.
      */
     private static final double REPORTED_UNRESPONSIVE_MULTIPLE = 2;
 
@@ -209,11 +209,11 @@
      */
     private static final double MAX_QUEUE_TIME_SHARE = 0.5;
 
-    /** Dial timeouts in which a concurrency limit below 1 doubles, at least. */
+    /** Minimum time in which a concurrency limit below 1 doubles, in connect timeouts. */
     private static final double MIN_DOUBLING_CONNECT_TIMEOUTS = 8;
 
     /**
-     * Routers per dial timeout of that doubling time. With many routers the limits grow more
+     * Routers per connect timeout of that doubling time. With many routers the limits grow more
      * slowly, so that an overloaded node is not flooded by all of them.
      */
     private static final double ROUTERS_PER_DOUBLING_CONNECT_TIMEOUT = 3;
@@ -226,7 +226,7 @@
         final Duration slaTime;
         final boolean lateAnswersHaveValue;
 
-        /** Client timeout of first tries: the running median of all tries. */
+        /** Client timeout of first attempts: the running median over all attempts. */
         Duration firstTryTimeout;
 
         /** Typical response time. */
@@ -342,7 +342,7 @@
         /** Whether a probe also failed since the node became unreachable. */
         boolean probeFailed;
 
-        /** Whether the last failed connection was refused in less than half the dial timeout. */
+        /** Whether the last failed connection was refused in less than half the connect timeout. */
         boolean refusedAtOnce;
 
         /** Smoothed share of submissions that failed. */
@@ -380,7 +380,7 @@
         Duration lastProbeAt = NEVER;
         boolean probePending;
 
-        /** Work that may be sent to the node while cold, in seconds of typical response time. */
+        /** Work that may be sent during warm-up, in seconds of typical response time. */
         double warmUpCreditSeconds;
 
         Node(int index, int routerCount) {
@@ -413,7 +413,7 @@
         /** Number of replica reads that may go to the primary now. */
         double primaryReadCredit = MAX_PRIMARY_READ_BURST;
 
-        /** Member that the search for a primary tries next. */
+        /** Member that gets the next write of the search for a primary. */
         int searchIndex;
 
         /** Members that rejected a write in the current round of the search. */
@@ -470,7 +470,7 @@
      */
     private final Reckoning capacityEstimate = new Reckoning();
 
-    /** When cold nodes are granted work next. */
+    /** When nodes that warm up are granted work next. */
     private Duration nextWarmUpGrantAt = NEVER;
 
     /** Median failure rate of the nodes. */
@@ -557,7 +557,8 @@
 
     /**
      * Records a pause of the calling process, during which it read no answers. Guards against a
-     * router with part of a CPU core that takes its own pause for the silence of every node.
+     * router with part of a CPU core that mistakes its own pause for unresponsiveness of every
+     * node.
      */
     public void recordPause(Duration pause) {
         totalPause = totalPause.plus(pause);
@@ -663,7 +664,7 @@
      * @param sinceLastWrite how long ago the session last wrote; null if requests carry no such
      *     token, zero if the session has not written
      * @param queueTime the time since the request's arrival at this router
-     * @param earlierRunSince since when an earlier try of the client may have executed the
+     * @param earlierRunSince since when an earlier attempt of the client may have executed the
      *     transaction, or null
      */
     public TransactionHandle accept(
@@ -777,7 +778,7 @@
             Duration arrivedAt = now.minus(queueTime);
             expiresAt = arrivedAt.plus(clientTimeout);
             // The timeout of a retry is all the time left to the client, which gives the age of the
-            // first try.
+            // first attempt.
             Duration age =
                     type.detectRetry(clientTimeout)
                             ? type.settings.totalClientTimeout().minus(clientTimeout)
@@ -807,8 +808,7 @@
                 group.searchPending = false;
             }
             // The measured time may include a pause of this process: assumes the node's typical
-            // time,
-            // limited to the range that the pause permits.
+            // time, limited to the range that the pause permits.
             Duration minTime = measuredTime.minus(totalPause.minus(pauseAtSubmission));
             recordResult(
                     node,
@@ -847,8 +847,7 @@
             }
             submitQueued(node.group);
             // Running nodes refuse connections: this router closes its idle ones, since other
-            // routers
-            // wait for them. Exceptions are connections that fail by timeout, as they are
+            // routers wait for them. Exceptions are connections that fail by timeout, as they are
             // slow to open again, and connections that are likely to be reused soon.
             if (node.pending == 0
                     && now.compareTo(
@@ -1044,7 +1043,7 @@
         if (!isOnTrial(node)) {
             node.trialBackoff = 1;
         } else {
-            // Random, so that routers do not all try a recovering node at the same moment.
+            // Random, so that routers do not all send trials to a recovering node at once.
             double trialInterval =
                     TRIAL_INTERVAL_CONNECT_TIMEOUTS
                             * Math.min(node.trialBackoff++, MAX_TRIAL_BACKOFF)
@@ -1155,9 +1154,9 @@
     /**
      * Returns whether a replica may be current enough although its known position is not. Applies
      * only if nodes reject reads that they are too far behind for. A replica qualifies if its last
-     * measured lag fits the read twice over, or was measured too long ago. Guards against positions
-     * that a router with few transactions learns late; the cost is a rejected read when a replica
-     * starts to lag.
+     * measured lag fits the read twice over, or its last measurement is too old. Guards against
+     * positions that a router with few transactions learns late; the cost is a rejected read when a
+     * replica starts to lag.
      */
     private boolean mayBeCurrent(Node node, Duration requiredPosition) {
         return settings.nodesRejectStaleReads()
@@ -1214,8 +1213,8 @@
 
     /**
      * Returns whether a node may be sent another transaction now. An unreachable node must first
-     * answer a probe, which delays no transaction. A node that accepts connections but is silent or
-     * failing gets single trial transactions at growing intervals.
+     * answer a probe, which delays no transaction. A node that accepts connections but is
+     * unresponsive or failing gets single trial transactions at growing intervals.
      */
     private boolean acceptsSubmission(Node node, double limit) {
         if (!isOpenByList(node) || isWarmingUp(node) && node.warmUpCreditSeconds <= 0) {
@@ -1417,8 +1416,8 @@
     }
 
     /**
-     * Records that an unreachable node answers again. The node counts as restarted and cold, even
-     * before the member list says so, unless it answered its first probe (it only refused new
+     * Records that an unreachable node answers again. The node counts as restarted and warming up,
+     * even before the member list says so, unless it answered its first probe (it only refused new
      * connections), applied the log throughout the outage, or is still the primary. A node that
      * restarts unnoticed and catches up counts as warm until the list reports its start.
      */
@@ -1456,8 +1455,8 @@
     }
 
     /**
-     * Returns whether the node is neither silent nor failing. The more submissions are pending, the
-     * sooner an answer is expected.
+     * Returns whether the node is neither unresponsive nor failing. The more submissions are
+     * pending, the sooner an answer is expected.
      */
     private boolean isTrusted(Node node) {
         if (!node.unresponsive && node.pending > 0) {
@@ -1486,7 +1485,7 @@
 
     /**
      * Sets whether peers suspect a node, as found by gossip. A suspected node gets one trial
-     * transaction after one to two dial timeouts, and its own answer ends the suspicion.
+     * transaction after one to two connect timeouts, and its own answer ends the suspicion.
      */
     public void doubted(int nodeIndex, boolean suspected) {
         Node node = nodes.get(nodeIndex);
@@ -1501,7 +1500,7 @@
 
     /**
      * Records that peers got answers from the node again: advances its next trial to a random
-     * moment within one dial timeout, so that routers do not all try at once.
+     * moment within one connect timeout, so that routers do not all send trials at once.
      */
     public void better(int nodeIndex) {
         Node node = nodes.get(nodeIndex);
@@ -1512,8 +1511,8 @@
     }
 
     /**
-     * Returns the health of a node as this router observes it. Suspicion by peers shortens the
-     * silence time here, but is not returned as this router's own evidence.
+     * Returns the health of a node as this router observes it. Suspicion by peers shortens the time
+     * limit for answers here, but is not returned as this router's own evidence.
      */
     public HealthObservation sees(int nodeIndex) {
         Node node = nodes.get(nodeIndex);
@@ -1565,7 +1564,7 @@
     }
 
     /**
-     * Returns the work of one transaction. While all nodes are cold and little is known, a light
+     * Returns the work of one transaction. While all nodes warm up and little is known, a light
      * transaction counts as a typical one.
      */
     private Duration transactionWork(TypeState type) {
--- a/src/main/java/dillfront/routing/api/RoutingSettings.java
+++ b/src/main/java/dillfront/routing/api/RoutingSettings.java
@@ -13,14 +13,14 @@
  * @param maxSubmissions how often one transaction may be submitted to nodes
  * @param probesEnabled whether health checks may be sent
  * @param memberListOnRequest whether the member list is sent only on request
- * @param memberListValidity how long a member list that was not requested is valid, if sent only on
- *     request
+ * @param memberListValidity how long the member list is valid without a new request, if sent only
+ *     on request
  * @param nodesRejectStaleReads whether nodes reject reads that they are too far behind for
  * @param unlistedNodesStayOpen whether only draining nodes are closed to new transactions, so that
  *     nodes missing from the list stay open
  * @param initialCapacityShare the share of its full capacity that a node has just after its start
  * @param warmUpTime how long a node takes to reach full capacity after its start
- * @param overloadMultiple the multiple of its capacity that overloads a cold node
+ * @param overloadMultiple the multiple of its capacity that overloads a node that warms up
  * @param overloadTime how long that load must last to overload the node
  * @param probeCost the cost of one health check, in transactions
  * @param routerCount the number of routers that share the nodes
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -61,7 +61,7 @@
         RoutingHarness.assertTraceEquals("pace", trace);
     }
 
-    /** Guards against a router that takes its own pause for silence or slowness of all nodes. */
+    /** Guards against a router that mistakes its own pause for silence or slowness of all nodes. */
     @Test
     void doesNotBlameNodesForItsOwnPause() throws IOException {
         for (boolean pauseRecorded : new boolean[] {false, true}) {
