--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -121,7 +121,7 @@
      * Interval at which nodes that warm up are granted work, as a share of the time for which
      * excess load must last to overload them.
      */
-    private static final double WARM_UP_GRANT_INTERVAL_SHARE = 0.25;
+    private static final double WARM_UP_GRANT_SHARE = 0.25;
 
     /**
      * Minimum burst of transactions that a tenant may send beyond its quota; the other limit is its
@@ -381,7 +381,7 @@
         boolean probePending;
 
         /** Work that may be sent during warm-up, in seconds of typical response time. */
-        double warmUpCreditSeconds;
+        double warmUpCredit;
 
         Node(int index, int routerCount) {
             this.index = index;
@@ -480,7 +480,7 @@
     private double medianSlaRatio;
 
     /** Peak of the pending submissions per warm node while the fleet was not overloaded; decays. */
-    private double peakPendingPerNode;
+    private double peakPending;
 
     /** Typical response time over all requested transactions. */
     private Duration typicalTime;
@@ -601,7 +601,7 @@
             node.size = row.size() > 0 ? row.size() : 1;
             if (row.started() != null && row.started().compareTo(node.startedAt) > 0) {
                 node.startedAt = row.started();
-                node.warmUpCreditSeconds = 0;
+                node.warmUpCredit = 0;
             }
             node.group = groups.computeIfAbsent(row.group(), k -> new Group());
             node.lastPrimaryAt =
@@ -1058,7 +1058,7 @@
                         ? node.submissionInterval
                         : now.minus(node.lastSubmissionAt);
         node.lastSubmissionAt = now;
-        node.warmUpCreditSeconds -= toSeconds(transactionWork(transaction.type));
+        node.warmUpCredit -= toSeconds(transactionWork(transaction.type));
         actions.submit(transaction.id, node.index, timeout);
         return true;
     }
@@ -1183,8 +1183,7 @@
         for (Node node : replicas.subList(0, Math.min(maxReplicas, replicas.size()))) {
             if (acceptsSubmission(node, concurrencyLimit(node, transaction))
                     && (!isWarmingUp(node)
-                            || node.warmUpCreditSeconds
-                                    >= toSeconds(transaction.type.typicalTime))) {
+                            || node.warmUpCredit >= toSeconds(transaction.type.typicalTime))) {
                 return node;
             }
         }
@@ -1217,7 +1216,7 @@
      * unresponsive or failing gets single trial transactions at growing intervals.
      */
     private boolean acceptsSubmission(Node node, double limit) {
-        if (!isOpenByList(node) || isWarmingUp(node) && node.warmUpCreditSeconds <= 0) {
+        if (!isOpenByList(node) || isWarmingUp(node) && node.warmUpCredit <= 0) {
             return false;
         }
         if (isOnTrial(node)) {
@@ -1401,7 +1400,7 @@
                 double minLimit =
                         onlyThisNode
                                 ? minConcurrency
-                                : Math.max(minConcurrency, peakPendingPerNode * node.size);
+                                : Math.max(minConcurrency, peakPending * node.size);
                 node.concurrencyLimit =
                         Math.max(
                                 Math.min(node.concurrencyLimit, minLimit),
@@ -1439,7 +1438,7 @@
             node.concurrencyLimit =
                     Math.max(node.concurrencyLimit, INITIAL_CONCURRENCY / settings.routerCount());
             node.startedAt = stayedRunning ? node.startedAt : max(node.startedAt, now);
-            node.warmUpCreditSeconds = 0;
+            node.warmUpCredit = 0;
         }
         connectionShortageAt = node.probeFailed || !node.refusedAtOnce ? connectionShortageAt : now;
         node.probeFailed = false;
@@ -1581,13 +1580,13 @@
         if (now.compareTo(lastTickAt.plus(tickInterval)) < 0) {
             return;
         }
-        double elapsedSeconds = toSeconds(now.minus(lastTickAt));
+        double seconds = toSeconds(now.minus(lastTickAt));
         lastTickAt = now;
         actions.scheduleWakeUp(tickInterval);
         double warmSize = 0;
         double warmingSize = 0;
         double totalSize = 0;
-        double doublingConnectTimeouts =
+        double doubleAfter =
                 Math.max(
                         MIN_DOUBLING_CONNECT_TIMEOUTS,
                         settings.routerCount() / ROUTERS_PER_DOUBLING_CONNECT_TIMEOUT);
@@ -1613,24 +1612,20 @@
                             : 0;
             if (node.concurrencyLimit < 1) {
                 node.concurrencyLimit *=
-                        Math.pow(
-                                2,
-                                elapsedSeconds
-                                        / (toSeconds(settings.connectTimeout())
-                                                * doublingConnectTimeouts));
+                        Math.pow(2, seconds / (toSeconds(settings.connectTimeout()) * doubleAfter));
             }
         }
         medianFailureRate = Durations.median(failureRates);
         medianSlaRatio = Durations.median(slaRatios);
-        double decay = capacityEstimate.kept(elapsedSeconds);
-        peakPendingPerNode =
+        double decay = capacityEstimate.kept(seconds);
+        peakPending =
                 warmSize > 0 && medianSlaRatio < OVERLOAD_SLA_RATIO
-                        ? Math.max(peakPendingPerNode * decay, pending / warmSize)
-                        : peakPendingPerNode;
+                        ? Math.max(peakPending * decay, pending / warmSize)
+                        : peakPending;
         boolean noOverload =
                 slaRatios.isEmpty() || slaRatios.get(slaRatios.size() - 1) < OVERLOAD_SLA_RATIO / 2;
         capacityEstimate.beat(
-                elapsedSeconds,
+                seconds,
                 new Reckoning.Seen(
                         warmSize,
                         warmingSize,
@@ -1638,30 +1633,29 @@
                         acceptedPerSecond,
                         toSeconds(typicalTime),
                         noOverload,
-                        peakPendingPerNode > 0));
+                        peakPending > 0));
         acceptedPerSecond +=
-                Math.min(1, elapsedSeconds)
-                        * (acceptedSinceTick / elapsedSeconds - acceptedPerSecond);
+                Math.min(1, seconds) * (acceptedSinceTick / seconds - acceptedPerSecond);
         acceptedSinceTick = 0;
-        double requestedSeconds = 0;
+        double work = 0;
         double transactions = 0;
-        double stallingSeconds = 0;
-        double currentReadSeconds = 0;
+        double stallingWork = 0;
+        double currentReadWork = 0;
         for (TypeState t : types) {
-            requestedSeconds += t.requestedSeconds;
+            work += t.requestedSeconds;
             transactions += t.requestedSeconds / toSeconds(t.typicalTime);
-            stallingSeconds += t.stallsReplication(tightestBound) ? t.requestedSeconds : 0;
-            currentReadSeconds +=
+            stallingWork += t.stallsReplication(tightestBound) ? t.requestedSeconds : 0;
+            currentReadWork +=
                     t.consistency == Consistency.BOUNDED_STALENESS
                                     || t.consistency == Consistency.SESSION
                             ? t.requestedSeconds
                             : 0;
             t.requestedSeconds *= decay;
         }
-        stallingWorkShare = stallingSeconds / Math.max(1e-9, stallingSeconds + currentReadSeconds);
+        stallingWorkShare = stallingWork / Math.max(1e-9, stallingWork + currentReadWork);
         typicalTime =
                 transactions > 0
-                        ? Duration.ofNanos((long) (requestedSeconds / transactions * 1e9))
+                        ? Duration.ofNanos((long) (work / transactions * 1e9))
                         : longestTypicalTime();
         for (Tenant t : tenants) {
             double tenantRate =
@@ -1671,15 +1665,15 @@
             t.credit =
                     Math.min(
                             Math.max(MIN_TENANT_BURST_TRANSACTIONS, tenantRate),
-                            t.credit + tenantRate * elapsedSeconds);
+                            t.credit + tenantRate * seconds);
         }
         if (now.compareTo(nextWarmUpGrantAt) >= 0) {
-            double typicalSeconds = toSeconds(typicalTime);
-            Duration window = multiply(settings.overloadTime(), WARM_UP_GRANT_INTERVAL_SHARE);
+            double typical = toSeconds(typicalTime);
+            Duration window = multiply(settings.overloadTime(), WARM_UP_GRANT_SHARE);
             nextWarmUpGrantAt = now.plus(window);
             for (Node node : nodes) {
                 if (isWarmingUp(node)) {
-                    double safeRate =
+                    double maxRate =
                             capacityShare(node)
                                     * capacityEstimate.rate()
                                     * node.size
@@ -1688,16 +1682,12 @@
                     // Unused credit expires at random, on average after the time in which excess
                     // load overloads a node, so that many routers that spend their credit at once
                     // send no more than was granted in that time.
-                    boolean expires = random.nextDouble() < WARM_UP_GRANT_INTERVAL_SHARE;
+                    boolean expires = random.nextDouble() < WARM_UP_GRANT_SHARE;
                     double granted =
-                            Math.floor(
-                                    safeRate * toSeconds(window) / typicalSeconds
-                                            + random.nextDouble());
-                    node.warmUpCreditSeconds =
-                            (expires
-                                            ? Math.min(0, node.warmUpCreditSeconds)
-                                            : node.warmUpCreditSeconds)
-                                    + granted * typicalSeconds;
+                            Math.floor(maxRate * toSeconds(window) / typical + random.nextDouble());
+                    node.warmUpCredit =
+                            (expires ? Math.min(0, node.warmUpCredit) : node.warmUpCredit)
+                                    + granted * typical;
                 }
             }
         }
