--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -1586,6 +1586,7 @@
         double warmSize = 0;
         double warmingSize = 0;
         double totalSize = 0;
+        // Connect timeouts in which a concurrency limit below 1 doubles.
         double doubleAfter =
                 Math.max(
                         MIN_DOUBLING_CONNECT_TIMEOUTS,
