--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -257,7 +257,7 @@
         if (ledger != null) {
             ledger.discovery(false);
         }
-        decide.listFailed();
+        decide.memberListFailed();
     }
 
     @Override
@@ -378,7 +378,7 @@
         if (ledger != null) {
             ledger.probed(node, answered, report, clock.now());
         }
-        decide.probed(node, answered, believed(node, report));
+        decide.probeCompleted(node, answered, believed(node, report));
     }
 
     // ---- what others say
@@ -433,19 +433,19 @@
 
     @Override
     public HealthObservation sees(int node) {
-        return decide.sees(node);
+        return decide.observeHealth(node);
     }
 
     @Override
     public void doubted(int node, boolean doubted) {
         tick();
-        decide.doubted(node, doubted);
+        decide.setSuspected(node, doubted);
     }
 
     @Override
     public void better(int node) {
         tick();
-        decide.better(node);
+        decide.advanceTrial(node);
     }
 
     // ---- results of the module
@@ -471,7 +471,7 @@
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         fleet.release(node);
     }
 
@@ -499,7 +499,7 @@
                             neighbours.beat(clock.now());
                         }
                         if (ledger != null) {
-                            ledger.beat(clock.now(), members.indices(), decide::sees);
+                            ledger.beat(clock.now(), members.indices(), decide::observeHealth);
                         }
                         forget();
                     } catch (RuntimeException fault) {
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -94,7 +94,7 @@
         }
         answered = true;
         desk.tick();
-        handle.left();
+        handle.clientDisconnected();
         releaseIfOver();
     }
 
@@ -105,7 +105,7 @@
      */
     public boolean stands(int node) {
         desk.tick();
-        return !answered && desk.may(this, node) && handle.stands(node);
+        return !answered && desk.may(this, node) && handle.maySend(node);
     }
 
     /**
--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -33,11 +33,11 @@
  * dillfront.routing.api} holds its interface types.
  *
  * <p>The caller sets the clock with {@link #setTime}, then makes one call per event: {@link
- * #updateMembers}, {@link #accept}, {@link #probed}, {@link #onWakeUp}, and on the {@link
+ * #updateMembers}, {@link #accept}, {@link #probeCompleted}, {@link #onWakeUp}, and on the {@link
  * TransactionHandle} of a transaction {@link TransactionHandle#submissionEnded} and {@link
- * TransactionHandle#left}. The instance requests its actions from the {@link RoutingActions} during
- * the call. Times are durations since the zero of log positions, so that positions and times
- * compare directly.
+ * TransactionHandle#clientDisconnected}. The instance requests its actions from the {@link
+ * RoutingActions} during the call. Times are durations since the zero of log positions, so that
+ * positions and times compare directly.
  *
  * <p>Writes and strongly consistent reads go to the primary. Other reads go to the least loaded
  * replica that is known to be current enough, and a limited share of them to the primary while its
@@ -243,7 +243,7 @@
 
         TypeState(TransactionType transactionType, Duration eventualBound) {
             settings = transactionType;
-            consistency = transactionType.read();
+            consistency = transactionType.consistency();
             stalenessBound =
                     consistency == Consistency.EVENTUAL
                             ? eventualBound
@@ -521,7 +521,7 @@
         tightestBound = null;
         for (TransactionType type : next.transactionTypes()) {
             Duration bound =
-                    type.read() != Consistency.BOUNDED_STALENESS
+                    type.consistency() != Consistency.BOUNDED_STALENESS
                             ? tightestBound
                             : type.stalenessBound();
             tightestBound = tightestBound == null ? bound : min(bound, tightestBound);
@@ -650,7 +650,7 @@
     }
 
     /** Records that the member list's subscription failed, so that it is requested again. */
-    public void listFailed() {
+    public void memberListFailed() {
         watchingMemberList = false;
     }
 
@@ -859,7 +859,7 @@
                     && node.submissionInterval.compareTo(
                                     multiply(typicalTime, READ_TIMEOUT_TYPICAL_TIMES))
                             > 0) {
-                actions.release(node.index);
+                actions.closeIdleConnections(node.index);
             }
         }
 
@@ -881,7 +881,7 @@
         }
 
         @Override
-        public boolean stands(int nodeIndex) {
+        public boolean maySend(int nodeIndex) {
             Node node = nodes.get(nodeIndex);
             boolean outdated =
                     type.consistency == Consistency.STRONG
@@ -895,7 +895,7 @@
         }
 
         @Override
-        public void left() {
+        public void clientDisconnected() {
             finished = true;
             group.queue.remove(this);
         }
@@ -1486,7 +1486,7 @@
      * Sets whether peers suspect a node, as found by gossip. A suspected node gets one trial
      * transaction after one to two connect timeouts, and its own answer ends the suspicion.
      */
-    public void doubted(int nodeIndex, boolean suspected) {
+    public void setSuspected(int nodeIndex, boolean suspected) {
         Node node = nodes.get(nodeIndex);
         if (suspected && !node.suspected) {
             node.nextTrialAt =
@@ -1501,7 +1501,7 @@
      * Records that peers got answers from the node again: advances its next trial to a random
      * moment within one connect timeout, so that routers do not all send trials at once.
      */
-    public void better(int nodeIndex) {
+    public void advanceTrial(int nodeIndex) {
         Node node = nodes.get(nodeIndex);
         node.nextTrialAt =
                 min(
@@ -1513,7 +1513,7 @@
      * Returns the health of a node as this router observes it. Suspicion by peers shortens the time
      * limit for answers here, but is not returned as this router's own evidence.
      */
-    public HealthObservation sees(int nodeIndex) {
+    public HealthObservation observeHealth(int nodeIndex) {
         Node node = nodes.get(nodeIndex);
         boolean unresponsive =
                 !isTrusted(node)
@@ -1764,7 +1764,7 @@
     }
 
     /** Records the result of a health check. */
-    public void probed(int nodeIndex, boolean answered, NodeReport report) {
+    public void probeCompleted(int nodeIndex, boolean answered, NodeReport report) {
         Node node = nodes.get(nodeIndex);
         node.probePending = false;
         node.probeFailed |= node.unreachable && !answered;
--- a/src/main/java/dillfront/routing/api/RoutingActions.java
+++ b/src/main/java/dillfront/routing/api/RoutingActions.java
@@ -18,7 +18,7 @@
     void reportUnknownOutcome(int transaction);
 
     /** Closes the idle connections to a node. */
-    void release(int node);
+    void closeIdleConnections(int node);
 
     /** Sends a health check to a node. */
     void probe(int node);
--- a/src/main/java/dillfront/routing/api/TransactionHandle.java
+++ b/src/main/java/dillfront/routing/api/TransactionHandle.java
@@ -29,8 +29,8 @@
      * Checks again whether a submission may be sent after it waited for a new connection. If not,
      * the adapter drops it and reports {@link SubmissionResult#UNSENT}.
      */
-    boolean stands(int node);
+    boolean maySend(int node);
 
     /** Records that the client disconnected and needs no answer. */
-    void left();
+    void clientDisconnected();
 }
--- a/src/main/java/dillfront/routing/api/TransactionType.java
+++ b/src/main/java/dillfront/routing/api/TransactionType.java
@@ -18,7 +18,7 @@
         Repeatability repeatability,
         boolean deduplicatedByGroup,
         Duration deduplicationWindow,
-        Consistency read,
+        Consistency consistency,
         Duration stalenessBound,
         Duration slaTime,
         Duration totalClientTimeout,
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -89,8 +89,8 @@
         engine.updateMembers(complete, rows);
     }
 
-    void listFailed() {
-        engine.listFailed();
+    void memberListFailed() {
+        engine.memberListFailed();
     }
 
     void requestArrived(SimulatorEvent event) throws InvalidInputException {
@@ -162,7 +162,7 @@
         if (slot != null) {
             Transaction transaction = slots.get(slot);
             transaction.answered = true;
-            transaction.handle.left();
+            transaction.handle.clientDisconnected();
             releaseIfFinished(slot);
         }
     }
@@ -170,7 +170,7 @@
     void probeAnswered(SimulatorEvent event) throws InvalidInputException {
         Integer node = nodes.get(event.node);
         if (node != null) {
-            engine.probed(node, event.result() == SubmissionResult.COMMITTED, event.report);
+            engine.probeCompleted(node, event.result() == SubmissionResult.COMMITTED, event.report);
         }
     }
 
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         write("DropConns", () -> replyWriter.writeStringField("node", nodeIds.get(node)));
     }
 
--- a/src/main/java/dillfront/routing/simulator/SimulatorServer.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorServer.java
@@ -116,7 +116,7 @@
             case "Topology" -> {
                 SimulatedRouter router = router(batchTimeUs);
                 if (event.scope == 3) {
-                    router.listFailed();
+                    router.memberListFailed();
                     return;
                 }
                 List<Tree> rows = memberLists.get(event.buffer);
--- a/src/main/java/dillfront/simulation/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -348,7 +348,7 @@
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {
@@ -356,7 +356,7 @@
                     2 * WIRE,
                     () -> {
                         decide.setTime(span(now));
-                        decide.probed(
+                        decide.probeCompleted(
                                 node,
                                 true,
                                 new NodeReport(
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -709,7 +709,7 @@
                     decide.setTime(world.now);
                     if (one.ask.answer == null
                             && !others.contains(one.ask.key)
-                            && one.ask.handle.stands(one.node)) {
+                            && one.ask.handle.maySend(one.node)) {
                         goes(one);
                     } else {
                         world.answered(one, SubmissionResult.UNSENT);
@@ -777,7 +777,7 @@
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {}
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -391,7 +391,7 @@
                         decide.setTime(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.sees(script.hung).isFaulty()) {
+                                && decide.observeHealth(script.hung).isFaulty()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
@@ -410,7 +410,7 @@
 
         @Override
         public HealthObservation sees(int node) {
-            return decide.sees(node);
+            return decide.observeHealth(node);
         }
 
         @Override
@@ -420,13 +420,13 @@
                 doubts = doubted;
             }
             decide.setTime(time.now());
-            decide.doubted(node, doubted);
+            decide.setSuspected(node, doubted);
         }
 
         @Override
         public void better(int node) {
             decide.setTime(time.now());
-            decide.better(node);
+            decide.advanceTrial(node);
         }
 
         @Override
@@ -486,7 +486,7 @@
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         /** A hung node answers no probe either. */
         @Override
@@ -498,7 +498,7 @@
                         decide.setTime(time.now());
                         NodeRole role =
                                 node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
-                        decide.probed(
+                        decide.probeCompleted(
                                 node,
                                 answers,
                                 answers
--- a/src/test/java/dillfront/routing/RoutingEngineTest.java
+++ b/src/test/java/dillfront/routing/RoutingEngineTest.java
@@ -294,9 +294,9 @@
         configured.comment("node 1 forgotten now: " + configured.engine.forgetNode(1));
         configured.runUntraced(
                 () -> {
-                    configured.engine.probed(1, false, NodeReport.EMPTY);
+                    configured.engine.probeCompleted(1, false, NodeReport.EMPTY);
                     configured.advanceTo(configured.millis + 17_000);
-                    configured.engine.probed(1, false, NodeReport.EMPTY);
+                    configured.engine.probeCompleted(1, false, NodeReport.EMPTY);
                 });
         configured.comment(
                 "and 17 s later: "
@@ -534,7 +534,7 @@
         configured.reportNode(2, 25, REPLICA);
         configured.accept(BOUNDED_READ);
         configured.accept(BOUNDED_READ);
-        configured.engine.listFailed();
+        configured.engine.memberListFailed();
         configured.advanceTo(3000);
         configured.assertTraceEquals("asked-list");
     }
@@ -570,7 +570,7 @@
         harness.advanceTo(9000);
         harness.comment(
                 "at 9000 its first probe is lost as well, the next is answered: it still is the primary");
-        harness.engine.probed(0, false, NodeReport.EMPTY);
+        harness.engine.probeCompleted(0, false, NodeReport.EMPTY);
         harness.advanceTo(9250);
         harness.reportNode(0, 9240, PRIMARY);
         int[] sentToNode = new int[2];
--- a/src/test/java/dillfront/routing/RoutingHarness.java
+++ b/src/test/java/dillfront/routing/RoutingHarness.java
@@ -226,7 +226,7 @@
 
     /** Delivers a node's report as the answer to a probe. */
     void reportNode(int node, long positionMillis, NodeRole role) {
-        engine.probed(node, true, new NodeReport(millis(positionMillis), role));
+        engine.probeCompleted(node, true, new NodeReport(millis(positionMillis), role));
     }
 
     /** Runs steps without recording them in the trace. */
@@ -265,7 +265,7 @@
 
     /** Opens the connection for a submission late; the submission ends unsent if it is outdated. */
     void openConnection(int transaction) {
-        boolean maySend = handles.get(transaction).stands(submittedTo.get(transaction));
+        boolean maySend = handles.get(transaction).maySend(submittedTo.get(transaction));
         record(
                 "%s connected to node %d: %s",
                 names.get(transaction),
@@ -346,7 +346,7 @@
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         record("free connections to node %d closed", node);
     }
 
