--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -7,7 +7,7 @@
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.environment.RingLog;
 import dillfront.common.logging.Log;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.ControlNode;
 import dillfront.router.Signals;
 import java.io.IOException;
@@ -26,17 +26,17 @@
      *
      * @throws InvalidSettingsException with the file, the place and the fault
      * @throws IOException where an address cannot be listened on
-     * @throws TextStore.StorageException where the data directory cannot be used
+     * @throws KeyValueStore.StorageException where the data directory cannot be used
      */
     public static void run(SettingsSource source)
-            throws InvalidSettingsException, IOException, TextStore.StorageException {
+            throws InvalidSettingsException, IOException, KeyValueStore.StorageException {
         NodeSettings settings = source.read();
         Log log = new Log(System.err);
         if (settings.controlAddress() == null || settings.dataDirectory() == null) {
             throw new InvalidSettingsException(
                     "no control_address or no data_directory, which a control plane needs");
         }
-        TextStore store = TextStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
+        KeyValueStore store = KeyValueStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
         NettyEnvironment environment =
                 new NettyEnvironment(
                         System.nanoTime() ^ settings.nodeName().hashCode(),
--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -2,7 +2,7 @@
 
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.logging.Log;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.storage.StateStore;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -14,7 +14,7 @@
  */
 final class FileStateStore implements StateStore {
 
-    private final TextStore store;
+    private final KeyValueStore store;
     private final Map<String, String> initialState;
     private final NettyEnvironment environment;
     private final Log log;
@@ -26,7 +26,7 @@
                         return thread;
                     });
 
-    FileStateStore(TextStore store, NettyEnvironment environment, Log log) {
+    FileStateStore(KeyValueStore store, NettyEnvironment environment, Log log) {
         this.store = store;
         this.environment = environment;
         this.log = log;
@@ -36,7 +36,7 @@
             log.warn("disk", "fault", "damaged; what it held is not relied on");
             initialState = Map.of();
         } else {
-            initialState = store.texts();
+            initialState = store.entries();
         }
     }
 
@@ -56,7 +56,7 @@
         try {
             store.put(texts);
             environment.eventLoop().execute(() -> done.complete(null));
-        } catch (TextStore.StorageException | IllegalArgumentException bad) {
+        } catch (KeyValueStore.StorageException | IllegalArgumentException bad) {
             environment
                     .eventLoop()
                     .execute(
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.NettyEnvironment;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -28,7 +28,9 @@
 
     /** Runs both programs once and exercises the paths that a first client takes. */
     public static void run()
-            throws IOException, NodeSettings.InvalidSettingsException, TextStore.StorageException {
+            throws IOException,
+                    NodeSettings.InvalidSettingsException,
+                    KeyValueStore.StorageException {
         Path folder = Files.createTempDirectory("rehearsal");
         int[] port = new int[4];
         for (int i = 0; i < port.length; i++) {
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/Commands.java
@@ -3,7 +3,7 @@
 import dillfront.common.network.Address;
 import dillfront.router.operator.Operator;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
@@ -212,7 +212,7 @@
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             int made = secret(file, KeyFile.text(pair.getPrivate()));
             if (made == 0) {
-                System.out.println(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
+                System.out.println(HexFormat.of().formatHex(PeerRegistry.rawKey(pair.getPublic())));
             }
             return made;
         }
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -5,7 +5,7 @@
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
 import dillfront.common.logging.Silence;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.router.Daemon;
 import dillfront.router.Rehearsal;
 import dillfront.router.config.BadConfig;
@@ -65,7 +65,7 @@
         } catch (Operator.BadOperator bad) {
             System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException bad) {
+        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
         } catch (InvalidInputException bad) {
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -14,12 +14,12 @@
 import dillfront.router.exchange.Asker;
 import dillfront.router.exchange.Desk;
 import dillfront.router.exchange.Exchange;
-import dillfront.router.pace.Pace;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
-import dillfront.router.peers.Telling;
+import dillfront.router.pace.LoopLagMonitor;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.peers.PeerRestrictionSync;
 import dillfront.router.pgwire.Statement;
-import dillfront.router.recovery.Doubts;
+import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.HealthObservation;
 import dillfront.routing.api.NodeReport;
@@ -48,8 +48,8 @@
                 Desk,
                 Fleet.Listener,
                 Watch.Listener,
-                Neighbours.Decisions,
-                Telling.Lists {
+                PeerHealthExchange.RoutingDecisions,
+                PeerRestrictionSync.ClosedNodeLists {
 
     /** The part of the memory that one answer may take: 2 MB where it is 128. */
     private static final int LONGEST_PART = 64;
@@ -59,7 +59,7 @@
     private final Counters counters;
     private final Log log;
     private final EventLoop loop;
-    private final Pace pace;
+    private final LoopLagMonitor pace;
 
     /** Of its own delay, what the module has been told. */
     private Duration told = Duration.ZERO;
@@ -82,7 +82,7 @@
     private final List<Integer> free = new ArrayList<>();
 
     /** Null where gossip is off. */
-    private Neighbours neighbours;
+    private PeerHealthExchange neighbours;
 
     /** How many others say that their lists have closed anything. */
     private int telling;
@@ -102,7 +102,7 @@
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new Pace(setup.settings().clockStep());
+        pace = new LoopLagMonitor(setup.settings().clockStep());
         members = new MemberList(setup, clock, log);
         fleet =
                 new Fleet(
@@ -160,7 +160,7 @@
     }
 
     /** Others' words on nodes come through these. Before the first list. */
-    void hears(Neighbours others) {
+    void hears(PeerHealthExchange others) {
         neighbours = others;
     }
 
@@ -175,7 +175,7 @@
     void settings(Setup next) {
         tick();
         setup = next;
-        pace.step(next.settings().clockStep());
+        pace.setStep(next.settings().clockStep());
         members.settings(next);
         fleet.settings(next);
         decide.applySettings(next.settings());
@@ -189,7 +189,7 @@
     @Override
     public void tick() {
         Duration now = clock.now();
-        Duration behind = pace.behind(now);
+        Duration behind = pace.totalLag(now);
         decide.setTime(now);
         if (behind.compareTo(told) > 0) {
             decide.recordPause(behind.minus(told));
@@ -197,7 +197,7 @@
         }
     }
 
-    Pace pace() {
+    LoopLagMonitor pace() {
         return pace;
     }
 
@@ -217,7 +217,7 @@
         }
         decide.updateMembers(list.flag("reset"), rows);
         if (neighbours != null) {
-            read.forEach(m -> neighbours.known(m.row().node(), m.id()));
+            read.forEach(m -> neighbours.addNode(m.row().node(), m.id()));
         }
         if (ledger != null) {
             ledger.listed(read);
@@ -233,7 +233,7 @@
                     if (over) {
                         fleet.forget(node);
                         if (neighbours != null) {
-                            neighbours.forget(node);
+                            neighbours.removeNode(node);
                         }
                         if (ledger != null) {
                             ledger.forget(node);
@@ -279,7 +279,7 @@
                         && statement.mark != 0
                         && setup.settings().transactionTypes().get(type).repeatability()
                                 == Repeatability.DEDUPLICATED;
-        long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
+        long key = marked ? InDoubtKeys.hash(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
         }
@@ -395,14 +395,14 @@
 
     /** What is closed elsewhere by lists that have not come here yet is closed here too. */
     @Override
-    public void witnessed(Witnesses witnesses) {
+    public void peerReportsChanged(Witnesses witnesses) {
         telling = witnesses.telling();
         List<Witnesses.Word> newer = witnesses.newerThan(members.latest());
         if (newer.isEmpty()) {
             return;
         }
         Map<Long, String> ids = new HashMap<>();
-        members.ids().forEach(id -> ids.put(Ring.hash(id), id));
+        members.ids().forEach(id -> ids.put(PeerRegistry.hash(id), id));
         List<Member> closed = new ArrayList<>();
         for (Witnesses.Word word : newer) {
             String id = ids.get(word.node());
@@ -432,12 +432,12 @@
     }
 
     @Override
-    public HealthObservation sees(int node) {
+    public HealthObservation observeHealth(int node) {
         return decide.observeHealth(node);
     }
 
     @Override
-    public void doubted(int node, boolean doubted) {
+    public void setSuspected(int node, boolean doubted) {
         tick();
         decide.setSuspected(node, doubted);
     }
@@ -486,17 +486,17 @@
 
     @Override
     public void scheduleWakeUp(Duration in) {
-        pace.expect(clock.now().plus(in));
+        pace.expectTick(clock.now().plus(in));
         loop.schedule(
                 () -> {
                     try {
                         tick();
-                        pace.came(clock.now());
+                        pace.recordTick(clock.now());
                         counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longest().toMillis());
+                                Math.max(counters.longestTurnMs, pace.longestLag().toMillis());
                         decide.onWakeUp();
                         if (neighbours != null) {
-                            neighbours.beat(clock.now());
+                            neighbours.tick(clock.now());
                         }
                         if (ledger != null) {
                             ledger.beat(clock.now(), members.indices(), decide::observeHealth);
--- a/src/main/java/dillfront/router/backend/Call.java
+++ b/src/main/java/dillfront/router/backend/Call.java
@@ -51,7 +51,7 @@
 
     Call(Pool pool) {
         this.pool = pool;
-        behindAtStart = pool.fleet.pace.behind(pool.fleet.clock.now());
+        behindAtStart = pool.fleet.pace.totalLag(pool.fleet.clock.now());
     }
 
     /** Whether it may still be sent, after it had to wait for a connection. */
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -6,7 +6,7 @@
 import dillfront.router.config.Setup;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.exchange.Submitter;
-import dillfront.router.pace.Pace;
+import dillfront.router.pace.LoopLagMonitor;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRole;
@@ -43,7 +43,7 @@
 
     Setup setup;
     final Clock clock;
-    final Pace pace;
+    final LoopLagMonitor pace;
     final Counters counters;
     final Log log;
 
@@ -77,7 +77,7 @@
     public Fleet(
             Setup setup,
             Clock clock,
-            Pace pace,
+            LoopLagMonitor pace,
             Counters counters,
             Log log,
             EventLoop loop,
@@ -124,7 +124,7 @@
      * sockets are ready at once, and discovery's is one among hundreds.
      */
     void look() {
-        if (pace.sure(clock.now())) {
+        if (pace.isSocketDataRead(clock.now())) {
             return;
         }
         long now = System.nanoTime();
@@ -258,7 +258,7 @@
         if (call.ended) {
             return;
         }
-        if (!call.lastLook && !pace.believes(call.behindAtStart, clock.now())) {
+        if (!call.lastLook && !pace.isTimeLimitValid(call.behindAtStart, clock.now())) {
             // After the next look at all sockets.
             call.lastLook = true;
             loop.schedule(() -> late(call), 0, TimeUnit.NANOSECONDS);
--- a/src/main/java/dillfront/router/gossip/Members.java
+++ b/src/main/java/dillfront/router/gossip/MembershipList.java
@@ -18,7 +18,7 @@
  * <p>Rows are by index in the ring of those who may speak, so the table is as long as the ring and
  * no longer.
  */
-public final class Members {
+public final class MembershipList {
 
     /** What this instance holds of another. */
     public enum State {
@@ -29,24 +29,24 @@
         LEFT;
 
         /** It is there, or only suspected not to be. */
-        boolean present() {
+        boolean isPresent() {
             return this == ALIVE || this == SUSPECT;
         }
     }
 
     /** Accusers beyond the first that shorten a suspicion (Lifeguard, section IV-B). */
-    private static final int ACCUSERS = 3;
+    private static final int MAX_EXTRA_ACCUSERS = 3;
 
     /**
      * The shortest suspicion, in periods times the base-ten logarithm of the number of instances.
      */
-    private static final double SUSPICION = 3;
+    private static final double MIN_SUSPICION_PERIODS = 3;
 
     /** The longest, in shortest ones. */
-    private static final double SUSPICION_LONGEST = 5;
+    private static final double MAX_SUSPICION_MULTIPLE = 5;
 
     /** Local health runs from zero, well, to this (Lifeguard, section IV-A). */
-    private static final int WORST = 8;
+    private static final int MAX_HEALTH_SCORE = 8;
 
     /** One row an instance. */
     static final class Peer {
@@ -54,7 +54,7 @@
         int incarnation = -1;
 
         /** The last word of its own that it is there; passed on to those who ask for the table. */
-        Word alive;
+        GossipUpdate aliveUpdate;
 
         /** Own time at which the state began. */
         Duration since = Duration.ZERO;
@@ -66,27 +66,27 @@
     private final Peer[] peers;
     private final int self;
     private final Duration period;
-    private int there = 1;
-    private int gone;
-    private int ill;
+    private int alive = 1;
+    private int goneCount;
+    private int healthScore;
     private final List<Integer> suspects = new ArrayList<>();
 
     /** The order of probing: all that are there, mixed anew after each round. */
-    private final List<Integer> round = new ArrayList<>();
+    private final List<Integer> probeRound = new ArrayList<>();
 
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
 
-    Members(int instances, int self, Duration period, RandomGenerator chance) {
+    MembershipList(int instances, int self, Duration period, RandomGenerator random) {
         peers = new Peer[instances];
         this.self = self;
         this.period = period;
-        this.chance = chance;
+        this.random = random;
         Peer own = new Peer();
         own.state = State.ALIVE;
         peers[self] = own;
     }
 
-    Peer row(int peer) {
+    Peer entry(int peer) {
         if (peers[peer] == null) {
             peers[peer] = new Peer();
         }
@@ -102,13 +102,13 @@
     }
 
     /** How many are there by this instance's knowledge, suspects and itself included. */
-    public int there() {
-        return there;
+    public int alive() {
+        return alive;
     }
 
     /** How many are held gone. */
-    public int gone() {
-        return gone;
+    public int goneCount() {
+        return goneCount;
     }
 
     /** How many may speak. */
@@ -117,25 +117,25 @@
     }
 
     /** How ill this instance holds itself: zero is well. */
-    public int ill() {
-        return ill;
+    public int healthScore() {
+        return healthScore;
     }
 
     /** Spans that depend on this instance's own health grow with its illness. */
-    Duration patient(Duration span) {
-        return span.multipliedBy(1 + ill);
+    Duration scaleByHealth(Duration duration) {
+        return duration.multipliedBy(1 + healthScore);
     }
 
     /**
      * A probe failed, this instance was away, or others accuse it: it doubts itself first. Guards
      * against a slow router that condemns all others because it reads their acks too late.
      */
-    void worse(int by) {
-        ill = Math.min(WORST, ill + by);
+    void degradeHealth(int points) {
+        healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + points);
     }
 
-    void better() {
-        ill = Math.max(0, ill - 1);
+    void improveHealth() {
+        healthScore = Math.max(0, healthScore - 1);
     }
 
     /**
@@ -145,30 +145,35 @@
      *
      * @return whether anything changed
      */
-    boolean there(int peer, int incarnation, Word alive, Duration now) {
-        Peer p = row(peer);
-        if (incarnation < p.incarnation || peer == self) {
+    boolean alive(int peer, int incarnation, GossipUpdate aliveUpdate, Duration now) {
+        Peer entry = entry(peer);
+        if (incarnation < entry.incarnation || peer == self) {
             return false;
         }
-        boolean newer = incarnation > p.incarnation;
+        boolean newer = incarnation > entry.incarnation;
         // Its own datagram may have come before the word that others still lack.
-        boolean news = alive != null && (p.alive == null || incarnation > p.alive.incarnation());
+        boolean newUpdate =
+                aliveUpdate != null
+                        && (entry.aliveUpdate == null
+                                || incarnation > entry.aliveUpdate.incarnation());
         boolean changed =
-                newer || p.state == State.UNKNOWN || alive == null && p.state != State.ALIVE;
-        p.alive = news ? alive : p.alive;
-        p.incarnation = incarnation;
+                newer
+                        || entry.state == State.UNKNOWN
+                        || aliveUpdate == null && entry.state != State.ALIVE;
+        entry.aliveUpdate = newUpdate ? aliveUpdate : entry.aliveUpdate;
+        entry.incarnation = incarnation;
         if (changed) {
-            enter(p, peer, State.ALIVE, now);
+            changeState(entry, peer, State.ALIVE, now);
         }
-        return changed || news;
+        return changed || newUpdate;
     }
 
-    void left(int peer, int incarnation, Duration now) {
-        Peer p = row(peer);
-        if (incarnation >= p.incarnation && peer != self) {
-            p.incarnation = incarnation;
-            p.alive = null;
-            enter(p, peer, State.LEFT, now);
+    void markLeft(int peer, int incarnation, Duration now) {
+        Peer entry = entry(peer);
+        if (incarnation >= entry.incarnation && peer != self) {
+            entry.incarnation = incarnation;
+            entry.aliveUpdate = null;
+            changeState(entry, peer, State.LEFT, now);
         }
     }
 
@@ -178,45 +183,46 @@
      *
      * @return whether that was new
      */
-    boolean accused(int peer, int incarnation, int by, Duration now) {
-        Peer p = row(peer);
-        if (incarnation != p.incarnation || !p.state.present()) {
+    boolean recordAccusation(int peer, int incarnation, int accuser, Duration now) {
+        Peer entry = entry(peer);
+        if (incarnation != entry.incarnation || !entry.state.isPresent()) {
             return false;
         }
-        if (p.state == State.ALIVE) {
-            enter(p, peer, State.SUSPECT, now);
-            p.accusers = new int[] {by};
+        if (entry.state == State.ALIVE) {
+            changeState(entry, peer, State.SUSPECT, now);
+            entry.accusers = new int[] {accuser};
             suspects.add(peer);
         } else {
-            for (int one : p.accusers) {
-                if (one == by) {
+            for (int known : entry.accusers) {
+                if (known == accuser) {
                     return false;
                 }
             }
-            if (p.accusers.length > ACCUSERS) {
+            if (entry.accusers.length > MAX_EXTRA_ACCUSERS) {
                 return false;
             }
-            p.accusers = Arrays.copyOf(p.accusers, p.accusers.length + 1);
-            p.accusers[p.accusers.length - 1] = by;
+            entry.accusers = Arrays.copyOf(entry.accusers, entry.accusers.length + 1);
+            entry.accusers[entry.accusers.length - 1] = accuser;
         }
         return true;
     }
 
     /** Those whose time to speak up is over. */
-    void condemn(Duration now) {
+    void expireSuspicions(Duration now) {
         for (int i = suspects.size() - 1; i >= 0; i--) {
             int peer = suspects.get(i);
-            Peer p = peers[peer];
-            if (now.compareTo(p.since.plus(patient(suspicion(p.accusers.length)))) > 0) {
-                enter(p, peer, State.GONE, now);
+            Peer entry = peers[peer];
+            if (now.compareTo(entry.since.plus(scaleByHealth(suspicionTime(entry.accusers.length))))
+                    > 0) {
+                changeState(entry, peer, State.GONE, now);
             }
         }
     }
 
     /** This instance was away: nobody could speak up to it. */
-    void away(Duration by) {
+    void extendSuspicions(Duration pause) {
         for (int peer : suspects) {
-            peers[peer].since = peers[peer].since.plus(by);
+            peers[peer].since = peers[peer].since.plus(pause);
         }
     }
 
@@ -224,79 +230,82 @@
      * How long a suspect has to speak up: from the longest down to the shortest with the logarithm
      * of accusers.
      */
-    private Duration suspicion(int accusers) {
-        double shortest = SUSPICION * Math.max(1, Math.log10(there + 1));
-        double longest = shortest * SUSPICION_LONGEST;
-        double part = Math.log(accusers) / Math.log(ACCUSERS + 1);
-        return multiply(period, longest - (longest - shortest) * Math.min(1, part));
+    private Duration suspicionTime(int accusers) {
+        double shortest = MIN_SUSPICION_PERIODS * Math.max(1, Math.log10(alive + 1));
+        double longest = shortest * MAX_SUSPICION_MULTIPLE;
+        double shortening = Math.log(accusers) / Math.log(MAX_EXTRA_ACCUSERS + 1);
+        return multiply(period, longest - (longest - shortest) * Math.min(1, shortening));
     }
 
-    private void enter(Peer p, int peer, State state, Duration now) {
-        boolean was = p.state.present();
-        boolean is = state.present();
-        there += (is ? 1 : 0) - (was ? 1 : 0);
-        gone += (state == State.GONE ? 1 : 0) - (p.state == State.GONE ? 1 : 0);
-        if (p.state == State.SUSPECT) {
+    private void changeState(Peer entry, int peer, State state, Duration now) {
+        boolean wasPresent = entry.state.isPresent();
+        boolean nowPresent = state.isPresent();
+        alive += (nowPresent ? 1 : 0) - (wasPresent ? 1 : 0);
+        goneCount += (state == State.GONE ? 1 : 0) - (entry.state == State.GONE ? 1 : 0);
+        if (entry.state == State.SUSPECT) {
             suspects.remove((Integer) peer);
-            p.accusers = null;
+            entry.accusers = null;
         }
-        if (is && !was) {
+        if (nowPresent && !wasPresent) {
             // Somewhere in what is left of the round, so that those who come at once are not probed
             // at once.
-            round.add(round.isEmpty() ? 0 : chance.nextInt(round.size() + 1), peer);
+            probeRound.add(probeRound.isEmpty() ? 0 : random.nextInt(probeRound.size() + 1), peer);
         }
-        p.state = state;
-        p.since = now;
+        entry.state = state;
+        entry.since = now;
     }
 
     /** Whose turn it is to be probed: each that is there once a round, or -1 where nobody is. */
-    int next() {
-        while (!round.isEmpty()) {
-            int peer = round.remove(round.size() - 1);
-            if (present(peer)) {
+    int nextToProbe() {
+        while (!probeRound.isEmpty()) {
+            int peer = probeRound.remove(probeRound.size() - 1);
+            if (isPresent(peer)) {
                 return peer;
             }
         }
         for (int peer = 0; peer < peers.length; peer++) {
-            if (peer != self && present(peer)) {
-                round.add(chance.nextInt(round.size() + 1), peer);
+            if (peer != self && isPresent(peer)) {
+                probeRound.add(random.nextInt(probeRound.size() + 1), peer);
             }
         }
-        return round.isEmpty() ? -1 : round.remove(round.size() - 1);
+        return probeRound.isEmpty() ? -1 : probeRound.remove(probeRound.size() - 1);
     }
 
     /** It is there, or only suspected not to be. */
-    public boolean present(int peer) {
-        return state(peer).present();
+    public boolean isPresent(int peer) {
+        return state(peer).isPresent();
     }
 
     /**
      * Up to so many others that are there and not suspect, each once, by chance; never the one that
      * is left out.
      */
-    List<Integer> some(int most, int but) {
-        List<Integer> found = new ArrayList<>(most);
-        int tries = 4 * most + 8;
-        while (found.size() < most && tries-- > 0) {
-            find(chance.nextInt(peers.length), but, found);
+    List<Integer> randomAlive(int count, int excluded) {
+        List<Integer> result = new ArrayList<>(count);
+        int attempts = 4 * count + 8;
+        while (result.size() < count && attempts-- > 0) {
+            addIfAlive(random.nextInt(peers.length), excluded, result);
         }
         // Few are there of many that may be: looked for in order, from a place by chance.
-        int from = chance.nextInt(peers.length);
-        for (int i = 0; found.size() < Math.min(most, there - 1) && i < peers.length; i++) {
-            find((from + i) % peers.length, but, found);
+        int from = random.nextInt(peers.length);
+        for (int i = 0; result.size() < Math.min(count, alive - 1) && i < peers.length; i++) {
+            addIfAlive((from + i) % peers.length, excluded, result);
         }
-        return found;
+        return result;
     }
 
-    private void find(int peer, int but, List<Integer> found) {
-        if (peer != self && peer != but && state(peer) == State.ALIVE && !found.contains(peer)) {
-            found.add(peer);
+    private void addIfAlive(int peer, int excluded, List<Integer> result) {
+        if (peer != self
+                && peer != excluded
+                && state(peer) == State.ALIVE
+                && !result.contains(peer)) {
+            result.add(peer);
         }
     }
 
     /** One that was there once and is held gone, by chance; -1 where there is none. */
-    int goneOne() {
-        int from = chance.nextInt(peers.length);
+    int randomGone() {
+        int from = random.nextInt(peers.length);
         for (int i = 0; i < peers.length; i++) {
             int peer = (from + i) % peers.length;
             if (state(peer) == State.GONE) {
@@ -310,15 +319,15 @@
      * Words of others that they are there, for a table that lacks them: so many, from a place by
      * chance.
      */
-    List<Word> slice(int most) {
-        List<Word> words = new ArrayList<>(most);
-        int from = chance.nextInt(peers.length);
-        for (int i = 0; i < peers.length && words.size() < most; i++) {
-            Peer p = peers[(from + i) % peers.length];
-            if (p != null && p.alive != null && p.state == State.ALIVE) {
-                words.add(p.alive);
+    List<GossipUpdate> aliveUpdates(int count) {
+        List<GossipUpdate> updates = new ArrayList<>(count);
+        int from = random.nextInt(peers.length);
+        for (int i = 0; i < peers.length && updates.size() < count; i++) {
+            Peer entry = peers[(from + i) % peers.length];
+            if (entry != null && entry.aliveUpdate != null && entry.state == State.ALIVE) {
+                updates.add(entry.aliveUpdate);
             }
         }
-        return words;
+        return updates;
     }
 }
--- a/src/main/java/dillfront/router/operator/Operator.java
+++ b/src/main/java/dillfront/router/operator/Operator.java
@@ -1,15 +1,15 @@
 package dillfront.router.operator;
 
 import dillfront.common.network.Address;
-import dillfront.router.gossip.Tuning;
+import dillfront.router.gossip.GossipConfig;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Principal;
 import dillfront.router.identity.Rights;
 import dillfront.router.identity.Rule;
 import dillfront.router.identity.Shares;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
-import dillfront.router.recovery.Doubts;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.recovery.InDoubtKeys;
 import dillfront.router.script.Script;
 import dillfront.router.script.ScriptError;
 import java.io.IOException;
@@ -63,7 +63,7 @@
         InetSocketAddress control,
         IdentityPart identity,
         Path memory,
-        Doubts.Bounds doubts,
+        InDoubtKeys.Limits doubts,
         boolean sites,
         Path file) {
 
@@ -76,11 +76,15 @@
      * @param publicKey what belongs to it: one of this instance's keys in the ring, in hexadecimal
      */
     public record GossipPart(
-            Tuning tuning, Ring ring, Path keyFile, String publicKey, InetSocketAddress bind) {
+            GossipConfig tuning,
+            PeerRegistry ring,
+            Path keyFile,
+            String publicKey,
+            InetSocketAddress bind) {
 
         /** The index of the instance of this name. */
         public int self(String name) throws BadOperator {
-            int self = ring.peer(Ring.hash(name));
+            int self = ring.peer(PeerRegistry.hash(name));
             if (self < 0) {
                 throw new BadOperator("no peer is called '" + name + "', as this instance is");
             }
@@ -88,7 +92,7 @@
                 throw new BadOperator(
                         "peer '" + name + "', which this instance is, has no address");
             }
-            if (!ring.has(self, publicKey)) {
+            if (!ring.hasKey(self, publicKey)) {
                 throw new BadOperator(
                         "'public' of gossip() is none of the keys of peer '" + name + "'");
             }
@@ -98,7 +102,7 @@
         /** After self(): the public key is in the ring. */
         public PrivateKey key() throws BadOperator {
             PrivateKey mine = fromFile();
-            if (!ring.pair(mine, publicKey)) {
+            if (!ring.isKeyPair(mine, publicKey)) {
                 throw new BadOperator(
                         "key " + keyFile + ": does not belong to 'public' of gossip()");
             }
@@ -227,8 +231,8 @@
     /** Collects what the script says. */
     private static final class Saying {
 
-        private final Ring ring = new Ring();
-        private Tuning tuning;
+        private final PeerRegistry ring = new PeerRegistry();
+        private GossipConfig tuning;
         private Path keyFile;
         private String publicKey;
         private InetSocketAddress bind;
@@ -236,7 +240,7 @@
         private final String file;
         private IdentityPart identity;
         private Path memory;
-        private Doubts.Bounds doubts;
+        private InDoubtKeys.Limits doubts;
         private boolean sites;
         private final Map<String, List<RuleText>> roles = new HashMap<>();
         private final List<PrincipalText> principals = new ArrayList<>();
@@ -388,14 +392,14 @@
             if (tuning != null) {
                 throw given.error("", "gossip() is there twice");
             }
-            Tuning usual = Tuning.USUAL;
+            GossipConfig usual = GossipConfig.DEFAULT;
             String key = given.text("key", null);
             publicKey = given.text("public", null);
             Duration period = span(given, "period", usual.period());
             long bytes = number(given, "bytes_per_second", usual.bytesPerSecond(), 500, 1_000_000);
-            long liars = number(given, "liars", usual.liars(), 0, 100);
-            Duration lasts = span(given, "lasts", usual.lasts());
-            long datagram = number(given, "datagram", usual.datagram(), 400, 1400);
+            long liars = number(given, "liars", usual.toleratedLiars(), 0, 100);
+            Duration lasts = span(given, "lasts", usual.claimValidity());
+            long datagram = number(given, "datagram", usual.maxDatagramBytes(), 400, 1400);
             String at = given.text("bind", null);
             given.done();
             bind = at == null ? null : Address.parse(at);
@@ -413,7 +417,7 @@
                 throw given.error("lasts", "claims last less than a period");
             }
             keyFile = Path.of(key);
-            tuning = new Tuning(period, (int) bytes, (int) datagram, (int) liars, lasts);
+            tuning = new GossipConfig(period, (int) bytes, (int) datagram, (int) liars, lasts);
             return null;
         }
 
@@ -454,7 +458,7 @@
                                 "expected a string, or a dict with 'key', 'from' and 'until'");
                     }
                 }
-            } catch (Ring.BadRing bad) {
+            } catch (PeerRegistry.InvalidPeerException bad) {
                 throw given.error("keys", bad.getMessage());
             }
             return null;
@@ -491,7 +495,7 @@
             long most = number(given, "most", 65_536, 16, 1 << 20);
             Duration keeps = span(given, "keeps", Duration.ofMinutes(10));
             given.done();
-            doubts = new Doubts.Bounds((int) most, keeps);
+            doubts = new InDoubtKeys.Limits((int) most, keeps);
             return null;
         }
 
@@ -561,10 +565,10 @@
                                 + ring.size()
                                 + " peers: expected this instance and another");
             }
-            if (3 * tuning.liars() > ring.size()) {
+            if (3 * tuning.toleratedLiars() > ring.size()) {
                 throw new BadOperator(
                         "liars = "
-                                + tuning.liars()
+                                + tuning.toleratedLiars()
                                 + " of "
                                 + ring.size()
                                 + " peers: expected a third at the most");
--- a/src/main/java/dillfront/router/recovery/Doubts.java
+++ b/src/main/java/dillfront/router/recovery/InDoubtKeys.java
@@ -20,116 +20,117 @@
  * <p>A key is kept from before its first send until it is known that it never ran, or until its
  * client has its answer; in doubt it is kept for as long as clients may come again, and bounded in
  * number: what finds no room is not taken at all. Guards against a write that is applied twice,
- * across a restart too where a {@link Keeper} remembers. Harm: a client whose txn never ran in
+ * across a restart too where a {@link KeyStore} remembers. Harm: a client whose txn never ran in
  * truth gets no write through by that key for as long as it is kept; it has to read, and ask by a
  * new one.
  *
  * <p>Pure: no clock, no I/O. Once-only txns carry no key and cannot be told apart here; they are
  * sent once by their id alone.
  */
-public final class Doubts {
+public final class InDoubtKeys {
 
     /** It may have run at any time before this life: older than any window, with room for sums. */
-    public static final Duration LONG_AGO = Duration.ofSeconds(Long.MIN_VALUE / 8);
+    public static final Duration BEFORE_THIS_RUN = Duration.ofSeconds(Long.MIN_VALUE / 8);
 
     /** Who remembers for a later life. */
-    public interface Keeper {
+    public interface KeyStore {
 
         /** Whether it can keep anything now. */
-        boolean able();
+        boolean isWritable();
 
         /** To be kept before the send that follows. */
-        void keep(long key);
+        void store(long key);
 
         /** Whenever it suits. */
-        void drop(long key);
+        void remove(long key);
     }
 
     /**
-     * @param most keys at once
-     * @param keeps for how long a client may come again with the same key
+     * @param maxKeys keys at once
+     * @param retention for how long a client may come again with the same key
      */
-    public record Bounds(int most, Duration keeps) {}
+    public record Limits(int maxKeys, Duration retention) {}
 
-    private static final class Row {
+    private static final class Entry {
         /** Txns of this key that are here, and submissions of theirs that are out. */
-        int here;
+        int openTransactions;
 
-        int out;
+        int inFlight;
 
         /**
          * Since when it may have run, if an ending has not told otherwise; null where none is known
          * to be sent.
          */
-        Duration since;
+        Duration mayHaveRunSince;
 
         /** Some submission ended without telling. */
-        boolean doubt;
+        boolean inDoubt;
 
         /** When it was last doubted. */
-        Duration at;
+        Duration inDoubtAt;
     }
 
-    private final Bounds bounds;
-    private final Keeper keeper;
+    private final Limits limits;
+    private final KeyStore store;
 
     /** Those with a txn here; emptied as txns end. */
-    private final Map<Long, Row> open = new HashMap<>();
+    private final Map<Long, Entry> openEntries = new HashMap<>();
 
     /** Those in doubt with none here, the longest doubted first; emptied as their time is over. */
-    private final LinkedHashMap<Long, Row> kept = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, Entry> inDoubtEntries = new LinkedHashMap<>();
 
     private long version;
     private long refused;
-    private long met;
-    private long settled;
+    private long repeated;
+    private long resolved;
 
     /**
-     * @param keeper null where nobody remembers
+     * @param store null where nobody remembers
      */
-    public Doubts(Bounds bounds, Keeper keeper) {
-        this.bounds = bounds;
-        this.keeper = keeper;
+    public InDoubtKeys(Limits limits, KeyStore store) {
+        this.limits = limits;
+        this.store = store;
     }
 
     /** What stands for a group and a key; a clash would hold back a write, and let none through. */
-    public static long key(int group, long mark) {
-        long x = mark + group * 0x9E3779B97F4A7C15L;
+    public static long hash(int group, long idempotencyKey) {
+        long x = idempotencyKey + group * 0x9E3779B97F4A7C15L;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         x = (x ^ x >>> 27) * 0x94D049BB133111EBL;
         return x ^ x >>> 31;
     }
 
     /** From an earlier life: in doubt from the start on, for as long as one of this life is. */
-    public void recall(long key, Duration now) {
-        if (size() < bounds.most) {
-            Row row = new Row();
-            row.doubt = true;
-            row.since = LONG_AGO;
-            row.at = now;
-            kept.put(key, row);
+    public void restore(long key, Duration now) {
+        if (size() < limits.maxKeys) {
+            Entry entry = new Entry();
+            entry.inDoubt = true;
+            entry.mayHaveRunSince = BEFORE_THIS_RUN;
+            entry.inDoubtAt = now;
+            inDoubtEntries.put(key, entry);
             version++;
         }
     }
 
     /** A txn of this key is to be taken; false where there is no room for it, and nothing was. */
-    public boolean take(long key, Duration now) {
+    public boolean begin(long key, Duration now) {
         expire(now);
-        Row row = open.get(key);
-        row = row == null ? kept.get(key) : row;
-        boolean known = row != null && row.since != null;
+        Entry entry = openEntries.get(key);
+        entry = entry == null ? inDoubtEntries.get(key) : entry;
+        boolean known = entry != null && entry.mayHaveRunSince != null;
         // What cannot be kept is not sent: that is known before it is taken.
-        if (row == null && size() >= bounds.most || !known && keeper != null && !keeper.able()) {
+        if (entry == null && size() >= limits.maxKeys
+                || !known && store != null && !store.isWritable()) {
             refused++;
             return false;
         }
-        if (kept.remove(key) != null) {
+        if (inDoubtEntries.remove(key) != null) {
             version++;
         }
-        row = row == null ? new Row() : row;
-        open.put(key, row);
-        row.here++;
-        met += row.since == null ? 0 : 1;
+        entry = entry == null ? new Entry() : entry;
+        openEntries.put(key, entry);
+        entry.openTransactions++;
+        repeated += entry.mayHaveRunSince == null ? 0 : 1;
         return true;
     }
 
@@ -137,18 +138,18 @@
      * Since when a txn of this key, just taken, may have run by an earlier one; null where it has
      * not.
      */
-    public Duration ran(long key) {
-        return open.get(key).since;
+    public Duration mayHaveRunSince(long key) {
+        return openEntries.get(key).mayHaveRunSince;
     }
 
     /** A submission of it is to go. Once kept, it may. */
-    public void sends(long key, Duration now) {
-        Row row = open.get(key);
-        row.out++;
-        if (row.since == null) {
-            row.since = now;
-            if (keeper != null) {
-                keeper.keep(key);
+    public void recordSend(long key, Duration now) {
+        Entry entry = openEntries.get(key);
+        entry.inFlight++;
+        if (entry.mayHaveRunSince == null) {
+            entry.mayHaveRunSince = now;
+            if (store != null) {
+                store.store(key);
             }
         }
     }
@@ -157,33 +158,33 @@
      * A submission ended.
      *
      * @param mayHaveRun by this ending
-     * @param told its client has its answer by this ending: it has run, and the client knows
+     * @param answered its client has its answer by this ending: it has run, and the client knows
      */
-    public void ended(long key, boolean mayHaveRun, boolean told) {
-        Row row = open.get(key);
-        row.out--;
-        if (told) {
-            settled += row.doubt ? 1 : 0;
-            row.doubt = false;
+    public void recordEnd(long key, boolean mayHaveRun, boolean answered) {
+        Entry entry = openEntries.get(key);
+        entry.inFlight--;
+        if (answered) {
+            resolved += entry.inDoubt ? 1 : 0;
+            entry.inDoubt = false;
         } else {
-            row.doubt |= mayHaveRun;
+            entry.inDoubt |= mayHaveRun;
         }
-        if (!row.doubt && row.out == 0 && row.since != null) {
-            row.since = null;
-            if (keeper != null) {
-                keeper.drop(key);
+        if (!entry.inDoubt && entry.inFlight == 0 && entry.mayHaveRunSince != null) {
+            entry.mayHaveRunSince = null;
+            if (store != null) {
+                store.remove(key);
             }
         }
     }
 
     /** The txn is answered, and nothing of it is out. */
-    public void over(long key, Duration now) {
-        Row row = open.get(key);
-        if (--row.here == 0) {
-            open.remove(key);
-            if (row.doubt) {
-                row.at = now;
-                kept.put(key, row);
+    public void finish(long key, Duration now) {
+        Entry entry = openEntries.get(key);
+        if (--entry.openTransactions == 0) {
+            openEntries.remove(key);
+            if (entry.inDoubt) {
+                entry.inDoubtAt = now;
+                inDoubtEntries.put(key, entry);
                 version++;
             }
         }
@@ -191,30 +192,31 @@
 
     /** Those whose time is over go. */
     public void expire(Duration now) {
-        for (Iterator<Map.Entry<Long, Row>> first = kept.entrySet().iterator(); first.hasNext(); ) {
-            Map.Entry<Long, Row> one = first.next();
-            if (one.getValue().at.plus(bounds.keeps).compareTo(now) > 0) {
+        for (Iterator<Map.Entry<Long, Entry>> oldest = inDoubtEntries.entrySet().iterator();
+                oldest.hasNext(); ) {
+            Map.Entry<Long, Entry> candidate = oldest.next();
+            if (candidate.getValue().inDoubtAt.plus(limits.retention).compareTo(now) > 0) {
                 return;
             }
-            first.remove();
+            oldest.remove();
             version++;
-            if (keeper != null) {
-                keeper.drop(one.getKey());
+            if (store != null) {
+                store.remove(candidate.getKey());
             }
         }
     }
 
     /** Those in doubt, the latest last: what others may be told. */
     public Iterable<Long> inDoubt() {
-        return kept.keySet();
+        return inDoubtEntries.keySet();
     }
 
-    public int doubted() {
-        return kept.size();
+    public int inDoubtCount() {
+        return inDoubtEntries.size();
     }
 
     public int size() {
-        return open.size() + kept.size();
+        return openEntries.size() + inDoubtEntries.size();
     }
 
     /** Changes with inDoubt(). */
@@ -228,12 +230,12 @@
     }
 
     /** Txns whose key was met here, so that they may have run before; since the start. */
-    public long met() {
-        return met;
+    public long repeated() {
+        return repeated;
     }
 
     /** Doubts that ended as a repeat was answered, since the start. */
-    public long settled() {
-        return settled;
+    public long resolved() {
+        return resolved;
     }
 }
--- a/src/main/java/dillfront/routing/RoutingEngine.java
+++ b/src/main/java/dillfront/routing/RoutingEngine.java
@@ -6,7 +6,7 @@
 import static dillfront.routing.api.Durations.ratio;
 import static dillfront.routing.api.Durations.toSeconds;
 
-import dillfront.router.recovery.Reckoning;
+import dillfront.router.recovery.CapacityEstimator;
 import dillfront.routing.api.Consistency;
 import dillfront.routing.api.Durations;
 import dillfront.routing.api.HealthObservation;
@@ -468,7 +468,7 @@
      * Estimate of the nodes' capacity, in typical response times rather than transactions, since a
      * report may cost as much as twenty page views.
      */
-    private final Reckoning capacityEstimate = new Reckoning();
+    private final CapacityEstimator capacityEstimate = new CapacityEstimator();
 
     /** When nodes that warm up are granted work next. */
     private Duration nextWarmUpGrantAt = NEVER;
@@ -995,7 +995,7 @@
         if (harmless) {
             actions.decline(
                     transaction.id,
-                    min(capacityEstimate.back(retryDelay, random), settings.maxRetryDelay()));
+                    min(capacityEstimate.retryDelay(retryDelay, random), settings.maxRetryDelay()));
         } else {
             actions.reportUnknownOutcome(transaction.id);
         }
@@ -1357,7 +1357,7 @@
         // The rarer the answers, the more weight each one has.
         double weight = Math.max(RESPONSE_TIME_SMOOTHING, Math.min(1, sinceUpdate));
         if (result == SubmissionResult.COMMITTED) {
-            capacityEstimate.did(toSeconds(transactionWork(type)), capacityShare(node));
+            capacityEstimate.recordCommit(toSeconds(transactionWork(type)), capacityShare(node));
             node.slowdown +=
                     weight * (Math.min(4, ratio(responseTime, type.typicalTime)) - node.slowdown);
             Duration smoothedTime =
@@ -1618,16 +1618,16 @@
         }
         medianFailureRate = Durations.median(failureRates);
         medianSlaRatio = Durations.median(slaRatios);
-        double decay = capacityEstimate.kept(seconds);
+        double decay = capacityEstimate.decayFactor(seconds);
         peakPending =
                 warmSize > 0 && medianSlaRatio < OVERLOAD_SLA_RATIO
                         ? Math.max(peakPending * decay, pending / warmSize)
                         : peakPending;
         boolean noOverload =
                 slaRatios.isEmpty() || slaRatios.get(slaRatios.size() - 1) < OVERLOAD_SLA_RATIO / 2;
-        capacityEstimate.beat(
+        capacityEstimate.update(
                 seconds,
-                new Reckoning.Seen(
+                new CapacityEstimator.FleetState(
                         warmSize,
                         warmingSize,
                         totalSize,
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -1,7 +1,7 @@
 package dillfront.simulation;
 
 import dillfront.router.discovery.Closings;
-import dillfront.router.recovery.Doubts;
+import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.Consistency;
 import dillfront.routing.api.MemberState;
@@ -26,11 +26,11 @@
 
 /**
  * All that can happen in a world so small that it can be gone through: two routers that decide by
- * {@link RoutingEngine}, {@link Doubts} and {@link Closings} themselves, three nodes of one group,
- * two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's
- * end, power lost by all, and time, in every order up to a depth. Each state is reached anew from
- * the beginning, so nothing in the decisions is copied; two orders are one state where each router
- * has had the same words at the same times, and the rest of the world is the same.
+ * {@link RoutingEngine}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one
+ * group, two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a
+ * router's end, power lost by all, and time, in every order up to a depth. Each state is reached
+ * anew from the beginning, so nothing in the decisions is copied; two orders are one state where
+ * each router has had the same words at the same times, and the rest of the world is the same.
  *
  * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router
  * that lives has one answer by its expiry; nothing is sent to a node that a router knows to drain,
@@ -260,7 +260,7 @@
                 if (life.generation < generation) {
                     all.add(new Step("r" + r + " is told", life::told));
                 }
-                if (gossip < GOSSIP && life.doubts.doubted() > 0) {
+                if (gossip < GOSSIP && life.doubts.inDoubtCount() > 0) {
                     all.add(
                             new Step(
                                     "r" + r + " tells its doubts",
@@ -447,7 +447,8 @@
     }
 
     /** One life of a router: the decisions, and the little that lies between them and the world. */
-    private static final class Life implements RoutingActions, Doubts.Keeper, Closings.Keeper {
+    private static final class Life
+            implements RoutingActions, InDoubtKeys.KeyStore, Closings.Keeper {
         final World world;
         final int index;
         final List<Ask> asks = new ArrayList<>();
@@ -461,7 +462,7 @@
 
         final Duration began;
         final RoutingEngine decide;
-        final Doubts doubts;
+        final InDoubtKeys doubts;
         final Closings closings = new Closings();
         final Set<Integer> others = new TreeSet<>();
         final Set<Integer> told = new TreeSet<>();
@@ -471,7 +472,7 @@
             this.world = world;
             this.index = index;
             began = world.now;
-            doubts = new Doubts(new Doubts.Bounds(16, Duration.ofHours(1)), this);
+            doubts = new InDoubtKeys(new InDoubtKeys.Limits(16, Duration.ofHours(1)), this);
             decide = new RoutingEngine(settings(), this, new SplittableRandom(index));
         }
 
@@ -543,14 +544,14 @@
             decide.setTime(world.now);
             for (int key : world.keptKeys.get(index)) {
                 if (world.plant == Plant.BELIEVES_OLD_TIMES) {
-                    doubts.take(key, world.now);
-                    doubts.sends(key, world.now);
-                    doubts.ended(key, true, false);
-                    doubts.over(key, world.now);
+                    doubts.begin(key, world.now);
+                    doubts.recordSend(key, world.now);
+                    doubts.recordEnd(key, true, false);
+                    doubts.finish(key, world.now);
                 } else if (world.plant != Plant.FORGETS_DOUBTS) {
-                    doubts.recall(key, world.now);
+                    doubts.restore(key, world.now);
                 }
-                world.knows[index][key] = Doubts.LONG_AGO;
+                world.knows[index][key] = InDoubtKeys.BEFORE_THIS_RUN;
             }
             unsynced.clear();
             list(1);
@@ -609,12 +610,12 @@
             asks.add(ask);
             words.add("ask " + key + "@" + world.now.toMillis());
             decide.setTime(world.now);
-            if (key >= 0 && !doubts.take(key, world.now)) {
+            if (key >= 0 && !doubts.begin(key, world.now)) {
                 answer(ask, "declined");
                 return;
             }
-            Duration ran = key < 0 ? null : doubts.ran(key);
-            ran = ran == null && others.contains(key) ? Doubts.LONG_AGO : ran;
+            Duration ran = key < 0 ? null : doubts.mayHaveRunSince(key);
+            ran = ran == null && others.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
             ask.handle =
                     decide.accept(
                             asks.size() - 1,
@@ -646,7 +647,7 @@
                     && !ask.over
                     && ask.key >= 0) {
                 ask.over = true;
-                doubts.over(ask.key, world.now);
+                doubts.finish(ask.key, world.now);
             }
         }
 
@@ -656,7 +657,7 @@
             ask.out--;
             boolean told = result == SubmissionResult.COMMITTED && ask.answer == null;
             if (ask.key >= 0) {
-                doubts.ended(ask.key, result.mayHaveRun(), told);
+                doubts.recordEnd(ask.key, result.mayHaveRun(), told);
             }
             if (told) {
                 answer(ask, "committed");
@@ -735,7 +736,8 @@
                 }
                 return;
             }
-            Duration since = told.contains(key) ? Doubts.LONG_AGO : world.knows[index][key];
+            Duration since =
+                    told.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : world.knows[index][key];
             if (since != null && world.now.minus(since).compareTo(WINDOW) >= 0) {
                 world.breaks(
                         "k" + key + " was sent by r" + index + ", which knew that it may have run");
@@ -750,7 +752,7 @@
             Ask ask = asks.get(txn);
             ask.out++;
             if (ask.key >= 0) {
-                doubts.sends(ask.key, world.now);
+                doubts.recordSend(ask.key, world.now);
             }
             boolean kept =
                     ask.key < 0
@@ -791,18 +793,18 @@
         // ---- the disk
 
         @Override
-        public boolean able() {
+        public boolean isWritable() {
             return true;
         }
 
         @Override
-        public void keep(long key) {
+        public void store(long key) {
             unsynced.remove("-" + key);
             unsynced.add("+" + key);
         }
 
         @Override
-        public void drop(long key) {
+        public void remove(long key) {
             unsynced.remove("+" + key);
             unsynced.add("-" + key);
         }
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -2,11 +2,11 @@
 
 import static dillfront.routing.api.Durations.toSeconds;
 
-import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.GossipConfig;
+import dillfront.router.gossip.GossipProtocol;
 import dillfront.router.gossip.Symptom;
-import dillfront.router.gossip.Tuning;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.Consistency;
 import dillfront.routing.api.HealthObservation;
@@ -89,14 +89,14 @@
         void start(List<Router> routers);
 
         /** Its clocks set. */
-        Gossip of(int router);
+        GossipProtocol of(int router);
 
         /** The mean of what one has sent, in bytes. */
         double bytes();
     }
 
     private final Script script;
-    private final Tuning tuning = Tuning.USUAL;
+    private final GossipConfig tuning = GossipConfig.DEFAULT;
     private final List<Router> routers = new ArrayList<>();
     private final Wire wire;
 
@@ -118,14 +118,14 @@
         Crowd crowd =
                 new Crowd(
                         script.routers,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         script.seed + 1,
                         (at, claim, age) ->
                                 world[0].routers
                                         .get(at)
                                         .neighbours
-                                        .claimed(claim, age, time.now()));
+                                        .receiveClaim(claim, age, time.now()));
         world[0] =
                 new World(
                         script,
@@ -137,7 +137,7 @@
                             }
 
                             @Override
-                            public Gossip of(int router) {
+                            public GossipProtocol of(int router) {
                                 crowd.instances[router].at();
                                 return crowd.instances[router].gossip;
                             }
@@ -273,11 +273,11 @@
     }
 
     /** One router; all of it on its own clockwork. */
-    final class Router implements RoutingActions, Neighbours.Decisions {
+    final class Router implements RoutingActions, PeerHealthExchange.RoutingDecisions {
 
         final int index;
         final Clockwork time;
-        final Neighbours neighbours;
+        final PeerHealthExchange neighbours;
         private final RoutingEngine decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
@@ -302,8 +302,8 @@
             decide =
                     new RoutingEngine(
                             settings(script.routers), this, new SplittableRandom(mine.nextLong()));
-            neighbours = new Neighbours(tuning, script.routers, this);
-            neighbours.speaksBy(() -> wire.of(index));
+            neighbours = new PeerHealthExchange(tuning, script.routers, this);
+            neighbours.setGossip(() -> wire.of(index));
         }
 
         private boolean lies() {
@@ -322,7 +322,7 @@
                                 n % script.members == 0,
                                 null,
                                 MemberState.READY));
-                neighbours.known(n, "node-" + n);
+                neighbours.addNode(n, "node-" + n);
             }
             decide.setTime(time.now());
             decide.updateMembers(true, rows);
@@ -344,8 +344,8 @@
                         };
                 if (says) {
                     wire.of(index)
-                            .claim(
-                                    Ring.hash("node-" + node),
+                            .publishClaim(
+                                    PeerRegistry.hash("node-" + node),
                                     Symptom.HUNG,
                                     5,
                                     Duration.ofSeconds(1));
@@ -396,12 +396,12 @@
                         }
                         // He who lies does not take it back by telling what he sees.
                         if (script.gossip && !lies()) {
-                            neighbours.beat(time.now());
+                            neighbours.tick(time.now());
                             for (int n = 0; n < nodes(); n++) {
                                 beats++;
                                 boolean well =
                                         n != script.hung || time.now().compareTo(script.hangs) < 0;
-                                falseDoubts += neighbours.doubts(n) && well ? 1 : 0;
+                                falseDoubts += neighbours.isSuspected(n) && well ? 1 : 0;
                             }
                         }
                         beat();
@@ -409,12 +409,12 @@
         }
 
         @Override
-        public HealthObservation sees(int node) {
+        public HealthObservation observeHealth(int node) {
             return decide.observeHealth(node);
         }
 
         @Override
-        public void doubted(int node, boolean doubted) {
+        public void setSuspected(int node, boolean doubted) {
             if (node == script.hung) {
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -22,101 +22,109 @@
  */
 class ServerQueryTest {
 
-    private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
+    private static final String REPLICA_ROW = "ROW replica 3 3.7 0 12 2 17";
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private LeaseManager lease;
-    private DatabaseServer to;
+    private DatabaseServer server;
 
     @BeforeEach
-    void holder() throws Exception {
-        lease = SingleNode.leaseOf(SingleNode.start(host));
-        host.pass(SingleNode.HOLDS_MS);
+    void acquireLease() throws Exception {
+        lease = SingleNode.leaseOf(SingleNode.start(environment));
+        environment.pass(SingleNode.LEASE_ACQUIRED_MS);
         assertTrue(lease.isHeld(), "alone, it holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
                 new ServerRow("i-1", "db", "10.0.0.9:5432", "z", ServerState.READY, "replica", 1),
                 0);
-        to = registry.get("i-1");
+        server = registry.get("i-1");
     }
 
-    private ScriptedEnvironment.Line ask(
-            Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
-        ServerQuery.send(host, lease, to, 500, then)
+    private ScriptedEnvironment.Line startQuery(
+            Function<ServerStatus, String> command, CompletableFuture<ServerStatus> result) {
+        ServerQuery.send(environment, lease, server, 500, command)
                 .whenComplete(
-                        (row, fault) -> {
-                            if (fault == null) {
-                                into.complete(row);
+                        (status, error) -> {
+                            if (error == null) {
+                                result.complete(status);
                             } else {
-                                into.completeExceptionally(fault);
+                                result.completeExceptionally(error);
                             }
                         });
-        ScriptedEnvironment.Line line = host.lastDialed();
-        line.open();
-        assertEquals("CONNECT db control i-1", line.last());
-        return line;
+        ScriptedEnvironment.Line connection = environment.lastDialed();
+        connection.open();
+        assertEquals("CONNECT db control i-1", connection.last());
+        return connection;
     }
 
-    private static String fault(CompletableFuture<ServerStatus> of) {
-        assertTrue(of.isDone(), "nothing came of it");
+    private static String failureMessage(CompletableFuture<ServerStatus> result) {
+        assertTrue(result.isDone(), "nothing came of it");
         try {
-            return "answered " + of.join();
-        } catch (CompletionException is) {
-            return is.getCause().getMessage();
+            return "answered " + result.join();
+        } catch (CompletionException exception) {
+            return exception.getCause().getMessage();
         }
     }
 
     @Test
-    void resultIsTheAnswerOfTheCommand() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
-        line.say("READY I -");
-        assertEquals("QUERY - STATUS", line.last());
-        line.say(REPLICA, "COMPLETE -", "READY I 3.7");
-        assertEquals("QUERY - PAUSE 4", line.last());
-        assertFalse(is.isDone());
-        line.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
-        assertEquals(9, is.join().position().index());
-        assertTrue(line.closed);
+    void returnsStatusAfterCommand() {
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.Line connection =
+                startQuery(status -> "PAUSE " + status.nextTerm(), result);
+        connection.say("READY I -");
+        assertEquals("QUERY - STATUS", connection.last());
+        connection.say(REPLICA_ROW, "COMPLETE -", "READY I 3.7");
+        assertEquals("QUERY - PAUSE 4", connection.last());
+        assertFalse(result.isDone());
+        connection.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
+        assertEquals(9, result.join().position().index());
+        assertTrue(connection.closed);
     }
 
     /**
      * Guards against a row that was there before anything was asked, and against half an answer.
      */
     @Test
-    void failsOnAnswersOutOfStep() {
-        CompletableFuture<ServerStatus> early = new CompletableFuture<>();
-        ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
-        assertTrue(fault(early).contains("row out of place"), fault(early));
-        CompletableFuture<ServerStatus> half = new CompletableFuture<>();
-        ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
-        assertTrue(fault(half).contains("half an answer"), fault(half));
-        CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
-        line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
-        assertTrue(fault(twice).contains("half an answer"), fault(twice));
+    void failsOnUnexpectedOrIncompleteAnswers() {
+        CompletableFuture<ServerStatus> unexpectedRow = new CompletableFuture<>();
+        startQuery(null, unexpectedRow)
+                .say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
+        assertTrue(
+                failureMessage(unexpectedRow).contains("row out of place"),
+                failureMessage(unexpectedRow));
+        CompletableFuture<ServerStatus> incomplete = new CompletableFuture<>();
+        startQuery(null, incomplete).say("READY I -", REPLICA_ROW, "READY I 3.7");
+        assertTrue(
+                failureMessage(incomplete).contains("half an answer"), failureMessage(incomplete));
+        CompletableFuture<ServerStatus> missingCommandResponse = new CompletableFuture<>();
+        ScriptedEnvironment.Line connection =
+                startQuery(status -> "PAUSE " + status.nextTerm(), missingCommandResponse);
+        connection.say("READY I -", REPLICA_ROW, "COMPLETE -", "READY I 3.7", "READY I 3.7");
+        assertTrue(
+                failureMessage(missingCommandResponse).contains("half an answer"),
+                failureMessage(missingCommandResponse));
     }
 
     @Test
-    void refusalTellsWhetherTheServerIsAlive() {
-        for (String[] one :
+    void reportsWhetherRefusingServerIsAlive() {
+        for (String[] refusal :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
-            CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-            ask(null, is).say(one[0]);
-            is.exceptionally(
-                    fault -> {
+            CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+            startQuery(null, result).say(refusal[0]);
+            result.exceptionally(
+                    error -> {
                         assertEquals(
-                                Boolean.parseBoolean(one[1]),
-                                ((ServerQueryException) fault).isServerAlive());
+                                Boolean.parseBoolean(refusal[1]),
+                                ((ServerQueryException) error).isServerAlive());
                         return null;
                     });
-            assertTrue(is.isCompletedExceptionally());
+            assertTrue(result.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE 4", busy);
-        line.say("READY I -", "ERROR BUSY later", "READY I -");
+        ScriptedEnvironment.Line connection = startQuery(status -> "PAUSE 4", busy);
+        connection.say("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
-        assertFalse(line.sent.contains("QUERY - PAUSE 4"));
+        assertFalse(connection.sent.contains("QUERY - PAUSE 4"));
     }
 
     /**
@@ -124,42 +132,51 @@
      * lease.
      */
     @Test
-    void sendsNoCommandAfterAPause() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
-        line.say("READY I -");
-        host.freeze(20_000);
-        line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
-        assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said 20 s late: " + line.sent);
-        assertTrue(is.isCompletedExceptionally());
+    void sendsNoCommandAfterProcessPause() {
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.Line connection =
+                startQuery(status -> "STEPDOWN " + status.nextTerm(), result);
+        connection.say("READY I -");
+        environment.freeze(20_000);
+        connection.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        assertFalse(
+                connection.sent.contains("QUERY - STEPDOWN 4"),
+                "said 20 s late: " + connection.sent);
+        assertTrue(result.isCompletedExceptionally());
     }
 
     /** The same where its time is not over, but the lease is. */
     @Test
     void sendsNoCommandWithoutTheLease() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
-                .whenComplete((row, fault) -> is.complete(row));
-        ScriptedEnvironment.Line line = host.lastDialed();
-        line.open();
-        line.say("READY I -");
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ServerQuery.send(
+                        environment,
+                        lease,
+                        server,
+                        60_000,
+                        status -> "STEPDOWN " + status.nextTerm())
+                .whenComplete((status, error) -> result.complete(status));
+        ScriptedEnvironment.Line connection = environment.lastDialed();
+        connection.open();
+        connection.say("READY I -");
         lease.resign();
         assertFalse(lease.isHeld());
-        line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        connection.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
-                line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
-        assertTrue(is.isDone());
+                connection.sent.contains("QUERY - STEPDOWN 4"),
+                "said without the lease: " + connection.sent);
+        assertTrue(result.isDone());
     }
 
     /** An answer after its time finds nobody; the connection is left. */
     @Test
     void failsAfterTheTimeout() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(null, is);
-        line.say("READY I -");
-        host.pass(600);
-        assertEquals("no answer in 500 ms", fault(is));
-        assertTrue(line.closed);
-        assertEquals("GOODBYE", line.last());
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.Line connection = startQuery(null, result);
+        connection.say("READY I -");
+        environment.pass(600);
+        assertEquals("no answer in 500 ms", failureMessage(result));
+        assertTrue(connection.closed);
+        assertEquals("GOODBYE", connection.last());
     }
 }
--- a/src/test/java/dillfront/dataplane/ServerConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -21,13 +21,13 @@
  */
 class ServerConnectionTest {
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
-    private DataPlaneNode front;
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
+    private DataPlaneNode node;
     private DatabaseService service;
     private ScriptedEnvironment.Line client;
 
     @BeforeEach
-    void open() throws Configuration.InvalidConfigurationException {
+    void setUp() throws Configuration.InvalidConfigurationException {
         NodeSettings settings =
                 new NodeSettings(
                         "f",
@@ -47,60 +47,60 @@
                         7_000,
                         6_000,
                         null);
-        front = new DataPlaneNode(host, settings);
-        front.start();
-        front.onConfiguration(
+        node = new DataPlaneNode(environment, settings);
+        node.start();
+        node.onConfiguration(
                 Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
                                         + "'connection_limit':100}]}")
                                 .replace('\'', '"')
                                 .getBytes(StandardCharsets.UTF_8)));
-        service = front.service("s");
-        service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.9:1", "z"));
+        service = node.service("s");
+        service.servers.put("i-1", new ServerPool(node, service, "i-1", "10.0.0.9:1", "z"));
         service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
         client = client();
     }
 
     private ScriptedEnvironment.Line client() {
-        ScriptedEnvironment.Line line =
-                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, front.accept());
-        line.open();
-        line.say("CONNECT h me");
-        assertEquals("READY I -", line.last());
-        line.sent.clear();
-        return line;
+        ScriptedEnvironment.Line connection =
+                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, node.accept());
+        connection.open();
+        connection.say("CONNECT h me");
+        assertEquals("READY I -", connection.last());
+        connection.sent.clear();
+        return connection;
     }
 
-    private ScriptedEnvironment.Line server() {
-        ScriptedEnvironment.Line line = host.lastDialed();
-        if (line.sent.isEmpty()) {
-            line.open();
-            assertEquals("CONNECT s f i-1", line.last());
-            line.say("READY I 1.1");
+    private ScriptedEnvironment.Line connectedServer() {
+        ScriptedEnvironment.Line connection = environment.lastDialed();
+        if (connection.sent.isEmpty()) {
+            connection.open();
+            assertEquals("CONNECT s f i-1", connection.last());
+            connection.say("READY I 1.1");
         }
-        return line;
+        return connection;
     }
 
-    private List<String> answer(ScriptedEnvironment.Line to) {
-        List<String> is = List.copyOf(to.sent);
-        to.sent.clear();
-        return is;
+    private List<String> takeReceived(ScriptedEnvironment.Line connection) {
+        List<String> lines = List.copyOf(connection.sent);
+        connection.sent.clear();
+        return lines;
     }
 
     @Test
-    void answerGoesToItsSender() {
+    void responseReachesItsClient() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 WRITE k d", line.last());
-        ScriptedEnvironment.Line other = client();
-        other.say("QUERY b1 WRITE k e");
-        line.say("COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
-        assertTrue(other.sent.isEmpty());
-        assertEquals("QUERY b1 WRITE k e", line.last(), "the connection is used again");
-        line.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(other));
+        ScriptedEnvironment.Line connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.last());
+        ScriptedEnvironment.Line otherClient = client();
+        otherClient.say("QUERY b1 WRITE k e");
+        connection.say("COMPLETE s1", "READY I 1.2");
+        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), takeReceived(client));
+        assertTrue(otherClient.sent.isEmpty());
+        assertEquals("QUERY b1 WRITE k e", connection.last(), "the connection is used again");
+        connection.say("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(otherClient));
     }
 
     /**
@@ -108,34 +108,36 @@
      * asks there next.
      */
     @Test
-    void unrequestedAnswerEndsTheConnection() {
-        for (String unasked :
+    void closesConnectionOnUnrequestedResponse() {
+        for (String unrequested :
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
-            line.say("COMPLETE s1", "READY I 1.2");
-            answer(client);
-            line.say(unasked);
+            ScriptedEnvironment.Line connection = connectedServer();
+            connection.say("COMPLETE s1", "READY I 1.2");
+            takeReceived(client);
+            connection.say(unrequested);
             client.say("QUERY a2 WRITE k d");
-            ScriptedEnvironment.Line next = server();
-            assertTrue(line.closed && next != line, unasked + ": the connection is left");
-            next.say("COMPLETE s2", "READY I 1.3");
-            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
-            next.reset();
+            ScriptedEnvironment.Line nextConnection = connectedServer();
+            assertTrue(
+                    connection.closed && nextConnection != connection,
+                    unrequested + ": the connection is left");
+            nextConnection.say("COMPLETE s2", "READY I 1.3");
+            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client), unrequested);
+            nextConnection.reset();
         }
     }
 
     /** Guards against the same while the connection is made. */
     @Test
-    void answerBeforeReadyEndsTheConnection() {
+    void closesConnectionOnResponseBeforeReady() {
         client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = host.lastDialed();
-        line.open();
-        line.say("ROW other", "READY I 1.1");
-        assertTrue(line.closed);
-        assertFalse(line.sent.toString().contains("QUERY"), line.sent.toString());
+        ScriptedEnvironment.Line connection = environment.lastDialed();
+        connection.open();
+        connection.say("ROW other", "READY I 1.1");
+        assertTrue(connection.closed);
+        assertFalse(connection.sent.toString().contains("QUERY"), connection.sent.toString());
     }
 
     /**
@@ -143,8 +145,8 @@
      * connection would get this one's.
      */
     @Test
-    void partialOrDuplicateAnswerEndsTheConnection() {
-        for (String[] bad :
+    void closesConnectionOnPartialOrDuplicateResponse() {
+        for (String[] lines :
                 new String[][] {
                     {"ROW r", "READY I 1.2"},
                     {"READY I 1.2"},
@@ -154,14 +156,14 @@
                     {"NOTHING of the wire"}
                 }) {
             client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
-            line.say(bad);
-            assertTrue(line.closed, String.join(", ", bad));
+            ScriptedEnvironment.Line connection = connectedServer();
+            connection.say(lines);
+            assertTrue(connection.closed, String.join(", ", lines));
             assertEquals(
                     "ERROR UNCERTAIN the connection ended",
                     client.sent.get(0),
-                    String.join(", ", bad));
-            answer(client);
+                    String.join(", ", lines));
+            takeReceived(client);
         }
     }
 
@@ -172,57 +174,59 @@
     @Test
     void writeIsNotRetriedAfterReset() {
         client.say("QUERY a1 WRITE k d");
-        server().reset();
-        host.pass(3_000);
-        assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedEnvironment.Line line : host.dialed) {
+        connectedServer().reset();
+        environment.pass(3_000);
+        assertEquals("ERROR UNCERTAIN the connection ended", takeReceived(client).get(0));
+        for (ScriptedEnvironment.Line connection : environment.dialed) {
             assertEquals(
-                    line == host.dialed.get(0) ? 1 : 0,
-                    line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
+                    connection == environment.dialed.get(0) ? 1 : 0,
+                    connection.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
 
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
-    void readAndWriteThatDidNotRunAreRetriedAfterReset() {
+    void retriesReadAfterResetAndWriteAfterBusy() {
         client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = server();
-        leads(line);
-        line.reset();
-        ScriptedEnvironment.Line next = server();
-        leads(next);
-        next.say("ROW r", "COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
+        ScriptedEnvironment.Line connection = connectedServer();
+        confirmPrimary(connection);
+        connection.reset();
+        ScriptedEnvironment.Line nextConnection = connectedServer();
+        confirmPrimary(nextConnection);
+        nextConnection.say("ROW r", "COMPLETE s1", "READY I 1.2");
+        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), takeReceived(client));
         client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line third = server();
-        third.say("ERROR BUSY later", "READY I 1.2");
-        host.pass(60);
-        assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
-        third.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        ScriptedEnvironment.Line thirdConnection = connectedServer();
+        thirdConnection.say("ERROR BUSY later", "READY I 1.2");
+        environment.pass(60);
+        assertEquals(
+                2,
+                thirdConnection.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
+        thirdConnection.say("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedEnvironment.Line line) {
-        assertEquals("QUERY - STATUS", line.last());
-        line.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
-        assertEquals("QUERY a1 READ k", line.last());
+    private static void confirmPrimary(ScriptedEnvironment.Line connection) {
+        assertEquals("QUERY - STATUS", connection.last());
+        connection.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
+        assertEquals("QUERY a1 READ k", connection.last());
     }
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
-    void answerAfterTimeoutGoesToNobody() {
+    void discardsResponseAfterTimeout() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        host.pass(800);
-        assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
-        assertTrue(line.closed);
+        ScriptedEnvironment.Line connection = connectedServer();
+        environment.pass(800);
+        assertTrue(takeReceived(client).get(0).startsWith("ERROR TIMEOUT"));
+        assertTrue(connection.closed);
         client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line next = server();
-        line.say("COMPLETE s1", "READY I 1.2");
+        ScriptedEnvironment.Line nextConnection = connectedServer();
+        connection.say("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
-        next.say("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        nextConnection.say("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /**
@@ -230,44 +234,46 @@
      * word was lost.
      */
     @Test
-    void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
+    void closesConnectionWithoutResponseToInternalStatement() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        line.say("COMPLETE -", "READY T 1.1");
-        assertEquals("QUERY a2 WRITE k d", line.last());
-        line.say("COMPLETE s1", "READY T 1.1");
+        ScriptedEnvironment.Line connection = connectedServer();
+        connection.say("COMPLETE -", "READY T 1.1");
+        assertEquals("QUERY a2 WRITE k d", connection.last());
+        connection.say("COMPLETE s1", "READY T 1.1");
         client.say("QUERY a3 ROLLBACK");
-        assertEquals("QUERY - ROLLBACK", line.last());
-        host.pass(2_500);
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        assertEquals("QUERY - ROLLBACK", connection.last());
+        environment.pass(2_500);
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertTrue(
                 service.servers.get("i-1").connections.stream()
-                        .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE));
+                        .allMatch(
+                                serverConnection ->
+                                        serverConnection.oldestSentMillis() == Long.MAX_VALUE));
     }
 
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
-    void abandonsConnectionWhoseBeginIsNotAnswered() {
+    void closesConnectionWithoutResponseToBegin() {
         client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 BEGIN", line.last());
-        host.pass(2_500);
+        ScriptedEnvironment.Line connection = connectedServer();
+        assertEquals("QUERY a1 BEGIN", connection.last());
+        environment.pass(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
-    void abandonsConnectionOfStatementWithoutClient() {
+    void closesConnectionWithoutResponseAfterClientLeft() {
         client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 WRITE k d", line.last());
+        ScriptedEnvironment.Line connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.last());
         client.reset();
-        host.pass(500);
-        assertFalse(line.closed, "what runs is heard to its end");
-        host.pass(1_000);
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        environment.pass(500);
+        assertFalse(connection.closed, "what runs is heard to its end");
+        environment.pass(1_000);
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 }
--- a/src/test/java/dillfront/router/operator/OperatorTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.KeyPairGenerator;
@@ -66,7 +66,7 @@
         assertEquals(
                 "key r1.key: no such file",
                 assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
-        assertEquals(0, said.gossip().ring().peer(Ring.hash("r1")));
+        assertEquals(0, said.gossip().ring().peer(PeerRegistry.hash("r1")));
     }
 
     @ParameterizedTest
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -2,7 +2,7 @@
 
 import static dillfront.routing.RoutingHarness.millis;
 
-import dillfront.router.pace.Pace;
+import dillfront.router.pace.LoopLagMonitor;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
@@ -11,7 +11,7 @@
 class PaceTest {
 
     private final StringBuilder trace = new StringBuilder();
-    private final Pace pace = new Pace(millis(5));
+    private final LoopLagMonitor pace = new LoopLagMonitor(millis(5));
 
     private void record(String text, long atMillis) {
         Duration now = millis(atMillis);
@@ -21,9 +21,11 @@
                         atMillis,
                         text,
                         pace.lag(now).toMillis(),
-                        pace.behind(now).toMillis(),
-                        pace.sure(now) ? "sure" : "not sure",
-                        pace.believes(Duration.ZERO, now) ? "believed" : "looked at again"));
+                        pace.totalLag(now).toMillis(),
+                        pace.isSocketDataRead(now) ? "sure" : "not sure",
+                        pace.isTimeLimitValid(Duration.ZERO, now)
+                                ? "believed"
+                                : "looked at again"));
     }
 
     /**
@@ -32,31 +34,31 @@
      */
     @Test
     void detectsPauseFromOverdueTick() throws IOException {
-        pace.expect(millis(20));
+        pace.expectTick(millis(20));
         record("on time", 10);
         record("within the timer's grain", 24);
-        pace.came(millis(24));
-        pace.expect(millis(44));
+        pace.recordTick(millis(24));
+        pace.expectTick(millis(44));
         record("a beat later", 40);
         record("stopped for 300 ms, reads first", 344);
-        pace.came(millis(346));
-        pace.expect(millis(366));
+        pace.recordTick(millis(346));
+        pace.expectTick(millis(366));
         record("the beat has come", 346);
         record("on time again", 360);
-        pace.came(millis(366));
-        pace.expect(millis(386));
+        pace.recordTick(millis(366));
+        pace.expectTick(millis(386));
         record("and a beat later", 386);
-        pace.came(millis(386));
-        pace.expect(millis(700));
+        pace.recordTick(millis(386));
+        pace.expectTick(millis(700));
         record("a dial time-out later it is calm", 650);
         trace.append("longest ")
-                .append(pace.longest().toMillis())
+                .append(pace.longestLag().toMillis())
                 .append(", then ")
-                .append(pace.longest().toMillis())
+                .append(pace.longestLag().toMillis())
                 .append("; a turn of 4 ms takes more: ")
-                .append(pace.takesMore(millis(1), millis(5)))
+                .append(pace.mayContinueTurn(millis(1), millis(5)))
                 .append(", of 5 ms: ")
-                .append(pace.takesMore(millis(1), millis(6)))
+                .append(pace.mayContinueTurn(millis(1), millis(6)))
                 .append('\n');
         RoutingHarness.assertTraceEquals("pace", trace);
     }
