--- a/src/main/java/dillfront/router/recovery/CapacityEstimator.java
+++ b/src/main/java/dillfront/router/recovery/CapacityEstimator.java
@@ -1,7 +1,7 @@
 package dillfront.router.recovery;
 
-import static dillfront.routing.api.Spans.seconds;
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 import java.util.random.RandomGenerator;
@@ -88,8 +88,8 @@
      * @param overloadTime how long an excessive load must last to overload a cold node
      */
     public void settings(Duration warmUpTime, Duration overloadTime) {
-        warmUpSeconds = seconds(warmUpTime);
-        overloadSeconds = seconds(overloadTime);
+        warmUpSeconds = toSeconds(warmUpTime);
+        overloadSeconds = toSeconds(overloadTime);
     }
 
     /** Returns whether no node is warm and none has been since this router started. */
@@ -106,7 +106,7 @@
      */
     public Duration retryDelay(Duration pause, RandomGenerator random) {
         return fleetReturning
-                ? times(
+                ? multiply(
                         pause,
                         MIN_RETRY_FACTOR
                                 + random.nextDouble() * (MAX_RETRY_FACTOR - MIN_RETRY_FACTOR))
--- /dev/null
+++ b/src/main/java/dillfront/routing/api/Durations.java
@@ -0,0 +1,38 @@
+package dillfront.routing.api;
+
+import java.time.Duration;
+import java.util.List;
+
+/** Arithmetic on durations. */
+public final class Durations {
+
+    private Durations() {}
+
+    /** Returns the duration multiplied by a factor. */
+    public static Duration multiply(Duration duration, double factor) {
+        return Duration.ofNanos((long) (duration.toNanos() * factor));
+    }
+
+    public static double toSeconds(Duration duration) {
+        return duration.toNanos() / 1e9;
+    }
+
+    /** Returns a / b; the extra nanosecond in the divisor avoids a division by zero. */
+    public static double ratio(Duration a, Duration b) {
+        return (double) a.toNanos() / (b.toNanos() + 1);
+    }
+
+    public static Duration min(Duration a, Duration b) {
+        return a.compareTo(b) <= 0 ? a : b;
+    }
+
+    public static Duration max(Duration a, Duration b) {
+        return a.compareTo(b) >= 0 ? a : b;
+    }
+
+    /** Returns the upper median, or zero for an empty list. Sorts the list. */
+    public static double median(List<Double> values) {
+        values.sort(null);
+        return values.isEmpty() ? 0 : values.get(values.size() / 2);
+    }
+}
--- a/src/main/java/dillfront/routing/api/Role.java
+++ /dev/null
@@ -1,7 +0,0 @@
-package dillfront.routing.api;
-
-/** What a node said it was. */
-public enum Role {
-    PRIMARY,
-    REPLICA
-}
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,25 +1,25 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import dillfront.router.gossip.GossipConfig;
 import dillfront.router.gossip.GossipProtocol;
 import dillfront.router.gossip.Symptom;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -194,7 +194,7 @@
                 stopped,
                 poured,
                 falseDoubts / (double) Math.max(1, beats),
-                script.gossip ? wire.bytes() / seconds(script.end) : 0);
+                script.gossip ? wire.bytes() / toSeconds(script.end) : 0);
     }
 
     private int nodes() {
@@ -207,9 +207,9 @@
                 && at.compareTo(script.hangs.plus(script.lasts)) < 0;
     }
 
-    private static Settings settings(int routers) {
+    private static RoutingSettings settings(int routers) {
         Duration ms = Duration.ofMillis(1);
-        return new Settings(
+        return new RoutingSettings(
                 ms.multipliedBy(5),
                 0,
                 DIAL,
@@ -227,31 +227,31 @@
                 0.012,
                 routers,
                 List.of(
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.BOUNDED,
+                                Consistency.BOUNDED_STALENESS,
                                 ms.multipliedBy(200),
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 3,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.ANY,
+                                Consistency.EVENTUAL,
                                 Duration.ZERO,
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REFERENCED,
+                        new TransactionType(
+                                Repeatability.DEDUPLICATED,
                                 true,
                                 Duration.ofSeconds(2),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 Duration.ZERO,
                                 CLIENT,
                                 CLIENT,
@@ -263,7 +263,7 @@
     private static final class Txn {
         final int type;
         final Duration came;
-        Handle handle;
+        TransactionHandle handle;
         boolean over;
 
         Txn(int type, Duration came) {
@@ -273,12 +273,12 @@
     }
 
     /** One router; all of it on its own clockwork. */
-    final class Router implements Outlet, PeerHealthExchange.RoutingDecisions {
+    final class Router implements RoutingActions, PeerHealthExchange.RoutingDecisions {
 
         final int index;
         final Clockwork time;
         final PeerHealthExchange neighbours;
-        private final Decide decide;
+        private final RoutingEngine decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
 
@@ -300,7 +300,7 @@
             this.time = time;
             mine = new SplittableRandom(script.seed * 1_000_003 + index);
             decide =
-                    new Decide(
+                    new RoutingEngine(
                             settings(script.routers), this, new SplittableRandom(mine.nextLong()));
             neighbours = new PeerHealthExchange(tuning, script.routers, this);
             neighbours.setGossip(() -> wire.of(index));
@@ -321,11 +321,11 @@
                                 1,
                                 n % script.members == 0,
                                 null,
-                                Standing.READY));
+                                MemberState.READY));
                 neighbours.addNode(n, "node-" + n);
             }
-            decide.at(time.now());
-            decide.list(true, rows);
+            decide.setTime(time.now());
+            decide.updateMembers(true, rows);
             arrive();
             beat();
             if (lies()) {
@@ -366,10 +366,10 @@
                         Txn txn = new Txn(type, time.now());
                         txns.add(txn);
                         asked += VALUES[type];
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         int id = txns.size() - 1;
                         txn.handle =
-                                decide.take(
+                                decide.accept(
                                         id,
                                         type,
                                         -1,
@@ -388,10 +388,10 @@
             time.after(
                     BEAT,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.observeHealth(script.hung).ill()) {
+                                && decide.observeHealth(script.hung).isFaulty()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
@@ -409,7 +409,7 @@
         }
 
         @Override
-        public Sight observeHealth(int node) {
+        public HealthObservation observeHealth(int node) {
             return decide.observeHealth(node);
         }
 
@@ -419,14 +419,14 @@
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
             }
-            decide.at(time.now());
+            decide.setTime(time.now());
             decide.setSuspected(node, doubted);
         }
 
         @Override
         public void better(int node) {
-            decide.at(time.now());
-            decide.better(node);
+            decide.setTime(time.now());
+            decide.advanceTrial(node);
         }
 
         @Override
@@ -449,11 +449,12 @@
             time.after(
                     answers ? work : limit,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         outAtHung -= node == script.hung ? 1 : 0;
                         Duration position =
                                 time.now().minusMillis(node % script.members == 0 ? 0 : 20);
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         boolean first = answers && !txn.over;
                         if (first) {
                             txn.over = true;
@@ -462,14 +463,15 @@
                                             <= (txn.type == 2 ? 750 : 300);
                             earned += timely ? VALUES[txn.type] : 0;
                         }
-                        Report note = answers ? new Report(position, role) : Report.NOTHING;
-                        txn.handle.ended(
+                        NodeReport note =
+                                answers ? new NodeReport(position, role) : NodeReport.EMPTY;
+                        txn.handle.submissionEnded(
                                 node,
-                                answers ? Result.COMMITTED : Result.TIMED_OUT,
+                                answers ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 time.now().minus(now),
                                 txn.over,
                                 note,
-                                Report.NOTHING);
+                                NodeReport.EMPTY);
                     });
         }
 
@@ -479,12 +481,12 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             txns.get(txn).over = true;
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         /** A hung node answers no probe either. */
         @Override
@@ -493,27 +495,28 @@
             time.after(
                     answers ? Duration.ofMillis(2) : DIAL,
                     () -> {
-                        decide.at(time.now());
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
-                        decide.probed(
+                        decide.setTime(time.now());
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
+                        decide.probeCompleted(
                                 node,
                                 answers,
                                 answers
-                                        ? new Report(time.now().minusMillis(20), role)
-                                        : Report.NOTHING);
+                                        ? new NodeReport(time.now().minusMillis(20), role)
+                                        : NodeReport.EMPTY);
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {
+        public void scheduleWakeUp(Duration in) {
             time.after(
                     in,
                     () -> {
-                        decide.at(time.now());
-                        decide.woken();
+                        decide.setTime(time.now());
+                        decide.onWakeUp();
                     });
         }
     }
