--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -134,18 +134,17 @@
 
     private Optional<Acceptance> refusal(PrimaryRecord record, MissingCommits shown) {
         if (missing().isEmpty()) {
-            return unavailable("no control process holds the lease; retry");
+            return unavailable("nobody holds the duty; ask again");
         }
         MissingCommits known = missing(shown.service());
         if (known == null && record != null && record.moving()) {
-            return unavailable(
-                    "the primary is being replaced and the missing commits are not determined yet; retry");
+            return unavailable("it moves, and nobody has found yet what is lacking; ask again");
         }
         if (known == null || !known.matches(shown)) {
             return Optional.of(new Acceptance.Conflict(known));
         }
         return acceptances.size() >= MAX_ACCEPTANCES
-                ? unavailable("too many pending acceptances; retry")
+                ? unavailable("too many such calls; ask again")
                 : Optional.empty();
     }
 
--- a/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
+++ b/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
@@ -58,7 +58,7 @@
             case ACCEPT_DATA_LOSS ->
                     requireMethod(POST, method, () -> dataLossEndpoint.accept(body));
             case STATUS -> Responses.completed(status());
-            default -> Responses.completedError(Responses.NOT_FOUND, "unknown path");
+            default -> Responses.completedError(Responses.NOT_FOUND, "no such call");
         };
     }
 
@@ -66,8 +66,7 @@
             String allowed, String method, Supplier<CompletableFuture<HttpResponse>> handler) {
         return method.equals(allowed)
                 ? handler.get()
-                : Responses.completedError(
-                        Responses.METHOD_NOT_ALLOWED, allowed + " is the only allowed method");
+                : Responses.completedError(Responses.METHOD_NOT_ALLOWED, allowed + " only");
     }
 
     private HttpResponse status() {
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -96,8 +96,8 @@
                         .add(
                                 "error_message",
                                 missing == null
-                                        ? "no commits are known to be missing"
-                                        : "other commits are missing than the request names")
+                                        ? "nothing is known to be lacking"
+                                        : "something else is lacking")
                         .add("lacking", missing == null ? Json.NULL : toJson(missing));
         return new HttpResponse(
                 Responses.CONFLICT, body.toString().getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/dillfront/controlplane/http/RequestFields.java
+++ b/src/main/java/dillfront/controlplane/http/RequestFields.java
@@ -41,7 +41,7 @@
     String string(String name) throws InvalidRequestException {
         JsonValue value = fields.get(name);
         if (value == null || !value.isString() || value.asString().isEmpty()) {
-            throw new InvalidRequestException(name + ": expected a non-empty string");
+            throw new InvalidRequestException(name + ": no text");
         }
         return value.asString();
     }
