--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -260,7 +260,7 @@
     public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
         CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
         if (proposals.size() >= MAX_PENDING_PROPOSALS) {
-            result.completeExceptionally(new IllegalStateException("too many pending proposals"));
+            result.completeExceptionally(new IllegalStateException("too many proposals wait"));
             return result;
         }
         proposals.add(new Proposal(configuration, result));
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -89,8 +89,7 @@
         }
         pending.putAll(entries);
         if (queued.size() + inFlight.size() >= MAX_WAITING_PUTS) {
-            done.completeExceptionally(
-                    new IllegalStateException("too many puts are waiting for the disk"));
+            done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
         } else {
             queued.add(new PendingWrite(environment.nowMillis(), done));
         }
