--- a/src/main/java/dillfront/router/identity/Gate.java
+++ b/src/main/java/dillfront/router/identity/Gate.java
@@ -8,17 +8,18 @@
 import java.util.Map;
 
 /**
- * Who is in, and what of his txns may be taken. One for a router. A change of the policy raises its
- * epoch; each session looks at the epoch before each txn, so that a change is felt at the very next
- * one, and costs the others one comparison. What was taken is none of its business any more: a
- * revocation ends a session, never a txn.
+ * Authenticates the sessions of one router and admits their transactions under the current policy.
+ * Each change of the policy raises the epoch; a session compares epochs before each transaction, so
+ * that a change applies to the next transaction and an unchanged policy costs one comparison. A
+ * revocation ends a session, never an admitted transaction.
  *
- * <p>Pure: times are spans since the start, Unix times come with the credentials. The table of keys
- * that have ended holds as many as have in one overlap; that of use, the principals of the policy.
+ * <p>The class reads no clock: times are durations since the start, and credentials carry Unix
+ * times. The table of retired keys is bounded by the keys that are retired within one grace period,
+ * the usage table by the principals of the policy and of the open sessions.
  */
 public final class Gate {
 
-    /** What one principal uses. */
+    /** Transactions and sessions of one principal. */
     private static final class Use {
         int out;
         double allowance;
@@ -26,7 +27,7 @@
         int sessions;
     }
 
-    /** A principal may be ahead by what its rate gives in this time, or by one txn. */
+    /** The burst of a rate limit is what the rate yields in this time, at least one transaction. */
     private static final Duration AHEAD = Duration.ofSeconds(1);
 
     private Policy policy = Policy.NOBODY;
@@ -36,14 +37,14 @@
     private Duration readAt = Duration.ZERO;
     private boolean failing;
 
-    /** Keys that count for those who are in, until then. */
+    /** Retired keys, and until when they are valid for the sessions that they opened. */
     private final Map<String, Duration> ending = new HashMap<>();
 
     private final Map<String, Use> uses = new HashMap<>();
     private final Shares shares = new Shares();
 
     /**
-     * @param here Unix time, for what credentials say of their own
+     * @param here Unix time, against which the validity of credentials is checked
      */
     public void at(Duration clock, Duration here) {
         now = clock;
@@ -51,12 +52,12 @@
         shares.at(now);
     }
 
-    /** The files were read: this holds from now on. */
+    /** Replaces the policy after the operator's files were read. */
     public void read(Policy next) {
         for (String key : policy.keys()) {
             if (!next.keys().contains(key)) {
-                // By the overlap that was in force when it ended, or the new one where that is
-                // shorter.
+                // The shorter of the grace period in force when the key was retired and the new
+                // one.
                 Duration overlap =
                         next.overlap().compareTo(policy.overlap()) < 0
                                 ? next.overlap()
@@ -81,15 +82,15 @@
         }
     }
 
-    /** They could not be read, or made no sense: what was read last stands for its time. */
+    /** Keeps the last valid policy, for at most its staleness bound, after a failed read. */
     public void unreadable() {
         readAt = failing ? readAt : now;
         failing = true;
     }
 
     /**
-     * The last good state is too old to let anybody new in. Guards against a file that is lost and
-     * nobody notices.
+     * Returns whether the last valid policy is too old to open new sessions. The bound keeps a
+     * router from running on an old policy after a file was lost unnoticed.
      */
     public boolean stale() {
         return policy == Policy.NOBODY || failing && now.compareTo(readAt.plus(policy.holds())) > 0;
@@ -99,22 +100,17 @@
         return epoch;
     }
 
-    /**
-     * Whether a token or certificate by this key may begin a session now: keys that end only serve
-     * those who are in.
-     */
+    /** Returns whether a token or certificate signed by this key is valid now. */
     public boolean honours(String key) {
         Duration until = ending.get(key);
         return policy.keys().contains(key) || until != null && now.compareTo(until) < 0;
     }
 
-    /**
-     * What a credential says, found right by whoever checked its signature. Times are Unix times.
-     */
+    /** The claims of a credential whose signature was verified by the caller; Unix times. */
     public record Credential(
             String principal, String key, String id, Duration notBefore, Duration expires) {}
 
-    /** Lets someone in, or says why not. */
+    /** Opens a session, or returns the {@link Refusal}. */
     public Object enter(Credential credential) {
         if (stale()) {
             return Refusal.STALE;
@@ -136,7 +132,10 @@
         return policy.principals().containsKey(c.principal) ? null : Refusal.UNKNOWN;
     }
 
-    /** Someone who is in. Each txn that was taken ends by done(); the session by leave(). */
+    /**
+     * An authenticated session. Each admitted transaction is released by {@link #done}, the session
+     * by {@link #leave}.
+     */
     public final class Session {
 
         private final Credential credential;
@@ -169,7 +168,8 @@
         }
 
         /**
-         * Null where it still stands; asked before each txn, and by whoever closes idle sessions.
+         * Returns why the session is no longer valid, or null; called before each transaction and
+         * by the sweep over idle sessions.
          */
         public Refusal over() {
             if (seen != epoch) {
@@ -181,16 +181,16 @@
             return over;
         }
 
-        /** The tenant for the decisions' quotas. */
+        /** Returns the index of the tenant whose quota applies; -1 for none. */
         public int tenant() {
             return principal == null ? -1 : principal.tenant();
         }
 
         /**
-         * Whether this txn may be taken now; if so it counts as out until done(). The wait after
-         * BUSY is told by comeBack().
+         * Admits one transaction, which counts as in flight until {@link #done}. After BUSY, {@link
+         * #comeBack} returns the delay before a retry.
          *
-         * @return null where it may
+         * @return null for an admitted transaction
          */
         public Refusal take(int type, boolean write, int group, KeyBytes key) {
             Refusal no = over();
@@ -215,7 +215,10 @@
             return null;
         }
 
-        /** One txn of a session at a time: its tenant is remembered until it is done. */
+        /**
+         * Takes one of the tenant's share. A session has one transaction at a time, whose tenant is
+         * kept until its release even if the policy changes.
+         */
         private boolean lends() {
             boolean may = shares.take(principal.tenant());
             takenFor = may ? principal.tenant() : takenFor;
@@ -232,7 +235,7 @@
             use.filledAt = now;
         }
 
-        /** After BUSY: when it is worth coming back. */
+        /** Returns the delay after BUSY until the rate limit admits a transaction. */
         public Duration comeBack() {
             if (principal.rate() <= 0) {
                 return Duration.ZERO;
@@ -241,18 +244,18 @@
             return Duration.ofNanos((long) (missing / principal.rate() * 1e9));
         }
 
-        /** Which rule has decided; for the record of a denial. */
+        /** Returns the rule that decides this access, for the log line of a denial. */
         public String cause(int type, boolean write, int group, KeyBytes key) {
             return principal.rights().cause(type, write, group, key);
         }
 
-        /** A txn that was taken has its final answer, or its client is gone. */
+        /** Releases an admitted transaction that was answered, or whose client disconnected. */
         public void done() {
             use.out--;
             shares.done(takenFor);
         }
 
-        /** The client's connection is gone. */
+        /** Ends the session when its client connection has closed. */
         public void leave() {
             use.sessions--;
             if (use.sessions == 0
@@ -263,7 +266,7 @@
         }
     }
 
-    /** Rows of use: the principals of the policy that came, and those who are still in. */
+    /** Returns the number of principals in the usage table. */
     public int used() {
         return uses.size();
     }
--- a/src/main/java/dillfront/router/identity/KeyBytes.java
+++ b/src/main/java/dillfront/router/identity/KeyBytes.java
@@ -1,13 +1,13 @@
 package dillfront.router.identity;
 
-/** The key of a txn, byte for byte as the node will read it; nothing is copied. */
+/** The bytes of a transaction's key as the server will read them, accessed without a copy. */
 public interface KeyBytes {
 
     int length();
 
     byte at(int index);
 
-    /** A copy of these bytes as a map key. */
+    /** Wraps an array, which is not copied. */
     static KeyBytes of(byte[] bytes) {
         return new KeyBytes() {
             @Override
--- a/src/main/java/dillfront/router/identity/Penalty.java
+++ b/src/main/java/dillfront/router/identity/Penalty.java
@@ -3,32 +3,31 @@
 import java.time.Duration;
 
 /**
- * Waits after failed logins, so that guessing is slow. Failures are counted by address with name,
- * by name, and by address, in a count-min sketch of fixed size whose counts halve with time. One
- * who fails for one name waits for that name at his address; others behind the same address are not
- * locked out by him, since an address as a whole is charged only for the names of it that failed
- * beyond what one user does.
+ * Delays logins after failed ones, which slows down password guessing. Failures are counted per
+ * address and name, per name, and per address, in a count-min sketch of fixed size whose counts
+ * decay with a half-life. Failures for one name delay that name at that address; other users behind
+ * the same address are not locked out, since the free allowance of an address is far above that of
+ * one name.
  */
 public final class Penalty {
 
     private static final int ROWS = 4;
     private static final int COLUMNS = 1 << 12;
 
-    /**
-     * Failures that cost nothing: of one name at one address, of a name anywhere, of an address for
-     * all names.
-     */
+    /** Failures without a delay for one name at one address. */
     private static final double FREE_PAIR = 3;
 
+    /** Failures without a delay for one name at all addresses. */
     private static final double FREE_NAME = 30;
+
+    /** Failures without a delay for all names at one address. */
     private static final double FREE_ADDRESS = 100;
 
-    /** The first wait, doubled by each further failure, and the longest. */
+    /** The delay doubles with each further failure. */
     private static final Duration FIRST = Duration.ofMillis(250);
 
     private static final Duration LONGEST = Duration.ofSeconds(60);
 
-    /** Counts halve in this time. */
     private static final Duration HALF = Duration.ofMinutes(2);
 
     private final float[][] counts = new float[ROWS][COLUMNS];
@@ -37,7 +36,7 @@
     private Duration now = Duration.ZERO;
 
     /**
-     * @param secret of this instance, so that nobody can choose names that fall together
+     * @param secret key of the hash, so that no client can choose names that collide
      */
     public Penalty(long secret) {
         this.secret = secret;
@@ -47,14 +46,17 @@
         now = clock;
     }
 
-    /** A login failed. */
+    /** Counts a failed login. */
     public void failed(String address, String name) {
         add(hash(address, name));
         add(hash("", name));
         add(hash(address, ""));
     }
 
-    /** A login that was right: its name at its address is forgiven, what others did is not. */
+    /**
+     * Clears the failures of this name at this address after a successful login; the counts of the
+     * name and of the address alone keep them.
+     */
     public void right(String address, String name) {
         long key = hash(address, name);
         float count = count(key);
@@ -65,10 +67,7 @@
         }
     }
 
-    /**
-     * How long the last failures make this one wait before a credential is looked at; zero where
-     * they don't.
-     */
+    /** Returns the delay before the next credential is checked; zero for none. */
     public Duration wait(String address, String name) {
         double over =
                 Math.max(
@@ -87,8 +86,8 @@
         float least = count(key);
         for (int row = 0; row < ROWS; row++) {
             int column = column(key, row);
-            // Conservative update: only the least counters grow, so that names that fall together
-            // cost each other less.
+            // Conservative update: only the smallest counters grow, which reduces the error from
+            // collisions.
             counts[row][column] = Math.max(decayed(row, column), least + 1);
             at[row][column] = now.toNanos();
         }
--- a/src/main/java/dillfront/router/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -5,16 +5,14 @@
 import java.util.Set;
 
 /**
- * All that is known of who may do what, as one reading of the operator's files gave it; never
- * changed, only replaced.
+ * An immutable snapshot of the access policy from one read of the operator's files.
  *
  * @param principals by name
- * @param keys ids of the signing keys and certificates' issuers that count now
- * @param revoked ids of credentials that count no more: serials of certificates, ids of tokens
- * @param overlap for how long a key that is no longer among the keys still counts for those who
- *     came by it
- * @param holds for how long this state stands when it can't be read again
- * @param shares how many txns of each tenant may be out at once
+ * @param keys ids of the valid signing keys and certificate issuers
+ * @param revoked ids of revoked credentials: serial numbers of certificates, ids of tokens
+ * @param overlap grace period in which a retired key is still valid for sessions that it opened
+ * @param holds how long the policy stays in force while the files cannot be read
+ * @param shares bounds on the transactions in flight of each tenant
  */
 public record Policy(
         Map<String, Principal> principals,
@@ -33,7 +31,7 @@
                     Duration.ZERO,
                     Shares.Setting.NONE);
 
-    /** Where tenants have no shares. */
+    /** A policy without tenant shares. */
     public Policy(
             Map<String, Principal> principals,
             Set<String> keys,
--- a/src/main/java/dillfront/router/identity/Principal.java
+++ b/src/main/java/dillfront/router/identity/Principal.java
@@ -1,11 +1,10 @@
 package dillfront.router.identity;
 
 /**
- * Someone who may be served.
+ * An authenticated user or application.
  *
- * @param tenant index of his tenant in the settings; -1 where it has none
- * @param rate txns a second that he may begin, over all his sessions here; 0 where that is not
- *     bounded
- * @param atOnce txns that he may have out at once here; 0 where that is not bounded
+ * @param tenant index of the tenant in the settings; -1 for none
+ * @param rate transactions per second over all its sessions on this router; 0 for no limit
+ * @param atOnce transactions in flight over all its sessions on this router; 0 for no limit
  */
 public record Principal(String name, int tenant, Rights rights, double rate, int atOnce) {}
--- a/src/main/java/dillfront/router/identity/Refusal.java
+++ b/src/main/java/dillfront/router/identity/Refusal.java
@@ -2,23 +2,23 @@
 
 import java.util.Locale;
 
-/** Why someone is not let in, or his txn is not taken. */
+/** Why a session or a transaction is refused. */
 public enum Refusal {
-    /** His name is in no principal's. */
+    /** No principal has this name. */
     UNKNOWN("28000"),
-    /** His credential has run out, or was not good yet. */
+    /** The credential has expired, or is not valid yet. */
     EXPIRED("28000"),
-    /** The key that signed it counts no more. */
+    /** The key that signed the credential was retired. */
     KEY_ENDED("28000"),
-    /** The credential itself was taken back. */
+    /** The credential itself was revoked. */
     REVOKED("28000"),
-    /** The files that say who may come could not be read for too long. */
+    /** The policy files have been unreadable for longer than the staleness bound. */
     STALE("57P03"),
-    /** He, or many at his address, guessed too often: not looked at before the wait is over. */
+    /** Too many failed logins of this name or address: not checked before the delay is over. */
     PENALTY("28000"),
-    /** A rule denies this txn, or none allows it. */
+    /** A rule denies the transaction, or none allows it. */
     NO_RIGHT("42501"),
-    /** Beyond what he may begin a second, or have out at once. */
+    /** The rate limit or a limit on transactions in flight is reached. */
     BUSY("53300");
 
     private final String code;
@@ -27,17 +27,17 @@
         this.code = code;
     }
 
-    /** As SQLSTATE, PostgreSQL's appendix A. */
+    /** Returns the SQLSTATE (PostgreSQL documentation, appendix A). */
     public String code() {
         return code;
     }
 
-    /** As people are told. */
+    /** Returns the name for error messages and log lines. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The session itself is over by it, once what it has out is answered. */
+    /** Returns whether the session ends with it, after its transactions in flight. */
     public boolean endsSession() {
         return this == UNKNOWN || this == EXPIRED || this == KEY_ENDED || this == REVOKED;
     }
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -5,18 +5,18 @@
 import java.util.TreeMap;
 
 /**
- * The rules of one principal, compiled: a trie over the prefixes of keys for each group of nodes
- * that rules name, and one for the rules of all groups. Each trie node holds one word of bits,
- * types by access, for what is allowed from there on and one for what is denied. A verdict walks
- * the key once a trie, and stops where no rule goes further; it allocates nothing. Denial goes over
- * allowance, wherever either stands; what no rule speaks of is denied.
+ * The access rules of one principal, compiled into radix tries over key prefixes: one trie for each
+ * server group that a rule names, and one for the rules of all groups. Each trie node holds a bit
+ * mask of types and accesses that are allowed from its prefix on, and one of those denied. A
+ * verdict walks the key once per trie and allocates nothing. A denial overrides any allowance, and
+ * an access without a rule is denied.
  */
 public final class Rights {
 
-    /** Nothing is allowed. */
+    /** Rights that allow nothing. */
     public static final Rights NONE = new Rights(List.of());
 
-    /** What may be, and why not. */
+    /** The outcome of an access check. */
     public enum Verdict {
         ALLOWED,
         NO_RULE,
@@ -24,10 +24,10 @@
     }
 
     private static final class Node {
-        /** What leads here from the parent, its first byte included. */
+        /** Label of the edge from the parent, including its first byte. */
         byte[] label;
 
-        /** First bytes of the children's labels as unsigned numbers, rising. */
+        /** First bytes of the children's labels, unsigned, in ascending order. */
         int[] firsts = {};
 
         Node[] children = {};
@@ -67,12 +67,12 @@
     private final List<Rule> rules;
     private final Node all = new Node(new byte[0]);
 
-    /** Groups that rules name, rising, and their tries. */
+    /** Groups that rules name, in ascending order; {@link #tries} has the same order. */
     private final int[] groups;
 
     private final Node[] tries;
 
-    /** Indexes the rules by principal and key prefix. */
+    /** Compiles the rules. */
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
         TreeMap<Integer, Node> named = new TreeMap<>();
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Whether a txn of this type and key may be; type by its index in the settings. */
+    /** Checks an access; the type is its index in the settings. */
     public Verdict verdict(int type, boolean write, int group, KeyBytes key) {
         if (type < 0 || type >= Rule.TYPES) {
             return Verdict.NO_RULE;
@@ -137,8 +137,7 @@
     }
 
     /**
-     * 1 where some node on the key's way allows it, 0 where none does, negative where one denies
-     * it.
+     * Returns 1 if a node on the key's path allows the access, 0 if none does, -1 if one denies it.
      */
     private static int walk(Node root, long bit, KeyBytes key) {
         int length = key.length();
@@ -167,8 +166,8 @@
     }
 
     /**
-     * The first rule that decides it as the verdict does, in the order in which rules were given;
-     * for a denial's record.
+     * Returns the source of the first rule, in file order, that leads to the verdict; for the log
+     * line of a denial.
      */
     public String cause(int type, boolean write, int group, KeyBytes key) {
         String allowed = null;
@@ -183,7 +182,10 @@
         return allowed == null ? "no rule allows it" : allowed;
     }
 
-    /** Through all rules one after another: what the index is measured against. */
+    /**
+     * Checks an access by a scan over all rules, the reference for the trie in tests and
+     * benchmarks.
+     */
     public Verdict plainly(int type, boolean write, int group, KeyBytes key) {
         boolean allowed = false;
         for (Rule rule : rules) {
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -3,14 +3,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One right, or its denial.
+ * One access rule, which allows or denies.
  *
- * @param types bits of txn types, by index; ALL for all of them, also those that come later
- * @param reads holds for reads
- * @param writes holds for writes
- * @param group of nodes; ANY for all
- * @param prefix what the key begins with; empty for all keys
- * @param from where the rule stands, for people
+ * @param types bit mask of transaction types by index; ALL includes types that are added later
+ * @param reads whether the rule applies to reads
+ * @param writes whether the rule applies to writes
+ * @param group server group; ANY for all
+ * @param prefix prefix of the key; empty for all keys
+ * @param from file and line of the rule, for messages
  */
 public record Rule(
         boolean allow,
@@ -24,16 +24,16 @@
     public static final int ALL = -1;
     public static final int ANY = -1;
 
-    /** Types have indices below this. */
+    /** Bound of type indices: two masks of 32 types, reads and writes, fit into 64 bits. */
     public static final int TYPES = 32;
 
     /**
-     * @throws IllegalArgumentException where the rule contradicts itself
+     * @throws IllegalArgumentException if the prefix is longer than 255 bytes
      */
     public Rule {
         prefix = prefix.clone();
         if (prefix.length > 255) {
-            throw new IllegalArgumentException("a prefix longer than 255 bytes");
+            throw new IllegalArgumentException("prefix is longer than 255 bytes");
         }
     }
 
@@ -52,7 +52,7 @@
                 from);
     }
 
-    /** Bit of a type and an access within 64: reads below, writes above. */
+    /** Returns the bit of a type and an access: reads in the lower 32 bits, writes above. */
     static long bit(int type, boolean write) {
         return 1L << (write ? TYPES + type : type);
     }
@@ -61,7 +61,7 @@
         return (reads ? types & 0xffffffffL : 0) | (writes ? (types & 0xffffffffL) << TYPES : 0);
     }
 
-    /** Whether it speaks of this txn; the plain reading, against which the index is tested. */
+    /** Returns whether the rule applies to this access; the reference for the trie in tests. */
     boolean speaksOf(int type, boolean write, int group, KeyBytes key) {
         if ((bits() & bit(type, write)) == 0
                 || this.group != ANY && this.group != group
--- a/src/main/java/dillfront/router/identity/Shares.java
+++ b/src/main/java/dillfront/router/identity/Shares.java
@@ -4,26 +4,26 @@
 import java.util.Arrays;
 
 /**
- * How many txns of each tenant may be out at once. Each has a part of the whole that is its own by
- * its weight; what the others leave unused may be borrowed, but for what is kept back for them: all
- * of the part of a tenant that was here lately, a quarter of one that was not. So who comes back
- * finds room for his first txns at once, and the rest as fast as what was lent comes to its end; no
- * flood of one tenant takes from another what he uses.
+ * Bounds the transactions in flight of each tenant by weighted fair shares. A tenant may use its
+ * own share and borrow what others leave unused, except for a reserve: the full share of a tenant
+ * that was active recently, a quarter of the share of one that was not. A returning tenant so has
+ * room for its first transactions at once, and for the rest as borrowed slots are released; a burst
+ * of one tenant takes no capacity that an active tenant uses.
  *
- * <p>Pure; rows are the tenants of the settings, and one for those who have none, whose part is
- * nothing.
+ * <p>The class reads no clock. Its rows are the tenants of the settings, and one with a share of
+ * zero for sessions without a tenant.
  */
 public final class Shares {
 
-    /** Of its part, what is kept back for a tenant that has not been here lately. */
+    /** Part of the share that stays reserved for a tenant without recent transactions. */
     private static final double KEPT = 0.25;
 
-    /** Here lately: within this time. */
+    /** A tenant counts as active for this long after its last request. */
     private static final Duration LATELY = Duration.ofSeconds(5);
 
     /**
-     * @param atOnce txns out at once over all; 0 where that is not bounded
-     * @param weights one a tenant, by its index; zero or less counts as nothing
+     * @param atOnce transactions in flight over all tenants; 0 for no limit
+     * @param weights one per tenant, by its index; negative weights count as zero
      */
     public record Setting(int atOnce, double[] weights) {
 
@@ -50,7 +50,7 @@
         now = clock;
     }
 
-    /** From now on; what is out stays counted. */
+    /** Replaces the limits; transactions in flight stay counted. */
     public void set(Setting to) {
         whole = to.atOnce;
         int rows = Math.max(out.length, to.weights.length + 1);
@@ -68,12 +68,14 @@
         }
     }
 
-    /** The first row is that of those without a tenant. */
+    /** Returns the row of a tenant; row 0 is for sessions without one. */
     private int row(int tenant) {
         return tenant < 0 || tenant + 1 >= out.length ? 0 : tenant + 1;
     }
 
-    /** Whether one more of this tenant may go out; if so it is counted until done(). */
+    /**
+     * Admits one more transaction of this tenant, counted until {@link #done}; false at a limit.
+     */
     public boolean take(int tenant) {
         int row = row(tenant);
         seenAt[row] = now.toNanos();
@@ -87,8 +89,8 @@
     }
 
     /**
-     * Within its own part: only what is kept for the first txns of others is left alone, while some
-     * of it is lent out.
+     * Returns whether a transaction within the tenant's own share fits. Only the idle reserve of
+     * the other tenants is left free while parts of this share are lent.
      */
     private boolean room(int row) {
         double taken = all;
@@ -98,7 +100,7 @@
         return taken + 1 <= whole + 1e-9;
     }
 
-    /** Whether there is room beyond what is out and what is kept back for others. */
+    /** Returns whether a borrowed transaction fits beyond those in flight and all reserves. */
     private boolean lent() {
         double taken = 0;
         for (int i = 0; i < out.length; i++) {
@@ -108,7 +110,7 @@
         return taken + 1 <= whole + 1e-9;
     }
 
-    /** A transaction of this tenant has ended. */
+    /** Releases one transaction of this tenant. */
     public void done(int tenant) {
         int row = row(tenant);
         if (out[row] > 0) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Txns of this tenant that are out. */
+    /** Returns the transactions in flight of this tenant. */
     public int out(int tenant) {
         return out[row(tenant)];
     }
--- a/src/main/java/dillfront/router/identity/package-info.java
+++ b/src/main/java/dillfront/router/identity/package-info.java
@@ -1,2 +1,2 @@
-/** Who is calling, and what the caller may do. Without I/O. */
+/** Authentication of sessions and authorization of transactions, without I/O. */
 package dillfront.router.identity;
--- a/src/main/java/dillfront/router/operator/Operator.java
+++ b/src/main/java/dillfront/router/operator/Operator.java
@@ -30,8 +30,9 @@
 import java.util.Set;
 
 /**
- * What the operator's own file says; without one, nothing of it is on. The file is a script
- * (dillfront.script) that may call these words, roles before the principals that have them:
+ * The configuration from the operator's file; without a file, all of its features are off. The file
+ * is a script (see {@link Script}) that may call these functions, role() before the principal()
+ * that names it:
  *
  * <pre>
  *   gossip(key = "/etc/dillfront/r1.key", public = "64 hex digits", period = "1s", bytes_per_second = 3000, liars = 1,
@@ -47,16 +48,14 @@
  *   principal("billing-7", tenant = "hotel-7", roles = ["reader"], rate = 50, at_once = 8)
  * </pre>
  *
- * @param gossip null where it is off
- * @param identity null where all are served
- * @param file where it was read
- * @param memory the folder where a router keeps what restricts its next life; null where it keeps
- *     nothing
- * @param doubts how many referenced txns that may have run are kept in mind, and for how long; null
- *     where none is
- * @param sites whether what is lost is judged by site
- * @param control where the instance answers questions about itself, on a loopback address; null
- *     where it does not
+ * @param gossip null if gossip is off
+ * @param control loopback address of the control socket; null for none
+ * @param identity null if clients are not authenticated
+ * @param memory folder of the state that a restarted router resumes from; null for none
+ * @param doubts bounds on the number and the age of the remembered transactions of uncertain
+ *     outcome; null if none are remembered
+ * @param sites whether failures are assessed per site
+ * @param file the path that was read; null for {@link #NONE}
  */
 public record Operator(
         GossipPart gossip,
@@ -70,32 +69,34 @@
     public static final Operator NONE = new Operator(null, null, null, null, null, false, null);
 
     /**
-     * @param keyFile of this instance's private key, PKCS #8 in PEM
-     * @param bind where its socket is, where others reach it by another address than that; null
-     *     where they do not
-     * @param publicKey what belongs to it: one of this instance's keys in the ring, in hexadecimal
+     * The configuration of gossip.
+     *
+     * @param keyFile private key of this instance, PKCS #8 in PEM
+     * @param publicKey the public key of that pair, one of this instance's keys in the ring, in
+     *     hexadecimal
+     * @param bind local address of the socket if it differs from the address that peers use; null
+     *     otherwise
      */
     public record GossipPart(
             Tuning tuning, Ring ring, Path keyFile, String publicKey, InetSocketAddress bind) {
 
-        /** The index of the instance of this name. */
+        /** Returns the index in the ring of the instance with this name. */
         public int self(String name) throws BadOperator {
             int self = ring.peer(Ring.hash(name));
             if (self < 0) {
-                throw new BadOperator("no peer is called '" + name + "', as this instance is");
+                throw new BadOperator("no peer is named '" + name + "', the name of this instance");
             }
             if (ring.address(self) == null) {
                 throw new BadOperator(
-                        "peer '" + name + "', which this instance is, has no address");
+                        "peer '" + name + "', which is this instance, has no address");
             }
             if (!ring.has(self, publicKey)) {
-                throw new BadOperator(
-                        "'public' of gossip() is none of the keys of peer '" + name + "'");
+                throw new BadOperator("'public' of gossip() is not a key of peer '" + name + "'");
             }
             return self;
         }
 
-        /** After self(): the public key is in the ring. */
+        /** Reads the private key; {@link #self} must have checked the public key. */
         public PrivateKey key() throws BadOperator {
             PrivateKey mine = fromFile();
             if (!ring.pair(mine, publicKey)) {
@@ -112,12 +113,12 @@
                 throw new BadOperator("key " + keyFile + ": no such file");
             } catch (IOException | GeneralSecurityException | IllegalArgumentException bad) {
                 throw new BadOperator(
-                        "key " + keyFile + ": no Ed25519 key as `dillfront keygen` writes it");
+                        "key " + keyFile + ": not an Ed25519 key as written by `dillfront keygen`");
             }
         }
     }
 
-    /** One allow() or deny(), names not yet looked up. */
+    /** One allow() or deny(); its type names are resolved by {@link IdentityPart#policy}. */
     public record RuleText(
             boolean allow,
             List<String> types,
@@ -126,15 +127,17 @@
             String prefix,
             String from) {}
 
-    /** One principal(). */
+    /** One principal(); its names are resolved by {@link IdentityPart#policy}. */
     public record PrincipalText(
             String name, String tenant, List<String> roles, double rate, int atOnce, String from) {}
 
     /**
-     * @param jwks file of the public keys that sign tokens
-     * @param revoked file of ids that count no more, one a line; null where there is none
-     * @param certificate file of the door's certificate chain in PEM, and its private key; null
-     *     where the door has no TLS
+     * The configuration of authentication.
+     *
+     * @param jwks file of the public keys that verify tokens
+     * @param revoked file of revoked ids, one per line; null for none
+     * @param certificate file of the listener's certificate chain in PEM; null without TLS
+     * @param privateKey file of the certificate's private key; null without TLS
      */
     public record IdentityPart(
             Path jwks,
@@ -151,7 +154,7 @@
             Map<String, Long> weights,
             String from) {
 
-        /** All files that it is made of but for the operator's own. */
+        /** Returns all files that the policy is read from, except the operator's file itself. */
         public List<Path> files() {
             return java.util.stream.Stream.of(jwks, revoked, certificate, privateKey)
                     .filter(java.util.Objects::nonNull)
@@ -159,7 +162,10 @@
         }
 
         /**
-         * @param types and tenants by their names in the settings
+         * Builds the policy.
+         *
+         * @param types indices of the transaction types by their names in the settings
+         * @param tenants indices of the tenants by their names in the settings
          */
         public Policy policy(
                 Map<String, Integer> types,
@@ -215,7 +221,7 @@
         }
     }
 
-    /** What is wrong, with the file, the line and the column where it is known. */
+    /** The operator's file is invalid; the message has the file, and line and column if known. */
     public static final class BadOperator extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -224,7 +230,7 @@
         }
     }
 
-    /** Collects what the script says. */
+    /** Implements the functions that a script may call, and builds the configuration. */
     private static final class Saying {
 
         private final Ring ring = new Ring();
@@ -247,7 +253,7 @@
 
         Object identity(Script.Arguments given) throws ScriptError {
             if (identity != null) {
-                throw given.error("", "identity() is there twice");
+                throw given.error("", "identity() is called twice");
             }
             String jwks = given.text("jwks", null);
             String issuer = given.text("issuer", null);
@@ -265,7 +271,9 @@
                         "", "identity() needs '" + (jwks == null ? "jwks" : "issuer") + "'");
             }
             if ((certificate == null) != (key == null)) {
-                throw given.error("certificate", "'certificate' and 'key' go together");
+                throw given.error(
+                        "certificate",
+                        "'certificate' requires 'key', and 'key' requires 'certificate'");
             }
             identity =
                     new IdentityPart(
@@ -296,13 +304,13 @@
                     if (!(one.getKey() instanceof String name
                             && one.getValue() instanceof Long weight
                             && weight > 0)) {
-                        throw given.error("shares", "expected tenants' names and weights above 0");
+                        throw given.error("shares", "expected tenant names with weights above 0");
                     }
                     weights.put(name, weight);
                 }
                 return weights;
             }
-            throw given.error("shares", "expected a dict of tenants and weights");
+            throw given.error("shares", "expected a dict of tenant names and weights");
         }
 
         Object rule(boolean allow, Script.Arguments given) throws ScriptError {
@@ -316,10 +324,10 @@
                         "access", "expected \"r\", \"w\" or \"rw\", found \"" + access + "\"");
             }
             if (!types.stream().allMatch(t -> t instanceof String)) {
-                throw given.error("types", "expected a list of names of txn types");
+                throw given.error("types", "expected a list of names of transaction types");
             }
             if (prefix.getBytes(StandardCharsets.UTF_8).length > 255) {
-                throw given.error("prefix", "a prefix longer than 255 bytes");
+                throw given.error("prefix", "'prefix' is longer than 255 bytes");
             }
             Map<String, Object> row = new HashMap<>();
             row.put(
@@ -348,8 +356,8 @@
                 throw given.error(
                         "name",
                         name.isEmpty()
-                                ? "a role without a name"
-                                : "role '" + name + "' is there twice");
+                                ? "role() has no name"
+                                : "role '" + name + "' is defined twice");
             }
             return null;
         }
@@ -363,15 +371,15 @@
             given.done();
             for (Object role : its) {
                 if (!roles.containsKey(role)) {
-                    throw given.error("roles", "no role '" + role + "' above");
+                    throw given.error("roles", "role '" + role + "' is not defined above");
                 }
             }
             if (name.isEmpty() || principals.stream().anyMatch(p -> p.name.equals(name))) {
                 throw given.error(
                         "name",
                         name.isEmpty()
-                                ? "a principal without a name"
-                                : "principal '" + name + "' is there twice");
+                                ? "principal() has no name"
+                                : "principal '" + name + "' is defined twice");
             }
             principals.add(
                     new PrincipalText(
@@ -386,7 +394,7 @@
 
         Object gossip(Script.Arguments given) throws ScriptError {
             if (tuning != null) {
-                throw given.error("", "gossip() is there twice");
+                throw given.error("", "gossip() is called twice");
             }
             Tuning usual = Tuning.USUAL;
             String key = given.text("key", null);
@@ -404,13 +412,13 @@
                         "bind",
                         "'"
                                 + at
-                                + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
+                                + "' is not an address: expected an IPv4 address and a port, as 10.0.0.4:7946");
             }
             if (key == null || publicKey == null) {
                 throw given.error("", "gossip() needs '" + (key == null ? "key" : "public") + "'");
             }
             if (lasts.compareTo(period) < 0) {
-                throw given.error("lasts", "claims last less than a period");
+                throw given.error("lasts", "'lasts' is shorter than 'period'");
             }
             keyFile = Path.of(key);
             tuning = new Tuning(period, (int) bytes, (int) datagram, (int) liars, lasts);
@@ -423,7 +431,7 @@
             List<?> keys = given.list("keys");
             given.done();
             if (name == null || name.isEmpty()) {
-                throw given.error("name", "a peer without a name");
+                throw given.error("name", "peer() has no name");
             }
             InetSocketAddress address = at == null ? null : Address.parse(at);
             if (at != null && address == null) {
@@ -431,7 +439,7 @@
                         "address",
                         "'"
                                 + at
-                                + "' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946");
+                                + "' is not an address: expected an IPv4 address and a port, as 10.0.0.4:7946");
             }
             if (keys.isEmpty()) {
                 throw given.error("keys", "peer '" + name + "' has no key");
@@ -467,7 +475,7 @@
             if (control == null || !control.getAddress().isLoopbackAddress()) {
                 throw given.error(
                         "address",
-                        "'" + at + "' is no loopback address with a port, as 127.0.0.1:9946");
+                        "'" + at + "' is not a loopback address with a port, as 127.0.0.1:9946");
             }
             return null;
         }
@@ -478,7 +486,7 @@
             if (folder.isEmpty() || memory != null) {
                 throw given.error(
                         "folder",
-                        memory != null ? "memory() is there twice" : "memory() needs 'folder'");
+                        memory != null ? "memory() is called twice" : "memory() needs 'folder'");
             }
             memory = Path.of(folder);
             return null;
@@ -486,7 +494,7 @@
 
         Object doubts(Script.Arguments given) throws ScriptError {
             if (doubts != null) {
-                throw given.error("", "doubts() is there twice");
+                throw given.error("", "doubts() is called twice");
             }
             long most = number(given, "most", 65_536, 16, 1 << 20);
             Duration keeps = span(given, "keeps", Duration.ofMinutes(10));
@@ -524,7 +532,7 @@
             if (!digits.matches("[0-9]{1,6}") || Long.parseLong(digits) == 0) {
                 throw given.error(
                         name,
-                        "expected a span as \"250ms\" or \"5s\" for '"
+                        "expected a duration as \"250ms\" or \"5s\" for '"
                                 + name
                                 + "', found \""
                                 + text
@@ -541,25 +549,26 @@
             try {
                 return Duration.between(Instant.EPOCH, Instant.parse(String.valueOf(text)));
             } catch (DateTimeParseException bad) {
-                throw given.error("keys", "'" + text + "' is no time as 2026-12-01T00:00:00Z");
+                throw given.error("keys", "'" + text + "' is not a time as 2026-12-01T00:00:00Z");
             }
         }
 
         Operator said() throws BadOperator {
             if (tuning == null && ring.size() > 0) {
-                throw new BadOperator("peers, but no gossip(): nothing would be on");
+                throw new BadOperator("peer() without gossip() has no effect");
             }
             if (identity == null && !principals.isEmpty()) {
-                throw new BadOperator("principals, but no identity(): all would be served");
+                throw new BadOperator(
+                        "principal() without identity() would leave access unrestricted");
             }
             if (tuning == null) {
                 return new Operator(null, control, identity, memory, doubts, sites, Path.of(file));
             }
             if (ring.size() < 2) {
                 throw new BadOperator(
-                        "gossip() with "
+                        "gossip() has "
                                 + ring.size()
-                                + " peers: expected this instance and another");
+                                + " peers, expected this instance and at least one other");
             }
             if (3 * tuning.liars() > ring.size()) {
                 throw new BadOperator(
@@ -567,7 +576,7 @@
                                 + tuning.liars()
                                 + " of "
                                 + ring.size()
-                                + " peers: expected a third at the most");
+                                + " peers, expected at most a third");
             }
             return new Operator(
                     new GossipPart(tuning, ring, keyFile, publicKey, bind),
@@ -580,7 +589,7 @@
         }
     }
 
-    /** From LB_OPERATOR; NONE where it is not set. */
+    /** Reads the file that LB_OPERATOR names; {@link #NONE} if it is not set. */
     public static Operator of(Map<String, String> env) throws BadOperator {
         String file = env.get("LB_OPERATOR");
         return file == null || file.isEmpty() ? NONE : read(Path.of(file));
@@ -593,12 +602,14 @@
         } catch (NoSuchFileException none) {
             throw new BadOperator(file + ": no such file");
         } catch (IOException bad) {
-            throw new BadOperator(file + ": not to be read as UTF-8 text");
+            throw new BadOperator(file + ": cannot be read as UTF-8 text");
         }
     }
 
     /**
-     * @param name of the file, for errors
+     * Parses and checks the text of an operator's file.
+     *
+     * @param name of the file, for error messages
      */
     public static Operator read(String name, String text) throws BadOperator {
         Saying saying = new Saying(name);
--- a/src/main/java/dillfront/router/operator/package-info.java
+++ b/src/main/java/dillfront/router/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's own file. */
+/** The operator's file: gossip, access policy and recovery settings of a router. */
 package dillfront.router.operator;
--- a/src/main/java/dillfront/router/script/Lexer.java
+++ b/src/main/java/dillfront/router/script/Lexer.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * From text to words. Indentation by spaces makes blocks, as in Starlark; within brackets lines go
- * on.
+ * Splits a script into tokens. Indentation by spaces forms blocks, as in Starlark; line breaks
+ * within brackets are ignored.
  */
 final class Lexer {
 
@@ -30,7 +30,7 @@
 
     static List<Token> tokens(String text) throws ScriptError {
         if (text.length() > LONGEST) {
-            throw new ScriptError(1, 1, "longer than " + LONGEST + " characters");
+            throw new ScriptError(1, 1, "script is longer than " + LONGEST + " characters");
         }
         return new Lexer(text).all();
     }
@@ -55,8 +55,7 @@
             line();
         }
         if (!brackets.isEmpty()) {
-            throw new ScriptError(
-                    brackets.peek(), "this " + brackets.peek().shown() + " is not closed");
+            throw new ScriptError(brackets.peek(), brackets.peek().shown() + " is not closed");
         }
         if (!tokens.isEmpty() && tokens.get(tokens.size() - 1).kind() != Token.Kind.NEWLINE) {
             add(Token.Kind.NEWLINE, "", at);
@@ -68,7 +67,7 @@
         return tokens;
     }
 
-    /** The spaces at the begin of a line; false where the line holds nothing else. */
+    /** Reads the indentation of a line; false for a line without tokens, which is skipped. */
     private boolean indentation() throws ScriptError {
         int spaces = 0;
         while (peek() == ' ') {
@@ -76,7 +75,7 @@
             at++;
         }
         if (peek() == '\t') {
-            throw error("a tab: blocks are indented by spaces");
+            throw error("tab in indentation: use spaces");
         }
         if (peek() == '\r' || peek() == '\n' || peek() == '#' || at >= text.length()) {
             while (at < text.length() && peek() != '\n') {
@@ -94,7 +93,7 @@
             add(Token.Kind.DEDENT, "", at);
         }
         if (spaces != indents.peek()) {
-            throw error("this line's indentation is that of no block above");
+            throw error("indentation matches no outer block");
         }
         return true;
     }
@@ -105,7 +104,7 @@
         lineStart = at;
     }
 
-    /** Words up to the end of the line. */
+    /** Reads the tokens up to the end of the line. */
     private void line() throws ScriptError {
         while (at < text.length()) {
             char c = peek();
@@ -129,7 +128,7 @@
                     at++;
                 }
                 if (Character.isLetter(peek()) || peek() == '.') {
-                    throw error("expected a whole number (spans are strings, as \"250ms\")");
+                    throw error("expected a whole number (durations are strings, as \"250ms\")");
                 }
                 add(Token.Kind.NUMBER, text.substring(from, at).replace("_", ""), from);
             } else if (Character.isLetter(c) || c == '_') {
@@ -149,7 +148,7 @@
         while (peek() != quote) {
             if (at >= text.length() || peek() == '\n') {
                 at = from;
-                throw error("this string is not closed on its line");
+                throw error("string is not closed on its line");
             }
             if (peek() == '\\') {
                 at++;
@@ -157,7 +156,7 @@
                     case 'n' -> value.append('\n');
                     case 't' -> value.append('\t');
                     case '\\', '"', '\'' -> value.append(peek());
-                    default -> throw error("expected one of n t \\ \" ' behind \\");
+                    default -> throw error("expected one of n t \\ \" ' after \\");
                 }
             } else {
                 value.append(peek());
@@ -178,7 +177,7 @@
                 } else if (")]}".contains(sign)) {
                     if (brackets.isEmpty()
                             || "([{".indexOf(brackets.peek().text()) != ")]}".indexOf(sign)) {
-                        throw error("this " + sign + " closes nothing");
+                        throw error("'" + sign + "' has no opening bracket");
                     }
                     brackets.pop();
                 }
@@ -186,6 +185,6 @@
                 return;
             }
         }
-        throw error("'" + (peek() < ' ' ? "?" : peek()) + "' has no meaning here");
+        throw error("'" + (peek() < ' ' ? "?" : peek()) + "' is not allowed here");
     }
 }
--- a/src/main/java/dillfront/router/script/Parser.java
+++ b/src/main/java/dillfront/router/script/Parser.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** From words to a tree, by descent; says what it expected where it can't go on. */
+/** A recursive-descent parser. A syntax error names what was expected and what was found. */
 final class Parser {
 
     private static final int DEEPEST = 64;
@@ -33,7 +33,7 @@
                     "import",
                     "class");
 
-    /** Weakest first; of one row from left to right. */
+    /** Binary operators by ascending precedence; operators of one level associate to the left. */
     private static final List<Set<String>> BINARY =
             List.of(
                     Set.of("or"),
@@ -102,14 +102,17 @@
         next();
     }
 
-    /** Guards the stack: what goes in comes out by depth--, and a fault ends the whole. */
+    /**
+     * Enters one level of nesting, whose bound protects the stack. Callers leave the level by
+     * depth--, except on an error, which ends the parse.
+     */
     private void deeper(Token at, String what) throws ScriptError {
         if (++depth > DEEPEST) {
-            throw new ScriptError(at, what + " are more than " + DEEPEST + " deep");
+            throw new ScriptError(at, what + " are nested more than " + DEEPEST + " levels deep");
         }
     }
 
-    // ---- steps
+    // ---- statements
 
     private void step(List<Tree.Step> into) throws ScriptError {
         Token first = peek();
@@ -126,8 +129,7 @@
             }
             case "def" -> into.add(function());
             case "while", "lambda", "load", "import", "class" ->
-                    throw new ScriptError(
-                            first, "'" + first.text() + "' is not part of these scripts");
+                    throw new ScriptError(first, "'" + first.text() + "' is not supported");
             default -> {
                 small(into);
                 endOfLine();
@@ -139,12 +141,12 @@
         Token first = peek();
         if (first.is("pass") || first.is("break") || first.is("continue")) {
             if (!first.is("pass") && inLoop == 0) {
-                throw new ScriptError(first, "'" + first.text() + "' outside of a for");
+                throw new ScriptError(first, "'" + first.text() + "' outside a for loop");
             }
             into.add(new Tree.Leave(next()));
         } else if (first.is("return")) {
             if (!inFunction) {
-                throw new ScriptError(first, "'return' outside of a function");
+                throw new ScriptError(first, "'return' outside a function");
             }
             next();
             into.add(new Tree.Return(first, peek().kind() == Kind.NEWLINE ? null : value()));
@@ -197,7 +199,7 @@
     private Tree.Step function() throws ScriptError {
         Token first = next();
         if (inFunction) {
-            throw new ScriptError(first, "a function within a function");
+            throw new ScriptError(first, "nested functions are not supported");
         }
         Token called = name();
         expect("(");
@@ -242,10 +244,10 @@
         return steps;
     }
 
-    // ---- values
+    // ---- expressions
 
     private Tree.Value value() throws ScriptError {
-        deeper(peek(), "values");
+        deeper(peek(), "expressions");
         Tree.Value value = binary(0);
         if (peek().is("if")) {
             Token at = next();
@@ -263,7 +265,7 @@
         }
         if (row == 2 && peek().is("not")) {
             Token sign = next();
-            deeper(sign, "values");
+            deeper(sign, "expressions");
             Tree.Value of = binary(row);
             depth--;
             return new Tree.Unary(sign, of);
@@ -276,7 +278,7 @@
             if (row == 2
                     && BINARY.get(row).contains(peek().text())
                     && peek().kind() != Kind.STRING) {
-                throw new ScriptError(peek(), "comparisons in a row: use brackets and 'and'");
+                throw new ScriptError(peek(), "chained comparisons are not supported: use 'and'");
             }
         }
         return left;
@@ -285,7 +287,7 @@
     private Tree.Value unary() throws ScriptError {
         if (peek().is("-")) {
             Token sign = next();
-            deeper(sign, "values");
+            deeper(sign, "expressions");
             Tree.Value of = unary();
             depth--;
             return new Tree.Unary(sign, of);
@@ -302,11 +304,11 @@
                 next();
                 Token method = name();
                 if (!peek().is("(")) {
-                    throw expected("'(' behind the name of a method");
+                    throw expected("'(' after the name of a method");
                 }
                 Tree.Call call = call(value);
                 if (call.names().stream().anyMatch(n -> n != null)) {
-                    throw new ScriptError(method, "a method takes no names of arguments");
+                    throw new ScriptError(method, "methods take no keyword arguments");
                 }
                 value = new Tree.Method(method, value, call.values());
             } else {
@@ -322,7 +324,7 @@
         while (!peek().is(")")) {
             boolean named = peek().kind() == Kind.NAME && tokens.get(this.at + 1).is("=");
             if (!named && names.stream().anyMatch(n -> n != null)) {
-                throw expected("an argument with its name, as those before");
+                throw expected("a keyword argument after a keyword argument");
             }
             names.add(named ? name() : null);
             if (named) {
@@ -345,7 +347,7 @@
                 try {
                     return new Tree.Literal(first, Long.parseLong(first.text()));
                 } catch (NumberFormatException large) {
-                    throw new ScriptError(first, "a number beyond 64 bits");
+                    throw new ScriptError(first, "number exceeds 64 bits");
                 }
             }
             case STRING -> {
--- a/src/main/java/dillfront/router/script/Script.java
+++ b/src/main/java/dillfront/router/script/Script.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 
 /**
- * Runs a script: whole numbers, strings, truth, None, lists, dicts, functions without recursion,
- * for over what is finite. It reads no file, clock or chance, so the same text does the same; and
- * it ends, since its steps are bounded. What it has to say it says by calls of words that the
- * program gives it.
+ * Interprets a script with whole numbers, strings, booleans, None, lists, dicts, functions without
+ * recursion and for loops over finite values. A script has no access to files, clocks or random
+ * numbers, so the same text has the same result; a bound on its steps ends each run. Its effects
+ * are calls of the functions that the host program provides.
  */
 public final class Script {
 
     private static final long STEPS = 2_000_000;
     private static final int LARGEST = 100_000;
 
-    /** A word that the program gives to scripts. */
+    /** A function that the host program provides to scripts. */
     public interface Word {
         /**
          * @return the value of the call: null, Boolean, Long, String, List or Map
@@ -27,7 +27,7 @@
         Object call(Arguments arguments) throws ScriptError;
     }
 
-    /** What a call was given. Each is taken once; done() finds those that nobody wanted. */
+    /** The arguments of a call. Each is taken once; {@link #done} rejects those that are left. */
     public static final class Arguments {
 
         private final Token at;
@@ -47,7 +47,9 @@
             this.where = where;
         }
 
-        /** The next by place, or the one of this name; null where it is not there. */
+        /**
+         * Takes the next positional argument, or the keyword argument of this name; null for none.
+         */
         public Object take(String name) throws ScriptError {
             if (taken < placed.size()) {
                 if (named.containsKey(name)) {
@@ -59,7 +61,7 @@
         }
 
         /**
-         * @throws ScriptError where the value is no text
+         * @throws ScriptError if the value is not a string
          */
         public String text(String name, String otherwise) throws ScriptError {
             Object value = take(name);
@@ -70,7 +72,7 @@
         }
 
         /**
-         * @throws ScriptError where the value is no whole number
+         * @throws ScriptError if the value is not a number
          */
         public long number(String name, long otherwise) throws ScriptError {
             Object value = take(name);
@@ -81,7 +83,7 @@
         }
 
         /**
-         * @throws ScriptError where the value is no list
+         * @throws ScriptError if the value is not a list
          */
         public List<?> list(String name) throws ScriptError {
             Object value = take(name);
@@ -92,7 +94,7 @@
         }
 
         /**
-         * @throws ScriptError where the call has an argument that nobody read
+         * @throws ScriptError if the call has an argument that was not taken
          */
         public void done() throws ScriptError {
             if (taken < placed.size()) {
@@ -100,16 +102,16 @@
             }
             for (String name : named.keySet()) {
                 throw new ScriptError(
-                        where.get(name), "'" + at.text() + "' takes no '" + name + "'");
+                        where.get(name), "'" + at.text() + "' has no argument '" + name + "'");
             }
         }
 
-        /** Line of the call. */
+        /** Returns the line of the call. */
         public int line() {
             return at.line();
         }
 
-        /** At the argument of this name, or at the call. */
+        /** Creates an error at the argument of this name, or at the call if it has none. */
         public ScriptError error(String name, String fault) {
             return new ScriptError(where.getOrDefault(name, at), fault);
         }
@@ -117,7 +119,7 @@
 
     private record Function(Tree.Def def, List<Object> defaults) {}
 
-    /** How a list of steps ended. */
+    /** How a block of statements ended. */
     private enum End {
         THROUGH,
         BREAK,
@@ -136,7 +138,7 @@
         this.words = words;
     }
 
-    /** Runs it to its end. */
+    /** Parses and runs a script. */
     public static void run(String text, Map<String, Word> words) throws ScriptError {
         Script script = new Script(words);
         script.all(Parser.parse(text));
@@ -144,11 +146,11 @@
 
     private void step(Token at) throws ScriptError {
         if (++steps > STEPS) {
-            throw new ScriptError(at, "more than " + STEPS + " steps: it does not end in time");
+            throw new ScriptError(at, "more than " + STEPS + " steps: script does not end in time");
         }
     }
 
-    // ---- steps
+    // ---- statements
 
     private End all(List<Tree.Step> of) throws ScriptError {
         for (Tree.Step one : of) {
@@ -205,14 +207,17 @@
         if (names.size() == 1) {
             if (words.containsKey(names.get(0).text())) {
                 throw new ScriptError(
-                        names.get(0), "'" + names.get(0).text() + "' is a word of the program");
+                        names.get(0),
+                        "'"
+                                + names.get(0).text()
+                                + "' is a built-in function and cannot be assigned");
             }
             into.put(names.get(0).text(), value);
             return;
         }
         if (!(value instanceof List<?> list) || list.size() != names.size()) {
             throw new ScriptError(
-                    at, "expected a list of " + names.size() + ", found " + shown(value));
+                    at, "expected a list of " + names.size() + " values, found " + shown(value));
         }
         for (int i = 0; i < names.size(); i++) {
             into.put(names.get(i).text(), list.get(i));
@@ -226,12 +231,12 @@
         if (value instanceof Map<?, ?> map) {
             return new ArrayList<>(map.keySet());
         }
-        throw new ScriptError(at, "expected a list or dict to go through, found " + shown(value));
+        throw new ScriptError(at, "expected a list or dict to iterate over, found " + shown(value));
     }
 
     private static final Object NONE = new Object();
 
-    // ---- values
+    // ---- expressions
 
     private Object lookUp(Token name) throws ScriptError {
         if (locals != null && locals.containsKey(name.text())) {
@@ -240,7 +245,7 @@
         if (globals.containsKey(name.text())) {
             return globals.get(name.text());
         }
-        throw new ScriptError(name, "no name '" + name.text() + "' is known here");
+        throw new ScriptError(name, "name '" + name.text() + "' is not defined");
     }
 
     private Object value(Tree.Value of) throws ScriptError {
@@ -261,8 +266,7 @@
                 Object key = value(entries.keys().get(i));
                 if (map.containsKey(key)) {
                     throw new ScriptError(
-                            entries.keys().get(i).at(),
-                            "the key " + shown(key) + " is there twice");
+                            entries.keys().get(i).at(), "key " + shown(key) + " is defined twice");
                 }
                 map.put(key(entries.keys().get(i).at(), key), value(entries.values().get(i)));
             }
@@ -297,7 +301,7 @@
         List<Object> list = new ArrayList<>();
         Map<String, Object> outer = locals;
         List<?> in = items(each.at(), value(each.in()));
-        // Names of its own, as in Starlark.
+        // A comprehension has its own scope, as in Starlark.
         locals = new HashMap<>(outer == null ? Map.of() : outer);
         for (Object one : in) {
             step(each.at());
@@ -336,7 +340,7 @@
             }
         }
         if (!(value(call.of()) instanceof Function function)) {
-            throw new ScriptError(call.at(), "this is no function");
+            throw new ScriptError(call.at(), "called value is not a function");
         }
         return call(call.at(), function, placed, named, where);
     }
@@ -367,10 +371,11 @@
             throw new ScriptError(at, "too many arguments for '" + called + "'");
         }
         for (String name : named.keySet()) {
-            throw new ScriptError(where.get(name), "'" + called + "' takes no '" + name + "'");
+            throw new ScriptError(
+                    where.get(name), "'" + called + "' has no argument '" + name + "'");
         }
         if (!running.add(called)) {
-            throw new ScriptError(at, "'" + called + "' calls itself; functions here don't");
+            throw new ScriptError(at, "'" + called + "' calls itself: recursion is not supported");
         }
         Map<String, Object> outer = locals;
         locals = own;
@@ -383,7 +388,7 @@
         return result;
     }
 
-    /** Words of the language itself; NONE where it is none. */
+    /** Calls a built-in function of the language; returns {@link #NONE} if there is none. */
     private Object built(Token at, List<Object> given) throws ScriptError {
         switch (at.text()) {
             case "len" -> {
@@ -431,7 +436,7 @@
         Object key = value(index.index());
         if (of instanceof Map<?, ?> map) {
             if (!map.containsKey(key)) {
-                throw new ScriptError(index.at(), "no key " + shown(key));
+                throw new ScriptError(index.at(), "dict has no key " + shown(key));
             }
             return map.get(key);
         }
@@ -440,7 +445,8 @@
             at = at < 0 ? at + list.size() : at;
             if (at < 0 || at >= list.size()) {
                 throw new ScriptError(
-                        index.at(), "no element " + shown(key) + " in a list of " + list.size());
+                        index.at(),
+                        "index " + shown(key) + " is out of range for a list of " + list.size());
             }
             return list.get((int) at);
         }
@@ -480,7 +486,7 @@
             switch (at.text()) {
                 case "get" -> {
                     if (given.isEmpty() || given.size() > 2) {
-                        throw new ScriptError(at, "'get' takes a key and what stands for none");
+                        throw new ScriptError(at, "'get' takes a key and an optional default");
                     }
                     return map.containsKey(given.get(0))
                             ? map.get(given.get(0))
@@ -497,12 +503,12 @@
                 default -> {}
             }
         }
-        throw new ScriptError(at, shown(of) + " has no '" + at.text() + "'");
+        throw new ScriptError(at, shown(of) + " has no method '" + at.text() + "'");
     }
 
     private static String bounded(Token at, String text) throws ScriptError {
         if (text.length() > LARGEST) {
-            throw new ScriptError(at, "a string longer than " + LARGEST);
+            throw new ScriptError(at, "string is longer than " + LARGEST);
         }
         return text;
     }
@@ -528,7 +534,7 @@
                     both.addAll(b);
                     steps += both.size();
                     if (both.size() > LARGEST) {
-                        throw new ScriptError(at, "a list longer than " + LARGEST);
+                        throw new ScriptError(at, "list is longer than " + LARGEST);
                     }
                     return both;
                 }
@@ -556,12 +562,12 @@
                 case "%":
                     return Math.floorMod(a, b);
                 default:
-                    throw new ScriptError(at, "'" + sign + "' has no meaning here");
+                    throw new ScriptError(at, "'" + sign + "' is not supported here");
             }
         } catch (ArithmeticException bad) {
             throw new ScriptError(
                     at,
-                    b == 0 && !sign.equals("*") ? "a division by zero" : "a number beyond 64 bits");
+                    b == 0 && !sign.equals("*") ? "division by zero" : "number exceeds 64 bits");
         }
     }
 
@@ -610,7 +616,7 @@
         return value;
     }
 
-    /** As a script would write it, shortened. */
+    /** Returns a value in the syntax of scripts, shortened to 60 characters. */
     static String shown(Object value) {
         String text =
                 value == null
--- a/src/main/java/dillfront/router/script/ScriptError.java
+++ b/src/main/java/dillfront/router/script/ScriptError.java
@@ -1,6 +1,6 @@
 package dillfront.router.script;
 
-/** What is wrong with a script, and where: lines and columns count from one. */
+/** A script is invalid or fails; line and column of the place count from one. */
 public final class ScriptError extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/dillfront/router/script/Token.java
+++ b/src/main/java/dillfront/router/script/Token.java
@@ -1,9 +1,9 @@
 package dillfront.router.script;
 
 /**
- * One word of a script.
+ * One lexical token of a script.
  *
- * @param text as it stands there; of a string, what it says
+ * @param text the source text; for a string, its value without quotes and escapes
  */
 record Token(Kind kind, String text, int line, int column) {
 
@@ -22,7 +22,7 @@
         return (kind == Kind.SIGN || kind == Kind.NAME) && text.equals(sign);
     }
 
-    /** As an error names it. */
+    /** Returns the description for error messages. */
     String shown() {
         return switch (kind) {
             case NEWLINE -> "the end of the line";
--- a/src/main/java/dillfront/router/script/Tree.java
+++ b/src/main/java/dillfront/router/script/Tree.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** A script as it was read. Each part knows the word at which it stands, for errors. */
+/** The syntax tree of a script. Each node holds its token, whose place goes into errors. */
 final class Tree {
 
     private Tree() {}
 
-    /** What has a value. */
+    /** An expression. */
     sealed interface Value
             permits Literal,
                     Name,
@@ -32,13 +32,16 @@
     record Entries(Token at, List<Value> keys, List<Value> values) implements Value {}
 
     /**
-     * @param names of keyword arguments, null for those by place
+     * A call.
+     *
+     * @param of the called function
+     * @param names of keyword arguments; null for positional ones
      */
     record Call(Token at, Value of, List<Token> names, List<Value> values) implements Value {}
 
     record Index(Token at, Value of, Value index) implements Value {}
 
-    /** A method by its name, which is called at once. */
+    /** A call of a method; {@code at} is its name. */
     record Method(Token at, Value of, List<Value> values) implements Value {}
 
     record Unary(Token at, Value of) implements Value {}
@@ -50,13 +53,15 @@
     record Comprehension(Token at, Value each, List<Token> names, Value in, Value when)
             implements Value {}
 
-    /** What is done. */
+    /** A statement. */
     sealed interface Step permits Set, Do, If, For, Def, Return, Leave {
         Token at();
     }
 
     /**
-     * @param sign = or one with an operator in front
+     * An assignment.
+     *
+     * @param sign "=", or the operator of an augmented assignment
      */
     record Set(Token at, List<Token> names, String sign, Value value) implements Step {}
 
@@ -67,13 +72,16 @@
     record For(Token at, List<Token> names, Value in, List<Step> each) implements Step {}
 
     /**
-     * @param defaults null where there is none
+     * A function definition.
+     *
+     * @param names the function, then its parameters
+     * @param defaults one per parameter; null for none
      */
     record Def(Token at, List<Token> names, List<Value> defaults, List<Step> steps)
             implements Step {}
 
     record Return(Token at, Value value) implements Step {}
 
-    /** break, continue or pass. */
+    /** A {@code break}, {@code continue} or {@code pass}. */
     record Leave(Token at) implements Step {}
 }
--- a/src/main/java/dillfront/router/script/package-info.java
+++ b/src/main/java/dillfront/router/script/package-info.java
@@ -1,2 +1,2 @@
-/** The language of the operator's own file. */
+/** An interpreter for the operator's file, a subset of Starlark with bounded run time. */
 package dillfront.router.script;
--- a/src/main/java/dillfront/router/tokens/Tokens.java
+++ b/src/main/java/dillfront/router/tokens/Tokens.java
@@ -20,13 +20,12 @@
 import java.util.Set;
 
 /**
- * Signed tokens (RFC 7519) against a set of public keys (RFC 7517). What algorithm a key is for is
- * said by the key, never by the token; only signatures with a private key count, so that a public
- * one is nobody's secret. Reads no file and no clock.
+ * Verifies signed tokens (RFC 7519) with a set of public keys (RFC 7517). The key, never the token,
+ * determines the algorithm, and only asymmetric signatures are accepted, so that a public key
+ * cannot be misused as a shared secret. The class reads no file and no clock.
  */
 public final class Tokens {
 
-    /** Longer ones are not looked at. */
     public static final int LONGEST = 8192;
 
     private static final int LONGEST_SET = 1 << 18;
@@ -36,7 +35,7 @@
 
     private record Key(JWSAlgorithm algorithm, JWSVerifier verifier) {}
 
-    /** What is wrong with a token or a set of keys. */
+    /** A token or a key set is invalid. */
     public static final class BadToken extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -56,33 +55,33 @@
         this.issuer = issuer;
         this.audience = audience;
         if (jwks.length() > LONGEST_SET) {
-            throw new BadToken("a key set longer than " + LONGEST_SET + " characters");
+            throw new BadToken("key set is longer than " + LONGEST_SET + " characters");
         }
         try {
             for (JWK jwk : JWKSet.parse(jwks).getKeys()) {
                 String id = jwk.getKeyID();
                 if (id == null || id.isEmpty()) {
-                    throw new BadToken("a key without kid");
+                    throw new BadToken("key set has a key without kid");
                 }
                 if (jwk.isPrivate()) {
                     throw new BadToken(
-                            "key '" + id + "' is a secret: public keys alone belong here");
+                            "key '" + id + "' is a secret: only public keys are allowed");
                 }
                 if (jwk.getAlgorithm() == null
                         || !ALGORITHMS.contains(JWSAlgorithm.parse(jwk.getAlgorithm().getName()))) {
                     throw new BadToken(
-                            "key '" + id + "' has no alg of ES256, ES384, RS256 or PS256");
+                            "key '" + id + "' has no alg out of ES256, ES384, RS256 and PS256");
                 }
                 JWSAlgorithm algorithm = JWSAlgorithm.parse(jwk.getAlgorithm().getName());
                 if (keys.put(id, new Key(algorithm, verifier(jwk, algorithm))) != null) {
-                    throw new BadToken("key '" + id + "' is there twice");
+                    throw new BadToken("key '" + id + "' is defined twice");
                 }
             }
         } catch (ParseException | JOSEException | IllegalArgumentException bad) {
-            throw new BadToken("no key set: " + first(bad.getMessage()));
+            throw new BadToken("invalid key set: " + first(bad.getMessage()));
         }
         if (keys.isEmpty()) {
-            throw new BadToken("a key set without keys");
+            throw new BadToken("key set is empty");
         }
     }
 
@@ -100,61 +99,57 @@
                                 + jwk.getKeyID()
                                 + "' has "
                                 + rsa.size()
-                                + " bits: "
-                                + RSA_BITS
-                                + " at the least");
+                                + " bits, expected at least "
+                                + RSA_BITS);
             }
             return new RSASSAVerifier(rsa);
         }
-        throw new BadToken(
-                "key '" + jwk.getKeyID() + "' is of no kind that " + algorithm + " needs");
+        throw new BadToken("key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
     }
 
-    /** Ids of the keys. */
+    /** Returns the ids of the keys. */
     public Set<String> ids() {
         return Set.copyOf(keys.keySet());
     }
 
     /**
-     * Whether this was signed by one of the keys, for this audience; its times are looked at by the
-     * gate.
-     *
-     * @return what it says
+     * Verifies the signature, the issuer and the audience of a token and returns its claims. Its
+     * validity period is checked by {@link Gate}.
      */
     public Gate.Credential read(String token) throws BadToken {
         if (token.length() > LONGEST) {
-            throw new BadToken("longer than " + LONGEST + " characters");
+            throw new BadToken("token is longer than " + LONGEST + " characters");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(token);
             Key key = keys.get(jwt.getHeader().getKeyID());
             if (key == null) {
-                throw new BadToken("signed by no key of ours");
+                throw new BadToken("token is signed with an unknown key");
             }
             if (!key.algorithm.equals(jwt.getHeader().getAlgorithm())) {
                 throw new BadToken(
-                        "the key is for "
+                        "key is for "
                                 + key.algorithm
-                                + ", the token says "
+                                + ", token has alg "
                                 + jwt.getHeader().getAlgorithm());
             }
             if (jwt.getHeader().getCriticalParams() != null) {
-                throw new BadToken("critical headers, of which none is known here");
+                throw new BadToken("token has critical headers, none is supported");
             }
             if (!jwt.verify(key.verifier)) {
-                throw new BadToken("the signature is not right");
+                throw new BadToken("token signature is invalid");
             }
             JWTClaimsSet claims = jwt.getJWTClaimsSet();
             if (!issuer.equals(claims.getIssuer())) {
-                throw new BadToken("another issuer");
+                throw new BadToken("token is from another issuer");
             }
             if (!claims.getAudience().contains(audience)) {
-                throw new BadToken("for another audience");
+                throw new BadToken("token is for another audience");
             }
             if (claims.getSubject() == null
                     || claims.getExpirationTime() == null
                     || claims.getJWTID() == null) {
-                throw new BadToken("lacks sub, exp or jti");
+                throw new BadToken("token lacks sub, exp or jti");
             }
             return new Gate.Credential(
                     claims.getSubject(),
@@ -163,10 +158,10 @@
                     unix(claims.getNotBeforeTime()),
                     unix(claims.getExpirationTime()));
         } catch (ParseException | JOSEException | RuntimeException bad) {
-            throw new BadToken("no signed token: " + first(bad.getMessage()));
+            throw new BadToken("malformed token: " + first(bad.getMessage()));
         } catch (StackOverflowError deep) {
-            // Guards against brackets by the thousand, within the length.
-            throw new BadToken("no signed token: nested too deep");
+            // Thousands of nested brackets fit within the length bound.
+            throw new BadToken("malformed token: nested too deep");
         }
     }
 
--- a/src/main/java/dillfront/router/tokens/package-info.java
+++ b/src/main/java/dillfront/router/tokens/package-info.java
@@ -1,2 +1,2 @@
-/** Signed tokens of callers. */
+/** Verification of the signed tokens that clients present. */
 package dillfront.router.tokens;
--- a/src/test/java/dillfront/router/operator/OperatorTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the operator's file says, and what is wrong with it. */
+/** Tests the values read from an operator's file, and the error messages for invalid files. */
 class OperatorTest {
 
     private static final String A =
@@ -55,12 +55,12 @@
         assertEquals(2, said.gossip().ring().size());
         assertEquals(0, said.gossip().self("r1"));
         assertEquals(
-                "'public' of gossip() is none of the keys of peer 'r2'",
+                "'public' of gossip() is not a key of peer 'r2'",
                 assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r2"))
                         .getMessage());
         assertEquals(9946, said.control().getPort());
         assertEquals(
-                "no peer is called 'r3', as this instance is",
+                "no peer is named 'r3', the name of this instance",
                 assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r3"))
                         .getMessage());
         assertEquals(
@@ -74,16 +74,16 @@
             delimiter = ';',
             quoteCharacter = '`',
             value = {
-                "control(\"10.0.0.1:80\");f.star:1:1: '10.0.0.1:80' is no loopback address with a port, as 127.0.0.1:9946",
+                "control(\"10.0.0.1:80\");f.star:1:1: '10.0.0.1:80' is not a loopback address with a port, as 127.0.0.1:9946",
                 "gossip(key = \"k\");f.star:1:1: gossip() needs 'public'",
-                "gossip(key = \"k\", public = \"p\", period = \"soon\");f.star:1:33: expected a span as \"250ms\" or \"5s\" for 'period', found \"soon\"",
+                "gossip(key = \"k\", public = \"p\", period = \"soon\");f.star:1:33: expected a duration as \"250ms\" or \"5s\" for 'period', found \"soon\"",
                 "gossip(key = \"k\", public = \"p\", liars = 200);f.star:1:33: 'liars' is 200, expected 0 to 100",
-                "gossip(key = \"k\", public = \"p\");f.star: gossip() with 0 peers: expected this instance and another",
+                "gossip(key = \"k\", public = \"p\");f.star: gossip() has 0 peers, expected this instance and at least one other",
                 "gossip(key = 5, public = \"p\");f.star:1:8: expected a string for 'key', found 5",
-                "gossip(key = \"k\", public = \"p\", speed = 1);f.star:1:33: 'gossip' takes no 'speed'",
+                "gossip(key = \"k\", public = \"p\", speed = 1);f.star:1:33: 'gossip' has no argument 'speed'",
                 "peer(\"a\", keys = [\"zz\"]);f.star:1:11: a key of peer 'a' is not 64 hexadecimal digits",
                 "peer(\"a\", keys = []);f.star:1:11: peer 'a' has no key",
-                "peer(\"a\", address = \"here\", keys = [\"x\"]);f.star:1:11: 'here' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946"
+                "peer(\"a\", address = \"here\", keys = [\"x\"]);f.star:1:11: 'here' is not an address: expected an IPv4 address and a port, as 10.0.0.4:7946"
             })
     void faults(String text, String fault) {
         assertEquals(fault, fault(text));
@@ -92,7 +92,7 @@
     @Test
     void peersThatDoNotFit() {
         String one = "peer(\"a\", keys = [\"" + A + "\"])\n";
-        assertEquals("f.star: peers, but no gossip(): nothing would be on", fault(one));
+        assertEquals("f.star: peer() without gossip() has no effect", fault(one));
         assertEquals(
                 "f.star:2:1: peer 'a' is named twice",
                 fault(
@@ -103,7 +103,7 @@
                 "f.star:2:11: a key of peer 'b' is there twice",
                 fault(one + one.replace("\"a\"", "\"b\"")));
         assertEquals(
-                "f.star: liars = 1 of 2 peers: expected a third at the most",
+                "f.star: liars = 1 of 2 peers, expected at most a third",
                 fault(
                         one
                                 + "peer(\"b\", keys = [\""
@@ -141,7 +141,7 @@
                 assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
         Files.writeString(file, "half of it");
         assertEquals(
-                "key " + file + ": no Ed25519 key as `dillfront keygen` writes it",
+                "key " + file + ": not an Ed25519 key as written by `dillfront keygen`",
                 assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
     }
 }
--- a/src/test/java/dillfront/router/script/ScriptTest.java
+++ b/src/test/java/dillfront/router/script/ScriptTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Scripts, what they say, and where they go wrong. */
+/** Tests the results of scripts, and the messages and places of their errors. */
 class ScriptTest {
 
     private static String run(String text) {
@@ -91,26 +91,26 @@
             delimiter = ';',
             quoteCharacter = '`',
             value = {
-                "say(1;1:4 this '(' is not closed",
-                "say(x);1:5 no name 'x' is known here",
+                "say(1;1:4 '(' is not closed",
+                "say(x);1:5 name 'x' is not defined",
                 "a = 1 +;1:8 expected a value, found the end of the line",
                 "say(1, 2);1:1 too many arguments for 'say'",
-                "say(which = 1);1:5 'say' takes no 'which'",
+                "say(which = 1);1:5 'say' has no argument 'which'",
                 "say(what = 1, what = 2);1:15 'what' is given twice",
-                "while True: pass;1:1 'while' is not part of these scripts",
-                "say(\"a);1:5 this string is not closed on its line",
-                "say(1 / 2);1:7 '/' has no meaning here",
-                "say(1.5);1:6 expected a whole number (spans are strings, as \"250ms\")",
-                "say(1 // 0);1:7 a division by zero",
-                "say(9223372036854775807 + 1);1:25 a number beyond 64 bits",
-                "say([1][4]);1:8 no element 4 in a list of 1",
+                "while True: pass;1:1 'while' is not supported",
+                "say(\"a);1:5 string is not closed on its line",
+                "say(1 / 2);1:7 '/' is not allowed here",
+                "say(1.5);1:6 expected a whole number (durations are strings, as \"250ms\")",
+                "say(1 // 0);1:7 division by zero",
+                "say(9223372036854775807 + 1);1:25 number exceeds 64 bits",
+                "say([1][4]);1:8 index 4 is out of range for a list of 1",
                 "say(1 + \"a\");1:7 expected a number, found \"a\"",
-                "return 1;1:1 'return' outside of a function",
+                "return 1;1:1 'return' outside a function",
                 "if 1 say(2);1:6 expected ':', found 'say'",
-                "say = 4;1:1 'say' is a word of the program",
-                "say({\"a\": 1, \"a\": 2});1:14 the key \"a\" is there twice",
-                "say(1 < 2 < 3);1:11 comparisons in a row: use brackets and 'and'",
-                "say(\"\\q\");1:7 expected one of n t \\ \" ' behind \\"
+                "say = 4;1:1 'say' is a built-in function and cannot be assigned",
+                "say({\"a\": 1, \"a\": 2});1:14 key \"a\" is defined twice",
+                "say(1 < 2 < 3);1:11 chained comparisons are not supported: use 'and'",
+                "say(\"\\q\");1:7 expected one of n t \\ \" ' after \\"
             })
     void faults(String text, String fault) {
         assertEquals(fault, run(text));
@@ -118,11 +118,9 @@
 
     @Test
     void blocksThatDoNotFit() {
-        assertEquals(
-                "3:3 this line's indentation is that of no block above",
-                run("if 1:\n    a = 1\n  b = 2\n"));
+        assertEquals("3:3 indentation matches no outer block", run("if 1:\n    a = 1\n  b = 2\n"));
         assertEquals("2:1 expected an indented block, found 'a'", run("if 1:\na = 1\n"));
-        assertEquals("2:1 a tab: blocks are indented by spaces", run("if 1:\n\ta = 1\n"));
+        assertEquals("2:1 tab in indentation: use spaces", run("if 1:\n\ta = 1\n"));
     }
 
     @Test
@@ -133,26 +131,27 @@
                     for b in range(100000):
                         c = a
                 """)
-                        .endsWith("it does not end in time"));
+                        .endsWith("script does not end in time"));
         assertEquals(
-                "2:12 'f' calls itself; functions here don't",
+                "2:12 'f' calls itself: recursion is not supported",
                 run("def f(n):\n    return f(n)\nf(1)\n"));
         assertTrue(
                 run("a = [1]\nfor i in range(40):\n    a = a + a\n")
-                        .contains("a list longer than 100000"));
+                        .contains("list is longer than 100000"));
         assertTrue(
                 run("a = \"x\"\nfor i in range(40):\n    a = a + a\n")
-                        .contains("a string longer than 100000"));
+                        .contains("string is longer than 100000"));
         assertTrue(run("say(" + "(".repeat(500) + "1" + ")".repeat(500) + ")").contains("deep"));
         assertTrue(run("say(" + "-".repeat(5000) + "1)").contains("deep"));
         assertTrue(
-                run("say(" + "not ".repeat(5000) + "1)").contains("deep"), "no stack is overrun");
+                run("say(" + "not ".repeat(5000) + "1)").contains("deep"),
+                "nesting is bounded before the stack overflows");
     }
 
     @Property(tries = 500, seed = "21")
     void whateverIsWritten(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text) {
-        // Ends, with something said or a place named; nothing else is thrown.
+        // Each text either runs or fails with a ScriptError; any other exception fails the test.
         String once = run(text.replace('~', '\n'));
         assertEquals(once, run(text.replace('~', '\n')));
     }
--- a/src/test/java/dillfront/router/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokensTest.java
@@ -31,7 +31,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Tokens that are right, and the ways in which they are not. */
+/** Tests the verification of tokens and of key sets. */
 class TokensTest {
 
     private static final ECKey EC = ec("k1");
@@ -128,18 +128,18 @@
         String claims = claims().build().toString();
         assertTrue(
                 fault(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
-                        .startsWith("no signed token"));
-        // The public key as a shared secret.
+                        .startsWith("malformed token"));
+        // Algorithm confusion: the public key used as an HMAC secret.
         byte[] secret = EC.toPublicJWK().toJSONString().getBytes(StandardCharsets.UTF_8);
         assertEquals(
-                "the key is for ES256, the token says HS256",
+                "key is for ES256, token has alg HS256",
                 fault(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("k1").build(),
                                 claims().build(),
                                 new MACSigner(secret))));
         assertEquals(
-                "the key is for RS256, the token says PS256",
+                "key is for RS256, token has alg PS256",
                 fault(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.PS256).keyID("k2").build(),
@@ -150,16 +150,16 @@
     @Test
     void othersKeysAndHeaders() throws Exception {
         assertEquals(
-                "the signature is not right",
+                "token signature is invalid",
                 fault(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
         assertEquals(
-                "signed by no key of ours",
+                "token is signed with an unknown key",
                 fault(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
-                "signed by no key of ours",
+                "token is signed with an unknown key",
                 fault(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
-                "critical headers, of which none is known here",
+                "token has critical headers, none is supported",
                 fault(
                         sign(
                                 es256().criticalParams(Set.of("exp2"))
@@ -173,22 +173,22 @@
     void whatItSaysMustBeAllThere() throws Exception {
         ECDSASigner by = new ECDSASigner(EC);
         assertEquals(
-                "another issuer",
+                "token is from another issuer",
                 fault(sign(es256().build(), claims().issuer("depot2").build(), by)));
         assertEquals(
-                "for another audience",
+                "token is for another audience",
                 fault(sign(es256().build(), claims().audience("other").build(), by)));
         assertEquals(
-                "lacks sub, exp or jti",
+                "token lacks sub, exp or jti",
                 fault(sign(es256().build(), claims().jwtID(null).build(), by)));
         assertEquals(
-                "lacks sub, exp or jti",
+                "token lacks sub, exp or jti",
                 fault(sign(es256().build(), claims().expirationTime(null).build(), by)));
     }
 
     @Test
     void largeAndDeep() {
-        assertEquals("longer than 8192 characters", fault("a".repeat(1 << 20)));
+        assertEquals("token is longer than 8192 characters", fault("a".repeat(1 << 20)));
         for (String open : List.of("[", "{\"a\":")) {
             String deep = open.repeat(400);
             assertTrue(
@@ -197,10 +197,10 @@
                                             + "."
                                             + base64(deep)
                                             + ".AAAA")
-                            .startsWith("no signed token"));
+                            .startsWith("malformed token"));
         }
-        assertTrue(fault("").startsWith("no signed token"));
-        assertTrue(fault("a.b.c").startsWith("no signed token"));
+        assertTrue(fault("").startsWith("malformed token"));
+        assertTrue(fault("a.b.c").startsWith("malformed token"));
     }
 
     @Test
@@ -208,19 +208,19 @@
         for (Map.Entry<String, String> one :
                 Map.of(
                                 "",
-                                "no key set",
+                                "invalid key set",
                                 "{\"keys\":[]}",
-                                "a key set without keys",
+                                "key set is empty",
                                 "{\"keys\":[{\"kty\":\"oct\",\"kid\":\"a\",\"alg\":\"HS256\",\"k\":\"AAAA\"}]}",
                                 "key 'a' is a secret",
                                 EC.toPublicJWK().toJSONString(),
-                                "no key set",
+                                "invalid key set",
                                 "{\"keys\":[" + EC.toJSONString() + "]}",
                                 "key 'k1' is a secret",
                                 "{\"keys\":["
                                         + EC.toPublicJWK().toJSONString().replace("ES256", "RS256")
                                         + "]}",
-                                "key 'k1' is of no kind that RS256 needs",
+                                "key 'k1' has the wrong key type for RS256",
                                 "{\"keys\":["
                                         + EC.toPublicJWK()
                                                 .toJSONString()
@@ -228,7 +228,7 @@
                                         + "]}",
                                 "key 'k1' has no alg",
                                 "{\"keys\":[" + EC.toPublicJWK().toJSONString().substring(0, 60),
-                                "no key set")
+                                "invalid key set")
                         .entrySet()) {
             String fault =
                     assertThrows(
