--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -13,20 +13,20 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** The program that knows the servers, holds the configuration, and decides on failovers. */
+/** The control plane: tracks the servers, stores the configuration and decides on failovers. */
 public final class ControlPlaneProgram {
 
-    /** The name of the program in its folder, which no other program may use. */
+    /** Owner of the data directory; a directory of another owner is refused. */
     private static final String STORE_OWNER = "control-plane";
 
     private ControlPlaneProgram() {}
 
     /**
-     * Starts a control process; it runs until SIGTERM.
+     * Starts a control process, which runs until SIGTERM.
      *
-     * @throws InvalidSettingsException with the file, the place and the fault
-     * @throws IOException where an address cannot be listened on
-     * @throws TextStore.StorageException where the data directory cannot be used
+     * @throws InvalidSettingsException with the file, the place and the error
+     * @throws IOException if the process cannot listen on an address
+     * @throws TextStore.StorageException if the data directory cannot be used
      */
     public static void run(SettingsSource source)
             throws InvalidSettingsException, IOException, TextStore.StorageException {
@@ -34,7 +34,7 @@
         Log log = new Log(System.err);
         if (settings.controlAddress() == null || settings.dataDirectory() == null) {
             throw new InvalidSettingsException(
-                    "no control_address or no data_directory, which a control plane needs");
+                    "control_address or data_directory is missing, which a control plane requires");
         }
         TextStore store = TextStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
         NettyEnvironment environment =
@@ -91,8 +91,8 @@
     }
 
     /**
-     * The seeds may be others now; all else waits for the next start. A file that cannot be used
-     * changes nothing.
+     * Adds new seeds from the settings file; other settings take effect at the next start. An
+     * invalid file changes nothing.
      */
     private static void reloadSettings(
             SettingsSource source, ControlNode node, NettyEnvironment environment, Log log) {
--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -15,7 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 
-/** The program that carries the traffic: clients' sessions onto connections to database servers. */
+/** The data plane: multiplexes client sessions onto connections to database servers. */
 public final class DataPlaneProgram {
 
     private static final int OK = 200;
@@ -25,18 +25,18 @@
     private DataPlaneProgram() {}
 
     /**
-     * Starts a data plane; it runs until SIGTERM.
+     * Starts a data plane, which runs until SIGTERM.
      *
-     * @throws InvalidSettingsException with the file, the place and the fault
-     * @throws IOException where an address cannot be listened on
+     * @throws InvalidSettingsException with the file, the place and the error
+     * @throws IOException if the process cannot listen on an address
      */
     public static void run(SettingsSource source) throws InvalidSettingsException, IOException {
         Log log = new Log(System.err);
         NodeSettings settings = source.read();
         if (settings.frontAddress() == null || settings.readinessAddress() == null) {
             throw new InvalidSettingsException(
-                    "listen_addresses: no front_address or no readiness_address, which a data plane"
-                            + " needs");
+                    "listen_addresses: front_address or readiness_address is missing, which a data"
+                            + " plane requires");
         }
         NettyEnvironment environment =
                 new NettyEnvironment(
@@ -74,7 +74,7 @@
                             "{}".getBytes(StandardCharsets.UTF_8));
             default ->
                     HttpServerHandler.errorResponse(
-                            NOT_FOUND, "/readiness and /status are answered here");
+                            NOT_FOUND, "unknown path, expected /readiness or /status");
         };
     }
 
@@ -105,7 +105,7 @@
             node.updateSettings(source.read());
             log.info("settings", "seeds", node.settings().seedAddresses());
         } catch (InvalidSettingsException bad) {
-            log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
+            log.warn("settings", "kept", "the previous settings", "fault", bad.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -10,7 +10,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * The state of a control process in a folder; written on a thread of its own, as a write blocks.
+ * Stores the state of a control process in a folder. Writes block, so they run on a thread of their
+ * own and complete on the event loop.
  */
 final class FileStateStore implements StateStore {
 
@@ -31,9 +32,9 @@
         this.environment = environment;
         this.log = log;
         if (store.isDamaged()) {
-            // What was promised may be gone with the damaged part: as with an empty disk, others
-            // are asked first.
-            log.warn("disk", "fault", "damaged; what it held is not relied on");
+            // The damaged part may have held promises. As with an empty disk, the node learns from
+            // its peers before it votes.
+            log.warn("disk", "fault", "damaged; its content is ignored");
             initialState = Map.of();
         } else {
             initialState = store.texts();
--- a/src/main/java/dillfront/bootstrap/SettingsSource.java
+++ b/src/main/java/dillfront/bootstrap/SettingsSource.java
@@ -2,13 +2,13 @@
 
 import dillfront.common.config.NodeSettings;
 
-/** Reads the settings: at the start, and again on SIGHUP. */
+/** Source of the settings, read at start and again on SIGHUP. */
 public interface SettingsSource {
 
     /**
-     * Reads them as they are now.
+     * Reads the current settings.
      *
-     * @throws NodeSettings.InvalidSettingsException with the file, the place and the fault
+     * @throws NodeSettings.InvalidSettingsException with the file, the place and the error
      */
     NodeSettings read() throws NodeSettings.InvalidSettingsException;
 }
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Both programs for a moment in one process, with a configuration, a server that is not there, and
- * a client that is told so. The build runs this and keeps the classes that were loaded, so that a
- * process that starts again serves sooner.
+ * Runs both programs in one process, with a configuration, an unreachable server and a client that
+ * gets the resulting error. The build runs this warm-up and archives the loaded classes, which
+ * shortens each later start.
  */
 public final class WarmUp {
 
@@ -26,7 +26,7 @@
 
     private WarmUp() {}
 
-    /** Runs both programs once and exercises the paths that a first client takes. */
+    /** Starts both programs and executes the code paths of a first client. */
     public static void run()
             throws IOException, NodeSettings.InvalidSettingsException, TextStore.StorageException {
         Path folder = Files.createTempDirectory("rehearsal");
--- a/src/main/java/dillfront/bootstrap/package-info.java
+++ b/src/main/java/dillfront/bootstrap/package-info.java
@@ -1,2 +1,2 @@
-/** Starts the programs of the whole system, and warms up the classes that the build archives. */
+/** Starts the data plane and the control plane, and the warm-up for the class-data archive. */
 package dillfront.bootstrap;
--- a/src/main/java/dillfront/cli/AcceptDataLoss.java
+++ b/src/main/java/dillfront/cli/AcceptDataLoss.java
@@ -17,18 +17,19 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Shows what a service waits for that no log has that is left; and gives that up, and nothing that
- * came since, where told to.
+ * Shows the acknowledged commits that a service waits for although no reachable log has them, and
+ * abandons them on request. The request names what was shown, so that no later loss is accepted
+ * with it.
  */
 @Command(
         name = "accept-data-loss",
         mixinStandardHelpOptions = true,
         description =
-                "Shows the acknowledged commits that a service waits for in vain; with --yes gives them up, so that another leads without them.",
+                "Shows the acknowledged commits that no reachable server has; with --yes abandons them, so that a server without them is promoted.",
         footer = {
             "",
-            "Exit code: 0 shown or accepted, 1 refused or no clear answer (the same call may be sent again, to any control process),",
-            "2 the command line is wrong, 3 nothing is lacking of this service.",
+            "Exit code: 0 shown or accepted, 1 refused or no clear response (the same call may be repeated, to any control process),",
+            "2 invalid command line, 3 no commits of this service are lacking.",
             "",
             "Example: dillfront system accept-data-loss 10.1.0.8:8785 orders",
             "         dillfront system accept-data-loss 10.1.0.8:8785 orders --shown 1f0c9a7e21b4 --yes"
@@ -57,13 +58,13 @@
     @Option(
             names = "--shown",
             paramLabel = "SEAL",
-            description = "what was shown: the seal that the command printed without --yes")
+            description = "the seal that the command printed without --yes")
     private String shown;
 
-    @Option(names = "--yes", description = "give up what was shown; needs --shown")
+    @Option(names = "--yes", description = "abandon the commits that were shown; requires --shown")
     private boolean yes;
 
-    @Option(names = "--json", description = "as JSON instead of lines")
+    @Option(names = "--json", description = "print JSON instead of lines")
     private boolean json;
 
     @Override
@@ -71,7 +72,7 @@
         if (yes != (shown != null)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "--yes and --shown go together: look first, then accept what was shown");
+                    "--yes requires --shown, and --shown requires --yes: run without both first, then accept what was shown");
         }
         try {
             JsonObject lacking = lacking();
@@ -79,7 +80,7 @@
                 System.out.println(
                         json
                                 ? "{\"lacking\":null}"
-                                : service + ": nothing is lacking, as " + address + " knows");
+                                : service + ": no commits are lacking, according to " + address);
                 return NOTHING;
             }
             String seal = seal(lacking);
@@ -91,7 +92,7 @@
                 show(lacking, seal);
                 return Commands.fault(
                         service
-                                + ": something else is lacking than what was shown; nothing was given up");
+                                + ": the lacking commits have changed since they were shown; nothing was abandoned");
             }
             WholeSystem.Answer is =
                     WholeSystem.ask(address, "/Services.AcceptDataLoss", body(lacking).toString());
@@ -104,12 +105,13 @@
                     json
                             ? is.text()
                             : service
-                                    + ": accepted, goes on from "
+                                    + ": accepted, continues from "
                                     + said.getString("log_position", "")
-                                    + " or a longer log that is there");
+                                    + " or from a longer log if one is reachable");
             return 0;
         } catch (ParseException | UnsupportedOperationException | NullPointerException bad) {
-            return Commands.fault(address + ": no control process answers so: " + bad.getMessage());
+            return Commands.fault(
+                    address + ": not a response of a control process: " + bad.getMessage());
         } catch (IOException none) {
             return Commands.fault("no answer from " + address + ": " + none.getMessage());
         }
@@ -137,7 +139,9 @@
         return is;
     }
 
-    /** The same for the same loss, and for no other. */
+    /**
+     * Returns a digest that identifies one loss: the service, the move, its positions and servers.
+     */
     private static String seal(JsonObject lacking) {
         try {
             byte[] digest =
@@ -160,25 +164,25 @@
                 service
                         + ": no primary; "
                         + lacking.getString("primary", "")
-                        + " led last, lacking for "
+                        + " was the last primary, commits lacking for "
                         + lacking.getLong("for_ms", 0) / 1_000
                         + " s");
         System.out.println("  longest log left   " + log);
         System.out.println(
                 "  acknowledged up to "
                         + lacking.getString("least_acknowledged", "")
-                        + " at the least, "
+                        + " at least, "
                         + lacking.getString("most_acknowledged", "")
-                        + " at the most");
+                        + " at most");
         if (!servers.isEmpty()) {
-            System.out.println("  out of reach       " + servers + ", which may have more");
+            System.out.println("  unreachable        " + servers + ", which may have a longer log");
         }
         System.out.println(
-                "Bringing back a server that has these commits loses nothing. To go on without them, for good:");
+                "A server that has these commits can still be recovered without loss. To abandon them permanently:");
         System.out.println(
                 "  a server whose log ends at "
                         + log
-                        + " or later leads; what clients were told of past that is gone");
+                        + " or later is promoted; acknowledged commits past that position are lost");
         System.out.println(
                 "  dillfront system accept-data-loss "
                         + address
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/Commands.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What people call; the ways of running the decisions are in Main. */
+/** The root of the operators' commands; {@link Main} starts the programs themselves. */
 @Command(
         name = "dillfront",
         mixinStandardHelpOptions = true,
@@ -33,12 +33,12 @@
         description = "A proxy before a primary and its replicas.",
         footer = {
             "",
-            "Run by the platform, without options:",
-            "  drill     decide on the simulator's wire, from standard input to standard output",
-            "  serve     be one router, as LB_CONFIG, the other LB_ variables and LB_OPERATOR say",
-            "  rehearse  run one router against itself for a moment, for the build to keep the classes it loads",
-            "  data-plane, control-plane  the two programs of the whole system, as DILLFRONT_SETTINGS says",
-            "  rehearse-system  both of them for a moment, for the build"
+            "Started by the platform, without options:",
+            "  drill     make routing decisions for the simulator, over standard input and output",
+            "  serve     run one router, configured by LB_CONFIG, the other LB_ variables and LB_OPERATOR",
+            "  rehearse  run one router against itself, for the class-data archive of the build",
+            "  data-plane, control-plane  run a program of the complete system, configured by DILLFRONT_SETTINGS",
+            "  rehearse-system  run both of them, for the class-data archive of the build"
         },
         subcommands = {
             Commands.Check.class,
@@ -55,20 +55,21 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Without a subcommand. */
+    /** Rejects a command line without a subcommand. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "expected a subcommand");
     }
 
-    /** The exit code: 0 where all is well, 1 where it is not, 2 where the command line is wrong. */
+    /** Returns the exit code: 0 success, 1 failure, 2 invalid command line. */
     static int run(String... args) {
         return new CommandLine(new Commands()).execute(args);
     }
 
     /**
-     * A file that only its owner reads; one that is there is never overwritten. 0, or 1 once the
-     * fault is told.
+     * Writes a new file that only its owner can read; an existing file is never overwritten.
+     *
+     * @return the exit code: 0, or 1 after an error message
      */
     static int secret(Path file, String text) {
         try {
@@ -79,7 +80,7 @@
             Files.writeString(file, text, StandardOpenOption.WRITE);
             return 0;
         } catch (FileAlreadyExistsException there) {
-            return fault(file + ": is there already, and is left as it is");
+            return fault(file + ": exists already and was not changed");
         } catch (IOException bad) {
             return fault(file + ": " + bad.getMessage());
         }
@@ -90,13 +91,13 @@
         return 1;
     }
 
-    /** Reads a file as a start would, and starts nothing. */
-    @Command(name = "check", description = "Checks the operator's file, and the key that it names.")
+    /** Validates an operator's file as the start of a router would. */
+    @Command(
+            name = "check",
+            description = "Checks the operator's file, and the key file that it names.")
     static final class Check implements Callable<Integer> {
 
-        @Parameters(
-                paramLabel = "FILE",
-                description = "the operator's file, as LB_OPERATOR names it")
+        @Parameters(paramLabel = "FILE", description = "the operator's file, as in LB_OPERATOR")
         private Path file;
 
         @Option(
@@ -132,14 +133,15 @@
         }
     }
 
-    /** Asks a running instance one question. */
+    /** Sends one query to the control socket of a running router and prints the response. */
     abstract static class Asking implements Callable<Integer> {
 
         @Option(
                 names = "--control",
                 paramLabel = "ADDRESS",
                 required = true,
-                description = "where it answers, as control() in the operator's file says")
+                description =
+                        "control address of the router, as in control() of the operator's file")
         private String control;
 
         abstract String question();
@@ -170,10 +172,11 @@
 
     @Command(
             name = "peers",
-            description = "What a running instance thinks of its peers, and of nodes by hearsay.")
+            description =
+                    "Prints the state of a router's peers, and of servers as reported by them.")
     static final class Peers extends Asking {
 
-        @Option(names = "--json", description = "as JSON instead of a table")
+        @Option(names = "--json", description = "print JSON instead of a table")
         private boolean json;
 
         @Override
@@ -185,10 +188,10 @@
     @Command(
             name = "status",
             description =
-                    "How far a running instance has come back, and what it remembers for its next life.")
+                    "Prints a router's progress of recovery, and the state that it keeps for its next start.")
     static final class Status extends Asking {
 
-        @Option(names = "--json", description = "as JSON instead of a line a section")
+        @Option(names = "--json", description = "print JSON instead of one line per section")
         private boolean json;
 
         @Override
@@ -197,14 +200,13 @@
         }
     }
 
-    /** Makes a key pair. */
     @Command(
             name = "keygen",
             description =
-                    "Makes a key of an instance: the private one into FILE, the public one is printed.")
+                    "Creates the key pair of a router: writes the private key to FILE, prints the public key.")
     static final class Keygen implements Callable<Integer> {
 
-        @Parameters(paramLabel = "FILE", description = "must not be there yet")
+        @Parameters(paramLabel = "FILE", description = "the key file, which must not exist")
         private Path file;
 
         @Override
--- a/src/main/java/dillfront/cli/Keys.java
+++ b/src/main/java/dillfront/cli/Keys.java
@@ -27,10 +27,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Keys that sign callers' tokens, and tokens for a try-out; nothing here talks to a router. */
+/** Manages the keys that sign clients' tokens, offline; can also sign tokens for tests. */
 @Command(
         name = "keys",
-        description = "Makes and publishes keys that sign tokens, and signs tokens.",
+        description = "Creates and publishes keys that sign tokens, and signs tokens.",
         mixinStandardHelpOptions = true)
 final class Keys implements Runnable {
 
@@ -42,7 +42,7 @@
                 spec.commandLine(), "expected new, public, token or revoke");
     }
 
-    /** Beside it and then moved: a router never reads half of it. */
+    /** Replaces a file by an atomic move, so that a router never reads a partial file. */
     private static void replace(Path file, String text) throws IOException {
         Path half = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(half, text);
@@ -56,22 +56,22 @@
                 return ec;
             }
         } catch (ParseException bad) {
-            // Told below, without what the file says: it may be a secret.
+            // Reported below without the parser's message, which could quote a secret.
         }
-        throw new IOException(file + ": no signing key as `dillfront keys new` writes it");
+        throw new IOException(file + ": not a signing key as written by `dillfront keys new`");
     }
 
     @Command(
             name = "new",
             description =
-                    "Makes a signing key (ES256): the private one into FILE, which must not be there yet.")
+                    "Creates a signing key (ES256) and writes the private key to FILE, which must not exist.")
     int make(
             @Parameters(paramLabel = "FILE") Path file,
             @Option(
                             names = "--id",
                             required = true,
                             paramLabel = "ID",
-                            description = "its name in key sets and tokens")
+                            description = "name of the key in key sets and tokens")
                     String id)
             throws JOSEException {
         ECKey key =
@@ -82,13 +82,13 @@
     @Command(
             name = "public",
             description =
-                    "Writes the key set that routers read: the public parts of all these keys.")
+                    "Writes the key set that routers read, with the public parts of the given keys.")
     int publish(
             @Option(
                             names = "--to",
                             required = true,
                             paramLabel = "SET",
-                            description = "replaced in one step")
+                            description = "replaced atomically")
                     Path to,
             @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
         try {
@@ -122,7 +122,7 @@
                             names = "--minutes",
                             defaultValue = "60",
                             paramLabel = "N",
-                            description = "good for so long")
+                            description = "validity in minutes")
                     int minutes)
             throws JOSEException {
         try {
@@ -150,9 +150,7 @@
         }
     }
 
-    @Command(
-            name = "revoke",
-            description = "Adds ids of tokens to the list of those that count no more.")
+    @Command(name = "revoke", description = "Adds ids of tokens to the list of revoked ids.")
     int revoke(
             @Option(names = "--list", required = true, paramLabel = "LIST") Path list,
             @Parameters(paramLabel = "ID", arity = "1..*") List<String> ids) {
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -16,12 +16,12 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The command line: one subcommand a way of running the decisions. */
+/** Entry point: starts one of the programs, or runs a subcommand of {@link Commands}. */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the subcommand and ends the process with its exit code. */
+    /** Starts the named program, or runs a subcommand and exits with its code. */
     public static void main(String[] args) {
         if (args.length != 1
                 || !List.of(
@@ -32,7 +32,7 @@
                                 "control-plane",
                                 "rehearse-system")
                         .contains(args[0])) {
-            // Not for what the platform starts: the library's classes would cost each start.
+            // The programs themselves skip picocli, whose class loading would slow each start.
             System.exit(Commands.run(args));
         }
         try {
@@ -41,7 +41,8 @@
                 Silence.over(log);
                 Daemon daemon =
                         new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
-                // Before the start: the JVM's own answer to SIGHUP is to end.
+                // Registered before the start: the default reaction of the JVM to SIGHUP is to
+                // exit.
                 daemon.hear(() -> Config.again(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
@@ -72,7 +73,7 @@
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
         } catch (IOException broken) {
-            System.err.println("dillfront: cannot go on: " + broken.getMessage());
+            System.err.println("dillfront: I/O error: " + broken.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/Site.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What becomes of the load where sites are lost; nothing here talks to a router. */
+/** Plans how load is redistributed after the loss of sites, offline. */
 @Command(
         name = "site",
         description = "Plans for the loss of sites.",
@@ -44,7 +44,7 @@
             name = "plan",
             mixinStandardHelpOptions = true,
             description =
-                    "Prints where the load goes, what is refused and what binds, for the loss of each site and each pair.",
+                    "Prints the redistributed load, the refused load and its limits, for the loss of each site and each pair.",
             footer = {
                 "",
                 "Example:",
@@ -54,7 +54,7 @@
 
         @Parameters(
                 paramLabel = "CONFIG",
-                description = "a router's configuration: its settings, and the list in 'known'")
+                description = "a router's configuration, with its settings and the list in 'known'")
         private Path file;
 
         @Option(
@@ -62,7 +62,7 @@
                 paramLabel = "PART",
                 defaultValue = "0.7",
                 description =
-                        "what is asked, as a part of what all nodes can do (${DEFAULT-VALUE})")
+                        "the load, as a part of the capacity of all servers (${DEFAULT-VALUE})")
         private double use;
 
         @Option(
@@ -70,17 +70,17 @@
                 paramLabel = "TYPE=SHARE",
                 split = ",",
                 description =
-                        "the share of each txn type in the work; all the same where none is given")
+                        "the share of each transaction type in the load; equal shares by default")
         private Map<String, Double> mix = new TreeMap<>();
 
         @Option(
                 names = "--lost",
                 paramLabel = "SITE",
                 split = ",",
-                description = "for the loss of these sites alone")
+                description = "only for the loss of these sites")
         private List<String> lost = List.of();
 
-        @Option(names = "--json", description = "as JSON instead of a table")
+        @Option(names = "--json", description = "print JSON instead of a table")
         private boolean json;
 
         @Override
@@ -92,9 +92,9 @@
                 return Commands.fault(
                         use <= 0
                                 ? "--use " + use + ": expected more than 0"
-                                : "--mix: shares are "
+                                : "--mix: sum of shares is "
                                         + shares
-                                        + " in all, expected 1 and none below 0");
+                                        + ", expected 1 and no negative share");
             }
             Estate estate;
             try (InputStream in = Files.newInputStream(file)) {
@@ -112,7 +112,7 @@
                     return Commands.fault(
                             "--lost "
                                     + site
-                                    + ": no such site; there are "
+                                    + ": no such site, expected one of "
                                     + String.join(", ", estate.sites()));
                 }
             }
@@ -214,7 +214,7 @@
         };
     }
 
-    /** To a millionth: what is behind that is the solver's rounding. */
+    /** Rounds to six decimals; digits beyond are rounding errors of the solver. */
     private static double micro(double amount) {
         return Math.round(amount * 1e6) / 1e6;
     }
--- a/src/main/java/dillfront/cli/WholeSystem.java
+++ b/src/main/java/dillfront/cli/WholeSystem.java
@@ -19,13 +19,13 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * What operators of the whole system call: it reads and asks, and changes nothing but by
- * accept-data-loss.
+ * Commands for operators of the complete system, data planes and control planes. All of them only
+ * read, except accept-data-loss.
  */
 @Command(
         name = "system",
         mixinStandardHelpOptions = true,
-        description = "Checks and asks the two programs of the whole system.",
+        description = "Checks settings and queries data planes and control planes.",
         subcommands = {
             WholeSystem.CheckSettings.class,
             WholeSystem.CheckConfiguration.class,
@@ -44,7 +44,7 @@
                 spec.commandLine(), "expected settings, configuration, status or accept-data-loss");
     }
 
-    /** As a start would. */
+    /** Validates a settings file as the start of a program would. */
     @Command(
             name = "settings",
             description = "Checks a settings file as a start of data-plane or control-plane would.",
@@ -68,7 +68,7 @@
                                         ? "front " + is.frontAddress()
                                         : is.controlAddress() != null
                                                 ? "control " + is.controlAddress()
-                                                : "serves nothing")
+                                                : "no client or control address")
                                 + ", seeds "
                                 + is.seedAddresses());
                 return 0;
@@ -78,7 +78,7 @@
         }
     }
 
-    /** As the control plane would. */
+    /** Validates a configuration as the control plane would. */
     @Command(
             name = "configuration",
             description = "Checks a configuration as the control plane would, before it is sent.",
@@ -109,16 +109,16 @@
         }
     }
 
-    /** What a process holds. */
+    /** Prints the status of a process. */
     @Command(
             name = "status",
-            description = "Asks a data plane or a control plane what it holds.",
+            description = "Prints the status of a data plane or a control plane.",
             footer = "Example: dillfront system status 10.1.0.8:8785")
     static final class Asks implements Callable<Integer> {
         @Parameters(description = "its readiness_address or control_address, as IP:PORT")
         private String address;
 
-        @Option(names = "--json", description = "as it was answered")
+        @Option(names = "--json", description = "print the response as it was received")
         private boolean json;
 
         @Override
@@ -145,19 +145,19 @@
         }
     }
 
-    /** What was answered. */
+    /** An HTTP response. */
     record Answer(int status, String text) {}
 
     /**
-     * Asks a process.
+     * Sends an HTTP request to a process.
      *
      * @param address IP:PORT
-     * @param body of a POST; null for a GET
+     * @param body of a POST request; null for a GET request
      */
     static Answer ask(String address, String path, String body) throws IOException {
         InetSocketAddress to = Address.parse(address);
         if (to == null) {
-            throw new IOException("no IP:PORT");
+            throw new IOException("not an address of the form IP:PORT");
         }
         HttpURLConnection asked =
                 (HttpURLConnection)
--- a/src/main/java/dillfront/common/config/Configuration.java
+++ b/src/main/java/dillfront/common/config/Configuration.java
@@ -3,10 +3,10 @@
 import dillfront.common.message.BinaryDelta;
 import java.util.Map;
 
-/** One revision of the operator's configuration, valid and complete. */
+/** An immutable, validated revision of the operator's configuration. */
 public final class Configuration {
 
-    /** A configuration is not valid: the message names the place and the fault. */
+    /** A configuration is invalid; the message has the place and the error. */
     public static final class InvalidConfigurationException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -18,22 +18,22 @@
 
     /** Which reads of a route a replica may serve. */
     public enum ReadConsistency {
-        /** None: all go to the primary. */
+        /** All reads go to the primary. */
         PRIMARY,
-        /** Reads of data that is not older than the route's bound. */
+        /** Replicas serve reads within the route's bound on staleness. */
         BOUNDED_STALENESS,
-        /** The same, and each session reads its own writes. */
+        /** As bounded staleness, and each session reads its own writes. */
         READ_YOUR_WRITES
     }
 
     /**
      * A route: the database name that clients connect to, and how its statements are served.
      *
-     * @param timeoutMillis after which a statement is answered with a time-out
-     * @param targetLatencyMillis within which an answer is worth most
-     * @param priority lower ones get a server connection first
-     * @param maxAttempts of a read that may have run
-     * @param maxStalenessMillis how old a bounded read may be
+     * @param timeoutMillis after which a statement fails with a time-out
+     * @param targetLatencyMillis desired latency of a response
+     * @param priority routes with lower values get a server connection first
+     * @param maxAttempts bound on the attempts of a read
+     * @param maxStalenessMillis bound on the staleness of reads from replicas
      */
     public record Route(
             String name,
@@ -47,14 +47,14 @@
             long maxStalenessMillis) {}
 
     /**
-     * A service.
+     * A service: a primary and its replicas.
      *
-     * @param connectionLimit of each of its servers
-     * @param synchronousReplicas how many replicas have a commit before it is answered
+     * @param connectionLimit bound on the connections to each server
+     * @param synchronousReplicas replicas that must have a commit before it is acknowledged
      */
     public record Service(String name, int connectionLimit, int synchronousReplicas) {}
 
-    /** What is in force before the operator has sent any. */
+    /** The empty configuration, in force until the operator has sent one. */
     public static final Configuration NONE =
             new Configuration(
                     -1,
@@ -71,7 +71,7 @@
     private final long transactionIdleMillis;
 
     /**
-     * @param routes by the name of their database
+     * @param routes by database name
      */
     Configuration(
             long revision,
@@ -88,35 +88,35 @@
     }
 
     /**
-     * Reads and checks a configuration, as JSON in UTF-8.
+     * Parses and validates a configuration, JSON in UTF-8.
      *
-     * @throws InvalidConfigurationException with the place and the fault
+     * @throws InvalidConfigurationException with the place and the error
      */
     public static Configuration parse(byte[] body) throws InvalidConfigurationException {
         return new ConfigurationParser(body).parse();
     }
 
-    /** The operator's revision_number; -1 for {@link #NONE}. */
+    /** Returns the operator's revision_number; -1 for {@link #NONE}. */
     public long revision() {
         return revision;
     }
 
-    /** As the operator sent it. */
+    /** Returns the JSON text as the operator sent it. */
     public byte[] body() {
         return body;
     }
 
-    /** Of the body: with the revision it identifies the configuration. */
+    /** Returns the digest of the body, which with the revision identifies the configuration. */
     public long digest() {
         return digest;
     }
 
-    /** The route of this database; null for none. */
+    /** Returns the route of a database; null for none. */
     public Route route(String database) {
         return routes.get(database);
     }
 
-    /** The services by their names. */
+    /** Returns the services by name. */
     public Map<String, Service> services() {
         return services;
     }
@@ -125,7 +125,7 @@
         return routes.size();
     }
 
-    /** How long an open transaction may rest between two statements. */
+    /** Returns the idle timeout of open transactions between two statements. */
     public long transactionIdleMillis() {
         return transactionIdleMillis;
     }
--- a/src/main/java/dillfront/common/config/ConfigurationParser.java
+++ b/src/main/java/dillfront/common/config/ConfigurationParser.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads and checks one configuration; each fault names its place. */
+/** Parses and validates a configuration; each error names the field. */
 final class ConfigurationParser {
 
     private static final long DAY_MS = 86_400_000;
@@ -24,7 +24,7 @@
     private static final long MAX_SYNCHRONOUS_REPLICAS = 1_000;
     static final long DEFAULT_TRANSACTION_IDLE_MS = 3_000;
 
-    /** Whole numbers above this are not exact as floating point. */
+    /** Larger integers are parsed from the text: a double may not represent them exactly. */
     private static final long MAX_EXACT = 1L << 52;
 
     private final byte[] body;
@@ -56,7 +56,7 @@
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException bad) {
-            throw new InvalidConfigurationException("the body is not UTF-8");
+            throw new InvalidConfigurationException("body is not UTF-8");
         }
         try {
             return Json.parse(text).asObject();
@@ -66,11 +66,11 @@
                             + bad.getLocation().line
                             + ", column "
                             + bad.getLocation().column
-                            + ": no whole JSON");
+                            + ": invalid JSON");
         } catch (UnsupportedOperationException bad) {
-            throw new InvalidConfigurationException("the body is no object");
+            throw new InvalidConfigurationException("body is not an object");
         } catch (StackOverflowError bad) {
-            throw new InvalidConfigurationException("the body is nested too deep");
+            throw new InvalidConfigurationException("body is nested too deep");
         }
     }
 
@@ -92,7 +92,7 @@
                                         0L));
         if (services.put(service.name(), service) != null) {
             throw new InvalidConfigurationException(
-                    place + ".name: '" + service.name() + "' stands twice");
+                    place + ".name: '" + service.name() + "' is defined twice");
         }
     }
 
@@ -113,12 +113,12 @@
                         number(row, place, "max_staleness_ms", 0, DAY_MS, 0L));
         if (!services.containsKey(route.service())) {
             throw new InvalidConfigurationException(
-                    place + ".service: no service is named '" + route.service() + "'");
+                    place + ".service: no service has the name '" + route.service() + "'");
         }
         if (!routePlaces.add(route.database() + " " + prefix)) {
             throw new InvalidConfigurationException(
                     place
-                            + ": a second route for host '"
+                            + ": duplicate route for host '"
                             + route.database()
                             + "' and prefix '"
                             + prefix
@@ -126,7 +126,7 @@
         }
         if (!routeNames.add(route.name())) {
             throw new InvalidConfigurationException(
-                    place + ".name: '" + route.name() + "' stands twice");
+                    place + ".name: '" + route.name() + "' is defined twice");
         }
         routes.put(route.database(), route);
     }
@@ -162,7 +162,7 @@
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
         if (value == null || !value.isArray()) {
-            throw new InvalidConfigurationException(name + ": no list");
+            throw new InvalidConfigurationException(name + ": not a list");
         }
         return value.asArray();
     }
@@ -170,7 +170,7 @@
     private static JsonObject object(JsonValue value, String place)
             throws InvalidConfigurationException {
         if (!value.isObject()) {
-            throw new InvalidConfigurationException(place + ": no object");
+            throw new InvalidConfigurationException(place + ": not an object");
         }
         return value.asObject();
     }
@@ -179,13 +179,16 @@
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
         if (value == null || !value.isString() || value.asString().isEmpty()) {
-            throw new InvalidConfigurationException(place + "." + name + ": no text");
+            throw new InvalidConfigurationException(
+                    place + "." + name + ": not a non-empty string");
         }
         return value.asString();
     }
 
     /**
-     * @param otherwise stands for a field that is not there; null where it has to be
+     * Reads an integer field.
+     *
+     * @param otherwise default of an optional field; null for a required field
      */
     private static long number(
             JsonObject in, String place, String name, long min, long max, Long otherwise)
@@ -199,11 +202,11 @@
             double number = value == null || !value.isNumber() ? Double.NaN : value.asDouble();
             if (!(number >= min && number <= max) || number != Math.rint(number)) {
                 throw new InvalidConfigurationException(
-                        where + ": " + value + " is no whole number from " + min + " to " + max);
+                        where + ": " + value + " is not an integer from " + min + " to " + max);
             }
             return number > MAX_EXACT ? Long.parseLong(value.toString()) : (long) number;
         } catch (NumberFormatException bad) {
-            throw new InvalidConfigurationException(where + ": " + value + " is no number");
+            throw new InvalidConfigurationException(where + ": " + value + " is not a number");
         }
     }
 }
--- a/src/main/java/dillfront/common/config/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -13,18 +13,20 @@
 import java.util.List;
 
 /**
- * What a process is told by its settings file; fields that are not known are passed over. Times in
+ * The settings of a process, read from its settings file; unknown fields are ignored. Times are in
  * milliseconds.
  *
- * @param frontAddress where clients come in; null where this process serves none
- * @param internalPort the first of the ports for what the system's processes say to one another
- * @param seedAddresses addresses of machines that serve control
- * @param dataDirectory where the disk is; null where there is none
- * @param toleratedMachineLosses how many machines that count may be lost at once
- * @param drainMillis for how long, from when it was told, a data plane goes on with a primary that
- *     drains: its last work there comes well before the server's time is over, and before a data
- *     plane that was told late counts as in touch
- * @param platformAddress null where there is none
+ * @param frontAddress listener for clients; null if the process serves none
+ * @param readinessAddress listener for readiness and status requests; null for none
+ * @param controlAddress listener of the control plane; null for none
+ * @param internalPort first port for connections between the system's processes
+ * @param seedAddresses control addresses of the seed machines
+ * @param dataDirectory folder for persistent state; null for none
+ * @param toleratedMachineLosses number of voting machines that may be lost at once
+ * @param drainMillis how long a data plane goes on using a draining primary after it learned of the
+ *     drain: below the drain time of the server, so that the last work ends well before it, and
+ *     below the time after which a data plane without contact is no longer waited for
+ * @param platformAddress address of the cloud API; null for none
  */
 public record NodeSettings(
         String nodeName,
@@ -45,7 +47,7 @@
         long gracePeriodMillis,
         String platformAddress) {
 
-    /** The file cannot be used: which, where in it, and why. */
+    /** A settings file is invalid; the message has the file, the place and the error. */
     public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -58,7 +60,9 @@
     private static final String DEFAULT_PATH = "/etc/dillfront/node.json";
 
     /**
-     * @throws Bad with the file, the place and the fault
+     * Reads the file that DILLFRONT_SETTINGS names, or the default one.
+     *
+     * @throws InvalidSettingsException with the file, the place and the error
      */
     public static NodeSettings fromEnvironment(java.util.Map<String, String> variables)
             throws InvalidSettingsException {
@@ -66,7 +70,9 @@
     }
 
     /**
-     * @throws Bad with the file, the place and the fault
+     * Reads and validates a settings file.
+     *
+     * @throws InvalidSettingsException with the file, the place and the error
      */
     public static NodeSettings read(Path file) throws InvalidSettingsException {
         JsonObject all;
@@ -89,7 +95,7 @@
                     || !ports.isArray()
                     || ports.asArray().isEmpty()
                     || !ports.asArray().get(0).isNumber()) {
-                throw new InvalidSettingsException("internal_port_range: no list of ports");
+                throw new InvalidSettingsException("internal_port_range: not a list of ports");
             }
             List<String> seeds = new ArrayList<>();
             if (all.get("seed_addresses") != null) {
@@ -124,7 +130,7 @@
             throw new InvalidSettingsException(file + ": " + bad.getMessage());
         } catch (UnsupportedOperationException | NumberFormatException bad) {
             throw new InvalidSettingsException(
-                    file + ": a field of another kind: " + bad.getMessage());
+                    file + ": a field has the wrong type: " + bad.getMessage());
         }
     }
 
@@ -137,7 +143,7 @@
     private static JsonObject object(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || !is.isObject()) {
-            throw new InvalidSettingsException(name + ": no object");
+            throw new InvalidSettingsException(name + ": not an object");
         }
         return is.asObject();
     }
@@ -145,7 +151,7 @@
     private static String requiredText(JsonObject in, String name) throws InvalidSettingsException {
         JsonValue is = in.get(name);
         if (is == null || !is.isString() || is.asString().isEmpty()) {
-            throw new InvalidSettingsException(name + ": no text");
+            throw new InvalidSettingsException(name + ": not a non-empty string");
         }
         return is.asString();
     }
@@ -161,7 +167,7 @@
 
     private static String address(String text, String place) throws InvalidSettingsException {
         if (Address.parse(text) == null) {
-            throw new InvalidSettingsException(place + ": '" + text + "' is no IP:PORT");
+            throw new InvalidSettingsException(place + ": '" + text + "' is not IP:PORT");
         }
         return text;
     }
@@ -173,17 +179,17 @@
             return otherwise;
         }
         if (!is.isNumber() || !(is.asDouble() > 0 && is.asDouble() < 1e9)) {
-            throw new InvalidSettingsException(name + ": " + is + " is no number above 0");
+            throw new InvalidSettingsException(name + ": " + is + " is not a number above 0");
         }
         return Math.round(is.asDouble());
     }
 
-    /** Where the machine of this address hears the system's own processes. */
+    /** Returns the internal address of the process on a machine. */
     public String internalAddressOf(String ip) {
         return ip + ":" + internalPort;
     }
 
-    /** The machines of the seeds. */
+    /** Returns the IP addresses of the seed machines. */
     public List<String> seedIps() {
         List<String> ips = new ArrayList<>();
         seedAddresses.forEach(seed -> ips.add(seed.substring(0, seed.lastIndexOf(':'))));
--- a/src/main/java/dillfront/common/config/package-info.java
+++ b/src/main/java/dillfront/common/config/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of a process and the operator's configuration, read and checked. */
+/** Reads and validates the settings of a process and the operator's configuration. */
 package dillfront.common.config;
--- a/src/main/java/dillfront/common/environment/CoalescingTrigger.java
+++ b/src/main/java/dillfront/common/environment/CoalescingTrigger.java
@@ -1,9 +1,6 @@
 package dillfront.common.environment;
 
-/**
- * Runs an action soon after it was requested, and at most once an interval, however often it is
- * requested. Called on the environment's thread.
- */
+/** Runs an action once for all requests of an interval. Confined to the environment's thread. */
 public final class CoalescingTrigger {
 
     private final Environment environment;
@@ -13,7 +10,7 @@
     private long lastRunMillis;
 
     /**
-     * @param intervalMillis between two runs of the action, at the least
+     * @param intervalMillis minimum interval between two runs of the action
      */
     public CoalescingTrigger(Environment environment, long intervalMillis, Runnable action) {
         this.environment = environment;
@@ -22,7 +19,7 @@
         lastRunMillis = -intervalMillis;
     }
 
-    /** The action is to run: at once, or once the interval since the last run is over. */
+    /** Requests a run, which happens at once or when the interval since the last run is over. */
     public void request() {
         if (pending) {
             return;
--- a/src/main/java/dillfront/common/environment/Environment.java
+++ b/src/main/java/dillfront/common/environment/Environment.java
@@ -5,35 +5,34 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a program of the system needs of the machine it runs on: a steady clock, timers,
- * connections, random numbers, an event log. The programs know nothing else of the machine, so they
- * run the same on sockets and in simulated time. All calls and all callbacks are on the program's
- * one thread.
+ * The interface between a program and its machine: monotonic clock, timers, connections, random
+ * numbers and event log. Programs use no other access to the machine, so they run unchanged on
+ * sockets and in simulated time. All calls and callbacks run on the program's single thread.
  */
 public interface Environment {
 
-    /** How messages are cut out of a connection's bytes. */
+    /** How messages are delimited in the byte stream of a connection. */
     enum Framing {
-        /** Lines that end in CR LF, as database servers and clients speak. */
+        /** Lines that end in CR LF, the protocol of database servers and clients. */
         LINES,
-        /** Four bytes of length before each message, between the system's own processes. */
+        /** A length prefix of four bytes, the protocol between the system's own processes. */
         FRAMES
     }
 
     /** One connection. */
     interface Connection {
 
-        /** Sends one message, without its framing. Does nothing on a closed connection. */
+        /** Sends one message, given without its framing; does nothing on a closed connection. */
         void send(byte[] message);
 
-        /** Closes it once all that was sent has gone out. */
+        /** Closes the connection after all pending bytes are written. */
         void close();
 
-        /** Bytes that were sent and have not gone out yet. */
+        /** Returns the number of bytes that were sent but not yet written to the socket. */
         long pendingBytes();
     }
 
-    /** Receives what happens on one connection. */
+    /** Receives the events of one connection. */
     interface ConnectionListener {
 
         void onOpen(Connection connection);
@@ -44,13 +43,13 @@
         void onMessage(byte[] message);
 
         /**
-         * Called once, whatever ended the connection, also where it was never opened; but not after
-         * its own {@link Connection#close}.
+         * Called once when the connection has ended or could not be opened, but not after {@link
+         * Connection#close} on this side.
          */
         void onClose(String reason);
     }
 
-    /** A timer that was set. */
+    /** A scheduled task. */
     interface Timer {
 
         void cancel();
@@ -59,7 +58,7 @@
     /**
      * An HTTP response.
      *
-     * @param location where the caller is redirected to; null for nowhere
+     * @param location target of a redirect; null for none
      */
     record HttpResponse(int status, byte[] body, String location) {
 
@@ -68,24 +67,24 @@
         }
     }
 
-    /** Milliseconds of a clock that never goes back, from a zero of its own. */
+    /** Returns the time of a monotonic clock with an arbitrary origin, in milliseconds. */
     long nowMillis();
 
     /** Runs a task after a delay. */
     Timer schedule(long delayMillis, Runnable task);
 
     /**
-     * Connects to an address, IP:PORT.
+     * Connects to an address of the form IP:PORT.
      *
-     * @return the connection, which is not open yet: the listener is told
+     * @return the connection, which is open only after {@link ConnectionListener#onOpen}
      */
     Connection connect(
             String address, Framing framing, int timeoutMillis, ConnectionListener listener);
 
     /**
-     * Sends a POST with a JSON body.
+     * Sends a POST request with a JSON body.
      *
-     * @return fails where no complete response came within the time
+     * @return the response; fails if none is complete within the timeout
      */
     CompletableFuture<HttpResponse> post(
             String address,
@@ -96,9 +95,9 @@
 
     RandomGenerator random();
 
-    /** Keeps an event in memory; it is written out with the next warning. */
+    /** Records an event in memory, to be written with the next warning. */
     void trace(String event);
 
-    /** Writes out a warning, with the events before it. */
+    /** Writes a warning and the events recorded before it. */
     void warn(String event);
 }
--- a/src/main/java/dillfront/common/environment/HttpPost.java
+++ b/src/main/java/dillfront/common/environment/HttpPost.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One POST on a connection of its own. */
+/** A POST request on a dedicated connection. */
 final class HttpPost extends TerminalHandler {
 
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
@@ -49,12 +49,12 @@
         this.timeoutMillis = timeoutMillis;
     }
 
-    /** Fails where no complete response comes within the time. */
+    /** Returns the response; fails if none is complete within the timeout. */
     CompletableFuture<HttpResponse> response() {
         return response;
     }
 
-    /** Connects and sends; on the event loop. */
+    /** Connects and sends the request; called on the event loop. */
     void send() {
         deadlineMillis = environment.nowMillis() + timeoutMillis;
         ChannelFuture connecting =
@@ -64,7 +64,7 @@
                         this,
                         timeoutMillis);
         if (connecting == null) {
-            fail("no descriptor is left");
+            fail("no file descriptor is left");
             return;
         }
         connecting.addListener(
@@ -77,7 +77,7 @@
                 .eventLoop()
                 .schedule(
                         () -> {
-                            fail("no answer in " + timeoutMillis + " ms");
+                            fail("no response in " + timeoutMillis + " ms");
                             connecting.channel().close();
                         },
                         timeoutMillis,
@@ -98,7 +98,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         if (environment.nowMillis() >= deadlineMillis) {
-            // This process was paused: what it asks for was decided long ago, and given up.
+            // The process was paused past the timeout; its caller has given up on the request.
             fail("not sent in " + timeoutMillis + " ms");
             ctx.close();
             return;
@@ -120,9 +120,9 @@
         FullHttpResponse message = (FullHttpResponse) in;
         try {
             if (message.decoderResult().isFailure()) {
-                fail("no whole answer");
+                fail("malformed response");
             } else if (message.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                // The response is still to come.
+                // The final response follows.
                 return;
             } else {
                 byte[] body = new byte[message.content().readableBytes()];
@@ -137,7 +137,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail("closed without an answer");
+        fail("connection closed without a response");
     }
 
     @Override
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -23,23 +23,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP connection: calls in, one after the other. Answers are told apart by nothing but their
- * order, so the next call begins once the one before has its answer, and whoever sends several at
- * once sees them done in that order. Bodies, silence, the time of a call and answers that nobody
- * reads are bounded; what is sent beyond that stays in the socket.
+ * Serves the requests of one HTTP connection, one at a time. Pipelined responses are matched to
+ * requests by their order only, so the handler starts a request after the response to the previous
+ * one. The size of bodies, idle time, handling time and unread responses are bounded; input beyond
+ * that stays in the socket buffer.
  */
 public final class HttpServerHandler extends TerminalHandler {
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int IDLE_TIMEOUT_S = 60;
 
-    /** Above all that a call may take by itself. */
+    /** Above the time that any endpoint takes by itself. */
     static final long MAX_HANDLING_MS = 10_000;
 
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What is called, and what it answers. */
+    /** Handles requests. */
     public interface HttpEndpoint {
         CompletableFuture<Environment.HttpResponse> call(String method, String path, byte[] body);
     }
@@ -49,18 +49,18 @@
     private final long timeoutMillis;
     private ChannelHandlerContext ctx;
 
-    /** The call that is not answered yet; null where none is. */
+    /** The request in progress; null for none. */
     private Exchange current;
 
-    /** What was read meanwhile. */
+    /** Input that arrived during the request in progress. */
     private final ArrayDeque<HttpObject> pendingParts = new ArrayDeque<>();
 
-    /** The call that is being read. */
+    /** The request whose body is being read. */
     private HttpRequest currentRequest;
 
     private ByteBuf body;
 
-    /** After a call that is the last one, or no HTTP: whatever follows is no call. */
+    /** Set after the last request or malformed input; all further input is discarded. */
     private boolean lastRequest;
 
     HttpServerHandler(Environment host, HttpEndpoint calls, long longestMs) {
@@ -69,7 +69,7 @@
         this.timeoutMillis = longestMs;
     }
 
-    /** One call's turn to be answered: once, and not after the connection is over. */
+    /** A request in progress, which gets one response unless the connection closes before. */
     private final class Exchange {
         private final boolean last;
         private final Environment.Timer timeout;
@@ -83,7 +83,8 @@
                             () ->
                                     respond(
                                             errorResponse(
-                                                    503, "no answer in " + timeoutMillis + " ms")));
+                                                    503,
+                                                    "no response in " + timeoutMillis + " ms")));
         }
 
         void respond(Environment.HttpResponse is) {
@@ -114,7 +115,7 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        // Not at once: it may be an answer that is just being written.
+        // Deferred: the event may be fired from within the write of a response.
         ctx.channel().eventLoop().execute(this::readNext);
     }
 
@@ -138,7 +139,7 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            refuse(400, "the request is no HTTP", true);
+            refuse(400, "malformed HTTP request", true);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -148,7 +149,7 @@
             if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
                 refuse(
                         413,
-                        "a body of more than " + MAX_BODY_BYTES + " bytes",
+                        "body exceeds " + MAX_BODY_BYTES + " bytes",
                         !HttpUtil.isKeepAlive(currentRequest));
                 return;
             }
@@ -165,21 +166,21 @@
         String expected = request.headers().get("Expect");
         boolean large = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
         if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
-            // Whether its body comes all the same, nobody can say: what follows is not read as
-            // calls.
-            refuse(large ? 413 : 417, "not expected", true);
+            // The client may or may not send the body after the refusal, so the following bytes
+            // cannot be parsed as requests.
+            refuse(large ? 413 : 417, "expectation refused", true);
         } else if (large) {
             refuse(
                     413,
-                    "a body of more than " + MAX_BODY_BYTES + " bytes",
+                    "body exceeds " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
         } else if (expected != null) {
-            // Not through the codec, which would take it for the answer.
+            // Bypasses the codec, which would take it for the final response.
             ctx.pipeline().context("codec").writeAndFlush(Unpooled.wrappedBuffer(CONTINUE));
         }
     }
 
-    /** The rest of its body, if any, is passed over. */
+    /** Responds with an error; the rest of the body is discarded. */
     private void refuse(int status, String why, boolean last) {
         currentRequest = null;
         body = null;
@@ -206,12 +207,12 @@
                                                     ? errorResponse(
                                                             503, String.valueOf(fault.getMessage()))
                                                     : is == null || is.body() == null
-                                                            ? errorResponse(500, "no answer")
+                                                            ? errorResponse(500, "no response")
                                                             : is));
         } catch (RuntimeException | StackOverflowError fault) {
-            // This call alone pays for it, not those beside it on the connection.
+            // The fault fails this request only, not the others on the connection.
             reportFault(fault);
-            its.respond(errorResponse(500, "fault in " + request.method().name()));
+            its.respond(errorResponse(500, "internal error in " + request.method().name()));
         }
     }
 
@@ -235,14 +236,14 @@
             sent.addListener(ChannelFutureListener.CLOSE);
         }
         if (!pendingParts.isEmpty()) {
-            // Not at once: an answer may come while the next call is being read.
+            // Deferred: this method may be called from within the read of a request.
             ctx.channel().eventLoop().execute(this::readNext);
         }
     }
 
     /**
-     * Nothing came or went for long. Whoever takes long to read an answer is not silent while he
-     * reads.
+     * Closes an idle connection. The idle handler observes output, so a client that reads a large
+     * response slowly does not count as idle.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
@@ -251,7 +252,7 @@
         }
     }
 
-    /** An answer that says what was wrong. */
+    /** Creates a response with an error message. */
     public static Environment.HttpResponse errorResponse(int status, String fault) {
         return new Environment.HttpResponse(
                 status,
@@ -274,7 +275,7 @@
 
     private void reportFault(Throwable fault) {
         environment.warn(
-                "fault on a call: "
+                "error in a request: "
                         + fault
                         + " at "
                         + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -30,7 +30,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** The machine as it is: sockets on one event loop, the system's clock, a log on a stream. */
+/** An environment with sockets on one event loop, the system clock and a log on a stream. */
 public final class NettyEnvironment implements Environment {
 
     private static final int MAX_LINE_BYTES = 1 << 20;
@@ -90,7 +90,7 @@
 
     static InetSocketAddress address(String text) {
         InetSocketAddress is = Address.parse(text);
-        // Connecting there is refused, as at a machine that is down.
+        // A connection there is refused, as by a machine that is down.
         return is == null ? UNREACHABLE : is;
     }
 
@@ -149,7 +149,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException) && !(cause instanceof TooLongFrameException)) {
-                warn("fault on a connection: " + cause + " at " + cause.getStackTrace()[0]);
+                warn("error on a connection: " + cause + " at " + cause.getStackTrace()[0]);
             }
             closeWith(cause instanceof TooLongFrameException ? "too long" : "broken");
             ctx.close();
@@ -221,7 +221,7 @@
      * Listens for connections of this framing.
      *
      * @param at IP:PORT
-     * @throws IOException where that cannot be
+     * @throws IOException if the address cannot be bound
      */
     public void listen(String at, Framing form, Function<Environment, ConnectionListener> listeners)
             throws IOException {
@@ -240,14 +240,14 @@
      * Serves HTTP.
      *
      * @param at IP:PORT
-     * @throws IOException where that cannot be
+     * @throws IOException if the address cannot be bound
      */
     public void serveHttp(String at, HttpServerHandler.HttpEndpoint calls) throws IOException {
         serveHttp(at, calls, HttpServerHandler.MAX_HANDLING_MS);
     }
 
     /**
-     * @param longestMs a call that is not answered by then is answered so
+     * @param longestMs handling time after which a request gets an error response
      */
     void serveHttp(String at, HttpServerHandler.HttpEndpoint calls, long longestMs)
             throws IOException {
@@ -262,7 +262,7 @@
                 at);
     }
 
-    /** Server sockets are made on the event loop. */
+    /** Creates a server channel on the event loop and waits until it is bound. */
     private void bind(Supplier<ChannelFuture> server, String at) throws IOException {
         Future<ChannelFuture> made = eventLoop.submit(server::get);
         try {
--- a/src/main/java/dillfront/common/environment/RingLog.java
+++ b/src/main/java/dillfront/common/environment/RingLog.java
@@ -3,8 +3,9 @@
 import java.io.PrintStream;
 
 /**
- * The last things that were noted, in memory. They go out once something is wrong, with what led to
- * it, and at most so many times a minute: no trouble can make the log the next trouble.
+ * Keeps the last events in a ring buffer and writes them out with the next warning, which shows
+ * what led to it. The number of dumps per minute is bounded, so that a burst of warnings cannot
+ * overload the process by its log.
  */
 public final class RingLog {
 
@@ -16,10 +17,12 @@
     private final String name;
     private final String[] lines = new String[CAPACITY];
 
-    /** How many were noted, and how many of them went out or fell out. */
+    /** Number of events that were recorded. */
     private long recorded;
 
+    /** Number of events that were written or overwritten. */
     private long written;
+
     private long minute;
     private int dumpsThisMinute;
 
@@ -32,7 +35,7 @@
         lines[(int) (recorded++ % CAPACITY)] = ms + " " + event;
     }
 
-    /** Notes it, and writes out all that was not written yet. */
+    /** Records an event and writes all events since the last dump. */
     public void warn(long ms, String event) {
         record(ms, event);
         if (ms / MINUTE_MS != minute) {
@@ -45,7 +48,7 @@
         StringBuilder text = new StringBuilder();
         if (recorded - written > CAPACITY) {
             text.append(name)
-                    .append(" left out ")
+                    .append(" dropped ")
                     .append(recorded - written - CAPACITY)
                     .append('\n');
             written = recorded - CAPACITY;
--- a/src/main/java/dillfront/common/environment/package-info.java
+++ b/src/main/java/dillfront/common/environment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a program needs of the machine it runs on. Begin with {@link
+ * Clock, timers, connections, random numbers and event log of a program. Begin with {@link
  * dillfront.common.environment.Environment}.
  */
 package dillfront.common.environment;
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -2,13 +2,16 @@
 
 import dillfront.routing.api.Result;
 
-/** What one router took in, sent and answered; and what it holds now, all zero once it is idle. */
+/**
+ * Counters of one router's requests, connections and results, and gauges of what it holds now; the
+ * gauges return to zero when the router is idle, except for the pooled server rows.
+ */
 public final class Counters {
 
     public long queries;
     public long outOfForm;
 
-    /** Came when this router was ending, and was told to go elsewhere. */
+    /** Queries that arrived while this router was stopping and were redirected to other routers. */
     public long turnedAway;
 
     public long taken;
@@ -25,10 +28,11 @@
     public long longestTurnMs;
     private final long[] ended = new long[Result.values().length];
 
-    // Held now.
+    // ---- gauges
+
     public int txns;
 
-    /** Rows for nodes, in use or to be used again: as many as were needed at once. */
+    /** Rows for servers, in use or pooled: the maximum that was in use at once. */
     public int nodes;
 
     public int clientConnections;
--- a/src/main/java/dillfront/common/logging/Log.java
+++ b/src/main/java/dillfront/common/logging/Log.java
@@ -6,9 +6,9 @@
 import java.time.ZoneOffset;
 
 /**
- * One line an event, on standard error: time, level, event, then names and values. Bounded in rate,
- * so that no trouble can make the log the next trouble; what was left out is counted in the next
- * line that goes out.
+ * Writes one line per event: time, level, event, then names and values. The rate is bounded, so
+ * that a burst of errors cannot overload the process by its log; the next line that is written has
+ * the number of dropped lines.
  */
 public final class Log {
 
--- a/src/main/java/dillfront/common/logging/Silence.java
+++ b/src/main/java/dillfront/common/logging/Silence.java
@@ -5,8 +5,9 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * What Netty has to say, of which warnings alone go on to our log. Netty would look for three
- * logging libraries first, and end with the JDK's: 40 ms of every start.
+ * Forwards Netty's warnings and errors to {@link Log} and drops all else. Without this factory,
+ * Netty probes for three logging libraries and falls back to the JDK's, which adds 40 ms to each
+ * start.
  */
 public final class Silence extends InternalLoggerFactory {
 
@@ -16,7 +17,7 @@
         this.log = log;
     }
 
-    /** Before the first use of Netty. */
+    /** Installs the factory; must be called before the first use of Netty. */
     public static void over(Log log) {
         InternalLoggerFactory.setDefaultFactory(new Silence(log));
     }
--- a/src/main/java/dillfront/common/logging/package-info.java
+++ b/src/main/java/dillfront/common/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines and counters of the router. */
+/** The log of a process, and the counters of a router. */
 package dillfront.common.logging;
--- a/src/main/java/dillfront/common/network/Address.java
+++ b/src/main/java/dillfront/common/network/Address.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as the platform writes them: numbers, never names, since there is no DNS. */
+/** Parses addresses; they are numeric, since the platform has no DNS. */
 public final class Address {
 
     private Address() {}
 
-    /** Null where the text is none. */
+    /** Parses IP:PORT; returns null for an invalid text. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host =
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -13,16 +13,17 @@
 import java.util.function.Supplier;
 
 /**
- * Channels made by hand, on the one loop. Netty's bootstraps would copy themselves, look up names
- * that are numbers here, and load classes for all that at every start.
+ * Creates channels on an event loop without Netty's bootstraps, which would copy their options,
+ * resolve host names and load more classes at each start.
  */
 public final class Sockets {
 
     private Sockets() {}
 
     /**
-     * Opens one to this address; on the loop. The handler is its only one. Null where no descriptor
-     * is left.
+     * Opens a connection with a single handler; called on the event loop.
+     *
+     * @return null if no file descriptor is left
      */
     public static ChannelFuture connect(
             EventLoop loop, InetSocketAddress to, TerminalHandler handler, int timeoutMs) {
@@ -39,7 +40,8 @@
     }
 
     /**
-     * A door: each that comes gets a handler of its own; on the loop. Its channel is the future's.
+     * Opens a listener with one handler per accepted connection; called on the event loop. The
+     * returned future holds the server channel.
      */
     public static ChannelFuture listen(
             EventLoop loop,
@@ -69,8 +71,8 @@
                             @Override
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {
-                                // No descriptor was left: those who wait in line are let in a
-                                // little later, not at once again.
+                                // Out of file descriptors: accept pending connections after a
+                                // pause instead of retrying in a tight loop.
                                 Channel channel = ctx.channel();
                                 if (channel.config().isAutoRead()) {
                                     channel.config().setAutoRead(false);
--- a/src/main/java/dillfront/common/network/TerminalHandler.java
+++ b/src/main/java/dillfront/common/network/TerminalHandler.java
@@ -4,8 +4,9 @@
 import io.netty.channel.ChannelInboundHandler;
 
 /**
- * The last handler of a channel: it passes nothing on. Netty's own adapter marks by annotations
- * what may be skipped, and reading the first of them costs the start of the process a proxy class.
+ * Base class for the last handler of a channel, which passes no event on. Netty's own adapter marks
+ * its methods with annotations, and reading the first of them generates a proxy class, which slows
+ * the start of the process.
  */
 public abstract class TerminalHandler implements ChannelInboundHandler {
 
--- a/src/main/java/dillfront/common/network/package-info.java
+++ b/src/main/java/dillfront/common/network/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets on one event loop, and addresses. */
+/** Addresses, and channels on an event loop. */
 package dillfront.common.network;
--- a/src/test/java/dillfront/cli/WholeSystemTest.java
+++ b/src/test/java/dillfront/cli/WholeSystemTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes that scripts can use: 0 all is well, 1 it is not, 2 the command line is wrong. */
+/** Tests the exit codes that scripts rely on: 0 success, 1 failure, 2 invalid command line. */
 class WholeSystemTest {
 
     @TempDir Path dir;
@@ -49,7 +49,7 @@
     private volatile String most = "72";
     private volatile int answers = 200;
 
-    /** A control process that says what is lacking, and writes down what is posted. */
+    /** A control process that reports lacking commits and records the requests posted to it. */
     private HttpServer control() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         server.createContext(
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Guards against a call that gives up more than the person was shown. */
+    /** Guards against a request that abandons more commits than the operator was shown. */
     @Test
     void whatWasShownIsGivenUpAndNothingElse() throws IOException {
         HttpServer control = control();
@@ -103,7 +103,7 @@
             assertEquals(0, run("system", "accept-data-loss", to, "db"));
             assertTrue(
                     out.contains("longest log left   1.10")
-                            && out.contains("1.72 at the most")
+                            && out.contains("1.72 at most")
                             && out.contains("db-b"),
                     out);
             String seal = out.replaceAll("(?s).*--shown (\\w+) --yes.*", "$1");
@@ -111,7 +111,7 @@
             assertEquals(
                     seal,
                     Json.parse(out).asObject().getString("seal", ""),
-                    "the same, however long it lasts");
+                    "the seal does not depend on the duration");
             assertEquals(3, run("system", "accept-data-loss", to, "other"));
             assertEquals(2, run("system", "accept-data-loss", to, "db", "--yes"));
             assertEquals(2, run("system", "accept-data-loss", to, "db", "--shown", seal));
--- a/src/test/java/dillfront/common/config/ReadersTest.java
+++ b/src/test/java/dillfront/common/config/ReadersTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Configurations, settings, messages: what is good is read, what is not is named, and no bytes do
- * anything else.
+ * Tests the parsers of configurations, settings and messages: valid input is read, invalid input is
+ * rejected with its place, and no input causes another exception.
  */
 class ReadersTest {
 
@@ -53,26 +53,26 @@
     @Test
     void namesPlaceOfInvalidField() {
         assertEquals(
-                "routes[0].service: no service is named 'x'",
+                "routes[0].service: no service has the name 'x'",
                 fault(GOOD.replace("'service':'s'", "'service':'x'")));
         assertEquals(
-                "routes[0].timeout_ms: 0 is no whole number from 1 to 86400000",
+                "routes[0].timeout_ms: 0 is not an integer from 1 to 86400000",
                 fault(GOOD.replace("800", "0")));
         assertEquals(
                 "routes[0].route_kind: 'any' is unknown",
                 fault(GOOD.replace("bounded_staleness", "any")));
         String route = GOOD.substring(GOOD.indexOf("{'name':'r'"), GOOD.indexOf("],'services'"));
         assertEquals(
-                "routes[1]: a second route for host 'h' and prefix '/'",
+                "routes[1]: duplicate route for host 'h' and prefix '/'",
                 fault(GOOD.replace(route, route + "," + route.replace("'r'", "'q'"))));
         assertEquals(
-                "routes[1].name: 'r' stands twice",
+                "routes[1].name: 'r' is defined twice",
                 fault(GOOD.replace(route, route + "," + route.replace("'h'", "'i'"))));
         assertEquals(
-                "revision_number: 7.5 is no whole number from 0 to 9223372036854775807",
+                "revision_number: 7.5 is not an integer from 0 to 9223372036854775807",
                 fault(GOOD.replace(":7,", ":7.5,")));
-        assertEquals("services: no list", fault(GOOD.replace("services'", "others'")));
-        assertEquals("the body is no object", fault("[]"));
+        assertEquals("services: not a list", fault(GOOD.replace("services'", "others'")));
+        assertEquals("body is not an object", fault("[]"));
     }
 
     @Test
@@ -125,13 +125,13 @@
         assertTrue(is.flag("b"));
         assertEquals(2, is.bytes("y").length);
         assertEquals("x", is.maps("l").get(0).string("i"));
-        assertEquals(9, is.number("t", 9), "a field of another kind is as none");
+        assertEquals(9, is.number("t", 9), "a field of another type is treated as absent");
         assertThrows(
                 MessageCodec.MalformedMessageException.class,
                 () -> MessageCodec.decode(new byte[] {(byte) 0xdf, 127, 127, 127, 127}));
     }
 
-    /** Guards against a few bytes that ask for more memory than there is: the process would end. */
+    /** Guards against a short message that declares a length beyond the memory of the process. */
     @Test
     void rejectsMessageThatClaimsMoreThanItHas() {
         for (int kind : new int[] {0xc6, 0xdb, 0xdd, 0xdf}) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Guards against lists of lists of nothing, of which a message of 8 MB holds eight million. */
+    /** Guards against nested lists of empty values: a message of 8 MB holds eight million. */
     @Test
     void rejectsMessageOfTooManyElements() {
         List<Object> nothing = java.util.Collections.nCopies(200_000, null);
@@ -185,10 +185,10 @@
         assertEquals("10.0.0.2:7440", is.internalAddressOf(is.seedIps().get(0)));
         assertTrue(is.isSameRegion("a") && !is.isSameRegion("b") && is.platformAddress() == null);
         String[][] bad = {
-            {"'n',", "5,", "node_name: no text"},
-            {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is no IP:PORT"},
-            {"[7440,7455]", "7440", "internal_port_range: no list of ports"},
-            {"'bounds'", "'others'", "bounds: no object"}
+            {"'n',", "5,", "node_name: not a non-empty string"},
+            {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is not IP:PORT"},
+            {"[7440,7455]", "7440", "internal_port_range: not a list of ports"},
+            {"'bounds'", "'others'", "bounds: not an object"}
         };
         for (String[] one : bad) {
             Files.write(file, bytes(good.replace(one[0], one[1])));
@@ -225,7 +225,7 @@
         assertTrue(out.toString(StandardCharsets.UTF_8).lines().count() < 40, "bounded");
         ring.warn(70_000, "later");
         assertTrue(
-                out.toString(StandardCharsets.UTF_8).contains("left out"),
-                "what was lost is counted");
+                out.toString(StandardCharsets.UTF_8).contains("dropped"),
+                "overwritten events are counted");
     }
 }
