--- a/src/main/java/dillfront/benchmark/IdentityMeasure.java
+++ b/src/main/java/dillfront/benchmark/IdentityMeasure.java
@@ -1,6 +1,6 @@
 package dillfront.benchmark;
 
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.KeyBytes;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Principal;
@@ -42,7 +42,7 @@
                             1 << i % 5,
                             true,
                             i % 3 == 0,
-                            Rule.ANY,
+                            Rule.ANY_GROUP,
                             ("hotel-" + chance.nextInt(rules) + "/")
                                     .getBytes(StandardCharsets.UTF_8),
                             "rule " + i));
@@ -80,14 +80,14 @@
             long began = System.nanoTime();
             for (int i = 0; i < asked; i++) {
                 same +=
-                        rights.plainly(i % 5, false, 0, keys[i % KEYS]) == Rights.Verdict.ALLOWED
+                        rights.verdictByScan(i % 5, false, 0, keys[i % KEYS]) == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
             list = Math.min(list, (System.nanoTime() - began) / (double) asked);
         }
         for (int i = 0; i < Math.min(asked, 2 * KEYS); i++) {
-            if (rights.plainly(i % 5, false, 0, keys[i % KEYS])
+            if (rights.verdictByScan(i % 5, false, 0, keys[i % KEYS])
                     != rights.verdict(i % 5, false, 0, keys[i % KEYS])) {
                 throw new IllegalStateException("the index says another thing than the rules");
             }
@@ -117,10 +117,10 @@
                                 List.of(
                                         new Rule(
                                                 true,
-                                                Rule.ALL,
+                                                Rule.ALL_TYPES,
                                                 true,
                                                 true,
-                                                Rule.ANY,
+                                                Rule.ANY_GROUP,
                                                 new byte[0],
                                                 "r"))),
                         0,
@@ -129,35 +129,35 @@
         KeyBytes key = KeyBytes.of(new byte[] {'k'});
         double[] spans = new double[9];
         for (int pass = 0; pass < spans.length; pass++) {
-            Gate gate = new Gate();
-            gate.at(Duration.ofSeconds(1), unix);
-            gate.read(
+            AccessController gate = new AccessController();
+            gate.updateTime(Duration.ofSeconds(1), unix);
+            gate.replacePolicy(
                     new Policy(
                             Map.of("p", who),
                             Set.of("k"),
                             Set.of(),
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
-            List<Gate.Session> sessions = new ArrayList<>();
+            List<AccessController.Session> sessions = new ArrayList<>();
             for (int i = 0; i < SESSIONS; i++) {
                 sessions.add(
-                        (Gate.Session)
-                                gate.enter(
-                                        new Gate.Credential(
+                        (AccessController.Session)
+                                gate.openSession(
+                                        new AccessController.Credential(
                                                 "p",
                                                 "k",
                                                 "t" + i % 2,
                                                 Duration.ZERO,
                                                 unix.plusDays(1))));
             }
-            for (Gate.Session one : sessions) {
-                if (one.take(0, false, 0, key) != null) {
+            for (AccessController.Session one : sessions) {
+                if (one.admit(0, false, 0, key) != null) {
                     throw new IllegalStateException("not taken");
                 }
-                one.done();
+                one.release();
             }
             long began = System.nanoTime();
-            gate.read(
+            gate.replacePolicy(
                     new Policy(
                             Map.of("p", who),
                             Set.of("k"),
@@ -165,7 +165,7 @@
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
             for (int i = 0; i < SESSIONS; i++) {
-                Refusal no = sessions.get(i).take(0, false, 0, key);
+                Refusal no = sessions.get(i).admit(0, false, 0, key);
                 if (no != (i % 2 == 1 ? Refusal.REVOKED : null)) {
                     throw new IllegalStateException("session " + i + ": " + no);
                 }
--- a/src/main/java/dillfront/router/Doorkeeper.java
+++ b/src/main/java/dillfront/router/Doorkeeper.java
@@ -5,12 +5,12 @@
 import dillfront.router.config.Clock;
 import dillfront.router.config.Setup;
 import dillfront.router.frontend.Callers;
-import dillfront.router.identity.Gate;
-import dillfront.router.identity.Penalty;
+import dillfront.router.identity.AccessController;
+import dillfront.router.identity.LoginThrottle;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Refusal;
 import dillfront.router.operator.Operator;
-import dillfront.router.tokens.Tokens;
+import dillfront.router.tokens.TokenVerifier;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
@@ -45,7 +45,7 @@
     private static final Duration HANDSHAKE = Duration.ofSeconds(2);
 
     /** All that one look at the files gave. */
-    private record Read(Policy policy, Tokens tokens, SslContext tls) {}
+    private record Read(Policy policy, TokenVerifier tokens, SslContext tls) {}
 
     private final Path operatorFile;
 
@@ -55,8 +55,8 @@
     private final Clock clock;
     private final EventLoop loop;
     private final Log log;
-    private final Gate gate = new Gate();
-    private final Penalty penalty;
+    private final AccessController gate = new AccessController();
+    private final LoginThrottle penalty;
     private final ScheduledThreadPoolExecutor reader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
@@ -65,7 +65,7 @@
 
     private String seen;
     private String fault = "";
-    private Tokens tokens;
+    private TokenVerifier tokens;
     private SslContext tls;
     private int handshakes;
 
@@ -84,7 +84,7 @@
         this.clock = clock;
         this.loop = loop;
         this.log = log;
-        penalty = new Penalty(seed);
+        penalty = new LoginThrottle(seed);
         part = operator.identity();
         seen = stamps(part);
         take(read(part, setup));
@@ -186,7 +186,7 @@
                                 "keys",
                                 good.policy.keys());
                     } else {
-                        gate.unreadable();
+                        gate.markPolicyUnreadable();
                         if (!said) {
                             log.warn("identity-unreadable", "fault", why);
                         }
@@ -196,7 +196,7 @@
 
     private Read read(Operator.IdentityPart of, Setup by) throws Operator.BadOperator {
         try {
-            Tokens next = new Tokens(Files.readString(of.jwks()), of.issuer(), of.audience());
+            TokenVerifier next = new TokenVerifier(Files.readString(of.jwks()), of.issuer(), of.audience());
             Set<String> revoked =
                     of.revoked() == null
                             ? Set.of()
@@ -213,8 +213,8 @@
                                     .protocols("TLSv1.3", "TLSv1.2")
                                     .build();
             return new Read(
-                    of.policy(by.types(), by.tenants(), next.ids(), revoked), next, context);
-        } catch (Tokens.BadToken bad) {
+                    of.policy(by.types(), by.tenants(), next.keyIds(), revoked), next, context);
+        } catch (TokenVerifier.InvalidTokenException bad) {
             throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
         } catch (IOException | IllegalArgumentException bad) {
             throw new Operator.BadOperator("identity: " + bad);
@@ -226,13 +226,13 @@
     private void take(Read read) {
         tokens = read.tokens;
         tls = read.tls;
-        gate.read(read.policy);
+        gate.replacePolicy(read.policy);
     }
 
     @Override
     public void tick() {
-        gate.at(clock.now(), Duration.ofMillis(clock.unixMillis()));
-        penalty.at(clock.now());
+        gate.updateTime(clock.now(), Duration.ofMillis(clock.unixMillis()));
+        penalty.updateTime(clock.now());
     }
 
     @Override
@@ -256,39 +256,39 @@
     @Override
     public Duration wait(String address, String user) {
         tick();
-        return penalty.wait(address, user);
+        return penalty.loginDelay(address, user);
     }
 
     /** The signature is checked by the reader's thread; what it says is weighed here. */
     @Override
     public void enter(String address, String user, String token, Entry entry) {
-        Tokens by = tokens;
+        TokenVerifier by = tokens;
         reader.execute(
                 () -> {
-                    Gate.Credential credential = null;
+                    AccessController.Credential credential = null;
                     String wrong = null;
                     try {
-                        credential = by.read(token);
+                        credential = by.verify(token);
                         wrong =
                                 credential.principal().equals(user)
                                         ? null
                                         : "the token is for '" + credential.principal() + "'";
-                    } catch (Tokens.BadToken bad) {
+                    } catch (TokenVerifier.InvalidTokenException bad) {
                         wrong = bad.getMessage();
                     }
-                    Gate.Credential said = credential;
+                    AccessController.Credential said = credential;
                     String fault = wrong;
                     loop.execute(
                             () -> {
                                 tick();
-                                Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
-                                if (in instanceof Gate.Session session) {
-                                    penalty.right(address, user);
+                                Object in = fault != null ? Refusal.UNKNOWN : gate.openSession(said);
+                                if (in instanceof AccessController.Session session) {
+                                    penalty.recordSuccess(address, user);
                                     entry.entered(session);
                                     return;
                                 }
-                                penalty.failed(address, user);
-                                String why = fault != null ? fault : ((Refusal) in).word();
+                                penalty.recordFailure(address, user);
+                                String why = fault != null ? fault : ((Refusal) in).label();
                                 log.warn(
                                         "login-refused",
                                         "user",
@@ -304,7 +304,7 @@
 
     @Override
     public void denied(
-            Gate.Session session,
+            AccessController.Session session,
             Refusal why,
             String type,
             boolean write,
@@ -313,7 +313,7 @@
         log.warn(
                 "denied",
                 "who",
-                session.name(),
+                session.principalName(),
                 "why",
                 why,
                 "type",
--- a/src/main/java/dillfront/router/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -9,27 +9,27 @@
  *
  * @param principals by name
  * @param keys ids of the valid signing keys and certificate issuers
- * @param revoked ids of revoked credentials: serial numbers of certificates, ids of tokens
- * @param overlap grace period in which a retired key is still valid for sessions that it opened
- * @param holds how long the policy stays in force while the files cannot be read
+ * @param revokedCredentials ids of revoked credentials: serial numbers of certificates, ids of tokens
+ * @param keyGracePeriod grace period in which a retired key is still valid for sessions that it opened
+ * @param maxStaleness how long the policy stays in force while the files cannot be read
  * @param shares bounds on the transactions in flight of each tenant
  */
 public record Policy(
         Map<String, Principal> principals,
         Set<String> keys,
-        Set<String> revoked,
-        Duration overlap,
-        Duration holds,
-        Shares.Setting shares) {
+        Set<String> revokedCredentials,
+        Duration keyGracePeriod,
+        Duration maxStaleness,
+        TenantShares.Limits shares) {
 
-    public static final Policy NOBODY =
+    public static final Policy EMPTY =
             new Policy(
                     Map.of(),
                     Set.of(),
                     Set.of(),
                     Duration.ZERO,
                     Duration.ZERO,
-                    Shares.Setting.NONE);
+                    TenantShares.Limits.NONE);
 
     /** A policy without tenant shares. */
     public Policy(
@@ -38,12 +38,12 @@
             Set<String> revoked,
             Duration overlap,
             Duration holds) {
-        this(principals, keys, revoked, overlap, holds, Shares.Setting.NONE);
+        this(principals, keys, revoked, overlap, holds, TenantShares.Limits.NONE);
     }
 
     public Policy {
         principals = Map.copyOf(principals);
         keys = Set.copyOf(keys);
-        revoked = Set.copyOf(revoked);
+        revokedCredentials = Set.copyOf(revokedCredentials);
     }
 }
--- a/src/main/java/dillfront/router/identity/Refusal.java
+++ b/src/main/java/dillfront/router/identity/Refusal.java
@@ -21,19 +21,19 @@
     /** The rate limit or a limit on transactions in flight is reached. */
     BUSY("53300");
 
-    private final String code;
+    private final String sqlState;
 
     Refusal(String code) {
-        this.code = code;
+        this.sqlState = code;
     }
 
     /** Returns the SQLSTATE (PostgreSQL documentation, appendix A). */
-    public String code() {
-        return code;
+    public String sqlState() {
+        return sqlState;
     }
 
     /** Returns the name for error messages and log lines. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -23,145 +23,145 @@
         DENIED
     }
 
-    private static final class Node {
+    private static final class TrieNode {
         /** Label of the edge from the parent, including its first byte. */
         byte[] label;
 
         /** First bytes of the children's labels, unsigned, in ascending order. */
-        int[] firsts = {};
+        int[] firstBytes = {};
 
-        Node[] children = {};
-        long allow;
-        long deny;
+        TrieNode[] children = {};
+        long allowedAccesses;
+        long deniedAccesses;
 
-        Node(byte[] label) {
+        TrieNode(byte[] label) {
             this.label = label;
         }
 
-        Node child(int first) {
-            int at = Arrays.binarySearch(firsts, first);
-            return at < 0 ? null : children[at];
+        TrieNode child(int firstByte) {
+            int index = Arrays.binarySearch(firstBytes, firstByte);
+            return index < 0 ? null : children[index];
         }
 
-        void put(Node child) {
-            int first = child.label[0] & 0xff;
-            int at = Arrays.binarySearch(firsts, first);
-            if (at >= 0) {
-                children[at] = child;
+        void putChild(TrieNode child) {
+            int firstByte = child.label[0] & 0xff;
+            int index = Arrays.binarySearch(firstBytes, firstByte);
+            if (index >= 0) {
+                children[index] = child;
                 return;
             }
-            int place = -at - 1;
-            int[] moreFirsts = new int[firsts.length + 1];
-            Node[] more = new Node[firsts.length + 1];
-            System.arraycopy(firsts, 0, moreFirsts, 0, place);
-            System.arraycopy(children, 0, more, 0, place);
-            System.arraycopy(firsts, place, moreFirsts, place + 1, firsts.length - place);
-            System.arraycopy(children, place, more, place + 1, firsts.length - place);
-            moreFirsts[place] = first;
-            more[place] = child;
-            firsts = moreFirsts;
-            children = more;
+            int insertion = -index - 1;
+            int[] newFirstBytes = new int[firstBytes.length + 1];
+            TrieNode[] newChildren = new TrieNode[firstBytes.length + 1];
+            System.arraycopy(firstBytes, 0, newFirstBytes, 0, insertion);
+            System.arraycopy(children, 0, newChildren, 0, insertion);
+            System.arraycopy(firstBytes, insertion, newFirstBytes, insertion + 1, firstBytes.length - insertion);
+            System.arraycopy(children, insertion, newChildren, insertion + 1, firstBytes.length - insertion);
+            newFirstBytes[insertion] = firstByte;
+            newChildren[insertion] = child;
+            firstBytes = newFirstBytes;
+            children = newChildren;
         }
     }
 
     private final List<Rule> rules;
-    private final Node all = new Node(new byte[0]);
+    private final TrieNode commonTrie = new TrieNode(new byte[0]);
 
-    /** Groups that rules name, in ascending order; {@link #tries} has the same order. */
+    /** Groups that rules name, in ascending order; {@link #groupTries} has the same order. */
     private final int[] groups;
 
-    private final Node[] tries;
+    private final TrieNode[] groupTries;
 
     /** Compiles the rules. */
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
-        TreeMap<Integer, Node> named = new TreeMap<>();
+        TreeMap<Integer, TrieNode> triesByGroup = new TreeMap<>();
         for (Rule rule : rules) {
-            Node root =
-                    rule.group() == Rule.ANY
-                            ? all
-                            : named.computeIfAbsent(rule.group(), g -> new Node(new byte[0]));
+            TrieNode root =
+                    rule.group() == Rule.ANY_GROUP
+                            ? commonTrie
+                            : triesByGroup.computeIfAbsent(rule.group(), g -> new TrieNode(new byte[0]));
             add(root, rule);
         }
-        groups = named.keySet().stream().mapToInt(Integer::intValue).toArray();
-        tries = named.values().toArray(new Node[0]);
+        groups = triesByGroup.keySet().stream().mapToInt(Integer::intValue).toArray();
+        groupTries = triesByGroup.values().toArray(new TrieNode[0]);
     }
 
-    private static void add(Node root, Rule rule) {
-        Node node = root;
-        byte[] rest = rule.prefix();
-        while (rest.length > 0) {
-            Node next = node.child(rest[0] & 0xff);
+    private static void add(TrieNode root, Rule rule) {
+        TrieNode node = root;
+        byte[] remaining = rule.prefix();
+        while (remaining.length > 0) {
+            TrieNode next = node.child(remaining[0] & 0xff);
             if (next == null) {
-                next = new Node(rest);
-                node.put(next);
+                next = new TrieNode(remaining);
+                node.putChild(next);
                 node = next;
                 break;
             }
-            int same = 0;
-            while (same < rest.length
-                    && same < next.label.length
-                    && rest[same] == next.label[same]) {
-                same++;
+            int commonLength = 0;
+            while (commonLength < remaining.length
+                    && commonLength < next.label.length
+                    && remaining[commonLength] == next.label[commonLength]) {
+                commonLength++;
             }
-            if (same < next.label.length) {
-                Node middle = new Node(Arrays.copyOf(next.label, same));
-                next.label = Arrays.copyOfRange(next.label, same, next.label.length);
-                middle.put(next);
-                node.put(middle);
-                next = middle;
+            if (commonLength < next.label.length) {
+                TrieNode split = new TrieNode(Arrays.copyOf(next.label, commonLength));
+                next.label = Arrays.copyOfRange(next.label, commonLength, next.label.length);
+                split.putChild(next);
+                node.putChild(split);
+                next = split;
             }
-            rest = Arrays.copyOfRange(rest, same, rest.length);
+            remaining = Arrays.copyOfRange(remaining, commonLength, remaining.length);
             node = next;
         }
         if (rule.allow()) {
-            node.allow |= rule.bits();
+            node.allowedAccesses |= rule.accessMask();
         } else {
-            node.deny |= rule.bits();
+            node.deniedAccesses |= rule.accessMask();
         }
     }
 
     /** Checks an access; the type is its index in the settings. */
     public Verdict verdict(int type, boolean write, int group, KeyBytes key) {
-        if (type < 0 || type >= Rule.TYPES) {
+        if (type < 0 || type >= Rule.MAX_TYPES) {
             return Verdict.NO_RULE;
         }
-        long bit = Rule.bit(type, write);
-        int own = groups.length == 0 ? -1 : Arrays.binarySearch(groups, group);
-        int found = walk(all, bit, key);
-        if (found >= 0 && own >= 0) {
-            int also = walk(tries[own], bit, key);
-            found = also < 0 ? also : found | also;
+        long bit = Rule.accessBit(type, write);
+        int groupIndex = groups.length == 0 ? -1 : Arrays.binarySearch(groups, group);
+        int outcome = walk(commonTrie, bit, key);
+        if (outcome >= 0 && groupIndex >= 0) {
+            int groupOutcome = walk(groupTries[groupIndex], bit, key);
+            outcome = groupOutcome < 0 ? groupOutcome : outcome | groupOutcome;
         }
-        return found < 0 ? Verdict.DENIED : found > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
+        return outcome < 0 ? Verdict.DENIED : outcome > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
     }
 
     /**
      * Returns 1 if a node on the key's path allows the access, 0 if none does, -1 if one denies it.
      */
-    private static int walk(Node root, long bit, KeyBytes key) {
+    private static int walk(TrieNode root, long bit, KeyBytes key) {
         int length = key.length();
-        int at = 0;
+        int position = 0;
         int allowed = 0;
-        Node node = root;
+        TrieNode node = root;
         while (true) {
-            if ((node.deny & bit) != 0) {
+            if ((node.deniedAccesses & bit) != 0) {
                 return -1;
             }
-            allowed |= (node.allow & bit) != 0 ? 1 : 0;
-            if (at >= length) {
+            allowed |= (node.allowedAccesses & bit) != 0 ? 1 : 0;
+            if (position >= length) {
                 return allowed;
             }
-            node = node.child(key.at(at) & 0xff);
-            if (node == null || length - at < node.label.length) {
+            node = node.child(key.at(position) & 0xff);
+            if (node == null || length - position < node.label.length) {
                 return allowed;
             }
             for (int i = 1; i < node.label.length; i++) {
-                if (key.at(at + i) != node.label[i]) {
+                if (key.at(position + i) != node.label[i]) {
                     return allowed;
                 }
             }
-            at += node.label.length;
+            position += node.label.length;
         }
     }
 
@@ -169,14 +169,14 @@
      * Returns the source of the first rule, in file order, that leads to the verdict; for the log
      * line of a denial.
      */
-    public String cause(int type, boolean write, int group, KeyBytes key) {
+    public String decidingRule(int type, boolean write, int group, KeyBytes key) {
         String allowed = null;
         for (Rule rule : rules) {
-            if (rule.speaksOf(type, write, group, key)) {
+            if (rule.matches(type, write, group, key)) {
                 if (!rule.allow()) {
-                    return rule.from();
+                    return rule.source();
                 }
-                allowed = allowed == null ? rule.from() : allowed;
+                allowed = allowed == null ? rule.source() : allowed;
             }
         }
         return allowed == null ? "no rule allows it" : allowed;
@@ -186,10 +186,10 @@
      * Checks an access by a scan over all rules, the reference for the trie in tests and
      * benchmarks.
      */
-    public Verdict plainly(int type, boolean write, int group, KeyBytes key) {
+    public Verdict verdictByScan(int type, boolean write, int group, KeyBytes key) {
         boolean allowed = false;
         for (Rule rule : rules) {
-            if (rule.speaksOf(type, write, group, key)) {
+            if (rule.matches(type, write, group, key)) {
                 if (!rule.allow()) {
                     return Verdict.DENIED;
                 }
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -5,27 +5,27 @@
 /**
  * One access rule, which allows or denies.
  *
- * @param types bit mask of transaction types by index; ALL includes types that are added later
+ * @param typeMask bit mask of transaction types by index; ALL includes types that are added later
  * @param reads whether the rule applies to reads
  * @param writes whether the rule applies to writes
  * @param group server group; ANY for all
  * @param prefix prefix of the key; empty for all keys
- * @param from file and line of the rule, for messages
+ * @param source file and line of the rule, for messages
  */
 public record Rule(
         boolean allow,
-        int types,
+        int typeMask,
         boolean reads,
         boolean writes,
         int group,
         byte[] prefix,
-        String from) {
+        String source) {
 
-    public static final int ALL = -1;
-    public static final int ANY = -1;
+    public static final int ALL_TYPES = -1;
+    public static final int ANY_GROUP = -1;
 
     /** Bound of type indices: two masks of 32 types, reads and writes, fit into 64 bits. */
-    public static final int TYPES = 32;
+    public static final int MAX_TYPES = 32;
 
     /**
      * @throws IllegalArgumentException if the prefix is longer than 255 bytes
@@ -41,30 +41,30 @@
      * @param access r, w or rw
      */
     public static Rule of(
-            boolean allow, int types, String access, int group, String prefix, String from) {
+            boolean allow, int typeMask, String access, int group, String prefix, String source) {
         return new Rule(
                 allow,
-                types,
+                typeMask,
                 access.contains("r"),
                 access.contains("w"),
                 group,
                 prefix.getBytes(StandardCharsets.UTF_8),
-                from);
+                source);
     }
 
     /** Returns the bit of a type and an access: reads in the lower 32 bits, writes above. */
-    static long bit(int type, boolean write) {
-        return 1L << (write ? TYPES + type : type);
+    static long accessBit(int type, boolean write) {
+        return 1L << (write ? MAX_TYPES + type : type);
     }
 
-    long bits() {
-        return (reads ? types & 0xffffffffL : 0) | (writes ? (types & 0xffffffffL) << TYPES : 0);
+    long accessMask() {
+        return (reads ? typeMask & 0xffffffffL : 0) | (writes ? (typeMask & 0xffffffffL) << MAX_TYPES : 0);
     }
 
     /** Returns whether the rule applies to this access; the reference for the trie in tests. */
-    boolean speaksOf(int type, boolean write, int group, KeyBytes key) {
-        if ((bits() & bit(type, write)) == 0
-                || this.group != ANY && this.group != group
+    boolean matches(int type, boolean write, int group, KeyBytes key) {
+        if ((accessMask() & accessBit(type, write)) == 0
+                || this.group != ANY_GROUP && this.group != group
                 || key.length() < prefix.length) {
             return false;
         }
--- a/src/main/java/dillfront/router/operator/Operator.java
+++ b/src/main/java/dillfront/router/operator/Operator.java
@@ -6,7 +6,7 @@
 import dillfront.router.identity.Principal;
 import dillfront.router.identity.Rights;
 import dillfront.router.identity.Rule;
-import dillfront.router.identity.Shares;
+import dillfront.router.identity.TenantShares;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.Ring;
 import dillfront.router.recovery.Doubts;
@@ -204,14 +204,14 @@
                 shares[tenant] = one.getValue();
             }
             return new Policy(
-                    named, keys, revokedIds, overlap, holds, new Shares.Setting(atOnce, shares));
+                    named, keys, revokedIds, overlap, holds, new TenantShares.Limits(atOnce, shares));
         }
 
         private static Rule rule(RuleText text, Map<String, Integer> types) throws BadOperator {
-            int bits = text.types.isEmpty() ? Rule.ALL : 0;
+            int bits = text.types.isEmpty() ? Rule.ALL_TYPES : 0;
             for (String type : text.types) {
                 Integer index = types.get(type);
-                if (index == null || index >= Rule.TYPES) {
+                if (index == null || index >= Rule.MAX_TYPES) {
                     throw new BadOperator(
                             text.from + ": no txn type '" + type + "' in the settings");
                 }
--- a/src/main/java/dillfront/router/tokens/Tokens.java
+++ b/src/main/java/dillfront/router/tokens/TokenVerifier.java
@@ -11,7 +11,7 @@
 import com.nimbusds.jose.jwk.RSAKey;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import java.text.ParseException;
 import java.time.Duration;
 import java.util.Date;
@@ -24,152 +24,152 @@
  * determines the algorithm, and only asymmetric signatures are accepted, so that a public key
  * cannot be misused as a shared secret. The class reads no file and no clock.
  */
-public final class Tokens {
+public final class TokenVerifier {
 
-    public static final int LONGEST = 8192;
+    public static final int MAX_TOKEN_LENGTH = 8192;
 
-    private static final int LONGEST_SET = 1 << 18;
+    private static final int MAX_KEY_SET_LENGTH = 1 << 18;
     private static final Set<JWSAlgorithm> ALGORITHMS =
             Set.of(JWSAlgorithm.ES256, JWSAlgorithm.ES384, JWSAlgorithm.RS256, JWSAlgorithm.PS256);
-    private static final int RSA_BITS = 2048;
+    private static final int MIN_RSA_KEY_BITS = 2048;
 
-    private record Key(JWSAlgorithm algorithm, JWSVerifier verifier) {}
+    private record VerificationKey(JWSAlgorithm algorithm, JWSVerifier verifier) {}
 
     /** A token or a key set is invalid. */
-    public static final class BadToken extends Exception {
+    public static final class InvalidTokenException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadToken(String fault) {
+        InvalidTokenException(String fault) {
             super(fault);
         }
     }
 
-    private final Map<String, Key> keys = new HashMap<>();
+    private final Map<String, VerificationKey> keys = new HashMap<>();
     private final String issuer;
     private final String audience;
 
     /**
      * @param jwks a JSON Web Key Set of public keys, each with kid and alg
      */
-    public Tokens(String jwks, String issuer, String audience) throws BadToken {
+    public TokenVerifier(String jwks, String issuer, String audience) throws InvalidTokenException {
         this.issuer = issuer;
         this.audience = audience;
-        if (jwks.length() > LONGEST_SET) {
-            throw new BadToken("key set is longer than " + LONGEST_SET + " characters");
+        if (jwks.length() > MAX_KEY_SET_LENGTH) {
+            throw new InvalidTokenException("key set is longer than " + MAX_KEY_SET_LENGTH + " characters");
         }
         try {
             for (JWK jwk : JWKSet.parse(jwks).getKeys()) {
                 String id = jwk.getKeyID();
                 if (id == null || id.isEmpty()) {
-                    throw new BadToken("key set has a key without kid");
+                    throw new InvalidTokenException("key set has a key without kid");
                 }
                 if (jwk.isPrivate()) {
-                    throw new BadToken(
+                    throw new InvalidTokenException(
                             "key '" + id + "' is a secret: only public keys are allowed");
                 }
                 if (jwk.getAlgorithm() == null
                         || !ALGORITHMS.contains(JWSAlgorithm.parse(jwk.getAlgorithm().getName()))) {
-                    throw new BadToken(
+                    throw new InvalidTokenException(
                             "key '" + id + "' has no alg out of ES256, ES384, RS256 and PS256");
                 }
                 JWSAlgorithm algorithm = JWSAlgorithm.parse(jwk.getAlgorithm().getName());
-                if (keys.put(id, new Key(algorithm, verifier(jwk, algorithm))) != null) {
-                    throw new BadToken("key '" + id + "' is defined twice");
+                if (keys.put(id, new VerificationKey(algorithm, verifier(jwk, algorithm))) != null) {
+                    throw new InvalidTokenException("key '" + id + "' is defined twice");
                 }
             }
         } catch (ParseException | JOSEException | IllegalArgumentException bad) {
-            throw new BadToken("invalid key set: " + first(bad.getMessage()));
+            throw new InvalidTokenException("invalid key set: " + firstLine(bad.getMessage()));
         }
         if (keys.isEmpty()) {
-            throw new BadToken("key set is empty");
+            throw new InvalidTokenException("key set is empty");
         }
     }
 
     private static JWSVerifier verifier(JWK jwk, JWSAlgorithm algorithm)
-            throws JOSEException, BadToken {
+            throws JOSEException, InvalidTokenException {
         if (jwk instanceof ECKey ec && algorithm.getName().startsWith("ES")) {
             ECDSAVerifier verifier = new ECDSAVerifier(ec);
             if (verifier.supportedJWSAlgorithms().contains(algorithm)) {
                 return verifier;
             }
         } else if (jwk instanceof RSAKey rsa && !algorithm.getName().startsWith("ES")) {
-            if (rsa.size() < RSA_BITS) {
-                throw new BadToken(
+            if (rsa.size() < MIN_RSA_KEY_BITS) {
+                throw new InvalidTokenException(
                         "key '"
                                 + jwk.getKeyID()
                                 + "' has "
                                 + rsa.size()
                                 + " bits, expected at least "
-                                + RSA_BITS);
+                                + MIN_RSA_KEY_BITS);
             }
             return new RSASSAVerifier(rsa);
         }
-        throw new BadToken("key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
+        throw new InvalidTokenException("key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
     }
 
     /** Returns the ids of the keys. */
-    public Set<String> ids() {
+    public Set<String> keyIds() {
         return Set.copyOf(keys.keySet());
     }
 
     /**
      * Verifies the signature, the issuer and the audience of a token and returns its claims. Its
-     * validity period is checked by {@link Gate}.
+     * validity period is checked by {@link AccessController}.
      */
-    public Gate.Credential read(String token) throws BadToken {
-        if (token.length() > LONGEST) {
-            throw new BadToken("token is longer than " + LONGEST + " characters");
+    public AccessController.Credential verify(String token) throws InvalidTokenException {
+        if (token.length() > MAX_TOKEN_LENGTH) {
+            throw new InvalidTokenException("token is longer than " + MAX_TOKEN_LENGTH + " characters");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(token);
-            Key key = keys.get(jwt.getHeader().getKeyID());
+            VerificationKey key = keys.get(jwt.getHeader().getKeyID());
             if (key == null) {
-                throw new BadToken("token is signed with an unknown key");
+                throw new InvalidTokenException("token is signed with an unknown key");
             }
             if (!key.algorithm.equals(jwt.getHeader().getAlgorithm())) {
-                throw new BadToken(
+                throw new InvalidTokenException(
                         "key is for "
                                 + key.algorithm
                                 + ", token has alg "
                                 + jwt.getHeader().getAlgorithm());
             }
             if (jwt.getHeader().getCriticalParams() != null) {
-                throw new BadToken("token has critical headers, none is supported");
+                throw new InvalidTokenException("token has critical headers, none is supported");
             }
             if (!jwt.verify(key.verifier)) {
-                throw new BadToken("token signature is invalid");
+                throw new InvalidTokenException("token signature is invalid");
             }
             JWTClaimsSet claims = jwt.getJWTClaimsSet();
             if (!issuer.equals(claims.getIssuer())) {
-                throw new BadToken("token is from another issuer");
+                throw new InvalidTokenException("token is from another issuer");
             }
             if (!claims.getAudience().contains(audience)) {
-                throw new BadToken("token is for another audience");
+                throw new InvalidTokenException("token is for another audience");
             }
             if (claims.getSubject() == null
                     || claims.getExpirationTime() == null
                     || claims.getJWTID() == null) {
-                throw new BadToken("token lacks sub, exp or jti");
+                throw new InvalidTokenException("token lacks sub, exp or jti");
             }
-            return new Gate.Credential(
+            return new AccessController.Credential(
                     claims.getSubject(),
                     jwt.getHeader().getKeyID(),
                     claims.getJWTID(),
-                    unix(claims.getNotBeforeTime()),
-                    unix(claims.getExpirationTime()));
+                    unixTime(claims.getNotBeforeTime()),
+                    unixTime(claims.getExpirationTime()));
         } catch (ParseException | JOSEException | RuntimeException bad) {
-            throw new BadToken("malformed token: " + first(bad.getMessage()));
+            throw new InvalidTokenException("malformed token: " + firstLine(bad.getMessage()));
         } catch (StackOverflowError deep) {
             // Thousands of nested brackets fit within the length bound.
-            throw new BadToken("malformed token: nested too deep");
+            throw new InvalidTokenException("malformed token: nested too deep");
         }
     }
 
-    private static Duration unix(Date at) {
+    private static Duration unixTime(Date at) {
         return at == null ? Duration.ofMillis(Long.MIN_VALUE / 4) : Duration.ofMillis(at.getTime());
     }
 
-    private static String first(String text) {
+    private static String firstLine(String text) {
         String line = text == null ? "" : text.lines().findFirst().orElse("");
         return line.substring(0, Math.min(120, line.length()));
     }
--- a/src/test/java/dillfront/router/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -21,10 +21,10 @@
     private static final Rights HOTEL =
             new Rights(
                     List.of(
-                            Rule.of(true, 0b0111, "r", Rule.ANY, "hotel-7/", "rule 1"),
+                            Rule.of(true, 0b0111, "r", Rule.ANY_GROUP, "hotel-7/", "rule 1"),
                             Rule.of(true, 0b1000, "w", 2, "hotel-7/bar/", "rule 2"),
-                            Rule.of(false, Rule.ALL, "rw", Rule.ANY, "hotel-7/safe", "rule 3"),
-                            Rule.of(true, 0b0010, "r", Rule.ANY, "", "rule 4")));
+                            Rule.of(false, Rule.ALL_TYPES, "rw", Rule.ANY_GROUP, "hotel-7/safe", "rule 3"),
+                            Rule.of(true, 0b0010, "r", Rule.ANY_GROUP, "", "rule 4")));
 
     @Test
     void prefixesAndTheirNeighbours() {
@@ -62,10 +62,10 @@
     @Test
     void denialGoesOverAllowance() {
         assertEquals(Verdict.DENIED, HOTEL.verdict(1, false, 0, key("hotel-7/safe/9")));
-        assertEquals("rule 3", HOTEL.cause(1, false, 0, key("hotel-7/safe/9")));
+        assertEquals("rule 3", HOTEL.decidingRule(1, false, 0, key("hotel-7/safe/9")));
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(1, false, 0, key("other")));
-        assertEquals("rule 4", HOTEL.cause(1, false, 0, key("other")));
-        assertEquals("no rule allows it", HOTEL.cause(0, false, 0, key("other")));
+        assertEquals("rule 4", HOTEL.decidingRule(1, false, 0, key("other")));
+        assertEquals("no rule allows it", HOTEL.decidingRule(0, false, 0, key("other")));
         assertEquals(Verdict.NO_RULE, Rights.NONE.verdict(0, false, 0, key("")));
     }
 
@@ -87,7 +87,7 @@
                     Rule.of(
                             chance.nextInt(4) > 0,
                             chance.nextInt(8) == 0
-                                    ? Rule.ALL
+                                    ? Rule.ALL_TYPES
                                     : 1 << chance.nextInt(4) | 1 << chance.nextInt(32),
                             List.of("r", "w", "rw").get(chance.nextInt(3)),
                             chance.nextInt(3) - 1,
@@ -101,7 +101,7 @@
             int group = chance.nextInt(3);
             KeyBytes key = key(some(chance, 8));
             assertEquals(
-                    rights.plainly(type, write, group, key),
+                    rights.verdictByScan(type, write, group, key),
                     rights.verdict(type, write, group, key));
         }
     }
--- a/src/test/java/dillfront/router/identity/SharesTest.java
+++ b/src/test/java/dillfront/router/identity/SharesTest.java
@@ -13,23 +13,23 @@
 /** What tenants lend each other, and what none takes from another. */
 class SharesTest {
 
-    private final Shares shares = new Shares();
+    private final TenantShares shares = new TenantShares();
 
     private int takes(int tenant, int most) {
         int taken = 0;
-        while (taken < most && shares.take(tenant)) {
+        while (taken < most && shares.tryAcquire(tenant)) {
             taken++;
         }
         return taken;
     }
 
     private void at(double seconds) {
-        shares.at(Duration.ofMillis((long) (seconds * 1000)));
+        shares.updateTime(Duration.ofMillis((long) (seconds * 1000)));
     }
 
     @Test
     void whatOthersLeaveIsLent() {
-        shares.set(new Shares.Setting(100, new double[] {3, 1, 1}));
+        shares.configure(new TenantShares.Limits(100, new double[] {3, 1, 1}));
         at(100);
         assertEquals(90, takes(0, 1000), "its own 60, and of the others' 40 all but a quarter");
         assertEquals(5, takes(1, 1000), "who comes back has room at once");
@@ -37,16 +37,16 @@
         assertEquals(0, takes(-1, 1000), "who has no tenant has what is left");
         // As what was lent ends, it goes to him whose it is.
         for (int i = 0; i < 15; i++) {
-            shares.done(0);
-            assertFalse(shares.take(0), "not lent again: both others were here lately");
+            shares.release(0);
+            assertFalse(shares.tryAcquire(0), "not lent again: both others were here lately");
         }
         assertEquals(15, takes(1, 1000));
-        assertEquals(20, shares.out(1));
+        assertEquals(20, shares.inFlight(1));
     }
 
     @Test
     void aFloodTakesNothingFromWhoIsHere() {
-        shares.set(new Shares.Setting(20, new double[] {1, 1}));
+        shares.configure(new TenantShares.Limits(20, new double[] {1, 1}));
         at(1);
         int served = 0;
         int asked = 0;
@@ -58,20 +58,20 @@
             served += got;
             asked += 2;
             for (int i = 0; i < got; i++) {
-                shares.done(1);
+                shares.release(1);
             }
             if (step % 3 == 0) {
-                shares.done(0);
+                shares.release(0);
             }
         }
         assertEquals(asked, served);
-        assertTrue(shares.out(0) <= 18);
+        assertTrue(shares.inFlight(0) <= 18);
     }
 
     @Test
     void unboundedWhereNothingIsSet() {
         assertEquals(5000, takes(3, 5000));
-        shares.set(Shares.Setting.NONE);
+        shares.configure(TenantShares.Limits.NONE);
         assertEquals(5000, takes(-1, 5000));
     }
 
@@ -86,28 +86,28 @@
             sum += weights[i];
         }
         int whole = 10 + chance.nextInt(90);
-        Shares some = new Shares();
-        some.set(new Shares.Setting(whole, weights));
+        TenantShares some = new TenantShares();
+        some.configure(new TenantShares.Limits(whole, weights));
         for (int step = 0; step < 400; step++) {
-            some.at(Duration.ofMillis(100_000 + 20L * step));
+            some.updateTime(Duration.ofMillis(100_000 + 20L * step));
             int tenant = chance.nextInt(tenants + 1) - 1;
             if (chance.nextInt(5) < 2) {
-                some.done(tenant);
+                some.release(tenant);
             } else {
-                boolean took = some.take(tenant);
+                boolean took = some.tryAcquire(tenant);
                 int all = 0;
                 double kept = 0;
                 for (int i = -1; i < tenants; i++) {
-                    all += some.out(i);
+                    all += some.inFlight(i);
                     double part = i < 0 ? 0 : whole * weights[i] / sum;
-                    kept += i == tenant ? 0 : Math.max(0, some.out(i) - part);
+                    kept += i == tenant ? 0 : Math.max(0, some.inFlight(i) - part);
                 }
                 assertTrue(all <= whole);
                 double own = tenant < 0 ? 0 : whole * weights[tenant] / sum;
                 // Refused within its own part only while others still hold what was lent to them.
                 assertTrue(
-                        took || some.out(tenant) + 1 > own || kept > 0,
-                        "out " + some.out(tenant) + " of " + own);
+                        took || some.inFlight(tenant) + 1 > own || kept > 0,
+                        "out " + some.inFlight(tenant) + " of " + own);
             }
         }
     }
--- a/src/test/java/dillfront/router/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokensTest.java
@@ -19,7 +19,7 @@
 import com.nimbusds.jose.jwk.gen.RSAKeyGenerator;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Date;
@@ -57,8 +57,8 @@
         }
     }
 
-    private static Tokens tokens() throws Exception {
-        return new Tokens(
+    private static TokenVerifier tokens() throws Exception {
+        return new TokenVerifier(
                 new JWKSet(List.of(EC.toPublicJWK(), RSA.toPublicJWK())).toString(),
                 "depot",
                 "dillfront");
@@ -86,7 +86,7 @@
     }
 
     private static String fault(String token) {
-        return assertThrows(Tokens.BadToken.class, () -> tokens().read(token)).getMessage();
+        return assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(token)).getMessage();
     }
 
     private static String base64(String text) {
@@ -97,8 +97,8 @@
 
     @Test
     void saysWhoItIs() throws Exception {
-        Gate.Credential said =
-                tokens().read(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
+        AccessController.Credential said =
+                tokens().verify(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
         assertEquals(
                 "billing-7 k1 t-1 PT16M40S PT33M20S",
                 said.principal()
@@ -112,7 +112,7 @@
                         + said.expires());
         assertEquals(
                 "k2",
-                tokens().read(
+                tokens().verify(
                                 sign(
                                         new JWSHeader.Builder(JWSAlgorithm.RS256)
                                                 .keyID("k2")
@@ -120,7 +120,7 @@
                                         claims().build(),
                                         new RSASSASigner(RSA)))
                         .key());
-        assertEquals(Set.of("k1", "k2"), tokens().ids());
+        assertEquals(Set.of("k1", "k2"), tokens().keyIds());
     }
 
     @Test
@@ -232,8 +232,8 @@
                         .entrySet()) {
             String fault =
                     assertThrows(
-                                    Tokens.BadToken.class,
-                                    () -> new Tokens(one.getKey(), "depot", "dillfront"))
+                                    TokenVerifier.InvalidTokenException.class,
+                                    () -> new TokenVerifier(one.getKey(), "depot", "dillfront"))
                             .getMessage();
             assertTrue(fault.startsWith(one.getValue()), fault);
         }
@@ -252,6 +252,6 @@
                 token.substring(0, at)
                         + (was < 0 ? "A" : letters.charAt((was + by) % 64))
                         + token.substring(at + 1);
-        assertThrows(Tokens.BadToken.class, () -> tokens().read(changed));
+        assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(changed));
     }
 }
