--- a/src/main/java/dillfront/benchmark/IdentityMeasure.java
+++ b/src/main/java/dillfront/benchmark/IdentityMeasure.java
@@ -80,7 +80,8 @@
             long began = System.nanoTime();
             for (int i = 0; i < asked; i++) {
                 same +=
-                        rights.verdictByScan(i % 5, false, 0, keys[i % KEYS]) == Rights.Verdict.ALLOWED
+                        rights.verdictByScan(i % 5, false, 0, keys[i % KEYS])
+                                        == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/Commands.java
@@ -1,7 +1,7 @@
 package dillfront.cli;
 
 import dillfront.common.network.Address;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.Ring;
 import java.io.IOException;
@@ -109,10 +109,10 @@
         @Override
         public Integer call() {
             try {
-                Operator operator = Operator.read(file);
+                OperatorConfig operator = OperatorConfig.read(file);
                 if (operator.gossip() != null && name != null) {
-                    operator.gossip().self(name);
-                    operator.gossip().key();
+                    operator.gossip().selfIndex(name);
+                    operator.gossip().privateKey();
                 }
                 System.out.println(
                         file
@@ -125,9 +125,11 @@
                                                 + operator.gossip().tuning().bytesPerSecond()
                                                 + " bytes a second")
                                 + ", control "
-                                + (operator.control() == null ? "off" : operator.control()));
+                                + (operator.controlAddress() == null
+                                        ? "off"
+                                        : operator.controlAddress()));
                 return 0;
-            } catch (Operator.BadOperator bad) {
+            } catch (OperatorConfig.InvalidOperatorConfigException bad) {
                 return fault(bad.getMessage());
             }
         }
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -10,7 +10,7 @@
 import dillfront.router.Rehearsal;
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.simulator.BadInput;
 import dillfront.routing.simulator.Drill;
 import java.io.IOException;
@@ -40,7 +40,10 @@
                 Log log = new Log(System.err);
                 Silence.over(log);
                 Daemon daemon =
-                        new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
+                        new Daemon(
+                                Config.read(System.getenv()),
+                                OperatorConfig.fromEnvironment(System.getenv()),
+                                log);
                 // Registered before the start: the default reaction of the JVM to SIGHUP is to
                 // exit.
                 daemon.hear(() -> Config.again(System.getenv()));
@@ -63,7 +66,7 @@
         } catch (BadConfig bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
-        } catch (Operator.BadOperator bad) {
+        } catch (OperatorConfig.InvalidOperatorConfigException bad) {
             System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
             System.exit(1);
         } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException bad) {
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -10,7 +10,7 @@
 import dillfront.router.discovery.Rereading;
 import dillfront.router.discovery.Watch;
 import dillfront.router.frontend.Clients;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -60,7 +60,7 @@
     private final Duration beganCpu = cpu();
 
     private final Config config;
-    private final Operator operator;
+    private final OperatorConfig operator;
     private final Log log;
     private final Counters counters = new Counters();
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -99,11 +99,11 @@
     private volatile Side side;
 
     public Daemon(Config config, Log log) {
-        this(config, Operator.NONE, log);
+        this(config, OperatorConfig.NONE, log);
     }
 
     /** Binds the parts of one router; nothing listens before start(). */
-    public Daemon(Config config, Operator operator, Log log) {
+    public Daemon(Config config, OperatorConfig operator, Log log) {
         this.config = config;
         this.operator = operator;
         this.log = log;
@@ -157,7 +157,7 @@
                                                 (config.memoryMb() << 20) / WAITING_PART,
                                                 config.setup().settings().dial());
                                 side =
-                                        operator == Operator.NONE
+                                        operator == OperatorConfig.NONE
                                                 ? null
                                                 : new Side(
                                                         operator, begun, router, clients, loop,
@@ -196,7 +196,7 @@
             throw new BadConfig("interrupted");
         } catch (Exception fault) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            if (fault instanceof Operator.BadOperator) {
+            if (fault instanceof OperatorConfig.InvalidOperatorConfigException) {
                 throw new BadConfig("LB_OPERATOR: " + fault.getMessage());
             }
             throw new BadConfig("LB_LISTEN " + config.listen() + ": " + fault.getMessage());
--- a/src/main/java/dillfront/router/Doorkeeper.java
+++ b/src/main/java/dillfront/router/Doorkeeper.java
@@ -9,7 +9,7 @@
 import dillfront.router.identity.LoginThrottle;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Refusal;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.tokens.TokenVerifier;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
@@ -61,7 +61,7 @@
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
     /** What was read last and was good, and the files of it as they were then. */
-    private Operator.IdentityPart part;
+    private OperatorConfig.IdentityConfig part;
 
     private String seen;
     private String fault = "";
@@ -72,13 +72,13 @@
     /** Reads the files once, or says what is wrong with them. */
     Doorkeeper(
             Path operatorFile,
-            Operator operator,
+            OperatorConfig operator,
             Setup setup,
             long seed,
             Clock clock,
             EventLoop loop,
             Log log)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         this.operatorFile = operatorFile;
         this.setup = setup;
         this.clock = clock;
@@ -130,7 +130,7 @@
     // ---- on the reader's thread
 
     /** Sizes and times of all files: when one differs they are read again. */
-    private String stamps(Operator.IdentityPart of) {
+    private String stamps(OperatorConfig.IdentityConfig of) {
         List<Path> files = new ArrayList<>(of.files());
         files.add(operatorFile);
         StringBuilder all = new StringBuilder();
@@ -156,16 +156,16 @@
         String wrong = "";
         Read read = null;
         try {
-            Operator operator = Operator.read(operatorFile);
+            OperatorConfig operator = OperatorConfig.read(operatorFile);
             if (operator.identity() == null) {
-                throw new Operator.BadOperator(
+                throw new OperatorConfig.InvalidOperatorConfigException(
                         operatorFile + ": identity() is gone; that waits for a start");
             }
             String now = stamps(operator.identity());
             read = read(operator.identity(), setup);
             part = operator.identity();
             seen = now;
-        } catch (Operator.BadOperator bad) {
+        } catch (OperatorConfig.InvalidOperatorConfigException bad) {
             wrong = bad.getMessage();
         } catch (RuntimeException bad) {
             wrong = String.valueOf(bad);
@@ -194,13 +194,15 @@
                 });
     }
 
-    private Read read(Operator.IdentityPart of, Setup by) throws Operator.BadOperator {
+    private Read read(OperatorConfig.IdentityConfig of, Setup by)
+            throws OperatorConfig.InvalidOperatorConfigException {
         try {
-            TokenVerifier next = new TokenVerifier(Files.readString(of.jwks()), of.issuer(), of.audience());
+            TokenVerifier next =
+                    new TokenVerifier(Files.readString(of.jwks()), of.issuer(), of.audience());
             Set<String> revoked =
-                    of.revoked() == null
+                    of.revokedFile() == null
                             ? Set.of()
-                            : Files.readAllLines(of.revoked(), StandardCharsets.UTF_8).stream()
+                            : Files.readAllLines(of.revokedFile(), StandardCharsets.UTF_8).stream()
                                     .map(String::strip)
                                     .filter(l -> !l.isEmpty() && !l.startsWith("#"))
                                     .collect(Collectors.toSet());
@@ -215,9 +217,10 @@
             return new Read(
                     of.policy(by.types(), by.tenants(), next.keyIds(), revoked), next, context);
         } catch (TokenVerifier.InvalidTokenException bad) {
-            throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    of.jwks() + ": " + bad.getMessage());
         } catch (IOException | IllegalArgumentException bad) {
-            throw new Operator.BadOperator("identity: " + bad);
+            throw new OperatorConfig.InvalidOperatorConfigException("identity: " + bad);
         }
     }
 
@@ -281,7 +284,8 @@
                     loop.execute(
                             () -> {
                                 tick();
-                                Object in = fault != null ? Refusal.UNKNOWN : gate.openSession(said);
+                                Object in =
+                                        fault != null ? Refusal.UNKNOWN : gate.openSession(said);
                                 if (in instanceof AccessController.Session session) {
                                     penalty.recordSuccess(address, user);
                                     entry.entered(session);
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/Side.java
@@ -8,7 +8,7 @@
 import dillfront.router.discovery.Witnesses;
 import dillfront.router.frontend.Clients;
 import dillfront.router.memory.Memory;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.Datagrams;
 import dillfront.router.peers.Neighbours;
 import dillfront.router.peers.Ring;
@@ -36,8 +36,14 @@
 
     private final Ledger ledger;
 
-    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log)
-            throws Operator.BadOperator {
+    Side(
+            OperatorConfig operator,
+            Config config,
+            Router router,
+            Clients clients,
+            EventLoop loop,
+            Log log)
+            throws OperatorConfig.InvalidOperatorConfigException {
         String name = config.name();
         long seed = config.seed();
         doorkeeper =
@@ -54,7 +60,10 @@
         if (doorkeeper != null) {
             clients.ask(doorkeeper);
         }
-        memory = operator.memory() == null ? null : Memory.open(operator.memory(), name, log, loop);
+        memory =
+                operator.stateFolder() == null
+                        ? null
+                        : Memory.open(operator.stateFolder(), name, log, loop);
         if (memory != null) {
             router.remembers(
                     members -> {
@@ -70,24 +79,26 @@
                     });
         }
         ledger =
-                memory == null && operator.doubts() == null && !operator.sites()
+                memory == null
+                                && operator.uncertainTransactionBounds() == null
+                                && !operator.assessesSites()
                         ? null
                         : new Ledger(
-                                operator.doubts(),
+                                operator.uncertainTransactionBounds(),
                                 memory,
-                                operator.sites(),
+                                operator.assessesSites(),
                                 config.setup(),
                                 router.clock().now(),
                                 log);
         if (ledger != null) {
             router.keeps(ledger, memory == null ? null : memory::whenKept);
         }
-        Operator.GossipPart gossip = operator.gossip();
+        OperatorConfig.GossipConfig gossip = operator.gossip();
         if (gossip == null) {
             neighbours = null;
             datagrams = null;
         } else {
-            int self = gossip.self(name);
+            int self = gossip.selfIndex(name);
             Ring ring = gossip.ring();
             neighbours = new Neighbours(gossip.tuning(), ring.size(), router);
             datagrams =
@@ -95,9 +106,9 @@
                             gossip.tuning(),
                             ring,
                             self,
-                            gossip.bind(),
+                            gossip.bindAddress(),
                             Ring.id(HexFormat.of().parseHex(gossip.publicKey())),
-                            gossip.key(),
+                            gossip.privateKey(),
                             loop,
                             log,
                             router.clock()::now,
@@ -107,9 +118,10 @@
             neighbours.speaksBy(datagrams::gossip);
             router.hears(neighbours);
             Others others =
-                    operator.doubts() == null
+                    operator.uncertainTransactionBounds() == null
                             ? null
-                            : new Others(ring.size(), operator.doubts().keeps());
+                            : new Others(
+                                    ring.size(), operator.uncertainTransactionBounds().keeps());
             if (others != null) {
                 ledger.others(others);
             }
@@ -122,11 +134,11 @@
                             router.clock()::now));
         }
         control =
-                operator.control() == null
+                operator.controlAddress() == null
                         ? null
                         : new Control(
                                 loop,
-                                operator.control(),
+                                operator.controlAddress(),
                                 log,
                                 question ->
                                         switch (question) {
--- a/src/main/java/dillfront/router/frontend/Callers.java
+++ b/src/main/java/dillfront/router/frontend/Callers.java
@@ -34,5 +34,10 @@
 
     /** For the record: a txn of someone who is in was not taken. */
     void denied(
-            AccessController.Session session, Refusal why, String type, boolean write, int group, String cause);
+            AccessController.Session session,
+            Refusal why,
+            String type,
+            boolean write,
+            int group,
+            String cause);
 }
--- a/src/main/java/dillfront/router/identity/AccessController.java
+++ b/src/main/java/dillfront/router/identity/AccessController.java
@@ -72,7 +72,9 @@
         policyReadAt = now;
         policyUnreadable = false;
         epoch++;
-        for (Iterator<Map.Entry<String, PrincipalUsage>> iterator = usageByPrincipal.entrySet().iterator(); iterator.hasNext(); ) {
+        for (Iterator<Map.Entry<String, PrincipalUsage>> iterator =
+                        usageByPrincipal.entrySet().iterator();
+                iterator.hasNext(); ) {
             Map.Entry<String, PrincipalUsage> entry = iterator.next();
             if (!policy.principals().containsKey(entry.getKey())
                     && entry.getValue().inFlight == 0
@@ -93,7 +95,8 @@
      * router from running on an old policy after a file was lost unnoticed.
      */
     public boolean isStale() {
-        return policy == Policy.EMPTY || policyUnreadable && now.compareTo(policyReadAt.plus(policy.maxStaleness())) > 0;
+        return policy == Policy.EMPTY
+                || policyUnreadable && now.compareTo(policyReadAt.plus(policy.maxStaleness())) > 0;
     }
 
     public long epoch() {
@@ -126,15 +129,16 @@
         if (!acceptsKey(credential.key)) {
             return Refusal.KEY_ENDED;
         }
-        if (unixNow.compareTo(credential.expires) >= 0 || unixNow.compareTo(credential.notBefore) < 0) {
+        if (unixNow.compareTo(credential.expires) >= 0
+                || unixNow.compareTo(credential.notBefore) < 0) {
             return Refusal.EXPIRED;
         }
         return policy.principals().containsKey(credential.principal) ? null : Refusal.UNKNOWN;
     }
 
     /**
-     * An authenticated session. Each admitted transaction is released by {@link #release}, the session
-     * by {@link #close}.
+     * An authenticated session. Each admitted transaction is released by {@link #release}, the
+     * session by {@link #close}.
      */
     public final class Session {
 
@@ -148,7 +152,9 @@
 
         private Session(Credential credential) {
             this.credential = credential;
-            usage = usageByPrincipal.computeIfAbsent(credential.principal, k -> new PrincipalUsage());
+            usage =
+                    usageByPrincipal.computeIfAbsent(
+                            credential.principal, k -> new PrincipalUsage());
             usage.sessions++;
             revalidate();
         }
@@ -160,7 +166,10 @@
             Duration keyExpiry = retiredKeys.get(credential.key);
             Duration remaining = credential.expires.minus(unixNow);
             validUntil = now.plus(remaining);
-            validUntil = keyExpiry != null && keyExpiry.compareTo(validUntil) < 0 ? keyExpiry : validUntil;
+            validUntil =
+                    keyExpiry != null && keyExpiry.compareTo(validUntil) < 0
+                            ? keyExpiry
+                            : validUntil;
         }
 
         public String principalName() {
@@ -187,8 +196,8 @@
         }
 
         /**
-         * Admits one transaction, which counts as in flight until {@link #release}. After BUSY, {@link
-         * #retryDelay} returns the delay before a retry.
+         * Admits one transaction, which counts as in flight until {@link #release}. After BUSY,
+         * {@link #retryDelay} returns the delay before a retry.
          *
          * @return null for an admitted transaction
          */
@@ -231,7 +240,10 @@
                     usage.refilledAt.isZero()
                             ? burst / principal.transactionsPerSecond()
                             : seconds(now.minus(usage.refilledAt));
-            usage.rateTokens = Math.min(burst, usage.rateTokens + elapsedSeconds * principal.transactionsPerSecond());
+            usage.rateTokens =
+                    Math.min(
+                            burst,
+                            usage.rateTokens + elapsedSeconds * principal.transactionsPerSecond());
             usage.refilledAt = now;
         }
 
--- a/src/main/java/dillfront/router/identity/LoginThrottle.java
+++ b/src/main/java/dillfront/router/identity/LoginThrottle.java
@@ -102,7 +102,8 @@
     }
 
     private float decayed(int row, int column) {
-        double halfLives = (now.toNanos() - updateTime[row][column]) / (double) COUNT_HALF_LIFE.toNanos();
+        double halfLives =
+                (now.toNanos() - updateTime[row][column]) / (double) COUNT_HALF_LIFE.toNanos();
         return (float) (counts[row][column] * Math.pow(0.5, halfLives));
     }
 
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -55,8 +55,14 @@
             TrieNode[] newChildren = new TrieNode[firstBytes.length + 1];
             System.arraycopy(firstBytes, 0, newFirstBytes, 0, insertion);
             System.arraycopy(children, 0, newChildren, 0, insertion);
-            System.arraycopy(firstBytes, insertion, newFirstBytes, insertion + 1, firstBytes.length - insertion);
-            System.arraycopy(children, insertion, newChildren, insertion + 1, firstBytes.length - insertion);
+            System.arraycopy(
+                    firstBytes,
+                    insertion,
+                    newFirstBytes,
+                    insertion + 1,
+                    firstBytes.length - insertion);
+            System.arraycopy(
+                    children, insertion, newChildren, insertion + 1, firstBytes.length - insertion);
             newFirstBytes[insertion] = firstByte;
             newChildren[insertion] = child;
             firstBytes = newFirstBytes;
@@ -80,7 +86,8 @@
             TrieNode root =
                     rule.group() == Rule.ANY_GROUP
                             ? commonTrie
-                            : triesByGroup.computeIfAbsent(rule.group(), g -> new TrieNode(new byte[0]));
+                            : triesByGroup.computeIfAbsent(
+                                    rule.group(), g -> new TrieNode(new byte[0]));
             add(root, rule);
         }
         groups = triesByGroup.keySet().stream().mapToInt(Integer::intValue).toArray();
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -58,7 +58,8 @@
     }
 
     long accessMask() {
-        return (reads ? typeMask & 0xffffffffL : 0) | (writes ? (typeMask & 0xffffffffL) << MAX_TYPES : 0);
+        return (reads ? typeMask & 0xffffffffL : 0)
+                | (writes ? (typeMask & 0xffffffffL) << MAX_TYPES : 0);
     }
 
     /** Returns whether the rule applies to this access; the reference for the trie in tests. */
--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/Memory.java
@@ -4,7 +4,7 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
 import dillfront.router.discovery.Closings;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.recovery.Doubts;
 import dillfront.routing.api.Standing;
 import java.io.IOException;
@@ -134,7 +134,7 @@
      * @param loop where it is told that something was kept
      */
     public static Memory open(Path folder, String name, Log log, Executor loop)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         CompactingLog shelf;
         try {
             StorageFolder disk = new StorageFolder.LocalFolder(folder);
@@ -142,10 +142,12 @@
                 shelf = CompactingLog.open(disk, folder.toString(), name);
             } catch (CompactingLog.UnusableLogException bad) {
                 disk.close();
-                throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
+                throw new OperatorConfig.InvalidOperatorConfigException(
+                        "memory " + folder + ": " + bad.getMessage());
             }
         } catch (IOException | CompactingLog.LockedException bad) {
-            throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    "memory " + folder + ": " + bad.getMessage());
         }
         if (shelf.fault() != null) {
             log.warn(
--- /dev/null
+++ b/src/main/java/dillfront/router/script/ScriptInterpreter.java
@@ -0,0 +1,678 @@
+package dillfront.router.script;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Interprets a script with whole numbers, strings, booleans, None, lists, dicts, functions without
+ * recursion and for loops over finite values. A script has no access to files, clocks or random
+ * numbers, so the same text has the same result; a bound on its steps ends each run. Its effects
+ * are calls of the functions that the host program provides.
+ */
+public final class ScriptInterpreter {
+
+    private static final long MAX_STEPS = 2_000_000;
+    private static final int MAX_LENGTH = 100_000;
+
+    /** A function that the host program provides to scripts. */
+    public interface HostFunction {
+        /**
+         * @return the value of the call: null, Boolean, Long, String, List or Map
+         */
+        Object call(Arguments arguments) throws ScriptException;
+    }
+
+    /**
+     * The arguments of a call. Each is taken once; {@link #requireAllTaken} rejects those that are
+     * left.
+     */
+    public static final class Arguments {
+
+        private final Token at;
+        private final List<Object> positional;
+        private final Map<String, Object> keyword;
+        private final Map<String, Token> keywordTokens;
+        private int positionalTaken;
+
+        Arguments(
+                Token at,
+                List<Object> positional,
+                Map<String, Object> keyword,
+                Map<String, Token> keywordTokens) {
+            this.at = at;
+            this.positional = positional;
+            this.keyword = keyword;
+            this.keywordTokens = keywordTokens;
+        }
+
+        /**
+         * Takes the next positional argument, or the keyword argument of this name; null for none.
+         */
+        public Object take(String name) throws ScriptException {
+            if (positionalTaken < positional.size()) {
+                if (keyword.containsKey(name)) {
+                    throw new ScriptException(
+                            keywordTokens.get(name), "'" + name + "' is given twice");
+                }
+                return positional.get(positionalTaken++);
+            }
+            return keyword.remove(name);
+        }
+
+        /**
+         * @throws ScriptException if the value is not a string
+         */
+        public String string(String name, String defaultValue) throws ScriptException {
+            Object value = take(name);
+            if (value != null && !(value instanceof String)) {
+                throw error(name, "expected a string for '" + name + "', found " + describe(value));
+            }
+            return value == null ? defaultValue : (String) value;
+        }
+
+        /**
+         * @throws ScriptException if the value is not a number
+         */
+        public long number(String name, long defaultValue) throws ScriptException {
+            Object value = take(name);
+            if (value != null && !(value instanceof Long)) {
+                throw error(name, "expected a number for '" + name + "', found " + describe(value));
+            }
+            return value == null ? defaultValue : (Long) value;
+        }
+
+        /**
+         * @throws ScriptException if the value is not a list
+         */
+        public List<?> list(String name) throws ScriptException {
+            Object value = take(name);
+            if (value != null && !(value instanceof List)) {
+                throw error(name, "expected a list for '" + name + "', found " + describe(value));
+            }
+            return value == null ? List.of() : (List<?>) value;
+        }
+
+        /**
+         * @throws ScriptException if the call has an argument that was not taken
+         */
+        public void requireAllTaken() throws ScriptException {
+            if (positionalTaken < positional.size()) {
+                throw new ScriptException(at, "too many arguments for '" + at.text() + "'");
+            }
+            for (String name : keyword.keySet()) {
+                throw new ScriptException(
+                        keywordTokens.get(name),
+                        "'" + at.text() + "' has no argument '" + name + "'");
+            }
+        }
+
+        /** Returns the line of the call. */
+        public int line() {
+            return at.line();
+        }
+
+        /** Creates an error at the argument of this name, or at the call if it has none. */
+        public ScriptException error(String name, String message) {
+            return new ScriptException(keywordTokens.getOrDefault(name, at), message);
+        }
+    }
+
+    private record UserFunction(SyntaxTree.FunctionDefinition def, List<Object> defaults) {}
+
+    /** How a block of statements ended. */
+    private enum Completion {
+        NORMAL,
+        BREAK,
+        CONTINUE,
+        RETURN
+    }
+
+    private final Map<String, HostFunction> hostFunctions;
+    private final Map<String, Object> globals = new HashMap<>();
+    private final Set<String> activeFunctions = new HashSet<>();
+    private Map<String, Object> locals;
+    private Object returnValue;
+    private long steps;
+
+    private ScriptInterpreter(Map<String, HostFunction> hostFunctions) {
+        this.hostFunctions = hostFunctions;
+    }
+
+    /** Parses and runs a script. */
+    public static void run(String text, Map<String, HostFunction> hostFunctions)
+            throws ScriptException {
+        ScriptInterpreter script = new ScriptInterpreter(hostFunctions);
+        script.execute(Parser.parse(text));
+    }
+
+    private void step(Token at) throws ScriptException {
+        if (++steps > MAX_STEPS) {
+            throw new ScriptException(
+                    at, "more than " + MAX_STEPS + " steps: script does not end in time");
+        }
+    }
+
+    // ---- statements
+
+    private Completion execute(List<SyntaxTree.Statement> statements) throws ScriptException {
+        for (SyntaxTree.Statement statement : statements) {
+            Completion completion = one(statement);
+            if (completion != Completion.NORMAL) {
+                return completion;
+            }
+        }
+        return Completion.NORMAL;
+    }
+
+    private Completion one(SyntaxTree.Statement statement) throws ScriptException {
+        step(statement.at());
+        if (statement instanceof SyntaxTree.Assignment assignment) {
+            Object value = evaluate(assignment.value());
+            if (!assignment.operator().equals("=")) {
+                value =
+                        applyOperator(
+                                assignment.at(),
+                                assignment.operator(),
+                                resolve(assignment.at()),
+                                value);
+            }
+            bind(assignment.names(), value, assignment.at());
+        } else if (statement instanceof SyntaxTree.ExpressionStatement expression) {
+            evaluate(expression.value());
+        } else if (statement instanceof SyntaxTree.IfStatement choice) {
+            return execute(
+                    isTruthy(evaluate(choice.condition()))
+                            ? choice.whenTrue()
+                            : choice.whenFalse());
+        } else if (statement instanceof SyntaxTree.ForStatement loop) {
+            for (Object element : elements(loop.at(), evaluate(loop.iterable()))) {
+                step(loop.at());
+                bind(loop.names(), element, loop.at());
+                Completion completion = execute(loop.body());
+                if (completion == Completion.BREAK) {
+                    break;
+                } else if (completion == Completion.RETURN) {
+                    return completion;
+                }
+            }
+        } else if (statement instanceof SyntaxTree.FunctionDefinition def) {
+            List<Object> defaults = new ArrayList<>();
+            for (SyntaxTree.Expression one : def.defaults()) {
+                defaults.add(one == null ? null : evaluate(one));
+            }
+            bind(List.of(def.names().get(0)), new UserFunction(def, defaults), def.at());
+        } else if (statement instanceof SyntaxTree.ReturnStatement returned) {
+            returnValue = returned.value() == null ? null : evaluate(returned.value());
+            return Completion.RETURN;
+        } else if (statement instanceof SyntaxTree.ControlStatement leave) {
+            return leave.at().matches("break")
+                    ? Completion.BREAK
+                    : leave.at().matches("continue") ? Completion.CONTINUE : Completion.NORMAL;
+        }
+        return Completion.NORMAL;
+    }
+
+    private void bind(List<Token> names, Object value, Token at) throws ScriptException {
+        Map<String, Object> scope = locals == null ? globals : locals;
+        if (names.size() == 1) {
+            if (hostFunctions.containsKey(names.get(0).text())) {
+                throw new ScriptException(
+                        names.get(0),
+                        "'"
+                                + names.get(0).text()
+                                + "' is a built-in function and cannot be assigned");
+            }
+            scope.put(names.get(0).text(), value);
+            return;
+        }
+        if (!(value instanceof List<?> list) || list.size() != names.size()) {
+            throw new ScriptException(
+                    at, "expected a list of " + names.size() + " values, found " + describe(value));
+        }
+        for (int i = 0; i < names.size(); i++) {
+            scope.put(names.get(i).text(), list.get(i));
+        }
+    }
+
+    private List<?> elements(Token at, Object value) throws ScriptException {
+        if (value instanceof List<?> list) {
+            return new ArrayList<>(list);
+        }
+        if (value instanceof Map<?, ?> map) {
+            return new ArrayList<>(map.keySet());
+        }
+        throw new ScriptException(
+                at, "expected a list or dict to iterate over, found " + describe(value));
+    }
+
+    private static final Object NOT_BUILT_IN = new Object();
+
+    // ---- expressions
+
+    private Object resolve(Token name) throws ScriptException {
+        if (locals != null && locals.containsKey(name.text())) {
+            return locals.get(name.text());
+        }
+        if (globals.containsKey(name.text())) {
+            return globals.get(name.text());
+        }
+        throw new ScriptException(name, "name '" + name.text() + "' is not defined");
+    }
+
+    private Object evaluate(SyntaxTree.Expression expression) throws ScriptException {
+        step(expression.at());
+        if (expression instanceof SyntaxTree.Literal literal) {
+            return literal.value();
+        } else if (expression instanceof SyntaxTree.Name name) {
+            return resolve(name.at());
+        } else if (expression instanceof SyntaxTree.ListLiteral items) {
+            List<Object> list = new ArrayList<>();
+            for (SyntaxTree.Expression one : items.values()) {
+                list.add(evaluate(one));
+            }
+            return list;
+        } else if (expression instanceof SyntaxTree.DictLiteral entries) {
+            Map<Object, Object> map = new LinkedHashMap<>();
+            for (int i = 0; i < entries.keys().size(); i++) {
+                Object key = evaluate(entries.keys().get(i));
+                if (map.containsKey(key)) {
+                    throw new ScriptException(
+                            entries.keys().get(i).at(),
+                            "key " + describe(key) + " is defined twice");
+                }
+                map.put(
+                        checkKey(entries.keys().get(i).at(), key),
+                        evaluate(entries.values().get(i)));
+            }
+            return map;
+        } else if (expression instanceof SyntaxTree.Call call) {
+            return call(call);
+        } else if (expression instanceof SyntaxTree.Index index) {
+            return index(index);
+        } else if (expression instanceof SyntaxTree.MethodCall method) {
+            return method(method);
+        } else if (expression instanceof SyntaxTree.Unary unary) {
+            Object value = evaluate(unary.operand());
+            if (unary.at().matches("not")) {
+                return !isTruthy(value);
+            }
+            return -requireNumber(unary.at(), value);
+        } else if (expression instanceof SyntaxTree.Binary binary) {
+            Object left = evaluate(binary.left());
+            if (binary.at().matches("and") || binary.at().matches("or")) {
+                return isTruthy(left) == binary.at().matches("or")
+                        ? left
+                        : evaluate(binary.right());
+            }
+            return applyOperator(binary.at(), binary.at().text(), left, evaluate(binary.right()));
+        } else if (expression instanceof SyntaxTree.Conditional choice) {
+            return isTruthy(evaluate(choice.condition()))
+                    ? evaluate(choice.whenTrue())
+                    : evaluate(choice.whenFalse());
+        } else if (expression instanceof SyntaxTree.Comprehension comprehension) {
+            return comprehension(comprehension);
+        }
+        throw new IllegalStateException();
+    }
+
+    private Object comprehension(SyntaxTree.Comprehension comprehension) throws ScriptException {
+        List<Object> list = new ArrayList<>();
+        Map<String, Object> outer = locals;
+        List<?> iterated = elements(comprehension.at(), evaluate(comprehension.iterable()));
+        // A comprehension has its own scope, as in Starlark.
+        locals = new HashMap<>(outer == null ? Map.of() : outer);
+        for (Object element : iterated) {
+            step(comprehension.at());
+            bind(comprehension.names(), element, comprehension.at());
+            if (comprehension.condition() == null
+                    || isTruthy(evaluate(comprehension.condition()))) {
+                list.add(evaluate(comprehension.element()));
+            }
+        }
+        locals = outer;
+        return list;
+    }
+
+    private Object call(SyntaxTree.Call call) throws ScriptException {
+        List<Object> positional = new ArrayList<>();
+        Map<String, Object> keyword = new LinkedHashMap<>();
+        Map<String, Token> keywordTokens = new HashMap<>();
+        for (int i = 0; i < call.arguments().size(); i++) {
+            Object value = evaluate(call.arguments().get(i));
+            Token name = call.keywords().get(i);
+            if (name == null) {
+                positional.add(value);
+            } else if (keyword.containsKey(name.text())) {
+                throw new ScriptException(name, "'" + name.text() + "' is given twice");
+            } else {
+                keyword.put(name.text(), value);
+                keywordTokens.put(name.text(), name);
+            }
+        }
+        if (call.function() instanceof SyntaxTree.Name name
+                && hostFunctions.containsKey(name.at().text())) {
+            return hostFunctions
+                    .get(name.at().text())
+                    .call(new Arguments(name.at(), positional, keyword, keywordTokens));
+        }
+        if (call.function() instanceof SyntaxTree.Name name
+                && !globals.containsKey(name.at().text())) {
+            Object result = callBuiltIn(name.at(), positional);
+            if (result != NOT_BUILT_IN) {
+                return result;
+            }
+        }
+        if (!(evaluate(call.function()) instanceof UserFunction function)) {
+            throw new ScriptException(call.at(), "called value is not a function");
+        }
+        return call(call.at(), function, positional, keyword, keywordTokens);
+    }
+
+    private Object call(
+            Token at,
+            UserFunction function,
+            List<Object> positional,
+            Map<String, Object> keyword,
+            Map<String, Token> keywordTokens)
+            throws ScriptException {
+        SyntaxTree.FunctionDefinition def = function.def();
+        String functionName = def.names().get(0).text();
+        Map<String, Object> callScope = new HashMap<>();
+        for (int i = 0; i < def.defaults().size(); i++) {
+            String name = def.names().get(i + 1).text();
+            if (i < positional.size()) {
+                callScope.put(name, positional.get(i));
+            } else if (keyword.containsKey(name)) {
+                callScope.put(name, keyword.remove(name));
+            } else if (def.defaults().get(i) != null) {
+                callScope.put(name, function.defaults().get(i));
+            } else {
+                throw new ScriptException(at, "'" + functionName + "' needs '" + name + "'");
+            }
+        }
+        if (positional.size() > def.defaults().size()) {
+            throw new ScriptException(at, "too many arguments for '" + functionName + "'");
+        }
+        for (String name : keyword.keySet()) {
+            throw new ScriptException(
+                    keywordTokens.get(name),
+                    "'" + functionName + "' has no argument '" + name + "'");
+        }
+        if (!activeFunctions.add(functionName)) {
+            throw new ScriptException(
+                    at, "'" + functionName + "' calls itself: recursion is not supported");
+        }
+        Map<String, Object> outer = locals;
+        locals = callScope;
+        returnValue = null;
+        execute(def.body());
+        locals = outer;
+        activeFunctions.remove(functionName);
+        Object result = returnValue;
+        returnValue = null;
+        return result;
+    }
+
+    /**
+     * Calls a built-in function of the language; returns {@link #NOT_BUILT_IN} if there is none.
+     */
+    private Object callBuiltIn(Token at, List<Object> arguments) throws ScriptException {
+        switch (at.text()) {
+            case "len" -> {
+                Object argument = one(at, arguments);
+                return argument instanceof List<?> list
+                        ? (Object) (long) list.size()
+                        : argument instanceof Map<?, ?> map
+                                ? (long) map.size()
+                                : (long) requireString(at, argument).length();
+            }
+            case "str" -> {
+                Object argument = one(at, arguments);
+                return argument instanceof String ? argument : describe(argument);
+            }
+            case "range" -> {
+                long from = arguments.size() > 1 ? requireNumber(at, arguments.get(0)) : 0;
+                long to =
+                        arguments.isEmpty()
+                                ? 0
+                                : requireNumber(at, arguments.get(arguments.size() > 1 ? 1 : 0));
+                if (arguments.isEmpty() || arguments.size() > 2 || to - from > MAX_LENGTH) {
+                    throw new ScriptException(
+                            at, "expected range(to) or range(from, to) of at most " + MAX_LENGTH);
+                }
+                List<Object> list = new ArrayList<>();
+                for (long i = from; i < to; i++) {
+                    step(at);
+                    list.add(i);
+                }
+                return list;
+            }
+            case "fail" -> throw new ScriptException(at, requireString(at, one(at, arguments)));
+            default -> {
+                return NOT_BUILT_IN;
+            }
+        }
+    }
+
+    private static Object one(Token at, List<Object> arguments) throws ScriptException {
+        if (arguments.size() != 1) {
+            throw new ScriptException(at, "'" + at.text() + "' takes one argument");
+        }
+        return arguments.get(0);
+    }
+
+    private Object index(SyntaxTree.Index index) throws ScriptException {
+        Object container = evaluate(index.container());
+        Object key = evaluate(index.index());
+        if (container instanceof Map<?, ?> map) {
+            if (!map.containsKey(key)) {
+                throw new ScriptException(index.at(), "dict has no key " + describe(key));
+            }
+            return map.get(key);
+        }
+        if (container instanceof List<?> list) {
+            long at = requireNumber(index.at(), key);
+            at = at < 0 ? at + list.size() : at;
+            if (at < 0 || at >= list.size()) {
+                throw new ScriptException(
+                        index.at(),
+                        "index " + describe(key) + " is out of range for a list of " + list.size());
+            }
+            return list.get((int) at);
+        }
+        throw new ScriptException(
+                index.at(), "expected a list or dict, found " + describe(container));
+    }
+
+    private Object method(SyntaxTree.MethodCall method) throws ScriptException {
+        Object receiver = evaluate(method.receiver());
+        List<Object> arguments = new ArrayList<>();
+        for (SyntaxTree.Expression one : method.arguments()) {
+            arguments.add(evaluate(one));
+        }
+        Token at = method.at();
+        if (receiver instanceof String text) {
+            switch (at.text()) {
+                case "format" -> {
+                    String result = text;
+                    for (Object one : arguments) {
+                        result =
+                                result.replaceFirst(
+                                        "\\{\\}",
+                                        java.util.regex.Matcher.quoteReplacement(
+                                                one instanceof String s ? s : describe(one)));
+                    }
+                    return checkLength(at, result);
+                }
+                case "join" -> {
+                    StringBuilder result = new StringBuilder();
+                    for (Object one : elements(at, one(at, arguments))) {
+                        result.append(result.length() == 0 ? "" : text)
+                                .append(requireString(at, one));
+                    }
+                    return checkLength(at, result.toString());
+                }
+                default -> {}
+            }
+        } else if (receiver instanceof Map<?, ?> map) {
+            switch (at.text()) {
+                case "get" -> {
+                    if (arguments.isEmpty() || arguments.size() > 2) {
+                        throw new ScriptException(at, "'get' takes a key and an optional default");
+                    }
+                    return map.containsKey(arguments.get(0))
+                            ? map.get(arguments.get(0))
+                            : arguments.size() > 1 ? arguments.get(1) : null;
+                }
+                case "keys" -> {
+                    return new ArrayList<>(map.keySet());
+                }
+                case "items" -> {
+                    List<Object> pairs = new ArrayList<>();
+                    map.forEach((k, v) -> pairs.add(java.util.Arrays.asList(k, v)));
+                    return pairs;
+                }
+                default -> {}
+            }
+        }
+        throw new ScriptException(at, describe(receiver) + " has no method '" + at.text() + "'");
+    }
+
+    private static String checkLength(Token at, String text) throws ScriptException {
+        if (text.length() > MAX_LENGTH) {
+            throw new ScriptException(at, "string is longer than " + MAX_LENGTH);
+        }
+        return text;
+    }
+
+    private Object applyOperator(Token at, String operator, Object left, Object right)
+            throws ScriptException {
+        switch (operator) {
+            case "==":
+                return java.util.Objects.equals(left, right);
+            case "!=":
+                return !java.util.Objects.equals(left, right);
+            case "in":
+                return right instanceof Map<?, ?> map
+                        ? map.containsKey(left)
+                        : right instanceof String text
+                                ? (Object) text.contains(requireString(at, left))
+                                : elements(at, right).contains(left);
+            case "+":
+                if (left instanceof String a && right instanceof String b) {
+                    return checkLength(at, a + b);
+                }
+                if (left instanceof List<?> a && right instanceof List<?> b) {
+                    List<Object> joined = new ArrayList<>(a);
+                    joined.addAll(b);
+                    steps += joined.size();
+                    if (joined.size() > MAX_LENGTH) {
+                        throw new ScriptException(at, "list is longer than " + MAX_LENGTH);
+                    }
+                    return joined;
+                }
+                break;
+            case "<", ">", "<=", ">=":
+                if (left instanceof String a && right instanceof String b) {
+                    return compare(operator, a.compareTo(b));
+                }
+                return compare(
+                        operator, Long.compare(requireNumber(at, left), requireNumber(at, right)));
+            default:
+                break;
+        }
+        long a = requireNumber(at, left);
+        long b = requireNumber(at, right);
+        try {
+            switch (operator) {
+                case "+":
+                    return Math.addExact(a, b);
+                case "-":
+                    return Math.subtractExact(a, b);
+                case "*":
+                    return Math.multiplyExact(a, b);
+                case "//":
+                    return Math.floorDiv(a, b);
+                case "%":
+                    return Math.floorMod(a, b);
+                default:
+                    throw new ScriptException(at, "'" + operator + "' is not supported here");
+            }
+        } catch (ArithmeticException bad) {
+            throw new ScriptException(
+                    at,
+                    b == 0 && !operator.equals("*")
+                            ? "division by zero"
+                            : "number exceeds 64 bits");
+        }
+    }
+
+    private static boolean compare(String operator, int order) {
+        return switch (operator) {
+            case "<" -> order < 0;
+            case ">" -> order > 0;
+            case "<=" -> order <= 0;
+            default -> order >= 0;
+        };
+    }
+
+    private static boolean isTruthy(Object value) {
+        return value instanceof Boolean b
+                ? b
+                : value instanceof Long n
+                        ? n != 0
+                        : value instanceof String s
+                                ? !s.isEmpty()
+                                : value instanceof List<?> list
+                                        ? !list.isEmpty()
+                                        : value instanceof Map<?, ?> map
+                                                ? !map.isEmpty()
+                                                : value != null;
+    }
+
+    private static long requireNumber(Token at, Object value) throws ScriptException {
+        if (value instanceof Long number) {
+            return number;
+        }
+        throw new ScriptException(at, "expected a number, found " + describe(value));
+    }
+
+    private static String requireString(Token at, Object value) throws ScriptException {
+        if (value instanceof String text) {
+            return text;
+        }
+        throw new ScriptException(at, "expected a string, found " + describe(value));
+    }
+
+    private static Object checkKey(Token at, Object value) throws ScriptException {
+        if (value instanceof List || value instanceof Map) {
+            throw new ScriptException(
+                    at, "expected a string or number as a key, found " + describe(value));
+        }
+        return value;
+    }
+
+    /** Returns a value in the syntax of scripts, shortened to 60 characters. */
+    static String describe(Object value) {
+        String text =
+                value == null
+                        ? "None"
+                        : value instanceof String
+                                ? '"' + (String) value + '"'
+                                : value instanceof Boolean b
+                                        ? b ? "True" : "False"
+                                        : value instanceof List<?> list
+                                                ? "a list of " + list.size()
+                                                : value instanceof Map<?, ?> map
+                                                        ? "a dict of " + map.size()
+                                                        : value instanceof UserFunction
+                                                                ? "a function"
+                                                                : String.valueOf(value);
+        return text.length() > 60 ? text.substring(0, 57) + "..." : text;
+    }
+}
--- a/src/main/java/dillfront/router/tokens/TokenVerifier.java
+++ b/src/main/java/dillfront/router/tokens/TokenVerifier.java
@@ -55,7 +55,8 @@
         this.issuer = issuer;
         this.audience = audience;
         if (jwks.length() > MAX_KEY_SET_LENGTH) {
-            throw new InvalidTokenException("key set is longer than " + MAX_KEY_SET_LENGTH + " characters");
+            throw new InvalidTokenException(
+                    "key set is longer than " + MAX_KEY_SET_LENGTH + " characters");
         }
         try {
             for (JWK jwk : JWKSet.parse(jwks).getKeys()) {
@@ -73,7 +74,8 @@
                             "key '" + id + "' has no alg out of ES256, ES384, RS256 and PS256");
                 }
                 JWSAlgorithm algorithm = JWSAlgorithm.parse(jwk.getAlgorithm().getName());
-                if (keys.put(id, new VerificationKey(algorithm, verifier(jwk, algorithm))) != null) {
+                if (keys.put(id, new VerificationKey(algorithm, verifier(jwk, algorithm)))
+                        != null) {
                     throw new InvalidTokenException("key '" + id + "' is defined twice");
                 }
             }
@@ -104,7 +106,8 @@
             }
             return new RSASSAVerifier(rsa);
         }
-        throw new InvalidTokenException("key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
+        throw new InvalidTokenException(
+                "key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
     }
 
     /** Returns the ids of the keys. */
@@ -118,7 +121,8 @@
      */
     public AccessController.Credential verify(String token) throws InvalidTokenException {
         if (token.length() > MAX_TOKEN_LENGTH) {
-            throw new InvalidTokenException("token is longer than " + MAX_TOKEN_LENGTH + " characters");
+            throw new InvalidTokenException(
+                    "token is longer than " + MAX_TOKEN_LENGTH + " characters");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(token);
--- a/src/test/java/dillfront/benchmark/SideTest.java
+++ b/src/test/java/dillfront/benchmark/SideTest.java
@@ -6,7 +6,7 @@
 import dillfront.common.logging.Log;
 import dillfront.router.Daemon;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.Ring;
 import java.io.ByteArrayInputStream;
@@ -86,8 +86,8 @@
         List<Daemon> daemons = new ArrayList<>();
         try (StandIns round = new StandIns(1000)) {
             for (int i = 0; i < ROUTERS; i++) {
-                Operator operator =
-                        Operator.read(
+                OperatorConfig operator =
+                        OperatorConfig.read(
                                 "r" + i + ".star",
                                 peers
                                         + "gossip(key = \""
--- a/src/test/java/dillfront/router/identity/GateTest.java
+++ b/src/test/java/dillfront/router/identity/GateTest.java
@@ -56,7 +56,10 @@
     @Test
     void neverOpenByAccident() {
         at(1);
-        assertEquals(Refusal.STALE, gate.openSession(credential("k1", "t1")), "before anything was read");
+        assertEquals(
+                Refusal.STALE,
+                gate.openSession(credential("k1", "t1")),
+                "before anything was read");
         gate.markPolicyUnreadable();
         assertEquals(Refusal.STALE, gate.openSession(credential("k1", "t1")));
         gate.replacePolicy(policy(Set.of("k1"), Set.of(), billing(0, 0)));
@@ -120,7 +123,8 @@
         assertEquals(Refusal.NO_RIGHT, one.admit(1, false, 0, RightsTest.key("hotel-7/1")));
         assertEquals(Refusal.NO_RIGHT, one.admit(0, true, 0, RightsTest.key("hotel-7/1")));
         assertFalse(Refusal.NO_RIGHT.endsSession());
-        gate.replacePolicy(policy(Set.of("k1"), Set.of(), new Principal("billing-7", 4, Rights.NONE, 0, 0)));
+        gate.replacePolicy(
+                policy(Set.of("k1"), Set.of(), new Principal("billing-7", 4, Rights.NONE, 0, 0)));
         assertEquals(Refusal.NO_RIGHT, take(one));
         assertEquals(4, one.tenant());
         gate.replacePolicy(policy(Set.of("k1"), Set.of()));
@@ -217,7 +221,9 @@
                 penalty.loginDelay("10.0.0.1", "tablet-3"),
                 "another behind the same address");
         assertEquals(
-                Duration.ZERO, penalty.loginDelay("10.0.0.2", "billing-7"), "the same name elsewhere");
+                Duration.ZERO,
+                penalty.loginDelay("10.0.0.2", "billing-7"),
+                "the same name elsewhere");
         penalty.recordSuccess("10.0.0.1", "billing-7");
         assertEquals(Duration.ZERO, penalty.loginDelay("10.0.0.1", "billing-7"));
         // Many names from one address, each once: the address pays in the end.
--- a/src/test/java/dillfront/router/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -23,7 +23,13 @@
                     List.of(
                             Rule.of(true, 0b0111, "r", Rule.ANY_GROUP, "hotel-7/", "rule 1"),
                             Rule.of(true, 0b1000, "w", 2, "hotel-7/bar/", "rule 2"),
-                            Rule.of(false, Rule.ALL_TYPES, "rw", Rule.ANY_GROUP, "hotel-7/safe", "rule 3"),
+                            Rule.of(
+                                    false,
+                                    Rule.ALL_TYPES,
+                                    "rw",
+                                    Rule.ANY_GROUP,
+                                    "hotel-7/safe",
+                                    "rule 3"),
                             Rule.of(true, 0b0010, "r", Rule.ANY_GROUP, "", "rule 4")));
 
     @Test
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/MemoryTest.java
@@ -8,7 +8,7 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
 import dillfront.common.storage.TextStore;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.api.Standing;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -574,15 +574,15 @@
         first.closed("s-2", Standing.GONE, 0, 43);
         first.closed("s-3", Standing.GONE, 0, 44);
         first.opened("s-3");
-        Operator.BadOperator held =
+        OperatorConfig.InvalidOperatorConfigException held =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> Memory.open(folder, "r1", log, Runnable::run));
         assertTrue(held.getMessage().contains("another process holds"), held.getMessage());
         first.close();
-        Operator.BadOperator other =
+        OperatorConfig.InvalidOperatorConfigException other =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> Memory.open(folder, "r2", log, Runnable::run));
         assertTrue(
                 other.getMessage().contains("is that of router 'r1', and this is 'r2'"),
@@ -609,9 +609,9 @@
                         .contains("memory-broken fault=\"" + folder.resolve(CompactingLog.FILE)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
-        Operator.BadOperator none =
+        OperatorConfig.InvalidOperatorConfigException none =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> Memory.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
--- a/src/test/java/dillfront/router/operator/OperatorTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorTest.java
@@ -26,20 +26,22 @@
             "3d4017c3e843895a92b70aa74d1b7ebc9c982ccf2ec4968cc0cd55f12af4660c";
 
     private static String fault(String text) {
-        return assertThrows(Operator.BadOperator.class, () -> Operator.read("f.star", text))
+        return assertThrows(
+                        OperatorConfig.InvalidOperatorConfigException.class,
+                        () -> OperatorConfig.read("f.star", text))
                 .getMessage();
     }
 
     @Test
     void withoutAFileNothingIsOn() throws Exception {
-        assertSame(Operator.NONE, Operator.of(Map.of()));
-        assertNull(Operator.read("f.star", "# nothing\n").gossip());
+        assertSame(OperatorConfig.NONE, OperatorConfig.fromEnvironment(Map.of()));
+        assertNull(OperatorConfig.read("f.star", "# nothing\n").gossip());
     }
 
     @Test
     void saysWhatIsOn() throws Exception {
-        Operator said =
-                Operator.read(
+        OperatorConfig said =
+                OperatorConfig.read(
                         "f.star",
                         """
                 KEYS = {"r1": "%s", "r2": "%s"}
@@ -53,19 +55,26 @@
         assertEquals(Duration.ofMillis(500), said.gossip().tuning().period());
         assertEquals(3000, said.gossip().tuning().bytesPerSecond());
         assertEquals(2, said.gossip().ring().size());
-        assertEquals(0, said.gossip().self("r1"));
+        assertEquals(0, said.gossip().selfIndex("r1"));
         assertEquals(
                 "'public' of gossip() is not a key of peer 'r2'",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r2"))
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> said.gossip().selfIndex("r2"))
                         .getMessage());
-        assertEquals(9946, said.control().getPort());
+        assertEquals(9946, said.controlAddress().getPort());
         assertEquals(
                 "no peer is named 'r3', the name of this instance",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r3"))
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> said.gossip().selfIndex("r3"))
                         .getMessage());
         assertEquals(
                 "key r1.key: no such file",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> said.gossip().privateKey())
+                        .getMessage());
         assertEquals(0, said.gossip().ring().peer(Ring.hash("r1")));
     }
 
@@ -126,8 +135,8 @@
                                                 .getPrivate()
                                                 .getEncoded())
                         + "\n-----END PRIVATE KEY-----\n");
-        Operator said =
-                Operator.read(
+        OperatorConfig said =
+                OperatorConfig.read(
                         "f.star",
                         """
                 gossip(key = "%s", public = "%s", liars = 0)
@@ -135,13 +144,19 @@
                 peer("r2", keys = ["%s"])
                 """
                                 .formatted(file, A, A, B));
-        assertEquals(0, said.gossip().self("r1"));
+        assertEquals(0, said.gossip().selfIndex("r1"));
         assertEquals(
                 "key " + file + ": does not belong to 'public' of gossip()",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> said.gossip().privateKey())
+                        .getMessage());
         Files.writeString(file, "half of it");
         assertEquals(
                 "key " + file + ": not an Ed25519 key as written by `dillfront keygen`",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> said.gossip().privateKey())
+                        .getMessage());
     }
 }
--- a/src/test/java/dillfront/router/script/ScriptTest.java
+++ b/src/test/java/dillfront/router/script/ScriptTest.java
@@ -20,17 +20,20 @@
     private static String run(String text) {
         List<String> said = new ArrayList<>();
         try {
-            Script.run(
+            ScriptInterpreter.run(
                     text,
                     Map.of(
                             "say",
                             given -> {
                                 Object what = given.take("what");
-                                given.done();
-                                said.add(what instanceof String s ? s : Script.shown(what));
+                                given.requireAllTaken();
+                                said.add(
+                                        what instanceof String s
+                                                ? s
+                                                : ScriptInterpreter.describe(what));
                                 return null;
                             }));
-        } catch (ScriptError bad) {
+        } catch (ScriptException bad) {
             said.add(bad.line() + ":" + bad.column() + " " + bad.getMessage());
         }
         return String.join("|", said);
--- a/src/test/java/dillfront/router/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokensTest.java
@@ -86,7 +86,8 @@
     }
 
     private static String fault(String token) {
-        return assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(token)).getMessage();
+        return assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(token))
+                .getMessage();
     }
 
     private static String base64(String text) {
