--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -4,7 +4,7 @@
 import dillfront.bootstrap.DataPlaneProgram;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
-import dillfront.common.logging.Silence;
+import dillfront.common.logging.NettyLoggerFactory;
 import dillfront.common.storage.TextStore;
 import dillfront.router.Daemon;
 import dillfront.router.Rehearsal;
@@ -16,7 +16,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Entry point: starts one of the programs, or runs a subcommand of {@link Commands}. */
+/** Entry point: starts one of the programs, or runs a subcommand of {@link RootCommand}. */
 public final class Main {
 
     private Main() {}
@@ -33,12 +33,12 @@
                                 "rehearse-system")
                         .contains(args[0])) {
             // The programs themselves skip picocli, whose class loading would slow each start.
-            System.exit(Commands.run(args));
+            System.exit(RootCommand.run(args));
         }
         try {
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Daemon daemon =
                         new Daemon(
                                 Config.read(System.getenv()),
@@ -51,7 +51,7 @@
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Rehearsal.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/RootCommand.java
@@ -41,17 +41,17 @@
             "  rehearse-system  run both of them, for the class-data archive of the build"
         },
         subcommands = {
-            Commands.Check.class,
-            Commands.Peers.class,
-            Commands.Status.class,
-            Commands.Keygen.class,
-            Keys.class,
-            Site.class,
-            WholeSystem.class
+            RootCommand.Check.class,
+            RootCommand.Peers.class,
+            RootCommand.Status.class,
+            RootCommand.Keygen.class,
+            KeysCommand.class,
+            SiteCommand.class,
+            SystemCommand.class
         })
-final class Commands implements Runnable {
+final class RootCommand implements Runnable {
 
-    private static final int PATIENCE_MS = 3000;
+    private static final int REQUEST_TIMEOUT_MS = 3000;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -63,7 +63,7 @@
 
     /** Returns the exit code: 0 success, 1 failure, 2 invalid command line. */
     static int run(String... args) {
-        return new CommandLine(new Commands()).execute(args);
+        return new CommandLine(new RootCommand()).execute(args);
     }
 
     /**
@@ -71,7 +71,7 @@
      *
      * @return the exit code: 0, or 1 after an error message
      */
-    static int secret(Path file, String text) {
+    static int writeSecret(Path file, String text) {
         try {
             Files.createFile(
                     file,
@@ -80,13 +80,13 @@
             Files.writeString(file, text, StandardOpenOption.WRITE);
             return 0;
         } catch (FileAlreadyExistsException there) {
-            return fault(file + ": exists already and was not changed");
+            return fail(file + ": exists already and was not changed");
         } catch (IOException bad) {
-            return fault(file + ": " + bad.getMessage());
+            return fail(file + ": " + bad.getMessage());
         }
     }
 
-    static int fault(String text) {
+    static int fail(String text) {
         System.err.println("dillfront: " + text);
         return 1;
     }
@@ -130,13 +130,13 @@
                                         : operator.controlAddress()));
                 return 0;
             } catch (OperatorConfig.InvalidOperatorConfigException bad) {
-                return fault(bad.getMessage());
+                return fail(bad.getMessage());
             }
         }
     }
 
     /** Sends one query to the control socket of a running router and prints the response. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class ControlSocketQuery implements Callable<Integer> {
 
         @Option(
                 names = "--control",
@@ -146,28 +146,28 @@
                         "control address of the router, as in control() of the operator's file")
         private String control;
 
-        abstract String question();
+        abstract String query();
 
         @Override
         public Integer call() {
             InetSocketAddress address = Address.parse(control);
             if (address == null) {
-                return fault(
+                return fail(
                         "--control "
                                 + control
                                 + ": expected an address and a port, as 127.0.0.1:9946");
             }
             try (Socket socket = new Socket()) {
-                socket.connect(address, PATIENCE_MS);
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.connect(address, REQUEST_TIMEOUT_MS);
+                socket.setSoTimeout(REQUEST_TIMEOUT_MS);
                 socket.getOutputStream()
-                        .write((question() + "\n").getBytes(StandardCharsets.US_ASCII));
+                        .write((query() + "\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 new PrintStream(System.out, true, StandardCharsets.UTF_8)
                         .print(new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 return 0;
             } catch (IOException none) {
-                return fault("--control " + control + ": " + none.getMessage());
+                return fail("--control " + control + ": " + none.getMessage());
             }
         }
     }
@@ -176,13 +176,13 @@
             name = "peers",
             description =
                     "Prints the state of a router's peers, and of servers as reported by them.")
-    static final class Peers extends Asking {
+    static final class Peers extends ControlSocketQuery {
 
         @Option(names = "--json", description = "print JSON instead of a table")
         private boolean json;
 
         @Override
-        String question() {
+        String query() {
             return json ? "peers json" : "peers";
         }
     }
@@ -191,13 +191,13 @@
             name = "status",
             description =
                     "Prints a router's progress of recovery, and the state that it keeps for its next start.")
-    static final class Status extends Asking {
+    static final class Status extends ControlSocketQuery {
 
         @Option(names = "--json", description = "print JSON instead of one line per section")
         private boolean json;
 
         @Override
-        String question() {
+        String query() {
             return json ? "status json" : "status";
         }
     }
@@ -214,11 +214,11 @@
         @Override
         public Integer call() throws GeneralSecurityException {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
-            int made = secret(file, KeyFile.text(pair.getPrivate()));
-            if (made == 0) {
+            int exitCode = writeSecret(file, KeyFile.text(pair.getPrivate()));
+            if (exitCode == 0) {
                 System.out.println(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
             }
-            return made;
+            return exitCode;
         }
     }
 }
--- a/src/main/java/dillfront/common/config/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -51,12 +51,12 @@
     public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public InvalidSettingsException(String fault) {
-            super(fault);
+        public InvalidSettingsException(String message) {
+            super(message);
         }
     }
 
-    public static final String VARIABLE = "DILLFRONT_SETTINGS";
+    public static final String PATH_VARIABLE = "DILLFRONT_SETTINGS";
     private static final String DEFAULT_PATH = "/etc/dillfront/node.json";
 
     /**
@@ -66,7 +66,7 @@
      */
     public static NodeSettings fromEnvironment(java.util.Map<String, String> variables)
             throws InvalidSettingsException {
-        return read(Path.of(variables.getOrDefault(VARIABLE, DEFAULT_PATH)));
+        return read(Path.of(variables.getOrDefault(PATH_VARIABLE, DEFAULT_PATH)));
     }
 
     /**
@@ -75,9 +75,9 @@
      * @throws InvalidSettingsException with the file, the place and the error
      */
     public static NodeSettings read(Path file) throws InvalidSettingsException {
-        JsonObject all;
+        JsonObject root;
         try {
-            all = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
+            root = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
         } catch (IOException | UnsupportedOperationException bad) {
             throw new InvalidSettingsException(file + ": " + bad);
         } catch (ParseException bad) {
@@ -85,12 +85,12 @@
                     file + ", line " + bad.getLocation().line + ": " + bad.getMessage());
         }
         try {
-            JsonObject listen = object(all, "listen_addresses");
-            JsonObject bounds = object(all, "bounds");
+            JsonObject listen = object(root, "listen_addresses");
+            JsonObject bounds = object(root, "bounds");
             java.util.Map<String, String> regions = new java.util.HashMap<>();
-            object(all, "zones")
+            object(root, "zones")
                     .forEach(member -> regions.put(member.getName(), member.getValue().asString()));
-            JsonValue ports = all.get("internal_port_range");
+            JsonValue ports = root.get("internal_port_range");
             if (ports == null
                     || !ports.isArray()
                     || ports.asArray().isEmpty()
@@ -98,29 +98,29 @@
                 throw new InvalidSettingsException("internal_port_range: not a list of ports");
             }
             List<String> seeds = new ArrayList<>();
-            if (all.get("seed_addresses") != null) {
-                for (JsonValue one : all.get("seed_addresses").asArray()) {
+            if (root.get("seed_addresses") != null) {
+                for (JsonValue one : root.get("seed_addresses").asArray()) {
                     seeds.add(address(one.asString(), "seed_addresses"));
                 }
             }
-            JsonValue platform = all.get("cloud_api");
+            JsonValue platform = root.get("cloud_api");
             return new NodeSettings(
-                    requiredText(all, "node_name"),
-                    requiredText(all, "zone_name"),
-                    all.getString("region", ""),
+                    requiredText(root, "node_name"),
+                    requiredText(root, "zone_name"),
+                    root.getString("region", ""),
                     regions,
-                    requiredText(all, "ip_address"),
+                    requiredText(root, "ip_address"),
                     optionalText(listen, "front_address"),
                     optionalText(listen, "readiness_address"),
                     optionalText(listen, "control_address"),
                     ports.asArray().get(0).asInt(),
                     List.copyOf(seeds),
-                    all.getBoolean("first_start", false),
-                    optionalText(all, "data_directory"),
-                    all.get("tolerated_losses") == null
+                    root.getBoolean("first_start", false),
+                    optionalText(root, "data_directory"),
+                    root.get("tolerated_losses") == null
                             ? 0
-                            : Math.max(0, object(all, "tolerated_losses").getInt("machines", 0)),
-                    number(all, "heartbeat_interval_ms", 1_200),
+                            : Math.max(0, object(root, "tolerated_losses").getInt("machines", 0)),
+                    number(root, "heartbeat_interval_ms", 1_200),
                     drainMillis(bounds),
                     Math.round(bounds.getDouble("grace_period_s", 6) * 1_000),
                     platform == null || platform.isNull()
@@ -141,24 +141,24 @@
     }
 
     private static JsonObject object(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || !is.isObject()) {
+        JsonValue value = in.get(name);
+        if (value == null || !value.isObject()) {
             throw new InvalidSettingsException(name + ": not an object");
         }
-        return is.asObject();
+        return value.asObject();
     }
 
     private static String requiredText(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || !is.isString() || is.asString().isEmpty()) {
+        JsonValue value = in.get(name);
+        if (value == null || !value.isString() || value.asString().isEmpty()) {
             throw new InvalidSettingsException(name + ": not a non-empty string");
         }
-        return is.asString();
+        return value.asString();
     }
 
     private static String optionalText(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || is.isNull()) {
+        JsonValue value = in.get(name);
+        if (value == null || value.isNull()) {
             return null;
         }
         String text = requiredText(in, name);
@@ -172,16 +172,16 @@
         return text;
     }
 
-    private static long number(JsonObject in, String name, long otherwise)
+    private static long number(JsonObject in, String name, long defaultValue)
             throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null) {
-            return otherwise;
+        JsonValue value = in.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (!is.isNumber() || !(is.asDouble() > 0 && is.asDouble() < 1e9)) {
-            throw new InvalidSettingsException(name + ": " + is + " is not a number above 0");
+        if (!value.isNumber() || !(value.asDouble() > 0 && value.asDouble() < 1e9)) {
+            throw new InvalidSettingsException(name + ": " + value + " is not a number above 0");
         }
-        return Math.round(is.asDouble());
+        return Math.round(value.asDouble());
     }
 
     /** Returns the internal address of the process on a machine. */
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -63,10 +63,10 @@
     /** Set after the last request or malformed input; all further input is discarded. */
     private boolean lastRequest;
 
-    HttpServerHandler(Environment host, HttpEndpoint calls, long longestMs) {
-        this.environment = host;
-        this.endpoint = calls;
-        this.timeoutMillis = longestMs;
+    HttpServerHandler(Environment environment, HttpEndpoint endpoint, long timeoutMillis) {
+        this.environment = environment;
+        this.endpoint = endpoint;
+        this.timeoutMillis = timeoutMillis;
     }
 
     /** A request in progress, which gets one response unless the connection closes before. */
@@ -87,11 +87,11 @@
                                                     "no response in " + timeoutMillis + " ms")));
         }
 
-        void respond(Environment.HttpResponse is) {
+        void respond(Environment.HttpResponse response) {
             if (current == this) {
                 timeout.cancel();
                 current = null;
-                write(is, last);
+                write(response, last);
             }
         }
     }
@@ -163,77 +163,80 @@
     private void startRequest(HttpRequest request) {
         currentRequest = request;
         body = Unpooled.buffer(256);
-        String expected = request.headers().get("Expect");
-        boolean large = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
-        if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
+        String expectation = request.headers().get("Expect");
+        boolean tooLarge = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
+        if (expectation != null && (tooLarge || !expectation.equalsIgnoreCase("100-continue"))) {
             // The client may or may not send the body after the refusal, so the following bytes
             // cannot be parsed as requests.
-            refuse(large ? 413 : 417, "expectation refused", true);
-        } else if (large) {
+            refuse(tooLarge ? 413 : 417, "expectation refused", true);
+        } else if (tooLarge) {
             refuse(
                     413,
                     "body exceeds " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
-        } else if (expected != null) {
+        } else if (expectation != null) {
             // Bypasses the codec, which would take it for the final response.
             ctx.pipeline().context("codec").writeAndFlush(Unpooled.wrappedBuffer(CONTINUE));
         }
     }
 
     /** Responds with an error; the rest of the body is discarded. */
-    private void refuse(int status, String why, boolean last) {
+    private void refuse(int status, String message, boolean last) {
         currentRequest = null;
         body = null;
         lastRequest = last;
-        new Exchange(last).respond(errorResponse(status, why));
+        new Exchange(last).respond(errorResponse(status, message));
     }
 
     private void dispatch() {
         HttpRequest request = currentRequest;
         currentRequest = null;
         lastRequest = !HttpUtil.isKeepAlive(request);
-        Exchange its = new Exchange(lastRequest);
-        byte[] all = new byte[body.readableBytes()];
-        body.readBytes(all);
+        Exchange exchange = new Exchange(lastRequest);
+        byte[] content = new byte[body.readableBytes()];
+        body.readBytes(content);
         body = null;
         String uri = request.uri();
-        int query = uri.indexOf('?');
+        int queryStart = uri.indexOf('?');
         try {
-            endpoint.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
+            endpoint.call(
+                            request.method().name(),
+                            queryStart < 0 ? uri : uri.substring(0, queryStart),
+                            content)
                     .whenComplete(
-                            (is, fault) ->
-                                    its.respond(
+                            (response, fault) ->
+                                    exchange.respond(
                                             fault != null
                                                     ? errorResponse(
                                                             503, String.valueOf(fault.getMessage()))
-                                                    : is == null || is.body() == null
+                                                    : response == null || response.body() == null
                                                             ? errorResponse(500, "no response")
-                                                            : is));
+                                                            : response));
         } catch (RuntimeException | StackOverflowError fault) {
             // The fault fails this request only, not the others on the connection.
             reportFault(fault);
-            its.respond(errorResponse(500, "internal error in " + request.method().name()));
+            exchange.respond(errorResponse(500, "internal error in " + request.method().name()));
         }
     }
 
-    private void write(Environment.HttpResponse is, boolean last) {
+    private void write(Environment.HttpResponse response, boolean last) {
         DefaultFullHttpResponse out =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.valueOf(is.status()),
-                        Unpooled.wrappedBuffer(is.body()));
+                        HttpResponseStatus.valueOf(response.status()),
+                        Unpooled.wrappedBuffer(response.body()));
         out.headers()
                 .set("Content-Type", "application/json")
-                .set("Content-Length", is.body().length);
-        if (is.location() != null) {
-            out.headers().set("Location", is.location());
+                .set("Content-Length", response.body().length);
+        if (response.location() != null) {
+            out.headers().set("Location", response.location());
         }
         if (last) {
             out.headers().set("Connection", "close");
         }
-        var sent = ctx.writeAndFlush(out);
+        var written = ctx.writeAndFlush(out);
         if (last) {
-            sent.addListener(ChannelFutureListener.CLOSE);
+            written.addListener(ChannelFutureListener.CLOSE);
         }
         if (!pendingParts.isEmpty()) {
             // Deferred: this method may be called from within the read of a request.
@@ -253,11 +256,11 @@
     }
 
     /** Creates a response with an error message. */
-    public static Environment.HttpResponse errorResponse(int status, String fault) {
+    public static Environment.HttpResponse errorResponse(int status, String message) {
         return new Environment.HttpResponse(
                 status,
                 com.eclipsesource.json.Json.object()
-                        .add("error_message", fault)
+                        .add("error_message", message)
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/dillfront/common/environment/RingLog.java
+++ b/src/main/java/dillfront/common/environment/RingLog.java
@@ -21,9 +21,9 @@
     private long recorded;
 
     /** Number of events that were written or overwritten. */
-    private long written;
+    private long consumed;
 
-    private long minute;
+    private long currentMinute;
     private int dumpsThisMinute;
 
     public RingLog(PrintStream out, String name) {
@@ -31,30 +31,30 @@
         this.name = name;
     }
 
-    public void record(long ms, String event) {
-        lines[(int) (recorded++ % CAPACITY)] = ms + " " + event;
+    public void record(long millis, String event) {
+        lines[(int) (recorded++ % CAPACITY)] = millis + " " + event;
     }
 
     /** Records an event and writes all events since the last dump. */
-    public void warn(long ms, String event) {
-        record(ms, event);
-        if (ms / MINUTE_MS != minute) {
-            minute = ms / MINUTE_MS;
+    public void warn(long millis, String event) {
+        record(millis, event);
+        if (millis / MINUTE_MS != currentMinute) {
+            currentMinute = millis / MINUTE_MS;
             dumpsThisMinute = 0;
         }
         if (++dumpsThisMinute > MAX_DUMPS_PER_MINUTE) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        if (recorded - written > CAPACITY) {
+        if (recorded - consumed > CAPACITY) {
             text.append(name)
                     .append(" dropped ")
-                    .append(recorded - written - CAPACITY)
+                    .append(recorded - consumed - CAPACITY)
                     .append('\n');
-            written = recorded - CAPACITY;
+            consumed = recorded - CAPACITY;
         }
-        for (; written < recorded; written++) {
-            text.append(name).append(' ').append(lines[(int) (written % CAPACITY)]).append('\n');
+        for (; consumed < recorded; consumed++) {
+            text.append(name).append(' ').append(lines[(int) (consumed % CAPACITY)]).append('\n');
         }
         out.print(text);
         out.flush();
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -9,31 +9,31 @@
 public final class Counters {
 
     public long queries;
-    public long outOfForm;
+    public long malformedQueries;
 
     /** Queries that arrived while this router was stopping and were redirected to other routers. */
-    public long turnedAway;
+    public long redirectedWhileStopping;
 
-    public long taken;
+    public long startedTransactions;
     public long committed;
     public long declined;
     public long rolledBack;
-    public long left;
+    public long abandonedByClient;
     public long submitted;
     public long probes;
     public long dialed;
     public long accepted;
     public long lists;
-    public long listFaults;
-    public long longestTurnMs;
+    public long failedLists;
+    public long longestLoopTurnMillis;
     private final long[] ended = new long[Result.values().length];
 
     // ---- gauges
 
-    public int txns;
+    public int heldTransactions;
 
     /** Rows for servers, in use or pooled: the maximum that was in use at once. */
-    public int nodes;
+    public int nodeRows;
 
     public int clientConnections;
     public int nodeConnections;
@@ -46,17 +46,17 @@
     /** Writes every counter as one log line. */
     public void print(Log log) {
         Object[] line = new Object[2 * (20 + ended.length)];
-        int at = 0;
-        for (Object o :
+        int index = 0;
+        for (Object nameOrValue :
                 new Object[] {
                     "queries",
                     queries,
                     "out_of_form",
-                    outOfForm,
+                    malformedQueries,
                     "turned_away",
-                    turnedAway,
+                    redirectedWhileStopping,
                     "taken",
-                    taken,
+                    startedTransactions,
                     "committed",
                     committed,
                     "declined",
@@ -64,7 +64,7 @@
                     "rolled_back",
                     rolledBack,
                     "left",
-                    left,
+                    abandonedByClient,
                     "submitted",
                     submitted,
                     "probes",
@@ -76,11 +76,11 @@
                     "lists",
                     lists,
                     "list_faults",
-                    listFaults,
+                    failedLists,
                     "longest_turn_ms",
-                    longestTurnMs,
+                    longestLoopTurnMillis,
                     "txns_held",
-                    txns,
+                    heldTransactions,
                     "client_connections",
                     clientConnections,
                     "node_connections",
@@ -88,15 +88,15 @@
                     "timers",
                     timers,
                     "node_rows",
-                    nodes
+                    nodeRows
                 }) {
-            line[at++] = o;
+            line[index++] = nameOrValue;
         }
         for (Result result : Result.values()) {
-            line[at++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
-            line[at++] = ended[result.ordinal()];
+            line[index++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
+            line[index++] = ended[result.ordinal()];
         }
         log.info("counters", line);
-        longestTurnMs = 0;
+        longestLoopTurnMillis = 0;
     }
 }
--- a/src/main/java/dillfront/common/logging/Silence.java
+++ b/src/main/java/dillfront/common/logging/NettyLoggerFactory.java
@@ -9,36 +9,36 @@
  * Netty probes for three logging libraries and falls back to the JDK's, which adds 40 ms to each
  * start.
  */
-public final class Silence extends InternalLoggerFactory {
+public final class NettyLoggerFactory extends InternalLoggerFactory {
 
     private final Log log;
 
-    private Silence(Log log) {
+    private NettyLoggerFactory(Log log) {
         this.log = log;
     }
 
     /** Installs the factory; must be called before the first use of Netty. */
-    public static void over(Log log) {
-        InternalLoggerFactory.setDefaultFactory(new Silence(log));
+    public static void install(Log log) {
+        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log));
     }
 
     @Override
     protected InternalLogger newInstance(String name) {
-        return new Warnings(name, log);
+        return new WarningLogger(name, log);
     }
 
-    private static final class Warnings extends AbstractInternalLogger {
+    private static final class WarningLogger extends AbstractInternalLogger {
 
         private static final long serialVersionUID = 1L;
         private final transient Log log;
 
-        Warnings(String name, Log log) {
+        WarningLogger(String name, Log log) {
             super(name);
             this.log = log;
         }
 
-        private void say(String message, Object fault) {
-            log.warn("netty", "from", name(), "message", message, "fault", fault);
+        private void forward(String message, Object argument) {
+            log.warn("netty", "from", name(), "message", message, "fault", argument);
         }
 
         @Override
@@ -59,7 +59,7 @@
         public void trace(String format, Object... arguments) {}
 
         @Override
-        public void trace(String message, Throwable fault) {}
+        public void trace(String message, Throwable cause) {}
 
         @Override
         public boolean isDebugEnabled() {
@@ -79,7 +79,7 @@
         public void debug(String format, Object... arguments) {}
 
         @Override
-        public void debug(String message, Throwable fault) {}
+        public void debug(String message, Throwable cause) {}
 
         @Override
         public boolean isInfoEnabled() {
@@ -99,7 +99,7 @@
         public void info(String format, Object... arguments) {}
 
         @Override
-        public void info(String message, Throwable fault) {}
+        public void info(String message, Throwable cause) {}
 
         @Override
         public boolean isWarnEnabled() {
@@ -108,27 +108,27 @@
 
         @Override
         public void warn(String message) {
-            say(message, "");
+            forward(message, "");
         }
 
         @Override
         public void warn(String format, Object a) {
-            say(format, a);
+            forward(format, a);
         }
 
         @Override
         public void warn(String format, Object a, Object b) {
-            say(format, b);
+            forward(format, b);
         }
 
         @Override
         public void warn(String format, Object... arguments) {
-            say(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
+            forward(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
         }
 
         @Override
-        public void warn(String message, Throwable fault) {
-            say(message, fault);
+        public void warn(String message, Throwable cause) {
+            forward(message, cause);
         }
 
         @Override
@@ -138,27 +138,27 @@
 
         @Override
         public void error(String message) {
-            say(message, "");
+            forward(message, "");
         }
 
         @Override
         public void error(String format, Object a) {
-            say(format, a);
+            forward(format, a);
         }
 
         @Override
         public void error(String format, Object a, Object b) {
-            say(format, b);
+            forward(format, b);
         }
 
         @Override
         public void error(String format, Object... arguments) {
-            say(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
+            forward(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
         }
 
         @Override
-        public void error(String message, Throwable fault) {
-            say(message, fault);
+        public void error(String message, Throwable cause) {
+            forward(message, cause);
         }
     }
 }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -241,7 +241,7 @@
                     }
                     return over;
                 });
-        counters.nodes = members.indices();
+        counters.nodeRows = members.indices();
     }
 
     /** Discovery itself has told a list. */
@@ -289,8 +289,8 @@
         } else {
             slots.set(slot, exchange);
         }
-        counters.taken++;
-        counters.txns++;
+        counters.startedTransactions++;
+        counters.heldTransactions++;
         Duration now = clock.now();
         Duration token =
                 !setup.tokensCarried()
@@ -321,7 +321,7 @@
      */
     private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
         ids.remove(statement.id);
-        counters.taken++;
+        counters.startedTransactions++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
         never.decline(setup.settings().maxPause());
         message.release();
@@ -366,7 +366,7 @@
         slots.set(exchange.slot(), null);
         ids.remove(exchange.statement().id);
         free.add(exchange.slot());
-        counters.txns--;
+        counters.heldTransactions--;
     }
 
     @Override
@@ -489,8 +489,8 @@
                     try {
                         tick();
                         pace.came(clock.now());
-                        counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longest().toMillis());
+                        counters.longestLoopTurnMillis =
+                                Math.max(counters.longestLoopTurnMillis, pace.longest().toMillis());
                         decide.woken();
                         if (neighbours != null) {
                             neighbours.beat(clock.now());
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -325,7 +325,7 @@
             // It came when this router had said goodbye: no longer than what is out may it go on.
             // Never sent, so harmless.
             message.release();
-            clients.counters.turnedAway++;
+            clients.counters.redirectedWhileStopping++;
             error(Messages.DECLINED, "this router ends, trying again is harmless", null);
             clients.free(this);
             return;
@@ -337,7 +337,7 @@
             statement = Statement.read(message);
         } catch (BadStatement bad) {
             message.release();
-            clients.counters.outOfForm++;
+            clients.counters.malformedQueries++;
             clients.log.warn("query-out-of-form", "fault", bad.getMessage());
             error(Messages.OUT_OF_FORM, bad.getMessage(), null);
             return;
@@ -353,7 +353,7 @@
             owes = false;
             uncount();
             message.release();
-            clients.counters.outOfForm++;
+            clients.counters.malformedQueries++;
             clients.log.warn("query-unknown", "type", statement.type, "group", statement.group);
             error(Messages.OUT_OF_FORM, "unknown type or group, or an id that is open", null);
         } else {
@@ -493,7 +493,7 @@
             session = null;
         }
         if (exchange != null) {
-            clients.counters.left++;
+            clients.counters.abandonedByClient++;
             Exchange out = exchange;
             exchange = null;
             out.left();
--- a/src/test/java/dillfront/cli/WholeSystemTest.java
+++ b/src/test/java/dillfront/cli/WholeSystemTest.java
@@ -27,18 +27,18 @@
     void aConfigurationIsCheckedBeforeItIsSent() throws IOException {
         Path file = dir.resolve("next.json");
         Files.writeString(file, "{\"revision_number\":3,\"routes\":[],\"services\":[]}");
-        assertEquals(0, Commands.run("system", "configuration", file.toString()));
+        assertEquals(0, RootCommand.run("system", "configuration", file.toString()));
         Files.writeString(file, "{\"revision_number\":3,\"routes\":[");
-        assertEquals(1, Commands.run("system", "configuration", file.toString()));
-        assertEquals(1, Commands.run("system", "configuration", dir.resolve("none").toString()));
+        assertEquals(1, RootCommand.run("system", "configuration", file.toString()));
+        assertEquals(1, RootCommand.run("system", "configuration", dir.resolve("none").toString()));
     }
 
     @Test
     void settingsAndProcessesThatCannotBeUsedOrReached() {
-        assertEquals(1, Commands.run("system", "settings", dir.resolve("none").toString()));
-        assertEquals(1, Commands.run("system", "status", "nowhere"));
-        assertEquals(1, Commands.run("system", "status", "127.0.0.1:1"));
-        assertEquals(2, Commands.run("system"));
+        assertEquals(1, RootCommand.run("system", "settings", dir.resolve("none").toString()));
+        assertEquals(1, RootCommand.run("system", "status", "nowhere"));
+        assertEquals(1, RootCommand.run("system", "status", "127.0.0.1:1"));
+        assertEquals(2, RootCommand.run("system"));
     }
 
     private static final String LACKING =
@@ -87,7 +87,7 @@
         ByteArrayOutputStream into = new ByteArrayOutputStream();
         System.setOut(new PrintStream(into, true, StandardCharsets.UTF_8));
         try {
-            return Commands.run(args);
+            return RootCommand.run(args);
         } finally {
             System.setOut(before);
             out = into.toString(StandardCharsets.UTF_8);
