--- a/src/main/java/dillfront/router/identity/KeyBytes.java
+++ b/src/main/java/dillfront/router/identity/KeyBytes.java
@@ -5,7 +5,7 @@
 
     int length();
 
-    byte at(int index);
+    byte byteAt(int index);
 
     /** Wraps an array, which is not copied. */
     static KeyBytes of(byte[] bytes) {
@@ -16,7 +16,7 @@
             }
 
             @Override
-            public byte at(int index) {
+            public byte byteAt(int index) {
                 return bytes[index];
             }
         };
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -159,12 +159,12 @@
             if (position >= length) {
                 return allowed;
             }
-            node = node.child(key.at(position) & 0xff);
+            node = node.child(key.byteAt(position) & 0xff);
             if (node == null || length - position < node.label.length) {
                 return allowed;
             }
             for (int i = 1; i < node.label.length; i++) {
-                if (key.at(position + i) != node.label[i]) {
+                if (key.byteAt(position + i) != node.label[i]) {
                     return allowed;
                 }
             }
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -70,7 +70,7 @@
             return false;
         }
         for (int i = 0; i < prefix.length; i++) {
-            if (key.at(i) != prefix[i]) {
+            if (key.byteAt(i) != prefix[i]) {
                 return false;
             }
         }
--- a/src/test/java/dillfront/cli/WholeSystemTest.java
+++ b/src/test/java/dillfront/cli/SystemCommandTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests the exit codes that scripts rely on: 0 success, 1 failure, 2 invalid command line. */
-class WholeSystemTest {
+class SystemCommandTest {
 
     @TempDir Path dir;
 
     @Test
-    void aConfigurationIsCheckedBeforeItIsSent() throws IOException {
+    void validatesConfigurationFile() throws IOException {
         Path file = dir.resolve("next.json");
         Files.writeString(file, "{\"revision_number\":3,\"routes\":[],\"services\":[]}");
         assertEquals(0, RootCommand.run("system", "configuration", file.toString()));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void settingsAndProcessesThatCannotBeUsedOrReached() {
+    void failsForInvalidSettingsAndUnreachableProcess() {
         assertEquals(1, RootCommand.run("system", "settings", dir.resolve("none").toString()));
         assertEquals(1, RootCommand.run("system", "status", "nowhere"));
         assertEquals(1, RootCommand.run("system", "status", "127.0.0.1:1"));
@@ -46,92 +46,101 @@
                     + "'most_acknowledged':'1.%s','out_of_reach':['db-b'],'for_ms':%s}";
 
     private final List<String> posted = new ArrayList<>();
-    private volatile String most = "72";
-    private volatile int answers = 200;
+    private volatile String mostAcknowledged = "72";
+    private volatile int responseStatus = 200;
 
     /** A control process that reports lacking commits and records the requests posted to it. */
-    private HttpServer control() throws IOException {
+    private HttpServer startControlProcess() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         server.createContext(
                 "/status",
-                call ->
-                        say(
-                                call,
+                exchange ->
+                        respond(
+                                exchange,
                                 200,
                                 "{'status':'-','lacking':["
-                                        + String.format(LACKING, most, System.nanoTime())
+                                        + String.format(
+                                                LACKING, mostAcknowledged, System.nanoTime())
                                         + "]}"));
         server.createContext(
                 "/Services.AcceptDataLoss",
-                call -> {
+                exchange -> {
                     posted.add(
                             new String(
-                                    call.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
-                    say(call, answers, "{'log_position':'1.10','error_message':'something else'}");
+                                    exchange.getRequestBody().readAllBytes(),
+                                    StandardCharsets.UTF_8));
+                    respond(
+                            exchange,
+                            responseStatus,
+                            "{'log_position':'1.10','error_message':'something else'}");
                 });
         server.start();
         return server;
     }
 
-    private static void say(HttpExchange call, int status, String text) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String text) throws IOException {
         byte[] body = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-        call.sendResponseHeaders(status, body.length);
-        call.getResponseBody().write(body);
-        call.close();
+        exchange.sendResponseHeaders(status, body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
     }
 
     private String out;
 
     private int run(String... args) {
-        PrintStream before = System.out;
-        ByteArrayOutputStream into = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(into, true, StandardCharsets.UTF_8));
+        PrintStream previous = System.out;
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(buffer, true, StandardCharsets.UTF_8));
         try {
             return RootCommand.run(args);
         } finally {
-            System.setOut(before);
-            out = into.toString(StandardCharsets.UTF_8);
+            System.setOut(previous);
+            out = buffer.toString(StandardCharsets.UTF_8);
         }
     }
 
     /** Guards against a request that abandons more commits than the operator was shown. */
     @Test
-    void whatWasShownIsGivenUpAndNothingElse() throws IOException {
-        HttpServer control = control();
+    void acceptsOnlyTheLossThatWasShown() throws IOException {
+        HttpServer control = startControlProcess();
         try {
-            String to = "127.0.0.1:" + control.getAddress().getPort();
-            assertEquals(0, run("system", "accept-data-loss", to, "db"));
+            String address = "127.0.0.1:" + control.getAddress().getPort();
+            assertEquals(0, run("system", "accept-data-loss", address, "db"));
             assertTrue(
                     out.contains("longest log left   1.10")
                             && out.contains("1.72 at most")
                             && out.contains("db-b"),
                     out);
             String seal = out.replaceAll("(?s).*--shown (\\w+) --yes.*", "$1");
-            assertEquals(0, run("system", "accept-data-loss", to, "db", "--json"));
+            assertEquals(0, run("system", "accept-data-loss", address, "db", "--json"));
             assertEquals(
                     seal,
                     Json.parse(out).asObject().getString("seal", ""),
                     "the seal does not depend on the duration");
-            assertEquals(3, run("system", "accept-data-loss", to, "other"));
-            assertEquals(2, run("system", "accept-data-loss", to, "db", "--yes"));
-            assertEquals(2, run("system", "accept-data-loss", to, "db", "--shown", seal));
+            assertEquals(3, run("system", "accept-data-loss", address, "other"));
+            assertEquals(2, run("system", "accept-data-loss", address, "db", "--yes"));
+            assertEquals(2, run("system", "accept-data-loss", address, "db", "--shown", seal));
             assertEquals(
-                    1, run("system", "accept-data-loss", to, "db", "--shown", "0000", "--yes"));
-            most = "73";
-            assertEquals(1, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
+                    1,
+                    run("system", "accept-data-loss", address, "db", "--shown", "0000", "--yes"));
+            mostAcknowledged = "73";
+            assertEquals(
+                    1, run("system", "accept-data-loss", address, "db", "--shown", seal, "--yes"));
             assertEquals(List.of(), posted);
-            most = "72";
-            assertEquals(0, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
+            mostAcknowledged = "72";
+            assertEquals(
+                    0, run("system", "accept-data-loss", address, "db", "--shown", seal, "--yes"));
             assertEquals(
                     List.of(
                             "{'service':'db','move':'1099512676354','log_position':'1.10','least_acknowledged':'1.70','most_acknowledged':'1.72',"
                                             .replace('\'', '"')
                                     + "\"out_of_reach\":[\"db-b\"]}"),
                     posted);
-            for (int refused : new int[] {409, 503}) {
-                answers = refused;
+            for (int errorStatus : new int[] {409, 503}) {
+                responseStatus = errorStatus;
                 assertEquals(
-                        1, run("system", "accept-data-loss", to, "db", "--shown", seal, "--yes"));
+                        1,
+                        run("system", "accept-data-loss", address, "db", "--shown", seal, "--yes"));
             }
         } finally {
             control.stop(0);
--- a/src/test/java/dillfront/router/script/ScriptTest.java
+++ b/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
@@ -15,28 +15,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tests the results of scripts, and the messages and places of their errors. */
-class ScriptTest {
+class ScriptInterpreterTest {
 
     private static String run(String text) {
-        List<String> said = new ArrayList<>();
+        List<String> output = new ArrayList<>();
         try {
             ScriptInterpreter.run(
                     text,
                     Map.of(
                             "say",
-                            given -> {
-                                Object what = given.take("what");
-                                given.requireAllTaken();
-                                said.add(
-                                        what instanceof String s
+                            arguments -> {
+                                Object value = arguments.take("what");
+                                arguments.requireAllTaken();
+                                output.add(
+                                        value instanceof String s
                                                 ? s
-                                                : ScriptInterpreter.describe(what));
+                                                : ScriptInterpreter.describe(value));
                                 return null;
                             }));
         } catch (ScriptException bad) {
-            said.add(bad.line() + ":" + bad.column() + " " + bad.getMessage());
+            output.add(bad.line() + ":" + bad.column() + " " + bad.getMessage());
         }
-        return String.join("|", said);
+        return String.join("|", output);
     }
 
     @ParameterizedTest
@@ -59,12 +59,12 @@
                 "len({\"a\": 1, \"b\": 2}.items()); 2",
                 "str([1]) + str(None); a list of 1None"
             })
-    void values(String value, String is) {
-        assertEquals(is, run("say(" + value + ")"));
+    void evaluatesExpressions(String expression, String expected) {
+        assertEquals(expected, run("say(" + expression + ")"));
     }
 
     @Test
-    void steps() {
+    void executesStatements() {
         assertEquals(
                 "0|6|done 3",
                 run(
@@ -115,19 +115,19 @@
                 "say(1 < 2 < 3);1:11 chained comparisons are not supported: use 'and'",
                 "say(\"\\q\");1:7 expected one of n t \\ \" ' after \\"
             })
-    void faults(String text, String fault) {
-        assertEquals(fault, run(text));
+    void reportsPlaceAndError(String text, String message) {
+        assertEquals(message, run(text));
     }
 
     @Test
-    void blocksThatDoNotFit() {
+    void rejectsInvalidIndentation() {
         assertEquals("3:3 indentation matches no outer block", run("if 1:\n    a = 1\n  b = 2\n"));
         assertEquals("2:1 expected an indented block, found 'a'", run("if 1:\na = 1\n"));
         assertEquals("2:1 tab in indentation: use spaces", run("if 1:\n\ta = 1\n"));
     }
 
     @Test
-    void whatDoesNotEnd() {
+    void boundsStepsSizesAndNesting() {
         assertTrue(
                 run("""
                 for a in range(100000):
@@ -152,10 +152,10 @@
     }
 
     @Property(tries = 500, seed = "21")
-    void whateverIsWritten(
+    void anyTextRunsOrFailsWithScriptException(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text) {
         // Each text either runs or fails with a ScriptError; any other exception fails the test.
-        String once = run(text.replace('~', '\n'));
-        assertEquals(once, run(text.replace('~', '\n')));
+        String firstRun = run(text.replace('~', '\n'));
+        assertEquals(firstRun, run(text.replace('~', '\n')));
     }
 }
--- a/src/test/java/dillfront/router/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the verification of tokens and of key sets. */
-class TokensTest {
+class TokenVerifierTest {
 
     private static final ECKey EC = ec("k1");
     private static final ECKey OTHER = ec("k1");
@@ -57,7 +57,7 @@
         }
     }
 
-    private static TokenVerifier tokens() throws Exception {
+    private static TokenVerifier verifier() throws Exception {
         return new TokenVerifier(
                 new JWKSet(List.of(EC.toPublicJWK(), RSA.toPublicJWK())).toString(),
                 "depot",
@@ -74,10 +74,10 @@
                 .expirationTime(new Date(2_000_000));
     }
 
-    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner by)
+    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner signer)
             throws Exception {
         SignedJWT jwt = new SignedJWT(header, claims);
-        jwt.sign(by);
+        jwt.sign(signer);
         return jwt.serialize();
     }
 
@@ -85,8 +85,9 @@
         return new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("k1").type(JOSEObjectType.JWT);
     }
 
-    private static String fault(String token) {
-        return assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(token))
+    private static String errorOf(String token) {
+        return assertThrows(
+                        TokenVerifier.InvalidTokenException.class, () -> verifier().verify(token))
                 .getMessage();
     }
 
@@ -97,23 +98,24 @@
     }
 
     @Test
-    void saysWhoItIs() throws Exception {
-        AccessController.Credential said =
-                tokens().verify(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
+    void returnsClaimsOfValidToken() throws Exception {
+        AccessController.Credential credential =
+                verifier().verify(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
         assertEquals(
                 "billing-7 k1 t-1 PT16M40S PT33M20S",
-                said.principal()
+                credential.principal()
                         + " "
-                        + said.key()
+                        + credential.key()
                         + " "
-                        + said.id()
+                        + credential.id()
                         + " "
-                        + said.notBefore()
+                        + credential.notBefore()
                         + " "
-                        + said.expires());
+                        + credential.expires());
         assertEquals(
                 "k2",
-                tokens().verify(
+                verifier()
+                        .verify(
                                 sign(
                                         new JWSHeader.Builder(JWSAlgorithm.RS256)
                                                 .keyID("k2")
@@ -121,27 +123,27 @@
                                         claims().build(),
                                         new RSASSASigner(RSA)))
                         .key());
-        assertEquals(Set.of("k1", "k2"), tokens().keyIds());
+        assertEquals(Set.of("k1", "k2"), verifier().keyIds());
     }
 
     @Test
-    void theAlgorithmIsTheKeys() throws Exception {
+    void rejectsAlgorithmOtherThanThatOfKey() throws Exception {
         String claims = claims().build().toString();
         assertTrue(
-                fault(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
+                errorOf(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
                         .startsWith("malformed token"));
         // Algorithm confusion: the public key used as an HMAC secret.
         byte[] secret = EC.toPublicJWK().toJSONString().getBytes(StandardCharsets.UTF_8);
         assertEquals(
                 "key is for ES256, token has alg HS256",
-                fault(
+                errorOf(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("k1").build(),
                                 claims().build(),
                                 new MACSigner(secret))));
         assertEquals(
                 "key is for RS256, token has alg PS256",
-                fault(
+                errorOf(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.PS256).keyID("k2").build(),
                                 claims().build(),
@@ -149,19 +151,19 @@
     }
 
     @Test
-    void othersKeysAndHeaders() throws Exception {
+    void rejectsUnknownKeysAndCriticalHeaders() throws Exception {
         assertEquals(
                 "token signature is invalid",
-                fault(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
+                errorOf(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
         assertEquals(
                 "token is signed with an unknown key",
-                fault(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
+                errorOf(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
                 "token is signed with an unknown key",
-                fault(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
+                errorOf(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
                 "token has critical headers, none is supported",
-                fault(
+                errorOf(
                         sign(
                                 es256().criticalParams(Set.of("exp2"))
                                         .customParam("exp2", 1)
@@ -171,42 +173,42 @@
     }
 
     @Test
-    void whatItSaysMustBeAllThere() throws Exception {
-        ECDSASigner by = new ECDSASigner(EC);
+    void rejectsWrongOrMissingClaims() throws Exception {
+        ECDSASigner signer = new ECDSASigner(EC);
         assertEquals(
                 "token is from another issuer",
-                fault(sign(es256().build(), claims().issuer("depot2").build(), by)));
+                errorOf(sign(es256().build(), claims().issuer("depot2").build(), signer)));
         assertEquals(
                 "token is for another audience",
-                fault(sign(es256().build(), claims().audience("other").build(), by)));
+                errorOf(sign(es256().build(), claims().audience("other").build(), signer)));
         assertEquals(
                 "token lacks sub, exp or jti",
-                fault(sign(es256().build(), claims().jwtID(null).build(), by)));
+                errorOf(sign(es256().build(), claims().jwtID(null).build(), signer)));
         assertEquals(
                 "token lacks sub, exp or jti",
-                fault(sign(es256().build(), claims().expirationTime(null).build(), by)));
+                errorOf(sign(es256().build(), claims().expirationTime(null).build(), signer)));
     }
 
     @Test
-    void largeAndDeep() {
-        assertEquals("token is longer than 8192 characters", fault("a".repeat(1 << 20)));
+    void rejectsOversizedAndDeeplyNestedTokens() {
+        assertEquals("token is longer than 8192 characters", errorOf("a".repeat(1 << 20)));
         for (String open : List.of("[", "{\"a\":")) {
             String deep = open.repeat(400);
             assertTrue(
-                    fault(
+                    errorOf(
                                     base64("{\"alg\":\"ES256\",\"kid\":\"k1\",\"x\":" + deep)
                                             + "."
                                             + base64(deep)
                                             + ".AAAA")
                             .startsWith("malformed token"));
         }
-        assertTrue(fault("").startsWith("malformed token"));
-        assertTrue(fault("a.b.c").startsWith("malformed token"));
+        assertTrue(errorOf("").startsWith("malformed token"));
+        assertTrue(errorOf("a.b.c").startsWith("malformed token"));
     }
 
     @Test
-    void keySets() {
-        for (Map.Entry<String, String> one :
+    void rejectsInvalidKeySets() {
+        for (Map.Entry<String, String> keySetAndError :
                 Map.of(
                                 "",
                                 "invalid key set",
@@ -231,28 +233,30 @@
                                 "{\"keys\":[" + EC.toPublicJWK().toJSONString().substring(0, 60),
                                 "invalid key set")
                         .entrySet()) {
-            String fault =
+            String message =
                     assertThrows(
                                     TokenVerifier.InvalidTokenException.class,
-                                    () -> new TokenVerifier(one.getKey(), "depot", "dillfront"))
+                                    () ->
+                                            new TokenVerifier(
+                                                    keySetAndError.getKey(), "depot", "dillfront"))
                             .getMessage();
-            assertTrue(fault.startsWith(one.getValue()), fault);
+            assertTrue(message.startsWith(keySetAndError.getValue()), message);
         }
     }
 
     @Property(tries = 200, seed = "41")
-    void oneLetterOffIsNothing(
+    void rejectsTokenWithOneChangedCharacter(
             @ForAll @IntRange(min = 0, max = 100_000) int place,
-            @ForAll @IntRange(min = 1, max = 63) int by)
+            @ForAll @IntRange(min = 1, max = 63) int shift)
             throws Exception {
-        String letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+        String alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
         String token = sign(es256().build(), claims().build(), new ECDSASigner(EC));
         int at = place % (token.length() - 1);
-        int was = letters.indexOf(token.charAt(at));
+        int index = alphabet.indexOf(token.charAt(at));
         String changed =
                 token.substring(0, at)
-                        + (was < 0 ? "A" : letters.charAt((was + by) % 64))
+                        + (index < 0 ? "A" : alphabet.charAt((index + shift) % 64))
                         + token.substring(at + 1);
-        assertThrows(TokenVerifier.InvalidTokenException.class, () -> tokens().verify(changed));
+        assertThrows(TokenVerifier.InvalidTokenException.class, () -> verifier().verify(changed));
     }
 }
