--- a/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -57,7 +57,7 @@
     @BeforeEach
     void start() throws Exception {
         core = SingleNode.start(host);
-        host.pass(SingleNode.HOLDS_MS);
+        host.advance(SingleNode.HOLDS_MS);
         assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD)));
     }
 
@@ -68,7 +68,7 @@
     private int call(String method, String path, byte[] body) {
         CompletableFuture<Environment.HttpResponse> is = core.handle(method, path, body);
         for (int i = 0; i < 50 && !is.isDone(); i++) {
-            host.pass(100);
+            host.advance(100);
         }
         assertTrue(is.isDone(), method + " " + path + " has no answer within 5 s");
         return is.join().status();
@@ -228,10 +228,11 @@
     private void hears(ControlNode of, String ip, boolean leaving) {
         Map<String, Object> word = word();
         word.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
-        ScriptedEnvironment.Line line =
-                new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, of.accept());
+        ScriptedEnvironment.ScriptedConnection line =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "peer", Environment.Framing.FRAMES, of.accept());
         line.open();
-        line.say(new String(MessageCodec.encode(word), StandardCharsets.ISO_8859_1));
+        line.receive(new String(MessageCodec.encode(word), StandardCharsets.ISO_8859_1));
     }
 
     private static Environment.HttpResponse answer(
@@ -251,7 +252,7 @@
                 503,
                 answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
                 "it has heard nobody, and others may be starting too");
-        host.pass(2_000);
+        host.advance(2_000);
         Set<String> seeds = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
             Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
@@ -261,9 +262,9 @@
                 "[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]",
                 seeds.toString());
         hears(cut, "10.0.0.2", false);
-        host.pass(2_000);
+        host.advance(2_000);
         hears(cut, "10.0.0.3", false);
-        host.pass(20_000);
+        host.advance(20_000);
         for (int i = 0; i < 20; i++) {
             Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
             assertEquals(
@@ -279,7 +280,7 @@
         assertEquals(503, answer(cut, "POST", "/Instances.Leave/i-1", BEAT).status());
         hears(cut, "10.0.0.2", false);
         hears(cut, "10.0.0.3", true);
-        host.pass(20_000);
+        host.advance(20_000);
         Environment.HttpResponse later = answer(cut, "POST", "/Configuration.Replace", GOOD);
         assertEquals(
                 "307 http://10.0.0.2:8002/Configuration.Replace",
@@ -340,22 +341,24 @@
             Map<String, Object> said = message;
             byte[] bytes = MessageCodec.encode(said);
             byte[] sent = random.nextInt(4) == 0 ? spoilt(bytes) : bytes;
-            ScriptedEnvironment.Line line =
-                    new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, core.accept());
+            ScriptedEnvironment.ScriptedConnection line =
+                    new ScriptedEnvironment.ScriptedConnection(
+                            "peer", Environment.Framing.FRAMES, core.accept());
             line.open();
-            line.say(new String(sent, StandardCharsets.ISO_8859_1));
+            line.receive(new String(sent, StandardCharsets.ISO_8859_1));
             line.reset();
-            host.pass(5);
+            host.advance(5);
         }
-        host.pass(5_000);
+        host.advance(5_000);
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
                 200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
-        ScriptedEnvironment.Line front =
-                new ScriptedEnvironment.Line("front", Environment.Framing.FRAMES, core.accept());
+        ScriptedEnvironment.ScriptedConnection front =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "front", Environment.Framing.FRAMES, core.accept());
         front.open();
-        front.say(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
-        host.pass(1_000);
+        front.receive(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
+        host.advance(1_000);
         assertEquals(1, front.sent.size(), "a question is answered");
     }
 }
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -63,7 +63,7 @@
         }
         answers.clear();
         ear.onMessage(MessageCodec.encode(out));
-        host.until(host.nowMillis() + 700);
+        host.advanceTo(host.nowMillis() + 700);
         assertEquals(1, answers.size());
         assertEquals(question, answers.get(0).number("q", -1));
         return answers.get(0);
@@ -89,7 +89,7 @@
     private void configure(ControlNode core, long version) {
         CompletableFuture<Environment.HttpResponse> answer =
                 core.handle("POST", "/Configuration.Replace", configuration(version));
-        host.until(host.nowMillis() + 1_000);
+        host.advanceTo(host.nowMillis() + 1_000);
         assertEquals(200, answer.join().status());
     }
 
@@ -146,7 +146,7 @@
                 ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
                                 + "\"database_role\":\"primary\",\"call_sequence\":1}")
                         .getBytes(StandardCharsets.UTF_8));
-        host.until(3_000);
+        host.advanceTo(3_000);
         answers.clear();
         front.onMessage(
                 MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
@@ -168,9 +168,9 @@
         front.onMessage(
                 MessageCodec.encode(
                         Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
-        host.until(3_500);
+        host.advanceTo(3_500);
         assertEquals(0, answers.size());
-        host.until(3_700);
+        host.advanceTo(3_700);
         assertEquals(
                 Set.of("q", "alone"),
                 subset(answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
@@ -196,11 +196,11 @@
     void passesOnCertaintyWithTheRemainingLease() throws Exception {
         ControlNode core = SingleNode.start(host, "10.0.0.2");
         Environment.ConnectionListener other = core.accept();
-        host.until(5_000);
+        host.advanceTo(5_000);
         long now = host.nowMillis();
         holderSays(core, other, 1, now - 300, 1_000);
         assertEquals(1_000 + 600 - 300, core.certainMillis());
-        host.until(now + 200);
+        host.advanceTo(now + 200);
         assertEquals(1_000 + 600 - 500, core.certainMillis());
         // Over for more than that, or from one that says nothing of its lease: nothing is sure that
         // was not before.
--- a/src/test/java/dillfront/controlplane/ServerLeaveTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -75,7 +75,7 @@
                             }
                         });
         core.start();
-        host.pass(6_000);
+        host.advance(6_000);
     }
 
     private CompletableFuture<Environment.HttpResponse> call(String path, String body) {
@@ -102,7 +102,7 @@
     }
 
     private int answered(CompletableFuture<Environment.HttpResponse> call) {
-        host.pass(500);
+        host.advance(500);
         assertTrue(call.isDone(), "an answer within half a second");
         return call.join().status();
     }
@@ -173,10 +173,10 @@
         stands = true;
         writes = new CompletableFuture<>();
         CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
-        host.pass(500);
+        host.advance(500);
         assertFalse(call.isDone(), "not on a disk yet");
         writes.complete(null);
-        host.pass(200);
+        host.advance(200);
         assertEquals(200, call.join().status());
         ServerRegistry again = new ServerRegistry();
         again.restore(disk, 0);
@@ -188,7 +188,7 @@
     void lateHeartbeatChangesNothing() {
         heartbeat("i-1", "ready", "replica", 4);
         long heard = core.state().registry().get("i-1").lastContactMillis();
-        host.pass(3_000);
+        host.advance(3_000);
         heartbeat("i-1", "ready", "primary", 3);
         DatabaseServer m = core.state().registry().get("i-1");
         assertEquals(heard, m.lastContactMillis());
@@ -201,10 +201,10 @@
     void expiresServerLongAfterItsLeave() {
         heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
-        host.pass(25_000);
+        host.advance(25_000);
         assertFalse(
                 core.state().registry().get("i-1").hasLeft(), "it may serve on for many seconds");
-        host.pass(10_000);
+        host.advance(10_000);
         assertTrue(core.state().registry().get("i-1").hasLeft());
     }
 
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -31,7 +31,7 @@
     @BeforeEach
     void holder() throws Exception {
         lease = SingleNode.leaseOf(SingleNode.start(host));
-        host.pass(SingleNode.HOLDS_MS);
+        host.advance(SingleNode.HOLDS_MS);
         assertTrue(lease.isHeld(), "alone, it holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
@@ -40,7 +40,7 @@
         to = registry.get("i-1");
     }
 
-    private ScriptedEnvironment.Line ask(
+    private ScriptedEnvironment.ScriptedConnection ask(
             Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
         ServerQuery.send(host, lease, to, 500, then)
                 .whenComplete(
@@ -51,9 +51,9 @@
                                 into.completeExceptionally(fault);
                             }
                         });
-        ScriptedEnvironment.Line line = host.lastDialed();
+        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
         line.open();
-        assertEquals("CONNECT db control i-1", line.last());
+        assertEquals("CONNECT db control i-1", line.lastSent());
         return line;
     }
 
@@ -69,13 +69,13 @@
     @Test
     void resultIsTheAnswerOfTheCommand() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), is);
-        line.say("READY I -");
-        assertEquals("QUERY - STATUS", line.last());
-        line.say(REPLICA, "COMPLETE -", "READY I 3.7");
-        assertEquals("QUERY - PAUSE 4", line.last());
+        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE " + row.nextTerm(), is);
+        line.receive("READY I -");
+        assertEquals("QUERY - STATUS", line.lastSent());
+        line.receive(REPLICA, "COMPLETE -", "READY I 3.7");
+        assertEquals("QUERY - PAUSE 4", line.lastSent());
         assertFalse(is.isDone());
-        line.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
+        line.receive("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
         assertEquals(9, is.join().position().index());
         assertTrue(line.closed);
     }
@@ -86,14 +86,15 @@
     @Test
     void failsOnAnswersOutOfStep() {
         CompletableFuture<ServerStatus> early = new CompletableFuture<>();
-        ask(null, early).say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
+        ask(null, early)
+                .receive("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
         assertTrue(fault(early).contains("row out of place"), fault(early));
         CompletableFuture<ServerStatus> half = new CompletableFuture<>();
-        ask(null, half).say("READY I -", REPLICA, "READY I 3.7");
+        ask(null, half).receive("READY I -", REPLICA, "READY I 3.7");
         assertTrue(fault(half).contains("half an answer"), fault(half));
         CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE " + row.nextTerm(), twice);
-        line.say("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
+        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE " + row.nextTerm(), twice);
+        line.receive("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
         assertTrue(fault(twice).contains("half an answer"), fault(twice));
     }
 
@@ -102,7 +103,7 @@
         for (String[] one :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
             CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-            ask(null, is).say(one[0]);
+            ask(null, is).receive(one[0]);
             is.exceptionally(
                     fault -> {
                         assertEquals(
@@ -113,8 +114,8 @@
             assertTrue(is.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "PAUSE 4", busy);
-        line.say("READY I -", "ERROR BUSY later", "READY I -");
+        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE 4", busy);
+        line.receive("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
         assertFalse(line.sent.contains("QUERY - PAUSE 4"));
     }
@@ -126,10 +127,10 @@
     @Test
     void sendsNoCommandAfterAPause() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
-        line.say("READY I -");
-        host.freeze(20_000);
-        line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        ScriptedEnvironment.ScriptedConnection line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
+        line.receive("READY I -");
+        host.pauseProcess(20_000);
+        line.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said 20 s late: " + line.sent);
         assertTrue(is.isCompletedExceptionally());
     }
@@ -140,12 +141,12 @@
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
         ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
                 .whenComplete((row, fault) -> is.complete(row));
-        ScriptedEnvironment.Line line = host.lastDialed();
+        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
         line.open();
-        line.say("READY I -");
+        line.receive("READY I -");
         lease.resign();
         assertFalse(lease.isHeld());
-        line.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        line.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
                 line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
         assertTrue(is.isDone());
@@ -155,11 +156,11 @@
     @Test
     void failsAfterTheTimeout() {
         CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.Line line = ask(null, is);
-        line.say("READY I -");
-        host.pass(600);
+        ScriptedEnvironment.ScriptedConnection line = ask(null, is);
+        line.receive("READY I -");
+        host.advance(600);
         assertEquals("no answer in 500 ms", fault(is));
         assertTrue(line.closed);
-        assertEquals("GOODBYE", line.last());
+        assertEquals("GOODBYE", line.lastSent());
     }
 }
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -53,7 +53,7 @@
             boolean refused = refuses;
             boolean does = !refused || done;
             if (!hangs) {
-                host.at(takes, () -> end(texts, does, refused));
+                host.runAfter(takes, () -> end(texts, does, refused));
             }
             return future;
         }
@@ -81,13 +81,13 @@
         RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
         CompletableFuture<Void> first = store.put(Map.of("a", "1", "b", "1"));
-        host.until(20);
+        host.advanceTo(20);
         assertTrue(!first.isDone());
         assertEquals(Map.of(), disk.there);
         disk.refuses = false;
-        host.until(50);
+        host.advanceTo(50);
         CompletableFuture<Void> second = store.put(Map.of("b", "2", "c", "2"));
-        host.until(120);
+        host.advanceTo(120);
         assertTrue(first.isDone() && second.isDone());
         assertEquals(Map.of("a", "1", "b", "2", "c", "2"), disk.there);
         assertEquals(2, disk.given.size());
@@ -99,7 +99,7 @@
         RetryingStateStore store = new RetryingStateStore(host, disk);
         disk.refuses = true;
         CompletableFuture<Void> put = store.put(Map.of("a", "1"));
-        host.until(60_000);
+        host.advanceTo(60_000);
         assertTrue(disk.given.size() > 25 && disk.given.size() < 40, disk.given.size() + " tries");
         assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
@@ -107,11 +107,11 @@
         int before = disk.given.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
-            host.until(host.nowMillis() + 5);
+            host.advanceTo(host.nowMillis() + 5);
         }
         assertTrue(disk.given.size() - before < 55, disk.given.size() - before + " tries in 5 s");
         disk.refuses = false;
-        host.until(host.nowMillis() + 2_100);
+        host.advanceTo(host.nowMillis() + 2_100);
         assertTrue(put.isDone());
         assertEquals(Map.of("a", "999"), disk.there);
         assertEquals(0, store.stalledMillis());
@@ -127,7 +127,7 @@
         for (int i = 0; i < 5; i++) {
             int number = i;
             store.put(Map.of("n", "" + i)).thenRun(() -> over.add(number));
-            host.until(host.nowMillis() + 1_000);
+            host.advanceTo(host.nowMillis() + 1_000);
         }
         assertEquals(5_000, store.stalledMillis());
         assertEquals(1, disk.given.size());
@@ -135,7 +135,7 @@
         disk.end(disk.given.get(0), true, false);
         assertEquals(List.of(0), over);
         assertEquals(4_000, store.stalledMillis(), "of the next that waits");
-        host.until(host.nowMillis() + 4);
+        host.advanceTo(host.nowMillis() + 4);
         assertEquals(List.of(0, 1, 2, 3, 4), over);
         assertEquals(Map.of("n", "4"), disk.there);
         assertEquals(2, disk.given.size(), "what waited went together");
@@ -153,19 +153,19 @@
         assertTrue(store.put(Map.of("a", "1")).isDone());
         assertEquals(0, disk.given.size());
         store.put(Map.of("a", "1", "b", "1", "c", ""));
-        host.until(10);
+        host.advanceTo(10);
         assertEquals(List.of(Map.of("b", "1", "c", "")), disk.given);
         disk.refuses = true;
         disk.done = true;
         store.put(Map.of("b", "2"));
-        host.until(20);
+        host.advanceTo(20);
         disk.refuses = false;
         CompletableFuture<Void> back = store.put(Map.of("b", "1"));
-        host.until(200);
+        host.advanceTo(200);
         assertTrue(back.isDone());
         assertEquals(Map.of("a", "1", "b", "1"), disk.there);
         store.put(Map.of("b", ""));
-        host.until(300);
+        host.advanceTo(300);
         assertEquals(Map.of("a", "1"), disk.there);
     }
 
@@ -178,7 +178,7 @@
                         .isCompletedExceptionally());
         CompletableFuture<Void> fits =
                 store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH)));
-        host.until(10);
+        host.advanceTo(10);
         assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
         disk.hangs = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
@@ -189,7 +189,7 @@
         assertThrows(CompletionException.class, () -> all.get(10_049).join());
         disk.hangs = false;
         disk.end(disk.given.get(1), true, false);
-        host.until(20);
+        host.advanceTo(20);
         assertEquals(
                 "10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
     }
@@ -202,7 +202,7 @@
     void refusedPrimaryRecordIsOnDiskLater() throws Exception {
         Hand disk = new Hand();
         ControlNode core = SingleNode.start(host, disk);
-        host.until(8_000);
+        host.advanceTo(8_000);
         for (int i = 1; i <= 6; i++) {
             disk.refuses = i <= 1;
             core.handle(
@@ -213,7 +213,7 @@
                                     + i
                                     + "}")
                             .getBytes(StandardCharsets.UTF_8));
-            host.until(host.nowMillis() + 500);
+            host.advanceTo(host.nowMillis() + 500);
             assertTrue(i > 1 || !disk.there.containsKey("lead:s"));
         }
         assertTrue(core.status().contains(" | s primary=i-1"), core.status());
@@ -266,10 +266,10 @@
                     disk.done = random.nextBoolean();
                 }
                 disk.takes = random.nextInt(40);
-                host.until(host.nowMillis() + random.nextInt(60));
+                host.advanceTo(host.nowMillis() + random.nextInt(60));
             }
             disk.refuses = false;
-            host.until(host.nowMillis() + 4_200);
+            host.advanceTo(host.nowMillis() + 4_200);
             assertEquals(150, told.size(), "seed " + seed);
             for (int i = 0; i < 150; i++) {
                 assertEquals(i, told.get(i), "seed " + seed);
--- a/src/test/java/dillfront/dataplane/ClientSessionTest.java
+++ b/src/test/java/dillfront/dataplane/ClientSessionTest.java
@@ -84,7 +84,7 @@
         @Override
         public void send(byte[] message) {
             for (String line : new String(message, StandardCharsets.ISO_8859_1).split("\r\n")) {
-                host.at(1, () -> heard(line));
+                host.runAfter(1, () -> heard(line));
             }
         }
 
@@ -104,7 +104,7 @@
             if (to.cuts.test(text)) {
                 over = true;
                 to.open.remove(this);
-                host.at(1, () -> ear.onClose("broken"));
+                host.runAfter(1, () -> ear.onClose("broken"));
                 return;
             }
             String verb = text.startsWith("AFTER ") ? text.split(" ")[2] : text.split(" ")[0];
@@ -144,7 +144,7 @@
 
         private void answer(String... lines) {
             for (String line : lines) {
-                host.at(
+                host.runAfter(
                         1,
                         () -> {
                             if (!over) {
@@ -187,7 +187,7 @@
             } catch (MessageCodec.MalformedMessageException bad) {
                 throw new IllegalStateException(bad);
             }
-            host.at(
+            host.runAfter(
                     late ? 2_000 : answered < news ? 1 : 300,
                     () -> {
                         if (answered < news || late) {
@@ -226,7 +226,7 @@
                         String address, Framing form, int timeoutMs, ConnectionListener ear) {
                     Node to = nodes.get(address);
                     Connection link = to != null ? new Wire(ear, to) : new Control(ear);
-                    at(1, () -> ear.onOpen(link));
+                    runAfter(1, () -> ear.onOpen(link));
                     return link;
                 }
             };
@@ -323,7 +323,7 @@
     }
 
     private void pass(long ms) {
-        host.until(host.nowMillis() + ms);
+        host.advanceTo(host.nowMillis() + ms);
     }
 
     /** A client, and the lines that it was sent. */
@@ -545,7 +545,8 @@
         pass(400);
         slow = false;
         pass(4_000);
-        assertTrue(host.log.stream().anyMatch(l -> l.contains("silent")), host.log.toString());
+        assertTrue(
+                host.events.stream().anyMatch(l -> l.contains("silent")), host.events.toString());
         assertFalse(boots.contains("left"), boots.toString());
     }
 
--- a/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
+++ b/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
@@ -34,7 +34,7 @@
 
     /** One of the database servers' connections. */
     private static final class Conn {
-        final ScriptedEnvironment.Line line;
+        final ScriptedEnvironment.ScriptedConnection line;
         final boolean primary;
         int done;
         boolean stuck;
@@ -42,7 +42,7 @@
         final Map<String, String> values = new TreeMap<>();
         final List<String> writes = new ArrayList<>();
 
-        Conn(ScriptedEnvironment.Line line) {
+        Conn(ScriptedEnvironment.ScriptedConnection line) {
             this.line = line;
             primary = line.address.equals("10.0.0.8:1");
         }
@@ -50,7 +50,7 @@
 
     /** One client, and what it was told. */
     private static final class Client {
-        ScriptedEnvironment.Line line;
+        ScriptedEnvironment.ScriptedConnection line;
         boolean ready;
         char state = 'I';
         String out;
@@ -71,7 +71,7 @@
         final ScriptedEnvironment host = new ScriptedEnvironment();
         final DataPlaneNode front;
         final DatabaseService service;
-        final Map<ScriptedEnvironment.Line, Conn> conns = new LinkedHashMap<>();
+        final Map<ScriptedEnvironment.ScriptedConnection, Conn> conns = new LinkedHashMap<>();
         final List<Client> clients = new ArrayList<>();
         final Map<String, Client> asked = new HashMap<>();
         final Map<String, Integer> effects = new HashMap<>();
@@ -142,7 +142,7 @@
         // ---- the servers
 
         void serve(Conn c) {
-            ScriptedEnvironment.Line line = c.line;
+            ScriptedEnvironment.ScriptedConnection line = c.line;
             if (c.stuck || c.done >= line.sent.size()) {
                 return;
             }
@@ -151,7 +151,7 @@
                 if (chance(0.03)) {
                     line.reset();
                 } else {
-                    line.say(chance(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
+                    line.receive(chance(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
                 }
                 return;
             }
@@ -166,7 +166,7 @@
                     && !text.startsWith("SET")
                     && !text.equals("RESET")
                     && !text.equals("ROLLBACK")) {
-                line.say("ERROR BUSY later", "READY " + c.state + " -");
+                line.receive("ERROR BUSY later", "READY " + c.state + " -");
                 return;
             }
             if (fault < 0.07 || !runs && text.equals("ROLLBACK")) {
@@ -177,7 +177,7 @@
                 return;
             }
             if (!runs && !text.startsWith("SET") && text.startsWith("READ")) {
-                line.say("ERROR FAILED it broke", "READY " + c.state + " -");
+                line.receive("ERROR FAILED it broke", "READY " + c.state + " -");
                 return;
             }
             List<String> answer = run(c, part[1], text);
@@ -190,7 +190,7 @@
                 story.add("lost answer to " + part[1] + " " + text);
                 c.stuck = chance(0.5);
             } else {
-                line.say(answer.toArray(new String[0]));
+                line.receive(answer.toArray(new String[0]));
             }
         }
 
@@ -261,7 +261,7 @@
         void ask(Client c) {
             if (c.line == null || c.line.closed) {
                 c.line =
-                        new ScriptedEnvironment.Line(
+                        new ScriptedEnvironment.ScriptedConnection(
                                 "client", Environment.Framing.LINES, front.accept());
                 c.line.open();
                 c.heard = 0;
@@ -270,7 +270,7 @@
                 c.values.clear();
                 c.writes = new ArrayList<>();
                 c.ready = false;
-                c.line.say("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
+                c.line.receive("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
                 return;
             }
             if (c.out != null || !c.ready) {
@@ -312,7 +312,7 @@
             if (text.startsWith("WRITE") && c.state == 'T') {
                 c.writes.add(id);
             }
-            c.line.say("QUERY " + id + " " + text);
+            c.line.receive("QUERY " + id + " " + text);
         }
 
         void hear(Client c) {
@@ -378,7 +378,7 @@
         }
 
         void step() {
-            for (ScriptedEnvironment.Line line : host.dialed) {
+            for (ScriptedEnvironment.ScriptedConnection line : host.connections) {
                 conns.computeIfAbsent(
                         line,
                         l -> {
@@ -388,7 +388,7 @@
                             return new Conn(l);
                         });
             }
-            host.dialed.clear();
+            host.connections.clear();
             for (Conn c : new ArrayList<>(conns.values())) {
                 if (c.line.closed) {
                     ended(c);
@@ -406,7 +406,7 @@
                     ask(c);
                 }
             }
-            host.pass(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
+            host.advance(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
         }
 
         void play() {
@@ -416,7 +416,7 @@
             calm = true;
             for (int i = 0; i < 400; i++) {
                 step();
-                host.pass(20);
+                host.advance(20);
             }
             for (Client c : clients) {
                 check(
--- a/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -76,7 +76,7 @@
                 }
             }
             boolean waits = !alone && has >= version;
-            host.at(
+            host.runAfter(
                     waits ? 600 : 1,
                     () -> {
                         if (to.open && there && !dark) {
@@ -99,7 +99,7 @@
 
         @Override
         public void send(byte[] message) {
-            host.at(
+            host.runAfter(
                     1,
                     () -> {
                         try {
@@ -137,7 +137,7 @@
             if (to != null && to.there && !to.dark) {
                 to.dialed++;
                 to.link = link;
-                at(
+                runAfter(
                         1,
                         () -> {
                             if (link.open) {
@@ -146,7 +146,7 @@
                         });
             } else {
                 trace("none at " + address);
-                at(
+                runAfter(
                         to != null && to.dark ? timeoutMs : 1,
                         () -> {
                             if (link.open) {
@@ -166,11 +166,11 @@
     }
 
     private void until(long ms) {
-        host.until(ms);
+        host.advanceTo(ms);
     }
 
     private List<String> log() {
-        return host.log;
+        return host.events;
     }
 
     private static NodeSettings settings(String... seeds) {
--- a/src/test/java/dillfront/dataplane/ServerConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -24,7 +24,7 @@
     private final ScriptedEnvironment host = new ScriptedEnvironment();
     private DataPlaneNode front;
     private DatabaseService service;
-    private ScriptedEnvironment.Line client;
+    private ScriptedEnvironment.ScriptedConnection client;
 
     @BeforeEach
     void open() throws Configuration.InvalidConfigurationException {
@@ -62,27 +62,28 @@
         client = client();
     }
 
-    private ScriptedEnvironment.Line client() {
-        ScriptedEnvironment.Line line =
-                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, front.accept());
+    private ScriptedEnvironment.ScriptedConnection client() {
+        ScriptedEnvironment.ScriptedConnection line =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "client", Environment.Framing.LINES, front.accept());
         line.open();
-        line.say("CONNECT h me");
-        assertEquals("READY I -", line.last());
+        line.receive("CONNECT h me");
+        assertEquals("READY I -", line.lastSent());
         line.sent.clear();
         return line;
     }
 
-    private ScriptedEnvironment.Line server() {
-        ScriptedEnvironment.Line line = host.lastDialed();
+    private ScriptedEnvironment.ScriptedConnection server() {
+        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
         if (line.sent.isEmpty()) {
             line.open();
-            assertEquals("CONNECT s f i-1", line.last());
-            line.say("READY I 1.1");
+            assertEquals("CONNECT s f i-1", line.lastSent());
+            line.receive("READY I 1.1");
         }
         return line;
     }
 
-    private List<String> answer(ScriptedEnvironment.Line to) {
+    private List<String> answer(ScriptedEnvironment.ScriptedConnection to) {
         List<String> is = List.copyOf(to.sent);
         to.sent.clear();
         return is;
@@ -90,16 +91,16 @@
 
     @Test
     void answerGoesToItsSender() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 WRITE k d", line.last());
-        ScriptedEnvironment.Line other = client();
-        other.say("QUERY b1 WRITE k e");
-        line.say("COMPLETE s1", "READY I 1.2");
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection line = server();
+        assertEquals("QUERY a1 WRITE k d", line.lastSent());
+        ScriptedEnvironment.ScriptedConnection other = client();
+        other.receive("QUERY b1 WRITE k e");
+        line.receive("COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
         assertTrue(other.sent.isEmpty());
-        assertEquals("QUERY b1 WRITE k e", line.last(), "the connection is used again");
-        line.say("COMPLETE s2", "READY I 1.3");
+        assertEquals("QUERY b1 WRITE k e", line.lastSent(), "the connection is used again");
+        line.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(other));
     }
 
@@ -113,15 +114,15 @@
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
-            client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
-            line.say("COMPLETE s1", "READY I 1.2");
+            client.receive("QUERY a1 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection line = server();
+            line.receive("COMPLETE s1", "READY I 1.2");
             answer(client);
-            line.say(unasked);
-            client.say("QUERY a2 WRITE k d");
-            ScriptedEnvironment.Line next = server();
+            line.receive(unasked);
+            client.receive("QUERY a2 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection next = server();
             assertTrue(line.closed && next != line, unasked + ": the connection is left");
-            next.say("COMPLETE s2", "READY I 1.3");
+            next.receive("COMPLETE s2", "READY I 1.3");
             assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
             next.reset();
         }
@@ -130,10 +131,10 @@
     /** Guards against the same while the connection is made. */
     @Test
     void answerBeforeReadyEndsTheConnection() {
-        client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = host.lastDialed();
+        client.receive("QUERY a1 READ k");
+        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
         line.open();
-        line.say("ROW other", "READY I 1.1");
+        line.receive("ROW other", "READY I 1.1");
         assertTrue(line.closed);
         assertFalse(line.sent.toString().contains("QUERY"), line.sent.toString());
     }
@@ -153,9 +154,9 @@
                     {"COMPLETE s", "ROW r"},
                     {"NOTHING of the wire"}
                 }) {
-            client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line line = server();
-            line.say(bad);
+            client.receive("QUERY a1 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection line = server();
+            line.receive(bad);
             assertTrue(line.closed, String.join(", ", bad));
             assertEquals(
                     "ERROR UNCERTAIN the connection ended",
@@ -171,13 +172,13 @@
      */
     @Test
     void writeIsNotRetriedAfterReset() {
-        client.say("QUERY a1 WRITE k d");
+        client.receive("QUERY a1 WRITE k d");
         server().reset();
-        host.pass(3_000);
+        host.advance(3_000);
         assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedEnvironment.Line line : host.dialed) {
+        for (ScriptedEnvironment.ScriptedConnection line : host.connections) {
             assertEquals(
-                    line == host.dialed.get(0) ? 1 : 0,
+                    line == host.connections.get(0) ? 1 : 0,
                     line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
@@ -185,43 +186,43 @@
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
     void readAndWriteThatDidNotRunAreRetriedAfterReset() {
-        client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line line = server();
+        client.receive("QUERY a1 READ k");
+        ScriptedEnvironment.ScriptedConnection line = server();
         leads(line);
         line.reset();
-        ScriptedEnvironment.Line next = server();
+        ScriptedEnvironment.ScriptedConnection next = server();
         leads(next);
-        next.say("ROW r", "COMPLETE s1", "READY I 1.2");
+        next.receive("ROW r", "COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
-        client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line third = server();
-        third.say("ERROR BUSY later", "READY I 1.2");
-        host.pass(60);
+        client.receive("QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection third = server();
+        third.receive("ERROR BUSY later", "READY I 1.2");
+        host.advance(60);
         assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
-        third.say("COMPLETE s2", "READY I 1.3");
+        third.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedEnvironment.Line line) {
-        assertEquals("QUERY - STATUS", line.last());
-        line.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
-        assertEquals("QUERY a1 READ k", line.last());
+    private static void leads(ScriptedEnvironment.ScriptedConnection line) {
+        assertEquals("QUERY - STATUS", line.lastSent());
+        line.receive("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
+        assertEquals("QUERY a1 READ k", line.lastSent());
     }
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
     void answerAfterTimeoutGoesToNobody() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        host.pass(800);
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection line = server();
+        host.advance(800);
         assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
         assertTrue(line.closed);
-        client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line next = server();
-        line.say("COMPLETE s1", "READY I 1.2");
+        client.receive("QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection next = server();
+        line.receive("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
-        next.say("COMPLETE s2", "READY I 1.3");
+        next.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
     }
 
@@ -231,14 +232,14 @@
      */
     @Test
     void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
-        client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        line.say("COMPLETE -", "READY T 1.1");
-        assertEquals("QUERY a2 WRITE k d", line.last());
-        line.say("COMPLETE s1", "READY T 1.1");
-        client.say("QUERY a3 ROLLBACK");
-        assertEquals("QUERY - ROLLBACK", line.last());
-        host.pass(2_500);
+        client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection line = server();
+        line.receive("COMPLETE -", "READY T 1.1");
+        assertEquals("QUERY a2 WRITE k d", line.lastSent());
+        line.receive("COMPLETE s1", "READY T 1.1");
+        client.receive("QUERY a3 ROLLBACK");
+        assertEquals("QUERY - ROLLBACK", line.lastSent());
+        host.advance(2_500);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertTrue(
                 service.servers.get("i-1").connections.stream()
@@ -248,10 +249,10 @@
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
     void abandonsConnectionWhoseBeginIsNotAnswered() {
-        client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 BEGIN", line.last());
-        host.pass(2_500);
+        client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection line = server();
+        assertEquals("QUERY a1 BEGIN", line.lastSent());
+        host.advance(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
@@ -260,13 +261,13 @@
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
     void abandonsConnectionOfStatementWithoutClient() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line line = server();
-        assertEquals("QUERY a1 WRITE k d", line.last());
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection line = server();
+        assertEquals("QUERY a1 WRITE k d", line.lastSent());
         client.reset();
-        host.pass(500);
+        host.advance(500);
         assertFalse(line.closed, "what runs is heard to its end");
-        host.pass(1_000);
+        host.advance(1_000);
         assertTrue(line.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
