--- a/src/main/java/dillfront/cli/AcceptDataLossCommand.java
+++ b/src/main/java/dillfront/cli/AcceptDataLossCommand.java
@@ -80,7 +80,7 @@
                 System.out.println(
                         json
                                 ? "{\"lacking\":null}"
-                                : service + ": no commits are lacking, according to " + address);
+                                : service + ": no commits are lacking (status of " + address + ")");
                 return EXIT_NOTHING_LACKING;
             }
             String seal = seal(lacking);
--- a/src/main/java/dillfront/router/identity/AccessController.java
+++ b/src/main/java/dillfront/router/identity/AccessController.java
@@ -37,7 +37,7 @@
     private Duration policyReadAt = Duration.ZERO;
     private boolean policyUnreadable;
 
-    /** Retired keys, and until when they are valid for the sessions that they opened. */
+    /** Retired keys, and the end of the grace period in which they are still accepted. */
     private final Map<String, Duration> retiredKeys = new HashMap<>();
 
     private final Map<String, PrincipalUsage> usageByPrincipal = new HashMap<>();
--- a/src/main/java/dillfront/router/identity/LoginThrottle.java
+++ b/src/main/java/dillfront/router/identity/LoginThrottle.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Clears the failures of this name at this address after a successful login; the counts of the
-     * name and of the address alone keep them.
+     * Clears the failures of this name at this address after a successful login. The separate
+     * counts of the name and of the address are kept.
      */
     public void recordSuccess(String address, String name) {
         long key = hash(address, name);
--- a/src/main/java/dillfront/router/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -11,8 +11,7 @@
  * @param keys ids of the valid signing keys and certificate issuers
  * @param revokedCredentials ids of revoked credentials: serial numbers of certificates, ids of
  *     tokens
- * @param keyGracePeriod grace period in which a retired key is still valid for sessions that it
- *     opened
+ * @param keyGracePeriod grace period in which a retired key is still accepted
  * @param maxStaleness how long the policy stays in force while the files cannot be read
  * @param shares bounds on the transactions in flight of each tenant
  */
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * The access rules of one principal, compiled into radix tries over key prefixes: one trie for each
- * server group that a rule names, and one for the rules of all groups. Each trie node holds a bit
- * mask of types and accesses that are allowed from its prefix on, and one of those denied. A
- * verdict walks the key once per trie and allocates nothing. A denial overrides any allowance, and
- * an access without a rule is denied.
+ * The access rules of one principal, compiled into radix trees over key prefixes: one tree for each
+ * server group that a rule names, and one for the rules of all groups. Each node holds a bit mask
+ * of types and accesses that are allowed from its prefix on, and one of those denied. A verdict
+ * walks the key once per tree and allocates nothing. A denial overrides any allowance, and an
+ * access without a rule is denied.
  */
 public final class Rights {
 
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -5,10 +5,11 @@
 /**
  * One access rule, which allows or denies.
  *
- * @param typeMask bit mask of transaction types by index; ALL includes types that are added later
+ * @param typeMask bit mask of transaction types by index; ALL_TYPES includes types that are added
+ *     later
  * @param reads whether the rule applies to reads
  * @param writes whether the rule applies to writes
- * @param group server group; ANY for all
+ * @param group server group; ANY_GROUP for all
  * @param prefix prefix of the key; empty for all keys
  * @param source file and line of the rule, for messages
  */
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -43,7 +43,7 @@
  *   memory(folder = "/var/lib/dillfront/r1")
  *   doubts(most = 65536, keeps = "600s")
  *   sites()
- *   identity(jwks = "keys.json", issuer = "depot", certificate = "door.pem", key = "door.key", revoked = "revoked.txt")
+ *   identity(jwks = "keys.json", issuer = "depot", certificate = "tls.pem", key = "tls.key", revoked = "revoked.txt")
  *   role("reader", [allow(types = ["history"], access = "r", prefix = "hotel-7/"), deny(prefix = "hotel-7/safe")])
  *   principal("billing-7", tenant = "hotel-7", roles = ["reader"], rate = 50, at_once = 8)
  * </pre>
--- a/src/main/java/dillfront/router/script/Lexer.java
+++ b/src/main/java/dillfront/router/script/Lexer.java
@@ -57,7 +57,7 @@
         }
         if (!brackets.isEmpty()) {
             throw new ScriptException(
-                    brackets.peek(), brackets.peek().describe() + " is not closed");
+                    brackets.peek(), "bracket " + brackets.peek().describe() + " is not closed");
         }
         if (!tokens.isEmpty() && tokens.get(tokens.size() - 1).kind() != Token.Kind.NEWLINE) {
             add(Token.Kind.NEWLINE, "", position);
--- a/src/main/java/dillfront/router/script/SyntaxTree.java
+++ b/src/main/java/dillfront/router/script/SyntaxTree.java
@@ -36,7 +36,7 @@
      * A call.
      *
      * @param function the called function
-     * @param keywords of keyword arguments; null for positional ones
+     * @param keywords names of keyword arguments; null for positional ones
      */
     record Call(Token at, Expression function, List<Token> keywords, List<Expression> arguments)
             implements Expression {}
--- a/src/main/java/dillfront/router/tokens/TokenVerifier.java
+++ b/src/main/java/dillfront/router/tokens/TokenVerifier.java
@@ -35,7 +35,7 @@
 
     private record VerificationKey(JWSAlgorithm algorithm, JWSVerifier verifier) {}
 
-    /** A token or a key set is invalid. */
+    /** A token or a key set is invalid; the message names the error. */
     public static final class InvalidTokenException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -101,13 +101,18 @@
                                 + jwk.getKeyID()
                                 + "' has "
                                 + rsa.size()
-                                + " bits, expected at least "
-                                + MIN_RSA_KEY_BITS);
+                                + " bits, expected "
+                                + MIN_RSA_KEY_BITS
+                                + " or more");
             }
             return new RSASSAVerifier(rsa);
         }
         throw new InvalidTokenException(
-                "key '" + jwk.getKeyID() + "' has the wrong key type for " + algorithm);
+                "key '"
+                        + jwk.getKeyID()
+                        + "' has a key type that "
+                        + algorithm
+                        + " does not support");
     }
 
     /** Returns the ids of the keys. */
--- a/src/test/java/dillfront/bootstrap/ControlProcess.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** One real control process on loopback, with an address and a folder of its own. */
+/** A control process on loopback, with its own address and data folder. */
 final class ControlProcess {
 
-    /** What came back: 0 where no whole answer did. */
+    /** A response; status 0 if none was complete. */
     record Response(int status, String body) {}
 
     private static final Response NONE = new Response(0, "");
@@ -44,7 +44,7 @@
         this.platformAddress = platformAddress;
     }
 
-    /** Two ports that are free, and that no other test was given: some run beside each other. */
+    /** Allocates two free ports, distinct from those of tests that run concurrently. */
     static synchronized int[] allocatePorts() throws IOException {
         while (true) {
             try (ServerSocket first = new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"));
@@ -100,15 +100,15 @@
     }
 
     /**
-     * A process that is to stop does so thread by thread, some time after it was told: that is
-     * waited for.
+     * Sends a signal. After STOP, waits until every thread of the process is stopped, which happens
+     * some time after the signal.
      */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
         for (long end = System.nanoTime() + 10_000_000_000L;
                 name.equals("STOP") && !isStopped(); ) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("it does not stop");
+                throw new AssertionError("process does not stop");
             }
             Thread.sleep(1);
         }
@@ -118,7 +118,7 @@
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads.toList()) {
                 String stat = Files.readString(thread.resolve("stat"));
-                // Behind the name, which may hold anything: the state.
+                // The state follows the name, which may contain any character.
                 if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') {
                     return false;
                 }
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Its disk is lost. */
+    /** Simulates the loss of the disk. */
     void deleteData() throws IOException {
         try (Stream<Path> files = Files.walk(folder.resolve("data"))) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** The next answer on a connection. */
+    /** Reads the next response on a connection. */
     static Response receive(Socket socket) {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         try {
@@ -220,7 +220,7 @@
                 : "";
     }
 
-    /** What it said in this life and before, where something is wrong. */
+    /** Returns the output of all starts of the process, for failure messages. */
     String logText() {
         StringBuilder text = new StringBuilder();
         for (int i = 1; i <= starts; i++) {
--- a/src/test/java/dillfront/bootstrap/ControlProcessTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -40,9 +40,9 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Three real control processes on loopback, and each of five harms brought about once: a process
- * out of contact, two orders under one number, a loss right after a repair, one that is far behind,
- * and calls that share a connection.
+ * Tests three control processes on loopback against five failures: a partitioned process, two
+ * configurations under one revision number, a loss right after a repair, a member that is far
+ * behind, and pipelined requests on one connection.
  */
 class ControlProcessTest {
 
@@ -81,17 +81,17 @@
         awaitRunning(seeds);
         replaceUntilAcknowledged(configuration(1, 500), seeds);
         waitUntil(
-                "all three answer a read",
+                "all three serve a read",
                 () ->
                         seeds.stream()
                                 .allMatch(process -> process.readConfiguration().status() == 200));
     }
 
-    /** What a machine under load takes until programs run is no part of any scene. */
+    /** Waits for the start of the programs, so that a loaded machine does not affect the tests. */
     private void awaitRunning(List<ControlProcess> expected) throws Exception {
         waitUntil(
                 60,
-                "programs run: " + expected.size(),
+                "all programs are running: " + expected.size(),
                 () -> expected.stream().noneMatch(one -> one.status().isEmpty()));
     }
 
@@ -153,14 +153,14 @@
     }
 
     /**
-     * As an operator does: again, to one after the other, until it is acknowledged; no answer may
-     * be a refusal.
+     * Sends a configuration to one target after another until it is acknowledged, as an operator
+     * does. A 4xx response fails the test.
      */
     private void replaceUntilAcknowledged(String configuration, List<ControlProcess> targets)
             throws Exception {
         int[] next = new int[1];
         waitUntil(
-                "an order is acknowledged by one of " + targets.size(),
+                "a configuration is acknowledged by one of " + targets.size(),
                 () -> {
                     int status =
                             targets.get(next[0]++ % targets.size())
@@ -168,23 +168,20 @@
                                     .status();
                     assertTrue(
                             status < 400 || status >= 500,
-                            () -> status + " for a valid order\n" + diagnostics());
+                            () -> status + " for a valid configuration\n" + diagnostics());
                     return status == 200;
                 });
     }
 
-    /** That one itself acknowledges it within some tries, each without a refusal. */
+    /** Sends a configuration to one process until it is acknowledged. */
     private void replaceUntilAcknowledged(String configuration, ControlProcess targets)
             throws Exception {
         replaceUntilAcknowledged(configuration, List.of(targets));
     }
 
-    // ---- 1: out of contact
+    // ---- 1: partitioned process
 
-    /**
-     * Guards against a process that runs, and answers, but reaches no other: what it says is not
-     * current.
-     */
+    /** Guards against outdated responses of a process that reaches none of its peers. */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void isolatedProcessNeitherConfirmsNorRefusesNorServes() throws Exception {
@@ -201,20 +198,21 @@
         for (int status : replaceStatuses) {
             assertTrue(
                     status == 0 || status == 503 || status == 307,
-                    "orders at the cut-off one: " + replaceStatuses);
+                    "statuses of replace requests to the isolated process: " + replaceStatuses);
         }
         for (int status : readStatuses) {
             assertTrue(
                     status == 0 || status == 503 || status == 307,
-                    "reads at the cut-off one: " + readStatuses);
+                    "statuses of reads from the isolated process: " + readStatuses);
         }
         assertTrue(
-                replaceStatuses.size() >= 3, "it answers within a second each: " + replaceStatuses);
+                replaceStatuses.size() >= 3,
+                "expected a response per second at least: " + replaceStatuses);
         b.signal("CONT");
         c.signal("CONT");
         replaceUntilAcknowledged(configuration(1_000, 700), List.of(b, c, a));
         waitUntil(
-                "a read at the one that was cut off is the newest",
+                "the formerly isolated process serves the newest revision",
                 () -> {
                     ControlProcess.Response response = a.readConfiguration();
                     assertTrue(
@@ -227,8 +225,8 @@
     }
 
     /**
-     * Relays between all three, by who dials and whom: each knows the others by an inner port that
-     * is only its own.
+     * Starts three processes with a relay per direction, keyed by source and target. Each process
+     * has an internal port of its own, by which its relays are told apart.
      */
     private Map<String, TcpRelay> startThreeProcessesBehindRelays() throws Exception {
         int[] internalPorts = {
@@ -265,8 +263,8 @@
     }
 
     /**
-     * Guards against a process that the network cuts off while it runs, wholly or one way, and its
-     * callers still reach it.
+     * Guards against outdated responses of a process that a network partition separates from its
+     * peers, in one or both directions, but not from its clients.
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
@@ -276,7 +274,7 @@
             int revision = 1;
             for (boolean[] dropped : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
                 String partition =
-                        "its words are lost: " + dropped[0] + ", those to it: " + dropped[1];
+                        "dropped from it: " + dropped[0] + ", dropped to it: " + dropped[1];
                 relays.forEach(
                         (direction, relay) -> {
                             if (direction.startsWith("1")) {
@@ -310,13 +308,13 @@
                 assertTrue(
                         a.status().contains(" alone ") && tookMillis < 500,
                         partition
-                                + ": it knows by now, and says so at once: "
+                                + ": expected an immediate response that reports the isolation: "
                                 + tookMillis
                                 + " ms, "
                                 + a.status());
                 relays.values().forEach(TcpRelay::heal);
                 waitUntil(
-                        "a read at the one that was cut off is the newest; " + partition,
+                        "the formerly partitioned process serves the newest revision; " + partition,
                         () -> {
                             ControlProcess.Response response = a.readConfiguration();
                             assertTrue(
@@ -337,8 +335,8 @@
     }
 
     /**
-     * Guards against old state from a process that stood still and does not know it yet: the calls
-     * lay in its sockets.
+     * Guards against outdated responses of a paused process that resumes with requests already
+     * waiting in its sockets.
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
@@ -355,7 +353,7 @@
         for (int v = 2; v <= 6; v++) {
             replaceUntilAcknowledged(configuration(v, 500 + v), List.of(b, c));
         }
-        // The lease, had it one, is over, and others have it.
+        // A lease of the paused process has expired, and another process has acquired it.
         waitUntil(
                 "another holds the lease",
                 () -> isLeaseHolder(b.status()) || isLeaseHolder(c.status()));
@@ -371,7 +369,7 @@
             read.close();
         }
         waitUntil(
-                "it answers a read with the newest",
+                "it serves the newest revision",
                 () -> {
                     ControlProcess.Response response = a.readConfiguration();
                     assertTrue(
@@ -380,14 +378,14 @@
                 });
     }
 
-    // ---- 1 and 5: an old lease
+    // ---- 1 and 5: expired lease
 
-    /** One call of the platform. */
+    /** A request to the platform. */
     private record PlatformCall(long fencingToken, String holder, String instance) {}
 
     /**
-     * The platform, and three hollow servers of one service: what they were told, in the order in
-     * which it came.
+     * A fake platform and three fake servers of one service, which record requests and lines in the
+     * order of arrival.
      */
     private final class FakePlatform implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -395,14 +393,16 @@
         final List<PlatformCall> calls = Collections.synchronizedList(new ArrayList<>());
         final List<String> receivedLines = Collections.synchronizedList(new ArrayList<>());
 
-        /** The next call, and all of whoever makes it, are not answered before this is over. */
+        /** Blocks the response to the next call, and to all calls of its caller, until it opens. */
         final AtomicReference<CountDownLatch> responseGate = new AtomicReference<>();
 
         private String unansweredHolder = "";
         private final String[] addresses = new String[4];
         volatile int primary = 1;
 
-        /** The term that a PAUSE named, by server, until it is resumed or another is promoted. */
+        /**
+         * The term of the last PAUSE by server, until RESUME or the promotion of another server.
+         */
         private final long[] pausedTerms = new long[4];
 
         volatile boolean firstIsDown;
@@ -492,11 +492,11 @@
                                 ("HTTP/1.1 " + status + " is\r\nContent-Length: 2\r\n\r\n{}")
                                         .getBytes(StandardCharsets.US_ASCII));
             } catch (IOException | InterruptedException over) {
-                // Whoever called has gone.
+                // The caller has disconnected.
             }
         }
 
-        /** Each beats at all control processes, for as long as it lives. */
+        /** Sends heartbeats of a server to all control processes while the server is up. */
         void scheduleHeartbeats(int number, long sequence) {
             environment.schedule(
                     200,
@@ -569,7 +569,7 @@
 
             @Override
             public void onClose(String reason) {
-                // It comes again.
+                // The control process connects again.
             }
         }
 
@@ -580,7 +580,10 @@
         }
     }
 
-    /** By its own status; "held=" is the version that it has, whoever holds the lease. */
+    /**
+     * Returns whether a process holds the lease by its own status; "held=" there is its revision of
+     * the configuration.
+     */
     private static boolean isLeaseHolder(String status) {
         return status.matches(".* lease=\\d+ held promised=.*");
     }
@@ -596,14 +599,14 @@
         return status.matches(".*db primary=i-" + number + "(?! moving|\\d).*");
     }
 
-    /** The number of a promise and to whom, as the status tells it. */
+    /** Extracts the ballot and the recipient of the last promise from a status. */
     private static String promise(String status) {
         return status.replaceAll(".* (promised=\\d+ to=\\S+) .*", "$1");
     }
 
     /**
-     * Guards against a holder that stood still in the midst of a promotion, and goes on with it
-     * under its old lease.
+     * Guards against a lease holder that is paused during a promotion and continues it after its
+     * lease has expired.
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
@@ -615,7 +618,7 @@
                 platform.scheduleHeartbeats(i, 1);
             }
             waitUntil(
-                    "the first is recorded as the primary",
+                    "the first server is recorded as the primary",
                     () -> {
                         String status =
                                 processes.stream()
@@ -630,9 +633,9 @@
             platform.responseGate.set(responses);
             platform.firstIsDown = true;
             waitUntil(
-                    "the platform has a call that it does not answer",
+                    "the platform has received a call whose response is blocked",
                     () -> platform.calls.size() > callsBefore);
-            // Whoever called holds the lease: the call's fence is a number within it.
+            // The caller is the lease holder: the call has a fencing token of the lease.
             PlatformCall first = platform.calls.get(callsBefore);
             ControlProcess formerHolder =
                     processes.stream()
@@ -644,13 +647,15 @@
             assertTrue(
                     callsWhilePaused.subList(callsBefore, callsWhilePaused.size()).stream()
                             .allMatch(first::equals),
-                    "more than one call, and sent again: " + callsWhilePaused);
+                    "different calls, not only repetitions of one: " + callsWhilePaused);
             assertEquals(
-                    1, platform.primary, "the call is not carried out when its caller is stopped");
+                    1,
+                    platform.primary,
+                    "the promotion is not executed before its caller is stopped");
             List<ControlProcess> others =
                     processes.stream().filter(one -> one != formerHolder).toList();
             waitUntil(
-                    "another has named a primary, and it leads",
+                    "another process has promoted a primary and recorded it",
                     () ->
                             platform.primary != 1
                                     && others.stream()
@@ -663,13 +668,13 @@
             int callCount = platform.calls.size();
             int lineCount = platform.receivedLines.size();
             int newPrimary = platform.primary;
-            // What the platform said then comes only now.
+            // The blocked responses of the platform arrive only now.
             responses.countDown();
             formerHolder.signal("CONT");
-            // Not the highest number that anyone had promised a moment before: that may be one to
-            // itself, which came to nothing.
+            // The highest promised ballot alone is no criterion: it may be a promise of a process
+            // to itself in a failed attempt.
             waitUntil(
-                    "the old holder has promised the newer lease to its holder, and knows of the primary",
+                    "the former holder has promised to the new holder, and knows the primary",
                     () -> {
                         String newerStatus =
                                 others.stream()
@@ -692,19 +697,19 @@
             assertTrue(
                     allCalls.subList(callCount, allCalls.size()).stream()
                             .noneMatch(call -> call.holder().equals("core-" + formerHolder.ip)),
-                    "made " + allCalls);
+                    "calls: " + allCalls);
             assertTrue(
                     newLines.stream()
                             .noneMatch(
                                     line ->
                                             line.contains(" PAUSE ")
                                                     || line.contains(" STEPDOWN ")),
-                    "said " + newLines);
+                    "lines: " + newLines);
             for (int i = 1; i < allCalls.size(); i++) {
                 PlatformCall current = allCalls.get(i);
                 assertTrue(
                         current.fencingToken() >= allCalls.get(i - 1).fencingToken(),
-                        "a fence that falls: " + allCalls);
+                        "decreasing fencing token: " + allCalls);
                 assertTrue(
                         allCalls.stream()
                                 .noneMatch(
@@ -712,15 +717,15 @@
                                                 other.fencingToken() == current.fencingToken()
                                                         && !other.holder()
                                                                 .equals(current.holder())),
-                        "one fence, two holders: " + allCalls);
+                        "two holders with one fencing token: " + allCalls);
             }
             assertEquals(newPrimary, platform.primary);
         }
     }
 
     /**
-     * A data plane that knows of acknowledged commits which no replica has: it says so once, and is
-     * gone.
+     * Reports acknowledged commits that no replica has, as a data plane that connects once and then
+     * disappears.
      */
     private void reportCommits(FakePlatform platform, ControlProcess process) {
         platform.environment
@@ -761,12 +766,12 @@
 
                                             @Override
                                             public void onMessage(byte[] message) {
-                                                // It does not ask again.
+                                                // Replies are not needed.
                                             }
 
                                             @Override
                                             public void onClose(String reason) {
-                                                // Nor come again.
+                                                // No reconnect.
                                             }
                                         }));
     }
@@ -781,8 +786,8 @@
     }
 
     /**
-     * A person gives up commits that only the lost primary had; the holder is killed as soon as it
-     * is accepted.
+     * Guards against a loss of the operator's decision: an operator abandons commits that only the
+     * lost primary had, and the lease holder is killed right after its acknowledgement.
      */
     @Test
     void nextHolderHonoursAcceptedLoss() throws Exception {
@@ -793,7 +798,7 @@
                 platform.scheduleHeartbeats(i, 1);
             }
             waitUntil(
-                    "the first is recorded as the primary",
+                    "the first server is recorded as the primary",
                     () -> {
                         ControlProcess holder = leaseHolder();
                         return holder != null
@@ -810,7 +815,7 @@
             assertEquals(409, early.status(), early.body());
             platform.firstIsDown = true;
             waitUntil(
-                    "each says what is lacking",
+                    "all report the lacking commits",
                     () -> processes.stream().allMatch(one -> lackingCommits(one) != null));
             int callCount = platform.calls.size();
             JsonObject shown = lackingCommits(a);
@@ -822,7 +827,7 @@
                             + " "
                             + shown.getString("most_acknowledged", ""));
             waitUntil(
-                    "its holder says so in a line",
+                    "the status line of the lease holder has the lacking commits",
                     () -> {
                         ControlProcess holder = leaseHolder();
                         return holder != null
@@ -844,9 +849,9 @@
                         other.send("POST", "/Services.AcceptDataLoss", changed.toString()).status(),
                         changed.toString());
             }
-            assertEquals(callCount, platform.calls.size(), "nobody is named yet");
+            assertEquals(callCount, platform.calls.size(), "no server is promoted yet");
             waitUntil(
-                    "it is accepted, at one that does not hold the duty",
+                    "the loss is accepted by a process without the lease",
                     () -> {
                         int status =
                                 other.send("POST", "/Services.AcceptDataLoss", shown.toString())
@@ -856,7 +861,7 @@
                     });
             formerHolder.kill();
             waitUntil(
-                    "another leads",
+                    "another server is primary",
                     () ->
                             platform.primary != 1
                                     && other.status()
@@ -866,7 +871,7 @@
                                                             + "(?! moving).*"));
             for (ControlProcess one : processes) {
                 waitUntil(
-                        "it is accepted where it was, and at the other",
+                        "a repeated request is accepted by both remaining processes",
                         () -> {
                             int status =
                                     one == formerHolder
@@ -884,11 +889,11 @@
         }
     }
 
-    // ---- 2: one number
+    // ---- 2: one revision number
 
     /**
-     * Guards against two contents under one number, each confirmed; and against an order that is
-     * refused when it comes again.
+     * Guards against two acknowledged configurations under one revision number, and against a
+     * refusal of an acknowledged configuration that is sent again.
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
@@ -908,20 +913,24 @@
                 int statusOther = second.get(5, TimeUnit.SECONDS).status();
                 assertTrue(
                         statusOne != 200 || statusOther != 200,
-                        "both are confirmed under " + v + "\n" + diagnostics());
+                        "both are acknowledged under revision " + v + "\n" + diagnostics());
                 String decided = statusOne == 200 ? one : statusOther == 200 ? other : null;
                 if (decided != null) {
                     decidedRaces++;
                     int number = v;
-                    // It may say that it can't tell just now, but nothing else than what was
-                    // decided.
+                    // The third process may respond that it cannot serve the read now, but not with
+                    // another configuration.
                     waitUntil(
-                            "the third reads what was decided under " + v,
+                            "the third serves the acknowledged configuration of revision " + v,
                             () -> {
                                 ControlProcess.Response response = c.readConfiguration();
                                 assertTrue(
                                         response.status() != 200 || response.body().equals(decided),
-                                        () -> "in force under " + number + ": " + response.body());
+                                        () ->
+                                                "in force under revision "
+                                                        + number
+                                                        + ": "
+                                                        + response.body());
                                 assertTrue(
                                         response.status() < 400 || response.status() >= 500,
                                         () -> response.status() + " " + response.body());
@@ -932,8 +941,8 @@
         } finally {
             operators.shutdownNow();
         }
-        assertTrue(decidedRaces > 0, "no race was decided for either");
-        // The answer is lost on its way: nobody hears it.
+        assertTrue(decidedRaces > 0, "none of the races was decided");
+        // The response is lost: the client resets the connection after the request.
         String configuration = configuration(50, 800);
         try (Socket lost = a.connect()) {
             lost.getOutputStream()
@@ -958,7 +967,7 @@
         }
         for (ControlProcess one : processes) {
             waitUntil(
-                    "it reads the newest, which an older one sent again has not changed",
+                    "it serves the newest revision, which the repeated older one has not replaced",
                     () -> {
                         ControlProcess.Response response = one.readConfiguration();
                         assertTrue(
@@ -969,7 +978,7 @@
         }
     }
 
-    // ---- 3: a loss right after a repair
+    // ---- 3: loss right after a repair
 
     private static long memberCount(ControlProcess process) {
         String list = process.status().replaceAll(".* members=\\[([^\\]]*)\\].*", "$1");
@@ -990,8 +999,8 @@
     }
 
     /**
-     * Guards against a repair that leaves a majority that is none: the next loss comes as soon as
-     * the repaired one counts.
+     * Guards against a repair that leaves the group without a real majority: the next process is
+     * lost as soon as the repaired one is a member.
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
@@ -1005,23 +1014,23 @@
         c.start(false, List.of(a, b, c));
         awaitRunning(List.of(c));
         waitUntil(
-                "the one whose disk was lost is a member again, as another",
+                "the process whose disk was lost is a member again, under a new identity",
                 () -> isMember(c, a) && isMember(c, b) && !a.status().contains(memberList));
         assertEquals(3, memberCount(a));
         a.kill();
         replaceUntilAcknowledged(configuration(4, 504), List.of(b, c));
         waitUntil(
-                "both read what was acknowledged",
+                "both serve the acknowledged configuration",
                 () ->
                         b.readConfiguration().body().equals(configuration(4, 504))
                                 && c.readConfiguration().body().equals(configuration(4, 504)));
-        // Another machine takes the place of the one that is gone; only the living are told to it.
+        // A new machine replaces the lost one; its seeds are only the running processes.
         ControlProcess d = newProcess(4);
         d.start(false, List.of(b, c));
         awaitRunning(List.of(d));
-        // Each by one look at its status: the set without the first one counts alone.
+        // One status per process: the member set without the first process alone is in force.
         waitUntil(
-                "the new machine is a member, and the one that is gone is none",
+                "the new machine is a member, and the lost one is not",
                 () ->
                         isMember(d, c)
                                 && List.of(b, c).stream()
@@ -1031,21 +1040,24 @@
                                                         isMember(d.ip, is)
                                                                 && !isMember(a.ip, is)
                                                                 && !is.contains(" outgoing=")));
-        // Both have accepted that; the repair is over once it is known to be decided where somebody
-        // stays who knows it.
-        waitUntil("the repair is known to be over", () -> c.readConfiguration().status() == 200);
+        // Both have accepted the member set. The repair is complete once a process that stays up
+        // has
+        // learned that the set is decided.
+        waitUntil(
+                "the remaining process knows that the repair is complete",
+                () -> c.readConfiguration().status() == 200);
         b.kill();
         replaceUntilAcknowledged(configuration(5, 505), List.of(c, d));
         for (ControlProcess one : List.of(c, d)) {
             waitUntil(
-                    "the two that are left read it",
+                    "the two remaining processes serve it",
                     () -> one.readConfiguration().body().equals(configuration(5, 505)));
         }
-        // The first one comes back with its disk, and with what it knew when it went.
+        // The first process returns with its disk and its old state.
         a.start(false, List.of(a, b, c));
         awaitRunning(List.of(a));
         waitUntil(
-                "who was away reads the newest, and never an older one",
+                "the returned process serves the newest revision, and never an older one",
                 () -> {
                     ControlProcess.Response is = a.readConfiguration();
                     assertTrue(is.status() != 200 || revision(is) == 5, is.body());
@@ -1053,9 +1065,9 @@
                 });
     }
 
-    // ---- 4: far behind
+    // ---- 4: member far behind
 
-    /** Guards against a member that never catches up, or answers with what it had. */
+    /** Guards against a member that never catches up, or serves its outdated state. */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void catchesUpAfterAHundredChanges() throws Exception {
@@ -1079,7 +1091,7 @@
         c.start(false, List.of(a, b, c));
         long startNanos = System.nanoTime();
         waitUntil(
-                "it reads the newest, and never an older one",
+                "it serves the newest revision, and never an older one",
                 () -> {
                     ControlProcess.Response response = c.readConfiguration();
                     assertTrue(
@@ -1087,17 +1099,14 @@
                     return response.status() == 200;
                 });
         long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
-        assertTrue(tookMillis < 6_000, tookMillis + " ms until it read the newest");
+        assertTrue(tookMillis < 6_000, tookMillis + " ms until it served the newest revision");
         a.kill();
         replaceUntilAcknowledged(configuration(102, 900), List.of(b, c));
     }
 
-    // ---- 5: calls on one connection
+    // ---- 5: pipelined requests
 
-    /**
-     * Guards against an answer that finds another call than its own, on one connection and beside
-     * others.
-     */
+    /** Guards against a response that is matched to another request of the same connection. */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void answersPipelinedCallsInOrder() throws Exception {
@@ -1140,12 +1149,12 @@
             assertEquals(
                     0,
                     ControlProcess.receive(one).status(),
-                    "nothing is taken behind the last call");
+                    "no request is handled after the last one");
             long newest = 0;
             for (int i = 0; i < 9; i++) {
                 ControlProcess.Response is = ControlProcess.receive(other);
                 assertEquals(200, is.status());
-                assertTrue(revision(is) >= newest, "reads on one connection go back");
+                assertTrue(revision(is) >= newest, "revisions read on one connection decrease");
                 newest = revision(is);
             }
             assertNotEquals(9, newest);
--- a/src/test/java/dillfront/bootstrap/TcpRelay.java
+++ b/src/test/java/dillfront/bootstrap/TcpRelay.java
@@ -9,8 +9,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Stands at the address by which one process knows another: passes bytes on to that one and back,
- * or loses them, each way by itself.
+ * A TCP relay between two processes, which forwards bytes or drops them, per direction. It listens
+ * at the address that one process has for the other.
  */
 final class TcpRelay implements AutoCloseable {
 
@@ -49,7 +49,7 @@
             dropsBoth = dropsForward && dropsBackward;
         }
         if (dropsBoth) {
-            // Whoever dials through a cut says what he wants, and nobody hears it.
+            // A connection opened during a partition is accepted, and its bytes are discarded.
             copy(client, client, () -> true);
             return;
         }
@@ -79,11 +79,11 @@
                 }
             }
         } catch (IOException closed) {
-            // As an end, below.
+            // Handled as the end of the stream, below.
         }
         synchronized (this) {
             if (drops.getAsBoolean()) {
-                // Through a cut nobody hears of an end.
+                // During a partition the end of the stream is not forwarded either.
                 return;
             }
         }
@@ -96,22 +96,25 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException closed) {
-            // It is closed already.
+            // Already closed.
         }
         try {
             socket.close();
         } catch (IOException closed) {
-            // It is over, which is what was wanted.
+            // Already closed.
         }
     }
 
-    /** From now on nothing passes to the target, or back; connections stay open. */
+    /** Drops bytes to the target, back, or both; connections stay open. */
     synchronized void drop(boolean forward, boolean backward) {
         dropsForward = forward;
         dropsBackward = backward;
     }
 
-    /** All passes again; what has lost bytes is reset, as by a machine that knows nothing of it. */
+    /**
+     * Forwards again, and resets all connections that may have lost bytes, as a restarted machine
+     * would.
+     */
     void heal() {
         drop(false, false);
         open.forEach(this::reset);
--- a/src/test/java/dillfront/common/environment/HttpPostTest.java
+++ b/src/test/java/dillfront/common/environment/HttpPostTest.java
@@ -19,10 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * A call of the platform has a connection of its own: what came back there, whole and in time, is
- * its answer, and nothing else.
- */
+/** Tests that a request succeeds only with a complete final response within its timeout. */
 class HttpPostTest {
 
     private final NettyEnvironment environment = new NettyEnvironment(1);
@@ -54,8 +51,8 @@
     }
 
     /**
-     * What becomes of a call that is answered with these bytes, after which the connection is
-     * closed.
+     * Returns the status of a request whose response is these bytes and a close of the connection;
+     * "none" if it fails.
      */
     private String outcomeOf(String bytes) throws Exception {
         CompletableFuture<Environment.HttpResponse> response = post(5_000);
@@ -75,7 +72,7 @@
         StringBuilder received = new StringBuilder();
         while (!received.toString().endsWith("\r\n\r\n{}")) {
             int next = connection.getInputStream().read();
-            assertTrue(next >= 0, "the call ended within " + received);
+            assertTrue(next >= 0, "request ended within " + received);
             received.append((char) next);
         }
         return received.toString();
@@ -92,7 +89,7 @@
         assertEquals("none", outcomeOf("no HTTP at all\r\n\r\n"));
     }
 
-    /** Guards against a word on the way that is taken for the answer. */
+    /** Guards against an informational response (1xx) that is treated as the final one. */
     @Test
     void ignoresInformationalResponses() throws Exception {
         assertEquals(
@@ -107,14 +104,11 @@
         try (Socket connection = platform.accept()) {
             request(connection);
             assertThrows(ExecutionException.class, () -> response.get(8, TimeUnit.SECONDS));
-            assertEquals(-1, connection.getInputStream().read(), "the connection is left");
+            assertEquals(-1, connection.getInputStream().read(), "the connection is closed");
         }
     }
 
-    /**
-     * Guards against a call that leaves once the process runs again, though its time was over while
-     * it stood still.
-     */
+    /** Guards against a request that a paused process sends after its timeout has passed. */
     @Test
     void sendsNothingAfterTheTimeout() throws Exception {
         CompletableFuture<Environment.HttpResponse> response = new CompletableFuture<>();
@@ -124,8 +118,8 @@
                 .execute(
                         () -> {
                             post(100).whenComplete((answer, fault) -> response.complete(answer));
-                            // The process stands still from before it is connected until its time
-                            // is over.
+                            // Blocks the event loop from before the connect completes until the
+                            // timeout has passed.
                             try {
                                 accepted.poll(8, TimeUnit.SECONDS);
                                 Thread.sleep(200);
@@ -136,7 +130,7 @@
         try (Socket connection = platform.accept()) {
             accepted.add(true);
             assertEquals(
-                    -1, connection.getInputStream().read(), "something was sent after its time");
+                    -1, connection.getInputStream().read(), "bytes were sent after the timeout");
         }
         assertEquals(null, response.get(8, TimeUnit.SECONDS));
     }
--- a/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
+++ b/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each call on a connection gets its own answer, in its turn, whatever becomes of those before and
- * behind it.
+ * Tests that each request on a connection gets its own response in order, whatever the outcome of
+ * the requests before and after it.
  */
 class HttpServerHandlerTest {
 
@@ -33,10 +33,10 @@
 
     private final NettyEnvironment environment = new NettyEnvironment(1);
 
-    /** What was called, in order; the body stands behind the path. */
+    /** Path and body of each handled request, in order. */
     private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-    /** Answers that the test holds back, by path. */
+    /** Responses of "/held" requests, which the test completes. */
     private final List<CompletableFuture<Environment.HttpResponse>> pendingResponses =
             Collections.synchronizedList(new ArrayList<>());
 
@@ -130,7 +130,7 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The next answer: its status, and its body where it was taken. */
+    /** Reads the next response: its status, and its body for status 200. */
     private String receive() throws IOException {
         InputStream in = client.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
@@ -156,19 +156,19 @@
     }
 
     /**
-     * Guards against an answer that its caller would take for that of another call, and against a
-     * read that overtakes an order.
+     * Guards against a response that the client would match to another request, and against a read
+     * that overtakes a write.
      */
     @Test
     void answersPipelinedCallsInOrder() throws Exception {
         send(post("/held", "", "1") + post("/held", "", "2") + get("/b"));
         for (int i = 0; i < 2; i++) {
             int expected = i + 1;
-            waitUntil("the next is called", () -> requests.size() == expected);
+            waitUntil("the next request is handled", () -> requests.size() == expected);
             assertEquals(
                     expected,
                     requestsAfterTwoLoopTurns(),
-                    "begun before the one ahead of it was answered");
+                    "handled before the response to the previous request");
             complete(i, response("answer " + i));
             assertEquals("200 answer " + i, receive());
         }
@@ -177,15 +177,15 @@
     }
 
     /**
-     * Guards against a 413 that overtakes: the order before it, which was valid, would be given up
-     * for good.
+     * Guards against a 413 that overtakes the response to a valid request before it, whose client
+     * would take the 413 for a permanent refusal.
      */
     @Test
     void rejectsTooLongBodyInItsTurn() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /long HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n");
-        waitUntil("the first is called", () -> requests.size() == 1);
+        waitUntil("the first request is handled", () -> requests.size() == 1);
         client.getOutputStream().write(new byte[1_048_577]);
         complete(0, response("first"));
         assertEquals("200 first", receive());
@@ -194,7 +194,7 @@
         assertEquals("200 /b", receive());
     }
 
-    /** The same where the length is not known before. */
+    /** The same for a body of unknown length. */
     @Test
     void rejectsChunkedBodyThatGrowsTooLong() throws Exception {
         send(
@@ -202,7 +202,7 @@
                         + "POST /long HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n");
         client.getOutputStream().write(new byte[0x100001]);
         send("\r\n0\r\n\r\n" + get("/b"));
-        waitUntil("the first is called", () -> requests.size() >= 1);
+        waitUntil("the first request is handled", () -> requests.size() >= 1);
         complete(0, response("first"));
         assertEquals(
                 List.of("200 first", "413", "200 /b"), List.of(receive(), receive(), receive()));
@@ -210,15 +210,15 @@
     }
 
     /**
-     * Guards against a body that is waved on while an earlier call is open, and against a count
-     * that it puts out of step.
+     * Guards against a 100-continue while an earlier request is in progress, and against a mismatch
+     * of later responses after it.
      */
     @Test
     void sendsContinueInItsTurn() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-        waitUntil("the first is called", () -> requests.size() == 1);
+        waitUntil("the first request is handled", () -> requests.size() == 1);
         complete(0, response("first"));
         assertEquals("200 first", receive());
         assertEquals("100", receive());
@@ -226,7 +226,7 @@
         assertEquals("200 /b", receive());
         send("POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
         assertEquals("100", receive());
-        // The answer to HEAD has no body: it must be taken for none but that one.
+        // The response to HEAD has no body; it must not be matched to another request.
         send("xHEAD /h HTTP/1.1\r\nHost: h\r\n\r\n" + get("/c"));
         assertEquals("200 /b", receive());
         String rest =
@@ -243,11 +243,11 @@
         return received.toString();
     }
 
-    /** Guards against a caller who is told to ask elsewhere, and not where. */
+    /** Guards against a redirect without its location. */
     @Test
     void sendsLocationOfRedirect() throws Exception {
         send(post("/held", "", "1"));
-        waitUntil("it is called", () -> requests.size() == 1);
+        waitUntil("the request is handled", () -> requests.size() == 1);
         complete(0, new Environment.HttpResponse(307, new byte[0], "http://10.0.0.4:8080/held"));
         String head = waitUntil("\r\n\r\n");
         assertTrue(
@@ -257,17 +257,14 @@
         assertEquals("200 /b", receive());
     }
 
-    /**
-     * Guards against a fault of one call that takes the others on its connection along, or leaves
-     * them waiting for ever.
-     */
+    /** Guards against an exception in one request that fails or blocks others on the connection. */
     @Test
     void faultFailsItsCallAlone() throws Exception {
         for (String path : new String[] {"/fault", "/deep", "/none"}) {
             requests.clear();
             pendingResponses.clear();
             send(post("/held", "", "1") + get(path) + get("/b"));
-            waitUntil("the first is called", () -> requests.size() == 1);
+            waitUntil("the first request is handled", () -> requests.size() == 1);
             complete(0, response("first"));
             assertEquals(
                     List.of("200 first", "500", "200 /b"),
@@ -276,7 +273,7 @@
         }
         requests.clear();
         send(post("/held", "", "1") + get("/b"));
-        waitUntil("the first is called", () -> requests.size() == 1);
+        waitUntil("the first request is handled", () -> requests.size() == 1);
         environment
                 .eventLoop()
                 .execute(
@@ -288,10 +285,7 @@
         assertEquals(List.of("503", "200 /b"), List.of(receive(), receive()));
     }
 
-    /**
-     * Guards against a call that is never answered, and against all behind it that wait for its
-     * turn.
-     */
+    /** Guards against a request without a response that blocks those after it. */
     @Test
     void timesOutCallWithoutAnswer() throws Exception {
         String secondAddress = freeAddress();
@@ -300,31 +294,31 @@
         client = connect(secondAddress);
         send(post("/held", "", "1") + get("/b"));
         assertEquals(List.of("503", "200 /b"), List.of(receive(), receive()));
-        // What comes later is no answer to the next call.
+        // The late response must not be matched to the next request.
         complete(0, response("late"));
         send(get("/c"));
         assertEquals("200 /c", receive());
     }
 
     /**
-     * Guards against a caller who asks on and on and reads nothing: 40 MB are all that a control
-     * process has.
+     * Guards against unbounded memory for a client that sends requests and reads no response; a
+     * control process has 40 MB.
      */
     @Test
     void stopsReadingFromClientThatReadsNothing() throws Exception {
         send(get("/large").repeat(100));
-        waitUntil("some are called", () -> requests.size() >= 2);
-        // What the sockets take between them, and a megabyte in the process.
+        waitUntil("some requests are handled", () -> requests.size() >= 2);
+        // The socket buffers, and one megabyte in the process.
         int maxRequests = 12_000_000 / LARGE_RESPONSE_BYTES;
         assertTrue(
                 requestsAfterTwoLoopTurns() <= maxRequests,
-                requests.size() + " calls whose answers nobody read");
+                requests.size() + " requests handled although no response was read");
         for (int i = 0; i < 100; i++) {
             assertEquals("200", receive().substring(0, 3));
         }
     }
 
-    /** Two whole looks at the sockets later, whatever could be called has been. */
+    /** Waits for two turns of the event loop, after which no more requests can be pending. */
     private int requestsAfterTwoLoopTurns() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> turn = new CompletableFuture<>();
@@ -334,10 +328,7 @@
         return requests.size();
     }
 
-    /**
-     * Guards against an order that is carried out though its caller was told that no more calls are
-     * taken.
-     */
+    /** Guards against handling a request after the connection was announced to close. */
     @Test
     void ignoresWhatFollowsTheLastCall() throws Exception {
         send(post("/a", "Connection: close\r\n", "") + post("/b", "", ""));
@@ -345,22 +336,22 @@
         assertEquals("[/a]", requests.toString());
         client = connect(address);
         send(post("/held", "", "") + "NO HTTP AT ALL\r\n\r\n" + post("/b", "", ""));
-        waitUntil("the first is called", () -> requests.size() >= 2);
+        waitUntil("the first request is handled", () -> requests.size() >= 2);
         complete(0, response("first"));
         assertEquals(List.of("200 first", "400", "end"), List.of(receive(), receive(), receive()));
         assertEquals("[/a, /held]", requests.toString());
     }
 
     /**
-     * Guards against a half body that is taken for a whole one, and against an answer that finds
-     * another caller.
+     * Guards against handling an incomplete body, and against a response that reaches another
+     * client.
      */
     @Test
     void dropsAnswersOfClosedConnection() throws Exception {
         send(
                 post("/held", "", "1")
                         + "POST /half HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{}");
-        waitUntil("the first is called", () -> requests.size() == 1);
+        waitUntil("the first request is handled", () -> requests.size() == 1);
         client.setSoLinger(true, 0);
         client.close();
         client = connect(address);
--- a/src/test/java/dillfront/common/environment/ManualEnvironment.java
+++ b/src/test/java/dillfront/common/environment/ManualEnvironment.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A machine whose time passes when the test says so, and which reaches nobody unless the test has
- * it reach someone.
+ * An environment with simulated time, which the test advances. All connections and requests are
+ * refused unless a subclass overrides them.
  */
 public class ManualEnvironment implements Environment {
 
@@ -26,14 +26,14 @@
     private long now;
     private long order;
 
-    /** What was noted, each with its time. */
+    /** Traced events and warnings, each with its time. */
     public final List<String> events = new ArrayList<>();
 
     public final void runAfter(long delayMillis, Runnable task) {
         queue.add(new Event(now + delayMillis, order++, task));
     }
 
-    /** All that is to happen up to then. */
+    /** Runs all tasks that are due up to this time. */
     public final void advanceTo(long millis) {
         while (!queue.isEmpty() && queue.peek().at() <= millis) {
             Event event = queue.poll();
@@ -68,12 +68,12 @@
         return new Connection() {
             @Override
             public void send(byte[] message) {
-                // Nobody hears it.
+                // Discarded: the connection is refused.
             }
 
             @Override
             public void close() {
-                // It never was open.
+                // The connection was never open.
             }
 
             @Override
--- a/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
+++ b/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
@@ -10,12 +10,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
-/** A machine whose time goes on by the test's word, and whose connections are the test's. */
+/** An environment with simulated time and connections that the test scripts. */
 public final class ScriptedEnvironment implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
-    /** One end of a connection: what the program sent there, and what the test says to it. */
+    /**
+     * The remote end of a connection: records what the program sends, and sends what the test says.
+     */
     public static final class ScriptedConnection implements Connection {
         public final String address;
         public final List<String> sent = new ArrayList<>();
@@ -33,7 +35,7 @@
             listener.onOpen(this);
         }
 
-        /** Lines, as they come one after the other; none once the program has closed. */
+        /** Delivers lines to the program in order, unless the connection is closed. */
         public void receive(String... lines) {
             for (String line : lines) {
                 if (!closed) {
@@ -42,7 +44,7 @@
             }
         }
 
-        /** The connection breaks. */
+        /** Breaks the connection. */
         public void reset() {
             if (!closed) {
                 closed = true;
@@ -88,7 +90,7 @@
     public final List<ScriptedConnection> connections = new ArrayList<>();
     public final List<String> loggedEvents = new ArrayList<>();
 
-    /** Time goes on, and what is due happens. */
+    /** Advances the time and runs the tasks that are due. */
     public void advance(long millis) {
         long end = now + millis;
         while (!events.isEmpty() && events.peek().at() <= end) {
@@ -100,8 +102,8 @@
     }
 
     /**
-     * The process stands still for so long: what was due meanwhile comes only after what the test
-     * says next.
+     * Advances the time without running tasks, as in a paused process: tasks that became due run
+     * only at the next {@link #advance}.
      */
     public void pauseProcess(long millis) {
         now += millis;
--- a/src/test/java/dillfront/router/identity/AccessControllerTest.java
+++ b/src/test/java/dillfront/router/identity/AccessControllerTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who is let in, and how changes of keys, rights and revocations are felt by those who are in. */
+/** Tests the admission of sessions, and the effect of policy changes on open sessions. */
 class AccessControllerTest {
 
     private static final Duration DAY = Duration.ofDays(1);
@@ -60,7 +60,7 @@
         assertEquals(
                 Refusal.STALE,
                 controller.openSession(credential("k1", "t1")),
-                "before anything was read");
+                "before a policy was read");
         controller.markPolicyUnreadable();
         assertEquals(Refusal.STALE, controller.openSession(credential("k1", "t1")));
         controller.replacePolicy(policy(Set.of("k1"), Set.of(), billing(0, 0)));
@@ -69,10 +69,12 @@
         controller.markPolicyUnreadable();
         setTime(699);
         controller.markPolicyUnreadable();
-        assertNull(admit(open("k1", "t2")), "the last good state holds for its time");
+        assertNull(
+                admit(open("k1", "t2")),
+                "the last valid policy stays in force up to its staleness bound");
         setTime(701);
         assertEquals(Refusal.STALE, controller.openSession(credential("k1", "t3")));
-        assertNull(admit(openSession), "who is in stays in");
+        assertNull(admit(openSession), "open sessions are not affected");
         controller.replacePolicy(policy(Set.of("k1"), Set.of(), billing(0, 0)));
         assertNull(admit(open("k1", "t3")));
     }
@@ -88,12 +90,12 @@
         controller.replacePolicy(policy(Set.of("k2"), Set.of(), billing(0, 0)));
         for (double s = 10; s < 40; s += 0.5) {
             setTime(s);
-            assertNull(admit(oldKeySession), "within the overlap, at " + s);
-            // Read again meanwhile: the overlap does not begin anew.
+            assertNull(admit(oldKeySession), "within the grace period, at " + s);
+            // Another read of the policy does not restart the grace period.
             controller.replacePolicy(policy(Set.of("k2"), Set.of(), billing(0, 0)));
         }
         setTime(40);
-        assertEquals(Refusal.KEY_ENDED, admit(oldKeySession), "none after it");
+        assertEquals(Refusal.KEY_ENDED, admit(oldKeySession), "after the grace period");
         assertEquals(Refusal.KEY_ENDED, controller.openSession(credential("k1", "t4")));
         assertNull(admit(newKeySession));
     }
@@ -109,7 +111,7 @@
         assertEquals(Refusal.REVOKED, admit(revoked));
         assertTrue(admit(revoked).endsSession());
         assertNull(admit(other));
-        // What was taken is answered all the same.
+        // An admitted transaction is still completed.
         revoked.release();
         revoked.close();
         assertEquals(Refusal.REVOKED, controller.openSession(credential("k1", "t1")));
@@ -142,7 +144,8 @@
         setTime(DAY.toSeconds());
         assertEquals(Refusal.EXPIRED, admit(session));
         assertEquals(Refusal.EXPIRED, controller.openSession(credential("k1", "t2")));
-        // A clock that is stepped back brings nobody back who is out by the span since the start.
+        // A wall clock that is set back does not revive a session that expired by the monotonic
+        // clock.
         controller.updateTime(Duration.ofSeconds(DAY.toSeconds() + 1), UNIX.plusSeconds(5));
         assertEquals(Refusal.EXPIRED, admit(session));
         assertEquals(
@@ -161,7 +164,8 @@
         assertNull(admit(first));
         assertNull(admit(second));
         assertNull(admit(first));
-        assertEquals(Refusal.BUSY, admit(second), "three at once, over all its sessions");
+        assertEquals(
+                Refusal.BUSY, admit(second), "three in flight, over all sessions of the principal");
         first.release();
         first.release();
         second.release();
@@ -169,7 +173,7 @@
         assertNull(admit(first));
         first.release();
         first.release();
-        assertEquals(Refusal.BUSY, admit(second), "five a second");
+        assertEquals(Refusal.BUSY, admit(second), "five per second");
         assertEquals(200, second.retryDelay().toMillis());
         setTime(1.2);
         assertNull(admit(second));
@@ -179,7 +183,7 @@
         for (; admit(first) == null; admitted++) {
             first.release();
         }
-        assertEquals(5, admitted, "what was not used for a minute is not saved up");
+        assertEquals(5, admitted, "the burst is bounded after a minute of idleness");
     }
 
     @Test
@@ -220,21 +224,22 @@
         assertEquals(
                 Duration.ZERO,
                 throttle.loginDelay("10.0.0.1", "tablet-3"),
-                "another behind the same address");
+                "another name at the same address");
         assertEquals(
                 Duration.ZERO,
                 throttle.loginDelay("10.0.0.2", "billing-7"),
-                "the same name elsewhere");
+                "the same name at another address");
         throttle.recordSuccess("10.0.0.1", "billing-7");
         assertEquals(Duration.ZERO, throttle.loginDelay("10.0.0.1", "billing-7"));
-        // Many names from one address, each once: the address pays in the end.
+        // One failure for each of many names at one address delays the whole address.
         for (int i = 0; i < 110; i++) {
             throttle.recordFailure("10.0.0.3", "guess-" + i);
         }
         assertTrue(
                 throttle.loginDelay("10.0.0.3", "tablet-4").compareTo(Duration.ofSeconds(1)) > 0);
         throttle.updateTime(Duration.ofMinutes(20));
-        assertEquals(Duration.ZERO, throttle.loginDelay("10.0.0.3", "tablet-4"), "it decays");
+        assertEquals(
+                Duration.ZERO, throttle.loginDelay("10.0.0.3", "tablet-4"), "the counts decay");
     }
 
     @Test
@@ -248,6 +253,6 @@
         for (int i = 0; i < 1000; i++) {
             delayed += throttle.loginDelay("10.9.0." + i, "honest-" + i).isZero() ? 0 : 1;
         }
-        assertTrue(delayed < 5, "wait without cause: " + delayed + " of 1000");
+        assertTrue(delayed < 5, "delayed without failures of their own: " + delayed + " of 1000");
     }
 }
--- a/src/test/java/dillfront/router/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What rules allow, by the index and by reading them one after another. */
+/** Tests the access checks by the trie, and compares them with a scan over the rules. */
 class RightsTest {
 
     static KeyBytes key(String text) {
@@ -75,7 +75,7 @@
         assertEquals(Verdict.NO_RULE, Rights.NONE.verdict(0, false, 0, key("")));
     }
 
-    /** Few letters, so that prefixes meet, split and end within each other. */
+    /** Returns a text over a small alphabet, so that prefixes overlap and trie nodes are split. */
     private static String randomText(SplittableRandom random, int maxLength) {
         StringBuilder text = new StringBuilder();
         for (int i = random.nextInt(maxLength + 1); i > 0; i--) {
--- a/src/test/java/dillfront/router/identity/TenantSharesTest.java
+++ b/src/test/java/dillfront/router/identity/TenantSharesTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What tenants lend each other, and what none takes from another. */
+/** Tests borrowing between tenants and the guarantee of each tenant's own share. */
 class TenantSharesTest {
 
     private final TenantShares shares = new TenantShares();
@@ -31,14 +31,17 @@
     void lendsUnusedSharesExceptReserve() {
         shares.configure(new TenantShares.Limits(100, new double[] {3, 1, 1}));
         setTime(100);
-        assertEquals(90, acquire(0, 1000), "its own 60, and of the others' 40 all but a quarter");
-        assertEquals(5, acquire(1, 1000), "who comes back has room at once");
+        assertEquals(
+                90,
+                acquire(0, 1000),
+                "its own 60, and of the others' 40 all but the reserve of a quarter");
+        assertEquals(5, acquire(1, 1000), "a returning tenant has room at once");
         assertEquals(5, acquire(2, 1000));
-        assertEquals(0, acquire(-1, 1000), "who has no tenant has what is left");
-        // As what was lent ends, it goes to him whose it is.
+        assertEquals(0, acquire(-1, 1000), "sessions without a tenant get what is left");
+        // Released borrowed capacity returns to the tenant that it belongs to.
         for (int i = 0; i < 15; i++) {
             shares.release(0);
-            assertFalse(shares.tryAcquire(0), "not lent again: both others were here lately");
+            assertFalse(shares.tryAcquire(0), "not lent again: both other tenants are active");
         }
         assertEquals(15, acquire(1, 1000));
         assertEquals(20, shares.inFlight(1));
@@ -50,7 +53,7 @@
         setTime(1);
         int served = 0;
         int requested = 0;
-        // The first asks without end; the second for two at a time, which end in the next step.
+        // The first tenant requests without limit; the second two at a time, released at once.
         for (int step = 0; step < 1000; step++) {
             setTime(1 + step * 0.01);
             acquire(0, 1000);
@@ -104,7 +107,8 @@
                 }
                 assertTrue(inFlight <= maxInFlight);
                 double ownShare = tenant < 0 ? 0 : maxInFlight * weights[tenant] / sum;
-                // Refused within its own part only while others still hold what was lent to them.
+                // A refusal within the own share is allowed only while others hold borrowed
+                // capacity.
                 assertTrue(
                         acquired || tenantShares.inFlight(tenant) + 1 > ownShare || borrowed > 0,
                         "out " + tenantShares.inFlight(tenant) + " of " + ownShare);
--- a/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
+++ b/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
@@ -94,7 +94,7 @@
             delimiter = ';',
             quoteCharacter = '`',
             value = {
-                "say(1;1:4 '(' is not closed",
+                "say(1;1:4 bracket '(' is not closed",
                 "say(x);1:5 name 'x' is not defined",
                 "a = 1 +;1:8 expected a value, found the end of the line",
                 "say(1, 2);1:1 too many arguments for 'say'",
--- a/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
+++ b/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
@@ -223,7 +223,7 @@
                                 "{\"keys\":["
                                         + EC.toPublicJWK().toJSONString().replace("ES256", "RS256")
                                         + "]}",
-                                "key 'k1' has the wrong key type for RS256",
+                                "key 'k1' has a key type that RS256 does not support",
                                 "{\"keys\":["
                                         + EC.toPublicJWK()
                                                 .toJSONString()
