--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -57,13 +57,13 @@
         try {
             store.put(texts);
             environment.eventLoop().execute(() -> written.complete(null));
-        } catch (TextStore.StorageException | IllegalArgumentException bad) {
+        } catch (TextStore.StorageException | IllegalArgumentException e) {
             environment
                     .eventLoop()
                     .execute(
                             () -> {
-                                log.warn("disk", "fault", bad.getMessage());
-                                written.completeExceptionally(bad);
+                                log.warn("disk", "fault", e.getMessage());
+                                written.completeExceptionally(e);
                             });
         }
     }
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -117,8 +117,8 @@
             NettyEnvironment environment, String address, String path, JsonObject body) {
         try {
             environment.post(address, path, body.toString(), Map.of(), TIMEOUT_MS).join();
-        } catch (CompletionException none) {
-            System.err.println("rehearsal: " + path + ": " + none.getCause());
+        } catch (CompletionException e) {
+            System.err.println("rehearsal: " + path + ": " + e.getCause());
         }
     }
 
--- a/src/main/java/dillfront/cli/AcceptDataLossCommand.java
+++ b/src/main/java/dillfront/cli/AcceptDataLossCommand.java
@@ -114,11 +114,11 @@
                                     + responseBody.getString("log_position", "")
                                     + " or from a longer log if one is reachable");
             return 0;
-        } catch (ParseException | UnsupportedOperationException | NullPointerException bad) {
+        } catch (ParseException | UnsupportedOperationException | NullPointerException e) {
             return RootCommand.fail(
-                    address + ": not a response of a control process: " + bad.getMessage());
-        } catch (IOException none) {
-            return RootCommand.fail("no answer from " + address + ": " + none.getMessage());
+                    address + ": not a response of a control process: " + e.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
         }
     }
 
@@ -156,8 +156,8 @@
                                             .toString()
                                             .getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, 6);
-        } catch (NoSuchAlgorithmException never) {
-            throw new IllegalStateException(never);
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
         }
     }
 
--- a/src/main/java/dillfront/cli/KeysCommand.java
+++ b/src/main/java/dillfront/cli/KeysCommand.java
@@ -59,7 +59,7 @@
             if (key instanceof ECKey ec && ec.isPrivate()) {
                 return ec;
             }
-        } catch (ParseException bad) {
+        } catch (ParseException e) {
             // Reported below without the parser's message, which could quote a secret.
         }
         throw new IOException(file + ": not a signing key as written by `dillfront keys new`");
@@ -102,8 +102,8 @@
             }
             replaceAtomically(to, new JWKSet(keys).toString() + "\n");
             return 0;
-        } catch (IOException bad) {
-            return RootCommand.fail(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
@@ -149,8 +149,8 @@
             System.out.println(jwt.serialize());
             System.err.println("id " + id);
             return 0;
-        } catch (IOException bad) {
-            return RootCommand.fail(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
@@ -167,8 +167,8 @@
                             + String.join("\n", ids)
                             + "\n");
             return 0;
-        } catch (IOException bad) {
-            return RootCommand.fail(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -63,20 +63,20 @@
             } else {
                 new Drill(System.in, System.out).run();
             }
-        } catch (BadConfig bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (BadConfig e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (OperatorConfig.InvalidOperatorConfigException bad) {
-            System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
+        } catch (OperatorConfig.InvalidOperatorConfigException e) {
+            System.err.println("dillfront: LB_OPERATOR " + e.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (BadInput bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (BadInput e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (IOException broken) {
-            System.err.println("dillfront: I/O error: " + broken.getMessage());
+        } catch (IOException e) {
+            System.err.println("dillfront: I/O error: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/cli/RootCommand.java
+++ b/src/main/java/dillfront/cli/RootCommand.java
@@ -79,10 +79,10 @@
                             PosixFilePermissions.fromString("rw-------")));
             Files.writeString(file, text, StandardOpenOption.WRITE);
             return 0;
-        } catch (FileAlreadyExistsException there) {
+        } catch (FileAlreadyExistsException e) {
             return fail(file + ": exists already and was not changed");
-        } catch (IOException bad) {
-            return fail(file + ": " + bad.getMessage());
+        } catch (IOException e) {
+            return fail(file + ": " + e.getMessage());
         }
     }
 
@@ -129,8 +129,8 @@
                                         ? "off"
                                         : operator.controlAddress()));
                 return 0;
-            } catch (OperatorConfig.InvalidOperatorConfigException bad) {
-                return fail(bad.getMessage());
+            } catch (OperatorConfig.InvalidOperatorConfigException e) {
+                return fail(e.getMessage());
             }
         }
     }
@@ -166,8 +166,8 @@
                 new PrintStream(System.out, true, StandardCharsets.UTF_8)
                         .print(new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 return 0;
-            } catch (IOException none) {
-                return fail("--control " + control + ": " + none.getMessage());
+            } catch (IOException e) {
+                return fail("--control " + control + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/dillfront/cli/SiteCommand.java
+++ b/src/main/java/dillfront/cli/SiteCommand.java
@@ -100,13 +100,13 @@
             Estate estate;
             try (InputStream in = Files.newInputStream(file)) {
                 estate = Lists.read(Tree.parse(in), utilization, typeShares);
-            } catch (NoSuchFileException none) {
+            } catch (NoSuchFileException e) {
                 return RootCommand.fail(file + ": no such file");
-            } catch (IOException | BadConfig bad) {
+            } catch (IOException | BadConfig e) {
                 return RootCommand.fail(
                         file
                                 + ": "
-                                + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                                + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
             for (String site : lostSites) {
                 if (!estate.sites().contains(site)) {
@@ -271,8 +271,8 @@
             }
             out.writeEndArray();
             out.writeEndObject();
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
         return text.append('\n').toString();
     }
--- a/src/main/java/dillfront/cli/SystemCommand.java
+++ b/src/main/java/dillfront/cli/SystemCommand.java
@@ -72,8 +72,8 @@
                                 + ", seeds "
                                 + settings.seedAddresses());
                 return 0;
-            } catch (NodeSettings.InvalidSettingsException bad) {
-                return RootCommand.fail(bad.getMessage());
+            } catch (NodeSettings.InvalidSettingsException e) {
+                return RootCommand.fail(e.getMessage());
             }
         }
     }
@@ -101,10 +101,10 @@
                                 + configuration.services().size()
                                 + " services");
                 return 0;
-            } catch (Configuration.InvalidConfigurationException bad) {
-                return RootCommand.fail(file + ": " + bad.getMessage());
-            } catch (IOException bad) {
-                return RootCommand.fail(file + ": cannot be read: " + bad.getMessage());
+            } catch (Configuration.InvalidConfigurationException e) {
+                return RootCommand.fail(file + ": " + e.getMessage());
+            } catch (IOException e) {
+                return RootCommand.fail(file + ": cannot be read: " + e.getMessage());
             }
         }
     }
@@ -138,10 +138,10 @@
                                         .getString("status", "")
                                         .replace(" | ", "\n"));
                 return 0;
-            } catch (ParseException | UnsupportedOperationException bad) {
-                return RootCommand.fail(address + ": " + bad.getMessage());
-            } catch (IOException none) {
-                return RootCommand.fail("no answer from " + address + ": " + none.getMessage());
+            } catch (ParseException | UnsupportedOperationException e) {
+                return RootCommand.fail(address + ": " + e.getMessage());
+            } catch (IOException e) {
+                return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/dillfront/common/config/ConfigurationParser.java
+++ b/src/main/java/dillfront/common/config/ConfigurationParser.java
@@ -55,21 +55,21 @@
         String text;
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
-        } catch (CharacterCodingException bad) {
+        } catch (CharacterCodingException e) {
             throw new InvalidConfigurationException("body is not UTF-8");
         }
         try {
             return Json.parse(text).asObject();
-        } catch (ParseException bad) {
+        } catch (ParseException e) {
             throw new InvalidConfigurationException(
                     "line "
-                            + bad.getLocation().line
+                            + e.getLocation().line
                             + ", column "
-                            + bad.getLocation().column
+                            + e.getLocation().column
                             + ": invalid JSON");
-        } catch (UnsupportedOperationException bad) {
+        } catch (UnsupportedOperationException e) {
             throw new InvalidConfigurationException("body is not an object");
-        } catch (StackOverflowError bad) {
+        } catch (StackOverflowError e) {
             throw new InvalidConfigurationException("body is nested too deep");
         }
     }
@@ -205,7 +205,7 @@
                         field + ": " + value + " is not an integer from " + min + " to " + max);
             }
             return number > MAX_EXACT_DOUBLE ? Long.parseLong(value.toString()) : (long) number;
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException e) {
             throw new InvalidConfigurationException(field + ": " + value + " is not a number");
         }
     }
--- a/src/main/java/dillfront/common/config/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -78,11 +78,11 @@
         JsonObject root;
         try {
             root = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
-        } catch (IOException | UnsupportedOperationException bad) {
-            throw new InvalidSettingsException(file + ": " + bad);
-        } catch (ParseException bad) {
+        } catch (IOException | UnsupportedOperationException e) {
+            throw new InvalidSettingsException(file + ": " + e);
+        } catch (ParseException e) {
             throw new InvalidSettingsException(
-                    file + ", line " + bad.getLocation().line + ": " + bad.getMessage());
+                    file + ", line " + e.getLocation().line + ": " + e.getMessage());
         }
         try {
             JsonObject listen = object(root, "listen_addresses");
@@ -99,8 +99,8 @@
             }
             List<String> seeds = new ArrayList<>();
             if (root.get("seed_addresses") != null) {
-                for (JsonValue one : root.get("seed_addresses").asArray()) {
-                    seeds.add(address(one.asString(), "seed_addresses"));
+                for (JsonValue seed : root.get("seed_addresses").asArray()) {
+                    seeds.add(address(seed.asString(), "seed_addresses"));
                 }
             }
             JsonValue platform = root.get("cloud_api");
@@ -126,11 +126,11 @@
                     platform == null || platform.isNull()
                             ? null
                             : optionalText(platform.asObject(), "address"));
-        } catch (InvalidSettingsException bad) {
-            throw new InvalidSettingsException(file + ": " + bad.getMessage());
-        } catch (UnsupportedOperationException | NumberFormatException bad) {
+        } catch (InvalidSettingsException e) {
+            throw new InvalidSettingsException(file + ": " + e.getMessage());
+        } catch (UnsupportedOperationException | NumberFormatException e) {
             throw new InvalidSettingsException(
-                    file + ": a field has the wrong type: " + bad.getMessage());
+                    file + ": a field has the wrong type: " + e.getMessage());
         }
     }
 
@@ -165,9 +165,9 @@
         return name.endsWith("address") ? address(text, name) : text;
     }
 
-    private static String address(String text, String place) throws InvalidSettingsException {
+    private static String address(String text, String field) throws InvalidSettingsException {
         if (Address.parse(text) == null) {
-            throw new InvalidSettingsException(place + ": '" + text + "' is not IP:PORT");
+            throw new InvalidSettingsException(field + ": '" + text + "' is not IP:PORT");
         }
         return text;
     }
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -204,17 +204,17 @@
                             queryStart < 0 ? uri : uri.substring(0, queryStart),
                             content)
                     .whenComplete(
-                            (response, fault) ->
+                            (response, error) ->
                                     exchange.respond(
-                                            fault != null
+                                            error != null
                                                     ? errorResponse(
-                                                            503, String.valueOf(fault.getMessage()))
+                                                            503, String.valueOf(error.getMessage()))
                                                     : response == null || response.body() == null
                                                             ? errorResponse(500, "no response")
                                                             : response));
-        } catch (RuntimeException | StackOverflowError fault) {
+        } catch (RuntimeException | StackOverflowError error) {
             // The fault fails this request only, not the others on the connection.
-            reportFault(fault);
+            reportError(error);
             exchange.respond(errorResponse(500, "internal error in " + request.method().name()));
         }
     }
@@ -276,18 +276,18 @@
         pendingParts.clear();
     }
 
-    private void reportFault(Throwable fault) {
+    private void reportError(Throwable error) {
         environment.warn(
                 "error in a request: "
-                        + fault
+                        + error
                         + " at "
-                        + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
+                        + (error.getStackTrace().length == 0 ? "-" : error.getStackTrace()[0]));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            reportFault(cause);
+            reportError(cause);
         }
         ctx.close();
     }
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -275,8 +275,8 @@
             if (!bound.awaitUninterruptibly(5_000) || !bound.isSuccess()) {
                 throw new IOException("cannot listen on " + address + ": " + bound.cause());
             }
-        } catch (ExecutionException | TimeoutException | InterruptedException fault) {
-            throw new IOException("cannot listen on " + address, fault);
+        } catch (ExecutionException | TimeoutException | InterruptedException e) {
+            throw new IOException("cannot listen on " + address, e);
         }
     }
 
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -30,7 +30,7 @@
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
-        } catch (ChannelException none) {
+        } catch (ChannelException e) {
             return null;
         }
         channel.config().setTcpNoDelay(true).setConnectTimeoutMillis(timeoutMs);
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -116,9 +116,9 @@
         private PrivateKey readKeyFile() throws InvalidOperatorConfigException {
             try {
                 return KeyFile.read(Files.readString(keyFile, StandardCharsets.US_ASCII));
-            } catch (NoSuchFileException none) {
+            } catch (NoSuchFileException e) {
                 throw new InvalidOperatorConfigException("key " + keyFile + ": no such file");
-            } catch (IOException | GeneralSecurityException | IllegalArgumentException bad) {
+            } catch (IOException | GeneralSecurityException | IllegalArgumentException e) {
                 throw new InvalidOperatorConfigException(
                         "key " + keyFile + ": not an Ed25519 key as written by `dillfront keygen`");
             }
@@ -186,34 +186,37 @@
                 Set<String> revokedIds)
                 throws InvalidOperatorConfigException {
             Map<String, Principal> principalsByName = new HashMap<>();
-            for (PrincipalConfig one : principals) {
+            for (PrincipalConfig principal : principals) {
                 List<Rule> rules = new ArrayList<>();
-                for (String role : one.roles) {
+                for (String role : principal.roles) {
                     for (RuleConfig config : roles.get(role)) {
                         rules.add(rule(config, types));
                     }
                 }
-                if (one.tenant != null && !tenants.containsKey(one.tenant)) {
+                if (principal.tenant != null && !tenants.containsKey(principal.tenant)) {
                     throw new InvalidOperatorConfigException(
-                            one.source + ": no tenant '" + one.tenant + "' in the settings");
+                            principal.source
+                                    + ": no tenant '"
+                                    + principal.tenant
+                                    + "' in the settings");
                 }
                 principalsByName.put(
-                        one.name,
+                        principal.name,
                         new Principal(
-                                one.name,
-                                one.tenant == null ? -1 : tenants.get(one.tenant),
+                                principal.name,
+                                principal.tenant == null ? -1 : tenants.get(principal.tenant),
                                 new Rights(rules),
-                                one.transactionsPerSecond,
-                                one.maxInFlight));
+                                principal.transactionsPerSecond,
+                                principal.maxInFlight));
             }
             double[] shares = new double[tenants.size()];
-            for (Map.Entry<String, Long> one : tenantWeights.entrySet()) {
-                Integer tenant = tenants.get(one.getKey());
+            for (Map.Entry<String, Long> principal : tenantWeights.entrySet()) {
+                Integer tenant = tenants.get(principal.getKey());
                 if (tenant == null) {
                     throw new InvalidOperatorConfigException(
-                            source + ": no tenant '" + one.getKey() + "' in the settings");
+                            source + ": no tenant '" + principal.getKey() + "' in the settings");
                 }
-                shares[tenant] = one.getValue();
+                shares[tenant] = principal.getValue();
             }
             return new Policy(
                     principalsByName,
@@ -249,8 +252,8 @@
     public static final class InvalidOperatorConfigException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public InvalidOperatorConfigException(String fault) {
-            super(fault);
+        public InvalidOperatorConfigException(String message) {
+            super(message);
         }
     }
 
@@ -325,9 +328,9 @@
                 return weights;
             }
             if (shares instanceof Map<?, ?> map) {
-                for (Map.Entry<?, ?> one : map.entrySet()) {
-                    if (!(one.getKey() instanceof String name
-                            && one.getValue() instanceof Long weight
+                for (Map.Entry<?, ?> entry : map.entrySet()) {
+                    if (!(entry.getKey() instanceof String name
+                            && entry.getValue() instanceof Long weight
                             && weight > 0)) {
                         throw arguments.error(
                                 "shares", "expected tenant names with weights above 0");
@@ -371,8 +374,9 @@
         Object role(ScriptInterpreter.Arguments arguments) throws ScriptException {
             String name = arguments.string("name", "");
             List<RuleConfig> rules = new ArrayList<>();
-            for (Object one : arguments.list("rules")) {
-                if (!(one instanceof Map<?, ?> row && row.get("rule") instanceof RuleConfig rule)) {
+            for (Object element : arguments.list("rules")) {
+                if (!(element instanceof Map<?, ?> row
+                        && row.get("rule") instanceof RuleConfig rule)) {
                     throw arguments.error("rules", "expected a list of allow() and deny()");
                 }
                 rules.add(rule);
@@ -495,8 +499,8 @@
                                 "expected a string, or a dict with 'key', 'from' and 'until'");
                     }
                 }
-            } catch (Ring.BadRing bad) {
-                throw arguments.error("keys", bad.getMessage());
+            } catch (Ring.BadRing e) {
+                throw arguments.error("keys", e.getMessage());
             }
             return null;
         }
@@ -592,7 +596,7 @@
             }
             try {
                 return Duration.between(Instant.EPOCH, Instant.parse(String.valueOf(text)));
-            } catch (DateTimeParseException bad) {
+            } catch (DateTimeParseException e) {
                 throw arguments.error(
                         "keys", "'" + text + "' is not a time as 2026-12-01T00:00:00Z");
             }
@@ -652,9 +656,9 @@
     public static OperatorConfig read(Path file) throws InvalidOperatorConfigException {
         try {
             return read(file.toString(), Files.readString(file));
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException e) {
             throw new InvalidOperatorConfigException(file + ": no such file");
-        } catch (IOException bad) {
+        } catch (IOException e) {
             throw new InvalidOperatorConfigException(file + ": cannot be read as UTF-8 text");
         }
     }
@@ -675,18 +679,18 @@
         functions.put("memory", builder::stateFolder);
         functions.put("doubts", builder::uncertainTransactionBounds);
         functions.put("sites", builder::assessesSites);
-        functions.put("allow", given -> builder.rule(true, given));
-        functions.put("deny", given -> builder.rule(false, given));
+        functions.put("allow", arguments -> builder.rule(true, arguments));
+        functions.put("deny", arguments -> builder.rule(false, arguments));
         functions.put("role", builder::role);
         functions.put("principal", builder::principal);
         try {
             ScriptInterpreter.run(text, functions);
             return builder.build();
-        } catch (ScriptException bad) {
+        } catch (ScriptException e) {
             throw new InvalidOperatorConfigException(
-                    name + ":" + bad.line() + ":" + bad.column() + ": " + bad.getMessage());
-        } catch (InvalidOperatorConfigException bad) {
-            throw new InvalidOperatorConfigException(name + ": " + bad.getMessage());
+                    name + ":" + e.line() + ":" + e.column() + ": " + e.getMessage());
+        } catch (InvalidOperatorConfigException e) {
+            throw new InvalidOperatorConfigException(name + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/router/script/Parser.java
+++ b/src/main/java/dillfront/router/script/Parser.java
@@ -352,7 +352,7 @@
                 next();
                 try {
                     return new SyntaxTree.Literal(first, Long.parseLong(first.text()));
-                } catch (NumberFormatException large) {
+                } catch (NumberFormatException e) {
                     throw new ScriptException(first, "number exceeds 64 bits");
                 }
             }
--- a/src/main/java/dillfront/router/script/ScriptInterpreter.java
+++ b/src/main/java/dillfront/router/script/ScriptInterpreter.java
@@ -122,7 +122,7 @@
         }
     }
 
-    private record UserFunction(SyntaxTree.FunctionDefinition def, List<Object> defaults) {}
+    private record UserFunction(SyntaxTree.FunctionDefinition definition, List<Object> defaults) {}
 
     /** How a block of statements ended. */
     private enum Completion {
@@ -150,7 +150,7 @@
         script.execute(Parser.parse(text));
     }
 
-    private void step(Token at) throws ScriptException {
+    private void countStep(Token at) throws ScriptException {
         if (++steps > MAX_STEPS) {
             throw new ScriptException(
                     at, "more than " + MAX_STEPS + " steps: script does not end in time");
@@ -170,7 +170,7 @@
     }
 
     private Completion one(SyntaxTree.Statement statement) throws ScriptException {
-        step(statement.at());
+        countStep(statement.at());
         if (statement instanceof SyntaxTree.Assignment assignment) {
             Object value = evaluate(assignment.value());
             if (!assignment.operator().equals("=")) {
@@ -184,14 +184,14 @@
             bind(assignment.names(), value, assignment.at());
         } else if (statement instanceof SyntaxTree.ExpressionStatement expression) {
             evaluate(expression.value());
-        } else if (statement instanceof SyntaxTree.IfStatement choice) {
+        } else if (statement instanceof SyntaxTree.IfStatement ifStatement) {
             return execute(
-                    isTruthy(evaluate(choice.condition()))
-                            ? choice.whenTrue()
-                            : choice.whenFalse());
+                    isTruthy(evaluate(ifStatement.condition()))
+                            ? ifStatement.whenTrue()
+                            : ifStatement.whenFalse());
         } else if (statement instanceof SyntaxTree.ForStatement loop) {
             for (Object element : elements(loop.at(), evaluate(loop.iterable()))) {
-                step(loop.at());
+                countStep(loop.at());
                 bind(loop.names(), element, loop.at());
                 Completion completion = execute(loop.body());
                 if (completion == Completion.BREAK) {
@@ -200,19 +200,22 @@
                     return completion;
                 }
             }
-        } else if (statement instanceof SyntaxTree.FunctionDefinition def) {
+        } else if (statement instanceof SyntaxTree.FunctionDefinition definition) {
             List<Object> defaults = new ArrayList<>();
-            for (SyntaxTree.Expression one : def.defaults()) {
-                defaults.add(one == null ? null : evaluate(one));
+            for (SyntaxTree.Expression defaultValue : definition.defaults()) {
+                defaults.add(defaultValue == null ? null : evaluate(defaultValue));
             }
-            bind(List.of(def.names().get(0)), new UserFunction(def, defaults), def.at());
+            bind(
+                    List.of(definition.names().get(0)),
+                    new UserFunction(definition, defaults),
+                    definition.at());
         } else if (statement instanceof SyntaxTree.ReturnStatement returned) {
             returnValue = returned.value() == null ? null : evaluate(returned.value());
             return Completion.RETURN;
-        } else if (statement instanceof SyntaxTree.ControlStatement leave) {
-            return leave.at().matches("break")
+        } else if (statement instanceof SyntaxTree.ControlStatement control) {
+            return control.at().matches("break")
                     ? Completion.BREAK
-                    : leave.at().matches("continue") ? Completion.CONTINUE : Completion.NORMAL;
+                    : control.at().matches("continue") ? Completion.CONTINUE : Completion.NORMAL;
         }
         return Completion.NORMAL;
     }
@@ -265,29 +268,29 @@
     }
 
     private Object evaluate(SyntaxTree.Expression expression) throws ScriptException {
-        step(expression.at());
+        countStep(expression.at());
         if (expression instanceof SyntaxTree.Literal literal) {
             return literal.value();
         } else if (expression instanceof SyntaxTree.Name name) {
             return resolve(name.at());
-        } else if (expression instanceof SyntaxTree.ListLiteral items) {
+        } else if (expression instanceof SyntaxTree.ListLiteral listLiteral) {
             List<Object> list = new ArrayList<>();
-            for (SyntaxTree.Expression one : items.values()) {
-                list.add(evaluate(one));
+            for (SyntaxTree.Expression element : listLiteral.values()) {
+                list.add(evaluate(element));
             }
             return list;
-        } else if (expression instanceof SyntaxTree.DictLiteral entries) {
+        } else if (expression instanceof SyntaxTree.DictLiteral dictLiteral) {
             Map<Object, Object> map = new LinkedHashMap<>();
-            for (int i = 0; i < entries.keys().size(); i++) {
-                Object key = evaluate(entries.keys().get(i));
+            for (int i = 0; i < dictLiteral.keys().size(); i++) {
+                Object key = evaluate(dictLiteral.keys().get(i));
                 if (map.containsKey(key)) {
                     throw new ScriptException(
-                            entries.keys().get(i).at(),
+                            dictLiteral.keys().get(i).at(),
                             "key " + describe(key) + " is defined twice");
                 }
                 map.put(
-                        checkKey(entries.keys().get(i).at(), key),
-                        evaluate(entries.values().get(i)));
+                        checkKey(dictLiteral.keys().get(i).at(), key),
+                        evaluate(dictLiteral.values().get(i)));
             }
             return map;
         } else if (expression instanceof SyntaxTree.Call call) {
@@ -310,10 +313,10 @@
                         : evaluate(binary.right());
             }
             return applyOperator(binary.at(), binary.at().text(), left, evaluate(binary.right()));
-        } else if (expression instanceof SyntaxTree.Conditional choice) {
-            return isTruthy(evaluate(choice.condition()))
-                    ? evaluate(choice.whenTrue())
-                    : evaluate(choice.whenFalse());
+        } else if (expression instanceof SyntaxTree.Conditional conditional) {
+            return isTruthy(evaluate(conditional.condition()))
+                    ? evaluate(conditional.whenTrue())
+                    : evaluate(conditional.whenFalse());
         } else if (expression instanceof SyntaxTree.Comprehension comprehension) {
             return comprehension(comprehension);
         }
@@ -327,7 +330,7 @@
         // A comprehension has its own scope, as in Starlark.
         locals = new HashMap<>(outer == null ? Map.of() : outer);
         for (Object element : iterated) {
-            step(comprehension.at());
+            countStep(comprehension.at());
             bind(comprehension.names(), element, comprehension.at());
             if (comprehension.condition() == null
                     || isTruthy(evaluate(comprehension.condition()))) {
@@ -380,22 +383,22 @@
             Map<String, Object> keyword,
             Map<String, Token> keywordTokens)
             throws ScriptException {
-        SyntaxTree.FunctionDefinition def = function.def();
-        String functionName = def.names().get(0).text();
+        SyntaxTree.FunctionDefinition definition = function.definition();
+        String functionName = definition.names().get(0).text();
         Map<String, Object> callScope = new HashMap<>();
-        for (int i = 0; i < def.defaults().size(); i++) {
-            String name = def.names().get(i + 1).text();
+        for (int i = 0; i < definition.defaults().size(); i++) {
+            String name = definition.names().get(i + 1).text();
             if (i < positional.size()) {
                 callScope.put(name, positional.get(i));
             } else if (keyword.containsKey(name)) {
                 callScope.put(name, keyword.remove(name));
-            } else if (def.defaults().get(i) != null) {
+            } else if (definition.defaults().get(i) != null) {
                 callScope.put(name, function.defaults().get(i));
             } else {
                 throw new ScriptException(at, "'" + functionName + "' needs '" + name + "'");
             }
         }
-        if (positional.size() > def.defaults().size()) {
+        if (positional.size() > definition.defaults().size()) {
             throw new ScriptException(at, "too many arguments for '" + functionName + "'");
         }
         for (String name : keyword.keySet()) {
@@ -410,7 +413,7 @@
         Map<String, Object> outer = locals;
         locals = callScope;
         returnValue = null;
-        execute(def.body());
+        execute(definition.body());
         locals = outer;
         activeFunctions.remove(functionName);
         Object result = returnValue;
@@ -447,7 +450,7 @@
                 }
                 List<Object> list = new ArrayList<>();
                 for (long i = from; i < to; i++) {
-                    step(at);
+                    countStep(at);
                     list.add(i);
                 }
                 return list;
@@ -492,28 +495,30 @@
     private Object method(SyntaxTree.MethodCall method) throws ScriptException {
         Object receiver = evaluate(method.receiver());
         List<Object> arguments = new ArrayList<>();
-        for (SyntaxTree.Expression one : method.arguments()) {
-            arguments.add(evaluate(one));
+        for (SyntaxTree.Expression argument : method.arguments()) {
+            arguments.add(evaluate(argument));
         }
         Token at = method.at();
         if (receiver instanceof String text) {
             switch (at.text()) {
                 case "format" -> {
                     String result = text;
-                    for (Object one : arguments) {
+                    for (Object argument : arguments) {
                         result =
                                 result.replaceFirst(
                                         "\\{\\}",
                                         java.util.regex.Matcher.quoteReplacement(
-                                                one instanceof String s ? s : describe(one)));
+                                                argument instanceof String s
+                                                        ? s
+                                                        : describe(argument)));
                     }
                     return checkLength(at, result);
                 }
                 case "join" -> {
                     StringBuilder result = new StringBuilder();
-                    for (Object one : elements(at, one(at, arguments))) {
+                    for (Object argument : elements(at, one(at, arguments))) {
                         result.append(result.length() == 0 ? "" : text)
-                                .append(requireString(at, one));
+                                .append(requireString(at, argument));
                     }
                     return checkLength(at, result.toString());
                 }
@@ -603,7 +608,7 @@
                 default:
                     throw new ScriptException(at, "'" + operator + "' is not supported here");
             }
-        } catch (ArithmeticException bad) {
+        } catch (ArithmeticException e) {
             throw new ScriptException(
                     at,
                     b == 0 && !operator.equals("*")
--- a/src/main/java/dillfront/router/tokens/TokenVerifier.java
+++ b/src/main/java/dillfront/router/tokens/TokenVerifier.java
@@ -39,8 +39,8 @@
     public static final class InvalidTokenException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidTokenException(String fault) {
-            super(fault);
+        InvalidTokenException(String message) {
+            super(message);
         }
     }
 
@@ -79,8 +79,8 @@
                     throw new InvalidTokenException("key '" + id + "' is defined twice");
                 }
             }
-        } catch (ParseException | JOSEException | IllegalArgumentException bad) {
-            throw new InvalidTokenException("invalid key set: " + firstLine(bad.getMessage()));
+        } catch (ParseException | JOSEException | IllegalArgumentException e) {
+            throw new InvalidTokenException("invalid key set: " + firstLine(e.getMessage()));
         }
         if (keys.isEmpty()) {
             throw new InvalidTokenException("key set is empty");
@@ -166,9 +166,9 @@
                     claims.getJWTID(),
                     unixTime(claims.getNotBeforeTime()),
                     unixTime(claims.getExpirationTime()));
-        } catch (ParseException | JOSEException | RuntimeException bad) {
-            throw new InvalidTokenException("malformed token: " + firstLine(bad.getMessage()));
-        } catch (StackOverflowError deep) {
+        } catch (ParseException | JOSEException | RuntimeException e) {
+            throw new InvalidTokenException("malformed token: " + firstLine(e.getMessage()));
+        } catch (StackOverflowError e) {
             // Thousands of nested brackets fit within the length bound.
             throw new InvalidTokenException("malformed token: nested too deep");
         }
--- a/src/test/java/dillfront/bootstrap/ControlProcess.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -153,9 +153,9 @@
             socket.connect(new InetSocketAddress(InetAddress.getByName(ip), controlPort), 1_000);
             socket.setSoTimeout(2_500);
             return socket;
-        } catch (IOException refused) {
+        } catch (IOException e) {
             socket.close();
-            throw refused;
+            throw e;
         }
     }
 
@@ -176,7 +176,7 @@
         try (Socket socket = connect()) {
             socket.getOutputStream().write(request(method, path, body, true));
             return receive(socket);
-        } catch (IOException none) {
+        } catch (IOException e) {
             return NONE;
         }
     }
@@ -200,7 +200,7 @@
                     : new Response(
                             Integer.parseInt(text.split(" ")[1]),
                             new String(body, StandardCharsets.UTF_8));
-        } catch (IOException | NumberFormatException none) {
+        } catch (IOException | NumberFormatException e) {
             return NONE;
         }
     }
@@ -231,8 +231,8 @@
                         .append(i)
                         .append('\n')
                         .append(Files.readString(folder.resolve("log." + i)));
-            } catch (IOException none) {
-                text.append(none);
+            } catch (IOException e) {
+                text.append(e);
             }
         }
         return text.toString();
--- a/src/test/java/dillfront/bootstrap/ControlProcessTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -415,9 +415,9 @@
                                 while (!listener.isClosed()) {
                                     try {
                                         Socket socket = listener.accept();
-                                        Thread server = new Thread(() -> serve(socket));
-                                        server.setDaemon(true);
-                                        server.start();
+                                        Thread requestThread = new Thread(() -> serve(socket));
+                                        requestThread.setDaemon(true);
+                                        requestThread.start();
                                     } catch (IOException closed) {
                                         return;
                                     }
@@ -1112,9 +1112,9 @@
     void answersPipelinedCallsInOrder() throws Exception {
         startThreeProcesses();
         replaceUntilAcknowledged(configuration(2, 502), a);
-        try (Socket one = a.connect();
-                Socket other = a.connect()) {
-            byte[] long1 =
+        try (Socket pipelined = a.connect();
+                Socket readers = a.connect()) {
+            byte[] tooLong =
                     ControlProcess.request(
                             "POST", "/Configuration.Replace", "x".repeat(1 << 20) + "x", false);
             for (byte[] next :
@@ -1123,7 +1123,7 @@
                                     "POST", "/Configuration.Replace", configuration(3, 503), false),
                             ControlProcess.request("GET", "/none", "", false),
                             ControlProcess.request("POST", "/Configuration.Replace", "{", false),
-                            long1,
+                            tooLong,
                             ControlProcess.request("GET", "/status", "", false),
                             ControlProcess.request(
                                     "POST", "/Configuration.Replace", configuration(2, 502), false),
@@ -1134,28 +1134,29 @@
                                     "/Configuration.Replace",
                                     configuration(9, 509),
                                     true))) {
-                one.getOutputStream().write(next);
-                other.getOutputStream()
+                pipelined.getOutputStream().write(next);
+                readers.getOutputStream()
                         .write(ControlProcess.request("GET", "/Configuration.Read", "", false));
             }
             List<Integer> statuses = new ArrayList<>();
             ControlProcess.Response read = null;
             for (int i = 0; i < 8; i++) {
-                read = ControlProcess.receive(one);
+                read = ControlProcess.receive(pipelined);
                 statuses.add(read.status());
             }
             assertEquals(List.of(200, 404, 400, 413, 200, 200, 405, 200), statuses);
             assertEquals(configuration(3, 503), read.body());
             assertEquals(
                     0,
-                    ControlProcess.receive(one).status(),
+                    ControlProcess.receive(pipelined).status(),
                     "no request is handled after the last one");
             long newest = 0;
             for (int i = 0; i < 9; i++) {
-                ControlProcess.Response is = ControlProcess.receive(other);
-                assertEquals(200, is.status());
-                assertTrue(revision(is) >= newest, "revisions read on one connection decrease");
-                newest = revision(is);
+                ControlProcess.Response response = ControlProcess.receive(readers);
+                assertEquals(200, response.status());
+                assertTrue(
+                        revision(response) >= newest, "revisions read on one connection decrease");
+                newest = revision(response);
             }
             assertNotEquals(9, newest);
         }
--- a/src/test/java/dillfront/bootstrap/TcpRelay.java
+++ b/src/test/java/dillfront/bootstrap/TcpRelay.java
@@ -30,7 +30,7 @@
                             Socket client = listener.accept();
                             open.add(client);
                             startThread(() -> relay(client));
-                        } catch (IOException closed) {
+                        } catch (IOException e) {
                             return;
                         }
                     }
@@ -57,7 +57,7 @@
         open.add(server);
         try {
             server.connect(target, 1_000);
-        } catch (IOException refused) {
+        } catch (IOException e) {
             reset(client);
             reset(server);
             return;
@@ -78,7 +78,7 @@
                     }
                 }
             }
-        } catch (IOException closed) {
+        } catch (IOException e) {
             // Handled as the end of the stream, below.
         }
         synchronized (this) {
@@ -95,12 +95,12 @@
         open.remove(socket);
         try {
             socket.setSoLinger(true, 0);
-        } catch (IOException closed) {
+        } catch (IOException e) {
             // Already closed.
         }
         try {
             socket.close();
-        } catch (IOException closed) {
+        } catch (IOException e) {
             // Already closed.
         }
     }
--- a/src/test/java/dillfront/common/environment/HttpPostTest.java
+++ b/src/test/java/dillfront/common/environment/HttpPostTest.java
@@ -63,7 +63,7 @@
         }
         try {
             return Integer.toString(response.get(8, TimeUnit.SECONDS).status());
-        } catch (ExecutionException none) {
+        } catch (ExecutionException e) {
             return "none";
         }
     }
--- a/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
+++ b/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
@@ -33,8 +33,8 @@
                                                 : ScriptInterpreter.describe(value));
                                 return null;
                             }));
-        } catch (ScriptException bad) {
-            output.add(bad.line() + ":" + bad.column() + " " + bad.getMessage());
+        } catch (ScriptException e) {
+            output.add(e.line() + ":" + e.column() + " " + e.getMessage());
         }
         return String.join("|", output);
     }
--- a/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
+++ b/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
@@ -44,16 +44,16 @@
                     .keyID(id)
                     .algorithm(JWSAlgorithm.ES256)
                     .generate();
-        } catch (com.nimbusds.jose.JOSEException none) {
-            throw new IllegalStateException(none);
+        } catch (com.nimbusds.jose.JOSEException e) {
+            throw new IllegalStateException(e);
         }
     }
 
     private static RSAKey rsa() {
         try {
             return new RSAKeyGenerator(2048).keyID("k2").algorithm(JWSAlgorithm.RS256).generate();
-        } catch (com.nimbusds.jose.JOSEException none) {
-            throw new IllegalStateException(none);
+        } catch (com.nimbusds.jose.JOSEException e) {
+            throw new IllegalStateException(e);
         }
     }
 
