--- a/src/main/java/dillfront/cli/AcceptDataLossCommand.java
+++ b/src/main/java/dillfront/cli/AcceptDataLossCommand.java
@@ -72,7 +72,7 @@
         if (yes != (expectedSeal != null)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "--yes requires --shown, and --shown requires --yes: run without both first, then accept what was shown");
+                    "--yes and --shown require each other: run the command without both first to get the seal");
         }
         try {
             JsonObject lacking = fetchLacking();
@@ -118,7 +118,7 @@
             return RootCommand.fail(
                     address + ": not a response of a control process: " + e.getMessage());
         } catch (IOException e) {
-            return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
+            return RootCommand.fail("no response from " + address + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/dillfront/cli/SystemCommand.java
+++ b/src/main/java/dillfront/cli/SystemCommand.java
@@ -141,7 +141,7 @@
             } catch (ParseException | UnsupportedOperationException e) {
                 return RootCommand.fail(address + ": " + e.getMessage());
             } catch (IOException e) {
-                return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
+                return RootCommand.fail("no response from " + address + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-        pendingParts.add((HttpObject) in);
+    public void channelRead(ChannelHandlerContext context, Object received) {
+        pendingParts.add((HttpObject) received);
         readNext();
     }
 
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -131,8 +131,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object in) {
-            ByteBuf bytes = (ByteBuf) in;
+        public void channelRead(ChannelHandlerContext ctx, Object received) {
+            ByteBuf bytes = (ByteBuf) received;
             byte[] message = new byte[bytes.readableBytes()];
             bytes.readBytes(message);
             bytes.release();
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -11,8 +11,8 @@
     public long queries;
     public long malformedQueries;
 
-    /** Queries that arrived while this router was stopping and were redirected to other routers. */
-    public long redirectedWhileStopping;
+    /** Queries declined while this router was stopping, which clients may retry elsewhere. */
+    public long declinedWhileStopping;
 
     public long startedTransactions;
     public long committed;
@@ -30,7 +30,7 @@
 
     // ---- gauges
 
-    public int heldTransactions;
+    public int openTransactions;
 
     /** Rows for servers, in use or pooled: the maximum that was in use at once. */
     public int nodeRows;
@@ -54,7 +54,7 @@
                     "out_of_form",
                     malformedQueries,
                     "turned_away",
-                    redirectedWhileStopping,
+                    declinedWhileStopping,
                     "taken",
                     startedTransactions,
                     "committed",
@@ -80,7 +80,7 @@
                     "longest_turn_ms",
                     longestLoopTurnMillis,
                     "txns_held",
-                    heldTransactions,
+                    openTransactions,
                     "client_connections",
                     clientConnections,
                     "node_connections",
--- a/src/main/java/dillfront/common/logging/Log.java
+++ b/src/main/java/dillfront/common/logging/Log.java
@@ -68,8 +68,8 @@
 
     private static boolean isPlain(String value) {
         for (int i = 0; i < value.length(); i++) {
-            char c = value.charAt(i);
-            if (c <= ' ' || c >= 127 || c == '"') {
+            char character = value.charAt(i);
+            if (character <= ' ' || character >= 127 || character == '"') {
                 return false;
             }
         }
@@ -79,8 +79,8 @@
     private static String quote(String value) {
         StringBuilder text = new StringBuilder("\"");
         for (int i = 0; i < Math.min(200, value.length()); i++) {
-            char c = value.charAt(i);
-            text.append(c < ' ' || c == '"' || c > 126 ? '?' : c);
+            char character = value.charAt(i);
+            text.append(character < ' ' || character == '"' || character > 126 ? '?' : character);
         }
         return text.append('"').toString();
     }
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -378,7 +378,7 @@
     private void lookIfOver() {
         boolean over = false;
         try {
-            over = clients.empty() && counters.heldTransactions == 0;
+            over = clients.empty() && counters.openTransactions == 0;
         } catch (RuntimeException fault) {
             // It would vanish in the timer's future, and the end with it.
             log.warn("end", "fault", fault);
@@ -395,7 +395,7 @@
                 log.warn(
                         "stopped-with-work",
                         "txns",
-                        counters.heldTransactions,
+                        counters.openTransactions,
                         "clients",
                         counters.clientConnections);
             }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -290,7 +290,7 @@
             slots.set(slot, exchange);
         }
         counters.startedTransactions++;
-        counters.heldTransactions++;
+        counters.openTransactions++;
         Duration now = clock.now();
         Duration token =
                 !setup.tokensCarried()
@@ -366,7 +366,7 @@
         slots.set(exchange.slot(), null);
         ids.remove(exchange.statement().id);
         free.add(exchange.slot());
-        counters.heldTransactions--;
+        counters.openTransactions--;
     }
 
     @Override
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -325,7 +325,7 @@
             // It came when this router had said goodbye: no longer than what is out may it go on.
             // Never sent, so harmless.
             message.release();
-            clients.counters.redirectedWhileStopping++;
+            clients.counters.declinedWhileStopping++;
             error(Messages.DECLINED, "this router ends, trying again is harmless", null);
             clients.free(this);
             return;
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -23,27 +23,27 @@
         DENIED
     }
 
-    private static final class TrieNode {
+    private static final class RadixNode {
         /** Label of the edge from the parent, including its first byte. */
         byte[] label;
 
         /** First bytes of the children's labels, unsigned, in ascending order. */
         int[] firstBytes = {};
 
-        TrieNode[] children = {};
+        RadixNode[] children = {};
         long allowedAccesses;
         long deniedAccesses;
 
-        TrieNode(byte[] label) {
+        RadixNode(byte[] label) {
             this.label = label;
         }
 
-        TrieNode child(int firstByte) {
+        RadixNode child(int firstByte) {
             int index = Arrays.binarySearch(firstBytes, firstByte);
             return index < 0 ? null : children[index];
         }
 
-        void putChild(TrieNode child) {
+        void putChild(RadixNode child) {
             int firstByte = child.label[0] & 0xff;
             int index = Arrays.binarySearch(firstBytes, firstByte);
             if (index >= 0) {
@@ -52,7 +52,7 @@
             }
             int insertion = -index - 1;
             int[] newFirstBytes = new int[firstBytes.length + 1];
-            TrieNode[] newChildren = new TrieNode[firstBytes.length + 1];
+            RadixNode[] newChildren = new RadixNode[firstBytes.length + 1];
             System.arraycopy(firstBytes, 0, newFirstBytes, 0, insertion);
             System.arraycopy(children, 0, newChildren, 0, insertion);
             System.arraycopy(
@@ -71,36 +71,36 @@
     }
 
     private final List<Rule> rules;
-    private final TrieNode commonTrie = new TrieNode(new byte[0]);
+    private final RadixNode commonTree = new RadixNode(new byte[0]);
 
-    /** Groups that rules name, in ascending order; {@link #groupTries} has the same order. */
+    /** Groups that rules name, in ascending order; {@link #groupTrees} has the same order. */
     private final int[] groups;
 
-    private final TrieNode[] groupTries;
+    private final RadixNode[] groupTrees;
 
     /** Compiles the rules. */
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
-        TreeMap<Integer, TrieNode> triesByGroup = new TreeMap<>();
+        TreeMap<Integer, RadixNode> treesByGroup = new TreeMap<>();
         for (Rule rule : rules) {
-            TrieNode root =
+            RadixNode root =
                     rule.group() == Rule.ANY_GROUP
-                            ? commonTrie
-                            : triesByGroup.computeIfAbsent(
-                                    rule.group(), g -> new TrieNode(new byte[0]));
+                            ? commonTree
+                            : treesByGroup.computeIfAbsent(
+                                    rule.group(), g -> new RadixNode(new byte[0]));
             add(root, rule);
         }
-        groups = triesByGroup.keySet().stream().mapToInt(Integer::intValue).toArray();
-        groupTries = triesByGroup.values().toArray(new TrieNode[0]);
+        groups = treesByGroup.keySet().stream().mapToInt(Integer::intValue).toArray();
+        groupTrees = treesByGroup.values().toArray(new RadixNode[0]);
     }
 
-    private static void add(TrieNode root, Rule rule) {
-        TrieNode node = root;
+    private static void add(RadixNode root, Rule rule) {
+        RadixNode node = root;
         byte[] remaining = rule.prefix();
         while (remaining.length > 0) {
-            TrieNode next = node.child(remaining[0] & 0xff);
+            RadixNode next = node.child(remaining[0] & 0xff);
             if (next == null) {
-                next = new TrieNode(remaining);
+                next = new RadixNode(remaining);
                 node.putChild(next);
                 node = next;
                 break;
@@ -112,7 +112,7 @@
                 commonLength++;
             }
             if (commonLength < next.label.length) {
-                TrieNode split = new TrieNode(Arrays.copyOf(next.label, commonLength));
+                RadixNode split = new RadixNode(Arrays.copyOf(next.label, commonLength));
                 next.label = Arrays.copyOfRange(next.label, commonLength, next.label.length);
                 split.putChild(next);
                 node.putChild(split);
@@ -135,9 +135,9 @@
         }
         long bit = Rule.accessBit(type, write);
         int groupIndex = groups.length == 0 ? -1 : Arrays.binarySearch(groups, group);
-        int outcome = walk(commonTrie, bit, key);
+        int outcome = walk(commonTree, bit, key);
         if (outcome >= 0 && groupIndex >= 0) {
-            int groupOutcome = walk(groupTries[groupIndex], bit, key);
+            int groupOutcome = walk(groupTrees[groupIndex], bit, key);
             outcome = groupOutcome < 0 ? groupOutcome : outcome | groupOutcome;
         }
         return outcome < 0 ? Verdict.DENIED : outcome > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
@@ -146,11 +146,11 @@
     /**
      * Returns 1 if a node on the key's path allows the access, 0 if none does, -1 if one denies it.
      */
-    private static int walk(TrieNode root, long bit, KeyBytes key) {
+    private static int walk(RadixNode root, long bit, KeyBytes key) {
         int length = key.length();
         int position = 0;
         int allowed = 0;
-        TrieNode node = root;
+        RadixNode node = root;
         while (true) {
             if ((node.deniedAccesses & bit) != 0) {
                 return -1;
@@ -190,7 +190,7 @@
     }
 
     /**
-     * Checks an access by a scan over all rules, the reference for the trie in tests and
+     * Checks an access by a scan over all rules, the reference for the trees in tests and
      * benchmarks.
      */
     public Verdict verdictByScan(int type, boolean write, int group, KeyBytes key) {
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -63,7 +63,7 @@
                 | (writes ? (typeMask & 0xffffffffL) << MAX_TYPES : 0);
     }
 
-    /** Returns whether the rule applies to this access; the reference for the trie in tests. */
+    /** Returns whether the rule applies to this access; the reference for the trees in tests. */
     boolean matches(int type, boolean write, int group, KeyBytes key) {
         if ((accessMask() & accessBit(type, write)) == 0
                 || this.group != ANY_GROUP && this.group != group
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -186,37 +186,34 @@
                 Set<String> revokedIds)
                 throws InvalidOperatorConfigException {
             Map<String, Principal> principalsByName = new HashMap<>();
-            for (PrincipalConfig principal : principals) {
+            for (PrincipalConfig entry : principals) {
                 List<Rule> rules = new ArrayList<>();
-                for (String role : principal.roles) {
+                for (String role : entry.roles) {
                     for (RuleConfig config : roles.get(role)) {
                         rules.add(rule(config, types));
                     }
                 }
-                if (principal.tenant != null && !tenants.containsKey(principal.tenant)) {
+                if (entry.tenant != null && !tenants.containsKey(entry.tenant)) {
                     throw new InvalidOperatorConfigException(
-                            principal.source
-                                    + ": no tenant '"
-                                    + principal.tenant
-                                    + "' in the settings");
+                            entry.source + ": no tenant '" + entry.tenant + "' in the settings");
                 }
                 principalsByName.put(
-                        principal.name,
+                        entry.name,
                         new Principal(
-                                principal.name,
-                                principal.tenant == null ? -1 : tenants.get(principal.tenant),
+                                entry.name,
+                                entry.tenant == null ? -1 : tenants.get(entry.tenant),
                                 new Rights(rules),
-                                principal.transactionsPerSecond,
-                                principal.maxInFlight));
+                                entry.transactionsPerSecond,
+                                entry.maxInFlight));
             }
             double[] shares = new double[tenants.size()];
-            for (Map.Entry<String, Long> principal : tenantWeights.entrySet()) {
-                Integer tenant = tenants.get(principal.getKey());
+            for (Map.Entry<String, Long> entry : tenantWeights.entrySet()) {
+                Integer tenant = tenants.get(entry.getKey());
                 if (tenant == null) {
                     throw new InvalidOperatorConfigException(
-                            source + ": no tenant '" + principal.getKey() + "' in the settings");
+                            source + ": no tenant '" + entry.getKey() + "' in the settings");
                 }
-                shares[tenant] = principal.getValue();
+                shares[tenant] = entry.getValue();
             }
             return new Policy(
                     principalsByName,
@@ -234,7 +231,7 @@
                 Integer index = types.get(type);
                 if (index == null || index >= Rule.MAX_TYPES) {
                     throw new InvalidOperatorConfigException(
-                            config.source + ": no txn type '" + type + "' in the settings");
+                            config.source + ": no transaction type '" + type + "' in the settings");
                 }
                 typeMask |= 1 << index;
             }
--- a/src/main/java/dillfront/router/script/Parser.java
+++ b/src/main/java/dillfront/router/script/Parser.java
@@ -106,10 +106,10 @@
      * Enters one level of nesting, whose bound protects the stack. Callers leave the level by
      * depth--, except on an error, which ends the parse.
      */
-    private void enterLevel(Token at, String what) throws ScriptException {
+    private void enterLevel(Token token, String what) throws ScriptException {
         if (++depth > MAX_DEPTH) {
             throw new ScriptException(
-                    at, what + " are nested more than " + MAX_DEPTH + " levels deep");
+                    token, what + " are nested more than " + MAX_DEPTH + " levels deep");
         }
     }
 
@@ -253,10 +253,10 @@
         enterLevel(peek(), "expressions");
         SyntaxTree.Expression value = binary(0);
         if (peek().matches("if")) {
-            Token at = next();
+            Token token = next();
             SyntaxTree.Expression condition = binary(0);
             expect("else");
-            value = new SyntaxTree.Conditional(at, condition, value, expression());
+            value = new SyntaxTree.Conditional(token, condition, value, expression());
         }
         depth--;
         return value;
@@ -301,8 +301,8 @@
             if (peek().matches("(")) {
                 value = call(value);
             } else if (peek().matches("[")) {
-                Token at = next();
-                value = new SyntaxTree.Index(at, value, expression());
+                Token bracket = next();
+                value = new SyntaxTree.Index(bracket, value, expression());
                 expect("]");
             } else if (peek().matches(".")) {
                 next();
@@ -322,7 +322,7 @@
     }
 
     private SyntaxTree.Call call(SyntaxTree.Expression function) throws ScriptException {
-        Token at = expect("(");
+        Token bracket = expect("(");
         List<Token> names = new ArrayList<>();
         List<SyntaxTree.Expression> values = new ArrayList<>();
         while (!peek().matches(")")) {
@@ -342,7 +342,10 @@
         }
         next();
         return new SyntaxTree.Call(
-                function instanceof SyntaxTree.Name name ? name.at() : at, function, names, values);
+                function instanceof SyntaxTree.Name name ? name.at() : bracket,
+                function,
+                names,
+                values);
     }
 
     private SyntaxTree.Expression primary() throws ScriptException {
--- a/src/main/java/dillfront/router/script/ScriptException.java
+++ b/src/main/java/dillfront/router/script/ScriptException.java
@@ -13,8 +13,8 @@
         this.column = column;
     }
 
-    ScriptException(Token at, String message) {
-        this(at.line(), at.column(), message);
+    ScriptException(Token token, String message) {
+        this(token.line(), token.column(), message);
     }
 
     public int line() {
--- a/src/main/java/dillfront/router/script/ScriptInterpreter.java
+++ b/src/main/java/dillfront/router/script/ScriptInterpreter.java
@@ -33,18 +33,18 @@
      */
     public static final class Arguments {
 
-        private final Token at;
+        private final Token token;
         private final List<Object> positional;
         private final Map<String, Object> keyword;
         private final Map<String, Token> keywordTokens;
         private int positionalTaken;
 
         Arguments(
-                Token at,
+                Token token,
                 List<Object> positional,
                 Map<String, Object> keyword,
                 Map<String, Token> keywordTokens) {
-            this.at = at;
+            this.token = token;
             this.positional = positional;
             this.keyword = keyword;
             this.keywordTokens = keywordTokens;
@@ -102,23 +102,23 @@
          */
         public void requireAllTaken() throws ScriptException {
             if (positionalTaken < positional.size()) {
-                throw new ScriptException(at, "too many arguments for '" + at.text() + "'");
+                throw new ScriptException(token, "too many arguments for '" + token.text() + "'");
             }
             for (String name : keyword.keySet()) {
                 throw new ScriptException(
                         keywordTokens.get(name),
-                        "'" + at.text() + "' has no argument '" + name + "'");
+                        "'" + token.text() + "' has no argument '" + name + "'");
             }
         }
 
         /** Returns the line of the call. */
         public int line() {
-            return at.line();
+            return token.line();
         }
 
         /** Creates an error at the argument of this name, or at the call if it has none. */
         public ScriptException error(String name, String message) {
-            return new ScriptException(keywordTokens.getOrDefault(name, at), message);
+            return new ScriptException(keywordTokens.getOrDefault(name, token), message);
         }
     }
 
@@ -150,10 +150,10 @@
         script.execute(Parser.parse(text));
     }
 
-    private void countStep(Token at) throws ScriptException {
+    private void countStep(Token token) throws ScriptException {
         if (++steps > MAX_STEPS) {
             throw new ScriptException(
-                    at, "more than " + MAX_STEPS + " steps: script does not end in time");
+                    token, "more than " + MAX_STEPS + " steps: script does not end in time");
         }
     }
 
@@ -220,7 +220,7 @@
         return Completion.NORMAL;
     }
 
-    private void bind(List<Token> names, Object value, Token at) throws ScriptException {
+    private void bind(List<Token> names, Object value, Token token) throws ScriptException {
         Map<String, Object> scope = locals == null ? globals : locals;
         if (names.size() == 1) {
             if (hostFunctions.containsKey(names.get(0).text())) {
@@ -235,14 +235,15 @@
         }
         if (!(value instanceof List<?> list) || list.size() != names.size()) {
             throw new ScriptException(
-                    at, "expected a list of " + names.size() + " values, found " + describe(value));
+                    token,
+                    "expected a list of " + names.size() + " values, found " + describe(value));
         }
         for (int i = 0; i < names.size(); i++) {
             scope.put(names.get(i).text(), list.get(i));
         }
     }
 
-    private List<?> elements(Token at, Object value) throws ScriptException {
+    private List<?> elements(Token token, Object value) throws ScriptException {
         if (value instanceof List<?> list) {
             return new ArrayList<>(list);
         }
@@ -250,7 +251,7 @@
             return new ArrayList<>(map.keySet());
         }
         throw new ScriptException(
-                at, "expected a list or dict to iterate over, found " + describe(value));
+                token, "expected a list or dict to iterate over, found " + describe(value));
     }
 
     private static final Object NOT_BUILT_IN = new Object();
@@ -377,7 +378,7 @@
     }
 
     private Object call(
-            Token at,
+            Token token,
             UserFunction function,
             List<Object> positional,
             Map<String, Object> keyword,
@@ -395,11 +396,11 @@
             } else if (definition.defaults().get(i) != null) {
                 callScope.put(name, function.defaults().get(i));
             } else {
-                throw new ScriptException(at, "'" + functionName + "' needs '" + name + "'");
+                throw new ScriptException(token, "'" + functionName + "' needs '" + name + "'");
             }
         }
         if (positional.size() > definition.defaults().size()) {
-            throw new ScriptException(at, "too many arguments for '" + functionName + "'");
+            throw new ScriptException(token, "too many arguments for '" + functionName + "'");
         }
         for (String name : keyword.keySet()) {
             throw new ScriptException(
@@ -408,7 +409,7 @@
         }
         if (!activeFunctions.add(functionName)) {
             throw new ScriptException(
-                    at, "'" + functionName + "' calls itself: recursion is not supported");
+                    token, "'" + functionName + "' calls itself: recursion is not supported");
         }
         Map<String, Object> outer = locals;
         locals = callScope;
@@ -424,47 +425,49 @@
     /**
      * Calls a built-in function of the language; returns {@link #NOT_BUILT_IN} if there is none.
      */
-    private Object callBuiltIn(Token at, List<Object> arguments) throws ScriptException {
-        switch (at.text()) {
+    private Object callBuiltIn(Token token, List<Object> arguments) throws ScriptException {
+        switch (token.text()) {
             case "len" -> {
-                Object argument = one(at, arguments);
+                Object argument = one(token, arguments);
                 return argument instanceof List<?> list
                         ? (Object) (long) list.size()
                         : argument instanceof Map<?, ?> map
                                 ? (long) map.size()
-                                : (long) requireString(at, argument).length();
+                                : (long) requireString(token, argument).length();
             }
             case "str" -> {
-                Object argument = one(at, arguments);
+                Object argument = one(token, arguments);
                 return argument instanceof String ? argument : describe(argument);
             }
             case "range" -> {
-                long from = arguments.size() > 1 ? requireNumber(at, arguments.get(0)) : 0;
+                long from = arguments.size() > 1 ? requireNumber(token, arguments.get(0)) : 0;
                 long to =
                         arguments.isEmpty()
                                 ? 0
-                                : requireNumber(at, arguments.get(arguments.size() > 1 ? 1 : 0));
+                                : requireNumber(token, arguments.get(arguments.size() > 1 ? 1 : 0));
                 if (arguments.isEmpty() || arguments.size() > 2 || to - from > MAX_LENGTH) {
                     throw new ScriptException(
-                            at, "expected range(to) or range(from, to) of at most " + MAX_LENGTH);
+                            token,
+                            "expected range(to) or range(from, to) of at most " + MAX_LENGTH);
                 }
                 List<Object> list = new ArrayList<>();
                 for (long i = from; i < to; i++) {
-                    countStep(at);
+                    countStep(token);
                     list.add(i);
                 }
                 return list;
             }
-            case "fail" -> throw new ScriptException(at, requireString(at, one(at, arguments)));
+            case "fail" ->
+                    throw new ScriptException(token, requireString(token, one(token, arguments)));
             default -> {
                 return NOT_BUILT_IN;
             }
         }
     }
 
-    private static Object one(Token at, List<Object> arguments) throws ScriptException {
+    private static Object one(Token token, List<Object> arguments) throws ScriptException {
         if (arguments.size() != 1) {
-            throw new ScriptException(at, "'" + at.text() + "' takes one argument");
+            throw new ScriptException(token, "'" + token.text() + "' takes one argument");
         }
         return arguments.get(0);
     }
@@ -479,14 +482,14 @@
             return map.get(key);
         }
         if (container instanceof List<?> list) {
-            long at = requireNumber(index.at(), key);
-            at = at < 0 ? at + list.size() : at;
-            if (at < 0 || at >= list.size()) {
+            long position = requireNumber(index.at(), key);
+            position = position < 0 ? position + list.size() : position;
+            if (position < 0 || position >= list.size()) {
                 throw new ScriptException(
                         index.at(),
                         "index " + describe(key) + " is out of range for a list of " + list.size());
             }
-            return list.get((int) at);
+            return list.get((int) position);
         }
         throw new ScriptException(
                 index.at(), "expected a list or dict, found " + describe(container));
@@ -498,9 +501,9 @@
         for (SyntaxTree.Expression argument : method.arguments()) {
             arguments.add(evaluate(argument));
         }
-        Token at = method.at();
+        Token token = method.at();
         if (receiver instanceof String text) {
-            switch (at.text()) {
+            switch (token.text()) {
                 case "format" -> {
                     String result = text;
                     for (Object argument : arguments) {
@@ -512,23 +515,24 @@
                                                         ? s
                                                         : describe(argument)));
                     }
-                    return checkLength(at, result);
+                    return checkLength(token, result);
                 }
                 case "join" -> {
                     StringBuilder result = new StringBuilder();
-                    for (Object argument : elements(at, one(at, arguments))) {
+                    for (Object argument : elements(token, one(token, arguments))) {
                         result.append(result.length() == 0 ? "" : text)
-                                .append(requireString(at, argument));
+                                .append(requireString(token, argument));
                     }
-                    return checkLength(at, result.toString());
+                    return checkLength(token, result.toString());
                 }
                 default -> {}
             }
         } else if (receiver instanceof Map<?, ?> map) {
-            switch (at.text()) {
+            switch (token.text()) {
                 case "get" -> {
                     if (arguments.isEmpty() || arguments.size() > 2) {
-                        throw new ScriptException(at, "'get' takes a key and an optional default");
+                        throw new ScriptException(
+                                token, "'get' takes a key and an optional default");
                     }
                     return map.containsKey(arguments.get(0))
                             ? map.get(arguments.get(0))
@@ -545,17 +549,18 @@
                 default -> {}
             }
         }
-        throw new ScriptException(at, describe(receiver) + " has no method '" + at.text() + "'");
+        throw new ScriptException(
+                token, describe(receiver) + " has no method '" + token.text() + "'");
     }
 
-    private static String checkLength(Token at, String text) throws ScriptException {
+    private static String checkLength(Token token, String text) throws ScriptException {
         if (text.length() > MAX_LENGTH) {
-            throw new ScriptException(at, "string is longer than " + MAX_LENGTH);
+            throw new ScriptException(token, "string is longer than " + MAX_LENGTH);
         }
         return text;
     }
 
-    private Object applyOperator(Token at, String operator, Object left, Object right)
+    private Object applyOperator(Token token, String operator, Object left, Object right)
             throws ScriptException {
         switch (operator) {
             case "==":
@@ -566,18 +571,18 @@
                 return right instanceof Map<?, ?> map
                         ? map.containsKey(left)
                         : right instanceof String text
-                                ? (Object) text.contains(requireString(at, left))
-                                : elements(at, right).contains(left);
+                                ? (Object) text.contains(requireString(token, left))
+                                : elements(token, right).contains(left);
             case "+":
                 if (left instanceof String a && right instanceof String b) {
-                    return checkLength(at, a + b);
+                    return checkLength(token, a + b);
                 }
                 if (left instanceof List<?> a && right instanceof List<?> b) {
                     List<Object> joined = new ArrayList<>(a);
                     joined.addAll(b);
                     steps += joined.size();
                     if (joined.size() > MAX_LENGTH) {
-                        throw new ScriptException(at, "list is longer than " + MAX_LENGTH);
+                        throw new ScriptException(token, "list is longer than " + MAX_LENGTH);
                     }
                     return joined;
                 }
@@ -587,12 +592,13 @@
                     return compare(operator, a.compareTo(b));
                 }
                 return compare(
-                        operator, Long.compare(requireNumber(at, left), requireNumber(at, right)));
+                        operator,
+                        Long.compare(requireNumber(token, left), requireNumber(token, right)));
             default:
                 break;
         }
-        long a = requireNumber(at, left);
-        long b = requireNumber(at, right);
+        long a = requireNumber(token, left);
+        long b = requireNumber(token, right);
         try {
             switch (operator) {
                 case "+":
@@ -606,11 +612,11 @@
                 case "%":
                     return Math.floorMod(a, b);
                 default:
-                    throw new ScriptException(at, "'" + operator + "' is not supported here");
+                    throw new ScriptException(token, "'" + operator + "' is not supported here");
             }
         } catch (ArithmeticException e) {
             throw new ScriptException(
-                    at,
+                    token,
                     b == 0 && !operator.equals("*")
                             ? "division by zero"
                             : "number exceeds 64 bits");
@@ -640,24 +646,24 @@
                                                 : value != null;
     }
 
-    private static long requireNumber(Token at, Object value) throws ScriptException {
+    private static long requireNumber(Token token, Object value) throws ScriptException {
         if (value instanceof Long number) {
             return number;
         }
-        throw new ScriptException(at, "expected a number, found " + describe(value));
+        throw new ScriptException(token, "expected a number, found " + describe(value));
     }
 
-    private static String requireString(Token at, Object value) throws ScriptException {
+    private static String requireString(Token token, Object value) throws ScriptException {
         if (value instanceof String text) {
             return text;
         }
-        throw new ScriptException(at, "expected a string, found " + describe(value));
+        throw new ScriptException(token, "expected a string, found " + describe(value));
     }
 
-    private static Object checkKey(Token at, Object value) throws ScriptException {
+    private static Object checkKey(Token token, Object value) throws ScriptException {
         if (value instanceof List || value instanceof Map) {
             throw new ScriptException(
-                    at, "expected a string or number as a key, found " + describe(value));
+                    token, "expected a string or number as a key, found " + describe(value));
         }
         return value;
     }
--- a/src/test/java/dillfront/bootstrap/ControlProcessTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -226,7 +226,7 @@
 
     /**
      * Starts three processes with a relay per direction, keyed by source and target. Each process
-     * has an internal port of its own, by which its relays are told apart.
+     * has an internal port of its own, which identifies its relays.
      */
     private Map<String, TcpRelay> startThreeProcessesBehindRelays() throws Exception {
         int[] internalPorts = {
@@ -581,7 +581,7 @@
     }
 
     /**
-     * Returns whether a process holds the lease by its own status; "held=" there is its revision of
+     * Returns whether a status reports the lease of its process; "held=" there is its revision of
      * the configuration.
      */
     private static boolean isLeaseHolder(String status) {
--- a/src/test/java/dillfront/cli/SystemCommandTest.java
+++ b/src/test/java/dillfront/cli/SystemCommandTest.java
@@ -51,8 +51,8 @@
 
     /** A control process that reports lacking commits and records the requests posted to it. */
     private HttpServer startControlProcess() throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        server.createContext(
+        HttpServer httpServer = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+        httpServer.createContext(
                 "/status",
                 exchange ->
                         respond(
@@ -62,7 +62,7 @@
                                         + String.format(
                                                 LACKING, mostAcknowledged, System.nanoTime())
                                         + "]}"));
-        server.createContext(
+        httpServer.createContext(
                 "/Services.AcceptDataLoss",
                 exchange -> {
                     posted.add(
@@ -74,8 +74,8 @@
                             responseStatus,
                             "{'log_position':'1.10','error_message':'something else'}");
                 });
-        server.start();
-        return server;
+        httpServer.start();
+        return httpServer;
     }
 
     private static void respond(HttpExchange exchange, int status, String text) throws IOException {
--- a/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
+++ b/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
@@ -103,10 +103,10 @@
         environment.eventLoop().execute(() -> pendingResponses.get(index).complete(response));
     }
 
-    private static void waitUntil(String what, BooleanSupplier condition)
+    private static void waitUntil(String description, BooleanSupplier condition)
             throws InterruptedException {
         for (long end = System.nanoTime() + 10_000_000_000L; !condition.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "waited 10 s in vain until " + what);
+            assertTrue(System.nanoTime() < end, "waited 10 s in vain until " + description);
             Thread.sleep(2);
         }
     }
--- a/src/test/java/dillfront/router/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Tests the access checks by the trie, and compares them with a scan over the rules. */
+/** Tests the access checks by the radix trees, and compares them with a scan over the rules. */
 class RightsTest {
 
     static KeyBytes key(String text) {
@@ -75,7 +75,7 @@
         assertEquals(Verdict.NO_RULE, Rights.NONE.verdict(0, false, 0, key("")));
     }
 
-    /** Returns a text over a small alphabet, so that prefixes overlap and trie nodes are split. */
+    /** Returns a text over a small alphabet, so that prefixes overlap and nodes are split. */
     private static String randomText(SplittableRandom random, int maxLength) {
         StringBuilder text = new StringBuilder();
         for (int i = random.nextInt(maxLength + 1); i > 0; i--) {
@@ -85,7 +85,7 @@
     }
 
     @Property(tries = 400, seed = "31")
-    void trieAgreesWithScan(@ForAll long seed) {
+    void treeAgreesWithScan(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Rule> rules = new ArrayList<>();
         for (int i = random.nextInt(40); i > 0; i--) {
--- a/src/test/java/dillfront/router/operator/OperatorConfigTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorConfigTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void allFeaturesAreOffWithoutFile() throws Exception {
+    void disablesFeaturesWithoutFile() throws Exception {
         assertSame(OperatorConfig.NONE, OperatorConfig.fromEnvironment(Map.of()));
         assertNull(OperatorConfig.read("f.star", "# nothing\n").gossip());
     }
--- a/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
+++ b/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void rejectsWrongOrMissingClaims() throws Exception {
+    void rejectsMismatchedOrMissingClaims() throws Exception {
         ECDSASigner signer = new ECDSASigner(EC);
         assertEquals(
                 "token is from another issuer",
