--- a/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
+++ b/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
@@ -154,7 +154,8 @@
     @Property(tries = 500, seed = "21")
     void anyTextRunsOrFailsWithScriptException(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text) {
-        // Each text either runs or fails with a ScriptError; any other exception fails the test.
+        // Each text either runs or fails with a ScriptException; any other exception fails the
+        // test.
         String firstRun = run(text.replace('~', '\n'));
         assertEquals(firstRun, run(text.replace('~', '\n')));
     }
