--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/Side.java
@@ -93,7 +93,7 @@
         if (ledger != null) {
             router.keeps(ledger, memory == null ? null : memory::whenKept);
         }
-        OperatorConfig.GossipConfig gossip = operator.gossip();
+        OperatorConfig.GossipSection gossip = operator.gossip();
         if (gossip == null) {
             neighbours = null;
             datagrams = null;
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -58,7 +58,7 @@
  * @param file the path that was read; null for {@link #NONE}
  */
 public record OperatorConfig(
-        GossipConfig gossip,
+        GossipSection gossip,
         InetSocketAddress controlAddress,
         IdentityConfig identity,
         Path stateFolder,
@@ -78,7 +78,7 @@
      * @param bindAddress local address of the socket if it differs from the address that peers use;
      *     null otherwise
      */
-    public record GossipConfig(
+    public record GossipSection(
             Tuning tuning,
             Ring ring,
             Path keyFile,
@@ -632,7 +632,7 @@
                                 + " peers, expected at most a third");
             }
             return new OperatorConfig(
-                    new GossipConfig(tuning, ring, keyFile, publicKey, bind),
+                    new GossipSection(tuning, ring, keyFile, publicKey, bind),
                     controlAddress,
                     identity,
                     stateFolder,
