--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -7,7 +7,7 @@
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.environment.RingLog;
 import dillfront.common.logging.Log;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.ControlNode;
 import dillfront.router.Signals;
 import java.io.IOException;
@@ -26,17 +26,17 @@
      *
      * @throws InvalidSettingsException with the file, the place and the error
      * @throws IOException if the process cannot listen on an address
-     * @throws TextStore.StorageException if the data directory cannot be used
+     * @throws KeyValueStore.StorageException if the data directory cannot be used
      */
     public static void run(SettingsSource source)
-            throws InvalidSettingsException, IOException, TextStore.StorageException {
+            throws InvalidSettingsException, IOException, KeyValueStore.StorageException {
         NodeSettings settings = source.read();
         Log log = new Log(System.err);
         if (settings.controlAddress() == null || settings.dataDirectory() == null) {
             throw new InvalidSettingsException(
                     "control_address or data_directory is missing, which a control plane requires");
         }
-        TextStore store = TextStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
+        KeyValueStore store = KeyValueStore.open(Path.of(settings.dataDirectory()), STORE_OWNER);
         NettyEnvironment environment =
                 new NettyEnvironment(
                         System.nanoTime() ^ settings.nodeName().hashCode(),
--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -2,7 +2,7 @@
 
 import dillfront.common.environment.NettyEnvironment;
 import dillfront.common.logging.Log;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.storage.StateStore;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -15,7 +15,7 @@
  */
 final class FileStateStore implements StateStore {
 
-    private final TextStore store;
+    private final KeyValueStore store;
     private final Map<String, String> initialState;
     private final NettyEnvironment environment;
     private final Log log;
@@ -27,7 +27,7 @@
                         return thread;
                     });
 
-    FileStateStore(TextStore store, NettyEnvironment environment, Log log) {
+    FileStateStore(KeyValueStore store, NettyEnvironment environment, Log log) {
         this.store = store;
         this.environment = environment;
         this.log = log;
@@ -37,7 +37,7 @@
             log.warn("disk", "fault", "damaged; its content is ignored");
             initialState = Map.of();
         } else {
-            initialState = store.texts();
+            initialState = store.entries();
         }
     }
 
@@ -57,7 +57,7 @@
         try {
             store.put(texts);
             environment.eventLoop().execute(() -> written.complete(null));
-        } catch (TextStore.StorageException | IllegalArgumentException e) {
+        } catch (KeyValueStore.StorageException | IllegalArgumentException e) {
             environment
                     .eventLoop()
                     .execute(
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.environment.NettyEnvironment;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -28,7 +28,9 @@
 
     /** Starts both programs and executes the code paths of a first client. */
     public static void run()
-            throws IOException, NodeSettings.InvalidSettingsException, TextStore.StorageException {
+            throws IOException,
+                    NodeSettings.InvalidSettingsException,
+                    KeyValueStore.StorageException {
         Path folder = Files.createTempDirectory("rehearsal");
         int[] ports = new int[4];
         for (int i = 0; i < ports.length; i++) {
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -5,14 +5,14 @@
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
 import dillfront.common.logging.NettyLoggerFactory;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import dillfront.router.Daemon;
 import dillfront.router.Rehearsal;
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
 import dillfront.router.operator.OperatorConfig;
-import dillfront.routing.simulator.BadInput;
-import dillfront.routing.simulator.Drill;
+import dillfront.routing.simulator.InvalidInputException;
+import dillfront.routing.simulator.SimulatorServer;
 import java.io.IOException;
 import java.util.List;
 
@@ -61,7 +61,7 @@
                 dillfront.bootstrap.WarmUp.run();
                 System.exit(0);
             } else {
-                new Drill(System.in, System.out).run();
+                new SimulatorServer(System.in, System.out).run();
             }
         } catch (BadConfig e) {
             System.err.println("dillfront: " + e.getMessage());
@@ -69,10 +69,10 @@
         } catch (OperatorConfig.InvalidOperatorConfigException e) {
             System.err.println("dillfront: LB_OPERATOR " + e.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | TextStore.StorageException e) {
+        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException e) {
             System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
         } catch (IOException e) {
--- a/src/main/java/dillfront/cli/RootCommand.java
+++ b/src/main/java/dillfront/cli/RootCommand.java
@@ -3,7 +3,7 @@
 import dillfront.common.network.Address;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
@@ -216,7 +216,7 @@
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             int exitCode = writeSecret(file, KeyFile.text(pair.getPrivate()));
             if (exitCode == 0) {
-                System.out.println(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
+                System.out.println(HexFormat.of().formatHex(PeerRegistry.rawKey(pair.getPublic())));
             }
             return exitCode;
         }
--- a/src/main/java/dillfront/cli/SiteCommand.java
+++ b/src/main/java/dillfront/cli/SiteCommand.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Tree;
-import dillfront.router.plan.Estate;
-import dillfront.router.plan.Lists;
-import dillfront.router.plan.Plan;
-import dillfront.router.plan.Planner;
+import dillfront.router.plan.LoadPlan;
+import dillfront.router.plan.LoadPlanner;
+import dillfront.router.plan.PlannerInput;
+import dillfront.router.plan.PlannerInputReader;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.StringWriter;
@@ -97,9 +97,9 @@
                                         + sumOfShares
                                         + ", expected 1 and no negative share");
             }
-            Estate estate;
+            PlannerInput estate;
             try (InputStream in = Files.newInputStream(file)) {
-                estate = Lists.read(Tree.parse(in), utilization, typeShares);
+                estate = PlannerInputReader.read(Tree.parse(in), utilization, typeShares);
             } catch (NoSuchFileException e) {
                 return RootCommand.fail(file + ": no such file");
             } catch (IOException | BadConfig e) {
@@ -117,20 +117,20 @@
                                     + String.join(", ", estate.sites()));
                 }
             }
-            List<Plan> plans =
+            List<LoadPlan> plans =
                     lostSites.isEmpty()
-                            ? Planner.all(estate)
-                            : List.of(Planner.plan(estate, new TreeSet<>(lostSites)));
+                            ? LoadPlanner.allPlans(estate)
+                            : List.of(LoadPlanner.plan(estate, new TreeSet<>(lostSites)));
             System.out.print(json ? json(estate, plans) : table(estate, plans));
             return 0;
         }
     }
 
-    private static String labelOf(Plan plan) {
+    private static String labelOf(LoadPlan plan) {
         return plan.lost().isEmpty() ? "none" : String.join("+", plan.lost());
     }
 
-    static String table(Estate estate, List<Plan> plans) {
+    static String table(PlannerInput estate, List<LoadPlan> plans) {
         StringBuilder out =
                 new StringBuilder(
                         String.format(
@@ -140,15 +140,15 @@
                                 "served",
                                 "crosses",
                                 "refused, most first"));
-        for (Plan plan : plans) {
+        for (LoadPlan plan : plans) {
             double crosses =
                     plan.groups().stream()
-                            .flatMap(g -> g.rows().stream())
-                            .mapToDouble(Plan.Row::crosses)
+                            .flatMap(g -> g.loads().stream())
+                            .mapToDouble(LoadPlan.TypeLoad::crossSite)
                             .sum();
             Map<Double, List<String>> refused = new TreeMap<>((a, b) -> Double.compare(b, a));
-            for (Estate.Kind kind : estate.kinds()) {
-                double share = plan.refused(kind.name());
+            for (PlannerInput.TransactionType kind : estate.transactionTypes()) {
+                double share = plan.refusedPart(kind.name());
                 if (share > 0.0005) {
                     refused.computeIfAbsent(share, k -> new java.util.ArrayList<>())
                             .add(String.format(Locale.ROOT, "%s %.1f%%", kind.name(), share * 100));
@@ -159,8 +159,8 @@
                             Locale.ROOT,
                             "%-24s %5.1f%% %6.1f%%  %s%n",
                             labelOf(plan),
-                            100 * plan.served() / plan.asked(),
-                            100 * crosses / plan.asked(),
+                            100 * plan.served() / plan.requested(),
+                            100 * crosses / plan.requested(),
                             refused.isEmpty()
                                     ? "-"
                                     : String.join(
@@ -169,21 +169,21 @@
                                                     .flatMap(List::stream)
                                                     .toList())));
         }
-        for (Plan plan : plans) {
-            for (Plan.Group group : plan.groups()) {
+        for (LoadPlan plan : plans) {
+            for (LoadPlan.Group group : plan.groups()) {
                 List<String> limits =
-                        group.rows().stream()
-                                .filter(r -> r.limit() != Plan.Limit.NONE)
+                        group.loads().stream()
+                                .filter(r -> r.limit() != LoadPlan.Limit.NONE)
                                 .map(
                                         r ->
                                                 String.format(
                                                         Locale.ROOT,
                                                         "%s: %s, %.1f%% refused",
-                                                        r.kind(),
+                                                        r.type(),
                                                         describe(r.limit()),
-                                                        100 * (1 - r.served() / r.asked())))
+                                                        100 * (1 - r.served() / r.requested())))
                                 .toList();
-                if (group.elects() || !limits.isEmpty()) {
+                if (group.needsElection() || !limits.isEmpty()) {
                     out.append(
                             String.format(
                                     Locale.ROOT,
@@ -194,7 +194,7 @@
                                     group.members(),
                                     group.primary() == null
                                             ? "none to lead"
-                                            : group.elects()
+                                            : group.needsElection()
                                                     ? "no primary until one takes over (planned for "
                                                             + group.primary()
                                                             + ")"
@@ -206,7 +206,7 @@
         return out.append('\n').toString().replace("\n\n\n", "\n\n");
     }
 
-    private static String describe(Plan.Limit limit) {
+    private static String describe(LoadPlan.Limit limit) {
         return switch (limit) {
             case NO_MEMBER -> "no member is left";
             case PRIMARY -> "the primary is full";
@@ -220,41 +220,41 @@
         return Math.round(amount * 1e6) / 1e6;
     }
 
-    static String json(Estate estate, List<Plan> plans) {
+    static String json(PlannerInput estate, List<LoadPlan> plans) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
-            out.writeNumberField("use", estate.use());
+            out.writeNumberField("use", estate.requestedPart());
             out.writeArrayFieldStart("plans");
-            for (Plan plan : plans) {
+            for (LoadPlan plan : plans) {
                 out.writeStartObject();
                 out.writeArrayFieldStart("lost");
                 for (String site : plan.lost()) {
                     out.writeString(site);
                 }
                 out.writeEndArray();
-                out.writeNumberField("asked", roundToMillionth(plan.asked()));
+                out.writeNumberField("asked", roundToMillionth(plan.requested()));
                 out.writeNumberField("served", roundToMillionth(plan.served()));
                 out.writeArrayFieldStart("groups");
-                for (Plan.Group group : plan.groups()) {
+                for (LoadPlan.Group group : plan.groups()) {
                     out.writeStartObject();
                     out.writeNumberField("group", group.number());
                     out.writeNumberField("members", group.members());
                     out.writeNumberField("left", group.left());
                     out.writeStringField("primary", group.primary());
-                    out.writeBooleanField("elects", group.elects());
+                    out.writeBooleanField("elects", group.needsElection());
                     out.writeArrayFieldStart("kinds");
-                    for (Plan.Row row : group.rows()) {
+                    for (LoadPlan.TypeLoad row : group.loads()) {
                         out.writeStartObject();
-                        out.writeStringField("kind", row.kind());
-                        out.writeNumberField("asked", roundToMillionth(row.asked()));
+                        out.writeStringField("kind", row.type());
+                        out.writeNumberField("asked", roundToMillionth(row.requested()));
                         out.writeNumberField("served", roundToMillionth(row.served()));
-                        out.writeNumberField("crosses", roundToMillionth(row.crosses()));
+                        out.writeNumberField("crosses", roundToMillionth(row.crossSite()));
                         out.writeStringField("limit", row.limit().name().toLowerCase(Locale.ROOT));
                         out.writeArrayFieldStart("flows");
-                        for (Plan.Flow flow : row.flows()) {
+                        for (LoadPlan.Flow flow : row.flows()) {
                             out.writeStartObject();
-                            out.writeStringField("from", flow.from());
+                            out.writeStringField("from", flow.fromSite());
                             out.writeStringField("node", flow.node());
                             out.writeStringField("at", flow.at());
                             out.writeNumberField("amount", roundToMillionth(flow.amount()));
--- a/src/main/java/dillfront/common/database/AcceptedDataLoss.java
+++ b/src/main/java/dillfront/common/database/AcceptedDataLoss.java
@@ -37,29 +37,32 @@
      * What a person gives up, beside what was given up of this service before (null for nothing).
      */
     public static AcceptedDataLoss accept(
-            long move,
-            LogPosition log,
-            AcknowledgedCommits lacked,
-            List<String> servers,
-            AcceptedDataLoss before) {
+            long moveNumber,
+            LogPosition logEnd,
+            AcknowledgedCommits acknowledged,
+            List<String> unreachableServers,
+            AcceptedDataLoss previous) {
         return new AcceptedDataLoss(
-                move,
-                log,
-                lacked,
-                servers,
-                log,
-                before == null
-                        ? lacked.upperBound()
-                        : LogPosition.max(before.lostUpTo, lacked.upperBound()));
+                moveNumber,
+                logEnd,
+                acknowledged,
+                unreachableServers,
+                logEnd,
+                previous == null
+                        ? acknowledged.upperBound()
+                        : LogPosition.max(previous.lostUpTo, acknowledged.upperBound()));
     }
 
     /** It is the answer to the same question. */
     public boolean matches(
-            long ofMove, LogPosition ofLog, AcknowledgedCommits ofLacked, List<String> ofServers) {
-        return moveNumber == ofMove
-                && logEnd.equals(ofLog)
-                && acknowledged.equals(ofLacked)
-                && unreachableServers.equals(ofServers);
+            long otherMoveNumber,
+            LogPosition otherLogEnd,
+            AcknowledgedCommits otherAcknowledged,
+            List<String> otherUnreachableServers) {
+        return moveNumber == otherMoveNumber
+                && logEnd.equals(otherLogEnd)
+                && acknowledged.equals(otherAcknowledged)
+                && unreachableServers.equals(otherUnreachableServers);
     }
 
     /** Whether anything is given up: not where what leads turned out to hold all of it. */
@@ -68,23 +71,26 @@
     }
 
     /** Once a log that ends here leads: what that one holds is not given up. */
-    public AcceptedDataLoss withLeaderAt(LogPosition end) {
+    public AcceptedDataLoss withPrimaryLogEnd(LogPosition primaryLogEnd) {
         return new AcceptedDataLoss(
                 moveNumber,
                 logEnd,
                 acknowledged,
                 unreachableServers,
-                LogPosition.max(keptUpTo, end),
+                LogPosition.max(keptUpTo, primaryLogEnd),
                 lostUpTo);
     }
 
     /** What of it is not given up. */
-    public LogPosition exclude(LogPosition of) {
-        return of != null && !keptUpTo.covers(of) && lostUpTo.covers(of) ? keptUpTo : of;
+    public LogPosition exclude(LogPosition original) {
+        return original != null && !keptUpTo.covers(original) && lostUpTo.covers(original)
+                ? keptUpTo
+                : original;
     }
 
-    public AcknowledgedCommits exclude(AcknowledgedCommits of) {
-        return new AcknowledgedCommits(exclude(of.lowerBound()), exclude(of.upperBound()));
+    public AcknowledgedCommits exclude(AcknowledgedCommits original) {
+        return new AcknowledgedCommits(
+                exclude(original.lowerBound()), exclude(original.upperBound()));
     }
 
     @Override
@@ -107,36 +113,36 @@
 
     /** What toString() wrote; null where it is something else. */
     public static AcceptedDataLoss parse(String text) {
-        String[] part = text.split(" ", -1);
-        if (part.length < 6 || !part[0].matches("\\d{1,18}")) {
+        String[] fields = text.split(" ", -1);
+        if (fields.length < 6 || !fields[0].matches("\\d{1,18}")) {
             return null;
         }
-        LogPosition log = LogPosition.parse(part[1]);
-        LogPosition lowerBound = LogPosition.parse(part[2]);
-        LogPosition upperBound = LogPosition.parse(part[3]);
-        LogPosition kept = LogPosition.parse(part[4]);
-        LogPosition until = LogPosition.parse(part[5]);
-        if (log == null
+        LogPosition logEnd = LogPosition.parse(fields[1]);
+        LogPosition lowerBound = LogPosition.parse(fields[2]);
+        LogPosition upperBound = LogPosition.parse(fields[3]);
+        LogPosition keptUpTo = LogPosition.parse(fields[4]);
+        LogPosition lostUpTo = LogPosition.parse(fields[5]);
+        if (logEnd == null
                 || lowerBound == null
                 || upperBound == null
-                || kept == null
-                || until == null) {
+                || keptUpTo == null
+                || lostUpTo == null) {
             return null;
         }
         List<String> servers = new ArrayList<>();
-        for (int i = 6; i < part.length; i++) {
+        for (int i = 6; i < fields.length; i++) {
             try {
-                servers.add(URLDecoder.decode(part[i], StandardCharsets.UTF_8));
-            } catch (IllegalArgumentException none) {
+                servers.add(URLDecoder.decode(fields[i], StandardCharsets.UTF_8));
+            } catch (IllegalArgumentException malformed) {
                 return null;
             }
         }
         return new AcceptedDataLoss(
-                Long.parseLong(part[0]),
-                log,
+                Long.parseLong(fields[0]),
+                logEnd,
                 new AcknowledgedCommits(lowerBound, upperBound),
                 servers,
-                kept,
-                until);
+                keptUpTo,
+                lostUpTo);
     }
 }
--- a/src/main/java/dillfront/common/database/AcknowledgedCommits.java
+++ b/src/main/java/dillfront/common/database/AcknowledgedCommits.java
@@ -17,15 +17,16 @@
     /**
      * Of one answer.
      *
-     * @param before how far the log was known to be when the commit was asked for
-     * @param answered the position that came with the answer; null where none did
+     * @param requestPosition how far the log was known to be when the commit was asked for
+     * @param responsePosition the position that came with the answer; null where none did
      */
-    public static AcknowledgedCommits ofResponse(LogPosition before, LogPosition answered) {
-        LogPosition least =
-                before == null
+    public static AcknowledgedCommits ofResponse(
+            LogPosition requestPosition, LogPosition responsePosition) {
+        LogPosition lowerBound =
+                requestPosition == null
                         ? LogPosition.NONE
-                        : new LogPosition(before.term(), before.index() + 1);
-        return new AcknowledgedCommits(least, LogPosition.max(least, answered));
+                        : new LogPosition(requestPosition.term(), requestPosition.index() + 1);
+        return new AcknowledgedCommits(lowerBound, LogPosition.max(lowerBound, responsePosition));
     }
 
     public AcknowledgedCommits merge(AcknowledgedCommits other) {
@@ -41,9 +42,13 @@
 
     /** What toString() wrote; NONE where it is something else. */
     public static AcknowledgedCommits parse(String text) {
-        int gap = text.indexOf(' ');
-        LogPosition least = gap < 0 ? null : LogPosition.parse(text.substring(0, gap));
-        LogPosition most = gap < 0 ? null : LogPosition.parse(text.substring(gap + 1));
-        return least == null || most == null ? NONE : new AcknowledgedCommits(least, most);
+        int separator = text.indexOf(' ');
+        LogPosition lowerBound =
+                separator < 0 ? null : LogPosition.parse(text.substring(0, separator));
+        LogPosition upperBound =
+                separator < 0 ? null : LogPosition.parse(text.substring(separator + 1));
+        return lowerBound == null || upperBound == null
+                ? NONE
+                : new AcknowledgedCommits(lowerBound, upperBound);
     }
 }
--- a/src/main/java/dillfront/common/database/LogPosition.java
+++ b/src/main/java/dillfront/common/database/LogPosition.java
@@ -22,7 +22,7 @@
                             Long.parseLong(text.substring(0, dot)),
                             Long.parseLong(text.substring(dot + 1)));
             return position.term < 0 || position.index < 0 ? null : position;
-        } catch (NumberFormatException none) {
+        } catch (NumberFormatException malformed) {
             return null;
         }
     }
--- a/src/main/java/dillfront/common/database/ServerResponseReader.java
+++ b/src/main/java/dillfront/common/database/ServerResponseReader.java
@@ -31,12 +31,12 @@
     public static final class ProtocolViolationException extends Exception {
         private static final long serialVersionUID = 1;
 
-        ProtocolViolationException(String why) {
-            super(why);
+        ProtocolViolationException(String message) {
+            super(message);
         }
     }
 
-    private int outstanding;
+    private int outstandingResponses;
     private boolean connected;
     private List<String> rows = new ArrayList<>();
     private String completionTag;
@@ -45,7 +45,7 @@
 
     /** One more response is due: that of CONNECT is from the start. */
     public void expectResponse() {
-        outstanding++;
+        outstandingResponses++;
     }
 
     /** Whether CONNECT was answered with READY. */
@@ -61,10 +61,10 @@
      */
     public ServerResponse read(byte[] bytes) throws ProtocolViolationException {
         String line = new String(bytes, StandardCharsets.ISO_8859_1);
-        int blank = line.indexOf(' ');
-        String keyword = blank < 0 ? line : line.substring(0, blank);
-        String rest = blank < 0 ? "" : line.substring(blank + 1);
-        if (connected && outstanding == 0) {
+        int keywordEnd = line.indexOf(' ');
+        String keyword = keywordEnd < 0 ? line : line.substring(0, keywordEnd);
+        String arguments = keywordEnd < 0 ? "" : line.substring(keywordEnd + 1);
+        if (connected && outstandingResponses == 0) {
             throw new ProtocolViolationException("an answer to nothing: " + keyword);
         }
         boolean hasResult = completionTag != null || errorCode != null;
@@ -73,22 +73,22 @@
                 if (!connected || hasResult) {
                     throw new ProtocolViolationException("a row out of place");
                 }
-                rows.add(rest);
+                rows.add(arguments);
                 return null;
             case "COMPLETE":
                 if (!connected || hasResult) {
                     throw new ProtocolViolationException("a second end of an answer");
                 }
-                completionTag = rest;
+                completionTag = arguments;
                 return null;
             case "ERROR":
                 {
                     if (hasResult) {
                         throw new ProtocolViolationException("a second end of an answer");
                     }
-                    int blankAt = rest.indexOf(' ');
-                    errorCode = blankAt < 0 ? rest : rest.substring(0, blankAt);
-                    errorMessage = blankAt < 0 ? "" : rest.substring(blankAt + 1);
+                    int fieldEnd = arguments.indexOf(' ');
+                    errorCode = fieldEnd < 0 ? arguments : arguments.substring(0, fieldEnd);
+                    errorMessage = fieldEnd < 0 ? "" : arguments.substring(fieldEnd + 1);
                     return connected ? null : finish('I', null);
                 }
             case "READY":
@@ -96,28 +96,36 @@
                     if (connected ? !hasResult : hasResult) {
                         throw new ProtocolViolationException("half an answer");
                     }
-                    char state = rest.isEmpty() ? '?' : rest.charAt(0);
-                    int blankAt = rest.indexOf(' ');
-                    LogPosition position =
-                            blankAt < 0 ? null : LogPosition.parse(rest.substring(blankAt + 1));
+                    char transactionStatus = arguments.isEmpty() ? '?' : arguments.charAt(0);
+                    int fieldEnd = arguments.indexOf(' ');
+                    LogPosition logPosition =
+                            fieldEnd < 0
+                                    ? null
+                                    : LogPosition.parse(arguments.substring(fieldEnd + 1));
                     if (connected) {
-                        outstanding--;
+                        outstandingResponses--;
                     }
                     connected = true;
-                    return finish(state, position);
+                    return finish(transactionStatus, logPosition);
                 }
             default:
                 throw new ProtocolViolationException("no word of the wire");
         }
     }
 
-    private ServerResponse finish(char state, LogPosition position) {
-        ServerResponse is =
-                new ServerResponse(rows, completionTag, errorCode, errorMessage, state, position);
+    private ServerResponse finish(char transactionStatus, LogPosition logPosition) {
+        ServerResponse response =
+                new ServerResponse(
+                        rows,
+                        completionTag,
+                        errorCode,
+                        errorMessage,
+                        transactionStatus,
+                        logPosition);
         rows = new ArrayList<>();
         completionTag = null;
         errorCode = null;
         errorMessage = "";
-        return is;
+        return response;
     }
 }
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -1,6 +1,6 @@
 package dillfront.common.logging;
 
-import dillfront.routing.api.Result;
+import dillfront.routing.api.SubmissionResult;
 
 /**
  * Counters of one router's requests, connections and results, and gauges of what it holds now; the
@@ -26,7 +26,7 @@
     public long lists;
     public long failedLists;
     public long longestLoopTurnMillis;
-    private final long[] ended = new long[Result.values().length];
+    private final long[] ended = new long[SubmissionResult.values().length];
 
     // ---- gauges
 
@@ -39,7 +39,7 @@
     public int nodeConnections;
     public int timers;
 
-    public void ended(Result result) {
+    public void ended(SubmissionResult result) {
         ended[result.ordinal()]++;
     }
 
@@ -92,7 +92,7 @@
                 }) {
             line[index++] = nameOrValue;
         }
-        for (Result result : Result.values()) {
+        for (SubmissionResult result : SubmissionResult.values()) {
             line[index++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
             line[index++] = ended[result.ordinal()];
         }
--- a/src/main/java/dillfront/common/message/BinaryDelta.java
+++ b/src/main/java/dillfront/common/message/BinaryDelta.java
@@ -25,8 +25,8 @@
     public static final class InvalidDeltaException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidDeltaException(String fault) {
-            super(fault);
+        InvalidDeltaException(String message) {
+            super(message);
         }
     }
 
@@ -36,16 +36,16 @@
     private static final byte FORMAT_VERSION = 1;
 
     /** No piece is shorter, but for the last, so that their number is bounded. */
-    private static final int MIN_CHUNK = 16;
+    private static final int MIN_CHUNK_BYTES = 16;
 
     /** A run is not worth its own numbers below. */
-    private static final int MIN_COPY = 8;
+    private static final int MIN_COPY_BYTES = 8;
 
     private BinaryDelta() {}
 
-    public static long digest(byte[] text) {
+    public static long digest(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(text);
+        crc.update(bytes);
         return crc.getValue();
     }
 
@@ -54,27 +54,27 @@
      *
      * @throws IllegalArgumentException where one is longer than any text may be
      */
-    public static byte[] create(byte[] base, byte[] next) {
-        if (base.length > MAX_BYTES || next.length > MAX_BYTES) {
+    public static byte[] create(byte[] base, byte[] target) {
+        if (base.length > MAX_BYTES || target.length > MAX_BYTES) {
             throw new IllegalArgumentException(
-                    "a text of " + Math.max(base.length, next.length) + " bytes");
+                    "a text of " + Math.max(base.length, target.length) + " bytes");
         }
-        return new Encoder(base, next).encode();
+        return new Encoder(base, target).encode();
     }
 
     /** One text, cut; where each piece begins, and the end. */
-    private static int[] chunkBounds(byte[] text) {
-        int[] from = new int[text.length / MIN_CHUNK + 2];
+    private static int[] chunkBounds(byte[] input) {
+        int[] bounds = new int[input.length / MIN_CHUNK_BYTES + 2];
         int count = 1;
-        for (int i = 0; i < text.length; i++) {
-            if ((text[i] == '}' || text[i] == '[')
-                    && i + 1 - from[count - 1] >= MIN_CHUNK
-                    && i + 1 < text.length) {
-                from[count++] = i + 1;
+        for (int i = 0; i < input.length; i++) {
+            if ((input[i] == '}' || input[i] == '[')
+                    && i + 1 - bounds[count - 1] >= MIN_CHUNK_BYTES
+                    && i + 1 < input.length) {
+                bounds[count++] = i + 1;
             }
         }
-        from[count++] = text.length;
-        return Arrays.copyOf(from, count);
+        bounds[count++] = input.length;
+        return Arrays.copyOf(bounds, count);
     }
 
     private static final class Encoder {
@@ -99,24 +99,24 @@
         private int literalEnd;
         private int lastCopyEnd;
 
-        Encoder(byte[] base, byte[] next) {
+        Encoder(byte[] base, byte[] target) {
             this.base = base;
-            this.target = next;
+            this.target = target;
             baseChunks = chunkBounds(base);
             chunkIndex = new int[Integer.highestOneBit(baseChunks.length) * 4];
-            for (int k = 0; k < baseChunks.length - 1; k++) {
-                int slot = slot(base, baseChunks[k], baseChunks[k + 1]);
+            for (int chunk = 0; chunk < baseChunks.length - 1; chunk++) {
+                int slot = slot(base, baseChunks[chunk], baseChunks[chunk + 1]);
                 if (chunkIndex[slot] == 0) {
-                    chunkIndex[slot] = k + 1;
+                    chunkIndex[slot] = chunk + 1;
                 }
             }
         }
 
         /** Where this piece stands in the table, or would. */
-        private int slot(byte[] text, int from, int to) {
+        private int slot(byte[] input, int from, int to) {
             long hash = to - from;
             for (int i = from; i < to; i++) {
-                hash = (hash ^ text[i]) * 0x9E3779B97F4A7C15L;
+                hash = (hash ^ input[i]) * 0x9E3779B97F4A7C15L;
                 hash ^= hash >>> 29;
             }
             int slot = (int) (hash >>> 32) & chunkIndex.length - 1;
@@ -125,7 +125,7 @@
                             base,
                             baseChunks[chunkIndex[slot] - 1],
                             baseChunks[chunkIndex[slot]],
-                            text,
+                            input,
                             from,
                             to)) {
                 slot = slot + 1 & chunkIndex.length - 1;
@@ -140,9 +140,9 @@
             int[] targetChunks = chunkBounds(target);
             // The piece of the base that is expected next, as nothing has moved.
             int expected = 0;
-            for (int k = 0; k < targetChunks.length - 1; k++) {
-                int from = targetChunks[k];
-                int to = targetChunks[k + 1];
+            for (int chunk = 0; chunk < targetChunks.length - 1; chunk++) {
+                int from = targetChunks[chunk];
+                int to = targetChunks[chunk + 1];
                 if (expected >= baseChunks.length - 1
                         || !Arrays.equals(
                                 base,
@@ -151,12 +151,12 @@
                                 target,
                                 from,
                                 to)) {
-                    int found = chunkIndex[slot(target, from, to)] - 1;
-                    if (found < 0) {
+                    int index = chunkIndex[slot(target, from, to)] - 1;
+                    if (index < 0) {
                         expected += addChangedChunk(expected, from, to) ? 1 : 0;
                         continue;
                     }
-                    expected = found;
+                    expected = index;
                 }
                 addCopy(baseChunks[expected], baseChunks[expected + 1]);
                 expected++;
@@ -166,21 +166,24 @@
         }
 
         /** A piece of its own: what it has in common with the one that stood here, at both ends. */
-        private boolean addChangedChunk(int at, int from, int to) {
-            int first = at < baseChunks.length - 1 ? baseChunks[at] : base.length;
-            int last = at < baseChunks.length - 1 ? baseChunks[at + 1] : base.length;
-            int common = Math.min(to - from, last - first);
-            int prefix = Arrays.mismatch(base, first, first + common, target, from, from + common);
-            prefix = prefix < 0 ? common : prefix;
+        private boolean addChangedChunk(int expected, int from, int to) {
+            int baseFrom = expected < baseChunks.length - 1 ? baseChunks[expected] : base.length;
+            int baseTo = expected < baseChunks.length - 1 ? baseChunks[expected + 1] : base.length;
+            int maxCommon = Math.min(to - from, baseTo - baseFrom);
+            int prefix =
+                    Arrays.mismatch(
+                            base, baseFrom, baseFrom + maxCommon, target, from, from + maxCommon);
+            prefix = prefix < 0 ? maxCommon : prefix;
             int suffix = 0;
-            while (suffix < common - prefix && base[last - 1 - suffix] == target[to - 1 - suffix]) {
+            while (suffix < maxCommon - prefix
+                    && base[baseTo - 1 - suffix] == target[to - 1 - suffix]) {
                 suffix++;
             }
-            prefix = prefix < MIN_COPY ? 0 : prefix;
-            suffix = suffix < MIN_COPY ? 0 : suffix;
-            addCopy(first, first + prefix);
+            prefix = prefix < MIN_COPY_BYTES ? 0 : prefix;
+            suffix = suffix < MIN_COPY_BYTES ? 0 : suffix;
+            addCopy(baseFrom, baseFrom + prefix);
             addLiteral(from + prefix, to - suffix);
-            addCopy(last - suffix, last);
+            addCopy(baseTo - suffix, baseTo);
             return prefix + suffix > 0;
         }
 
@@ -211,8 +214,8 @@
         private void flush() {
             if (copyStart < copyEnd) {
                 writeVarint((copyEnd - copyStart) * 2 + 1);
-                int way = copyStart - lastCopyEnd;
-                writeVarint(way >= 0 ? way * 2 : -way * 2 - 1);
+                int offset = copyStart - lastCopyEnd;
+                writeVarint(offset >= 0 ? offset * 2 : -offset * 2 - 1);
                 lastCopyEnd = copyEnd;
                 copyStart = copyEnd;
             }
@@ -223,13 +226,13 @@
             }
         }
 
-        private void writeHeader(byte[] text) {
-            writeVarint(text.length);
-            out.writeBytes(ByteBuffer.allocate(4).putInt((int) digest(text)).array());
+        private void writeHeader(byte[] input) {
+            writeVarint(input.length);
+            out.writeBytes(ByteBuffer.allocate(4).putInt((int) digest(input)).array());
         }
 
-        private void writeVarint(int is) {
-            int rest = is;
+        private void writeVarint(int value) {
+            int rest = value;
             for (; rest > 0x7f; rest >>>= 7) {
                 out.write(rest & 0x7f | 0x80);
             }
@@ -251,40 +254,44 @@
             throw new InvalidDeltaException("a delta of another base");
         }
         int length = readVarint(in);
-        int sum = readChecksum(in);
+        int checksum = readChecksum(in);
         if (length > MAX_BYTES) {
             throw new InvalidDeltaException("a text of " + length + " bytes");
         }
-        byte[] text = new byte[length];
-        int at = 0;
+        byte[] target = new byte[length];
+        int position = 0;
         int lastEnd = 0;
         while (in.hasRemaining()) {
             int step = readVarint(in);
             int size = step >>> 1;
-            if (size == 0 || size > length - at) {
+            if (size == 0 || size > length - position) {
                 throw new InvalidDeltaException(
-                        "a step of " + size + " bytes at " + at + " of " + length);
+                        "a step of " + size + " bytes at " + position + " of " + length);
             }
             if ((step & 1) != 0) {
-                int way = readVarint(in);
-                int from = lastEnd + ((way & 1) == 0 ? way >>> 1 : -(way + 1 >>> 1));
+                int encodedOffset = readVarint(in);
+                int from =
+                        lastEnd
+                                + ((encodedOffset & 1) == 0
+                                        ? encodedOffset >>> 1
+                                        : -(encodedOffset + 1 >>> 1));
                 if (from < 0 || from > base.length - size) {
                     throw new InvalidDeltaException(
                             "a run from " + from + " on, of " + size + " bytes");
                 }
-                System.arraycopy(base, from, text, at, size);
+                System.arraycopy(base, from, target, position, size);
                 lastEnd = from + size;
             } else if (size > in.remaining()) {
                 throw new InvalidDeltaException("ends within its bytes");
             } else {
-                in.get(text, at, size);
+                in.get(target, position, size);
             }
-            at += size;
+            position += size;
         }
-        if (at != length || sum != (int) digest(text)) {
+        if (position != length || checksum != (int) digest(target)) {
             throw new InvalidDeltaException("what it makes is not the text it was made for");
         }
-        return text;
+        return target;
     }
 
     private static int readChecksum(ByteBuffer in) throws InvalidDeltaException {
@@ -295,15 +302,15 @@
     }
 
     private static int readVarint(ByteBuffer in) throws InvalidDeltaException {
-        int is = 0;
+        int value = 0;
         for (int shift = 0; shift < 28; shift += 7) {
             if (!in.hasRemaining()) {
                 break;
             }
-            byte part = in.get();
-            is |= (part & 0x7f) << shift;
-            if (part >= 0) {
-                return is;
+            byte next = in.get();
+            value |= (next & 0x7f) << shift;
+            if (next >= 0) {
+                return value;
             }
         }
         throw new InvalidDeltaException("a number that does not end");
--- a/src/main/java/dillfront/common/message/Compression.java
+++ b/src/main/java/dillfront/common/message/Compression.java
@@ -12,8 +12,8 @@
     public static final class CorruptDataException extends Exception {
         private static final long serialVersionUID = 1;
 
-        CorruptDataException(String fault) {
-            super(fault);
+        CorruptDataException(String message) {
+            super(message);
         }
     }
 
@@ -22,15 +22,15 @@
     private Compression() {}
 
     /** The text, compressed. */
-    public static byte[] compress(byte[] text) {
+    public static byte[] compress(byte[] bytes) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(text);
+            deflater.setInput(bytes);
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 8 + 64);
-            byte[] part = new byte[BUFFER_BYTES];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length / 8 + 64);
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
-                out.write(part, 0, deflater.deflate(part));
+                out.write(buffer, 0, deflater.deflate(buffer));
             }
             return out.toByteArray();
         } finally {
@@ -50,23 +50,23 @@
             inflater.setInput(deflated);
             ByteArrayOutputStream out =
                     new ByteArrayOutputStream(Math.min(maxBytes, deflated.length * 4 + 64));
-            byte[] part = new byte[BUFFER_BYTES];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
-                int count = inflater.inflate(part);
+                int count = inflater.inflate(buffer);
                 if (count == 0 && !inflater.finished()) {
                     throw new CorruptDataException("ends before its end");
                 }
                 if (count > maxBytes - out.size()) {
                     throw new CorruptDataException("more than " + maxBytes + " bytes come of it");
                 }
-                out.write(part, 0, count);
+                out.write(buffer, 0, count);
             }
             if (inflater.getRemaining() > 0) {
                 throw new CorruptDataException("goes on behind its end");
             }
             return out.toByteArray();
-        } catch (DataFormatException bad) {
-            throw new CorruptDataException("damaged: " + bad.getMessage());
+        } catch (DataFormatException exception) {
+            throw new CorruptDataException("damaged: " + exception.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/dillfront/common/message/MessageCodec.java
+++ b/src/main/java/dillfront/common/message/MessageCodec.java
@@ -23,8 +23,8 @@
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public MalformedMessageException(String fault) {
-            super(fault);
+        public MalformedMessageException(String message) {
+            super(message);
         }
     }
 
@@ -37,8 +37,8 @@
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             write(out, message);
             return out.toByteArray();
-        } catch (IOException never) {
-            throw new IllegalStateException(never);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
@@ -47,8 +47,8 @@
             out.packNil();
         } else if (value instanceof String text) {
             out.packString(text);
-        } else if (value instanceof Boolean bit) {
-            out.packBoolean(bit);
+        } else if (value instanceof Boolean flag) {
+            out.packBoolean(flag);
         } else if (value instanceof Number number) {
             out.packLong(number.longValue());
         } else if (value instanceof byte[] bytes) {
@@ -56,14 +56,14 @@
             out.writePayload(bytes);
         } else if (value instanceof List<?> list) {
             out.packArrayHeader(list.size());
-            for (Object one : list) {
-                write(out, one);
+            for (Object element : list) {
+                write(out, element);
             }
         } else if (value instanceof Map<?, ?> map) {
             out.packMapHeader(map.size());
-            for (Map.Entry<?, ?> one : map.entrySet()) {
-                write(out, one.getKey());
-                write(out, one.getValue());
+            for (Map.Entry<?, ?> element : map.entrySet()) {
+                write(out, element.getKey());
+                write(out, element.getValue());
             }
         } else {
             throw new IllegalArgumentException("no message holds a " + value.getClass());
@@ -75,15 +75,15 @@
      */
     public static Fields decode(byte[] bytes) throws MalformedMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            Object all = new Decoder(in, bytes.length).read(0);
-            if (!(all instanceof Map<?, ?>) || in.hasNext()) {
+            Object value = new Decoder(in, bytes.length).read(0);
+            if (!(value instanceof Map<?, ?>) || in.hasNext()) {
                 throw new MalformedMessageException("no map, or more than one value");
             }
             @SuppressWarnings("unchecked")
-            Map<String, Object> fields = (Map<String, Object>) all;
+            Map<String, Object> fields = (Map<String, Object>) value;
             return new Fields(fields);
-        } catch (IOException | RuntimeException bad) {
-            throw new MalformedMessageException("no MessagePack of ours: " + bad);
+        } catch (IOException | RuntimeException exception) {
+            throw new MalformedMessageException("no MessagePack of ours: " + exception);
         }
     }
 
@@ -160,31 +160,31 @@
     }
 
     /** The fields of a message, each with what stands for one that is not there. */
-    public record Fields(Map<String, Object> all) {
+    public record Fields(Map<String, Object> values) {
 
-        public long number(String name, long otherwise) {
-            return all.get(name) instanceof Long is ? is : otherwise;
+        public long number(String name, long defaultValue) {
+            return values.get(name) instanceof Long value ? value : defaultValue;
         }
 
         public String string(String name) {
-            return all.get(name) instanceof String is ? is : "";
+            return values.get(name) instanceof String value ? value : "";
         }
 
         public boolean flag(String name) {
-            return Boolean.TRUE.equals(all.get(name));
+            return Boolean.TRUE.equals(values.get(name));
         }
 
         public byte[] bytes(String name) {
-            return all.get(name) instanceof byte[] is ? is : null;
+            return values.get(name) instanceof byte[] value ? value : null;
         }
 
         public boolean has(String name) {
-            return all.get(name) != null;
+            return values.get(name) != null;
         }
 
         /** The fields of a map; null where there is none under this name. */
         public Fields map(String name) {
-            return all.get(name) instanceof Map<?, ?> map ? new Fields(checked(map)) : null;
+            return values.get(name) instanceof Map<?, ?> map ? new Fields(checked(map)) : null;
         }
 
         @SuppressWarnings("unchecked")
@@ -196,9 +196,9 @@
         /** The maps in a list; what is no map is passed over. */
         public List<Fields> maps(String name) {
             List<Fields> rows = new ArrayList<>();
-            if (all.get(name) instanceof List<?> list) {
-                for (Object one : list) {
-                    if (one instanceof Map<?, ?> map) {
+            if (values.get(name) instanceof List<?> list) {
+                for (Object element : list) {
+                    if (element instanceof Map<?, ?> map) {
                         rows.add(new Fields(checked(map)));
                     }
                 }
@@ -209,9 +209,9 @@
         /** The lists in a list; what is no list is passed over. */
         public List<List<?>> lists(String name) {
             List<List<?>> rows = new ArrayList<>();
-            if (all.get(name) instanceof List<?> list) {
-                for (Object one : list) {
-                    if (one instanceof List<?> row) {
+            if (values.get(name) instanceof List<?> list) {
+                for (Object element : list) {
+                    if (element instanceof List<?> row) {
                         rows.add(row);
                     }
                 }
@@ -222,8 +222,8 @@
         /** The elements of a list as texts; empty where there is no list. */
         public List<String> strings(String name) {
             List<String> rows = new ArrayList<>();
-            if (all.get(name) instanceof List<?> list) {
-                list.forEach(one -> rows.add(String.valueOf(one)));
+            if (values.get(name) instanceof List<?> list) {
+                list.forEach(element -> rows.add(String.valueOf(element)));
             }
             return rows;
         }
--- a/src/main/java/dillfront/common/protocol/PrimaryRecord.java
+++ b/src/main/java/dillfront/common/protocol/PrimaryRecord.java
@@ -33,7 +33,7 @@
     private static final String REPLICATION_PAUSED = "h";
     private static final String MOVE_NUMBER = "mv";
     private static final String ACCEPTED_LOSS = "dl";
-    private static final int PARTS_WITHOUT_PAUSE = 3;
+    private static final int FIELDS_WITHOUT_PAUSE = 3;
 
     /** A record for which nothing that was given up before counts. */
     public PrimaryRecord(
@@ -46,27 +46,27 @@
     }
 
     /** The same under a number of the present lease holder. */
-    public PrimaryRecord renumbered(long next) {
+    public PrimaryRecord renumbered(long nextNumber) {
         return new PrimaryRecord(
-                service, next, primary, moving, replicationPaused, moveNumber, acceptedLoss);
+                service, nextNumber, primary, moving, replicationPaused, moveNumber, acceptedLoss);
     }
 
     /** The beginning of a move away from this primary. */
-    public PrimaryRecord startMove(long next) {
+    public PrimaryRecord startMove(long nextNumber) {
         return new PrimaryRecord(
-                service, next, primary, true, replicationPaused, next, acceptedLoss);
+                service, nextNumber, primary, true, replicationPaused, nextNumber, acceptedLoss);
     }
 
     /** The same move, with commits that an operator gave up meanwhile. */
-    public PrimaryRecord withAcceptedLoss(long next, AcceptedDataLoss loss) {
+    public PrimaryRecord withAcceptedLoss(long nextNumber, AcceptedDataLoss loss) {
         return new PrimaryRecord(
-                service, next, primary, moving, replicationPaused, moveNumber, loss);
+                service, nextNumber, primary, moving, replicationPaused, moveNumber, loss);
     }
 
     /** The end of a move: this server is the primary, with what is still given up then. */
     public PrimaryRecord finishMove(
-            long next, String newPrimary, boolean paused, AcceptedDataLoss loss) {
-        return new PrimaryRecord(service, next, newPrimary, false, paused, 0, loss);
+            long nextNumber, String newPrimary, boolean paused, AcceptedDataLoss loss) {
+        return new PrimaryRecord(service, nextNumber, newPrimary, false, paused, 0, loss);
     }
 
     /** The fields of a message. */
@@ -125,19 +125,19 @@
      * @throws NumberFormatException where a number is none
      */
     public static PrimaryRecord decode(String service, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length < PARTS_WITHOUT_PAUSE) {
+        String[] fields = text.split("\n", -1);
+        if (fields.length < FIELDS_WITHOUT_PAUSE) {
             return null;
         }
-        long number = Long.parseLong(part[0]);
-        boolean moving = Boolean.parseBoolean(part[2]);
+        long number = Long.parseLong(fields[0]);
+        boolean moving = Boolean.parseBoolean(fields[2]);
         return new PrimaryRecord(
                 service,
                 number,
-                part[1],
+                fields[1],
                 moving,
-                part.length == PARTS_WITHOUT_PAUSE || Boolean.parseBoolean(part[3]),
-                part.length > 4 ? Long.parseLong(part[4]) : moving ? number : 0,
-                part.length > 5 ? AcceptedDataLoss.parse(part[5]) : null);
+                fields.length == FIELDS_WITHOUT_PAUSE || Boolean.parseBoolean(fields[3]),
+                fields.length > 4 ? Long.parseLong(fields[4]) : moving ? number : 0,
+                fields.length > 5 ? AcceptedDataLoss.parse(fields[5]) : null);
     }
 }
--- a/src/main/java/dillfront/common/protocol/ServerRow.java
+++ b/src/main/java/dillfront/common/protocol/ServerRow.java
@@ -8,7 +8,7 @@
  * What is known of one database server, as control processes and data planes tell it each other.
  *
  * @param service empty where only the server's leave call was received
- * @param role as the server reported it; {@link #PRIMARY} for one that accepts writes
+ * @param role as the server reported it; {@link #PRIMARY_ROLE} for one that accepts writes
  * @param callSequence the number of the last call of the server that counted; -1 for none
  */
 public record ServerRow(
@@ -21,7 +21,7 @@
         long callSequence) {
 
     /** The role of a server that accepts writes. */
-    public static final String PRIMARY = "primary";
+    public static final String PRIMARY_ROLE = "primary";
 
     private static final String ID = "i";
     private static final String SERVICE = "v";
@@ -33,7 +33,7 @@
 
     /** Whether the server reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals(PRIMARY);
+        return role.equals(PRIMARY_ROLE);
     }
 
     /** The fields of a message. */
--- a/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionCodec.java
@@ -38,7 +38,7 @@
     private static final String WAITS_FOR_QUORUM = "hw";
     private static final String PRIMARIES = "s";
     private static final String VIEW_SERVICE = "s";
-    private static final String VIEW_OPEN = "o";
+    private static final String VIEW_OPEN_TRANSACTIONS = "o";
     private static final String VIEW_PRIMARY = "p";
     private static final String VIEW_REACHABILITY = "h";
     private static final String VIEW_ACKNOWLEDGED = "a";
@@ -52,10 +52,10 @@
     private static final String RECORDS = "p";
     private static final String SUSPECTS = "sq";
     private static final String DATA_PLANES = "f";
-    private static final String CERTAIN_MILLIS = "su";
+    private static final String PRIMARY_CERTAINTY_MILLIS = "su";
     private static final String ADDRESSES = "cp";
     private static final String ADDRESS_IP = "i";
-    private static final String ADDRESS_SILENT = "s";
+    private static final String ADDRESS_UNRESPONSIVE = "s";
     private static final String ADDRESS_ZONE = "z";
 
     private SubscriptionCodec() {}
@@ -92,7 +92,7 @@
     private static Map<String, Object> fields(PrimaryView view) {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put(VIEW_SERVICE, view.service());
-        row.put(VIEW_OPEN, view.openTransactions());
+        row.put(VIEW_OPEN_TRANSACTIONS, view.openTransactions());
         row.put(VIEW_PRIMARY, view.primary());
         row.put(VIEW_REACHABILITY, view.reachability());
         row.put(VIEW_ACKNOWLEDGED, view.acknowledged().toString());
@@ -106,7 +106,7 @@
             primaries.add(
                     new PrimaryView(
                             row.string(VIEW_SERVICE),
-                            row.number(VIEW_OPEN, 0),
+                            row.number(VIEW_OPEN_TRANSACTIONS, 0),
                             row.string(VIEW_PRIMARY),
                             row.number(VIEW_REACHABILITY, 0),
                             AcknowledgedCommits.parse(row.string(VIEW_ACKNOWLEDGED))));
@@ -159,8 +159,8 @@
             out.put(SUSPECTS, response.suspects().services());
         }
         out.put(DATA_PLANES, response.dataPlanes());
-        if (response.certainMillis() > 0) {
-            out.put(CERTAIN_MILLIS, response.certainMillis());
+        if (response.primaryCertaintyMillis() > 0) {
+            out.put(PRIMARY_CERTAINTY_MILLIS, response.primaryCertaintyMillis());
         }
         if (response.addresses() != null) {
             out.put(ADDRESSES, fields(response.addresses()));
@@ -173,8 +173,8 @@
         for (ControlAddress address : addresses) {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put(ADDRESS_IP, address.ip());
-            if (address.silent()) {
-                row.put(ADDRESS_SILENT, true);
+            if (address.unresponsive()) {
+                row.put(ADDRESS_UNRESPONSIVE, true);
             }
             row.put(ADDRESS_ZONE, address.zoneName());
             rows.add(row);
@@ -203,7 +203,7 @@
                         ? new SuspectsUpdate(in.number(SUSPECTS_VERSION, 0), in.strings(SUSPECTS))
                         : null,
                 (int) in.number(DATA_PLANES, -1),
-                in.number(CERTAIN_MILLIS, 0),
+                in.number(PRIMARY_CERTAINTY_MILLIS, 0),
                 in.has(ADDRESSES) ? addresses(in) : null);
     }
 
@@ -222,7 +222,7 @@
                     new ControlAddress(
                             row.string(ADDRESS_IP),
                             row.string(ADDRESS_ZONE),
-                            row.flag(ADDRESS_SILENT)));
+                            row.flag(ADDRESS_UNRESPONSIVE)));
         }
         return addresses;
     }
--- a/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
+++ b/src/main/java/dillfront/common/protocol/SubscriptionResponse.java
@@ -12,8 +12,8 @@
  * @param configuration null where the data plane has the newest
  * @param suspects null where the data plane has the newest list
  * @param dataPlanes how many data planes share the connection limits; -1 where not said
- * @param certainMillis for how long from the request on no server leads other than the records say;
- *     0 for not at all
+ * @param primaryCertaintyMillis for how long from the request on no server leads other than the
+ *     records say; 0 for not at all
  * @param addresses where control processes are; null where the data plane was told so before
  */
 public record SubscriptionResponse(
@@ -24,7 +24,7 @@
         List<PrimaryRecord> records,
         SuspectsUpdate suspects,
         int dataPlanes,
-        long certainMillis,
+        long primaryCertaintyMillis,
         List<ControlAddress> addresses) {
 
     /** An answer of a process that hears no majority, and nothing but where others may be. */
@@ -58,7 +58,7 @@
     /**
      * Where a control process is.
      *
-     * @param silent nothing was heard from it of late
+     * @param unresponsive nothing was heard from it of late
      */
-    public record ControlAddress(String ip, String zoneName, boolean silent) {}
+    public record ControlAddress(String ip, String zoneName, boolean unresponsive) {}
 }
--- a/src/main/java/dillfront/common/storage/CompactingLog.java
+++ b/src/main/java/dillfront/common/storage/CompactingLog.java
@@ -35,8 +35,8 @@
     public static final class UnusableLogException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnusableLogException(String fault) {
-            super(fault);
+        UnusableLogException(String message) {
+            super(message);
         }
     }
 
@@ -44,43 +44,43 @@
     public static final class LockedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        LockedException(String fault) {
-            super(fault);
+        LockedException(String message) {
+            super(message);
         }
     }
 
-    public static final String FILE = "memory.log";
-    private static final String NEXT_FILE = "memory.next";
-    private static final String DAMAGED_FILE = "memory.broken";
+    public static final String FILE_NAME = "memory.log";
+    private static final String NEXT_FILE_NAME = "memory.next";
+    private static final String DAMAGED_FILE_NAME = "memory.broken";
     private static final Pattern FORMAT = Pattern.compile("dillfront memory (\\d+)\n");
     private static final byte[] HEADER = "dillfront memory 2\n".getBytes(StandardCharsets.US_ASCII);
     private static final int RECORD_HEADER_BYTES = 8;
     private static final int MIN_BODY_BYTES = 16;
-    private static final String OWNER = "";
+    private static final String OWNER_NAME = "";
 
     /**
      * The file may be so many times as long as what is in it, or so long, before it is written
      * anew.
      */
-    private static final int MAX_GROWTH = 4;
+    private static final int MAX_GROWTH_FACTOR = 4;
 
     private static final int MIN_COMPACTION_BYTES = 1 << 16;
 
     /** Of a name, and of a text: its length has two bytes. */
     static final int MAX_TEXT_BYTES = 0xffff;
 
-    private final StorageFolder disk;
+    private final StorageFolder folder;
     private final String path;
-    private final Map<String, String> texts = new HashMap<>();
+    private final Map<String, String> strings = new HashMap<>();
     private final Map<Long, Long> numbers = new HashMap<>();
 
     /** Of the file, as far as it is good; and of a new one with the same in it. */
-    private long length;
+    private long validLength;
 
     private long liveBytes;
     private long recordNumber;
     private String damage;
-    private boolean movedAside;
+    private boolean quarantined;
 
     /** A write failed: what is behind the good part is not known. */
     private boolean tailUncertain;
@@ -89,27 +89,27 @@
      * A change of names failed: which file has the name, and which will have it after a loss of
      * power, is not known.
      */
-    private boolean namesUncertain;
+    private boolean directoryUncertain;
 
     /** Where it could not be written anew, that is tried again at this length. */
-    private long compactAtLength;
+    private long nextCompactionLength;
 
-    private CompactingLog(StorageFolder disk, String where) {
-        this.disk = disk;
-        this.path = where + "/" + FILE;
+    private CompactingLog(StorageFolder folder, String folderPath) {
+        this.folder = folder;
+        this.path = folderPath + "/" + FILE_NAME;
     }
 
     /**
      * Opens the log that is there, or begins one.
      *
-     * @param folder its name, for messages
+     * @param folderPath its name, for messages
      * @param owner the router's name
      * @throws Broken where the file is another router's or of a format that this program does not
      *     know, or cannot be read
      */
-    public static CompactingLog open(StorageFolder disk, String folder, String owner)
+    public static CompactingLog open(StorageFolder folder, String folderPath, String owner)
             throws UnusableLogException {
-        return open(disk, folder, owner, false);
+        return open(folder, folderPath, owner, false);
     }
 
     /**
@@ -119,82 +119,87 @@
      *     over, in no later incarnation either
      */
     public static CompactingLog open(
-            StorageFolder disk, String folder, String owner, boolean discardIfDamaged)
+            StorageFolder folder, String folderPath, String owner, boolean discardIfDamaged)
             throws UnusableLogException {
-        CompactingLog log = new CompactingLog(disk, folder);
+        CompactingLog log = new CompactingLog(folder, folderPath);
         try {
             log.read(owner, discardIfDamaged);
-        } catch (IOException bad) {
-            throw new UnusableLogException(log.path + ": " + describe(bad));
+        } catch (IOException exception) {
+            throw new UnusableLogException(log.path + ": " + describe(exception));
         }
         return log;
     }
 
     private void read(String owner, boolean discardIfDamaged)
             throws IOException, UnusableLogException {
-        disk.delete(NEXT_FILE);
-        byte[] all = disk.read(FILE);
-        if (all == null) {
-            texts.put(OWNER, owner);
+        folder.delete(NEXT_FILE_NAME);
+        byte[] content = folder.read(FILE_NAME);
+        if (content == null) {
+            strings.put(OWNER_NAME, owner);
             compact();
             return;
         }
-        int at = HEADER.length;
-        if (all.length < at || !Arrays.equals(all, 0, at, HEADER, 0, at)) {
+        int position = HEADER.length;
+        if (content.length < position
+                || !Arrays.equals(content, 0, position, HEADER, 0, position)) {
             Matcher format =
                     FORMAT.matcher(
                             new String(
-                                    all, 0, Math.min(all.length, 32), StandardCharsets.US_ASCII));
+                                    content,
+                                    0,
+                                    Math.min(content.length, 32),
+                                    StandardCharsets.US_ASCII));
             if (format.lookingAt()) {
                 throw new UnusableLogException(
                         path + " is of format " + format.group(1) + ", and this program writes 2");
             }
-            moveAside(all, "no memory");
-            texts.put(OWNER, owner);
+            quarantine(content, "no memory");
+            strings.put(OWNER_NAME, owner);
             compact();
             return;
         }
-        int good = readRecords(all, at);
-        String its = texts.putIfAbsent(OWNER, owner);
-        if (its != null && !its.equals(owner)) {
+        int validEnd = readRecords(content, position);
+        String storedOwner = strings.putIfAbsent(OWNER_NAME, owner);
+        if (storedOwner != null && !storedOwner.equals(owner)) {
             throw new UnusableLogException(
-                    path + " is that of router '" + its + "', and this is '" + owner + "'");
+                    path + " is that of router '" + storedOwner + "', and this is '" + owner + "'");
         }
-        if (good < all.length) {
-            String fault = "of " + all.length + " bytes, those from " + good + " on are no record";
-            if (good == at || hasRecordAfter(all, good)) {
+        if (validEnd < content.length) {
+            String description =
+                    "of " + content.length + " bytes, those from " + validEnd + " on are no record";
+            if (validEnd == position || hasRecordAfter(content, validEnd)) {
                 // Not the tail alone: something that was durable is lost, so the file is kept for
                 // whoever looks into it.
-                moveAside(all, fault);
+                quarantine(content, description);
             } else {
-                damage = fault;
+                damage = description;
             }
-        } else if (good == at) {
-            moveAside(all, "no record");
+        } else if (validEnd == position) {
+            quarantine(content, "no record");
         }
-        if (movedAside && discardIfDamaged) {
-            texts.clear();
+        if (quarantined && discardIfDamaged) {
+            strings.clear();
             numbers.clear();
-            texts.put(OWNER, owner);
+            strings.put(OWNER_NAME, owner);
         }
-        if (good == at || good < all.length) {
+        if (validEnd == position || validEnd < content.length) {
             compact();
         } else {
-            length = good;
-            liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
+            validLength = validEnd;
+            liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
         }
     }
 
     /** Reads all records from here on; returns where the first is that is none. */
-    private int readRecords(byte[] all, int from) throws UnusableLogException {
-        int at = from;
+    private int readRecords(byte[] content, int from) throws UnusableLogException {
+        int position = from;
         while (true) {
-            int body = bodyLength(all, at, at == from ? -1 : recordNumber + 1);
+            int body = bodyLength(content, position, position == from ? -1 : recordNumber + 1);
             if (body < 0) {
-                return at;
+                return position;
             }
-            readRecord(ByteBuffer.wrap(all, at + RECORD_HEADER_BYTES, body));
-            at += RECORD_HEADER_BYTES + body;
+            readRecord(ByteBuffer.wrap(content, position + RECORD_HEADER_BYTES, body));
+            position += RECORD_HEADER_BYTES + body;
         }
     }
 
@@ -202,27 +207,27 @@
      * How long the body of the record here is; -1 where there is none with this number, or any
      * number where it is negative.
      */
-    private static int bodyLength(byte[] all, int at, long number) {
-        if (all.length - at < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
+    private static int bodyLength(byte[] content, int position, long number) {
+        if (content.length - position < RECORD_HEADER_BYTES + MIN_BODY_BYTES) {
             return -1;
         }
-        ByteBuffer in = ByteBuffer.wrap(all, at, all.length - at);
+        ByteBuffer in = ByteBuffer.wrap(content, position, content.length - position);
         int length = in.getInt();
-        int sum = in.getInt();
+        int checksum = in.getInt();
         if (length < MIN_BODY_BYTES
                 || length > in.remaining()
                 || number >= 0 && in.getLong(in.position()) != number) {
             return -1;
         }
         CRC32C crc = new CRC32C();
-        crc.update(all, at + RECORD_HEADER_BYTES, length);
-        return (int) crc.getValue() == sum ? length : -1;
+        crc.update(content, position + RECORD_HEADER_BYTES, length);
+        return (int) crc.getValue() == checksum ? length : -1;
     }
 
     /** Whether a complete record lies anywhere behind: it was synced after what is damaged. */
-    private static boolean hasRecordAfter(byte[] all, int from) {
-        for (int at = from + 1; at < all.length; at++) {
-            if (bodyLength(all, at, -1) >= 0) {
+    private static boolean hasRecordAfter(byte[] content, int from) {
+        for (int position = from + 1; position < content.length; position++) {
+            if (bodyLength(content, position, -1) >= 0) {
                 return true;
             }
         }
@@ -238,11 +243,11 @@
             }
             for (int i = in.getInt(); i > 0; i--) {
                 long key = in.getLong();
-                boolean there = in.get() != 0;
+                boolean present = in.get() != 0;
                 long number = in.getLong();
-                put(key, there ? number : null);
+                put(key, present ? number : null);
             }
-        } catch (BufferUnderflowException bad) {
+        } catch (BufferUnderflowException exception) {
             throw new UnusableLogException(
                     path + ": record " + recordNumber + " has a good sum and no form");
         }
@@ -254,11 +259,11 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private void put(String name, String text) {
-        if (text.isEmpty()) {
-            texts.remove(name);
+    private void put(String name, String value) {
+        if (value.isEmpty()) {
+            strings.remove(name);
         } else {
-            texts.put(name, text);
+            strings.put(name, value);
         }
     }
 
@@ -270,21 +275,21 @@
         }
     }
 
-    private void moveAside(byte[] all, String fault) throws IOException {
-        movedAside = true;
-        damage = fault + "; the file as it was is kept as " + DAMAGED_FILE;
-        disk.delete(DAMAGED_FILE);
-        disk.append(DAMAGED_FILE, ByteBuffer.wrap(all));
-        disk.sync(DAMAGED_FILE);
+    private void quarantine(byte[] content, String description) throws IOException {
+        quarantined = true;
+        damage = description + "; the file as it was is kept as " + DAMAGED_FILE_NAME;
+        folder.delete(DAMAGED_FILE_NAME);
+        folder.append(DAMAGED_FILE_NAME, ByteBuffer.wrap(content));
+        folder.sync(DAMAGED_FILE_NAME);
     }
 
     /** Whether more than a torn tail was damaged: the file as it was lies beside. */
-    public boolean isMovedAside() {
-        return movedAside;
+    public boolean isQuarantined() {
+        return quarantined;
     }
 
     /** What was damaged of the file that was found; null for nothing. */
-    public String fault() {
+    public String damage() {
         return damage == null ? null : path + ": " + damage;
     }
 
@@ -292,36 +297,38 @@
      * Writes texts and numbers: after a loss of power all of them are there, or none. Where it
      * fails, all or none of them may be there; what was written before stays.
      *
-     * @param named an empty text removes its name
-     * @param numbered null removes its key
+     * @param stringUpdates an empty text removes its name
+     * @param numberUpdates null removes its key
      * @throws IllegalArgumentException where a name or a text is longer than the form can hold;
      *     nothing is written then
      */
-    public void put(Map<String, String> named, Map<Long, Long> numbered)
+    public void put(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates)
             throws UnusableLogException {
-        int size = bodyBytes(named, numbered);
+        int size = bodyBytes(stringUpdates, numberUpdates);
         try {
             if (tailUncertain) {
-                disk.truncate(FILE, length);
+                folder.truncate(FILE_NAME, validLength);
                 tailUncertain = false;
                 // A disk that is full gets back what is no longer needed, by this put too: as a
                 // whole new file.
-                compactWith(named, numbered);
-            } else if (namesUncertain) {
-                compactWith(named, numbered);
+                compactIncluding(stringUpdates, numberUpdates);
+            } else if (directoryUncertain) {
+                compactIncluding(stringUpdates, numberUpdates);
             } else {
                 tailUncertain = true;
-                disk.append(FILE, encodeRecord(recordNumber + 1, size, named, numbered));
-                disk.sync(FILE);
+                folder.append(
+                        FILE_NAME,
+                        encodeRecord(recordNumber + 1, size, stringUpdates, numberUpdates));
+                folder.sync(FILE_NAME);
                 tailUncertain = false;
                 recordNumber++;
-                length += RECORD_HEADER_BYTES + size;
-                named.forEach(this::put);
-                numbered.forEach(this::put);
+                validLength += RECORD_HEADER_BYTES + size;
+                stringUpdates.forEach(this::put);
+                numberUpdates.forEach(this::put);
                 compactIfGrown();
             }
-        } catch (IOException bad) {
-            throw new UnusableLogException(path + ": " + describe(bad));
+        } catch (IOException exception) {
+            throw new UnusableLogException(path + ": " + describe(exception));
         }
     }
 
@@ -330,39 +337,40 @@
      * same.
      */
     private void compactIfGrown() {
-        if (length
+        if (validLength
                 <= Math.max(
-                        compactAtLength, Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes))) {
+                        nextCompactionLength,
+                        Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH_FACTOR * liveBytes))) {
             return;
         }
-        liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(texts, numbers);
-        if (length > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH * liveBytes)) {
+        liveBytes = HEADER.length + RECORD_HEADER_BYTES + bodyBytes(strings, numbers);
+        if (validLength > Math.max(MIN_COMPACTION_BYTES, MAX_GROWTH_FACTOR * liveBytes)) {
             try {
                 compact();
-            } catch (IOException later) {
-                compactAtLength = length + Math.max(MIN_COMPACTION_BYTES, liveBytes);
+            } catch (IOException exception) {
+                nextCompactionLength = validLength + Math.max(MIN_COMPACTION_BYTES, liveBytes);
             }
         }
     }
 
     /** Writes all that is live, and this, as a new file. */
-    private void compactWith(Map<String, String> named, Map<Long, Long> numbered)
+    private void compactIncluding(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates)
             throws IOException {
-        Map<String, String> texts = new HashMap<>(this.texts);
-        Map<Long, Long> numbers = new HashMap<>(this.numbers);
-        named.forEach(this::put);
-        numbered.forEach(this::put);
-        boolean there = false;
+        Map<String, String> previousStrings = new HashMap<>(this.strings);
+        Map<Long, Long> previousNumbers = new HashMap<>(this.numbers);
+        stringUpdates.forEach(this::put);
+        numberUpdates.forEach(this::put);
+        boolean compacted = false;
         try {
             compact();
-            there = true;
+            compacted = true;
         } finally {
-            if (!there) {
-                tailUncertain |= !namesUncertain;
-                this.texts.clear();
-                this.texts.putAll(texts);
+            if (!compacted) {
+                tailUncertain |= !directoryUncertain;
+                this.strings.clear();
+                this.strings.putAll(previousStrings);
                 this.numbers.clear();
-                this.numbers.putAll(numbers);
+                this.numbers.putAll(previousNumbers);
             }
         }
     }
@@ -372,26 +380,26 @@
      * synced either may be there after a loss of power, so nothing is put into the new one before.
      */
     private void compact() throws IOException {
-        disk.delete(NEXT_FILE);
-        int body = bodyBytes(texts, numbers);
-        disk.append(NEXT_FILE, ByteBuffer.wrap(HEADER));
-        disk.append(NEXT_FILE, encodeRecord(recordNumber + 1, body, texts, numbers));
-        disk.sync(NEXT_FILE);
-        namesUncertain = true;
-        disk.rename(NEXT_FILE, FILE);
+        folder.delete(NEXT_FILE_NAME);
+        int body = bodyBytes(strings, numbers);
+        folder.append(NEXT_FILE_NAME, ByteBuffer.wrap(HEADER));
+        folder.append(NEXT_FILE_NAME, encodeRecord(recordNumber + 1, body, strings, numbers));
+        folder.sync(NEXT_FILE_NAME);
+        directoryUncertain = true;
+        folder.rename(NEXT_FILE_NAME, FILE_NAME);
         recordNumber++;
-        length = HEADER.length + RECORD_HEADER_BYTES + body;
-        liveBytes = length;
-        compactAtLength = 0;
-        disk.syncNames();
-        namesUncertain = false;
+        validLength = HEADER.length + RECORD_HEADER_BYTES + body;
+        liveBytes = validLength;
+        nextCompactionLength = 0;
+        folder.syncDirectory();
+        directoryUncertain = false;
     }
 
     /** The length of the body of a record with these. */
-    private static int bodyBytes(Map<String, String> named, Map<Long, Long> numbered) {
-        long size = MIN_BODY_BYTES + 17L * numbered.size();
-        for (Map.Entry<String, String> one : named.entrySet()) {
-            size += 4 + textBytes(one.getKey()) + textBytes(one.getValue());
+    private static int bodyBytes(Map<String, String> stringUpdates, Map<Long, Long> numberUpdates) {
+        long size = MIN_BODY_BYTES + 17L * numberUpdates.size();
+        for (Map.Entry<String, String> entry : stringUpdates.entrySet()) {
+            size += 4 + textBytes(entry.getKey()) + textBytes(entry.getValue());
         }
         return Math.toIntExact(size);
     }
@@ -404,12 +412,12 @@
             char c = text.charAt(i++);
             if (c >= 0x80) {
                 // Each half of a pair counts for two; one that stands alone is written as '?'.
-                boolean pair =
+                boolean isPair =
                         Character.isHighSurrogate(c)
                                 && i < text.length()
                                 && Character.isLowSurrogate(text.charAt(i));
-                size += pair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
-                i += pair ? 1 : 0;
+                size += isPair ? 2 : Character.isSurrogate(c) ? 0 : c < 0x800 ? 1 : 2;
+                i += isPair ? 1 : 0;
             }
         }
         if (size > MAX_TEXT_BYTES) {
@@ -424,21 +432,24 @@
     }
 
     private static ByteBuffer encodeRecord(
-            long number, int size, Map<String, String> named, Map<Long, Long> numbered) {
+            long newRecordNumber,
+            int size,
+            Map<String, String> stringUpdates,
+            Map<Long, Long> numberUpdates) {
         ByteBuffer out = ByteBuffer.allocate(RECORD_HEADER_BYTES + size);
-        out.putInt(size).putInt(0).putLong(number).putInt(named.size());
-        for (Map.Entry<String, String> one : named.entrySet()) {
-            for (String text : new String[] {one.getKey(), one.getValue()}) {
+        out.putInt(size).putInt(0).putLong(newRecordNumber).putInt(stringUpdates.size());
+        for (Map.Entry<String, String> entry : stringUpdates.entrySet()) {
+            for (String text : new String[] {entry.getKey(), entry.getValue()}) {
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
                 out.putShort((short) bytes.length).put(bytes);
             }
         }
-        out.putInt(numbered.size());
-        numbered.forEach(
-                (key, is) ->
+        out.putInt(numberUpdates.size());
+        numberUpdates.forEach(
+                (key, number) ->
                         out.putLong(key)
-                                .put((byte) (is == null ? 0 : 1))
-                                .putLong(is == null ? 0 : is));
+                                .put((byte) (number == null ? 0 : 1))
+                                .putLong(number == null ? 0 : number));
         CRC32C crc = new CRC32C();
         crc.update(out.array(), RECORD_HEADER_BYTES, size);
         out.putInt(4, (int) crc.getValue());
@@ -446,10 +457,10 @@
     }
 
     /** Texts by their names. */
-    public Map<String, String> texts() {
-        Map<String, String> all = new HashMap<>(texts);
-        all.remove(OWNER);
-        return all;
+    public Map<String, String> strings() {
+        Map<String, String> content = new HashMap<>(strings);
+        content.remove(OWNER_NAME);
+        return content;
     }
 
     /** Numbers by their keys. */
@@ -459,13 +470,13 @@
 
     /** Unlocks the folder. */
     public void close() {
-        disk.close();
+        folder.close();
     }
 
-    private static String describe(IOException bad) {
-        String text = String.valueOf(bad.getMessage()).lines().findFirst().orElse("");
-        return bad.getClass() == IOException.class
+    private static String describe(IOException exception) {
+        String text = String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
+        return exception.getClass() == IOException.class
                 ? text
-                : bad.getClass().getSimpleName() + " " + text;
+                : exception.getClass().getSimpleName() + " " + text;
     }
 }
--- a/src/main/java/dillfront/common/storage/TextStore.java
+++ b/src/main/java/dillfront/common/storage/KeyValueStore.java
@@ -7,41 +7,41 @@
  * Texts under names, kept in a folder so that each put is there whole or not at all after a loss of
  * power. From one thread.
  */
-public final class TextStore {
+public final class KeyValueStore {
 
     /** The folder cannot be used: which, and why. A put may be tried again. */
     public static final class StorageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        StorageException(String fault) {
-            super(fault);
+        StorageException(String message) {
+            super(message);
         }
     }
 
     private final CompactingLog log;
 
-    private TextStore(CompactingLog shelf) {
-        this.log = shelf;
+    private KeyValueStore(CompactingLog log) {
+        this.log = log;
     }
 
     /**
      * @throws Broken where it cannot be read, or is another's
      */
-    public static TextStore open(Path folder, String owner) throws StorageException {
+    public static KeyValueStore open(Path folder, String owner) throws StorageException {
         try {
-            return openOn(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
-        } catch (java.io.IOException | CompactingLog.LockedException bad) {
-            throw new StorageException(folder + ": " + bad.getMessage());
+            return open(new StorageFolder.LocalFolder(folder), folder.toString(), owner);
+        } catch (java.io.IOException | CompactingLog.LockedException exception) {
+            throw new StorageException(folder + ": " + exception.getMessage());
         }
     }
 
     /** Opens the store on any disk, as tests do. */
-    public static TextStore openOn(StorageFolder disk, String where, String owner)
+    public static KeyValueStore open(StorageFolder folder, String path, String owner)
             throws StorageException {
         try {
-            return new TextStore(CompactingLog.open(disk, where, owner, true));
-        } catch (CompactingLog.UnusableLogException bad) {
-            throw new StorageException(bad.getMessage());
+            return new KeyValueStore(CompactingLog.open(folder, path, owner, true));
+        } catch (CompactingLog.UnusableLogException exception) {
+            throw new StorageException(exception.getMessage());
         }
     }
 
@@ -50,12 +50,12 @@
      * was taken over, and the folder begins anew.
      */
     public boolean isDamaged() {
-        return log.isMovedAside();
+        return log.isQuarantined();
     }
 
     /** All texts by their names. */
-    public Map<String, String> texts() {
-        return log.texts();
+    public Map<String, String> entries() {
+        return log.strings();
     }
 
     /**
@@ -65,11 +65,11 @@
      *     tries the disk again
      * @throws IllegalArgumentException where a name or a text has more than 65,535 bytes in UTF-8
      */
-    public void put(Map<String, String> texts) throws StorageException {
+    public void put(Map<String, String> values) throws StorageException {
         try {
-            log.put(texts, Map.of());
-        } catch (CompactingLog.UnusableLogException bad) {
-            throw new StorageException(bad.getMessage());
+            log.put(values, Map.of());
+        } catch (CompactingLog.UnusableLogException exception) {
+            throw new StorageException(exception.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/common/storage/StorageFolder.java
+++ b/src/main/java/dillfront/common/storage/StorageFolder.java
@@ -38,7 +38,7 @@
     void delete(String name) throws IOException;
 
     /** The names of all files survive a loss of power from now on. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     @Override
     void close();
@@ -46,7 +46,7 @@
     /** A folder of this machine, locked for as long as it is open. */
     final class LocalFolder implements StorageFolder {
 
-        private static final String LOCK = "memory.lock";
+        private static final String LOCK_FILE_NAME = "memory.lock";
 
         /** No log is longer. */
         private static final long MAX_FILE_BYTES = 1 << 28;
@@ -73,51 +73,51 @@
             for (Path created = folder.toAbsolutePath();
                     !created.equals(existing);
                     created = created.getParent()) {
-                syncNames(created.getParent());
+                syncDirectory(created.getParent());
             }
             lock =
                     FileChannel.open(
-                            folder.resolve(LOCK),
+                            folder.resolve(LOCK_FILE_NAME),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE);
             FileLock acquired;
             try {
                 acquired = lock.tryLock();
-            } catch (OverlappingFileLockException here) {
+            } catch (OverlappingFileLockException exception) {
                 acquired = null;
             }
             if (acquired == null) {
                 lock.close();
                 throw new CompactingLog.LockedException(
-                        "another process holds " + folder.resolve(LOCK));
+                        "another process holds " + folder.resolve(LOCK_FILE_NAME));
             }
         }
 
         @Override
-        public byte[] read(String of) throws IOException {
+        public byte[] read(String name) throws IOException {
             try {
-                if (Files.size(folder.resolve(of)) > MAX_FILE_BYTES) {
+                if (Files.size(folder.resolve(name)) > MAX_FILE_BYTES) {
                     throw new IOException(
-                            folder.resolve(of)
+                            folder.resolve(name)
                                     + ": of "
-                                    + Files.size(folder.resolve(of))
+                                    + Files.size(folder.resolve(name))
                                     + " bytes");
                 }
-                return Files.readAllBytes(folder.resolve(of));
-            } catch (NoSuchFileException none) {
+                return Files.readAllBytes(folder.resolve(name));
+            } catch (NoSuchFileException exception) {
                 return null;
             }
         }
 
-        private FileChannel channel(String of) throws IOException {
-            if (!of.equals(openName)) {
+        private FileChannel channel(String name) throws IOException {
+            if (!name.equals(openName)) {
                 closeChannel();
                 openChannel =
                         FileChannel.open(
-                                folder.resolve(of),
+                                folder.resolve(name),
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.WRITE);
-                openName = of;
+                openName = name;
             }
             return openChannel;
         }
@@ -131,22 +131,22 @@
         }
 
         @Override
-        public void append(String to, ByteBuffer bytes) throws IOException {
-            FileChannel channel = channel(to);
-            long at = channel.size();
+        public void append(String name, ByteBuffer bytes) throws IOException {
+            FileChannel channel = channel(name);
+            long position = channel.size();
             while (bytes.hasRemaining()) {
-                at += channel.write(bytes, at);
+                position += channel.write(bytes, position);
             }
         }
 
         @Override
-        public void sync(String of) throws IOException {
-            channel(of).force(false);
+        public void sync(String name) throws IOException {
+            channel(name).force(false);
         }
 
         @Override
-        public void truncate(String of, long length) throws IOException {
-            channel(of).truncate(length);
+        public void truncate(String name, long length) throws IOException {
+            channel(name).truncate(length);
             openChannel.force(true);
         }
 
@@ -161,20 +161,20 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
-            syncNames(folder);
+        public void syncDirectory() throws IOException {
+            syncDirectory(folder);
         }
 
-        private static void syncNames(Path of) throws IOException {
-            try (FileChannel names = FileChannel.open(of, StandardOpenOption.READ)) {
-                names.force(true);
+        private static void syncDirectory(Path path) throws IOException {
+            try (FileChannel directory = FileChannel.open(path, StandardOpenOption.READ)) {
+                directory.force(true);
             }
         }
 
         @Override
-        public void delete(String of) throws IOException {
+        public void delete(String name) throws IOException {
             closeChannel();
-            Files.deleteIfExists(folder.resolve(of));
+            Files.deleteIfExists(folder.resolve(name));
         }
 
         @Override
@@ -182,7 +182,7 @@
             try {
                 closeChannel();
                 lock.close();
-            } catch (IOException over) {
+            } catch (IOException exception) {
                 // Nothing is left to be written.
             }
         }
--- a/src/main/java/dillfront/controlplane/ControlNode.java
+++ b/src/main/java/dillfront/controlplane/ControlNode.java
@@ -50,21 +50,21 @@
 public final class ControlNode {
 
     /** How often all is said to all peers. */
-    private static final long TICK_MS = 400;
+    private static final long TICK_INTERVAL_MS = 400;
 
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
     /** A poll that is so late means that this process was paused. */
-    private static final long PAUSED_AFTER_MS = 300;
+    private static final long PAUSE_THRESHOLD_MS = 300;
 
     /** Updates that come within so long go together. */
-    private static final long COALESCE_MS = 20;
+    private static final long COALESCING_DELAY_MS = 20;
 
     /** A connection that brought no answer for so long is left. */
     private static final long CONNECTION_TIMEOUT_MS = 1_500;
 
     /** A server that announced its end has ended by then, even where it serves on past its time. */
-    private static final long SERVER_ENDED_MS = 30_000;
+    private static final long LEAVING_TIMEOUT_MS = 30_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -84,11 +84,11 @@
     private final ControlHttpApi http;
     private final GracefulShutdown shutdown;
     private long startedMillis;
-    private long polledMillis;
-    private boolean wasIsolated;
+    private long lastPollMillis;
+    private boolean loggedIsolation;
 
     /** What data planes were last told of this process's contact with a majority. */
-    private boolean publishedContact;
+    private boolean publishedQuorumContact;
 
     /** What register and lease need of this process. */
     private final class Context implements LeaseManager.Context {
@@ -184,8 +184,8 @@
         }
 
         @Override
-        public long certainMillis() {
-            return ControlNode.this.certainMillis();
+        public long primaryCertaintyMillis() {
+            return ControlNode.this.primaryCertaintyMillis();
         }
 
         @Override
@@ -200,12 +200,12 @@
     }
 
     /**
-     * @param disk where the state is kept; it may refuse writes, which are tried again
+     * @param stateStore where the state is kept; it may refuse writes, which are tried again
      */
-    public ControlNode(Environment environment, NodeSettings settings, StateStore disk) {
+    public ControlNode(Environment environment, NodeSettings settings, StateStore stateStore) {
         this.environment = environment;
         this.settings = settings;
-        store = new RetryingStateStore(environment, disk);
+        store = new RetryingStateStore(environment, stateStore);
         identity = new ProcessIdentity(environment, settings);
         Context context = new Context();
         ReplicatedRegister register = new ReplicatedRegister(context);
@@ -224,8 +224,8 @@
                         new AcknowledgedCommitsTable(),
                         new SuspectedPrimaries(this::onSuspectsChanged),
                         new ClusterView(environment, register, peers, identity::id),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::sendToPeers),
-                        new CoalescingTrigger(environment, COALESCE_MS, this::publish));
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::sendToPeers),
+                        new CoalescingTrigger(environment, COALESCING_DELAY_MS, this::publish));
         dataPlaneCount = new DataPlaneCount(store);
         certainty = new PrimaryCertainty(lease, this::isLeaseHolder);
         subscriptions = new DataPlaneSubscriptions(state, new SubscriptionSource());
@@ -287,16 +287,16 @@
      */
     public void start() throws Configuration.InvalidConfigurationException {
         startedMillis = environment.nowMillis();
-        Map<String, String> texts = store.initialState();
-        identity.restore(texts, store, state.peerUpdates()::request);
+        Map<String, String> entries = store.initialState();
+        identity.restore(entries, store, state.peerUpdates()::request);
         peers.start();
         membership.start();
         messenger.start();
-        state.register().restore(texts);
-        registryReplication.restore(texts, startedMillis);
-        state.records().restore(texts);
-        dataPlaneCount.restore(texts, startedMillis);
-        state.lease().restore(texts);
+        state.register().restore(entries);
+        registryReplication.restore(entries, startedMillis);
+        state.records().restore(entries);
+        dataPlaneCount.restore(entries, startedMillis);
+        state.lease().restore(entries);
         addSeeds(settings.seedIps());
         membership.bootstrapIfFounder();
         tick();
@@ -311,34 +311,34 @@
     /**
      * Ends in order; other calls go on meanwhile.
      *
-     * @param onEnd runs once the process may end
+     * @param onComplete runs once the process may end
      */
-    public void shutDown(Runnable onEnd) {
-        shutdown.begin(onEnd);
+    public void shutDown(Runnable onComplete) {
+        shutdown.start(onComplete);
     }
 
     private void tick() {
-        environment.schedule(TICK_MS, this::tick);
+        environment.schedule(TICK_INTERVAL_MS, this::tick);
         int dataPlanes = subscriptions.activeCount();
         for (PeerState peer : peers.all()) {
             maintainConnection(peer);
             if (state.cluster().isInContact(peer)) {
-                dataPlanes += peer.dataPlanes();
+                dataPlanes += peer.dataPlaneCount();
             }
         }
         dataPlaneCount.observe(dataPlanes, environment.nowMillis());
         sendToPeers();
         state.register().retainPeers(id -> state.cluster().peer(id) != null);
-        if (state.registry().expireLeaving(environment.nowMillis(), SERVER_ENDED_MS)) {
+        if (state.registry().expireLeaving(environment.nowMillis(), LEAVING_TIMEOUT_MS)) {
             state.dataPlaneUpdates().request();
         }
     }
 
     private void maintainConnection(PeerState peer) {
-        long answeredMillis =
-                Math.max(peer.lastAnsweredSendMillis(), peer.link().connectedAtMillis());
+        long acknowledgedMillis =
+                Math.max(peer.lastAcknowledgedSendMillis(), peer.link().connectedAtMillis());
         if (peer.link().isConnected()
-                && environment.nowMillis() - answeredMillis > CONNECTION_TIMEOUT_MS) {
+                && environment.nowMillis() - acknowledgedMillis > CONNECTION_TIMEOUT_MS) {
             // What is on its way there may wait for seconds behind what a partition has swallowed.
             peer.link().disconnect();
         }
@@ -348,14 +348,14 @@
     }
 
     private void poll() {
-        environment.schedule(POLL_MS, this::poll);
-        if (environment.nowMillis() - polledMillis > PAUSED_AFTER_MS) {
+        environment.schedule(POLL_INTERVAL_MS, this::poll);
+        if (environment.nowMillis() - lastPollMillis > PAUSE_THRESHOLD_MS) {
             failover.onProcessPaused();
             membership.onProcessPaused();
         }
-        polledMillis = environment.nowMillis();
-        publishContact();
-        logContact();
+        lastPollMillis = environment.nowMillis();
+        publishQuorumContact();
+        logQuorumContact();
         state.lease().poll();
         failover.poll();
         state.register().poll();
@@ -368,18 +368,18 @@
     /**
      * Data planes that wait here are told at once that contact with a majority is there, or lost.
      */
-    private void publishContact() {
-        if (state.cluster().isIsolated() == publishedContact) {
-            publishedContact = !publishedContact;
+    private void publishQuorumContact() {
+        if (state.cluster().isIsolated() == publishedQuorumContact) {
+            publishedQuorumContact = !publishedQuorumContact;
             subscriptions.publish();
         }
     }
 
-    private void logContact() {
+    private void logQuorumContact() {
         boolean isolated = state.cluster().isIsolated();
-        if (isolated != wasIsolated
-                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_MS) {
-            wasIsolated = isolated;
+        if (isolated != loggedIsolation
+                && environment.nowMillis() > startedMillis + LeaseManager.CONTACT_TIMEOUT_MS) {
+            loggedIsolation = isolated;
             environment.warn(isolated ? "quorum-contact lost" : "quorum-contact restored");
         }
     }
@@ -412,14 +412,14 @@
     /** Where control processes are: this one, those that are in contact, and the others. */
     private List<ControlAddress> controlAddresses() {
         List<ControlAddress> inContact = new ArrayList<>();
-        List<ControlAddress> silent = new ArrayList<>();
+        List<ControlAddress> unreachable = new ArrayList<>();
         inContact.add(new ControlAddress(settings.ipAddress(), settings.zoneName(), false));
         for (PeerState peer : peers.all()) {
-            boolean heard = state.cluster().isInContact(peer);
-            (heard ? inContact : silent)
-                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !heard));
+            boolean reachable = state.cluster().isInContact(peer);
+            (reachable ? inContact : unreachable)
+                    .add(new ControlAddress(peer.ip(), peer.zoneName(), !reachable));
         }
-        inContact.addAll(silent);
+        inContact.addAll(unreachable);
         return inContact;
     }
 
@@ -439,8 +439,8 @@
             public void onMessage(byte[] message) {
                 try {
                     receive(connection, MessageCodec.decode(message));
-                } catch (MalformedMessageException bad) {
-                    environment.warn("malformed-message fault=" + bad.getMessage());
+                } catch (MalformedMessageException exception) {
+                    environment.warn("malformed-message fault=" + exception.getMessage());
                     connection.close();
                 }
             }
@@ -463,15 +463,15 @@
         }
     }
 
-    private void onPeerMessage(PeerMessenger.Received received) {
-        if (received == PeerMessenger.Received.IGNORED) {
+    private void onPeerMessage(PeerMessenger.ReceiveResult received) {
+        if (received == PeerMessenger.ReceiveResult.IGNORED) {
             return;
         }
-        if (received == PeerMessenger.Received.REGISTRY_CHANGED) {
+        if (received == PeerMessenger.ReceiveResult.REGISTRY_CHANGED) {
             state.requestUpdates();
             acknowledgements.persist();
         }
-        publishContact();
+        publishQuorumContact();
         state.register().poll();
         failover.poll();
         acknowledgements.poll();
@@ -504,7 +504,7 @@
     }
 
     /** For how long it is certain that no server leads other than the records say. */
-    long certainMillis() {
+    long primaryCertaintyMillis() {
         return certainty.remainingMillis(environment.nowMillis());
     }
 }
--- a/src/main/java/dillfront/controlplane/DataPlaneCount.java
+++ b/src/main/java/dillfront/controlplane/DataPlaneCount.java
@@ -9,22 +9,22 @@
  */
 final class DataPlaneCount {
 
-    private static final String STORED = "fronts";
-    private static final long DECREASE_AFTER_MS = 15_000;
+    private static final String STORAGE_KEY = "fronts";
+    private static final long DECREASE_DELAY_MS = 15_000;
 
     private final StateStore store;
     private int count = 1;
 
     /** When there were last as many as the count says. */
-    private long confirmedMillis;
+    private long lastConfirmedMillis;
 
     DataPlaneCount(StateStore store) {
         this.store = store;
     }
 
-    void restore(Map<String, String> texts, long nowMillis) {
-        count = Integer.parseInt(texts.getOrDefault(STORED, "1"));
-        confirmedMillis = nowMillis;
+    void restore(Map<String, String> entries, long nowMillis) {
+        count = Integer.parseInt(entries.getOrDefault(STORAGE_KEY, "1"));
+        lastConfirmedMillis = nowMillis;
     }
 
     int get() {
@@ -32,16 +32,17 @@
     }
 
     /** So many are known now, here and at peers that are in contact. */
-    void observe(int known, long nowMillis) {
-        int present = Math.max(1, known);
-        if (present >= count) {
-            confirmedMillis = nowMillis;
+    void observe(int reportedCount, long nowMillis) {
+        int newCount = Math.max(1, reportedCount);
+        if (newCount >= count) {
+            lastConfirmedMillis = nowMillis;
         }
-        boolean fewerForLong = present < count && nowMillis - confirmedMillis > DECREASE_AFTER_MS;
-        if (present > count || fewerForLong) {
-            count = present;
-            confirmedMillis = nowMillis;
-            store.put(Map.of(STORED, Integer.toString(count)));
+        boolean isDecreaseDue =
+                newCount < count && nowMillis - lastConfirmedMillis > DECREASE_DELAY_MS;
+        if (newCount > count || isDecreaseDue) {
+            count = newCount;
+            lastConfirmedMillis = nowMillis;
+            store.put(Map.of(STORAGE_KEY, Integer.toString(count)));
         }
     }
 }
--- a/src/main/java/dillfront/controlplane/GracefulShutdown.java
+++ b/src/main/java/dillfront/controlplane/GracefulShutdown.java
@@ -13,12 +13,12 @@
 final class GracefulShutdown {
 
     /** Others get so long to have what only this process holds. */
-    private static final long MAX_HAND_OVER_MS = 2_000;
+    private static final long MAX_HANDOVER_MS = 2_000;
 
-    private static final long POLL_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     /** The last messages get so long to go out. */
-    private static final long FLUSH_MS = 50;
+    private static final long FLUSH_DELAY_MS = 50;
 
     private final ControlState state;
     private final ProcessIdentity identity;
@@ -45,9 +45,9 @@
     }
 
     /**
-     * @param onEnd runs once the process may end
+     * @param onComplete runs once the process may end
      */
-    void begin(Runnable onEnd) {
+    void start(Runnable onComplete) {
         if (leaving) {
             return;
         }
@@ -56,30 +56,30 @@
         messenger.onLeaving();
         state.environment().trace("shutdown");
         messenger.sendToAll();
-        long handOver = Math.min(MAX_HAND_OVER_MS, state.settings().gracePeriodMillis() / 2);
-        handOver(onEnd, state.nowMillis() + handOver);
+        long handoverMillis = Math.min(MAX_HANDOVER_MS, state.settings().gracePeriodMillis() / 2);
+        handOver(onComplete, state.nowMillis() + handoverMillis);
     }
 
-    private void handOver(Runnable onEnd, long untilMillis) {
-        if (state.nowMillis() < untilMillis && (!othersHaveAll() || isReplaceable())) {
+    private void handOver(Runnable onComplete, long untilMillis) {
+        if (state.nowMillis() < untilMillis && (!isReplicatedToMajority() || isReplaceable())) {
             membership.reconfigure();
-            state.environment().schedule(POLL_MS, () -> handOver(onEnd, untilMillis));
+            state.environment().schedule(POLL_INTERVAL_MS, () -> handOver(onComplete, untilMillis));
             return;
         }
         state.lease().resign();
         messenger.sendToAll();
-        state.environment().schedule(FLUSH_MS, onEnd);
+        state.environment().schedule(FLUSH_DELAY_MS, onComplete);
     }
 
     /** Whether a majority, this process counted, has all that is on this disk. */
-    private boolean othersHaveAll() {
+    private boolean isReplicatedToMajority() {
         RegisterValue value = state.register().acceptedValue();
         return value == null
                 || !state.cluster().isVoter()
-                || value.isQuorum(id -> id.equals(identity.id()) || hasAll(id));
+                || value.isQuorum(id -> id.equals(identity.id()) || isReplicatedTo(id));
     }
 
-    private boolean hasAll(String id) {
+    private boolean isReplicatedTo(String id) {
         ReplicatedRegister register = state.register();
         return membership.hasOnDisk(
                         id, registryReplication.version(), state.records().durableNumber())
@@ -89,7 +89,9 @@
     /** Whether there are members enough without this process. */
     private boolean isReplaceable() {
         RegisterValue value = state.register().acceptedValue();
-        int enough = 2 * state.settings().toleratedMachineLosses() + 1;
-        return value != null && state.cluster().isVoter() && value.members().size() > enough;
+        int requiredMembers = 2 * state.settings().toleratedMachineLosses() + 1;
+        return value != null
+                && state.cluster().isVoter()
+                && value.members().size() > requiredMembers;
     }
 }
--- a/src/main/java/dillfront/controlplane/MembershipManager.java
+++ b/src/main/java/dillfront/controlplane/MembershipManager.java
@@ -30,7 +30,7 @@
     private final FailoverCoordinator failover;
     private final ReconfigurationBarrier barrier = new ReconfigurationBarrier();
     private long startedMillis;
-    private long resumedMillis = LeaseManager.NEVER;
+    private long resumedMillis = LeaseManager.NEVER_MILLIS;
     private boolean leaving;
 
     /** The members that were proposed and logged last. */
@@ -82,7 +82,7 @@
             PeerState peer = peers.at(ip);
             if (peer != null
                     && peer.isFirstStart()
-                    && peer.lastAnsweredSendMillis() >= startedMillis) {
+                    && peer.lastAcknowledgedSendMillis() >= startedMillis) {
                 members.add(peer.id());
             }
         }
@@ -126,12 +126,12 @@
                         decided.members(),
                         candidates(decided),
                         state.settings().toleratedMachineLosses());
-        boolean changes = !next.equals(decided.members());
-        if (changes && !next.equals(proposedMembers)) {
+        boolean isChange = !next.equals(decided.members());
+        if (isChange && !next.equals(proposedMembers)) {
             state.environment().warn("members-change from=" + decided.members() + " to=" + next);
         }
         proposedMembers = next;
-        if (changes) {
+        if (isChange) {
             state.register().proposeMembers(decided.epoch(), next);
         }
     }
@@ -145,34 +145,39 @@
                         new Candidate(
                                 peer.id(),
                                 peer.zoneName(),
-                                silentMillis(peer.lastContactMillis()),
+                                millisSinceContact(peer.lastContactMillis()),
                                 isCaughtUp(peer, decided),
                                 peer.isLeaving()));
             }
         }
         for (String member : decided.members()) {
             if (state.cluster().peer(member) == null && !member.equals(identity.id())) {
-                candidates.add(new Candidate(member, "", unknownMillis(member), false, false));
+                candidates.add(
+                        new Candidate(
+                                member, "", unknownMemberMillisSinceContact(member), false, false));
             }
         }
         return candidates;
     }
 
-    private long silentMillis(long lastContactMillis) {
+    private long millisSinceContact(long lastContactMillis) {
         long contactMillis = Math.max(lastContactMillis, startedMillis);
         return state.nowMillis() - Math.max(contactMillis, resumedMillis);
     }
 
     /** The silence of a member that is not known here, or is another process now. */
-    private long unknownMillis(String member) {
+    private long unknownMemberMillisSinceContact(String member) {
         PeerState other = peers.at(RegisterValue.ipOf(member));
         boolean isReplaced = other != null && !other.id().isEmpty();
-        return isReplaced ? MembershipPolicy.REPLACED : silentMillis(LeaseManager.NEVER);
+        return isReplaced
+                ? MembershipPolicy.ADDRESS_REUSED_MILLIS
+                : millisSinceContact(LeaseManager.NEVER_MILLIS);
     }
 
     private boolean isCaughtUp(PeerState peer, RegisterValue decided) {
         ReplicatedRegister register = state.register();
-        return peer.lastAnsweredSendMillis() > state.nowMillis() - LeaseManager.CONTACT_MS
+        return peer.lastAcknowledgedSendMillis()
+                        > state.nowMillis() - LeaseManager.CONTACT_TIMEOUT_MS
                 && peer.epoch() == decided.epoch()
                 && peer.recordNumber() >= state.records().newestNumber()
                 && register.acceptedBallotOf(peer.id()).equals(register.decidedBallot());
--- a/src/main/java/dillfront/controlplane/PeerMessenger.java
+++ b/src/main/java/dillfront/controlplane/PeerMessenger.java
@@ -11,7 +11,7 @@
 import dillfront.controlplane.peer.PeerMessage.DataPlaneReport;
 import dillfront.controlplane.peer.PeerMessage.ForwardedHeartbeat;
 import dillfront.controlplane.peer.PeerMessage.Header;
-import dillfront.controlplane.peer.PeerMessage.HolderStatus;
+import dillfront.controlplane.peer.PeerMessage.LeaseHolderStatus;
 import dillfront.controlplane.peer.PeerMessage.ServiceObservation;
 import dillfront.controlplane.peer.PeerMessageCodec;
 import dillfront.controlplane.peer.PeerState;
@@ -118,59 +118,61 @@
                 header,
                 peer.id().isEmpty() ? null : state.register().messageTo(peer.id()),
                 state.lease().message(),
-                changedAddresses(peer),
+                updatedAddresses(peer),
                 registryReplication.messageTo(peer.registryProgress()),
                 forwarded,
                 state.records().messageTo(peer.recordNumber()),
                 dataPlaneReport(),
                 failover.isActing()
-                        ? new HolderStatus(
+                        ? new LeaseHolderStatus(
                                 state.lease().validUntilMillis() - now, state.suspects().services())
                         : null,
                 dataLoss.report());
     }
 
     /** The peers that are in contact; null where that one was told so before. */
-    private List<String> changedAddresses(PeerState peer) {
+    private List<String> updatedAddresses(PeerState peer) {
         List<String> addresses = new ArrayList<>();
         for (PeerState other : peers.all()) {
             if (state.cluster().isInContact(other)) {
                 addresses.add(other.ip());
             }
         }
-        return peer.addressesChanged(addresses.toString()) ? addresses : null;
+        return peer.updateSentAddresses(addresses.toString()) ? addresses : null;
     }
 
     private DataPlaneReport dataPlaneReport() {
-        Map<String, Long> cleared = new LinkedHashMap<>();
+        Map<String, Long> acknowledgedMoves = new LinkedHashMap<>();
         List<ServiceObservation> observations = new ArrayList<>();
         for (PrimaryRecord record : state.records().all()) {
             if (record.moving() && subscriptions.allHaveRecord(record.number())) {
-                cleared.put(record.service(), record.number());
+                acknowledgedMoves.put(record.service(), record.number());
             }
-            PrimaryObservation seen = subscriptions.observation(record.service(), record.primary());
-            if (seen.unreachable() > 0 || record.moving()) {
+            PrimaryObservation observation =
+                    subscriptions.observation(record.service(), record.primary());
+            if (observation.unreachable() > 0 || record.moving()) {
                 AcknowledgedCommits acknowledged =
                         state.acknowledgedCommits().get(record.service());
-                observations.add(new ServiceObservation(record.service(), seen, acknowledged));
+                observations.add(
+                        new ServiceObservation(record.service(), observation, acknowledged));
             }
         }
-        return new DataPlaneReport(cleared, observations, subscriptions.activeCount());
+        return new DataPlaneReport(acknowledgedMoves, observations, subscriptions.activeCount());
     }
 
     // ---- receiving
 
     /** What became of a message. */
-    enum Received {
+    enum ReceiveResult {
         /** It is older than what the peer said last, or of a process without an id. */
         IGNORED,
-        TAKEN,
+        APPLIED,
         /** And it changed the server table. */
         REGISTRY_CHANGED
     }
 
     /** Takes a peer's message. */
-    Received receive(PeerMessage message) {
+    ReceiveResult receive(PeerMessage message) {
         Header header = message.header();
         peers.discover(header.ip());
         PeerState peer = peers.at(header.ip());
@@ -178,22 +180,23 @@
         if (peer == null
                 || header.id().isEmpty()
                 || sameIncarnation && header.clockMillis() < peer.clockMillis()) {
-            return Received.IGNORED;
+            return ReceiveResult.IGNORED;
         }
         if (!sameIncarnation || !header.id().equals(peer.id())) {
             onNewIncarnation(peer, header);
         }
-        peer.lease().contact(state.nowMillis());
+        peer.lease().recordContact(state.nowMillis());
         if (!peer.link().isConnected() && !peer.link().isConnecting()) {
             // It is there: if it waited for the next tick, it would get no answer before.
             peer.link().connect();
         }
-        boolean answersThis = header.echoIncarnation().equals(identity.incarnation());
-        peer.onHeader(header, answersThis);
+        boolean acknowledgesThisIncarnation =
+                header.echoIncarnation().equals(identity.incarnation());
+        peer.onHeader(header, acknowledgesThisIncarnation);
         boolean changed =
                 registryReplication.receive(
-                        message.registry(), peer.registryProgress(), answersThis);
-        message.heartbeats().forEach(this::takeHeartbeat);
+                        message.registry(), peer.registryProgress(), acknowledgesThisIncarnation);
+        message.heartbeats().forEach(this::applyHeartbeat);
         peer.onMembership(header);
         if (message.addresses() != null) {
             message.addresses().forEach(peers::discover);
@@ -204,23 +207,23 @@
         if (state.records().receive(message.records())) {
             state.requestUpdates();
         }
-        receiveDataPlanes(peer, message.dataPlanes());
-        receiveHolder(peer, message, answersThis);
-        return changed ? Received.REGISTRY_CHANGED : Received.TAKEN;
+        receiveDataPlaneReport(peer, message.dataPlanes());
+        receiveHolderStatus(peer, message, acknowledgesThisIncarnation);
+        return changed ? ReceiveResult.REGISTRY_CHANGED : ReceiveResult.APPLIED;
     }
 
     private void onNewIncarnation(PeerState peer, Header header) {
         peer.onNewIncarnation(header.incarnation(), header.id());
         // An answer at once, on a connection to this incarnation: it counts nobody that it has not
         // heard answer, and what went out to its former incarnation may hang for long.
-        boolean wasInContact = peer.formerIncarnationContactMillis() > startedMillis;
+        boolean wasInContact = peer.previousIncarnationContactMillis() > startedMillis;
         if (peer.link().isConnected() && wasInContact || peer.link().hasStaleConnect()) {
             peer.link().replace();
         }
         state.peerUpdates().request();
     }
 
-    private void takeHeartbeat(ForwardedHeartbeat heartbeat) {
+    private void applyHeartbeat(ForwardedHeartbeat heartbeat) {
         DatabaseServer server = state.registry().get(heartbeat.serverId());
         if (server != null) {
             server.onForwardedHeartbeat(
@@ -234,37 +237,39 @@
         }
         try {
             state.register().receive(peer.id(), message.register());
-        } catch (Configuration.InvalidConfigurationException bad) {
+        } catch (Configuration.InvalidConfigurationException exception) {
             state.environment()
                     .warn(
                             "configuration-not-understood from="
                                     + peer.ip()
                                     + " fault="
-                                    + bad.getMessage());
+                                    + exception.getMessage());
         }
     }
 
-    private void receiveDataPlanes(PeerState peer, DataPlaneReport report) {
-        peer.onDataPlanes(report);
-        for (ServiceObservation one : report.observations()) {
-            state.acknowledgedCommits().merge(one.service(), one.acknowledged());
+    private void receiveDataPlaneReport(PeerState peer, DataPlaneReport report) {
+        peer.onDataPlaneReport(report);
+        for (ServiceObservation observation : report.observations()) {
+            state.acknowledgedCommits().merge(observation.service(), observation.acknowledged());
         }
     }
 
-    private void receiveHolder(PeerState peer, PeerMessage message, boolean answersThis) {
-        HolderStatus holder = message.holder();
+    private void receiveHolderStatus(
+            PeerState peer, PeerMessage message, boolean acknowledgesThisIncarnation) {
+        LeaseHolderStatus holder = message.holder();
         LeaseManager lease = state.lease();
         if (holder != null) {
             state.suspects().replace(holder.suspects());
         }
         long promised = message.lease().promisedNumber();
-        dataLoss.receive(message.dataLoss(), holder != null && answersThis, promised);
+        dataLoss.receive(
+                message.dataLoss(), holder != null && acknowledgesThisIncarnation, promised);
         lease.onRequest(peer.lease(), message.lease().requestedNumber(), peer.clockMillis());
         lease.onRelease(
                 peer.lease(),
                 message.lease().abandonedNumber(),
                 message.lease().abandonedWasHeld());
-        if (holder != null && answersThis && promised >= lease.promisedNumber()) {
+        if (holder != null && acknowledgesThisIncarnation && promised >= lease.promisedNumber()) {
             certainty.onHolderMessage(
                     message.header().echoClockMillis(), holder.leaseRemainingMillis());
         }
--- a/src/main/java/dillfront/controlplane/ProcessIdentity.java
+++ b/src/main/java/dillfront/controlplane/ProcessIdentity.java
@@ -13,8 +13,8 @@
  */
 final class ProcessIdentity {
 
-    private static final String ID = "id";
-    private static final String FIRST_SEEDS = "first-seeds";
+    private static final String ID_KEY = "id";
+    private static final String FIRST_SEEDS_KEY = "first-seeds";
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -36,18 +36,18 @@
      *
      * @param onDurable runs once a new id is on the disk
      */
-    void restore(Map<String, String> texts, StateStore store, Runnable onDurable) {
-        id = texts.getOrDefault(ID, "");
+    void restore(Map<String, String> entries, StateStore store, Runnable onDurable) {
+        id = entries.getOrDefault(ID_KEY, "");
         if (!id.isEmpty()) {
             durable = true;
-            firstSeeds = texts.getOrDefault(FIRST_SEEDS, "");
+            firstSeeds = entries.getOrDefault(FIRST_SEEDS_KEY, "");
             return;
         }
         // An empty disk, or a damaged one: whoever was here before, this is another process.
         String suffix = Long.toHexString(environment.random().nextLong());
         id = RegisterValue.id(settings.ipAddress(), suffix);
         firstSeeds = settings.firstStart() ? sortedSeeds() : "";
-        store.put(Map.of(ID, id, FIRST_SEEDS, firstSeeds))
+        store.put(Map.of(ID_KEY, id, FIRST_SEEDS_KEY, firstSeeds))
                 .thenRun(
                         () -> {
                             durable = true;
--- a/src/main/java/dillfront/controlplane/RecentHeartbeats.java
+++ b/src/main/java/dillfront/controlplane/RecentHeartbeats.java
@@ -10,15 +10,15 @@
 final class RecentHeartbeats {
 
     private static final int MAX_HEARTBEATS = 60_000;
-    private static final int KEPT_INTERVALS = 3;
+    private static final int RETENTION_INTERVALS = 3;
 
-    private final long keptMillis;
+    private final long retentionMillis;
 
     /** The last one first; a server that sent another stands there twice for a while. */
     private final ArrayDeque<DatabaseServer> servers = new ArrayDeque<>();
 
     RecentHeartbeats(long heartbeatIntervalMillis) {
-        keptMillis = KEPT_INTERVALS * heartbeatIntervalMillis;
+        retentionMillis = RETENTION_INTERVALS * heartbeatIntervalMillis;
     }
 
     void add(DatabaseServer server) {
@@ -27,17 +27,17 @@
 
     void expire(long nowMillis) {
         while (!servers.isEmpty()
-                && (nowMillis - servers.getLast().lastDirectHeartbeatMillis() > keptMillis
+                && (nowMillis - servers.getLast().lastDirectHeartbeatMillis() > retentionMillis
                         || servers.size() > MAX_HEARTBEATS)) {
             servers.removeLast();
         }
     }
 
     /** What came at this moment or later. */
-    List<ForwardedHeartbeat> since(long millis, long nowMillis) {
+    List<ForwardedHeartbeat> since(long sinceMillis, long nowMillis) {
         List<ForwardedHeartbeat> heartbeats = new ArrayList<>();
         for (DatabaseServer server : servers) {
-            if (server.lastDirectHeartbeatMillis() < millis) {
+            if (server.lastDirectHeartbeatMillis() < sinceMillis) {
                 break;
             }
             heartbeats.add(
--- a/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
+++ b/src/main/java/dillfront/controlplane/RegistryAcknowledgements.java
@@ -12,12 +12,12 @@
 /** Calls of database servers that are answered once the disks of a majority have what they say. */
 final class RegistryAcknowledgements {
 
-    private record Waiter(long version, CompletableFuture<Void> done) {}
+    private record PendingAcknowledgement(long version, CompletableFuture<Void> done) {}
 
     private final ControlState state;
     private final PeerTable peers;
     private final RegistryReplication replication;
-    private final List<Waiter> waiters = new ArrayList<>();
+    private final List<PendingAcknowledgement> pending = new ArrayList<>();
 
     RegistryAcknowledgements(ControlState state, PeerTable peers, RegistryReplication replication) {
         this.state = state;
@@ -28,7 +28,7 @@
     /** Completes once a majority has the table on its disks up to this version. */
     CompletableFuture<Void> await(long version) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        waiters.add(new Waiter(version, done));
+        pending.add(new PendingAcknowledgement(version, done));
         persist();
         state.peerUpdates().request();
         poll();
@@ -47,21 +47,22 @@
 
     /** Answers those whose version a majority has. */
     void poll() {
-        if (waiters.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
         ClusterView cluster = state.cluster();
-        long agreed =
+        long majorityVersion =
                 cluster.quorumReached(
                         replication.durableVersion(),
                         peer ->
                                 replication.acknowledgedVersionOf(
                                         peer.registryProgress(), peer.epoch(), cluster.epoch()));
-        List<Waiter> completed = new ArrayList<>();
-        waiters.removeIf(
-                waiter ->
-                        waiter.done().isDone()
-                                || waiter.version() <= agreed && completed.add(waiter));
-        completed.forEach(waiter -> waiter.done().complete(null));
+        List<PendingAcknowledgement> completed = new ArrayList<>();
+        pending.removeIf(
+                acknowledgement ->
+                        acknowledgement.done().isDone()
+                                || acknowledgement.version() <= majorityVersion
+                                        && completed.add(acknowledgement));
+        completed.forEach(acknowledgement -> acknowledgement.done().complete(null));
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/Ballot.java
+++ b/src/main/java/dillfront/controlplane/consensus/Ballot.java
@@ -12,8 +12,8 @@
 
     @Override
     public int compareTo(Ballot other) {
-        int rounds = Long.compare(round, other.round);
-        return rounds != 0 ? rounds : proposer.compareTo(other.proposer);
+        int roundOrder = Long.compare(round, other.round);
+        return roundOrder != 0 ? roundOrder : proposer.compareTo(other.proposer);
     }
 
     boolean isAbove(Ballot other) {
@@ -36,10 +36,10 @@
      * @throws NumberFormatException where the round is no number
      */
     public static Ballot parse(String text) {
-        int blank = text.indexOf(' ');
-        return blank < 0
+        int space = text.indexOf(' ');
+        return space < 0
                 ? NONE
-                : new Ballot(Long.parseLong(text.substring(0, blank)), text.substring(blank + 1));
+                : new Ballot(Long.parseLong(text.substring(0, space)), text.substring(space + 1));
     }
 
     @Override
--- a/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
+++ b/src/main/java/dillfront/controlplane/consensus/MembershipPolicy.java
@@ -33,18 +33,18 @@
     static final long REMOVE_AFTER_MS = 30_000;
 
     /** The silence of a member at whose address another process answers. */
-    public static final long REPLACED = Long.MAX_VALUE;
+    public static final long ADDRESS_REUSED_MILLIS = Long.MAX_VALUE;
 
     /**
      * A process, a member or not.
      *
-     * @param silentMillis for how long nothing came from it; {@link #REPLACED} where another
-     *     process is at its address
+     * @param millisSinceContact for how long nothing came from it; {@link #ADDRESS_REUSED_MILLIS}
+     *     where another process is at its address
      * @param caughtUp it answers, and holds all that is decided
      * @param leaving it said that it ends
      */
     public record Candidate(
-            String id, String zone, long silentMillis, boolean caughtUp, boolean leaving) {}
+            String id, String zone, long millisSinceContact, boolean caughtUp, boolean leaving) {}
 
     private MembershipPolicy() {}
 
@@ -57,46 +57,52 @@
     public static SortedSet<String> nextMembers(
             SortedSet<String> members, List<Candidate> candidates, int toleratedLosses) {
         TreeSet<String> next = new TreeSet<>(members);
-        Candidate worst = worstMember(members, candidates);
+        Candidate removalCandidate = removalCandidate(members, candidates);
         List<Candidate> learners = learners(members, candidates);
-        if (worst != null && worst.silentMillis() == REPLACED) {
+        if (removalCandidate != null
+                && removalCandidate.millisSinceContact() == ADDRESS_REUSED_MILLIS) {
             for (Candidate learner : learners) {
-                if (RegisterValue.ipOf(worst.id()).equals(RegisterValue.ipOf(learner.id()))) {
-                    next.remove(worst.id());
+                if (RegisterValue.ipOf(removalCandidate.id())
+                        .equals(RegisterValue.ipOf(learner.id()))) {
+                    next.remove(removalCandidate.id());
                     next.add(learner.id());
                     return next;
                 }
             }
         }
-        boolean replaces = worst != null && removalPriority(worst) > REPLACE_AFTER_MS;
-        int enough = 2 * toleratedLosses + 1;
-        if (!learners.isEmpty() && (replaces || members.size() < Math.max(MAX_MEMBERS, enough))) {
+        boolean replaces =
+                removalCandidate != null && removalPriority(removalCandidate) > REPLACE_AFTER_MS;
+        int requiredMembers = 2 * toleratedLosses + 1;
+        if (!learners.isEmpty()
+                && (replaces || members.size() < Math.max(MAX_MEMBERS, requiredMembers))) {
             next.add(learners.get(0).id());
             if (replaces) {
-                next.remove(worst.id());
+                next.remove(removalCandidate.id());
             }
             return next;
         }
-        boolean spare = members.size() > enough;
+        boolean hasSpareMember = members.size() > requiredMembers;
         boolean expired =
-                worst != null
-                        && worst.silentMillis() > REMOVE_AFTER_MS
+                removalCandidate != null
+                        && removalCandidate.millisSinceContact() > REMOVE_AFTER_MS
                         && members.size() > MIN_MEMBERS;
-        if (replaces && (spare || expired)) {
-            next.remove(worst.id());
+        if (replaces && (hasSpareMember || expired)) {
+            next.remove(removalCandidate.id());
         }
         return next;
     }
 
-    private static Candidate worstMember(SortedSet<String> members, List<Candidate> candidates) {
-        Candidate worst = null;
+    private static Candidate removalCandidate(
+            SortedSet<String> members, List<Candidate> candidates) {
+        Candidate removalCandidate = null;
         for (Candidate candidate : candidates) {
             if (members.contains(candidate.id())
-                    && (worst == null || removalPriority(candidate) > removalPriority(worst))) {
-                worst = candidate;
+                    && (removalCandidate == null
+                            || removalPriority(candidate) > removalPriority(removalCandidate))) {
+                removalCandidate = candidate;
             }
         }
-        return worst;
+        return removalCandidate;
     }
 
     /** Processes that could become members; those of zones with few members first. */
@@ -118,6 +124,6 @@
     }
 
     private static long removalPriority(Candidate candidate) {
-        return candidate.leaving() ? REPLACED - 1 : candidate.silentMillis();
+        return candidate.leaving() ? ADDRESS_REUSED_MILLIS - 1 : candidate.millisSinceContact();
     }
 }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterMessage.java
@@ -101,7 +101,7 @@
             for (String number : fields.strings(DIGESTS)) {
                 try {
                     digests.add(Long.parseLong(number));
-                } catch (NumberFormatException bad) {
+                } catch (NumberFormatException exception) {
                     throw new MessageCodec.MalformedMessageException(
                             "a digest that is no number: " + number);
                 }
@@ -160,7 +160,7 @@
             throws MessageCodec.MalformedMessageException {
         try {
             return Ballot.parse(fields.string(name));
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException exception) {
             throw new MessageCodec.MalformedMessageException(name + ": no ballot");
         }
     }
--- a/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterStorage.java
@@ -84,10 +84,10 @@
     /**
      * An accepted value with its ballot, which is a promise too.
      *
-     * @param before what is on the disk; a configuration that is the same is not written again
+     * @param storedValue what is on the disk; a configuration that is the same is not written again
      */
     Map<String, String> acceptance(
-            Ballot promised, Ballot ballot, RegisterValue value, RegisterValue before) {
+            Ballot promised, Ballot ballot, RegisterValue value, RegisterValue storedValue) {
         Map<String, String> texts = new HashMap<>();
         texts.put(PROMISED, promised.encode());
         texts.put(ACCEPTED, ballot.encode());
@@ -101,7 +101,7 @@
                         (revision, digest) ->
                                 digests.append(revision).append(':').append(digest).append(','));
         texts.put(DIGESTS, digests.toString());
-        if (before == null || value.configuration() != before.configuration()) {
+        if (storedValue == null || value.configuration() != storedValue.configuration()) {
             addChunks(texts, new String(value.configuration().body(), StandardCharsets.UTF_8));
         }
         return texts;
--- a/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
+++ b/src/main/java/dillfront/controlplane/consensus/RegisterValue.java
@@ -106,9 +106,9 @@
                 : this;
     }
 
-    SortedMap<Long, Long> mergedDigests(Map<Long, Long> more) {
+    SortedMap<Long, Long> mergedDigests(Map<Long, Long> added) {
         TreeMap<Long, Long> digests = new TreeMap<>(revisionDigests);
-        digests.putAll(more);
+        digests.putAll(added);
         while (digests.size() > MAX_DIGESTS) {
             digests.pollFirstEntry();
         }
@@ -128,16 +128,16 @@
         if (digest != null) {
             return digest == proposed.digest() ? Outcome.ACCEPTED : Outcome.CONFLICT;
         }
-        boolean isForgotten =
+        boolean isDigestDropped =
                 revisionDigests.size() == MAX_DIGESTS
                         && proposed.revision() < revisionDigests.firstKey();
-        return isForgotten && proposed.revision() < configuration.revision()
+        return isDigestDropped && proposed.revision() < configuration.revision()
                 ? Outcome.ACCEPTED
                 : Outcome.PENDING;
     }
 
     /** The first step to other members: both sets are in force. */
-    RegisterValue jointWith(SortedSet<String> next) {
+    RegisterValue withJointMembers(SortedSet<String> next) {
         return new RegisterValue(
                 epoch + 1, next, members, NO_MEMBERS, configuration, revisionDigests);
     }
--- a/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
+++ b/src/main/java/dillfront/controlplane/consensus/ReplicatedRegister.java
@@ -61,7 +61,7 @@
     }
 
     /** While another's ballot is under way, one's own waits so long. */
-    private static final long HOLD_OFF_MS = 150;
+    private static final long COMPETING_ROUND_DELAY_MS = 150;
 
     private static final long BACKOFF_MS = 20;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
@@ -73,7 +73,7 @@
     private static final long CATCH_UP_DELAY_MS = 300;
 
     private static final long RESEND_MS = 350;
-    private static final int MAX_PROPOSALS = 256;
+    private static final int MAX_PENDING_PROPOSALS = 256;
 
     /** What a peer said last; each ballot only ever rises. */
     private static final class PeerState {
@@ -245,7 +245,7 @@
      */
     public CompletableFuture<RegisterValue.Outcome> propose(Configuration configuration) {
         CompletableFuture<RegisterValue.Outcome> result = new CompletableFuture<>();
-        if (proposals.size() >= MAX_PROPOSALS) {
+        if (proposals.size() >= MAX_PENDING_PROPOSALS) {
             result.completeExceptionally(new IllegalStateException("too many proposals wait"));
             return result;
         }
@@ -282,13 +282,13 @@
         } else if (recoverAtMillis < 0) {
             recoverAtMillis = now + RECOVERY_DELAY_MS + context.randomBelow(RECOVERY_DELAY_MS);
         }
-        boolean recovers =
+        boolean recoveryDue =
                 undecided
                         && now > recoverAtMillis
                         && acceptedValue.members().contains(context.selfId());
-        boolean wanted = !proposals.isEmpty() || membershipStep != null || recovers;
-        boolean able = phase == Phase.NONE && acceptedValue != null && !persisting;
-        if (wanted && able && now >= proposeAtMillis) {
+        boolean hasWork = !proposals.isEmpty() || membershipStep != null || recoveryDue;
+        boolean canStart = phase == Phase.NONE && acceptedValue != null && !persisting;
+        if (hasWork && canStart && now >= proposeAtMillis) {
             startRound();
         }
     }
@@ -325,18 +325,19 @@
     }
 
     private boolean needsValue(PeerState peer, Ballot ballot, boolean offers) {
-        boolean has =
+        boolean hasValue =
                 ballot.equals(peer.acceptedBallot)
                         || ballot.equals(peer.receivedBallot)
                         || peer.decidedBallot.compareTo(ballot) >= 0;
-        if (has || offers) {
-            return !has;
+        if (hasValue || offers) {
+            return !hasValue;
         }
         boolean isNewer = ballot.isAbove(peer.acceptedBallot);
         boolean prepares =
                 peer.proposalBallot.equals(promisedBallot) && !peer.proposalHasValue && isNewer;
-        boolean behind = isNewer && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
-        return prepares || behind;
+        boolean needsCatchUp =
+                isNewer && context.nowMillis() - acceptedAtMillis > CATCH_UP_DELAY_MS;
+        return prepares || needsCatchUp;
     }
 
     private boolean maySend(PeerState peer, Ballot ballot) {
@@ -504,7 +505,7 @@
         } else {
             promise(proposer.proposalBallot);
         }
-        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + HOLD_OFF_MS);
+        proposeAtMillis = Math.max(proposeAtMillis, context.nowMillis() + COMPETING_ROUND_DELAY_MS);
     }
 
     /**
@@ -547,7 +548,7 @@
                             acceptedAtMillis = context.nowMillis();
                         });
         done.exceptionally(
-                fault -> {
+                error -> {
                     storage.onWriteFailed(chunksBefore);
                     return null;
                 });
@@ -562,9 +563,9 @@
         persisting = true;
         return context.persist(texts)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             persisting = false;
-                            if (fault == null) {
+                            if (error == null) {
                                 onDurable.run();
                                 context.broadcast();
                                 advance();
@@ -590,11 +591,11 @@
         phase = Phase.PERSIST_BALLOT;
         promise(ballot)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             if (!ballot.equals(ownBallot) || phase != Phase.PERSIST_BALLOT) {
                                 return;
                             }
-                            if (fault != null) {
+                            if (error != null) {
                                 abandonRound();
                                 return;
                             }
@@ -656,7 +657,7 @@
         context.broadcast();
         accept(ownBallot, proposedValue)
                 .exceptionally(
-                        fault -> {
+                        error -> {
                             abandonRound();
                             return null;
                         });
@@ -686,21 +687,23 @@
         return base.withConfiguration(configuration);
     }
 
-    private RegisterValue withMembershipStep(RegisterValue value, MembershipStep membership) {
-        boolean isFinalStep = membership.members() == null;
+    private RegisterValue withMembershipStep(RegisterValue value, MembershipStep step) {
+        boolean isFinalStep = step.members() == null;
         if (!context.holdsLease()
-                || membership.epoch() != value.epoch()
+                || step.epoch() != value.epoch()
                 || value.isJoint() != isFinalStep) {
             return value;
         }
         if (!isFinalStep) {
-            RegisterValue joint = value.jointWith(membership.members());
+            RegisterValue joint = value.withJointMembers(step.members());
             return context.isDisabled(SafetyRule.JOINT_MAJORITIES)
                     ? joint.withoutOutgoing().withoutRetired()
                     : joint;
         }
-        RegisterValue alone = value.withoutOutgoing();
-        return context.isDisabled(SafetyRule.OLDER_EPOCHS) ? alone.withoutRetired() : alone;
+        RegisterValue finalValue = value.withoutOutgoing();
+        return context.isDisabled(SafetyRule.OLDER_EPOCHS)
+                ? finalValue.withoutRetired()
+                : finalValue;
     }
 
     private boolean hasAccepted(String id, Ballot ballot) {
@@ -711,10 +714,10 @@
 
     private void onAcceptances() {
         Ballot ballot = ownBallot;
-        boolean byBase =
+        boolean acceptedByBaseQuorum =
                 context.isDisabled(SafetyRule.OLDER_EPOCHS)
                         || baseValue.isQuorum(id -> hasAccepted(id, ballot));
-        if (byBase && proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))) {
+        if (acceptedByBaseQuorum && proposedValue.isDecidedBy(id -> hasAccepted(id, ballot))) {
             phase = Phase.NONE;
             lostRounds = 0;
             learn(ballot, proposedValue);
--- a/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
+++ b/src/main/java/dillfront/controlplane/consensus/ValueEncoder.java
@@ -35,7 +35,7 @@
     private static EncodedValue encode(RegisterValue value, Ballot baseBallot, RegisterValue base) {
         // The base may have revisions that were never decided, or with another content: then all
         // digests go along.
-        boolean adds =
+        boolean addsDigests =
                 base != null
                         && base.mergedDigests(value.revisionDigests())
                                 .equals(value.revisionDigests());
@@ -43,7 +43,8 @@
         value.revisionDigests()
                 .forEach(
                         (revision, digest) -> {
-                            if (!adds || !digest.equals(base.revisionDigests().get(revision))) {
+                            if (!addsDigests
+                                    || !digest.equals(base.revisionDigests().get(revision))) {
                                 digests.add(revision);
                                 digests.add(digest);
                             }
@@ -56,7 +57,7 @@
                 RegisterValue.formatIds(value.outgoing()),
                 RegisterValue.formatIds(value.retired()),
                 digests,
-                adds,
+                addsDigests,
                 baseBallot,
                 base == null ? Compression.compress(body) : null,
                 base == null || sameBody
@@ -82,7 +83,7 @@
         Configuration configuration;
         try {
             configuration = configuration(encoded, base);
-        } catch (BinaryDelta.InvalidDeltaException | Compression.CorruptDataException damaged) {
+        } catch (BinaryDelta.InvalidDeltaException | Compression.CorruptDataException exception) {
             return null;
         }
         return new RegisterValue(
--- a/src/main/java/dillfront/controlplane/failover/DataLossManager.java
+++ b/src/main/java/dillfront/controlplane/failover/DataLossManager.java
@@ -37,7 +37,7 @@
     }
 
     /** How long an acceptance is passed on: as long as its caller waits for an answer. */
-    public static final long ACCEPTANCE_MS = 900;
+    public static final long ACCEPTANCE_TIMEOUT_MS = 900;
 
     private static final long POLL_MS = 20;
     private static final int MAX_ACCEPTANCES = 64;
@@ -47,7 +47,7 @@
     private final ControlState state;
     private final FailoverCoordinator failover;
     private List<MissingCommits> reported = List.of();
-    private long reportedMillis = LeaseManager.NEVER;
+    private long reportedMillis = LeaseManager.NEVER_MILLIS;
 
     /** The lease of the process that reported. */
     private long reportedByLease;
@@ -64,15 +64,15 @@
         if (failover.isActing()) {
             return Optional.of(failover.missingCommits());
         }
-        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_MS;
+        boolean recent = state.nowMillis() - reportedMillis < LeaseManager.CONTACT_TIMEOUT_MS;
         return recent ? Optional.of(reported) : Optional.empty();
     }
 
     /** What is known to be missing of this service; null for nothing. */
     public MissingCommits missing(String service) {
-        for (MissingCommits one : missing().orElse(List.of())) {
-            if (one.service().equals(service)) {
-                return one;
+        for (MissingCommits commits : missing().orElse(List.of())) {
+            if (commits.service().equals(service)) {
+                return commits;
             }
         }
         return null;
@@ -82,7 +82,7 @@
 
     /** What this process says to its peers. */
     public PeerMessage.DataLossReport report() {
-        acceptances.removeIf(one -> one.untilMillis() <= state.nowMillis());
+        acceptances.removeIf(acceptance -> acceptance.untilMillis() <= state.nowMillis());
         return new PeerMessage.DataLossReport(
                 failover.isActing() ? failover.missingCommits() : List.of(),
                 acceptances.stream().map(PendingAcceptance::shown).toList());
@@ -96,7 +96,7 @@
      *     with the later number does
      */
     public void receive(PeerMessage.DataLossReport report, boolean fromHolder, long leaseNumber) {
-        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_MS;
+        boolean outdated = state.nowMillis() - reportedMillis >= LeaseManager.CONTACT_TIMEOUT_MS;
         if (fromHolder && (leaseNumber >= reportedByLease || outdated)) {
             reportedByLease = leaseNumber;
             reported = report.missing();
@@ -119,7 +119,8 @@
             if (refusal.isPresent()) {
                 return CompletableFuture.completedFuture(refusal.get());
             }
-            acceptances.add(new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_MS));
+            acceptances.add(
+                    new PendingAcceptance(shown, state.nowMillis() + ACCEPTANCE_TIMEOUT_MS));
             failover.acceptDataLoss(shown);
         }
         state.peerUpdates().request();
@@ -187,7 +188,7 @@
                 .isQuorum(
                         state.records().durableNumber() >= recordNumber,
                         peer ->
-                                peer.lastAnsweredSendMillis() >= sinceMillis
+                                peer.lastAcknowledgedSendMillis() >= sinceMillis
                                         && peer.recordNumber() >= recordNumber);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/FailoverContext.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverContext.java
@@ -37,7 +37,7 @@
 
     private long leaseStartMillis;
     private boolean recordsTakenOver;
-    private long resumedMillis = LeaseManager.NEVER;
+    private long resumedMillis = LeaseManager.NEVER_MILLIS;
 
     FailoverContext(ControlState state, DataPlaneObservations dataPlanes, FencingTokens tokens) {
         this.state = state;
@@ -108,12 +108,12 @@
         return isActing() && state.lease().validUntilMillis() - now() > MIN_LEASE_REMAINING_MS;
     }
 
-    long nextToken() {
+    long nextFencingToken() {
         return tokens.next();
     }
 
     /** Records a primary, and tells peers and data planes. */
-    void record(PrimaryRecord record) {
+    void storeRecord(PrimaryRecord record) {
         if (state.records().merge(record)) {
             state.requestUpdates();
         }
@@ -155,7 +155,7 @@
     }
 
     /** It missed two heartbeats and more, and not because this process was paused. */
-    boolean isSilent(DatabaseServer server) {
+    boolean hasMissedHeartbeats(DatabaseServer server) {
         return now() - Math.max(server.lastContactMillis(), resumedMillis)
                 > heartbeatIntervalMillis() * 5 / 2;
     }
@@ -183,13 +183,15 @@
 
     /** What all data planes see of this primary. */
     PrimaryObservation observation(String service, String primary) {
-        PrimaryObservation all = dataPlanes.observation(service, primary);
+        PrimaryObservation merged = dataPlanes.observation(service, primary);
         for (PeerState peer : state.cluster().peers()) {
-            PrimaryObservation one = peer.observation(service);
-            if (one != null && one.primary().equals(primary) && state.cluster().isInContact(peer)) {
-                all = all.merge(one);
+            PrimaryObservation observation = peer.observation(service);
+            if (observation != null
+                    && observation.primary().equals(primary)
+                    && state.cluster().isInContact(peer)) {
+                merged = merged.merge(observation);
             }
         }
-        return all;
+        return merged;
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
+++ b/src/main/java/dillfront/controlplane/failover/FailoverCoordinator.java
@@ -24,22 +24,22 @@
  *
  * <p>Called on one thread.
  */
-public final class FailoverCoordinator implements PrimaryMonitor.Mover, PrimaryMove.Owner {
+public final class FailoverCoordinator implements PrimaryMonitor.MoveStarter, PrimaryMove.Owner {
 
     /** What is looked after of a service while no move of it is under way. */
-    private final class ServiceWatch {
-        final FirstPrimary first;
+    private final class ServiceMonitors {
+        final InitialPrimaryRecorder initialPrimary;
         final PrimaryMonitor monitor = new PrimaryMonitor(context, FailoverCoordinator.this);
         final ReplicaResumer resumer = new ReplicaResumer(context);
 
-        ServiceWatch(String service) {
-            first = new FirstPrimary(context, service);
+        ServiceMonitors(String service) {
+            initialPrimary = new InitialPrimaryRecorder(context, service);
         }
     }
 
     private final ControlState state;
     private final FailoverContext context;
-    private final Map<String, ServiceWatch> watches = new TreeMap<>();
+    private final Map<String, ServiceMonitors> serviceMonitors = new TreeMap<>();
     private final Map<String, PrimaryMove> moves = new TreeMap<>();
 
     /**
@@ -95,25 +95,25 @@
             return false;
         }
         PrimaryRecord record = state.records().get(service);
-        ServiceWatch watch = watch(service);
+        ServiceMonitors monitors = monitorsOf(service);
         if (record == null) {
-            watch.first.poll();
+            monitors.initialPrimary.poll();
             return false;
         }
         if (record.replicationPaused()) {
-            watch.resumer.poll(record);
+            monitors.resumer.poll(record);
         }
-        return watch.monitor.poll(record);
+        return monitors.monitor.poll(record);
     }
 
-    private ServiceWatch watch(String service) {
-        return watches.computeIfAbsent(service, ServiceWatch::new);
+    private ServiceMonitors monitorsOf(String service) {
+        return serviceMonitors.computeIfAbsent(service, ServiceMonitors::new);
     }
 
     private void startLease(long number) {
         context.startLease(number);
         moves.clear();
-        watches.clear();
+        serviceMonitors.clear();
     }
 
     /**
@@ -125,7 +125,7 @@
             return;
         }
         context.recordsTakenOver();
-        List<PrimaryRecord> records = state.records().renumberAll(context::nextToken);
+        List<PrimaryRecord> records = state.records().renumberAll(context::nextFencingToken);
         for (PrimaryRecord record : records) {
             if (record.moving()) {
                 moves.put(record.service(), new PrimaryMove(context, this, record, false, true));
@@ -138,15 +138,15 @@
     }
 
     private boolean hasNoNewerRecord(PeerState peer) {
-        boolean answered = peer.lastAnsweredSendMillis() >= context.leaseStartMillis();
-        return state.records().covers(answered, peer.recordNumber());
+        boolean answered = peer.lastAcknowledgedSendMillis() >= context.leaseStartMillis();
+        return state.records().hasAllRecordsOf(answered, peer.recordNumber());
     }
 
     @Override
     public void startMove(PrimaryRecord record, boolean planned) {
-        watch(record.service()).monitor.onMoveStarted();
-        PrimaryRecord moving = record.startMove(context.nextToken());
-        context.record(moving);
+        monitorsOf(record.service()).monitor.onMoveStarted();
+        PrimaryRecord moving = record.startMove(context.nextFencingToken());
+        context.storeRecord(moving);
         moves.put(record.service(), new PrimaryMove(context, this, moving, planned, false));
         String event =
                 (planned ? "planned-move" : "failover")
@@ -170,10 +170,10 @@
     @Override
     public void onCompleted(PrimaryMove move, PrimaryRecord record) {
         moves.remove(move.service());
-        context.record(record);
+        context.storeRecord(record);
         state.peerUpdates().request();
         if (record.replicationPaused()) {
-            watch(record.service()).resumer.poll(record);
+            monitorsOf(record.service()).resumer.poll(record);
         }
     }
 
--- a/src/main/java/dillfront/controlplane/failover/MoveQueries.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveQueries.java
@@ -14,8 +14,8 @@
     private final FailoverContext context;
     private final BooleanSupplier isActive;
     private final Runnable poll;
-    private final TreeSet<String> underWay = new TreeSet<>();
-    private final Map<String, Long> retryMillis = new TreeMap<>();
+    private final TreeSet<String> pendingServers = new TreeSet<>();
+    private final Map<String, Long> nextQueryMillis = new TreeMap<>();
 
     /** How often in a row a server gave no answer at all. */
     private final Map<String, Integer> unanswered = new TreeMap<>();
@@ -36,27 +36,27 @@
      * @param gapMillis after the answer it is not asked again for so long
      * @param command as for {@link ServerQuery#send}
      */
-    void ask(
+    void query(
             DatabaseServer server,
             long gapMillis,
             Function<ServerStatus, String> command,
             Consumer<ServerStatus> onStatus) {
         String id = server.id();
-        if (underWay.contains(id) || context.now() < retryMillis.getOrDefault(id, 0L)) {
+        if (pendingServers.contains(id) || context.now() < nextQueryMillis.getOrDefault(id, 0L)) {
             return;
         }
-        underWay.add(id);
+        pendingServers.add(id);
         context.query(server, FailoverContext.QUERY_TIMEOUT_MS, command)
                 .whenComplete(
-                        (status, fault) -> {
-                            underWay.remove(id);
-                            retryMillis.put(id, context.now() + gapMillis);
+                        (status, error) -> {
+                            pendingServers.remove(id);
+                            nextQueryMillis.put(id, context.now() + gapMillis);
                             unanswered.put(
                                     id,
-                                    ServerQueryException.showsServerAlive(fault)
+                                    ServerQueryException.showsServerAlive(error)
                                             ? 0
                                             : unanswered(id) + 1);
-                            if (fault == null && isActive()) {
+                            if (error == null && isActive()) {
                                 onStatus.accept(status);
                                 poll.run();
                             }
@@ -69,8 +69,8 @@
     }
 
     /** The pause after its last answer does not hold any more. */
-    void allowAtOnce(DatabaseServer server) {
-        retryMillis.remove(server.id());
+    void cancelPause(DatabaseServer server) {
+        nextQueryMillis.remove(server.id());
     }
 
     int unanswered(String id) {
--- a/src/main/java/dillfront/controlplane/failover/MoveState.java
+++ b/src/main/java/dillfront/controlplane/failover/MoveState.java
@@ -34,14 +34,14 @@
     /** The move was found as an earlier lease holder left it: a call of that may be on its way. */
     final boolean inherited;
 
-    final long sinceMillis;
+    final long startedMillis;
     Step step = Step.DRAIN_TRANSACTIONS;
 
     /** A call or command is under way that the next step has to wait for. */
-    boolean busy;
+    boolean callPending;
 
     /** Not before this moment is the step tried again. */
-    long retryMillis;
+    long nextAttemptMillis;
 
     // ---- stopping
 
@@ -52,7 +52,7 @@
     long steppedDownMillis;
 
     /** The replicas are paused: a planned move that took too long, or the primary is lost. */
-    boolean forced;
+    boolean pausesReplicas;
 
     /** Replicas may be paused. */
     boolean replicationPaused;
@@ -61,15 +61,15 @@
     long pauseTerm;
 
     /** What servers that are stopped answered, by their ids. */
-    final Map<String, ServerStatus> statuses = new TreeMap<>();
+    final Map<String, ServerStatus> stoppedStatuses = new TreeMap<>();
 
     // ---- choosing
 
     /** Servers that the platform did not promote, as they do not run. */
-    final TreeSet<String> rejected = new TreeSet<>();
+    final TreeSet<String> rejectedServers = new TreeSet<>();
 
     /** What no log that is left holds; null while that is not so. */
-    MissingCommits missing;
+    MissingCommits missingCommits;
 
     // ---- promoting
 
@@ -80,29 +80,29 @@
     String successor;
 
     boolean promotionCalled;
-    long promotedMillis;
+    long promotionCalledMillis;
     long fencingToken;
 
     /** The successor reported that it leads before it was promoted: its report tells nothing. */
-    boolean reportedBefore;
+    boolean reportedPrimaryBeforePromotion;
 
     // ---- ending
 
     /** The primary is asked how far its log reaches. */
-    boolean measuring;
+    boolean logEndQueryPending;
 
     /** Calls of earlier lease holders are fenced off at the platform, since this moment. */
-    boolean fenced;
+    boolean formerCallsFenced;
 
-    long fencedMillis = LeaseManager.NEVER;
-    long fencingRetryMillis;
+    long formerCallsFencedMillis = LeaseManager.NEVER_MILLIS;
+    long nextFencingAttemptMillis;
 
     MoveState(PrimaryRecord record, boolean planned, boolean inherited, long nowMillis) {
         this.record = record;
         this.planned = planned;
         this.inherited = inherited;
         replicationPaused = record.replicationPaused() || inherited;
-        sinceMillis = nowMillis;
+        startedMillis = nowMillis;
     }
 
     String service() {
@@ -116,7 +116,7 @@
 
     /** The servers are to be stopped and asked anew. */
     void restartStopping() {
-        statuses.clear();
+        stoppedStatuses.clear();
         step = Step.STOP_REPLICATION;
     }
 
--- a/src/main/java/dillfront/controlplane/failover/PlatformClient.java
+++ b/src/main/java/dillfront/controlplane/failover/PlatformClient.java
@@ -11,7 +11,7 @@
 
     private static final int TIMEOUT_MS = 1_500;
     private static final String PROMOTION_PATH = "/promotion";
-    private static final String HOLDER_HEADER = "Dillfront-Duty-Holder";
+    private static final String LEASE_HOLDER_HEADER = "Dillfront-Duty-Holder";
     private static final String FENCING_TOKEN_HEADER = "Dillfront-Fence-Number";
     private static final int OK = 200;
     private static final int CONFLICT = 409;
@@ -45,7 +45,7 @@
         String body = Json.object().add("service", service).add("instance_id", serverId).toString();
         Map<String, String> headers =
                 Map.of(
-                        HOLDER_HEADER,
+                        LEASE_HOLDER_HEADER,
                         settings.nodeName(),
                         FENCING_TOKEN_HEADER,
                         Long.toString(fencingToken));
--- a/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryCertainty.java
@@ -11,18 +11,18 @@
 public final class PrimaryCertainty {
 
     /** No longer than this after the lease holder last said so. */
-    static final long MAX_MS = 3_000;
+    static final long MAX_DURATION_MS = 3_000;
 
     /**
      * Nor for longer than this past the end of the holder's lease. It is the most for which the
      * next holder's wait covers clocks that differ by a tenth: (2250 + 600) * 1.1 < 2500 + 700 /
      * 1.1.
      */
-    static final long AFTER_LEASE_MS = 600;
+    static final long MAX_AFTER_LEASE_MS = 600;
 
     private final LeaseManager lease;
     private final BooleanSupplier isHolder;
-    private long certainUntilMillis = LeaseManager.NEVER;
+    private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     /**
      * @param isHolder whether this process acts as the lease holder
@@ -35,7 +35,8 @@
     /** How long it is certain from now on; not above 0 where it is not. */
     public long remainingMillis(long nowMillis) {
         if (isHolder.getAsBoolean()) {
-            return Math.min(MAX_MS, lease.validUntilMillis() - nowMillis + AFTER_LEASE_MS);
+            return Math.min(
+                    MAX_DURATION_MS, lease.validUntilMillis() - nowMillis + MAX_AFTER_LEASE_MS);
         }
         return certainUntilMillis - nowMillis;
     }
@@ -48,7 +49,7 @@
      *     holder's
      */
     public void onHolderMessage(long requestedMillis, long leaseRemainingMillis) {
-        long remaining = Math.min(MAX_MS, leaseRemainingMillis + AFTER_LEASE_MS);
+        long remaining = Math.min(MAX_DURATION_MS, leaseRemainingMillis + MAX_AFTER_LEASE_MS);
         certainUntilMillis = Math.max(certainUntilMillis, requestedMillis + remaining);
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMonitor.java
@@ -14,7 +14,7 @@
 final class PrimaryMonitor {
 
     /** Begins moves. */
-    interface Mover {
+    interface MoveStarter {
 
         void startMove(PrimaryRecord record, boolean planned);
     }
@@ -36,25 +36,25 @@
     private static final long MAX_COMPARE_GAP_MS = 500;
 
     private final FailoverContext context;
-    private final Mover mover;
+    private final MoveStarter mover;
 
     /** Queries in a row that the suspected primary did not answer. */
-    private int misses;
+    private int unansweredQueries;
 
-    private boolean querying;
-    private long queriedMillis = LeaseManager.NEVER;
-    private boolean comparing;
-    private long comparedMillis = LeaseManager.NEVER;
+    private boolean queryPending;
+    private long queriedMillis = LeaseManager.NEVER_MILLIS;
+    private boolean comparisonPending;
+    private long comparedMillis = LeaseManager.NEVER_MILLIS;
     private long compareGapMillis = COMPARE_GAP_MS;
 
-    PrimaryMonitor(FailoverContext context, Mover mover) {
+    PrimaryMonitor(FailoverContext context, MoveStarter mover) {
         this.context = context;
         this.mover = mover;
     }
 
     /** A move begins: what was missed before counts no more. */
     void onMoveStarted() {
-        misses = 0;
+        unansweredQueries = 0;
     }
 
     /**
@@ -70,10 +70,10 @@
                 && !reported.id().equals(record.primary())
                 && (!present || !primary.isPrimary())) {
             // Promoted by a call of an earlier holder that arrived late: so it is.
-            context.record(
+            context.storeRecord(
                     new PrimaryRecord(
                             record.service(),
-                            context.nextToken(),
+                            context.nextFencingToken(),
                             reported.id(),
                             false,
                             record.replicationPaused()));
@@ -86,27 +86,32 @@
         if (primary.isDraining()) {
             compareSuccessors(record, primary);
         }
-        PrimaryObservation seen = context.observation(record.service(), record.primary());
-        boolean outOfReach = seen.unreachable() > 0 && seen.unreachable() >= seen.reachable();
-        if (!outOfReach && !context.isSilent(primary)) {
-            misses = 0;
-            return seen.unreachable() > 0;
+        PrimaryObservation observation = context.observation(record.service(), record.primary());
+        boolean mostlyUnreachable =
+                observation.unreachable() > 0
+                        && observation.unreachable() >= observation.reachable();
+        if (!mostlyUnreachable && !context.hasMissedHeartbeats(primary)) {
+            unansweredQueries = 0;
+            return observation.unreachable() > 0;
         }
-        if (!querying && context.now() >= queriedMillis + QUERY_GAP_MS) {
+        if (!queryPending && context.now() >= queriedMillis + QUERY_GAP_MS) {
             query(record, primary);
         }
         return true;
     }
 
     private void query(PrimaryRecord record, DatabaseServer primary) {
-        querying = true;
+        queryPending = true;
         queriedMillis = context.now();
         context.queryStatus(primary, SUSPECT_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            querying = false;
+                        (status, error) -> {
+                            queryPending = false;
                             queriedMillis = context.now();
-                            misses = ServerQueryException.showsServerAlive(fault) ? 0 : misses + 1;
+                            unansweredQueries =
+                                    ServerQueryException.showsServerAlive(error)
+                                            ? 0
+                                            : unansweredQueries + 1;
                             if (isLost(record, primary)
                                     && context.isActing()
                                     && context.isCurrent(record)) {
@@ -116,12 +121,13 @@
     }
 
     private boolean isLost(PrimaryRecord record, DatabaseServer primary) {
-        PrimaryObservation seen = context.observation(record.service(), record.primary());
-        boolean othersAgree =
-                seen.unreachable() > seen.reachable()
-                        || seen.reachable() == 0 && context.isSilent(primary);
-        int enoughMisses = seen.unreachable() >= 2 && seen.reachable() == 0 ? 1 : 2;
-        return misses >= enoughMisses && othersAgree;
+        PrimaryObservation observation = context.observation(record.service(), record.primary());
+        boolean confirmedByOthers =
+                observation.unreachable() > observation.reachable()
+                        || observation.reachable() == 0 && context.hasMissedHeartbeats(primary);
+        int requiredUnanswered =
+                observation.unreachable() >= 2 && observation.reachable() == 0 ? 1 : 2;
+        return unansweredQueries >= requiredUnanswered && confirmedByOthers;
     }
 
     /**
@@ -138,19 +144,20 @@
             }
         }
         if (successors.isEmpty()
-                || comparing
+                || comparisonPending
                 || context.now() < comparedMillis + compareGapMillis) {
             return;
         }
-        comparing = true;
+        comparisonPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (primaryStatus, fault) -> {
-                            comparing = false;
+                        (primaryStatus, error) -> {
+                            comparisonPending = false;
                             comparedMillis = context.now();
                             compareGapMillis = Math.min(MAX_COMPARE_GAP_MS, 2 * compareGapMillis);
-                            if (fault == null) {
-                                successors.forEach(one -> compare(record, primaryStatus, one));
+                            if (error == null) {
+                                successors.forEach(
+                                        successor -> compare(record, primaryStatus, successor));
                             }
                         });
     }
@@ -159,8 +166,8 @@
             PrimaryRecord record, ServerStatus primaryStatus, DatabaseServer successor) {
         context.queryStatus(successor, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            if (fault == null
+                        (status, error) -> {
+                            if (error == null
                                     && status.position().covers(primaryStatus.position())
                                     && context.isActing()
                                     && context.isCurrent(record)) {
--- a/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
+++ b/src/main/java/dillfront/controlplane/failover/PrimaryMove.java
@@ -34,13 +34,13 @@
     }
 
     /** Open transactions may end before a planned move, for so long. */
-    private static final long OPEN_TRANSACTIONS_MS = 900;
+    private static final long DRAIN_TIMEOUT_MS = 900;
 
     /** What was certain to data planes is over so long after its time. */
     private static final long CERTAINTY_MARGIN_MS = 100;
 
     /** From the platform's acceptance until the successor is asked whether it leads. */
-    private static final long PRIMARY_QUERY_AFTER_MS = 350;
+    private static final long FIRST_PRIMARY_QUERY_DELAY_MS = 350;
 
     private static final long PRIMARY_QUERY_GAP_MS = 150;
 
@@ -48,14 +48,14 @@
     private static final long PRIMARY_TIMEOUT_MS = 4_000;
 
     /** The platform takes some hundred milliseconds from a call to the new primary. */
-    private static final long PLATFORM_DELAY_MS = 1_500;
+    private static final long MAX_PROMOTION_DELAY_MS = 1_500;
 
     private final FailoverContext context;
     private final Owner owner;
     private final MoveState state;
     private final MoveQueries queries;
-    private final ReplicationStop stop;
-    private final SuccessorChoice choice;
+    private final ReplicationStopper replicationStopper;
+    private final SuccessorSelector successorSelector;
 
     /** After calls of an earlier holder were fenced off, servers were asked anew. */
     private boolean restartedAfterFencing;
@@ -73,8 +73,9 @@
         this.owner = owner;
         state = new MoveState(record, planned, inherited, context.now());
         queries = new MoveQueries(context, this::isActive, owner::poll);
-        stop = new ReplicationStop(context, state, queries, this::onPrimaryFound, owner::poll);
-        choice = new SuccessorChoice(context, state);
+        replicationStopper =
+                new ReplicationStopper(context, state, queries, this::onPrimaryFound, owner::poll);
+        successorSelector = new SuccessorSelector(context, state);
     }
 
     String service() {
@@ -87,7 +88,7 @@
 
     /** What no log that is left holds; null while that is not so. */
     MissingCommits missingCommits() {
-        return state.missing;
+        return state.missingCommits;
     }
 
     private boolean isActive() {
@@ -96,7 +97,7 @@
 
     /** Advances the move; called often. */
     void poll() {
-        if (!context.mayAct() || !isRecorded() || state.measuring) {
+        if (!context.mayAct() || !isRecordedByMajority() || state.logEndQueryPending) {
             return;
         }
         DatabaseServer primary = context.server(state.record.primary());
@@ -106,11 +107,13 @@
                 && (!FailoverContext.isPresent(primary) || !primary.isPrimary())) {
             onPrimaryFound(reported.id());
         }
-        if (!isActive() || state.measuring || !state.isPromoting() && mayPlatformStillPromote()) {
+        if (!isActive()
+                || state.logEndQueryPending
+                || !state.isPromoting() && mayPlatformStillPromote()) {
             // It is over, or as good as over: no other server is promoted.
             return;
         }
-        if (state.fenced && !restartedAfterFencing && !state.isPromoting()) {
+        if (state.formerCallsFenced && !restartedAfterFencing && !state.isPromoting()) {
             // What was heard of logs and primaries may be outdated, now that the earlier holder's
             // call is carried out.
             restartedAfterFencing = true;
@@ -124,15 +127,15 @@
             case DRAIN_TRANSACTIONS:
                 if (areTransactionsDrained()) {
                     state.step = Step.STOP_REPLICATION;
-                    stop.poll(primary);
+                    replicationStopper.poll(primary);
                 }
                 break;
             case STOP_REPLICATION:
-                stop.poll(primary);
+                replicationStopper.poll(primary);
                 break;
             case CHOOSE_SUCCESSOR:
-                if (isCleared()) {
-                    choice.poll();
+                if (hasNoTrustInOldPrimary()) {
+                    successorSelector.poll();
                     if (state.step == Step.PROMOTE) {
                         promote();
                     }
@@ -150,7 +153,7 @@
     }
 
     /** Whether a majority of control processes has the record. */
-    private boolean isRecorded() {
+    private boolean isRecordedByMajority() {
         long number = state.record.number();
         return context.state()
                 .cluster()
@@ -160,10 +163,10 @@
     }
 
     private boolean areTransactionsDrained() {
-        if (context.now() > state.sinceMillis + OPEN_TRANSACTIONS_MS || !state.planned) {
+        if (context.now() > state.startedMillis + DRAIN_TIMEOUT_MS || !state.planned) {
             return true;
         }
-        return isCleared()
+        return hasNoTrustInOldPrimary()
                 && context.observation(service(), state.record.primary()).openTransactions() == 0;
     }
 
@@ -171,20 +174,21 @@
      * Whether no data plane takes the old primary for certain any more: each has said so, or its
      * time is over.
      */
-    private boolean isCleared() {
+    private boolean hasNoTrustInOldPrimary() {
         // Of earlier lease holders nothing is certain for longer than this past their lease's end.
-        long formerCertaintyEnd =
+        long formerTrustEndMillis =
                 Math.max(context.leaseStartMillis(), context.state().lease().formerLeaseEndMillis())
-                        + PrimaryCertainty.AFTER_LEASE_MS
+                        + PrimaryCertainty.MAX_AFTER_LEASE_MS
                         + CERTAINTY_MARGIN_MS;
-        long expired = context.now() - PrimaryCertainty.MAX_MS - CERTAINTY_MARGIN_MS;
-        if (context.now() < formerCertaintyEnd
-                || state.sinceMillis > expired
+        long latestExpiredMillis =
+                context.now() - PrimaryCertainty.MAX_DURATION_MS - CERTAINTY_MARGIN_MS;
+        if (context.now() < formerTrustEndMillis
+                || state.startedMillis > latestExpiredMillis
                         && !context.dataPlanes().allHaveRecord(state.record.number())) {
             return false;
         }
         for (PeerState peer : context.state().cluster().peers()) {
-            if (!isClearedAt(peer, expired)) {
+            if (!hasNoTrustAtPeer(peer, latestExpiredMillis)) {
                 return false;
             }
         }
@@ -196,21 +200,24 @@
      * them that is over too. So it is with what it passed on in an earlier incarnation, of which it
      * cannot say that its data planes have heard since.
      */
-    private boolean isClearedAt(PeerState peer, long expired) {
-        boolean confirmed = peer.clearedRecord(service()) >= state.record.number();
-        return (confirmed || Math.min(peer.lastContactMillis(), state.sinceMillis) <= expired)
-                && Math.min(peer.formerIncarnationContactMillis(), state.sinceMillis) <= expired;
+    private boolean hasNoTrustAtPeer(PeerState peer, long latestExpiredMillis) {
+        boolean confirmed = peer.acknowledgedMove(service()) >= state.record.number();
+        return (confirmed
+                        || Math.min(peer.lastContactMillis(), state.startedMillis)
+                                <= latestExpiredMillis)
+                && Math.min(peer.previousIncarnationContactMillis(), state.startedMillis)
+                        <= latestExpiredMillis;
     }
 
     // ---- promoting
 
     private void promote() {
-        if (state.busy || context.now() < state.retryMillis || !context.mayAct()) {
+        if (state.callPending || context.now() < state.nextAttemptMillis || !context.mayAct()) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         state.promotionCalled = true;
-        state.promotedMillis = context.now();
+        state.promotionCalledMillis = context.now();
         context.environment()
                 .trace(
                         "promote service="
@@ -224,18 +231,18 @@
                 .whenComplete(this::onPromoted);
     }
 
-    private void onPromoted(PromotionResult result, Throwable fault) {
-        state.busy = false;
-        state.retryMillis = context.now() + FailoverContext.RETRY_MS;
-        if (fault != null) {
+    private void onPromoted(PromotionResult result, Throwable error) {
+        state.callPending = false;
+        state.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
+        if (error != null) {
             return;
         }
         if (result == PromotionResult.ACCEPTED) {
             state.step = Step.AWAIT_PRIMARY;
-            state.retryMillis = context.now() + PRIMARY_QUERY_AFTER_MS;
+            state.nextAttemptMillis = context.now() + FIRST_PRIMARY_QUERY_DELAY_MS;
         } else if (result == PromotionResult.REJECTED) {
             state.promotionCalled = false;
-            state.rejected.add(state.successor);
+            state.rejectedServers.add(state.successor);
             state.step = Step.CHOOSE_SUCCESSOR;
         }
     }
@@ -243,13 +250,13 @@
     private void awaitPrimary() {
         DatabaseServer successor = context.server(state.successor);
         if (!FailoverContext.isPresent(successor)
-                || context.now() > state.promotedMillis + PRIMARY_TIMEOUT_MS) {
+                || context.now() > state.promotionCalledMillis + PRIMARY_TIMEOUT_MS) {
             // The platform is asked again: only where it does not run another may be chosen.
             state.step = Step.PROMOTE;
-        } else if (successor.isPrimary() && !state.reportedBefore) {
+        } else if (successor.isPrimary() && !state.reportedPrimaryBeforePromotion) {
             complete(successor.id());
-        } else if (context.now() >= state.retryMillis) {
-            queries.ask(
+        } else if (context.now() >= state.nextAttemptMillis) {
+            queries.query(
                     successor,
                     PRIMARY_QUERY_GAP_MS,
                     null,
@@ -271,30 +278,35 @@
      * will.
      */
     private void onPrimaryFound(String serverId) {
-        if (state.busy || state.promotionCalled && !serverId.equals(state.successor)) {
+        if (state.callPending || state.promotionCalled && !serverId.equals(state.successor)) {
             return;
         }
-        if (state.inherited && !state.fenced) {
-            invalidateFormerCalls(serverId);
+        if (state.inherited && !state.formerCallsFenced) {
+            fenceFormerCalls(serverId);
         } else if (!mayPlatformStillPromote()) {
             complete(serverId);
         }
     }
 
-    private void invalidateFormerCalls(String serverId) {
-        if (context.now() < state.fencingRetryMillis) {
+    private void fenceFormerCalls(String serverId) {
+        if (context.now() < state.nextFencingAttemptMillis) {
             return;
         }
-        state.busy = true;
+        state.callPending = true;
         context.platform()
-                .promote(service(), serverId, context.nextToken())
+                .promote(service(), serverId, context.nextFencingToken())
                 .whenComplete(
-                        (result, fault) -> {
-                            state.busy = false;
-                            state.fencingRetryMillis = context.now() + FailoverContext.RETRY_MS;
-                            state.fenced = fault == null && result == PromotionResult.ACCEPTED;
-                            state.fencedMillis = state.fenced ? context.now() : state.fencedMillis;
-                            if (state.fenced && isActive() && context.isActing()) {
+                        (result, error) -> {
+                            state.callPending = false;
+                            state.nextFencingAttemptMillis =
+                                    context.now() + FailoverContext.RETRY_MS;
+                            state.formerCallsFenced =
+                                    error == null && result == PromotionResult.ACCEPTED;
+                            state.formerCallsFencedMillis =
+                                    state.formerCallsFenced
+                                            ? context.now()
+                                            : state.formerCallsFencedMillis;
+                            if (state.formerCallsFenced && isActive() && context.isActing()) {
                                 onPrimaryFound(serverId);
                             }
                         });
@@ -302,11 +314,12 @@
 
     /** The platform may still carry out what an earlier lease holder asked for. */
     private boolean mayPlatformStillPromote() {
-        return state.inherited && context.now() < state.fencedMillis + PLATFORM_DELAY_MS;
+        return state.inherited
+                && context.now() < state.formerCallsFencedMillis + MAX_PROMOTION_DELAY_MS;
     }
 
     private void complete(String primaryId) {
-        if (state.measuring || !isActive() || !context.isActing()) {
+        if (state.logEndQueryPending || !isActive() || !context.isActing()) {
             return;
         }
         AcceptedDataLoss loss = state.record.acceptedLoss();
@@ -314,23 +327,24 @@
         if (loss == null || !loss.losesCommits()) {
             complete(primaryId, loss);
         } else if (primary == null) {
-            complete(primaryId, loss.withLeaderAt(loss.lostUpTo()));
+            complete(primaryId, loss.withPrimaryLogEnd(loss.lostUpTo()));
         } else {
-            measure(primary, loss);
+            completeWithLogEnd(primary, loss);
         }
     }
 
     /** What the primary holds is not given up; where that is not known, nothing is. */
-    private void measure(DatabaseServer primary, AcceptedDataLoss loss) {
-        state.measuring = true;
+    private void completeWithLogEnd(DatabaseServer primary, AcceptedDataLoss loss) {
+        state.logEndQueryPending = true;
         context.queryStatus(primary, FailoverContext.QUERY_TIMEOUT_MS)
                 .whenComplete(
-                        (status, fault) -> {
-                            state.measuring = false;
+                        (status, error) -> {
+                            state.logEndQueryPending = false;
                             if (isActive() && context.isActing()) {
-                                boolean known = fault == null && status.isPrimary();
-                                LogPosition end = known ? status.position() : loss.lostUpTo();
-                                complete(primary.id(), loss.withLeaderAt(end));
+                                boolean logEndKnown = error == null && status.isPrimary();
+                                LogPosition logEnd =
+                                        logEndKnown ? status.position() : loss.lostUpTo();
+                                complete(primary.id(), loss.withPrimaryLogEnd(logEnd));
                             }
                         });
     }
@@ -343,11 +357,11 @@
                                 + " server="
                                 + primaryId
                                 + " after_ms="
-                                + (context.now() - state.sinceMillis));
+                                + (context.now() - state.startedMillis));
         owner.onCompleted(
                 this,
                 state.record.finishMove(
-                        context.nextToken(), primaryId, state.replicationPaused, loss));
+                        context.nextFencingToken(), primaryId, state.replicationPaused, loss));
     }
 
     /**
@@ -369,9 +383,9 @@
                                 + state.record.primary()
                                 + " given_up_servers="
                                 + excludedServers);
-        state.missing = null;
-        state.record = state.record.withAcceptedLoss(context.nextToken(), loss);
-        context.record(state.record);
+        state.missingCommits = null;
+        state.record = state.record.withAcceptedLoss(context.nextFencingToken(), loss);
+        context.storeRecord(state.record);
         context.state().peerUpdates().request();
     }
 }
