--- a/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicaResumer.java
@@ -16,7 +16,7 @@
     private static final long RETRY_MS = 500;
 
     /** A command that was on its way when a move ended has arrived, or never does, by then. */
-    private static final long COMMAND_IN_FLIGHT_MS = 3_500;
+    private static final long MAX_COMMAND_DELAY_MS = 3_500;
 
     private static final long NONE = -1;
 
@@ -25,13 +25,13 @@
     /** The number of the record under which replicas are resumed. */
     private long recordNumber = NONE;
 
-    private long sinceMillis;
+    private long startedMillis;
 
     /** Ids of replicas that have not confirmed yet. */
-    private final TreeSet<String> paused = new TreeSet<>();
+    private final TreeSet<String> unconfirmedReplicas = new TreeSet<>();
 
-    private final TreeSet<String> queried = new TreeSet<>();
-    private final Map<String, Long> queryAgainMillis = new TreeMap<>();
+    private final TreeSet<String> pendingReplicas = new TreeSet<>();
+    private final Map<String, Long> nextQueryMillis = new TreeMap<>();
 
     ReplicaResumer(FailoverContext context) {
         this.context = context;
@@ -47,18 +47,21 @@
         if (recordNumber != record.number()) {
             start(record);
         }
-        paused.removeIf(id -> !FailoverContext.isPresent(context.server(id)));
-        if (paused.isEmpty()) {
-            context.record(
+        unconfirmedReplicas.removeIf(id -> !FailoverContext.isPresent(context.server(id)));
+        if (unconfirmedReplicas.isEmpty()) {
+            context.storeRecord(
                     record.finishMove(
-                            context.nextToken(), record.primary(), false, record.acceptedLoss()));
+                            context.nextFencingToken(),
+                            record.primary(),
+                            false,
+                            record.acceptedLoss()));
             return;
         }
-        for (String id : paused) {
+        for (String id : unconfirmedReplicas) {
             DatabaseServer replica = context.server(id);
-            if (!queried.contains(id)
-                    && context.now() >= queryAgainMillis.getOrDefault(id, 0L)
-                    && !context.isSilent(replica)) {
+            if (!pendingReplicas.contains(id)
+                    && context.now() >= nextQueryMillis.getOrDefault(id, 0L)
+                    && !context.hasMissedHeartbeats(replica)) {
                 resume(record, replica);
             }
         }
@@ -66,34 +69,34 @@
 
     private void start(PrimaryRecord record) {
         recordNumber = record.number();
-        sinceMillis = context.now();
-        queryAgainMillis.clear();
-        paused.clear();
+        startedMillis = context.now();
+        nextQueryMillis.clear();
+        unconfirmedReplicas.clear();
         for (DatabaseServer server : context.state().registry().serversOf(record.service())) {
-            paused.add(server.id());
+            unconfirmedReplicas.add(server.id());
         }
-        paused.remove(record.primary());
+        unconfirmedReplicas.remove(record.primary());
     }
 
     private void resume(PrimaryRecord record, DatabaseServer replica) {
         String id = replica.id();
-        queried.add(id);
+        pendingReplicas.add(id);
         long sentMillis = context.now();
-        long confirmedFrom = sinceMillis + COMMAND_IN_FLIGHT_MS;
+        long confirmableFromMillis = startedMillis + MAX_COMMAND_DELAY_MS;
         context.query(replica, 2 * FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand)
                 .whenComplete(
-                        (status, fault) -> {
-                            queried.remove(id);
-                            boolean receives = fault == null && !status.isPaused();
-                            queryAgainMillis.put(
+                        (status, error) -> {
+                            pendingReplicas.remove(id);
+                            boolean receives = error == null && !status.isPaused();
+                            nextQueryMillis.put(
                                     id,
                                     receives
-                                            ? Math.max(confirmedFrom, context.now())
+                                            ? Math.max(confirmableFromMillis, context.now())
                                             : context.now() + RETRY_MS);
                             if (receives
-                                    && sentMillis >= confirmedFrom
+                                    && sentMillis >= confirmableFromMillis
                                     && recordNumber == record.number()) {
-                                paused.remove(id);
+                                unconfirmedReplicas.remove(id);
                             }
                         });
     }
--- a/src/main/java/dillfront/controlplane/failover/ReplicationStop.java
+++ b/src/main/java/dillfront/controlplane/failover/ReplicationStopper.java
@@ -14,10 +14,10 @@
  * of the successor. In a planned move the primary steps down of its own will; else each replica is
  * paused, and the old primary may turn out to live.
  */
-final class ReplicationStop {
+final class ReplicationStopper {
 
     /** What follows where a server turns out to lead. */
-    interface PrimaryFound {
+    interface PrimaryFoundListener {
 
         void onPrimaryFound(String serverId);
     }
@@ -26,30 +26,30 @@
      * A replica gets so long to receive what the old primary had last, before the longest log is
      * taken as it is.
      */
-    private static final long CATCH_UP_MS = 2_500;
+    private static final long CATCH_UP_TIMEOUT_MS = 2_500;
 
     private static final long CATCH_UP_QUERY_GAP_MS = 60;
 
     /** A server that was silent for so long before its primary was lost is not waited for. */
-    private static final long EXPIRED_AFTER_MS = 10_000;
+    private static final long CONTACT_EXPIRY_MS = 10_000;
 
     /** A server that announced its leave has ended where so many queries got no answer. */
-    private static final int ENDED_AFTER_QUERIES = 2;
+    private static final int UNANSWERED_QUERIES_WHEN_ENDED = 2;
 
-    private static final long LOG_WAIT_AFTER_MS = 1_000;
+    private static final long AWAITED_LOG_DELAY_MS = 1_000;
 
     private final FailoverContext context;
     private final MoveState move;
     private final MoveQueries queries;
-    private final PrimaryFound primaryFound;
+    private final PrimaryFoundListener primaryFound;
     private final Runnable poll;
-    private long waitLoggedMillis = LeaseManager.NEVER;
+    private long awaitedLoggedMillis = LeaseManager.NEVER_MILLIS;
 
-    ReplicationStop(
+    ReplicationStopper(
             FailoverContext context,
             MoveState move,
             MoveQueries queries,
-            PrimaryFound primaryFound,
+            PrimaryFoundListener primaryFound,
             Runnable poll) {
         this.context = context;
         this.move = move;
@@ -64,12 +64,12 @@
      * @param primary the old one; null where it is not known any more
      */
     void poll(DatabaseServer primary) {
-        if (!move.planned || move.forced) {
+        if (!move.planned || move.pausesReplicas) {
             pauseReplicas(primary);
-        } else if (move.busy || context.now() < move.retryMillis) {
+        } else if (move.callPending || context.now() < move.nextAttemptMillis) {
             return;
         } else if (!FailoverContext.isPresent(primary)) {
-            move.forced = true;
+            move.pausesReplicas = true;
         } else if (!move.steppedDown) {
             stepDown(primary);
         } else {
@@ -80,40 +80,40 @@
     // ---- a planned move
 
     private void stepDown(DatabaseServer primary) {
-        move.busy = true;
+        move.callPending = true;
         context.query(
                         primary,
                         FailoverContext.QUERY_TIMEOUT_MS,
                         status -> "STEPDOWN " + status.nextTerm())
                 .whenComplete(
-                        (status, fault) -> {
-                            move.busy = false;
-                            move.retryMillis = context.now() + FailoverContext.RETRY_MS;
-                            if (fault == null && !status.isPrimary()) {
+                        (status, error) -> {
+                            move.callPending = false;
+                            move.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
+                            if (error == null && !status.isPrimary()) {
                                 move.steppedDown = true;
                                 move.steppedDownMillis = context.now();
                                 move.finalPosition = status.position();
-                                move.retryMillis = 0;
+                                move.nextAttemptMillis = 0;
                                 poll.run();
-                            } else if (context.now() > move.sinceMillis + CATCH_UP_MS) {
-                                move.forced = true;
+                            } else if (context.now() > move.startedMillis + CATCH_UP_TIMEOUT_MS) {
+                                move.pausesReplicas = true;
                             }
                         });
     }
 
     /** What the old primary had last is what the successor must have. */
     private void awaitCatchUp() {
-        if (context.now() > move.steppedDownMillis + CATCH_UP_MS) {
-            move.forced = true;
-            move.statuses.clear();
+        if (context.now() > move.steppedDownMillis + CATCH_UP_TIMEOUT_MS) {
+            move.pausesReplicas = true;
+            move.stoppedStatuses.clear();
             return;
         }
         for (DatabaseServer replica : replicas()) {
-            boolean quiet =
+            boolean outOfContact =
                     context.now() - replica.lastContactMillis()
                             > 2 * context.heartbeatIntervalMillis();
-            if (!replica.isDraining() && !quiet) {
-                queries.ask(
+            if (!replica.isDraining() && !outOfContact) {
+                queries.query(
                         replica,
                         CATCH_UP_QUERY_GAP_MS,
                         null,
@@ -125,8 +125,8 @@
     private void onCatchUpStatus(DatabaseServer replica, ServerStatus status) {
         if (status.position().covers(move.finalPosition)
                 && move.step == MoveState.Step.STOP_REPLICATION) {
-            move.statuses.clear();
-            move.statuses.put(replica.id(), status);
+            move.stoppedStatuses.clear();
+            move.stoppedStatuses.put(replica.id(), status);
             move.step = MoveState.Step.CHOOSE_SUCCESSOR;
         }
     }
@@ -136,36 +136,39 @@
     private void pauseReplicas(DatabaseServer primary) {
         boolean primaryPresent = FailoverContext.isPresent(primary);
         if (primaryPresent) {
-            queries.ask(
+            queries.query(
                     primary,
                     FailoverContext.RETRY_MS,
                     null,
                     status -> onPrimaryStatus(primary, status));
         }
-        if (context.now() < move.retryMillis) {
+        if (context.now() < move.nextAttemptMillis) {
             return;
         }
-        boolean complete = true;
+        boolean allStopped = true;
         List<DatabaseServer> replicas = replicas();
         for (DatabaseServer replica : replicas) {
-            complete &= isStopped(replica, primary);
+            allStopped &= isStoppedOrExcluded(replica, primary);
         }
         boolean awaitsPrimary =
                 move.steppedDown
                         && primaryPresent
-                        && !context.isSilent(primary)
-                        && !move.statuses.containsKey(primary.id());
-        if (complete && !awaitsPrimary && !replicas.isEmpty() && !move.statuses.isEmpty()) {
+                        && !context.hasMissedHeartbeats(primary)
+                        && !move.stoppedStatuses.containsKey(primary.id());
+        if (allStopped
+                && !awaitsPrimary
+                && !replicas.isEmpty()
+                && !move.stoppedStatuses.isEmpty()) {
             move.step = MoveState.Step.CHOOSE_SUCCESSOR;
             return;
         }
-        findMissingCommits();
-        logWait();
+        reportMissingCommits();
+        logAwaitedReplicas();
     }
 
     private void onPrimaryStatus(DatabaseServer primary, ServerStatus status) {
         if (!status.isPrimary() || move.steppedDown) {
-            move.statuses.put(primary.id(), status);
+            move.stoppedStatuses.put(primary.id(), status);
         } else if (!move.isPromoting() && move.step != MoveState.Step.DRAIN_TRANSACTIONS) {
             // It was not lost: it goes on leading, and replicas receive again.
             context.environment()
@@ -175,22 +178,23 @@
     }
 
     /** Whether this replica needs not be waited for; else it is paused. */
-    private boolean isStopped(DatabaseServer replica, DatabaseServer primary) {
-        if (move.statuses.containsKey(replica.id())) {
+    private boolean isStoppedOrExcluded(DatabaseServer replica, DatabaseServer primary) {
+        if (move.stoppedStatuses.containsKey(replica.id())) {
             return true;
         }
         long lostMillis =
                 primary == null
                         ? context.now()
-                        : Math.max(primary.lastContactMillis(), move.sinceMillis);
-        boolean expired = lostMillis - replica.lastContactMillis() > EXPIRED_AFTER_MS;
+                        : Math.max(primary.lastContactMillis(), move.startedMillis);
+        boolean expired = lostMillis - replica.lastContactMillis() > CONTACT_EXPIRY_MS;
         if (expired && !replica.isLeaving() || isExcludedByOperator(replica)) {
             return true;
         }
         boolean hasEnded =
-                replica.isLeaving() && queries.unanswered(replica.id()) >= ENDED_AFTER_QUERIES;
+                replica.isLeaving()
+                        && queries.unanswered(replica.id()) >= UNANSWERED_QUERIES_WHEN_ENDED;
         move.replicationPaused = true;
-        queries.ask(
+        queries.query(
                 replica,
                 FailoverContext.RETRY_MS,
                 this::pauseCommand,
@@ -214,12 +218,12 @@
         if (status.isPrimary()) {
             primaryFound.onPrimaryFound(replica.id());
         } else if (status.isPaused()) {
-            move.statuses.put(replica.id(), status);
+            move.stoppedStatuses.put(replica.id(), status);
         } else {
             // It knows of no later term, but its service does: that one is passed over until it is
             // high enough.
             move.pauseTerm++;
-            queries.allowAtOnce(replica);
+            queries.cancelPause(replica);
         }
     }
 
@@ -231,31 +235,32 @@
         return loss != null
                 && loss.moveNumber() == move.record.moveNumber()
                 && loss.unreachableServers().contains(replica.id())
-                && context.isSilent(replica);
+                && context.hasMissedHeartbeats(replica);
     }
 
     /**
      * Where all servers that can be heard are stopped, and others that may have more were silent
      * for long, it is for an operator to give those up.
      */
-    private void findMissingCommits() {
+    private void reportMissingCommits() {
         List<String> unreachable = new ArrayList<>();
         for (DatabaseServer replica : replicas()) {
-            if (move.statuses.containsKey(replica.id()) || isExcludedByOperator(replica)) {
+            if (move.stoppedStatuses.containsKey(replica.id()) || isExcludedByOperator(replica)) {
                 continue;
             }
             long contactMillis = Math.max(replica.lastContactMillis(), context.resumedMillis());
-            if (context.now() - contactMillis < EXPIRED_AFTER_MS) {
+            if (context.now() - contactMillis < CONTACT_EXPIRY_MS) {
                 boolean isOutdated =
-                        move.missing != null && !move.missing.unreachableServers().isEmpty();
-                move.missing = isOutdated ? null : move.missing;
+                        move.missingCommits != null
+                                && !move.missingCommits.unreachableServers().isEmpty();
+                move.missingCommits = isOutdated ? null : move.missingCommits;
                 return;
             }
             unreachable.add(replica.id());
         }
         LogPosition longest = longestLog();
         if (longest != null && !unreachable.isEmpty()) {
-            move.missing =
+            move.missingCommits =
                     new MissingCommits(
                             move.service(),
                             move.record.moveNumber(),
@@ -263,30 +268,32 @@
                             move.acknowledged(context.state().acknowledgedCommits()),
                             unreachable,
                             move.record.primary(),
-                            move.missing == null ? context.now() : move.missing.sinceMillis());
+                            move.missingCommits == null
+                                    ? context.now()
+                                    : move.missingCommits.sinceMillis());
         }
     }
 
     private LogPosition longestLog() {
         LogPosition longest = null;
-        for (Map.Entry<String, ServerStatus> one : move.statuses.entrySet()) {
-            if (FailoverContext.isPresent(context.server(one.getKey()))) {
-                longest = LogPosition.max(longest, one.getValue().position());
+        for (Map.Entry<String, ServerStatus> entry : move.stoppedStatuses.entrySet()) {
+            if (FailoverContext.isPresent(context.server(entry.getKey()))) {
+                longest = LogPosition.max(longest, entry.getValue().position());
             }
         }
         return longest;
     }
 
-    private void logWait() {
-        if (context.now() > move.sinceMillis + LOG_WAIT_AFTER_MS
-                && context.now() > waitLoggedMillis + EXPIRED_AFTER_MS) {
-            waitLoggedMillis = context.now();
+    private void logAwaitedReplicas() {
+        if (context.now() > move.startedMillis + AWAITED_LOG_DELAY_MS
+                && context.now() > awaitedLoggedMillis + CONTACT_EXPIRY_MS) {
+            awaitedLoggedMillis = context.now();
             List<String> awaited = new ArrayList<>();
             context.state()
                     .registry()
                     .serversOf(move.service())
                     .forEach(server -> awaited.add(server.id()));
-            awaited.removeAll(move.statuses.keySet());
+            awaited.removeAll(move.stoppedStatuses.keySet());
             context.environment()
                     .trace(
                             "replicas-not-stopped service="
--- a/src/main/java/dillfront/controlplane/failover/ServerQuery.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQuery.java
@@ -17,7 +17,7 @@
  */
 final class ServerQuery implements Environment.ConnectionListener {
 
-    private static final String OTHER_SERVER = "WRONGNODE";
+    private static final String SERVER_MISMATCH_CODE = "WRONGNODE";
 
     private final Environment environment;
     private final LeaseManager lease;
@@ -99,8 +99,8 @@
         ServerResponse response;
         try {
             response = responses.read(message);
-        } catch (ProtocolViolationException bad) {
-            fail(bad.getMessage(), true);
+        } catch (ProtocolViolationException exception) {
+            fail(exception.getMessage(), true);
             return;
         }
         if (response == null) {
@@ -110,7 +110,7 @@
             // At its address another server may be: then this one is not.
             fail(
                     response.errorCode() + " " + response.errorMessage(),
-                    !response.errorCode().equals(OTHER_SERVER));
+                    !response.errorCode().equals(SERVER_MISMATCH_CODE));
         } else if (environment.nowMillis() >= deadlineMillis) {
             // This process was paused: what it would send now was decided long ago.
             fail("answered too late", true);
--- a/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerQueryException.java
@@ -20,8 +20,8 @@
     }
 
     /** Whether a query that ended with this fault, or with none, shows that the server runs. */
-    static boolean showsServerAlive(Throwable fault) {
-        return fault == null
-                || fault instanceof ServerQueryException query && query.isServerAlive();
+    static boolean showsServerAlive(Throwable error) {
+        return error == null
+                || error instanceof ServerQueryException query && query.isServerAlive();
     }
 }
--- a/src/main/java/dillfront/controlplane/failover/ServerStatus.java
+++ b/src/main/java/dillfront/controlplane/failover/ServerStatus.java
@@ -17,7 +17,7 @@
     private static final String NO_LOG = "-";
 
     boolean isPrimary() {
-        return role.equals(ServerRow.PRIMARY);
+        return role.equals(ServerRow.PRIMARY_ROLE);
     }
 
     boolean isPaused() {
@@ -35,18 +35,21 @@
      * @return null where the text is no status
      */
     static ServerStatus parse(String row) {
-        String[] field = row.split(" ");
-        if (field.length < MIN_FIELDS) {
+        String[] fields = row.split(" ");
+        if (fields.length < MIN_FIELDS) {
             return null;
         }
         LogPosition position =
-                field[2].equals(NO_LOG) ? LogPosition.NONE : LogPosition.parse(field[2]);
+                fields[2].equals(NO_LOG) ? LogPosition.NONE : LogPosition.parse(fields[2]);
         try {
             return position == null
                     ? null
                     : new ServerStatus(
-                            field[0], Long.parseLong(field[1]), position, Long.parseLong(field[3]));
-        } catch (NumberFormatException bad) {
+                            fields[0],
+                            Long.parseLong(fields[1]),
+                            position,
+                            Long.parseLong(fields[3]));
+        } catch (NumberFormatException exception) {
             return null;
         }
     }
--- a/src/main/java/dillfront/controlplane/failover/SuccessorChoice.java
+++ b/src/main/java/dillfront/controlplane/failover/SuccessorSelector.java
@@ -13,23 +13,23 @@
  * Chooses the successor of a lost or draining primary: the longest log among the servers that are
  * stopped, where no acknowledged commit can be missing from it.
  */
-final class SuccessorChoice {
+final class SuccessorSelector {
 
     /** Where logs may lack a commit, they receive for so long before they are stopped again. */
-    private static final long RECEIVE_MS = 1_000;
+    private static final long RECEIVE_DURATION_MS = 1_000;
 
     /** Where it is not known whether they do, for so long altogether. */
-    private static final long MAX_UNSURE_MS = 4_000;
+    private static final long MAX_UNCERTAIN_WAIT_MS = 4_000;
 
     private static final long LOG_INTERVAL_MS = 10_000;
     private static final long NEVER = -1;
 
     private final FailoverContext context;
     private final MoveState move;
-    private long unsureSinceMillis = NEVER;
-    private long loggedMillis = LeaseManager.NEVER;
+    private long uncertainSinceMillis = NEVER;
+    private long loggedMillis = LeaseManager.NEVER_MILLIS;
 
-    SuccessorChoice(FailoverContext context, MoveState move) {
+    SuccessorSelector(FailoverContext context, MoveState move) {
         this.context = context;
         this.move = move;
     }
@@ -38,8 +38,8 @@
     private record Candidate(String id, LogPosition logEnd, boolean draining) {
 
         boolean isBetterThan(Candidate other) {
-            int further = other == null ? 1 : logEnd.compareTo(other.logEnd);
-            return further > 0 || further == 0 && other.draining && !draining;
+            int comparison = other == null ? 1 : logEnd.compareTo(other.logEnd);
+            return comparison > 0 || comparison == 0 && other.draining && !draining;
         }
     }
 
@@ -51,31 +51,32 @@
         }
         AcknowledgedCommits acknowledged = move.acknowledged(context.state().acknowledgedCommits());
         if (best != null && !holdsAll(best.logEnd(), acknowledged)) {
-            move.rejected.clear();
-            onMissing(best.logEnd(), acknowledged);
+            move.rejectedServers.clear();
+            onMissingCommits(best.logEnd(), acknowledged);
             return;
         }
         if (best == null) {
-            move.rejected.clear();
+            move.rejectedServers.clear();
             move.restartStopping();
-            move.forced = true;
-            move.retryMillis = context.now() + FailoverContext.RETRY_MS;
+            move.pausesReplicas = true;
+            move.nextAttemptMillis = context.now() + FailoverContext.RETRY_MS;
             return;
         }
-        move.missing = null;
+        move.missingCommits = null;
         move.successor = best.id();
-        move.fencingToken = context.nextToken();
-        move.reportedBefore = context.server(best.id()).isPrimary();
+        move.fencingToken = context.nextFencingToken();
+        move.reportedPrimaryBeforePromotion = context.server(best.id()).isPrimary();
         move.step = MoveState.Step.PROMOTE;
     }
 
     private Candidate bestCandidate() {
         Candidate best = null;
-        for (Map.Entry<String, ServerStatus> one : move.statuses.entrySet()) {
-            DatabaseServer server = context.server(one.getKey());
-            if (FailoverContext.isPresent(server) && !move.rejected.contains(server.id())) {
+        for (Map.Entry<String, ServerStatus> entry : move.stoppedStatuses.entrySet()) {
+            DatabaseServer server = context.server(entry.getKey());
+            if (FailoverContext.isPresent(server) && !move.rejectedServers.contains(server.id())) {
                 Candidate candidate =
-                        new Candidate(server.id(), one.getValue().position(), server.isDraining());
+                        new Candidate(
+                                server.id(), entry.getValue().position(), server.isDraining());
                 best = candidate.isBetterThan(best) ? candidate : best;
             }
         }
@@ -84,8 +85,8 @@
 
     /** A server that does not run may hold more than the others: it is waited for. */
     private boolean isBehindRejected(Candidate best) {
-        for (String id : move.rejected) {
-            ServerStatus status = move.statuses.get(id);
+        for (String id : move.rejectedServers) {
+            ServerStatus status = move.stoppedStatuses.get(id);
             if (status != null && status.position().compareTo(best.logEnd()) > 0) {
                 return true;
             }
@@ -110,8 +111,8 @@
                 || move.finalPosition == null && !lacksReplica()) {
             return true;
         }
-        unsureSinceMillis = unsureSinceMillis < 0 ? context.now() : unsureSinceMillis;
-        return context.now() > unsureSinceMillis + MAX_UNSURE_MS;
+        uncertainSinceMillis = uncertainSinceMillis < 0 ? context.now() : uncertainSinceMillis;
+        return context.now() > uncertainSinceMillis + MAX_UNCERTAIN_WAIT_MS;
     }
 
     /**
@@ -122,12 +123,12 @@
         for (DatabaseServer server : context.state().registry().all()) {
             boolean counted =
                     !server.hasLeft()
-                            || move.sinceMillis - server.lastContactMillis()
+                            || move.startedMillis - server.lastContactMillis()
                                     < 3 * context.heartbeatIntervalMillis();
             if (counted
                     && server.service().equals(move.service())
                     && !server.id().equals(move.record.primary())
-                    && !move.statuses.containsKey(server.id())) {
+                    && !move.stoppedStatuses.containsKey(server.id())) {
                 return true;
             }
         }
@@ -139,7 +140,7 @@
      * while, in case the old primary reaches them though no control process reaches it; then they
      * are stopped and looked at again.
      */
-    private void onMissing(LogPosition longest, AcknowledgedCommits acknowledged) {
+    private void onMissingCommits(LogPosition longest, AcknowledgedCommits acknowledged) {
         if (context.now() - loggedMillis > LOG_INTERVAL_MS) {
             loggedMillis = context.now();
             context.environment()
@@ -158,7 +159,7 @@
         }
         // Behind the lower bound only commits can be missing that were under way together; those
         // are waited for no longer than MAX_UNSURE_MS.
-        move.missing =
+        move.missingCommits =
                 longest.covers(acknowledged.lowerBound())
                         ? null
                         : new MissingCommits(
@@ -168,12 +169,14 @@
                                 acknowledged,
                                 List.of(),
                                 move.record.primary(),
-                                move.missing == null ? context.now() : move.missing.sinceMillis());
+                                move.missingCommits == null
+                                        ? context.now()
+                                        : move.missingCommits.sinceMillis());
         for (DatabaseServer server : context.state().registry().serversOf(move.service())) {
             context.query(server, FailoverContext.QUERY_TIMEOUT_MS, ReplicaResumer::resumeCommand);
         }
         move.restartStopping();
-        move.forced = true;
-        move.retryMillis = context.now() + RECEIVE_MS;
+        move.pausesReplicas = true;
+        move.nextAttemptMillis = context.now() + RECEIVE_DURATION_MS;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ConfigurationEndpoint.java
@@ -24,9 +24,9 @@
     private static final long TIMEOUT_MS = 900;
 
     /** What a majority answered so long ago is recent: two ticks, and the way there and back. */
-    private static final long RECENT_MS = 850;
+    private static final long MAX_CONTACT_AGE_MS = 850;
 
-    private static final long POLL_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final ControlState state;
     private final PeerTable peers;
@@ -57,8 +57,8 @@
         Configuration configuration;
         try {
             configuration = Configuration.parse(body);
-        } catch (Configuration.InvalidConfigurationException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+        } catch (Configuration.InvalidConfigurationException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (cannotCommit()) {
             return Responses.completed(redirect(path));
@@ -69,10 +69,10 @@
         CompletableFuture<RegisterValue.Outcome> result =
                 proposal.thenCompose(
                         outcome ->
-                                awaitContact(state.nowMillis() - RECENT_MS)
+                                awaitContact(state.nowMillis() - MAX_CONTACT_AGE_MS)
                                         .thenApply(done -> outcome));
         // A proposal whose caller was answered is proposed no more, unless it is under way.
-        result.whenComplete((outcome, fault) -> proposal.cancel(false));
+        result.whenComplete((outcome, failure) -> proposal.cancel(false));
         return Responses.within(
                 state.environment(),
                 TIMEOUT_MS,
@@ -119,20 +119,21 @@
             return;
         }
         Configuration configuration =
-                read.poll(state.register(), id -> hasAnswered(id, sinceMillis));
+                read.poll(state.register(), id -> hasAcknowledged(id, sinceMillis));
         if (configuration != null) {
             result.complete(configuration);
         } else {
-            state.environment().schedule(POLL_MS, () -> pollRead(sinceMillis, read, result));
+            state.environment()
+                    .schedule(POLL_INTERVAL_MS, () -> pollRead(sinceMillis, read, result));
         }
     }
 
-    private boolean hasAnswered(String id, long sinceMillis) {
+    private boolean hasAcknowledged(String id, long sinceMillis) {
         if (id.equals(state.cluster().selfId())) {
             return true;
         }
         PeerState peer = state.cluster().peer(id);
-        return peer != null && peer.lastAnsweredSendMillis() >= sinceMillis;
+        return peer != null && peer.lastAcknowledgedSendMillis() >= sinceMillis;
     }
 
     /**
@@ -151,7 +152,7 @@
         } else if (state.cluster().isIsolated()) {
             done.completeExceptionally(new IllegalStateException(Responses.ISOLATED));
         } else {
-            state.environment().schedule(POLL_MS, () -> pollContact(sinceMillis, done));
+            state.environment().schedule(POLL_INTERVAL_MS, () -> pollContact(sinceMillis, done));
         }
     }
 
@@ -201,13 +202,13 @@
     private boolean isRedirectTarget(PeerState peer, long lastContact) {
         if (lastContact >= createdMillis) {
             return !peer.isLeaving()
-                    && peer.lastContactMillis() > lastContact - LeaseManager.CONTACT_MS;
+                    && peer.lastContactMillis() > lastContact - LeaseManager.CONTACT_TIMEOUT_MS;
         }
         RegisterValue value = state.register().acceptedValue();
         boolean mayBeMember =
                 value == null
                         || value.members().stream()
                                 .anyMatch(id -> RegisterValue.ipOf(id).equals(peer.ip()));
-        return mayBeMember && state.nowMillis() > createdMillis + LeaseManager.CONTACT_MS;
+        return mayBeMember && state.nowMillis() > createdMillis + LeaseManager.CONTACT_TIMEOUT_MS;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
+++ b/src/main/java/dillfront/controlplane/http/ControlHttpApi.java
@@ -17,22 +17,22 @@
     private static final String POST = "POST";
     private static final String GET = "GET";
 
-    private final ServerEndpoint servers;
-    private final ConfigurationEndpoint configuration;
-    private final DataLossEndpoint dataLoss;
+    private final ServerEndpoint serverEndpoint;
+    private final ConfigurationEndpoint configurationEndpoint;
+    private final DataLossEndpoint dataLossEndpoint;
     private final Supplier<String> status;
 
     /**
      * @param status the state of the process as one line
      */
     public ControlHttpApi(
-            ServerEndpoint servers,
-            ConfigurationEndpoint configuration,
-            DataLossEndpoint dataLoss,
+            ServerEndpoint serverEndpoint,
+            ConfigurationEndpoint configurationEndpoint,
+            DataLossEndpoint dataLossEndpoint,
             Supplier<String> status) {
-        this.servers = servers;
-        this.configuration = configuration;
-        this.dataLoss = dataLoss;
+        this.serverEndpoint = serverEndpoint;
+        this.configurationEndpoint = configurationEndpoint;
+        this.dataLossEndpoint = dataLossEndpoint;
         this.status = status;
     }
 
@@ -44,21 +44,23 @@
     public CompletableFuture<HttpResponse> handle(String method, String path, byte[] body) {
         if (path.startsWith(HEARTBEAT)) {
             String id = path.substring(HEARTBEAT.length());
-            return only(POST, method, () -> servers.heartbeat(id, body));
+            return requireMethod(POST, method, () -> serverEndpoint.heartbeat(id, body));
         } else if (path.startsWith(LEAVE)) {
             String id = path.substring(LEAVE.length());
-            return only(POST, method, () -> servers.leave(id));
+            return requireMethod(POST, method, () -> serverEndpoint.leave(id));
         }
         return switch (path) {
-            case REPLACE -> only(POST, method, () -> configuration.replace(path, body));
-            case READ -> only(GET, method, () -> configuration.read(path));
-            case ACCEPT_DATA_LOSS -> only(POST, method, () -> dataLoss.accept(body));
+            case REPLACE ->
+                    requireMethod(POST, method, () -> configurationEndpoint.replace(path, body));
+            case READ -> requireMethod(GET, method, () -> configurationEndpoint.read(path));
+            case ACCEPT_DATA_LOSS ->
+                    requireMethod(POST, method, () -> dataLossEndpoint.accept(body));
             case STATUS -> Responses.completed(status());
             default -> Responses.completedError(Responses.NOT_FOUND, "no such call");
         };
     }
 
-    private static CompletableFuture<HttpResponse> only(
+    private static CompletableFuture<HttpResponse> requireMethod(
             String allowed, String method, Supplier<CompletableFuture<HttpResponse>> handler) {
         return method.equals(allowed)
                 ? handler.get()
@@ -69,7 +71,7 @@
         return Responses.ok(
                 Json.object()
                         .add("status", status.get())
-                        .add("lacking", dataLoss.missing())
+                        .add("lacking", dataLossEndpoint.missing())
                         .toString());
     }
 }
--- a/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/DataLossEndpoint.java
@@ -37,20 +37,20 @@
     }
 
     CompletableFuture<HttpResponse> accept(byte[] body) {
-        MissingCommits shown;
+        MissingCommits missing;
         try {
-            shown = parse(RequestFields.parse(body));
-        } catch (InvalidRequestException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+            missing = parse(RequestFields.parse(body));
+        } catch (InvalidRequestException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (state.cluster().isIsolated() || isLeaving.getAsBoolean()) {
             return Responses.completedError(Responses.UNAVAILABLE, Responses.ISOLATED);
         }
         return Responses.within(
                 state.environment(),
-                DataLossManager.ACCEPTANCE_MS,
-                dataLoss.accept(shown),
-                acceptance -> response(shown.service(), acceptance));
+                DataLossManager.ACCEPTANCE_TIMEOUT_MS,
+                dataLoss.accept(missing),
+                acceptance -> response(missing.service(), acceptance));
     }
 
     private static MissingCommits parse(RequestFields fields) throws InvalidRequestException {
@@ -61,10 +61,10 @@
             throw new InvalidRequestException(
                     "log_position, least_acknowledged, most_acknowledged: expected TERM.NUMBER");
         }
-        List<String> unreachable = fields.texts("out_of_reach");
+        List<String> unreachable = fields.strings("out_of_reach");
         return new MissingCommits(
-                fields.text("service"),
-                fields.numberInText("move"),
+                fields.string("service"),
+                fields.numberFromString("move"),
                 logEnd,
                 new AcknowledgedCommits(lowerBound, upperBound),
                 unreachable,
@@ -117,7 +117,7 @@
     /** What each service waits for, as the status shows it. */
     JsonArray missing() {
         JsonArray all = Json.array().asArray();
-        dataLoss.missing().orElse(List.of()).forEach(one -> all.add(toJson(one)));
+        dataLoss.missing().orElse(List.of()).forEach(missing -> all.add(toJson(missing)));
         return all;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/RequestFields.java
+++ b/src/main/java/dillfront/controlplane/http/RequestFields.java
@@ -32,13 +32,13 @@
         try {
             return new RequestFields(
                     Json.parse(new String(body, StandardCharsets.UTF_8)).asObject());
-        } catch (ParseException | UnsupportedOperationException bad) {
-            throw new InvalidRequestException(String.valueOf(bad.getMessage()));
+        } catch (ParseException | UnsupportedOperationException exception) {
+            throw new InvalidRequestException(String.valueOf(exception.getMessage()));
         }
     }
 
     /** A text that has to be there and may not be empty. */
-    String text(String name) throws InvalidRequestException {
+    String string(String name) throws InvalidRequestException {
         JsonValue value = fields.get(name);
         if (value == null || !value.isString() || value.asString().isEmpty()) {
             throw new InvalidRequestException(name + ": no text");
@@ -46,39 +46,39 @@
         return value.asString();
     }
 
-    long number(String name, long otherwise) throws InvalidRequestException {
+    long number(String name, long defaultValue) throws InvalidRequestException {
         try {
-            return fields.getLong(name, otherwise);
-        } catch (UnsupportedOperationException | NumberFormatException bad) {
-            throw new InvalidRequestException(String.valueOf(bad.getMessage()));
+            return fields.getLong(name, defaultValue);
+        } catch (UnsupportedOperationException | NumberFormatException exception) {
+            throw new InvalidRequestException(String.valueOf(exception.getMessage()));
         }
     }
 
     /** A whole number that is sent as a text. */
-    long numberInText(String name) throws InvalidRequestException {
-        String text = text(name);
+    long numberFromString(String name) throws InvalidRequestException {
+        String string = string(name);
         try {
-            return Long.parseLong(text);
-        } catch (NumberFormatException bad) {
-            throw new InvalidRequestException(String.valueOf(bad.getMessage()));
+            return Long.parseLong(string);
+        } catch (NumberFormatException exception) {
+            throw new InvalidRequestException(String.valueOf(exception.getMessage()));
         }
     }
 
     /** A position in a log; null where the text is none. */
     LogPosition position(String name) throws InvalidRequestException {
-        return LogPosition.parse(text(name));
+        return LogPosition.parse(string(name));
     }
 
     /** The texts of a list; empty where there is no such field. */
-    List<String> texts(String name) throws InvalidRequestException {
-        List<String> texts = new ArrayList<>();
+    List<String> strings(String name) throws InvalidRequestException {
+        List<String> strings = new ArrayList<>();
         if (fields.get(name) != null) {
             try {
-                fields.get(name).asArray().forEach(one -> texts.add(one.asString()));
-            } catch (UnsupportedOperationException bad) {
-                throw new InvalidRequestException(String.valueOf(bad.getMessage()));
+                fields.get(name).asArray().forEach(element -> strings.add(element.asString()));
+            } catch (UnsupportedOperationException exception) {
+                throw new InvalidRequestException(String.valueOf(exception.getMessage()));
             }
         }
-        return texts;
+        return strings;
     }
 }
--- a/src/main/java/dillfront/controlplane/http/Responses.java
+++ b/src/main/java/dillfront/controlplane/http/Responses.java
@@ -74,18 +74,18 @@
             long timeoutMillis,
             CompletableFuture<T> result,
             Function<T, HttpResponse> onResult,
-            Function<String, HttpResponse> onFault) {
+            Function<String, HttpResponse> onFailure) {
         CompletableFuture<HttpResponse> response = new CompletableFuture<>();
         result.whenComplete(
-                (value, fault) ->
+                (value, failure) ->
                         response.complete(
-                                fault == null
+                                failure == null
                                         ? onResult.apply(value)
-                                        : onFault.apply(fault.getMessage())));
+                                        : onFailure.apply(failure.getMessage())));
         environment.schedule(
                 timeoutMillis,
                 () -> {
-                    if (response.complete(onFault.apply(TIMED_OUT))) {
+                    if (response.complete(onFailure.apply(TIMED_OUT))) {
                         result.cancel(false);
                     }
                 });
--- a/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
+++ b/src/main/java/dillfront/controlplane/http/ServerEndpoint.java
@@ -58,8 +58,8 @@
         ServerRow row;
         try {
             row = parse(id, body);
-        } catch (InvalidRequestException bad) {
-            return Responses.completedError(Responses.BAD_REQUEST, bad.getMessage());
+        } catch (InvalidRequestException exception) {
+            return Responses.completedError(Responses.BAD_REQUEST, exception.getMessage());
         }
         if (isUnavailable()) {
             // Servers are not redirected: they go on by themselves at once, and a second is most of
@@ -69,8 +69,9 @@
         ServerRegistry registry = state.registry();
         DatabaseServer known = registry.get(id);
         // A call that was sent before another that is known here says nothing of now.
-        boolean late = known != null && row.callSequence() < known.callSequence();
-        boolean changed = registry.merge(row, late ? known.lastContactMillis() : state.nowMillis());
+        boolean isLate = known != null && row.callSequence() < known.callSequence();
+        boolean changed =
+                registry.merge(row, isLate ? known.lastContactMillis() : state.nowMillis());
         DatabaseServer server = registry.get(id);
         if (server == null) {
             return Responses.completedError(Responses.BAD_REQUEST, "no id in the path");
@@ -78,7 +79,7 @@
         if (known == null) {
             registry.replacePredecessors(server);
         }
-        if (!late) {
+        if (!isLate) {
             server.onDirectHeartbeat(state.nowMillis());
             listener.onHeartbeat(server);
         }
@@ -87,7 +88,7 @@
             listener.onRegistryChanged();
         }
         return server.isDraining()
-                ? acknowledgeOnMajority(server)
+                ? acknowledgeAfterMajority(server)
                 : Responses.completed(Responses.acknowledged());
     }
 
@@ -95,11 +96,11 @@
         RequestFields fields = RequestFields.parse(body);
         return new ServerRow(
                 id,
-                fields.text("service"),
-                fields.text("address"),
-                fields.text("zone_name"),
-                ServerState.parse(fields.text("state")),
-                fields.text("database_role"),
+                fields.string("service"),
+                fields.string("address"),
+                fields.string("zone_name"),
+                ServerState.parse(fields.string("state")),
+                fields.string("database_role"),
                 fields.number("call_sequence", 0));
     }
 
@@ -111,23 +112,23 @@
             return Responses.completedError(Responses.BAD_REQUEST, "no id in the path");
         }
         // Also where the server is not known here: others may know it, and all are to.
-        long before = state.registry().version();
+        long previousVersion = state.registry().version();
         DatabaseServer server = state.registry().markLeaving(id);
-        if (state.registry().version() > before) {
+        if (state.registry().version() > previousVersion) {
             listener.onRegistryChanged();
         }
-        return acknowledgeOnMajority(server);
+        return acknowledgeAfterMajority(server);
     }
 
     private boolean isUnavailable() {
         return state.cluster().isIsolated() || isLeaving.getAsBoolean();
     }
 
-    private CompletableFuture<HttpResponse> acknowledgeOnMajority(DatabaseServer server) {
+    private CompletableFuture<HttpResponse> acknowledgeAfterMajority(DatabaseServer server) {
         return Responses.within(
                 state.environment(),
                 TIMEOUT_MS,
-                awaitMajority.apply(server.changeNumber()),
-                done -> Responses.acknowledged());
+                awaitMajority.apply(server.lastChangeVersion()),
+                ignored -> Responses.acknowledged());
     }
 }
--- a/src/main/java/dillfront/controlplane/lease/LeaseManager.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseManager.java
@@ -90,16 +90,16 @@
     public static final int NUMBER_BITS = 20;
 
     /** A moment that is earlier than all others. */
-    public static final long NEVER = Long.MIN_VALUE / 2;
+    public static final long NEVER_MILLIS = Long.MIN_VALUE / 2;
 
     /** A peer that was silent for so long is taken for gone. */
-    public static final long CONTACT_MS = 1_300;
+    public static final long CONTACT_TIMEOUT_MS = 1_300;
 
     /** The holder's time ends so much earlier than its members' promises. */
     private static final long HOLDER_MARGIN_MS = 250;
 
     /** Candidates begin one after the other, by their rank. */
-    private static final long STAGGER_MS = 250;
+    private static final long CANDIDATE_STAGGER_MS = 250;
 
     /** A holder whose disk has done nothing for so long leaves the role to others. */
     private static final long MAX_DISK_STALL_MS = 1_000;
@@ -123,16 +123,16 @@
     private boolean promiseNeverHeld;
 
     /** The clock of the process that has the promise, in its last message that was granted. */
-    private long grantedAtMillis = NEVER;
+    private long grantedAtMillis = NEVER_MILLIS;
 
     /**
      * Until when the process that has the promise may have said that its lease runs, however soon
      * that ended.
      */
-    private long currentLeaseEndMillis = NEVER;
+    private long currentLeaseEndMillis = NEVER_MILLIS;
 
     /** The same of all that had the promise before. */
-    private long formerLeaseEndMillis = NEVER;
+    private long formerLeaseEndMillis = NEVER_MILLIS;
 
     private boolean persisting;
 
@@ -166,14 +166,17 @@
         promisedTo = texts.getOrDefault(PROMISED_TO, "");
         promiseFloor =
                 Long.parseLong(texts.getOrDefault(PROMISED_ABOVE, Long.toString(promisedNumber)));
-        boolean toSelf = promisedTo.equals(context.selfId());
+        boolean promisedToSelf = promisedTo.equals(context.selfId());
         lastRequestedNumber =
                 Long.parseLong(
                         texts.getOrDefault(
-                                LAST_REQUESTED, toSelf ? Long.toString(promisedNumber) : "0"));
-        boolean mayRun =
-                promisedNumber > 0 && !toSelf && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
-        promisedUntilMillis = context.nowMillis() + (mayRun ? DURATION_MS : 0);
+                                LAST_REQUESTED,
+                                promisedToSelf ? Long.toString(promisedNumber) : "0"));
+        boolean mayBeInUse =
+                promisedNumber > 0
+                        && !promisedToSelf
+                        && !context.isDisabled(SafetyRule.LEASE_AFTER_START);
+        promisedUntilMillis = context.nowMillis() + (mayBeInUse ? DURATION_MS : 0);
         requestAtMillis = promisedUntilMillis;
         if (promisedNumber > 0) {
             currentLeaseEndMillis = context.nowMillis() + DURATION_MS;
@@ -243,7 +246,7 @@
 
     private long grantedToSelfAt(Voter peer, long now) {
         if (peer.promisedNumber() != ownNumber || !peer.promisedTo().equals(context.selfId())) {
-            return NEVER;
+            return NEVER_MILLIS;
         }
         return context.isDisabled(SafetyRule.LEASE_FROM_ASKED) ? now : peer.grantedAtMillis();
     }
@@ -254,7 +257,8 @@
      * or have ended with its process.
      */
     public long formerLeaseEndMillis() {
-        long end = context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER : formerLeaseEndMillis;
+        long end =
+                context.isDisabled(SafetyRule.LEASE_FORMER) ? NEVER_MILLIS : formerLeaseEndMillis;
         for (Voter peer : context.peers()) {
             if (promisedNumber == ownNumber
                     && peer.promisedNumber() == ownNumber
@@ -285,10 +289,14 @@
      * @param requestedAtMillis the peer's clock when it asked
      */
     public void onRequest(Voter peer, long number, long requestedAtMillis) {
-        boolean busy = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
+        boolean writePending = persisting && !context.isDisabled(SafetyRule.LEASE_TURNS);
         boolean outdated =
                 peer.epoch() < context.epoch() && !context.isDisabled(SafetyRule.OLDER_EPOCHS);
-        if (!context.isVoter() || busy || number <= 0 || outdated || !context.isMember(peer.id())) {
+        if (!context.isVoter()
+                || writePending
+                || number <= 0
+                || outdated
+                || !context.isMember(peer.id())) {
             // Also what is promised to it no longer runs on while another's promise is on its way
             // to the disk.
             return;
@@ -300,7 +308,7 @@
             grantedAtMillis = Math.max(grantedAtMillis, requestedAtMillis);
             promiseNeverHeld = false;
         } else if (!persisting
-                && number > (promiseBinds() ? promisedNumber : promiseFloor)
+                && number > (isPromiseBinding() ? promisedNumber : promiseFloor)
                 && mayPromiseTo(peer, now)) {
             promise(number, peer.id(), requestedAtMillis);
         }
@@ -316,7 +324,7 @@
     }
 
     /** Whether the number that is promised here may have been held, or may yet be. */
-    private boolean promiseBinds() {
+    private boolean isPromiseBinding() {
         if (!promisedTo.equals(context.selfId())) {
             return !promiseNeverHeld;
         }
@@ -341,7 +349,7 @@
             requestAtMillis =
                     Math.min(
                             requestAtMillis,
-                            promisedUntilMillis + context.memberRank() * STAGGER_MS);
+                            promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS);
         }
     }
 
@@ -361,9 +369,9 @@
                         Long.toString(lastRequestedNumber));
         context.persist(texts)
                 .whenComplete(
-                        (done, fault) -> {
+                        (ignored, error) -> {
                             persisting = false;
-                            if (fault == null) {
+                            if (error == null) {
                                 onPromised(number, to, floor, requestedAtMillis);
                             }
                         });
@@ -373,12 +381,12 @@
         if (context.isDisabled(SafetyRule.LEASE_NUMBERS_RISE)) {
             return 0;
         }
-        return promiseBinds() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
+        return isPromiseBinding() ? Math.max(promiseFloor, promisedNumber) : promiseFloor;
     }
 
     private void onPromised(long number, String to, long floor, long requestedAtMillis) {
-        boolean toSelf = to.equals(context.selfId());
-        if (!toSelf) {
+        boolean promisedToSelf = to.equals(context.selfId());
+        if (!promisedToSelf) {
             // If it asked itself, it has lost; to go on would bind the members that promised it.
             abandon();
         }
@@ -388,7 +396,7 @@
         promiseNeverHeld = false;
         formerLeaseEndMillis = Math.max(formerLeaseEndMillis, currentLeaseEndMillis);
         // The own lease counts from when it is held.
-        currentLeaseEndMillis = toSelf ? NEVER : context.nowMillis() + DURATION_MS;
+        currentLeaseEndMillis = promisedToSelf ? NEVER_MILLIS : context.nowMillis() + DURATION_MS;
         grantedAtMillis = requestedAtMillis;
         promisedUntilMillis = context.nowMillis() + DURATION_MS;
         context.broadcast();
@@ -411,12 +419,12 @@
      * Whether a majority is bound to a peer that goes on with its lease and is in contact. To ask
      * then is in vain, and each number that is asked for keeps this member from that peer.
      */
-    private boolean anotherIsElected() {
-        long since = context.nowMillis() - CONTACT_MS;
+    private boolean isAnotherElected() {
+        long since = context.nowMillis() - CONTACT_TIMEOUT_MS;
         for (Voter peer : context.peers()) {
             if (peer.requestedNumber() > 0
                     && peer.lastContactMillis() > since
-                    && majorityPromised(peer) > since) {
+                    && majorityPromiseMillis(peer) > since) {
                 return true;
             }
         }
@@ -424,14 +432,15 @@
     }
 
     /** When a majority was last known to have its promise given to this peer. */
-    private long majorityPromised(Voter peer) {
-        long own = isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER;
+    private long majorityPromiseMillis(Voter peer) {
+        long own =
+                isPromiseTo(promisedNumber, promisedTo, peer) ? context.nowMillis() : NEVER_MILLIS;
         return context.quorumReached(
                 own,
                 voter ->
                         isPromiseTo(voter.promisedNumber(), voter.promisedTo(), peer)
                                 ? voter.lastContactMillis()
-                                : NEVER);
+                                : NEVER_MILLIS);
     }
 
     private static boolean isPromiseTo(long number, String to, Voter peer) {
@@ -441,8 +450,8 @@
     /** Advances timers: asks for the lease, goes on with it, or gives it up. Called often. */
     public void poll() {
         long now = context.nowMillis();
-        boolean unfit = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
-        if (isHeld() && !unfit) {
+        boolean ineligible = resigning || context.diskStalledMillis() > MAX_DISK_STALL_MS;
+        if (isHeld() && !ineligible) {
             lastHeldEpoch = context.epoch();
             promisedUntilMillis = now + DURATION_MS;
             return;
@@ -459,20 +468,22 @@
             // Without contact it cannot win, and binds those that hear it.
             abandon();
         }
-        if (!context.isVoter() || context.isIsolated() || persisting || unfit) {
+        if (!context.isVoter() || context.isIsolated() || persisting || ineligible) {
             // The one that had it last goes first: no member that promised it waits for others.
-            boolean wasLast = promisedTo.equals(context.selfId()) && !unfit;
-            long earliest = wasLast ? now : now + STAGGER_MS * (1 + context.memberRank());
+            boolean wasLastHolder = promisedTo.equals(context.selfId()) && !ineligible;
+            long earliest =
+                    wasLastHolder ? now : now + CANDIDATE_STAGGER_MS * (1 + context.memberRank());
             requestAtMillis = Math.max(requestAtMillis, earliest);
             return;
         }
         if (now < promisedUntilMillis && !promisedTo.equals(context.selfId())) {
-            requestAtMillis = promisedUntilMillis + context.memberRank() * STAGGER_MS;
+            requestAtMillis = promisedUntilMillis + context.memberRank() * CANDIDATE_STAGGER_MS;
             return;
         }
-        if (anotherIsElected()) {
+        if (isAnotherElected()) {
             abandon();
-            requestAtMillis = Math.max(requestAtMillis, now + context.memberRank() * STAGGER_MS);
+            requestAtMillis =
+                    Math.max(requestAtMillis, now + context.memberRank() * CANDIDATE_STAGGER_MS);
             return;
         }
         if (now >= requestAtMillis) {
@@ -493,7 +504,8 @@
                 highest = Math.max(highest, peer.promisedNumber());
             }
         }
-        requestAtMillis = now + 4 * STAGGER_MS + context.randomBelow(STAGGER_MS * 2);
+        requestAtMillis =
+                now + 4 * CANDIDATE_STAGGER_MS + context.randomBelow(CANDIDATE_STAGGER_MS * 2);
         lastRequestedNumber = highest + 1;
         promise(lastRequestedNumber, context.selfId(), now);
         ownNumber = lastRequestedNumber;
--- a/src/main/java/dillfront/controlplane/lease/LeaseMessage.java
+++ b/src/main/java/dillfront/controlplane/lease/LeaseMessage.java
@@ -56,7 +56,7 @@
         return new LeaseMessage(
                 fields.number(PROMISED_NUMBER, 0),
                 fields.string(PROMISED_TO),
-                fields.number(GRANTED_AT, LeaseManager.NEVER),
+                fields.number(GRANTED_AT, LeaseManager.NEVER_MILLIS),
                 Math.max(0, fields.number(FORMER_REMAINING, 0)),
                 fields.number(REQUESTED_NUMBER, 0),
                 fields.number(ABANDONED_NUMBER, 0),
--- a/src/main/java/dillfront/controlplane/lease/PeerLease.java
+++ b/src/main/java/dillfront/controlplane/lease/PeerLease.java
@@ -7,10 +7,10 @@
     private long epoch;
     private long promisedNumber;
     private String promisedTo = "";
-    private long grantedAtMillis = LeaseManager.NEVER;
+    private long grantedAtMillis = LeaseManager.NEVER_MILLIS;
     private long requestedNumber;
-    private long formerLeaseEndMillis = LeaseManager.NEVER;
-    private long lastContactMillis = LeaseManager.NEVER;
+    private long formerLeaseEndMillis = LeaseManager.NEVER_MILLIS;
+    private long lastContactMillis = LeaseManager.NEVER_MILLIS;
 
     /** Another process is there, or another incarnation of the same. */
     public void reset(String newId) {
@@ -21,7 +21,7 @@
     }
 
     /** A message came at this moment of this process's clock. */
-    public void contact(long nowMillis) {
+    public void recordContact(long nowMillis) {
         lastContactMillis = nowMillis;
     }
 
@@ -39,7 +39,7 @@
         formerLeaseEndMillis =
                 message.formerLeaseRemainingMillis() > 0
                         ? nowMillis + message.formerLeaseRemainingMillis()
-                        : LeaseManager.NEVER;
+                        : LeaseManager.NEVER_MILLIS;
     }
 
     @Override
--- a/src/main/java/dillfront/controlplane/peer/ClusterView.java
+++ b/src/main/java/dillfront/controlplane/peer/ClusterView.java
@@ -87,12 +87,12 @@
 
     /**
      * The highest value of a quantity that a majority of each set of members has reached; {@link
-     * LeaseManager#NEVER} before there are members.
+     * LeaseManager#NEVER_MILLIS} before there are members.
      */
     public long quorumReached(long own, ToLongFunction<PeerState> quantity) {
         RegisterValue value = register.acceptedValue();
         if (value == null) {
-            return LeaseManager.NEVER;
+            return LeaseManager.NEVER_MILLIS;
         }
         return value.quorumReached(
                 id -> {
@@ -100,22 +100,23 @@
                         return own;
                     }
                     PeerState peer = peer(id);
-                    return peer == null ? LeaseManager.NEVER : quantity.applyAsLong(peer);
+                    return peer == null ? LeaseManager.NEVER_MILLIS : quantity.applyAsLong(peer);
                 });
     }
 
     /** When this process sent the last message that a majority is known to have received. */
     public long lastQuorumContactMillis() {
-        return quorumReached(environment.nowMillis(), PeerState::lastAnsweredSendMillis);
+        return quorumReached(environment.nowMillis(), PeerState::lastAcknowledgedSendMillis);
     }
 
     /** No majority has answered this process of late: it may know less than others do. */
     public boolean isIsolated() {
-        return lastQuorumContactMillis() < environment.nowMillis() - LeaseManager.CONTACT_MS;
+        return lastQuorumContactMillis()
+                < environment.nowMillis() - LeaseManager.CONTACT_TIMEOUT_MS;
     }
 
     /** Whether something came from this peer of late. */
     public boolean isInContact(PeerState peer) {
-        return environment.nowMillis() - peer.lastContactMillis() < LeaseManager.CONTACT_MS;
+        return environment.nowMillis() - peer.lastContactMillis() < LeaseManager.CONTACT_TIMEOUT_MS;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerLink.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerLink.java
@@ -9,7 +9,7 @@
 public final class PeerLink {
 
     private static final int CONNECT_TIMEOUT_MS = 700;
-    private static final long RECONNECT_MS = 200;
+    private static final long RECONNECT_DELAY_MS = 200;
 
     /** A connect that is under way for so long went to an incarnation that is over. */
     private static final long STALE_CONNECT_MS = 100;
@@ -23,7 +23,7 @@
     private long attempts;
     private long connectStartedMillis;
     private long connectedAtMillis;
-    private long connectAtMillis;
+    private long nextConnectMillis;
 
     PeerLink(Environment environment, String address) {
         this.environment = environment;
@@ -54,13 +54,13 @@
 
     /** Whether it is lost, and time to connect again. */
     public boolean isReconnectDue() {
-        return !connected && environment.nowMillis() >= connectAtMillis;
+        return !connected && environment.nowMillis() >= nextConnectMillis;
     }
 
     /** Begins a connection; what becomes of any before counts no more. */
     public void connect() {
         long now = environment.nowMillis();
-        connectAtMillis = now + CONNECT_TIMEOUT_MS + RECONNECT_MS;
+        nextConnectMillis = now + CONNECT_TIMEOUT_MS + RECONNECT_DELAY_MS;
         connecting = true;
         connectStartedMillis = now;
         connected = false;
@@ -74,7 +74,7 @@
                             @Override
                             public void onOpen(Environment.Connection opened) {
                                 if (attempt == attempts) {
-                                    opened(opened);
+                                    onOpened(opened);
                                 }
                             }
 
@@ -88,13 +88,14 @@
                                 if (attempt == attempts) {
                                     connected = false;
                                     connecting = false;
-                                    connectAtMillis = environment.nowMillis() + RECONNECT_MS;
+                                    nextConnectMillis =
+                                            environment.nowMillis() + RECONNECT_DELAY_MS;
                                 }
                             }
                         });
     }
 
-    private void opened(Environment.Connection opened) {
+    private void onOpened(Environment.Connection opened) {
         connection = opened;
         connected = true;
         connecting = false;
@@ -112,7 +113,7 @@
     public void disconnect() {
         connection.close();
         connected = false;
-        connectAtMillis = environment.nowMillis() + RECONNECT_MS;
+        nextConnectMillis = environment.nowMillis() + RECONNECT_DELAY_MS;
     }
 
     /** Sends a message; the link has to be connected. */
--- a/src/main/java/dillfront/controlplane/peer/PeerMessage.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessage.java
@@ -29,7 +29,7 @@
         List<ForwardedHeartbeat> heartbeats,
         RecordsMessage records,
         DataPlaneReport dataPlanes,
-        HolderStatus holder,
+        LeaseHolderStatus holder,
         DataLossReport dataLoss) {
 
     /**
@@ -63,11 +63,13 @@
     /**
      * What the data planes that poll the sender have and see.
      *
-     * @param clearedRecords by service, the record of a move that all of them have
+     * @param acknowledgedMoves by service, the record of a move that all of them have
      * @param count how many they are
      */
     public record DataPlaneReport(
-            Map<String, Long> clearedRecords, List<ServiceObservation> observations, int count) {}
+            Map<String, Long> acknowledgedMoves,
+            List<ServiceObservation> observations,
+            int count) {}
 
     /** What those data planes see of one service. */
     public record ServiceObservation(
@@ -79,7 +81,7 @@
      * @param leaseRemainingMillis for how long from the sending its lease runs
      * @param suspects services whose primary it suspects
      */
-    public record HolderStatus(long leaseRemainingMillis, List<String> suspects) {}
+    public record LeaseHolderStatus(long leaseRemainingMillis, List<String> suspects) {}
 
     /**
      * Acknowledged commits that are missing.
--- a/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerMessageCodec.java
@@ -11,7 +11,7 @@
 import dillfront.controlplane.peer.PeerMessage.DataPlaneReport;
 import dillfront.controlplane.peer.PeerMessage.ForwardedHeartbeat;
 import dillfront.controlplane.peer.PeerMessage.Header;
-import dillfront.controlplane.peer.PeerMessage.HolderStatus;
+import dillfront.controlplane.peer.PeerMessage.LeaseHolderStatus;
 import dillfront.controlplane.peer.PeerMessage.ServiceObservation;
 import dillfront.controlplane.primary.MissingCommits;
 import dillfront.controlplane.primary.PrimaryObservation;
@@ -43,7 +43,7 @@
     private static final String LEAVING = "lv";
     private static final String ADDRESSES = "pl";
     private static final String HEARTBEATS = "al";
-    private static final String CLEARED_RECORDS = "cl";
+    private static final String ACKNOWLEDGED_MOVES = "cl";
     private static final String OBSERVATIONS = "s";
     private static final String IS_HOLDER = "h";
     private static final String LEASE_REMAINING = "hl";
@@ -83,26 +83,26 @@
             out.put(ADDRESSES, message.addresses());
         }
         message.registry().writeTo(out);
-        putIfAny(out, HEARTBEATS, heartbeats(message.heartbeats()));
+        putIfNotEmpty(out, HEARTBEATS, heartbeats(message.heartbeats()));
         message.lease().writePromise(out);
         message.records().writeTo(out);
-        putIfAny(out, CLEARED_RECORDS, clearedRecords(message.dataPlanes()));
-        putIfAny(out, OBSERVATIONS, observations(message.dataPlanes()));
+        putIfNotEmpty(out, ACKNOWLEDGED_MOVES, acknowledgedMoves(message.dataPlanes()));
+        putIfNotEmpty(out, OBSERVATIONS, observations(message.dataPlanes()));
         if (message.holder() != null) {
             out.put(IS_HOLDER, true);
             out.put(LEASE_REMAINING, message.holder().leaseRemainingMillis());
         }
         DataLossReport dataLoss = message.dataLoss();
-        putIfAny(out, MISSING_COMMITS, fields(dataLoss.missing(), header.clockMillis()));
-        putIfAny(out, ACCEPTED_LOSSES, fields(dataLoss.accepted(), header.clockMillis()));
+        putIfNotEmpty(out, MISSING_COMMITS, fields(dataLoss.missing(), header.clockMillis()));
+        putIfNotEmpty(out, ACCEPTED_LOSSES, fields(dataLoss.accepted(), header.clockMillis()));
         out.put(DATA_PLANES, message.dataPlanes().count());
         if (message.holder() != null) {
-            putIfAny(out, SUSPECTS, message.holder().suspects());
+            putIfNotEmpty(out, SUSPECTS, message.holder().suspects());
         }
         return MessageCodec.encode(out);
     }
 
-    private static void putIfAny(Map<String, Object> out, String name, List<?> list) {
+    private static void putIfNotEmpty(Map<String, Object> out, String name, List<?> list) {
         if (!list.isEmpty()) {
             out.put(name, list);
         }
@@ -118,9 +118,9 @@
         return flat;
     }
 
-    private static List<Object> clearedRecords(DataPlaneReport report) {
+    private static List<Object> acknowledgedMoves(DataPlaneReport report) {
         List<Object> flat = new ArrayList<>();
-        report.clearedRecords()
+        report.acknowledgedMoves()
                 .forEach(
                         (service, number) -> {
                             flat.add(service);
@@ -131,23 +131,23 @@
 
     private static List<Object> observations(DataPlaneReport report) {
         List<Object> rows = new ArrayList<>();
-        for (ServiceObservation one : report.observations()) {
-            PrimaryObservation seen = one.observation();
+        for (ServiceObservation entry : report.observations()) {
+            PrimaryObservation observation = entry.observation();
             rows.add(
                     List.of(
-                            one.service(),
-                            seen.primary(),
-                            seen.reachable(),
-                            seen.unreachable(),
-                            seen.openTransactions(),
-                            one.acknowledged().toString()));
+                            entry.service(),
+                            observation.primary(),
+                            observation.reachable(),
+                            observation.unreachable(),
+                            observation.openTransactions(),
+                            entry.acknowledged().toString()));
         }
         return rows;
     }
 
     private static List<Object> fields(List<MissingCommits> missing, long nowMillis) {
         List<Object> rows = new ArrayList<>();
-        missing.forEach(one -> rows.add(one.toFields(nowMillis)));
+        missing.forEach(commits -> rows.add(commits.toFields(nowMillis)));
         return rows;
     }
 
@@ -168,12 +168,12 @@
                 decodeHeartbeats(in.strings(HEARTBEATS)),
                 RecordsMessage.fromFields(in),
                 new DataPlaneReport(
-                        decodeClearedRecords(in.strings(CLEARED_RECORDS)),
+                        decodeAcknowledgedMoves(in.strings(ACKNOWLEDGED_MOVES)),
                         decodeObservations(in),
                         (int) in.number(DATA_PLANES, 0)),
                 in.flag(IS_HOLDER)
-                        ? new HolderStatus(
-                                in.number(LEASE_REMAINING, LeaseManager.NEVER),
+                        ? new LeaseHolderStatus(
+                                in.number(LEASE_REMAINING, LeaseManager.NEVER_MILLIS),
                                 in.strings(SUSPECTS))
                         : null,
                 new DataLossReport(
@@ -187,7 +187,7 @@
                 in.string(ZONE),
                 in.string(INCARNATION),
                 in.number(CLOCK, 0),
-                in.number(ECHO_CLOCK, LeaseManager.NEVER),
+                in.number(ECHO_CLOCK, LeaseManager.NEVER_MILLIS),
                 in.string(ECHO_INCARNATION),
                 in.string(ID),
                 in.number(EPOCH, 0),
@@ -206,19 +206,19 @@
         return heartbeats;
     }
 
-    private static Map<String, Long> decodeClearedRecords(List<String> flat)
+    private static Map<String, Long> decodeAcknowledgedMoves(List<String> flat)
             throws MalformedMessageException {
-        Map<String, Long> records = new TreeMap<>();
+        Map<String, Long> moves = new TreeMap<>();
         for (int i = 0; i + 1 < flat.size(); i += 2) {
-            records.put(flat.get(i), number(flat.get(i + 1)));
+            moves.put(flat.get(i), number(flat.get(i + 1)));
         }
-        return records;
+        return moves;
     }
 
     private static long number(String text) throws MalformedMessageException {
         try {
             return Long.parseLong(text);
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException exception) {
             throw new MalformedMessageException("no number: " + text);
         }
     }
--- a/src/main/java/dillfront/controlplane/peer/PeerState.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerState.java
@@ -9,7 +9,7 @@
 
 /**
  * Another control process, by its last message. Times are of this process's clock, unless said
- * otherwise; {@link LeaseManager#NEVER} where nothing was heard.
+ * otherwise; {@link LeaseManager#NEVER_MILLIS} where nothing was heard.
  */
 public final class PeerState {
 
@@ -19,21 +19,21 @@
     private String zoneName = "";
     private String incarnation = "";
     private long clockMillis;
-    private long lastAnsweredSendMillis = LeaseManager.NEVER;
-    private long formerIncarnationContactMillis = LeaseManager.NEVER;
+    private long lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
+    private long previousIncarnationContactMillis = LeaseManager.NEVER_MILLIS;
     private boolean firstStart;
     private boolean leaving;
     private ReplicationProgress registryProgress = new ReplicationProgress();
     private long recordNumber = -1;
-    private final Map<String, Long> clearedRecords = new HashMap<>();
+    private final Map<String, Long> acknowledgedMoves = new HashMap<>();
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
-    private int dataPlanes;
+    private int dataPlaneCount;
 
     /** Heartbeats that came here before were forwarded to it. */
     private long heartbeatsForwardedMillis;
 
     /** The addresses that it was told on this connection, as text. */
-    private String addressesSent = "";
+    private String sentAddresses = "";
 
     PeerState(String ip, PeerLink link) {
         this.ip = ip;
@@ -74,8 +74,8 @@
     }
 
     /** When this process sent the last message that the peer is known to have received. */
-    public long lastAnsweredSendMillis() {
-        return lastAnsweredSendMillis;
+    public long lastAcknowledgedSendMillis() {
+        return lastAcknowledgedSendMillis;
     }
 
     public long lastContactMillis() {
@@ -86,8 +86,8 @@
      * The last contact with its incarnation before this one: what that told data planes, this one
      * does not know.
      */
-    public long formerIncarnationContactMillis() {
-        return formerIncarnationContactMillis;
+    public long previousIncarnationContactMillis() {
+        return previousIncarnationContactMillis;
     }
 
     /** The epoch of the members that it goes by. */
@@ -115,8 +115,8 @@
     }
 
     /** The record of this service that all data planes which poll it have; -1 for none. */
-    public long clearedRecord(String service) {
-        return clearedRecords.getOrDefault(service, -1L);
+    public long acknowledgedMove(String service) {
+        return acknowledgedMoves.getOrDefault(service, -1L);
     }
 
     /** What data planes that poll it see of this service's primary; null for nothing. */
@@ -125,8 +125,8 @@
     }
 
     /** How many data planes poll it. */
-    public int dataPlanes() {
-        return dataPlanes;
+    public int dataPlaneCount() {
+        return dataPlaneCount;
     }
 
     // ---- changes
@@ -134,24 +134,25 @@
     /** Another process is there, or another incarnation of the same. */
     public void onNewIncarnation(String newIncarnation, String newId) {
         incarnation = newIncarnation;
-        formerIncarnationContactMillis = lastContactMillis();
+        previousIncarnationContactMillis = lastContactMillis();
         lease.reset(newId);
         registryProgress = new ReplicationProgress();
-        lastAnsweredSendMillis = LeaseManager.NEVER;
+        lastAcknowledgedSendMillis = LeaseManager.NEVER_MILLIS;
         recordNumber = -1;
-        clearedRecords.clear();
+        acknowledgedMoves.clear();
     }
 
     /**
      * Takes over whose message came, and what it answers.
      *
-     * @param answersThis it answers a message of this incarnation of this process
+     * @param acknowledgesThisIncarnation it answers a message of this incarnation of this process
      */
-    public void onHeader(PeerMessage.Header header, boolean answersThis) {
+    public void onHeader(PeerMessage.Header header, boolean acknowledgesThisIncarnation) {
         zoneName = header.zoneName();
         clockMillis = header.clockMillis();
-        if (answersThis) {
-            lastAnsweredSendMillis = Math.max(lastAnsweredSendMillis, header.echoClockMillis());
+        if (acknowledgesThisIncarnation) {
+            lastAcknowledgedSendMillis =
+                    Math.max(lastAcknowledgedSendMillis, header.echoClockMillis());
         }
     }
 
@@ -167,12 +168,15 @@
     }
 
     /** Takes over what its data planes have and see. */
-    public void onDataPlanes(PeerMessage.DataPlaneReport report) {
-        clearedRecords.clear();
-        clearedRecords.putAll(report.clearedRecords());
+    public void onDataPlaneReport(PeerMessage.DataPlaneReport report) {
+        acknowledgedMoves.clear();
+        acknowledgedMoves.putAll(report.acknowledgedMoves());
         observations.clear();
-        report.observations().forEach(one -> observations.put(one.service(), one.observation()));
-        dataPlanes = report.count();
+        report.observations()
+                .forEach(
+                        observation ->
+                                observations.put(observation.service(), observation.observation()));
+        dataPlaneCount = report.count();
     }
 
     // ---- what was sent
@@ -180,7 +184,7 @@
     /** A new connection: what was sent on the one before may be lost. */
     void onConnected(long heartbeatsFromMillis) {
         heartbeatsForwardedMillis = heartbeatsFromMillis;
-        addressesSent = "";
+        sentAddresses = "";
     }
 
     public long heartbeatsForwardedMillis() {
@@ -192,9 +196,9 @@
     }
 
     /** Remembers what addresses it is told; whether they are others than before. */
-    public boolean addressesChanged(String addresses) {
-        boolean changed = !addresses.equals(addressesSent);
-        addressesSent = addresses;
+    public boolean updateSentAddresses(String addresses) {
+        boolean changed = !addresses.equals(sentAddresses);
+        sentAddresses = addresses;
         return changed;
     }
 }
--- a/src/main/java/dillfront/controlplane/peer/PeerTable.java
+++ b/src/main/java/dillfront/controlplane/peer/PeerTable.java
@@ -13,7 +13,7 @@
     private static final int MAX_PEERS = 32;
 
     /** A peer that is no member and was silent for so long may be dropped for another. */
-    private static final long FORGET_AFTER_MS = 60_000;
+    private static final long EVICTION_AGE_MS = 60_000;
 
     private final Environment environment;
     private final NodeSettings settings;
@@ -48,7 +48,7 @@
             return;
         }
         if (peers.size() >= MAX_PEERS) {
-            peers.values().removeIf(this::isForgettable);
+            peers.values().removeIf(this::isEvictable);
         }
         if (peers.size() < MAX_PEERS) {
             peers.put(ip, create(ip));
@@ -67,9 +67,10 @@
         return peer;
     }
 
-    private boolean isForgettable(PeerState peer) {
-        long silentSince = Math.max(peer.lastContactMillis(), startedMillis);
-        return !isMember.test(peer.id()) && environment.nowMillis() - silentSince > FORGET_AFTER_MS;
+    private boolean isEvictable(PeerState peer) {
+        long lastContactMillis = Math.max(peer.lastContactMillis(), startedMillis);
+        return !isMember.test(peer.id())
+                && environment.nowMillis() - lastContactMillis > EVICTION_AGE_MS;
     }
 
     /** All peers, by their addresses. */
--- a/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
+++ b/src/main/java/dillfront/controlplane/primary/PrimaryRecords.java
@@ -93,22 +93,22 @@
         return true;
     }
 
-    private boolean replaces(PrimaryRecord record, PrimaryRecord present) {
-        return present == null
-                || present.number() < record.number()
-                || present.number() > record.number()
+    private boolean replaces(PrimaryRecord record, PrimaryRecord stored) {
+        return stored == null
+                || stored.number() < record.number()
+                || stored.number() > record.number()
                         && context.isDisabled(SafetyRule.RECORDS_FORWARD);
     }
 
     /** What is said of the records to a peer that said it has them up to this number. */
     public RecordsMessage messageTo(long peerNumber) {
-        List<PrimaryRecord> lacking = new ArrayList<>();
+        List<PrimaryRecord> missing = new ArrayList<>();
         for (PrimaryRecord record : records.values()) {
             if (record.number() > peerNumber) {
-                lacking.add(record);
+                missing.add(record);
             }
         }
-        return new RecordsMessage(durableNumber, lacking, lacking.isEmpty() ? -1 : peerNumber);
+        return new RecordsMessage(durableNumber, missing, missing.isEmpty() ? -1 : peerNumber);
     }
 
     /** Takes a peer's message; whether anything was newer. */
@@ -134,7 +134,7 @@
      *
      * @param answeredSince whether the peer said its number since the lease began
      */
-    public boolean covers(boolean answeredSince, long peerNumber) {
+    public boolean hasAllRecordsOf(boolean answeredSince, long peerNumber) {
         return answeredSince && peerNumber <= newestNumber
                 || context.isDisabled(SafetyRule.RECORDS_OF_MAJORITY);
     }
--- a/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
+++ b/src/main/java/dillfront/controlplane/registry/DatabaseServer.java
@@ -6,7 +6,7 @@
 /** One database server, as its heartbeats tell of it. Changed by {@link ServerRegistry} alone. */
 public final class DatabaseServer {
 
-    private static final int STORED_PARTS = 6;
+    private static final int STORED_FIELDS = 6;
     private static final long UNKNOWN = -1;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -23,7 +23,7 @@
     private long lastContactMillis;
     private long lastDirectHeartbeatMillis = NEVER;
     private long leavingSinceMillis = UNKNOWN;
-    private long changeNumber;
+    private long lastChangeVersion;
 
     DatabaseServer(String id, String service) {
         this.id = id;
@@ -74,8 +74,8 @@
     }
 
     /** The version of the registry in which it was last changed. */
-    public long changeNumber() {
-        return changeNumber;
+    public long lastChangeVersion() {
+        return lastChangeVersion;
     }
 
     /** It is gone, and its log with it. */
@@ -95,7 +95,7 @@
 
     /** It reported that it accepts writes. */
     public boolean isPrimary() {
-        return role.equals(ServerRow.PRIMARY);
+        return role.equals(ServerRow.PRIMARY_ROLE);
     }
 
     /** The row of a message. */
@@ -112,21 +112,21 @@
 
     /** Another control process received this call of it. */
     public void onForwardedHeartbeat(long contactMillis, long sequence) {
-        contactAt(contactMillis);
+        recordContact(contactMillis);
         callSequence = Math.max(callSequence, sequence);
     }
 
-    void contactAt(long millis) {
+    void recordContact(long millis) {
         lastContactMillis = Math.max(lastContactMillis, millis);
     }
 
     /** It was on the disk when this process started: its silence counts from then. */
-    void restoredAt(long millis) {
+    void resetContact(long millis) {
         lastContactMillis = millis;
     }
 
-    void changeNumber(long number) {
-        changeNumber = number;
+    void lastChangeVersion(long version) {
+        lastChangeVersion = version;
     }
 
     void state(ServerState next) {
@@ -142,13 +142,13 @@
     }
 
     /** Only the leave call of it was received: nothing else is known. */
-    void knownByLeaveAlone() {
+    void completePlaceholder() {
         address = "";
         zoneName = "";
     }
 
     /** What was heard of its end before its first heartbeat stands. */
-    void takeOverEnd(DatabaseServer placeholder) {
+    void copyShutdownState(DatabaseServer placeholder) {
         state = placeholder.state;
         leavingSinceMillis = placeholder.leavingSinceMillis;
     }
@@ -160,19 +160,19 @@
      * @return whether anything changed that others must know
      */
     boolean merge(ServerRow row, boolean acceptsOlderState) {
-        boolean changes = false;
+        boolean changed = false;
         if (row.callSequence() >= callSequence || address == null) {
             callSequence = Math.max(callSequence, row.callSequence());
-            changes = !row.address().equals(address) || !row.role().equals(role);
+            changed = !row.address().equals(address) || !row.role().equals(role);
             address = row.address();
             zoneName = row.zoneName();
             role = row.role();
         }
         if (row.state().isAfter(state) || acceptsOlderState && row.state() != state) {
             state = row.state();
-            changes = true;
+            changed = true;
         }
-        return changes;
+        return changed;
     }
 
     // ---- the form on disk
@@ -194,16 +194,16 @@
      * @return null where the text is no server
      */
     static DatabaseServer decode(String id, String text) {
-        String[] part = text.split("\n", -1);
-        if (part.length != STORED_PARTS) {
+        String[] fields = text.split("\n", -1);
+        if (fields.length != STORED_FIELDS) {
             return null;
         }
-        DatabaseServer server = new DatabaseServer(id, part[0]);
-        server.address = part[1];
-        server.zoneName = part[2];
-        server.state = ServerState.parse(part[3]);
-        server.role = part[4];
-        server.callSequence = Long.parseLong(part[5]);
+        DatabaseServer server = new DatabaseServer(id, fields[0]);
+        server.address = fields[1];
+        server.zoneName = fields[2];
+        server.state = ServerState.parse(fields[3]);
+        server.role = fields[4];
+        server.callSequence = Long.parseLong(fields[5]);
         return server;
     }
 }
--- a/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
+++ b/src/main/java/dillfront/controlplane/registry/RegistryReplication.java
@@ -14,7 +14,7 @@
  */
 public final class RegistryReplication {
 
-    private record KnownVersion(ReplicationProgress progress, long version) {}
+    private record PendingVersion(ReplicationProgress progress, long version) {}
 
     private final ReplicatedRegister.Context context;
     private final ServerRegistry registry;
@@ -32,8 +32,8 @@
     }
 
     /** Takes over what the disk held, at the start. */
-    public void restore(Map<String, String> texts, long nowMillis) {
-        registry.restore(texts, nowMillis);
+    public void restore(Map<String, String> entries, long nowMillis) {
+        registry.restore(entries, nowMillis);
         durableVersion = registry.version();
     }
 
@@ -64,23 +64,23 @@
         }
         persisting = true;
         long version = registry.version();
-        List<KnownVersion> known = new ArrayList<>();
-        peers.forEach(peer -> known.add(new KnownVersion(peer, peer.knownVersion)));
+        List<PendingVersion> pendingVersions = new ArrayList<>();
+        peers.forEach(peer -> pendingVersions.add(new PendingVersion(peer, peer.knownVersion)));
         context.persist(registry.encodeSince(durableVersion))
                 .whenComplete(
-                        (done, fault) -> {
+                        (done, failure) -> {
                             persisting = false;
-                            if (fault == null) {
+                            if (failure == null) {
                                 durableVersion = version;
-                                known.forEach(RegistryReplication::becameDurable);
+                                pendingVersions.forEach(RegistryReplication::markDurable);
                                 onDurable.run();
                             }
                         });
     }
 
-    private static void becameDurable(KnownVersion known) {
-        ReplicationProgress progress = known.progress();
-        progress.knownDurableVersion = Math.max(progress.knownDurableVersion, known.version());
+    private static void markDurable(PendingVersion pending) {
+        ReplicationProgress progress = pending.progress();
+        progress.knownDurableVersion = Math.max(progress.knownDurableVersion, pending.version());
     }
 
     /** What is said of the table to that peer. */
@@ -101,9 +101,9 @@
      */
     public boolean receive(
             RegistryMessage message, ReplicationProgress peer, boolean ofThisIncarnation) {
-        boolean counts = ofThisIncarnation || context.isDisabled(SafetyRule.ROWS_OF_THIS_LIFE);
-        peer.peerVersion = counts ? message.knownVersion() : 0;
-        peer.peerDurableVersion = counts ? message.knownDurableVersion() : 0;
+        boolean isCurrent = ofThisIncarnation || context.isDisabled(SafetyRule.ROWS_OF_THIS_LIFE);
+        peer.peerVersion = isCurrent ? message.knownVersion() : 0;
+        peer.peerDurableVersion = isCurrent ? message.knownDurableVersion() : 0;
         boolean changed = false;
         for (ServerRow row : message.rows()) {
             changed |= registry.merge(row, 0);
--- a/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
+++ b/src/main/java/dillfront/controlplane/registry/ServerRegistry.java
@@ -24,7 +24,7 @@
             new TreeMap<>();
 
     /** By the change that made them what they are. */
-    private final TreeMap<Long, DatabaseServer> byChange = new TreeMap<>();
+    private final TreeMap<Long, DatabaseServer> serversByChange = new TreeMap<>();
 
     /** Rows that were dropped and still stand on the disk. */
     private final TreeSet<String> evicted = new TreeSet<>();
@@ -65,13 +65,13 @@
 
     /** The servers of this service that have not left, by their ids. */
     public List<DatabaseServer> serversOf(String service) {
-        List<DatabaseServer> present = new ArrayList<>();
+        List<DatabaseServer> presentServers = new ArrayList<>();
         for (DatabaseServer server : allOf(service).values()) {
             if (!server.hasLeft()) {
-                present.add(server);
+                presentServers.add(server);
             }
         }
-        return present;
+        return presentServers;
     }
 
     private Map<String, DatabaseServer> allOf(String service) {
@@ -87,7 +87,7 @@
     /** The rows that changed after this version. */
     public List<ServerRow> rowsSince(long since) {
         List<ServerRow> rows = new ArrayList<>();
-        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
+        for (DatabaseServer server : serversByChange.tailMap(since, false).values()) {
             rows.add(server.toRow());
         }
         return rows;
@@ -106,12 +106,12 @@
             DatabaseServer placeholder = server;
             server = new DatabaseServer(row.id(), row.service());
             if (placeholder != null) {
-                server.takeOverEnd(placeholder);
-                byChange.remove(placeholder.changeNumber());
+                server.copyShutdownState(placeholder);
+                serversByChange.remove(placeholder.lastChangeVersion());
             }
             add(server);
         }
-        server.contactAt(contactMillis);
+        server.recordContact(contactMillis);
         if (server.merge(row, acceptsOlderRows) || isNew) {
             recordChange(server);
             return true;
@@ -146,7 +146,7 @@
         DatabaseServer server = servers.get(id);
         if (server == null) {
             server = new DatabaseServer(id, "");
-            server.knownByLeaveAlone();
+            server.completePlaceholder();
             add(server);
         }
         if (server.state() == ServerState.DRAINING) {
@@ -187,9 +187,9 @@
     }
 
     private void recordChange(DatabaseServer server) {
-        byChange.remove(server.changeNumber());
-        server.changeNumber(++version);
-        byChange.put(server.changeNumber(), server);
+        serversByChange.remove(server.lastChangeVersion());
+        server.lastChangeVersion(++version);
+        serversByChange.put(server.lastChangeVersion(), server);
         if (server.isLeaving()) {
             leaving.add(server.id());
         } else {
@@ -214,7 +214,8 @@
         DatabaseServer oldest = null;
         for (DatabaseServer server : servers.values()) {
             if ((server.hasLeft() || server.service().isEmpty())
-                    && (oldest == null || server.changeNumber() < oldest.changeNumber())) {
+                    && (oldest == null
+                            || server.lastChangeVersion() < oldest.lastChangeVersion())) {
                 oldest = server;
             }
         }
@@ -224,7 +225,7 @@
         servers.remove(oldest.id());
         evicted.add(oldest.id());
         leaving.remove(oldest.id());
-        byChange.remove(oldest.changeNumber());
+        serversByChange.remove(oldest.lastChangeVersion());
         TreeMap<String, DatabaseServer> ofService = serversByService.get(oldest.service());
         if (ofService != null) {
             ofService.remove(oldest.id());
@@ -237,16 +238,16 @@
     // ---- the form on disk
 
     /** Takes over what the disk held, at the start. */
-    public void restore(Map<String, String> texts, long nowMillis) {
-        texts.forEach(
-                (name, text) -> {
-                    if (!name.startsWith(STORAGE_PREFIX)) {
+    public void restore(Map<String, String> entries, long nowMillis) {
+        entries.forEach(
+                (key, encoded) -> {
+                    if (!key.startsWith(STORAGE_PREFIX)) {
                         return;
                     }
                     DatabaseServer server =
-                            DatabaseServer.decode(name.substring(STORAGE_PREFIX.length()), text);
+                            DatabaseServer.decode(key.substring(STORAGE_PREFIX.length()), encoded);
                     if (server != null) {
-                        server.restoredAt(nowMillis);
+                        server.resetContact(nowMillis);
                         add(server);
                         recordChange(server);
                     }
@@ -255,12 +256,12 @@
 
     /** What changed after this version, as it goes to the disk; a dropped row is an empty text. */
     Map<String, String> encodeSince(long since) {
-        Map<String, String> texts = new TreeMap<>();
-        for (DatabaseServer server : byChange.tailMap(since, false).values()) {
-            texts.put(STORAGE_PREFIX + server.id(), server.encode());
+        Map<String, String> entries = new TreeMap<>();
+        for (DatabaseServer server : serversByChange.tailMap(since, false).values()) {
+            entries.put(STORAGE_PREFIX + server.id(), server.encode());
         }
-        evicted.forEach(id -> texts.putIfAbsent(STORAGE_PREFIX + id, ""));
+        evicted.forEach(id -> entries.putIfAbsent(STORAGE_PREFIX + id, ""));
         evicted.clear();
-        return texts;
+        return entries;
     }
 }
--- a/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/RetryingStateStore.java
@@ -16,7 +16,7 @@
  */
 public final class RetryingStateStore implements StateStore {
 
-    private static final long RETRY_MS = 100;
+    private static final long MIN_RETRY_MS = 100;
     private static final long MAX_RETRY_MS = 2_000;
     private static final int MAX_DOUBLINGS = 10;
 
@@ -24,12 +24,12 @@
      * So many may wait for the disk; the texts of one that is refused beyond that are written all
      * the same.
      */
-    private static final int MAX_QUEUED = 10_000;
+    private static final int MAX_WAITING_PUTS = 10_000;
 
     private record PendingWrite(long sinceMillis, CompletableFuture<Void> done) {}
 
     private final Environment environment;
-    private final StateStore disk;
+    private final StateStore delegate;
 
     /** Texts that the disk was not given yet, or refused. */
     private TreeMap<String, String> pending = new TreeMap<>();
@@ -50,17 +50,17 @@
     private Environment.Timer retryTimer;
 
     /**
-     * @param disk where the texts go in the end
+     * @param delegate where the texts go in the end
      */
-    public RetryingStateStore(Environment environment, StateStore disk) {
+    public RetryingStateStore(Environment environment, StateStore delegate) {
         this.environment = environment;
-        this.disk = disk;
-        durable = new HashMap<>(disk.initialState());
+        this.delegate = delegate;
+        durable = new HashMap<>(delegate.initialState());
     }
 
     @Override
     public Map<String, String> initialState() {
-        return disk.initialState();
+        return delegate.initialState();
     }
 
     /**
@@ -70,23 +70,23 @@
      * wait.
      */
     @Override
-    public CompletableFuture<Void> put(Map<String, String> texts) {
+    public CompletableFuture<Void> put(Map<String, String> entries) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        for (Map.Entry<String, String> text : texts.entrySet()) {
-            int length = Math.max(text.getKey().length(), text.getValue().length());
-            if (length > MAX_TEXT_LENGTH) {
+        for (Map.Entry<String, String> entry : entries.entrySet()) {
+            int length = Math.max(entry.getKey().length(), entry.getValue().length());
+            if (length > MAX_LENGTH_CHARS) {
                 // The disk will never take it, and what comes later is not to wait for that.
                 done.completeExceptionally(
                         new IllegalArgumentException(
                                 "a text of "
-                                        + text.getValue().length()
+                                        + entry.getValue().length()
                                         + " letters under "
-                                        + text.getKey()));
+                                        + entry.getKey()));
                 return done;
             }
         }
-        pending.putAll(texts);
-        if (queued.size() + inFlight.size() >= MAX_QUEUED) {
+        pending.putAll(entries);
+        if (queued.size() + inFlight.size() >= MAX_WAITING_PUTS) {
             done.completeExceptionally(new IllegalStateException("too many wait for the disk"));
         } else {
             queued.add(new PendingWrite(environment.nowMillis(), done));
@@ -105,7 +105,7 @@
         if (writing || pending.isEmpty() && queued.isEmpty()) {
             return;
         }
-        long retryInMillis = failedAtMillis + RETRY_MS - environment.nowMillis();
+        long retryInMillis = failedAtMillis + MIN_RETRY_MS - environment.nowMillis();
         if (failures > 0 && retryInMillis > 0) {
             retryAfter(retryInMillis);
             return;
@@ -116,13 +116,13 @@
         queued = new ArrayList<>();
         TreeMap<String, String> batch = pending;
         pending = new TreeMap<>();
-        batch.entrySet().removeIf(text -> text.getValue().equals(durable.get(text.getKey())));
+        batch.entrySet().removeIf(entry -> entry.getValue().equals(durable.get(entry.getKey())));
         CompletableFuture<Void> written =
-                batch.isEmpty() ? CompletableFuture.completedFuture(null) : disk.put(batch);
+                batch.isEmpty() ? CompletableFuture.completedFuture(null) : delegate.put(batch);
         written.whenComplete(
-                (done, fault) -> {
+                (done, failure) -> {
                     writing = false;
-                    if (fault == null) {
+                    if (failure == null) {
                         onWritten(batch);
                     } else {
                         onFailure(batch);
@@ -133,11 +133,11 @@
     private void onWritten(Map<String, String> batch) {
         failures = 0;
         batch.forEach(
-                (name, text) -> {
-                    if (text.isEmpty()) {
-                        durable.remove(name);
+                (key, value) -> {
+                    if (value.isEmpty()) {
+                        durable.remove(key);
                     } else {
-                        durable.put(name, text);
+                        durable.put(key, value);
                     }
                 });
         List<PendingWrite> completed = inFlight;
@@ -156,7 +156,7 @@
         failedAtMillis = environment.nowMillis();
         failures++;
         int doublings = Math.min(failures - 1, MAX_DOUBLINGS);
-        retryAfter(Math.min(MAX_RETRY_MS, RETRY_MS << doublings));
+        retryAfter(Math.min(MAX_RETRY_MS, MIN_RETRY_MS << doublings));
     }
 
     /** Sets the next attempt, in place of any that was set. */
--- a/src/main/java/dillfront/controlplane/storage/StateStore.java
+++ b/src/main/java/dillfront/controlplane/storage/StateStore.java
@@ -10,7 +10,7 @@
      * A text has at most so many letters; a disk may hold it in two bytes of length, with up to
      * three a letter.
      */
-    int MAX_TEXT_LENGTH = 0xffff / 3;
+    int MAX_LENGTH_CHARS = 0xffff / 3;
 
     /** What was there at the start. */
     Map<String, String> initialState();
@@ -19,7 +19,7 @@
      * Completes on the loop once all of it is on the disk, in the order of the calls; fails where
      * it is not.
      */
-    CompletableFuture<Void> put(Map<String, String> texts);
+    CompletableFuture<Void> put(Map<String, String> entries);
 
     /** For how long what was given to the disk has been waiting for it, in milliseconds. */
     default long stalledMillis() {
--- a/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
+++ b/src/main/java/dillfront/controlplane/subscription/ConfigurationHistory.java
@@ -13,19 +13,19 @@
  */
 final class ConfigurationHistory {
 
-    private static final int MAX_STEPS = 64;
-    private static final int MAX_DELTA_BYTES = 1 << 19;
-    private static final byte[] NONE = new byte[0];
+    private static final int MAX_PREVIOUS_CONFIGURATIONS = 64;
+    private static final int MAX_TOTAL_DELTA_BYTES = 1 << 19;
+    private static final byte[] NO_DELTA = new byte[0];
 
     /**
      * A configuration that was the newest.
      *
      * @param reverseDelta what turns its successor into it
      */
-    private record Step(long revision, long digest, byte[] reverseDelta) {}
+    private record PreviousConfiguration(long revision, long digest, byte[] reverseDelta) {}
 
     /** The newest step first. */
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
+    private final ArrayDeque<PreviousConfiguration> previous = new ArrayDeque<>();
 
     private int deltaBytes;
     private Configuration newest = Configuration.NONE;
@@ -33,7 +33,7 @@
     /** The newest configuration, compressed; null until it is asked for. */
     private byte[] compressed;
 
-    /** By revision, the delta to the newest; {@link #NONE} where the whole is no longer. */
+    /** By revision, the delta to the newest; {@link #NO_DELTA} where the whole is no longer. */
     private final TreeMap<Long, byte[]> deltas = new TreeMap<>();
 
     /** This configuration is decided; one that is not newer changes nothing. */
@@ -43,10 +43,12 @@
         }
         if (newest != Configuration.NONE) {
             byte[] reverseDelta = BinaryDelta.create(decided.body(), newest.body());
-            steps.addFirst(new Step(newest.revision(), newest.digest(), reverseDelta));
+            previous.addFirst(
+                    new PreviousConfiguration(newest.revision(), newest.digest(), reverseDelta));
             deltaBytes += reverseDelta.length;
-            while (steps.size() > MAX_STEPS || deltaBytes > MAX_DELTA_BYTES) {
-                deltaBytes -= steps.removeLast().reverseDelta().length;
+            while (previous.size() > MAX_PREVIOUS_CONFIGURATIONS
+                    || deltaBytes > MAX_TOTAL_DELTA_BYTES) {
+                deltaBytes -= previous.removeLast().reverseDelta().length;
             }
         }
         newest = decided;
@@ -75,18 +77,20 @@
         if (revision >= newest.revision()) {
             return null;
         }
-        Step step = newestStepUpTo(revision);
-        if (step == null || step.revision() != revision || step.digest() != digest) {
+        PreviousConfiguration configuration = newestUpTo(revision);
+        if (configuration == null
+                || configuration.revision() != revision
+                || configuration.digest() != digest) {
             return null;
         }
         byte[] delta = deltas.computeIfAbsent(revision, this::buildDelta);
         return delta.length == 0 ? null : delta;
     }
 
-    private Step newestStepUpTo(long revision) {
-        for (Step step : steps) {
-            if (step.revision() <= revision) {
-                return step;
+    private PreviousConfiguration newestUpTo(long revision) {
+        for (PreviousConfiguration configuration : previous) {
+            if (configuration.revision() <= revision) {
+                return configuration;
             }
         }
         return null;
@@ -95,16 +99,16 @@
     private byte[] buildDelta(long revision) {
         byte[] body = newest.body();
         try {
-            for (Step step : steps) {
-                body = BinaryDelta.apply(body, step.reverseDelta());
-                if (step.revision() == revision) {
+            for (PreviousConfiguration configuration : previous) {
+                body = BinaryDelta.apply(body, configuration.reverseDelta());
+                if (configuration.revision() == revision) {
                     break;
                 }
             }
-        } catch (BinaryDelta.InvalidDeltaException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (BinaryDelta.InvalidDeltaException exception) {
+            throw new IllegalStateException(exception);
         }
         byte[] delta = BinaryDelta.create(body, newest.body());
-        return delta.length < compressed().length ? delta : NONE;
+        return delta.length < compressed().length ? delta : NO_DELTA;
     }
 }
--- a/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
+++ b/src/main/java/dillfront/controlplane/subscription/DataPlaneSubscriptions.java
@@ -36,7 +36,7 @@
         List<ControlAddress> controlAddresses();
 
         /** For how long it is certain that no server leads other than the records say. */
-        long certainMillis();
+        long primaryCertaintyMillis();
 
         /** How many data planes share the connection limits. */
         int dataPlaneCount();
@@ -50,7 +50,7 @@
     /** A data plane that has not polled for so long is not counted, nor is what it saw. */
     private static final long ACTIVE_MS = 1_500;
 
-    private static final long FORGET_AFTER_MS = 60_000;
+    private static final long EXPIRY_MS = 60_000;
     private static final int MAX_SUBSCRIPTIONS = 6_000;
     private static final int MAX_OPEN_TRANSACTIONS = 1 << 20;
 
@@ -69,15 +69,16 @@
     /** Takes a request that came on this connection. */
     public void onRequest(Environment.Connection connection, SubscriptionRequest request) {
         String name = request.nodeName();
-        boolean fits = subscriptions.size() < MAX_SUBSCRIPTIONS || subscriptions.containsKey(name);
-        if (name.isEmpty() || !fits) {
+        boolean hasCapacity =
+                subscriptions.size() < MAX_SUBSCRIPTIONS || subscriptions.containsKey(name);
+        if (name.isEmpty() || !hasCapacity) {
             return;
         }
         Subscription subscription = subscriptions.computeIfAbsent(name, node -> new Subscription());
-        long formerRecord =
+        long previousRecord =
                 subscription.request() == null ? -1 : subscription.request().recordNumber();
         subscription.onRequest(request, connection, state.nowMillis());
-        boolean relevant = takeObservations(subscription, formerRecord);
+        boolean relevant = applyObservations(subscription, previousRecord);
         if (!respondIfBehind(subscription)) {
             long id = request.requestId();
             state.environment()
@@ -98,12 +99,12 @@
      * Takes over what the data plane sees of primaries; peers are told at once where a lease holder
      * may wait for just that.
      *
-     * @param formerRecord the newest record that the data plane had before
+     * @param previousRecord the newest record that the data plane had before
      * @return whether a failover may wait for it
      */
-    private boolean takeObservations(Subscription subscription, long formerRecord) {
+    private boolean applyObservations(Subscription subscription, long previousRecord) {
         SubscriptionRequest request = subscription.request();
-        Map<String, PrimaryObservation> former = new HashMap<>(subscription.observations());
+        Map<String, PrimaryObservation> previous = new HashMap<>(subscription.observations());
         int unreachableBefore = subscription.unreachablePrimaries();
         subscription.observations().clear();
         boolean relevant = false;
@@ -113,20 +114,20 @@
         for (PrimaryView view : request.primaries()) {
             String service = view.service();
             state.acknowledgedCommits().merge(service, view.acknowledged());
-            PrimaryObservation seen = observation(view);
-            subscription.observations().put(service, seen);
-            unreachableNow += seen.unreachable();
+            PrimaryObservation observed = observation(view);
+            subscription.observations().put(service, observed);
+            unreachableNow += observed.unreachable();
             PrimaryRecord record = state.records().get(service);
             boolean moving = record != null && record.moving();
             relevant |=
-                    seen.unreachable() > 0
+                    observed.unreachable() > 0
                             || record == null
                             || moving
                             || suspects.contains(service);
             awaited |=
                     moving
-                            && (learnedOf(record, formerRecord, request)
-                                    || drained(former.get(service), seen));
+                            && (receivedRecord(record, previousRecord, request)
+                                    || hasDrained(previous.get(service), observed));
         }
         if (unreachableBefore != unreachableNow || awaited) {
             state.peerUpdates().request();
@@ -134,13 +135,15 @@
         return relevant;
     }
 
-    private static boolean learnedOf(
-            PrimaryRecord record, long formerRecord, SubscriptionRequest request) {
-        return formerRecord < record.number() && request.recordNumber() >= record.number();
+    private static boolean receivedRecord(
+            PrimaryRecord record, long previousRecord, SubscriptionRequest request) {
+        return previousRecord < record.number() && request.recordNumber() >= record.number();
     }
 
-    private static boolean drained(PrimaryObservation former, PrimaryObservation seen) {
-        return former != null && former.openTransactions() > 0 && seen.openTransactions() == 0;
+    private static boolean hasDrained(PrimaryObservation previous, PrimaryObservation observed) {
+        return previous != null
+                && previous.openTransactions() > 0
+                && observed.openTransactions() == 0;
     }
 
     private static PrimaryObservation observation(PrimaryView view) {
@@ -179,15 +182,16 @@
         return behind;
     }
 
-    private boolean isBehind(SubscriptionRequest has) {
+    private boolean isBehind(SubscriptionRequest request) {
         boolean suspectsChanged =
-                has.suspectsVersion() != state.suspects().version()
-                        && (has.suspectsVersion() >= 0 || !state.suspects().services().isEmpty());
-        return !has.incarnation().equals(source.incarnation())
-                || has.registryVersion() < state.registry().version()
-                || has.configurationRevision()
+                request.suspectsVersion() != state.suspects().version()
+                        && (request.suspectsVersion() >= 0
+                                || !state.suspects().services().isEmpty());
+        return !request.incarnation().equals(source.incarnation())
+                || request.registryVersion() < state.registry().version()
+                || request.configurationRevision()
                         < state.register().committedConfiguration().revision()
-                || has.recordNumber() < state.records().newestNumber()
+                || request.recordNumber() < state.records().newestNumber()
                 || suspectsChanged;
     }
 
@@ -196,68 +200,69 @@
     }
 
     private SubscriptionResponse response(Subscription subscription) {
-        SubscriptionRequest has = subscription.request();
+        SubscriptionRequest request = subscription.request();
         if (state.cluster().isIsolated()) {
             // What this process has may be old by now: another is to be asked, of those it knows.
-            return SubscriptionResponse.isolated(has.requestId(), source.controlAddresses());
+            return SubscriptionResponse.isolated(request.requestId(), source.controlAddresses());
         }
-        RegistryUpdate registry = registryUpdate(has);
+        RegistryUpdate registry = registryUpdate(request);
         ConfigurationUpdate configuration = configurationUpdate(subscription);
         List<PrimaryRecord> records = new ArrayList<>();
         for (PrimaryRecord record : state.records().all()) {
-            if (has.recordNumber() < record.number()) {
+            if (request.recordNumber() < record.number()) {
                 records.add(record);
             }
         }
         SuspectsUpdate suspects =
-                has.suspectsVersion() == state.suspects().version()
+                request.suspectsVersion() == state.suspects().version()
                         ? null
                         : new SuspectsUpdate(
                                 state.suspects().version(), state.suspects().services());
-        long certain = source.certainMillis();
-        if (certain > 0) {
+        long certaintyMillis = source.primaryCertaintyMillis();
+        if (certaintyMillis > 0) {
             // For the data plane it counts from its request, which was before now.
-            subscription.certainUntil(state.nowMillis() + certain);
+            subscription.extendCertainty(state.nowMillis() + certaintyMillis);
         }
         List<ControlAddress> addresses = source.controlAddresses();
         return new SubscriptionResponse(
-                has.requestId(),
+                request.requestId(),
                 false,
                 registry,
                 configuration,
                 records,
                 suspects,
                 source.dataPlaneCount(),
-                Math.max(0, certain),
-                subscription.addressesChanged(addresses) ? addresses : null);
+                Math.max(0, certaintyMillis),
+                subscription.updateSentAddresses(addresses) ? addresses : null);
     }
 
     /** Null where the data plane has all. */
-    private RegistryUpdate registryUpdate(SubscriptionRequest has) {
-        boolean complete = !has.incarnation().equals(source.incarnation());
-        if (!complete && has.registryVersion() >= state.registry().version()) {
+    private RegistryUpdate registryUpdate(SubscriptionRequest request) {
+        boolean complete = !request.incarnation().equals(source.incarnation());
+        if (!complete && request.registryVersion() >= state.registry().version()) {
             return null;
         }
         return new RegistryUpdate(
                 source.incarnation(),
                 state.registry().version(),
                 complete,
-                state.registry().rowsSince(complete ? -1 : has.registryVersion()));
+                state.registry().rowsSince(complete ? -1 : request.registryVersion()));
     }
 
     /** Null where the data plane has the newest. */
     private ConfigurationUpdate configurationUpdate(Subscription subscription) {
-        SubscriptionRequest has = subscription.request();
+        SubscriptionRequest request = subscription.request();
         configurations.append(state.register().committedConfiguration());
         Configuration newest = configurations.newest();
-        if (has.configurationRevision() >= newest.revision()) {
+        if (request.configurationRevision() >= newest.revision()) {
             return null;
         }
         byte[] delta =
-                has.fullConfiguration()
+                request.fullConfiguration()
                         ? null
                         : configurations.deltaFrom(
-                                has.configurationRevision(), subscription.configurationDigest());
+                                request.configurationRevision(),
+                                subscription.configurationDigest());
         return new ConfigurationUpdate(
                 newest.revision(), delta, delta == null ? configurations.compressed() : null);
     }
@@ -268,7 +273,7 @@
     public boolean allHaveRecord(long recordNumber) {
         long now = state.nowMillis();
         for (Subscription subscription : subscriptions.values()) {
-            if (subscription.mayContradict(recordNumber, now)) {
+            if (subscription.mayRelyOnOlderRecord(recordNumber, now)) {
                 return false;
             }
         }
@@ -279,9 +284,9 @@
     public PrimaryObservation observation(String service, String primary) {
         PrimaryObservation all = PrimaryObservation.none(primary);
         for (Subscription subscription : subscriptions.values()) {
-            PrimaryObservation seen = subscription.observations().get(service);
-            if (seen != null && seen.primary().equals(primary) && isActive(subscription)) {
-                all = all.merge(seen);
+            PrimaryObservation observed = subscription.observations().get(service);
+            if (observed != null && observed.primary().equals(primary) && isActive(subscription)) {
+                all = all.merge(observed);
             }
         }
         return all;
@@ -294,7 +299,9 @@
     /** How many data planes poll here. */
     public int activeCount() {
         long now = state.nowMillis();
-        subscriptions.values().removeIf(one -> now - one.lastRequestMillis() > FORGET_AFTER_MS);
+        subscriptions
+                .values()
+                .removeIf(subscription -> now - subscription.lastRequestMillis() > EXPIRY_MS);
         int count = 0;
         for (Subscription subscription : subscriptions.values()) {
             count += isActive(subscription) ? 1 : 0;
--- a/src/main/java/dillfront/controlplane/subscription/Subscription.java
+++ b/src/main/java/dillfront/controlplane/subscription/Subscription.java
@@ -23,24 +23,24 @@
     private long configurationDigest;
 
     /** The addresses that it was told on this connection. */
-    private List<ControlAddress> addressesSent = List.of();
+    private List<ControlAddress> sentAddresses = List.of();
 
     /** That no other server leads than the records say, it was told to be certain until then. */
-    private long certainUntilMillis = LeaseManager.NEVER;
+    private long certainUntilMillis = LeaseManager.NEVER_MILLIS;
 
     private final Map<String, PrimaryObservation> observations = new HashMap<>();
 
     /** A request came; it waits to be answered. */
-    void onRequest(SubscriptionRequest next, Environment.Connection from, long nowMillis) {
+    void onRequest(SubscriptionRequest newRequest, Environment.Connection from, long nowMillis) {
         if (connection != from) {
             connection = from;
-            addressesSent = List.of();
+            sentAddresses = List.of();
         }
-        request = next;
+        request = newRequest;
         lastRequestMillis = nowMillis;
         waiting = true;
-        if (next.configurationDigest() != null) {
-            configurationDigest = next.configurationDigest();
+        if (newRequest.configurationDigest() != null) {
+            configurationDigest = newRequest.configurationDigest();
         }
     }
 
@@ -70,19 +70,19 @@
     }
 
     /** Whether these are other addresses than it was told; it is told them now. */
-    boolean addressesChanged(List<ControlAddress> addresses) {
-        boolean changed = !addresses.equals(addressesSent);
-        addressesSent = addresses;
+    boolean updateSentAddresses(List<ControlAddress> addresses) {
+        boolean changed = !addresses.equals(sentAddresses);
+        sentAddresses = addresses;
         return changed;
     }
 
     /** It may take the records that it has for certain until then. */
-    void certainUntil(long millis) {
+    void extendCertainty(long millis) {
         certainUntilMillis = Math.max(certainUntilMillis, millis);
     }
 
     /** Whether it may take another primary than this record's for certain. */
-    boolean mayContradict(long recordNumber, long nowMillis) {
+    boolean mayRelyOnOlderRecord(long recordNumber, long nowMillis) {
         return certainUntilMillis > nowMillis && request.recordNumber() < recordNumber;
     }
 
@@ -94,8 +94,8 @@
 
     int unreachablePrimaries() {
         int count = 0;
-        for (PrimaryObservation seen : observations.values()) {
-            count += seen.unreachable();
+        for (PrimaryObservation observation : observations.values()) {
+            count += observation.unreachable();
         }
         return count;
     }
--- a/src/main/java/dillfront/dataplane/ClientSession.java
+++ b/src/main/java/dillfront/dataplane/ClientSession.java
@@ -17,21 +17,21 @@
 final class ClientSession implements Environment.ConnectionListener {
 
     private static final int MAX_PIPELINED = 32;
-    private static final int MAX_NAMES = 400;
+    private static final int MAX_SESSION_NAMES = 400;
 
     /** Bytes that a client may leave unread. */
     private static final long MAX_UNREAD_BYTES = 4 << 20;
 
     /** A refused client is asked to wait for half of its target latency, and at least so long. */
-    private static final long MIN_COME_BACK_MS = 50;
+    private static final long MIN_RETRY_AFTER_MS = 50;
 
-    private static final char FAILED = 'E';
+    private static final char IN_FAILED_TRANSACTION = 'E';
 
     private final DataPlaneNode node;
     private final Map<String, String> variables = new HashMap<>();
-    private final Map<String, String> prepared = new HashMap<>();
-    private final ArrayDeque<String> pipelined = new ArrayDeque<>();
-    private Environment.Connection client;
+    private final Map<String, String> preparedDefinitions = new HashMap<>();
+    private final ArrayDeque<String> pipelinedLines = new ArrayDeque<>();
+    private Environment.Connection clientConnection;
 
     /** The database that it named in CONNECT; null before. */
     private String database;
@@ -43,24 +43,24 @@
     private Transaction transaction;
 
     /** The transaction failed: its end rolls back. */
-    private boolean failed;
+    private boolean transactionFailed;
 
     /** The statement that runs; null for none. */
-    private StatementExecution running;
+    private StatementExecution runningStatement;
 
     private boolean closed;
 
     // The end of the process.
     private boolean closesWhenIdle;
-    private boolean closesNow;
+    private boolean closesAfterStatement;
 
     /** It came when the process was already about to end: it gets one operation. */
-    private boolean lateComer;
+    private boolean acceptedDuringShutdown;
 
     /** Or none, as that could not end in time any more. */
-    private boolean rejectsAll;
+    private boolean rejectsConnect;
 
-    private boolean hasOperated;
+    private boolean hasRunOperation;
 
     ClientSession(DataPlaneNode node) {
         this.node = node;
@@ -89,15 +89,15 @@
     }
 
     /** Whether this transaction is the one that is open. */
-    boolean isIn(Transaction open) {
-        return transaction == open;
+    boolean isCurrentTransaction(Transaction candidate) {
+        return transaction == candidate;
     }
 
     // ---- what the client sends
 
     @Override
     public void onOpen(Environment.Connection connection) {
-        client = connection;
+        clientConnection = connection;
     }
 
     @Override
@@ -108,11 +108,11 @@
                 return;
             }
         }
-        if (pipelined.size() >= MAX_PIPELINED) {
+        if (pipelinedLines.size() >= MAX_PIPELINED) {
             closeWithError("MALFORMED", "too much at once");
             return;
         }
-        pipelined.add(new String(line, StandardCharsets.ISO_8859_1));
+        pipelinedLines.add(new String(line, StandardCharsets.ISO_8859_1));
         runNext();
     }
 
@@ -122,23 +122,23 @@
     }
 
     private void runNext() {
-        while (!closed && running == null && !pipelined.isEmpty()) {
-            handle(pipelined.poll());
+        while (!closed && runningStatement == null && !pipelinedLines.isEmpty()) {
+            handle(pipelinedLines.poll());
         }
-        if (closed || running != null) {
+        if (closed || runningStatement != null) {
             return;
         }
-        if (closesWhenIdle && transaction == null && (hasOperated || !lateComer)) {
+        if (closesWhenIdle && transaction == null && (hasRunOperation || !acceptedDuringShutdown)) {
             close();
-        } else if (closesNow) {
-            closeNow();
+        } else if (closesAfterStatement) {
+            closeAfterStatement();
         }
     }
 
     private void handle(String line) {
-        int blank = line.indexOf(' ');
-        String command = blank < 0 ? line : line.substring(0, blank);
-        String arguments = blank < 0 ? "" : line.substring(blank + 1);
+        int separator = line.indexOf(' ');
+        String command = separator < 0 ? line : line.substring(0, separator);
+        String arguments = separator < 0 ? "" : line.substring(separator + 1);
         if (command.equals("CONNECT") && database == null) {
             connect(arguments);
         } else if (command.equals("QUERY") && database != null) {
@@ -151,11 +151,11 @@
     }
 
     private void connect(String arguments) {
-        int gap = arguments.indexOf(' ');
-        String name = gap < 0 ? arguments : arguments.substring(0, gap);
-        if (name.isEmpty() || gap < 0) {
+        int separator = arguments.indexOf(' ');
+        String name = separator < 0 ? arguments : arguments.substring(0, separator);
+        if (name.isEmpty() || separator < 0) {
             closeWithError("MALFORMED", "CONNECT database who");
-        } else if (rejectsAll) {
+        } else if (rejectsConnect) {
             closeWithError("BUSY", "the router ends");
         } else if (node.configuration() == Configuration.NONE) {
             closeWithError("BUSY", "no configuration yet");
@@ -168,21 +168,21 @@
     }
 
     private void query(String arguments) {
-        int gap = arguments.indexOf(' ');
-        if (gap < 1 || gap == arguments.length() - 1 || arguments.startsWith("- ")) {
+        int separator = arguments.indexOf(' ');
+        if (separator < 1 || separator == arguments.length() - 1 || arguments.startsWith("- ")) {
             closeWithError("MALFORMED", "QUERY id text");
         } else {
-            query(arguments.substring(0, gap), arguments.substring(gap + 1));
+            query(arguments.substring(0, separator), arguments.substring(separator + 1));
         }
     }
 
     private void query(String id, String text) {
         node.counters.statements++;
         Statement statement = Statement.parse(text);
-        boolean ends =
+        boolean endsTransaction =
                 statement.verb() == Statement.Verb.COMMIT
                         || statement.verb() == Statement.Verb.ROLLBACK;
-        if (failed && !ends) {
+        if (transactionFailed && !endsTransaction) {
             replyError("MALFORMED", "the transaction failed");
             return;
         }
@@ -204,7 +204,7 @@
     // ---- statements that are answered here
 
     private void set(Statement statement) {
-        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_NAMES) {
+        if (!variables.containsKey(statement.name()) && variables.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many values");
         } else {
             variables.put(statement.name(), statement.arguments());
@@ -213,16 +213,16 @@
     }
 
     private void prepare(Statement statement) {
-        if (prepared.size() >= MAX_NAMES) {
+        if (preparedDefinitions.size() >= MAX_SESSION_NAMES) {
             replyError("TOOLARGE", "too many prepared names");
         } else {
-            prepared.put(statement.name(), statement.arguments());
+            preparedDefinitions.put(statement.name(), statement.arguments());
             replyCompleted();
         }
     }
 
     private void deallocate(Statement statement) {
-        if (prepared.remove(statement.name()) == null) {
+        if (preparedDefinitions.remove(statement.name()) == null) {
             replyError("UNKNOWN", statement.name());
         } else {
             replyCompleted();
@@ -242,19 +242,21 @@
         } else {
             boolean readOnly = statement.verb() == Statement.Verb.BEGIN_READ;
             transaction = new Transaction(this, readOnly, id, route);
-            hasOperated = true;
+            hasRunOperation = true;
             replyCompleted();
             startIdleTimeout(transaction);
             transaction.open();
         }
     }
 
-    private void startIdleTimeout(Transaction of) {
-        of.startIdleTimeout(
+    private void startIdleTimeout(Transaction idleTransaction) {
+        idleTransaction.startIdleTimeout(
                 () -> {
-                    if (transaction == of && running == null && !failed) {
-                        failed = true;
-                        of.release(true);
+                    if (transaction == idleTransaction
+                            && runningStatement == null
+                            && !transactionFailed) {
+                        transactionFailed = true;
+                        idleTransaction.release(true);
                     }
                 });
     }
@@ -271,7 +273,7 @@
     private void commit(String id, String text, Statement statement) {
         if (transaction == null) {
             replyError("MALFORMED", "no transaction");
-        } else if (failed) {
+        } else if (transactionFailed) {
             endTransaction();
             send("ERROR ABORTED the transaction failed\r\nREADY I -");
         } else {
@@ -281,21 +283,21 @@
 
     /** The transaction is over for the client: what is open at the server is rolled back. */
     private void endTransaction() {
-        Transaction ended = transaction;
-        failed = false;
-        leaveTransaction();
-        ended.release(true);
+        Transaction endedTransaction = transaction;
+        transactionFailed = false;
+        clearTransaction();
+        endedTransaction.release(true);
     }
 
     /** No transaction is open any more. */
-    void leaveTransaction() {
+    void clearTransaction() {
         transaction.cancelIdleTimeout();
         transaction = null;
     }
 
     /** The transaction has failed; the client's own end of it is still to come. */
     void failTransaction() {
-        failed = true;
+        transactionFailed = true;
     }
 
     // ---- statements that go to a server
@@ -306,20 +308,20 @@
             replyError("NODATABASE", database);
             return;
         }
-        String shape = null;
+        String preparedDefinition = null;
         if (statement.verb() == Statement.Verb.EXECUTE) {
-            shape = prepared.get(statement.name());
-            if (shape == null) {
+            preparedDefinition = preparedDefinitions.get(statement.name());
+            if (preparedDefinition == null) {
                 replyError("UNKNOWN", statement.name());
                 return;
             }
         }
-        run(new StatementExecution(this, id, text, statement, route, shape));
+        run(new StatementExecution(this, id, text, statement, route, preparedDefinition));
     }
 
     private void run(StatementExecution statement) {
-        running = statement;
-        hasOperated = true;
+        runningStatement = statement;
+        hasRunOperation = true;
         statement.startTimeout(() -> onTimeout(statement));
         if (transaction != null) {
             transaction.run(statement);
@@ -337,17 +339,17 @@
             refuse(statement);
             return;
         }
-        ServerConnection on = statement.connection;
+        ServerConnection serverConnection = statement.connection;
         statement.finished = true;
         if (transaction != null) {
-            failed = true;
-            transaction.abandonConnection();
+            transactionFailed = true;
+            transaction.onConnectionAborting();
             if (statement.isCommit()) {
-                leaveTransaction();
-                failed = false;
+                clearTransaction();
+                transactionFailed = false;
             }
         }
-        on.abort("time-out");
+        serverConnection.abort("time-out");
         statement.finished = false;
         fail(statement, "TIMEOUT", "no answer in " + statement.route.timeoutMillis() + " ms");
     }
@@ -355,8 +357,8 @@
     // ---- replies
 
     private char transactionStatus() {
-        if (failed) {
-            return FAILED;
+        if (transactionFailed) {
+            return IN_FAILED_TRANSACTION;
         }
         return transaction != null ? QueryResult.IN_TRANSACTION : QueryResult.IDLE;
     }
@@ -368,29 +370,29 @@
     /** An error of the data plane's own; inside a transaction it fails it. */
     private void replyError(String code, String text) {
         if (transaction != null) {
-            failed = true;
+            transactionFailed = true;
         }
         send("ERROR " + code + " " + text + "\r\nREADY " + transactionStatus() + " -");
     }
 
     private void finish(StatementExecution statement) {
         statement.finish();
-        running = null;
+        runningStatement = null;
     }
 
     /** The statement completed. */
-    void answer(StatementExecution statement, QueryResult result) {
+    void complete(StatementExecution statement, QueryResult result) {
         finish(statement);
         node.counters.completed++;
-        StringBuilder out = new StringBuilder();
-        result.rows().forEach(row -> out.append("ROW ").append(row).append("\r\n"));
-        out.append("COMPLETE ")
+        StringBuilder response = new StringBuilder();
+        result.rows().forEach(row -> response.append("ROW ").append(row).append("\r\n"));
+        response.append("COMPLETE ")
                 .append(result.completionTag())
                 .append("\r\nREADY ")
                 .append(transactionStatus())
                 .append(' ')
                 .append(result.position() == null ? "-" : result.position());
-        send(out.toString());
+        send(response.toString());
         if (transaction != null) {
             startIdleTimeout(transaction);
         }
@@ -412,18 +414,19 @@
     /** The statement was not run, and is given up: the client is told when to come back. */
     void refuse(StatementExecution statement) {
         if (transaction != null) {
-            transaction.failAtServer();
+            transaction.failAndRollBack();
         }
-        long comeBackMillis = Math.max(MIN_COME_BACK_MS, statement.route.targetLatencyMillis() / 2);
-        fail(statement, "BUSY", "not run; come back in " + comeBackMillis + " ms");
+        long retryAfterMillis =
+                Math.max(MIN_RETRY_AFTER_MS, statement.route.targetLatencyMillis() / 2);
+        fail(statement, "BUSY", "not run; come back in " + retryAfterMillis + " ms");
     }
 
     private void send(String lines) {
         if (!closed) {
-            client.send(lines.getBytes(StandardCharsets.ISO_8859_1));
-            if (client.pendingBytes() > MAX_UNREAD_BYTES) {
+            clientConnection.send(lines.getBytes(StandardCharsets.ISO_8859_1));
+            if (clientConnection.pendingBytes() > MAX_UNREAD_BYTES) {
                 onClose("reads nothing");
-                client.close();
+                clientConnection.close();
             }
         }
     }
@@ -432,7 +435,7 @@
 
     private void close() {
         if (!closed) {
-            Environment.Connection connection = client;
+            Environment.Connection connection = clientConnection;
             onClose("ended");
             connection.close();
         }
@@ -447,15 +450,15 @@
             send("ERROR TOOLARGE a message of more than 1 MiB");
         }
         closed = true;
-        if (running != null) {
-            StatementExecution statement = running;
-            ServerConnection on = statement.connection;
+        if (runningStatement != null) {
+            StatementExecution statement = runningStatement;
+            ServerConnection serverConnection = statement.connection;
             finish(statement);
-            if (transaction != null && on != null) {
+            if (transaction != null && serverConnection != null) {
                 // What runs is cut with its connection: it rolls back, or the commit that is under
                 // way goes its own way.
-                transaction.abandonConnection();
-                on.abort("client left");
+                transaction.onConnectionAborting();
+                serverConnection.abort("client left");
             }
         }
         if (transaction != null) {
@@ -467,12 +470,12 @@
     /**
      * The process was about to end before this client came.
      *
-     * @param tooLateToServe no operation could end in time any more
+     * @param tooLateForOperation no operation could end in time any more
      */
-    void onLateStart(boolean tooLateToServe) {
+    void onAcceptedDuringShutdown(boolean tooLateForOperation) {
         closesWhenIdle = true;
-        lateComer = true;
-        rejectsAll = tooLateToServe;
+        acceptedDuringShutdown = true;
+        rejectsConnect = tooLateForOperation;
     }
 
     /** The process ends: the session is closed once it is idle. */
@@ -485,10 +488,10 @@
      * The process ends now: an open transaction is told that nothing of it is kept, a statement
      * that runs is waited for.
      */
-    void closeNow() {
+    void closeAfterStatement() {
         closesWhenIdle = true;
-        closesNow = true;
-        if (running == null) {
+        closesAfterStatement = true;
+        if (runningStatement == null) {
             if (transaction != null) {
                 send("ERROR ABORTED the router ends; nothing of the transaction is kept");
             }
--- a/src/main/java/dillfront/dataplane/ControlPlaneClient.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneClient.java
@@ -34,7 +34,7 @@
     private static final long RESPONSE_TIMEOUT_MS = 1_400;
 
     /** Changes of what this data plane sees that come within so long go together. */
-    private static final long COALESCE_MS = 50;
+    private static final long REQUEST_COALESCING_MS = 50;
 
     /**
      * Of services from which a server leaves, what was acknowledged is told so often: it counts
@@ -42,8 +42,8 @@
      */
     private static final long ACKNOWLEDGED_INTERVAL_MS = 2_000;
 
-    private static final long RECONNECT_MS = 100;
-    private static final int MAX_RECONNECT_PAUSES = 4;
+    private static final long RECONNECT_DELAY_MS = 100;
+    private static final int MAX_RECONNECT_DELAY_FACTOR = 4;
 
     /** A configuration that cannot be read is not asked for again sooner. */
     private static final long UNREADABLE_RETRY_MS = 1_000;
@@ -54,18 +54,18 @@
     /** And for less where it said itself that it hears no majority. */
     private static final long ISOLATED_COOLDOWN_MS = 2_000;
 
-    private static final String ISOLATED = "alone";
-    private static final long NONE = -1;
+    private static final String ISOLATED_REASON = "alone";
+    private static final long UNSET = -1;
 
     /** Before a control process has told it, a share that is safe among many data planes. */
-    private static final int ASSUMED_DATA_PLANES = 15;
+    private static final int DEFAULT_DATA_PLANES = 15;
 
     private final DataPlaneNode node;
     private final ControlPlaneSources sources;
     private String source = "-";
 
     /** Sources that were left since one answered. */
-    private int failedSources;
+    private int abandonedSources;
 
     private Environment.Connection connection;
     private boolean connected;
@@ -75,14 +75,14 @@
      * A request was sent and nothing came since: the time-out counts from the first such, whatever
      * is sent meanwhile.
      */
-    private boolean outstanding;
+    private boolean awaitingResponse;
 
     private boolean updatePending;
     private long requestId;
-    private long requestMillis;
+    private long lastRequestMillis;
 
     /** When it last told what was acknowledged by services from which a server leaves. */
-    private long acknowledgedMillis = -ACKNOWLEDGED_INTERVAL_MS;
+    private long acknowledgedReportMillis = -ACKNOWLEDGED_INTERVAL_MS;
 
     // What this data plane has.
     private String incarnation = "";
@@ -94,13 +94,13 @@
     private boolean fullConfiguration;
 
     /** The revision of a configuration that it cannot read. */
-    private long unreadableRevision = NONE;
+    private long unreadableRevision = UNSET;
 
-    private long recordNumber = NONE;
-    private List<String> suspects = List.of();
-    private long suspectsVersion = NONE;
-    private long certainUntilMillis = NONE;
-    private int dataPlanes = ASSUMED_DATA_PLANES;
+    private long recordNumber = UNSET;
+    private List<String> suspectedServices = List.of();
+    private long suspectsVersion = UNSET;
+    private long primariesConfirmedUntilMillis = UNSET;
+    private int dataPlanes = DEFAULT_DATA_PLANES;
 
     ControlPlaneClient(DataPlaneNode node) {
         this.node = node;
@@ -115,12 +115,12 @@
 
     /** The settings name other control processes. */
     void onSettingsChanged() {
-        sources.arrange(node.settings.seedIps());
+        sources.updateOrder(node.settings.seedIps());
     }
 
     /** Until then no server other than the recorded primary leads a service. */
-    long certainUntilMillis() {
-        return certainUntilMillis;
+    long primariesConfirmedUntilMillis() {
+        return primariesConfirmedUntilMillis;
     }
 
     /** How many data planes share the connection limits, this one among them. */
@@ -136,63 +136,63 @@
     // ---- the connection
 
     private void connect() {
-        String next = sources.next();
-        if (next == null) {
-            node.environment.schedule(RECONNECT_MS, this::connect);
+        String selected = sources.select();
+        if (selected == null) {
+            node.environment.schedule(RECONNECT_DELAY_MS, this::connect);
             return;
         }
-        source = next;
+        source = selected;
         connected = false;
         Listener listener = new Listener();
-        listener.own =
+        listener.ownConnection =
                 node.environment.connect(
                         node.settings.internalAddressOf(source),
                         Environment.Framing.FRAMES,
                         CONNECT_TIMEOUT_MS,
                         listener);
-        connection = listener.own;
-        expectResponseWithin(CONNECT_TIMEOUT_MS + 100);
+        connection = listener.ownConnection;
+        startResponseTimer(CONNECT_TIMEOUT_MS + 100);
     }
 
     /** What comes on a connection that was left answers no request of now. */
     private final class Listener implements Environment.ConnectionListener {
 
         /** Null while the connection is being made. */
-        private Environment.Connection own;
+        private Environment.Connection ownConnection;
 
         @Override
         public void onOpen(Environment.Connection opened) {
             connection = opened;
             connected = true;
-            outstanding = false;
+            awaitingResponse = false;
             digestSent = false;
             sendRequest();
         }
 
         @Override
         public void onMessage(byte[] message) {
-            if (connection == own) {
-                receive(message);
+            if (connection == ownConnection) {
+                handleResponse(message);
             }
         }
 
         @Override
         public void onClose(String reason) {
-            if (connection == own || own == null) {
-                leaveSource(reason);
+            if (connection == ownConnection || ownConnection == null) {
+                switchSource(reason);
             }
         }
     }
 
-    private void expectResponseWithin(long millis) {
+    private void startResponseTimer(long millis) {
         if (responseTimer != null) {
             responseTimer.cancel();
         }
-        responseTimer = node.environment.schedule(millis, () -> leaveSource("silent"));
+        responseTimer = node.environment.schedule(millis, () -> switchSource("silent"));
     }
 
     /** Goes on with the next source. */
-    private void leaveSource(String reason) {
+    private void switchSource(String reason) {
         if (responseTimer != null) {
             responseTimer.cancel();
         }
@@ -200,13 +200,15 @@
             connection.close();
         }
         node.environment.trace("control-plane-left source=" + source + " reason=" + reason);
-        sources.onLeft(source, reason.equals(ISOLATED) ? ISOLATED_COOLDOWN_MS : COOLDOWN_MS);
+        sources.startCooldown(
+                source, reason.equals(ISOLATED_REASON) ? ISOLATED_COOLDOWN_MS : COOLDOWN_MS);
         connected = false;
-        failedSources++;
-        int round = Math.max(1, sources.size());
-        boolean roundIsOver = failedSources % round == 0;
-        int pauses = Math.min(failedSources / round, MAX_RECONNECT_PAUSES);
-        node.environment.schedule(roundIsOver ? RECONNECT_MS * pauses : 1, this::connect);
+        abandonedSources++;
+        int sourceCount = Math.max(1, sources.size());
+        boolean allSourcesAbandoned = abandonedSources % sourceCount == 0;
+        int delayFactor = Math.min(abandonedSources / sourceCount, MAX_RECONNECT_DELAY_FACTOR);
+        node.environment.schedule(
+                allSourcesAbandoned ? RECONNECT_DELAY_MS * delayFactor : 1, this::connect);
     }
 
     // ---- requests
@@ -220,7 +222,7 @@
             return;
         }
         updatePending = true;
-        long delay = requestMillis + COALESCE_MS - node.environment.nowMillis();
+        long delay = lastRequestMillis + REQUEST_COALESCING_MS - node.environment.nowMillis();
         node.environment.schedule(
                 Math.max(0, delay),
                 () -> {
@@ -232,18 +234,18 @@
     }
 
     private void sendRequest() {
-        requestMillis = node.environment.nowMillis();
+        lastRequestMillis = node.environment.nowMillis();
         requestId++;
-        connection.send(SubscriptionCodec.encode(request()));
-        if (!outstanding) {
-            outstanding = true;
-            expectResponseWithin(RESPONSE_TIMEOUT_MS);
+        connection.send(SubscriptionCodec.encode(createRequest()));
+        if (!awaitingResponse) {
+            awaitingResponse = true;
+            startResponseTimer(RESPONSE_TIMEOUT_MS);
         }
     }
 
-    private SubscriptionRequest request() {
+    private SubscriptionRequest createRequest() {
         Configuration configuration = node.configuration();
-        boolean sendsDigest = !digestSent;
+        boolean includesDigest = !digestSent;
         digestSent = true;
         return new SubscriptionRequest(
                 node.settings.nodeName(),
@@ -252,10 +254,10 @@
                 incarnation,
                 registryVersion,
                 configuration.revision(),
-                sendsDigest ? configuration.digest() : null,
+                includesDigest ? configuration.digest() : null,
                 fullConfiguration,
                 // Where this source hears no majority either, it may answer once it does.
-                sources.isLastResort(source),
+                sources.isOnlyAvailable(source),
                 recordNumber,
                 suspectsVersion,
                 primaryViews());
@@ -265,15 +267,16 @@
      * Of most services there is nothing to say; of those that move or are suspected, what is seen.
      */
     private List<PrimaryView> primaryViews() {
-        boolean tellsAcknowledged = requestMillis >= acknowledgedMillis + ACKNOWLEDGED_INTERVAL_MS;
+        boolean includesAcknowledged =
+                lastRequestMillis >= acknowledgedReportMillis + ACKNOWLEDGED_INTERVAL_MS;
         List<PrimaryView> views = new ArrayList<>();
         for (DatabaseService service : node.services()) {
             ServerPool primary = service.servers.get(service.primary);
             int reachability = primary == null ? 0 : primary.reachability();
             if (reachability < 0
                     || service.moving
-                    || suspects.contains(service.name)
-                    || tellsAcknowledged && service.hasLeavingServer()) {
+                    || suspectedServices.contains(service.name)
+                    || includesAcknowledged && service.hasDrainingServer()) {
                 AcknowledgedCommits acknowledged = service.acknowledged;
                 views.add(
                         new PrimaryView(
@@ -284,37 +287,37 @@
                                 acknowledged));
             }
         }
-        if (!views.isEmpty() && tellsAcknowledged) {
-            acknowledgedMillis = requestMillis;
+        if (!views.isEmpty() && includesAcknowledged) {
+            acknowledgedReportMillis = lastRequestMillis;
         }
         return views;
     }
 
     // ---- responses
 
-    private void receive(byte[] message) {
+    private void handleResponse(byte[] message) {
         SubscriptionResponse response;
         try {
             response = SubscriptionCodec.decodeResponse(message);
-        } catch (MessageCodec.MalformedMessageException bad) {
-            leaveSource("bad");
+        } catch (MessageCodec.MalformedMessageException malformed) {
+            switchSource("bad");
             return;
         }
         if (response.requestId() == requestId) {
-            outstanding = false;
+            awaitingResponse = false;
         } else {
-            expectResponseWithin(RESPONSE_TIMEOUT_MS);
+            startResponseTimer(RESPONSE_TIMEOUT_MS);
         }
         if (response.registry() != null) {
-            takeServers(response.registry());
+            applyRegistry(response.registry());
         }
         if (response.configuration() != null) {
-            takeConfiguration(response.configuration());
+            applyConfiguration(response.configuration());
         }
-        response.records().forEach(this::takeRecord);
+        response.records().forEach(this::applyRecord);
         if (response.suspects() != null) {
             suspectsVersion = response.suspects().version();
-            suspects = response.suspects().services();
+            suspectedServices = response.suspects().services();
         }
         if (response.addresses() != null) {
             sources.update(response.addresses(), response.isolated(), node.settings.seedIps());
@@ -323,27 +326,29 @@
             dataPlanes = Math.max(1, response.dataPlanes());
         }
         if (response.requestId() == requestId) {
-            goOn(response);
+            continuePolling(response);
         }
     }
 
     /** The last request was answered: another, of this source or a better one. */
-    private void goOn(SubscriptionResponse response) {
-        if (response.certainMillis() > 0) {
-            certainUntilMillis =
-                    Math.max(certainUntilMillis, requestMillis + response.certainMillis());
+    private void continuePolling(SubscriptionResponse response) {
+        if (response.primaryCertaintyMillis() > 0) {
+            primariesConfirmedUntilMillis =
+                    Math.max(
+                            primariesConfirmedUntilMillis,
+                            lastRequestMillis + response.primaryCertaintyMillis());
         }
         if (response.isolated()) {
             // It has lost the others: it may know less than they do.
-            leaveSource(ISOLATED);
+            switchSource(ISOLATED_REASON);
             return;
         }
-        failedSources = 0;
-        String better = sources.betterThan(source);
+        abandonedSources = 0;
+        String betterSource = sources.findBetter(source);
         ConfigurationUpdate configuration = response.configuration();
-        if (better != null) {
+        if (betterSource != null) {
             // What crosses regions costs, and comes later.
-            leaveSource(better + " is nearer");
+            switchSource(betterSource + " is nearer");
         } else if (configuration != null
                 && configuration.revision() == unreadableRevision
                 && unreadableRevision >= 0) {
@@ -360,12 +365,12 @@
         }
     }
 
-    private void takeServers(RegistryUpdate update) {
+    private void applyRegistry(RegistryUpdate update) {
         incarnation = update.incarnation();
         registryVersion = update.version();
         Set<String> present = new TreeSet<>();
         for (ServerRow row : update.servers()) {
-            takeServer(row);
+            applyServer(row);
             present.add(row.id());
         }
         if (update.complete()) {
@@ -373,18 +378,18 @@
         }
     }
 
-    private void takeServer(ServerRow row) {
+    private void applyServer(ServerRow row) {
         if (row.service().isEmpty()) {
             // The control process knows no more of it than that it leaves.
             for (DatabaseService service : node.services()) {
-                takeEnd(service, service.servers.get(row.id()), row.state());
+                applyLeaveState(service, service.servers.get(row.id()), row.state());
             }
             return;
         }
         DatabaseService service = node.service(row.service());
         ServerPool server = service.servers.get(row.id());
         if (row.state() == ServerState.LEFT) {
-            takeEnd(service, server, row.state());
+            applyLeaveState(service, server, row.state());
             return;
         }
         if (server == null) {
@@ -392,11 +397,12 @@
             service.servers.put(row.id(), server);
         }
         server.reportsPrimary = row.isPrimary();
-        takeEnd(service, server, row.state());
+        applyLeaveState(service, server, row.state());
         service.notifyWaiters();
     }
 
-    private static void takeEnd(DatabaseService service, ServerPool server, ServerState state) {
+    private static void applyLeaveState(
+            DatabaseService service, ServerPool server, ServerState state) {
         if (server == null) {
             return;
         }
@@ -408,30 +414,30 @@
         }
     }
 
-    private void takeRecord(PrimaryRecord record) {
+    private void applyRecord(PrimaryRecord record) {
         recordNumber = Math.max(recordNumber, record.number());
         node.service(record.service()).onRecord(record);
     }
 
     /** Takes a newer configuration over; an older one, or a delta to one, changes nothing. */
-    private void takeConfiguration(ConfigurationUpdate update) {
+    private void applyConfiguration(ConfigurationUpdate update) {
         if (update.revision() <= node.configuration().revision()) {
             return;
         }
         try {
-            node.onConfiguration(Configuration.parse(body(update)));
+            node.onConfiguration(Configuration.parse(decodeBody(update)));
             digestSent = false;
             fullConfiguration = false;
-            unreadableRevision = NONE;
-        } catch (BinaryDelta.InvalidDeltaException otherBase) {
+            unreadableRevision = UNSET;
+        } catch (BinaryDelta.InvalidDeltaException mismatchedDelta) {
             node.environment.trace(
                     "configuration-delta-unfit revision="
                             + update.revision()
                             + " fault="
-                            + otherBase.getMessage());
+                            + mismatchedDelta.getMessage());
             fullConfiguration = true;
         } catch (Compression.CorruptDataException
-                | Configuration.InvalidConfigurationException unreadable) {
+                | Configuration.InvalidConfigurationException invalid) {
             // The control plane took it, so it is of a form that this version does not know: what
             // is in force stays.
             unreadableRevision = update.revision();
@@ -439,11 +445,11 @@
                     "configuration-not-understood revision="
                             + update.revision()
                             + " fault="
-                            + unreadable.getMessage());
+                            + invalid.getMessage());
         }
     }
 
-    private byte[] body(ConfigurationUpdate update)
+    private byte[] decodeBody(ConfigurationUpdate update)
             throws BinaryDelta.InvalidDeltaException, Compression.CorruptDataException {
         if (update.delta() != null) {
             return BinaryDelta.apply(node.configuration().body(), update.delta());
--- a/src/main/java/dillfront/dataplane/ControlPlaneSources.java
+++ b/src/main/java/dillfront/dataplane/ControlPlaneSources.java
@@ -16,30 +16,30 @@
 
     private static final int MAX_SOURCES = 16;
 
-    private static final int RANKS = 4;
+    private static final int RANK_COUNT = 4;
 
     /** A control process; lower ranks are asked first. */
-    private record Source(String ip, boolean local, boolean silent) {
+    private record Source(String ip, boolean local, boolean unreachable) {
 
         int rank() {
-            return (silent ? 2 : 0) + (local ? 0 : 1);
+            return (unreachable ? 2 : 0) + (local ? 0 : 1);
         }
     }
 
     /**
-     * @param leftMillis when the source was left
+     * @param abandonedMillis when the source was left
      * @param untilMillis it is not gone back to by choice before
      */
-    private record Cooldown(long leftMillis, long untilMillis) {}
+    private record Cooldown(long abandonedMillis, long untilMillis) {}
 
     private final Environment environment;
     private final Predicate<String> isLocalRegion;
 
     /** What a control process named last. */
-    private List<Source> named = List.of();
+    private List<Source> receivedSources = List.of();
 
     /** All that may be asked, in their order. */
-    private final List<String> ips = new ArrayList<>();
+    private final List<String> orderedIps = new ArrayList<>();
 
     private final TreeMap<String, Cooldown> cooldowns = new TreeMap<>();
 
@@ -60,86 +60,89 @@
      *     may be gone
      */
     void update(List<ControlAddress> addresses, boolean isolated, List<String> seeds) {
-        List<Source> next = isolated ? new ArrayList<>(named) : new ArrayList<>();
+        List<Source> updated = isolated ? new ArrayList<>(receivedSources) : new ArrayList<>();
         for (ControlAddress address : addresses) {
-            boolean known = isolated && named.stream().anyMatch(s -> s.ip().equals(address.ip()));
+            boolean known =
+                    isolated
+                            && receivedSources.stream()
+                                    .anyMatch(source -> source.ip().equals(address.ip()));
             if (!known) {
-                next.add(
+                updated.add(
                         new Source(
                                 address.ip(),
                                 isLocalRegion.test(address.zoneName()),
-                                isolated || address.silent()));
+                                isolated || address.unresponsive()));
             }
         }
-        named = next;
-        arrange(seeds);
+        receivedSources = updated;
+        updateOrder(seeds);
     }
 
     /**
      * What is named replaces what was named before, so that the list does not fill with the dead.
      */
-    void arrange(List<String> seeds) {
-        ips.clear();
-        for (int rank = 0; rank < RANKS; rank++) {
-            for (Source source : named) {
+    void updateOrder(List<String> seeds) {
+        orderedIps.clear();
+        for (int rank = 0; rank < RANK_COUNT; rank++) {
+            for (Source source : receivedSources) {
                 if (source.rank() == rank
-                        && ips.size() < MAX_SOURCES
-                        && !ips.contains(source.ip())) {
-                    ips.add(source.ip());
+                        && orderedIps.size() < MAX_SOURCES
+                        && !orderedIps.contains(source.ip())) {
+                    orderedIps.add(source.ip());
                 }
             }
         }
-        seeds.stream().filter(ip -> !ips.contains(ip)).forEach(ips::add);
-        cooldowns.keySet().retainAll(ips);
+        seeds.stream().filter(ip -> !orderedIps.contains(ip)).forEach(orderedIps::add);
+        cooldowns.keySet().retainAll(orderedIps);
     }
 
     int size() {
-        return ips.size();
+        return orderedIps.size();
     }
 
     /** A source was left: it is not gone back to by choice for so long. */
-    void onLeft(String ip, long cooldownMillis) {
-        if (ips.contains(ip)) {
+    void startCooldown(String ip, long cooldownMillis) {
+        if (orderedIps.contains(ip)) {
             long now = environment.nowMillis();
             cooldowns.put(ip, new Cooldown(now, now + cooldownMillis));
         }
     }
 
     /** When a source was left that is not to be gone back to yet; else the earliest moment. */
-    private long leftMillis(String ip) {
+    private long abandonedMillis(String ip) {
         Cooldown cooldown = cooldowns.get(ip);
         return cooldown != null && cooldown.untilMillis() > environment.nowMillis()
-                ? cooldown.leftMillis()
+                ? cooldown.abandonedMillis()
                 : Long.MIN_VALUE;
     }
 
     private boolean isCoolingDown(String ip) {
-        return leftMillis(ip) != Long.MIN_VALUE;
+        return abandonedMillis(ip) != Long.MIN_VALUE;
     }
 
     /** The first that was not left of late; else the one that was left first. Null for none. */
-    String next() {
-        String best = ips.isEmpty() ? null : ips.get(0);
-        for (String ip : ips) {
-            best = leftMillis(ip) < leftMillis(best) ? ip : best;
+    String select() {
+        String selected = orderedIps.isEmpty() ? null : orderedIps.get(0);
+        for (String ip : orderedIps) {
+            selected = abandonedMillis(ip) < abandonedMillis(selected) ? ip : selected;
         }
-        return best;
+        return selected;
     }
 
     /** Whether all but this one were left of late. */
-    boolean isLastResort(String current) {
-        return ips.stream().allMatch(ip -> ip.equals(current) || isCoolingDown(ip));
+    boolean isOnlyAvailable(String currentIp) {
+        return orderedIps.stream().allMatch(ip -> ip.equals(currentIp) || isCoolingDown(ip));
     }
 
     /** One in contact and of the own region, where the present one is of another; null for none. */
-    String betterThan(String current) {
-        for (Source source : named) {
-            if (source.ip().equals(current) && source.local()) {
+    String findBetter(String currentIp) {
+        for (Source source : receivedSources) {
+            if (source.ip().equals(currentIp) && source.local()) {
                 return null;
             }
         }
-        for (Source source : named) {
-            if (source.local() && !source.silent() && !isCoolingDown(source.ip())) {
+        for (Source source : receivedSources) {
+            if (source.local() && !source.unreachable() && !isCoolingDown(source.ip())) {
                 return source.ip();
             }
         }
--- a/src/main/java/dillfront/dataplane/DataPlaneNode.java
+++ b/src/main/java/dillfront/dataplane/DataPlaneNode.java
@@ -17,19 +17,19 @@
     private static final int RESERVED_CONNECTIONS = 8;
 
     private static final int MIN_CONNECTIONS = 2;
-    private static final long POLL_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
 
     /** Bounds how old reads may be of which positions are remembered. */
-    private static final long MAX_STALENESS_MS = 3_000;
+    private static final long MAX_READ_STALENESS_MS = 3_000;
 
     /**
      * From SIGTERM on: idle sessions are closed, once the platform has most likely seen that the
      * process is not ready.
      */
-    private static final long CLOSE_IDLE_AFTER_MS = 2_300;
+    private static final long CLOSE_IDLE_DELAY_MS = 2_300;
 
     /** And it has surely seen it: a client that is sent here until then is served. */
-    private static final long END_NOT_BEFORE_MS = 3_200;
+    private static final long MIN_SHUTDOWN_MS = 3_200;
 
     /** What was done since the start. */
     public static final class Counters {
@@ -58,10 +58,10 @@
 
     // The end of the process.
     private boolean shuttingDown;
-    private boolean closesIdleSessions;
-    private boolean closesAllSessions;
-    private boolean mayEnd;
-    private Runnable onEnd = () -> {};
+    private boolean closingIdleSessions;
+    private boolean closingAllSessions;
+    private boolean exitAllowed;
+    private Runnable onShutdownComplete = () -> {};
 
     public DataPlaneNode(Environment environment, NodeSettings settings) {
         this.environment = environment;
@@ -76,8 +76,8 @@
     }
 
     /** Other settings: only where the control plane is found is taken over while it runs. */
-    public void updateSettings(NodeSettings next) {
-        settings = next;
+    public void updateSettings(NodeSettings newSettings) {
+        settings = newSettings;
         controlPlane.onSettingsChanged();
     }
 
@@ -90,7 +90,7 @@
     }
 
     private void poll() {
-        environment.schedule(POLL_MS, this::poll);
+        environment.schedule(POLL_INTERVAL_MS, this::poll);
         for (DatabaseService service : services.values()) {
             for (ServerPool server : List.copyOf(service.servers.values())) {
                 server.reconnectIfDue();
@@ -99,7 +99,7 @@
             }
             service.notifyWaiters();
             service.expectsPrimarySoon();
-            if (service.reachabilityChanged()) {
+            if (service.checkReachabilityChange()) {
                 controlPlane.requestUpdate();
             }
         }
@@ -118,12 +118,12 @@
     }
 
     /** A higher revision binds from each session's next transaction on; a lower one never does. */
-    void onConfiguration(Configuration next) {
-        if (next.revision() <= configuration.revision()) {
+    void onConfiguration(Configuration newConfiguration) {
+        if (newConfiguration.revision() <= configuration.revision()) {
             return;
         }
-        configuration = next;
-        for (Configuration.Service service : next.services().values()) {
+        configuration = newConfiguration;
+        for (Configuration.Service service : newConfiguration.services().values()) {
             service(service.name()).connectionLimit = service.connectionLimit();
         }
     }
@@ -135,7 +135,7 @@
 
     private DatabaseService createService(String name) {
         DatabaseService service = new DatabaseService(this, name);
-        service.floors.maxStaleness(MAX_STALENESS_MS);
+        service.primaryPositions.setMaxStaleness(MAX_READ_STALENESS_MS);
         return service;
     }
 
@@ -176,22 +176,22 @@
         ClientSession session = new ClientSession(this);
         sessions.add(session);
         counters.sessions++;
-        if (closesIdleSessions) {
-            session.onLateStart(closesAllSessions);
+        if (closingIdleSessions) {
+            session.onAcceptedDuringShutdown(closingAllSessions);
         }
         return session;
     }
 
     void onSessionClosed(ClientSession session) {
         sessions.remove(session);
-        endIfIdle();
+        completeShutdownIfIdle();
     }
 
     // ---- the end
 
-    private void endIfIdle() {
-        if (mayEnd && sessions.isEmpty()) {
-            onEnd.run();
+    private void completeShutdownIfIdle() {
+        if (exitAllowed && sessions.isEmpty()) {
+            onShutdownComplete.run();
         }
     }
 
@@ -199,34 +199,36 @@
      * Ends in order: at once it is ready no more; once the platform has seen that, idle sessions
      * are closed, and transactions have until half of the grace period.
      *
-     * @param done runs once the process may end
+     * @param onComplete runs once the process may end
      */
-    public void shutDown(Runnable done) {
+    public void shutDown(Runnable onComplete) {
         if (shuttingDown) {
             return;
         }
         shuttingDown = true;
-        onEnd = done;
-        long half = settings.gracePeriodMillis() / 2;
-        environment.schedule(Math.min(CLOSE_IDLE_AFTER_MS, half * 3 / 4), this::closeIdleSessions);
-        environment.schedule(Math.min(END_NOT_BEFORE_MS, half), this::allowEnd);
-        environment.schedule(half, this::closeAllSessions);
-        environment.schedule(settings.gracePeriodMillis() * 5 / 6, onEnd);
+        onShutdownComplete = onComplete;
+        long halfGracePeriodMillis = settings.gracePeriodMillis() / 2;
+        environment.schedule(
+                Math.min(CLOSE_IDLE_DELAY_MS, halfGracePeriodMillis * 3 / 4),
+                this::closeIdleSessions);
+        environment.schedule(Math.min(MIN_SHUTDOWN_MS, halfGracePeriodMillis), this::allowExit);
+        environment.schedule(halfGracePeriodMillis, this::closeAllSessions);
+        environment.schedule(settings.gracePeriodMillis() * 5 / 6, onShutdownComplete);
     }
 
     private void closeIdleSessions() {
-        closesIdleSessions = true;
+        closingIdleSessions = true;
         List.copyOf(sessions).forEach(ClientSession::closeWhenIdle);
     }
 
-    private void allowEnd() {
-        mayEnd = true;
-        endIfIdle();
+    private void allowExit() {
+        exitAllowed = true;
+        completeShutdownIfIdle();
     }
 
     private void closeAllSessions() {
-        closesAllSessions = true;
-        List.copyOf(sessions).forEach(ClientSession::closeNow);
+        closingAllSessions = true;
+        List.copyOf(sessions).forEach(ClientSession::closeAfterStatement);
     }
 
     /** One line for operators and logs. */
--- a/src/main/java/dillfront/dataplane/DatabaseService.java
+++ b/src/main/java/dillfront/dataplane/DatabaseService.java
@@ -15,27 +15,27 @@
  */
 final class DatabaseService {
 
-    private static final double MAX_SPILL_TOKENS = 4;
+    private static final double MAX_PRIMARY_READ_TOKENS = 4;
 
     /** The share of reads that may go to the primary though a replica could serve them. */
-    private static final double SPILL_PER_READ = 0.25;
+    private static final double PRIMARY_READ_TOKENS_PER_READ = 0.25;
 
     /** The same where the primary is in the own region and no replica is. */
-    private static final double SPILL_PER_READ_WITHOUT_LOCAL_REPLICA = 0.6;
+    private static final double PRIMARY_READ_TOKENS_PER_READ_WITHOUT_LOCAL_REPLICA = 0.6;
 
     /** How much busier a server in the own region may be than one in another. */
-    private static final double REMOTE_REGION_PENALTY = 2;
+    private static final double REMOTE_REGION_COST = 2;
 
     /** What a primary must be less busy by to take what a replica could. */
-    private static final double PRIMARY_PENALTY = 1;
+    private static final double PRIMARY_COST = 1;
 
     /** A primary that answers this much slower than usual takes no spilled reads. */
-    private static final double MAX_SPILL_SLOWDOWN = 1.5;
+    private static final double MAX_PRIMARY_SLOWDOWN = 1.5;
 
     /** A move takes no longer than so many heartbeats of the servers; else nobody knows. */
-    private static final double MAX_MOVE_HEARTBEATS = 2;
+    private static final double MAX_MOVE_HEARTBEAT_INTERVALS = 2;
 
-    private static final long NONE = -1;
+    private static final long UNSET = -1;
 
     final String name;
     final DataPlaneNode node;
@@ -43,7 +43,7 @@
     /** By id, so that every order is the same each time. */
     final TreeMap<String, ServerPool> servers = new TreeMap<>();
 
-    final ReadPositionFloors floors = new ReadPositionFloors();
+    final PrimaryPositionHistory primaryPositions = new PrimaryPositionHistory();
 
     /** The primary by the newest record; empty where there is none. */
     String primary = "";
@@ -58,19 +58,19 @@
     AcknowledgedCommits acknowledged = AcknowledgedCommits.NONE;
 
     /** The number of the newest record; -1 for none. */
-    private long recordNumber = NONE;
+    private long recordNumber = UNSET;
 
     /** What an operator gave up, as the record says; null for nothing. */
     private AcceptedDataLoss acceptedLoss;
 
     /** Reads that may go to the primary though a replica could serve them. */
-    private double spillTokens = MAX_SPILL_TOKENS;
+    private double primaryReadTokens = MAX_PRIMARY_READ_TOKENS;
 
-    private long noPrimarySinceMillis = NONE;
-    private boolean reportedHopeless;
+    private long noPrimarySinceMillis = UNSET;
+    private boolean noPrimaryReported;
 
     /** What the control plane was last told of the primary. */
-    private int reportedReachability;
+    private int lastReachability;
 
     private final List<Runnable> waiters = new ArrayList<>();
 
@@ -110,7 +110,7 @@
             return null;
         }
         ServerPool server = recordNumber < 0 ? reportedPrimary() : servers.get(primary);
-        return server == null || server.removed || server.isDrainOver() ? null : server;
+        return server == null || server.removed || server.isDrainTimeOver() ? null : server;
     }
 
     /** The primary where it answers; else null. */
@@ -136,10 +136,10 @@
     }
 
     /** Whether it is certain that this server leads, whatever else happens. */
-    boolean isCertainPrimary(ServerPool server) {
+    boolean isConfirmedPrimary(ServerPool server) {
         return !moving
                 && server.id.equals(primary)
-                && node.environment.nowMillis() < node.controlPlane.certainUntilMillis();
+                && node.environment.nowMillis() < node.controlPlane.primariesConfirmedUntilMillis();
     }
 
     /**
@@ -148,40 +148,41 @@
      */
     boolean expectsPrimarySoon() {
         if (reachablePrimary() != null) {
-            noPrimarySinceMillis = NONE;
-            reportedHopeless = false;
+            noPrimarySinceMillis = UNSET;
+            noPrimaryReported = false;
             return true;
         }
         long now = node.environment.nowMillis();
         noPrimarySinceMillis = noPrimarySinceMillis < 0 ? now : noPrimarySinceMillis;
-        long missingMillis = now - noPrimarySinceMillis;
-        boolean expected =
-                missingMillis < MAX_MOVE_HEARTBEATS * node.settings.heartbeatIntervalMillis();
-        if (!expected && !reportedHopeless) {
+        long noPrimaryMillis = now - noPrimarySinceMillis;
+        boolean primaryExpected =
+                noPrimaryMillis
+                        < MAX_MOVE_HEARTBEAT_INTERVALS * node.settings.heartbeatIntervalMillis();
+        if (!primaryExpected && !noPrimaryReported) {
             node.environment.warn(
                     "no-primary service="
                             + name
                             + " for_ms="
-                            + missingMillis
+                            + noPrimaryMillis
                             + " recorded="
                             + primary
                             + (moving ? " moving" : ""));
         }
-        reportedHopeless = !expected;
-        return expected;
+        noPrimaryReported = !primaryExpected;
+        return primaryExpected;
     }
 
     /** Whether the primary is seen otherwise than the control plane was told. */
-    boolean reachabilityChanged() {
+    boolean checkReachabilityChange() {
         ServerPool server = servers.get(primary);
         int reachability = server == null ? 0 : server.reachability();
-        boolean changed = reachability < 0 != reportedReachability < 0;
-        reportedReachability = reachability;
+        boolean changed = reachability < 0 != lastReachability < 0;
+        lastReachability = reachability;
         return changed;
     }
 
     /** A replica leaves and takes its log along: what was acknowledged is told meanwhile. */
-    boolean hasLeavingServer() {
+    boolean hasDrainingServer() {
         for (ServerPool server : servers.values()) {
             if (server.draining) {
                 return true;
@@ -197,51 +198,64 @@
      * it needs; a bounded share goes to the primary, while that is less busy still.
      *
      * @param position what its log must hold; null where that is not known
-     * @param tried servers that were tried before
+     * @param excluded servers that were tried before
      * @return null where no replica will do
      */
-    ServerPool selectForRead(LogPosition position, List<ServerPool> tried) {
-        ServerPool leader = primary();
-        spillTokens = Math.min(MAX_SPILL_TOKENS, spillTokens + spillPerRead(leader));
+    ServerPool selectForRead(LogPosition position, List<ServerPool> excluded) {
+        ServerPool primaryServer = primary();
+        primaryReadTokens =
+                Math.min(
+                        MAX_PRIMARY_READ_TOKENS,
+                        primaryReadTokens + primaryReadTokensPerRead(primaryServer));
         ServerPool best = null;
-        double leastCost = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (ServerPool server : servers.values()) {
-            boolean isLeader = server == leader;
-            boolean eligible = isLeader ? maySpill(server, position) : mayServe(server, position);
-            if (server.isUsable() && !tried.contains(server) && eligible) {
-                double cost = cost(server) + (isLeader ? PRIMARY_PENALTY : 0);
-                if (cost < leastCost) {
-                    leastCost = cost;
+            boolean isPrimary = server == primaryServer;
+            boolean eligible =
+                    isPrimary
+                            ? canReadFromPrimary(server, position)
+                            : canReadFromReplica(server, position);
+            if (server.isUsable() && !excluded.contains(server) && eligible) {
+                double cost = cost(server) + (isPrimary ? PRIMARY_COST : 0);
+                if (cost < lowestCost) {
+                    lowestCost = cost;
                     best = server;
                 }
             }
         }
-        if (best != null && best == leader && position != null) {
-            spillTokens -= 1;
+        if (best != null && best == primaryServer && position != null) {
+            primaryReadTokens -= 1;
         }
         return best;
     }
 
-    private double spillPerRead(ServerPool leader) {
-        boolean onlyLeaderIsLocal =
-                leader != null
-                        && leader.isLocalRegion
+    private double primaryReadTokensPerRead(ServerPool primaryServer) {
+        boolean onlyPrimaryIsLocal =
+                primaryServer != null
+                        && primaryServer.isLocalRegion
                         && servers.values().stream()
-                                .noneMatch(s -> s != leader && s.isLocalRegion && s.isUsable());
-        return onlyLeaderIsLocal ? SPILL_PER_READ_WITHOUT_LOCAL_REPLICA : SPILL_PER_READ;
+                                .noneMatch(
+                                        server ->
+                                                server != primaryServer
+                                                        && server.isLocalRegion
+                                                        && server.isUsable());
+        return onlyPrimaryIsLocal
+                ? PRIMARY_READ_TOKENS_PER_READ_WITHOUT_LOCAL_REPLICA
+                : PRIMARY_READ_TOKENS_PER_READ;
     }
 
-    private boolean mayServe(ServerPool replica, LogPosition position) {
+    private boolean canReadFromReplica(ServerPool replica, LogPosition position) {
         return position != null && replica.laggingUntilMillis <= node.environment.nowMillis();
     }
 
-    private boolean maySpill(ServerPool leader, LogPosition position) {
-        return position == null || spillTokens >= 1 && leader.slowdown <= MAX_SPILL_SLOWDOWN;
+    private boolean canReadFromPrimary(ServerPool primaryServer, LogPosition position) {
+        return position == null
+                || primaryReadTokens >= 1 && primaryServer.slowdown <= MAX_PRIMARY_SLOWDOWN;
     }
 
     private static double cost(ServerPool server) {
         return (server.busyConnections + 0.5) * server.slowdown
-                + (server.isLocalRegion ? 0 : REMOTE_REGION_PENALTY);
+                + (server.isLocalRegion ? 0 : REMOTE_REGION_COST);
     }
 
     /** What a read has to wait for, of what it would: no log has what was given up. */
@@ -254,13 +268,18 @@
      * what it acknowledges stands past that all the same, in a later term, and is not given up with
      * it.
      *
-     * @param before how far its log was known to be when the commit was sent
+     * @param requestPosition how far its log was known to be when the commit was sent
      */
-    void onAcknowledged(ServerPool server, LogPosition before, LogPosition answered) {
-        boolean behindLoss =
+    void onAcknowledged(
+            ServerPool server, LogPosition requestPosition, LogPosition responsePosition) {
+        boolean followsLoss =
                 acceptedLoss != null && acceptedLoss.losesCommits() && server.id.equals(primary);
-        LogPosition from = behindLoss ? LogPosition.max(before, acceptedLoss.lostUpTo()) : before;
-        acknowledged = acknowledged.merge(AcknowledgedCommits.ofResponse(from, answered));
+        LogPosition lowerPosition =
+                followsLoss
+                        ? LogPosition.max(requestPosition, acceptedLoss.lostUpTo())
+                        : requestPosition;
+        acknowledged =
+                acknowledged.merge(AcknowledgedCommits.ofResponse(lowerPosition, responsePosition));
     }
 
     // ---- who waits for a change
--- a/src/main/java/dillfront/dataplane/Execution.java
+++ b/src/main/java/dillfront/dataplane/Execution.java
@@ -14,7 +14,7 @@
 abstract class Execution {
 
     /** The part of its time that a statement may wait for a primary or a connection. */
-    private static final double PATIENCE = 0.8;
+    private static final double MAX_WAIT_SHARE_OF_TIMEOUT = 0.8;
 
     final ClientSession session;
     final DataPlaneNode node;
@@ -23,10 +23,10 @@
     final String id;
 
     final Route route;
-    final long sinceMillis;
+    final long receivedMillis;
 
     /** Servers that were tried in vain since anything changed. */
-    final List<ServerPool> tried = new ArrayList<>();
+    final List<ServerPool> excludedServers = new ArrayList<>();
 
     int attempts;
 
@@ -41,7 +41,7 @@
         this.id = id;
         this.route = route;
         node = session.node();
-        sinceMillis = now();
+        receivedMillis = now();
     }
 
     final long now() {
@@ -52,17 +52,17 @@
         return node.service(route.service());
     }
 
-    final boolean isWanted() {
+    final boolean isActive() {
         return !finished && !session.isClosed();
     }
 
     /** Until when it may wait for a primary or a connection; then it is refused. */
-    final long patienceEndMillis() {
-        return sinceMillis + (long) (route.timeoutMillis() * PATIENCE);
+    final long waitDeadlineMillis() {
+        return receivedMillis + (long) (route.timeoutMillis() * MAX_WAIT_SHARE_OF_TIMEOUT);
     }
 
-    final boolean isPatient() {
-        return now() < patienceEndMillis();
+    final boolean hasWaitTimeLeft() {
+        return now() < waitDeadlineMillis();
     }
 
     /** Whether it only reads, and its route lets a replica serve reads. */
@@ -76,7 +76,7 @@
     abstract void onConnection(ServerPool server, ServerConnection borrowed, LogPosition position);
 
     /** There is no server for it now. */
-    abstract void onNoServer();
+    abstract void onNoServerAvailable();
 
     /** This server has no connection for it. */
     abstract void onServerUnavailable(ServerPool server);
@@ -85,10 +85,11 @@
     final void acquire() {
         DatabaseService service = service();
         LogPosition position = mayUseReplica() ? requiredPosition(service) : null;
-        ServerPool replica = mayUseReplica() ? service.selectForRead(position, tried) : null;
+        ServerPool replica =
+                mayUseReplica() ? service.selectForRead(position, excludedServers) : null;
         ServerPool server = replica == null ? service.reachablePrimary() : replica;
         if (server == null) {
-            onNoServer();
+            onNoServerAvailable();
         } else {
             server.borrow(new ConnectionRequest(server, position));
         }
@@ -97,7 +98,7 @@
     private final class ConnectionRequest implements ServerPool.Borrower {
 
         /** Priorities go before the time that was waited. */
-        private static final long PRIORITY_STEP = 1_000_000_000L;
+        private static final long PRIORITY_WEIGHT = 1_000_000_000L;
 
         private final ServerPool server;
         private final LogPosition position;
@@ -108,13 +109,13 @@
         }
 
         @Override
-        public boolean isInterested() {
-            return isWanted();
+        public boolean isPending() {
+            return isActive();
         }
 
         @Override
         public long priority() {
-            return route.priority() * PRIORITY_STEP + sinceMillis;
+            return route.priority() * PRIORITY_WEIGHT + receivedMillis;
         }
 
         @Override
@@ -135,13 +136,17 @@
 
     /** What a log must hold for its reads; null where that is not known. */
     private LogPosition requiredPosition(DatabaseService service) {
-        LogPosition floor = service.floors.positionSince(sinceMillis - route.maxStalenessMillis());
-        if (floor == null) {
+        LogPosition stalenessPosition =
+                service.primaryPositions.lowestPositionSince(
+                        receivedMillis - route.maxStalenessMillis());
+        if (stalenessPosition == null) {
             return null;
         }
-        boolean ownWrites = route.consistency() == ReadConsistency.READ_YOUR_WRITES;
+        boolean readsOwnWrites = route.consistency() == ReadConsistency.READ_YOUR_WRITES;
         return service.withoutAcceptedLoss(
-                ownWrites ? LogPosition.max(floor, session.lastWritePosition()) : floor);
+                readsOwnWrites
+                        ? LogPosition.max(stalenessPosition, session.lastWritePosition())
+                        : stalenessPosition);
     }
 
     /**
@@ -149,52 +154,53 @@
      * connection. A server that led after a read's first byte came has all that was acknowledged
      * before, whatever happens to it then.
      */
-    final void verifyPrimary(ServerConnection on, Runnable ifPrimary, Runnable otherwise) {
+    final void verifyPrimary(
+            ServerConnection serverConnection, Runnable ifPrimary, Runnable ifNotPrimary) {
         node.counters.primaryChecks++;
-        on.query(
+        serverConnection.query(
                 "STATUS",
                 result -> {
-                    if (isWanted() && showsPrimary(result)) {
+                    if (isActive() && isPrimaryStatus(result)) {
                         ifPrimary.run();
                         return;
                     }
-                    giveBack(on, result);
-                    if (isWanted()) {
-                        otherwise.run();
+                    returnConnection(serverConnection, result);
+                    if (isActive()) {
+                        ifNotPrimary.run();
                     }
                 });
     }
 
-    private static boolean showsPrimary(QueryResult result) {
+    private static boolean isPrimaryStatus(QueryResult result) {
         return result.isCompleted()
                 && !result.rows().isEmpty()
                 && result.rows().get(0).startsWith("primary ");
     }
 
     /** Gives a connection back after this answer, rolled back where a transaction is open there. */
-    static void giveBack(ServerConnection on, QueryResult result) {
-        if (on.isClosed()) {
+    static void returnConnection(ServerConnection serverConnection, QueryResult result) {
+        if (serverConnection.isClosed()) {
             return;
         }
         if (result.isIdle()) {
-            on.pool.release(on);
+            serverConnection.pool.release(serverConnection);
         } else {
-            rollBack(on);
+            rollBackAndRelease(serverConnection);
         }
     }
 
     /** Rolls back what is open on a connection, and gives it back. */
-    static void rollBack(ServerConnection on) {
-        on.query(
+    static void rollBackAndRelease(ServerConnection serverConnection) {
+        serverConnection.query(
                 "ROLLBACK",
                 result -> {
-                    if (on.isClosed()) {
+                    if (serverConnection.isClosed()) {
                         return;
                     }
                     if (result.isIdle()) {
-                        on.pool.release(on);
+                        serverConnection.pool.release(serverConnection);
                     } else {
-                        on.abort("not rolled back");
+                        serverConnection.abort("not rolled back");
                     }
                 });
     }
