--- a/src/main/java/dillfront/dataplane/ServerConnection.java
+++ b/src/main/java/dillfront/dataplane/ServerConnection.java
@@ -46,13 +46,13 @@
     final ServerPool pool;
     private final ServerResponseReader responses = new ServerResponseReader();
     private final Map<String, String> variables = new HashMap<>();
-    private final Set<String> prepared = new HashSet<>();
-    private final ArrayDeque<PendingQuery> pending = new ArrayDeque<>();
+    private final Set<String> preparedDefinitions = new HashSet<>();
+    private final ArrayDeque<PendingQuery> pendingQueries = new ArrayDeque<>();
     private Environment.Connection socket;
     private boolean closed;
 
     /** By the last answer. */
-    private char transactionStatus = QueryResult.IDLE;
+    private char lastTransactionStatus = QueryResult.IDLE;
 
     ServerConnection(ServerPool pool) {
         this.pool = pool;
@@ -99,40 +99,42 @@
     }
 
     /** How many statements a session with these variables needs here first. */
-    int setupCost(Map<String, String> wanted) {
-        int same = 0;
+    int setupCost(Map<String, String> sessionVariables) {
+        int equalCount = 0;
         for (Map.Entry<String, String> variable : variables.entrySet()) {
-            if (!wanted.containsKey(variable.getKey())) {
-                return wanted.size() + RESET_COST;
+            if (!sessionVariables.containsKey(variable.getKey())) {
+                return sessionVariables.size() + RESET_COST;
             }
-            same += variable.getValue().equals(wanted.get(variable.getKey())) ? 1 : 0;
+            equalCount +=
+                    variable.getValue().equals(sessionVariables.get(variable.getKey())) ? 1 : 0;
         }
-        return wanted.size() - same;
+        return sessionVariables.size() - equalCount;
     }
 
     // ---- sending
 
     /** Makes the variables those of a session; what is sent goes ahead of the next statement. */
-    private void applyVariables(Map<String, String> wanted, StringBuilder out) {
-        boolean hasOthers = !wanted.keySet().containsAll(variables.keySet());
-        boolean hasTooMany =
-                prepared.size() > MAX_PREPARED && transactionStatus == QueryResult.IDLE;
-        if (hasOthers || hasTooMany) {
-            addInternal(out, "RESET");
+    private void applyVariables(Map<String, String> sessionVariables, StringBuilder statements) {
+        boolean hasExtraVariables = !sessionVariables.keySet().containsAll(variables.keySet());
+        boolean hasTooManyPrepared =
+                preparedDefinitions.size() > MAX_PREPARED
+                        && lastTransactionStatus == QueryResult.IDLE;
+        if (hasExtraVariables || hasTooManyPrepared) {
+            appendInternal(statements, "RESET");
             variables.clear();
-            prepared.clear();
+            preparedDefinitions.clear();
         }
-        wanted.forEach(
+        sessionVariables.forEach(
                 (name, value) -> {
                     if (!value.equals(variables.get(name))) {
-                        addInternal(out, "SET " + name + " " + value);
+                        appendInternal(statements, "SET " + name + " " + value);
                         variables.put(name, value);
                     }
                 });
     }
 
-    private void addInternal(StringBuilder out, String statement) {
-        out.append("QUERY - ").append(statement).append("\r\n");
+    private void appendInternal(StringBuilder statements, String statement) {
+        statements.append("QUERY - ").append(statement).append("\r\n");
         addPending(
                 new PendingQuery(
                         result -> {
@@ -147,7 +149,7 @@
     }
 
     private void addPending(PendingQuery query) {
-        pending.add(query);
+        pendingQueries.add(query);
         responses.expectResponse();
     }
 
@@ -159,50 +161,54 @@
     /**
      * Sends a statement once what goes ahead is set.
      *
-     * @param wanted the session's variables; null for no matter which
-     * @param shape what must be prepared, as "READ shape" or "WRITE shape"; null for nothing
+     * @param sessionVariables the session's variables; null for no matter which
+     * @param preparedDefinition what must be prepared, as "READ shape" or "WRITE shape"; null for
+     *     nothing
      * @param id the client's, for the server to know a repeated statement by
      * @param deadlineMillis without an answer by then the connection is left
      */
     void query(
-            Map<String, String> wanted,
-            String shape,
+            Map<String, String> sessionVariables,
+            String preparedDefinition,
             String id,
             String statement,
             long deadlineMillis,
             ResponseHandler handler) {
-        StringBuilder out = new StringBuilder();
-        boolean wasIdle = pending.isEmpty();
-        if (wanted != null) {
-            applyVariables(wanted, out);
+        StringBuilder statements = new StringBuilder();
+        boolean wasIdle = pendingQueries.isEmpty();
+        if (sessionVariables != null) {
+            applyVariables(sessionVariables, statements);
         }
-        if (shape != null && prepared.add(shape)) {
-            addInternal(out, "PREPARE " + preparedName(shape) + " " + shape);
+        if (preparedDefinition != null && preparedDefinitions.add(preparedDefinition)) {
+            appendInternal(
+                    statements,
+                    "PREPARE " + preparedName(preparedDefinition) + " " + preparedDefinition);
         }
-        out.append("QUERY ").append(id).append(' ').append(statement);
+        statements.append("QUERY ").append(id).append(' ').append(statement);
         if (closed) {
             handler.onResponse(QueryResult.notSent());
             return;
         }
         addPending(new PendingQuery(handler, now(), deadlineMillis));
         pool.busyConnections += wasIdle ? 1 : 0;
-        sendLine(out.toString());
+        sendLine(statements.toString());
     }
 
     /** The name under which all sessions use this shape here. */
-    static String preparedName(String shape) {
-        return shape.charAt(0) + shape.substring(shape.indexOf(' ') + 1);
+    static String preparedName(String preparedDefinition) {
+        return preparedDefinition.charAt(0)
+                + preparedDefinition.substring(preparedDefinition.indexOf(' ') + 1);
     }
 
     /** When the oldest statement that is not answered was sent; the end of time for none. */
     long oldestSentMillis() {
-        PendingQuery oldest = pending.peekFirst();
+        PendingQuery oldest = pendingQueries.peekFirst();
         return oldest == null ? Long.MAX_VALUE : oldest.sentMillis();
     }
 
     /** Leaves it where an answer is overdue, whatever else came from the server. */
     void closeIfOverdue(long nowMillis) {
-        for (PendingQuery query : pending) {
+        for (PendingQuery query : pendingQueries) {
             if (nowMillis >= query.deadlineMillis()) {
                 abort("not answered");
                 return;
@@ -219,30 +225,34 @@
         ServerResponse response;
         try {
             response = responses.read(line);
-        } catch (ProtocolViolationException bad) {
+        } catch (ProtocolViolationException violation) {
             pool.environment()
-                    .trace("connection-left server=" + pool.id + " fault=" + bad.getMessage());
-            abort(bad.getMessage());
+                    .trace(
+                            "connection-left server="
+                                    + pool.id
+                                    + " fault="
+                                    + violation.getMessage());
+            abort(violation.getMessage());
             return;
         }
         if (response == null) {
             return;
         }
-        transactionStatus = response.transactionStatus();
+        lastTransactionStatus = response.transactionStatus();
         pool.knownPosition = LogPosition.max(pool.knownPosition, response.logPosition());
         if (wasConnected) {
             complete(response);
         } else if (response.errorCode() != null) {
             abort(response.errorCode());
         } else {
-            pool.connecting--;
+            pool.connectsInProgress--;
             pool.release(this);
         }
     }
 
     private void complete(ServerResponse response) {
-        PendingQuery query = pending.poll();
-        if (pending.isEmpty()) {
+        PendingQuery query = pendingQueries.poll();
+        if (pendingQueries.isEmpty()) {
             pool.busyConnections = Math.max(0, pool.busyConnections - 1);
         }
         query.handler().onResponse(QueryResult.of(response));
@@ -274,14 +284,14 @@
         closed = true;
         boolean wasConnected = responses.isConnected();
         if (!wasConnected) {
-            pool.connecting--;
+            pool.connectsInProgress--;
         }
-        if (!pending.isEmpty()) {
+        if (!pendingQueries.isEmpty()) {
             pool.busyConnections = Math.max(0, pool.busyConnections - 1);
         }
         pool.onConnectionClosed(this, wasConnected, reason);
-        List<PendingQuery> unanswered = new ArrayList<>(pending);
-        pending.clear();
+        List<PendingQuery> unanswered = new ArrayList<>(pendingQueries);
+        pendingQueries.clear();
         unanswered.forEach(query -> query.handler().onResponse(QueryResult.connectionLost(reason)));
     }
 
--- a/src/main/java/dillfront/dataplane/ServerPool.java
+++ b/src/main/java/dillfront/dataplane/ServerPool.java
@@ -17,18 +17,18 @@
     static final int CONNECT_TIMEOUT_MS = 900;
 
     /** Nothing came for so long while an answer was outstanding: the server may be lost. */
-    static final long SILENCE_TIMEOUT_MS = 450;
+    static final long UNRESPONSIVE_TIMEOUT_MS = 450;
 
-    private static final long MIN_BACKOFF_MS = 120;
-    private static final long MAX_BACKOFF_MS = 1_000;
+    private static final long MIN_RECONNECT_BACKOFF_MS = 120;
+    private static final long MAX_RECONNECT_BACKOFF_MS = 1_000;
 
     private static final long MIN_LAG_BACKOFF_MS = 50;
     private static final long MAX_LAG_BACKOFF_MS = 800;
 
     /** A server that refused a connection is not asked for another sooner. */
-    private static final long FULL_PAUSE_MS = 200;
+    private static final long CONNECTION_LIMIT_DELAY_MS = 200;
 
-    private static final long NONE = -1;
+    private static final long UNSET = -1;
 
     /** Waits for a connection. */
     interface Borrower {
@@ -36,7 +36,7 @@
         /**
          * @return whether it still wants one
          */
-        boolean isInterested();
+        boolean isPending();
 
         long priority();
 
@@ -64,24 +64,24 @@
     /** How far its log was at the least, by its answers; null before the first. */
     LogPosition knownPosition;
 
-    final List<ServerConnection> idle = new ArrayList<>();
+    final List<ServerConnection> idleConnections = new ArrayList<>();
     final List<ServerConnection> connections = new ArrayList<>();
-    private final List<Borrower> waiters = new ArrayList<>();
-    int connecting;
+    private final List<Borrower> waitingBorrowers = new ArrayList<>();
+    int connectsInProgress;
     int busyConnections;
 
     /** How much slower than usual it answers: 1 in calm. */
     double slowdown = 1;
 
-    long lastHeardMillis;
+    long lastResponseMillis;
     long laggingUntilMillis;
     private long lagBackoffMillis = MIN_LAG_BACKOFF_MS;
-    long downSinceMillis = NONE;
+    long downSinceMillis = UNSET;
     private long reconnectAtMillis;
-    private long reconnectBackoffMillis = MIN_BACKOFF_MS;
+    private long reconnectBackoffMillis = MIN_RECONNECT_BACKOFF_MS;
 
     /** It refuses more connections than this data plane has. */
-    private long fullUntilMillis;
+    private long connectionLimitUntilMillis;
 
     ServerPool(
             DataPlaneNode node, DatabaseService service, String id, String address, String zone) {
@@ -91,7 +91,7 @@
         this.address = address;
         this.zone = zone;
         isLocalRegion = node.settings.isSameRegion(zone);
-        lastHeardMillis = node.environment.nowMillis();
+        lastResponseMillis = node.environment.nowMillis();
     }
 
     /** Whether new work may go there: a server that drains or timed out gets none. */
@@ -113,15 +113,15 @@
             oldest = Math.min(oldest, connection.oldestSentMillis());
         }
         return oldest != Long.MAX_VALUE
-                && node.environment.nowMillis() - Math.max(oldest, lastHeardMillis)
-                        > SILENCE_TIMEOUT_MS;
+                && node.environment.nowMillis() - Math.max(oldest, lastResponseMillis)
+                        > UNRESPONSIVE_TIMEOUT_MS;
     }
 
     void onResponse() {
-        lastHeardMillis = node.environment.nowMillis();
+        lastResponseMillis = node.environment.nowMillis();
         if (downSinceMillis >= 0) {
-            downSinceMillis = NONE;
-            reconnectBackoffMillis = MIN_BACKOFF_MS;
+            downSinceMillis = UNSET;
+            reconnectBackoffMillis = MIN_RECONNECT_BACKOFF_MS;
             service.notifyWaiters();
         }
     }
@@ -131,53 +131,54 @@
         lagBackoffMillis = Math.min(MAX_LAG_BACKOFF_MS, lagBackoffMillis * 2);
     }
 
-    void onCaughtUp() {
+    void decayLagBackoff() {
         lagBackoffMillis = Math.max(MIN_LAG_BACKOFF_MS, lagBackoffMillis - 1);
     }
 
     /** Lends a connection, now or later: the one that needs the fewest statements first. */
     void borrow(Borrower borrower) {
         ServerConnection best = null;
-        int least = Integer.MAX_VALUE;
-        for (int i = idle.size() - 1; i >= 0 && least > 0; i--) {
-            int cost = idle.get(i).setupCost(borrower.sessionVariables());
-            if (cost < least) {
-                least = cost;
-                best = idle.get(i);
+        int lowestCost = Integer.MAX_VALUE;
+        for (int i = idleConnections.size() - 1; i >= 0 && lowestCost > 0; i--) {
+            int cost = idleConnections.get(i).setupCost(borrower.sessionVariables());
+            if (cost < lowestCost) {
+                lowestCost = cost;
+                best = idleConnections.get(i);
             }
         }
         if (best != null) {
-            idle.remove(best);
+            idleConnections.remove(best);
             borrower.onConnection(best);
             return;
         }
-        int at = waiters.size();
-        while (at > 0 && waiters.get(at - 1).priority() > borrower.priority()) {
-            at--;
+        int position = waitingBorrowers.size();
+        while (position > 0
+                && waitingBorrowers.get(position - 1).priority() > borrower.priority()) {
+            position--;
         }
-        waiters.add(at, borrower);
+        waitingBorrowers.add(position, borrower);
         openConnections();
     }
 
     /** No more connections than its share, and no more connects than are waited for. */
     private void openConnections() {
-        waiters.removeIf(w -> !w.isInterested());
+        waitingBorrowers.removeIf(borrower -> !borrower.isPending());
         long now = node.environment.nowMillis();
         while (!removed
-                && connecting < waiters.size()
+                && connectsInProgress < waitingBorrowers.size()
                 && connections.size() < node.maxConnectionsPerServer(service)
-                && now >= fullUntilMillis) {
-            if (downSinceMillis >= 0 && (now < reconnectAtMillis || connecting > 0)) {
+                && now >= connectionLimitUntilMillis) {
+            if (downSinceMillis >= 0 && (now < reconnectAtMillis || connectsInProgress > 0)) {
                 break;
             }
-            connecting++;
+            connectsInProgress++;
             ServerConnection opened = new ServerConnection(this);
             connections.add(opened);
             opened.connect();
         }
-        if (connecting == 0 && downSinceMillis >= 0) {
+        if (connectsInProgress == 0 && downSinceMillis >= 0) {
             rejectBorrowers("down");
-        } else if (connections.isEmpty() && now < fullUntilMillis) {
+        } else if (connections.isEmpty() && now < connectionLimitUntilMillis) {
             rejectBorrowers("full");
         }
     }
@@ -185,10 +186,10 @@
     /** Tries whether the server is back, where it was out of reach. */
     void reconnectIfDue() {
         if (downSinceMillis >= 0
-                && connecting == 0
+                && connectsInProgress == 0
                 && node.environment.nowMillis() >= reconnectAtMillis
-                && !acceptsNothingNew()) {
-            connecting++;
+                && !rejectsNewWork()) {
+            connectsInProgress++;
             ServerConnection opened = new ServerConnection(this);
             connections.add(opened);
             opened.connect();
@@ -201,10 +202,10 @@
      * keeps none either.
      */
     void closeIdleIfUnusable() {
-        if (!idle.isEmpty() && (acceptsNothingNew() || isTimedOut())) {
-            new ArrayList<>(idle).forEach(ServerConnection::close);
+        if (!idleConnections.isEmpty() && (rejectsNewWork() || isTimedOut())) {
+            new ArrayList<>(idleConnections).forEach(ServerConnection::close);
         }
-        if (acceptsNothingNew()) {
+        if (rejectsNewWork()) {
             rejectBorrowers("leaves");
         }
     }
@@ -213,40 +214,41 @@
     void closeOverdue() {
         if (busyConnections > 0) {
             long now = node.environment.nowMillis();
-            new ArrayList<>(connections).forEach(c -> c.closeIfOverdue(now));
+            new ArrayList<>(connections).forEach(connection -> connection.closeIfOverdue(now));
         }
     }
 
     /** A connection was made, or is given back. */
     void release(ServerConnection connection) {
-        if (acceptsNothingNew()) {
+        if (rejectsNewWork()) {
             rejectBorrowers("leaves");
             connection.close();
             return;
         }
-        if (connections.size() > node.maxConnectionsPerServer(service) && waiters.isEmpty()) {
+        if (connections.size() > node.maxConnectionsPerServer(service)
+                && waitingBorrowers.isEmpty()) {
             connection.close();
             return;
         }
-        Iterator<Borrower> next = waiters.iterator();
-        while (next.hasNext()) {
-            Borrower borrower = next.next();
-            next.remove();
-            if (borrower.isInterested()) {
+        Iterator<Borrower> iterator = waitingBorrowers.iterator();
+        while (iterator.hasNext()) {
+            Borrower borrower = iterator.next();
+            iterator.remove();
+            if (borrower.isPending()) {
                 borrower.onConnection(connection);
                 return;
             }
         }
-        idle.add(connection);
+        idleConnections.add(connection);
     }
 
     void onConnectionClosed(ServerConnection connection, boolean wasConnected, String reason) {
         connections.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
         long now = node.environment.nowMillis();
         if (!wasConnected) {
             if (reason.equals("TOOMANY")) {
-                fullUntilMillis = now + FULL_PAUSE_MS;
+                connectionLimitUntilMillis = now + CONNECTION_LIMIT_DELAY_MS;
                 onResponse();
                 if (connections.isEmpty()) {
                     rejectBorrowers("full");
@@ -267,30 +269,30 @@
                     now
                             + reconnectBackoffMillis
                             + node.environment.random().nextInt((int) reconnectBackoffMillis);
-            reconnectBackoffMillis = Math.min(MAX_BACKOFF_MS, reconnectBackoffMillis * 2);
-            if (connecting == 0) {
+            reconnectBackoffMillis = Math.min(MAX_RECONNECT_BACKOFF_MS, reconnectBackoffMillis * 2);
+            if (connectsInProgress == 0) {
                 rejectBorrowers("down");
             }
-        } else if (!waiters.isEmpty()) {
+        } else if (!waitingBorrowers.isEmpty()) {
             openConnections();
         }
     }
 
     /** All who wait look elsewhere. */
     void rejectBorrowers(String reason) {
-        List<Borrower> rejected = new ArrayList<>(waiters);
-        waiters.clear();
+        List<Borrower> rejected = new ArrayList<>(waitingBorrowers);
+        waitingBorrowers.clear();
         rejected.forEach(
-                w -> {
-                    if (w.isInterested()) {
-                        w.onUnavailable(reason);
+                borrower -> {
+                    if (borrower.isPending()) {
+                        borrower.onUnavailable(reason);
                     }
                 });
     }
 
     void remove() {
         removed = true;
-        new ArrayList<>(idle).forEach(ServerConnection::close);
+        new ArrayList<>(idleConnections).forEach(ServerConnection::close);
         rejectBorrowers("gone");
     }
 
@@ -302,19 +304,19 @@
         draining = true;
         drainingSinceMillis = node.environment.nowMillis();
         if (service.primary() != this) {
-            new ArrayList<>(idle).forEach(ServerConnection::close);
+            new ArrayList<>(idleConnections).forEach(ServerConnection::close);
             rejectBorrowers("draining");
         }
     }
 
     /** It drains, and what it received now could come too late. */
-    boolean isDrainOver() {
+    boolean isDrainTimeOver() {
         return draining
                 && node.environment.nowMillis() > drainingSinceMillis + node.settings.drainMillis();
     }
 
     /** It drains or is removed, and is not to be used as the primary: nothing begins there. */
-    boolean acceptsNothingNew() {
+    boolean rejectsNewWork() {
         return removed || draining && service.primary() != this;
     }
 
@@ -323,7 +325,7 @@
         if (downSinceMillis >= 0 || isTimedOut()) {
             return -1;
         }
-        return node.environment.nowMillis() - lastHeardMillis < SILENCE_TIMEOUT_MS
+        return node.environment.nowMillis() - lastResponseMillis < UNRESPONSIVE_TIMEOUT_MS
                         && !connections.isEmpty()
                 ? 1
                 : 0;
--- a/src/main/java/dillfront/dataplane/Statement.java
+++ b/src/main/java/dillfront/dataplane/Statement.java
@@ -20,55 +20,68 @@
     private static final Statement MALFORMED = new Statement(Verb.MALFORMED, "", "");
 
     static Statement parse(String text) {
-        int blank = text.indexOf(' ');
-        String keyword = blank < 0 ? text : text.substring(0, blank);
-        String rest = blank < 0 ? "" : text.substring(blank + 1);
+        int keywordEnd = text.indexOf(' ');
+        String keyword = keywordEnd < 0 ? text : text.substring(0, keywordEnd);
+        String arguments = keywordEnd < 0 ? "" : text.substring(keywordEnd + 1);
         switch (keyword) {
             case "BEGIN":
-                return rest.isEmpty() && blank < 0
+                return arguments.isEmpty() && keywordEnd < 0
                         ? new Statement(Verb.BEGIN, "", "")
-                        : rest.equals("READ") ? new Statement(Verb.BEGIN_READ, "", "") : MALFORMED;
+                        : arguments.equals("READ")
+                                ? new Statement(Verb.BEGIN_READ, "", "")
+                                : MALFORMED;
             case "COMMIT":
-                return blank < 0 ? new Statement(Verb.COMMIT, "", "") : MALFORMED;
+                return keywordEnd < 0 ? new Statement(Verb.COMMIT, "", "") : MALFORMED;
             case "ROLLBACK":
-                return blank < 0 ? new Statement(Verb.ROLLBACK, "", "") : MALFORMED;
+                return keywordEnd < 0 ? new Statement(Verb.ROLLBACK, "", "") : MALFORMED;
             case "READ":
-                return isSingleToken(rest) ? new Statement(Verb.READ, "", rest) : MALFORMED;
+                return isSingleToken(arguments)
+                        ? new Statement(Verb.READ, "", arguments)
+                        : MALFORMED;
             case "WRITE":
-                return isTokenPair(rest) ? new Statement(Verb.WRITE, "", rest) : MALFORMED;
+                return hasTwoTokens(arguments)
+                        ? new Statement(Verb.WRITE, "", arguments)
+                        : MALFORMED;
             case "SET":
-                return isTokenPair(rest) ? named(Verb.SET, rest) : MALFORMED;
+                return hasTwoTokens(arguments) ? withName(Verb.SET, arguments) : MALFORMED;
             case "PREPARE":
                 {
-                    Statement statement = isTokenPair(rest) ? named(Verb.PREPARE, rest) : MALFORMED;
-                    int gap = statement.arguments().indexOf(' ');
-                    boolean shaped =
-                            gap > 0
+                    Statement statement =
+                            hasTwoTokens(arguments) ? withName(Verb.PREPARE, arguments) : MALFORMED;
+                    int separator = statement.arguments().indexOf(' ');
+                    boolean isReadOrWrite =
+                            separator > 0
                                     && (statement.arguments().startsWith("READ ")
                                             || statement.arguments().startsWith("WRITE "));
-                    return shaped && isSingleToken(statement.arguments().substring(gap + 1))
+                    return isReadOrWrite
+                                    && isSingleToken(statement.arguments().substring(separator + 1))
                             ? statement
                             : MALFORMED;
                 }
             case "EXECUTE":
-                return isTokenPair(rest) ? named(Verb.EXECUTE, rest) : MALFORMED;
+                return hasTwoTokens(arguments) ? withName(Verb.EXECUTE, arguments) : MALFORMED;
             case "DEALLOCATE":
-                return isSingleToken(rest) ? new Statement(Verb.DEALLOCATE, rest, "") : MALFORMED;
+                return isSingleToken(arguments)
+                        ? new Statement(Verb.DEALLOCATE, arguments, "")
+                        : MALFORMED;
             default:
                 return MALFORMED;
         }
     }
 
-    private static boolean isSingleToken(String rest) {
-        return !rest.isEmpty() && rest.indexOf(' ') < 0;
+    private static boolean isSingleToken(String arguments) {
+        return !arguments.isEmpty() && arguments.indexOf(' ') < 0;
     }
 
-    private static boolean isTokenPair(String rest) {
-        return rest.indexOf(' ') > 0 && rest.indexOf(' ') < rest.length() - 1;
+    private static boolean hasTwoTokens(String arguments) {
+        return arguments.indexOf(' ') > 0 && arguments.indexOf(' ') < arguments.length() - 1;
     }
 
-    private static Statement named(Verb verb, String rest) {
-        int gap = rest.indexOf(' ');
-        return new Statement(verb, rest.substring(0, gap), rest.substring(gap + 1));
+    private static Statement withName(Verb verb, String nameAndArguments) {
+        int separator = nameAndArguments.indexOf(' ');
+        return new Statement(
+                verb,
+                nameAndArguments.substring(0, separator),
+                nameAndArguments.substring(separator + 1));
     }
 }
--- a/src/main/java/dillfront/dataplane/StatementExecution.java
+++ b/src/main/java/dillfront/dataplane/StatementExecution.java
@@ -4,20 +4,20 @@
 import dillfront.common.config.Configuration.Route;
 import dillfront.common.database.LogPosition;
 import dillfront.common.environment.Environment;
-import dillfront.dataplane.StatementRetryPolicy.Verdict;
+import dillfront.dataplane.StatementRetryPolicy.RetryDecision;
 
 /** One statement that is to be answered; it runs by itself, unless a transaction is open. */
 final class StatementExecution extends Execution {
 
     /** It is answered so long before its time is over, so that the answer is there in time. */
-    private static final long ANSWER_MARGIN_MS = 25;
+    private static final long RESPONSE_MARGIN_MS = 25;
 
-    private static final long RETRY_PAUSE_MS = 20;
+    private static final long RETRY_DELAY_MS = 20;
     private static final int RETRY_JITTER_MS = 20;
     private static final int MAX_PRIMARY_CHECKS = 3;
 
     /** A server takes this part of the target latency in calm. */
-    private static final double USUAL_PART_OF_TARGET = 12.0;
+    private static final double TARGET_TO_USUAL_LATENCY_RATIO = 12.0;
 
     private static final double MAX_SLOWDOWN = 8;
     private static final double SLOWDOWN_SMOOTHING = 0.1;
@@ -25,10 +25,10 @@
     final Statement statement;
 
     /** As the client sent it. */
-    private final String text;
+    private final String clientStatement;
 
     /** What it needs to have prepared, as "READ shape" or "WRITE shape"; null for nothing. */
-    private final String shape;
+    private final String preparedDefinition;
 
     private final boolean writes;
     private Environment.Timer timeout;
@@ -37,31 +37,31 @@
     private Runnable waiter;
 
     /**
-     * @param shape of the prepared name that it executes; null for none
+     * @param preparedDefinition of the prepared name that it executes; null for none
      */
     StatementExecution(
             ClientSession session,
             String id,
-            String text,
+            String clientStatement,
             Statement statement,
             Route route,
-            String shape) {
+            String preparedDefinition) {
         super(session, id, route);
-        this.text = text;
+        this.clientStatement = clientStatement;
         this.statement = statement;
-        this.shape = shape;
+        this.preparedDefinition = preparedDefinition;
         writes =
-                shape == null
+                preparedDefinition == null
                         ? statement.verb() == Statement.Verb.WRITE
-                        : shape.startsWith("WRITE ");
+                        : preparedDefinition.startsWith("WRITE ");
     }
 
     boolean writes() {
         return writes;
     }
 
-    String shape() {
-        return shape;
+    String preparedDefinition() {
+        return preparedDefinition;
     }
 
     boolean isCommit() {
@@ -69,21 +69,24 @@
     }
 
     /** What goes to the server. */
-    String line() {
-        return shape == null
-                ? text
-                : "EXECUTE " + ServerConnection.preparedName(shape) + " " + statement.arguments();
+    String serverStatement() {
+        return preparedDefinition == null
+                ? clientStatement
+                : "EXECUTE "
+                        + ServerConnection.preparedName(preparedDefinition)
+                        + " "
+                        + statement.arguments();
     }
 
     /** The client was answered by then, or is gone: a connection that did not answer is left. */
-    long overdueMillis() {
-        return sinceMillis + route.timeoutMillis();
+    long deadlineMillis() {
+        return receivedMillis + route.timeoutMillis();
     }
 
     /** Its time runs. */
     void startTimeout(Runnable onTimeout) {
-        long untilMillis = overdueMillis() - ANSWER_MARGIN_MS;
-        timeout = node.environment.schedule(Math.max(1, untilMillis - now()), onTimeout);
+        long replyDeadlineMillis = deadlineMillis() - RESPONSE_MARGIN_MS;
+        timeout = node.environment.schedule(Math.max(1, replyDeadlineMillis - now()), onTimeout);
     }
 
     /** It is answered: it waits for nothing any more. */
@@ -105,38 +108,38 @@
     }
 
     @Override
-    void onNoServer() {
-        awaitChange();
+    void onNoServerAvailable() {
+        awaitServiceChange();
     }
 
     @Override
     void onServerUnavailable(ServerPool server) {
         DatabaseService service = service();
         if (server == service.primary() || server.id.equals(service.primary)) {
-            awaitChange();
+            awaitServiceChange();
             return;
         }
-        tried.add(server);
+        excludedServers.add(server);
         node.environment.schedule(
                 0,
                 () -> {
-                    if (isWanted()) {
+                    if (isActive()) {
                         acquire();
                     }
                 });
     }
 
     /** Until something changes, as long as there is patience; then it is refused at once. */
-    private void awaitChange() {
-        if (!isPatient() || !service().expectsPrimarySoon()) {
+    private void awaitServiceChange() {
+        if (!hasWaitTimeLeft() || !service().expectsPrimarySoon()) {
             session.refuse(this);
             return;
         }
-        tried.clear();
+        excludedServers.clear();
         waiter =
                 () -> {
                     waiter = null;
-                    if (isWanted()) {
+                    if (isActive()) {
                         acquire();
                     }
                 };
@@ -146,7 +149,7 @@
     @Override
     void onConnection(ServerPool server, ServerConnection borrowed, LogPosition position) {
         boolean bounded = mayUseReplica() && position != null;
-        if (writes || bounded || service().isCertainPrimary(server)) {
+        if (writes || bounded || service().isConfirmedPrimary(server)) {
             send(server, borrowed, bounded ? position : null);
             return;
         }
@@ -156,8 +159,8 @@
                 () -> send(server, borrowed, null),
                 () -> {
                     connection = null;
-                    if (attempts++ < MAX_PRIMARY_CHECKS && isPatient()) {
-                        afterPause(this::acquire);
+                    if (attempts++ < MAX_PRIMARY_CHECKS && hasWaitTimeLeft()) {
+                        runAfterRetryDelay(this::acquire);
                     } else {
                         session.refuse(this);
                     }
@@ -165,26 +168,28 @@
     }
 
     /**
-     * @param after the server refuses to read before its log holds this; null for no such bound
+     * @param minPosition the server refuses to read before its log holds this; null for no such
+     *     bound
      */
-    private void send(ServerPool server, ServerConnection on, LogPosition after) {
-        connection = on;
+    private void send(
+            ServerPool server, ServerConnection serverConnection, LogPosition minPosition) {
+        connection = serverConnection;
         long sentMillis = now();
-        LogPosition before = server.knownPosition;
-        on.query(
+        LogPosition requestPosition = server.knownPosition;
+        serverConnection.query(
                 session.variables(),
-                shape,
+                preparedDefinition,
                 id,
-                (after == null ? "" : "AFTER " + after + " ") + line(),
-                overdueMillis(),
+                (minPosition == null ? "" : "AFTER " + minPosition + " ") + serverStatement(),
+                deadlineMillis(),
                 result -> {
                     connection = null;
                     if (result.isCompleted()) {
-                        onCompleted(server, on, sentMillis, before, result);
+                        onCompleted(server, serverConnection, sentMillis, requestPosition, result);
                         return;
                     }
-                    giveBack(on, result);
-                    if (isWanted()) {
+                    returnConnection(serverConnection, result);
+                    if (isActive()) {
                         onFailed(server, result);
                     }
                 });
@@ -192,34 +197,36 @@
 
     private void onCompleted(
             ServerPool server,
-            ServerConnection on,
+            ServerConnection serverConnection,
             long sentMillis,
-            LogPosition before,
+            LogPosition requestPosition,
             QueryResult result) {
-        server.onCaughtUp();
+        server.decayLagBackoff();
         DatabaseService service = service();
-        boolean certain = service.isCertainPrimary(server);
+        boolean confirmedPrimary = service.isConfirmedPrimary(server);
         if (writes) {
-            service.onAcknowledged(server, before, result.position());
+            service.onAcknowledged(server, requestPosition, result.position());
         }
-        if (writes || certain) {
-            service.floors.onPrimaryPosition(result.position(), sentMillis);
+        if (writes || confirmedPrimary) {
+            service.primaryPositions.onPrimaryPosition(result.position(), sentMillis);
         }
-        giveBack(on, result);
-        measure(server, sentMillis);
-        if (!isWanted()) {
+        returnConnection(serverConnection, result);
+        updateSlowdown(server, sentMillis);
+        if (!isActive()) {
             return;
         }
         if (writes) {
             session.onWriteAcknowledged(result.position());
         }
-        session.answer(this, result);
+        session.complete(this, result);
     }
 
-    private void measure(ServerPool server, long sentMillis) {
-        double usual = Math.max(1, route.targetLatencyMillis() / USUAL_PART_OF_TARGET);
-        double slowdown = Math.min(MAX_SLOWDOWN, Math.max(0.5, (now() - sentMillis) / usual));
-        server.slowdown += SLOWDOWN_SMOOTHING * (Math.max(1, slowdown) - server.slowdown);
+    private void updateSlowdown(ServerPool server, long sentMillis) {
+        double usualMillis =
+                Math.max(1, route.targetLatencyMillis() / TARGET_TO_USUAL_LATENCY_RATIO);
+        double latencyRatio =
+                Math.min(MAX_SLOWDOWN, Math.max(0.5, (now() - sentMillis) / usualMillis));
+        server.slowdown += SLOWDOWN_SMOOTHING * (Math.max(1, latencyRatio) - server.slowdown);
     }
 
     /** It came to nothing: again where that is allowed, else the client is told. */
@@ -228,16 +235,16 @@
             node.counters.laggingReplies++;
             server.onLagging();
         }
-        Verdict verdict =
-                StatementRetryPolicy.decide(
-                        result, writes, attempts, (int) route.maxAttempts(), isPatient());
-        if (verdict.excludeServer()) {
-            tried.add(server);
+        RetryDecision decision =
+                StatementRetryPolicy.evaluate(
+                        result, writes, attempts, (int) route.maxAttempts(), hasWaitTimeLeft());
+        if (decision.excludeServer()) {
+            excludedServers.add(server);
         }
-        attempts += verdict.countAttempt() ? 1 : 0;
-        switch (verdict.decision()) {
-            case RETRY_AT_ONCE -> acquire();
-            case RETRY_AFTER_PAUSE -> afterPause(this::acquire);
+        attempts += decision.countAttempt() ? 1 : 0;
+        switch (decision.action()) {
+            case RETRY_IMMEDIATELY -> acquire();
+            case RETRY_AFTER_DELAY -> runAfterRetryDelay(this::acquire);
             case REFUSE -> session.refuse(this);
             case UNCERTAIN -> session.fail(this, "UNCERTAIN", "the connection ended");
             case ABORTED -> session.fail(this, "ABORTED", "the connection ended");
@@ -246,12 +253,12 @@
     }
 
     /** Runs this a moment later, where the statement is still wanted. */
-    void afterPause(Runnable action) {
-        long pause = RETRY_PAUSE_MS + node.environment.random().nextInt(RETRY_JITTER_MS);
+    void runAfterRetryDelay(Runnable action) {
+        long delayMillis = RETRY_DELAY_MS + node.environment.random().nextInt(RETRY_JITTER_MS);
         node.environment.schedule(
-                pause,
+                delayMillis,
                 () -> {
-                    if (isWanted()) {
+                    if (isActive()) {
                         action.run();
                     }
                 });
--- a/src/main/java/dillfront/dataplane/StatementRetryPolicy.java
+++ b/src/main/java/dillfront/dataplane/StatementRetryPolicy.java
@@ -8,16 +8,16 @@
  */
 final class StatementRetryPolicy {
 
-    private static final int MAX_ATTEMPTS_NOT_RUN = 2;
+    private static final int MAX_RETRIES_NOT_RUN = 2;
 
     /** What to do. */
-    enum Decision {
-        RETRY_AT_ONCE,
-        RETRY_AFTER_PAUSE,
+    enum RetryAction {
+        RETRY_IMMEDIATELY,
+        RETRY_AFTER_DELAY,
         /** It has not run: the client is told when to come back. */
         REFUSE,
         /** The server's error goes to the client. */
-        PASS_ON,
+        FORWARD_ERROR,
         /** Whether it ran is not known. */
         UNCERTAIN,
         /** A read whose connection ended. */
@@ -25,11 +25,11 @@
     }
 
     /**
-     * @param decision what to do
+     * @param action what to do
      * @param excludeServer the server is not tried again until something changes
      * @param countAttempt the attempt counts
      */
-    record Verdict(Decision decision, boolean excludeServer, boolean countAttempt) {}
+    record RetryDecision(RetryAction action, boolean excludeServer, boolean countAttempt) {}
 
     private StatementRetryPolicy() {}
 
@@ -37,51 +37,55 @@
      * @param writes whether the statement writes
      * @param attempts that counted before
      * @param maxAttempts by its route
-     * @param patient whether there is time left to wait
+     * @param canWait whether there is time left to wait
      */
-    static Verdict decide(
-            QueryResult result, boolean writes, int attempts, int maxAttempts, boolean patient) {
+    static RetryDecision evaluate(
+            QueryResult result, boolean writes, int attempts, int maxAttempts, boolean canWait) {
         switch (result.outcome()) {
             case NOT_SENT:
-                return notRun(attempts, patient);
+                return evaluateNotRun(attempts, canWait);
             case CONNECTION_LOST:
-                return mayHaveRun(
+                return evaluatePossiblyRun(
                         writes,
                         attempts,
                         maxAttempts,
-                        patient,
-                        writes ? Decision.UNCERTAIN : Decision.ABORTED);
+                        canWait,
+                        writes ? RetryAction.UNCERTAIN : RetryAction.ABORTED);
             default:
                 break;
         }
         switch (ServerError.of(result.errorCode())) {
             case BUSY:
-                return new Verdict(
-                        patient ? Decision.RETRY_AFTER_PAUSE : Decision.REFUSE, true, false);
+                return new RetryDecision(
+                        canWait ? RetryAction.RETRY_AFTER_DELAY : RetryAction.REFUSE, true, false);
             case LAGGING:
-                return new Verdict(patient ? Decision.RETRY_AT_ONCE : Decision.REFUSE, true, false);
+                return new RetryDecision(
+                        canWait ? RetryAction.RETRY_IMMEDIATELY : RetryAction.REFUSE, true, false);
             case READONLY:
-                return new Verdict(
-                        patient ? Decision.RETRY_AFTER_PAUSE : Decision.REFUSE, false, false);
+                return new RetryDecision(
+                        canWait ? RetryAction.RETRY_AFTER_DELAY : RetryAction.REFUSE, false, false);
             case UNKNOWN:
             case WRONGNODE:
             case TOOMANY:
-                return notRun(attempts, patient);
+                return evaluateNotRun(attempts, canWait);
             case FAILED:
-                return mayHaveRun(writes, attempts, maxAttempts, patient, Decision.PASS_ON);
+                return evaluatePossiblyRun(
+                        writes, attempts, maxAttempts, canWait, RetryAction.FORWARD_ERROR);
             default:
-                return new Verdict(Decision.PASS_ON, false, false);
+                return new RetryDecision(RetryAction.FORWARD_ERROR, false, false);
         }
     }
 
-    private static Verdict notRun(int attempts, boolean patient) {
-        boolean again = patient && attempts < MAX_ATTEMPTS_NOT_RUN;
-        return new Verdict(again ? Decision.RETRY_AFTER_PAUSE : Decision.REFUSE, true, patient);
+    private static RetryDecision evaluateNotRun(int attempts, boolean canWait) {
+        boolean retry = canWait && attempts < MAX_RETRIES_NOT_RUN;
+        return new RetryDecision(
+                retry ? RetryAction.RETRY_AFTER_DELAY : RetryAction.REFUSE, true, canWait);
     }
 
-    private static Verdict mayHaveRun(
-            boolean writes, int attempts, int maxAttempts, boolean patient, Decision otherwise) {
-        boolean again = !writes && patient && attempts < Math.max(1, maxAttempts);
-        return new Verdict(again ? Decision.RETRY_AT_ONCE : otherwise, !writes, !writes && patient);
+    private static RetryDecision evaluatePossiblyRun(
+            boolean writes, int attempts, int maxAttempts, boolean canWait, RetryAction fallback) {
+        boolean retry = !writes && canWait && attempts < Math.max(1, maxAttempts);
+        return new RetryDecision(
+                retry ? RetryAction.RETRY_IMMEDIATELY : fallback, !writes, !writes && canWait);
     }
 }
--- a/src/main/java/dillfront/dataplane/Transaction.java
+++ b/src/main/java/dillfront/dataplane/Transaction.java
@@ -12,23 +12,23 @@
  */
 final class Transaction extends Execution {
 
-    private static final long RETRY_PAUSE_MS = 20;
+    private static final long RETRY_DELAY_MS = 20;
     private static final int MAX_RESTARTS = 4;
 
     private final boolean readOnly;
 
     /** Where it is open, for the count of open transactions; null while it is not. */
-    private ServerPool server;
+    private ServerPool countedServer;
 
     private boolean opening;
 
     /** A statement of it has run, or may have. */
-    private boolean hasRun;
+    private boolean mayHaveRun;
 
     private boolean hasWritten;
 
     /** The statement that waits until it is open; null for none. */
-    private StatementExecution first;
+    private StatementExecution waitingStatement;
 
     private Environment.Timer idleTimeout;
 
@@ -55,7 +55,7 @@
 
     /** Opens it at a server. */
     void open() {
-        if (isWanted()) {
+        if (isActive()) {
             opening = true;
             acquire();
         }
@@ -67,117 +67,125 @@
     }
 
     @Override
-    void onNoServer() {
-        openLater();
+    void onNoServerAvailable() {
+        awaitServiceChange();
     }
 
     @Override
     void onServerUnavailable(ServerPool unavailable) {
-        tried.add(unavailable);
-        openLater();
+        excludedServers.add(unavailable);
+        awaitServiceChange();
     }
 
-    private long openPatienceEndMillis() {
-        return first != null ? first.patienceEndMillis() : patienceEndMillis();
+    private long openDeadlineMillis() {
+        return waitingStatement != null
+                ? waitingStatement.waitDeadlineMillis()
+                : waitDeadlineMillis();
     }
 
     /**
      * Waits for a change; given up with the statement that waits, or after a while where none does.
      */
-    private void openLater() {
-        if (now() >= openPatienceEndMillis() || first != null && !service().expectsPrimarySoon()) {
+    private void awaitServiceChange() {
+        if (now() >= openDeadlineMillis()
+                || waitingStatement != null && !service().expectsPrimarySoon()) {
             opening = false;
-            if (first != null) {
-                session.refuse(first);
+            if (waitingStatement != null) {
+                session.refuse(waitingStatement);
             }
             return;
         }
-        tried.clear();
+        excludedServers.clear();
         service().addWaiter(this::open);
     }
 
     @Override
-    void onConnection(ServerPool from, ServerConnection borrowed, LogPosition position) {
-        if (!readOnly || position != null || service().isCertainPrimary(from)) {
-            begin(from, borrowed, position);
+    void onConnection(ServerPool server, ServerConnection borrowed, LogPosition position) {
+        if (!readOnly || position != null || service().isConfirmedPrimary(server)) {
+            begin(server, borrowed, position);
         } else {
             verifyPrimary(
                     borrowed,
-                    () -> begin(from, borrowed, null),
-                    () -> node.environment.schedule(RETRY_PAUSE_MS, this::openLater));
+                    () -> begin(server, borrowed, null),
+                    () -> node.environment.schedule(RETRY_DELAY_MS, this::awaitServiceChange));
         }
     }
 
-    private void begin(ServerPool from, ServerConnection on, LogPosition after) {
-        String line =
-                (after == null ? "" : "AFTER " + after + " ") + (readOnly ? "BEGIN READ" : "BEGIN");
+    private void begin(
+            ServerPool server, ServerConnection serverConnection, LogPosition minPosition) {
+        String beginStatement =
+                (minPosition == null ? "" : "AFTER " + minPosition + " ")
+                        + (readOnly ? "BEGIN READ" : "BEGIN");
         long sentMillis = now();
-        on.query(
+        serverConnection.query(
                 session.variables(),
                 null,
                 id,
-                line,
+                beginStatement,
                 sentMillis + route.timeoutMillis(),
-                result -> onBegun(from, on, sentMillis, result));
+                result -> onBegun(server, serverConnection, sentMillis, result));
     }
 
     private void onBegun(
-            ServerPool from, ServerConnection on, long sentMillis, QueryResult result) {
-        if (!isWanted()) {
-            giveBack(on, result);
+            ServerPool server,
+            ServerConnection serverConnection,
+            long sentMillis,
+            QueryResult result) {
+        if (!isActive()) {
+            returnConnection(serverConnection, result);
             return;
         }
         if (result.isCompleted()) {
             if (!readOnly) {
-                service().floors.onPrimaryPosition(result.position(), sentMillis);
+                service().primaryPositions.onPrimaryPosition(result.position(), sentMillis);
             }
-            onOpened(from, on);
+            onOpened(server, serverConnection);
             return;
         }
-        giveBack(on, result);
+        returnConnection(serverConnection, result);
         boolean lagging = result.hasFailedWith(ServerError.LAGGING);
         if (lagging) {
             node.counters.laggingReplies++;
-            from.onLagging();
+            server.onLagging();
         }
-        tried.add(from);
+        excludedServers.add(server);
         attempts++;
-        node.environment.schedule(lagging ? 0 : RETRY_PAUSE_MS, this::openAgain);
+        node.environment.schedule(lagging ? 0 : RETRY_DELAY_MS, this::retryOpen);
     }
 
-    private void openAgain() {
-        if (!isWanted()) {
+    private void retryOpen() {
+        if (!isActive()) {
             return;
         }
-        if (now() >= openPatienceEndMillis()) {
-            openLater();
+        if (now() >= openDeadlineMillis()) {
+            awaitServiceChange();
         } else {
             open();
         }
     }
 
-    private void onOpened(ServerPool at, ServerConnection on) {
+    private void onOpened(ServerPool server, ServerConnection serverConnection) {
         opening = false;
-        connection = on;
-        countAt(at);
-        StatementExecution waiting = first;
-        first = null;
-        if (waiting != null && !waiting.finished) {
-            execute(waiting);
+        connection = serverConnection;
+        countOpenAt(server);
+        StatementExecution statement = waitingStatement;
+        waitingStatement = null;
+        if (statement != null && !statement.finished) {
+            execute(statement);
         }
     }
 
     /** Counts it among the transactions that are open at the primary, where it is open there. */
-    private void countAt(ServerPool next) {
+    private void countOpenAt(ServerPool server) {
         DatabaseService service = service();
-        if (server != null && server.id.equals(service.primary)) {
+        if (countedServer != null && countedServer.id.equals(service.primary)) {
             service.openTransactions = Math.max(0, service.openTransactions - 1);
             if (service.moving && service.openTransactions == 0) {
                 node.controlPlane.requestUpdate();
             }
         }
-        server = next;
-        if (next != null && next.id.equals(service.primary)) {
+        countedServer = server;
+        if (server != null && server.id.equals(service.primary)) {
             service.openTransactions++;
         }
     }
@@ -189,7 +197,7 @@
         if (connection != null) {
             execute(statement);
         } else {
-            first = statement;
+            waitingStatement = statement;
             if (!opening) {
                 open();
             }
@@ -197,40 +205,42 @@
     }
 
     private void execute(StatementExecution statement) {
-        ServerConnection on = connection;
-        if (!hasRun && on.pool.acceptsNothingNew()) {
+        ServerConnection serverConnection = connection;
+        if (!mayHaveRun && serverConnection.pool.rejectsNewWork()) {
             // Opened in time, but its first statement would be late.
             restart(statement, 0);
             return;
         }
-        boolean isFirst = !hasRun;
+        boolean isFirst = !mayHaveRun;
         boolean wrote = hasWritten || statement.writes();
-        statement.connection = on;
-        hasRun = true;
+        statement.connection = serverConnection;
+        mayHaveRun = true;
         hasWritten = wrote;
         long sentMillis = now();
-        LogPosition before = on.pool.knownPosition;
+        LogPosition requestPosition = serverConnection.pool.knownPosition;
         // Variables may have been set within the transaction; what would need a RESET cannot come
         // here.
-        on.query(
+        serverConnection.query(
                 session.variables(),
-                statement.shape(),
+                statement.preparedDefinition(),
                 statement.id,
-                statement.line(),
-                statement.overdueMillis(),
+                statement.serverStatement(),
+                statement.deadlineMillis(),
                 result -> {
                     statement.connection = null;
                     boolean committed = result.isCompleted() && statement.isCommit();
                     if (committed && wrote) {
-                        service().onAcknowledged(on.pool, before, result.position());
+                        service()
+                                .onAcknowledged(
+                                        serverConnection.pool, requestPosition, result.position());
                     }
-                    if (!statement.isWanted() || !session.isIn(this)) {
+                    if (!statement.isActive() || !session.isCurrentTransaction(this)) {
                         return;
                     }
                     if (result.isCompleted()) {
                         onCompleted(statement, sentMillis, result);
                     } else {
-                        onFailed(statement, on, isFirst, result);
+                        onFailed(statement, serverConnection, isFirst, result);
                     }
                 });
     }
@@ -238,48 +248,50 @@
     private void onCompleted(StatementExecution statement, long sentMillis, QueryResult result) {
         if (!readOnly && (!statement.isCommit() || hasWritten)) {
             // One that wrote nothing is committed by a server that has lost the lead, too.
-            service().floors.onPrimaryPosition(result.position(), sentMillis);
+            service().primaryPositions.onPrimaryPosition(result.position(), sentMillis);
         }
         if (statement.isCommit()) {
             if (hasWritten) {
                 session.onWriteAcknowledged(result.position());
             }
-            session.leaveTransaction();
+            session.clearTransaction();
             release(!result.isIdle());
         }
-        session.answer(statement, result);
+        session.complete(statement, result);
     }
 
     private void onFailed(
             StatementExecution statement,
-            ServerConnection on,
+            ServerConnection serverConnection,
             boolean isFirst,
             QueryResult result) {
         boolean busy = result.hasFailedWith(ServerError.BUSY);
         if (busy
                 && result.transactionStatus() == QueryResult.IN_TRANSACTION
-                && statement.isPatient()) {
-            statement.afterPause(() -> execute(statement));
+                && statement.hasWaitTimeLeft()) {
+            statement.runAfterRetryDelay(() -> execute(statement));
         } else if (statement.isCommit()) {
-            session.leaveTransaction();
+            session.clearTransaction();
             release(!result.isIdle());
             failCommit(statement, result);
         } else if (isFirst
-                && hasNotRun(result)
-                && statement.isPatient()
+                && canRestartAfter(result)
+                && statement.hasWaitTimeLeft()
                 && statement.attempts++ < MAX_RESTARTS) {
-            boolean lost = result.isConnectionLost();
-            if (lost || result.hasFailedWith(ServerError.READONLY)) {
-                tried.add(on.pool);
+            boolean connectionLost = result.isConnectionLost();
+            if (connectionLost || result.hasFailedWith(ServerError.READONLY)) {
+                excludedServers.add(serverConnection.pool);
             }
-            restart(statement, lost ? 0 : RETRY_PAUSE_MS);
+            restart(statement, connectionLost ? 0 : RETRY_DELAY_MS);
         } else {
-            failAtServer();
-            boolean lost = result.isConnectionLost();
+            failAndRollBack();
+            boolean connectionLost = result.isConnectionLost();
             session.fail(
                     statement,
-                    lost ? "ABORTED" : result.errorCode(),
-                    lost ? "the connection ended; nothing of it is kept" : result.errorMessage());
+                    connectionLost ? "ABORTED" : result.errorCode(),
+                    connectionLost
+                            ? "the connection ended; nothing of it is kept"
+                            : result.errorMessage());
         }
     }
 
@@ -288,13 +300,13 @@
             session.fail(statement, result.errorCode(), result.errorMessage());
             return;
         }
-        boolean sent = result.outcome() == QueryResult.Outcome.CONNECTION_LOST;
+        boolean wasSent = result.outcome() == QueryResult.Outcome.CONNECTION_LOST;
         session.fail(
-                statement, hasWritten && sent ? "UNCERTAIN" : "ABORTED", "the connection ended");
+                statement, hasWritten && wasSent ? "UNCERTAIN" : "ABORTED", "the connection ended");
     }
 
     /** Whether nothing of a first statement is kept: the transaction may begin anew. */
-    private static boolean hasNotRun(QueryResult result) {
+    private static boolean canRestartAfter(QueryResult result) {
         if (result.isConnectionLost()) {
             return true;
         }
@@ -306,15 +318,15 @@
 
     /** Nothing of the transaction has been kept: it begins anew. */
     private void restart(StatementExecution statement, long delayMillis) {
-        ServerConnection on = connection;
-        hasRun = false;
+        ServerConnection serverConnection = connection;
+        mayHaveRun = false;
         hasWritten = false;
         connection = null;
-        countAt(null);
-        if (!on.isClosed()) {
-            rollBack(on);
+        countOpenAt(null);
+        if (!serverConnection.isClosed()) {
+            rollBackAndRelease(serverConnection);
         }
-        first = statement;
+        waitingStatement = statement;
         opening = true;
         node.environment.schedule(delayMillis, this::open);
     }
@@ -322,41 +334,41 @@
     // ---- the end
 
     /** What is open at the server is rolled back; the client's own end of it is still to come. */
-    void failAtServer() {
+    void failAndRollBack() {
         session.failTransaction();
         if (connection != null) {
-            ServerConnection on = connection;
+            ServerConnection serverConnection = connection;
             connection = null;
-            countAt(null);
-            if (!on.isClosed()) {
-                rollBack(on);
+            countOpenAt(null);
+            if (!serverConnection.isClosed()) {
+                rollBackAndRelease(serverConnection);
             }
         }
         finished = true;
     }
 
     /** Its connection is about to be aborted. */
-    void abandonConnection() {
+    void onConnectionAborting() {
         finished = true;
         connection = null;
-        countAt(null);
+        countOpenAt(null);
     }
 
     /** Gives its connection back, rolled back where it is not at rest. */
     void release(boolean rollBack) {
         finished = true;
-        ServerConnection on = connection;
+        ServerConnection serverConnection = connection;
         connection = null;
-        if (server != null) {
-            countAt(null);
+        if (countedServer != null) {
+            countOpenAt(null);
         }
-        if (on == null || on.isClosed()) {
+        if (serverConnection == null || serverConnection.isClosed()) {
             return;
         }
         if (rollBack) {
-            rollBack(on);
+            rollBackAndRelease(serverConnection);
         } else {
-            on.pool.release(on);
+            serverConnection.pool.release(serverConnection);
         }
     }
 }
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -110,7 +110,7 @@
         discovery = config.discovery();
         setup = config.setup();
         named = config.named();
-        rereading = new Rereading(config.setup().settings().dial());
+        rereading = new Rereading(config.setup().settings().connectTimeout());
     }
 
     Log log() {
@@ -155,7 +155,7 @@
                                                 share,
                                                 config.sockets() * 3 / 10,
                                                 (config.memoryMb() << 20) / WAITING_PART,
-                                                config.setup().settings().dial());
+                                                config.setup().settings().connectTimeout());
                                 side =
                                         operator == OperatorConfig.NONE
                                                 ? null
@@ -169,7 +169,7 @@
                                 watch =
                                         new Watch(
                                                 discovery,
-                                                config.setup().settings().dial(),
+                                                config.setup().settings().connectTimeout(),
                                                 counters,
                                                 log,
                                                 loop,
@@ -182,13 +182,15 @@
                     .sync();
             // What discovery has told is known before the door opens; if it says nothing, the known
             // list will do.
-            long due = System.nanoTime() + NEWS_DIALS * config.setup().settings().dial().toNanos();
+            long due =
+                    System.nanoTime()
+                            + NEWS_DIALS * config.setup().settings().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
                                     router.listed()
                                             && (watch.answered() || System.nanoTime() - due > 0))
                     .get()) {
-                Thread.sleep(config.setup().settings().step().toMillis() + 1);
+                Thread.sleep(config.setup().settings().clockStep().toMillis() + 1);
             }
             rest();
             loop.submit(() -> clients.open(config.listen())).get().sync();
@@ -369,7 +371,7 @@
             Duration now = router.clock().now();
             due =
                     (router.owedUntil().compareTo(now) > 0 ? router.owedUntil() : now)
-                            .plus(setup.settings().dial().multipliedBy(LAST_DIALS));
+                            .plus(setup.settings().connectTimeout().multipliedBy(LAST_DIALS));
         } finally {
             lookIfOver();
         }
@@ -386,7 +388,7 @@
         if (!over && due != null && router.clock().now().compareTo(due) < 0) {
             loop.schedule(
                     this::lookIfOver,
-                    config.setup().settings().step().toNanos(),
+                    config.setup().settings().clockStep().toNanos(),
                     TimeUnit.NANOSECONDS);
             return;
         }
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/Side.java
@@ -7,14 +7,14 @@
 import dillfront.router.config.Setup;
 import dillfront.router.discovery.Witnesses;
 import dillfront.router.frontend.Clients;
-import dillfront.router.memory.Memory;
+import dillfront.router.memory.RouterStateStore;
 import dillfront.router.operator.OperatorConfig;
-import dillfront.router.peers.Datagrams;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
-import dillfront.router.peers.Standing;
-import dillfront.router.peers.Telling;
-import dillfront.router.recovery.Others;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.peers.PeerRestrictionSync;
+import dillfront.router.peers.PeerStatusReport;
+import dillfront.router.peers.UdpGossipTransport;
+import dillfront.router.recovery.PeerInDoubtKeys;
 import io.netty.channel.EventLoop;
 import java.time.Duration;
 import java.util.HexFormat;
@@ -26,13 +26,13 @@
  */
 final class Side {
 
-    private final Neighbours neighbours;
-    private final Datagrams datagrams;
+    private final PeerHealthExchange neighbours;
+    private final UdpGossipTransport datagrams;
     private final Control control;
     private final Doorkeeper doorkeeper;
 
     /** Null where nothing is remembered. */
-    private final Memory memory;
+    private final RouterStateStore memory;
 
     private final Ledger ledger;
 
@@ -63,7 +63,7 @@
         memory =
                 operator.stateFolder() == null
                         ? null
-                        : Memory.open(operator.stateFolder(), name, log, loop);
+                        : RouterStateStore.open(operator.stateFolder(), name, log, loop);
         if (memory != null) {
             router.remembers(
                     members -> {
@@ -99,37 +99,38 @@
             datagrams = null;
         } else {
             int self = gossip.selfIndex(name);
-            Ring ring = gossip.ring();
-            neighbours = new Neighbours(gossip.tuning(), ring.size(), router);
+            PeerRegistry ring = gossip.ring();
+            neighbours = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
             datagrams =
-                    new Datagrams(
+                    new UdpGossipTransport(
                             gossip.tuning(),
                             ring,
                             self,
                             gossip.bindAddress(),
-                            Ring.id(HexFormat.of().parseHex(gossip.publicKey())),
+                            PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
                             gossip.privateKey(),
                             loop,
                             log,
                             router.clock()::now,
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
-                            (word, age) -> neighbours.claimed(word, age, router.clock().now()));
-            neighbours.speaksBy(datagrams::gossip);
+                            (word, age) ->
+                                    neighbours.receiveClaim(word, age, router.clock().now()));
+            neighbours.setGossip(datagrams::gossip);
             router.hears(neighbours);
-            Others others =
+            PeerInDoubtKeys others =
                     operator.uncertainTransactionBounds() == null
                             ? null
-                            : new Others(
-                                    ring.size(), operator.uncertainTransactionBounds().keeps());
+                            : new PeerInDoubtKeys(
+                                    ring.size(), operator.uncertainTransactionBounds().retention());
             if (others != null) {
                 ledger.others(others);
             }
-            datagrams.tells(
-                    new Telling(
+            datagrams.setRestrictions(
+                    new PeerRestrictionSync(
                             others == null ? null : ledger.doubts(),
                             others,
-                            new Witnesses(gossip.tuning().liars()),
+                            new Witnesses(gossip.tuning().toleratedLiars()),
                             router,
                             router.clock()::now));
         }
@@ -145,11 +146,13 @@
                                             case "peers" ->
                                                     datagrams == null
                                                             ? "gossip is off\n"
-                                                            : Standing.table(datagrams, neighbours);
+                                                            : PeerStatusReport.table(
+                                                                    datagrams, neighbours);
                                             case "peers json" ->
                                                     datagrams == null
                                                             ? "{}\n"
-                                                            : Standing.json(datagrams, neighbours);
+                                                            : PeerStatusReport.json(
+                                                                    datagrams, neighbours);
                                             case "status" ->
                                                     ledger == null
                                                             ? "memory, doubts and sites are off\n"
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -109,7 +109,7 @@
             since = System.nanoTime();
         }
         if (!owes) {
-            age = clients.pace.age(clients.clock.now());
+            age = clients.pace.maxQueryAge(clients.clock.now());
             readNanos = System.nanoTime();
         }
         frames.add((ByteBuf) read);
--- a/src/main/java/dillfront/router/identity/AccessController.java
+++ b/src/main/java/dillfront/router/identity/AccessController.java
@@ -1,6 +1,6 @@
 package dillfront.router.identity;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -235,11 +235,11 @@
         }
 
         private void refillRateTokens() {
-            double burst = Math.max(1, principal.transactionsPerSecond() * seconds(RATE_BURST));
+            double burst = Math.max(1, principal.transactionsPerSecond() * toSeconds(RATE_BURST));
             double elapsedSeconds =
                     usage.refilledAt.isZero()
                             ? burst / principal.transactionsPerSecond()
-                            : seconds(now.minus(usage.refilledAt));
+                            : toSeconds(now.minus(usage.refilledAt));
             usage.rateTokens =
                     Math.min(
                             burst,
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -1,15 +1,15 @@
 package dillfront.router.operator;
 
 import dillfront.common.network.Address;
-import dillfront.router.gossip.Tuning;
+import dillfront.router.gossip.GossipConfig;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Principal;
 import dillfront.router.identity.Rights;
 import dillfront.router.identity.Rule;
 import dillfront.router.identity.TenantShares;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
-import dillfront.router.recovery.Doubts;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.recovery.InDoubtKeys;
 import dillfront.router.script.ScriptException;
 import dillfront.router.script.ScriptInterpreter;
 import java.io.IOException;
@@ -62,7 +62,7 @@
         InetSocketAddress controlAddress,
         IdentityConfig identity,
         Path stateFolder,
-        Doubts.Bounds uncertainTransactionBounds,
+        InDoubtKeys.Limits uncertainTransactionBounds,
         boolean assessesSites,
         Path file) {
 
@@ -79,15 +79,15 @@
      *     null otherwise
      */
     public record GossipSection(
-            Tuning tuning,
-            Ring ring,
+            GossipConfig tuning,
+            PeerRegistry ring,
             Path keyFile,
             String publicKey,
             InetSocketAddress bindAddress) {
 
         /** Returns the index in the ring of the instance with this name. */
         public int selfIndex(String name) throws InvalidOperatorConfigException {
-            int self = ring.peer(Ring.hash(name));
+            int self = ring.peer(PeerRegistry.hash(name));
             if (self < 0) {
                 throw new InvalidOperatorConfigException(
                         "no peer is named '" + name + "', the name of this instance");
@@ -96,7 +96,7 @@
                 throw new InvalidOperatorConfigException(
                         "peer '" + name + "', which is this instance, has no address");
             }
-            if (!ring.has(self, publicKey)) {
+            if (!ring.hasKey(self, publicKey)) {
                 throw new InvalidOperatorConfigException(
                         "'public' of gossip() is not a key of peer '" + name + "'");
             }
@@ -106,7 +106,7 @@
         /** Reads the private key; {@link #selfIndex} must have checked the public key. */
         public PrivateKey privateKey() throws InvalidOperatorConfigException {
             PrivateKey key = readKeyFile();
-            if (!ring.pair(key, publicKey)) {
+            if (!ring.isKeyPair(key, publicKey)) {
                 throw new InvalidOperatorConfigException(
                         "key " + keyFile + ": does not belong to 'public' of gossip()");
             }
@@ -257,8 +257,8 @@
     /** Implements the functions that a script may call, and builds the configuration. */
     private static final class ConfigBuilder {
 
-        private final Ring ring = new Ring();
-        private Tuning tuning;
+        private final PeerRegistry ring = new PeerRegistry();
+        private GossipConfig tuning;
         private Path keyFile;
         private String publicKey;
         private InetSocketAddress bind;
@@ -266,7 +266,7 @@
         private final String file;
         private IdentityConfig identity;
         private Path stateFolder;
-        private Doubts.Bounds uncertainTransactionBounds;
+        private InDoubtKeys.Limits uncertainTransactionBounds;
         private boolean assessesSites;
         private final Map<String, List<RuleConfig>> roles = new HashMap<>();
         private final List<PrincipalConfig> principals = new ArrayList<>();
@@ -423,7 +423,7 @@
             if (tuning != null) {
                 throw arguments.error("", "gossip() is called twice");
             }
-            Tuning defaults = Tuning.USUAL;
+            GossipConfig defaults = GossipConfig.DEFAULT;
             String key = arguments.string("key", null);
             publicKey = arguments.string("public", null);
             Duration period = duration(arguments, "period", defaults.period());
@@ -434,9 +434,9 @@
                             defaults.bytesPerSecond(),
                             500,
                             1_000_000);
-            long liars = number(arguments, "liars", defaults.liars(), 0, 100);
-            Duration lasts = duration(arguments, "lasts", defaults.lasts());
-            long datagram = number(arguments, "datagram", defaults.datagram(), 400, 1400);
+            long liars = number(arguments, "liars", defaults.toleratedLiars(), 0, 100);
+            Duration lasts = duration(arguments, "lasts", defaults.claimValidity());
+            long datagram = number(arguments, "datagram", defaults.maxDatagramBytes(), 400, 1400);
             String bindText = arguments.string("bind", null);
             arguments.requireAllTaken();
             bind = bindText == null ? null : Address.parse(bindText);
@@ -455,7 +455,7 @@
                 throw arguments.error("lasts", "'lasts' is shorter than 'period'");
             }
             keyFile = Path.of(key);
-            tuning = new Tuning(period, (int) bytes, (int) datagram, (int) liars, lasts);
+            tuning = new GossipConfig(period, (int) bytes, (int) datagram, (int) liars, lasts);
             return null;
         }
 
@@ -496,7 +496,7 @@
                                 "expected a string, or a dict with 'key', 'from' and 'until'");
                     }
                 }
-            } catch (Ring.BadRing e) {
+            } catch (PeerRegistry.InvalidPeerException e) {
                 throw arguments.error("keys", e.getMessage());
             }
             return null;
@@ -538,7 +538,7 @@
             long maxEntries = number(arguments, "most", 65_536, 16, 1 << 20);
             Duration maxAge = duration(arguments, "keeps", Duration.ofMinutes(10));
             arguments.requireAllTaken();
-            uncertainTransactionBounds = new Doubts.Bounds((int) maxEntries, maxAge);
+            uncertainTransactionBounds = new InDoubtKeys.Limits((int) maxEntries, maxAge);
             return null;
         }
 
@@ -623,10 +623,10 @@
                                 + ring.size()
                                 + " peers, expected this instance and at least one other");
             }
-            if (3 * tuning.liars() > ring.size()) {
+            if (3 * tuning.toleratedLiars() > ring.size()) {
                 throw new InvalidOperatorConfigException(
                         "liars = "
-                                + tuning.liars()
+                                + tuning.toleratedLiars()
                                 + " of "
                                 + ring.size()
                                 + " peers, expected at most a third");
--- a/src/main/java/dillfront/simulation/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -7,7 +7,7 @@
 import dillfront.common.message.BinaryDelta;
 import dillfront.common.message.Compression;
 import dillfront.common.message.MessageCodec;
-import dillfront.common.storage.TextStore;
+import dillfront.common.storage.KeyValueStore;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -131,7 +131,7 @@
      */
     private void disk() throws Exception {
         Path data = Files.createDirectories(processes.folder().resolve("disk"));
-        TextStore keep = TextStore.open(data, "measure");
+        KeyValueStore keep = KeyValueStore.open(data, "measure");
         List<Long> puts = new ArrayList<>();
         long most = 0;
         for (int i = 0; i < AWAY; i++) {
--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -830,7 +830,7 @@
         final PeerLease lease = new PeerLease();
         int life = -1;
         long clock;
-        long lastAnsweredSend = LeaseManager.NEVER;
+        long lastAnsweredSend = LeaseManager.NEVER_MILLIS;
         boolean firstStart;
         boolean answers;
         long itsToken;
@@ -1041,7 +1041,7 @@
             if (message.life() != peer.life || !message.id().equals(peer.id())) {
                 peer.life = message.life();
                 peer.lease.reset(message.id());
-                peer.lastAnsweredSend = LeaseManager.NEVER;
+                peer.lastAnsweredSend = LeaseManager.NEVER_MILLIS;
                 peer.answers = false;
                 peer.token = -1;
                 peer.itsToken = 0;
@@ -1070,7 +1070,7 @@
                 }
             }
             peer.lease.update(message.lease(), now);
-            peer.lease.contact(now);
+            peer.lease.recordContact(now);
             if (scene.duty()) {
                 peer.recordNumber = message.records().durableNumber();
                 if (records.receive(message.records())) {
@@ -1201,7 +1201,7 @@
                     && quorum(
                             true,
                             v ->
-                                    records.covers(
+                                    records.hasAllRecordsOf(
                                             scene.lease
                                                     ? v.lastAnsweredSend >= heldFrom
                                                     : v.answers,
@@ -1281,7 +1281,7 @@
         /** The change that made this row what it is; -1 where there is none. */
         private long changeNumberOf(String server) {
             DatabaseServer row = table.get(server);
-            return row == null ? -1 : row.changeNumber();
+            return row == null ? -1 : row.lastChangeVersion();
         }
 
         /** Empty where there is no such row. */
@@ -1530,7 +1530,7 @@
         private long reached(long own, ToLongFunction<Peer> quantity) {
             RegisterValue value = register.acceptedValue();
             if (value == null) {
-                return LeaseManager.NEVER;
+                return LeaseManager.NEVER_MILLIS;
             }
             return value.quorumReached(
                     of -> {
@@ -1538,7 +1538,9 @@
                             return own;
                         }
                         Peer peer = peer(of);
-                        return peer == null ? LeaseManager.NEVER : quantity.applyAsLong(peer);
+                        return peer == null
+                                ? LeaseManager.NEVER_MILLIS
+                                : quantity.applyAsLong(peer);
                     });
         }
     }
--- a/src/main/java/dillfront/simulation/Crowd.java
+++ b/src/main/java/dillfront/simulation/Crowd.java
@@ -1,10 +1,10 @@
 package dillfront.simulation;
 
-import dillfront.router.gossip.Gossip;
-import dillfront.router.gossip.Post;
-import dillfront.router.gossip.Tuning;
-import dillfront.router.gossip.Word;
-import dillfront.router.peers.Codec;
+import dillfront.router.gossip.GossipConfig;
+import dillfront.router.gossip.GossipProtocol;
+import dillfront.router.gossip.GossipTransport;
+import dillfront.router.gossip.GossipUpdate;
+import dillfront.router.peers.GossipCodec;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,14 +25,14 @@
 
     /** Hears what claims are new at an instance. */
     public interface Ear {
-        void claimed(int instance, Word claim, Duration age);
+        void claimed(int instance, GossipUpdate claim, Duration age);
     }
 
     /** One instance; it may be off, or stand still, in which case what comes waits for it. */
-    public final class Instance implements Post {
+    public final class Instance implements GossipTransport {
 
         public final int index;
-        public Gossip gossip;
+        public GossipProtocol gossip;
 
         /** What its clock shows beyond the others'. */
         public Duration clock = Duration.ZERO;
@@ -56,7 +56,7 @@
             off = false;
             int mine = ++life;
             gossip =
-                    new Gossip(
+                    new GossipProtocol(
                             tuning,
                             instances.length,
                             index,
@@ -76,14 +76,14 @@
             }
             if (!still) {
                 at();
-                gossip.woken();
+                gossip.tick();
             }
             time.after(tuning.period().dividedBy(LOOKS), () -> beat(mine));
         }
 
         /** Sets its clocks, before anything is asked of it from outside. */
         public void at() {
-            gossip.at(time.now(), EPOCH.plus(time.now()).plus(clock));
+            gossip.setClocks(time.now(), EPOCH.plus(time.now()).plus(clock));
         }
 
         /** Does nothing for so long, as a stopped process; then reads all that came. */
@@ -94,17 +94,17 @@
                     () -> {
                         still = false;
                         at();
-                        gossip.woken();
+                        gossip.tick();
                         waiting.forEach(Runnable::run);
                         waiting.clear();
                     });
         }
 
         private interface Told {
-            void to(Gossip gossip, Instance at);
+            void to(GossipProtocol gossip, Instance at);
         }
 
-        private void send(int to, List<Word> words, Told told) {
+        private void send(int to, List<GossipUpdate> words, Told told) {
             datagrams++;
             Instance other = instances[to];
             int copies = chance.nextDouble() < doubled ? 2 : 1;
@@ -123,8 +123,8 @@
                             Runnable read =
                                     () -> {
                                         other.at();
-                                        other.gossip.from(index, incarnation, sent);
-                                        words.forEach(w -> other.gossip.word(w, index));
+                                        other.gossip.receivedFrom(index, incarnation, sent);
+                                        words.forEach(w -> other.gossip.receiveUpdate(w, index));
                                         told.to(other.gossip, other);
                                     };
                             if (other.still) {
@@ -137,44 +137,44 @@
         }
 
         @Override
-        public void ping(int to, int number, List<Word> words) {
-            send(to, words, (g, at) -> g.pinged(index, number));
+        public void ping(int to, int number, List<GossipUpdate> words) {
+            send(to, words, (g, at) -> g.handlePing(index, number));
         }
 
         @Override
-        public void ack(int to, int number, List<Word> words) {
-            send(to, words, (g, at) -> g.acked(index, number));
+        public void ack(int to, int number, List<GossipUpdate> words) {
+            send(to, words, (g, at) -> g.handleAck(index, number));
         }
 
         @Override
-        public void ask(int to, int about, int number, List<Word> words) {
-            send(to, words, (g, at) -> g.asked(index, about, number));
+        public void requestProbe(int to, int about, int number, List<GossipUpdate> words) {
+            send(to, words, (g, at) -> g.handleProbeRequest(index, about, number));
         }
 
         @Override
-        public void push(int to, boolean swap, List<Word> words) {
+        public void push(int to, boolean swap, List<GossipUpdate> words) {
             send(
                     to,
                     words,
                     (g, at) -> {
                         if (swap) {
-                            g.swapped(index);
+                            g.handleTableExchange(index);
                         }
                     });
         }
 
         @Override
-        public Word seal(Word own) {
+        public GossipUpdate sign(GossipUpdate own) {
             return own;
         }
 
         @Override
-        public int bytes(List<Word> words) {
-            return Codec.bytes(words.size());
+        public int wireSize(List<GossipUpdate> words) {
+            return GossipCodec.wireSize(words.size());
         }
 
         @Override
-        public void claimed(Word claim, Duration age) {
+        public void claimReceived(GossipUpdate claim, Duration age) {
             ear.claimed(index, claim, age);
         }
     }
@@ -187,12 +187,12 @@
 
     public double doubled;
     public Duration delay = Duration.ofMillis(2);
-    private final Tuning tuning;
+    private final GossipConfig tuning;
     private final Ear ear;
     private final RandomGenerator chance;
 
     /** So many instances that all know each other from the start. */
-    public Crowd(int count, Tuning tuning, Time time, long seed, Ear ear) {
+    public Crowd(int count, GossipConfig tuning, Time time, long seed, Ear ear) {
         this.tuning = tuning;
         this.time = time;
         this.ear = ear;
@@ -218,7 +218,7 @@
     public double bytes() {
         double sum = 0;
         for (Instance instance : instances) {
-            sum += instance.gossip.budget().sent();
+            sum += instance.gossip.budget().bytesSent();
         }
         return sum / instances.length;
     }
@@ -231,7 +231,7 @@
             for (Instance b : instances) {
                 if (!a.off && !b.off && a != b) {
                     on++;
-                    there += a.gossip.members().present(b.index) ? 1 : 0;
+                    there += a.gossip.membership().isPresent(b.index) ? 1 : 0;
                 }
             }
         }
@@ -246,7 +246,7 @@
             for (Instance b : instances) {
                 if (!a.off && b.off) {
                     off++;
-                    there += a.gossip.members().present(b.index) ? 1 : 0;
+                    there += a.gossip.membership().isPresent(b.index) ? 1 : 0;
                 }
             }
         }
--- a/src/main/java/dillfront/simulation/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -1,17 +1,17 @@
 package dillfront.simulation;
 
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,9 +21,9 @@
 
 /**
  * A fleet that comes back cold as a whole, in virtual time: as many routers as there may be, each
- * deciding by {@link Decide} itself, before nodes that warm up as slowly as their settings allow
- * and fall over where they are pushed. Clients try again. Rougher than the world: one core a node,
- * one time for all statements, no connections, no lost messages. Same case, same run.
+ * deciding by {@link RoutingEngine} itself, before nodes that warm up as slowly as their settings
+ * allow and fall over where they are pushed. Clients try again. Rougher than the world: one core a
+ * node, one time for all statements, no connections, no lost messages. Same case, same run.
  */
 public final class Dark {
 
@@ -243,7 +243,7 @@
         }
     }
 
-    private final class Router implements Outlet {
+    private final class Router implements RoutingActions {
         final double startsAt;
 
         /** Some get several times the mean. */
@@ -251,7 +251,7 @@
 
         final long seed;
         double rate;
-        Decide decide;
+        RoutingEngine decide;
         private final List<Txn> txns = new ArrayList<>();
         private final List<Integer> free = new ArrayList<>();
 
@@ -261,8 +261,8 @@
         }
 
         void start() {
-            decide = new Decide(settings(), this, new SplittableRandom(seed));
-            decide.at(span(now));
+            decide = new RoutingEngine(settings(), this, new SplittableRandom(seed));
+            decide.setTime(span(now));
             list();
         }
 
@@ -280,13 +280,13 @@
                                     1,
                                     node.leads(),
                                     span(node.startsAt),
-                                    Standing.READY));
+                                    MemberState.READY));
                 } else {
                     next = Math.min(next, node.startsAt - now);
                 }
             }
-            decide.at(span(now));
-            decide.list(true, rows);
+            decide.setTime(span(now));
+            decide.updateMembers(true, rows);
             if (next < Double.MAX_VALUE) {
                 after(next + 1e-6, this::list);
             }
@@ -300,10 +300,10 @@
             } else {
                 txns.set(slot, txn);
             }
-            decide.at(span(now));
+            decide.setTime(span(now));
             int type = chance.nextInt(10) < 3 ? 0 : chance.nextInt(10) < 5 ? 1 : 2;
             txn.handle =
-                    decide.take(
+                    decide.accept(
                             slot,
                             type,
                             -1,
@@ -343,38 +343,40 @@
         }
 
         @Override
-        public void rollBack(int slot) {
+        public void reportUnknownOutcome(int slot) {
             txns.get(slot).answered = true;
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {
             after(
                     2 * WIRE,
                     () -> {
-                        decide.at(span(now));
-                        decide.probed(
+                        decide.setTime(span(now));
+                        decide.probeCompleted(
                                 node,
                                 true,
-                                new Report(
+                                new NodeReport(
                                         span(now),
-                                        nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA));
+                                        nodes.get(node).leads()
+                                                ? NodeRole.PRIMARY
+                                                : NodeRole.REPLICA));
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {
+        public void scheduleWakeUp(Duration in) {
             after(
                     in.toNanos() / 1e9,
                     () -> {
-                        decide.at(span(now));
-                        decide.woken();
+                        decide.setTime(span(now));
+                        decide.onWakeUp();
                     });
         }
 
@@ -382,7 +384,7 @@
             final int slot;
             final Router client;
             final int tries;
-            Handle handle;
+            TransactionHandle handle;
             int out;
             boolean answered;
             boolean over;
@@ -395,20 +397,20 @@
 
             void ended(int node, boolean intime, double took) {
                 out--;
-                decide.at(span(now));
+                decide.setTime(span(now));
                 if (intime && !answered) {
                     answered = true;
                     done++;
                     first = Double.isNaN(first) ? now : first;
                 }
-                Role role = nodes.get(node).leads() ? Role.PRIMARY : Role.REPLICA;
-                handle.ended(
+                NodeRole role = nodes.get(node).leads() ? NodeRole.PRIMARY : NodeRole.REPLICA;
+                handle.submissionEnded(
                         node,
-                        intime ? Result.COMMITTED : Result.TIMED_OUT,
+                        intime ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                         span(took),
                         answered,
-                        intime ? new Report(span(now), role) : Report.NOTHING,
-                        Report.NOTHING);
+                        intime ? new NodeReport(span(now), role) : NodeReport.EMPTY,
+                        NodeReport.EMPTY);
                 end();
             }
 
@@ -421,13 +423,13 @@
         }
     }
 
-    private Settings settings() {
-        List<TxnType> types =
+    private RoutingSettings settings() {
+        List<TransactionType> types =
                 List.of(
-                        type(Effect.REFERENCED, Read.WRITE, 6),
-                        type(Effect.REPEATABLE, Read.BOUNDED, 3),
-                        type(Effect.REPEATABLE, Read.ANY, 2));
-        return new Settings(
+                        type(Repeatability.DEDUPLICATED, Consistency.WRITE, 6),
+                        type(Repeatability.IDEMPOTENT, Consistency.BOUNDED_STALENESS, 3),
+                        type(Repeatability.IDEMPOTENT, Consistency.EVENTUAL, 2));
+        return new RoutingSettings(
                 STEP,
                 0,
                 Duration.ofMillis(250),
@@ -448,8 +450,8 @@
                 List.of());
     }
 
-    private static TxnType type(Effect effect, Read read, double value) {
-        return new TxnType(
+    private static TransactionType type(Repeatability effect, Consistency read, double value) {
+        return new TransactionType(
                 effect,
                 true,
                 Duration.ofSeconds(2),
--- a/src/main/java/dillfront/simulation/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -1,7 +1,7 @@
 package dillfront.simulation;
 
+import dillfront.router.gossip.GossipConfig;
 import dillfront.router.gossip.Symptom;
-import dillfront.router.gossip.Tuning;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -79,14 +79,14 @@
         crowd[0] =
                 new Crowd(
                         count,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         7,
                         (at, claim, age) -> {
                             heard[0]++;
                             last[0] =
                                     heard[0] <= 0.95 * (count - 1) ? time.now().toNanos() : last[0];
-                            crowd[0].instances[at].gossip.passOn(claim, claim.origin());
+                            crowd[0].instances[at].gossip.forward(claim, claim.origin());
                         });
         crowd[0].start();
         time.until(seconds(settle));
@@ -95,7 +95,7 @@
         double quiet = (crowd[0].bytes() - before) / 10;
         long said = time.now().toNanos();
         crowd[0].instances[1].at();
-        crowd[0].instances[1].gossip.claim(5, Symptom.HUNG, 3, Duration.ZERO);
+        crowd[0].instances[1].gossip.publishClaim(5, Symptom.HUNG, 3, Duration.ZERO);
         time.until(seconds(settle + 15));
         double spread = (last[0] - said) / 1e6;
         double part = heard[0] / (double) (count - 1);
--- a/src/main/java/dillfront/simulation/Loopback.java
+++ b/src/main/java/dillfront/simulation/Loopback.java
@@ -1,10 +1,10 @@
 package dillfront.simulation;
 
 import dillfront.common.logging.Log;
-import dillfront.router.gossip.Gossip;
-import dillfront.router.gossip.Tuning;
-import dillfront.router.peers.Datagrams;
-import dillfront.router.peers.Ring;
+import dillfront.router.gossip.GossipConfig;
+import dillfront.router.gossip.GossipProtocol;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.peers.UdpGossipTransport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.PrintStream;
@@ -46,7 +46,7 @@
     /** Plays it, in as much time as it says. */
     public static World.Outcome play(World.Script script) throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(LOOPS);
-        List<Datagrams> all = new ArrayList<>();
+        List<UdpGossipTransport> all = new ArrayList<>();
         try {
             long start = System.nanoTime();
             List<LoopTime> times = new ArrayList<>();
@@ -68,14 +68,14 @@
                                 }
 
                                 @Override
-                                public Gossip of(int router) {
+                                public GossipProtocol of(int router) {
                                     return all.get(router).gossip();
                                 }
 
                                 @Override
                                 public double bytes() {
                                     return all.stream()
-                                            .mapToLong(d -> d.gossip().budget().sent())
+                                            .mapToLong(d -> d.gossip().budget().bytesSent())
                                             .average()
                                             .orElse(0);
                                 }
@@ -97,7 +97,7 @@
             World.Script script,
             List<World.Router> routers,
             List<LoopTime> times,
-            List<Datagrams> all)
+            List<UdpGossipTransport> all)
             throws Exception {
         List<KeyPair> keys = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
@@ -111,7 +111,7 @@
         held.forEach(DatagramSocket::close);
         Log log = new Log(new PrintStream(System.err, true));
         for (int i = 0; i < routers.size(); i++) {
-            Ring ring = new Ring();
+            PeerRegistry ring = new PeerRegistry();
             for (int k = 0; k < routers.size(); k++) {
                 // Only the first few addresses are told; the others are learnt.
                 ring.add(
@@ -122,26 +122,26 @@
                                 : null);
                 ring.key(
                         k,
-                        HexFormat.of().formatHex(Ring.raw(keys.get(k).getPublic())),
+                        HexFormat.of().formatHex(PeerRegistry.rawKey(keys.get(k).getPublic())),
                         Duration.ZERO,
                         Duration.ofDays(1_000_000));
             }
             World.Router router = routers.get(i);
             LoopTime time = times.get(i);
             all.add(
-                    new Datagrams(
-                            Tuning.USUAL,
+                    new UdpGossipTransport(
+                            GossipConfig.DEFAULT,
                             ring,
                             i,
                             null,
-                            Ring.id(Ring.raw(keys.get(i).getPublic())),
+                            PeerRegistry.keyId(PeerRegistry.rawKey(keys.get(i).getPublic())),
                             keys.get(i).getPrivate(),
                             time.loop(),
                             log,
                             time::now,
                             () -> Duration.ofMillis(System.currentTimeMillis()),
                             new SplittableRandom(script.seed() + i),
-                            (word, age) -> router.neighbours.claimed(word, age, time.now())));
+                            (word, age) -> router.neighbours.receiveClaim(word, age, time.now())));
         }
         for (int i = 0; i < routers.size(); i++) {
             times.get(i).loop().execute(all.get(i)::open);
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -1,8 +1,8 @@
 package dillfront.simulation;
 
 import dillfront.common.logging.Log;
-import dillfront.router.memory.Memory;
-import dillfront.routing.api.Standing;
+import dillfront.router.memory.RouterStateStore;
+import dillfront.routing.api.MemberState;
 import dillfront.simulation.processes.Audit;
 import dillfront.simulation.processes.Load;
 import dillfront.simulation.processes.Mix;
@@ -192,16 +192,16 @@
         Path folder = Files.createTempDirectory("dillfront-memory");
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
         try {
-            Memory first = Memory.open(folder, "r0", log, Runnable::run);
+            RouterStateStore first = RouterStateStore.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                first.closed("s-" + i, Standing.DRAINING, i, i);
+                first.closed("s-" + i, MemberState.DRAINING, i, i);
             }
             CountDownLatch kept = new CountDownLatch(1);
             first.whenKept(well -> kept.countDown());
             kept.await();
             first.close();
             long from = System.nanoTime();
-            Memory next = Memory.open(folder, "r0", log, Runnable::run);
+            RouterStateStore next = RouterStateStore.open(folder, "r0", log, Runnable::run);
             int found = next.closings().size();
             long took = (System.nanoTime() - from) / 1_000_000;
             next.close();
--- a/src/main/java/dillfront/simulation/SiteMeasure.java
+++ b/src/main/java/dillfront/simulation/SiteMeasure.java
@@ -1,8 +1,8 @@
 package dillfront.simulation;
 
-import dillfront.router.plan.Estate;
-import dillfront.router.plan.Plan;
-import dillfront.router.plan.Planner;
+import dillfront.router.plan.LoadPlan;
+import dillfront.router.plan.LoadPlanner;
+import dillfront.router.plan.PlannerInput;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -20,26 +20,26 @@
 
     private SiteMeasure() {}
 
-    private static Estate estate(int nodes, double use, long seed) {
+    private static PlannerInput estate(int nodes, double use, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        List<Estate.Node> all = new ArrayList<>();
+        List<PlannerInput.Node> all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             all.add(
-                    new Estate.Node(
+                    new PlannerInput.Node(
                             "s-" + i,
                             "z" + chance.nextInt(3),
                             i / 5,
                             1 + chance.nextInt(4),
                             i % 5 == 0));
         }
-        List<Estate.Kind> kinds =
+        List<PlannerInput.TransactionType> kinds =
                 List.of(
-                        new Estate.Kind("move", true, 6, 0.1),
-                        new Estate.Kind("fresh", true, 2, 0.1),
-                        new Estate.Kind("view", false, 3, 0.4),
-                        new Estate.Kind("own", false, 2, 0.2),
-                        new Estate.Kind("any", false, 2, 0.2));
-        return new Estate(List.of("z0", "z1", "z2"), all, kinds, use, 0.026);
+                        new PlannerInput.TransactionType("move", true, 6, 0.1),
+                        new PlannerInput.TransactionType("fresh", true, 2, 0.1),
+                        new PlannerInput.TransactionType("view", false, 3, 0.4),
+                        new PlannerInput.TransactionType("own", false, 2, 0.2),
+                        new PlannerInput.TransactionType("any", false, 2, 0.2));
+        return new PlannerInput(List.of("z0", "z1", "z2"), all, kinds, use, 0.026);
     }
 
     /**
@@ -48,9 +48,9 @@
     private static double ms(int nodes) {
         double[] took = new double[ESTATES];
         for (int i = 0; i < ESTATES; i++) {
-            Estate estate = estate(nodes, 0.75, i);
+            PlannerInput estate = estate(nodes, 0.75, i);
             long from = System.nanoTime();
-            Planner.all(estate);
+            LoadPlanner.allPlans(estate);
             took[i] = (System.nanoTime() - from) / 1e6;
         }
         Arrays.sort(took);
@@ -65,10 +65,11 @@
         double worst = 1;
         for (int i = 0; i < ESTATES; i++) {
             for (double use : new double[] {0.5, 0.8, 1.1}) {
-                Estate estate = estate(50, use, 100 + i);
-                for (Plan plan : Planner.all(estate)) {
-                    double best = Planner.worth(estate, plan);
-                    double other = Planner.worth(estate, Planner.greedy(estate, plan.lost()));
+                PlannerInput estate = estate(50, use, 100 + i);
+                for (LoadPlan plan : LoadPlanner.allPlans(estate)) {
+                    double best = LoadPlanner.value(estate, plan);
+                    double other =
+                            LoadPlanner.value(estate, LoadPlanner.greedy(estate, plan.lost()));
                     planned += best;
                     greedy += other;
                     worst = Math.min(worst, other / best);
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -1,19 +1,19 @@
 package dillfront.simulation;
 
 import dillfront.router.discovery.Closings;
-import dillfront.router.recovery.Doubts;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.router.recovery.InDoubtKeys;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,11 +26,11 @@
 
 /**
  * All that can happen in a world so small that it can be gone through: two routers that decide by
- * {@link Decide}, {@link Doubts} and {@link Closings} themselves, three nodes of one group, two
- * keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's end,
- * power lost by all, and time, in every order up to a depth. Each state is reached anew from the
- * beginning, so nothing in the decisions is copied; two orders are one state where each router has
- * had the same words at the same times, and the rest of the world is the same.
+ * {@link RoutingEngine}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one
+ * group, two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a
+ * router's end, power lost by all, and time, in every order up to a depth. Each state is reached
+ * anew from the beginning, so nothing in the decisions is copied; two orders are one state where
+ * each router has had the same words at the same times, and the rest of the world is the same.
  *
  * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router
  * that lives has one answer by its expiry; nothing is sent to a node that a router knows to drain,
@@ -121,7 +121,7 @@
         final int key;
 
         final Duration at;
-        Handle handle;
+        TransactionHandle handle;
         int out;
         String answer;
         boolean ran;
@@ -150,8 +150,8 @@
         final Duration until;
         final Duration at;
         Where where;
-        Result result;
-        Report note;
+        SubmissionResult result;
+        NodeReport note;
 
         Sent(Ask ask, int node, Duration limit, Duration at, Where where) {
             this.ask = ask;
@@ -260,7 +260,7 @@
                 if (life.generation < generation) {
                     all.add(new Step("r" + r + " is told", life::told));
                 }
-                if (gossip < GOSSIP && life.doubts.doubted() > 0) {
+                if (gossip < GOSSIP && life.doubts.inDoubtCount() > 0) {
                     all.add(
                             new Step(
                                     "r" + r + " tells its doubts",
@@ -295,7 +295,7 @@
                                     () -> {
                                         breaks++;
                                         boolean yet = one.where == Where.OUT;
-                                        answered(one, Result.RESET);
+                                        answered(one, SubmissionResult.RESET);
                                         one.where = yet ? Where.STRAY : Where.OVER;
                                     }));
                 }
@@ -350,10 +350,10 @@
                 if ((one.where == Where.OUT || one.where == Where.BACK)
                         && one.until.compareTo(now) <= 0) {
                     boolean yet = one.where == Where.OUT;
-                    answered(one, Result.TIMED_OUT);
+                    answered(one, SubmissionResult.TIMED_OUT);
                     one.where = yet ? Where.STRAY : Where.OVER;
                 } else if (one.where == Where.WAITS && one.until.compareTo(now) <= 0) {
-                    answered(one, Result.UNSENT);
+                    answered(one, SubmissionResult.UNSENT);
                 }
             }
             for (Life life : lives) {
@@ -372,12 +372,15 @@
             boolean stray = one.where == Where.STRAY;
             one.where = stray ? Where.OVER : Where.BACK;
             int key = one.ask.key;
-            one.note = new Report(position[one.node], one.node == 0 ? Role.PRIMARY : Role.REPLICA);
+            one.note =
+                    new NodeReport(
+                            position[one.node],
+                            one.node == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA);
             if (key >= 0 && one.node != 0) {
-                one.result = Result.MISS;
+                one.result = SubmissionResult.MISS;
                 return;
             }
-            one.result = Result.COMMITTED;
+            one.result = SubmissionResult.COMMITTED;
             if (key >= 0 && (effect[key] == null || now.minus(effect[key]).compareTo(WINDOW) > 0)) {
                 effect[key] = now;
                 one.ask.ran = true;
@@ -395,7 +398,7 @@
             }
         }
 
-        void answered(Sent one, Result result) {
+        void answered(Sent one, SubmissionResult result) {
             one.where = Where.OVER;
             Life life = one.ask.of;
             if (lives[life.index] == life) {
@@ -444,7 +447,8 @@
     }
 
     /** One life of a router: the decisions, and the little that lies between them and the world. */
-    private static final class Life implements Outlet, Doubts.Keeper, Closings.Keeper {
+    private static final class Life
+            implements RoutingActions, InDoubtKeys.KeyStore, Closings.Keeper {
         final World world;
         final int index;
         final List<Ask> asks = new ArrayList<>();
@@ -457,8 +461,8 @@
         final TreeSet<String> unsynced = new TreeSet<>();
 
         final Duration began;
-        final Decide decide;
-        final Doubts doubts;
+        final RoutingEngine decide;
+        final InDoubtKeys doubts;
         final Closings closings = new Closings();
         final Set<Integer> others = new TreeSet<>();
         final Set<Integer> told = new TreeSet<>();
@@ -468,44 +472,44 @@
             this.world = world;
             this.index = index;
             began = world.now;
-            doubts = new Doubts(new Doubts.Bounds(16, Duration.ofHours(1)), this);
-            decide = new Decide(settings(), this, new SplittableRandom(index));
+            doubts = new InDoubtKeys(new InDoubtKeys.Limits(16, Duration.ofHours(1)), this);
+            decide = new RoutingEngine(settings(), this, new SplittableRandom(index));
         }
 
-        private static Settings settings() {
-            List<TxnType> types =
+        private static RoutingSettings settings() {
+            List<TransactionType> types =
                     List.of(
-                            new TxnType(
-                                    Effect.REFERENCED,
+                            new TransactionType(
+                                    Repeatability.DEDUPLICATED,
                                     true,
                                     WINDOW,
-                                    Read.WRITE,
+                                    Consistency.WRITE,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     6,
                                     0.3),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     WINDOW,
-                                    Read.BOUNDED,
+                                    Consistency.BOUNDED_STALENESS,
                                     BOUND,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     WINDOW,
-                                    Read.ANY,
+                                    Consistency.EVENTUAL,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0));
-            return new Settings(
+            return new RoutingSettings(
                     Duration.ofMillis(5),
                     0,
                     TICK,
@@ -535,19 +539,19 @@
             if (world.plant != Plant.FORGETS_DRAINS) {
                 world.keptDrains
                         .get(index)
-                        .forEach(id -> closings.close(id, Standing.DRAINING, 0, 2));
+                        .forEach(id -> closings.close(id, MemberState.DRAINING, 0, 2));
             }
-            decide.at(world.now);
+            decide.setTime(world.now);
             for (int key : world.keptKeys.get(index)) {
                 if (world.plant == Plant.BELIEVES_OLD_TIMES) {
-                    doubts.take(key, world.now);
-                    doubts.sends(key, world.now);
-                    doubts.ended(key, true, false);
-                    doubts.over(key, world.now);
+                    doubts.begin(key, world.now);
+                    doubts.recordSend(key, world.now);
+                    doubts.recordEnd(key, true, false);
+                    doubts.finish(key, world.now);
                 } else if (world.plant != Plant.FORGETS_DOUBTS) {
-                    doubts.recall(key, world.now);
+                    doubts.restore(key, world.now);
                 }
-                world.knows[index][key] = Doubts.LONG_AGO;
+                world.knows[index][key] = InDoubtKeys.BEFORE_THIS_RUN;
             }
             unsynced.clear();
             list(1);
@@ -558,15 +562,16 @@
             words.add("list " + of + "@" + world.now.toMillis());
             List<NodeRow> rows = new ArrayList<>();
             for (int n = 0; n < NODES; n++) {
-                Standing said = of > 1 && n == 2 ? Standing.DRAINING : Standing.READY;
-                Standing holds = closings.heard("n" + n, said, 0, of);
+                MemberState said = of > 1 && n == 2 ? MemberState.DRAINING : MemberState.READY;
+                MemberState holds = closings.heard("n" + n, said, 0, of);
                 rows.add(new NodeRow(n, 0, 0, 1, n == 0, null, holds));
             }
-            decide.at(world.now);
-            decide.list(true, rows);
+            decide.setTime(world.now);
+            decide.updateMembers(true, rows);
             if (world.plant == Plant.KEEPS_POSITIONS && world.started != null) {
                 // What a former life knew of the second replica, as if it held.
-                decide.heard(1, Report.NOTHING, new Report(world.started, Role.REPLICA));
+                decide.nodeReported(
+                        1, NodeReport.EMPTY, new NodeReport(world.started, NodeRole.REPLICA));
             }
         }
 
@@ -576,8 +581,8 @@
 
         void woken() {
             words.add("wake@" + world.now.toMillis());
-            decide.at(world.now);
-            decide.woken();
+            decide.setTime(world.now);
+            decide.onWakeUp();
         }
 
         void hears(Life other) {
@@ -604,15 +609,15 @@
             world.asks.add(ask);
             asks.add(ask);
             words.add("ask " + key + "@" + world.now.toMillis());
-            decide.at(world.now);
-            if (key >= 0 && !doubts.take(key, world.now)) {
+            decide.setTime(world.now);
+            if (key >= 0 && !doubts.begin(key, world.now)) {
                 answer(ask, "declined");
                 return;
             }
-            Duration ran = key < 0 ? null : doubts.ran(key);
-            ran = ran == null && others.contains(key) ? Doubts.LONG_AGO : ran;
+            Duration ran = key < 0 ? null : doubts.mayHaveRunSince(key);
+            ran = ran == null && others.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
             ask.handle =
-                    decide.take(
+                    decide.accept(
                             asks.size() - 1,
                             key < 0 ? -key : 0,
                             -1,
@@ -642,17 +647,17 @@
                     && !ask.over
                     && ask.key >= 0) {
                 ask.over = true;
-                doubts.over(ask.key, world.now);
+                doubts.finish(ask.key, world.now);
             }
         }
 
-        void ended(Sent one, Result result) {
+        void ended(Sent one, SubmissionResult result) {
             Ask ask = one.ask;
             words.add("end " + asks.indexOf(ask) + result + one.node + "@" + world.now.toMillis());
             ask.out--;
-            boolean told = result == Result.COMMITTED && ask.answer == null;
+            boolean told = result == SubmissionResult.COMMITTED && ask.answer == null;
             if (ask.key >= 0) {
-                doubts.ended(ask.key, result.mayHaveRun(), told);
+                doubts.recordEnd(ask.key, result.mayHaveRun(), told);
             }
             if (told) {
                 answer(ask, "committed");
@@ -660,15 +665,15 @@
                     world.knows[index][ask.key] = null;
                 }
             }
-            decide.at(world.now);
-            boolean spoke = result == Result.COMMITTED || result == Result.MISS;
-            ask.handle.ended(
+            decide.setTime(world.now);
+            boolean spoke = result == SubmissionResult.COMMITTED || result == SubmissionResult.MISS;
+            ask.handle.submissionEnded(
                     one.node,
                     result,
                     world.now.minus(one.at),
                     ask.answer != null,
-                    spoke ? one.note : Report.NOTHING,
-                    Report.NOTHING);
+                    spoke ? one.note : NodeReport.EMPTY,
+                    NodeReport.EMPTY);
             end(ask);
         }
 
@@ -702,13 +707,13 @@
             unsynced.clear();
             for (Sent one : List.copyOf(world.sent)) {
                 if (one.where == Where.WAITS && one.ask.of == this) {
-                    decide.at(world.now);
+                    decide.setTime(world.now);
                     if (one.ask.answer == null
                             && !others.contains(one.ask.key)
-                            && one.ask.handle.stands(one.node)) {
+                            && one.ask.handle.maySend(one.node)) {
                         goes(one);
                     } else {
-                        world.answered(one, Result.UNSENT);
+                        world.answered(one, SubmissionResult.UNSENT);
                     }
                 }
             }
@@ -731,7 +736,8 @@
                 }
                 return;
             }
-            Duration since = told.contains(key) ? Doubts.LONG_AGO : world.knows[index][key];
+            Duration since =
+                    told.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : world.knows[index][key];
             if (since != null && world.now.minus(since).compareTo(WINDOW) >= 0) {
                 world.breaks(
                         "k" + key + " was sent by r" + index + ", which knew that it may have run");
@@ -746,7 +752,7 @@
             Ask ask = asks.get(txn);
             ask.out++;
             if (ask.key >= 0) {
-                doubts.sends(ask.key, world.now);
+                doubts.recordSend(ask.key, world.now);
             }
             boolean kept =
                     ask.key < 0
@@ -768,43 +774,43 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             answer(asks.get(txn), "rolled back");
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {}
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {}
+        public void scheduleWakeUp(Duration in) {}
 
         // ---- the disk
 
         @Override
-        public boolean able() {
+        public boolean isWritable() {
             return true;
         }
 
         @Override
-        public void keep(long key) {
+        public void store(long key) {
             unsynced.remove("-" + key);
             unsynced.add("+" + key);
         }
 
         @Override
-        public void drop(long key) {
+        public void remove(long key) {
             unsynced.remove("+" + key);
             unsynced.add("-" + key);
         }
 
         @Override
-        public void closed(String id, Standing standing, long startedMs, long of) {
+        public void closed(String id, MemberState standing, long startedMs, long of) {
             unsynced.add(id);
         }
 
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -1,25 +1,25 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
-import dillfront.router.gossip.Gossip;
+import dillfront.router.gossip.GossipConfig;
+import dillfront.router.gossip.GossipProtocol;
 import dillfront.router.gossip.Symptom;
-import dillfront.router.gossip.Tuning;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -89,14 +89,14 @@
         void start(List<Router> routers);
 
         /** Its clocks set. */
-        Gossip of(int router);
+        GossipProtocol of(int router);
 
         /** The mean of what one has sent, in bytes. */
         double bytes();
     }
 
     private final Script script;
-    private final Tuning tuning = Tuning.USUAL;
+    private final GossipConfig tuning = GossipConfig.DEFAULT;
     private final List<Router> routers = new ArrayList<>();
     private final Wire wire;
 
@@ -118,14 +118,14 @@
         Crowd crowd =
                 new Crowd(
                         script.routers,
-                        Tuning.USUAL,
+                        GossipConfig.DEFAULT,
                         time,
                         script.seed + 1,
                         (at, claim, age) ->
                                 world[0].routers
                                         .get(at)
                                         .neighbours
-                                        .claimed(claim, age, time.now()));
+                                        .receiveClaim(claim, age, time.now()));
         world[0] =
                 new World(
                         script,
@@ -137,7 +137,7 @@
                             }
 
                             @Override
-                            public Gossip of(int router) {
+                            public GossipProtocol of(int router) {
                                 crowd.instances[router].at();
                                 return crowd.instances[router].gossip;
                             }
@@ -194,7 +194,7 @@
                 stopped,
                 poured,
                 falseDoubts / (double) Math.max(1, beats),
-                script.gossip ? wire.bytes() / seconds(script.end) : 0);
+                script.gossip ? wire.bytes() / toSeconds(script.end) : 0);
     }
 
     private int nodes() {
@@ -207,9 +207,9 @@
                 && at.compareTo(script.hangs.plus(script.lasts)) < 0;
     }
 
-    private static Settings settings(int routers) {
+    private static RoutingSettings settings(int routers) {
         Duration ms = Duration.ofMillis(1);
-        return new Settings(
+        return new RoutingSettings(
                 ms.multipliedBy(5),
                 0,
                 DIAL,
@@ -227,31 +227,31 @@
                 0.012,
                 routers,
                 List.of(
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.BOUNDED,
+                                Consistency.BOUNDED_STALENESS,
                                 ms.multipliedBy(200),
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 3,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.ANY,
+                                Consistency.EVENTUAL,
                                 Duration.ZERO,
                                 ms.multipliedBy(300),
                                 CLIENT,
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REFERENCED,
+                        new TransactionType(
+                                Repeatability.DEDUPLICATED,
                                 true,
                                 Duration.ofSeconds(2),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 Duration.ZERO,
                                 CLIENT,
                                 CLIENT,
@@ -263,7 +263,7 @@
     private static final class Txn {
         final int type;
         final Duration came;
-        Handle handle;
+        TransactionHandle handle;
         boolean over;
 
         Txn(int type, Duration came) {
@@ -273,12 +273,12 @@
     }
 
     /** One router; all of it on its own clockwork. */
-    final class Router implements Outlet, Neighbours.Decisions {
+    final class Router implements RoutingActions, PeerHealthExchange.RoutingDecisions {
 
         final int index;
         final Clockwork time;
-        final Neighbours neighbours;
-        private final Decide decide;
+        final PeerHealthExchange neighbours;
+        private final RoutingEngine decide;
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
 
@@ -300,10 +300,10 @@
             this.time = time;
             mine = new SplittableRandom(script.seed * 1_000_003 + index);
             decide =
-                    new Decide(
+                    new RoutingEngine(
                             settings(script.routers), this, new SplittableRandom(mine.nextLong()));
-            neighbours = new Neighbours(tuning, script.routers, this);
-            neighbours.speaksBy(() -> wire.of(index));
+            neighbours = new PeerHealthExchange(tuning, script.routers, this);
+            neighbours.setGossip(() -> wire.of(index));
         }
 
         private boolean lies() {
@@ -321,11 +321,11 @@
                                 1,
                                 n % script.members == 0,
                                 null,
-                                Standing.READY));
-                neighbours.known(n, "node-" + n);
+                                MemberState.READY));
+                neighbours.addNode(n, "node-" + n);
             }
-            decide.at(time.now());
-            decide.list(true, rows);
+            decide.setTime(time.now());
+            decide.updateMembers(true, rows);
             arrive();
             beat();
             if (lies()) {
@@ -344,8 +344,8 @@
                         };
                 if (says) {
                     wire.of(index)
-                            .claim(
-                                    Ring.hash("node-" + node),
+                            .publishClaim(
+                                    PeerRegistry.hash("node-" + node),
                                     Symptom.HUNG,
                                     5,
                                     Duration.ofSeconds(1));
@@ -366,10 +366,10 @@
                         Txn txn = new Txn(type, time.now());
                         txns.add(txn);
                         asked += VALUES[type];
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         int id = txns.size() - 1;
                         txn.handle =
-                                decide.take(
+                                decide.accept(
                                         id,
                                         type,
                                         -1,
@@ -388,20 +388,20 @@
             time.after(
                     BEAT,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         if (evidence == null
                                 && hangs(script.hung, time.now())
-                                && decide.sees(script.hung).ill()) {
+                                && decide.observeHealth(script.hung).isFaulty()) {
                             evidence = time.now();
                         }
                         // He who lies does not take it back by telling what he sees.
                         if (script.gossip && !lies()) {
-                            neighbours.beat(time.now());
+                            neighbours.tick(time.now());
                             for (int n = 0; n < nodes(); n++) {
                                 beats++;
                                 boolean well =
                                         n != script.hung || time.now().compareTo(script.hangs) < 0;
-                                falseDoubts += neighbours.doubts(n) && well ? 1 : 0;
+                                falseDoubts += neighbours.isSuspected(n) && well ? 1 : 0;
                             }
                         }
                         beat();
@@ -409,24 +409,24 @@
         }
 
         @Override
-        public Sight sees(int node) {
-            return decide.sees(node);
+        public HealthObservation observeHealth(int node) {
+            return decide.observeHealth(node);
         }
 
         @Override
-        public void doubted(int node, boolean doubted) {
+        public void setSuspected(int node, boolean doubted) {
             if (node == script.hung) {
                 heldBack = doubted && !doubts && heldBack == null ? time.now() : heldBack;
                 doubts = doubted;
             }
-            decide.at(time.now());
-            decide.doubted(node, doubted);
+            decide.setTime(time.now());
+            decide.setSuspected(node, doubted);
         }
 
         @Override
         public void better(int node) {
-            decide.at(time.now());
-            decide.better(node);
+            decide.setTime(time.now());
+            decide.advanceTrial(node);
         }
 
         @Override
@@ -449,11 +449,12 @@
             time.after(
                     answers ? work : limit,
                     () -> {
-                        decide.at(time.now());
+                        decide.setTime(time.now());
                         outAtHung -= node == script.hung ? 1 : 0;
                         Duration position =
                                 time.now().minusMillis(node % script.members == 0 ? 0 : 20);
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         boolean first = answers && !txn.over;
                         if (first) {
                             txn.over = true;
@@ -462,14 +463,15 @@
                                             <= (txn.type == 2 ? 750 : 300);
                             earned += timely ? VALUES[txn.type] : 0;
                         }
-                        Report note = answers ? new Report(position, role) : Report.NOTHING;
-                        txn.handle.ended(
+                        NodeReport note =
+                                answers ? new NodeReport(position, role) : NodeReport.EMPTY;
+                        txn.handle.submissionEnded(
                                 node,
-                                answers ? Result.COMMITTED : Result.TIMED_OUT,
+                                answers ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 time.now().minus(now),
                                 txn.over,
                                 note,
-                                Report.NOTHING);
+                                NodeReport.EMPTY);
                     });
         }
 
@@ -479,12 +481,12 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             txns.get(txn).over = true;
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         /** A hung node answers no probe either. */
         @Override
@@ -493,27 +495,28 @@
             time.after(
                     answers ? Duration.ofMillis(2) : DIAL,
                     () -> {
-                        decide.at(time.now());
-                        Role role = node % script.members == 0 ? Role.PRIMARY : Role.REPLICA;
-                        decide.probed(
+                        decide.setTime(time.now());
+                        NodeRole role =
+                                node % script.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
+                        decide.probeCompleted(
                                 node,
                                 answers,
                                 answers
-                                        ? new Report(time.now().minusMillis(20), role)
-                                        : Report.NOTHING);
+                                        ? new NodeReport(time.now().minusMillis(20), role)
+                                        : NodeReport.EMPTY);
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration in) {
+        public void scheduleWakeUp(Duration in) {
             time.after(
                     in,
                     () -> {
-                        decide.at(time.now());
-                        decide.woken();
+                        decide.setTime(time.now());
+                        decide.onWakeUp();
                     });
         }
     }
--- a/src/test/java/dillfront/benchmark/SideTest.java
+++ b/src/test/java/dillfront/benchmark/SideTest.java
@@ -8,7 +8,7 @@
 import dillfront.router.config.Config;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -75,7 +75,7 @@
         for (int i = 0; i < ROUTERS; i++) {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             Files.writeString(folder.resolve("r" + i + ".key"), KeyFile.text(pair.getPrivate()));
-            publics.add(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
+            publics.add(HexFormat.of().formatHex(PeerRegistry.rawKey(pair.getPublic())));
             peers.append(
                     String.format(
                             "peer(\"r%d\", address = \"127.0.0.1:%d\", keys = [\"%s\"])%n",
--- a/src/test/java/dillfront/common/message/BinaryDeltaTest.java
+++ b/src/test/java/dillfront/common/message/BinaryDeltaTest.java
@@ -39,30 +39,32 @@
                 + "\"}";
     }
 
-    private static byte[] configuration(long version, List<String> routes) {
+    private static byte[] configuration(long revision, List<String> routes) {
         return bytes(
                 "{\"revision_number\":"
-                        + version
+                        + revision
                         + ",\"routes\":["
                         + String.join(",", routes)
                         + "],\"services\":[{\"name\":\"s0\"}],"
                         + "\"limits\":{\"idle_timeout_ms\":15000,\"transaction_idle_ms\":3000}}");
     }
 
-    private static byte[] both(byte[] base, byte[] next) throws BinaryDelta.InvalidDeltaException {
-        byte[] before = base.clone();
-        byte[] delta = BinaryDelta.create(base, next);
-        assertArrayEquals(next, BinaryDelta.apply(base, delta));
-        assertArrayEquals(before, base);
-        assertArrayEquals(delta, BinaryDelta.create(base, next), "the same once more");
+    private static byte[] roundTrip(byte[] base, byte[] target)
+            throws BinaryDelta.InvalidDeltaException {
+        byte[] originalBase = base.clone();
+        byte[] delta = BinaryDelta.create(base, target);
+        assertArrayEquals(target, BinaryDelta.apply(base, delta));
+        assertArrayEquals(originalBase, base);
+        assertArrayEquals(delta, BinaryDelta.create(base, target), "the same once more");
         assertTrue(
-                delta.length <= next.length + 32, delta.length + " for a text of " + next.length);
+                delta.length <= target.length + 32,
+                delta.length + " for a text of " + target.length);
         return delta;
     }
 
     @Test
-    void roundTripOfAnyTexts() throws Exception {
-        String[] texts = {
+    void roundTripsArbitraryInputs() throws Exception {
+        String[] inputs = {
             "",
             "}",
             "{}",
@@ -73,12 +75,12 @@
             "é}".repeat(100),
             "\u0000}\u0000".repeat(50)
         };
-        for (String base : texts) {
-            for (String next : texts) {
-                both(bytes(base), bytes(next));
+        for (String base : inputs) {
+            for (String target : inputs) {
+                roundTrip(bytes(base), bytes(target));
             }
         }
-        both(new byte[BinaryDelta.MAX_BYTES], new byte[BinaryDelta.MAX_BYTES]);
+        roundTrip(new byte[BinaryDelta.MAX_BYTES], new byte[BinaryDelta.MAX_BYTES]);
         assertThrows(
                 IllegalArgumentException.class,
                 () -> BinaryDelta.create(new byte[0], new byte[BinaryDelta.MAX_BYTES + 1]));
@@ -92,22 +94,24 @@
      * moved, doubled or taken out.
      */
     @Test
-    void roundTripOfAnyChange() throws Exception {
+    void roundTripsRandomEdits() throws Exception {
         for (long seed = 1; seed <= 400; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] base = new byte[random.nextInt(3_000)];
             for (int i = 0; i < base.length; i++) {
                 base[i] = (byte) (random.nextInt(12) == 0 ? '}' : "ab{,".charAt(random.nextInt(4)));
             }
-            byte[] next = base;
+            byte[] target = base;
             for (int k = random.nextInt(6); k >= 0; k--) {
-                int from = random.nextInt(next.length + 1);
-                int to = from + random.nextInt(next.length - from + 1);
-                byte[] part = Arrays.copyOfRange(next, from, to);
+                int from = random.nextInt(target.length + 1);
+                int to = from + random.nextInt(target.length - from + 1);
+                byte[] part = Arrays.copyOfRange(target, from, to);
                 byte[] rest =
-                        join(Arrays.copyOf(next, from), Arrays.copyOfRange(next, to, next.length));
+                        join(
+                                Arrays.copyOf(target, from),
+                                Arrays.copyOfRange(target, to, target.length));
                 int at = random.nextInt(rest.length + 1);
-                next =
+                target =
                         switch (random.nextInt(4)) {
                             case 0 -> rest;
                             case 1 ->
@@ -115,7 +119,7 @@
                                             Arrays.copyOf(rest, at),
                                             part,
                                             Arrays.copyOfRange(rest, at, rest.length));
-                            case 2 -> join(next, part);
+                            case 2 -> join(target, part);
                             default ->
                                     join(
                                             Arrays.copyOf(rest, at),
@@ -123,7 +127,7 @@
                                             Arrays.copyOfRange(rest, at, rest.length));
                         };
             }
-            both(base, next);
+            roundTrip(base, target);
         }
     }
 
@@ -143,24 +147,24 @@
 
     /** 600 changes of 600 routes, some 260 KB: each goes as little more than what changed. */
     @Test
-    void deltaOfOneChangeIsSmall() throws Exception {
+    void encodesSmallChangeInFewBytes() throws Exception {
         SplittableRandom random = new SplittableRandom(4);
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
             routes.add(route(i, 800));
         }
-        byte[] is = configuration(1, routes);
-        assertTrue(is.length > 240_000 && is.length < 280_000, is.length + " bytes");
-        int most = 0;
-        for (int v = 2; v <= 601; v++) {
-            int grown = 0;
+        byte[] current = configuration(1, routes);
+        assertTrue(current.length > 240_000 && current.length < 280_000, current.length + " bytes");
+        int maxSize = 0;
+        for (int revision = 2; revision <= 601; revision++) {
+            int insertions = 0;
             for (int k = random.nextInt(3); k >= 0; k--) {
                 int at = random.nextInt(routes.size());
                 switch (random.nextInt(4)) {
                     case 0 -> routes.remove(at);
                     case 1 -> {
-                        routes.add(at, route(1_000 + v * 3 + k, 900));
-                        grown++;
+                        routes.add(at, route(1_000 + revision * 3 + k, 900));
+                        insertions++;
                     }
                     default ->
                             routes.set(
@@ -172,69 +176,71 @@
                                                             + (700 + random.nextInt(500))));
                 }
             }
-            byte[] next = configuration(v, routes);
-            int size = both(is, next).length;
-            assertTrue(size < 300 + 500 * grown, size + " bytes for version " + v);
-            most = Math.max(most, size);
-            is = next;
+            byte[] next = configuration(revision, routes);
+            int size = roundTrip(current, next).length;
+            assertTrue(size < 300 + 500 * insertions, size + " bytes for version " + revision);
+            maxSize = Math.max(maxSize, size);
+            current = next;
         }
-        assertTrue(most > 100, "the largest had " + most);
+        assertTrue(maxSize > 100, "the largest had " + maxSize);
         // Nothing is left in its order.
-        List<String> mixed = new ArrayList<>(routes);
-        Collections.reverse(mixed);
-        int size = both(is, configuration(700, mixed)).length;
+        List<String> reversed = new ArrayList<>(routes);
+        Collections.reverse(reversed);
+        int size = roundTrip(current, configuration(700, reversed)).length;
         assertTrue(size < 6 * routes.size() + 1_000, size + " bytes for the same in another order");
     }
 
     /** A time-out alone: its digits, and the version's. */
     @Test
-    void aTimeOutIsItsDigits() throws Exception {
+    void encodesChangedNumberInFewBytes() throws Exception {
         List<String> routes = new ArrayList<>(List.of(route(1, 800), route(2, 800), route(3, 800)));
         byte[] base = configuration(7, routes);
         routes.set(1, route(2, 950));
-        byte[] delta = both(base, configuration(9, routes));
+        byte[] delta = roundTrip(base, configuration(9, routes));
         assertTrue(delta.length < 50, delta.length + " bytes");
     }
 
     /** Whatever became of a delta on its way: it makes the text it was made for, or none. */
     @Test
-    void aDeltaThatIsSpoiltMakesNoText() throws Exception {
+    void rejectsDamagedDelta() throws Exception {
         List<String> routes =
                 new ArrayList<>(
                         List.of(route(1, 800), route(2, 800), route(3, 800), route(4, 800)));
         byte[] base = configuration(7, routes);
         Collections.swap(routes, 0, 2);
         routes.add(route(9, 1));
-        byte[] next = configuration(8, routes);
-        byte[] delta = BinaryDelta.create(base, next);
-        assertEquals(BinaryDelta.digest(next), BinaryDelta.digest(BinaryDelta.apply(base, delta)));
+        byte[] target = configuration(8, routes);
+        byte[] delta = BinaryDelta.create(base, target);
+        assertEquals(
+                BinaryDelta.digest(target), BinaryDelta.digest(BinaryDelta.apply(base, delta)));
         for (int at = 0; at < delta.length; at++) {
-            byte[] cut = Arrays.copyOf(delta, at);
+            byte[] truncated = Arrays.copyOf(delta, at);
             assertThrows(
                     BinaryDelta.InvalidDeltaException.class,
-                    () -> BinaryDelta.apply(base, cut),
+                    () -> BinaryDelta.apply(base, truncated),
                     "cut at " + at);
             for (int bit = 0; bit < 8; bit++) {
-                byte[] bad = delta.clone();
-                bad[at] ^= (byte) (1 << bit);
-                spoilt(base, bad, next);
+                byte[] damaged = delta.clone();
+                damaged[at] ^= (byte) (1 << bit);
+                assertRejectedOrIntact(base, damaged, target);
             }
         }
         byte[] other = base.clone();
         other[60] ^= 1;
         assertThrows(
                 BinaryDelta.InvalidDeltaException.class, () -> BinaryDelta.apply(other, delta));
-        assertThrows(BinaryDelta.InvalidDeltaException.class, () -> BinaryDelta.apply(next, delta));
+        assertThrows(
+                BinaryDelta.InvalidDeltaException.class, () -> BinaryDelta.apply(target, delta));
         assertThrows(
                 BinaryDelta.InvalidDeltaException.class,
                 () -> BinaryDelta.apply(new byte[0], delta));
         for (long seed = 1; seed <= 20_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            byte[] bad = seed % 2 == 0 ? delta.clone() : new byte[random.nextInt(60)];
-            for (int k = seed % 2 == 0 ? 1 + random.nextInt(6) : bad.length; k > 0; k--) {
-                bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
+            byte[] damaged = seed % 2 == 0 ? delta.clone() : new byte[random.nextInt(60)];
+            for (int k = seed % 2 == 0 ? 1 + random.nextInt(6) : damaged.length; k > 0; k--) {
+                damaged[random.nextInt(damaged.length)] = (byte) random.nextInt(256);
             }
-            spoilt(base, bad, next);
+            assertRejectedOrIntact(base, damaged, target);
         }
         // A length that no text has is refused before there is room for it.
         byte[] huge = {1, 0, 0, 0, 0, 0, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x7f, 0, 0, 0, 0};
@@ -243,11 +249,11 @@
                 () -> BinaryDelta.apply(new byte[0], huge));
     }
 
-    private static void spoilt(byte[] base, byte[] bad, byte[] next) {
+    private static void assertRejectedOrIntact(byte[] base, byte[] damaged, byte[] target) {
         try {
-            assertArrayEquals(next, BinaryDelta.apply(base, bad));
-        } catch (BinaryDelta.InvalidDeltaException found) {
-            assertTrue(!found.getMessage().isEmpty());
+            assertArrayEquals(target, BinaryDelta.apply(base, damaged));
+        } catch (BinaryDelta.InvalidDeltaException expected) {
+            assertTrue(!expected.getMessage().isEmpty());
         }
     }
 }
--- a/src/test/java/dillfront/common/protocol/PrimaryRecordTest.java
+++ b/src/test/java/dillfront/common/protocol/PrimaryRecordTest.java
@@ -21,30 +21,31 @@
                     List.of("i\n3"),
                     null);
 
-    private static PrimaryRecord passed(PrimaryRecord of)
+    private static PrimaryRecord roundTrip(PrimaryRecord record)
             throws MessageCodec.MalformedMessageException {
-        assertEquals(of, PrimaryRecord.decode(of.service(), of.encode()));
-        return PrimaryRecord.fromFields(MessageCodec.decode(MessageCodec.encode(of.toFields())));
+        assertEquals(record, PrimaryRecord.decode(record.service(), record.encode()));
+        return PrimaryRecord.fromFields(
+                MessageCodec.decode(MessageCodec.encode(record.toFields())));
     }
 
     @Test
-    void allOfItIsPassedOnAndKept() throws MessageCodec.MalformedMessageException {
-        PrimaryRecord one = new PrimaryRecord("db", 3, "i-1", false, true);
-        assertEquals(one, passed(one));
-        PrimaryRecord moving = one.startMove(5);
-        assertEquals(moving, passed(moving));
+    void keepsAllFieldsInMessagesAndStorage() throws MessageCodec.MalformedMessageException {
+        PrimaryRecord initial = new PrimaryRecord("db", 3, "i-1", false, true);
+        assertEquals(initial, roundTrip(initial));
+        PrimaryRecord moving = initial.startMove(5);
+        assertEquals(moving, roundTrip(moving));
         assertEquals(5, moving.moveNumber());
-        PrimaryRecord given = moving.renumbered(8).withAcceptedLoss(9, loss);
-        assertEquals(given, passed(given));
-        assertEquals(5, given.moveNumber(), "it is the same move under the next holder");
-        PrimaryRecord leads = given.finishMove(10, "i-2", false, loss);
-        assertEquals(leads, passed(leads));
-        assertEquals(0, leads.moveNumber());
-        assertEquals(loss, leads.startMove(12).acceptedLoss());
+        PrimaryRecord withLoss = moving.renumbered(8).withAcceptedLoss(9, loss);
+        assertEquals(withLoss, roundTrip(withLoss));
+        assertEquals(5, withLoss.moveNumber(), "it is the same move under the next holder");
+        PrimaryRecord finished = withLoss.finishMove(10, "i-2", false, loss);
+        assertEquals(finished, roundTrip(finished));
+        assertEquals(0, finished.moveNumber());
+        assertEquals(loss, finished.startMove(12).acceptedLoss());
     }
 
     @Test
-    void textsOfBeforeAreRead() {
+    void decodesStoredFormsOfEarlierVersions() {
         assertEquals(
                 new PrimaryRecord("db", 3, "i-1", true, true),
                 PrimaryRecord.decode("db", "3\ni-1\ntrue"));
--- a/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -24,16 +24,16 @@
  */
 class ControlHttpApiTest {
 
-    private static final int TRIES = 4_000;
-    private static final String GOOD =
+    private static final int ITERATIONS = 4_000;
+    private static final String VALID_CONFIGURATION =
             "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
                     + "'timeout_ms':800,'service':'s'}],'services':[{'name':'s','connection_limit':68}]}";
-    private static final String BEAT =
+    private static final String VALID_HEARTBEAT =
             "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'ready','database_role':'replica',"
                     + "'call_sequence':4}";
-    private static final String LOSS =
+    private static final String VALID_DATA_LOSS =
             "{'service':'s','move':'7','log_position':'1.5','least_acknowledged':'1.7','most_acknowledged':'1.8'}";
-    private static final Object[] ODD = {
+    private static final Object[] UNEXPECTED_VALUES = {
         null,
         "",
         "x",
@@ -49,16 +49,16 @@
         List.of(Map.of("i", "q"))
     };
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private final SplittableRandom random = new SplittableRandom(8_241);
-    private static final String ACCEPT_DATA_LOSS = "/Services.AcceptDataLoss";
-    private ControlNode core;
+    private static final String ACCEPT_DATA_LOSS_PATH = "/Services.AcceptDataLoss";
+    private ControlNode node;
 
     @BeforeEach
     void start() throws Exception {
-        core = SingleNode.start(host);
-        host.advance(SingleNode.HOLDS_MS);
-        assertEquals(200, call("POST", "/Configuration.Replace", bytes(GOOD)));
+        node = SingleNode.start(environment);
+        environment.advance(SingleNode.LEASE_ACQUIRED_MS);
+        assertEquals(200, call("POST", "/Configuration.Replace", bytes(VALID_CONFIGURATION)));
     }
 
     private static byte[] bytes(String text) {
@@ -66,32 +66,32 @@
     }
 
     private int call(String method, String path, byte[] body) {
-        CompletableFuture<Environment.HttpResponse> is = core.handle(method, path, body);
-        for (int i = 0; i < 50 && !is.isDone(); i++) {
-            host.advance(100);
+        CompletableFuture<Environment.HttpResponse> result = node.handle(method, path, body);
+        for (int i = 0; i < 50 && !result.isDone(); i++) {
+            environment.advance(100);
         }
-        assertTrue(is.isDone(), method + " " + path + " has no answer within 5 s");
-        return is.join().status();
+        assertTrue(result.isDone(), method + " " + path + " has no answer within 5 s");
+        return result.join().status();
     }
 
     /** One byte after the other is changed, lost or doubled, up to four of them. */
-    private byte[] spoilt(byte[] good) {
-        byte[] is = good.clone();
+    private byte[] corrupted(byte[] original) {
+        byte[] result = original.clone();
         for (int i = random.nextInt(1, 5); i > 0; i--) {
-            int at = random.nextInt(is.length);
+            int position = random.nextInt(result.length);
             switch (random.nextInt(4)) {
-                case 0 -> is[at] = (byte) random.nextInt(256);
-                case 1 -> is[at] = (byte) "{}[]\":,0-.eE\\u".charAt(random.nextInt(14));
-                case 2 -> is = java.util.Arrays.copyOf(is, Math.max(1, at));
+                case 0 -> result[position] = (byte) random.nextInt(256);
+                case 1 -> result[position] = (byte) "{}[]\":,0-.eE\\u".charAt(random.nextInt(14));
+                case 2 -> result = java.util.Arrays.copyOf(result, Math.max(1, position));
                 default -> {
-                    byte[] more = new byte[is.length + at];
-                    System.arraycopy(is, 0, more, 0, is.length);
-                    System.arraycopy(is, 0, more, is.length, at);
-                    is = more;
+                    byte[] longer = new byte[result.length + position];
+                    System.arraycopy(result, 0, longer, 0, result.length);
+                    System.arraycopy(result, 0, longer, result.length, position);
+                    result = longer;
                 }
             }
         }
-        return is;
+        return result;
     }
 
     /**
@@ -99,8 +99,8 @@
      * nothing.
      */
     @Test
-    void answersAnyBody() {
-        Set<Integer> usual = Set.of(200, 400, 404, 405, 409, 503);
+    void answersMalformedBodies() {
+        Set<Integer> allowedStatuses = Set.of(200, 400, 404, 405, 409, 503);
         String[] paths = {
             "/Configuration.Replace",
             "/Instances.Heartbeat/i-1",
@@ -108,25 +108,27 @@
             "/Instances.Leave/i-9",
             "/",
             "/Configuration.Read",
-            ACCEPT_DATA_LOSS,
+            ACCEPT_DATA_LOSS_PATH,
             "/Instances.Heartbeat/" + "x".repeat(5_000),
             "/Instances.Heartbeat/i\n1"
         };
         String[] methods = {"POST", "POST", "POST", "GET", "PUT", "HEAD"};
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < ITERATIONS; i++) {
             String path = paths[random.nextInt(paths.length)];
             byte[] body =
                     random.nextInt(20) == 0
                             ? "[".repeat(20_000).getBytes(StandardCharsets.US_ASCII)
-                            : spoilt(
+                            : corrupted(
                                     bytes(
                                             path.contains("Beat") || path.contains("Instances")
-                                                    ? BEAT
-                                                    : path.equals(ACCEPT_DATA_LOSS) ? LOSS : GOOD));
+                                                    ? VALID_HEARTBEAT
+                                                    : path.equals(ACCEPT_DATA_LOSS_PATH)
+                                                            ? VALID_DATA_LOSS
+                                                            : VALID_CONFIGURATION));
             String method = methods[random.nextInt(methods.length)];
             int status = call(method, path, body);
             assertTrue(
-                    usual.contains(status),
+                    allowedStatuses.contains(status),
                     () ->
                             status
                                     + " for "
@@ -141,13 +143,13 @@
                 call(
                         "POST",
                         "/Configuration.Replace",
-                        bytes(GOOD.replace(":7,", ":9000000000000000000,"))));
-        assertEquals(200, call("POST", "/Instances.Heartbeat/i-2", bytes(BEAT)));
+                        bytes(VALID_CONFIGURATION.replace(":7,", ":9000000000000000000,"))));
+        assertEquals(200, call("POST", "/Instances.Heartbeat/i-2", bytes(VALID_HEARTBEAT)));
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
     }
 
-    private static Map<String, Object> word() {
-        Map<String, Object> is =
+    private static Map<String, Object> peerMessage() {
+        Map<String, Object> fields =
                 new HashMap<>(
                         Map.of(
                                 "t",
@@ -168,9 +170,9 @@
                                 "x",
                                 "r",
                                 2L));
-        is.put("a", 0L);
-        is.put("ak", 0L);
-        is.put(
+        fields.put("a", 0L);
+        fields.put("ak", 0L);
+        fields.put(
                 "m",
                 List.of(
                         Map.of(
@@ -188,14 +190,14 @@
                                 "replica",
                                 "q",
                                 3L)));
-        is.put("al", List.of("i-7", 5L, 6L));
-        is.put("ep", 1L);
-        is.put("pl", List.of("10.0.0.2"));
-        is.put("p", 1L);
-        is.put("pt", "10.0.0.2/1");
-        is.put("w", 0L);
-        is.put("k", -1L);
-        is.put(
+        fields.put("al", List.of("i-7", 5L, 6L));
+        fields.put("ep", 1L);
+        fields.put("pl", List.of("10.0.0.2"));
+        fields.put("p", 1L);
+        fields.put("pt", "10.0.0.2/1");
+        fields.put("w", 0L);
+        fields.put("k", -1L);
+        fields.put(
                 "l",
                 List.of(
                         Map.of(
@@ -209,35 +211,35 @@
                                 false,
                                 "dl",
                                 "1 1.5 1.7 1.8 1.5 1.8")));
-        is.put("cl", List.of("s", 1L));
-        is.put("s", List.of(List.of("s", "i-7", 1L, 0L, 0L, "-")));
-        is.put("f", 1L);
-        is.put("h", true);
-        is.put("sq", List.of("s"));
-        is.put("rg", Map.of("v", 1L));
-        is.put(
+        fields.put("cl", List.of("s", 1L));
+        fields.put("s", List.of(List.of("s", "i-7", 1L, 0L, 0L, "-")));
+        fields.put("f", 1L);
+        fields.put("h", true);
+        fields.put("sq", List.of("s"));
+        fields.put("rg", Map.of("v", 1L));
+        fields.put(
                 "dl",
                 List.of(
                         Map.of(
                                 "s", "s", "mv", 1L, "l", "1.5", "a", "1.7 1.8", "p", "i-7", "t",
                                 5L)));
-        is.put("du", is.get("dl"));
-        return is;
+        fields.put("du", fields.get("dl"));
+        return fields;
     }
 
-    private void hears(ControlNode of, String ip, boolean leaving) {
-        Map<String, Object> word = word();
-        word.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
-        ScriptedEnvironment.ScriptedConnection line =
+    private void receivePeerMessage(ControlNode receiver, String ip, boolean leaving) {
+        Map<String, Object> message = peerMessage();
+        message.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
+        ScriptedEnvironment.ScriptedConnection connection =
                 new ScriptedEnvironment.ScriptedConnection(
-                        "peer", Environment.Framing.FRAMES, of.accept());
-        line.open();
-        line.receive(new String(MessageCodec.encode(word), StandardCharsets.ISO_8859_1));
+                        "peer", Environment.Framing.FRAMES, receiver.accept());
+        connection.open();
+        connection.receive(new String(MessageCodec.encode(message), StandardCharsets.ISO_8859_1));
     }
 
     private static Environment.HttpResponse answer(
-            ControlNode of, String method, String path, String body) {
-        return of.handle(method, path, bytes(body)).join();
+            ControlNode receiver, String method, String path, String body) {
+        return receiver.handle(method, path, bytes(body)).join();
     }
 
     /**
@@ -247,118 +249,129 @@
      */
     @Test
     void redirectsToLastContactedPeerWhileIsolated() throws Exception {
-        ControlNode cut = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
+        ControlNode isolated = SingleNode.start(environment, "10.0.0.2", "10.0.0.3");
         assertEquals(
                 503,
-                answer(cut, "POST", "/Configuration.Replace", GOOD).status(),
+                answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION).status(),
                 "it has heard nobody, and others may be starting too");
-        host.advance(2_000);
-        Set<String> seeds = new TreeSet<>();
+        environment.advance(2_000);
+        Set<String> redirects = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
-            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
-            seeds.add(order.status() + " " + order.location());
+            Environment.HttpResponse response =
+                    answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
+            redirects.add(response.status() + " " + response.location());
         }
         assertEquals(
                 "[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]",
-                seeds.toString());
-        hears(cut, "10.0.0.2", false);
-        host.advance(2_000);
-        hears(cut, "10.0.0.3", false);
-        host.advance(20_000);
+                redirects.toString());
+        receivePeerMessage(isolated, "10.0.0.2", false);
+        environment.advance(2_000);
+        receivePeerMessage(isolated, "10.0.0.3", false);
+        environment.advance(20_000);
         for (int i = 0; i < 20; i++) {
-            Environment.HttpResponse order = answer(cut, "POST", "/Configuration.Replace", GOOD);
+            Environment.HttpResponse response =
+                    answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
             assertEquals(
                     "307 http://10.0.0.3:8002/Configuration.Replace",
-                    order.status() + " " + order.location());
+                    response.status() + " " + response.location());
         }
-        Environment.HttpResponse read = answer(cut, "GET", "/Configuration.Read", "");
+        Environment.HttpResponse read = answer(isolated, "GET", "/Configuration.Read", "");
         assertEquals(
                 "307 http://10.0.0.3:8002/Configuration.Read",
                 read.status() + " " + read.location());
-        assertEquals(400, answer(cut, "POST", "/Configuration.Replace", "{}").status());
-        assertEquals(503, answer(cut, "POST", "/Instances.Heartbeat/i-1", BEAT).status());
-        assertEquals(503, answer(cut, "POST", "/Instances.Leave/i-1", BEAT).status());
-        hears(cut, "10.0.0.2", false);
-        hears(cut, "10.0.0.3", true);
-        host.advance(20_000);
-        Environment.HttpResponse later = answer(cut, "POST", "/Configuration.Replace", GOOD);
+        assertEquals(400, answer(isolated, "POST", "/Configuration.Replace", "{}").status());
+        assertEquals(
+                503,
+                answer(isolated, "POST", "/Instances.Heartbeat/i-1", VALID_HEARTBEAT).status());
+        assertEquals(
+                503, answer(isolated, "POST", "/Instances.Leave/i-1", VALID_HEARTBEAT).status());
+        receivePeerMessage(isolated, "10.0.0.2", false);
+        receivePeerMessage(isolated, "10.0.0.3", true);
+        environment.advance(20_000);
+        Environment.HttpResponse afterLeave =
+                answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
         assertEquals(
                 "307 http://10.0.0.2:8002/Configuration.Replace",
-                later.status() + " " + later.location());
+                afterLeave.status() + " " + afterLeave.location());
     }
 
-    private static Map<String, Object> question() {
-        Map<String, Object> is =
+    private static Map<String, Object> pollMessage() {
+        Map<String, Object> fields =
                 new HashMap<>(
                         Map.of(
                                 "t", "news", "n", "f1", "z", "z", "q", 1L, "b", "", "r", 0L, "c",
                                 6L, "k", -1L));
-        is.put("sn", -1L);
-        is.put("s", List.of(Map.of("s", "s", "o", 1L, "p", "i-7", "h", 1L, "a", "-")));
-        return is;
+        fields.put("sn", -1L);
+        fields.put("s", List.of(Map.of("s", "s", "o", 1L, "p", "i-7", "h", 1L, "a", "-")));
+        return fields;
     }
 
     /** The same with another value somewhere in it, or one value less. */
-    private Map<String, Object> odd(Map<String, Object> of) {
-        Map<String, Object> is = new java.util.TreeMap<>(of);
-        List<String> names = new ArrayList<>(is.keySet());
+    private Map<String, Object> mutated(Map<String, Object> fields) {
+        Map<String, Object> result = new java.util.TreeMap<>(fields);
+        List<String> names = new ArrayList<>(result.keySet());
         if (names.isEmpty()) {
-            return is;
+            return result;
         }
         String name = names.get(random.nextInt(names.size()));
-        is.put(name, oddValue(is.get(name)));
-        return is;
+        result.put(name, mutatedValue(result.get(name)));
+        return result;
     }
 
     @SuppressWarnings("unchecked")
-    private Object oddValue(Object of) {
-        if (of instanceof Map<?, ?> map && random.nextInt(3) > 0) {
-            return odd((Map<String, Object>) map);
+    private Object mutatedValue(Object original) {
+        if (original instanceof Map<?, ?> map && random.nextInt(3) > 0) {
+            return mutated((Map<String, Object>) map);
         }
-        if (of instanceof List<?> list && !list.isEmpty() && random.nextInt(3) > 0) {
-            List<Object> is = new ArrayList<>(list);
-            int at = random.nextInt(is.size());
+        if (original instanceof List<?> list && !list.isEmpty() && random.nextInt(3) > 0) {
+            List<Object> result = new ArrayList<>(list);
+            int index = random.nextInt(result.size());
             if (random.nextInt(4) == 0) {
-                is.remove(at);
+                result.remove(index);
             } else {
-                is.set(at, oddValue(is.get(at)));
+                result.set(index, mutatedValue(result.get(index)));
             }
-            return is;
+            return result;
         }
-        return ODD[random.nextInt(ODD.length)];
+        return UNEXPECTED_VALUES[random.nextInt(UNEXPECTED_VALUES.length)];
     }
 
     /** Guards against a message that ends the process, or leaves it deaf to those that follow. */
     @Test
-    void ignoresOrDisconnectsOnAnyMessage() {
-        for (int i = 0; i < TRIES; i++) {
-            Map<String, Object> message = random.nextBoolean() ? word() : question();
+    void survivesMalformedMessages() {
+        for (int i = 0; i < ITERATIONS; i++) {
+            Map<String, Object> message = random.nextBoolean() ? peerMessage() : pollMessage();
             Object type = message.get("t");
             for (int n = random.nextInt(3); n > 0; n--) {
-                message = new HashMap<>(odd(message));
+                message = new HashMap<>(mutated(message));
                 message.put("t", type);
             }
-            Map<String, Object> said = message;
-            byte[] bytes = MessageCodec.encode(said);
-            byte[] sent = random.nextInt(4) == 0 ? spoilt(bytes) : bytes;
-            ScriptedEnvironment.ScriptedConnection line =
+            Map<String, Object> fields = message;
+            byte[] bytes = MessageCodec.encode(fields);
+            byte[] sent = random.nextInt(4) == 0 ? corrupted(bytes) : bytes;
+            ScriptedEnvironment.ScriptedConnection connection =
                     new ScriptedEnvironment.ScriptedConnection(
-                            "peer", Environment.Framing.FRAMES, core.accept());
-            line.open();
-            line.receive(new String(sent, StandardCharsets.ISO_8859_1));
-            line.reset();
-            host.advance(5);
+                            "peer", Environment.Framing.FRAMES, node.accept());
+            connection.open();
+            connection.receive(new String(sent, StandardCharsets.ISO_8859_1));
+            connection.reset();
+            environment.advance(5);
         }
-        host.advance(5_000);
+        environment.advance(5_000);
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
-                200, call("POST", "/Configuration.Replace", bytes(GOOD.replace(":7,", ":8,"))));
-        ScriptedEnvironment.ScriptedConnection front =
+                200,
+                call(
+                        "POST",
+                        "/Configuration.Replace",
+                        bytes(VALID_CONFIGURATION.replace(":7,", ":8,"))));
+        ScriptedEnvironment.ScriptedConnection dataPlane =
                 new ScriptedEnvironment.ScriptedConnection(
-                        "front", Environment.Framing.FRAMES, core.accept());
-        front.open();
-        front.receive(new String(MessageCodec.encode(question()), StandardCharsets.ISO_8859_1));
-        host.advance(1_000);
-        assertEquals(1, front.sent.size(), "a question is answered");
+                        "front", Environment.Framing.FRAMES, node.accept());
+        dataPlane.open();
+        dataPlane.receive(
+                new String(MessageCodec.encode(pollMessage()), StandardCharsets.ISO_8859_1));
+        environment.advance(1_000);
+        assertEquals(1, dataPlane.sent.size(), "a question is answered");
     }
 }
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -25,19 +25,19 @@
  */
 class DataPlaneSubscriptionsTest {
 
-    private final ManualEnvironment host = new ManualEnvironment();
+    private final ManualEnvironment environment = new ManualEnvironment();
     private final List<MessageCodec.Fields> answers = new ArrayList<>();
 
-    private Environment.ConnectionListener front(ControlNode core) {
-        Environment.ConnectionListener ear = core.accept();
-        ear.onOpen(
+    private Environment.ConnectionListener connectDataPlane(ControlNode node) {
+        Environment.ConnectionListener listener = node.accept();
+        listener.onOpen(
                 new Environment.Connection() {
                     @Override
                     public void send(byte[] message) {
                         try {
                             answers.add(MessageCodec.decode(message));
-                        } catch (MessageCodec.MalformedMessageException bad) {
-                            throw new AssertionError(bad);
+                        } catch (MessageCodec.MalformedMessageException exception) {
+                            throw new AssertionError(exception);
                         }
                     }
 
@@ -51,26 +51,28 @@
                         return 0;
                     }
                 });
-        return ear;
+        return listener;
     }
 
-    private MessageCodec.Fields ask(
-            Environment.ConnectionListener ear, long question, Object... fields) {
-        Map<String, Object> out =
-                new HashMap<>(Map.of("t", "news", "n", "front-1", "q", question, "b", "", "c", -1));
+    private MessageCodec.Fields poll(
+            Environment.ConnectionListener listener, long requestNumber, Object... fields) {
+        Map<String, Object> request =
+                new HashMap<>(
+                        Map.of("t", "news", "n", "front-1", "q", requestNumber, "b", "", "c", -1));
         for (int i = 0; i < fields.length; i += 2) {
-            out.put((String) fields[i], fields[i + 1]);
+            request.put((String) fields[i], fields[i + 1]);
         }
         answers.clear();
-        ear.onMessage(MessageCodec.encode(out));
-        host.advanceTo(host.nowMillis() + 700);
+        listener.onMessage(MessageCodec.encode(request));
+        environment.advanceTo(environment.nowMillis() + 700);
         assertEquals(1, answers.size());
-        assertEquals(question, answers.get(0).number("q", -1));
+        assertEquals(requestNumber, answers.get(0).number("q", -1));
         return answers.get(0);
     }
 
-    private static byte[] configuration(long version) {
-        StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
+    private static byte[] configuration(long revision) {
+        StringBuilder text =
+                new StringBuilder("{\"revision_number\":" + revision + ",\"routes\":[");
         for (int i = 0; i < 40; i++) {
             text.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"r")
@@ -78,7 +80,7 @@
                     .append("\",\"host_name\":\"h")
                     .append(i)
                     .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
-                    .append(i == version ? 900 : 800)
+                    .append(i == revision ? 900 : 800)
                     .append(",\"service\":\"s\"}");
         }
         return text.append("],\"services\":[{\"name\":\"s\"}]}")
@@ -86,50 +88,51 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private void configure(ControlNode core, long version) {
+    private void configure(ControlNode node, long revision) {
         CompletableFuture<Environment.HttpResponse> answer =
-                core.handle("POST", "/Configuration.Replace", configuration(version));
-        host.advanceTo(host.nowMillis() + 1_000);
+                node.handle("POST", "/Configuration.Replace", configuration(revision));
+        environment.advanceTo(environment.nowMillis() + 1_000);
         assertEquals(200, answer.join().status());
     }
 
     @Test
     void sendsDeltaToDataPlaneThatHasAnEarlierRevision() throws Exception {
-        ControlNode core = SingleNode.start(host);
-        Environment.ConnectionListener front = front(core);
-        configure(core, 1);
-        MessageCodec.Fields first = ask(front, 1);
+        ControlNode node = SingleNode.start(environment);
+        Environment.ConnectionListener dataPlane = connectDataPlane(node);
+        configure(node, 1);
+        MessageCodec.Fields first = poll(dataPlane, 1);
         assertArrayEquals(
                 configuration(1), Compression.decompress(first.bytes("cz"), BinaryDelta.MAX_BYTES));
         assertEquals(1, first.number("cv", -1));
-        for (long v = 2; v <= 6; v++) {
-            configure(core, v);
+        for (long revision = 2; revision <= 6; revision++) {
+            configure(node, revision);
         }
         long digest = BinaryDelta.digest(configuration(2));
-        MessageCodec.Fields second = ask(front, 2, "c", 2L, "cd", digest);
+        MessageCodec.Fields second = poll(dataPlane, 2, "c", 2L, "cd", digest);
         assertArrayEquals(
                 configuration(6), BinaryDelta.apply(configuration(2), second.bytes("cx")));
         assertNull(second.bytes("cz"));
         assertTrue(second.bytes("cx").length < 100, second.bytes("cx").length + " bytes");
         // The digest is said once; it holds until another is said.
-        assertTrue(ask(front, 3, "c", 2L).has("cx"));
-        assertTrue(ask(front, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
+        assertTrue(poll(dataPlane, 3, "c", 2L).has("cx"));
+        assertTrue(poll(dataPlane, 4, "c", 2L, "cw", true).has("cz"), "asked for whole");
         assertTrue(
-                ask(front, 5, "c", 2L, "cd", digest + 1).has("cz"),
+                poll(dataPlane, 5, "c", 2L, "cd", digest + 1).has("cz"),
                 "another content under this number");
-        assertTrue(ask(front, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
-        MessageCodec.Fields none =
-                ask(front, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
+        assertTrue(
+                poll(dataPlane, 6, "c", 1L, "cd", BinaryDelta.digest(configuration(1))).has("cx"));
+        MessageCodec.Fields upToDate =
+                poll(dataPlane, 7, "c", 6L, "b", second.string("b"), "r", second.number("r", 0));
         assertEquals(
                 Set.of("q", "f", "su"),
-                subset(none, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
-                none.all().toString());
+                presentFields(upToDate, "q", "f", "su", "cv", "cx", "cz", "cp", "m"),
+                upToDate.values().toString());
     }
 
-    private static Set<String> subset(MessageCodec.Fields of, String... names) {
-        Set<String> there = new java.util.TreeSet<>(Set.of(names));
-        there.retainAll(of.all().keySet());
-        return there;
+    private static Set<String> presentFields(MessageCodec.Fields fields, String... names) {
+        Set<String> present = new java.util.TreeSet<>(Set.of(names));
+        present.retainAll(fields.values().keySet());
+        return present;
     }
 
     /**
@@ -138,17 +141,17 @@
      */
     @Test
     void sendsOnlyAddressesWhileIsolated() throws Exception {
-        ControlNode core = SingleNode.start(host, "10.0.0.2", "10.0.0.3");
-        Environment.ConnectionListener front = front(core);
-        core.handle(
+        ControlNode node = SingleNode.start(environment, "10.0.0.2", "10.0.0.3");
+        Environment.ConnectionListener dataPlane = connectDataPlane(node);
+        node.handle(
                 "POST",
                 "/Instances.Heartbeat/i-1",
                 ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
                                 + "\"database_role\":\"primary\",\"call_sequence\":1}")
                         .getBytes(StandardCharsets.UTF_8));
-        host.advanceTo(3_000);
+        environment.advanceTo(3_000);
         answers.clear();
-        front.onMessage(
+        dataPlane.onMessage(
                 MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
         assertEquals(1, answers.size(), "at once");
         assertEquals(
@@ -162,18 +165,19 @@
                                 Map.of("i", "10.0.0.1", "z", "a"),
                                 Map.of("i", "10.0.0.2", "z", "", "s", true),
                                 Map.of("i", "10.0.0.3", "z", "", "s", true))),
-                answers.get(0).all());
+                answers.get(0).values());
         // One that knows nobody better waits for contact, and no longer than for news.
         answers.clear();
-        front.onMessage(
+        dataPlane.onMessage(
                 MessageCodec.encode(
                         Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
-        host.advanceTo(3_500);
+        environment.advanceTo(3_500);
         assertEquals(0, answers.size());
-        host.advanceTo(3_700);
+        environment.advanceTo(3_700);
         assertEquals(
                 Set.of("q", "alone"),
-                subset(answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
+                presentFields(
+                        answers.get(0), "q", "alone", "b", "r", "m", "cv", "cx", "cz", "p", "su"));
     }
 
     /**
@@ -181,11 +185,11 @@
      * 2250 ms from its last question.
      */
     @Test
-    void certaintyOfHolderEndsSoonAfterItsLease() throws Exception {
-        ControlNode core = SingleNode.start(host);
-        Environment.ConnectionListener front = front(core);
-        configure(core, 1);
-        assertEquals(2_850, ask(front, 1).number("su", 0));
+    void boundsCertaintyByLeaseOfHolder() throws Exception {
+        ControlNode node = SingleNode.start(environment);
+        Environment.ConnectionListener dataPlane = connectDataPlane(node);
+        configure(node, 1);
+        assertEquals(2_850, poll(dataPlane, 1).number("su", 0));
     }
 
     /**
@@ -193,30 +197,30 @@
      * heard last.
      */
     @Test
-    void passesOnCertaintyWithTheRemainingLease() throws Exception {
-        ControlNode core = SingleNode.start(host, "10.0.0.2");
-        Environment.ConnectionListener other = core.accept();
-        host.advanceTo(5_000);
-        long now = host.nowMillis();
-        holderSays(core, other, 1, now - 300, 1_000);
-        assertEquals(1_000 + 600 - 300, core.certainMillis());
-        host.advanceTo(now + 200);
-        assertEquals(1_000 + 600 - 500, core.certainMillis());
+    void derivesCertaintyFromRemainingLeaseOfPeer() throws Exception {
+        ControlNode node = SingleNode.start(environment, "10.0.0.2");
+        Environment.ConnectionListener peer = node.accept();
+        environment.advanceTo(5_000);
+        long now = environment.nowMillis();
+        sendHolderMessage(node, peer, 1, now - 300, 1_000);
+        assertEquals(1_000 + 600 - 300, node.primaryCertaintyMillis());
+        environment.advanceTo(now + 200);
+        assertEquals(1_000 + 600 - 500, node.primaryCertaintyMillis());
         // Over for more than that, or from one that says nothing of its lease: nothing is sure that
         // was not before.
-        holderSays(core, other, 2, now, -700);
-        assertEquals(1_000 + 600 - 500, core.certainMillis());
-        holderSays(core, other, 3, now, 1 << 20);
-        assertEquals(3_000 - 200, core.certainMillis());
+        sendHolderMessage(node, peer, 2, now, -700);
+        assertEquals(1_000 + 600 - 500, node.primaryCertaintyMillis());
+        sendHolderMessage(node, peer, 3, now, 1 << 20);
+        assertEquals(3_000 - 200, node.primaryCertaintyMillis());
     }
 
-    private static void holderSays(
-            ControlNode core,
-            Environment.ConnectionListener ear,
-            long clock,
-            long echo,
-            long left) {
-        ear.onMessage(
+    private static void sendHolderMessage(
+            ControlNode node,
+            Environment.ConnectionListener listener,
+            long sentAtMillis,
+            long answeredSendMillis,
+            long leaseRemainingMillis) {
+        listener.onMessage(
                 MessageCodec.encode(
                         Map.of(
                                 "t",
@@ -228,16 +232,16 @@
                                 "b",
                                 "other",
                                 "n",
-                                clock,
+                                sentAtMillis,
                                 "e",
-                                echo,
+                                answeredSendMillis,
                                 "eb",
-                                core.incarnation(),
+                                node.incarnation(),
                                 "p",
                                 (1L << 20) + 1,
                                 "h",
                                 true,
                                 "hl",
-                                left)));
+                                leaseRemainingMillis)));
     }
 }
