--- a/src/test/java/dillfront/controlplane/ServerLeaveTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -27,14 +27,14 @@
  */
 class ServerLeaveTest {
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
-    private final Map<String, String> disk = new TreeMap<>();
-    private ControlNode core;
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
+    private final Map<String, String> storedTexts = new TreeMap<>();
+    private ControlNode node;
 
     /** Writes that were made while the disk stood still. */
-    private boolean stands;
+    private boolean diskStalled;
 
-    private CompletableFuture<Void> writes = CompletableFuture.completedFuture(null);
+    private CompletableFuture<Void> stalledWrites = CompletableFuture.completedFuture(null);
 
     @BeforeEach
     void start() throws Exception {
@@ -57,35 +57,37 @@
                         7_000,
                         6_000,
                         null);
-        core =
+        node =
                 new ControlNode(
-                        host,
+                        environment,
                         settings,
                         new StateStore() {
                             @Override
                             public Map<String, String> initialState() {
-                                return disk;
+                                return storedTexts;
                             }
 
                             @Override
                             public CompletableFuture<Void> put(Map<String, String> texts) {
                                 CompletableFuture<Void> done =
-                                        stands ? writes : CompletableFuture.completedFuture(null);
-                                return done.thenRun(() -> disk.putAll(texts));
+                                        diskStalled
+                                                ? stalledWrites
+                                                : CompletableFuture.completedFuture(null);
+                                return done.thenRun(() -> storedTexts.putAll(texts));
                             }
                         });
-        core.start();
-        host.advance(6_000);
+        node.start();
+        environment.advance(6_000);
     }
 
     private CompletableFuture<Environment.HttpResponse> call(String path, String body) {
-        return core.handle("POST", path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+        return node.handle("POST", path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     private void heartbeat(String id, String state, String role, long sequence) {
         assertEquals(
                 200,
-                answered(
+                awaitStatus(
                         call(
                                 "/Instances.Heartbeat/" + id,
                                 "{'service':'s','address':'10.0.0.9:80','zone_name':'z','state':'"
@@ -98,11 +100,11 @@
     }
 
     private int leave(String id) {
-        return answered(call("/Instances.Leave/" + id, "{}"));
+        return awaitStatus(call("/Instances.Leave/" + id, "{}"));
     }
 
-    private int answered(CompletableFuture<Environment.HttpResponse> call) {
-        host.advance(500);
+    private int awaitStatus(CompletableFuture<Environment.HttpResponse> call) {
+        environment.advance(500);
         assertTrue(call.isDone(), "an answer within half a second");
         return call.join().status();
     }
@@ -113,45 +115,45 @@
     }
 
     @Test
-    void serverThatNeverDrainedServesOnAfterItsLeave() {
+    void keepsUndrainedServerAfterItsLeave() {
         heartbeat("i-1", "ready", "primary", 4);
         assertEquals(200, leave("i-1"));
-        DatabaseServer m = core.state().registry().get("i-1");
-        assertTrue(m.isDraining() && !m.hasLeft(), m.state().wireName());
-        assertEquals(List.of(m), core.state().registry().serversOf("s"));
+        DatabaseServer server = node.state().registry().get("i-1");
+        assertTrue(server.isDraining() && !server.hasLeft(), server.state().wireName());
+        assertEquals(List.of(server), node.state().registry().serversOf("s"));
         assertEquals(200, leave("i-1"));
-        assertFalse(m.hasLeft(), "its leave may come twice, as its answer may be lost");
+        assertFalse(server.hasLeft(), "its leave may come twice, as its answer may be lost");
     }
 
     @Test
-    void drainedServerHasLeftAfterItsLeave() {
+    void removesDrainedServerAfterItsLeave() {
         heartbeat("i-1", "ready", "replica", 4);
         heartbeat("i-1", "draining", "replica", 5);
         assertEquals(200, leave("i-1"));
-        assertTrue(core.state().registry().get("i-1").hasLeft());
-        assertEquals(List.of(), core.state().registry().serversOf("s"));
+        assertTrue(node.state().registry().get("i-1").hasLeft());
+        assertEquals(List.of(), node.state().registry().serversOf("s"));
     }
 
     @Test
-    void heartbeatDoesNotUndoLeave() {
+    void ignoresHeartbeatStateAfterLeave() {
         heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
         heartbeat("i-1", "ready", "replica", 3);
         heartbeat("i-1", "ready", "replica", 9);
         heartbeat("i-1", "draining", "replica", 10);
-        assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
-        core.state().registry().merge(row("i-1", "s", "ready", 12), 0);
-        assertEquals(ServerState.LEAVING, core.state().registry().get("i-1").state());
+        assertEquals(ServerState.LEAVING, node.state().registry().get("i-1").state());
+        node.state().registry().merge(row("i-1", "s", "ready", 12), 0);
+        assertEquals(ServerState.LEAVING, node.state().registry().get("i-1").state());
     }
 
     @Test
     void keepsLeaveOfUnknownServer() {
         assertEquals(200, leave("i-7"));
         heartbeat("i-7", "ready", "primary", 4);
-        DatabaseServer m = core.state().registry().get("i-7");
-        assertEquals("s", m.service());
-        assertEquals("10.0.0.9:80", m.address());
-        assertTrue(m.isDraining(), "a beat that was on its way does not undo it");
+        DatabaseServer server = node.state().registry().get("i-7");
+        assertEquals("s", server.service());
+        assertEquals("10.0.0.9:80", server.address());
+        assertTrue(server.isDraining(), "a beat that was on its way does not undo it");
     }
 
     @Test
@@ -159,8 +161,8 @@
         leave("i-7");
         ServerRegistry other = new ServerRegistry();
         other.merge(row("i-7", "s", "ready", 4), 0);
-        for (ServerRow told : core.state().registry().rowsSince(0)) {
-            byte[] message = MessageCodec.encode(told.toFields());
+        for (ServerRow row : node.state().registry().rowsSince(0)) {
+            byte[] message = MessageCodec.encode(row.toFields());
             assertTrue(other.merge(ServerRow.fromFields(MessageCodec.decode(message)), 0));
         }
         assertTrue(other.get("i-7").isDraining());
@@ -170,42 +172,42 @@
 
     @Test
     void acknowledgesLeaveOnceItIsOnDisk() {
-        stands = true;
-        writes = new CompletableFuture<>();
+        diskStalled = true;
+        stalledWrites = new CompletableFuture<>();
         CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
-        host.advance(500);
+        environment.advance(500);
         assertFalse(call.isDone(), "not on a disk yet");
-        writes.complete(null);
-        host.advance(200);
+        stalledWrites.complete(null);
+        environment.advance(200);
         assertEquals(200, call.join().status());
-        ServerRegistry again = new ServerRegistry();
-        again.restore(disk, 0);
-        again.merge(row("i-7", "s", "ready", 4), 0);
-        assertTrue(again.get("i-7").isDraining(), "the next life knows it too");
+        ServerRegistry restored = new ServerRegistry();
+        restored.restore(storedTexts, 0);
+        restored.merge(row("i-7", "s", "ready", 4), 0);
+        assertTrue(restored.get("i-7").isDraining(), "the next life knows it too");
     }
 
     @Test
-    void lateHeartbeatChangesNothing() {
+    void ignoresOutdatedHeartbeat() {
         heartbeat("i-1", "ready", "replica", 4);
-        long heard = core.state().registry().get("i-1").lastContactMillis();
-        host.advance(3_000);
+        long lastContactMillis = node.state().registry().get("i-1").lastContactMillis();
+        environment.advance(3_000);
         heartbeat("i-1", "ready", "primary", 3);
-        DatabaseServer m = core.state().registry().get("i-1");
-        assertEquals(heard, m.lastContactMillis());
-        assertEquals("replica", m.role());
+        DatabaseServer server = node.state().registry().get("i-1");
+        assertEquals(lastContactMillis, server.lastContactMillis());
+        assertEquals("replica", server.role());
         heartbeat("i-1", "ready", "replica", 5);
-        assertTrue(m.lastContactMillis() > heard);
+        assertTrue(server.lastContactMillis() > lastContactMillis);
     }
 
     @Test
     void expiresServerLongAfterItsLeave() {
         heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
-        host.advance(25_000);
+        environment.advance(25_000);
         assertFalse(
-                core.state().registry().get("i-1").hasLeft(), "it may serve on for many seconds");
-        host.advance(10_000);
-        assertTrue(core.state().registry().get("i-1").hasLeft());
+                node.state().registry().get("i-1").hasLeft(), "it may serve on for many seconds");
+        environment.advance(10_000);
+        assertTrue(node.state().registry().get("i-1").hasLeft());
     }
 
     @Test
--- a/src/test/java/dillfront/controlplane/SingleNode.java
+++ b/src/test/java/dillfront/controlplane/SingleNode.java
@@ -18,7 +18,7 @@
     static final String IP = "10.0.0.1";
 
     /** When it surely holds the lease, where it is the only one. */
-    public static final long HOLDS_MS = 6_000;
+    public static final long LEASE_ACQUIRED_MS = 6_000;
 
     private SingleNode() {}
 
@@ -28,9 +28,9 @@
     }
 
     /** Started, with nothing on its disk, and everything kept at once and forgotten. */
-    public static ControlNode start(Environment host, String... others) throws Exception {
+    public static ControlNode start(Environment environment, String... otherIps) throws Exception {
         return start(
-                host,
+                environment,
                 new StateStore() {
                     @Override
                     public Map<String, String> initialState() {
@@ -42,17 +42,17 @@
                         return CompletableFuture.completedFuture(null);
                     }
                 },
-                others);
+                otherIps);
     }
 
     /** Started on this disk. */
-    public static ControlNode start(Environment host, StateStore store, String... others)
+    public static ControlNode start(Environment environment, StateStore store, String... otherIps)
             throws Exception {
         List<String> seeds =
-                Stream.concat(Stream.of(IP), Stream.of(others)).map(ip -> ip + ":8002").toList();
-        ControlNode core =
+                Stream.concat(Stream.of(IP), Stream.of(otherIps)).map(ip -> ip + ":8002").toList();
+        ControlNode node =
                 new ControlNode(
-                        host,
+                        environment,
                         new NodeSettings(
                                 "core-1",
                                 "a",
@@ -72,7 +72,7 @@
                                 6_000,
                                 null),
                         store);
-        core.start();
-        return core;
+        node.start();
+        return node;
     }
 }
--- a/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
+++ b/src/test/java/dillfront/controlplane/consensus/MembershipPolicyTest.java
@@ -45,29 +45,34 @@
             but nine are then                     | 4 | a b c d e f g h i | a-n b-n c-n d-n e-n f-n g-n h-n i-n j-n | a b c d e f g h i
             from the zone that has fewest         | 1 | a b c     | a-nz1 b-nz2 c-nz2 d-nz2 e-nz1 f-nz3 | a b c f
             """)
-    void next(String name, int losses, String members, String seen, String expected) {
-        List<MembershipPolicy.Candidate> processes = new ArrayList<>();
-        for (String one : seen.trim().split(" +")) {
-            int dash = one.indexOf('-');
-            String id = dash < 0 ? one : one.substring(0, dash);
-            String what = dash < 0 ? "" : one.substring(dash + 1);
-            int silent = what.indexOf('s');
-            int zone = what.indexOf('z');
-            processes.add(
+    void choosesNextMembers(
+            String name, int toleratedLosses, String members, String observed, String expected) {
+        List<MembershipPolicy.Candidate> candidates = new ArrayList<>();
+        for (String process : observed.trim().split(" +")) {
+            int dash = process.indexOf('-');
+            String id = dash < 0 ? process : process.substring(0, dash);
+            String flags = dash < 0 ? "" : process.substring(dash + 1);
+            int silenceFlagIndex = flags.indexOf('s');
+            int zoneFlagIndex = flags.indexOf('z');
+            candidates.add(
                     new MembershipPolicy.Candidate(
                             id,
-                            zone < 0 ? "" : what.substring(zone),
-                            silent < 0
+                            zoneFlagIndex < 0 ? "" : flags.substring(zoneFlagIndex),
+                            silenceFlagIndex < 0
                                     ? 0
-                                    : what.endsWith("*")
+                                    : flags.endsWith("*")
                                             ? Long.MAX_VALUE
-                                            : 1_000 * Long.parseLong(what.substring(silent + 1)),
-                            what.contains("n"),
-                            what.contains("l")));
+                                            : 1_000
+                                                    * Long.parseLong(
+                                                            flags.substring(silenceFlagIndex + 1)),
+                            flags.contains("n"),
+                            flags.contains("l")));
         }
         assertEquals(
                 new TreeSet<>(List.of(expected.trim().split(" +"))),
                 MembershipPolicy.nextMembers(
-                        new TreeSet<>(List.of(members.trim().split(" +"))), processes, losses));
+                        new TreeSet<>(List.of(members.trim().split(" +"))),
+                        candidates,
+                        toleratedLosses));
     }
 }
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -22,102 +22,109 @@
  */
 class ServerQueryTest {
 
-    private static final String REPLICA = "ROW replica 3 3.7 0 12 2 17";
+    private static final String REPLICA_ROW = "ROW replica 3 3.7 0 12 2 17";
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private LeaseManager lease;
-    private DatabaseServer to;
+    private DatabaseServer server;
 
     @BeforeEach
-    void holder() throws Exception {
-        lease = SingleNode.leaseOf(SingleNode.start(host));
-        host.advance(SingleNode.HOLDS_MS);
+    void acquireLease() throws Exception {
+        lease = SingleNode.leaseOf(SingleNode.start(environment));
+        environment.advance(SingleNode.LEASE_ACQUIRED_MS);
         assertTrue(lease.isHeld(), "alone, it holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
                 new ServerRow("i-1", "db", "10.0.0.9:5432", "z", ServerState.READY, "replica", 1),
                 0);
-        to = registry.get("i-1");
+        server = registry.get("i-1");
     }
 
-    private ScriptedEnvironment.ScriptedConnection ask(
-            Function<ServerStatus, String> then, CompletableFuture<ServerStatus> into) {
-        ServerQuery.send(host, lease, to, 500, then)
+    private ScriptedEnvironment.ScriptedConnection startQuery(
+            Function<ServerStatus, String> command, CompletableFuture<ServerStatus> result) {
+        ServerQuery.send(environment, lease, server, 500, command)
                 .whenComplete(
-                        (row, fault) -> {
-                            if (fault == null) {
-                                into.complete(row);
+                        (status, error) -> {
+                            if (error == null) {
+                                result.complete(status);
                             } else {
-                                into.completeExceptionally(fault);
+                                result.completeExceptionally(error);
                             }
                         });
-        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
-        line.open();
-        assertEquals("CONNECT db control i-1", line.lastSent());
-        return line;
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
+        connection.open();
+        assertEquals("CONNECT db control i-1", connection.lastSent());
+        return connection;
     }
 
-    private static String fault(CompletableFuture<ServerStatus> of) {
-        assertTrue(of.isDone(), "nothing came of it");
+    private static String failureMessage(CompletableFuture<ServerStatus> result) {
+        assertTrue(result.isDone(), "nothing came of it");
         try {
-            return "answered " + of.join();
-        } catch (CompletionException is) {
-            return is.getCause().getMessage();
+            return "answered " + result.join();
+        } catch (CompletionException exception) {
+            return exception.getCause().getMessage();
         }
     }
 
     @Test
-    void resultIsTheAnswerOfTheCommand() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE " + row.nextTerm(), is);
-        line.receive("READY I -");
-        assertEquals("QUERY - STATUS", line.lastSent());
-        line.receive(REPLICA, "COMPLETE -", "READY I 3.7");
-        assertEquals("QUERY - PAUSE 4", line.lastSent());
-        assertFalse(is.isDone());
-        line.receive("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
-        assertEquals(9, is.join().position().index());
-        assertTrue(line.closed);
+    void returnsStatusAfterCommand() {
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.ScriptedConnection connection =
+                startQuery(status -> "PAUSE " + status.nextTerm(), result);
+        connection.receive("READY I -");
+        assertEquals("QUERY - STATUS", connection.lastSent());
+        connection.receive(REPLICA_ROW, "COMPLETE -", "READY I 3.7");
+        assertEquals("QUERY - PAUSE 4", connection.lastSent());
+        assertFalse(result.isDone());
+        connection.receive("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
+        assertEquals(9, result.join().position().index());
+        assertTrue(connection.closed);
     }
 
     /**
      * Guards against a row that was there before anything was asked, and against half an answer.
      */
     @Test
-    void failsOnAnswersOutOfStep() {
-        CompletableFuture<ServerStatus> early = new CompletableFuture<>();
-        ask(null, early)
+    void failsOnUnexpectedOrIncompleteAnswers() {
+        CompletableFuture<ServerStatus> unexpectedRow = new CompletableFuture<>();
+        startQuery(null, unexpectedRow)
                 .receive("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
-        assertTrue(fault(early).contains("row out of place"), fault(early));
-        CompletableFuture<ServerStatus> half = new CompletableFuture<>();
-        ask(null, half).receive("READY I -", REPLICA, "READY I 3.7");
-        assertTrue(fault(half).contains("half an answer"), fault(half));
-        CompletableFuture<ServerStatus> twice = new CompletableFuture<>();
-        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE " + row.nextTerm(), twice);
-        line.receive("READY I -", REPLICA, "COMPLETE -", "READY I 3.7", "READY I 3.7");
-        assertTrue(fault(twice).contains("half an answer"), fault(twice));
+        assertTrue(
+                failureMessage(unexpectedRow).contains("row out of place"),
+                failureMessage(unexpectedRow));
+        CompletableFuture<ServerStatus> incomplete = new CompletableFuture<>();
+        startQuery(null, incomplete).receive("READY I -", REPLICA_ROW, "READY I 3.7");
+        assertTrue(
+                failureMessage(incomplete).contains("half an answer"), failureMessage(incomplete));
+        CompletableFuture<ServerStatus> missingCommandResponse = new CompletableFuture<>();
+        ScriptedEnvironment.ScriptedConnection connection =
+                startQuery(status -> "PAUSE " + status.nextTerm(), missingCommandResponse);
+        connection.receive("READY I -", REPLICA_ROW, "COMPLETE -", "READY I 3.7", "READY I 3.7");
+        assertTrue(
+                failureMessage(missingCommandResponse).contains("half an answer"),
+                failureMessage(missingCommandResponse));
     }
 
     @Test
-    void refusalTellsWhetherTheServerIsAlive() {
-        for (String[] one :
+    void reportsWhetherRefusingServerIsAlive() {
+        for (String[] refusal :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
-            CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-            ask(null, is).receive(one[0]);
-            is.exceptionally(
-                    fault -> {
+            CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+            startQuery(null, result).receive(refusal[0]);
+            result.exceptionally(
+                    error -> {
                         assertEquals(
-                                Boolean.parseBoolean(one[1]),
-                                ((ServerQueryException) fault).isServerAlive());
+                                Boolean.parseBoolean(refusal[1]),
+                                ((ServerQueryException) error).isServerAlive());
                         return null;
                     });
-            assertTrue(is.isCompletedExceptionally());
+            assertTrue(result.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedEnvironment.ScriptedConnection line = ask(row -> "PAUSE 4", busy);
-        line.receive("READY I -", "ERROR BUSY later", "READY I -");
+        ScriptedEnvironment.ScriptedConnection connection = startQuery(status -> "PAUSE 4", busy);
+        connection.receive("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
-        assertFalse(line.sent.contains("QUERY - PAUSE 4"));
+        assertFalse(connection.sent.contains("QUERY - PAUSE 4"));
     }
 
     /**
@@ -125,42 +132,51 @@
      * lease.
      */
     @Test
-    void sendsNoCommandAfterAPause() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.ScriptedConnection line = ask(row -> "STEPDOWN " + row.nextTerm(), is);
-        line.receive("READY I -");
-        host.pauseProcess(20_000);
-        line.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
-        assertFalse(line.sent.contains("QUERY - STEPDOWN 4"), "said 20 s late: " + line.sent);
-        assertTrue(is.isCompletedExceptionally());
+    void sendsNoCommandAfterProcessPause() {
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.ScriptedConnection connection =
+                startQuery(status -> "STEPDOWN " + status.nextTerm(), result);
+        connection.receive("READY I -");
+        environment.pauseProcess(20_000);
+        connection.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        assertFalse(
+                connection.sent.contains("QUERY - STEPDOWN 4"),
+                "said 20 s late: " + connection.sent);
+        assertTrue(result.isCompletedExceptionally());
     }
 
     /** The same where its time is not over, but the lease is. */
     @Test
     void sendsNoCommandWithoutTheLease() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ServerQuery.send(host, lease, to, 60_000, row -> "STEPDOWN " + row.nextTerm())
-                .whenComplete((row, fault) -> is.complete(row));
-        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
-        line.open();
-        line.receive("READY I -");
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ServerQuery.send(
+                        environment,
+                        lease,
+                        server,
+                        60_000,
+                        status -> "STEPDOWN " + status.nextTerm())
+                .whenComplete((status, error) -> result.complete(status));
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
+        connection.open();
+        connection.receive("READY I -");
         lease.resign();
         assertFalse(lease.isHeld());
-        line.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        connection.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
-                line.sent.contains("QUERY - STEPDOWN 4"), "said without the lease: " + line.sent);
-        assertTrue(is.isDone());
+                connection.sent.contains("QUERY - STEPDOWN 4"),
+                "said without the lease: " + connection.sent);
+        assertTrue(result.isDone());
     }
 
     /** An answer after its time finds nobody; the connection is left. */
     @Test
     void failsAfterTheTimeout() {
-        CompletableFuture<ServerStatus> is = new CompletableFuture<>();
-        ScriptedEnvironment.ScriptedConnection line = ask(null, is);
-        line.receive("READY I -");
-        host.advance(600);
-        assertEquals("no answer in 500 ms", fault(is));
-        assertTrue(line.closed);
-        assertEquals("GOODBYE", line.lastSent());
+        CompletableFuture<ServerStatus> result = new CompletableFuture<>();
+        ScriptedEnvironment.ScriptedConnection connection = startQuery(null, result);
+        connection.receive("READY I -");
+        environment.advance(600);
+        assertEquals("no answer in 500 ms", failureMessage(result));
+        assertTrue(connection.closed);
+        assertEquals("GOODBYE", connection.lastSent());
     }
 }
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -24,49 +24,50 @@
  */
 class RetryingStateStoreTest {
 
-    private final ManualEnvironment host = new ManualEnvironment();
+    private final ManualEnvironment environment = new ManualEnvironment();
 
     /** Takes 3 ms, or as the test says. */
-    private final class Hand implements StateStore {
-        final TreeMap<String, String> there = new TreeMap<>();
-        final List<Map<String, String>> given = new ArrayList<>();
-        long takes = 3;
-        boolean refuses;
+    private final class FaultyStore implements StateStore {
+        final TreeMap<String, String> contents = new TreeMap<>();
+        final List<Map<String, String>> writes = new ArrayList<>();
+        long writeMillis = 3;
+        boolean failsWrites;
 
         /** Where it refuses: it may have done it all the same. */
-        boolean done;
+        boolean appliesFailedWrites;
 
-        boolean hangs;
-        private CompletableFuture<Void> hung;
+        boolean hangsWrites;
+        private CompletableFuture<Void> pendingWrite;
 
         @Override
         public Map<String, String> initialState() {
-            return new HashMap<>(there);
+            return new HashMap<>(contents);
         }
 
         @Override
         public CompletableFuture<Void> put(Map<String, String> texts) {
-            assertTrue(hung == null || hung.isDone(), "one at a time");
-            given.add(new TreeMap<>(texts));
+            assertTrue(pendingWrite == null || pendingWrite.isDone(), "one at a time");
+            writes.add(new TreeMap<>(texts));
             CompletableFuture<Void> future = new CompletableFuture<>();
-            hung = future;
-            boolean refused = refuses;
-            boolean does = !refused || done;
-            if (!hangs) {
-                host.runAfter(takes, () -> end(texts, does, refused));
+            pendingWrite = future;
+            boolean fails = failsWrites;
+            boolean applies = !fails || appliesFailedWrites;
+            if (!hangsWrites) {
+                environment.runAfter(writeMillis, () -> completeWrite(texts, applies, fails));
             }
             return future;
         }
 
-        void end(Map<String, String> texts, boolean does, boolean refused) {
-            if (does) {
-                there.putAll(texts);
-                there.values().removeIf(String::isEmpty);
+        void completeWrite(Map<String, String> texts, boolean applies, boolean fails) {
+            if (applies) {
+                contents.putAll(texts);
+                contents.values().removeIf(String::isEmpty);
             }
-            if (refused) {
-                hung.completeExceptionally(new IllegalStateException("No space left on device"));
+            if (fails) {
+                pendingWrite.completeExceptionally(
+                        new IllegalStateException("No space left on device"));
             } else {
-                hung.complete(null);
+                pendingWrite.complete(null);
             }
         }
     }
@@ -76,69 +77,73 @@
      * has it.
      */
     @Test
-    void writesRefusedTextsWithTheNext() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
-        disk.refuses = true;
+    void writesFailedTextsWithNextWrite() {
+        FaultyStore underlying = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, underlying);
+        underlying.failsWrites = true;
         CompletableFuture<Void> first = store.put(Map.of("a", "1", "b", "1"));
-        host.advanceTo(20);
+        environment.advanceTo(20);
         assertTrue(!first.isDone());
-        assertEquals(Map.of(), disk.there);
-        disk.refuses = false;
-        host.advanceTo(50);
+        assertEquals(Map.of(), underlying.contents);
+        underlying.failsWrites = false;
+        environment.advanceTo(50);
         CompletableFuture<Void> second = store.put(Map.of("b", "2", "c", "2"));
-        host.advanceTo(120);
+        environment.advanceTo(120);
         assertTrue(first.isDone() && second.isDone());
-        assertEquals(Map.of("a", "1", "b", "2", "c", "2"), disk.there);
-        assertEquals(2, disk.given.size());
+        assertEquals(Map.of("a", "1", "b", "2", "c", "2"), underlying.contents);
+        assertEquals(2, underlying.writes.size());
     }
 
     @Test
-    void retriesRefusedTextsWithBackoff() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
-        disk.refuses = true;
+    void retriesFailedWritesWithBackoff() {
+        FaultyStore underlying = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, underlying);
+        underlying.failsWrites = true;
         CompletableFuture<Void> put = store.put(Map.of("a", "1"));
-        host.advanceTo(60_000);
-        assertTrue(disk.given.size() > 25 && disk.given.size() < 40, disk.given.size() + " tries");
+        environment.advanceTo(60_000);
+        assertTrue(
+                underlying.writes.size() > 25 && underlying.writes.size() < 40,
+                underlying.writes.size() + " tries");
         assertEquals(60_000, store.stalledMillis());
         assertTrue(!put.isDone());
         // However many puts come, it is tried ten times a second at most.
-        int before = disk.given.size();
+        int writesBefore = underlying.writes.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
-            host.advanceTo(host.nowMillis() + 5);
+            environment.advanceTo(environment.nowMillis() + 5);
         }
-        assertTrue(disk.given.size() - before < 55, disk.given.size() - before + " tries in 5 s");
-        disk.refuses = false;
-        host.advanceTo(host.nowMillis() + 2_100);
+        assertTrue(
+                underlying.writes.size() - writesBefore < 55,
+                underlying.writes.size() - writesBefore + " tries in 5 s");
+        underlying.failsWrites = false;
+        environment.advanceTo(environment.nowMillis() + 2_100);
         assertTrue(put.isDone());
-        assertEquals(Map.of("a", "999"), disk.there);
+        assertEquals(Map.of("a", "999"), underlying.contents);
         assertEquals(0, store.stalledMillis());
     }
 
     @Test
-    void reportsStallAndGoesOnAfterwards() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+    void reportsStallAndContinuesAfterwards() {
+        FaultyStore underlying = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, underlying);
         assertEquals(0, store.stalledMillis());
-        disk.hangs = true;
-        List<Integer> over = new ArrayList<>();
+        underlying.hangsWrites = true;
+        List<Integer> completed = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             int number = i;
-            store.put(Map.of("n", "" + i)).thenRun(() -> over.add(number));
-            host.advanceTo(host.nowMillis() + 1_000);
+            store.put(Map.of("n", "" + i)).thenRun(() -> completed.add(number));
+            environment.advanceTo(environment.nowMillis() + 1_000);
         }
         assertEquals(5_000, store.stalledMillis());
-        assertEquals(1, disk.given.size());
-        disk.hangs = false;
-        disk.end(disk.given.get(0), true, false);
-        assertEquals(List.of(0), over);
+        assertEquals(1, underlying.writes.size());
+        underlying.hangsWrites = false;
+        underlying.completeWrite(underlying.writes.get(0), true, false);
+        assertEquals(List.of(0), completed);
         assertEquals(4_000, store.stalledMillis(), "of the next that waits");
-        host.advanceTo(host.nowMillis() + 4);
-        assertEquals(List.of(0, 1, 2, 3, 4), over);
-        assertEquals(Map.of("n", "4"), disk.there);
-        assertEquals(2, disk.given.size(), "what waited went together");
+        environment.advanceTo(environment.nowMillis() + 4);
+        assertEquals(List.of(0, 1, 2, 3, 4), completed);
+        assertEquals(Map.of("n", "4"), underlying.contents);
+        assertEquals(2, underlying.writes.size(), "what waited went together");
     }
 
     /**
@@ -147,51 +152,54 @@
      */
     @Test
     void skipsTextsThatAreOnDisk() {
-        Hand disk = new Hand();
-        disk.there.put("a", "1");
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+        FaultyStore underlying = new FaultyStore();
+        underlying.contents.put("a", "1");
+        RetryingStateStore store = new RetryingStateStore(environment, underlying);
         assertTrue(store.put(Map.of("a", "1")).isDone());
-        assertEquals(0, disk.given.size());
+        assertEquals(0, underlying.writes.size());
         store.put(Map.of("a", "1", "b", "1", "c", ""));
-        host.advanceTo(10);
-        assertEquals(List.of(Map.of("b", "1", "c", "")), disk.given);
-        disk.refuses = true;
-        disk.done = true;
+        environment.advanceTo(10);
+        assertEquals(List.of(Map.of("b", "1", "c", "")), underlying.writes);
+        underlying.failsWrites = true;
+        underlying.appliesFailedWrites = true;
         store.put(Map.of("b", "2"));
-        host.advanceTo(20);
-        disk.refuses = false;
-        CompletableFuture<Void> back = store.put(Map.of("b", "1"));
-        host.advanceTo(200);
-        assertTrue(back.isDone());
-        assertEquals(Map.of("a", "1", "b", "1"), disk.there);
+        environment.advanceTo(20);
+        underlying.failsWrites = false;
+        CompletableFuture<Void> restored = store.put(Map.of("b", "1"));
+        environment.advanceTo(200);
+        assertTrue(restored.isDone());
+        assertEquals(Map.of("a", "1", "b", "1"), underlying.contents);
         store.put(Map.of("b", ""));
-        host.advanceTo(300);
-        assertEquals(Map.of("a", "1"), disk.there);
+        environment.advanceTo(300);
+        assertEquals(Map.of("a", "1"), underlying.contents);
     }
 
     @Test
-    void rejectsTooLongTextsAndGoesOn() {
-        Hand disk = new Hand();
-        RetryingStateStore store = new RetryingStateStore(host, disk);
+    void rejectsTooLongTextsAndContinues() {
+        FaultyStore underlying = new FaultyStore();
+        RetryingStateStore store = new RetryingStateStore(environment, underlying);
         assertTrue(
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH + 1)))
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS + 1)))
                         .isCompletedExceptionally());
-        CompletableFuture<Void> fits =
-                store.put(Map.of("a", "x".repeat(StateStore.MAX_TEXT_LENGTH)));
-        host.advanceTo(10);
-        assertTrue(fits.isDone() && !fits.isCompletedExceptionally());
-        disk.hangs = true;
-        List<CompletableFuture<Void>> all = new ArrayList<>();
+        CompletableFuture<Void> longest =
+                store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS)));
+        environment.advanceTo(10);
+        assertTrue(longest.isDone() && !longest.isCompletedExceptionally());
+        underlying.hangsWrites = true;
+        List<CompletableFuture<Void>> results = new ArrayList<>();
         for (int i = 0; i < 10_050; i++) {
-            all.add(store.put(Map.of("n" + i % 7, "" + i)));
+            results.add(store.put(Map.of("n" + i % 7, "" + i)));
         }
-        assertEquals(50, all.stream().filter(CompletableFuture::isCompletedExceptionally).count());
-        assertThrows(CompletionException.class, () -> all.get(10_049).join());
-        disk.hangs = false;
-        disk.end(disk.given.get(1), true, false);
-        host.advanceTo(20);
         assertEquals(
-                "10049", disk.there.get("n" + 10_049 % 7), "and what it held is kept all the same");
+                50, results.stream().filter(CompletableFuture::isCompletedExceptionally).count());
+        assertThrows(CompletionException.class, () -> results.get(10_049).join());
+        underlying.hangsWrites = false;
+        underlying.completeWrite(underlying.writes.get(1), true, false);
+        environment.advanceTo(20);
+        assertEquals(
+                "10049",
+                underlying.contents.get("n" + 10_049 % 7),
+                "and what it held is kept all the same");
     }
 
     /**
@@ -199,13 +207,13 @@
      * no other record follows.
      */
     @Test
-    void refusedPrimaryRecordIsOnDiskLater() throws Exception {
-        Hand disk = new Hand();
-        ControlNode core = SingleNode.start(host, disk);
-        host.advanceTo(8_000);
+    void storesPrimaryRecordAfterFailedWrite() throws Exception {
+        FaultyStore underlying = new FaultyStore();
+        ControlNode node = SingleNode.start(environment, underlying);
+        environment.advanceTo(8_000);
         for (int i = 1; i <= 6; i++) {
-            disk.refuses = i <= 1;
-            core.handle(
+            underlying.failsWrites = i <= 1;
+            node.handle(
                     "POST",
                     "/Instances.Heartbeat/i-1",
                     ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
@@ -213,19 +221,21 @@
                                     + i
                                     + "}")
                             .getBytes(StandardCharsets.UTF_8));
-            host.advanceTo(host.nowMillis() + 500);
-            assertTrue(i > 1 || !disk.there.containsKey("lead:s"));
+            environment.advanceTo(environment.nowMillis() + 500);
+            assertTrue(i > 1 || !underlying.contents.containsKey("lead:s"));
         }
-        assertTrue(core.status().contains(" | s primary=i-1"), core.status());
+        assertTrue(node.status().contains(" | s primary=i-1"), node.status());
         assertEquals(
                 1,
-                disk.given.stream()
+                underlying.writes.stream()
                         .map(put -> put.get("lead:s"))
                         .filter(java.util.Objects::nonNull)
                         .distinct()
                         .count());
-        assertTrue(disk.there.getOrDefault("lead:s", "").contains("i-1"), disk.there.toString());
-        assertTrue(disk.there.containsKey("server:i-1"), disk.there.toString());
+        assertTrue(
+                underlying.contents.getOrDefault("lead:s", "").contains("i-1"),
+                underlying.contents.toString());
+        assertTrue(underlying.contents.containsKey("server:i-1"), underlying.contents.toString());
     }
 
     /**
@@ -233,13 +243,13 @@
      * the puts, and in the end all have.
      */
     @Test
-    void completesOnlyWhatIsOnDisk() {
+    void completesOnlyDurableWrites() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Hand disk = new Hand();
-            RetryingStateStore store = new RetryingStateStore(host, disk);
+            FaultyStore underlying = new FaultyStore();
+            RetryingStateStore store = new RetryingStateStore(environment, underlying);
             TreeMap<String, Integer> newest = new TreeMap<>();
-            List<Integer> told = new ArrayList<>();
+            List<Integer> completed = new ArrayList<>();
             for (int i = 0; i < 150; i++) {
                 int number = i;
                 Map<String, String> put = new HashMap<>();
@@ -251,30 +261,33 @@
                 store.put(put)
                         .thenRun(
                                 () -> {
-                                    told.add(number);
+                                    completed.add(number);
                                     put.forEach(
                                             (name, text) ->
                                                     assertTrue(
                                                             Integer.parseInt(
-                                                                            disk.there.getOrDefault(
-                                                                                    name, "-1"))
+                                                                            underlying.contents
+                                                                                    .getOrDefault(
+                                                                                            name,
+                                                                                            "-1"))
                                                                     >= number,
                                                             name));
                                 });
                 if (random.nextInt(8) == 0) {
-                    disk.refuses = !disk.refuses;
-                    disk.done = random.nextBoolean();
+                    underlying.failsWrites = !underlying.failsWrites;
+                    underlying.appliesFailedWrites = random.nextBoolean();
                 }
-                disk.takes = random.nextInt(40);
-                host.advanceTo(host.nowMillis() + random.nextInt(60));
+                underlying.writeMillis = random.nextInt(40);
+                environment.advanceTo(environment.nowMillis() + random.nextInt(60));
             }
-            disk.refuses = false;
-            host.advanceTo(host.nowMillis() + 4_200);
-            assertEquals(150, told.size(), "seed " + seed);
+            underlying.failsWrites = false;
+            environment.advanceTo(environment.nowMillis() + 4_200);
+            assertEquals(150, completed.size(), "seed " + seed);
             for (int i = 0; i < 150; i++) {
-                assertEquals(i, told.get(i), "seed " + seed);
+                assertEquals(i, completed.get(i), "seed " + seed);
             }
-            newest.forEach((name, number) -> assertEquals("" + number, disk.there.get(name)));
+            newest.forEach(
+                    (name, number) -> assertEquals("" + number, underlying.contents.get(name)));
         }
     }
 }
--- a/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
+++ b/src/test/java/dillfront/controlplane/subscription/ConfigurationHistoryTest.java
@@ -20,9 +20,10 @@
 /** What fronts that are some versions behind get, and how much of what was is kept for them. */
 class ConfigurationHistoryTest {
 
-    private static Configuration configuration(long version, int routes, long salt)
+    private static Configuration configuration(long revision, int routes, long salt)
             throws Configuration.InvalidConfigurationException {
-        StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
+        StringBuilder text =
+                new StringBuilder("{\"revision_number\":" + revision + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"r")
@@ -30,7 +31,7 @@
                     .append("\",\"host_name\":\"h")
                     .append(i * 7919 + salt)
                     .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
-                    .append(i == version % routes ? 1_000 + version : 800)
+                    .append(i == revision % routes ? 1_000 + revision : 800)
                     .append(",\"service\":\"s\"}");
         }
         return Configuration.parse(
@@ -41,103 +42,110 @@
 
     @Test
     void givesDeltaFromRecentRevisions() throws Exception {
-        ConfigurationHistory versions = new ConfigurationHistory();
+        ConfigurationHistory history = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
-        for (long v = 1; v <= 200; v++) {
-            all.add(configuration(3 * v, 300, 0));
-            versions.append(all.get(all.size() - 1));
+        for (long step = 1; step <= 200; step++) {
+            all.add(configuration(3 * step, 300, 0));
+            history.append(all.get(all.size() - 1));
         }
         Configuration newest = all.get(199);
         for (int i = 0; i < 199; i++) {
-            Configuration is = all.get(i);
-            byte[] delta = versions.deltaFrom(is.revision(), is.digest());
-            assertEquals(i >= 199 - 64, delta != null, "of version " + is.revision());
+            Configuration earlier = all.get(i);
+            byte[] delta = history.deltaFrom(earlier.revision(), earlier.digest());
+            assertEquals(i >= 199 - 64, delta != null, "of version " + earlier.revision());
             if (delta != null) {
-                assertArrayEquals(newest.body(), BinaryDelta.apply(is.body(), delta));
+                assertArrayEquals(newest.body(), BinaryDelta.apply(earlier.body(), delta));
                 assertSame(
                         delta,
-                        versions.deltaFrom(is.revision(), is.digest()),
+                        history.deltaFrom(earlier.revision(), earlier.digest()),
                         "made once for all who ask");
                 assertTrue(
                         delta.length < 60 + 30 * (199 - i),
                         delta.length + " bytes for " + (199 - i) + " changes");
             }
             assertNull(
-                    versions.deltaFrom(is.revision(), is.digest() + 1),
+                    history.deltaFrom(earlier.revision(), earlier.digest() + 1),
                     "another content under this number");
             assertNull(
-                    versions.deltaFrom(is.revision() + 1, is.digest()), "a number that never was");
+                    history.deltaFrom(earlier.revision() + 1, earlier.digest()),
+                    "a number that never was");
         }
-        assertNull(versions.deltaFrom(newest.revision(), newest.digest()));
-        assertNull(versions.deltaFrom(-1, Configuration.NONE.digest()));
+        assertNull(history.deltaFrom(newest.revision(), newest.digest()));
+        assertNull(history.deltaFrom(-1, Configuration.NONE.digest()));
         assertArrayEquals(
-                newest.body(),
-                Compression.decompress(versions.compressed(), BinaryDelta.MAX_BYTES));
-        assertSame(versions.compressed(), versions.compressed());
+                newest.body(), Compression.decompress(history.compressed(), BinaryDelta.MAX_BYTES));
+        assertSame(history.compressed(), history.compressed());
         // What is no newer changes nothing.
-        versions.append(all.get(7));
-        versions.append(configuration(600, 3, 1));
-        assertSame(newest, versions.newest());
+        history.append(all.get(7));
+        history.append(configuration(600, 3, 1));
+        assertSame(newest, history.newest());
     }
 
     /** Where all is new each time, little is kept, and the whole goes out. */
     @Test
-    void dropsDeltasThatSaveNothing() throws Exception {
-        ConfigurationHistory versions = new ConfigurationHistory();
+    void keepsNoDeltasThatSaveNothing() throws Exception {
+        ConfigurationHistory history = new ConfigurationHistory();
         List<Configuration> all = new ArrayList<>();
-        for (int v = 1; v <= 40; v++) {
-            byte[] noise = new byte[150_000];
-            SplittableRandom random = new SplittableRandom(v);
-            for (int i = 0; i < noise.length; i++) {
-                noise[i] = (byte) ('a' + random.nextInt(26));
+        for (int revision = 1; revision <= 40; revision++) {
+            byte[] randomText = new byte[150_000];
+            SplittableRandom random = new SplittableRandom(revision);
+            for (int i = 0; i < randomText.length; i++) {
+                randomText[i] = (byte) ('a' + random.nextInt(26));
             }
             all.add(
                     Configuration.parse(
                             ("{\"revision_number\":"
-                                            + v
+                                            + revision
                                             + ",\"routes\":[],\"services\":[],\"x\":\""
-                                            + new String(noise, StandardCharsets.US_ASCII)
+                                            + new String(randomText, StandardCharsets.US_ASCII)
                                             + "\"}")
                                     .getBytes(StandardCharsets.UTF_8)));
-            versions.append(all.get(v - 1));
+            history.append(all.get(revision - 1));
         }
-        long known =
+        long deltaCount =
                 all.stream()
-                        .filter(c -> versions.deltaFrom(c.revision(), c.digest()) != null)
+                        .filter(
+                                earlier ->
+                                        history.deltaFrom(earlier.revision(), earlier.digest())
+                                                != null)
                         .count();
-        assertEquals(0, known, "no change is shorter than the whole, deflated");
+        assertEquals(0, deltaCount, "no change is shorter than the whole, deflated");
     }
 
     @Test
     void decompressesOrDetectsDamage() throws Exception {
         for (String text : new String[] {"", "a", "{}".repeat(40_000)}) {
-            byte[] is = text.getBytes(StandardCharsets.UTF_8);
-            byte[] small = Compression.compress(is);
-            assertArrayEquals(is, Compression.decompress(small, is.length));
-            for (int cut = 0; cut < small.length; cut++) {
-                byte[] part = Arrays.copyOf(small, cut);
+            byte[] original = text.getBytes(StandardCharsets.UTF_8);
+            byte[] compressed = Compression.compress(original);
+            assertArrayEquals(original, Compression.decompress(compressed, original.length));
+            for (int length = 0; length < compressed.length; length++) {
+                byte[] truncated = Arrays.copyOf(compressed, length);
                 assertThrows(
                         Compression.CorruptDataException.class,
-                        () -> Compression.decompress(part, is.length));
+                        () -> Compression.decompress(truncated, original.length));
             }
             assertThrows(
                     Compression.CorruptDataException.class,
                     () ->
                             Compression.decompress(
-                                    Arrays.copyOf(small, small.length + 1), is.length));
-            for (int at = 0; at < small.length; at++) {
-                byte[] bad = small.clone();
-                bad[at] ^= 4;
+                                    Arrays.copyOf(compressed, compressed.length + 1),
+                                    original.length));
+            for (int position = 0; position < compressed.length; position++) {
+                byte[] damaged = compressed.clone();
+                damaged[position] ^= 4;
                 try {
-                    assertArrayEquals(is, Compression.decompress(bad, is.length), "at " + at);
-                } catch (Compression.CorruptDataException found) {
-                    assertTrue(!found.getMessage().isEmpty());
+                    assertArrayEquals(
+                            original,
+                            Compression.decompress(damaged, original.length),
+                            "at " + position);
+                } catch (Compression.CorruptDataException exception) {
+                    assertTrue(!exception.getMessage().isEmpty());
                 }
             }
-            if (is.length > 0) {
+            if (original.length > 0) {
                 assertThrows(
                         Compression.CorruptDataException.class,
-                        () -> Compression.decompress(small, is.length - 1));
+                        () -> Compression.decompress(compressed, original.length - 1));
             }
         }
     }
--- a/src/test/java/dillfront/dataplane/AcceptedLossReadsTest.java
+++ b/src/test/java/dillfront/dataplane/AcceptedLossReadsTest.java
@@ -21,16 +21,16 @@
 
     private DatabaseService service;
     private AcceptedDataLoss loss;
-    private ServerPool leads;
-    private ServerPool another;
+    private ServerPool newPrimary;
+    private ServerPool formerPrimary;
 
-    private static LogPosition at(String text) {
+    private static LogPosition position(String text) {
         return LogPosition.parse(text);
     }
 
     @BeforeEach
-    void lost() {
-        DataPlaneNode front =
+    void setUp() {
+        DataPlaneNode node =
                 new DataPlaneNode(
                         new ManualEnvironment(),
                         new NodeSettings(
@@ -51,32 +51,32 @@
                                 7_000,
                                 6_000,
                                 null));
-        service = new DatabaseService(front, "db");
-        another = new ServerPool(front, service, "i-1", "10.0.0.8:1", "z");
-        leads = new ServerPool(front, service, "i-2", "10.0.0.9:1", "z");
-        service.onAcknowledged(another, at("1.69"), at("1.72"));
+        service = new DatabaseService(node, "db");
+        formerPrimary = new ServerPool(node, service, "i-1", "10.0.0.8:1", "z");
+        newPrimary = new ServerPool(node, service, "i-2", "10.0.0.9:1", "z");
+        service.onAcknowledged(formerPrimary, position("1.69"), position("1.72"));
         loss =
                 AcceptedDataLoss.accept(
                         7,
-                        at("1.10"),
-                        new AcknowledgedCommits(at("1.70"), at("1.72")),
+                        position("1.10"),
+                        new AcknowledgedCommits(position("1.70"), position("1.72")),
                         List.of(),
                         null);
-        record(1, loss);
+        applyRecord(1, loss);
     }
 
-    private void record(long number, AcceptedDataLoss accepted) {
+    private void applyRecord(long number, AcceptedDataLoss accepted) {
         service.onRecord(new PrimaryRecord("db", number, "i-2", false, false, 0, accepted));
     }
 
     /** Guards against a session that waits for ever for its own write, which is in no log. */
     @Test
     void readDoesNotWaitForLostCommits() {
-        assertEquals(at("1.10"), service.withoutAcceptedLoss(at("1.70")));
-        assertEquals(at("1.9"), service.withoutAcceptedLoss(at("1.9")));
-        assertEquals(at("1.73"), service.withoutAcceptedLoss(at("1.73")));
-        record(2, null);
-        assertEquals(at("1.70"), service.withoutAcceptedLoss(at("1.70")));
+        assertEquals(position("1.10"), service.withoutAcceptedLoss(position("1.70")));
+        assertEquals(position("1.9"), service.withoutAcceptedLoss(position("1.9")));
+        assertEquals(position("1.73"), service.withoutAcceptedLoss(position("1.73")));
+        applyRecord(2, null);
+        assertEquals(position("1.70"), service.withoutAcceptedLoss(position("1.70")));
     }
 
     /**
@@ -84,24 +84,24 @@
      * its log ended at 1.10.
      */
     @Test
-    void acknowledgedCommitsOfNextPrimaryAreBehindTheLoss() {
-        service.onAcknowledged(leads, at("1.10"), at("2.11"));
-        assertEquals(at("1.73"), service.acknowledged.lowerBound());
+    void commitsOfNextPrimaryFollowTheLoss() {
+        service.onAcknowledged(newPrimary, position("1.10"), position("2.11"));
+        assertEquals(position("1.73"), service.acknowledged.lowerBound());
         assertEquals(
                 service.acknowledged,
                 loss.exclude(service.acknowledged),
                 "not given up with the rest");
-        service.onAcknowledged(leads, at("2.11"), at("2.12"));
-        assertEquals(at("2.12"), service.acknowledged.lowerBound());
+        service.onAcknowledged(newPrimary, position("2.11"), position("2.12"));
+        assertEquals(position("2.12"), service.acknowledged.lowerBound());
     }
 
     @Test
-    void answersOfOtherServersAreNotMovedBehindTheLoss() {
+    void commitsOfOtherServersDoNotFollowTheLoss() {
         AcknowledgedCommits before = service.acknowledged;
-        service.onAcknowledged(another, at("1.20"), at("1.21"));
+        service.onAcknowledged(formerPrimary, position("1.20"), position("1.21"));
         assertEquals(before, service.acknowledged);
-        record(2, loss.withLeaderAt(at("1.72")));
-        service.onAcknowledged(leads, at("1.72"), at("1.73"));
-        assertEquals(at("1.73"), service.acknowledged.lowerBound(), "the old log goes on");
+        applyRecord(2, loss.withPrimaryLogEnd(position("1.72")));
+        service.onAcknowledged(newPrimary, position("1.72"), position("1.73"));
+        assertEquals(position("1.73"), service.acknowledged.lowerBound(), "the old log goes on");
     }
 }
--- a/src/test/java/dillfront/dataplane/ClientSessionTest.java
+++ b/src/test/java/dillfront/dataplane/ClientSessionTest.java
@@ -28,127 +28,127 @@
  */
 class ClientSessionTest {
 
-    private static final int TIMEOUT = 1_000;
+    private static final int TIMEOUT_MS = 1_000;
 
     /**
      * A database server: it answers by the page, unless the test has it be silent, cut or say
      * something else.
      */
-    private final class Node {
+    private final class DatabaseServerStub {
         final String id;
         final String address;
         long term = 1;
-        long number = 5;
-        boolean leads;
+        long logIndex = 5;
+        boolean isPrimary;
 
         /** What is out for ever. */
-        Predicate<String> mute = text -> false;
+        Predicate<String> unanswered = text -> false;
 
         /** What has its connection end, once the statement has come. */
-        Predicate<String> cuts = text -> false;
+        Predicate<String> closesConnection = text -> false;
 
-        final Map<String, String> says = new HashMap<>();
+        final Map<String, String> responses = new HashMap<>();
 
         /** All statements, without their ids, each with the number of its connection. */
-        final List<String> heard = new ArrayList<>();
+        final List<String> received = new ArrayList<>();
 
-        final List<Wire> open = new ArrayList<>();
-        int connections;
+        final List<ServerConnectionStub> openConnections = new ArrayList<>();
+        int connectionCount;
 
-        Node(String id, String address) {
+        DatabaseServerStub(String id, String address) {
             this.id = id;
             this.address = address;
-            nodes.put(address, this);
+            servers.put(address, this);
         }
 
-        long count(String text) {
-            return heard.stream().filter(h -> h.endsWith(text)).count();
+        long countReceived(String text) {
+            return received.stream().filter(statement -> statement.endsWith(text)).count();
         }
     }
 
     /** The front's end of a connection to a server. */
-    private final class Wire implements Environment.Connection {
-        final Environment.ConnectionListener ear;
-        final Node to;
+    private final class ServerConnectionStub implements Environment.Connection {
+        final Environment.ConnectionListener listener;
+        final DatabaseServerStub server;
         final int number;
-        char state = 'I';
-        boolean over;
-
-        Wire(Environment.ConnectionListener ear, Node to) {
-            this.ear = ear;
-            this.to = to;
-            number = ++to.connections;
-            to.open.add(this);
+        char transactionStatus = 'I';
+        boolean closed;
+
+        ServerConnectionStub(Environment.ConnectionListener listener, DatabaseServerStub server) {
+            this.listener = listener;
+            this.server = server;
+            number = ++server.connectionCount;
+            server.openConnections.add(this);
         }
 
         @Override
         public void send(byte[] message) {
             for (String line : new String(message, StandardCharsets.ISO_8859_1).split("\r\n")) {
-                host.runAfter(1, () -> heard(line));
+                environment.runAfter(1, () -> handle(line));
             }
         }
 
-        private void heard(String line) {
-            if (over || line.equals("GOODBYE")) {
+        private void handle(String line) {
+            if (closed || line.equals("GOODBYE")) {
                 return;
             }
             if (line.startsWith("CONNECT ")) {
-                answer("READY I " + to.term + "." + to.number);
+                respond("READY I " + server.term + "." + server.logIndex);
                 return;
             }
             String text = line.split(" ", 3)[2];
-            to.heard.add(number + ": " + text);
-            if (to.mute.test(text)) {
+            server.received.add(number + ": " + text);
+            if (server.unanswered.test(text)) {
                 return;
             }
-            if (to.cuts.test(text)) {
-                over = true;
-                to.open.remove(this);
-                host.runAfter(1, () -> ear.onClose("broken"));
+            if (server.closesConnection.test(text)) {
+                closed = true;
+                server.openConnections.remove(this);
+                environment.runAfter(1, () -> listener.onClose("broken"));
                 return;
             }
             String verb = text.startsWith("AFTER ") ? text.split(" ")[2] : text.split(" ")[0];
-            String own = to.says.get(text);
-            if (own != null) {
-                answer(own.split("\n"));
+            String cannedResponse = server.responses.get(text);
+            if (cannedResponse != null) {
+                respond(cannedResponse.split("\n"));
                 return;
             }
             switch (verb) {
-                case "BEGIN" -> state = 'T';
-                case "COMMIT", "ROLLBACK" -> state = 'I';
+                case "BEGIN" -> transactionStatus = 'T';
+                case "COMMIT", "ROLLBACK" -> transactionStatus = 'I';
                 default -> {}
             }
-            to.number +=
+            server.logIndex +=
                     verb.equals("WRITE") || verb.equals("COMMIT") || text.startsWith("EXECUTE W")
                             ? 1
                             : 0;
-            String at = "READY " + state + " " + to.term + "." + to.number;
+            String ready = "READY " + transactionStatus + " " + server.term + "." + server.logIndex;
             if (verb.equals("STATUS")) {
-                answer(
+                respond(
                         "ROW "
-                                + (to.leads ? "primary " : "replica ")
-                                + to.term
+                                + (server.isPrimary ? "primary " : "replica ")
+                                + server.term
                                 + " "
-                                + to.term
+                                + server.term
                                 + "."
-                                + to.number
+                                + server.logIndex
                                 + " 0 0 0 1",
                         "COMPLETE -",
-                        at);
+                        ready);
             } else if (verb.equals("READ")) {
-                answer("ROW x", "COMPLETE " + to.id + text.hashCode(), at);
+                respond("ROW x", "COMPLETE " + server.id + text.hashCode(), ready);
             } else {
-                answer("COMPLETE -", at);
+                respond("COMPLETE -", ready);
             }
         }
 
-        private void answer(String... lines) {
+        private void respond(String... lines) {
             for (String line : lines) {
-                host.runAfter(
+                environment.runAfter(
                         1,
                         () -> {
-                            if (!over) {
-                                ear.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
+                            if (!closed) {
+                                listener.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
                             }
                         });
             }
@@ -156,8 +156,8 @@
 
         @Override
         public void close() {
-            over = true;
-            to.open.remove(this);
+            closed = true;
+            server.openConnections.remove(this);
         }
 
         @Override
@@ -169,48 +169,57 @@
     /**
      * A control process that answers each question at once, or after a while where nothing is new.
      */
-    private final class Control implements Environment.Connection {
-        private final Environment.ConnectionListener ear;
-        private boolean over;
+    private final class ControlProcessStub implements Environment.Connection {
+        private final Environment.ConnectionListener listener;
+        private boolean closed;
 
-        Control(Environment.ConnectionListener ear) {
-            this.ear = ear;
+        ControlProcessStub(Environment.ConnectionListener listener) {
+            this.listener = listener;
         }
 
         @Override
         public void send(byte[] message) {
-            Map<String, Object> out = new HashMap<>();
-            boolean late = slow;
+            Map<String, Object> response = new HashMap<>();
+            boolean delayed = respondsLate;
             try {
-                out.put("q", MessageCodec.decode(message).number("q", 0));
-                boots.add(MessageCodec.decode(message).string("b"));
-            } catch (MessageCodec.MalformedMessageException bad) {
-                throw new IllegalStateException(bad);
+                response.put("q", MessageCodec.decode(message).number("q", 0));
+                incarnations.add(MessageCodec.decode(message).string("b"));
+            } catch (MessageCodec.MalformedMessageException malformed) {
+                throw new IllegalStateException(malformed);
             }
-            host.runAfter(
-                    late ? 2_000 : answered < news ? 1 : 300,
+            environment.runAfter(
+                    delayed ? 2_000 : sentRegistryVersion < registryVersion ? 1 : 300,
                     () -> {
-                        if (answered < news || late) {
-                            answered = news;
-                            out.put("b", late ? "left" : "boot");
-                            out.put("r", news);
-                            out.put("m", new ArrayList<>(members));
+                        if (sentRegistryVersion < registryVersion || delayed) {
+                            sentRegistryVersion = registryVersion;
+                            response.put("b", delayed ? "left" : "boot");
+                            response.put("r", registryVersion);
+                            response.put("m", new ArrayList<>(registryRows));
                         }
-                        out.put(
+                        response.put(
                                 "p",
-                                List.of(Map.of("s", "db", "k", record, "p", primary, "m", moving)));
-                        if (sure) {
-                            out.put("su", 3_000L);
+                                List.of(
+                                        Map.of(
+                                                "s",
+                                                "db",
+                                                "k",
+                                                recordNumber,
+                                                "p",
+                                                recordedPrimary,
+                                                "m",
+                                                moving)));
+                        if (primaryConfirmed) {
+                            response.put("su", 3_000L);
                         }
-                        if (!over || late) {
-                            ear.onMessage(MessageCodec.encode(out));
+                        if (!closed || delayed) {
+                            listener.onMessage(MessageCodec.encode(response));
                         }
                     });
         }
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
         }
 
         @Override
@@ -219,42 +228,48 @@
         }
     }
 
-    private final ManualEnvironment host =
+    private final ManualEnvironment environment =
             new ManualEnvironment() {
                 @Override
                 public Connection connect(
-                        String address, Framing form, int timeoutMs, ConnectionListener ear) {
-                    Node to = nodes.get(address);
-                    Connection link = to != null ? new Wire(ear, to) : new Control(ear);
-                    runAfter(1, () -> ear.onOpen(link));
-                    return link;
+                        String address,
+                        Framing framing,
+                        int timeoutMs,
+                        ConnectionListener listener) {
+                    DatabaseServerStub server = servers.get(address);
+                    Connection connection =
+                            server != null
+                                    ? new ServerConnectionStub(listener, server)
+                                    : new ControlProcessStub(listener);
+                    runAfter(1, () -> listener.onOpen(connection));
+                    return connection;
                 }
             };
-    private final Map<String, Node> nodes = new TreeMap<>();
-    private final List<Object> members = new ArrayList<>();
-    private long news = 1;
-    private long answered;
-    private long record = 1;
-    private String primary = "p";
+    private final Map<String, DatabaseServerStub> servers = new TreeMap<>();
+    private final List<Object> registryRows = new ArrayList<>();
+    private long registryVersion = 1;
+    private long sentRegistryVersion;
+    private long recordNumber = 1;
+    private String recordedPrimary = "p";
     private boolean moving;
-    private boolean sure = true;
+    private boolean primaryConfirmed = true;
 
     /**
      * Control answers only after the front has left it, and the answer is there though the
      * connection was closed.
      */
-    private boolean slow;
+    private boolean respondsLate;
 
-    private final List<String> boots = new ArrayList<>();
-    private final Node p = new Node("p", "10.0.1.1:1");
-    private final Node r = new Node("r", "10.0.1.2:1");
-    private DataPlaneNode front;
+    private final List<String> incarnations = new ArrayList<>();
+    private final DatabaseServerStub serverP = new DatabaseServerStub("p", "10.0.1.1:1");
+    private final DatabaseServerStub serverR = new DatabaseServerStub("r", "10.0.1.2:1");
+    private DataPlaneNode node;
 
     @BeforeEach
-    void start() throws Exception {
-        p.leads = true;
-        member(p, "ready");
-        member(r, "ready");
+    void setUp() throws Exception {
+        serverP.isPrimary = true;
+        register(serverP, "ready");
+        register(serverR, "ready");
         NodeSettings settings =
                 new NodeSettings(
                         "front",
@@ -274,8 +289,8 @@
                         3_500,
                         6_000,
                         null);
-        front = new DataPlaneNode(host, settings);
-        front.onConfiguration(
+        node = new DataPlaneNode(environment, settings);
+        node.onConfiguration(
                 Configuration.parse(
                         ("{\"revision_number\":1,\"routes\":["
                                         + route("new", "primary", 0)
@@ -284,88 +299,89 @@
                                         + "],\"services\":[{\"name\":\"db\","
                                         + "\"connection_limit\":60,\"synchronous_replicas\":1}],\"limits\":{\"transaction_idle_ms\":30000}}")
                                 .getBytes(StandardCharsets.UTF_8)));
-        front.start();
-        pass(50);
+        node.start();
+        advance(50);
     }
 
-    private static String route(String host, String kind, long stale) {
+    private static String route(String hostName, String kind, long maxStalenessMillis) {
         return "{\"name\":\""
-                + host
+                + hostName
                 + "\",\"host_name\":\""
-                + host
+                + hostName
                 + "\",\"path_prefix\":\"/\",\"route_kind\":\""
                 + kind
                 + "\",\"timeout_ms\":"
-                + TIMEOUT
+                + TIMEOUT_MS
                 + ",\"target_latency_ms\":300,\"priority\":1,\"service\":\"db\",\"max_attempts\":2,\"max_staleness_ms\":"
-                + stale
+                + maxStalenessMillis
                 + "}";
     }
 
-    private void member(Node n, String state) {
-        members.add(
+    private void register(DatabaseServerStub server, String state) {
+        registryRows.add(
                 Map.of(
                         "i",
-                        n.id,
+                        server.id,
                         "v",
                         "db",
                         "a",
-                        n.address,
+                        server.address,
                         "z",
                         "a",
                         "st",
                         state,
                         "ro",
-                        n.leads ? "primary" : "replica",
+                        server.isPrimary ? "primary" : "replica",
                         "q",
                         1L));
-        news++;
+        registryVersion++;
     }
 
-    private void pass(long ms) {
-        host.advanceTo(host.nowMillis() + ms);
+    private void advance(long ms) {
+        environment.advanceTo(environment.nowMillis() + ms);
     }
 
     /** A client, and the lines that it was sent. */
-    private final class Caller implements Environment.Connection {
-        final ClientSession session = (ClientSession) front.accept();
-        final List<String> got = new ArrayList<>();
-        final List<String> welcome;
-        private int asked;
+    private final class ClientStub implements Environment.Connection {
+        final ClientSession session = (ClientSession) node.accept();
+        final List<String> received = new ArrayList<>();
+        final List<String> connectReply;
+        private int lastId;
 
-        Caller(String database) {
+        ClientStub(String database) {
             session.onOpen(this);
             session.onMessage(
                     ("CONNECT " + database + " me").getBytes(StandardCharsets.ISO_8859_1));
-            welcome = List.copyOf(got);
-            got.clear();
+            connectReply = List.copyOf(received);
+            received.clear();
         }
 
-        void ask(String text) {
+        void query(String text) {
             session.onMessage(
-                    ("QUERY " + ++asked + " " + text).getBytes(StandardCharsets.ISO_8859_1));
+                    ("QUERY " + ++lastId + " " + text).getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Asks, and gives the answer's first word, or the error's code, once it is there. */
-        String asks(String text) {
-            got.clear();
-            ask(text);
-            pass(100);
-            return got.isEmpty()
+        String queryAndWait(String text) {
+            received.clear();
+            query(text);
+            advance(100);
+            return received.isEmpty()
                     ? "nothing"
-                    : got.get(0).startsWith("ERROR")
-                            ? got.get(0).split(" ")[1]
-                            : got.get(0).split(" ")[0];
+                    : received.get(0).startsWith("ERROR")
+                            ? received.get(0).split(" ")[1]
+                            : received.get(0).split(" ")[0];
         }
 
         @Override
         public void send(byte[] message) {
-            got.addAll(List.of(new String(message, StandardCharsets.ISO_8859_1).split("\r\n")));
+            received.addAll(
+                    List.of(new String(message, StandardCharsets.ISO_8859_1).split("\r\n")));
         }
 
         @Override
         public void close() {
-            got.add("closed");
+            received.add("closed");
         }
 
         @Override
@@ -374,95 +390,97 @@
         }
     }
 
-    private void answers(String expected, Caller of) {
+    private void assertReceived(String expected, ClientStub client) {
         assertTrue(
-                of.got.stream().anyMatch(l -> l.startsWith(expected)),
-                expected + " among " + of.got);
+                client.received.stream().anyMatch(l -> l.startsWith(expected)),
+                expected + " among " + client.received);
     }
 
     // ---- what may not be sent twice
 
     @Test
     void writeWhoseConnectionEndsIsSentOnce() {
-        p.cuts = text -> text.startsWith("WRITE");
-        Caller c = new Caller("new");
-        assertEquals("UNCERTAIN", c.asks("WRITE k d"));
-        pass(3_000);
-        assertEquals(1, p.count("WRITE k d") + r.count("WRITE k d"));
+        serverP.closesConnection = text -> text.startsWith("WRITE");
+        ClientStub client = new ClientStub("new");
+        assertEquals("UNCERTAIN", client.queryAndWait("WRITE k d"));
+        advance(3_000);
+        assertEquals(1, serverP.countReceived("WRITE k d") + serverR.countReceived("WRITE k d"));
     }
 
     @Test
-    void writeWithoutAnswerIsSentOnce() {
-        p.mute = text -> text.startsWith("WRITE");
-        Caller c = new Caller("new");
-        c.ask("WRITE k d");
-        pass(4_000);
-        answers("ERROR TIMEOUT", c);
-        assertEquals(1, p.count("WRITE k d") + r.count("WRITE k d"));
+    void writeWithoutResponseIsSentOnce() {
+        serverP.unanswered = text -> text.startsWith("WRITE");
+        ClientStub client = new ClientStub("new");
+        client.query("WRITE k d");
+        advance(4_000);
+        assertReceived("ERROR TIMEOUT", client);
+        assertEquals(1, serverP.countReceived("WRITE k d") + serverR.countReceived("WRITE k d"));
     }
 
     @Test
     void preparedWriteWhoseConnectionEndsIsSentOnce() {
-        p.cuts = text -> text.startsWith("EXECUTE");
-        Caller c = new Caller("new");
-        c.asks("PREPARE a WRITE q");
-        assertEquals("UNCERTAIN", c.asks("EXECUTE a k d"));
-        pass(3_000);
-        assertEquals(1, p.count("EXECUTE Wq k d") + r.count("EXECUTE Wq k d"));
+        serverP.closesConnection = text -> text.startsWith("EXECUTE");
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("PREPARE a WRITE q");
+        assertEquals("UNCERTAIN", client.queryAndWait("EXECUTE a k d"));
+        advance(3_000);
+        assertEquals(
+                1,
+                serverP.countReceived("EXECUTE Wq k d") + serverR.countReceived("EXECUTE Wq k d"));
     }
 
     @Test
     void commitWhoseConnectionEndsIsUncertainOrAborted() {
-        p.cuts = text -> text.equals("COMMIT");
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        c.asks("WRITE k d");
-        assertEquals("UNCERTAIN", c.asks("COMMIT"));
-        Caller other = new Caller("new");
-        other.asks("BEGIN");
-        other.asks("READ k");
-        assertEquals("ABORTED", other.asks("COMMIT"));
-        pass(3_000);
-        assertEquals(2, p.count("COMMIT"));
+        serverP.closesConnection = text -> text.equals("COMMIT");
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        client.queryAndWait("WRITE k d");
+        assertEquals("UNCERTAIN", client.queryAndWait("COMMIT"));
+        ClientStub otherClient = new ClientStub("new");
+        otherClient.queryAndWait("BEGIN");
+        otherClient.queryAndWait("READ k");
+        assertEquals("ABORTED", otherClient.queryAndWait("COMMIT"));
+        advance(3_000);
+        assertEquals(2, serverP.countReceived("COMMIT"));
     }
 
     @Test
     void writeIsRetriedOnlyWhenItDidNotRun() {
-        p.says.put("WRITE k d", "ERROR BUSY p\nREADY I 1.5");
-        Caller c = new Caller("new");
-        c.ask("WRITE k d");
-        pass(200);
-        p.says.clear();
-        pass(200);
-        answers("COMPLETE", c);
-        assertTrue(p.count("WRITE k d") > 1);
+        serverP.responses.put("WRITE k d", "ERROR BUSY p\nREADY I 1.5");
+        ClientStub client = new ClientStub("new");
+        client.query("WRITE k d");
+        advance(200);
+        serverP.responses.clear();
+        advance(200);
+        assertReceived("COMPLETE", client);
+        assertTrue(serverP.countReceived("WRITE k d") > 1);
     }
 
     @Test
     void transactionWhoseConnectionEndsLaterIsAborted() {
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        c.asks("WRITE a d");
-        p.cuts = text -> text.startsWith("WRITE b");
-        assertEquals("ABORTED", c.asks("WRITE b d"));
-        pass(3_000);
-        assertEquals(1, p.count("WRITE a d"));
-        assertEquals(1, p.count("WRITE b d"));
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        client.queryAndWait("WRITE a d");
+        serverP.closesConnection = text -> text.startsWith("WRITE b");
+        assertEquals("ABORTED", client.queryAndWait("WRITE b d"));
+        advance(3_000);
+        assertEquals(1, serverP.countReceived("WRITE a d"));
+        assertEquals(1, serverP.countReceived("WRITE b d"));
     }
 
     // ---- answers
 
     /** Half an answer: what comes on that connection next could be anybody's. */
     @Test
-    void leavesConnectionWithPartialAnswer() {
-        Caller c = new Caller("new");
-        c.asks("WRITE first d");
-        int before = p.connections;
-        p.says.put("WRITE k d", "READY I 1.9");
-        assertEquals("UNCERTAIN", c.asks("WRITE k d"));
-        assertEquals(0, p.open.size());
-        assertEquals("COMPLETE", c.asks("WRITE next d"));
-        assertEquals(before + 1, p.connections);
+    void closesConnectionOnPartialResponse() {
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("WRITE first d");
+        int connectionsBefore = serverP.connectionCount;
+        serverP.responses.put("WRITE k d", "READY I 1.9");
+        assertEquals("UNCERTAIN", client.queryAndWait("WRITE k d"));
+        assertEquals(0, serverP.openConnections.size());
+        assertEquals("COMPLETE", client.queryAndWait("WRITE next d"));
+        assertEquals(connectionsBefore + 1, serverP.connectionCount);
     }
 
     /**
@@ -470,28 +488,30 @@
      * taken for silent for ever.
      */
     @Test
-    void abandonsConnectionWithoutAnswer() {
-        for (String muted : List.of("READ k", "BEGIN", "ROLLBACK")) {
-            p.mute = text -> text.equals(muted);
-            Caller c = new Caller("new");
-            if (!muted.startsWith("READ")) {
-                c.ask("BEGIN");
-                pass(20);
+    void closesConnectionWithoutResponse() {
+        for (String unansweredStatement : List.of("READ k", "BEGIN", "ROLLBACK")) {
+            serverP.unanswered = text -> text.equals(unansweredStatement);
+            ClientStub client = new ClientStub("new");
+            if (!unansweredStatement.startsWith("READ")) {
+                client.query("BEGIN");
+                advance(20);
             }
-            if (!muted.equals("BEGIN")) {
-                c.ask("READ " + (muted.equals("READ k") ? "k" : "other"));
-                pass(20);
+            if (!unansweredStatement.equals("BEGIN")) {
+                client.query("READ " + (unansweredStatement.equals("READ k") ? "k" : "other"));
+                advance(20);
             }
-            c.session.onClose("gone");
-            pass(3_000);
-            p.mute = text -> false;
+            client.session.onClose("gone");
+            advance(3_000);
+            serverP.unanswered = text -> false;
             assertTrue(
-                    p.open.stream().noneMatch(w -> w.state != 'I'),
-                    muted + ": " + p.open.size() + " stay open");
-            assertEquals(0, front.service("db").servers.get("p").busyConnections, muted);
-            Caller next = new Caller("new");
-            assertEquals("ROW", next.asks("READ k"), muted);
-            next.session.onClose("gone");
+                    serverP.openConnections.stream()
+                            .noneMatch(connection -> connection.transactionStatus != 'I'),
+                    unansweredStatement + ": " + serverP.openConnections.size() + " stay open");
+            assertEquals(
+                    0, node.service("db").servers.get("p").busyConnections, unansweredStatement);
+            ClientStub nextClient = new ClientStub("new");
+            assertEquals("ROW", nextClient.queryAndWait("READ k"), unansweredStatement);
+            nextClient.session.onClose("gone");
         }
     }
 
@@ -502,91 +522,93 @@
      * nothing of the newest.
      */
     @Test
-    void commitWithoutWriteSetsNoReadFloor() {
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        c.asks("READ k");
-        pass(200);
-        p.leads = false;
-        p.number = 2;
-        long from = host.nowMillis();
-        assertEquals("COMPLETE", c.asks("COMMIT"));
-        assertEquals(null, front.service("db").floors.positionSince(from));
+    void commitWithoutWriteRecordsNoPrimaryPosition() {
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        client.queryAndWait("READ k");
+        advance(200);
+        serverP.isPrimary = false;
+        serverP.logIndex = 2;
+        long commitMillis = environment.nowMillis();
+        assertEquals("COMPLETE", client.queryAndWait("COMMIT"));
+        assertEquals(null, node.service("db").primaryPositions.lowestPositionSince(commitMillis));
     }
 
     /** Out of touch with control: a former primary does not even run what must be the newest. */
     @Test
-    void readIsNotSentToUncertainPrimary() {
-        Caller c = new Caller("new");
-        sure = false;
-        pass(4_000);
-        p.leads = false;
-        c.ask("READ k");
-        pass(1_000);
-        answers("ERROR BUSY", c);
-        c.asks("BEGIN READ");
-        c.ask("READ k");
-        pass(1_000);
-        answers("ERROR BUSY", c);
-        c.asks("ROLLBACK");
-        assertEquals(0, p.count("READ k"));
-        assertEquals(0, p.count("BEGIN READ"));
-        p.leads = true;
-        assertEquals("ROW", c.asks("READ k"));
-        int at = p.heard.size();
+    void readIsNotSentToUnconfirmedPrimary() {
+        ClientStub client = new ClientStub("new");
+        primaryConfirmed = false;
+        advance(4_000);
+        serverP.isPrimary = false;
+        client.query("READ k");
+        advance(1_000);
+        assertReceived("ERROR BUSY", client);
+        client.queryAndWait("BEGIN READ");
+        client.query("READ k");
+        advance(1_000);
+        assertReceived("ERROR BUSY", client);
+        client.queryAndWait("ROLLBACK");
+        assertEquals(0, serverP.countReceived("READ k"));
+        assertEquals(0, serverP.countReceived("BEGIN READ"));
+        serverP.isPrimary = true;
+        assertEquals("ROW", client.queryAndWait("READ k"));
+        int receivedCount = serverP.received.size();
         assertTrue(
-                p.heard.get(at - 1).endsWith("READ k") && p.heard.get(at - 2).endsWith("STATUS"),
-                p.heard.toString());
+                serverP.received.get(receivedCount - 1).endsWith("READ k")
+                        && serverP.received.get(receivedCount - 2).endsWith("STATUS"),
+                serverP.received.toString());
     }
 
     @Test
     void ignoresMessagesOfFormerSource() {
-        slow = true;
-        pass(400);
-        slow = false;
-        pass(4_000);
+        respondsLate = true;
+        advance(400);
+        respondsLate = false;
+        advance(4_000);
         assertTrue(
-                host.events.stream().anyMatch(l -> l.contains("silent")), host.events.toString());
-        assertFalse(boots.contains("left"), boots.toString());
+                environment.events.stream().anyMatch(l -> l.contains("silent")),
+                environment.events.toString());
+        assertFalse(incarnations.contains("left"), incarnations.toString());
     }
 
     // ---- a server that drains
 
-    private void drains(Node n) {
-        members.removeIf(m -> ((Map<?, ?>) m).get("i").equals(n.id));
-        member(n, "draining");
-        pass(400);
+    private void startDraining(DatabaseServerStub server) {
+        registryRows.removeIf(row -> ((Map<?, ?>) row).get("i").equals(server.id));
+        register(server, "draining");
+        advance(400);
     }
 
     /** A transaction was opened before; its first statement is what the rule counts. */
     @Test
     void firstStatementDoesNotGoToDrainedServer() {
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        assertEquals(1, p.count("BEGIN"));
-        drains(p);
-        primary = "r";
-        r.leads = true;
-        r.term = 2;
-        p.leads = false;
-        record++;
-        pass(7_000);
-        assertEquals("COMPLETE", c.asks("WRITE k d"));
-        assertEquals(0, p.count("WRITE k d"));
-        assertEquals(1, r.count("WRITE k d"));
-        assertEquals("COMPLETE", c.asks("COMMIT"));
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        assertEquals(1, serverP.countReceived("BEGIN"));
+        startDraining(serverP);
+        recordedPrimary = "r";
+        serverR.isPrimary = true;
+        serverR.term = 2;
+        serverP.isPrimary = false;
+        recordNumber++;
+        advance(7_000);
+        assertEquals("COMPLETE", client.queryAndWait("WRITE k d"));
+        assertEquals(0, serverP.countReceived("WRITE k d"));
+        assertEquals(1, serverR.countReceived("WRITE k d"));
+        assertEquals("COMPLETE", client.queryAndWait("COMMIT"));
     }
 
     @Test
     void startedTransactionStaysOnDrainingServer() {
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        c.asks("WRITE k d");
-        drains(p);
-        pass(7_000);
-        assertEquals("COMPLETE", c.asks("WRITE l d"));
-        assertEquals("COMPLETE", c.asks("COMMIT"));
-        assertEquals(1, p.count("WRITE l d"));
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        client.queryAndWait("WRITE k d");
+        startDraining(serverP);
+        advance(7_000);
+        assertEquals("COMPLETE", client.queryAndWait("WRITE l d"));
+        assertEquals("COMPLETE", client.queryAndWait("COMMIT"));
+        assertEquals(1, serverP.countReceived("WRITE l d"));
     }
 
     /**
@@ -594,67 +616,71 @@
      * time is over by then.
      */
     @Test
-    void drainingPrimaryIsLeftInTime() {
-        drains(p);
-        pass(3_600);
-        Caller c = new Caller("new");
-        c.ask("WRITE k d");
-        pass(3_000);
-        assertEquals(0, p.count("WRITE k d"));
-        answers("ERROR BUSY", c);
+    void stopsUsingDrainingPrimaryInTime() {
+        startDraining(serverP);
+        advance(3_600);
+        ClientStub client = new ClientStub("new");
+        client.query("WRITE k d");
+        advance(3_000);
+        assertEquals(0, serverP.countReceived("WRITE k d"));
+        assertReceived("ERROR BUSY", client);
     }
 
     /** Once another leads, nothing of this front stays on a server that goes on for long. */
     @Test
     void closesConnectionsToDrainingFormerPrimary() {
-        Caller c = new Caller("new");
-        c.asks("WRITE k d");
-        drains(p);
-        assertNotEquals(0, p.open.size());
-        primary = "r";
-        r.leads = true;
-        record++;
-        pass(600);
-        assertEquals(0, p.open.size());
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("WRITE k d");
+        startDraining(serverP);
+        assertNotEquals(0, serverP.openConnections.size());
+        recordedPrimary = "r";
+        serverR.isPrimary = true;
+        recordNumber++;
+        advance(600);
+        assertEquals(0, serverP.openConnections.size());
     }
 
     // ---- what is known of acknowledged commits
 
     @Test
-    void knowsBoundsOfAcknowledgedCommits() {
-        Caller c = new Caller("new");
-        c.asks("READ k");
+    void tracksBoundsOfAcknowledgedCommits() {
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("READ k");
         // Another front's commits are in the log as well by then.
-        p.says.put("WRITE k d", "COMPLETE s\nREADY I 1.9");
-        c.asks("WRITE k d");
+        serverP.responses.put("WRITE k d", "COMPLETE s\nREADY I 1.9");
+        client.queryAndWait("WRITE k d");
         assertEquals(
                 new AcknowledgedCommits(new LogPosition(1, 6), new LogPosition(1, 9)),
-                front.service("db").acknowledged);
-        p.cuts = text -> text.startsWith("WRITE other");
-        c.asks("WRITE other d");
-        assertEquals(new LogPosition(1, 9), front.service("db").acknowledged.upperBound());
+                node.service("db").acknowledged);
+        serverP.closesConnection = text -> text.startsWith("WRITE other");
+        client.queryAndWait("WRITE other d");
+        assertEquals(new LogPosition(1, 9), node.service("db").acknowledged.upperBound());
     }
 
     // ---- the front's own end
 
     /** What runs is heard to its end; then the transaction is told that nothing of it is kept. */
     @Test
-    void tellsOpenTransactionAtShutdown() {
-        Caller c = new Caller("new");
-        c.asks("BEGIN");
-        p.mute = text -> text.startsWith("READ slow");
-        front.shutDown(() -> {});
-        pass(2_900);
-        c.got.clear();
-        c.ask("READ slow");
-        pass(200);
-        assertEquals(List.of(), c.got);
-        Wire at = p.open.stream().filter(w -> w.state == 'T').findFirst().orElseThrow();
-        at.answer("ROW x", "COMPLETE s", "READY T 1.5");
-        pass(20);
-        answers("ROW x", c);
-        answers("ERROR ABORTED", c);
-        assertEquals("closed", c.got.get(c.got.size() - 1));
+    void abortsOpenTransactionAtShutdown() {
+        ClientStub client = new ClientStub("new");
+        client.queryAndWait("BEGIN");
+        serverP.unanswered = text -> text.startsWith("READ slow");
+        node.shutDown(() -> {});
+        advance(2_900);
+        client.received.clear();
+        client.query("READ slow");
+        advance(200);
+        assertEquals(List.of(), client.received);
+        ServerConnectionStub connection =
+                serverP.openConnections.stream()
+                        .filter(candidate -> candidate.transactionStatus == 'T')
+                        .findFirst()
+                        .orElseThrow();
+        connection.respond("ROW x", "COMPLETE s", "READY T 1.5");
+        advance(20);
+        assertReceived("ROW x", client);
+        assertReceived("ERROR ABORTED", client);
+        assertEquals("closed", client.received.get(client.received.size() - 1));
     }
 
     /**
@@ -662,41 +688,44 @@
      * until then is served once.
      */
     @Test
-    void servesLateClientOnce() {
-        new Caller("new");
-        front.shutDown(() -> {});
-        assertFalse(front.isReady());
-        pass(2_500);
-        Caller c = new Caller("new");
-        assertEquals(List.of("READY I -"), c.welcome);
-        assertEquals("COMPLETE", c.asks("SET a b"), "what it sets is no operation yet");
-        c.asks("READ k");
-        answers("ROW x", c);
-        assertEquals("closed", c.got.get(c.got.size() - 1));
+    void servesClientOnceDuringShutdown() {
+        new ClientStub("new");
+        node.shutDown(() -> {});
+        assertFalse(node.isReady());
+        advance(2_500);
+        ClientStub client = new ClientStub("new");
+        assertEquals(List.of("READY I -"), client.connectReply);
+        assertEquals(
+                "COMPLETE", client.queryAndWait("SET a b"), "what it sets is no operation yet");
+        client.queryAndWait("READ k");
+        assertReceived("ROW x", client);
+        assertEquals("closed", client.received.get(client.received.size() - 1));
     }
 
     /** Its statement would be out when the process ends. */
     @Test
-    void rejectsClientThatComesTooLate() {
-        Caller held = new Caller("new");
-        p.mute = text -> text.startsWith("READ slow");
-        front.shutDown(() -> {});
-        pass(2_900);
-        held.ask("READ slow");
-        pass(300);
-        Caller c = new Caller("new");
-        assertTrue(c.welcome.get(0).startsWith("ERROR BUSY"), c.welcome.toString());
-        assertEquals("closed", c.welcome.get(1));
+    void rejectsClientAtEndOfShutdown() {
+        ClientStub firstClient = new ClientStub("new");
+        serverP.unanswered = text -> text.startsWith("READ slow");
+        node.shutDown(() -> {});
+        advance(2_900);
+        firstClient.query("READ slow");
+        advance(300);
+        ClientStub client = new ClientStub("new");
+        assertTrue(
+                client.connectReply.get(0).startsWith("ERROR BUSY"),
+                client.connectReply.toString());
+        assertEquals("closed", client.connectReply.get(1));
     }
 
     @Test
-    void staysUntilThePlatformSendsNoClients() {
-        boolean[] ended = new boolean[1];
-        front.shutDown(() -> ended[0] = true);
-        pass(2_900);
-        assertFalse(ended[0], "a client may still be sent here");
-        pass(400);
-        assertTrue(ended[0]);
+    void exitsOnlyAfterPlatformNoticedShutdown() {
+        boolean[] exited = new boolean[1];
+        node.shutDown(() -> exited[0] = true);
+        advance(2_900);
+        assertFalse(exited[0], "a client may still be sent here");
+        advance(400);
+        assertTrue(exited[0]);
     }
 
     /**
@@ -705,11 +734,11 @@
      */
     @Test
     void staysReadyDuringAMove() {
-        assertTrue(front.isReady());
+        assertTrue(node.isReady());
         moving = true;
-        record++;
-        pass(400);
-        assertEquals("nothing", new Caller("new").asks("READ k"), "it moves");
-        assertTrue(front.isReady());
+        recordNumber++;
+        advance(400);
+        assertEquals("nothing", new ClientStub("new").queryAndWait("READ k"), "it moves");
+        assertTrue(node.isReady());
     }
 }
--- a/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
+++ b/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
@@ -26,68 +26,69 @@
  */
 class ConcurrentClientsTest {
 
-    private static final int DAYS = 150;
+    private static final int SCENARIOS = 150;
     private static final int STEPS = 1_500;
     private static final int CLIENTS = 6;
-    private static final Set<String> PROMISES =
+    private static final Set<String> NOT_RUN_CODES =
             Set.of("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "TOOMANY");
 
     /** One of the database servers' connections. */
-    private static final class Conn {
+    private static final class ServerConnectionStub {
         final ScriptedEnvironment.ScriptedConnection line;
-        final boolean primary;
-        int done;
-        boolean stuck;
-        char state = 'I';
-        final Map<String, String> values = new TreeMap<>();
-        final List<String> writes = new ArrayList<>();
+        final boolean isPrimary;
+        int processedLines;
+        boolean unresponsive;
+        char transactionStatus = 'I';
+        final Map<String, String> variables = new TreeMap<>();
+        final List<String> transactionWrites = new ArrayList<>();
 
-        Conn(ScriptedEnvironment.ScriptedConnection line) {
+        ServerConnectionStub(ScriptedEnvironment.ScriptedConnection line) {
             this.line = line;
-            primary = line.address.equals("10.0.0.8:1");
+            isPrimary = line.address.equals("10.0.0.8:1");
         }
     }
 
     /** One client, and what it was told. */
-    private static final class Client {
+    private static final class ClientStub {
         ScriptedEnvironment.ScriptedConnection line;
-        boolean ready;
-        char state = 'I';
-        String out;
-        String text = "";
-        int heard;
-        final Map<String, String> values = new TreeMap<>();
+        boolean connected;
+        char transactionStatus = 'I';
+        String pendingId;
+        String statement = "";
+        int processedLines;
+        final Map<String, String> variables = new TreeMap<>();
         final List<String> rows = new ArrayList<>();
-        String stamp;
-        String code;
+        String completionTag;
+        String errorCode;
 
         /** The writes of the transaction that is open. */
-        List<String> writes = new ArrayList<>();
+        List<String> transactionWrites = new ArrayList<>();
     }
 
-    private final class Day {
+    private final class Scenario {
         final long seed;
         final SplittableRandom random;
-        final ScriptedEnvironment host = new ScriptedEnvironment();
-        final DataPlaneNode front;
+        final ScriptedEnvironment environment = new ScriptedEnvironment();
+        final DataPlaneNode node;
         final DatabaseService service;
-        final Map<ScriptedEnvironment.ScriptedConnection, Conn> conns = new LinkedHashMap<>();
-        final List<Client> clients = new ArrayList<>();
-        final Map<String, Client> asked = new HashMap<>();
-        final Map<String, Integer> effects = new HashMap<>();
-        final Set<String> promised = new HashSet<>();
-        final List<String> story = new ArrayList<>();
-        int ids;
-        int served;
-        int cut;
-        boolean calm;
+        final Map<ScriptedEnvironment.ScriptedConnection, ServerConnectionStub> connections =
+                new LinkedHashMap<>();
+        final List<ClientStub> clients = new ArrayList<>();
+        final Map<String, ClientStub> clientsByStatementId = new HashMap<>();
+        final Map<String, Integer> writeCounts = new HashMap<>();
+        final Set<String> writesNotRun = new HashSet<>();
+        final List<String> trace = new ArrayList<>();
+        int lastId;
+        int completedStatements;
+        int connectionResets;
+        boolean faultFree;
 
-        Day(long seed) throws Configuration.InvalidConfigurationException {
+        Scenario(long seed) throws Configuration.InvalidConfigurationException {
             this.seed = seed;
             random = new SplittableRandom(seed);
-            front =
+            node =
                     new DataPlaneNode(
-                            host,
+                            environment,
                             new NodeSettings(
                                     "f",
                                     "z",
@@ -106,8 +107,8 @@
                                     7_000,
                                     6_000,
                                     null));
-            front.start();
-            front.onConfiguration(
+            node.start();
+            node.onConfiguration(
                     Configuration.parse(
                             ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                             + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2},{'name':'b','host_name':'b',"
@@ -115,130 +116,140 @@
                                             + "'max_attempts':3}],'services':[{'name':'s','connection_limit':24}]}")
                                     .replace('\'', '"')
                                     .getBytes(StandardCharsets.UTF_8)));
-            service = front.service("s");
-            service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.8:1", "z"));
-            service.servers.put("i-2", new ServerPool(front, service, "i-2", "10.0.0.9:1", "z"));
+            service = node.service("s");
+            service.servers.put("i-1", new ServerPool(node, service, "i-1", "10.0.0.8:1", "z"));
+            service.servers.put("i-2", new ServerPool(node, service, "i-2", "10.0.0.9:1", "z"));
             service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(new Client());
+                clients.add(new ClientStub());
             }
         }
 
-        void check(boolean is, String what) {
+        void check(boolean holds, String failure) {
             assertTrue(
-                    is,
+                    holds,
                     () ->
                             "seed "
                                     + seed
                                     + ": "
-                                    + what
+                                    + failure
                                     + "\n"
                                     + String.join(
                                             "\n",
-                                            story.subList(
-                                                    Math.max(0, story.size() - 60), story.size())));
+                                            trace.subList(
+                                                    Math.max(0, trace.size() - 60), trace.size())));
         }
 
         // ---- the servers
 
-        void serve(Conn c) {
-            ScriptedEnvironment.ScriptedConnection line = c.line;
-            if (c.stuck || c.done >= line.sent.size()) {
+        void processNextLine(ServerConnectionStub connection) {
+            ScriptedEnvironment.ScriptedConnection line = connection.line;
+            if (connection.unresponsive || connection.processedLines >= line.sent.size()) {
                 return;
             }
-            String next = line.sent.get(c.done++);
-            if (next.startsWith("CONNECT")) {
-                if (chance(0.03)) {
+            String request = line.sent.get(connection.processedLines++);
+            if (request.startsWith("CONNECT")) {
+                if (randomFault(0.03)) {
                     line.reset();
                 } else {
-                    line.receive(chance(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
+                    line.receive(randomFault(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
                 }
                 return;
             }
-            if (!next.startsWith("QUERY ")) {
+            if (!request.startsWith("QUERY ")) {
                 return;
             }
-            String[] part = next.split(" ", 3);
-            String text = part[2].replaceFirst("^AFTER \\S+ ", "");
-            double fault = calm ? 1 : random.nextDouble();
-            boolean runs = fault >= 0.12;
+            String[] fields = request.split(" ", 3);
+            String text = fields[2].replaceFirst("^AFTER \\S+ ", "");
+            double fault = faultFree ? 1 : random.nextDouble();
+            boolean executes = fault >= 0.12;
             if (fault < 0.04
                     && !text.startsWith("SET")
                     && !text.equals("RESET")
                     && !text.equals("ROLLBACK")) {
-                line.receive("ERROR BUSY later", "READY " + c.state + " -");
+                line.receive("ERROR BUSY later", "READY " + connection.transactionStatus + " -");
                 return;
             }
-            if (fault < 0.07 || !runs && text.equals("ROLLBACK")) {
-                story.add("reset before " + part[1] + " " + text);
-                cut++;
-                c.stuck = true;
+            if (fault < 0.07 || !executes && text.equals("ROLLBACK")) {
+                trace.add("reset before " + fields[1] + " " + text);
+                connectionResets++;
+                connection.unresponsive = true;
                 line.reset();
                 return;
             }
-            if (!runs && !text.startsWith("SET") && text.startsWith("READ")) {
-                line.receive("ERROR FAILED it broke", "READY " + c.state + " -");
+            if (!executes && !text.startsWith("SET") && text.startsWith("READ")) {
+                line.receive(
+                        "ERROR FAILED it broke", "READY " + connection.transactionStatus + " -");
                 return;
             }
-            List<String> answer = run(c, part[1], text);
+            List<String> response = execute(connection, fields[1], text);
             if (fault < 0.16) {
-                story.add("reset after " + part[1] + " " + text);
-                cut++;
-                c.stuck = true;
+                trace.add("reset after " + fields[1] + " " + text);
+                connectionResets++;
+                connection.unresponsive = true;
                 line.reset();
             } else if (fault < 0.18) {
-                story.add("lost answer to " + part[1] + " " + text);
-                c.stuck = chance(0.5);
+                trace.add("lost answer to " + fields[1] + " " + text);
+                connection.unresponsive = randomFault(0.5);
             } else {
-                line.receive(answer.toArray(new String[0]));
+                line.receive(response.toArray(new String[0]));
             }
         }
 
-        private boolean chance(double of) {
-            return !calm && random.nextDouble() < of;
+        private boolean randomFault(double probability) {
+            return !faultFree && random.nextDouble() < probability;
         }
 
-        private List<String> run(Conn c, String id, String text) {
-            String stamp = id.equals("-") ? "-" : "s:" + id;
+        private List<String> execute(ServerConnectionStub connection, String id, String text) {
+            String completionTag = id.equals("-") ? "-" : "s:" + id;
             List<String> rows = new ArrayList<>();
             if (text.startsWith("SET ")) {
-                c.values.put(text.split(" ")[1], text.split(" ")[2]);
+                connection.variables.put(text.split(" ")[1], text.split(" ")[2]);
             } else if (text.equals("RESET")) {
-                c.values.clear();
+                connection.variables.clear();
             } else if (text.equals("STATUS")) {
-                rows.add("ROW " + (c.primary ? "primary" : "replica") + " 1 1.5 0 0 0 1");
+                rows.add(
+                        "ROW " + (connection.isPrimary ? "primary" : "replica") + " 1 1.5 0 0 0 1");
             } else if (text.startsWith("BEGIN")) {
-                check(c.state == 'I', "a transaction begins within another: " + id);
-                c.state = 'T';
-                c.writes.clear();
+                check(
+                        connection.transactionStatus == 'I',
+                        "a transaction begins within another: " + id);
+                connection.transactionStatus = 'T';
+                connection.transactionWrites.clear();
             } else if (text.equals("ROLLBACK")) {
-                c.state = 'I';
-                c.writes.clear();
+                connection.transactionStatus = 'I';
+                connection.transactionWrites.clear();
             } else if (text.equals("COMMIT")) {
-                check(c.state == 'T', "a commit outside a transaction: " + id);
-                c.writes.forEach(w -> effects.merge(w, 1, Integer::sum));
-                c.writes.clear();
-                c.state = 'I';
+                check(connection.transactionStatus == 'T', "a commit outside a transaction: " + id);
+                connection.transactionWrites.forEach(
+                        write -> writeCounts.merge(write, 1, Integer::sum));
+                connection.transactionWrites.clear();
+                connection.transactionStatus = 'I';
             } else {
-                Client by = asked.get(id);
-                if (by != null && id.equals(by.out)) {
+                ClientStub client = clientsByStatementId.get(id);
+                if (client != null && id.equals(client.pendingId)) {
                     check(
-                            c.values.equals(by.values),
-                            "PINNED: " + id + " runs with " + c.values + " for " + by.values);
+                            connection.variables.equals(client.variables),
+                            "PINNED: "
+                                    + id
+                                    + " runs with "
+                                    + connection.variables
+                                    + " for "
+                                    + client.variables);
                 }
                 if (text.startsWith("WRITE ")) {
-                    check(c.primary, "a write at a replica: " + id);
-                    if (c.state == 'T') {
-                        c.writes.add(id);
+                    check(connection.isPrimary, "a write at a replica: " + id);
+                    if (connection.transactionStatus == 'T') {
+                        connection.transactionWrites.add(id);
                     } else {
-                        effects.merge(id, 1, Integer::sum);
+                        writeCounts.merge(id, 1, Integer::sum);
                     }
                 } else {
                     rows.add("ROW r:" + id);
                 }
             }
-            rows.add("COMPLETE " + stamp);
-            rows.add("READY " + c.state + " 1.5");
+            rows.add("COMPLETE " + completionTag);
+            rows.add("READY " + connection.transactionStatus + " 1.5");
             return rows;
         }
 
@@ -246,228 +257,249 @@
          * What had been sent before it was closed may run all the same, and is heard by nobody;
          * what was open rolls back.
          */
-        private void ended(Conn c) {
-            while (c.done < c.line.sent.size() && random.nextBoolean()) {
-                String next = c.line.sent.get(c.done++);
-                if (next.startsWith("QUERY ") && !c.stuck) {
-                    String[] part = next.split(" ", 3);
-                    run(c, part[1], part[2].replaceFirst("^AFTER \\S+ ", ""));
+        private void processAfterClose(ServerConnectionStub connection) {
+            while (connection.processedLines < connection.line.sent.size()
+                    && random.nextBoolean()) {
+                String request = connection.line.sent.get(connection.processedLines++);
+                if (request.startsWith("QUERY ") && !connection.unresponsive) {
+                    String[] fields = request.split(" ", 3);
+                    execute(connection, fields[1], fields[2].replaceFirst("^AFTER \\S+ ", ""));
                 }
             }
         }
 
         // ---- the clients
 
-        void ask(Client c) {
-            if (c.line == null || c.line.closed) {
-                c.line =
+        void sendNextStatement(ClientStub client) {
+            if (client.line == null || client.line.closed) {
+                client.line =
                         new ScriptedEnvironment.ScriptedConnection(
-                                "client", Environment.Framing.LINES, front.accept());
-                c.line.open();
-                c.heard = 0;
-                c.out = null;
-                c.state = 'I';
-                c.values.clear();
-                c.writes = new ArrayList<>();
-                c.ready = false;
-                c.line.receive("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
+                                "client", Environment.Framing.LINES, node.accept());
+                client.line.open();
+                client.processedLines = 0;
+                client.pendingId = null;
+                client.transactionStatus = 'I';
+                client.variables.clear();
+                client.transactionWrites = new ArrayList<>();
+                client.connected = false;
+                client.line.receive("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
                 return;
             }
-            if (c.out != null || !c.ready) {
+            if (client.pendingId != null || !client.connected) {
                 return;
             }
-            int kind = random.nextInt(10);
+            int choice = random.nextInt(10);
             String text;
-            if (c.state == 'E') {
+            if (client.transactionStatus == 'E') {
                 text = "ROLLBACK";
-            } else if (c.state == 'T') {
+            } else if (client.transactionStatus == 'T') {
                 text =
-                        kind < 3
+                        choice < 3
                                 ? "READ k"
-                                : kind < 7 ? "WRITE k d" : kind < 9 ? "COMMIT" : "ROLLBACK";
+                                : choice < 7 ? "WRITE k d" : choice < 9 ? "COMMIT" : "ROLLBACK";
             } else {
                 text =
-                        kind < 3
+                        choice < 3
                                 ? "READ k"
-                                : kind < 6
+                                : choice < 6
                                         ? "WRITE k d"
-                                        : kind < 7
+                                        : choice < 7
                                                 ? "SET v"
                                                         + random.nextInt(2)
                                                         + " x"
                                                         + random.nextInt(3)
                                                 : "BEGIN";
             }
-            String id = "q" + ++ids;
-            c.out = id;
-            c.text = text;
-            c.rows.clear();
-            c.stamp = null;
-            c.code = null;
-            asked.put(id, c);
-            story.add(host.nowMillis() + " client " + clients.indexOf(c) + " " + id + " " + text);
+            String id = "q" + ++lastId;
+            client.pendingId = id;
+            client.statement = text;
+            client.rows.clear();
+            client.completionTag = null;
+            client.errorCode = null;
+            clientsByStatementId.put(id, client);
+            trace.add(
+                    environment.nowMillis()
+                            + " client "
+                            + clients.indexOf(client)
+                            + " "
+                            + id
+                            + " "
+                            + text);
             if (text.startsWith("SET ")) {
-                c.values.put(text.split(" ")[1], text.split(" ")[2]);
+                client.variables.put(text.split(" ")[1], text.split(" ")[2]);
             }
-            if (text.startsWith("WRITE") && c.state == 'T') {
-                c.writes.add(id);
+            if (text.startsWith("WRITE") && client.transactionStatus == 'T') {
+                client.transactionWrites.add(id);
             }
-            c.line.receive("QUERY " + id + " " + text);
+            client.line.receive("QUERY " + id + " " + text);
         }
 
-        void hear(Client c) {
-            while (c.line != null && c.heard < c.line.sent.size()) {
-                String line = c.line.sent.get(c.heard++);
-                String[] part = line.split(" ", 3);
-                if (part[0].equals("ROW")) {
-                    c.rows.add(line.substring(4));
-                } else if (part[0].equals("COMPLETE")) {
-                    c.stamp = line.substring(9);
-                } else if (part[0].equals("ERROR")) {
-                    c.code = part[1];
-                } else if (!c.ready) {
-                    c.ready = true;
+        void processReplies(ClientStub client) {
+            while (client.line != null && client.processedLines < client.line.sent.size()) {
+                String line = client.line.sent.get(client.processedLines++);
+                String[] fields = line.split(" ", 3);
+                if (fields[0].equals("ROW")) {
+                    client.rows.add(line.substring(4));
+                } else if (fields[0].equals("COMPLETE")) {
+                    client.completionTag = line.substring(9);
+                } else if (fields[0].equals("ERROR")) {
+                    client.errorCode = fields[1];
+                } else if (!client.connected) {
+                    client.connected = true;
                 } else {
-                    check(c.out != null, "an answer to nothing: " + line);
-                    answered(c, part[1].charAt(0));
+                    check(client.pendingId != null, "an answer to nothing: " + line);
+                    onReply(client, fields[1].charAt(0));
                 }
             }
         }
 
-        private void answered(Client c, char state) {
-            String id = c.out;
-            c.out = null;
-            story.add(
-                    host.nowMillis()
+        private void onReply(ClientStub client, char transactionStatus) {
+            String id = client.pendingId;
+            client.pendingId = null;
+            trace.add(
+                    environment.nowMillis()
                             + " client "
-                            + clients.indexOf(c)
+                            + clients.indexOf(client)
                             + " "
                             + id
                             + " has "
-                            + (c.code == null ? c.stamp : c.code)
+                            + (client.errorCode == null ? client.completionTag : client.errorCode)
                             + " "
-                            + state);
-            boolean own =
-                    c.text.startsWith("SET") || c.text.equals("BEGIN") || c.text.equals("ROLLBACK");
-            boolean single = c.state == 'I' && c.text.startsWith("WRITE");
-            if (c.code == null) {
-                served++;
+                            + transactionStatus);
+            boolean answeredByDataPlane =
+                    client.statement.startsWith("SET")
+                            || client.statement.equals("BEGIN")
+                            || client.statement.equals("ROLLBACK");
+            boolean isSingleWrite =
+                    client.transactionStatus == 'I' && client.statement.startsWith("WRITE");
+            if (client.errorCode == null) {
+                completedStatements++;
                 check(
-                        c.stamp.equals(own ? "-" : "s:" + id),
-                        "MIXED: " + id + " is answered with " + c.stamp);
+                        client.completionTag.equals(answeredByDataPlane ? "-" : "s:" + id),
+                        "MIXED: " + id + " is answered with " + client.completionTag);
                 check(
-                        c.rows.equals(c.text.startsWith("READ") ? List.of("r:" + id) : List.of()),
-                        "MIXED: " + id + " has rows " + c.rows);
-                if (single || c.text.equals("COMMIT")) {
-                    for (String write : single ? List.of(id) : c.writes) {
+                        client.rows.equals(
+                                client.statement.startsWith("READ")
+                                        ? List.of("r:" + id)
+                                        : List.of()),
+                        "MIXED: " + id + " has rows " + client.rows);
+                if (isSingleWrite || client.statement.equals("COMMIT")) {
+                    for (String write : isSingleWrite ? List.of(id) : client.transactionWrites) {
                         check(
-                                effects.getOrDefault(write, 0) == 1,
+                                writeCounts.getOrDefault(write, 0) == 1,
                                 "LOST: " + write + " was acknowledged with " + id);
                     }
                 }
-            } else if (PROMISES.contains(c.code)) {
-                promised.addAll(single ? List.of(id) : c.writes);
+            } else if (NOT_RUN_CODES.contains(client.errorCode)) {
+                writesNotRun.addAll(isSingleWrite ? List.of(id) : client.transactionWrites);
             }
-            if (c.text.equals("ROLLBACK")) {
-                promised.addAll(c.writes);
+            if (client.statement.equals("ROLLBACK")) {
+                writesNotRun.addAll(client.transactionWrites);
             }
-            if (state == 'I') {
-                c.writes = new ArrayList<>();
+            if (transactionStatus == 'I') {
+                client.transactionWrites = new ArrayList<>();
             }
-            c.state = state;
+            client.transactionStatus = transactionStatus;
         }
 
-        void step() {
-            for (ScriptedEnvironment.ScriptedConnection line : host.connections) {
-                conns.computeIfAbsent(
+        void advance() {
+            for (ScriptedEnvironment.ScriptedConnection line : environment.connections) {
+                connections.computeIfAbsent(
                         line,
-                        l -> {
-                            if (!l.closed && !chance(0.02)) {
-                                l.open();
+                        key -> {
+                            if (!key.closed && !randomFault(0.02)) {
+                                key.open();
                             }
-                            return new Conn(l);
+                            return new ServerConnectionStub(key);
                         });
             }
-            host.connections.clear();
-            for (Conn c : new ArrayList<>(conns.values())) {
+            environment.connections.clear();
+            for (ServerConnectionStub c : new ArrayList<>(connections.values())) {
                 if (c.line.closed) {
-                    ended(c);
-                    conns.remove(c.line);
-                } else if (calm || random.nextInt(3) > 0) {
-                    serve(c);
+                    processAfterClose(c);
+                    connections.remove(c.line);
+                } else if (faultFree || random.nextInt(3) > 0) {
+                    processNextLine(c);
                 }
             }
-            for (Client c : clients) {
-                hear(c);
-                if (c.line != null && chance(0.004)) {
-                    story.add("client " + clients.indexOf(c) + " goes");
+            for (ClientStub c : clients) {
+                processReplies(c);
+                if (c.line != null && randomFault(0.004)) {
+                    trace.add("client " + clients.indexOf(c) + " goes");
                     c.line.reset();
-                } else if (!calm && random.nextInt(4) == 0) {
-                    ask(c);
+                } else if (!faultFree && random.nextInt(4) == 0) {
+                    sendNextStatement(c);
                 }
             }
-            host.advance(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
+            environment.advance(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
         }
 
-        void play() {
+        void run() {
             for (int i = 0; i < STEPS; i++) {
-                step();
+                advance();
             }
-            calm = true;
+            faultFree = true;
             for (int i = 0; i < 400; i++) {
-                step();
-                host.advance(20);
+                advance();
+                environment.advance(20);
             }
-            for (Client c : clients) {
+            for (ClientStub client : clients) {
                 check(
-                        c.line == null || c.line.closed || c.out == null,
-                        "a client waits for ever: " + c.out);
+                        client.line == null || client.line.closed || client.pendingId == null,
+                        "a client waits for ever: " + client.pendingId);
             }
-            effects.forEach((write, times) -> check(times == 1, "TWICE: " + write));
-            promised.forEach(
+            writeCounts.forEach((write, times) -> check(times == 1, "TWICE: " + write));
+            writesNotRun.forEach(
                     write ->
                             check(
-                                    !effects.containsKey(write),
+                                    !writeCounts.containsKey(write),
                                     "REFUSED: "
                                             + write
                                             + " was promised to be kept nowhere, and is"));
-            for (ServerPool s : service.servers.values()) {
-                long held =
+            for (ServerPool server : service.servers.values()) {
+                long openTransactions =
                         clients.stream()
-                                .filter(c -> c.line != null && !c.line.closed && c.state == 'T')
+                                .filter(
+                                        client ->
+                                                client.line != null
+                                                        && !client.line.closed
+                                                        && client.transactionStatus == 'T')
                                 .count();
                 check(
-                        s.busyConnections == 0,
-                        s.id + " counts " + s.busyConnections + " that are out");
+                        server.busyConnections == 0,
+                        server.id + " counts " + server.busyConnections + " that are out");
                 check(
-                        s.connections.stream()
-                                .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE),
-                        s.id + " has a connection whose answer is awaited for ever");
+                        server.connections.stream()
+                                .allMatch(client -> client.oldestSentMillis() == Long.MAX_VALUE),
+                        server.id + " has a connection whose answer is awaited for ever");
                 check(
-                        s.connections.size() - s.idle.size() <= held,
-                        s.id
+                        server.connections.size() - server.idleConnections.size()
+                                <= openTransactions,
+                        server.id
                                 + " has "
-                                + s.connections.size()
+                                + server.connections.size()
                                 + " connections, "
-                                + s.idle.size()
+                                + server.idleConnections.size()
                                 + " at rest");
-                check(s.connecting == 0, s.id + " counts " + s.connecting + " that are dialed");
+                check(
+                        server.connectsInProgress == 0,
+                        server.id + " counts " + server.connectsInProgress + " that are dialed");
             }
         }
     }
 
     @Test
-    void eachClientGetsItsOwnAnswersAndNoWriteRunsTwice()
+    void clientsGetOwnResponsesAndNoWriteRunsTwice()
             throws Configuration.InvalidConfigurationException {
-        int served = 0;
-        int cut = 0;
-        for (int seed = 1; seed <= DAYS; seed++) {
-            Day day = new Day(seed);
-            day.play();
-            served += day.served;
-            cut += day.cut;
+        int completedStatements = 0;
+        int connectionResets = 0;
+        for (int seed = 1; seed <= SCENARIOS; seed++) {
+            Scenario scenario = new Scenario(seed);
+            scenario.run();
+            completedStatements += scenario.completedStatements;
+            connectionResets += scenario.connectionResets;
         }
-        assertTrue(served > 100 * DAYS, "served " + served);
-        assertTrue(cut > 5 * DAYS, "cut " + cut);
+        assertTrue(completedStatements > 100 * SCENARIOS, "served " + completedStatements);
+        assertTrue(connectionResets > 5 * SCENARIOS, "cut " + connectionResets);
     }
 }
--- a/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -27,94 +27,94 @@
 class ControlPlaneClientTest {
 
     /** One control process, and what it answers. */
-    private final class Source {
+    private final class ControlProcessStub {
         final String ip;
-        boolean there = true;
-        boolean alone;
+        boolean running = true;
+        boolean isolated;
 
         /** It says nothing at all, to a dial neither. */
-        boolean dark;
+        boolean unresponsive;
 
-        long version = -1;
+        long revision = -1;
 
         /** What it sends in the place of the configuration, where not null. */
-        byte[] instead;
+        byte[] replacementDelta;
 
-        List<Object> places;
-        int dialed;
-        int asked;
-        Fake link;
+        List<Object> addresses;
+        int connectCount;
+        int requestCount;
+        FakeConnection connection;
 
-        Source(String ip) {
+        ControlProcessStub(String ip) {
             this.ip = ip;
-            sources.put(ip + ":7400", this);
+            controlProcesses.put(ip + ":7400", this);
         }
 
-        void answer(Fake to, MessageCodec.Fields in) {
-            asked++;
-            host.trace(ip);
-            Map<String, Object> out = new HashMap<>();
-            out.put("q", in.number("q", 0));
-            long has = in.number("c", -1);
-            asks.add(in);
-            if (alone) {
-                out.put("alone", true);
+        void respond(FakeConnection target, MessageCodec.Fields request) {
+            requestCount++;
+            environment.trace(ip);
+            Map<String, Object> response = new HashMap<>();
+            response.put("q", request.number("q", 0));
+            long knownRevision = request.number("c", -1);
+            requests.add(request);
+            if (isolated) {
+                response.put("alone", true);
             } else {
-                if (has < version) {
-                    byte[] base = bodies.get(has);
-                    out.put("cv", version);
-                    if (instead != null && !in.flag("cw")) {
-                        out.put("cx", instead);
-                    } else if (base != null && !in.flag("cw")) {
-                        out.put("cx", BinaryDelta.create(base, bodies.get(version)));
+                if (knownRevision < revision) {
+                    byte[] base = configurations.get(knownRevision);
+                    response.put("cv", revision);
+                    if (replacementDelta != null && !request.flag("cw")) {
+                        response.put("cx", replacementDelta);
+                    } else if (base != null && !request.flag("cw")) {
+                        response.put("cx", BinaryDelta.create(base, configurations.get(revision)));
                     } else {
-                        out.put("cz", Compression.compress(bodies.get(version)));
+                        response.put("cz", Compression.compress(configurations.get(revision)));
                     }
                 }
-                if (places != null) {
-                    out.put("cp", places);
+                if (addresses != null) {
+                    response.put("cp", addresses);
                 }
             }
-            boolean waits = !alone && has >= version;
-            host.runAfter(
-                    waits ? 600 : 1,
+            boolean isUpToDate = !isolated && knownRevision >= revision;
+            environment.runAfter(
+                    isUpToDate ? 600 : 1,
                     () -> {
-                        if (to.open && there && !dark) {
-                            to.ear.onMessage(MessageCodec.encode(out));
+                        if (target.isOpen && running && !unresponsive) {
+                            target.listener.onMessage(MessageCodec.encode(response));
                         }
                     });
         }
     }
 
     /** The front's end of a connection. */
-    private final class Fake implements Environment.Connection {
-        final Environment.ConnectionListener ear;
-        final Source to;
-        boolean open = true;
-
-        Fake(Environment.ConnectionListener ear, Source to) {
-            this.ear = ear;
-            this.to = to;
+    private final class FakeConnection implements Environment.Connection {
+        final Environment.ConnectionListener listener;
+        final ControlProcessStub target;
+        boolean isOpen = true;
+
+        FakeConnection(Environment.ConnectionListener listener, ControlProcessStub target) {
+            this.listener = listener;
+            this.target = target;
         }
 
         @Override
         public void send(byte[] message) {
-            host.runAfter(
+            environment.runAfter(
                     1,
                     () -> {
                         try {
-                            if (open && to.there && !to.dark) {
-                                to.answer(this, MessageCodec.decode(message));
+                            if (isOpen && target.running && !target.unresponsive) {
+                                target.respond(this, MessageCodec.decode(message));
                             }
-                        } catch (MessageCodec.MalformedMessageException bad) {
-                            throw new AssertionError(bad);
+                        } catch (MessageCodec.MalformedMessageException malformed) {
+                            throw new AssertionError(malformed);
                         }
                     });
         }
 
         @Override
         public void close() {
-            open = false;
+            isOpen = false;
         }
 
         @Override
@@ -123,54 +123,54 @@
         }
     }
 
-    private final Map<String, Source> sources = new TreeMap<>();
-    private final List<MessageCodec.Fields> asks = new ArrayList<>();
-    private final TreeMap<Long, byte[]> bodies = new TreeMap<>();
+    private final Map<String, ControlProcessStub> controlProcesses = new TreeMap<>();
+    private final List<MessageCodec.Fields> requests = new ArrayList<>();
+    private final TreeMap<Long, byte[]> configurations = new TreeMap<>();
 
-    private final class Net extends ManualEnvironment {
+    private final class FakeNetwork extends ManualEnvironment {
 
         @Override
         public Connection connect(
-                String address, Framing form, int timeoutMs, ConnectionListener ear) {
-            Source to = sources.get(address);
-            Fake link = new Fake(ear, to);
-            if (to != null && to.there && !to.dark) {
-                to.dialed++;
-                to.link = link;
+                String address, Framing framing, int timeoutMs, ConnectionListener listener) {
+            ControlProcessStub target = controlProcesses.get(address);
+            FakeConnection connection = new FakeConnection(listener, target);
+            if (target != null && target.running && !target.unresponsive) {
+                target.connectCount++;
+                target.connection = connection;
                 runAfter(
                         1,
                         () -> {
-                            if (link.open) {
-                                ear.onOpen(link);
+                            if (connection.isOpen) {
+                                listener.onOpen(connection);
                             }
                         });
             } else {
                 trace("none at " + address);
                 runAfter(
-                        to != null && to.dark ? timeoutMs : 1,
+                        target != null && target.unresponsive ? timeoutMs : 1,
                         () -> {
-                            if (link.open) {
-                                link.open = false;
-                                ear.onClose("refused");
+                            if (connection.isOpen) {
+                                connection.isOpen = false;
+                                listener.onClose("refused");
                             }
                         });
             }
-            return link;
+            return connection;
         }
     }
 
-    private ManualEnvironment host = new Net();
+    private ManualEnvironment environment = new FakeNetwork();
 
     private long now() {
-        return host.nowMillis();
+        return environment.nowMillis();
     }
 
-    private void until(long ms) {
-        host.advanceTo(ms);
+    private void advanceTo(long ms) {
+        environment.advanceTo(ms);
     }
 
     private List<String> log() {
-        return host.events;
+        return environment.events;
     }
 
     private static NodeSettings settings(String... seeds) {
@@ -198,8 +198,9 @@
                 null);
     }
 
-    private void configuration(long version, int routes) {
-        StringBuilder text = new StringBuilder("{\"revision_number\":" + version + ",\"routes\":[");
+    private void addConfiguration(long revision, int routes) {
+        StringBuilder text =
+                new StringBuilder("{\"revision_number\":" + revision + ",\"routes\":[");
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"r")
@@ -207,58 +208,61 @@
                     .append("\",\"host_name\":\"h")
                     .append(i)
                     .append("\",\"route_kind\":\"primary\",\"timeout_ms\":")
-                    .append(i == version % routes ? 1_000 + version : 800)
+                    .append(i == revision % routes ? 1_000 + revision : 800)
                     .append(",\"service\":\"s\"}");
         }
-        bodies.put(
-                version,
+        configurations.put(
+                revision,
                 text.append("],\"services\":[{\"name\":\"s\"}]}")
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Map<String, Object> place(String ip, String zone, boolean silent) {
+    private static Map<String, Object> address(String ip, String zone, boolean silent) {
         return silent ? Map.of("i", ip, "z", zone, "s", true) : Map.of("i", ip, "z", zone);
     }
 
     /** Whole at first, then what changed; where that does not fit, whole once more. */
     @Test
-    void appliesDeltasAndRequestsFullConfigurationWhereTheyDoNotFit() {
+    void requestsFullConfigurationAfterMismatchedDelta() {
         for (long v = 1; v <= 4; v++) {
-            configuration(v, 30);
+            addConfiguration(v, 30);
         }
-        Source a = new Source("10.0.0.1");
-        a.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
-        front.start();
-        until(1_000);
-        assertEquals(1, front.configurationRevision());
-        a.version = 2;
-        until(2_000);
-        assertEquals(2, front.configurationRevision());
-        assertArrayEquals(bodies.get(2L), front.configuration().body());
-        assertEquals(0, asks.stream().filter(in -> in.flag("cw")).count());
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        a.revision = 1;
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1"));
+        node.start();
+        advanceTo(1_000);
+        assertEquals(1, node.configurationRevision());
+        a.revision = 2;
+        advanceTo(2_000);
+        assertEquals(2, node.configurationRevision());
+        assertArrayEquals(configurations.get(2L), node.configuration().body());
+        assertEquals(0, requests.stream().filter(request -> request.flag("cw")).count());
         assertEquals(
                 List.of(
                         BinaryDelta.digest(new byte[0]),
-                        BinaryDelta.digest(bodies.get(1L)),
-                        BinaryDelta.digest(bodies.get(2L))),
-                asks.stream().filter(in -> in.has("cd")).map(in -> in.number("cd", -1)).toList(),
+                        BinaryDelta.digest(configurations.get(1L)),
+                        BinaryDelta.digest(configurations.get(2L))),
+                requests.stream()
+                        .filter(request -> request.has("cd"))
+                        .map(request -> request.number("cd", -1))
+                        .toList(),
                 "told where it has changed");
         // Of another base, as of a number that had another content here.
-        a.instead = BinaryDelta.create(bodies.get(1L), bodies.get(3L));
-        a.version = 3;
-        until(3_000);
-        assertEquals(3, front.configurationRevision());
-        assertArrayEquals(bodies.get(3L), front.configuration().body());
-        assertEquals(1, asks.stream().filter(in -> in.flag("cw")).count());
-        a.instead = new byte[] {1, 2, 3};
-        a.version = 4;
-        until(4_000);
-        assertArrayEquals(bodies.get(4L), front.configuration().body());
+        a.replacementDelta = BinaryDelta.create(configurations.get(1L), configurations.get(3L));
+        a.revision = 3;
+        advanceTo(3_000);
+        assertEquals(3, node.configurationRevision());
+        assertArrayEquals(configurations.get(3L), node.configuration().body());
+        assertEquals(1, requests.stream().filter(request -> request.flag("cw")).count());
+        a.replacementDelta = new byte[] {1, 2, 3};
+        a.revision = 4;
+        advanceTo(4_000);
+        assertArrayEquals(configurations.get(4L), node.configuration().body());
         assertEquals(
                 2,
-                asks.stream().filter(in -> in.flag("cw")).count(),
+                requests.stream().filter(request -> request.flag("cw")).count(),
                 "asked for whole once, and no more");
     }
 
@@ -267,54 +271,61 @@
      * forward, and is what was sent.
      */
     @Test
-    void neverGoesBackToAnEarlierRevision() {
+    void keepsHighestRevision() {
         for (long v = 1; v <= 40; v++) {
-            configuration(v, 10);
+            addConfiguration(v, 10);
         }
         for (long seed = 1; seed <= 60; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            sources.clear();
-            host = new Net();
-            List<Source> all =
-                    List.of(new Source("10.0.0.1"), new Source("10.0.0.2"), new Source("10.0.0.3"));
-            DataPlaneNode front =
-                    new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
-            front.start();
+            controlProcesses.clear();
+            environment = new FakeNetwork();
+            List<ControlProcessStub> all =
+                    List.of(
+                            new ControlProcessStub("10.0.0.1"),
+                            new ControlProcessStub("10.0.0.2"),
+                            new ControlProcessStub("10.0.0.3"));
+            DataPlaneNode node =
+                    new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2", "10.0.0.3"));
+            node.start();
             long last = -1;
             for (int step = 1; step <= 120; step++) {
-                Source one = all.get(random.nextInt(3));
+                ControlProcessStub selected = all.get(random.nextInt(3));
                 switch (random.nextInt(5)) {
-                    case 0 -> one.alone = !one.alone;
+                    case 0 -> selected.isolated = !selected.isolated;
                     case 1 -> {
-                        one.there = !one.there;
-                        if (!one.there && one.link != null && one.link.open) {
-                            one.link.open = false;
-                            one.link.ear.onClose("broken");
+                        selected.running = !selected.running;
+                        if (!selected.running
+                                && selected.connection != null
+                                && selected.connection.isOpen) {
+                            selected.connection.isOpen = false;
+                            selected.connection.listener.onClose("broken");
                         }
                     }
-                    case 2 -> one.dark = random.nextInt(3) == 0;
+                    case 2 -> selected.unresponsive = random.nextInt(3) == 0;
                     default ->
-                            one.version =
-                                    Math.min(40, Math.max(one.version, 0) + 1 + random.nextInt(2));
+                            selected.revision =
+                                    Math.min(
+                                            40,
+                                            Math.max(selected.revision, 0) + 1 + random.nextInt(2));
                 }
-                until(now() + random.nextInt(400));
+                advanceTo(now() + random.nextInt(400));
                 assertTrue(
-                        front.configurationRevision() >= last,
-                        "seed " + seed + ": " + front.configurationRevision() + " after " + last);
-                last = front.configurationRevision();
+                        node.configurationRevision() >= last,
+                        "seed " + seed + ": " + node.configurationRevision() + " after " + last);
+                last = node.configurationRevision();
                 if (last >= 0) {
-                    assertArrayEquals(bodies.get(last), front.configuration().body());
+                    assertArrayEquals(configurations.get(last), node.configuration().body());
                 }
             }
             all.forEach(
-                    s -> {
-                        s.alone = false;
-                        s.there = true;
-                        s.dark = false;
-                        s.version = 40;
+                    stub -> {
+                        stub.isolated = false;
+                        stub.running = true;
+                        stub.unresponsive = false;
+                        stub.revision = 40;
                     });
-            until(now() + 4_000);
-            assertEquals(40, front.configurationRevision(), "seed " + seed);
+            advanceTo(now() + 4_000);
+            assertEquals(40, node.configurationRevision(), "seed " + seed);
         }
     }
 
@@ -323,70 +334,72 @@
      * not without pause.
      */
     @Test
-    void leavesIsolatedSourceAtOnce() {
-        configuration(1, 3);
-        Source a = new Source("10.0.0.1");
-        Source b = new Source("10.0.0.2");
-        a.alone = true;
-        b.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
-        front.start();
-        until(20);
-        assertEquals(1, front.configurationRevision(), log().toString());
-        b.alone = true;
-        int before = a.asked + b.asked;
-        until(20_000);
-        int asked = a.asked + b.asked - before;
-        assertTrue(asked > 60 && asked < 160, "asked " + asked + " times in 20 s");
-        a.alone = false;
-        a.version = 1;
-        until(20_700);
+    void switchesFromIsolatedSourceAtOnce() {
+        addConfiguration(1, 3);
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        ControlProcessStub b = new ControlProcessStub("10.0.0.2");
+        a.isolated = true;
+        b.revision = 1;
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2"));
+        node.start();
+        advanceTo(20);
+        assertEquals(1, node.configurationRevision(), log().toString());
+        b.isolated = true;
+        int requestsBefore = a.requestCount + b.requestCount;
+        advanceTo(20_000);
+        int requestCount = a.requestCount + b.requestCount - requestsBefore;
+        assertTrue(
+                requestCount > 60 && requestCount < 160,
+                "asked " + requestCount + " times in 20 s");
+        a.isolated = false;
+        a.revision = 1;
+        advanceTo(20_700);
         assertTrue(log().get(log().size() - 1).endsWith("10.0.0.1"), log().get(log().size() - 1));
     }
 
     /** Machine after machine is replaced: the list follows, and the seeds stay behind it. */
     @Test
     void findsPresentSourcesAfterManyReplacements() {
-        configuration(1, 3);
-        Source was = new Source("10.0.0.1");
-        was.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
-        front.start();
-        until(1_000);
+        addConfiguration(1, 3);
+        ControlProcessStub previous = new ControlProcessStub("10.0.0.1");
+        previous.revision = 1;
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1"));
+        node.start();
+        advanceTo(1_000);
         for (int i = 2; i <= 60; i++) {
-            Source next = new Source("10.0.0." + i);
-            next.version = 1;
-            List<Object> places = new ArrayList<>();
-            places.add(place(next.ip, "b", false));
-            places.add(place(was.ip, "b", true));
+            ControlProcessStub next = new ControlProcessStub("10.0.0." + i);
+            next.revision = 1;
+            List<Object> addresses = new ArrayList<>();
+            addresses.add(address(next.ip, "b", false));
+            addresses.add(address(previous.ip, "b", true));
             for (int k = 1; k < 30; k++) {
-                places.add(place("10.0.9." + k, "b", true));
+                addresses.add(address("10.0.9." + k, "b", true));
             }
-            was.places = places;
-            next.places = places;
-            until(now() + 1_300);
-            was.there = false;
-            was.link.open = false;
-            was.link.ear.onClose("broken");
-            long from = now();
-            until(now() + 50);
+            previous.addresses = addresses;
+            next.addresses = addresses;
+            advanceTo(now() + 1_300);
+            previous.running = false;
+            previous.connection.isOpen = false;
+            previous.connection.listener.onClose("broken");
+            long start = now();
+            advanceTo(now() + 50);
             assertTrue(
-                    next.asked > 0,
+                    next.requestCount > 0,
                     "at "
-                            + from
+                            + start
                             + ": "
                             + log().subList(Math.max(0, log().size() - 10), log().size()));
-            was = next;
+            previous = next;
         }
         // All that it was told of are gone, and one of the seeds is back.
-        was.there = false;
-        was.link.open = false;
-        was.link.ear.onClose("broken");
-        sources.get("10.0.0.1:7400").there = true;
-        int asked = sources.get("10.0.0.1:7400").asked;
-        until(now() + 3_000);
+        previous.running = false;
+        previous.connection.isOpen = false;
+        previous.connection.listener.onClose("broken");
+        controlProcesses.get("10.0.0.1:7400").running = true;
+        int requestsBefore = controlProcesses.get("10.0.0.1:7400").requestCount;
+        advanceTo(now() + 3_000);
         assertTrue(
-                sources.get("10.0.0.1:7400").asked > asked,
+                controlProcesses.get("10.0.0.1:7400").requestCount > requestsBefore,
                 log().subList(log().size() - 40, log().size()).toString());
     }
 
@@ -395,24 +408,24 @@
      * more.
      */
     @Test
-    void takesOverNewSeeds() {
-        configuration(1, 3);
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1", "10.0.0.2"));
-        front.start();
-        until(5_000);
-        Source c = new Source("10.0.0.3");
-        c.version = 1;
-        front.updateSettings(settings("10.0.0.3"));
-        until(5_500);
-        assertEquals(1, front.configurationRevision());
-        int from = log().size();
-        c.there = false;
-        c.link.open = false;
-        c.link.ear.onClose("broken");
-        until(9_000);
+    void appliesNewSeeds() {
+        addConfiguration(1, 3);
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1", "10.0.0.2"));
+        node.start();
+        advanceTo(5_000);
+        ControlProcessStub c = new ControlProcessStub("10.0.0.3");
+        c.revision = 1;
+        node.updateSettings(settings("10.0.0.3"));
+        advanceTo(5_500);
+        assertEquals(1, node.configurationRevision());
+        int start = log().size();
+        c.running = false;
+        c.connection.isOpen = false;
+        c.connection.listener.onClose("broken");
+        advanceTo(9_000);
         assertTrue(
-                log().subList(from, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")),
-                log().subList(from, log().size()).toString());
+                log().subList(start, log().size()).stream().noneMatch(l -> l.contains("10.0.0.1")),
+                log().subList(start, log().size()).toString());
     }
 
     /**
@@ -420,27 +433,28 @@
      * left.
      */
     @Test
-    void prefersLocalSourceAndAvoidsItForAWhileAfterAFailure() {
-        configuration(1, 3);
-        Source far = new Source("10.0.0.1");
-        Source near = new Source("10.0.0.2");
-        far.version = 1;
-        near.version = 1;
-        far.places = List.of(place("10.0.0.1", "b", false), place("10.0.0.2", "a", false));
-        near.places = far.places;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
-        front.start();
-        until(1_000);
-        assertTrue(near.asked > 0, log().toString());
-        assertEquals(1, far.asked);
+    void prefersLocalSourceExceptDuringItsCooldown() {
+        addConfiguration(1, 3);
+        ControlProcessStub remote = new ControlProcessStub("10.0.0.1");
+        ControlProcessStub local = new ControlProcessStub("10.0.0.2");
+        remote.revision = 1;
+        local.revision = 1;
+        remote.addresses =
+                List.of(address("10.0.0.1", "b", false), address("10.0.0.2", "a", false));
+        local.addresses = remote.addresses;
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1"));
+        node.start();
+        advanceTo(1_000);
+        assertTrue(local.requestCount > 0, log().toString());
+        assertEquals(1, remote.requestCount);
         // Others hear it, this one does not.
-        near.dark = true;
-        until(19_000);
-        assertEquals(1, near.dialed);
-        assertTrue(far.asked > 20, log().toString());
-        near.dark = false;
-        until(24_000);
-        assertEquals(2, near.dialed);
+        local.unresponsive = true;
+        advanceTo(19_000);
+        assertEquals(1, local.connectCount);
+        assertTrue(remote.requestCount > 20, log().toString());
+        local.unresponsive = false;
+        advanceTo(24_000);
+        assertEquals(2, local.connectCount);
     }
 
     /**
@@ -448,28 +462,31 @@
      * without end.
      */
     @Test
-    void pausesBeforeRequestingAnUnreadableConfigurationAgain() {
-        configuration(1, 3);
-        bodies.put(2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
-        configuration(3, 3);
-        Source a = new Source("10.0.0.1");
-        a.version = 1;
-        DataPlaneNode front = new DataPlaneNode(host, settings("10.0.0.1"));
-        front.start();
-        until(1_000);
-        a.version = 2;
-        int asked = a.asked;
-        until(11_000);
-        assertEquals(1, front.configurationRevision());
-        assertTrue(a.asked - asked < 14, "asked " + (a.asked - asked) + " times in 10 s");
+    void delaysRequestAfterUnreadableConfiguration() {
+        addConfiguration(1, 3);
+        configurations.put(
+                2L, "{\"revision_number\":2,\"routes\":7}".getBytes(StandardCharsets.UTF_8));
+        addConfiguration(3, 3);
+        ControlProcessStub a = new ControlProcessStub("10.0.0.1");
+        a.revision = 1;
+        DataPlaneNode node = new DataPlaneNode(environment, settings("10.0.0.1"));
+        node.start();
+        advanceTo(1_000);
+        a.revision = 2;
+        int requestsBefore = a.requestCount;
+        advanceTo(11_000);
+        assertEquals(1, node.configurationRevision());
+        assertTrue(
+                a.requestCount - requestsBefore < 14,
+                "asked " + (a.requestCount - requestsBefore) + " times in 10 s");
         assertTrue(
                 log().stream().anyMatch(l -> l.contains("configuration-not-understood revision=2")),
                 log().toString());
-        a.version = 3;
-        until(13_000);
-        assertEquals(3, front.configurationRevision());
+        a.revision = 3;
+        advanceTo(13_000);
+        assertEquals(3, node.configurationRevision());
         assertEquals(
                 Configuration.ReadConsistency.PRIMARY,
-                front.configuration().route("h0").consistency());
+                node.configuration().route("h0").consistency());
     }
 }
--- a/src/test/java/dillfront/dataplane/ServerConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -21,13 +21,13 @@
  */
 class ServerConnectionTest {
 
-    private final ScriptedEnvironment host = new ScriptedEnvironment();
-    private DataPlaneNode front;
+    private final ScriptedEnvironment environment = new ScriptedEnvironment();
+    private DataPlaneNode node;
     private DatabaseService service;
     private ScriptedEnvironment.ScriptedConnection client;
 
     @BeforeEach
-    void open() throws Configuration.InvalidConfigurationException {
+    void setUp() throws Configuration.InvalidConfigurationException {
         NodeSettings settings =
                 new NodeSettings(
                         "f",
@@ -47,61 +47,61 @@
                         7_000,
                         6_000,
                         null);
-        front = new DataPlaneNode(host, settings);
-        front.start();
-        front.onConfiguration(
+        node = new DataPlaneNode(environment, settings);
+        node.start();
+        node.onConfiguration(
                 Configuration.parse(
                         ("{'revision_number':1,'routes':[{'name':'r','host_name':'h','route_kind':'primary',"
                                         + "'timeout_ms':800,'target_latency_ms':300,'service':'s','max_attempts':2}],'services':[{'name':'s',"
                                         + "'connection_limit':100}]}")
                                 .replace('\'', '"')
                                 .getBytes(StandardCharsets.UTF_8)));
-        service = front.service("s");
-        service.servers.put("i-1", new ServerPool(front, service, "i-1", "10.0.0.9:1", "z"));
+        service = node.service("s");
+        service.servers.put("i-1", new ServerPool(node, service, "i-1", "10.0.0.9:1", "z"));
         service.onRecord(new PrimaryRecord("s", 1, "i-1", false, false));
         client = client();
     }
 
     private ScriptedEnvironment.ScriptedConnection client() {
-        ScriptedEnvironment.ScriptedConnection line =
+        ScriptedEnvironment.ScriptedConnection connection =
                 new ScriptedEnvironment.ScriptedConnection(
-                        "client", Environment.Framing.LINES, front.accept());
-        line.open();
-        line.receive("CONNECT h me");
-        assertEquals("READY I -", line.lastSent());
-        line.sent.clear();
-        return line;
+                        "client", Environment.Framing.LINES, node.accept());
+        connection.open();
+        connection.receive("CONNECT h me");
+        assertEquals("READY I -", connection.lastSent());
+        connection.sent.clear();
+        return connection;
     }
 
-    private ScriptedEnvironment.ScriptedConnection server() {
-        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
-        if (line.sent.isEmpty()) {
-            line.open();
-            assertEquals("CONNECT s f i-1", line.lastSent());
-            line.receive("READY I 1.1");
+    private ScriptedEnvironment.ScriptedConnection connectedServer() {
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
+        if (connection.sent.isEmpty()) {
+            connection.open();
+            assertEquals("CONNECT s f i-1", connection.lastSent());
+            connection.receive("READY I 1.1");
         }
-        return line;
+        return connection;
     }
 
-    private List<String> answer(ScriptedEnvironment.ScriptedConnection to) {
-        List<String> is = List.copyOf(to.sent);
-        to.sent.clear();
-        return is;
+    private List<String> takeReceived(ScriptedEnvironment.ScriptedConnection connection) {
+        List<String> lines = List.copyOf(connection.sent);
+        connection.sent.clear();
+        return lines;
     }
 
     @Test
-    void answerGoesToItsSender() {
+    void responseReachesItsClient() {
         client.receive("QUERY a1 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        assertEquals("QUERY a1 WRITE k d", line.lastSent());
-        ScriptedEnvironment.ScriptedConnection other = client();
-        other.receive("QUERY b1 WRITE k e");
-        line.receive("COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), answer(client));
-        assertTrue(other.sent.isEmpty());
-        assertEquals("QUERY b1 WRITE k e", line.lastSent(), "the connection is used again");
-        line.receive("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(other));
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.lastSent());
+        ScriptedEnvironment.ScriptedConnection otherClient = client();
+        otherClient.receive("QUERY b1 WRITE k e");
+        connection.receive("COMPLETE s1", "READY I 1.2");
+        assertEquals(List.of("COMPLETE s1", "READY I 1.2"), takeReceived(client));
+        assertTrue(otherClient.sent.isEmpty());
+        assertEquals("QUERY b1 WRITE k e", connection.lastSent(), "the connection is used again");
+        connection.receive("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(otherClient));
     }
 
     /**
@@ -109,34 +109,36 @@
      * asks there next.
      */
     @Test
-    void unrequestedAnswerEndsTheConnection() {
-        for (String unasked :
+    void closesConnectionOnUnrequestedResponse() {
+        for (String unrequested :
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
             client.receive("QUERY a1 WRITE k d");
-            ScriptedEnvironment.ScriptedConnection line = server();
-            line.receive("COMPLETE s1", "READY I 1.2");
-            answer(client);
-            line.receive(unasked);
+            ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+            connection.receive("COMPLETE s1", "READY I 1.2");
+            takeReceived(client);
+            connection.receive(unrequested);
             client.receive("QUERY a2 WRITE k d");
-            ScriptedEnvironment.ScriptedConnection next = server();
-            assertTrue(line.closed && next != line, unasked + ": the connection is left");
-            next.receive("COMPLETE s2", "READY I 1.3");
-            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client), unasked);
-            next.reset();
+            ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
+            assertTrue(
+                    connection.closed && nextConnection != connection,
+                    unrequested + ": the connection is left");
+            nextConnection.receive("COMPLETE s2", "READY I 1.3");
+            assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client), unrequested);
+            nextConnection.reset();
         }
     }
 
     /** Guards against the same while the connection is made. */
     @Test
-    void answerBeforeReadyEndsTheConnection() {
+    void closesConnectionOnResponseBeforeReady() {
         client.receive("QUERY a1 READ k");
-        ScriptedEnvironment.ScriptedConnection line = host.lastConnection();
-        line.open();
-        line.receive("ROW other", "READY I 1.1");
-        assertTrue(line.closed);
-        assertFalse(line.sent.toString().contains("QUERY"), line.sent.toString());
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
+        connection.open();
+        connection.receive("ROW other", "READY I 1.1");
+        assertTrue(connection.closed);
+        assertFalse(connection.sent.toString().contains("QUERY"), connection.sent.toString());
     }
 
     /**
@@ -144,8 +146,8 @@
      * connection would get this one's.
      */
     @Test
-    void partialOrDuplicateAnswerEndsTheConnection() {
-        for (String[] bad :
+    void closesConnectionOnPartialOrDuplicateResponse() {
+        for (String[] lines :
                 new String[][] {
                     {"ROW r", "READY I 1.2"},
                     {"READY I 1.2"},
@@ -155,14 +157,14 @@
                     {"NOTHING of the wire"}
                 }) {
             client.receive("QUERY a1 WRITE k d");
-            ScriptedEnvironment.ScriptedConnection line = server();
-            line.receive(bad);
-            assertTrue(line.closed, String.join(", ", bad));
+            ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+            connection.receive(lines);
+            assertTrue(connection.closed, String.join(", ", lines));
             assertEquals(
                     "ERROR UNCERTAIN the connection ended",
                     client.sent.get(0),
-                    String.join(", ", bad));
-            answer(client);
+                    String.join(", ", lines));
+            takeReceived(client);
         }
     }
 
@@ -173,57 +175,59 @@
     @Test
     void writeIsNotRetriedAfterReset() {
         client.receive("QUERY a1 WRITE k d");
-        server().reset();
-        host.advance(3_000);
-        assertEquals("ERROR UNCERTAIN the connection ended", answer(client).get(0));
-        for (ScriptedEnvironment.ScriptedConnection line : host.connections) {
+        connectedServer().reset();
+        environment.advance(3_000);
+        assertEquals("ERROR UNCERTAIN the connection ended", takeReceived(client).get(0));
+        for (ScriptedEnvironment.ScriptedConnection connection : environment.connections) {
             assertEquals(
-                    line == host.connections.get(0) ? 1 : 0,
-                    line.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
+                    connection == environment.connections.get(0) ? 1 : 0,
+                    connection.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
 
     /** A read may run twice; what promises that it did not run may be sent again as well. */
     @Test
-    void readAndWriteThatDidNotRunAreRetriedAfterReset() {
+    void retriesReadAfterResetAndWriteAfterBusy() {
         client.receive("QUERY a1 READ k");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        leads(line);
-        line.reset();
-        ScriptedEnvironment.ScriptedConnection next = server();
-        leads(next);
-        next.receive("ROW r", "COMPLETE s1", "READY I 1.2");
-        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), answer(client));
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        confirmPrimary(connection);
+        connection.reset();
+        ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
+        confirmPrimary(nextConnection);
+        nextConnection.receive("ROW r", "COMPLETE s1", "READY I 1.2");
+        assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), takeReceived(client));
         client.receive("QUERY a2 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection third = server();
-        third.receive("ERROR BUSY later", "READY I 1.2");
-        host.advance(60);
-        assertEquals(2, third.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
-        third.receive("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        ScriptedEnvironment.ScriptedConnection thirdConnection = connectedServer();
+        thirdConnection.receive("ERROR BUSY later", "READY I 1.2");
+        environment.advance(60);
+        assertEquals(
+                2,
+                thirdConnection.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
+        thirdConnection.receive("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /** Who leads is not sure: the server is asked before the read is sent. */
-    private static void leads(ScriptedEnvironment.ScriptedConnection line) {
-        assertEquals("QUERY - STATUS", line.lastSent());
-        line.receive("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
-        assertEquals("QUERY a1 READ k", line.lastSent());
+    private static void confirmPrimary(ScriptedEnvironment.ScriptedConnection connection) {
+        assertEquals("QUERY - STATUS", connection.lastSent());
+        connection.receive("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
+        assertEquals("QUERY a1 READ k", connection.lastSent());
     }
 
     /** Guards against an answer after the time-out that reaches the next statement. */
     @Test
-    void answerAfterTimeoutGoesToNobody() {
+    void discardsResponseAfterTimeout() {
         client.receive("QUERY a1 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        host.advance(800);
-        assertTrue(answer(client).get(0).startsWith("ERROR TIMEOUT"));
-        assertTrue(line.closed);
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        environment.advance(800);
+        assertTrue(takeReceived(client).get(0).startsWith("ERROR TIMEOUT"));
+        assertTrue(connection.closed);
         client.receive("QUERY a2 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection next = server();
-        line.receive("COMPLETE s1", "READY I 1.2");
+        ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
+        connection.receive("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
-        next.receive("COMPLETE s2", "READY I 1.3");
-        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), answer(client));
+        nextConnection.receive("COMPLETE s2", "READY I 1.3");
+        assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /**
@@ -231,44 +235,46 @@
      * word was lost.
      */
     @Test
-    void abandonsConnectionWhoseInternalStatementIsNotAnswered() {
+    void closesConnectionWithoutResponseToInternalStatement() {
         client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        line.receive("COMPLETE -", "READY T 1.1");
-        assertEquals("QUERY a2 WRITE k d", line.lastSent());
-        line.receive("COMPLETE s1", "READY T 1.1");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        connection.receive("COMPLETE -", "READY T 1.1");
+        assertEquals("QUERY a2 WRITE k d", connection.lastSent());
+        connection.receive("COMPLETE s1", "READY T 1.1");
         client.receive("QUERY a3 ROLLBACK");
-        assertEquals("QUERY - ROLLBACK", line.lastSent());
-        host.advance(2_500);
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        assertEquals("QUERY - ROLLBACK", connection.lastSent());
+        environment.advance(2_500);
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertTrue(
                 service.servers.get("i-1").connections.stream()
-                        .allMatch(c -> c.oldestSentMillis() == Long.MAX_VALUE));
+                        .allMatch(
+                                serverConnection ->
+                                        serverConnection.oldestSentMillis() == Long.MAX_VALUE));
     }
 
     /** The same for the opening of a transaction: at the server it would stay open. */
     @Test
-    void abandonsConnectionWhoseBeginIsNotAnswered() {
+    void closesConnectionWithoutResponseToBegin() {
         client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        assertEquals("QUERY a1 BEGIN", line.lastSent());
-        host.advance(2_500);
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 BEGIN", connection.lastSent());
+        environment.advance(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 
     /** The same for a statement whose client has gone, and whose answer was lost. */
     @Test
-    void abandonsConnectionOfStatementWithoutClient() {
+    void closesConnectionWithoutResponseAfterClientLeft() {
         client.receive("QUERY a1 WRITE k d");
-        ScriptedEnvironment.ScriptedConnection line = server();
-        assertEquals("QUERY a1 WRITE k d", line.lastSent());
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.lastSent());
         client.reset();
-        host.advance(500);
-        assertFalse(line.closed, "what runs is heard to its end");
-        host.advance(1_000);
-        assertTrue(line.closed, "its answer was lost, and the connection with it");
+        environment.advance(500);
+        assertFalse(connection.closed, "what runs is heard to its end");
+        environment.advance(1_000);
+        assertTrue(connection.closed, "its answer was lost, and the connection with it");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
 }
--- a/src/test/java/dillfront/dataplane/StatementRetryPolicyTest.java
+++ b/src/test/java/dillfront/dataplane/StatementRetryPolicyTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.dataplane.StatementRetryPolicy.Decision;
-import dillfront.dataplane.StatementRetryPolicy.Verdict;
+import dillfront.dataplane.StatementRetryPolicy.RetryAction;
+import dillfront.dataplane.StatementRetryPolicy.RetryDecision;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -16,56 +16,66 @@
                 QueryResult.Outcome.FAILED, List.of(), null, code, "", QueryResult.IDLE, null);
     }
 
-    private static Verdict decide(QueryResult result, boolean writes, int attempts) {
-        return StatementRetryPolicy.decide(result, writes, attempts, 2, true);
+    private static RetryDecision evaluate(QueryResult result, boolean writes, int attempts) {
+        return StatementRetryPolicy.evaluate(result, writes, attempts, 2, true);
     }
 
-    private static Decision impatient(QueryResult result, boolean writes) {
-        return StatementRetryPolicy.decide(result, writes, 0, 2, false).decision();
+    private static RetryAction actionWithoutWaiting(QueryResult result, boolean writes) {
+        return StatementRetryPolicy.evaluate(result, writes, 0, 2, false).action();
     }
 
     @Test
     void writeThatMayHaveRunIsNeverRetried() {
         QueryResult lost = QueryResult.connectionLost("closed");
-        assertEquals(new Verdict(Decision.UNCERTAIN, false, false), decide(lost, true, 0));
         assertEquals(
-                new Verdict(Decision.PASS_ON, false, false), decide(failed("FAILED"), true, 0));
+                new RetryDecision(RetryAction.UNCERTAIN, false, false), evaluate(lost, true, 0));
+        assertEquals(
+                new RetryDecision(RetryAction.FORWARD_ERROR, false, false),
+                evaluate(failed("FAILED"), true, 0));
     }
 
     @Test
-    void readThatMayHaveRunIsRetriedWithinItsRoutesAttempts() {
+    void readThatMayHaveRunIsRetriedWithinRouteAttempts() {
         QueryResult lost = QueryResult.connectionLost("closed");
-        assertEquals(new Verdict(Decision.RETRY_AT_ONCE, true, true), decide(lost, false, 0));
-        assertEquals(new Verdict(Decision.RETRY_AT_ONCE, true, true), decide(lost, false, 1));
-        assertEquals(new Verdict(Decision.ABORTED, true, true), decide(lost, false, 2));
-        assertEquals(Decision.PASS_ON, decide(failed("FAILED"), false, 2).decision());
-        assertEquals(Decision.ABORTED, impatient(lost, false));
+        assertEquals(
+                new RetryDecision(RetryAction.RETRY_IMMEDIATELY, true, true),
+                evaluate(lost, false, 0));
+        assertEquals(
+                new RetryDecision(RetryAction.RETRY_IMMEDIATELY, true, true),
+                evaluate(lost, false, 1));
+        assertEquals(new RetryDecision(RetryAction.ABORTED, true, true), evaluate(lost, false, 2));
+        assertEquals(RetryAction.FORWARD_ERROR, evaluate(failed("FAILED"), false, 2).action());
+        assertEquals(RetryAction.ABORTED, actionWithoutWaiting(lost, false));
     }
 
     @Test
-    void whatHasNotRunIsRetriedWhileThereIsPatienceAndThenRefused() {
+    void statementThatHasNotRunIsRetriedUntilItsWaitEnds() {
         for (boolean writes : new boolean[] {true, false}) {
-            assertEquals(Decision.RETRY_AFTER_PAUSE, decide(failed("BUSY"), writes, 9).decision());
-            assertEquals(Decision.RETRY_AT_ONCE, decide(failed("LAGGING"), writes, 9).decision());
+            assertEquals(
+                    RetryAction.RETRY_AFTER_DELAY, evaluate(failed("BUSY"), writes, 9).action());
+            assertEquals(
+                    RetryAction.RETRY_IMMEDIATELY, evaluate(failed("LAGGING"), writes, 9).action());
             for (String code : new String[] {"BUSY", "LAGGING", "READONLY", "TOOMANY"}) {
-                assertEquals(Decision.REFUSE, impatient(failed(code), writes), code);
+                assertEquals(RetryAction.REFUSE, actionWithoutWaiting(failed(code), writes), code);
             }
-            Verdict readOnly = decide(failed("READONLY"), writes, 9);
-            assertEquals(Decision.RETRY_AFTER_PAUSE, readOnly.decision());
-            assertFalse(readOnly.excludeServer(), "it may lead by then");
+            RetryDecision decision = evaluate(failed("READONLY"), writes, 9);
+            assertEquals(RetryAction.RETRY_AFTER_DELAY, decision.action());
+            assertFalse(decision.excludeServer(), "it may lead by then");
         }
     }
 
     @Test
-    void whatWasNotSentIsRetriedTwice() {
-        assertEquals(Decision.RETRY_AFTER_PAUSE, decide(QueryResult.notSent(), true, 1).decision());
-        assertEquals(Decision.REFUSE, decide(QueryResult.notSent(), true, 2).decision());
-        assertTrue(decide(failed("WRONGNODE"), true, 0).excludeServer());
+    void unsentStatementIsRetriedTwice() {
+        assertEquals(
+                RetryAction.RETRY_AFTER_DELAY, evaluate(QueryResult.notSent(), true, 1).action());
+        assertEquals(RetryAction.REFUSE, evaluate(QueryResult.notSent(), true, 2).action());
+        assertTrue(evaluate(failed("WRONGNODE"), true, 0).excludeServer());
     }
 
     @Test
-    void otherErrorsGoToTheClient() {
+    void otherErrorsAreForwarded() {
         assertEquals(
-                new Verdict(Decision.PASS_ON, false, false), decide(failed("TOOLARGE"), false, 0));
+                new RetryDecision(RetryAction.FORWARD_ERROR, false, false),
+                evaluate(failed("TOOLARGE"), false, 0));
     }
 }
--- a/src/test/java/dillfront/dataplane/StatementTest.java
+++ b/src/test/java/dillfront/dataplane/StatementTest.java
@@ -8,26 +8,26 @@
 
 class StatementTest {
 
-    private static String read(String text) {
-        Statement is = Statement.parse(text);
-        return is.verb() + "|" + is.name() + "|" + is.arguments();
+    private static String parse(String text) {
+        Statement statement = Statement.parse(text);
+        return statement.verb() + "|" + statement.name() + "|" + statement.arguments();
     }
 
     @Test
-    void parsesStatementsOfTheWire() {
-        assertEquals("BEGIN||", read("BEGIN"));
-        assertEquals("BEGIN_READ||", read("BEGIN READ"));
-        assertEquals("READ||1a4", read("READ 1a4"));
-        assertEquals("WRITE||1a4 a text of words", read("WRITE 1a4 a text of words"));
-        assertEquals("SET|zone|a b", read("SET zone a b"));
-        assertEquals("PREPARE|s1|WRITE q2c", read("PREPARE s1 WRITE q2c"));
-        assertEquals("EXECUTE|s1|1a4 x y", read("EXECUTE s1 1a4 x y"));
-        assertEquals("DEALLOCATE|s1|", read("DEALLOCATE s1"));
+    void parsesProtocolStatements() {
+        assertEquals("BEGIN||", parse("BEGIN"));
+        assertEquals("BEGIN_READ||", parse("BEGIN READ"));
+        assertEquals("READ||1a4", parse("READ 1a4"));
+        assertEquals("WRITE||1a4 a text of words", parse("WRITE 1a4 a text of words"));
+        assertEquals("SET|zone|a b", parse("SET zone a b"));
+        assertEquals("PREPARE|s1|WRITE q2c", parse("PREPARE s1 WRITE q2c"));
+        assertEquals("EXECUTE|s1|1a4 x y", parse("EXECUTE s1 1a4 x y"));
+        assertEquals("DEALLOCATE|s1|", parse("DEALLOCATE s1"));
     }
 
     @Test
-    void rejectsOtherStatements() {
-        for (String bad :
+    void rejectsMalformedStatements() {
+        for (String malformed :
                 new String[] {
                     "",
                     " ",
@@ -49,12 +49,12 @@
                     "AFTER 1.2 READ a",
                     "STATUS"
                 }) {
-            assertEquals("MALFORMED||", read(bad), bad);
+            assertEquals("MALFORMED||", parse(malformed), malformed);
         }
     }
 
     @Property(tries = 2_000)
-    void anyTextIsReadOrRefused(@ForAll String text) {
+    void parsesAnyTextWithoutException(@ForAll String text) {
         Statement.parse(text);
         Statement.parse("EXECUTE " + text);
         Statement.parse("PREPARE " + text);
--- a/src/test/java/dillfront/router/operator/OperatorConfigTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorConfigTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.KeyPairGenerator;
@@ -75,7 +75,7 @@
                                 OperatorConfig.InvalidOperatorConfigException.class,
                                 () -> config.gossip().privateKey())
                         .getMessage());
-        assertEquals(0, config.gossip().ring().peer(Ring.hash("r1")));
+        assertEquals(0, config.gossip().ring().peer(PeerRegistry.hash("r1")));
     }
 
     @ParameterizedTest
--- a/src/test/java/dillfront/simulation/processes/AskedTest.java
+++ b/src/test/java/dillfront/simulation/processes/AskedTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.router.peers.Codec;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.GossipCodec;
+import dillfront.router.peers.PeerRegistry;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.DatagramPacket;
@@ -154,7 +154,7 @@
     @Test
     void oneThatDoubtsEverythingHoldsNothingBack() throws Exception {
         begin(1, 2);
-        Ring ring = new Ring();
+        PeerRegistry ring = new PeerRegistry();
         for (int p = 0; p < 2; p++) {
             ring.key(
                     ring.add("r" + p, socket(p)),
@@ -163,11 +163,11 @@
                     Duration.ofDays(1_000_000));
         }
         long unix = System.currentTimeMillis();
-        Codec codec =
-                new Codec(
+        GossipCodec codec =
+                new GossipCodec(
                         ring,
                         1,
-                        Ring.id(Ring.raw(key(1).getPublic())),
+                        PeerRegistry.keyId(PeerRegistry.rawKey(key(1).getPublic())),
                         key(1).getPrivate(),
                         socket(1),
                         1200,
--- a/src/test/java/dillfront/simulation/processes/AuditTest.java
+++ b/src/test/java/dillfront/simulation/processes/AuditTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import dillfront.simulation.processes.Happening.Answered;
 import dillfront.simulation.processes.Happening.Asked;
 import dillfront.simulation.processes.Happening.Ended;
@@ -140,7 +140,7 @@
                 "its own write unseen",
                 new Asked(0, "t1", "own", 0, "k", 500, 9_000, "r0#1"),
                 new Read("s-1", "t1", "own", 8_999, 10_000));
-        Scene.compare("audit", trace);
+        RoutingHarness.assertTraceEquals("audit", trace);
     }
 
     private static Happening[] with(List<Happening> first, Happening... then) {
--- a/src/test/java/dillfront/simulation/processes/Losses.java
+++ b/src/test/java/dillfront/simulation/processes/Losses.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -179,7 +179,7 @@
     }
 
     String hex(int peer) {
-        return HexFormat.of().formatHex(Ring.raw(keys.get(peer).getPublic()));
+        return HexFormat.of().formatHex(PeerRegistry.rawKey(keys.get(peer).getPublic()));
     }
 
     KeyPair key(int peer) {
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -163,7 +163,7 @@
                                                                     Map<String, Object> fields =
                                                                             MessageCodec.decode(
                                                                                             message)
-                                                                                    .all();
+                                                                                    .values();
                                                                     String ends =
                                                                             from.replaceAll(
                                                                                             "-.*",
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -52,7 +52,7 @@
             String[] part = line.split(" ", 3);
             byte[] message = Base64.getDecoder().decode(part[1]);
             MessageCodec.Fields fields = MessageCodec.decode(message);
-            assertEquals(part[2], RecordedMessages.text(fields.all()));
+            assertEquals(part[2], RecordedMessages.text(fields.values()));
             assertArrayEquals(message, passed(part[0], message, fields), part[2]);
         }
     }
