--- a/src/main/java/dillfront/simulation/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -1,7 +1,7 @@
 package dillfront.simulation;
 
 import dillfront.simulation.system.ControlCounts;
-import dillfront.simulation.system.Day;
+import dillfront.simulation.system.SystemSimulation;
 import java.util.Collections;
 import java.util.List;
 import java.util.TreeMap;
@@ -24,17 +24,17 @@
     private ControlMeasure() {}
 
     /** The day of a seed: three, four or five control machines; not yet played. */
-    public static Day day(long seed) {
+    public static SystemSimulation day(long seed) {
         boolean busy = seed % 8 == 0;
-        Day day =
-                new Day(
+        SystemSimulation day =
+                new SystemSimulation(
                         seed,
                         busy ? 2 : 1,
                         busy ? 2 : 1,
                         busy ? 9 : 3,
                         PLAY_MS,
                         seed % 5 < 3 ? 3 : seed % 5 == 3 ? 4 : 5);
-        day.worst();
+        day.addWorstCaseFaults();
         return day;
     }
 
@@ -44,19 +44,19 @@
      */
     public static void main(String[] args) {
         if (args.length == 1) {
-            Day day = day(Long.parseLong(args[0]));
-            day.play();
-            day.story.forEach(System.out::println);
-            day.told().forEach(System.out::println);
+            SystemSimulation day = day(Long.parseLong(args[0]));
+            day.run();
+            day.eventLog.forEach(System.out::println);
+            day.traceLog().forEach(System.out::println);
             day.status().forEach(System.out::println);
-            day.breaches().forEach(System.out::println);
+            day.violations().forEach(System.out::println);
             System.out.println(
                     "served "
                             + day.served()
                             + " promotions "
                             + day.promotions()
                             + " promote_ms "
-                            + day.promoteMs());
+                            + day.promotionMillis());
             return;
         }
         long from = System.nanoTime();
@@ -69,20 +69,20 @@
         for (long seed = first;
                 (args.length > 0 || days < DAYS) && (System.nanoTime() - from) / 1_000_000 < daysMs;
                 seed++) {
-            Day day = day(seed);
-            day.play();
+            SystemSimulation day = day(seed);
+            day.run();
             days++;
-            all.add(day.control());
+            all.add(day.controlCounts());
             served += day.served();
-            if (!day.breaches().isEmpty()) {
+            if (!day.violations().isEmpty()) {
                 broken++;
                 System.out.println(
                         "seed "
                                 + seed
                                 + ": "
-                                + day.breaches().get(0)
-                                + (day.breaches().size() > 1
-                                        ? " and " + (day.breaches().size() - 1) + " more"
+                                + day.violations().get(0)
+                                + (day.violations().size() > 1
+                                        ? " and " + (day.violations().size() - 1) + " more"
                                         : ""));
             }
         }
@@ -102,22 +102,22 @@
                 "control: losses=%d acknowledged=%d lost=%d back=%d two_under_one=%d refused_again=%d minority_answers=%d"
                         + " two_holders=%d fence_repeats=%d replaced=%d no_majority=%d replace_ms_p99=%d behind_changes=%d catch_up_ms_p99=%d"
                         + " wrong_caller=%d sent_twice=%d worlds=%d defences=%d defences_caught=%d%n",
-                all.losses,
-                all.acknowledged,
-                all.lost,
-                all.back,
-                all.twoUnderOne,
-                all.refusedAgain,
-                all.minorityAnswers,
-                all.twoHolders,
-                all.fenceRepeats,
-                all.replaced,
-                all.noMajority,
-                p99(all.replaceMs),
-                all.behindChanges,
-                p99(all.catchUpMs),
-                all.wrongCaller,
-                all.sentTwice,
+                all.machineLosses,
+                all.acknowledgedChanges,
+                all.lostChanges,
+                all.revisionRegressions,
+                all.conflictingContents,
+                all.rejectedAfterAcknowledge,
+                all.minorityResponses,
+                all.concurrentLeaseHolders,
+                all.fencingTokenReuses,
+                all.replacements,
+                all.overdueChanges,
+                p99(all.replacementMillis),
+                all.caughtUpChanges,
+                p99(all.catchUpMillis),
+                all.misroutedResponses,
+                all.duplicateExecutions,
                 small.worlds(),
                 small.caught().size() + small.missed().size(),
                 small.caught().size());
--- a/src/main/java/dillfront/simulation/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import dillfront.simulation.system.Day;
+import dillfront.simulation.system.SystemSimulation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -17,10 +17,10 @@
 
     private SystemMeasure() {}
 
-    private static Day play(long seed) {
-        Day day = new Day(seed, 2, 2, 9, PLAY_MS);
-        day.random();
-        day.play();
+    private static SystemSimulation play(long seed) {
+        SystemSimulation day = new SystemSimulation(seed, 2, 2, 9, PLAY_MS);
+        day.addRandomFaults();
+        day.run();
         return day;
     }
 
@@ -30,18 +30,18 @@
      */
     public static void main(String[] args) {
         if (args.length > 0) {
-            Day day = play(Long.parseLong(args[0]));
-            day.story.forEach(System.out::println);
-            day.told().forEach(System.out::println);
+            SystemSimulation day = play(Long.parseLong(args[0]));
+            day.eventLog.forEach(System.out::println);
+            day.traceLog().forEach(System.out::println);
             day.status().forEach(System.out::println);
-            day.breaches().forEach(System.out::println);
+            day.violations().forEach(System.out::println);
             System.out.println(
                     "served "
                             + day.served()
                             + " promotions "
                             + day.promotions()
                             + " promote_ms "
-                            + day.promoteMs());
+                            + day.promotionMillis());
             return;
         }
         long from = System.nanoTime();
@@ -57,24 +57,24 @@
         for (long seed = 1;
                 days < MOST_DAYS && (System.nanoTime() - from) / 1_000_000 < BUDGET_MS;
                 seed++) {
-            Day day = play(seed);
+            SystemSimulation day = play(seed);
             days++;
-            broken += day.breaches().size();
-            lost += day.lost();
-            twice += day.twice();
-            stale += day.stale();
+            broken += day.violations().size();
+            lost += day.lostCommits();
+            twice += day.duplicateCommits();
+            stale += day.staleReads();
             promotions += day.promotions();
             served += day.served();
-            promote.addAll(day.promoteMs());
-            config.addAll(day.configMs());
-            if (!day.breaches().isEmpty()) {
+            promote.addAll(day.promotionMillis());
+            config.addAll(day.configurationApplyMillis());
+            if (!day.violations().isEmpty()) {
                 System.out.println(
                         "seed "
                                 + seed
                                 + ": "
-                                + day.breaches().get(0)
-                                + (day.breaches().size() > 1
-                                        ? " and " + (day.breaches().size() - 1) + " more"
+                                + day.violations().get(0)
+                                + (day.violations().size() > 1
+                                        ? " and " + (day.violations().size() - 1) + " more"
                                         : ""));
             } else if (day.served() < 0.8) {
                 System.out.println("seed " + seed + ": served " + day.served());
--- a/src/test/java/dillfront/simulation/system/AuditTest.java
+++ b/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
@@ -8,68 +8,68 @@
 import org.junit.jupiter.api.Test;
 
 /** The auditor of simulated days finds what it is there for. */
-class AuditTest {
+class ConsistencyCheckerTest {
 
-    private final Day day = new Day(1, 1, 1, 0, 10_000);
-    private final Database database = day.audit.databases.get("db0");
-    private final Database.Server primary = database.servers.get(0);
-    private final Database.Server replica = database.servers.get(1);
+    private final SystemSimulation day = new SystemSimulation(1, 1, 1, 0, 10_000);
+    private final DatabaseCluster database = day.consistencyChecker.databases.get("db0");
+    private final DatabaseCluster.Server primary = database.servers.get(0);
+    private final DatabaseCluster.Server replica = database.servers.get(1);
 
-    private void wrote(String id, long number, Database.Server... at) {
-        Database.Commit commit = new Database.Commit(new LogPosition(1, number), id);
-        for (Database.Server s : at) {
+    private void wrote(String id, long number, DatabaseCluster.Server... at) {
+        DatabaseCluster.Commit commit = new DatabaseCluster.Commit(new LogPosition(1, number), id);
+        for (DatabaseCluster.Server s : at) {
             s.log.add(commit);
-            s.applied = s.log.size();
+            s.appliedCount = s.log.size();
         }
     }
 
-    private Client client(String kind) {
-        Client c = new Client(day, 0, kind, "db0", "db0-" + kind, 1_000);
+    private ClientSession client(String kind) {
+        ClientSession c = new ClientSession(day, 0, kind, "db0", "db0-" + kind, 1_000);
         return c;
     }
 
-    private Audit.Try asks(String id, Client by) {
-        Audit.Try is = new Audit.Try(id, day.sim.micros(), by, null);
-        day.audit.tries.put(id, is);
+    private ConsistencyChecker.Attempt asks(String id, ClientSession by) {
+        ConsistencyChecker.Attempt is = new ConsistencyChecker.Attempt(id, day.simulator.micros(), by, null);
+        day.consistencyChecker.attempts.put(id, is);
         return is;
     }
 
     private void found(String rule) {
         assertTrue(
-                day.breaches().stream().anyMatch(b -> b.startsWith(rule)),
-                rule + " among " + day.breaches());
+                day.violations().stream().anyMatch(b -> b.startsWith(rule)),
+                rule + " among " + day.violations());
     }
 
     @Test
     void aReadThatLacksWhatWasAcknowledged() {
         wrote("w", 1, primary);
-        day.audit.acknowledge("db0", "w");
-        day.sim.until(5);
+        day.consistencyChecker.acknowledge("db0", "w");
+        day.simulator.runUntil(5);
         asks("r", client("primary"));
-        Database.Connection by = database.new Connection(replica);
-        day.audit.runs(replica, by, "r", "READ k", true);
+        DatabaseCluster.Connection by = database.new Connection(replica);
+        day.consistencyChecker.onExecute(replica, by, "r", "READ k", true);
         found("STALE");
     }
 
     @Test
     void aReadThatIsYoungEnoughIsNone() {
         wrote("w", 1, primary);
-        day.audit.acknowledge("db0", "w");
-        day.sim.until(500);
+        day.consistencyChecker.acknowledge("db0", "w");
+        day.simulator.runUntil(500);
         asks("r", client("bounded"));
-        day.audit.runs(replica, database.new Connection(replica), "r", "READ k", true);
-        assertTrue(day.breaches().isEmpty(), day.breaches().toString());
-        day.sim.until(1_600);
+        day.consistencyChecker.onExecute(replica, database.new Connection(replica), "r", "READ k", true);
+        assertTrue(day.violations().isEmpty(), day.violations().toString());
+        day.simulator.runUntil(1_600);
         asks("later", client("bounded"));
-        day.audit.runs(replica, database.new Connection(replica), "later", "READ k", true);
+        day.consistencyChecker.onExecute(replica, database.new Connection(replica), "later", "READ k", true);
         found("STALE");
     }
 
     @Test
     void aPromotionThatLosesACommit() {
         wrote("w", 1, primary);
-        day.audit.acknowledge("db0", "w");
-        day.audit.promoted(replica);
+        day.consistencyChecker.acknowledge("db0", "w");
+        day.consistencyChecker.onPromoted(replica);
         found("LOST");
     }
 
@@ -78,32 +78,32 @@
     void aPromotionThatLosesWhatWasGivenUpAndNoMore() {
         wrote("v", 1, primary, replica);
         wrote("w", 2, primary);
-        day.audit.acknowledge("db0", "v");
-        day.audit.acknowledge("db0", "w");
-        Audit.Given refused = day.audit.gives("db0", new LogPosition(1, 1), new LogPosition(1, 2));
-        day.audit.refused(refused);
-        day.audit.gives("db0", new LogPosition(1, 0), new LogPosition(1, 1));
-        day.audit.promoted(replica);
+        day.consistencyChecker.acknowledge("db0", "v");
+        day.consistencyChecker.acknowledge("db0", "w");
+        ConsistencyChecker.AcceptedLoss refused = day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        day.consistencyChecker.lossAcceptanceRejected(refused);
+        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 1));
+        day.consistencyChecker.onPromoted(replica);
         found("LOST");
-        day.audit.breaches.clear();
-        day.audit.gives("db0", new LogPosition(1, 1), new LogPosition(1, 2));
-        day.audit.promoted(replica);
-        assertTrue(day.breaches().isEmpty() && day.givenUp() == 1, day.breaches().toString());
+        day.consistencyChecker.violations.clear();
+        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        day.consistencyChecker.onPromoted(replica);
+        assertTrue(day.violations().isEmpty() && day.acceptedLostCommits() == 1, day.violations().toString());
         // It counted once; the next loss is another.
         wrote("x", 3, primary);
-        day.audit.acknowledge("db0", "x");
-        day.audit.promoted(replica);
+        day.consistencyChecker.acknowledge("db0", "x");
+        day.consistencyChecker.onPromoted(replica);
         found("LOST");
     }
 
     @Test
     void aLossThatIsOverIsNotGivenUpAnyMore() {
         wrote("w", 1, primary);
-        day.audit.acknowledge("db0", "w");
-        day.audit.gives("db0", new LogPosition(1, 0), new LogPosition(1, 2));
+        day.consistencyChecker.acknowledge("db0", "w");
+        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 2));
         wrote("x", 2, primary);
-        day.audit.acknowledge("db0", "x");
-        day.audit.promoted(replica);
+        day.consistencyChecker.acknowledge("db0", "x");
+        day.consistencyChecker.onPromoted(replica);
         found("LOST");
     }
 
@@ -111,8 +111,8 @@
     void aWriteThatIsThereTwiceOrThoughItWasPromisedNotToBe() {
         wrote("w", 1, primary);
         wrote("w", 2, primary);
-        asks("w", client("primary")).promised = true;
-        day.audit.close();
+        asks("w", client("primary")).promisedNotExecuted = true;
+        day.consistencyChecker.checkFinalLogs();
         found("TWICE");
         found("REFUSED");
     }
@@ -120,20 +120,20 @@
     @Test
     void valuesOfAnotherAndWhatNobodyAsked() {
         asks("r", client("primary"));
-        Database.Connection by = database.new Connection(primary);
-        by.values.put("a", "b");
-        day.audit.runs(primary, by, "r", "READ k", true);
+        DatabaseCluster.Connection by = database.new Connection(primary);
+        by.sessionSettings.put("a", "b");
+        day.consistencyChecker.onExecute(primary, by, "r", "READ k", true);
         found("PINNED");
-        day.audit.runs(primary, by, "nobody", "READ k", true);
+        day.consistencyChecker.onExecute(primary, by, "nobody", "READ k", true);
         found("UNASKED");
     }
 
     @Test
     void workThatComesToADrainedServer() {
         asks("r", client("primary"));
-        day.audit.drained.put(primary.id, 0L);
-        day.sim.until(8_000);
-        day.audit.runs(primary, database.new Connection(primary), "r", "READ k", true);
+        day.consistencyChecker.drainAcknowledgedMicros.put(primary.id, 0L);
+        day.simulator.runUntil(8_000);
+        day.consistencyChecker.onExecute(primary, database.new Connection(primary), "r", "READ k", true);
         found("DRAIN");
     }
 
@@ -146,16 +146,16 @@
         wrote("a", 1, primary, replica, database.servers.get(2));
         wrote("b", 2, primary);
         database.promote(replica.id);
-        day.sim.until(1_000);
+        day.simulator.runUntil(1_000);
         assertTrue(
-                replica.leads && !primary.leads && primary.log.size() == 1, primary.log.toString());
-        assertTrue(day.breaches().isEmpty(), day.breaches().toString());
+                replica.isPrimary && !primary.isPrimary && primary.log.size() == 1, primary.log.toString());
+        assertTrue(day.violations().isEmpty(), day.violations().toString());
     }
 
     /** What a client says out of form is answered by the page, and nothing else is harmed. */
     @Test
     void whatIsOutOfFormIsAnswered() {
-        day.play();
+        day.run();
         List<String> heard = new java.util.ArrayList<>();
         say(heard, "CONNECT nosuch me");
         say(heard, "HELLO");
@@ -201,20 +201,20 @@
 
     private void say(List<String> heard, String... lines) {
         day.clients.connect(
-                day.front(0).ip + ":" + Day.FRONT,
+                day.dataPlane(0).ip + ":" + SystemSimulation.DATA_PLANE_PORT,
                 Environment.Framing.LINES,
                 500,
                 new Environment.ConnectionListener() {
                     @Override
                     public void onOpen(Environment.Connection link) {
                         for (String line : lines) {
-                            link.send(Sim.bytes(line));
+                            link.send(Simulator.bytes(line));
                         }
                     }
 
                     @Override
                     public void onMessage(byte[] message) {
-                        heard.add(Sim.text(message));
+                        heard.add(Simulator.text(message));
                     }
 
                     @Override
@@ -222,6 +222,6 @@
                         heard.add("closed");
                     }
                 });
-        day.sim.until(day.sim.millis() + 200);
+        day.simulator.runUntil(day.simulator.millis() + 200);
     }
 }
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -35,11 +35,11 @@
     private RecordedMessages() {}
 
     /** The days whose messages are kept, by name; not yet played. */
-    static Map<String, Day> days() {
-        Map<String, Day> days = new TreeMap<>();
+    static Map<String, SystemSimulation> days() {
+        Map<String, SystemSimulation> days = new TreeMap<>();
         for (long seed = 1; seed <= RANDOM_DAYS; seed++) {
-            Day day = new Day(seed, 2, 2, 9, 24_000);
-            day.random();
+            SystemSimulation day = new SystemSimulation(seed, 2, 2, 9, 24_000);
+            day.addRandomFaults();
             days.put("random-" + seed, day);
         }
         for (long seed = 1; seed <= WORST_DAYS; seed++) {
@@ -52,19 +52,19 @@
      * Plays the day; a digest over the time, the ends and the bytes of each message, and how many
      * there were.
      */
-    static String digest(Day day, Sim.Tap also) {
+    static String digest(SystemSimulation day, Simulator.MessageObserver also) {
         MessageDigest digest = sha256();
         long[] count = new long[1];
-        day.sim.tap =
+        day.simulator.messageObserver =
                 (from, to, kind, message) -> {
                     count[0]++;
-                    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.sim.micros()));
+                    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.simulator.micros()));
                     digest.update(
                             (from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
                     digest.update(message);
-                    also.sent(from, to, kind, message);
+                    also.onSent(from, to, kind, message);
                 };
-        day.play();
+        day.run();
         return count[0] + " " + HexFormat.of().formatHex(digest.digest());
     }
 
@@ -113,12 +113,12 @@
     /**
      * The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine.
      */
-    static final class Texts implements Sim.Tap {
+    static final class FirstTextMessages implements Simulator.MessageObserver {
 
         private final Map<String, String> firsts = new TreeMap<>();
 
         @Override
-        public void sent(String from, String to, String kind, byte[] message) {
+        public void onSent(String from, String to, String kind, byte[] message) {
             if (kind.equals("FRAMES")) {
                 return;
             }
@@ -145,7 +145,7 @@
 
     /** Writes the files. */
     public static void main(String[] args) throws IOException {
-        Texts texts = new Texts();
+        FirstTextMessages texts = new FirstTextMessages();
         List<String> digests = new ArrayList<>();
         List<String> examples = new ArrayList<>();
         TreeSet<String> seen = new TreeSet<>();
@@ -157,7 +157,7 @@
                                                 + digest(
                                                         day,
                                                         (from, to, kind, message) -> {
-                                                            texts.sent(from, to, kind, message);
+                                                            texts.onSent(from, to, kind, message);
                                                             if (kind.equals("FRAMES")) {
                                                                 try {
                                                                     Map<String, Object> fields =
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -32,10 +32,10 @@
             String[] part = line.split(" ", 2);
             expected.put(part[0], part[1]);
         }
-        Map<String, Day> days = RecordedMessages.days();
+        Map<String, SystemSimulation> days = RecordedMessages.days();
         assertEquals(expected.keySet(), days.keySet());
         Map<String, String> actual = new TreeMap<>();
-        RecordedMessages.Texts texts = new RecordedMessages.Texts();
+        RecordedMessages.FirstTextMessages texts = new RecordedMessages.FirstTextMessages();
         days.forEach((name, day) -> actual.put(name, RecordedMessages.digest(day, texts)));
         assertEquals(
                 String.join("\n", Files.readAllLines(RecordedMessages.TEXTS)),
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -50,13 +50,13 @@
     @Test
     void daysByChance() {
         for (long seed = 1; seed <= DAYS; seed++) {
-            Day day = new Day(seed, 2, 2, 9, 24_000);
-            day.random();
-            day.play();
+            SystemSimulation day = new SystemSimulation(seed, 2, 2, 9, 24_000);
+            day.addRandomFaults();
+            day.run();
             assertEquals(
                     List.of(),
-                    day.breaches(),
-                    "seed " + seed + "\n" + String.join("\n", day.story));
+                    day.violations(),
+                    "seed " + seed + "\n" + String.join("\n", day.eventLog));
         }
     }
 
@@ -76,25 +76,25 @@
     }
 
     private static void replicasReceiveAgain(String also) {
-        Day calm = primaryIsBack(15_000, "configure");
+        SystemSimulation calm = primaryIsBack(15_000, "configure");
         long leads =
-                calm.told().stream()
+                calm.traceLog().stream()
                         .filter(l -> l.contains(" primary service=db0 "))
                         .mapToLong(l -> Long.parseLong(l.split(" ")[0]))
                         .max()
                         .orElseThrow();
         for (long at = leads - 400; at < leads + 60; at += 8) {
-            Day day = primaryIsBack(at, also);
+            SystemSimulation day = primaryIsBack(at, also);
             String told =
                     also
                             + " at "
                             + at
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", day.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
-            assertEquals(List.of(), day.paused(), told);
+                            + String.join("\n", day.traceLog());
+            assertEquals(List.of(), day.violations(), told);
+            assertEquals(List.of(), day.serversWithPausedReplication(), told);
         }
     }
 
@@ -102,21 +102,21 @@
     @Test
     void whatWasGivenUpStaysSoWhoeverHolds() {
         for (long at = 23_950; at < 25_700; at += at >= 24_000 && at < 24_100 ? 4 : 50) {
-            Day day = onlyCopyIsGone("gone db0 primary");
-            day.at(at / 1e3, "holder for 4");
-            day.play();
+            SystemSimulation day = onlyCopyIsGone("gone db0 primary");
+            day.scheduleFault(at / 1e3, "holder for 4");
+            day.run();
             String told =
                     "holder at "
                             + at
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", day.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
+                            + String.join("\n", day.traceLog());
+            assertEquals(List.of(), day.violations(), told);
             assertEquals(1, day.promotions(), told);
             assertTrue(
-                    day.givenUp() > 0
-                            && day.story.stream()
+                    day.acceptedLostCommits() > 0
+                            && day.eventLog.stream()
                                     .anyMatch(l -> l.contains("accept db0") && l.endsWith(" 200")),
                     told);
         }
@@ -131,36 +131,36 @@
         int leadOn = 0;
         // About the call in steps that fall between any two of the move's own.
         for (long back = 23_000; back < 27_000; back += back >= 24_000 && back < 24_600 ? 10 : 50) {
-            Day day = onlyCopyIsGone("crash db0 primary for " + (back - 16_500) / 1e3);
-            day.play();
+            SystemSimulation day = onlyCopyIsGone("crash db0 primary for " + (back - 16_500) / 1e3);
+            day.run();
             String told =
                     "back at "
                             + back
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", day.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
-            assertEquals(day.promotions() > 0, day.givenUp() > 0, told);
+                            + String.join("\n", day.traceLog());
+            assertEquals(List.of(), day.violations(), told);
+            assertEquals(day.promotions() > 0, day.acceptedLostCommits() > 0, told);
             leadOn += day.promotions() == 0 ? 1 : 0;
         }
         assertTrue(leadOn > 0 && leadOn < 128, leadOn + " times it led on");
     }
 
-    private static Day onlyCopyIsGone(String how) {
-        Day day = new Day(31, 1, 1, 6, 36_000);
-        day.at(6, "deaf db0 last for 14");
-        day.at(7, "release db0 replica same");
-        day.at(16.5, how);
-        day.at(24, "accept db0 twice for 12");
+    private static SystemSimulation onlyCopyIsGone(String how) {
+        SystemSimulation day = new SystemSimulation(31, 1, 1, 6, 36_000);
+        day.scheduleFault(6, "deaf db0 last for 14");
+        day.scheduleFault(7, "release db0 replica same");
+        day.scheduleFault(16.5, how);
+        day.scheduleFault(24, "accept db0 twice for 12");
         return day;
     }
 
-    private static Day primaryIsBack(long ms, String also) {
-        Day day = new Day(31, 1, 1, 6, 21_000);
-        day.at(8, "dark db0 primary for 1");
-        day.at(ms / 1e3, also);
-        day.play();
+    private static SystemSimulation primaryIsBack(long ms, String also) {
+        SystemSimulation day = new SystemSimulation(31, 1, 1, 6, 21_000);
+        day.scheduleFault(8, "dark db0 primary for 1");
+        day.scheduleFault(ms / 1e3, also);
+        day.run();
         return day;
     }
 
@@ -168,12 +168,12 @@
     @Test
     void worstDaysByChance() {
         for (long seed = 1_001; seed <= 1_000 + WORST_DAYS; seed++) {
-            Day day = ControlMeasure.day(seed);
-            day.play();
+            SystemSimulation day = ControlMeasure.day(seed);
+            day.run();
             assertEquals(
                     List.of(),
-                    day.breaches(),
-                    "seed " + seed + "\n" + String.join("\n", day.story));
+                    day.violations(),
+                    "seed " + seed + "\n" + String.join("\n", day.eventLog));
         }
     }
 
@@ -184,10 +184,10 @@
     }
 
     /** Of each planned change of a primary: from its record until the next one led. */
-    private static List<Long> plannedMs(Day day) {
+    private static List<Long> plannedMs(SystemSimulation day) {
         List<Long> all = new ArrayList<>();
         TreeSet<String> planned = new TreeSet<>();
-        for (String line : day.told()) {
+        for (String line : day.traceLog()) {
             String[] w = line.split(" ");
             if (w[2].equals("planned-move")) {
                 planned.add(w[3]);
@@ -218,13 +218,13 @@
     }
 
     private static void play(Path file, List<String> lines, long more) {
-        Day day = null;
+        SystemSimulation day = null;
         for (String line : lines) {
             String[] w = line.split("\\s+", 3);
             if (w[0].equals("day")) {
                 String[] n = line.split("\\s+");
                 day =
-                        new Day(
+                        new SystemSimulation(
                                 Long.parseLong(n[1]) + more,
                                 Integer.parseInt(n[2]),
                                 Integer.parseInt(n[3]),
@@ -232,17 +232,17 @@
                                 Long.parseLong(n[5]) * 1_000,
                                 n.length > 6 ? Integer.parseInt(n[6]) : 3);
             } else if (w[0].equals("at")) {
-                day.at(Double.parseDouble(w[1]), w[2]);
+                day.scheduleFault(Double.parseDouble(w[1]), w[2]);
             }
         }
-        day.play();
+        day.run();
         String told =
-                String.join("\n", day.story)
+                String.join("\n", day.eventLog)
                         + "\n"
-                        + String.join("\n", day.told())
+                        + String.join("\n", day.traceLog())
                         + "\n"
                         + String.join("\n", day.status());
-        assertEquals(List.of(), day.breaches().stream().limit(5).toList(), told);
+        assertEquals(List.of(), day.violations().stream().limit(5).toList(), told);
         for (String line : lines) {
             String[] w = line.split("\\s+", 3);
             if (!w[0].equals("expect")) {
@@ -256,48 +256,48 @@
                 case "promotions" -> assertEquals(Integer.parseInt(w[2]), day.promotions(), told);
                 case "promote_ms" ->
                         assertTrue(
-                                day.promoteMs().stream().allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.promoteMs() + "\n" + told);
+                                day.promotionMillis().stream().allMatch(ms -> ms <= Long.parseLong(w[2])),
+                                day.promotionMillis() + "\n" + told);
                 case "platform_calls" ->
                         assertTrue(
                                 day.platformCalls() <= Integer.parseInt(w[2]),
                                 day.platformCalls() + "\n" + told);
                 case "config_ms" ->
                         assertTrue(
-                                !day.configMs().isEmpty()
-                                        && day.configMs().stream()
+                                !day.configurationApplyMillis().isEmpty()
+                                        && day.configurationApplyMillis().stream()
                                                 .allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.configMs() + "\n" + told);
+                                day.configurationApplyMillis() + "\n" + told);
                 case "planned_ms" -> within(plannedMs(day), w[2], told);
                 case "losses" ->
                         assertTrue(
-                                day.control().losses >= Long.parseLong(w[2]),
-                                day.control().losses + "\n" + told);
+                                day.controlCounts().machineLosses >= Long.parseLong(w[2]),
+                                day.controlCounts().machineLosses + "\n" + told);
                 case "acknowledged" ->
                         assertTrue(
-                                day.control().acknowledged >= Long.parseLong(w[2]),
-                                day.control().acknowledged + "\n" + told);
+                                day.controlCounts().acknowledgedChanges >= Long.parseLong(w[2]),
+                                day.controlCounts().acknowledgedChanges + "\n" + told);
                 case "acknowledge_ms" ->
                         assertTrue(
-                                day.control().acknowledgeMs.stream()
+                                day.controlCounts().acknowledgeMillis.stream()
                                         .allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.control().acknowledgeMs + "\n" + told);
-                case "replaced" -> assertEquals(Long.parseLong(w[2]), day.control().replaced, told);
-                case "replace_ms" -> within(day.control().replaceMs, w[2], told);
+                                day.controlCounts().acknowledgeMillis + "\n" + told);
+                case "replaced" -> assertEquals(Long.parseLong(w[2]), day.controlCounts().replacements, told);
+                case "replace_ms" -> within(day.controlCounts().replacementMillis, w[2], told);
                 case "behind" ->
                         assertTrue(
-                                day.control().behindChanges >= Long.parseLong(w[2]),
-                                day.control().behindChanges + "\n" + told);
-                case "catch_up_ms" -> within(day.control().catchUpMs, w[2], told);
+                                day.controlCounts().caughtUpChanges >= Long.parseLong(w[2]),
+                                day.controlCounts().caughtUpChanges + "\n" + told);
+                case "catch_up_ms" -> within(day.controlCounts().catchUpMillis, w[2], told);
                 case "given_up" ->
                         assertTrue(
                                 w[2].equals("0")
-                                        ? day.givenUp() == 0
-                                        : day.givenUp() >= Integer.parseInt(w[2]),
-                                "given up " + day.givenUp() + "\n" + told);
-                case "said" -> assertTrue(day.story.stream().anyMatch(l -> l.contains(w[2])), told);
+                                        ? day.acceptedLostCommits() == 0
+                                        : day.acceptedLostCommits() >= Integer.parseInt(w[2]),
+                                "given up " + day.acceptedLostCommits() + "\n" + told);
+                case "said" -> assertTrue(day.eventLog.stream().anyMatch(l -> l.contains(w[2])), told);
                 case "noted" ->
-                        assertTrue(day.told().stream().anyMatch(l -> l.contains(w[2])), told);
+                        assertTrue(day.traceLog().stream().anyMatch(l -> l.contains(w[2])), told);
                 default -> throw new IllegalArgumentException(file + ": " + line);
             }
         }
--- a/src/test/java/dillfront/simulation/system/SimTest.java
+++ b/src/test/java/dillfront/simulation/system/SimulatorTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The simulated network, processes and disks do what the pages say of real ones. */
-class SimTest {
+class SimulatorTest {
 
-    private final Sim sim = new Sim(1);
-    private final Sim.Machine a = sim.new Machine("a", "a", "10.0.0.1");
-    private final Sim.Machine b = sim.new Machine("b", "b", "10.0.0.2");
+    private final Simulator sim = new Simulator(1);
+    private final Simulator.Machine a = sim.new Machine("a", "a", "10.0.0.1");
+    private final Simulator.Machine b = sim.new Machine("b", "b", "10.0.0.2");
     private final List<String> heard = new ArrayList<>();
     private Environment.Connection link;
     private Environment.Connection far;
@@ -34,7 +34,7 @@
 
             @Override
             public void onMessage(byte[] message) {
-                heard.add(who + " " + Sim.text(message));
+                heard.add(who + " " + Simulator.text(message));
             }
 
             @Override
@@ -47,35 +47,35 @@
     private void connect() {
         b.listen(1, h -> ear("b"));
         a.connect("10.0.0.2:1", Environment.Framing.FRAMES, 500, ear("a"));
-        sim.until(100);
+        sim.runUntil(100);
     }
 
     @Test
     void whatACutHoldsUpArrivesAfterItInOrder() {
         connect();
-        sim.cutWay(a, b, true);
-        link.send(Sim.bytes("one"));
-        link.send(Sim.bytes("two"));
+        sim.cutOneWay(a, b, true);
+        link.send(Simulator.bytes("one"));
+        link.send(Simulator.bytes("two"));
         link.close();
-        far.send(Sim.bytes("back"));
-        sim.until(1_000);
+        far.send(Simulator.bytes("back"));
+        sim.runUntil(1_000);
         assertEquals(List.of(), heard);
-        sim.cutWay(a, b, false);
-        sim.until(2_000);
+        sim.cutOneWay(a, b, false);
+        sim.runUntil(2_000);
         assertEquals(List.of("b one", "b two", "b closed"), heard);
     }
 
     @Test
     void oneWayIsCutAndTheOtherIsNot() {
         connect();
-        sim.cutWay(a, b, true);
-        far.send(Sim.bytes("back"));
-        sim.until(200);
+        sim.cutOneWay(a, b, true);
+        far.send(Simulator.bytes("back"));
+        sim.runUntil(200);
         assertEquals(List.of("a back"), heard);
         sim.cut(a, b, true);
         sim.cut(a, b, false);
-        link.send(Sim.bytes("one"));
-        sim.until(800);
+        link.send(Simulator.bytes("one"));
+        sim.runUntil(800);
         assertEquals(List.of("a back"), heard);
     }
 
@@ -83,11 +83,11 @@
     void whatIsHeldUpIsLostWithThePowerOfItsSender() {
         connect();
         sim.cut(a, b, true);
-        link.send(Sim.bytes("one"));
-        sim.until(200);
+        link.send(Simulator.bytes("one"));
+        sim.runUntil(200);
         a.down(true);
         sim.cut(a, b, false);
-        sim.until(2_000);
+        sim.runUntil(2_000);
         assertEquals(List.of(), heard);
     }
 
@@ -95,12 +95,12 @@
     void aPausedProcessHearsAllOfItLaterAndItsClockHasGoneOn() {
         connect();
         long was = b.nowMillis();
-        b.freeze(1_000);
-        link.send(Sim.bytes("one"));
+        b.pause(1_000);
+        link.send(Simulator.bytes("one"));
         b.schedule(1, () -> heard.add("timer"));
-        sim.until(1_050);
+        sim.runUntil(1_050);
         assertEquals(List.of(), heard);
-        sim.until(1_200);
+        sim.runUntil(1_200);
         assertEquals(List.of("timer", "b one"), heard);
         assertEquals(1_100, b.nowMillis() - was);
     }
@@ -110,14 +110,14 @@
         int none = 0;
         int some = 0;
         for (int i = 0; i < 40; i++) {
-            Disk disk = new Disk(sim, a);
+            SimulatedDisk disk = new SimulatedDisk(sim, a);
             CompletableFuture<Void> one = disk.put(Map.of("one", "1", "gone", "1"));
-            sim.until(sim.millis() + 20);
+            sim.runUntil(sim.millis() + 20);
             assertTrue(one.isDone());
             CompletableFuture<Void> two = disk.put(Map.of("two", "1", "gone", ""));
             CompletableFuture<Void> three = disk.put(Map.of("three", "1"));
-            disk.cutShort();
-            sim.until(sim.millis() + 20);
+            disk.interrupt();
+            sim.runUntil(sim.millis() + 20);
             assertFalse(two.isDone() || three.isDone());
             Map<String, String> all = disk.initialState();
             assertTrue(all.containsKey("one"));
@@ -131,20 +131,20 @@
 
     @Test
     void aDiskInTroubleWaitsOrRefuses() {
-        Disk disk = new Disk(sim, a);
+        SimulatedDisk disk = new SimulatedDisk(sim, a);
         disk.stall(1_000);
         CompletableFuture<Void> waits = disk.put(Map.of("one", "1"));
-        sim.until(900);
+        sim.runUntil(900);
         assertFalse(waits.isDone());
-        sim.until(1_100);
+        sim.runUntil(1_100);
         assertTrue(waits.isDone() && disk.initialState().containsKey("one"));
-        disk.refuse(true);
+        disk.setRejectsWrites(true);
         CompletableFuture<Void> refused = disk.put(Map.of("two", "1"));
-        sim.until(1_200);
+        sim.runUntil(1_200);
         assertTrue(refused.isCompletedExceptionally() && !disk.initialState().containsKey("two"));
-        disk.refuse(false);
+        disk.setRejectsWrites(false);
         CompletableFuture<Void> again = disk.put(Map.of("two", "1"));
-        sim.until(1_300);
+        sim.runUntil(1_300);
         assertTrue(again.isDone() && !again.isCompletedExceptionally());
     }
 }
