--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 	test -e target/before/$(BEFORE) || { rm -rf target/before && mkdir -p target/before && \
 	    git archive $(BEFORE) | tar -x -C target/before && (cd target/before && $(call deployed,build)) && \
 	    touch target/before/$(BEFORE); }
-	java -cp target/dillfront.jar dillfront.benchmark.Cost . target/before
+	java -cp target/dillfront.jar dillfront.benchmark.RouterCostBenchmark . target/before
 
 # What gossip brings, what it costs, and what a liar can do, in virtual time and once on loopback; under 50 s.
 measure-gossip: build
@@ -41,7 +41,7 @@
 
 # What a verdict on a txn costs, by the index and by a plain list; under 50 s.
 measure-identity: build
-	java -cp target/dillfront.jar dillfront.benchmark.IdentityMeasure
+	java -cp target/dillfront.jar dillfront.benchmark.IdentityBenchmark
 
 # Power lost by all at once: real processes, and the return of a cold fleet in virtual time; under 50 s.
 measure-power: build
--- a/src/main/java/dillfront/benchmark/IdentityMeasure.java
+++ b/src/main/java/dillfront/benchmark/IdentityBenchmark.java
@@ -22,94 +22,94 @@
  * What a verdict costs by the index and by a plain list, and how a revocation goes through many
  * open sessions.
  */
-public final class IdentityMeasure {
+public final class IdentityBenchmark {
 
-    private static final int SESSIONS = 1000;
-    private static final int KEYS = 1024;
+    private static final int SESSION_COUNT = 1000;
+    private static final int KEY_COUNT = 1024;
 
     /** One size's figures, in nanoseconds a verdict, and bytes allocated by one of the index. */
-    private record Row(double index, double list, double bytes) {}
+    private record VerdictCost(double indexNanos, double listNanos, double allocatedBytes) {}
 
-    private IdentityMeasure() {}
+    private IdentityBenchmark() {}
 
-    private static Row row(int rules) {
-        SplittableRandom chance = new SplittableRandom(rules);
-        List<Rule> all = new ArrayList<>();
-        for (int i = 0; i < rules; i++) {
-            all.add(
+    private static VerdictCost measureVerdicts(int ruleCount) {
+        SplittableRandom random = new SplittableRandom(ruleCount);
+        List<Rule> rules = new ArrayList<>();
+        for (int i = 0; i < ruleCount; i++) {
+            rules.add(
                     new Rule(
                             i % 16 > 0,
                             1 << i % 5,
                             true,
                             i % 3 == 0,
                             Rule.ANY,
-                            ("hotel-" + chance.nextInt(rules) + "/")
+                            ("hotel-" + random.nextInt(ruleCount) + "/")
                                     .getBytes(StandardCharsets.UTF_8),
                             "rule " + i));
         }
-        Rights rights = new Rights(all);
-        KeyBytes[] keys = new KeyBytes[KEYS];
-        for (int i = 0; i < KEYS; i++) {
+        Rights rights = new Rights(rules);
+        KeyBytes[] keys = new KeyBytes[KEY_COUNT];
+        for (int i = 0; i < KEY_COUNT; i++) {
             keys[i] =
                     KeyBytes.of(
-                            ("hotel-" + chance.nextInt(2 * rules) + "/2026-11/" + i)
+                            ("hotel-" + random.nextInt(2 * ruleCount) + "/2026-11/" + i)
                                     .getBytes(StandardCharsets.UTF_8));
         }
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        int allowed = 0;
-        double index = Double.MAX_VALUE;
-        double bytes = 0;
+        int allowedByIndex = 0;
+        double indexNanos = Double.MAX_VALUE;
+        double allocatedBytes = 0;
         int rounds = 300;
         for (int pass = 0; pass < 8; pass++) {
-            long before = threads.getCurrentThreadAllocatedBytes();
-            long began = System.nanoTime();
-            for (int i = 0; i < rounds * KEYS; i++) {
-                allowed +=
-                        rights.verdict(i % 5, false, 0, keys[i % KEYS]) == Rights.Verdict.ALLOWED
+            long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
+            long startNanos = System.nanoTime();
+            for (int i = 0; i < rounds * KEY_COUNT; i++) {
+                allowedByIndex +=
+                        rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT]) == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
-            index = Math.min(index, (System.nanoTime() - began) / (double) (rounds * KEYS));
-            bytes = (threads.getCurrentThreadAllocatedBytes() - before) / (double) (rounds * KEYS);
+            indexNanos = Math.min(indexNanos, (System.nanoTime() - startNanos) / (double) (rounds * KEY_COUNT));
+            allocatedBytes = (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / (double) (rounds * KEY_COUNT);
         }
-        int asked = Math.max(200, Math.min(rounds * KEYS, 20_000_000 / rules));
-        int same = 0;
-        double list = Double.MAX_VALUE;
+        int listChecks = Math.max(200, Math.min(rounds * KEY_COUNT, 20_000_000 / ruleCount));
+        int allowedByList = 0;
+        double listNanos = Double.MAX_VALUE;
         for (int pass = 0; pass < 3; pass++) {
-            long began = System.nanoTime();
-            for (int i = 0; i < asked; i++) {
-                same +=
-                        rights.plainly(i % 5, false, 0, keys[i % KEYS]) == Rights.Verdict.ALLOWED
+            long startNanos = System.nanoTime();
+            for (int i = 0; i < listChecks; i++) {
+                allowedByList +=
+                        rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT]) == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
-            list = Math.min(list, (System.nanoTime() - began) / (double) asked);
+            listNanos = Math.min(listNanos, (System.nanoTime() - startNanos) / (double) listChecks);
         }
-        for (int i = 0; i < Math.min(asked, 2 * KEYS); i++) {
-            if (rights.plainly(i % 5, false, 0, keys[i % KEYS])
-                    != rights.verdict(i % 5, false, 0, keys[i % KEYS])) {
+        for (int i = 0; i < Math.min(listChecks, 2 * KEY_COUNT); i++) {
+            if (rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT])
+                    != rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT])) {
                 throw new IllegalStateException("the index says another thing than the rules");
             }
         }
         System.out.printf(
                 Locale.ROOT,
                 "%6d rules: %6.1f ns by the index, %10.1f ns by the list, %.2f bytes a verdict (%d of %d allowed)%n",
-                rules,
-                index,
-                list,
-                bytes,
-                allowed,
-                same);
-        return new Row(index, list, bytes);
+                ruleCount,
+                indexNanos,
+                listNanos,
+                allocatedBytes,
+                allowedByIndex,
+                allowedByList);
+        return new VerdictCost(indexNanos, listNanos, allocatedBytes);
     }
 
     /**
      * From the reading of a revocation until each of many open sessions has refused its next txn,
      * in microseconds.
      */
-    private static double revoked() {
-        Principal who =
+    private static double medianRevocationMicros() {
+        Principal principal =
                 new Principal(
                         "p",
                         -1,
@@ -125,21 +125,21 @@
                                                 "r"))),
                         0,
                         0);
-        Duration unix = Duration.ofDays(20_000);
+        Duration unixNow = Duration.ofDays(20_000);
         KeyBytes key = KeyBytes.of(new byte[] {'k'});
-        double[] spans = new double[9];
-        for (int pass = 0; pass < spans.length; pass++) {
+        double[] micros = new double[9];
+        for (int pass = 0; pass < micros.length; pass++) {
             Gate gate = new Gate();
-            gate.at(Duration.ofSeconds(1), unix);
+            gate.at(Duration.ofSeconds(1), unixNow);
             gate.read(
                     new Policy(
-                            Map.of("p", who),
+                            Map.of("p", principal),
                             Set.of("k"),
                             Set.of(),
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
             List<Gate.Session> sessions = new ArrayList<>();
-            for (int i = 0; i < SESSIONS; i++) {
+            for (int i = 0; i < SESSION_COUNT; i++) {
                 sessions.add(
                         (Gate.Session)
                                 gate.enter(
@@ -148,47 +148,47 @@
                                                 "k",
                                                 "t" + i % 2,
                                                 Duration.ZERO,
-                                                unix.plusDays(1))));
+                                                unixNow.plusDays(1))));
             }
-            for (Gate.Session one : sessions) {
-                if (one.take(0, false, 0, key) != null) {
+            for (Gate.Session session : sessions) {
+                if (session.take(0, false, 0, key) != null) {
                     throw new IllegalStateException("not taken");
                 }
-                one.done();
+                session.done();
             }
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             gate.read(
                     new Policy(
-                            Map.of("p", who),
+                            Map.of("p", principal),
                             Set.of("k"),
                             Set.of("t1"),
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
-            for (int i = 0; i < SESSIONS; i++) {
-                Refusal no = sessions.get(i).take(0, false, 0, key);
-                if (no != (i % 2 == 1 ? Refusal.REVOKED : null)) {
-                    throw new IllegalStateException("session " + i + ": " + no);
+            for (int i = 0; i < SESSION_COUNT; i++) {
+                Refusal refusal = sessions.get(i).take(0, false, 0, key);
+                if (refusal != (i % 2 == 1 ? Refusal.REVOKED : null)) {
+                    throw new IllegalStateException("session " + i + ": " + refusal);
                 }
             }
-            spans[pass] = (System.nanoTime() - began) / 1e3;
+            micros[pass] = (System.nanoTime() - startNanos) / 1e3;
         }
-        Arrays.sort(spans);
-        return spans[spans.length / 2];
+        Arrays.sort(micros);
+        return micros[micros.length / 2];
     }
 
     /** Prints a line of results for each number of rules. */
     public static void main(String[] args) {
-        row(10);
-        Row some = row(1000);
-        Row many = row(100_000);
+        measureVerdicts(10);
+        VerdictCost thousandRules = measureVerdicts(1000);
+        VerdictCost hundredThousandRules = measureVerdicts(100_000);
         System.out.printf(
                 Locale.ROOT,
                 "identity: verdict_ns=%.1f verdict_ns_100k=%.1f verdict_vs_list_100k=%.5f "
                         + "alloc_per_verdict_bytes=%.2f revoke_us_1000_sessions=%.0f%n",
-                some.index,
-                many.index,
-                many.index / many.list,
-                some.bytes,
-                revoked());
+                thousandRules.indexNanos,
+                hundredThousandRules.indexNanos,
+                hundredThousandRules.indexNanos / hundredThousandRules.listNanos,
+                thousandRules.allocatedBytes,
+                medianRevocationMicros());
     }
 }
--- a/src/main/java/dillfront/benchmark/Cost.java
+++ b/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
@@ -12,14 +12,14 @@
  * Measures what a router costs against the text of another folder and against a plain relay, all in
  * one run and in turns, and prints one line of ratios. Each was built there already.
  */
-public final class Cost {
+public final class RouterCostBenchmark {
 
     private static final int ROUNDS = 2;
     private static final int CLIENTS = 40;
-    private static final long PAUSE_MICROS = 100_000;
-    private static final long MILLIS = 700;
+    private static final long CLIENT_PAUSE_MICROS = 100_000;
+    private static final long LOAD_MILLIS = 700;
     private static final int DRAINS = 9;
-    private static final String FLAGS =
+    private static final String JVM_FLAGS =
             "-XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Dio.netty.allocator.numDirectArenas=1 "
                     + "-Dio.netty.allocator.smallCacheSize=0 -Dio.netty.allocator.normalCacheSize=0";
 
@@ -27,27 +27,27 @@
      * What one start and its load took: CPU to serving, CPU a txn at first and once warm, in
      * microseconds.
      */
-    private record Taken(double start, double first, double warm, double idle) {}
+    private record CostSample(double startMicros, double coldMicrosPerTxn, double warmMicrosPerTxn, double idleMicros) {}
 
-    private Cost() {}
+    private RouterCostBenchmark() {}
 
-    private static Taken one(List<String> command, Path folder)
+    private static CostSample measure(List<String> command, Path folder)
             throws IOException, InterruptedException {
-        try (StandIns round = new StandIns(20_000);
-                Drive router = new Drive(command, folder, round, 1.0)) {
+        try (StubBackends backends = new StubBackends(20_000);
+                RouterProcess router = new RouterProcess(command, folder, backends, 1.0)) {
             long start = router.cpuMicros();
-            long first = round.load(router.port, CLIENTS, PAUSE_MICROS, 400, MILLIS)[1];
-            long then = router.cpuMicros();
-            long warm = round.load(router.port, CLIENTS, PAUSE_MICROS, 400, MILLIS)[1];
-            long end = router.cpuMicros();
+            long coldTxns = backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[1];
+            long coldEnd = router.cpuMicros();
+            long warmTxns = backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[1];
+            long warmEnd = router.cpuMicros();
             Thread.sleep(200);
-            long quiet = router.cpuMicros();
+            long idleStart = router.cpuMicros();
             Thread.sleep(1000);
-            return new Taken(
+            return new CostSample(
                     start,
-                    (then - start) / (double) first,
-                    (end - then) / (double) warm,
-                    router.cpuMicros() - quiet);
+                    (coldEnd - start) / (double) coldTxns,
+                    (warmEnd - coldEnd) / (double) warmTxns,
+                    router.cpuMicros() - idleStart);
         }
     }
 
@@ -56,23 +56,23 @@
      * how long after each drain was told its node still gets new txns, in milliseconds; the worst
      * of a few.
      */
-    private static double starved(Path folder) throws IOException, InterruptedException {
-        double worst = 0;
-        try (StandIns round = new StandIns(5_000);
-                Drive router = new Drive(Drive.deployed(folder, "run"), folder, round, 1.0)) {
+    private static double worstDrainDelayMillis(Path folder) throws IOException, InterruptedException {
+        double worstMillis = 0;
+        try (StubBackends backends = new StubBackends(5_000);
+                RouterProcess router = new RouterProcess(RouterProcess.deployedCommand(folder, "run"), folder, backends, 1.0)) {
             Thread load =
                     new Thread(
                             () -> {
                                 try {
-                                    round.load(
+                                    backends.runLoad(
                                             router.port, CLIENTS, 1_000, 400, DRAINS * 450L + 500);
-                                } catch (IOException | InterruptedException over) {
+                                } catch (IOException | InterruptedException ended) {
                                     // The figure below is what counts.
                                 }
                             },
                             "load");
             load.start();
-            Thread hand =
+            Thread pauser =
                     new Thread(
                             () -> {
                                 try {
@@ -82,56 +82,56 @@
                                         router.signal("CONT");
                                         Thread.sleep(20);
                                     }
-                                } catch (IOException | InterruptedException over) {
+                                } catch (IOException | InterruptedException ended) {
                                     // As above.
                                 }
                             },
                             "hand");
-            hand.start();
+            pauser.start();
             Thread.sleep(500);
             for (int i = 0; i < DRAINS; i++) {
-                int node = 1 + i % (StandIns.MEMBERS - 1);
-                long told = System.nanoTime();
-                round.tell(node, "draining");
+                int node = 1 + i % (StubBackends.NODES_PER_GROUP - 1);
+                long drainedAtNanos = System.nanoTime();
+                backends.setLifecycle(node, "draining");
                 Thread.sleep(300);
-                if (round.arrivals(node).isEmpty()) {
+                if (backends.arrivals(node).isEmpty()) {
                     throw new IOException("no load: node " + node + " was never used");
                 }
-                for (long at : round.arrivals(node)) {
-                    worst = Math.max(worst, (at - told) / 1e6);
+                for (long arrivalNanos : backends.arrivals(node)) {
+                    worstMillis = Math.max(worstMillis, (arrivalNanos - drainedAtNanos) / 1e6);
                 }
-                round.tell(node, "ready");
+                backends.setLifecycle(node, "ready");
                 Thread.sleep(150);
             }
             load.join();
-            hand.join();
+            pauser.join();
         }
-        return worst;
+        return worstMillis;
     }
 
-    private static Taken middle(List<Taken> of) {
-        return new Taken(
-                median(of.stream().map(Taken::start).toList()),
-                median(of.stream().map(Taken::first).toList()),
-                median(of.stream().map(Taken::warm).toList()),
-                median(of.stream().map(Taken::idle).toList()));
+    private static CostSample medianOf(List<CostSample> samples) {
+        return new CostSample(
+                median(samples.stream().map(CostSample::startMicros).toList()),
+                median(samples.stream().map(CostSample::coldMicrosPerTxn).toList()),
+                median(samples.stream().map(CostSample::warmMicrosPerTxn).toList()),
+                median(samples.stream().map(CostSample::idleMicros).toList()));
     }
 
-    private static double median(List<Double> of) {
-        List<Double> sorted = new ArrayList<>(of);
+    private static double median(List<Double> values) {
+        List<Double> sorted = new ArrayList<>(values);
         Collections.sort(sorted);
         return (sorted.get((sorted.size() - 1) / 2) + sorted.get(sorted.size() / 2)) / 2;
     }
 
     /** The counts of one txn, by a process of its own. */
-    static String counts(String classpath) throws IOException, InterruptedException {
+    static String runCounter(String classpath) throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString()));
-        command.addAll(List.of(FLAGS.split(" ")));
-        command.addAll(List.of("-cp", classpath, Counts.class.getName()));
+        command.addAll(List.of(JVM_FLAGS.split(" ")));
+        command.addAll(List.of("-cp", classpath, TransactionCostCounter.class.getName()));
         Process process =
                 new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
         if (!process.waitFor(40, TimeUnit.SECONDS)) {
@@ -153,37 +153,37 @@
      * @param args this folder, and the one to be compared with
      */
     public static void main(String[] args) throws Exception {
-        Path now = Path.of(args[0]).toAbsolutePath();
-        Path before = Path.of(args[1]).toAbsolutePath();
-        List<String> relay = Drive.deployed(now, "run");
-        relay.set(
+        Path currentFolder = Path.of(args[0]).toAbsolutePath();
+        Path baselineFolder = Path.of(args[1]).toAbsolutePath();
+        List<String> relayCommand = RouterProcess.deployedCommand(currentFolder, "run");
+        relayCommand.set(
                 2,
-                relay.get(2)
+                relayCommand.get(2)
                         .replace(
                                 "-jar target/dillfront.jar serve",
-                                "-cp target/dillfront.jar dillfront.benchmark.Relay"));
-        List<Taken> ofNow = new ArrayList<>();
-        List<Taken> ofBefore = new ArrayList<>();
-        List<Taken> ofRelay = new ArrayList<>();
+                                "-cp target/dillfront.jar dillfront.benchmark.TcpRelay"));
+        List<CostSample> currentSamples = new ArrayList<>();
+        List<CostSample> baselineSamples = new ArrayList<>();
+        List<CostSample> relaySamples = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
-            ofBefore.add(one(Drive.deployed(before, "run"), before));
-            ofNow.add(one(Drive.deployed(now, "run"), now));
-            ofRelay.add(one(relay, now));
+            baselineSamples.add(measure(RouterProcess.deployedCommand(baselineFolder, "run"), baselineFolder));
+            currentSamples.add(measure(RouterProcess.deployedCommand(currentFolder, "run"), currentFolder));
+            relaySamples.add(measure(relayCommand, currentFolder));
         }
-        Taken n = middle(ofNow);
-        Taken b = middle(ofBefore);
-        Taken r = middle(ofRelay);
+        CostSample current = medianOf(currentSamples);
+        CostSample baseline = medianOf(baselineSamples);
+        CostSample relayed = medianOf(relaySamples);
         System.out.printf(
                 Locale.ROOT,
                 "cost: cpu_per_txn_now_vs_before=%.2f first_now_vs_before=%.2f relay_ratio=%.2f "
                         + "start_cpu_now_vs_before=%.2f idle_ms_a_second=%.1f list_ms_worst_starved=%.0f %s%n",
-                n.warm / b.warm,
-                n.first / b.first,
-                n.warm / r.warm,
-                n.start / b.start,
-                n.idle / 1000,
-                starved(now),
-                counts(now.resolve("target/dillfront.jar").toString()));
+                current.warmMicrosPerTxn / baseline.warmMicrosPerTxn,
+                current.coldMicrosPerTxn / baseline.coldMicrosPerTxn,
+                current.warmMicrosPerTxn / relayed.warmMicrosPerTxn,
+                current.startMicros / baseline.startMicros,
+                current.idleMicros / 1000,
+                worstDrainDelayMillis(currentFolder),
+                runCounter(currentFolder.resolve("target/dillfront.jar").toString()));
         System.exit(0);
     }
 }
--- a/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
@@ -11,177 +11,177 @@
  */
 class ConfigurationCheckerTest {
 
-    private final SystemSimulation day = new SystemSimulation(1, 1, 1, 0, 10_000);
-    private final ConfigurationChecker audit = day.configurationChecker;
-    private final ControlMachine a = day.controlCluster.find("core-a");
-    private final ControlMachine b = day.controlCluster.find("core-b");
+    private final SystemSimulation simulation = new SystemSimulation(1, 1, 1, 0, 10_000);
+    private final ConfigurationChecker checker = simulation.configurationChecker;
+    private final ControlMachine machineA = simulation.controlCluster.find("core-a");
+    private final ControlMachine machineB = simulation.controlCluster.find("core-b");
 
-    private ConfigurationClient.Change order(long number, int variant) {
-        ConfigurationClient.Change o = day.configurationClient.new Change(number, variant);
-        o.sentAtMillis = day.simulator.millis();
-        audit.changeSent(o);
-        return o;
+    private ConfigurationClient.Change submittedChange(long revision, int variant) {
+        ConfigurationClient.Change change = simulation.configurationClient.new Change(revision, variant);
+        change.sentAtMillis = simulation.simulator.millis();
+        checker.changeSent(change);
+        return change;
     }
 
-    private ConfigurationClient.Change acknowledged(long number, int variant) {
-        ConfigurationClient.Change o = order(number, variant);
-        o.acknowledged = true;
-        o.finished = true;
-        audit.endCall(audit.beginCall(o), 200);
-        audit.acknowledged(o, a);
-        return o;
+    private ConfigurationClient.Change acknowledgedChange(long revision, int variant) {
+        ConfigurationClient.Change change = submittedChange(revision, variant);
+        change.acknowledged = true;
+        change.finished = true;
+        checker.endCall(checker.beginCall(change), 200);
+        checker.acknowledged(change, machineA);
+        return change;
     }
 
-    private void found(String what) {
+    private void assertViolation(String text) {
         assertTrue(
-                day.violations().stream().anyMatch(x -> x.contains(what)),
-                what + " among " + day.violations());
+                simulation.violations().stream().anyMatch(violation -> violation.contains(text)),
+                text + " among " + simulation.violations());
     }
 
-    private void nothingFound() {
-        assertEquals(java.util.List.of(), day.violations());
+    private void assertNoViolations() {
+        assertEquals(java.util.List.of(), simulation.violations());
     }
 
     @Test
-    void aReadBelowWhatWasAcknowledgedOrReadBefore() {
-        acknowledged(5, 0);
-        ConfigurationClient.Change four = order(4, 0);
-        ConfigurationChecker.PendingRead early = audit.beginRead(a);
-        acknowledged(6, 0);
-        audit.endRead(early, 5, order(5, 0).digest);
-        nothingFound();
-        audit.endRead(audit.beginRead(b), 4, four.digest);
-        assertEquals(1, day.controlCounts().revisionRegressions);
-        found("reads back 4, known before was 6");
+    void reportsReadOfOlderRevision() {
+        acknowledgedChange(5, 0);
+        ConfigurationClient.Change changeFour = submittedChange(4, 0);
+        ConfigurationChecker.PendingRead earlyRead = checker.beginRead(machineA);
+        acknowledgedChange(6, 0);
+        checker.endRead(earlyRead, 5, submittedChange(5, 0).digest);
+        assertNoViolations();
+        checker.endRead(checker.beginRead(machineB), 4, changeFour.digest);
+        assertEquals(1, simulation.controlCounts().revisionRegressions);
+        assertViolation("reads back 4, known before was 6");
     }
 
     @Test
-    void twoContentsUnderOneNumber() {
-        acknowledged(5, 0);
-        acknowledged(5, 1);
-        assertEquals(1, day.controlCounts().conflictingContents);
-        found("two contents under 5");
+    void reportsTwoContentsForOneRevision() {
+        acknowledgedChange(5, 0);
+        acknowledgedChange(5, 1);
+        assertEquals(1, simulation.controlCounts().conflictingContents);
+        assertViolation("two contents under 5");
     }
 
     @Test
-    void aContentThatWasOvertakenBeforeItWasDecidedIsNotOneOfTwo() {
-        order(6, 0);
-        acknowledged(5, 0);
-        acknowledged(5, 1);
-        nothingFound();
-        audit.endRead(audit.beginRead(a), 5, order(5, 0).digest);
-        audit.endRead(audit.beginRead(a), 5, order(5, 1).digest);
-        assertEquals(1, day.controlCounts().conflictingContents);
+    void ignoresContentSupersededBeforeDecision() {
+        submittedChange(6, 0);
+        acknowledgedChange(5, 0);
+        acknowledgedChange(5, 1);
+        assertNoViolations();
+        checker.endRead(checker.beginRead(machineA), 5, submittedChange(5, 0).digest);
+        checker.endRead(checker.beginRead(machineA), 5, submittedChange(5, 1).digest);
+        assertEquals(1, simulation.controlCounts().conflictingContents);
     }
 
     @Test
-    void oneThatWasTakenAndIsRefused() {
-        ConfigurationClient.Change o = acknowledged(5, 0);
-        audit.changeRejected(o, b, 409);
-        assertEquals(1, day.controlCounts().rejectedAfterAcknowledge);
-        ConfigurationClient.Change unheard = order(6, 0);
-        audit.changeRejected(unheard, b, 409);
-        audit.checkDataPlane("front", 1, false, 6, unheard.digest);
-        audit.endRead(audit.beginRead(a), 6, unheard.digest);
-        audit.checkFinalState();
-        assertEquals(2, day.controlCounts().rejectedAfterAcknowledge);
+    void reportsRejectionOfAcceptedChange() {
+        ConfigurationClient.Change acknowledged = acknowledgedChange(5, 0);
+        checker.changeRejected(acknowledged, machineB, 409);
+        assertEquals(1, simulation.controlCounts().rejectedAfterAcknowledge);
+        ConfigurationClient.Change unacknowledged = submittedChange(6, 0);
+        checker.changeRejected(unacknowledged, machineB, 409);
+        checker.checkDataPlane("front", 1, false, 6, unacknowledged.digest);
+        checker.endRead(checker.beginRead(machineA), 6, unacknowledged.digest);
+        checker.checkFinalState();
+        assertEquals(2, simulation.controlCounts().rejectedAfterAcknowledge);
     }
 
     @Test
-    void theLoserOfARaceMayBeRefused() {
-        acknowledged(5, 0);
-        audit.changeRejected(order(5, 1), b, 409);
-        day.simulator.runUntil(11_000);
-        audit.endRead(audit.beginRead(a), 5, order(5, 0).digest);
-        audit.checkFinalState();
-        nothingFound();
+    void allowsRejectionOfConflictingChange() {
+        acknowledgedChange(5, 0);
+        checker.changeRejected(submittedChange(5, 1), machineB, 409);
+        simulation.simulator.runUntil(11_000);
+        checker.endRead(checker.beginRead(machineA), 5, submittedChange(5, 0).digest);
+        checker.checkFinalState();
+        assertNoViolations();
     }
 
     @Test
-    void aHistoryThatNoOrderOfMomentsExplains() {
-        int five = audit.beginCall(order(5, 0));
-        audit.endRead(audit.beginRead(a), 5, order(5, 0).digest);
-        audit.endCall(five, 409);
-        audit.checkFinalState();
-        found("not linearizable");
+    void reportsNonLinearizableHistory() {
+        int call = checker.beginCall(submittedChange(5, 0));
+        checker.endRead(checker.beginRead(machineA), 5, submittedChange(5, 0).digest);
+        checker.endCall(call, 409);
+        checker.checkFinalState();
+        assertViolation("not linearizable");
     }
 
     @Test
-    void aClearAnswerWithoutAMajority() {
-        a.isolatedSinceMillis = 1_000;
-        audit.checkResponse(a, 1_500, 200);
-        audit.checkResponse(a, 2_500, 503);
-        audit.checkResponse(a, 2_500, 307);
-        nothingFound();
-        audit.checkResponse(a, 2_500, 409);
-        audit.checkResponse(a, 2_500, 200);
-        assertEquals(2, day.controlCounts().minorityResponses);
+    void reportsConclusiveResponseWithoutMajority() {
+        machineA.isolatedSinceMillis = 1_000;
+        checker.checkResponse(machineA, 1_500, 200);
+        checker.checkResponse(machineA, 2_500, 503);
+        checker.checkResponse(machineA, 2_500, 307);
+        assertNoViolations();
+        checker.checkResponse(machineA, 2_500, 409);
+        checker.checkResponse(machineA, 2_500, 200);
+        assertEquals(2, simulation.controlCounts().minorityResponses);
     }
 
     @Test
-    void aFenceOfTwoHolders() {
-        audit.fencingTokenUsed("core-a", 7);
-        audit.fencingTokenUsed("core-a", 7);
-        nothingFound();
-        audit.fencingTokenUsed("core-b", 7);
-        assertEquals(1, day.controlCounts().fencingTokenReuses);
+    void reportsFencingTokenOfTwoHolders() {
+        checker.fencingTokenUsed("core-a", 7);
+        checker.fencingTokenUsed("core-a", 7);
+        assertNoViolations();
+        checker.fencingTokenUsed("core-b", 7);
+        assertEquals(1, simulation.controlCounts().fencingTokenReuses);
     }
 
     @Test
-    void aFrontThatGoesBackWithinOneLifeOrStaysBehindInTouch() {
-        long five = acknowledged(5, 0).digest;
-        long four = order(4, 0).digest;
-        audit.checkDataPlane("front", 1, true, 4, four);
-        day.simulator.runUntil(2_900);
-        audit.checkDataPlane("front", 1, true, 4, four);
-        nothingFound();
-        day.simulator.runUntil(3_100);
-        audit.checkDataPlane("front", 1, false, 4, four);
-        nothingFound();
-        audit.checkDataPlane("front", 1, true, 4, four);
-        found("in touch uses 4");
-        audit.checkDataPlane("front", 1, true, 5, five);
-        audit.checkDataPlane("front", 2, false, 4, four);
-        assertEquals(0, day.controlCounts().revisionRegressions);
-        audit.checkDataPlane("front", 2, false, 5, five);
-        audit.checkDataPlane("front", 2, false, 4, four);
-        assertEquals(1, day.controlCounts().revisionRegressions);
+    void reportsDataPlaneRegressionAndStaleness() {
+        long digestFive = acknowledgedChange(5, 0).digest;
+        long digestFour = submittedChange(4, 0).digest;
+        checker.checkDataPlane("front", 1, true, 4, digestFour);
+        simulation.simulator.runUntil(2_900);
+        checker.checkDataPlane("front", 1, true, 4, digestFour);
+        assertNoViolations();
+        simulation.simulator.runUntil(3_100);
+        checker.checkDataPlane("front", 1, false, 4, digestFour);
+        assertNoViolations();
+        checker.checkDataPlane("front", 1, true, 4, digestFour);
+        assertViolation("in touch uses 4");
+        checker.checkDataPlane("front", 1, true, 5, digestFive);
+        checker.checkDataPlane("front", 2, false, 4, digestFour);
+        assertEquals(0, simulation.controlCounts().revisionRegressions);
+        checker.checkDataPlane("front", 2, false, 5, digestFive);
+        checker.checkDataPlane("front", 2, false, 4, digestFour);
+        assertEquals(1, simulation.controlCounts().revisionRegressions);
     }
 
     @Test
-    void anOrderWithoutAnAcknowledgementWhileAllIsSettled() {
-        for (ControlMachine c : day.controlCluster.machines()) {
-            day.controlCluster.start(c, true);
+    void reportsOverdueChangeWhileStable() {
+        for (ControlMachine machine : simulation.controlCluster.machines()) {
+            simulation.controlCluster.start(machine, true);
         }
-        order(5, 0);
-        audit.checkPeriodically();
-        day.simulator.runUntil(8_900);
-        nothingFound();
-        day.simulator.runUntil(9_200);
-        assertEquals(1, day.controlCounts().overdueChanges);
-        found("ACKS");
+        submittedChange(5, 0);
+        checker.checkPeriodically();
+        simulation.simulator.runUntil(8_900);
+        assertNoViolations();
+        simulation.simulator.runUntil(9_200);
+        assertEquals(1, simulation.controlCounts().overdueChanges);
+        assertViolation("ACKS");
     }
 
     @Test
-    void whatWasAcknowledgedIsGoneAtTheEnd() {
-        acknowledged(5, 0);
-        day.simulator.runUntil(11_000);
-        audit.endRead(audit.beginRead(a), 4, order(4, 0).digest);
-        audit.checkFinalState();
-        assertEquals(1, day.controlCounts().lostChanges);
+    void reportsLossOfAcknowledgedChange() {
+        acknowledgedChange(5, 0);
+        simulation.simulator.runUntil(11_000);
+        checker.endRead(checker.beginRead(machineA), 4, submittedChange(4, 0).digest);
+        checker.checkFinalState();
+        assertEquals(1, simulation.controlCounts().lostChanges);
     }
 
     @Test
-    void anAnswerOfAnotherAndACallThatRanTwice() {
-        ClientSession client = new ClientSession(day, 0, "primary", "db0", "db0-primary", 1_000);
-        DatabaseCluster database = day.consistencyChecker.databases.get("db0");
+    void reportsMisroutedResponseAndDuplicateExecution() {
+        ClientSession session = new ClientSession(simulation, 0, "primary", "db0", "db0-primary", 1_000);
+        DatabaseCluster database = simulation.consistencyChecker.databases.get("db0");
         DatabaseCluster.Server primary = database.servers.get(0);
-        day.consistencyChecker.attempts.put("w", new ConsistencyChecker.Attempt("w", 0, client, null));
-        day.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
-        nothingFound();
-        day.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
-        client.onMessage(Simulator.bytes("ROW rother"));
-        assertEquals(1, day.controlCounts().duplicateExecutions);
-        assertEquals(1, day.controlCounts().misroutedResponses);
+        simulation.consistencyChecker.attempts.put("w", new ConsistencyChecker.Attempt("w", 0, session, null));
+        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
+        assertNoViolations();
+        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
+        session.onMessage(Simulator.bytes("ROW rother"));
+        assertEquals(1, simulation.controlCounts().duplicateExecutions);
+        assertEquals(1, simulation.controlCounts().misroutedResponses);
     }
 }
--- a/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
@@ -10,131 +10,131 @@
 /** The auditor of simulated days finds what it is there for. */
 class ConsistencyCheckerTest {
 
-    private final SystemSimulation day = new SystemSimulation(1, 1, 1, 0, 10_000);
-    private final DatabaseCluster database = day.consistencyChecker.databases.get("db0");
+    private final SystemSimulation simulation = new SystemSimulation(1, 1, 1, 0, 10_000);
+    private final DatabaseCluster database = simulation.consistencyChecker.databases.get("db0");
     private final DatabaseCluster.Server primary = database.servers.get(0);
     private final DatabaseCluster.Server replica = database.servers.get(1);
 
-    private void wrote(String id, long number, DatabaseCluster.Server... at) {
-        DatabaseCluster.Commit commit = new DatabaseCluster.Commit(new LogPosition(1, number), id);
-        for (DatabaseCluster.Server s : at) {
-            s.log.add(commit);
-            s.appliedCount = s.log.size();
+    private void appendToLogs(String attemptId, long index, DatabaseCluster.Server... servers) {
+        DatabaseCluster.Commit commit = new DatabaseCluster.Commit(new LogPosition(1, index), attemptId);
+        for (DatabaseCluster.Server server : servers) {
+            server.log.add(commit);
+            server.appliedCount = server.log.size();
         }
     }
 
-    private ClientSession client(String kind) {
-        ClientSession c = new ClientSession(day, 0, kind, "db0", "db0-" + kind, 1_000);
-        return c;
+    private ClientSession newSession(String readConsistency) {
+        ClientSession session = new ClientSession(simulation, 0, readConsistency, "db0", "db0-" + readConsistency, 1_000);
+        return session;
     }
 
-    private ConsistencyChecker.Attempt asks(String id, ClientSession by) {
-        ConsistencyChecker.Attempt is = new ConsistencyChecker.Attempt(id, day.simulator.micros(), by, null);
-        day.consistencyChecker.attempts.put(id, is);
-        return is;
+    private ConsistencyChecker.Attempt startAttempt(String id, ClientSession session) {
+        ConsistencyChecker.Attempt attempt = new ConsistencyChecker.Attempt(id, simulation.simulator.micros(), session, null);
+        simulation.consistencyChecker.attempts.put(id, attempt);
+        return attempt;
     }
 
-    private void found(String rule) {
+    private void assertViolation(String rule) {
         assertTrue(
-                day.violations().stream().anyMatch(b -> b.startsWith(rule)),
-                rule + " among " + day.violations());
+                simulation.violations().stream().anyMatch(violation -> violation.startsWith(rule)),
+                rule + " among " + simulation.violations());
     }
 
     @Test
-    void aReadThatLacksWhatWasAcknowledged() {
-        wrote("w", 1, primary);
-        day.consistencyChecker.acknowledge("db0", "w");
-        day.simulator.runUntil(5);
-        asks("r", client("primary"));
-        DatabaseCluster.Connection by = database.new Connection(replica);
-        day.consistencyChecker.onExecute(replica, by, "r", "READ k", true);
-        found("STALE");
+    void reportsReadWithoutAcknowledgedWrite() {
+        appendToLogs("w", 1, primary);
+        simulation.consistencyChecker.acknowledge("db0", "w");
+        simulation.simulator.runUntil(5);
+        startAttempt("r", newSession("primary"));
+        DatabaseCluster.Connection connection = database.new Connection(replica);
+        simulation.consistencyChecker.onExecute(replica, connection, "r", "READ k", true);
+        assertViolation("STALE");
     }
 
     @Test
-    void aReadThatIsYoungEnoughIsNone() {
-        wrote("w", 1, primary);
-        day.consistencyChecker.acknowledge("db0", "w");
-        day.simulator.runUntil(500);
-        asks("r", client("bounded"));
-        day.consistencyChecker.onExecute(replica, database.new Connection(replica), "r", "READ k", true);
-        assertTrue(day.violations().isEmpty(), day.violations().toString());
-        day.simulator.runUntil(1_600);
-        asks("later", client("bounded"));
-        day.consistencyChecker.onExecute(replica, database.new Connection(replica), "later", "READ k", true);
-        found("STALE");
+    void allowsReadWithinStalenessBound() {
+        appendToLogs("w", 1, primary);
+        simulation.consistencyChecker.acknowledge("db0", "w");
+        simulation.simulator.runUntil(500);
+        startAttempt("r", newSession("bounded"));
+        simulation.consistencyChecker.onExecute(replica, database.new Connection(replica), "r", "READ k", true);
+        assertTrue(simulation.violations().isEmpty(), simulation.violations().toString());
+        simulation.simulator.runUntil(1_600);
+        startAttempt("later", newSession("bounded"));
+        simulation.consistencyChecker.onExecute(replica, database.new Connection(replica), "later", "READ k", true);
+        assertViolation("STALE");
     }
 
     @Test
-    void aPromotionThatLosesACommit() {
-        wrote("w", 1, primary);
-        day.consistencyChecker.acknowledge("db0", "w");
-        day.consistencyChecker.onPromoted(replica);
-        found("LOST");
+    void reportsPromotionThatLosesCommit() {
+        appendToLogs("w", 1, primary);
+        simulation.consistencyChecker.acknowledge("db0", "w");
+        simulation.consistencyChecker.onPromoted(replica);
+        assertViolation("LOST");
     }
 
     /** Guards against an auditor that lets more pass as given up than a person said. */
     @Test
-    void aPromotionThatLosesWhatWasGivenUpAndNoMore() {
-        wrote("v", 1, primary, replica);
-        wrote("w", 2, primary);
-        day.consistencyChecker.acknowledge("db0", "v");
-        day.consistencyChecker.acknowledge("db0", "w");
-        ConsistencyChecker.AcceptedLoss refused = day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
-        day.consistencyChecker.lossAcceptanceRejected(refused);
-        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 1));
-        day.consistencyChecker.onPromoted(replica);
-        found("LOST");
-        day.consistencyChecker.violations.clear();
-        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
-        day.consistencyChecker.onPromoted(replica);
-        assertTrue(day.violations().isEmpty() && day.acceptedLostCommits() == 1, day.violations().toString());
+    void allowsPromotionToLoseOnlyAcceptedCommits() {
+        appendToLogs("v", 1, primary, replica);
+        appendToLogs("w", 2, primary);
+        simulation.consistencyChecker.acknowledge("db0", "v");
+        simulation.consistencyChecker.acknowledge("db0", "w");
+        ConsistencyChecker.AcceptedLoss rejected = simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        simulation.consistencyChecker.lossAcceptanceRejected(rejected);
+        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 1));
+        simulation.consistencyChecker.onPromoted(replica);
+        assertViolation("LOST");
+        simulation.consistencyChecker.violations.clear();
+        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        simulation.consistencyChecker.onPromoted(replica);
+        assertTrue(simulation.violations().isEmpty() && simulation.acceptedLostCommits() == 1, simulation.violations().toString());
         // It counted once; the next loss is another.
-        wrote("x", 3, primary);
-        day.consistencyChecker.acknowledge("db0", "x");
-        day.consistencyChecker.onPromoted(replica);
-        found("LOST");
+        appendToLogs("x", 3, primary);
+        simulation.consistencyChecker.acknowledge("db0", "x");
+        simulation.consistencyChecker.onPromoted(replica);
+        assertViolation("LOST");
     }
 
     @Test
-    void aLossThatIsOverIsNotGivenUpAnyMore() {
-        wrote("w", 1, primary);
-        day.consistencyChecker.acknowledge("db0", "w");
-        day.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 2));
-        wrote("x", 2, primary);
-        day.consistencyChecker.acknowledge("db0", "x");
-        day.consistencyChecker.onPromoted(replica);
-        found("LOST");
+    void discardsAcceptedLossOnceWritesResume() {
+        appendToLogs("w", 1, primary);
+        simulation.consistencyChecker.acknowledge("db0", "w");
+        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 2));
+        appendToLogs("x", 2, primary);
+        simulation.consistencyChecker.acknowledge("db0", "x");
+        simulation.consistencyChecker.onPromoted(replica);
+        assertViolation("LOST");
     }
 
     @Test
-    void aWriteThatIsThereTwiceOrThoughItWasPromisedNotToBe() {
-        wrote("w", 1, primary);
-        wrote("w", 2, primary);
-        asks("w", client("primary")).promisedNotExecuted = true;
-        day.consistencyChecker.checkFinalLogs();
-        found("TWICE");
-        found("REFUSED");
+    void reportsDuplicateAndRefusedWrites() {
+        appendToLogs("w", 1, primary);
+        appendToLogs("w", 2, primary);
+        startAttempt("w", newSession("primary")).promisedNotExecuted = true;
+        simulation.consistencyChecker.checkFinalLogs();
+        assertViolation("TWICE");
+        assertViolation("REFUSED");
     }
 
     @Test
-    void valuesOfAnotherAndWhatNobodyAsked() {
-        asks("r", client("primary"));
-        DatabaseCluster.Connection by = database.new Connection(primary);
-        by.sessionSettings.put("a", "b");
-        day.consistencyChecker.onExecute(primary, by, "r", "READ k", true);
-        found("PINNED");
-        day.consistencyChecker.onExecute(primary, by, "nobody", "READ k", true);
-        found("UNASKED");
+    void reportsForeignSettingsAndUnknownStatement() {
+        startAttempt("r", newSession("primary"));
+        DatabaseCluster.Connection connection = database.new Connection(primary);
+        connection.sessionSettings.put("a", "b");
+        simulation.consistencyChecker.onExecute(primary, connection, "r", "READ k", true);
+        assertViolation("PINNED");
+        simulation.consistencyChecker.onExecute(primary, connection, "nobody", "READ k", true);
+        assertViolation("UNASKED");
     }
 
     @Test
-    void workThatComesToADrainedServer() {
-        asks("r", client("primary"));
-        day.consistencyChecker.drainAcknowledgedMicros.put(primary.id, 0L);
-        day.simulator.runUntil(8_000);
-        day.consistencyChecker.onExecute(primary, database.new Connection(primary), "r", "READ k", true);
-        found("DRAIN");
+    void reportsTransactionOnDrainedServer() {
+        startAttempt("r", newSession("primary"));
+        simulation.consistencyChecker.drainAcknowledgedMicros.put(primary.id, 0L);
+        simulation.simulator.runUntil(8_000);
+        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "r", "READ k", true);
+        assertViolation("DRAIN");
     }
 
     /**
@@ -142,28 +142,28 @@
      * cut back elsewhere.
      */
     @Test
-    void aPromotionCutsBack() {
-        wrote("a", 1, primary, replica, database.servers.get(2));
-        wrote("b", 2, primary);
+    void promotionTruncatesOtherLogs() {
+        appendToLogs("a", 1, primary, replica, database.servers.get(2));
+        appendToLogs("b", 2, primary);
         database.promote(replica.id);
-        day.simulator.runUntil(1_000);
+        simulation.simulator.runUntil(1_000);
         assertTrue(
                 replica.isPrimary && !primary.isPrimary && primary.log.size() == 1, primary.log.toString());
-        assertTrue(day.violations().isEmpty(), day.violations().toString());
+        assertTrue(simulation.violations().isEmpty(), simulation.violations().toString());
     }
 
     /** What a client says out of form is answered by the page, and nothing else is harmed. */
     @Test
-    void whatIsOutOfFormIsAnswered() {
-        day.run();
-        List<String> heard = new java.util.ArrayList<>();
-        say(heard, "CONNECT nosuch me");
-        say(heard, "HELLO");
-        say(heard, "CONNECT db0-primary me", "QUERY");
-        say(heard, "CONNECT db0-primary me", "QUERY - READ k");
-        say(heard, "CONNECT db0-primary me", "QUERY 1 READ k\nQUERY 2 READ k");
-        say(
-                heard,
+    void answersMalformedLinesWithErrors() {
+        simulation.run();
+        List<String> received = new java.util.ArrayList<>();
+        exchange(received, "CONNECT nosuch me");
+        exchange(received, "HELLO");
+        exchange(received, "CONNECT db0-primary me", "QUERY");
+        exchange(received, "CONNECT db0-primary me", "QUERY - READ k");
+        exchange(received, "CONNECT db0-primary me", "QUERY 1 READ k\nQUERY 2 READ k");
+        exchange(
+                received,
                 "CONNECT db0-primary me",
                 "QUERY 1 SING",
                 "QUERY 2 COMMIT",
@@ -171,7 +171,7 @@
                 "QUERY 4 SET a b",
                 "GOODBYE");
         assertTrue(
-                heard.equals(
+                received.equals(
                         List.of(
                                 "ERROR NODATABASE nosuch",
                                 "closed",
@@ -196,32 +196,32 @@
                                 "COMPLETE -",
                                 "READY I -",
                                 "closed")),
-                heard.toString());
+                received.toString());
     }
 
-    private void say(List<String> heard, String... lines) {
-        day.clients.connect(
-                day.dataPlane(0).ip + ":" + SystemSimulation.DATA_PLANE_PORT,
+    private void exchange(List<String> received, String... lines) {
+        simulation.clients.connect(
+                simulation.dataPlane(0).ip + ":" + SystemSimulation.DATA_PLANE_PORT,
                 Environment.Framing.LINES,
                 500,
                 new Environment.ConnectionListener() {
                     @Override
-                    public void onOpen(Environment.Connection link) {
+                    public void onOpen(Environment.Connection connection) {
                         for (String line : lines) {
-                            link.send(Simulator.bytes(line));
+                            connection.send(Simulator.bytes(line));
                         }
                     }
 
                     @Override
                     public void onMessage(byte[] message) {
-                        heard.add(Simulator.text(message));
+                        received.add(Simulator.text(message));
                     }
 
                     @Override
-                    public void onClose(String why) {
-                        heard.add("closed");
+                    public void onClose(String reason) {
+                        received.add("closed");
                     }
                 });
-        day.simulator.runUntil(day.simulator.millis() + 200);
+        simulation.simulator.runUntil(simulation.simulator.millis() + 200);
     }
 }
--- a/src/test/java/dillfront/simulation/system/SimulatorTest.java
+++ b/src/test/java/dillfront/simulation/system/SimulatorTest.java
@@ -14,137 +14,137 @@
 /** The simulated network, processes and disks do what the pages say of real ones. */
 class SimulatorTest {
 
-    private final Simulator sim = new Simulator(1);
-    private final Simulator.Machine a = sim.new Machine("a", "a", "10.0.0.1");
-    private final Simulator.Machine b = sim.new Machine("b", "b", "10.0.0.2");
-    private final List<String> heard = new ArrayList<>();
-    private Environment.Connection link;
-    private Environment.Connection far;
+    private final Simulator simulator = new Simulator(1);
+    private final Simulator.Machine machineA = simulator.new Machine("a", "a", "10.0.0.1");
+    private final Simulator.Machine machineB = simulator.new Machine("b", "b", "10.0.0.2");
+    private final List<String> received = new ArrayList<>();
+    private Environment.Connection clientEnd;
+    private Environment.Connection serverEnd;
 
-    private Environment.ConnectionListener ear(String who) {
+    private Environment.ConnectionListener listener(String side) {
         return new Environment.ConnectionListener() {
             @Override
             public void onOpen(Environment.Connection opened) {
-                if (who.equals("a")) {
-                    link = opened;
+                if (side.equals("a")) {
+                    clientEnd = opened;
                 } else {
-                    far = opened;
+                    serverEnd = opened;
                 }
             }
 
             @Override
             public void onMessage(byte[] message) {
-                heard.add(who + " " + Simulator.text(message));
+                received.add(side + " " + Simulator.text(message));
             }
 
             @Override
-            public void onClose(String why) {
-                heard.add(who + " closed");
+            public void onClose(String reason) {
+                received.add(side + " closed");
             }
         };
     }
 
     private void connect() {
-        b.listen(1, h -> ear("b"));
-        a.connect("10.0.0.2:1", Environment.Framing.FRAMES, 500, ear("a"));
-        sim.runUntil(100);
+        machineB.listen(1, environment -> listener("b"));
+        machineA.connect("10.0.0.2:1", Environment.Framing.FRAMES, 500, listener("a"));
+        simulator.runUntil(100);
     }
 
     @Test
-    void whatACutHoldsUpArrivesAfterItInOrder() {
+    void deliversBlockedMessagesInOrderAfterCut() {
         connect();
-        sim.cutOneWay(a, b, true);
-        link.send(Simulator.bytes("one"));
-        link.send(Simulator.bytes("two"));
-        link.close();
-        far.send(Simulator.bytes("back"));
-        sim.runUntil(1_000);
-        assertEquals(List.of(), heard);
-        sim.cutOneWay(a, b, false);
-        sim.runUntil(2_000);
-        assertEquals(List.of("b one", "b two", "b closed"), heard);
+        simulator.cutOneWay(machineA, machineB, true);
+        clientEnd.send(Simulator.bytes("one"));
+        clientEnd.send(Simulator.bytes("two"));
+        clientEnd.close();
+        serverEnd.send(Simulator.bytes("back"));
+        simulator.runUntil(1_000);
+        assertEquals(List.of(), received);
+        simulator.cutOneWay(machineA, machineB, false);
+        simulator.runUntil(2_000);
+        assertEquals(List.of("b one", "b two", "b closed"), received);
     }
 
     @Test
-    void oneWayIsCutAndTheOtherIsNot() {
+    void cutsOnlyTheGivenDirection() {
         connect();
-        sim.cutOneWay(a, b, true);
-        far.send(Simulator.bytes("back"));
-        sim.runUntil(200);
-        assertEquals(List.of("a back"), heard);
-        sim.cut(a, b, true);
-        sim.cut(a, b, false);
-        link.send(Simulator.bytes("one"));
-        sim.runUntil(800);
-        assertEquals(List.of("a back"), heard);
+        simulator.cutOneWay(machineA, machineB, true);
+        serverEnd.send(Simulator.bytes("back"));
+        simulator.runUntil(200);
+        assertEquals(List.of("a back"), received);
+        simulator.cut(machineA, machineB, true);
+        simulator.cut(machineA, machineB, false);
+        clientEnd.send(Simulator.bytes("one"));
+        simulator.runUntil(800);
+        assertEquals(List.of("a back"), received);
     }
 
     @Test
-    void whatIsHeldUpIsLostWithThePowerOfItsSender() {
+    void dropsBlockedMessagesWhenSenderLosesPower() {
         connect();
-        sim.cut(a, b, true);
-        link.send(Simulator.bytes("one"));
-        sim.runUntil(200);
-        a.down(true);
-        sim.cut(a, b, false);
-        sim.runUntil(2_000);
-        assertEquals(List.of(), heard);
+        simulator.cut(machineA, machineB, true);
+        clientEnd.send(Simulator.bytes("one"));
+        simulator.runUntil(200);
+        machineA.down(true);
+        simulator.cut(machineA, machineB, false);
+        simulator.runUntil(2_000);
+        assertEquals(List.of(), received);
     }
 
     @Test
-    void aPausedProcessHearsAllOfItLaterAndItsClockHasGoneOn() {
+    void defersEventsWhilePausedAndKeepsClockRunning() {
         connect();
-        long was = b.nowMillis();
-        b.pause(1_000);
-        link.send(Simulator.bytes("one"));
-        b.schedule(1, () -> heard.add("timer"));
-        sim.runUntil(1_050);
-        assertEquals(List.of(), heard);
-        sim.runUntil(1_200);
-        assertEquals(List.of("timer", "b one"), heard);
-        assertEquals(1_100, b.nowMillis() - was);
+        long clockBefore = machineB.nowMillis();
+        machineB.pause(1_000);
+        clientEnd.send(Simulator.bytes("one"));
+        machineB.schedule(1, () -> received.add("timer"));
+        simulator.runUntil(1_050);
+        assertEquals(List.of(), received);
+        simulator.runUntil(1_200);
+        assertEquals(List.of("timer", "b one"), received);
+        assertEquals(1_100, machineB.nowMillis() - clockBefore);
     }
 
     @Test
-    void aDiskKeepsWhatItAnsweredAndOfTheRestAFirstPart() {
-        int none = 0;
-        int some = 0;
+    void diskKeepsCompletedWritesAndPrefixOfPendingOnes() {
+        int withoutSecond = 0;
+        int withThird = 0;
         for (int i = 0; i < 40; i++) {
-            SimulatedDisk disk = new SimulatedDisk(sim, a);
-            CompletableFuture<Void> one = disk.put(Map.of("one", "1", "gone", "1"));
-            sim.runUntil(sim.millis() + 20);
-            assertTrue(one.isDone());
-            CompletableFuture<Void> two = disk.put(Map.of("two", "1", "gone", ""));
-            CompletableFuture<Void> three = disk.put(Map.of("three", "1"));
+            SimulatedDisk disk = new SimulatedDisk(simulator, machineA);
+            CompletableFuture<Void> first = disk.put(Map.of("one", "1", "gone", "1"));
+            simulator.runUntil(simulator.millis() + 20);
+            assertTrue(first.isDone());
+            CompletableFuture<Void> second = disk.put(Map.of("two", "1", "gone", ""));
+            CompletableFuture<Void> third = disk.put(Map.of("three", "1"));
             disk.interrupt();
-            sim.runUntil(sim.millis() + 20);
-            assertFalse(two.isDone() || three.isDone());
-            Map<String, String> all = disk.initialState();
-            assertTrue(all.containsKey("one"));
-            assertTrue(all.containsKey("two") || !all.containsKey("three"));
-            assertTrue(all.containsKey("two") != all.containsKey("gone"));
-            none += all.containsKey("two") ? 0 : 1;
-            some += all.containsKey("three") ? 1 : 0;
+            simulator.runUntil(simulator.millis() + 20);
+            assertFalse(second.isDone() || third.isDone());
+            Map<String, String> state = disk.initialState();
+            assertTrue(state.containsKey("one"));
+            assertTrue(state.containsKey("two") || !state.containsKey("three"));
+            assertTrue(state.containsKey("two") != state.containsKey("gone"));
+            withoutSecond += state.containsKey("two") ? 0 : 1;
+            withThird += state.containsKey("three") ? 1 : 0;
         }
-        assertTrue(none > 0 && some > 0, none + " " + some);
+        assertTrue(withoutSecond > 0 && withThird > 0, withoutSecond + " " + withThird);
     }
 
     @Test
-    void aDiskInTroubleWaitsOrRefuses() {
-        SimulatedDisk disk = new SimulatedDisk(sim, a);
+    void faultyDiskDelaysOrRejectsWrites() {
+        SimulatedDisk disk = new SimulatedDisk(simulator, machineA);
         disk.stall(1_000);
-        CompletableFuture<Void> waits = disk.put(Map.of("one", "1"));
-        sim.runUntil(900);
-        assertFalse(waits.isDone());
-        sim.runUntil(1_100);
-        assertTrue(waits.isDone() && disk.initialState().containsKey("one"));
+        CompletableFuture<Void> stalled = disk.put(Map.of("one", "1"));
+        simulator.runUntil(900);
+        assertFalse(stalled.isDone());
+        simulator.runUntil(1_100);
+        assertTrue(stalled.isDone() && disk.initialState().containsKey("one"));
         disk.setRejectsWrites(true);
-        CompletableFuture<Void> refused = disk.put(Map.of("two", "1"));
-        sim.runUntil(1_200);
-        assertTrue(refused.isCompletedExceptionally() && !disk.initialState().containsKey("two"));
+        CompletableFuture<Void> rejected = disk.put(Map.of("two", "1"));
+        simulator.runUntil(1_200);
+        assertTrue(rejected.isCompletedExceptionally() && !disk.initialState().containsKey("two"));
         disk.setRejectsWrites(false);
-        CompletableFuture<Void> again = disk.put(Map.of("two", "1"));
-        sim.runUntil(1_300);
-        assertTrue(again.isDone() && !again.isCompletedExceptionally());
+        CompletableFuture<Void> retried = disk.put(Map.of("two", "1"));
+        simulator.runUntil(1_300);
+        assertTrue(retried.isDone() && !retried.isCompletedExceptionally());
     }
 }
