--- a/src/main/java/dillfront/benchmark/IdentityBenchmark.java
+++ b/src/main/java/dillfront/benchmark/IdentityBenchmark.java
@@ -66,12 +66,18 @@
             long startNanos = System.nanoTime();
             for (int i = 0; i < rounds * KEY_COUNT; i++) {
                 allowedByIndex +=
-                        rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT]) == Rights.Verdict.ALLOWED
+                        rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT])
+                                        == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
-            indexNanos = Math.min(indexNanos, (System.nanoTime() - startNanos) / (double) (rounds * KEY_COUNT));
-            allocatedBytes = (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / (double) (rounds * KEY_COUNT);
+            indexNanos =
+                    Math.min(
+                            indexNanos,
+                            (System.nanoTime() - startNanos) / (double) (rounds * KEY_COUNT));
+            allocatedBytes =
+                    (threads.getCurrentThreadAllocatedBytes() - allocatedBefore)
+                            / (double) (rounds * KEY_COUNT);
         }
         int listChecks = Math.max(200, Math.min(rounds * KEY_COUNT, 20_000_000 / ruleCount));
         int allowedByList = 0;
@@ -80,7 +86,8 @@
             long startNanos = System.nanoTime();
             for (int i = 0; i < listChecks; i++) {
                 allowedByList +=
-                        rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT]) == Rights.Verdict.ALLOWED
+                        rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT])
+                                        == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
             }
--- a/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
+++ b/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
@@ -27,7 +27,11 @@
      * What one start and its load took: CPU to serving, CPU a txn at first and once warm, in
      * microseconds.
      */
-    private record CostSample(double startMicros, double coldMicrosPerTxn, double warmMicrosPerTxn, double idleMicros) {}
+    private record CostSample(
+            double startMicros,
+            double coldMicrosPerTxn,
+            double warmMicrosPerTxn,
+            double idleMicros) {}
 
     private RouterCostBenchmark() {}
 
@@ -36,9 +40,13 @@
         try (StubBackends backends = new StubBackends(20_000);
                 RouterProcess router = new RouterProcess(command, folder, backends, 1.0)) {
             long start = router.cpuMicros();
-            long coldTxns = backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[1];
+            long coldTxns =
+                    backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[
+                            1];
             long coldEnd = router.cpuMicros();
-            long warmTxns = backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[1];
+            long warmTxns =
+                    backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[
+                            1];
             long warmEnd = router.cpuMicros();
             Thread.sleep(200);
             long idleStart = router.cpuMicros();
@@ -56,10 +64,16 @@
      * how long after each drain was told its node still gets new txns, in milliseconds; the worst
      * of a few.
      */
-    private static double worstDrainDelayMillis(Path folder) throws IOException, InterruptedException {
+    private static double worstDrainDelayMillis(Path folder)
+            throws IOException, InterruptedException {
         double worstMillis = 0;
         try (StubBackends backends = new StubBackends(5_000);
-                RouterProcess router = new RouterProcess(RouterProcess.deployedCommand(folder, "run"), folder, backends, 1.0)) {
+                RouterProcess router =
+                        new RouterProcess(
+                                RouterProcess.deployedCommand(folder, "run"),
+                                folder,
+                                backends,
+                                1.0)) {
             Thread load =
                     new Thread(
                             () -> {
@@ -158,7 +172,8 @@
         List<String> relayCommand = RouterProcess.deployedCommand(currentFolder, "run");
         relayCommand.set(
                 2,
-                relayCommand.get(2)
+                relayCommand
+                        .get(2)
                         .replace(
                                 "-jar target/dillfront.jar serve",
                                 "-cp target/dillfront.jar dillfront.benchmark.TcpRelay"));
@@ -166,8 +181,10 @@
         List<CostSample> baselineSamples = new ArrayList<>();
         List<CostSample> relaySamples = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
-            baselineSamples.add(measure(RouterProcess.deployedCommand(baselineFolder, "run"), baselineFolder));
-            currentSamples.add(measure(RouterProcess.deployedCommand(currentFolder, "run"), currentFolder));
+            baselineSamples.add(
+                    measure(RouterProcess.deployedCommand(baselineFolder, "run"), baselineFolder));
+            currentSamples.add(
+                    measure(RouterProcess.deployedCommand(currentFolder, "run"), currentFolder));
             relaySamples.add(measure(relayCommand, currentFolder));
         }
         CostSample current = medianOf(currentSamples);
--- a/src/main/java/dillfront/benchmark/StubBackends.java
+++ b/src/main/java/dillfront/benchmark/StubBackends.java
@@ -66,11 +66,15 @@
         Node.Work work = new Node.Work(MAX_CONCURRENT_STATEMENTS, workMicros, 1, 1, 1, 1000);
         for (int i = 0; i < GROUPS * NODES_PER_GROUP; i++) {
             Group group =
-                    i % NODES_PER_GROUP == 0 ? new Group(stage, i / NODES_PER_GROUP, 0) : nodes.get(i - 1).group();
+                    i % NODES_PER_GROUP == 0
+                            ? new Group(stage, i / NODES_PER_GROUP, 0)
+                            : nodes.get(i - 1).group();
             Node node = new Node(stage, "s-" + i, group, i % NODES_PER_GROUP == 0, work);
             node.lag(0);
             nodes.add(node);
-            initialEntries.add(new Catalogue.Entry(node.id(), i / NODES_PER_GROUP, "a", "ready", 0, node.leads()));
+            initialEntries.add(
+                    new Catalogue.Entry(
+                            node.id(), i / NODES_PER_GROUP, "a", "ready", 0, node.leads()));
         }
         catalogue = new Catalogue(FIRST_GENERATION, initialEntries);
         discovery = new Agent(stage, "discovery", catalogue, this::port);
@@ -112,7 +116,12 @@
                 () ->
                         catalogue.change(
                                 new Catalogue.Entry(
-                                        entry.id(), entry.group(), entry.zone(), lifecycle, 0, entry.leads())));
+                                        entry.id(),
+                                        entry.group(),
+                                        entry.zone(),
+                                        lifecycle,
+                                        0,
+                                        entry.leads())));
     }
 
     /** Waits until the router has the list as it is now, and asks for a newer one. */
--- a/src/main/java/dillfront/benchmark/TcpRelay.java
+++ b/src/main/java/dillfront/benchmark/TcpRelay.java
@@ -48,7 +48,8 @@
                                                 .handler(new ForwardingHandler(client))
                                                 .connect(node)
                                                 .addListener(
-                                                        connected -> client.config().setAutoRead(true))
+                                                        connected ->
+                                                                client.config().setAutoRead(true))
                                                 .channel();
                                 client.pipeline().addLast(new ForwardingHandler(server));
                             }
--- a/src/main/java/dillfront/benchmark/TransactionCostCounter.java
+++ b/src/main/java/dillfront/benchmark/TransactionCostCounter.java
@@ -91,7 +91,8 @@
     }
 
     /** What one of so many txns cost, each count as above. */
-    private double[] costPerTransaction(StubBackends.LoadClient client, String type, int bytes, int warmUp, int counted)
+    private double[] costPerTransaction(
+            StubBackends.LoadClient client, String type, int bytes, int warmUp, int counted)
             throws IOException {
         for (int i = 0; i < warmUp; i++) {
             client.request(type, bytes);
@@ -131,8 +132,20 @@
             try (StubBackends.LoadClient client = backends.new LoadClient(port, 1)) {
                 // Connections rest after an answer, so several are open; what a quick client needs
                 // is there after this.
-                double[] small = counts.costPerTransaction(client, "post-movement", 100, WARM_UP_TRANSACTIONS, COUNTED_TRANSACTIONS);
-                double[] large = counts.costPerTransaction(client, "history", 200_000, WARM_UP_TRANSACTIONS / 5, COUNTED_TRANSACTIONS / 5);
+                double[] small =
+                        counts.costPerTransaction(
+                                client,
+                                "post-movement",
+                                100,
+                                WARM_UP_TRANSACTIONS,
+                                COUNTED_TRANSACTIONS);
+                double[] large =
+                        counts.costPerTransaction(
+                                client,
+                                "history",
+                                200_000,
+                                WARM_UP_TRANSACTIONS / 5,
+                                COUNTED_TRANSACTIONS / 5);
                 line.append(
                         String.format(
                                 Locale.ROOT,
--- a/src/main/java/dillfront/simulation/system/ClientSession.java
+++ b/src/main/java/dillfront/simulation/system/ClientSession.java
@@ -44,7 +44,13 @@
     private long operationStartMillis;
     private boolean operationActive;
 
-    ClientSession(SystemSimulation simulation, int number, String readConsistency, String database, String host, long maxStalenessMillis) {
+    ClientSession(
+            SystemSimulation simulation,
+            int number,
+            String readConsistency,
+            String database,
+            String host,
+            long maxStalenessMillis) {
         this.simulation = simulation;
         this.number = number;
         this.readConsistency = readConsistency;
@@ -54,7 +60,8 @@
     }
 
     void start() {
-        simulation.simulator.scheduleAfter(simulation.simulator.random.nextDouble() * 1_000, this::startOperation);
+        simulation.simulator.scheduleAfter(
+                simulation.simulator.random.nextDouble() * 1_000, this::startOperation);
     }
 
     private void connect() {
@@ -70,7 +77,12 @@
             simulation.simulator.scheduleAfter(100, this::retryConnect);
             return;
         }
-        connection = simulation.clients.connect(dataPlane.ip + ":" + SystemSimulation.DATA_PLANE_PORT, Environment.Framing.LINES, 1_000, this);
+        connection =
+                simulation.clients.connect(
+                        dataPlane.ip + ":" + SystemSimulation.DATA_PLANE_PORT,
+                        Environment.Framing.LINES,
+                        1_000,
+                        this);
         simulation.simulator.scheduleAfter(
                 2_000,
                 () -> {
@@ -160,7 +172,12 @@
         errorCode = null;
         completionTag = null;
         boolean isSessionControl = text.startsWith("SET") || text.startsWith("PREPARE");
-        ConsistencyChecker.Attempt attempt = new ConsistencyChecker.Attempt(id, simulation.simulator.micros(), this, isSessionControl ? null : firstAttempt);
+        ConsistencyChecker.Attempt attempt =
+                new ConsistencyChecker.Attempt(
+                        id,
+                        simulation.simulator.micros(),
+                        this,
+                        isSessionControl ? null : firstAttempt);
         if (!isSessionControl && firstAttempt == null) {
             firstAttempt = attempt;
         }
@@ -256,9 +273,14 @@
         if (promisedNotExecuted && firstAttempt != null) {
             firstAttempt.promisedNotExecuted = true;
         }
-        boolean retryAllowed = promisedNotExecuted || errorCode.equals("FAILED") && !hasWritten || !finalStatementSent || !hasWritten;
+        boolean retryAllowed =
+                promisedNotExecuted
+                        || errorCode.equals("FAILED") && !hasWritten
+                        || !finalStatementSent
+                        || !hasWritten;
         if (transactionState != 'I') {
-            connection.send(Simulator.bytes("QUERY c" + number + "-end" + ++requestCount + " ROLLBACK"));
+            connection.send(
+                    Simulator.bytes("QUERY c" + number + "-end" + ++requestCount + " ROLLBACK"));
             // What it answers is not waited for: the connection is left.
             connection.close();
             open = false;
@@ -297,7 +319,9 @@
     private void operationFailed(boolean retryAllowed) {
         pendingId = null;
         long epoch = ++scheduleEpoch;
-        if (retryAllowed && attempts < MAX_ATTEMPTS && simulation.simulator.millis() - operationStartMillis < 6_000) {
+        if (retryAllowed
+                && attempts < MAX_ATTEMPTS
+                && simulation.simulator.millis() - operationStartMillis < 6_000) {
             simulation.simulator.scheduleAfter(
                     80 * attempts + simulation.simulator.random.nextInt(40),
                     () -> {
@@ -314,6 +338,7 @@
         operationActive = false;
         pendingId = null;
         scheduleEpoch++;
-        simulation.simulator.scheduleAfter(200 + simulation.simulator.random.nextInt(600), this::startOperation);
+        simulation.simulator.scheduleAfter(
+                200 + simulation.simulator.random.nextInt(600), this::startOperation);
     }
 }
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -104,7 +104,8 @@
 
     /** An order is sent to a process: one call of the history. */
     int beginCall(ConfigurationClient.Change change) {
-        return history.begin(sim.millis(), "operator", change.revision, Long.toHexString(change.digest));
+        return history.begin(
+                sim.millis(), "operator", change.revision, Long.toHexString(change.digest));
     }
 
     /** What came of it; 0 for nothing. */
@@ -125,7 +126,9 @@
     /** A clear answer of a process that has been without a majority since before it was asked. */
     void checkResponse(ControlMachine responder, long sentAtMillis, int status) {
         boolean conclusive = status < 500 && status != 307 && status != 408 && status != 429;
-        if (conclusive && responder.isolatedSinceMillis >= 0 && responder.isolatedSinceMillis + MAX_CONTACT_AGE_MILLIS <= sentAtMillis) {
+        if (conclusive
+                && responder.isolatedSinceMillis >= 0
+                && responder.isolatedSinceMillis + MAX_CONTACT_AGE_MILLIS <= sentAtMillis) {
             minorityResponses++;
             consistencyChecker.reportViolation(
                     "MINORITY",
@@ -139,7 +142,9 @@
     }
 
     void acknowledged(ConfigurationClient.Change change, ControlMachine responder) {
-        boolean first = acknowledgements.stream().noneMatch(acknowledged -> acknowledged.revision() == change.revision);
+        boolean first =
+                acknowledgements.stream()
+                        .noneMatch(acknowledged -> acknowledged.revision() == change.revision);
         if (first) {
             acknowledged++;
             acknowledgements.add(new AcknowledgedRevision(change.revision, sim.millis()));
@@ -149,16 +154,20 @@
         highestAcknowledgedRevision = Math.max(highestAcknowledgedRevision, change.revision);
         // With a higher one on its way it may have been overtaken before it was decided, and
         // changes nothing.
-        if (highestSentRevision <= change.revision || decidedContents.containsKey(change.revision)) {
-            recordDecided(change.revision, change.digest, "acknowledged by " + responder.machine.name);
+        if (highestSentRevision <= change.revision
+                || decidedContents.containsKey(change.revision)) {
+            recordDecided(
+                    change.revision, change.digest, "acknowledged by " + responder.machine.name);
         }
     }
 
     private void recordDecided(long revision, long digest, String evidence) {
-        Map<Long, String> contents = decidedContents.computeIfAbsent(revision, key -> new LinkedHashMap<>());
+        Map<Long, String> contents =
+                decidedContents.computeIfAbsent(revision, key -> new LinkedHashMap<>());
         if (contents.putIfAbsent(digest, evidence) == null && contents.size() == 2) {
             conflictingContents++;
-            consistencyChecker.reportViolation("CONFIG", "two contents under " + revision + ": " + contents.values());
+            consistencyChecker.reportViolation(
+                    "CONFIG", "two contents under " + revision + ": " + contents.values());
         }
     }
 
@@ -171,7 +180,8 @@
 
     private void rejectedAfterAcknowledge(ConfigurationClient.Change change, String evidence) {
         rejectedAfterAcknowledge++;
-        consistencyChecker.reportViolation("CONFIG", "version " + change.revision + " was taken and is refused: " + evidence);
+        consistencyChecker.reportViolation(
+                "CONFIG", "version " + change.revision + " was taken and is refused: " + evidence);
     }
 
     // ---- reads
@@ -206,7 +216,8 @@
         String previousHolder = holderByFencingToken.putIfAbsent(fencingToken, holder);
         if (previousHolder != null && !previousHolder.equals(holder)) {
             fencingTokenReuses++;
-            consistencyChecker.reportViolation("FENCE", fencingToken + " is used by " + previousHolder + " and by " + holder);
+            consistencyChecker.reportViolation(
+                    "FENCE", fencingToken + " is used by " + previousHolder + " and by " + holder);
         }
         day.controlCluster.lastActive(holder);
     }
@@ -235,7 +246,8 @@
                 holders++;
                 holderNames.append(' ').append(machine.machine.name);
             }
-            if (machine.catchUpRevision >= 0 && statusField(status, "held=") >= machine.catchUpRevision) {
+            if (machine.catchUpRevision >= 0
+                    && statusField(status, "held=") >= machine.catchUpRevision) {
                 if (machine.catchUpChanges > 0) {
                     caughtUpChanges += machine.catchUpChanges;
                     catchUpMillis.add(sim.millis() - machine.majorityContactSinceMillis);
@@ -255,10 +267,14 @@
             consistencyChecker.reportViolation("LEASE", "held by" + holderNames);
         }
         concurrentHoldersReported = holders > 1;
-        lastHeldMillis = holders > 0 || !day.controlCluster.isStable() ? sim.millis() : lastHeldMillis;
+        lastHeldMillis =
+                holders > 0 || !day.controlCluster.isStable() ? sim.millis() : lastHeldMillis;
         if (sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS && !missingHolderReported) {
             consistencyChecker.reportViolation(
-                    "LEASE", "nobody has held it for " + MAX_WITHOUT_HOLDER_MILLIS + " ms though all is settled");
+                    "LEASE",
+                    "nobody has held it for "
+                            + MAX_WITHOUT_HOLDER_MILLIS
+                            + " ms though all is settled");
         }
         missingHolderReported = sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS;
         checkOverdueChanges();
@@ -284,7 +300,8 @@
             if (observer.isRunning() && observer.node != null) {
                 String status = observer.node.status();
                 int start = status.indexOf("members=[");
-                String members = start < 0 ? "" : status.substring(start, status.indexOf(']', start) + 1);
+                String members =
+                        start < 0 ? "" : status.substring(start, status.indexOf(']', start) + 1);
                 if (!members.matches(".*[\\[ ,]" + candidate.machine.ip.replace(".", "\\.") + "/.*")
                         || status.contains(" outgoing=")
                         || observer == candidate && status.contains(" learner")) {
@@ -299,10 +316,13 @@
         long stableSince = day.controlCluster.stableSinceMillis();
         pendingChanges.removeIf(
                 change -> {
-                    if (change.finished || change.accepted || change.conflicting != null && change.conflicting.accepted) {
+                    if (change.finished
+                            || change.accepted
+                            || change.conflicting != null && change.conflicting.accepted) {
                         return true;
                     }
-                    if (sim.millis() - Math.max(change.sentAtMillis, stableSince) > MAX_ACKNOWLEDGE_MILLIS + change.transferMillis()) {
+                    if (sim.millis() - Math.max(change.sentAtMillis, stableSince)
+                            > MAX_ACKNOWLEDGE_MILLIS + change.transferMillis()) {
                         overdueChanges++;
                         consistencyChecker.reportViolation(
                                 "ACKS",
@@ -319,7 +339,8 @@
     }
 
     /** A front's configuration, at any moment of its life. */
-    void checkDataPlane(String dataPlane, int incarnation, boolean connected, long revision, long digest) {
+    void checkDataPlane(
+            String dataPlane, int incarnation, boolean connected, long revision, long digest) {
         long[] state = dataPlaneStates.computeIfAbsent(dataPlane, name -> new long[] {-1, -1, -1});
         if (state[0] != incarnation) {
             state[0] = incarnation;
@@ -327,7 +348,8 @@
         }
         if (revision < state[1]) {
             revisionRegressions++;
-            consistencyChecker.reportViolation("CONFIG", dataPlane + " goes back from " + state[1] + " to " + revision);
+            consistencyChecker.reportViolation(
+                    "CONFIG", dataPlane + " goes back from " + state[1] + " to " + revision);
         }
         state[1] = revision;
         if (revision > 0) {
@@ -341,7 +363,10 @@
                 i >= 0 && i > acknowledgements.size() - 200;
                 i--) {
             AcknowledgedRevision acknowledged = acknowledgements.get(i);
-            required = acknowledged.atMillis() + MAX_APPLY_MILLIS < sim.millis() ? Math.max(required, acknowledged.revision()) : required;
+            required =
+                    acknowledged.atMillis() + MAX_APPLY_MILLIS < sim.millis()
+                            ? Math.max(required, acknowledged.revision())
+                            : required;
         }
         if (revision < required && state[2] < required) {
             state[2] = required;
@@ -369,21 +394,33 @@
         }
         if (finalReadRevision < highestAcknowledgedRevision) {
             lostChanges++;
-            consistencyChecker.reportViolation("LOST", "read back " + finalReadRevision + ", acknowledged " + highestAcknowledgedRevision);
+            consistencyChecker.reportViolation(
+                    "LOST",
+                    "read back "
+                            + finalReadRevision
+                            + ", acknowledged "
+                            + highestAcknowledgedRevision);
         }
         for (ConfigurationClient.Change change : rejectedChanges) {
-            if (!change.acknowledged && decidedContents.getOrDefault(change.revision, Map.of()).containsKey(change.digest)) {
+            if (!change.acknowledged
+                    && decidedContents
+                            .getOrDefault(change.revision, Map.of())
+                            .containsKey(change.digest)) {
                 rejectedAfterAcknowledge(change, "what is in force was refused");
             }
         }
         for (ControlMachine machine : day.controlCluster.machines()) {
-            if (machine.awaitingMembership && machine.isRunning() && sim.millis() - machine.majorityContactSinceMillis > 2 * ControlCluster.CATCH_UP_MILLIS) {
+            if (machine.awaitingMembership
+                    && machine.isRunning()
+                    && sim.millis() - machine.majorityContactSinceMillis
+                            > 2 * ControlCluster.CATCH_UP_MILLIS) {
                 replacementMillis.add(NOT_COMPLETED_MILLIS);
             }
             if (machine.catchUpRevision >= 0
                     && machine.catchUpChanges > 0
                     && machine.isRunning()
-                    && sim.millis() - machine.majorityContactSinceMillis > 2 * ControlCluster.CATCH_UP_MILLIS) {
+                    && sim.millis() - machine.majorityContactSinceMillis
+                            > 2 * ControlCluster.CATCH_UP_MILLIS) {
                 catchUpMillis.add(NOT_COMPLETED_MILLIS);
             }
         }
--- a/src/main/java/dillfront/simulation/system/ConfigurationClient.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationClient.java
@@ -209,33 +209,51 @@
 
     private void send(Change change) {
         ControlMachine target =
-                (change.attempts++ == 0 || change.firstTargetOnly) && change.firstTarget != null ? change.firstTarget : nextUntried(change.triedMachines);
+                (change.attempts++ == 0 || change.firstTargetOnly) && change.firstTarget != null
+                        ? change.firstTarget
+                        : nextUntried(change.triedMachines);
         change.triedMachines.add(target);
         long startMillis = simulator.millis();
         long timeoutMillis = RESPONSE_TIMEOUT_MILLIS + Math.round(change.transferMillis());
-        boolean responseLost = responseLossRate > 0 && simulator.random.nextDouble() < responseLossRate;
+        boolean responseLost =
+                responseLossRate > 0 && simulator.random.nextDouble() < responseLossRate;
         int historyCall = simulation.configurationChecker.beginCall(change);
-        simulation.controlCluster
-                .call(operator, "POST", target, "/Configuration.Replace", change.body, (int) timeoutMillis)
+        simulation
+                .controlCluster
+                .call(
+                        operator,
+                        "POST",
+                        target,
+                        "/Configuration.Replace",
+                        change.body,
+                        (int) timeoutMillis)
                 .whenComplete(
                         (result, failure) -> {
                             int status = failure == null ? result.response().status() : 503;
                             if (failure == null) {
-                                simulation.configurationChecker.checkResponse(result.responder(), result.sentAtMillis(), status);
+                                simulation.configurationChecker.checkResponse(
+                                        result.responder(), result.sentAtMillis(), status);
                                 change.accepted |= status == 200;
                             }
-                            simulation.configurationChecker.endCall(historyCall, failure == null && !responseLost ? status : 0);
+                            simulation.configurationChecker.endCall(
+                                    historyCall, failure == null && !responseLost ? status : 0);
                             if (failure == null && responseLost) {
-                                simulator.scheduleAt((startMillis + timeoutMillis) * 1_000, () -> retryLater(change));
+                                simulator.scheduleAt(
+                                        (startMillis + timeoutMillis) * 1_000,
+                                        () -> retryLater(change));
                             } else {
-                                handleResponse(change, failure == null ? result.responder() : target, status);
+                                handleResponse(
+                                        change,
+                                        failure == null ? result.responder() : target,
+                                        status);
                             }
                         });
     }
 
     private void retryLater(Change change) {
         simulator.scheduleAfter(
-                Math.min(MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS << Math.min(6, change.attempts)),
+                Math.min(
+                        MAX_RETRY_DELAY_MILLIS, RETRY_DELAY_MILLIS << Math.min(6, change.attempts)),
                 () -> {
                     if (!change.finished && !simulation.hasEnded()) {
                         send(change);
@@ -253,7 +271,8 @@
                 simulation.controlCluster.lastActive(responder.machine.name);
                 change.onAcknowledged.accept(responder);
                 if (simulator.random.nextDouble() < 0.15) {
-                    simulator.scheduleAfter(100 + simulator.random.nextInt(3_000), () -> resend(change));
+                    simulator.scheduleAfter(
+                            100 + simulator.random.nextInt(3_000), () -> resend(change));
                 }
             }
         } else if (status >= 500 || RETRYABLE_STATUSES.contains(status)) {
@@ -282,7 +301,8 @@
         }
         ControlMachine target = randomMachine();
         int historyCall = simulation.configurationChecker.beginCall(change);
-        simulation.controlCluster
+        simulation
+                .controlCluster
                 .call(
                         operator,
                         "POST",
@@ -297,11 +317,16 @@
                             if (failure != null) {
                                 return;
                             }
-                            simulation.configurationChecker.checkResponse(result.responder(), result.sentAtMillis(), status);
-                            if (status >= 400 && status < 500 && !RETRYABLE_STATUSES.contains(status)) {
-                                simulation.configurationChecker.changeRejected(change, result.responder(), status);
+                            simulation.configurationChecker.checkResponse(
+                                    result.responder(), result.sentAtMillis(), status);
+                            if (status >= 400
+                                    && status < 500
+                                    && !RETRYABLE_STATUSES.contains(status)) {
+                                simulation.configurationChecker.changeRejected(
+                                        change, result.responder(), status);
                             } else if (status == 200) {
-                                simulation.configurationChecker.acknowledged(change, result.responder());
+                                simulation.configurationChecker.acknowledged(
+                                        change, result.responder());
                             }
                         });
     }
@@ -328,20 +353,25 @@
     void readPeriodically(long intervalMillis) {
         if (!simulation.hasEnded()) {
             read(randomMachine(), 1_000);
-            simulator.scheduleAfter(intervalMillis * (0.5 + simulator.random.nextDouble()), () -> readPeriodically(intervalMillis));
+            simulator.scheduleAfter(
+                    intervalMillis * (0.5 + simulator.random.nextDouble()),
+                    () -> readPeriodically(intervalMillis));
         }
     }
 
     void read(ControlMachine source, int timeoutMillis) {
-        ConfigurationChecker.PendingRead pendingRead = simulation.configurationChecker.beginRead(source);
-        simulation.controlCluster
+        ConfigurationChecker.PendingRead pendingRead =
+                simulation.configurationChecker.beginRead(source);
+        simulation
+                .controlCluster
                 .call(operator, "GET", source, "/Configuration.Read", new byte[0], timeoutMillis)
                 .whenComplete(
                         (result, failure) -> {
                             if (failure != null || result.response().status() != 200) {
                                 return;
                             }
-                            simulation.configurationChecker.checkResponse(result.responder(), result.sentAtMillis(), 200);
+                            simulation.configurationChecker.checkResponse(
+                                    result.responder(), result.sentAtMillis(), 200);
                             byte[] body = result.response().body();
                             try {
                                 simulation.configurationChecker.endRead(
@@ -349,7 +379,8 @@
                                         Configuration.parse(body).revision(),
                                         ConfigurationChecker.digest(body));
                             } catch (Configuration.InvalidConfigurationException invalid) {
-                                simulation.consistencyChecker.reportViolation("CONFIG", invalid.getMessage());
+                                simulation.consistencyChecker.reportViolation(
+                                        "CONFIG", invalid.getMessage());
                             }
                         });
     }
--- a/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
@@ -141,7 +141,11 @@
 
     @Override
     public void onExecute(
-            DatabaseCluster.Server server, DatabaseCluster.Connection connection, String id, String text, boolean startsTransaction) {
+            DatabaseCluster.Server server,
+            DatabaseCluster.Connection connection,
+            String id,
+            String text,
+            boolean startsTransaction) {
         Attempt attempt = attempts.get(id);
         if (attempt == null) {
             reportViolation("UNASKED", server.id + " runs " + id);
@@ -149,7 +153,8 @@
         }
         // A write inside a transaction takes effect with its COMMIT; one that was rolled back does
         // not count (see again).
-        boolean executesOnce = text.equals("COMMIT") || text.startsWith("WRITE") && connection.state == 'I';
+        boolean executesOnce =
+                text.equals("COMMIT") || text.startsWith("WRITE") && connection.state == 'I';
         if (executesOnce && !executedWrites.add(id)) {
             duplicateExecutions++;
             reportViolation("TWICE", id + " runs a second time, at " + server.id);
@@ -161,16 +166,27 @@
             }
         }
         if (!connection.sessionSettings.equals(attempt.sessionSettings)) {
-            reportViolation("PINNED", id + " runs with " + connection.sessionSettings + ", its client has " + attempt.sessionSettings);
+            reportViolation(
+                    "PINNED",
+                    id
+                            + " runs with "
+                            + connection.sessionSettings
+                            + ", its client has "
+                            + attempt.sessionSettings);
         }
         if (text.startsWith("READ ") || text.startsWith("WRITE ")) {
             int executeStart = text.indexOf(" EXECUTE ");
-            if (executeStart > 0 && !attempt.preparedStatements.containsValue(text.substring(0, executeStart))) {
+            if (executeStart > 0
+                    && !attempt.preparedStatements.containsValue(text.substring(0, executeStart))) {
                 reportViolation("PINNED", id + " runs " + text);
             }
         }
         if (text.startsWith("READ")) {
-            long drainedMicros = attempt.transactionStart.startedAtMicros - (attempt.readConsistency.equals("primary") ? 0 : attempt.maxStalenessMillis * 1_000);
+            long drainedMicros =
+                    attempt.transactionStart.startedAtMicros
+                            - (attempt.readConsistency.equals("primary")
+                                    ? 0
+                                    : attempt.maxStalenessMillis * 1_000);
             long required = requiredIndex(attempt.database, drainedMicros);
             if (attempt.readConsistency.equals("own")) {
                 required = Math.max(required, attempt.transactionStart.lastWriteIndex);
@@ -204,7 +220,11 @@
             lostCommits++;
             reportViolation(
                     "LOST",
-                    server.id + " is promoted with " + server.position() + ", acknowledged was " + required);
+                    server.id
+                            + " is promoted with "
+                            + server.position()
+                            + ", acknowledged was "
+                            + required);
         }
         Long lostAtMillis = withoutPrimary.remove(database);
         if (lostAtMillis != null) {
@@ -229,7 +249,8 @@
      * more. All else is.
      */
     private void applyAcceptedLosses(String database, LogPosition logEnd) {
-        List<Acknowledgement> commits = acknowledged.computeIfAbsent(database, d -> new ArrayList<>());
+        List<Acknowledgement> commits =
+                acknowledged.computeIfAbsent(database, d -> new ArrayList<>());
         int countBefore = commits.size();
         commits.removeIf(
                 commit ->
@@ -239,14 +260,21 @@
                                                 loss ->
                                                         loss.database().equals(database)
                                                                 && logEnd.covers(loss.logEnd())
-                                                                && !loss.logEnd().covers(commit.position())
-                                                                && loss.lossEnd().covers(commit.position())));
+                                                                && !loss.logEnd()
+                                                                        .covers(commit.position())
+                                                                && loss.lossEnd()
+                                                                        .covers(
+                                                                                commit
+                                                                                        .position())));
         acceptedLosses.removeIf(loss -> loss.database().equals(database));
         if (commits.size() < countBefore) {
             acceptedLostCommits += countBefore - commits.size();
             attempts.values().stream()
                     .filter(attempt -> attempt.database.equals(database))
-                    .forEach(attempt -> attempt.lastWriteIndex = Math.min(attempt.lastWriteIndex, logEnd.index()));
+                    .forEach(
+                            attempt ->
+                                    attempt.lastWriteIndex =
+                                            Math.min(attempt.lastWriteIndex, logEnd.index()));
             onCommitsAbandoned.accept(database, logEnd.index());
         }
     }
@@ -269,7 +297,9 @@
                     for (DatabaseCluster.Commit commit : primary.log) {
                         if (!seenCommits.add(name + " " + commit.attemptId)) {
                             duplicateCommits++;
-                            reportViolation("TWICE", commit.attemptId + " is twice in the log of " + primary.id);
+                            reportViolation(
+                                    "TWICE",
+                                    commit.attemptId + " is twice in the log of " + primary.id);
                         }
                         Attempt attempt = attempts.get(commit.attemptId);
                         if (attempt != null && attempt.transactionStart.promisedNotExecuted) {
--- a/src/main/java/dillfront/simulation/system/ControlCluster.java
+++ b/src/main/java/dillfront/simulation/system/ControlCluster.java
@@ -52,14 +52,21 @@
     /** The one that acted or acknowledged last. */
     private String lastActive = "";
 
-    ControlCluster(SystemSimulation simulation, int machineCount, BiFunction<Simulator.Machine, Boolean, NodeSettings> settings) {
+    ControlCluster(
+            SystemSimulation simulation,
+            int machineCount,
+            BiFunction<Simulator.Machine, Boolean, NodeSettings> settings) {
         this.simulation = simulation;
         this.simulator = simulation.simulator;
         this.settings = settings;
         for (int i = 0; i < machineCount; i++) {
             String zone = SystemSimulation.ZONES[i % SystemSimulation.ZONES.length];
             add(
-                    "core-" + zone + (i < SystemSimulation.ZONES.length ? "" : i / SystemSimulation.ZONES.length),
+                    "core-"
+                            + zone
+                            + (i < SystemSimulation.ZONES.length
+                                    ? ""
+                                    : i / SystemSimulation.ZONES.length),
                     zone,
                     1 + i / SystemSimulation.ZONES.length);
         }
@@ -71,7 +78,8 @@
         ControlMachine machine =
                 new ControlMachine(
                         simulator,
-                        simulator.new Machine(name, zone, "10." + zone.charAt(0) % 'a' + ".0." + number));
+                        simulator
+                        .new Machine(name, zone, "10." + zone.charAt(0) % 'a' + ".0." + number));
         machines.put(name, machine);
         recordList();
         return machine;
@@ -79,7 +87,8 @@
 
     private void recordList() {
         machineLists.add(new MachineList(simulator.millis(), List.copyOf(machines.values())));
-        while (machineLists.size() > 1 && secondList().sinceMillis() <= simulator.millis() - LIST_DELAY_MILLIS) {
+        while (machineLists.size() > 1
+                && secondList().sinceMillis() <= simulator.millis() - LIST_DELAY_MILLIS) {
             machineLists.remove();
         }
     }
@@ -90,7 +99,8 @@
 
     /** As the list stood that callers have. */
     List<ControlMachine> knownMachines() {
-        while (machineLists.size() > 1 && secondList().sinceMillis() <= simulator.millis() - LIST_DELAY_MILLIS) {
+        while (machineLists.size() > 1
+                && secondList().sinceMillis() <= simulator.millis() - LIST_DELAY_MILLIS) {
             machineLists.remove();
         }
         return machineLists.peek().machines();
@@ -105,7 +115,10 @@
     }
 
     ControlMachine byIp(String ip) {
-        return machines.values().stream().filter(machine -> machine.machine.ip.equals(ip)).findFirst().orElse(null);
+        return machines.values().stream()
+                .filter(machine -> machine.machine.ip.equals(ip))
+                .findFirst()
+                .orElse(null);
     }
 
     /**
@@ -116,7 +129,9 @@
         ControlMachine found =
                 switch (name) {
                     case "leader" ->
-                            machines.containsKey(lastActive) ? machines.get(lastActive) : machines.firstEntry().getValue();
+                            machines.containsKey(lastActive)
+                                    ? machines.get(lastActive)
+                                    : machines.firstEntry().getValue();
                     case "seed" ->
                             seedMachines().stream()
                                     .filter(machine -> !machine.decommissioned)
@@ -124,7 +139,10 @@
                                     .orElse(machines.firstEntry().getValue());
                     case "other" ->
                             machines.values().stream()
-                                    .filter(machine -> !machine.machine.name.equals(lastActive) && machine.machine.up)
+                                    .filter(
+                                            machine ->
+                                                    !machine.machine.name.equals(lastActive)
+                                                            && machine.machine.up)
                                     .findFirst()
                                     .orElse(null);
                     default -> machines.get(name);
@@ -141,7 +159,8 @@
     }
 
     /** What was answered in the end, by whom, and when that one was asked. */
-    record HttpResult(Environment.HttpResponse response, ControlMachine responder, long sentAtMillis) {}
+    record HttpResult(
+            Environment.HttpResponse response, ControlMachine responder, long sentAtMillis) {}
 
     /** A call as all make it: a 307 is followed twice, and each that is asked is given so long. */
     CompletableFuture<HttpResult> call(
@@ -152,7 +171,15 @@
             byte[] body,
             int timeoutMillis) {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        call(from, method, target.machine.ip + ":" + HTTP_PORT, path, body, timeoutMillis, 2, result);
+        call(
+                from,
+                method,
+                target.machine.ip + ":" + HTTP_PORT,
+                path,
+                body,
+                timeoutMillis,
+                2,
+                result);
         return result;
     }
 
@@ -172,7 +199,9 @@
                         (response, failure) -> {
                             if (failure != null) {
                                 result.completeExceptionally(failure);
-                            } else if (response.status() == 307 && response.location() != null && redirectsLeft > 0) {
+                            } else if (response.status() == 307
+                                    && response.location() != null
+                                    && redirectsLeft > 0) {
                                 URI location = URI.create(response.location());
                                 call(
                                         from,
@@ -195,25 +224,38 @@
 
     private List<ControlMachine> seedMachines() {
         // A file that names none that is there any more has been written anew by then.
-        boolean usesConfigured = configuredSeeds != null && configuredSeeds.stream().anyMatch(machine -> !machine.decommissioned);
-        return usesConfigured ? configuredSeeds : knownMachines().stream().limit(MAX_SEEDS).toList();
+        boolean usesConfigured =
+                configuredSeeds != null
+                        && configuredSeeds.stream().anyMatch(machine -> !machine.decommissioned);
+        return usesConfigured
+                ? configuredSeeds
+                : knownMachines().stream().limit(MAX_SEEDS).toList();
     }
 
     List<String> seeds() {
-        return seedMachines().stream().map(machine -> machine.machine.ip + ":" + HTTP_PORT).toList();
+        return seedMachines().stream()
+                .map(machine -> machine.machine.ip + ":" + HTTP_PORT)
+                .toList();
     }
 
     /** Other seeds are named from now on: those given first, then the last ones that are there. */
     void setSeeds(List<ControlMachine> firstSeeds) {
         List<ControlMachine> seeds = new ArrayList<>(firstSeeds);
-        machines.descendingMap().values().stream().filter(machine -> !seeds.contains(machine)).forEach(seeds::add);
+        machines.descendingMap().values().stream()
+                .filter(machine -> !seeds.contains(machine))
+                .forEach(seeds::add);
         configuredSeeds = List.copyOf(seeds.subList(0, Math.min(MAX_SEEDS, seeds.size())));
-        simulation.logEvent("seeds " + configuredSeeds.stream().map(machine -> machine.machine.name).toList());
+        simulation.logEvent(
+                "seeds " + configuredSeeds.stream().map(machine -> machine.machine.name).toList());
     }
 
     void startAll() {
         machines.values()
-                .forEach(machine -> simulator.scheduleAfter(simulator.random.nextDouble() * START_SPREAD_MILLIS, () -> start(machine, true)));
+                .forEach(
+                        machine ->
+                                simulator.scheduleAfter(
+                                        simulator.random.nextDouble() * START_SPREAD_MILLIS,
+                                        () -> start(machine, true)));
     }
 
     void start(ControlMachine machine, boolean isFirstStart) {
@@ -223,15 +265,21 @@
         recordEvent();
         machine.machine.up();
         machine.startedAtMillis = simulator.millis();
-        ControlNode node = new ControlNode(machine.machine, settings.apply(machine.machine, isFirstStart), machine.disk);
+        ControlNode node =
+                new ControlNode(
+                        machine.machine,
+                        settings.apply(machine.machine, isFirstStart),
+                        machine.disk);
         machine.node = node;
         machine.machine.listen(PEER_PORT, environment -> node.accept());
-        machine.machine.serveHttp(HTTP_PORT, (method, path, body, headers) -> node.handle(method, path, body));
+        machine.machine.serveHttp(
+                HTTP_PORT, (method, path, body, headers) -> node.handle(method, path, body));
         simulation.configurationChecker.processStarted(machine);
         try {
             node.start();
         } catch (Configuration.InvalidConfigurationException invalid) {
-            simulation.consistencyChecker.reportViolation("FAULT", machine.machine.name + " does not start: " + invalid.getMessage());
+            simulation.consistencyChecker.reportViolation(
+                    "FAULT", machine.machine.name + " does not start: " + invalid.getMessage());
         }
     }
 
@@ -259,7 +307,12 @@
     private void updateIsolation() {
         for (ControlMachine machine : machines.values()) {
             boolean isolated = machine.isRunning() && !reachesMajority(machine);
-            machine.isolatedSinceMillis = !isolated ? -1 : machine.isolatedSinceMillis < 0 ? simulator.millis() : machine.isolatedSinceMillis;
+            machine.isolatedSinceMillis =
+                    !isolated
+                            ? -1
+                            : machine.isolatedSinceMillis < 0
+                                    ? simulator.millis()
+                                    : machine.isolatedSinceMillis;
         }
     }
 
@@ -283,7 +336,8 @@
     }
 
     private void extendLoss(long durationMillis) {
-        lossEndsMillis = Math.max(lossEndsMillis, simulator.millis() + durationMillis + CATCH_UP_MILLIS);
+        lossEndsMillis =
+                Math.max(lossEndsMillis, simulator.millis() + durationMillis + CATCH_UP_MILLIS);
     }
 
     /**
@@ -294,7 +348,8 @@
         if (machine == null || !machine.machine.up) {
             return;
         }
-        simulation.logEvent((wipe ? "wipe " : powerLoss ? "power " : "kill ") + machine.machine.name);
+        simulation.logEvent(
+                (wipe ? "wipe " : powerLoss ? "power " : "kill ") + machine.machine.name);
         simulation.configurationChecker.machineLosses++;
         recordEvent();
         extendLoss(durationMillis);
@@ -321,7 +376,11 @@
             @Override
             public void run() {
                 if (simulator.millis() < endMillis) {
-                    failMachine(machine, simulator.random.nextBoolean(), false, 200 + simulator.random.nextInt(300));
+                    failMachine(
+                            machine,
+                            simulator.random.nextBoolean(),
+                            false,
+                            200 + simulator.random.nextInt(300));
                     simulator.scheduleAfter(600 + simulator.random.nextInt(900), this);
                 }
             }
@@ -332,19 +391,23 @@
      * Gone for good; an empty one comes at another address. Planned: that one first, then SIGTERM.
      */
     void replace(ControlMachine replaced, boolean planned, long delayMillis) {
-        if (replaced == null || replaced.decommissioned || !machines.containsKey(replaced.machine.name)) {
+        if (replaced == null
+                || replaced.decommissioned
+                || !machines.containsKey(replaced.machine.name)) {
             return;
         }
         String baseName =
                 replaced.machine.name.contains("-r")
                         ? replaced.machine.name.substring(0, replaced.machine.name.indexOf("-r"))
                         : replaced.machine.name;
-        simulation.logEvent((planned ? "planned replacement of " : "gone for good ") + replaced.machine.name);
+        simulation.logEvent(
+                (planned ? "planned replacement of " : "gone for good ") + replaced.machine.name);
         int number = ++replacementCount;
         extendLoss(delayMillis);
         Runnable startReplacement =
                 () -> {
-                    ControlMachine replacement = add(baseName + "-r" + number, replaced.machine.zone, 100 + number);
+                    ControlMachine replacement =
+                            add(baseName + "-r" + number, replaced.machine.zone, 100 + number);
                     replacement.awaitingMembership = true;
                     simulation.configurationChecker.replacements++;
                     simulation.logEvent("new " + replacement.machine.name);
@@ -412,8 +475,13 @@
     /**
      * Cut off from all others of its kind. way: both, in (it hears nothing), out (it is not heard).
      */
-    void isolate(List<ControlMachine> isolated, String direction, boolean restartsMachines, long durationMillis) {
-        List<ControlMachine> rest = machines.values().stream().filter(machine -> !isolated.contains(machine)).toList();
+    void isolate(
+            List<ControlMachine> isolated,
+            String direction,
+            boolean restartsMachines,
+            long durationMillis) {
+        List<ControlMachine> rest =
+                machines.values().stream().filter(machine -> !isolated.contains(machine)).toList();
         simulation.logEvent(
                 "cut off "
                         + isolated.stream().map(machine -> machine.machine.name).toList()
@@ -427,16 +495,28 @@
         simulator.scheduleAfter(
                 durationMillis,
                 () -> {
-                    simulation.logEvent("joined " + isolated.stream().map(machine -> machine.machine.name).toList());
+                    simulation.logEvent(
+                            "joined "
+                                    + isolated.stream()
+                                            .map(machine -> machine.machine.name)
+                                            .toList());
                     setCut(isolated, rest, direction, false);
                 });
         if (restartsMachines) {
-            simulator.scheduleAfter(durationMillis / 3.0, () -> isolated.forEach(machine -> failMachine(machine, false, false, 300)));
-            simulator.scheduleAfter(durationMillis * 2 / 3.0, () -> rest.forEach(machine -> failMachine(machine, false, false, 300)));
+            simulator.scheduleAfter(
+                    durationMillis / 3.0,
+                    () -> isolated.forEach(machine -> failMachine(machine, false, false, 300)));
+            simulator.scheduleAfter(
+                    durationMillis * 2 / 3.0,
+                    () -> rest.forEach(machine -> failMachine(machine, false, false, 300)));
         }
     }
 
-    private void setCut(List<ControlMachine> isolated, List<ControlMachine> rest, String direction, boolean blocked) {
+    private void setCut(
+            List<ControlMachine> isolated,
+            List<ControlMachine> rest,
+            String direction,
+            boolean blocked) {
         for (ControlMachine a : isolated) {
             for (ControlMachine b : rest) {
                 if (!direction.equals("in")) {
@@ -450,7 +530,8 @@
         recordEvent();
     }
 
-    void injectDiskFault(ControlMachine machine, String fault, double slowdown, long durationMillis) {
+    void injectDiskFault(
+            ControlMachine machine, String fault, double slowdown, long durationMillis) {
         if (machine == null) {
             return;
         }
@@ -490,7 +571,9 @@
                                 lines.add(
                                         machine.machine.name
                                                 + " "
-                                                + (machine.node == null ? "down" : machine.node.status())));
+                                                + (machine.node == null
+                                                        ? "down"
+                                                        : machine.node.status())));
         return lines;
     }
 }
--- a/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
+++ b/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
@@ -31,18 +31,22 @@
     }
 
     private static int number(String[] words, int index, int defaultValue) {
-        return words.length > index && words[index].matches("\\d+") ? Integer.parseInt(words[index]) : defaultValue;
+        return words.length > index && words[index].matches("\\d+")
+                ? Integer.parseInt(words[index])
+                : defaultValue;
     }
 
     /** Whether the line was one of these. */
     boolean inject(String[] words, String line, long durationMillis) {
-        ControlMachine machine = words.length > 1 && isControl(words[1]) ? cluster.find(words[1]) : null;
+        ControlMachine machine =
+                words.length > 1 && isControl(words[1]) ? cluster.find(words[1]) : null;
         switch (words[0]) {
             case "kill", "power", "wipe" -> {
                 if (words.length < 2 || !isControl(words[1])) {
                     return false;
                 }
-                cluster.failMachine(machine, !words[0].equals("kill"), words[0].equals("wipe"), durationMillis);
+                cluster.failMachine(
+                        machine, !words[0].equals("kill"), words[0].equals("wipe"), durationMillis);
             }
             case "freeze" -> {
                 if (!isControl(words[1])) {
@@ -52,7 +56,9 @@
             }
             case "holder" -> {
                 for (ControlMachine candidate : cluster.machines()) {
-                    if (candidate.isRunning() && candidate.node != null && candidate.node.status().contains(" held ")) {
+                    if (candidate.isRunning()
+                            && candidate.node != null
+                            && candidate.node.status().contains(" held ")) {
                         cluster.failMachine(candidate, true, false, durationMillis);
                         break;
                     }
@@ -61,7 +67,9 @@
             case "core_cut" -> isolate(machine, line, number(words, 2, 1), durationMillis);
             case "replace" ->
                     cluster.replace(
-                            machine, line.contains(" planned"), line.contains(" for ") ? durationMillis : 1_000);
+                            machine,
+                            line.contains(" planned"),
+                            line.contains(" for ") ? durationMillis : 1_000);
             case "seeds" -> {
                 cluster.setSeeds(machine == null ? List.of() : List.of(machine));
                 simulation.updateSeeds();
@@ -76,8 +84,10 @@
             }
             case "hard" -> cluster.crashRepeatedly(machine, durationMillis);
             case "disk_stall", "disk_slow", "disk_refuse" ->
-                    cluster.injectDiskFault(machine, words[0], number(words, 2, 30), durationMillis);
-            case "after_ack" -> failAfterAcknowledgement(words[1], number(words, 2, 1), durationMillis);
+                    cluster.injectDiskFault(
+                            machine, words[0], number(words, 2, 30), durationMillis);
+            case "after_ack" ->
+                    failAfterAcknowledgement(words[1], number(words, 2, 1), durationMillis);
             case "closing" -> failAllAfterAcknowledgement(words[1], durationMillis);
             case "configure" -> simulation.configurationClient.submit(null, acknowledgedBy -> {});
             case "order" -> {
@@ -93,13 +103,16 @@
             case "race" -> {
                 int gapMillis = number(words, 2, 1_000);
                 for (int i = 0; i < number(words, 1, 1); i++) {
-                    simulator.scheduleAfter((double) i * gapMillis, simulation.configurationClient::submitConflicting);
+                    simulator.scheduleAfter(
+                            (double) i * gapMillis,
+                            simulation.configurationClient::submitConflicting);
                 }
             }
             case "big" -> simulation.configurationClient.extraRoutes = number(words, 1, 350);
             case "lossy" -> {
                 simulation.configurationClient.responseLossRate = Double.parseDouble(words[1]);
-                simulator.scheduleAfter(durationMillis, () -> simulation.configurationClient.responseLossRate = 0);
+                simulator.scheduleAfter(
+                        durationMillis, () -> simulation.configurationClient.responseLossRate = 0);
             }
             case "reads" -> simulation.configurationClient.readPeriodically(number(words, 1, 700));
             default -> {
@@ -112,7 +125,9 @@
     private void submitBurst(int count, int gapMillis) {
         simulation.logEvent("storm of " + count);
         for (int i = 0; i < count; i++) {
-            simulator.scheduleAfter((double) i * gapMillis, () -> simulation.configurationClient.submit(null, acknowledgedBy -> {}));
+            simulator.scheduleAfter(
+                    (double) i * gapMillis,
+                    () -> simulation.configurationClient.submit(null, acknowledgedBy -> {}));
         }
     }
 
@@ -129,8 +144,12 @@
             }
         }
         if (line.contains(" meet")) {
-            simulator.scheduleAfter(durationMillis * 0.4, () -> simulation.configurationClient.submit(machine, acknowledgedBy -> {}));
-            simulator.scheduleAfter(durationMillis + 5, () -> simulation.configurationClient.submit(machine, acknowledgedBy -> {}));
+            simulator.scheduleAfter(
+                    durationMillis * 0.4,
+                    () -> simulation.configurationClient.submit(machine, acknowledgedBy -> {}));
+            simulator.scheduleAfter(
+                    durationMillis + 5,
+                    () -> simulation.configurationClient.submit(machine, acknowledgedBy -> {}));
         }
         if (line.contains(" seeds")) {
             cluster.setSeeds(isolated);
@@ -159,13 +178,20 @@
                                     int remaining = count;
                                     if (acknowledgedBy != null) {
                                         cluster.failMachine(
-                                                acknowledgedBy, !failure.equals("kill"), failure.equals("wipe"), durationMillis);
+                                                acknowledgedBy,
+                                                !failure.equals("kill"),
+                                                failure.equals("wipe"),
+                                                durationMillis);
                                         remaining--;
                                     }
-                                    for (ControlMachine other : List.copyOf(cluster.knownMachines())) {
+                                    for (ControlMachine other :
+                                            List.copyOf(cluster.knownMachines())) {
                                         if (remaining > 0 && other != acknowledgedBy) {
                                             cluster.failMachine(
-                                                    other, !failure.equals("kill"), failure.equals("wipe"), durationMillis);
+                                                    other,
+                                                    !failure.equals("kill"),
+                                                    failure.equals("wipe"),
+                                                    durationMillis);
                                             remaining--;
                                         }
                                     }
@@ -193,7 +219,9 @@
     private void failAllAfterAcknowledgement(String failure, long durationMillis) {
         if (failure.equals("timed")) {
             simulation.configurationClient.submit(null, ignored -> {});
-            simulator.scheduleAfter(5 + simulator.random.nextInt(MAX_AFTER_SEND_MILLIS), () -> cluster.failAll(true, null, durationMillis));
+            simulator.scheduleAfter(
+                    5 + simulator.random.nextInt(MAX_AFTER_SEND_MILLIS),
+                    () -> cluster.failAll(true, null, durationMillis));
             return;
         }
         simulation.configurationClient.submit(
@@ -203,12 +231,17 @@
                                 1 + simulator.random.nextInt(MAX_CLOSING_DELAY_MILLIS),
                                 () -> {
                                     simulation.logEvent("closing " + failure);
-                                    boolean singleLossAllowed = simulator.millis() >= cluster.lossEndsMillis();
+                                    boolean singleLossAllowed =
+                                            simulator.millis() >= cluster.lossEndsMillis();
                                     switch (singleLossAllowed ? failure : "power") {
                                         case "power" -> cluster.failAll(true, null, durationMillis);
                                         case "kill" -> cluster.failAll(false, null, durationMillis);
-                                        case "wipe_power" -> cluster.failAll(true, acknowledgedBy, durationMillis);
-                                        default -> cluster.failMachine(acknowledgedBy, true, true, durationMillis);
+                                        case "wipe_power" ->
+                                                cluster.failAll(
+                                                        true, acknowledgedBy, durationMillis);
+                                        default ->
+                                                cluster.failMachine(
+                                                        acknowledgedBy, true, true, durationMillis);
                                     }
                                 }));
     }
--- a/src/main/java/dillfront/simulation/system/DataLossOperator.java
+++ b/src/main/java/dillfront/simulation/system/DataLossOperator.java
@@ -68,7 +68,9 @@
                                                 .get("lacking")
                                                 .asArray()) {
                                     lacking =
-                                            entry.asObject().getString("service", "").equals(service)
+                                            entry.asObject()
+                                                            .getString("service", "")
+                                                            .equals(service)
                                                     ? entry.asObject()
                                                     : lacking;
                                 }
@@ -77,7 +79,9 @@
                                 simulation.logEvent("lacking " + lacking);
                                 submit(service, mode, lacking);
                             } else if (simulator.millis() < endMillis) {
-                                simulator.scheduleAfter(RETRY_INTERVAL_MILLIS, () -> pollStatus(service, mode, endMillis));
+                                simulator.scheduleAfter(
+                                        RETRY_INTERVAL_MILLIS,
+                                        () -> pollStatus(service, mode, endMillis));
                             } else {
                                 simulation.logEvent("nothing is lacking of " + service);
                                 send(fabricatedRequest(service), "wrong", 0);
@@ -114,14 +118,18 @@
                 new String[] {"log_position", "least_acknowledged", "most_acknowledged"}) {
             LogPosition position = LogPosition.parse(lacking.getString(name, ""));
             send(
-                    withField(lacking, name, new LogPosition(position.term(), position.index() + 1).toString()),
+                    withField(
+                            lacking,
+                            name,
+                            new LogPosition(position.term(), position.index() + 1).toString()),
                     mode,
                     0);
             send(
                     withField(
                             lacking,
                             name,
-                            new LogPosition(position.term(), Math.max(0, position.index() - 1)).toString()),
+                            new LogPosition(position.term(), Math.max(0, position.index() - 1))
+                                    .toString()),
                     mode,
                     0);
         }
@@ -163,15 +171,22 @@
                             }
                             if (!FINAL_STATUSES.contains(status)) {
                                 if (attempts < 60) {
-                                    simulator.scheduleAfter(RETRY_INTERVAL_MILLIS, () -> send(body, mode, attempts + 1));
+                                    simulator.scheduleAfter(
+                                            RETRY_INTERVAL_MILLIS,
+                                            () -> send(body, mode, attempts + 1));
                                 }
                             } else if (mode.equals("wrong") && status != 409) {
                                 simulation.consistencyChecker.reportViolation(
                                         "GIVEN", status + " to what was not shown: " + body);
                             } else if (mode.equals("closing") && status == 200) {
-                                simulator.scheduleAfter(1, () -> simulation.controlCluster.failAll(true, null, 1_500));
+                                simulator.scheduleAfter(
+                                        1,
+                                        () -> simulation.controlCluster.failAll(true, null, 1_500));
                             } else if (mode.equals("twice") && status == 200) {
-                                simulation.controlCluster.machines().forEach(machine -> resend(body, machine));
+                                simulation
+                                        .controlCluster
+                                        .machines()
+                                        .forEach(machine -> resend(body, machine));
                             }
                         });
     }
--- a/src/main/java/dillfront/simulation/system/DatabaseCluster.java
+++ b/src/main/java/dillfront/simulation/system/DatabaseCluster.java
@@ -29,7 +29,12 @@
     /** Who watches what servers run. */
     interface ExecutionObserver {
         /** A read, write or commit runs, by this connection. */
-        void onExecute(Server server, Connection connection, String id, String text, boolean startsTransaction);
+        void onExecute(
+                Server server,
+                Connection connection,
+                String id,
+                String text,
+                boolean startsTransaction);
 
         void onPromoted(Server server);
 
@@ -292,9 +297,11 @@
                         }
                         target.replicateFrom(this);
                         if (target.log.size() >= size && target.log.get(size - 1) == commit) {
-                            simulator.scheduleAfter(simulator.latencyMillis(machine, target.machine), acknowledge);
+                            simulator.scheduleAfter(
+                                    simulator.latencyMillis(machine, target.machine), acknowledge);
                         } else if (machine.up) {
-                            simulator.scheduleAfter(20, () -> replicateTo(target, size, acknowledge, commit));
+                            simulator.scheduleAfter(
+                                    20, () -> replicateTo(target, size, acknowledge, commit));
                         }
                     });
         }
@@ -451,7 +458,8 @@
                     readOnly = "READ".equals(words[1]);
                     if (!readOnly && !server.isPrimary) {
                         sendError("READONLY");
-                    } else if (requiredPosition != null && !server.appliedPosition().covers(requiredPosition)) {
+                    } else if (requiredPosition != null
+                            && !server.appliedPosition().covers(requiredPosition)) {
                         sendError("LAGGING");
                     } else {
                         state = 'T';
@@ -490,7 +498,8 @@
         private void execute(String id, String text, String[] words, LogPosition requiredPosition) {
             String prepared = words[0].equals("EXECUTE") ? preparedStatements.get(words[1]) : null;
             boolean isCommit = words[0].equals("COMMIT");
-            boolean isWrite = words[0].equals("WRITE") || prepared != null && prepared.startsWith("WRITE");
+            boolean isWrite =
+                    words[0].equals("WRITE") || prepared != null && prepared.startsWith("WRITE");
             if (words[0].equals("EXECUTE") && prepared == null) {
                 sendError("UNKNOWN");
                 return;
@@ -501,7 +510,8 @@
                 return;
             }
             boolean inWriteTransaction = state == 'T' && !readOnly;
-            if ((isWrite || inWriteTransaction && !(isCommit && transactionWrites.isEmpty())) && !server.isPrimary) {
+            if ((isWrite || inWriteTransaction && !(isCommit && transactionWrites.isEmpty()))
+                    && !server.isPrimary) {
                 if (isCommit) {
                     state = 'I';
                     transactionWrites.clear();
@@ -552,7 +562,8 @@
                                                 return;
                                             }
                                             if (server.responseLossRate > 0
-                                                    && simulator.random.nextDouble() < server.responseLossRate) {
+                                                    && simulator.random.nextDouble()
+                                                            < server.responseLossRate) {
                                                 executing = true;
                                                 return;
                                             }
--- a/src/main/java/dillfront/simulation/system/SimulatedDisk.java
+++ b/src/main/java/dillfront/simulation/system/SimulatedDisk.java
@@ -14,7 +14,8 @@
 
     private static final double SYNC_MILLIS = 3;
 
-    private record PendingWrite(Map<String, String> entries, long queuedAtMillis, CompletableFuture<Void> completion) {}
+    private record PendingWrite(
+            Map<String, String> entries, long queuedAtMillis, CompletableFuture<Void> completion) {}
 
     private final Simulator simulator;
     private final Simulator.Machine machine;
@@ -36,7 +37,8 @@
 
     @Override
     public CompletableFuture<Void> put(Map<String, String> entries) {
-        PendingWrite write = new PendingWrite(entries, simulator.millis(), new CompletableFuture<>());
+        PendingWrite write =
+                new PendingWrite(entries, simulator.millis(), new CompletableFuture<>());
         queue.add(write);
         if (queue.size() == 1) {
             startWrite();
@@ -51,7 +53,9 @@
 
     private void startWrite() {
         PendingWrite write = queue.peek();
-        simulator.scheduleAfter(SYNC_MILLIS * slowdown * (0.7 + 0.6 * simulator.random.nextDouble()), () -> finishWrite(write));
+        simulator.scheduleAfter(
+                SYNC_MILLIS * slowdown * (0.7 + 0.6 * simulator.random.nextDouble()),
+                () -> finishWrite(write));
     }
 
     private void finishWrite(PendingWrite write) {
@@ -109,7 +113,10 @@
     }
 
     void stall(double durationMillis) {
-        stalledUntilMicros = Math.max(stalledUntilMicros, simulator.micros() + Math.round(durationMillis * 1_000));
+        stalledUntilMicros =
+                Math.max(
+                        stalledUntilMicros,
+                        simulator.micros() + Math.round(durationMillis * 1_000));
     }
 
     void setSlowdown(double factor) {
--- a/src/main/java/dillfront/simulation/system/Simulator.java
+++ b/src/main/java/dillfront/simulation/system/Simulator.java
@@ -253,7 +253,8 @@
                 end.closeWith("reset");
                 if (remote != null) {
                     remote.blocked.clear();
-                    Simulator.this.scheduleAfter(latencyMillis(this, remote.machine), () -> remote.closeWith("reset"));
+                    Simulator.this.scheduleAfter(
+                            latencyMillis(this, remote.machine), () -> remote.closeWith("reset"));
                 }
             }
         }
@@ -328,7 +329,9 @@
                         Function<Environment, ConnectionListener> acceptor =
                                 target.up ? target.acceptors.get(port) : null;
                         if (acceptor == null) {
-                            Simulator.this.scheduleAfter(latencyMillis(this, target), () -> localEnd.closeWith("refused"));
+                            Simulator.this.scheduleAfter(
+                                    latencyMillis(this, target),
+                                    () -> localEnd.closeWith("refused"));
                             return;
                         }
                         ConnectionEnd remoteEnd = new ConnectionEnd(target, framing, null);
@@ -387,7 +390,8 @@
             Machine target = machinesByIp.get(address.substring(0, colon));
             int port = Integer.parseInt(address.substring(colon + 1));
             int currentIncarnation = incarnation;
-            messageObserver.onSent(name, address, method + " " + path + " " + new TreeMap<>(headers), body);
+            messageObserver.onSent(
+                    name, address, method + " " + path + " " + new TreeMap<>(headers), body);
             schedule(
                     timeoutMillis,
                     () ->
@@ -397,7 +401,10 @@
                 Simulator.this.scheduleAfter(
                         2 * latencyMillis(this, target),
                         () -> {
-                            HttpHandler handler = target.up && reaches(target) ? target.httpHandlers.get(port) : null;
+                            HttpHandler handler =
+                                    target.up && reaches(target)
+                                            ? target.httpHandlers.get(port)
+                                            : null;
                             if (handler == null) {
                                 if (reaches(target) && !cutOneWay(target, this)) {
                                     result.completeExceptionally(
@@ -419,15 +426,18 @@
                                                                                     + " "
                                                                                     + path
                                                                                     + " "
-                                                                                    + response.location(),
+                                                                                    + response
+                                                                                            .location(),
                                                                             response.body());
                                                                 }
                                                                 Simulator.this.scheduleAfter(
                                                                         latencyMillis(this, target),
                                                                         () -> {
-                                                                            if (targetIncarnation == target.incarnation
-                                                                                    && target.reaches(
-                                                                                            this)
+                                                                            if (targetIncarnation
+                                                                                            == target.incarnation
+                                                                                    && target
+                                                                                            .reaches(
+                                                                                                    this)
                                                                                     && incarnation
                                                                                             == currentIncarnation) {
                                                                                 runOrDefer(
@@ -462,7 +472,10 @@
         /** What a cut holds up, in order. */
         private final ArrayDeque<Runnable> blocked = new ArrayDeque<>();
 
-        ConnectionEnd(Machine machine, Environment.Framing framing, Environment.ConnectionListener listener) {
+        ConnectionEnd(
+                Machine machine,
+                Environment.Framing framing,
+                Environment.ConnectionListener listener) {
             this.machine = machine;
             this.framing = framing;
             this.listener = listener;
@@ -484,7 +497,10 @@
             if (remote == null) {
                 return;
             }
-            lastDeliveryMicros = Math.max(lastDeliveryMicros, nowMicros + Math.round(latencyMillis(machine, remote.machine) * 1_000));
+            lastDeliveryMicros =
+                    Math.max(
+                            lastDeliveryMicros,
+                            nowMicros + Math.round(latencyMillis(machine, remote.machine) * 1_000));
             Simulator.this.scheduleAt(
                     lastDeliveryMicros,
                     () -> {
@@ -509,7 +525,8 @@
             if (!remote.closed) {
                 remote.machine.runOrDefer(action);
             } else if (remote.machine.up && !closed && !cutOneWay(remote.machine, machine)) {
-                Simulator.this.scheduleAfter(latencyMillis(remote.machine, machine), () -> closeWith("reset"));
+                Simulator.this.scheduleAfter(
+                        latencyMillis(remote.machine, machine), () -> closeWith("reset"));
             }
         }
 
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -68,7 +68,12 @@
     /** What happened, for whoever looks into a seed. */
     public final List<String> eventLog = new ArrayList<>();
 
-    public SystemSimulation(long seed, int dataPlanesPerZone, int services, int sessionsPerService, long totalMillis) {
+    public SystemSimulation(
+            long seed,
+            int dataPlanesPerZone,
+            int services,
+            int sessionsPerService,
+            long totalMillis) {
         this(seed, dataPlanesPerZone, services, sessionsPerService, totalMillis, ZONES.length);
     }
 
@@ -85,30 +90,47 @@
         durationMillis = totalMillis;
         clients = simulator.new Machine("clients", "a", "10.9.0.1");
         platform = simulator.new Machine("platform", "a", "10.9.0.2");
-        configurationClient = new ConfigurationClient(this, simulator.new Machine("operator", "b", "10.9.0.3"));
+        configurationClient =
+                new ConfigurationClient(this, simulator.new Machine("operator", "b", "10.9.0.3"));
         configurationChecker = new ConfigurationChecker(this);
-        dataLossOperator = new DataLossOperator(this, simulator.new Machine("person", "c", "10.9.0.4"));
+        dataLossOperator =
+                new DataLossOperator(this, simulator.new Machine("person", "c", "10.9.0.4"));
         consistencyChecker.onCommitsAbandoned =
                 (database, index) ->
                         sessions.stream()
                                 .filter(session -> session.database.equals(database))
-                                .forEach(session -> session.lastWriteIndex = Math.min(session.lastWriteIndex, index));
-        controlCluster = new ControlCluster(this, controlMachines, (machine, isFirstStart) -> settings(machine, true, isFirstStart));
+                                .forEach(
+                                        session ->
+                                                session.lastWriteIndex =
+                                                        Math.min(session.lastWriteIndex, index));
+        controlCluster =
+                new ControlCluster(
+                        this,
+                        controlMachines,
+                        (machine, isFirstStart) -> settings(machine, true, isFirstStart));
         platform.serveHttp(PLATFORM_PORT, this::handlePromotion);
         for (int zone = 0; zone < ZONES.length; zone++) {
             for (int i = 0; i < dataPlanesPerZone; i++) {
                 DataPlaneMachine dataPlane = new DataPlaneMachine();
                 dataPlane.machine =
-                        simulator.new Machine("front-" + ZONES[zone] + i, ZONES[zone], "10." + zone + ".1." + i);
+                        simulator
+                        .new Machine(
+                                "front-" + ZONES[zone] + i, ZONES[zone], "10." + zone + ".1." + i);
                 dataPlanes.put(ZONES[zone] + i, dataPlane);
             }
         }
         for (int session = 0; session < services; session++) {
-            DatabaseCluster database = new DatabaseCluster(simulator, "db" + session, 6, 60, 8, 300, true, consistencyChecker);
+            DatabaseCluster database =
+                    new DatabaseCluster(
+                            simulator, "db" + session, 6, 60, 8, 300, true, consistencyChecker);
             databases.put(database.name, database);
             consistencyChecker.databases.put(database.name, database);
             for (int zone = 0; zone < ZONES.length; zone++) {
-                createServer(database, ZONES[(zone + session) % ZONES.length], zone, FIRST_DATABASE_PORT + session);
+                createServer(
+                        database,
+                        ZONES[(zone + session) % ZONES.length],
+                        zone,
+                        FIRST_DATABASE_PORT + session);
             }
             database.servers.get(0).isPrimary = true;
             String[] kinds = {"primary", "bounded", "own"};
@@ -148,14 +170,16 @@
 
     // ---- database servers
 
-    private DatabaseCluster.Server createServer(DatabaseCluster database, String zone, int number, int port) {
+    private DatabaseCluster.Server createServer(
+            DatabaseCluster database, String zone, int number, int port) {
         Simulator.Machine machine =
                 simulator
                 .new Machine(
                         database.name + "-" + zone + number,
                         zone,
                         "10.8." + database.name.substring(2) + "." + (10 + number));
-        DatabaseCluster.Server server = database.new Server(machine, database.name + "-" + zone + number, port);
+        DatabaseCluster.Server server =
+                database.new Server(machine, database.name + "-" + zone + number, port);
         server.onRoleChange = () -> sendHeartbeat(database, server, false, 0);
         startHeartbeats(database, server);
         return server;
@@ -168,7 +192,8 @@
                 new Runnable() {
                     @Override
                     public void run() {
-                        if (server.machine.incarnation == incarnation && database.servers.contains(server)) {
+                        if (server.machine.incarnation == incarnation
+                                && database.servers.contains(server)) {
                             if (!server.heartbeatsStopped) {
                                 sendHeartbeat(database, server, false, 0);
                             }
@@ -181,7 +206,11 @@
     private long callSequence;
 
     /** To one control machine after the other, until one answers. */
-    private void sendHeartbeat(DatabaseCluster database, DatabaseCluster.Server server, boolean isLeaving, int attempts) {
+    private void sendHeartbeat(
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean isLeaving,
+            int attempts) {
         if (!server.machine.up || attempts > 6) {
             return;
         }
@@ -193,9 +222,12 @@
                 body,
                 acknowledged -> {
                     if (!acknowledged) {
-                        server.machine.schedule(50L * (attempts + 1), () -> sendHeartbeat(database, server, isLeaving, attempts + 1));
+                        server.machine.schedule(
+                                50L * (attempts + 1),
+                                () -> sendHeartbeat(database, server, isLeaving, attempts + 1));
                     } else if (isDraining) {
-                        consistencyChecker.drainAcknowledgedMicros.putIfAbsent(server.id, simulator.micros());
+                        consistencyChecker.drainAcknowledgedMicros.putIfAbsent(
+                                server.id, simulator.micros());
                     }
                 });
     }
@@ -219,10 +251,12 @@
             java.util.function.Consumer<Boolean> acknowledged) {
         List<ControlMachine> machines = controlCluster.knownMachines();
         ControlMachine target = machines.get(simulator.random.nextInt(machines.size()));
-        controlCluster.call(server.machine, "POST", target, path, Simulator.bytes(body), 1_000)
+        controlCluster
+                .call(server.machine, "POST", target, path, Simulator.bytes(body), 1_000)
                 .whenComplete(
                         (result, failure) ->
-                                acknowledged.accept(failure == null && result.response().status() == 200));
+                                acknowledged.accept(
+                                        failure == null && result.response().status() == 200));
     }
 
     private CompletableFuture<Environment.HttpResponse> handlePromotion(
@@ -239,7 +273,9 @@
             CompletableFuture<Environment.HttpResponse> delayed = new CompletableFuture<>();
             simulator.scheduleAt(
                     platformSlowUntilMillis * 1_000,
-                    () -> handlePromotion(method, path, body, headers).thenAccept(delayed::complete));
+                    () ->
+                            handlePromotion(method, path, body, headers)
+                                    .thenAccept(delayed::complete));
             return delayed;
         }
         JsonObject request = Json.parse(Simulator.text(body)).asObject();
@@ -249,7 +285,11 @@
         String leaseHolder = headers.getOrDefault("Dillfront-Duty-Holder", "");
         configurationChecker.fencingTokenUsed(leaseHolder, fencingToken);
         eventLog.add(
-                simulator.millis() + " platform: " + request.getString("instance_id", "") + " fence " + fencingToken);
+                simulator.millis()
+                        + " platform: "
+                        + request.getString("instance_id", "")
+                        + " fence "
+                        + fencingToken);
         if (fencingToken < highestToken[0]) {
             return CompletableFuture.completedFuture(
                     new Environment.HttpResponse(409, new byte[0]));
@@ -262,7 +302,8 @@
 
     // ---- the system's machines
 
-    private NodeSettings settings(Simulator.Machine machine, boolean isControl, boolean isFirstStart) {
+    private NodeSettings settings(
+            Simulator.Machine machine, boolean isControl, boolean isFirstStart) {
         Map<String, String> regions = new HashMap<>();
         for (String zone : ZONES) {
             regions.put(zone, "r" + zone);
@@ -290,7 +331,9 @@
     private void startDataPlane(DataPlaneMachine dataPlane, boolean isFirstStart) {
         dataPlane.machine.up();
         dataPlane.undisturbedSinceMillis = simulator.millis();
-        DataPlaneNode node = new DataPlaneNode(dataPlane.machine, settings(dataPlane.machine, false, isFirstStart));
+        DataPlaneNode node =
+                new DataPlaneNode(
+                        dataPlane.machine, settings(dataPlane.machine, false, isFirstStart));
         dataPlane.node = node;
         dataPlane.machine.listen(DATA_PLANE_PORT, environment -> node.accept());
         node.start();
@@ -307,9 +350,12 @@
             boolean connected =
                     stable
                             && !dataPlane.machine.paused()
-                            && simulator.millis() - dataPlane.undisturbedSinceMillis >= ControlCluster.STABLE_AFTER_MILLIS;
+                            && simulator.millis() - dataPlane.undisturbedSinceMillis
+                                    >= ControlCluster.STABLE_AFTER_MILLIS;
             for (ControlMachine control : controlCluster.machines()) {
-                connected &= !controlCluster.reachesMajority(control) || !simulator.cut(dataPlane.machine, control.machine);
+                connected &=
+                        !controlCluster.reachesMajority(control)
+                                || !simulator.cut(dataPlane.machine, control.machine);
             }
             Configuration current = dataPlane.node.configuration();
             configurationChecker.checkDataPlane(
@@ -317,7 +363,9 @@
                     dataPlane.machine.incarnation,
                     connected,
                     current.revision(),
-                    current == dataPlane.lastConfiguration ? dataPlane.lastDigest : ConfigurationChecker.digest(current.body()));
+                    current == dataPlane.lastConfiguration
+                            ? dataPlane.lastDigest
+                            : ConfigurationChecker.digest(current.body()));
             if (current != dataPlane.lastConfiguration) {
                 dataPlane.lastConfiguration = current;
                 dataPlane.lastDigest = ConfigurationChecker.digest(current.body());
@@ -333,21 +381,28 @@
                 ready.add(f.machine);
             }
         }
-        return ready.isEmpty() ? null : ready.get((number + simulator.random.nextInt(2)) % ready.size());
+        return ready.isEmpty()
+                ? null
+                : ready.get((number + simulator.random.nextInt(2)) % ready.size());
     }
 
     /** Once it is acknowledged: until every front that was in touch has it. */
     void measureApply(long revision, long acknowledgedMillis) {
         boolean appliedByAll = true;
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
-            boolean expected = dataPlane.machine.up && dataPlane.undisturbedSinceMillis < acknowledgedMillis - ControlCluster.STABLE_AFTER_MILLIS;
+            boolean expected =
+                    dataPlane.machine.up
+                            && dataPlane.undisturbedSinceMillis
+                                    < acknowledgedMillis - ControlCluster.STABLE_AFTER_MILLIS;
             appliedByAll &= !expected || dataPlane.node.configurationRevision() >= revision;
         }
         if (appliedByAll) {
-            consistencyChecker.configurationApplyMillis.add(simulator.millis() - acknowledgedMillis);
+            consistencyChecker.configurationApplyMillis.add(
+                    simulator.millis() - acknowledgedMillis);
         } else if (simulator.millis() - acknowledgedMillis < 20_000) {
             simulator.scheduleAfter(
-                    simulator.millis() - acknowledgedMillis < 1_000 ? 5 : 100, () -> measureApply(revision, acknowledgedMillis));
+                    simulator.millis() - acknowledgedMillis < 1_000 ? 5 : 100,
+                    () -> measureApply(revision, acknowledgedMillis));
         }
     }
 
@@ -381,11 +436,18 @@
     }
 
     /** A server is down for a while; dark, or with its connections reset. */
-    private void crash(DatabaseCluster database, DatabaseCluster.Server server, boolean powerLoss, long durationMillis) {
+    private void crash(
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean powerLoss,
+            long durationMillis) {
         if (server == null) {
             return;
         }
-        logEvent((powerLoss ? "dark " : "crash ") + server.id + (server.isPrimary ? " (primary)" : ""));
+        logEvent(
+                (powerLoss ? "dark " : "crash ")
+                        + server.id
+                        + (server.isPrimary ? " (primary)" : ""));
         if (server.isPrimary) {
             consistencyChecker.withoutPrimary(database.name);
         }
@@ -403,7 +465,8 @@
                                     server.machine,
                                     server.id.replaceAll("r\\d*$", "") + "r" + ++replacementCount,
                                     Integer.parseInt(
-                                            server.address.substring(server.address.indexOf(':') + 1)));
+                                            server.address.substring(
+                                                    server.address.indexOf(':') + 1)));
                     restarted.log.addAll(server.log);
                     restarted.appliedCount = server.appliedCount;
                     restarted.term = server.term;
@@ -426,7 +489,8 @@
      * Gone for good, with its log; after a while a new, empty one comes at another address, or at
      * the same.
      */
-    private void removePermanently(DatabaseCluster database, DatabaseCluster.Server server, boolean sameAddress) {
+    private void removePermanently(
+            DatabaseCluster database, DatabaseCluster.Server server, boolean sameAddress) {
         if (server == null) {
             return;
         }
@@ -441,12 +505,17 @@
     }
 
     /** A new server with nothing, that copies what there is from the primary. */
-    private void addReplacement(DatabaseCluster database, DatabaseCluster.Server removed, boolean sameAddress, long delayMillis) {
+    private void addReplacement(
+            DatabaseCluster database,
+            DatabaseCluster.Server removed,
+            boolean sameAddress,
+            long delayMillis) {
         simulator.scheduleAfter(
                 delayMillis,
                 () -> {
                     int port =
-                            Integer.parseInt(removed.address.substring(removed.address.indexOf(':') + 1));
+                            Integer.parseInt(
+                                    removed.address.substring(removed.address.indexOf(':') + 1));
                     DatabaseCluster.Server replacement;
                     if (sameAddress) {
                         removed.machine.up();
@@ -454,15 +523,24 @@
                                 database
                                 .new Server(
                                         removed.machine,
-                                        removed.id.replaceAll("r\\d*$", "") + "r" + ++replacementCount,
+                                        removed.id.replaceAll("r\\d*$", "")
+                                                + "r"
+                                                + ++replacementCount,
                                         port);
                         DatabaseCluster.Server restarted = replacement;
-                        replacement.onRoleChange = () -> sendHeartbeat(database, restarted, false, 0);
+                        replacement.onRoleChange =
+                                () -> sendHeartbeat(database, restarted, false, 0);
                         startHeartbeats(database, replacement);
                     } else {
-                        replacement = createServer(database, removed.machine.zone, 100 + ++replacementCount, port);
+                        replacement =
+                                createServer(
+                                        database,
+                                        removed.machine.zone,
+                                        100 + ++replacementCount,
+                                        port);
                     }
-                    replacement.copiedAtMillis = simulator.millis() + 300 + simulator.random.nextInt(1_200);
+                    replacement.copiedAtMillis =
+                            simulator.millis() + 300 + simulator.random.nextInt(1_200);
                     logEvent("new " + replacement.id);
                 });
     }
@@ -480,7 +558,9 @@
         List<Simulator.Machine> isolatedFrom = new ArrayList<>();
         switch (peers) {
             case "replicas" ->
-                    database.servers.stream().filter(server -> server != primary).forEach(server -> isolatedFrom.add(server.machine));
+                    database.servers.stream()
+                            .filter(server -> server != primary)
+                            .forEach(server -> isolatedFrom.add(server.machine));
             case "core" -> controlCluster.machines().forEach(c -> isolatedFrom.add(c.machine));
             default ->
                     dataPlanes.values().stream()
@@ -488,16 +568,23 @@
                             .forEach(
                                     dataPlane -> {
                                         isolatedFrom.add(dataPlane.machine);
-                                        dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
+                                        dataPlane.undisturbedSinceMillis =
+                                                simulator.millis() + durationMillis;
                                     });
         }
         isolatedFrom.forEach(machine -> simulator.cut(primary.machine, machine, true));
-        simulator.scheduleAfter(durationMillis, () -> isolatedFrom.forEach(machine -> simulator.cut(primary.machine, machine, false)));
+        simulator.scheduleAfter(
+                durationMillis,
+                () ->
+                        isolatedFrom.forEach(
+                                machine -> simulator.cut(primary.machine, machine, false)));
     }
 
     private static int commonPrefixLength(DatabaseCluster.Server a, DatabaseCluster.Server b) {
         int length = 0;
-        while (length < a.log.size() && length < b.log.size() && a.log.get(length) == b.log.get(length)) {
+        while (length < a.log.size()
+                && length < b.log.size()
+                && a.log.get(length) == b.log.get(length)) {
             length++;
         }
         return length;
@@ -508,7 +595,11 @@
      * one, empty, starts first at another address, or later at the same.
      */
     private void drainAndStop(
-            DatabaseCluster database, DatabaseCluster.Server server, boolean sameAddress, long extraMillis, boolean byLeaveMessage) {
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean sameAddress,
+            long extraMillis,
+            boolean byLeaveMessage) {
         if (server == null) {
             return;
         }
@@ -526,7 +617,12 @@
                         sendHeartbeat(database, server, true, 0);
                         server.machine.schedule(
                                 3_000,
-                                () -> send(server, "/Instances.Heartbeat/" + server.id, delayedHeartbeat, acknowledged -> {}));
+                                () ->
+                                        send(
+                                                server,
+                                                "/Instances.Heartbeat/" + server.id,
+                                                delayedHeartbeat,
+                                                acknowledged -> {}));
                     } else {
                         server.draining = true;
                         sendHeartbeat(database, server, false, 0);
@@ -540,7 +636,12 @@
                                 simulator.scheduleAfter(
                                         300,
                                         () -> {
-                                            logEvent("ended " + server.id + (server.isPrimary ? " (primary)" : ""));
+                                            logEvent(
+                                                    "ended "
+                                                            + server.id
+                                                            + (server.isPrimary
+                                                                    ? " (primary)"
+                                                                    : ""));
                                             if (server.isPrimary) {
                                                 consistencyChecker.withoutPrimary(database.name);
                                             }
@@ -559,7 +660,10 @@
     void updateSeeds() {
         dataPlanes.values().stream()
                 .filter(dataPlane -> dataPlane.machine.up)
-                .forEach(dataPlane -> dataPlane.node.updateSettings(settings(dataPlane.machine, false, false)));
+                .forEach(
+                        dataPlane ->
+                                dataPlane.node.updateSettings(
+                                        settings(dataPlane.machine, false, false)));
     }
 
     private void dataPlane(String key, boolean power, long forMs) {
@@ -651,7 +755,11 @@
             case "dark":
                 {
                     DatabaseCluster database = database(words[1]);
-                    crash(database, selectServer(database, words[2]), words[0].equals("dark"), durationMillis);
+                    crash(
+                            database,
+                            selectServer(database, words[2]),
+                            words[0].equals("dark"),
+                            durationMillis);
                     break;
                 }
             case "release":
@@ -667,7 +775,8 @@
                 }
             case "lag":
                 database(words[1]).replicationLagMillis = 8 * Double.parseDouble(words[2]);
-                simulator.scheduleAfter(durationMillis, () -> database(words[1]).replicationLagMillis = 8);
+                simulator.scheduleAfter(
+                        durationMillis, () -> database(words[1]).replicationLagMillis = 8);
                 break;
             case "promotes":
                 database(words[1]).promotionDelayMillis = Double.parseDouble(words[2]);
@@ -684,7 +793,8 @@
             case "gone":
                 {
                     DatabaseCluster database = database(words[1]);
-                    removePermanently(database, selectServer(database, words[2]), line.contains(" same"));
+                    removePermanently(
+                            database, selectServer(database, words[2]), line.contains(" same"));
                     break;
                 }
             case "deaf":
@@ -693,7 +803,8 @@
                     if (server != null) {
                         logEvent("deaf " + server.id);
                         server.replicationBlocked = true;
-                        simulator.scheduleAfter(durationMillis, () -> server.replicationBlocked = false);
+                        simulator.scheduleAfter(
+                                durationMillis, () -> server.replicationBlocked = false);
                     }
                     break;
                 }
@@ -708,7 +819,8 @@
                 {
                     DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
                     logEvent("reset " + words[1]);
-                    dataPlane.undisturbedSinceMillis = Math.max(dataPlane.undisturbedSinceMillis, simulator.millis());
+                    dataPlane.undisturbedSinceMillis =
+                            Math.max(dataPlane.undisturbedSinceMillis, simulator.millis());
                     dataPlane.machine.resetConnections();
                     break;
                 }
@@ -751,7 +863,9 @@
                 break;
             case "accept":
                 dataLossOperator.acceptLoss(
-                        database(words[1]).name, words.length > 2 && !words[2].equals("for") ? words[2] : "", durationMillis);
+                        database(words[1]).name,
+                        words.length > 2 && !words[2].equals("for") ? words[2] : "",
+                        durationMillis);
                 break;
             case "all":
                 restartAll(words[1].equals("power"));
@@ -764,8 +878,13 @@
     /** Plays it; what happens was set by at() before. */
     public void run() {
         controlCluster.startAll();
-        dataPlanes.values()
-                .forEach(dataPlane -> simulator.scheduleAfter(simulator.random.nextDouble() * 300, () -> startDataPlane(dataPlane, true)));
+        dataPlanes
+                .values()
+                .forEach(
+                        dataPlane ->
+                                simulator.scheduleAfter(
+                                        simulator.random.nextDouble() * 300,
+                                        () -> startDataPlane(dataPlane, true)));
         simulator.scheduleAfter(300, () -> configurationClient.submit(null, change -> {}));
         configurationChecker.checkPeriodically();
         checkDataPlanes();
@@ -779,7 +898,12 @@
     /** The operator asks for the newest, over and over, at each. */
     private void readFinalConfigurations() {
         for (int i = 0; i < 8; i++) {
-            simulator.scheduleAfter(i * 500L, () -> controlCluster.machines().forEach(machine -> configurationClient.read(machine, 1_000)));
+            simulator.scheduleAfter(
+                    i * 500L,
+                    () ->
+                            controlCluster
+                                    .machines()
+                                    .forEach(machine -> configurationClient.read(machine, 1_000)));
         }
         simulator.runUntil(durationMillis + 6_000);
         configurationChecker.checkFinalState();
@@ -827,7 +951,9 @@
             String fault = faults[random.nextInt(faults.length)];
             // One control machine may be lost at once, and it has to catch up before the next.
             boolean affectsControl =
-                    fault.contains("core-") || fault.startsWith("holder") || fault.startsWith("all");
+                    fault.contains("core-")
+                            || fault.startsWith("holder")
+                            || fault.startsWith("all");
             if (affectsControl && controlLost) {
                 fault = "configure";
             }
@@ -911,7 +1037,11 @@
     /** The state of all processes, for whoever looks into a seed. */
     public List<String> status() {
         List<String> lines = controlCluster.status();
-        dataPlanes.values().forEach(dataPlane -> lines.add(dataPlane.machine.name + " " + dataPlane.node.status()));
+        dataPlanes
+                .values()
+                .forEach(
+                        dataPlane ->
+                                lines.add(dataPlane.machine.name + " " + dataPlane.node.status()));
         return lines;
     }
 }
--- a/src/main/java/dillfront/simulation/system/WorstCaseSchedule.java
+++ b/src/main/java/dillfront/simulation/system/WorstCaseSchedule.java
@@ -38,7 +38,9 @@
 
     void plan() {
         simulation.scheduleFault(FIRST_FAULT_SECONDS - 1, "reads 400");
-        simulation.simulator.scheduleAt(Math.round(seconds(FIRST_FAULT_SECONDS, FIRST_FAULT_SECONDS + 2) * 1e6), this::injectControlFault);
+        simulation.simulator.scheduleAt(
+                Math.round(seconds(FIRST_FAULT_SECONDS, FIRST_FAULT_SECONDS + 2) * 1e6),
+                this::injectControlFault);
         scheduleChanges();
         scheduleDatabaseFaults();
         scheduleDataPlaneFaults();
@@ -57,7 +59,8 @@
      * later.
      */
     private void injectControlFault() {
-        long waitMillis = simulation.controlCluster.lossEndsMillis() - simulation.simulator.millis();
+        long waitMillis =
+                simulation.controlCluster.lossEndsMillis() - simulation.simulator.millis();
         if (simulation.simulator.millis() > LAST_FAULT_SECONDS * 1_000) {
             return;
         }
@@ -101,7 +104,8 @@
             simulation.scheduleFault(5.5, "big " + (50 + random.nextInt(200)));
         }
         if (chance(0.5)) {
-            simulation.scheduleFault(FIRST_FAULT_SECONDS, "lossy " + seconds(0.05, 0.4) + " for " + seconds(5, 20));
+            simulation.scheduleFault(
+                    FIRST_FAULT_SECONDS, "lossy " + seconds(0.05, 0.4) + " for " + seconds(5, 20));
         }
         if (chance(0.3)) {
             simulation.scheduleFault(
@@ -116,7 +120,9 @@
         if (chance(0.3)) {
             simulation.scheduleFault(seconds(FIRST_FAULT_SECONDS, LAST_FAULT_SECONDS), "seeds");
         }
-        for (double atSeconds = FIRST_FAULT_SECONDS; atSeconds < CLOSING_FAULT_SECONDS + 4; atSeconds += seconds(0.5, 4)) {
+        for (double atSeconds = FIRST_FAULT_SECONDS;
+                atSeconds < CLOSING_FAULT_SECONDS + 4;
+                atSeconds += seconds(0.5, 4)) {
             simulation.scheduleFault(
                     atSeconds,
                     pick(
@@ -129,7 +135,9 @@
     }
 
     private void scheduleDatabaseFaults() {
-        for (double atSeconds = seconds(FIRST_FAULT_SECONDS, 12); atSeconds < LAST_FAULT_SECONDS; atSeconds += seconds(14, 18)) {
+        for (double atSeconds = seconds(FIRST_FAULT_SECONDS, 12);
+                atSeconds < LAST_FAULT_SECONDS;
+                atSeconds += seconds(14, 18)) {
             String database = "db" + random.nextInt(simulation.databases());
             String target = pick("primary", "primary", "replica");
             String duration = " for " + seconds(1, 6);
@@ -138,20 +146,31 @@
                     pick(
                             "crash " + database + " " + target + duration,
                             "dark " + database + " " + target + duration,
-                            "release " + database + " " + target + pick("", " same", " longer for 6"),
+                            "release "
+                                    + database
+                                    + " "
+                                    + target
+                                    + pick("", " same", " longer for 6"),
                             "gone " + database + " replica" + pick("", " same"),
                             "lose " + database + " " + target + duration,
                             "lag " + database + " 50" + duration,
-                            "primary_cut " + database + " " + pick("replicas", "core", "fronts") + duration,
+                            "primary_cut "
+                                    + database
+                                    + " "
+                                    + pick("replicas", "core", "fronts")
+                                    + duration,
                             "platform" + duration));
             if (chance(0.3)) {
-                simulation.scheduleFault(atSeconds - 1, "deaf " + database + " replica for " + seconds(1, 4));
+                simulation.scheduleFault(
+                        atSeconds - 1, "deaf " + database + " replica for " + seconds(1, 4));
             }
         }
     }
 
     private void scheduleDataPlaneFaults() {
-        for (double atSeconds = seconds(FIRST_FAULT_SECONDS, 14); atSeconds < LAST_FAULT_SECONDS; atSeconds += seconds(6, 14)) {
+        for (double atSeconds = seconds(FIRST_FAULT_SECONDS, 14);
+                atSeconds < LAST_FAULT_SECONDS;
+                atSeconds += seconds(6, 14)) {
             String dataPlane = "front-" + pick(SystemSimulation.ZONES) + "0";
             simulation.scheduleFault(
                     atSeconds,
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -99,7 +99,8 @@
                 new Daemon(
                         Config.read(
                                 new ByteArrayInputStream(
-                                        backends.config(port, 1.0).getBytes(StandardCharsets.UTF_8))),
+                                        backends.config(port, 1.0)
+                                                .getBytes(StandardCharsets.UTF_8))),
                         Operator.read(file),
                         new Log(new PrintStream(log, true)));
         daemon.start();
@@ -150,7 +151,10 @@
                         .waitFor());
         KeyStore keys = KeyStore.getInstance(store.toFile(), PASSWORD.toCharArray());
         writePem("door.pem", "CERTIFICATE", keys.getCertificate("door").getEncoded());
-        writePem("door.key", "PRIVATE KEY", keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
+        writePem(
+                "door.key",
+                "PRIVATE KEY",
+                keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
         KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
         trusted.setCertificateEntry("door", keys.getCertificate("door"));
@@ -184,7 +188,9 @@
     private static String token(ECKey signingKey, String subject, String tokenId) throws Exception {
         SignedJWT jwt =
                 new SignedJWT(
-                        new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(signingKey.getKeyID()).build(),
+                        new JWSHeader.Builder(JWSAlgorithm.ES256)
+                                .keyID(signingKey.getKeyID())
+                                .build(),
                         new JWTClaimsSet.Builder()
                                 .subject(subject)
                                 .issuer("depot")
@@ -216,7 +222,8 @@
         Socket plain = connect();
         write(plain, sslRequest());
         assertEquals('S', plain.getInputStream().read());
-        Socket secure = clientContext.getSocketFactory().createSocket(plain, "localhost", port, true);
+        Socket secure =
+                clientContext.getSocketFactory().createSocket(plain, "localhost", port, true);
         secure.setSoTimeout(5000);
         openSockets.add(secure);
         return secure;
@@ -371,7 +378,9 @@
                 receive(sendCredentials("tablet-7", token(firstKey, "billing-7", "t-1"))),
                 "another's token");
         assertEquals(
-                "28000 end", receive(sendCredentials("guest", token(firstKey, "guest", "t-1"))), "no such principal");
+                "28000 end",
+                receive(sendCredentials("guest", token(firstKey, "guest", "t-1"))),
+                "no such principal");
         Socket early = tls();
         write(early, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
         assertEquals("password?", receive(early));
@@ -407,7 +416,9 @@
         assertTrue(System.nanoTime() - revokedNanos < 1_000_000_000L);
         assertEquals("28000 end", request(tablet, "history", "9-hotel-7/june"));
         assertEquals("row ready", request(other, "history", "9-hotel-7/june"));
-        assertEquals("28000 end", receive(sendCredentials("tablet-7", token(firstKey, "tablet-7", "t-5"))));
+        assertEquals(
+                "28000 end",
+                receive(sendCredentials("tablet-7", token(firstKey, "tablet-7", "t-5"))));
         assertEquals(2, statementsReceived());
     }
 
@@ -422,7 +433,10 @@
         long removedNanos = System.nanoTime();
         int served = 0;
         while (System.nanoTime() - removedNanos < 1_500_000_000L) {
-            assertEquals("row ready", request(oldKeySession, "history", "9-hotel-7/june"), "within the overlap");
+            assertEquals(
+                    "row ready",
+                    request(oldKeySession, "history", "9-hotel-7/june"),
+                    "within the overlap");
             served++;
         }
         assertTrue(served > 2);
@@ -434,14 +448,17 @@
     void keepsPolicyWhenKeyFileIsInvalid() throws Exception {
         Socket billing = logIn("billing-7", token(firstKey, "billing-7", "t-1"));
         String keySet = Files.readString(folder.resolve("keys.json"));
-        for (String invalid : List.of(keySet.substring(0, keySet.length() / 2), "{\"keys\":[]}", "")) {
+        for (String invalid :
+                List.of(keySet.substring(0, keySet.length() / 2), "{\"keys\":[]}", "")) {
             // Each is wrong in another way than the one before, which is told anew.
             int loggedBefore = countLogged("identity-unreadable");
             Files.writeString(folder.resolve("keys.json"), invalid);
             awaitLogged("identity-unreadable", loggedBefore + 1);
             assertEquals("row ready", request(billing, "history", "9-hotel-7/june"));
             logIn("billing-7", token(firstKey, "billing-7", "t-2"));
-            assertEquals("28000 end", receive(sendCredentials("billing-7", token(secondKey, "billing-7", "t-3"))));
+            assertEquals(
+                    "28000 end",
+                    receive(sendCredentials("billing-7", token(secondKey, "billing-7", "t-3"))));
         }
         int loggedBefore = countLogged("identity-unreadable");
         Files.delete(folder.resolve("keys.json"));
--- a/src/test/java/dillfront/benchmark/ProcessPauseTest.java
+++ b/src/test/java/dillfront/benchmark/ProcessPauseTest.java
@@ -31,7 +31,8 @@
     }
 
     /** Reads of one group, of every other client before the stop, of the others during it. */
-    private static void sendReads(List<StubBackends.LoadClient> clients, int firstIndex) throws IOException {
+    private static void sendReads(List<StubBackends.LoadClient> clients, int firstIndex)
+            throws IOException {
         for (int i = firstIndex; i < clients.size(); i += 2) {
             clients.get(i).send("history", 100);
         }
@@ -43,14 +44,16 @@
      *
      * @return when it was said
      */
-    private static long pauseWithRequestsInFlight(StubBackends backends, RouterProcess router, List<StubBackends.LoadClient> clients)
+    private static long pauseWithRequestsInFlight(
+            StubBackends backends, RouterProcess router, List<StubBackends.LoadClient> clients)
             throws Exception {
         for (long deadline = System.nanoTime() + 20_000_000_000L; System.nanoTime() < deadline; ) {
             int arrivedBefore = backends.arrivalCount(0);
             long sentNanos = System.nanoTime();
             sendReads(clients, 0);
             while (backends.arrivalCount(0) < arrivedBefore + CLIENTS / 2) {
-                assertTrue(System.nanoTime() < deadline, "waited in vain until all is out at nodes");
+                assertTrue(
+                        System.nanoTime() < deadline, "waited in vain until all is out at nodes");
                 Thread.sleep(1);
             }
             assertEquals(0, router.signal("STOP"));
@@ -72,7 +75,8 @@
     @Test
     void keepsOffDrainingNodeAfterPause() throws Exception {
         try (StubBackends backends = new StubBackends(20_000);
-                RouterProcess router = new RouterProcess(routerCommand(), Path.of("."), backends, 1.0)) {
+                RouterProcess router =
+                        new RouterProcess(routerCommand(), Path.of("."), backends, 1.0)) {
             List<StubBackends.LoadClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 // All of the first group.
@@ -110,7 +114,9 @@
                     sendReads(clients, 0);
                     sendReads(clients, 1);
                     for (StubBackends.LoadClient client : clients) {
-                        assertTrue(client.receive(), "no node is blamed for a pause of " + pauseMillis + " ms");
+                        assertTrue(
+                                client.receive(),
+                                "no node is blamed for a pause of " + pauseMillis + " ms");
                     }
                 }
                 long lastArrivalNanos = 0;
@@ -118,7 +124,8 @@
                     lastArrivalNanos = Math.max(lastArrivalNanos, arrivalNanos);
                 }
                 assertTrue(
-                        lastArrivalNanos - drainNanos < Math.min(DRAIN_GRACE_NANOS, pauseMillis * 1_000_000L),
+                        lastArrivalNanos - drainNanos
+                                < Math.min(DRAIN_GRACE_NANOS, pauseMillis * 1_000_000L),
                         "sent to a node that drains "
                                 + (lastArrivalNanos - drainNanos) / 1_000_000
                                 + " ms after it was told");
--- a/src/test/java/dillfront/benchmark/RouterGossipTest.java
+++ b/src/test/java/dillfront/benchmark/RouterGossipTest.java
@@ -47,7 +47,8 @@
     }
 
     private String query(int router, String question) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), controlPorts.get(router))) {
+        try (Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), controlPorts.get(router))) {
             socket.setSoTimeout(3000);
             socket.getOutputStream().write(question.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -112,7 +113,8 @@
             }
             for (int i = 0; i < ROUTERS; i++) {
                 awaitOccurrences(i, "\"state\":\"alive\"", ROUTERS - 1);
-                awaitOccurrences(i, "\"id\":\"s-", StubBackends.GROUPS * StubBackends.NODES_PER_GROUP);
+                awaitOccurrences(
+                        i, "\"id\":\"s-", StubBackends.GROUPS * StubBackends.NODES_PER_GROUP);
             }
             String table = query(0, "peers\n");
             assertTrue(table.startsWith("peer "), table);
--- a/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
@@ -17,7 +17,8 @@
     private final ControlMachine machineB = simulation.controlCluster.find("core-b");
 
     private ConfigurationClient.Change submittedChange(long revision, int variant) {
-        ConfigurationClient.Change change = simulation.configurationClient.new Change(revision, variant);
+        ConfigurationClient.Change change =
+                simulation.configurationClient.new Change(revision, variant);
         change.sentAtMillis = simulation.simulator.millis();
         checker.changeSent(change);
         return change;
@@ -173,13 +174,17 @@
 
     @Test
     void reportsMisroutedResponseAndDuplicateExecution() {
-        ClientSession session = new ClientSession(simulation, 0, "primary", "db0", "db0-primary", 1_000);
+        ClientSession session =
+                new ClientSession(simulation, 0, "primary", "db0", "db0-primary", 1_000);
         DatabaseCluster database = simulation.consistencyChecker.databases.get("db0");
         DatabaseCluster.Server primary = database.servers.get(0);
-        simulation.consistencyChecker.attempts.put("w", new ConsistencyChecker.Attempt("w", 0, session, null));
-        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
+        simulation.consistencyChecker.attempts.put(
+                "w", new ConsistencyChecker.Attempt("w", 0, session, null));
+        simulation.consistencyChecker.onExecute(
+                primary, database.new Connection(primary), "w", "WRITE k d", true);
         assertNoViolations();
-        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "w", "WRITE k d", true);
+        simulation.consistencyChecker.onExecute(
+                primary, database.new Connection(primary), "w", "WRITE k d", true);
         session.onMessage(Simulator.bytes("ROW rother"));
         assertEquals(1, simulation.controlCounts().duplicateExecutions);
         assertEquals(1, simulation.controlCounts().misroutedResponses);
--- a/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
@@ -16,7 +16,8 @@
     private final DatabaseCluster.Server replica = database.servers.get(1);
 
     private void appendToLogs(String attemptId, long index, DatabaseCluster.Server... servers) {
-        DatabaseCluster.Commit commit = new DatabaseCluster.Commit(new LogPosition(1, index), attemptId);
+        DatabaseCluster.Commit commit =
+                new DatabaseCluster.Commit(new LogPosition(1, index), attemptId);
         for (DatabaseCluster.Server server : servers) {
             server.log.add(commit);
             server.appliedCount = server.log.size();
@@ -24,12 +25,15 @@
     }
 
     private ClientSession newSession(String readConsistency) {
-        ClientSession session = new ClientSession(simulation, 0, readConsistency, "db0", "db0-" + readConsistency, 1_000);
+        ClientSession session =
+                new ClientSession(
+                        simulation, 0, readConsistency, "db0", "db0-" + readConsistency, 1_000);
         return session;
     }
 
     private ConsistencyChecker.Attempt startAttempt(String id, ClientSession session) {
-        ConsistencyChecker.Attempt attempt = new ConsistencyChecker.Attempt(id, simulation.simulator.micros(), session, null);
+        ConsistencyChecker.Attempt attempt =
+                new ConsistencyChecker.Attempt(id, simulation.simulator.micros(), session, null);
         simulation.consistencyChecker.attempts.put(id, attempt);
         return attempt;
     }
@@ -57,11 +61,13 @@
         simulation.consistencyChecker.acknowledge("db0", "w");
         simulation.simulator.runUntil(500);
         startAttempt("r", newSession("bounded"));
-        simulation.consistencyChecker.onExecute(replica, database.new Connection(replica), "r", "READ k", true);
+        simulation.consistencyChecker.onExecute(
+                replica, database.new Connection(replica), "r", "READ k", true);
         assertTrue(simulation.violations().isEmpty(), simulation.violations().toString());
         simulation.simulator.runUntil(1_600);
         startAttempt("later", newSession("bounded"));
-        simulation.consistencyChecker.onExecute(replica, database.new Connection(replica), "later", "READ k", true);
+        simulation.consistencyChecker.onExecute(
+                replica, database.new Connection(replica), "later", "READ k", true);
         assertViolation("STALE");
     }
 
@@ -80,15 +86,21 @@
         appendToLogs("w", 2, primary);
         simulation.consistencyChecker.acknowledge("db0", "v");
         simulation.consistencyChecker.acknowledge("db0", "w");
-        ConsistencyChecker.AcceptedLoss rejected = simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        ConsistencyChecker.AcceptedLoss rejected =
+                simulation.consistencyChecker.lossAcceptanceSent(
+                        "db0", new LogPosition(1, 1), new LogPosition(1, 2));
         simulation.consistencyChecker.lossAcceptanceRejected(rejected);
-        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 1));
+        simulation.consistencyChecker.lossAcceptanceSent(
+                "db0", new LogPosition(1, 0), new LogPosition(1, 1));
         simulation.consistencyChecker.onPromoted(replica);
         assertViolation("LOST");
         simulation.consistencyChecker.violations.clear();
-        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 1), new LogPosition(1, 2));
+        simulation.consistencyChecker.lossAcceptanceSent(
+                "db0", new LogPosition(1, 1), new LogPosition(1, 2));
         simulation.consistencyChecker.onPromoted(replica);
-        assertTrue(simulation.violations().isEmpty() && simulation.acceptedLostCommits() == 1, simulation.violations().toString());
+        assertTrue(
+                simulation.violations().isEmpty() && simulation.acceptedLostCommits() == 1,
+                simulation.violations().toString());
         // It counted once; the next loss is another.
         appendToLogs("x", 3, primary);
         simulation.consistencyChecker.acknowledge("db0", "x");
@@ -100,7 +112,8 @@
     void discardsAcceptedLossOnceWritesResume() {
         appendToLogs("w", 1, primary);
         simulation.consistencyChecker.acknowledge("db0", "w");
-        simulation.consistencyChecker.lossAcceptanceSent("db0", new LogPosition(1, 0), new LogPosition(1, 2));
+        simulation.consistencyChecker.lossAcceptanceSent(
+                "db0", new LogPosition(1, 0), new LogPosition(1, 2));
         appendToLogs("x", 2, primary);
         simulation.consistencyChecker.acknowledge("db0", "x");
         simulation.consistencyChecker.onPromoted(replica);
@@ -133,7 +146,8 @@
         startAttempt("r", newSession("primary"));
         simulation.consistencyChecker.drainAcknowledgedMicros.put(primary.id, 0L);
         simulation.simulator.runUntil(8_000);
-        simulation.consistencyChecker.onExecute(primary, database.new Connection(primary), "r", "READ k", true);
+        simulation.consistencyChecker.onExecute(
+                primary, database.new Connection(primary), "r", "READ k", true);
         assertViolation("DRAIN");
     }
 
@@ -148,7 +162,8 @@
         database.promote(replica.id);
         simulation.simulator.runUntil(1_000);
         assertTrue(
-                replica.isPrimary && !primary.isPrimary && primary.log.size() == 1, primary.log.toString());
+                replica.isPrimary && !primary.isPrimary && primary.log.size() == 1,
+                primary.log.toString());
         assertTrue(simulation.violations().isEmpty(), simulation.violations().toString());
     }
 
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -58,7 +58,9 @@
         simulation.simulator.messageObserver =
                 (from, to, kind, message) -> {
                     count[0]++;
-                    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, simulation.simulator.micros()));
+                    digest.update(
+                            ByteBuffer.allocate(Long.BYTES)
+                                    .putLong(0, simulation.simulator.micros()));
                     digest.update(
                             (from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
                     digest.update(message);
@@ -149,7 +151,8 @@
         List<String> digests = new ArrayList<>();
         List<String> examples = new ArrayList<>();
         TreeSet<String> seenShapes = new TreeSet<>();
-        simulations().forEach(
+        simulations()
+                .forEach(
                         (name, simulation) ->
                                 digests.add(
                                         name
@@ -157,7 +160,8 @@
                                                 + runAndDigest(
                                                         simulation,
                                                         (from, to, kind, message) -> {
-                                                            textMessages.onSent(from, to, kind, message);
+                                                            textMessages.onSent(
+                                                                    from, to, kind, message);
                                                             if (kind.equals("FRAMES")) {
                                                                 try {
                                                                     Map<String, Object> fields =
@@ -173,7 +177,9 @@
                                                                                             "-.*",
                                                                                             "");
                                                                     if (seenShapes.addAll(
-                                                                            shape(fields, direction))) {
+                                                                            shape(
+                                                                                    fields,
+                                                                                    direction))) {
                                                                         examples.add(
                                                                                 direction
                                                                                         + " "
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -36,7 +36,9 @@
         assertEquals(expected.keySet(), simulations.keySet());
         Map<String, String> actual = new TreeMap<>();
         RecordedMessages.FirstTextMessages textMessages = new RecordedMessages.FirstTextMessages();
-        simulations.forEach((name, simulation) -> actual.put(name, RecordedMessages.runAndDigest(simulation, textMessages)));
+        simulations.forEach(
+                (name, simulation) ->
+                        actual.put(name, RecordedMessages.runAndDigest(simulation, textMessages)));
         assertEquals(
                 String.join("\n", Files.readAllLines(RecordedMessages.TEXT_MESSAGES)),
                 String.join("\n", textMessages.lines()));
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -101,7 +101,9 @@
     /** A person gives commits up, and whoever holds the duty goes at any moment about his call. */
     @Test
     void acceptedDataLossSurvivesLeaseHolderFailure() {
-        for (long atMillis = 23_950; atMillis < 25_700; atMillis += atMillis >= 24_000 && atMillis < 24_100 ? 4 : 50) {
+        for (long atMillis = 23_950;
+                atMillis < 25_700;
+                atMillis += atMillis >= 24_000 && atMillis < 24_100 ? 4 : 50) {
             SystemSimulation simulation = loseOnlyCopy("gone db0 primary");
             simulation.scheduleFault(atMillis / 1e3, "holder for 4");
             simulation.run();
@@ -130,8 +132,11 @@
     void returningPrimaryResolvesAcceptedDataLoss() {
         int keptPrimary = 0;
         // About the call in steps that fall between any two of the move's own.
-        for (long returnMillis = 23_000; returnMillis < 27_000; returnMillis += returnMillis >= 24_000 && returnMillis < 24_600 ? 10 : 50) {
-            SystemSimulation simulation = loseOnlyCopy("crash db0 primary for " + (returnMillis - 16_500) / 1e3);
+        for (long returnMillis = 23_000;
+                returnMillis < 27_000;
+                returnMillis += returnMillis >= 24_000 && returnMillis < 24_600 ? 10 : 50) {
+            SystemSimulation simulation =
+                    loseOnlyCopy("crash db0 primary for " + (returnMillis - 16_500) / 1e3);
             simulation.run();
             String details =
                     "back at "
@@ -141,7 +146,8 @@
                             + "\n"
                             + String.join("\n", simulation.traceLog());
             assertEquals(List.of(), simulation.violations(), details);
-            assertEquals(simulation.promotions() > 0, simulation.acceptedLostCommits() > 0, details);
+            assertEquals(
+                    simulation.promotions() > 0, simulation.acceptedLostCommits() > 0, details);
             keptPrimary += simulation.promotions() == 0 ? 1 : 0;
         }
         assertTrue(keptPrimary > 0 && keptPrimary < 128, keptPrimary + " times it led on");
@@ -253,10 +259,12 @@
                         assertTrue(
                                 simulation.served() >= Double.parseDouble(words[2]),
                                 "served " + simulation.served() + "\n" + details);
-                case "promotions" -> assertEquals(Integer.parseInt(words[2]), simulation.promotions(), details);
+                case "promotions" ->
+                        assertEquals(Integer.parseInt(words[2]), simulation.promotions(), details);
                 case "promote_ms" ->
                         assertTrue(
-                                simulation.promotionMillis().stream().allMatch(ms -> ms <= Long.parseLong(words[2])),
+                                simulation.promotionMillis().stream()
+                                        .allMatch(ms -> ms <= Long.parseLong(words[2])),
                                 simulation.promotionMillis() + "\n" + details);
                 case "platform_calls" ->
                         assertTrue(
@@ -268,36 +276,53 @@
                                         && simulation.configurationApplyMillis().stream()
                                                 .allMatch(ms -> ms <= Long.parseLong(words[2])),
                                 simulation.configurationApplyMillis() + "\n" + details);
-                case "planned_ms" -> assertWithin(plannedPromotionMillis(simulation), words[2], details);
+                case "planned_ms" ->
+                        assertWithin(plannedPromotionMillis(simulation), words[2], details);
                 case "losses" ->
                         assertTrue(
-                                simulation.controlCounts().machineLosses >= Long.parseLong(words[2]),
+                                simulation.controlCounts().machineLosses
+                                        >= Long.parseLong(words[2]),
                                 simulation.controlCounts().machineLosses + "\n" + details);
                 case "acknowledged" ->
                         assertTrue(
-                                simulation.controlCounts().acknowledgedChanges >= Long.parseLong(words[2]),
+                                simulation.controlCounts().acknowledgedChanges
+                                        >= Long.parseLong(words[2]),
                                 simulation.controlCounts().acknowledgedChanges + "\n" + details);
                 case "acknowledge_ms" ->
                         assertTrue(
                                 simulation.controlCounts().acknowledgeMillis.stream()
                                         .allMatch(ms -> ms <= Long.parseLong(words[2])),
                                 simulation.controlCounts().acknowledgeMillis + "\n" + details);
-                case "replaced" -> assertEquals(Long.parseLong(words[2]), simulation.controlCounts().replacements, details);
-                case "replace_ms" -> assertWithin(simulation.controlCounts().replacementMillis, words[2], details);
+                case "replaced" ->
+                        assertEquals(
+                                Long.parseLong(words[2]),
+                                simulation.controlCounts().replacements,
+                                details);
+                case "replace_ms" ->
+                        assertWithin(
+                                simulation.controlCounts().replacementMillis, words[2], details);
                 case "behind" ->
                         assertTrue(
-                                simulation.controlCounts().caughtUpChanges >= Long.parseLong(words[2]),
+                                simulation.controlCounts().caughtUpChanges
+                                        >= Long.parseLong(words[2]),
                                 simulation.controlCounts().caughtUpChanges + "\n" + details);
-                case "catch_up_ms" -> assertWithin(simulation.controlCounts().catchUpMillis, words[2], details);
+                case "catch_up_ms" ->
+                        assertWithin(simulation.controlCounts().catchUpMillis, words[2], details);
                 case "given_up" ->
                         assertTrue(
                                 words[2].equals("0")
                                         ? simulation.acceptedLostCommits() == 0
-                                        : simulation.acceptedLostCommits() >= Integer.parseInt(words[2]),
+                                        : simulation.acceptedLostCommits()
+                                                >= Integer.parseInt(words[2]),
                                 "given up " + simulation.acceptedLostCommits() + "\n" + details);
-                case "said" -> assertTrue(simulation.eventLog.stream().anyMatch(l -> l.contains(words[2])), details);
+                case "said" ->
+                        assertTrue(
+                                simulation.eventLog.stream().anyMatch(l -> l.contains(words[2])),
+                                details);
                 case "noted" ->
-                        assertTrue(simulation.traceLog().stream().anyMatch(l -> l.contains(words[2])), details);
+                        assertTrue(
+                                simulation.traceLog().stream().anyMatch(l -> l.contains(words[2])),
+                                details);
                 default -> throw new IllegalArgumentException(file + ": " + line);
             }
         }
