--- a/src/main/java/dillfront/simulation/system/ClientSession.java
+++ b/src/main/java/dillfront/simulation/system/ClientSession.java
@@ -217,7 +217,7 @@
             }
         } else if (line.startsWith("ROW ")) {
             if (!line.equals("ROW r" + pendingId)) {
-                simulation.consistencyChecker.misroutedResponses(pendingId, line);
+                simulation.consistencyChecker.reportMisrouted(pendingId, line);
             }
         } else if (line.startsWith("COMPLETE ")) {
             completionTag = line.substring(9);
@@ -240,7 +240,7 @@
                             || text.startsWith("EXECUTE")
                             || text.equals("COMMIT");
             if (executes && !id.equals(simulation.attemptId(database, completionTag))) {
-                simulation.consistencyChecker.misroutedResponses(id, completionTag);
+                simulation.consistencyChecker.reportMisrouted(id, completionTag);
             }
             if (text.startsWith("SET")) {
                 String[] words = Simulator.splitWords(text, 3);
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -132,7 +132,7 @@
             minorityResponses++;
             consistencyChecker.reportViolation(
                     "MINORITY",
-                    responder.machine.name
+                    responder.host.name
                             + " answers "
                             + status
                             + " to what was asked "
@@ -156,8 +156,7 @@
         // changes nothing.
         if (highestSentRevision <= change.revision
                 || decidedContents.containsKey(change.revision)) {
-            recordDecided(
-                    change.revision, change.digest, "acknowledged by " + responder.machine.name);
+            recordDecided(change.revision, change.digest, "acknowledged by " + responder.host.name);
         }
     }
 
@@ -174,7 +173,7 @@
     void changeRejected(ConfigurationClient.Change change, ControlMachine responder, int status) {
         rejectedChanges.add(change);
         if (change.acknowledged) {
-            rejectedAfterAcknowledge(change, responder.machine.name + " answers " + status);
+            rejectedAfterAcknowledge(change, responder.host.name + " answers " + status);
         }
     }
 
@@ -190,7 +189,7 @@
         return new PendingRead(
                 source,
                 Math.max(highestAcknowledgedRevision, highestReadRevision),
-                history.begin(sim.millis(), source.machine.name));
+                history.begin(sim.millis(), source.host.name));
     }
 
     void endRead(PendingRead pendingRead, long revision, long digest) {
@@ -199,7 +198,7 @@
             revisionRegressions++;
             consistencyChecker.reportViolation(
                     "CONFIG",
-                    pendingRead.source.machine.name
+                    pendingRead.source.host.name
                             + " reads back "
                             + revision
                             + ", known before was "
@@ -207,7 +206,7 @@
         }
         highestReadRevision = Math.max(highestReadRevision, revision);
         finalReadRevision = day.hasEnded() ? Math.max(finalReadRevision, revision) : -1;
-        recordDecided(revision, digest, "read at " + pendingRead.source.machine.name);
+        recordDecided(revision, digest, "read at " + pendingRead.source.host.name);
     }
 
     // ---- the platform
@@ -244,7 +243,7 @@
             String status = machine.node.status();
             if (status.contains(" held ")) {
                 holders++;
-                holderNames.append(' ').append(machine.machine.name);
+                holderNames.append(' ').append(machine.host.name);
             }
             if (machine.catchUpRevision >= 0
                     && statusField(status, "held=") >= machine.catchUpRevision) {
@@ -302,7 +301,7 @@
                 int start = status.indexOf("members=[");
                 String members =
                         start < 0 ? "" : status.substring(start, status.indexOf(']', start) + 1);
-                if (!members.matches(".*[\\[ ,]" + candidate.machine.ip.replace(".", "\\.") + "/.*")
+                if (!members.matches(".*[\\[ ,]" + candidate.host.ip.replace(".", "\\.") + "/.*")
                         || status.contains(" outgoing=")
                         || observer == candidate && status.contains(" learner")) {
                     return false;
--- a/src/main/java/dillfront/simulation/system/ConfigurationClient.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationClient.java
@@ -268,7 +268,7 @@
             simulation.configurationChecker.acknowledged(change, responder);
             finish(change);
             if (firstAcknowledgement) {
-                simulation.controlCluster.lastActive(responder.machine.name);
+                simulation.controlCluster.lastActive(responder.host.name);
                 change.onAcknowledged.accept(responder);
                 if (simulator.random.nextDouble() < 0.15) {
                     simulator.scheduleAfter(
--- a/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
@@ -68,7 +68,7 @@
     int staleReads;
 
     /** Answers that belong to another call than the one they came to. */
-    int misroutedResponses;
+    int reportMisrouted;
 
     /** Calls that may not be repeated and ran twice. */
     int duplicateExecutions;
@@ -82,7 +82,7 @@
     final Map<String, Long> drainAcknowledgedMicros = new HashMap<>();
 
     long maxDrainMillis = 7_000;
-    private final Map<String, Long> withoutPrimary = new HashMap<>();
+    private final Map<String, Long> primaryLost = new HashMap<>();
 
     ConsistencyChecker(Simulator sim) {
         this.sim = sim;
@@ -118,8 +118,8 @@
     }
 
     /** A client's call got the row or the stamp of another. */
-    void misroutedResponses(String id, String response) {
-        misroutedResponses++;
+    void reportMisrouted(String id, String response) {
+        reportMisrouted++;
         reportViolation("MIXED", id + " is answered with " + response);
     }
 
@@ -226,7 +226,7 @@
                             + ", acknowledged was "
                             + required);
         }
-        Long lostAtMillis = withoutPrimary.remove(database);
+        Long lostAtMillis = primaryLost.remove(database);
         if (lostAtMillis != null) {
             promotionMillis.add(sim.millis() - lostAtMillis);
         }
@@ -282,8 +282,8 @@
     /** Sessions that wrote what was given up need it no more. */
     java.util.function.BiConsumer<String, Long> onCommitsAbandoned = (database, number) -> {};
 
-    void withoutPrimary(String database) {
-        withoutPrimary.put(database, sim.millis());
+    void primaryLost(String database) {
+        primaryLost.put(database, sim.millis());
     }
 
     /** At the end: what no log may hold, or hold twice. */
--- a/src/main/java/dillfront/simulation/system/ControlCluster.java
+++ b/src/main/java/dillfront/simulation/system/ControlCluster.java
@@ -116,7 +116,7 @@
 
     ControlMachine byIp(String ip) {
         return machines.values().stream()
-                .filter(machine -> machine.machine.ip.equals(ip))
+                .filter(machine -> machine.host.ip.equals(ip))
                 .findFirst()
                 .orElse(null);
     }
@@ -141,8 +141,8 @@
                             machines.values().stream()
                                     .filter(
                                             machine ->
-                                                    !machine.machine.name.equals(lastActive)
-                                                            && machine.machine.up)
+                                                    !machine.host.name.equals(lastActive)
+                                                            && machine.host.up)
                                     .findFirst()
                                     .orElse(null);
                     default -> machines.get(name);
@@ -151,7 +151,7 @@
             // It was replaced: whoever came for it.
             found =
                     machines.values().stream()
-                            .filter(machine -> machine.machine.name.startsWith(name + "-"))
+                            .filter(machine -> machine.host.name.startsWith(name + "-"))
                             .findFirst()
                             .orElse(null);
         }
@@ -171,15 +171,7 @@
             byte[] body,
             int timeoutMillis) {
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        call(
-                from,
-                method,
-                target.machine.ip + ":" + HTTP_PORT,
-                path,
-                body,
-                timeoutMillis,
-                2,
-                result);
+        call(from, method, target.host.ip + ":" + HTTP_PORT, path, body, timeoutMillis, 2, result);
         return result;
     }
 
@@ -233,9 +225,7 @@
     }
 
     List<String> seeds() {
-        return seedMachines().stream()
-                .map(machine -> machine.machine.ip + ":" + HTTP_PORT)
-                .toList();
+        return seedMachines().stream().map(machine -> machine.host.ip + ":" + HTTP_PORT).toList();
     }
 
     /** Other seeds are named from now on: those given first, then the last ones that are there. */
@@ -246,7 +236,7 @@
                 .forEach(seeds::add);
         configuredSeeds = List.copyOf(seeds.subList(0, Math.min(MAX_SEEDS, seeds.size())));
         simulation.logEvent(
-                "seeds " + configuredSeeds.stream().map(machine -> machine.machine.name).toList());
+                "seeds " + configuredSeeds.stream().map(machine -> machine.host.name).toList());
     }
 
     void startAll() {
@@ -259,27 +249,25 @@
     }
 
     void start(ControlMachine machine, boolean isFirstStart) {
-        if (machine.decommissioned || machine.machine.up && machine.node != null) {
+        if (machine.decommissioned || machine.host.up && machine.node != null) {
             return;
         }
         recordEvent();
-        machine.machine.up();
+        machine.host.up();
         machine.startedAtMillis = simulator.millis();
         ControlNode node =
                 new ControlNode(
-                        machine.machine,
-                        settings.apply(machine.machine, isFirstStart),
-                        machine.disk);
+                        machine.host, settings.apply(machine.host, isFirstStart), machine.disk);
         machine.node = node;
-        machine.machine.listen(PEER_PORT, environment -> node.accept());
-        machine.machine.serveHttp(
+        machine.host.listen(PEER_PORT, environment -> node.accept());
+        machine.host.serveHttp(
                 HTTP_PORT, (method, path, body, headers) -> node.handle(method, path, body));
         simulation.configurationChecker.processStarted(machine);
         try {
             node.start();
         } catch (Configuration.InvalidConfigurationException invalid) {
             simulation.consistencyChecker.reportViolation(
-                    "FAULT", machine.machine.name + " does not start: " + invalid.getMessage());
+                    "FAULT", machine.host.name + " does not start: " + invalid.getMessage());
         }
     }
 
@@ -292,7 +280,7 @@
     }
 
     private static boolean connected(Simulator simulator, ControlMachine a, ControlMachine b) {
-        return a.isRunning() && b.isRunning() && !simulator.cut(a.machine, b.machine);
+        return a.isRunning() && b.isRunning() && !simulator.cut(a.host, b.host);
     }
 
     /** It runs, and reaches more than half of them both ways, with itself. */
@@ -345,11 +333,10 @@
      * it is wiped.
      */
     void failMachine(ControlMachine machine, boolean powerLoss, boolean wipe, long durationMillis) {
-        if (machine == null || !machine.machine.up) {
+        if (machine == null || !machine.host.up) {
             return;
         }
-        simulation.logEvent(
-                (wipe ? "wipe " : powerLoss ? "power " : "kill ") + machine.machine.name);
+        simulation.logEvent((wipe ? "wipe " : powerLoss ? "power " : "kill ") + machine.host.name);
         simulation.configurationChecker.machineLosses++;
         recordEvent();
         extendLoss(durationMillis);
@@ -362,8 +349,8 @@
         simulator.scheduleAfter(
                 durationMillis,
                 () -> {
-                    if (!machine.machine.up && !machine.decommissioned) {
-                        simulation.logEvent("back " + machine.machine.name);
+                    if (!machine.host.up && !machine.decommissioned) {
+                        simulation.logEvent("back " + machine.host.name);
                         start(machine, false);
                     }
                 });
@@ -393,24 +380,24 @@
     void replace(ControlMachine replaced, boolean planned, long delayMillis) {
         if (replaced == null
                 || replaced.decommissioned
-                || !machines.containsKey(replaced.machine.name)) {
+                || !machines.containsKey(replaced.host.name)) {
             return;
         }
         String baseName =
-                replaced.machine.name.contains("-r")
-                        ? replaced.machine.name.substring(0, replaced.machine.name.indexOf("-r"))
-                        : replaced.machine.name;
+                replaced.host.name.contains("-r")
+                        ? replaced.host.name.substring(0, replaced.host.name.indexOf("-r"))
+                        : replaced.host.name;
         simulation.logEvent(
-                (planned ? "planned replacement of " : "gone for good ") + replaced.machine.name);
+                (planned ? "planned replacement of " : "gone for good ") + replaced.host.name);
         int number = ++replacementCount;
         extendLoss(delayMillis);
         Runnable startReplacement =
                 () -> {
                     ControlMachine replacement =
-                            add(baseName + "-r" + number, replaced.machine.zone, 100 + number);
+                            add(baseName + "-r" + number, replaced.host.zone, 100 + number);
                     replacement.awaitingMembership = true;
                     simulation.configurationChecker.replacements++;
-                    simulation.logEvent("new " + replacement.machine.name);
+                    simulation.logEvent("new " + replacement.host.name);
                     start(replacement, false);
                 };
         if (planned) {
@@ -428,10 +415,10 @@
         extendLoss(0);
         machine.decommissioned = true;
         machine.node = null;
-        if (machine.machine.up) {
+        if (machine.host.up) {
             machine.down(powerLoss);
         }
-        machines.remove(machine.machine.name);
+        machines.remove(machine.host.name);
         recordList();
     }
 
@@ -440,14 +427,14 @@
         if (machine.decommissioned) {
             return;
         }
-        simulation.logEvent("SIGTERM " + machine.machine.name);
+        simulation.logEvent("SIGTERM " + machine.host.name);
         recordEvent();
         extendLoss(0);
         machine.decommissioned = true;
         Runnable completion =
                 () -> {
-                    if (machines.containsKey(machine.machine.name)) {
-                        simulation.logEvent("ended " + machine.machine.name);
+                    if (machines.containsKey(machine.host.name)) {
+                        simulation.logEvent("ended " + machine.host.name);
                         decommission(machine, false);
                     }
                 };
@@ -455,7 +442,7 @@
             completion.run();
         } else {
             ControlNode node = machine.node;
-            machine.machine.runOrDefer(() -> node.shutDown(completion));
+            machine.host.runOrDefer(() -> node.shutDown(completion));
             simulator.scheduleAfter(TERMINATION_GRACE_MILLIS, completion);
         }
     }
@@ -464,10 +451,10 @@
         if (machine == null || !machine.isRunning()) {
             return;
         }
-        simulation.logEvent("freeze " + machine.machine.name + " for " + durationMillis);
+        simulation.logEvent("freeze " + machine.host.name + " for " + durationMillis);
         simulation.configurationChecker.machineLosses++;
         extendLoss(durationMillis);
-        machine.machine.pause(durationMillis);
+        machine.host.pause(durationMillis);
         recordEvent();
         simulator.scheduleAfter(durationMillis, this::recordEvent);
     }
@@ -484,7 +471,7 @@
                 machines.values().stream().filter(machine -> !isolated.contains(machine)).toList();
         simulation.logEvent(
                 "cut off "
-                        + isolated.stream().map(machine -> machine.machine.name).toList()
+                        + isolated.stream().map(machine -> machine.host.name).toList()
                         + " "
                         + direction
                         + " for "
@@ -497,9 +484,7 @@
                 () -> {
                     simulation.logEvent(
                             "joined "
-                                    + isolated.stream()
-                                            .map(machine -> machine.machine.name)
-                                            .toList());
+                                    + isolated.stream().map(machine -> machine.host.name).toList());
                     setCut(isolated, rest, direction, false);
                 });
         if (restartsMachines) {
@@ -520,10 +505,10 @@
         for (ControlMachine a : isolated) {
             for (ControlMachine b : rest) {
                 if (!direction.equals("in")) {
-                    simulator.cutOneWay(a.machine, b.machine, blocked);
+                    simulator.cutOneWay(a.host, b.host, blocked);
                 }
                 if (!direction.equals("out")) {
-                    simulator.cutOneWay(b.machine, a.machine, blocked);
+                    simulator.cutOneWay(b.host, a.host, blocked);
                 }
             }
         }
@@ -535,7 +520,7 @@
         if (machine == null) {
             return;
         }
-        simulation.logEvent(fault + " " + machine.machine.name + " for " + durationMillis);
+        simulation.logEvent(fault + " " + machine.host.name + " for " + durationMillis);
         simulation.configurationChecker.machineLosses++;
         extendLoss(durationMillis);
         switch (fault) {
@@ -569,7 +554,7 @@
                 .forEach(
                         machine ->
                                 lines.add(
-                                        machine.machine.name
+                                        machine.host.name
                                                 + " "
                                                 + (machine.node == null
                                                         ? "down"
--- a/src/main/java/dillfront/simulation/system/ControlCounts.java
+++ b/src/main/java/dillfront/simulation/system/ControlCounts.java
@@ -42,7 +42,7 @@
         replacements = configuration.replacements;
         overdueChanges = configuration.overdueChanges;
         caughtUpChanges = configuration.caughtUpChanges;
-        misroutedResponses = consistency.misroutedResponses;
+        misroutedResponses = consistency.reportMisrouted;
         duplicateExecutions = consistency.duplicateExecutions;
         replacementMillis.addAll(configuration.replacementMillis);
         catchUpMillis.addAll(configuration.catchUpMillis);
--- a/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
+++ b/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
@@ -78,9 +78,9 @@
                 if (!isControl(words[1])) {
                     return false;
                 }
-                simulation.logEvent("reset " + machine.machine.name);
+                simulation.logEvent("reset " + machine.host.name);
                 cluster.recordEvent();
-                machine.machine.resetConnections();
+                machine.host.resetConnections();
             }
             case "hard" -> cluster.crashRepeatedly(machine, durationMillis);
             case "disk_stall", "disk_slow", "disk_refuse" ->
--- a/src/main/java/dillfront/simulation/system/ControlMachine.java
+++ b/src/main/java/dillfront/simulation/system/ControlMachine.java
@@ -5,7 +5,7 @@
 /** A machine with a control process and a disk. */
 final class ControlMachine {
 
-    final Simulator.Machine machine;
+    final Simulator.Machine host;
     final SimulatedDisk disk;
     ControlNode node;
 
@@ -35,17 +35,17 @@
     /** Acknowledged numbers when it was last known to have all. */
     int changesWhenCaughtUp;
 
-    ControlMachine(Simulator sim, Simulator.Machine machine) {
-        this.machine = machine;
-        disk = new SimulatedDisk(sim, machine);
+    ControlMachine(Simulator sim, Simulator.Machine host) {
+        this.host = host;
+        disk = new SimulatedDisk(sim, host);
     }
 
     boolean isRunning() {
-        return machine.up && !machine.paused();
+        return host.up && !host.paused();
     }
 
     void down(boolean powerLoss) {
-        machine.down(powerLoss);
+        host.down(powerLoss);
         disk.interrupt();
     }
 }
--- a/src/main/java/dillfront/simulation/system/DataLossOperator.java
+++ b/src/main/java/dillfront/simulation/system/DataLossOperator.java
@@ -53,7 +53,7 @@
         ControlMachine source = randomMachine();
         operator.call(
                         "GET",
-                        source.machine.ip + ":" + ControlCluster.HTTP_PORT,
+                        source.host.ip + ":" + ControlCluster.HTTP_PORT,
                         "/status",
                         new byte[0],
                         Map.of(),
@@ -148,7 +148,7 @@
                                 : new LogPosition(Long.MAX_VALUE, 0));
         operator.call(
                         "POST",
-                        target.machine.ip + ":" + ControlCluster.HTTP_PORT,
+                        target.host.ip + ":" + ControlCluster.HTTP_PORT,
                         "/Services.AcceptDataLoss",
                         Simulator.bytes(body.toString()),
                         Map.of(),
@@ -163,7 +163,7 @@
                                             + mode
                                             + (mode.isEmpty() ? "" : " ")
                                             + "at "
-                                            + target.machine.name
+                                            + target.host.name
                                             + " "
                                             + status);
                             if (status >= 400 && status < 500) {
@@ -198,7 +198,7 @@
         }
         operator.call(
                         "POST",
-                        target.machine.ip + ":" + ControlCluster.HTTP_PORT,
+                        target.host.ip + ":" + ControlCluster.HTTP_PORT,
                         "/Services.AcceptDataLoss",
                         Simulator.bytes(body.toString()),
                         Map.of(),
@@ -210,7 +210,7 @@
                                     "accept "
                                             + body.getString("service", "")
                                             + " again at "
-                                            + target.machine.name
+                                            + target.host.name
                                             + " "
                                             + status);
                             if (status >= 400 && status < 500) {
--- a/src/main/java/dillfront/simulation/system/DatabaseCluster.java
+++ b/src/main/java/dillfront/simulation/system/DatabaseCluster.java
@@ -77,7 +77,7 @@
 
     Server primary() {
         for (Server server : servers) {
-            if (server.isPrimary && server.machine.up) {
+            if (server.isPrimary && server.host.up) {
                 return server;
             }
         }
@@ -94,7 +94,7 @@
      */
     boolean promote(String id) {
         Server target = findServer(id);
-        if (target == null || !target.machine.up || target.machine.poweredOff) {
+        if (target == null || !target.host.up || target.host.poweredOff) {
             return false;
         }
         if (target.isPrimary) {
@@ -103,7 +103,7 @@
         simulator.scheduleAfter(
                 promotionDelayMillis,
                 () -> {
-                    if (target.isPrimary || !target.machine.up) {
+                    if (target.isPrimary || !target.host.up) {
                         return;
                     }
                     observer.onPromoted(target);
@@ -124,7 +124,7 @@
     }
 
     final class Server {
-        final Simulator.Machine machine;
+        final Simulator.Machine host;
         final String id;
         final String address;
         boolean isPrimary;
@@ -155,16 +155,16 @@
         int connections;
         Runnable onRoleChange = () -> {};
 
-        Server(Simulator.Machine machine, String id, int port) {
-            this.machine = machine;
+        Server(Simulator.Machine host, String id, int port) {
+            this.host = host;
             this.id = id;
-            address = machine.ip + ":" + port;
+            address = host.ip + ":" + port;
             servers.add(this);
             open(port);
         }
 
         void open(int port) {
-            machine.listen(port, environment -> new Connection(this));
+            host.listen(port, environment -> new Connection(this));
         }
 
         void notifyRoleChange() {
@@ -189,13 +189,13 @@
         /** Gets what the leader has, over the network, and applies it later. */
         void replicateFrom(Server primary) {
             if (pausedForTerm != 0
-                    || !machine.up
-                    || machine.poweredOff
+                    || !host.up
+                    || host.poweredOff
                     || replicationBlocked
                     || simulator.millis() < copiedAtMillis
                     || isPrimary
                     || !primary.isPrimary
-                    || simulator.cut(machine, primary.machine)) {
+                    || simulator.cut(host, primary.host)) {
                 return;
             }
             boolean received = false;
@@ -231,7 +231,7 @@
 
         private void startWork(double durationMillis, Runnable completion) {
             busySlots++;
-            machine.schedule(
+            host.schedule(
                     Math.round(durationMillis),
                     () -> {
                         busySlots--;
@@ -243,7 +243,7 @@
         }
 
         void stop(boolean powerLoss) {
-            machine.down(powerLoss);
+            host.down(powerLoss);
             busySlots = 0;
             queue.clear();
             connections = 0;
@@ -269,11 +269,11 @@
             }
             Commit lastCommit = last;
             int size = log.size();
-            int incarnation = machine.incarnation;
+            int incarnation = host.incarnation;
             boolean[] acknowledged = new boolean[1];
             Runnable acknowledge =
                     () -> {
-                        if (!acknowledged[0] && machine.incarnation == incarnation && machine.up) {
+                        if (!acknowledged[0] && host.incarnation == incarnation && host.up) {
                             acknowledged[0] = true;
                             completion.run();
                         }
@@ -290,7 +290,7 @@
 
         private void replicateTo(Server target, int size, Runnable acknowledge, Commit commit) {
             simulator.scheduleAfter(
-                    simulator.latencyMillis(machine, target.machine),
+                    simulator.latencyMillis(host, target.host),
                     () -> {
                         if (!isPrimary || log.size() < size || log.get(size - 1) != commit) {
                             return;
@@ -298,8 +298,8 @@
                         target.replicateFrom(this);
                         if (target.log.size() >= size && target.log.get(size - 1) == commit) {
                             simulator.scheduleAfter(
-                                    simulator.latencyMillis(machine, target.machine), acknowledge);
-                        } else if (machine.up) {
+                                    simulator.latencyMillis(host, target.host), acknowledge);
+                        } else if (host.up) {
                             simulator.scheduleAfter(
                                     20, () -> replicateTo(target, size, acknowledge, commit));
                         }
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -28,7 +28,7 @@
     private static final long HEARTBEAT_INTERVAL_MILLIS = 1_200;
 
     private static final class DataPlaneMachine {
-        Simulator.Machine machine;
+        Simulator.Machine host;
         DataPlaneNode node;
 
         /** Since when nothing has happened to it. */
@@ -98,52 +98,44 @@
         consistencyChecker.onCommitsAbandoned =
                 (database, index) ->
                         sessions.stream()
-                                .filter(session -> session.database.equals(database))
-                                .forEach(
-                                        session ->
-                                                session.lastWriteIndex =
-                                                        Math.min(session.lastWriteIndex, index));
+                                .filter(s -> s.database.equals(database))
+                                .forEach(s -> s.lastWriteIndex = Math.min(s.lastWriteIndex, index));
         controlCluster =
                 new ControlCluster(
                         this,
                         controlMachines,
                         (machine, isFirstStart) -> settings(machine, true, isFirstStart));
         platform.serveHttp(PLATFORM_PORT, this::handlePromotion);
-        for (int zone = 0; zone < ZONES.length; zone++) {
+        for (int z = 0; z < ZONES.length; z++) {
             for (int i = 0; i < dataPlanesPerZone; i++) {
                 DataPlaneMachine dataPlane = new DataPlaneMachine();
-                dataPlane.machine =
+                dataPlane.host =
                         simulator
-                        .new Machine(
-                                "front-" + ZONES[zone] + i, ZONES[zone], "10." + zone + ".1." + i);
-                dataPlanes.put(ZONES[zone] + i, dataPlane);
+                        .new Machine("front-" + ZONES[z] + i, ZONES[z], "10." + z + ".1." + i);
+                dataPlanes.put(ZONES[z] + i, dataPlane);
             }
         }
-        for (int session = 0; session < services; session++) {
+        for (int s = 0; s < services; s++) {
             DatabaseCluster database =
                     new DatabaseCluster(
-                            simulator, "db" + session, 6, 60, 8, 300, true, consistencyChecker);
+                            simulator, "db" + s, 6, 60, 8, 300, true, consistencyChecker);
             databases.put(database.name, database);
             consistencyChecker.databases.put(database.name, database);
-            for (int zone = 0; zone < ZONES.length; zone++) {
-                createServer(
-                        database,
-                        ZONES[(zone + session) % ZONES.length],
-                        zone,
-                        FIRST_DATABASE_PORT + session);
+            for (int z = 0; z < ZONES.length; z++) {
+                createServer(database, ZONES[(z + s) % ZONES.length], z, FIRST_DATABASE_PORT + s);
             }
             database.servers.get(0).isPrimary = true;
             String[] kinds = {"primary", "bounded", "own"};
             for (int i = 0; i < sessionsPerService; i++) {
-                String kind = kinds[i % 3];
+                String readConsistency = kinds[i % 3];
                 sessions.add(
                         new ClientSession(
                                 this,
                                 sessions.size(),
-                                kind,
+                                readConsistency,
                                 database.name,
-                                database.name + "-" + kind,
-                                kind.equals("bounded") ? 1_500 : 2_500));
+                                database.name + "-" + readConsistency,
+                                readConsistency.equals("bounded") ? 1_500 : 2_500));
             }
         }
     }
@@ -164,40 +156,40 @@
         return databases.keySet();
     }
 
-    String attemptId(String database, String stamp) {
-        return databases.get(database).attemptByCompletionTag.get(stamp);
+    String attemptId(String database, String completionTag) {
+        return databases.get(database).attemptByCompletionTag.get(completionTag);
     }
 
     // ---- database servers
 
     private DatabaseCluster.Server createServer(
-            DatabaseCluster database, String zone, int number, int port) {
+            DatabaseCluster database, String zone, int index, int port) {
         Simulator.Machine machine =
                 simulator
                 .new Machine(
-                        database.name + "-" + zone + number,
+                        database.name + "-" + zone + index,
                         zone,
-                        "10.8." + database.name.substring(2) + "." + (10 + number));
+                        "10.8." + database.name.substring(2) + "." + (10 + index));
         DatabaseCluster.Server server =
-                database.new Server(machine, database.name + "-" + zone + number, port);
+                database.new Server(machine, database.name + "-" + zone + index, port);
         server.onRoleChange = () -> sendHeartbeat(database, server, false, 0);
         startHeartbeats(database, server);
         return server;
     }
 
     private void startHeartbeats(DatabaseCluster database, DatabaseCluster.Server server) {
-        int incarnation = server.machine.incarnation;
-        server.machine.schedule(
+        int incarnation = server.host.incarnation;
+        server.host.schedule(
                 simulator.random.nextInt((int) HEARTBEAT_INTERVAL_MILLIS),
                 new Runnable() {
                     @Override
                     public void run() {
-                        if (server.machine.incarnation == incarnation
+                        if (server.host.incarnation == incarnation
                                 && database.servers.contains(server)) {
                             if (!server.heartbeatsStopped) {
                                 sendHeartbeat(database, server, false, 0);
                             }
-                            server.machine.schedule(HEARTBEAT_INTERVAL_MILLIS, this);
+                            server.host.schedule(HEARTBEAT_INTERVAL_MILLIS, this);
                         }
                     }
                 });
@@ -211,7 +203,7 @@
             DatabaseCluster.Server server,
             boolean isLeaving,
             int attempts) {
-        if (!server.machine.up || attempts > 6) {
+        if (!server.host.up || attempts > 6) {
             return;
         }
         boolean isDraining = server.draining || isLeaving;
@@ -222,7 +214,7 @@
                 body,
                 acknowledged -> {
                     if (!acknowledged) {
-                        server.machine.schedule(
+                        server.host.schedule(
                                 50L * (attempts + 1),
                                 () -> sendHeartbeat(database, server, isLeaving, attempts + 1));
                     } else if (isDraining) {
@@ -237,7 +229,7 @@
         return Json.object()
                 .add("service", database.name)
                 .add("address", server.address)
-                .add("zone_name", server.machine.zone)
+                .add("zone_name", server.host.zone)
                 .add("state", server.draining ? "draining" : "ready")
                 .add("database_role", server.isPrimary ? "primary" : "replica")
                 .add("call_sequence", ++callSequence)
@@ -252,7 +244,7 @@
         List<ControlMachine> machines = controlCluster.knownMachines();
         ControlMachine target = machines.get(simulator.random.nextInt(machines.size()));
         controlCluster
-                .call(server.machine, "POST", target, path, Simulator.bytes(body), 1_000)
+                .call(server.host, "POST", target, path, Simulator.bytes(body), 1_000)
                 .whenComplete(
                         (result, failure) ->
                                 acknowledged.accept(
@@ -329,13 +321,12 @@
     }
 
     private void startDataPlane(DataPlaneMachine dataPlane, boolean isFirstStart) {
-        dataPlane.machine.up();
+        dataPlane.host.up();
         dataPlane.undisturbedSinceMillis = simulator.millis();
         DataPlaneNode node =
-                new DataPlaneNode(
-                        dataPlane.machine, settings(dataPlane.machine, false, isFirstStart));
+                new DataPlaneNode(dataPlane.host, settings(dataPlane.host, false, isFirstStart));
         dataPlane.node = node;
-        dataPlane.machine.listen(DATA_PLANE_PORT, environment -> node.accept());
+        dataPlane.host.listen(DATA_PLANE_PORT, environment -> node.accept());
         node.start();
     }
 
@@ -344,23 +335,23 @@
         simulator.scheduleAfter(50, this::checkDataPlanes);
         boolean stable = controlCluster.isStable();
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
-            if (!dataPlane.machine.up || dataPlane.node == null) {
+            if (!dataPlane.host.up || dataPlane.node == null) {
                 continue;
             }
             boolean connected =
                     stable
-                            && !dataPlane.machine.paused()
+                            && !dataPlane.host.paused()
                             && simulator.millis() - dataPlane.undisturbedSinceMillis
                                     >= ControlCluster.STABLE_AFTER_MILLIS;
             for (ControlMachine control : controlCluster.machines()) {
                 connected &=
                         !controlCluster.reachesMajority(control)
-                                || !simulator.cut(dataPlane.machine, control.machine);
+                                || !simulator.cut(dataPlane.host, control.host);
             }
             Configuration current = dataPlane.node.configuration();
             configurationChecker.checkDataPlane(
-                    dataPlane.machine.name,
-                    dataPlane.machine.incarnation,
+                    dataPlane.host.name,
+                    dataPlane.host.incarnation,
                     connected,
                     current.revision(),
                     current == dataPlane.lastConfiguration
@@ -376,9 +367,9 @@
     /** For a client: one of the fronts that are ready, by its number and by chance. */
     Simulator.Machine dataPlane(int number) {
         List<Simulator.Machine> ready = new ArrayList<>();
-        for (DataPlaneMachine f : dataPlanes.values()) {
-            if (f.machine.up && f.node.isReady()) {
-                ready.add(f.machine);
+        for (DataPlaneMachine candidate : dataPlanes.values()) {
+            if (candidate.host.up && candidate.node.isReady()) {
+                ready.add(candidate.host);
             }
         }
         return ready.isEmpty()
@@ -391,7 +382,7 @@
         boolean appliedByAll = true;
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
             boolean expected =
-                    dataPlane.machine.up
+                    dataPlane.host.up
                             && dataPlane.undisturbedSinceMillis
                                     < acknowledgedMillis - ControlCluster.STABLE_AFTER_MILLIS;
             appliedByAll &= !expected || dataPlane.node.configurationRevision() >= revision;
@@ -429,7 +420,7 @@
             return database.findServer(selector);
         }
         List<DatabaseCluster.Server> replicas =
-                database.servers.stream().filter(s -> s != primary && s.machine.up).toList();
+                database.servers.stream().filter(s -> s != primary && s.host.up).toList();
         return replicas.isEmpty()
                 ? null
                 : replicas.get(selector.equals("last") ? replicas.size() - 1 : 0);
@@ -449,7 +440,7 @@
                         + server.id
                         + (server.isPrimary ? " (primary)" : ""));
         if (server.isPrimary) {
-            consistencyChecker.withoutPrimary(database.name);
+            consistencyChecker.primaryLost(database.name);
         }
         server.stop(powerLoss);
         simulator.scheduleAfter(
@@ -457,12 +448,12 @@
                 () -> {
                     logEvent("back " + server.id);
                     // It has its log and its address, and a new id.
-                    server.machine.up();
+                    server.host.up();
                     database.servers.remove(server);
                     DatabaseCluster.Server restarted =
                             database
                             .new Server(
-                                    server.machine,
+                                    server.host,
                                     server.id.replaceAll("r\\d*$", "") + "r" + ++replacementCount,
                                     Integer.parseInt(
                                             server.address.substring(
@@ -496,7 +487,7 @@
         }
         logEvent("gone for good " + server.id + (server.isPrimary ? " (primary)" : ""));
         if (server.isPrimary) {
-            consistencyChecker.withoutPrimary(database.name);
+            consistencyChecker.primaryLost(database.name);
         }
         server.stop(true);
         server.isPrimary = false;
@@ -518,11 +509,11 @@
                                     removed.address.substring(removed.address.indexOf(':') + 1));
                     DatabaseCluster.Server replacement;
                     if (sameAddress) {
-                        removed.machine.up();
+                        removed.host.up();
                         replacement =
                                 database
                                 .new Server(
-                                        removed.machine,
+                                        removed.host,
                                         removed.id.replaceAll("r\\d*$", "")
                                                 + "r"
                                                 + ++replacementCount,
@@ -535,7 +526,7 @@
                         replacement =
                                 createServer(
                                         database,
-                                        removed.machine.zone,
+                                        removed.host.zone,
                                         100 + ++replacementCount,
                                         port);
                     }
@@ -560,24 +551,22 @@
             case "replicas" ->
                     database.servers.stream()
                             .filter(server -> server != primary)
-                            .forEach(server -> isolatedFrom.add(server.machine));
-            case "core" -> controlCluster.machines().forEach(c -> isolatedFrom.add(c.machine));
+                            .forEach(server -> isolatedFrom.add(server.host));
+            case "core" -> controlCluster.machines().forEach(c -> isolatedFrom.add(c.host));
             default ->
                     dataPlanes.values().stream()
                             .filter(dataPlane -> simulator.random.nextDouble() < 0.4)
                             .forEach(
                                     dataPlane -> {
-                                        isolatedFrom.add(dataPlane.machine);
+                                        isolatedFrom.add(dataPlane.host);
                                         dataPlane.undisturbedSinceMillis =
                                                 simulator.millis() + durationMillis;
                                     });
         }
-        isolatedFrom.forEach(machine -> simulator.cut(primary.machine, machine, true));
+        isolatedFrom.forEach(machine -> simulator.cut(primary.host, machine, true));
         simulator.scheduleAfter(
                 durationMillis,
-                () ->
-                        isolatedFrom.forEach(
-                                machine -> simulator.cut(primary.machine, machine, false)));
+                () -> isolatedFrom.forEach(machine -> simulator.cut(primary.host, machine, false)));
     }
 
     private static int commonPrefixLength(DatabaseCluster.Server a, DatabaseCluster.Server b) {
@@ -615,7 +604,7 @@
                         String delayedHeartbeat = heartbeatBody(database, server);
                         server.heartbeatsStopped = true;
                         sendHeartbeat(database, server, true, 0);
-                        server.machine.schedule(
+                        server.host.schedule(
                                 3_000,
                                 () ->
                                         send(
@@ -630,7 +619,7 @@
                     simulator.scheduleAfter(
                             7_500 + extraMillis,
                             () -> {
-                                if (server.machine.up && !byLeaveMessage) {
+                                if (server.host.up && !byLeaveMessage) {
                                     sendHeartbeat(database, server, true, 0);
                                 }
                                 simulator.scheduleAfter(
@@ -643,7 +632,7 @@
                                                                     ? " (primary)"
                                                                     : ""));
                                             if (server.isPrimary) {
-                                                consistencyChecker.withoutPrimary(database.name);
+                                                consistencyChecker.primaryLost(database.name);
                                             }
                                             server.stop(false);
                                             database.servers.remove(server);
@@ -659,29 +648,29 @@
     /** Whoever runs is told of other seeds. */
     void updateSeeds() {
         dataPlanes.values().stream()
-                .filter(dataPlane -> dataPlane.machine.up)
+                .filter(dataPlane -> dataPlane.host.up)
                 .forEach(
                         dataPlane ->
                                 dataPlane.node.updateSettings(
-                                        settings(dataPlane.machine, false, false)));
+                                        settings(dataPlane.host, false, false)));
     }
 
-    private void dataPlane(String key, boolean power, long forMs) {
-        DataPlaneMachine f = dataPlanes.get(key);
-        if (f == null || !f.machine.up) {
+    private void dataPlane(String machineKey, boolean powerLoss, long durationMillis) {
+        DataPlaneMachine candidate = dataPlanes.get(machineKey);
+        if (candidate == null || !candidate.host.up) {
             return;
         }
-        logEvent((power ? "power " : "kill ") + f.machine.name);
-        f.machine.down(power);
-        f.undisturbedSinceMillis = Long.MAX_VALUE / 2;
-        restartLater(f, forMs);
+        logEvent((powerLoss ? "power " : "kill ") + candidate.host.name);
+        candidate.host.down(powerLoss);
+        candidate.undisturbedSinceMillis = Long.MAX_VALUE / 2;
+        restartLater(candidate, durationMillis);
     }
 
     private void restartLater(DataPlaneMachine dataPlane, long delayMillis) {
         simulator.scheduleAfter(
                 delayMillis,
                 () -> {
-                    if (!dataPlane.machine.up) {
+                    if (!dataPlane.host.up) {
                         startDataPlane(dataPlane, false);
                     }
                 });
@@ -698,7 +687,7 @@
         simulator.cut(first, second, true);
         controlCluster.recordEvent();
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
-            if (dataPlane.machine == first || dataPlane.machine == second) {
+            if (dataPlane.host == first || dataPlane.host == second) {
                 dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
             }
         }
@@ -715,8 +704,8 @@
                 || name.equals("leader")
                 || name.equals("seed")
                 || name.equals("other")) {
-            ControlMachine control = controlCluster.find(name);
-            return control == null ? null : control.machine;
+            ControlMachine controlMachine = controlCluster.find(name);
+            return controlMachine == null ? null : controlMachine.host;
         }
         return simulator.machines.stream()
                 .filter(machine -> machine.name.equals(name))
@@ -727,12 +716,12 @@
     private void restartAll(boolean powerLoss) {
         logEvent(powerLoss ? "all lose power" : "all are killed");
         controlCluster.failAll(powerLoss, null, 900);
-        dataPlanes.values().forEach(dataPlane -> dataPlane.machine.down(powerLoss));
+        dataPlanes.values().forEach(dataPlane -> dataPlane.host.down(powerLoss));
         simulator.scheduleAfter(
                 900,
                 () ->
                         dataPlanes.values().stream()
-                                .filter(dataPlane -> !dataPlane.machine.up)
+                                .filter(dataPlane -> !dataPlane.host.up)
                                 .forEach(dataPlane -> startDataPlane(dataPlane, false)));
     }
 
@@ -821,14 +810,14 @@
                     logEvent("reset " + words[1]);
                     dataPlane.undisturbedSinceMillis =
                             Math.max(dataPlane.undisturbedSinceMillis, simulator.millis());
-                    dataPlane.machine.resetConnections();
+                    dataPlane.host.resetConnections();
                     break;
                 }
             case "freeze":
                 {
                     DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
                     logEvent("freeze " + words[1] + " for " + durationMillis);
-                    dataPlane.machine.pause(durationMillis);
+                    dataPlane.host.pause(durationMillis);
                     dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
                     break;
                 }
@@ -840,10 +829,10 @@
                     DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
                     logEvent("SIGTERM " + words[1]);
                     dataPlane.undisturbedSinceMillis = Long.MAX_VALUE / 2;
-                    if (dataPlane.machine.up) {
+                    if (dataPlane.host.up) {
                         dataPlane.node.shutDown(
                                 () -> {
-                                    dataPlane.machine.down(false);
+                                    dataPlane.host.down(false);
                                     restartLater(dataPlane, 300);
                                 });
                     }
@@ -1025,7 +1014,7 @@
     public List<String> serversWithPausedReplication() {
         return databases.values().stream()
                 .flatMap(database -> database.servers.stream())
-                .filter(server -> server.machine.up && server.pausedForTerm != 0)
+                .filter(server -> server.host.up && server.pausedForTerm != 0)
                 .map(server -> server.id)
                 .toList();
     }
@@ -1041,7 +1030,7 @@
                 .values()
                 .forEach(
                         dataPlane ->
-                                lines.add(dataPlane.machine.name + " " + dataPlane.node.status()));
+                                lines.add(dataPlane.host.name + " " + dataPlane.node.status()));
         return lines;
     }
 }
