--- a/src/main/java/dillfront/benchmark/IdentityBenchmark.java
+++ b/src/main/java/dillfront/benchmark/IdentityBenchmark.java
@@ -19,15 +19,18 @@
 import java.util.SplittableRandom;
 
 /**
- * What a verdict costs by the index and by a plain list, and how a revocation goes through many
- * open sessions.
+ * Measures the cost of an authorization verdict by the index and by a plain list of rules, and how
+ * long a revocation takes to reach many open sessions.
  */
 public final class IdentityBenchmark {
 
     private static final int SESSION_COUNT = 1000;
     private static final int KEY_COUNT = 1024;
 
-    /** One size's figures, in nanoseconds a verdict, and bytes allocated by one of the index. */
+    /**
+     * Costs for one number of rules: nanoseconds per verdict, and bytes allocated per verdict by
+     * the index.
+     */
     private record VerdictCost(double indexNanos, double listNanos, double allocatedBytes) {}
 
     private IdentityBenchmark() {}
@@ -96,7 +99,7 @@
         for (int i = 0; i < Math.min(listChecks, 2 * KEY_COUNT); i++) {
             if (rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT])
                     != rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT])) {
-                throw new IllegalStateException("the index says another thing than the rules");
+                throw new IllegalStateException("index and list disagree on a verdict");
             }
         }
         System.out.printf(
@@ -112,8 +115,8 @@
     }
 
     /**
-     * From the reading of a revocation until each of many open sessions has refused its next txn,
-     * in microseconds.
+     * Returns the median time in microseconds from the start of a policy update with a revocation
+     * until each of 1000 open sessions has checked its next transaction.
      */
     private static double medianRevocationMicros() {
         Principal principal =
@@ -159,7 +162,8 @@
             }
             for (Gate.Session session : sessions) {
                 if (session.take(0, false, 0, key) != null) {
-                    throw new IllegalStateException("not taken");
+                    throw new IllegalStateException(
+                            "session rejected a transaction that the policy allows");
                 }
                 session.done();
             }
@@ -183,7 +187,7 @@
         return micros[micros.length / 2];
     }
 
-    /** Prints a line of results for each number of rules. */
+    /** Prints one line for each number of rules and one line of results. */
     public static void main(String[] args) {
         measureVerdicts(10);
         VerdictCost thousandRules = measureVerdicts(1000);
--- a/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
+++ b/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what a router costs against the text of another folder and against a plain relay, all in
- * one run and in turns, and prints one line of ratios. Each was built there already.
+ * Compares the cost of a router with that of the build in another folder and of a plain relay, in
+ * alternating rounds of one run, and prints one line of ratios. Both folders must be built already.
  */
 public final class RouterCostBenchmark {
 
@@ -24,8 +24,8 @@
                     + "-Dio.netty.allocator.smallCacheSize=0 -Dio.netty.allocator.normalCacheSize=0";
 
     /**
-     * What one start and its load took: CPU to serving, CPU a txn at first and once warm, in
-     * microseconds.
+     * CPU time of one start and its load in microseconds: until the router serves, per transaction
+     * while cold, per transaction once warm, and during one idle second.
      */
     private record CostSample(
             double startMicros,
@@ -60,9 +60,9 @@
     }
 
     /**
-     * A router that stands still for three quarters of the time, with clients that never pause: for
-     * how long after each drain was told its node still gets new txns, in milliseconds; the worst
-     * of a few.
+     * Measures drain handling of a router that is stopped for three quarters of the time, under
+     * clients without pauses: the longest time in milliseconds from a drain announcement until the
+     * last new transaction at the draining node.
      */
     private static double worstDrainDelayMillis(Path folder)
             throws IOException, InterruptedException {
@@ -81,7 +81,8 @@
                                     backends.runLoad(
                                             router.port, CLIENTS, 1_000, 400, DRAINS * 450L + 500);
                                 } catch (IOException | InterruptedException ended) {
-                                    // The figure below is what counts.
+                                    // Requests may fail while the router is stopped; only the
+                                    // arrivals are measured.
                                 }
                             },
                             "load");
@@ -97,7 +98,7 @@
                                         Thread.sleep(20);
                                     }
                                 } catch (IOException | InterruptedException ended) {
-                                    // As above.
+                                    // The load has ended; no further signals are needed.
                                 }
                             },
                             "hand");
@@ -109,7 +110,7 @@
                 backends.setLifecycle(node, "draining");
                 Thread.sleep(300);
                 if (backends.arrivals(node).isEmpty()) {
-                    throw new IOException("no load: node " + node + " was never used");
+                    throw new IOException("no load: node " + node + " received no statements");
                 }
                 for (long arrivalNanos : backends.arrivals(node)) {
                     worstMillis = Math.max(worstMillis, (arrivalNanos - drainedAtNanos) / 1e6);
@@ -137,7 +138,7 @@
         return (sorted.get((sorted.size() - 1) / 2) + sorted.get(sorted.size() / 2)) / 2;
     }
 
-    /** The counts of one txn, by a process of its own. */
+    /** Counts the cost of one transaction in a separate process. */
     static String runCounter(String classpath) throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(
@@ -150,7 +151,7 @@
                 new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
         if (!process.waitFor(40, TimeUnit.SECONDS)) {
             process.destroyForcibly();
-            throw new IOException("no counts within 40 s");
+            throw new IOException("cost counter did not finish within 40 s");
         }
         String line =
                 new String(
@@ -158,13 +159,15 @@
                                 java.nio.charset.StandardCharsets.US_ASCII)
                         .trim();
         if (process.exitValue() != 0) {
-            throw new IOException("no counts: " + line);
+            throw new IOException("cost counter failed: " + line);
         }
         return line;
     }
 
     /**
-     * @param args this folder, and the one to be compared with
+     * Runs the benchmark.
+     *
+     * @param args the folder of this build, and the folder of the build to compare with
      */
     public static void main(String[] args) throws Exception {
         Path currentFolder = Path.of(args[0]).toAbsolutePath();
--- a/src/main/java/dillfront/benchmark/RouterProcess.java
+++ b/src/main/java/dillfront/benchmark/RouterProcess.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A router as a process of its own, started as the deployment starts it, and what it has used by
- * the system's count.
+ * Runs a router as a separate process, started as in the deployment, and reads its CPU time from
+ * the operating system.
  */
 final class RouterProcess implements AutoCloseable {
 
@@ -25,7 +25,9 @@
     private final Path config;
 
     /**
-     * @param command what starts it, from this folder, with LB_CONFIG set
+     * Starts the router and waits up to 10 s until it listens.
+     *
+     * @param command the command that starts the router in the folder, with LB_CONFIG set
      */
     RouterProcess(List<String> command, Path folder, StubBackends backends, double cores)
             throws IOException, InterruptedException {
@@ -40,13 +42,13 @@
         process = builder.start();
         for (int i = 0; i < 2000 && !isListening(); i++) {
             if (!process.isAlive()) {
-                throw new IOException("it ended: " + command);
+                throw new IOException("router process exited: " + command);
             }
             Thread.sleep(5);
         }
     }
 
-    /** The command line of deploy/balancer.toml for this key. */
+    /** Returns the command line of deploy/balancer.toml for a key. */
     static List<String> deployedCommand(Path folder, String key) throws IOException {
         String line =
                 Files.readAllLines(folder.resolve("deploy/balancer.toml")).stream()
@@ -68,27 +70,30 @@
         }
     }
 
-    /** One that nobody listens on now. */
+    /** Returns a port without a listener. */
     static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
         }
     }
 
-    /** Sends the process a signal by its name; 0 where it was sent. */
+    /** Sends a signal by its name and returns the exit status of `kill`, 0 on success. */
     int signal(String name) throws IOException, InterruptedException {
         return new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** What all threads of it have used so far, in microseconds. */
+    /** Returns the CPU time of all threads so far, in microseconds. */
     long cpuMicros() throws IOException {
         String[] stat = procStat(Path.of("/proc", Long.toString(process.pid()), "stat"));
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) * TICK_MICROS;
     }
 
-    /** Everything behind the name, which stands in brackets. */
+    /**
+     * Returns the fields of a /proc stat file after the command name, which is enclosed in
+     * parentheses.
+     */
     static String[] procStat(Path statFile) throws IOException {
         String text = Files.readString(statFile, StandardCharsets.ISO_8859_1);
         return text.substring(text.lastIndexOf(')') + 2).split(" ");
--- a/src/main/java/dillfront/benchmark/StubBackends.java
+++ b/src/main/java/dillfront/benchmark/StubBackends.java
@@ -20,9 +20,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Nodes and discovery of the rig, and clients that wait, to be put round one router that is
- * measured; a node answers each statement with a row of as many bytes as its key says, after a set
- * time.
+ * Stub nodes, discovery and waiting clients around one router under test. A node responds to each
+ * statement after a fixed time with a row whose size the key gives.
  */
 final class StubBackends implements Closeable {
 
@@ -30,7 +29,7 @@
     static final int NODES_PER_GROUP = 4;
     private static final long FIRST_GENERATION = 41;
 
-    /** Nobody waits for a core: what a node costs is its work's time. */
+    /** High enough that no statement queues at a node: a statement takes the work time only. */
     private static final int MAX_CONCURRENT_STATEMENTS = 256;
 
     private static final String SETTINGS =
@@ -60,7 +59,9 @@
     private final AtomicLong ids = new AtomicLong();
 
     /**
-     * @param workMicros how long a node takes for a statement
+     * Starts the nodes and discovery.
+     *
+     * @param workMicros service time of a statement at a node, in microseconds
      */
     StubBackends(long workMicros) {
         Node.Work work = new Node.Work(MAX_CONCURRENT_STATEMENTS, workMicros, 1, 1, 1, 1000);
@@ -84,7 +85,7 @@
         return nodes.get(Integer.parseInt(id.substring(2))).port();
     }
 
-    /** A configuration for a router that listens there. */
+    /** Returns a configuration for a router that listens on the port. */
     String config(int port, double cores) {
         String entries =
                 initialEntries.stream()
@@ -109,7 +110,10 @@
                 .replace('\'', '"');
     }
 
-    /** From now on this node drains, or is ready again; its number runs below GROUPS * MEMBERS. */
+    /**
+     * Sets the lifecycle of a node, "draining" or "ready"; node indexes run from 0 to GROUPS *
+     * NODES_PER_GROUP - 1.
+     */
     void setLifecycle(int node, String lifecycle) {
         Catalogue.Entry entry = initialEntries.get(node);
         stage.run(
@@ -124,12 +128,12 @@
                                         entry.leads())));
     }
 
-    /** Waits until the router has the list as it is now, and asks for a newer one. */
+    /** Waits until the router has the current instance list and polls for a newer one. */
     void awaitInstanceListRead() {
         discovery.awaitAsker();
     }
 
-    /** How many statements came to the nodes of this group so far. */
+    /** Returns how many statements the nodes of a group have received. */
     int arrivalCount(int group) {
         int sum = 0;
         for (int i = 0; i < NODES_PER_GROUP; i++) {
@@ -138,12 +142,12 @@
         return sum;
     }
 
-    /** When each statement of a client came to this node, by System.nanoTime(). */
+    /** Returns the arrival times of the client statements at a node, by System.nanoTime(). */
     List<Long> arrivals(int node) {
         return nodes.get(node).arrivals();
     }
 
-    /** One client that asks for as long as it is let. */
+    /** A client that sends one statement after the other. */
     final class LoadClient implements Closeable {
 
         private final Socket socket;
@@ -160,7 +164,10 @@
             receive();
         }
 
-        /** Asks once, by its number in turn one type or another; true where the value came. */
+        /**
+         * Sends one statement, whose type depends on client and turn, and returns whether a row
+         * came back.
+         */
         boolean request(int turn, int bytes) throws IOException {
             int type = (number + turn) % TYPES.length;
             return request(TYPES[type], bytes);
@@ -198,7 +205,7 @@
                                             + comment));
         }
 
-        /** Whether something has come that was not heard yet. */
+        /** Returns whether a response has arrived that was not read yet. */
         boolean hasResponse() throws IOException {
             return in.available() > 0;
         }
@@ -226,9 +233,9 @@
     }
 
     /**
-     * So many clients, each with a pause after each answer, for so long.
+     * Runs clients that pause after each response, for the given time.
      *
-     * @return how many had their value, and how many asked
+     * @return the number of rows received and of statements sent
      */
     long[] runLoad(int port, int clients, long pauseMicros, int bytes, long millis)
             throws IOException, InterruptedException {
@@ -250,7 +257,7 @@
                                         LockSupport.parkNanos(pauseMicros * 1000);
                                     }
                                 } catch (IOException failure) {
-                                    // Counted as asked and not served.
+                                    // The statement counts as sent and not served.
                                 }
                             },
                             "client",
--- a/src/main/java/dillfront/benchmark/TcpRelay.java
+++ b/src/main/java/dillfront/benchmark/TcpRelay.java
@@ -16,15 +16,17 @@
 import java.nio.file.Path;
 
 /**
- * Passes bytes on between each client and one node, and looks at nothing: what the sockets alone
- * cost. Configured as a router is, by the file that LB_CONFIG names, of which it reads two
- * addresses.
+ * Forwards bytes between each client and one node without parsing them, as the baseline cost of the
+ * sockets alone. Takes two addresses from the router configuration that LB_CONFIG names.
  */
 public final class TcpRelay {
 
     private TcpRelay() {}
 
-    /** Relays connections byte for byte; the arguments are the two addresses. */
+    /**
+     * Starts the relay; the addresses come from the file that LB_CONFIG names, and the arguments
+     * are ignored.
+     */
     public static void main(String[] args) throws Exception {
         String config =
                 Files.readString(Path.of(System.getenv("LB_CONFIG")), StandardCharsets.US_ASCII);
--- a/src/main/java/dillfront/benchmark/TransactionCostCounter.java
+++ b/src/main/java/dillfront/benchmark/TransactionCostCounter.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Counts what one txn costs the router's thread once it is warm: bytes allocated on the heap,
- * buffers taken, system calls that read or write, bytes that went through those. Counts, not times:
- * they are the same on any machine, but for the beat, of which a few come in among the txns. Run in
- * a JVM of its own, with the allocator's thread caches off, since what they hand out is not
- * counted; prints one line.
+ * Counts the cost of one transaction on the warm router thread: bytes allocated on the heap,
+ * buffers allocated, read and write system calls, and bytes through them. Counts do not depend on
+ * the speed of the machine, except for a few heartbeats between the transactions. Requires a
+ * separate JVM with the thread caches of the allocator off, since buffers from these caches are not
+ * counted. Prints one line.
  */
 public final class TransactionCostCounter {
 
@@ -33,12 +33,15 @@
     private static final int COUNTED_TRANSACTIONS = 500;
 
     /**
-     * Nodes that answer at once would make the module expect that: the least silence would be a
-     * trouble.
+     * Nodes that respond at once would make the router expect that, so that the shortest delay
+     * would look like a fault.
      */
     private static final long NODE_WORK_MICROS = 4_000;
 
-    /** Connections rest after an answer: a client that never pauses would need one for each txn. */
+    /**
+     * Connections idle after a response, so a client without pauses would need one for each
+     * transaction.
+     */
     private static final long CLIENT_PAUSE_NANOS = 1_500_000;
 
     private final ThreadMXBean threadBean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -66,11 +69,11 @@
         }
         routerThreadId = threadId;
         if (ioStatsFile == null || threadId < 0) {
-            throw new IOException("no thread of the router's is there to be counted");
+            throw new IOException("no router thread found");
         }
     }
 
-    /** Heap bytes, buffers, reads, writes, bytes read, bytes written; so far. */
+    /** Returns the totals so far: heap bytes, buffers, reads, writes, bytes read, bytes written. */
     private long[] snapshot() throws IOException {
         long buffers = 0;
         for (PoolArenaMetric arena : PooledByteBufAllocator.DEFAULT.metric().directArenas()) {
@@ -90,7 +93,7 @@
         return counts;
     }
 
-    /** What one of so many txns cost, each count as above. */
+    /** Returns the cost per counted transaction, in the order of snapshot(). */
     private double[] costPerTransaction(
             StubBackends.LoadClient client, String type, int bytes, int warmUp, int counted)
             throws IOException {
@@ -101,7 +104,7 @@
         long[] before = snapshot();
         for (int i = 0; i < counted; i++) {
             if (!client.request(type, bytes)) {
-                throw new IOException("a txn was not committed");
+                throw new IOException("a transaction returned no row");
             }
             LockSupport.parkNanos(CLIENT_PAUSE_NANOS);
         }
@@ -130,8 +133,8 @@
             TransactionCostCounter counts = new TransactionCostCounter();
             StringBuilder line = new StringBuilder();
             try (StubBackends.LoadClient client = backends.new LoadClient(port, 1)) {
-                // Connections rest after an answer, so several are open; what a quick client needs
-                // is there after this.
+                // Connections idle after a response, so a fast client uses several; all of them are
+                // open after the warm-up.
                 double[] small =
                         counts.costPerTransaction(
                                 client,
@@ -178,7 +181,7 @@
         } catch (Exception failure) {
             System.err.println("counts: " + failure.getMessage());
         } finally {
-            // The router's thread would keep the process.
+            // The router's thread would keep the process alive.
             System.exit(status);
         }
     }
--- a/src/main/java/dillfront/benchmark/package-info.java
+++ b/src/main/java/dillfront/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements of what a router costs, and the stand-ins that they need. Begin with {@link
+ * Benchmarks of the router and the stub backends that they need. Start with {@link
  * dillfront.benchmark.RouterCostBenchmark}.
  */
 package dillfront.benchmark;
--- a/src/main/java/dillfront/simulation/system/ClientSession.java
+++ b/src/main/java/dillfront/simulation/system/ClientSession.java
@@ -8,7 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * One client session that asks one operation after the other, each again where the page lets it.
+ * Simulates one client session, which runs one operation after another and retries an operation
+ * where the protocol allows a retry.
  */
 final class ClientSession implements Environment.ConnectionListener {
 
@@ -29,7 +30,7 @@
     private boolean ready;
     private boolean open;
     private long connectionEpoch;
-    // The operation.
+    // State of the operation in progress.
     private List<String> statements = new ArrayList<>();
     private int statementIndex;
     private int attempts;
@@ -69,7 +70,8 @@
         preparedStatements.clear();
         ready = false;
         open = true;
-        // Each connection is a session; what another knew of its writes is not this one's.
+        // Each connection is a session of its own: it does not inherit the last write of an earlier
+        // connection.
         lastWriteIndex = 0;
         long epoch = ++connectionEpoch;
         Simulator.Machine dataPlane = simulation.dataPlane(number);
@@ -281,7 +283,7 @@
         if (transactionState != 'I') {
             connection.send(
                     Simulator.bytes("QUERY c" + number + "-end" + ++requestCount + " ROLLBACK"));
-            // What it answers is not waited for: the connection is left.
+            // The response to ROLLBACK is not awaited, since the connection is closed.
             connection.close();
             open = false;
             ready = false;
@@ -292,7 +294,9 @@
 
     private String lastWriteId = "";
 
-    /** Of what is to come next there is one at a time. */
+    /**
+     * Invalidates scheduled retries, so that at most one continuation of the session is pending.
+     */
     private long scheduleEpoch;
 
     private void disconnected(boolean abnormal) {
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -10,24 +10,28 @@
 import java.util.zip.CRC32C;
 
 /**
- * Judges what operators, the platform and the fronts saw of control state, by the rules and by the
- * letter's five points.
+ * Checks the control plane's invariants on what operators, the platform and the data planes
+ * observe: configuration history, acknowledgement deadlines, lease holders, fencing tokens and
+ * responses of isolated processes.
  */
 final class ConfigurationChecker {
 
     private static final long MAX_APPLY_MILLIS = 3_000;
     private static final long MAX_ACKNOWLEDGE_MILLIS = 5_000;
 
-    /** What is said on the ground of contact with a majority so long ago is still fresh. */
+    /**
+     * Maximum age of the last contact with a majority at which a control process may still give a
+     * conclusive response.
+     */
     private static final long MAX_CONTACT_AGE_MILLIS = 1_000;
 
     private static final double CHECK_INTERVAL_MILLIS = 20;
     private static final long NOT_COMPLETED_MILLIS = 99_999;
 
-    /** While all is settled, the lease is without a holder no longer than this. */
+    /** Maximum time without a lease holder while the cluster is stable. */
     private static final long MAX_WITHOUT_HOLDER_MILLIS = 1_500;
 
-    /** A read under way, and what it must not go below. */
+    /** A read in progress and the oldest revision that it may return. */
     static final class PendingRead {
         final ControlMachine source;
         final long minRevision;
@@ -51,13 +55,13 @@
     private long highestAcknowledgedRevision;
     private long highestSentRevision;
 
-    /** The highest that any read that is over has shown. */
+    /** The highest revision that a completed read has returned. */
     private long highestReadRevision;
 
-    /** The highest that was read back once the day was over. */
+    /** The highest revision that was read after the end of the simulation. */
     private long finalReadRevision = -1;
 
-    /** By number: the contents that were in force or confirmed as the decided one. */
+    /** By revision: the digests of all contents that were in effect or confirmed as decided. */
     private final Map<Long, Map<Long, String>> decidedContents = new HashMap<>();
 
     private final List<ConfigurationClient.Change> rejectedChanges = new ArrayList<>();
@@ -81,7 +85,10 @@
     final List<Long> replacementMillis = new ArrayList<>();
     final List<Long> catchUpMillis = new ArrayList<>();
 
-    /** From when each number was first sent until it was first acknowledged. */
+    /**
+     * For each acknowledged revision: the time from the first request until the first
+     * acknowledgement.
+     */
     final List<Long> acknowledgeMillis = new ArrayList<>();
 
     ConfigurationChecker(SystemSimulation day) {
@@ -100,15 +107,15 @@
         return highestAcknowledgedRevision;
     }
 
-    // ---- orders
+    // Configuration changes
 
-    /** An order is sent to a process: one call of the history. */
+    /** Records that a change is sent to a process: one call of the history. */
     int beginCall(ConfigurationClient.Change change) {
         return history.begin(
                 sim.millis(), "operator", change.revision, Long.toHexString(change.digest));
     }
 
-    /** What came of it; 0 for nothing. */
+    /** Records the outcome of a call; status 0 stands for no response. */
     void endCall(int call, int status) {
         history.end(
                 call,
@@ -123,7 +130,10 @@
         highestSentRevision = Math.max(highestSentRevision, change.revision);
     }
 
-    /** A clear answer of a process that has been without a majority since before it was asked. */
+    /**
+     * Reports a conclusive response of a process that had no majority since before the request was
+     * sent.
+     */
     void checkResponse(ControlMachine responder, long sentAtMillis, int status) {
         boolean conclusive = status < 500 && status != 307 && status != 408 && status != 429;
         if (conclusive
@@ -133,11 +143,11 @@
             consistencyChecker.reportViolation(
                     "MINORITY",
                     responder.host.name
-                            + " answers "
+                            + " responds "
                             + status
-                            + " to what was asked "
+                            + " to a request sent "
                             + (sentAtMillis - responder.isolatedSinceMillis)
-                            + " ms after it was cut off");
+                            + " ms after its isolation");
         }
     }
 
@@ -152,8 +162,8 @@
             day.measureApply(change.revision, sim.millis());
         }
         highestAcknowledgedRevision = Math.max(highestAcknowledgedRevision, change.revision);
-        // With a higher one on its way it may have been overtaken before it was decided, and
-        // changes nothing.
+        // A higher revision in flight may have superseded this one before it was decided; the
+        // acknowledgement then decides nothing.
         if (highestSentRevision <= change.revision
                 || decidedContents.containsKey(change.revision)) {
             recordDecided(change.revision, change.digest, "acknowledged by " + responder.host.name);
@@ -180,10 +190,11 @@
     private void rejectedAfterAcknowledge(ConfigurationClient.Change change, String evidence) {
         rejectedAfterAcknowledge++;
         consistencyChecker.reportViolation(
-                "CONFIG", "version " + change.revision + " was taken and is refused: " + evidence);
+                "CONFIG",
+                "version " + change.revision + " was accepted and is rejected: " + evidence);
     }
 
-    // ---- reads
+    // Reads
 
     PendingRead beginRead(ControlMachine source) {
         return new PendingRead(
@@ -199,9 +210,9 @@
             consistencyChecker.reportViolation(
                     "CONFIG",
                     pendingRead.source.host.name
-                            + " reads back "
+                            + " reads "
                             + revision
-                            + ", known before was "
+                            + ", although already known: "
                             + pendingRead.minRevision);
         }
         highestReadRevision = Math.max(highestReadRevision, revision);
@@ -209,7 +220,7 @@
         recordDecided(revision, digest, "read at " + pendingRead.source.host.name);
     }
 
-    // ---- the platform
+    // Platform calls
 
     void fencingTokenUsed(String holder, long fencingToken) {
         String previousHolder = holderByFencingToken.putIfAbsent(fencingToken, holder);
@@ -221,7 +232,7 @@
         day.controlCluster.lastActive(holder);
     }
 
-    // ---- what is seen of processes
+    // Observed state of the processes
 
     void processStarted(ControlMachine machine) {
         machine.catchUpRevision = highestAcknowledgedRevision;
@@ -271,9 +282,9 @@
         if (sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS && !missingHolderReported) {
             consistencyChecker.reportViolation(
                     "LEASE",
-                    "nobody has held it for "
+                    "no holder for "
                             + MAX_WITHOUT_HOLDER_MILLIS
-                            + " ms though all is settled");
+                            + " ms although the cluster is stable");
         }
         missingHolderReported = sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS;
         checkOverdueChanges();
@@ -293,7 +304,7 @@
         }
     }
 
-    /** All that run count it among those whose disks make a majority. */
+    /** Returns whether all running processes list the candidate as a voting member. */
     private boolean isMember(ControlMachine candidate) {
         for (ControlMachine observer : day.controlCluster.machines()) {
             if (observer.isRunning() && observer.node != null) {
@@ -329,7 +340,7 @@
                                         + change.revision
                                         + " of "
                                         + change.sentAtMillis
-                                        + " has no acknowledgement, settled since "
+                                        + " has no acknowledgement, cluster stable since "
                                         + stableSince);
                         return true;
                     }
@@ -337,7 +348,10 @@
                 });
     }
 
-    /** A front's configuration, at any moment of its life. */
+    /**
+     * Checks the configuration of a data plane at one moment: its revision never decreases within
+     * an incarnation, and a connected data plane applies an acknowledged revision within the limit.
+     */
     void checkDataPlane(
             String dataPlane, int incarnation, boolean connected, long revision, long digest) {
         long[] state = dataPlaneStates.computeIfAbsent(dataPlane, name -> new long[] {-1, -1, -1});
@@ -348,11 +362,11 @@
         if (revision < state[1]) {
             revisionRegressions++;
             consistencyChecker.reportViolation(
-                    "CONFIG", dataPlane + " goes back from " + state[1] + " to " + revision);
+                    "CONFIG", dataPlane + " regresses from " + state[1] + " to " + revision);
         }
         state[1] = revision;
         if (revision > 0) {
-            recordDecided(revision, digest, "in force at " + dataPlane);
+            recordDecided(revision, digest, "in effect at " + dataPlane);
         }
         if (!connected || state[2] >= highestAcknowledgedRevision) {
             return;
@@ -372,19 +386,19 @@
             consistencyChecker.reportViolation(
                     "CONFIG",
                     dataPlane
-                            + " in touch uses "
+                            + " is connected and uses "
                             + revision
                             + ", "
                             + required
-                            + " was acknowledged over "
+                            + " was acknowledged more than "
                             + MAX_APPLY_MILLIS
                             + " ms before");
         }
     }
 
-    // ---- the end
+    // End of the simulation
 
-    /** After the operator has read back what there is. */
+    /** Checks the final state after the configuration was read back from all processes. */
     void checkFinalState() {
         String historyViolation = history.check();
         if (historyViolation != null) {
@@ -405,7 +419,7 @@
                     && decidedContents
                             .getOrDefault(change.revision, Map.of())
                             .containsKey(change.digest)) {
-                rejectedAfterAcknowledge(change, "what is in force was refused");
+                rejectedAfterAcknowledge(change, "its content is in effect");
             }
         }
         for (ControlMachine machine : day.controlCluster.machines()) {
--- a/src/main/java/dillfront/simulation/system/ConfigurationClient.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationClient.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * The operators of a day. They pick among the control machines of a list that lags, go on after a
- * failure, a 5xx, 408, 429 or a silence with a pause that grows, and send the same order again, to
- * any process; up to eight are under way at once.
+ * Simulates the operators that replace the configuration. They choose control machines from a list
+ * that may be out of date, retry the same change at any process after a failure, a 5xx, 408, 429 or
+ * a time-out with exponential backoff, and keep up to eight changes in flight.
  */
 final class ConfigurationClient {
 
@@ -25,7 +25,7 @@
     private static final Set<Integer> FINAL_STATUSES = Set.of(400, 409, 412, 413, 422);
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(307, 408, 429);
 
-    /** One change, or one of two under one number. */
+    /** One configuration change, or one of two conflicting changes with the same revision. */
     final class Change {
         final long revision;
         final byte[] body;
@@ -34,28 +34,28 @@
         long sentAtMillis = -1;
         boolean acknowledged;
 
-        /** It was acknowledged, though that may have been lost on its way. */
+        /** A process acknowledged the change, although the response may have been lost. */
         boolean accepted;
 
         boolean rejected;
 
-        /** No more is done for it. */
+        /** The change was acknowledged or rejected and is not sent again. */
         boolean finished;
 
-        /** The other one under its number. */
+        /** The other change with the same revision. */
         Change conflicting;
 
         private int attempts;
         private int unexpectedStatuses;
         private ControlMachine firstTarget;
 
-        /** Nobody but the first is called, again and again until it answers. */
+        /** Only the first target is called, until it responds. */
         private boolean firstTargetOnly;
 
-        /** Tried since it last began with all of them anew. */
+        /** Machines tried since the last time that all of them were tried. */
         private final List<ControlMachine> triedMachines = new ArrayList<>();
 
-        /** Told which process acknowledged it, once. */
+        /** Called once with the machine that acknowledged the change. */
         private Consumer<ControlMachine> onAcknowledged = c -> {};
 
         Change(long revision, int variant) {
@@ -65,7 +65,7 @@
             digest = ConfigurationChecker.digest(body);
         }
 
-        /** How long it may take where nothing is wrong. */
+        /** Returns the transfer time to allow for the size of the configuration without faults. */
         double transferMillis() {
             return routeCount * MILLIS_PER_ROUTE;
         }
@@ -78,10 +78,10 @@
     private int inFlight;
     private long nextRevision = 1;
 
-    /** Routes that make the configuration bigger. */
+    /** Number of additional routes, to enlarge the configuration. */
     int extraRoutes;
 
-    /** Each answer is lost on its way with this chance. */
+    /** Probability that a response is lost. */
     double responseLossRate;
 
     final List<Change> changes = new ArrayList<>();
@@ -144,7 +144,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The next number with a content of its own; sent to this one first, if one is given. */
+    /** Submits a change with the next revision, first to the given target unless it is null. */
     Change submit(ControlMachine firstTarget, Consumer<ControlMachine> onAcknowledged) {
         Change change = new Change(nextRevision++, 0);
         change.firstTarget = firstTarget;
@@ -153,7 +153,7 @@
         return change;
     }
 
-    /** To this one alone, again and again until it answers or names another. */
+    /** Submits a change to one machine only, which is retried until it responds or redirects. */
     void submitToOne(ControlMachine target) {
         Change change = new Change(nextRevision++, 0);
         change.firstTarget = target;
@@ -167,7 +167,7 @@
         sendQueued();
     }
 
-    /** Two operators, one number, two contents, to two processes at once. */
+    /** Submits two changes with one revision and different contents to two processes at once. */
     void submitConflicting() {
         Change first = new Change(nextRevision, 0);
         Change second = new Change(nextRevision++, 1);
@@ -196,7 +196,7 @@
         return machines.get(simulator.random.nextInt(machines.size()));
     }
 
-    /** One that was not tried yet; anew once all were. */
+    /** Picks a machine that was not tried yet; starts over once all were tried. */
     private ControlMachine nextUntried(List<ControlMachine> tried) {
         List<ControlMachine> untried = new ArrayList<>(simulation.controlCluster.knownMachines());
         untried.removeAll(tried);
@@ -294,7 +294,7 @@
         }
     }
 
-    /** One that was acknowledged is sent again, to any process. */
+    /** Sends an acknowledged change again, to any process. */
     void resend(Change change) {
         if (simulation.hasEnded()) {
             return;
@@ -331,7 +331,7 @@
                         });
     }
 
-    /** An old one that was acknowledged, or any of the last, again. */
+    /** Sends a random acknowledged change again. */
     void resendAcknowledged() {
         List<Change> acknowledged = changes.stream().filter(change -> change.acknowledged).toList();
         if (!acknowledged.isEmpty()) {
@@ -339,9 +339,7 @@
         }
     }
 
-    /**
-     * One that was refused for the other content of its number, as if that answer had been lost.
-     */
+    /** Sends a rejected change again, as if the rejection had been lost. */
     void resendRejected() {
         List<Change> rejected = changes.stream().filter(change -> change.rejected).toList();
         if (!rejected.isEmpty()) {
@@ -349,7 +347,7 @@
         }
     }
 
-    /** Reads the configuration from any process, over and over. */
+    /** Reads the configuration from a random process at random intervals around the given one. */
     void readPeriodically(long intervalMillis) {
         if (!simulation.hasEnded()) {
             read(randomMachine(), 1_000);
--- a/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
@@ -9,10 +9,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Judges a day by the rules, from what clients, servers and the operator saw. */
+/**
+ * Checks the data plane's invariants on what clients, database servers and operators observe: no
+ * lost or duplicate commits, no stale reads beyond the bound, no statements at drained servers.
+ */
 final class ConsistencyChecker implements DatabaseCluster.ExecutionObserver {
 
-    /** One try of a client's operation. */
+    /** One attempt of a client's operation. */
     static final class Attempt {
         final String id;
         final long startedAtMicros;
@@ -21,13 +24,13 @@
         final String readConsistency;
         final long maxStalenessMillis;
 
-        /** The session's last answered write, as a count of its database's commits. */
+        /** Log index of the session's last acknowledged write. */
         long lastWriteIndex;
 
         final String database;
         boolean promisedNotExecuted;
 
-        /** Of the transaction that it belongs to. */
+        /** The first attempt of the same transaction. */
         final Attempt transactionStart;
 
         Attempt(String id, long startedAtMicros, ClientSession session, Attempt transactionStart) {
@@ -49,16 +52,16 @@
 
     private record Acknowledgement(long atMicros, LogPosition position) {}
 
-    /** Commits that were acknowledged to clients, by database, in the order of time. */
+    /** Commits that were acknowledged to clients, by database, in order of time. */
     private final Map<String, List<Acknowledgement>> acknowledged = new HashMap<>();
 
-    /** A person's call to give up what a log that ends here lacks, up to there. */
+    /** A request to accept the loss of the commits between the end of a log and lossEnd. */
     record AcceptedLoss(String database, LogPosition logEnd, LogPosition lossEnd) {}
 
-    /** Those that may have been carried out, and may count for the next promotion. */
+    /** Requests that may have been carried out and apply to the next promotion. */
     private final List<AcceptedLoss> acceptedLosses = new ArrayList<>();
 
-    /** Acknowledged commits that a person gave up. */
+    /** Number of acknowledged commits whose loss an operator accepted. */
     int acceptedLostCommits;
 
     private final Set<String> seenCommits = new HashSet<>();
@@ -67,10 +70,10 @@
     int duplicateCommits;
     int staleReads;
 
-    /** Answers that belong to another call than the one they came to. */
+    /** Number of responses that belong to another request. */
     int reportMisrouted;
 
-    /** Calls that may not be repeated and ran twice. */
+    /** Number of statements that ran twice although they must not be repeated. */
     int duplicateExecutions;
 
     private final Set<String> executedWrites = new HashSet<>();
@@ -78,7 +81,9 @@
     final List<Long> promotionMillis = new ArrayList<>();
     final List<Long> configurationApplyMillis = new ArrayList<>();
 
-    /** By server: when an in-touch machine acknowledged that it drains. */
+    /**
+     * By server: when a control process with a majority acknowledged that the server is draining.
+     */
     final Map<String, Long> drainAcknowledgedMicros = new HashMap<>();
 
     long maxDrainMillis = 7_000;
@@ -92,7 +97,9 @@
         violations.add(rule + " at " + sim.millis() + " ms: " + description);
     }
 
-    /** A client had the answer of a write or commit that wrote. */
+    /**
+     * Records that a client received the response to a write or commit, and returns its log index.
+     */
     long acknowledge(String database, String id) {
         DatabaseCluster db = databases.get(database);
         LogPosition position = null;
@@ -109,7 +116,7 @@
             reportViolation("LOST", "the acknowledged write " + id + " is in no log");
             return 0;
         }
-        // Somebody leads, so the loss is over; what is lost from now on nobody was shown.
+        // A primary accepts writes, so the accepted loss is over; later losses were not part of it.
         acceptedLosses.removeIf(loss -> loss.database().equals(database));
         acknowledged
                 .computeIfAbsent(database, d -> new ArrayList<>())
@@ -117,10 +124,10 @@
         return position.index();
     }
 
-    /** A client's call got the row or the stamp of another. */
+    /** Reports a response with the row or completion tag of another request. */
     void reportMisrouted(String id, String response) {
         reportMisrouted++;
-        reportViolation("MIXED", id + " is answered with " + response);
+        reportViolation("MIXED", id + " received the response " + response);
     }
 
     private long requiredIndex(String database, long beforeMicros) {
@@ -136,7 +143,7 @@
     @Override
     public void onDuplicateCommit(DatabaseCluster.Server server, String id) {
         duplicateExecutions++;
-        reportViolation("TWICE", id + " takes effect a second time, at " + server.id);
+        reportViolation("TWICE", id + " is committed a second time at " + server.id);
     }
 
     @Override
@@ -151,13 +158,13 @@
             reportViolation("UNASKED", server.id + " runs " + id);
             return;
         }
-        // A write inside a transaction takes effect with its COMMIT; one that was rolled back does
-        // not count (see again).
+        // A write inside a transaction takes effect with its COMMIT; a write that was rolled back
+        // does not count (see onDuplicateCommit).
         boolean executesOnce =
                 text.equals("COMMIT") || text.startsWith("WRITE") && connection.state == 'I';
         if (executesOnce && !executedWrites.add(id)) {
             duplicateExecutions++;
-            reportViolation("TWICE", id + " runs a second time, at " + server.id);
+            reportViolation("TWICE", id + " runs a second time at " + server.id);
         }
         if (startsTransaction) {
             Long drainedMicros = drainAcknowledgedMicros.get(server.id);
@@ -171,7 +178,7 @@
                     id
                             + " runs with "
                             + connection.sessionSettings
-                            + ", its client has "
+                            + ", its client set "
                             + attempt.sessionSettings);
         }
         if (text.startsWith("READ ") || text.startsWith("WRITE ")) {
@@ -191,8 +198,8 @@
             if (attempt.readConsistency.equals("own")) {
                 required = Math.max(required, attempt.transactionStart.lastWriteIndex);
             }
-            // Within a transaction it sees what its first statement saw, and this stand-in shows
-            // the newest at each.
+            // All reads of a transaction are checked against the first statement; the simulated
+            // server shows the newest state at each statement.
             if (server.appliedPosition().index() < required) {
                 staleReads++;
                 reportViolation(
@@ -223,7 +230,7 @@
                     server.id
                             + " is promoted with "
                             + server.position()
-                            + ", acknowledged was "
+                            + ", highest acknowledged index is "
                             + required);
         }
         Long lostAtMillis = primaryLost.remove(database);
@@ -232,21 +239,22 @@
         }
     }
 
-    /** A person's call is on its way. */
+    /** Records that a request to accept a loss is in flight. */
     AcceptedLoss lossAcceptanceSent(String database, LogPosition logEnd, LogPosition lossEnd) {
         AcceptedLoss acceptance = new AcceptedLoss(database, logEnd, lossEnd);
         acceptedLosses.add(acceptance);
         return acceptance;
     }
 
-    /** It was refused, so nothing may follow from it. */
+    /** Records that the request was rejected: no loss may be justified by it. */
     void lossAcceptanceRejected(AcceptedLoss acceptance) {
         acceptedLosses.removeIf(g -> g == acceptance);
     }
 
     /**
-     * A log that ends here leads: what it lacks, and a person gave up, is counted and missed no
-     * more. All else is.
+     * Applies the accepted losses to a server that becomes primary: acknowledged commits that its
+     * log lacks and that an operator accepted are counted and no longer required. All others stay
+     * required.
      */
     private void applyAcceptedLosses(String database, LogPosition logEnd) {
         List<Acknowledgement> commits =
@@ -279,14 +287,20 @@
         }
     }
 
-    /** Sessions that wrote what was given up need it no more. */
+    /**
+     * Called with a database and the end of its primary's log, so that sessions no longer require
+     * abandoned commits.
+     */
     java.util.function.BiConsumer<String, Long> onCommitsAbandoned = (database, number) -> {};
 
     void primaryLost(String database) {
         primaryLost.put(database, sim.millis());
     }
 
-    /** At the end: what no log may hold, or hold twice. */
+    /**
+     * Checks at the end that the logs hold no commit twice and none that was reported as not
+     * executed.
+     */
     void checkFinalLogs() {
         databases.forEach(
                 (name, db) -> {
@@ -299,14 +313,14 @@
                             duplicateCommits++;
                             reportViolation(
                                     "TWICE",
-                                    commit.attemptId + " is twice in the log of " + primary.id);
+                                    commit.attemptId + " occurs twice in the log of " + primary.id);
                         }
                         Attempt attempt = attempts.get(commit.attemptId);
                         if (attempt != null && attempt.transactionStart.promisedNotExecuted) {
                             reportViolation(
                                     "REFUSED",
                                     commit.attemptId
-                                            + " is in the log, and its client was promised that it is not");
+                                            + " is in the log, although its client was told that it was not executed");
                         }
                     }
                 });
--- a/src/main/java/dillfront/simulation/system/ControlCluster.java
+++ b/src/main/java/dillfront/simulation/system/ControlCluster.java
@@ -14,7 +14,8 @@
 import java.util.function.BiFunction;
 
 /**
- * The control machines of a day: which there are, who knows of them, and what has happened to them.
+ * Holds the control machines of a simulation, the list of them that callers know, and the faults
+ * that affect them.
  */
 final class ControlCluster {
 
@@ -35,21 +36,21 @@
     private final TreeMap<String, ControlMachine> machines = new TreeMap<>();
     private final ArrayDeque<MachineList> machineLists = new ArrayDeque<>();
 
-    /** What the settings name; null for the first of those that are there. */
+    /** The configured seeds; null for the first known machines. */
     private List<ControlMachine> configuredSeeds;
 
     private int replacementCount;
 
-    /** When something last happened to one of them, or between them. */
+    /** Time of the last fault, start or recovery of a machine or of a path between two machines. */
     private long lastEventMillis = -STABLE_AFTER_MILLIS;
 
     /**
-     * Until then one of them counts as lost: for catch_up_s after it is back, or after its
-     * successor's start.
+     * End of the current loss: CATCH_UP_MILLIS after the failed machine is back or its replacement
+     * has started.
      */
     private long lossEndsMillis;
 
-    /** The one that acted or acknowledged last. */
+    /** Name of the machine that last used a fencing token or acknowledged a change. */
     private String lastActive = "";
 
     ControlCluster(
@@ -97,7 +98,7 @@
         return machineLists.stream().skip(1).findFirst().orElseThrow();
     }
 
-    /** As the list stood that callers have. */
+    /** Returns the list of machines that callers know, which lags behind the actual one. */
     List<ControlMachine> knownMachines() {
         while (machineLists.size() > 1
                 && secondList().sinceMillis() <= simulator.millis() - LIST_DELAY_MILLIS) {
@@ -122,8 +123,8 @@
     }
 
     /**
-     * By name; or `leader`, the one that acted or acknowledged last; `seed`, the first one of the
-     * settings; `other`, neither.
+     * Finds a machine by name; or `leader`, the last active one; `seed`, the first configured seed;
+     * `other`, a running machine that is not the last active one.
      */
     ControlMachine find(String name) {
         ControlMachine found =
@@ -148,7 +149,7 @@
                     default -> machines.get(name);
                 };
         if (found == null) {
-            // It was replaced: whoever came for it.
+            // The machine was replaced: use its replacement.
             found =
                     machines.values().stream()
                             .filter(machine -> machine.host.name.startsWith(name + "-"))
@@ -158,11 +159,14 @@
         return found;
     }
 
-    /** What was answered in the end, by whom, and when that one was asked. */
+    /** The final response, the machine that gave it, and when that machine was called. */
     record HttpResult(
             Environment.HttpResponse response, ControlMachine responder, long sentAtMillis) {}
 
-    /** A call as all make it: a 307 is followed twice, and each that is asked is given so long. */
+    /**
+     * Calls a control process as all callers do: follows up to two 307 redirects, each call with
+     * the same time-out.
+     */
     CompletableFuture<HttpResult> call(
             Simulator.Machine from,
             String method,
@@ -215,7 +219,7 @@
     }
 
     private List<ControlMachine> seedMachines() {
-        // A file that names none that is there any more has been written anew by then.
+        // Settings whose seeds have all been removed count as rewritten by then.
         boolean usesConfigured =
                 configuredSeeds != null
                         && configuredSeeds.stream().anyMatch(machine -> !machine.decommissioned);
@@ -228,7 +232,7 @@
         return seedMachines().stream().map(machine -> machine.host.ip + ":" + HTTP_PORT).toList();
     }
 
-    /** Other seeds are named from now on: those given first, then the last ones that are there. */
+    /** Configures new seeds: the given ones, then the last machines by name. */
     void setSeeds(List<ControlMachine> firstSeeds) {
         List<ControlMachine> seeds = new ArrayList<>(firstSeeds);
         machines.descendingMap().values().stream()
@@ -271,9 +275,9 @@
         }
     }
 
-    // ---- whether a majority is there
+    // Majority and stability
 
-    /** Something happened to one of them, or between two. */
+    /** Records a fault, start or recovery and updates which machines are isolated. */
     void recordEvent() {
         lastEventMillis = simulator.millis();
         simulator.scheduleAfter(0, this::updateIsolation);
@@ -283,7 +287,9 @@
         return a.isRunning() && b.isRunning() && !simulator.cut(a.host, b.host);
     }
 
-    /** It runs, and reaches more than half of them both ways, with itself. */
+    /**
+     * Returns whether the machine runs and reaches a majority, itself included, in both directions.
+     */
     boolean reachesMajority(ControlMachine machine) {
         int reachable = machine.isRunning() ? 1 : 0;
         for (ControlMachine other : machines.values()) {
@@ -305,8 +311,8 @@
     }
 
     /**
-     * Since when more than half have run and been connected with nothing happening; the future
-     * where that is not so.
+     * Returns since when a majority has been running and connected without a fault; a time in the
+     * future where there is no such majority.
      */
     long stableSinceMillis() {
         boolean connected = machines.values().stream().anyMatch(this::reachesMajority);
@@ -317,7 +323,7 @@
         return simulator.millis() >= stableSinceMillis();
     }
 
-    // ---- what happens to them
+    // Faults
 
     long lossEndsMillis() {
         return lossEndsMillis;
@@ -329,8 +335,8 @@
     }
 
     /**
-     * Its process ends, or its power goes, and it is back after a while; with an empty disk where
-     * it is wiped.
+     * Stops the process or the power of a machine and restarts it after a while, with an empty disk
+     * if it is wiped.
      */
     void failMachine(ControlMachine machine, boolean powerLoss, boolean wipe, long durationMillis) {
         if (machine == null || !machine.host.up) {
@@ -350,13 +356,13 @@
                 durationMillis,
                 () -> {
                     if (!machine.host.up && !machine.decommissioned) {
-                        simulation.logEvent("back " + machine.host.name);
+                        simulation.logEvent("restart " + machine.host.name);
                         start(machine, false);
                     }
                 });
     }
 
-    /** Killed, and again soon after each start, for so long. */
+    /** Crashes the machine again shortly after each start, until the given time has passed. */
     void crashRepeatedly(ControlMachine machine, long durationMillis) {
         long endMillis = simulator.millis() + durationMillis;
         new Runnable() {
@@ -375,7 +381,8 @@
     }
 
     /**
-     * Gone for good; an empty one comes at another address. Planned: that one first, then SIGTERM.
+     * Replaces a machine by one with an empty disk at another address. A planned replacement starts
+     * the new machine first and then sends SIGTERM to the old one.
      */
     void replace(ControlMachine replaced, boolean planned, long delayMillis) {
         if (replaced == null
@@ -388,7 +395,7 @@
                         ? replaced.host.name.substring(0, replaced.host.name.indexOf("-r"))
                         : replaced.host.name;
         simulation.logEvent(
-                (planned ? "planned replacement of " : "gone for good ") + replaced.host.name);
+                (planned ? "planned replacement of " : "permanent loss of ") + replaced.host.name);
         int number = ++replacementCount;
         extendLoss(delayMillis);
         Runnable startReplacement =
@@ -397,7 +404,7 @@
                             add(baseName + "-r" + number, replaced.host.zone, 100 + number);
                     replacement.awaitingMembership = true;
                     simulation.configurationChecker.replacements++;
-                    simulation.logEvent("new " + replacement.host.name);
+                    simulation.logEvent("start replacement " + replacement.host.name);
                     start(replacement, false);
                 };
         if (planned) {
@@ -422,7 +429,9 @@
         recordList();
     }
 
-    /** SIGTERM, SIGKILL once the grace is over, and it is not started again. */
+    /**
+     * Sends SIGTERM, and SIGKILL once the grace period is over; the machine is not started again.
+     */
     private void terminate(ControlMachine machine) {
         if (machine.decommissioned) {
             return;
@@ -434,7 +443,7 @@
         Runnable completion =
                 () -> {
                     if (machines.containsKey(machine.host.name)) {
-                        simulation.logEvent("ended " + machine.host.name);
+                        simulation.logEvent("stopped " + machine.host.name);
                         decommission(machine, false);
                     }
                 };
@@ -460,7 +469,8 @@
     }
 
     /**
-     * Cut off from all others of its kind. way: both, in (it hears nothing), out (it is not heard).
+     * Isolates machines from the other control machines: both directions, `in` (they receive
+     * nothing) or `out` (nothing they send arrives).
      */
     void isolate(
             List<ControlMachine> isolated,
@@ -470,7 +480,7 @@
         List<ControlMachine> rest =
                 machines.values().stream().filter(machine -> !isolated.contains(machine)).toList();
         simulation.logEvent(
-                "cut off "
+                "isolate "
                         + isolated.stream().map(machine -> machine.host.name).toList()
                         + " "
                         + direction
@@ -483,7 +493,7 @@
                 durationMillis,
                 () -> {
                     simulation.logEvent(
-                            "joined "
+                            "reconnect "
                                     + isolated.stream().map(machine -> machine.host.name).toList());
                     setCut(isolated, rest, direction, false);
                 });
@@ -536,7 +546,7 @@
         }
     }
 
-    /** All at once: without power, or killed. */
+    /** Fails all machines at once, by power loss or kill. */
     void failAll(boolean powerLoss, ControlMachine wiped, long durationMillis) {
         List.copyOf(machines.values())
                 .forEach(
--- a/src/main/java/dillfront/simulation/system/ControlCounts.java
+++ b/src/main/java/dillfront/simulation/system/ControlCounts.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What a day, or many, brought to control state: what was lost, what became of it, and the counts
- * of harm.
+ * Counts control plane faults, their effects and invariant violations of one or several
+ * simulations.
  */
 public final class ControlCounts {
 
@@ -49,7 +49,6 @@
         acknowledgeMillis.addAll(configuration.acknowledgeMillis);
     }
 
-    /** Adds what was counted elsewhere. */
     public void add(ControlCounts other) {
         machineLosses += other.machineLosses;
         acknowledgedChanges += other.acknowledgedChanges;
--- a/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
+++ b/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
@@ -5,7 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * What may happen to control machines and to the configuration, as a line of a scenario says it.
+ * Injects faults of control machines and configuration changes, as described by a line of a
+ * scenario.
  */
 final class ControlFaultInjector {
 
@@ -36,7 +37,7 @@
                 : defaultValue;
     }
 
-    /** Whether the line was one of these. */
+    /** Injects the fault of a line; returns false if the line is no fault of the control plane. */
     boolean inject(String[] words, String line, long durationMillis) {
         ControlMachine machine =
                 words.length > 1 && isControl(words[1]) ? cluster.find(words[1]) : null;
@@ -123,7 +124,7 @@
     }
 
     private void submitBurst(int count, int gapMillis) {
-        simulation.logEvent("storm of " + count);
+        simulation.logEvent("burst of changes: " + count);
         for (int i = 0; i < count; i++) {
             simulator.scheduleAfter(
                     (double) i * gapMillis,
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Of these, `meet` sends a change to the one that is cut off, in the middle of it and as it
-     * returns.
+     * Isolates machines; with `meet` a change is sent to the first of them in the middle of the
+     * isolation and right after it.
      */
     private void isolate(ControlMachine machine, String line, int count, long durationMillis) {
         List<ControlMachine> isolated = new ArrayList<>();
@@ -163,8 +164,9 @@
     }
 
     /**
-     * Whoever acknowledges the change, and some more, are lost within a few milliseconds; timed:
-     * some time after it was sent. Not where another is lost by then.
+     * Fails the machine that acknowledges a change, and further machines up to the count, a few
+     * milliseconds later; `timed`: some time after the change was sent. Does nothing while another
+     * machine counts as lost.
      */
     private void failAfterAcknowledgement(String failure, int count, long durationMillis) {
         Consumer<ControlMachine> failAcknowledger =
@@ -212,9 +214,10 @@
     }
 
     /**
-     * Right after a change was acknowledged all lose power (also where another is lost already), or
-     * all are killed, or one loses its disk, the others their power or not; timed: some time after
-     * it was sent.
+     * Right after the acknowledgement of a change: all machines lose power (always so while another
+     * machine counts as lost), all are killed, or the acknowledging one loses its disk while the
+     * others lose power or keep running; `timed`: all lose power some time after the change was
+     * sent.
      */
     private void failAllAfterAcknowledgement(String failure, long durationMillis) {
         if (failure.equals("timed")) {
--- a/src/main/java/dillfront/simulation/system/ControlMachine.java
+++ b/src/main/java/dillfront/simulation/system/ControlMachine.java
@@ -9,30 +9,31 @@
     final SimulatedDisk disk;
     ControlNode node;
 
-    /** When its process last began. */
+    /** Time of the last start of the process. */
     long startedAtMillis;
 
-    /** It is gone for good; nobody starts it again. */
+    /** The machine was removed permanently and is not started again. */
     boolean decommissioned;
 
     /**
-     * The newest number that was acknowledged when its process began; -1 once it has all of that.
+     * The highest revision that was acknowledged when the process started; -1 once the process has
+     * caught up.
      */
     long catchUpRevision = -1;
 
-    /** How many changes it has to catch up. */
+    /** Number of changes that the process missed. */
     int catchUpChanges;
 
-    /** It took the place of another, and is not yet one of those that count. */
+    /** The machine replaces another one and is not yet a voting member. */
     boolean awaitingMembership;
 
-    /** Cut off from a majority since then, without a break; -1 where it is not. */
+    /** Since when the machine has been without a majority; -1 where it reaches one. */
     long isolatedSinceMillis = -1;
 
-    /** Since when it has reached a majority, in this life. */
+    /** Since when the machine has reached a majority in this incarnation. */
     long majorityContactSinceMillis;
 
-    /** Acknowledged numbers when it was last known to have all. */
+    /** Number of acknowledged changes when the machine last had all of them. */
     int changesWhenCaughtUp;
 
     ControlMachine(Simulator sim, Simulator.Machine host) {
--- a/src/main/java/dillfront/simulation/system/DataLossOperator.java
+++ b/src/main/java/dillfront/simulation/system/DataLossOperator.java
@@ -10,8 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * A person who gives up what no log has that is left: he looks at `status` of one control process,
- * and says what he saw there to the same or another, again where he hears no clear answer.
+ * Simulates an operator who accepts the loss of commits that no remaining log holds: reads `status`
+ * of one control process and sends the reported loss to a random one, with retries until a
+ * conclusive response.
  */
 final class DataLossOperator {
 
@@ -22,7 +23,7 @@
     private final Simulator simulator;
     private final Simulator.Machine operator;
 
-    /** What was said last, by service. */
+    /** The last request of each service. */
     private final Map<String, JsonObject> lastRequests = new TreeMap<>();
 
     DataLossOperator(SystemSimulation simulation, Simulator.Machine operator) {
@@ -32,8 +33,9 @@
     }
 
     /**
-     * twice: again, to each process; closing: then all control machines lose power; wrong: only
-     * what is not so; again: what was said last, whatever is lacking by now.
+     * Accepts a loss. Mode `twice`: sends the request again to each process; `closing`: all control
+     * machines lose power after the acceptance; `wrong`: sends only requests that do not match the
+     * reported loss; `again`: repeats the last request, whatever is reported as missing by now.
      */
     void acceptLoss(String service, String mode, long durationMillis) {
         if (mode.equals("again")) {
@@ -76,7 +78,7 @@
                                 }
                             }
                             if (lacking != null) {
-                                simulation.logEvent("lacking " + lacking);
+                                simulation.logEvent("reported loss " + lacking);
                                 submit(service, mode, lacking);
                             } else if (simulator.millis() < endMillis) {
                                 simulator.scheduleAfter(
@@ -142,7 +144,7 @@
                 simulation.consistencyChecker.lossAcceptanceSent(
                         service,
                         LogPosition.parse(body.getString("log_position", "")),
-                        // Of what others have that are out of reach nobody knows how far it goes.
+                        // The end of the logs on unreachable servers is unknown.
                         body.get("out_of_reach").asArray().isEmpty()
                                 ? LogPosition.parse(body.getString("most_acknowledged", ""))
                                 : new LogPosition(Long.MAX_VALUE, 0));
@@ -177,7 +179,8 @@
                                 }
                             } else if (mode.equals("wrong") && status != 409) {
                                 simulation.consistencyChecker.reportViolation(
-                                        "GIVEN", status + " to what was not shown: " + body);
+                                        "GIVEN",
+                                        status + " to a loss that was not reported: " + body);
                             } else if (mode.equals("closing") && status == 200) {
                                 simulator.scheduleAfter(
                                         1,
@@ -191,7 +194,7 @@
                         });
     }
 
-    /** What was accepted is accepted, wherever and however often it is said. */
+    /** Sends an accepted request again: every process must accept it, however often it is sent. */
     private void resend(JsonObject body, ControlMachine target) {
         if (!target.isRunning()) {
             return;
@@ -215,7 +218,7 @@
                                             + status);
                             if (status >= 400 && status < 500) {
                                 simulation.consistencyChecker.reportViolation(
-                                        "GIVEN", status + " to what was accepted: " + body);
+                                        "GIVEN", status + " to an accepted loss: " + body);
                             }
                         });
     }
--- a/src/main/java/dillfront/simulation/system/DatabaseCluster.java
+++ b/src/main/java/dillfront/simulation/system/DatabaseCluster.java
@@ -9,12 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * A service's database servers, by the page of what is spoken: one leads, the others get its log
- * over the network.
+ * Simulates the database servers of a service as the protocol describes them: one primary, whose
+ * log the replicas receive over the network.
  */
 final class DatabaseCluster {
 
-    /** One commit: its place, which try wrote it, and when it was acknowledged; -1 for not. */
+    /**
+     * One commit: its log position and the attempt that wrote it. The field acknowledged is unused
+     * and stays -1.
+     */
     static final class Commit {
         final LogPosition position;
         final String attemptId;
@@ -26,9 +29,9 @@
         }
     }
 
-    /** Who watches what servers run. */
+    /** Observes the statements that servers run. */
     interface ExecutionObserver {
-        /** A read, write or commit runs, by this connection. */
+        /** Called when a read, write or commit runs on a connection. */
         void onExecute(
                 Server server,
                 Connection connection,
@@ -38,7 +41,7 @@
 
         void onPromoted(Server server);
 
-        /** A write that is in this log already is committed there again. */
+        /** Called when a write that the log already holds is committed again. */
         void onDuplicateCommit(Server server, String id);
     }
 
@@ -89,8 +92,8 @@
     }
 
     /**
-     * The named one leads the next term with what it has received and nothing more; others are cut
-     * back to it.
+     * Promotes a server to primary of the next term with the log that it has received; the other
+     * logs are truncated to its length.
      */
     boolean promote(String id) {
         Server target = findServer(id);
@@ -130,24 +133,27 @@
         boolean isPrimary;
         boolean draining;
 
-        /** It says no more of itself. */
+        /** The server sends no more heartbeats. */
         boolean heartbeatsStopped;
 
         long term = 1;
         long pausedForTerm;
 
-        /** What was received, and how much of it is applied. */
+        /** The received log; the first appliedCount entries are applied. */
         final List<Commit> log = new ArrayList<>();
 
         int appliedCount;
 
-        /** Each answer is lost with this chance. */
+        /** Probability that a response is lost. */
         double responseLossRate;
 
-        /** It receives nothing, and does not know. */
+        /** The server receives no log entries and does not notice. */
         boolean replicationBlocked;
 
-        /** A new one has nothing before it has copied all of it. */
+        /**
+         * Time when the initial copy of a new server is complete; the server receives nothing
+         * before.
+         */
         long copiedAtMillis;
 
         private int busySlots;
@@ -186,7 +192,10 @@
             appliedCount = Math.min(appliedCount, log.size());
         }
 
-        /** Gets what the leader has, over the network, and applies it later. */
+        /**
+         * Receives the missing entries of the primary's log and applies them after the replication
+         * lag.
+         */
         void replicateFrom(Server primary) {
             if (pausedForTerm != 0
                     || !host.up
@@ -216,7 +225,10 @@
             }
         }
 
-        /** A slot for this long, in turn; false where all is full. */
+        /**
+         * Runs work of this duration in a free slot or queues it; returns false if the queue is
+         * full.
+         */
         boolean runInSlot(double durationMillis, Runnable completion) {
             if (busySlots >= slots) {
                 if (queue.size() >= slots * 8) {
@@ -307,7 +319,7 @@
         }
     }
 
-    /** A connection at a server. */
+    /** One client connection of a server. */
     final class Connection implements Environment.ConnectionListener {
         final Server server;
         private Environment.Connection clientConnection;
@@ -319,7 +331,7 @@
         boolean readOnly;
         final List<String> transactionWrites = new ArrayList<>();
 
-        /** The first read, write or commit of its transaction came by this try. */
+        /** The statement that first read, wrote or committed in the current transaction. */
         String firstStatementId;
 
         private final List<String> received = new ArrayList<>();
--- a/src/main/java/dillfront/simulation/system/SimulatedDisk.java
+++ b/src/main/java/dillfront/simulation/system/SimulatedDisk.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What is on a machine's disk: synced with every put that was answered. Of those under way at the
- * end of a process or of the power, the first few may be there, though nobody was told.
+ * Simulates a machine's disk: every acknowledged put is durable. When the process or the power
+ * fails, a prefix of the pending writes may be durable although they were not acknowledged.
  */
 final class SimulatedDisk implements StateStore {
 
@@ -81,7 +81,8 @@
                     } else {
                         write.completion()
                                 .completeExceptionally(
-                                        new IllegalStateException("the disk refuses"));
+                                        new IllegalStateException(
+                                                "simulated disk rejects the write"));
                     }
                 });
     }
@@ -98,7 +99,9 @@
                         });
     }
 
-    /** The process ended, or the power went. */
+    /**
+     * Applies a process or power failure: a random prefix of the pending writes reaches the disk.
+     */
     void interrupt() {
         int writtenCount = rejectsWrites ? 0 : simulator.random.nextInt(queue.size() + 1);
         for (int i = 0; i < writtenCount; i++) {
--- a/src/main/java/dillfront/simulation/system/Simulator.java
+++ b/src/main/java/dillfront/simulation/system/Simulator.java
@@ -16,9 +16,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulated time, and a network of machines in it: everything from one seed, so that a day plays
- * the same each time. A machine that is killed resets its connections; one without power, or behind
- * a cut, says nothing more.
+ * Simulates time and a network of machines from one seed, so that a run is reproducible. A killed
+ * machine resets its connections; a machine without power or behind a cut sends nothing.
  */
 final class Simulator {
 
@@ -35,21 +34,21 @@
     final SplittableRandom random;
     private final Map<String, Machine> machinesByIp = new HashMap<>();
 
-    /** How many cuts lie on the way from one to the other. */
+    /** Number of active cuts by sender and receiver. */
     private final Map<String, Integer> cutCounts = new HashMap<>();
 
-    /** Ends of connections on which something is held up. */
+    /** Connection ends with messages that a cut holds back. */
     private final List<ConnectionEnd> blockedEnds = new ArrayList<>();
 
     final List<Machine> machines = new ArrayList<>();
 
-    /** What processes noted. */
+    /** The trace events of all processes. */
     final List<String> traceLog = new ArrayList<>();
 
-    /** Sees each message as it is sent. */
+    /** Called with each message that is sent. */
     MessageObserver messageObserver = (from, to, kind, message) -> {};
 
-    /** Sees each message before the network has it. */
+    /** Observes each message before the network delivers it. */
     interface MessageObserver {
 
         /**
@@ -63,7 +62,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Microseconds. */
+    /** Returns the simulated time since the start in microseconds. */
     long micros() {
         return nowMicros;
     }
@@ -89,15 +88,15 @@
         nowMicros = endMillis * 1_000;
     }
 
-    /** Both ways. */
+    /** Blocks or restores both directions between two machines. */
     void cut(Machine a, Machine b, boolean blocked) {
         cutOneWay(a, b, blocked);
         cutOneWay(b, a, blocked);
     }
 
     /**
-     * What the one sends does not reach the other; what waited on open connections arrives once the
-     * last cut has ended.
+     * Blocks or restores one direction. Messages on open connections arrive once the last cut has
+     * ended.
      */
     void cutOneWay(Machine from, Machine to, boolean blocked) {
         String path = from.name + " " + to.name;
@@ -114,23 +113,23 @@
         }
     }
 
-    /** Whether what the one sends does not reach the other. */
+    /** Returns whether messages in this direction are blocked. */
     boolean cutOneWay(Machine from, Machine to) {
         return !cutCounts.isEmpty() && cutCounts.containsKey(from.name + " " + to.name);
     }
 
-    /** Whether the way there or back is cut. */
+    /** Returns whether at least one direction is blocked. */
     boolean cut(Machine a, Machine b) {
         return cutOneWay(a, b) || cutOneWay(b, a);
     }
 
-    /** One way, in milliseconds. */
+    /** Returns a random one-way latency. */
     double latencyMillis(Machine a, Machine b) {
         double baseMillis = a == b ? 0.05 : a.zone.equals(b.zone) ? 0.2 : 8;
         return baseMillis * (1 + random.nextDouble() * 0.2);
     }
 
-    /** What a machine offers on one of its ports. */
+    /** Handles HTTP requests to one port of a machine. */
     interface HttpHandler {
         CompletableFuture<Environment.HttpResponse> handle(
                 String method, String path, byte[] body, Map<String, String> headers);
@@ -143,7 +142,7 @@
         final String ip;
         boolean up = true;
 
-        /** Without power it says nothing, and hears nothing. */
+        /** A machine without power neither sends nor receives. */
         boolean poweredOff;
 
         int incarnation;
@@ -153,12 +152,12 @@
         private final List<ConnectionEnd> connections = new ArrayList<>();
         private final RandomGenerator machineRandom;
 
-        /** The process is paused: what comes to it, and its timers, wait until it goes on. */
+        /** A paused process handles messages and timers only after it resumes. */
         private boolean paused;
 
         private final List<Runnable> deferred = new ArrayList<>();
 
-        /** What its steady clock showed when the day began. */
+        /** Reading of the monotonic clock at simulated time 0. */
         private long clockOffsetMillis;
 
         Machine(String name, String zone, String ip) {
@@ -179,7 +178,7 @@
             httpHandlers.put(port, handler);
         }
 
-        /** The process ends; with the power, nobody is told. */
+        /** Stops the process; after a power loss its peers are not notified. */
         void down(boolean powerLoss) {
             up = false;
             poweredOff = powerLoss;
@@ -208,7 +207,7 @@
             poweredOff = false;
         }
 
-        /** Something for its process: now, or once it goes on. */
+        /** Runs the action now, or after the process resumes. */
         void runOrDefer(Runnable action) {
             if (paused) {
                 deferred.add(action);
@@ -221,7 +220,7 @@
             return paused;
         }
 
-        /** Paused for so long; the clock goes on. */
+        /** Pauses the process for a while; its clock goes on. */
         void pause(double durationMillis) {
             if (!up || paused) {
                 return;
@@ -245,7 +244,7 @@
                     });
         }
 
-        /** All its connections are reset. */
+        /** Resets all connections of the machine. */
         void resetConnections() {
             for (ConnectionEnd end : List.copyOf(connections)) {
                 end.blocked.clear();
@@ -396,7 +395,7 @@
                     timeoutMillis,
                     () ->
                             result.completeExceptionally(
-                                    new IllegalStateException("no answer in time")));
+                                    new IllegalStateException("no response within the time-out")));
             if (target != null) {
                 Simulator.this.scheduleAfter(
                         2 * latencyMillis(this, target),
@@ -460,7 +459,7 @@
         }
     }
 
-    /** One end of a connection. Messages come in the order they were sent. */
+    /** One end of a connection, which delivers messages in the order of sending. */
     final class ConnectionEnd implements Environment.Connection {
         final Machine machine;
         final Environment.Framing framing;
@@ -469,7 +468,7 @@
         boolean closed;
         private long lastDeliveryMicros;
 
-        /** What a cut holds up, in order. */
+        /** Messages that a cut holds back, in order. */
         private final ArrayDeque<Runnable> blocked = new ArrayDeque<>();
 
         ConnectionEnd(
@@ -520,7 +519,10 @@
                     });
         }
 
-        /** Who has no such connection any more says so. */
+        /**
+         * Delivers to the remote end; a remote machine that no longer has the connection responds
+         * with a reset.
+         */
         private void deliver(ConnectionEnd remote, Runnable action) {
             if (!remote.closed) {
                 remote.machine.runOrDefer(action);
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One day of the whole system in simulated time: both programs' own code, database servers, an
- * operator, the platform, clients, and an auditor. Three zones, each a region; a control machine in
- * each.
+ * Runs the whole system in simulated time: the code of the control plane and data plane processes
+ * with simulated database servers, operators, platform and clients, under invariant checks. There
+ * are three zones, each a region of its own; control machines and data planes are spread over them.
  */
 public final class SystemSimulation {
 
@@ -31,7 +31,7 @@
         Simulator.Machine host;
         DataPlaneNode node;
 
-        /** Since when nothing has happened to it. */
+        /** Time since which no fault has affected the machine; in the future during a fault. */
         long undisturbedSinceMillis;
 
         Configuration lastConfiguration = Configuration.NONE;
@@ -51,12 +51,12 @@
     private final Map<String, long[]> highestFencingTokens = new HashMap<>();
     private boolean platformUnresponsive;
 
-    /** Until then it answers 429 at once. */
+    /** Until this time the platform responds with 429. */
     private long platformBusyUntilMillis;
 
     private int platformCalls;
 
-    /** Calls that come before are carried out only then. */
+    /** Calls before this time are delayed until then. */
     private long platformSlowUntilMillis;
 
     private final List<ClientSession> sessions = new ArrayList<>();
@@ -65,7 +65,7 @@
     int served;
     private int replacementCount;
 
-    /** What happened, for whoever looks into a seed. */
+    /** Faults and platform calls in order of time, for the analysis of a seed. */
     public final List<String> eventLog = new ArrayList<>();
 
     public SystemSimulation(
@@ -77,7 +77,7 @@
         this(seed, dataPlanesPerZone, services, sessionsPerService, totalMillis, ZONES.length);
     }
 
-    /** With so many control machines. */
+    /** Creates a simulation with the given number of control machines. */
     public SystemSimulation(
             long seed,
             int dataPlanesPerZone,
@@ -160,7 +160,7 @@
         return databases.get(database).attemptByCompletionTag.get(completionTag);
     }
 
-    // ---- database servers
+    // Database servers
 
     private DatabaseCluster.Server createServer(
             DatabaseCluster database, String zone, int index, int port) {
@@ -197,7 +197,9 @@
 
     private long callSequence;
 
-    /** To one control machine after the other, until one answers. */
+    /**
+     * Sends a heartbeat to random control machines until one acknowledges it, up to seven times.
+     */
     private void sendHeartbeat(
             DatabaseCluster database,
             DatabaseCluster.Server server,
@@ -224,7 +226,7 @@
                 });
     }
 
-    /** What it says of itself now. */
+    /** Builds a heartbeat with the server's current state. */
     private String heartbeatBody(DatabaseCluster database, DatabaseCluster.Server server) {
         return Json.object()
                 .add("service", database.name)
@@ -292,7 +294,7 @@
                 new Environment.HttpResponse(promoted ? 200 : 409, new byte[0]));
     }
 
-    // ---- the system's machines
+    // Processes under test
 
     private NodeSettings settings(
             Simulator.Machine machine, boolean isControl, boolean isFirstStart) {
@@ -330,7 +332,7 @@
         node.start();
     }
 
-    /** Each front's configuration is looked at, over and over. */
+    /** Checks the configuration of each data plane every 50 ms. */
     private void checkDataPlanes() {
         simulator.scheduleAfter(50, this::checkDataPlanes);
         boolean stable = controlCluster.isStable();
@@ -364,7 +366,7 @@
         }
     }
 
-    /** For a client: one of the fronts that are ready, by its number and by chance. */
+    /** Picks a ready data plane for a client, by its number and at random. */
     Simulator.Machine dataPlane(int number) {
         List<Simulator.Machine> ready = new ArrayList<>();
         for (DataPlaneMachine candidate : dataPlanes.values()) {
@@ -377,7 +379,10 @@
                 : ready.get((number + simulator.random.nextInt(2)) % ready.size());
     }
 
-    /** Once it is acknowledged: until every front that was in touch has it. */
+    /**
+     * Measures the time from the acknowledgement until all undisturbed data planes have applied the
+     * revision.
+     */
     void measureApply(long revision, long acknowledgedMillis) {
         boolean appliedByAll = true;
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
@@ -397,7 +402,7 @@
         }
     }
 
-    // ---- what happens
+    // Faults
 
     void logEvent(String event) {
         eventLog.add(simulator.millis() + " " + event);
@@ -406,7 +411,7 @@
     private DatabaseCluster database(String name) {
         DatabaseCluster database = databases.get(name);
         if (database == null) {
-            throw new IllegalArgumentException("no database " + name);
+            throw new IllegalArgumentException("unknown database " + name);
         }
         return database;
     }
@@ -426,7 +431,7 @@
                 : replicas.get(selector.equals("last") ? replicas.size() - 1 : 0);
     }
 
-    /** A server is down for a while; dark, or with its connections reset. */
+    /** Crashes a server for a while: by power loss, or with its connections reset. */
     private void crash(
             DatabaseCluster database,
             DatabaseCluster.Server server,
@@ -446,8 +451,8 @@
         simulator.scheduleAfter(
                 durationMillis,
                 () -> {
-                    logEvent("back " + server.id);
-                    // It has its log and its address, and a new id.
+                    logEvent("restart " + server.id);
+                    // The restarted server keeps its log and address and gets a new id.
                     server.host.up();
                     database.servers.remove(server);
                     DatabaseCluster.Server restarted =
@@ -477,15 +482,15 @@
     }
 
     /**
-     * Gone for good, with its log; after a while a new, empty one comes at another address, or at
-     * the same.
+     * Removes a server and its log permanently; an empty replacement starts after 2 s, at another
+     * address or at the same.
      */
     private void removePermanently(
             DatabaseCluster database, DatabaseCluster.Server server, boolean sameAddress) {
         if (server == null) {
             return;
         }
-        logEvent("gone for good " + server.id + (server.isPrimary ? " (primary)" : ""));
+        logEvent("permanent loss of " + server.id + (server.isPrimary ? " (primary)" : ""));
         if (server.isPrimary) {
             consistencyChecker.primaryLost(database.name);
         }
@@ -495,7 +500,7 @@
         addReplacement(database, server, sameAddress, 2_000);
     }
 
-    /** A new server with nothing, that copies what there is from the primary. */
+    /** Starts an empty server, which copies the log of the primary. */
     private void addReplacement(
             DatabaseCluster database,
             DatabaseCluster.Server removed,
@@ -532,20 +537,20 @@
                     }
                     replacement.copiedAtMillis =
                             simulator.millis() + 300 + simulator.random.nextInt(1_200);
-                    logEvent("new " + replacement.id);
+                    logEvent("start replacement " + replacement.id);
                 });
     }
 
     /**
-     * The primary's machine does not reach the others of its kind, the control machines, or some of
-     * the fronts.
+     * Isolates the primary from the other servers, the control machines, or some of the data
+     * planes.
      */
     private void isolatePrimary(DatabaseCluster database, String peers, long durationMillis) {
         DatabaseCluster.Server primary = database.primary();
         if (primary == null) {
             return;
         }
-        logEvent("primary " + primary.id + " is cut off from " + peers);
+        logEvent("primary " + primary.id + " is isolated from " + peers);
         List<Simulator.Machine> isolatedFrom = new ArrayList<>();
         switch (peers) {
             case "replicas" ->
@@ -580,8 +585,9 @@
     }
 
     /**
-     * It drains, counts as a synchronous replica until it is gone, and takes its log along. A new
-     * one, empty, starts first at another address, or later at the same.
+     * Drains a server, which counts as a synchronous replica until it stops, and removes it with
+     * its log. An empty replacement starts beforehand at another address, or afterwards at the
+     * same.
      */
     private void drainAndStop(
             DatabaseCluster database,
@@ -592,7 +598,7 @@
         if (server == null) {
             return;
         }
-        logEvent("release " + server.id + (byLeaveMessage ? " by its leave" : ""));
+        logEvent("drain " + server.id + (byLeaveMessage ? " by leave message" : ""));
         if (!sameAddress) {
             addReplacement(database, server, false, 0);
         }
@@ -600,7 +606,7 @@
                 1_500,
                 () -> {
                     if (byLeaveMessage) {
-                        // What it said before comes late, and its beats end.
+                        // An older heartbeat arrives late; no heartbeats follow the leave message.
                         String delayedHeartbeat = heartbeatBody(database, server);
                         server.heartbeatsStopped = true;
                         sendHeartbeat(database, server, true, 0);
@@ -626,7 +632,7 @@
                                         300,
                                         () -> {
                                             logEvent(
-                                                    "ended "
+                                                    "stopped "
                                                             + server.id
                                                             + (server.isPrimary
                                                                     ? " (primary)"
@@ -645,7 +651,7 @@
                 });
     }
 
-    /** Whoever runs is told of other seeds. */
+    /** Updates the seeds in the settings of all running data planes. */
     void updateSeeds() {
         dataPlanes.values().stream()
                 .filter(dataPlane -> dataPlane.host.up)
@@ -655,6 +661,7 @@
                                         settings(dataPlane.host, false, false)));
     }
 
+    /** Kills a data plane or cuts its power, and restarts it after a while. */
     private void dataPlane(String machineKey, boolean powerLoss, long durationMillis) {
         DataPlaneMachine candidate = dataPlanes.get(machineKey);
         if (candidate == null || !candidate.host.up) {
@@ -680,7 +687,7 @@
         Simulator.Machine first = findMachine(a);
         Simulator.Machine second = findMachine(b);
         if (first == null || second == null) {
-            // It was replaced, and who comes for it is not there yet.
+            // The machine was replaced, and its replacement is not running yet.
             return;
         }
         logEvent("cut " + a + " " + b);
@@ -710,7 +717,7 @@
         return simulator.machines.stream()
                 .filter(machine -> machine.name.equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no machine " + name));
+                .orElseThrow(() -> new IllegalArgumentException("unknown machine " + name));
     }
 
     private void restartAll(boolean powerLoss) {
@@ -726,9 +733,9 @@
     }
 
     /**
-     * One thing that happens, as a line of a scenario says it.
+     * Injects the fault that a line of a scenario describes.
      *
-     * @throws IllegalArgumentException where the line is none
+     * @throws IllegalArgumentException if the line describes no known fault
      */
     public void injectFault(String line) {
         String[] words = line.trim().split("\\s+");
@@ -790,7 +797,7 @@
                 {
                     DatabaseCluster.Server server = selectServer(database(words[1]), words[2]);
                     if (server != null) {
-                        logEvent("deaf " + server.id);
+                        logEvent("block replication to " + server.id);
                         server.replicationBlocked = true;
                         simulator.scheduleAfter(
                                 durationMillis, () -> server.replicationBlocked = false);
@@ -860,11 +867,11 @@
                 restartAll(words[1].equals("power"));
                 break;
             default:
-                throw new IllegalArgumentException("nothing happens by '" + line + "'");
+                throw new IllegalArgumentException("unknown fault '" + line + "'");
         }
     }
 
-    /** Plays it; what happens was set by at() before. */
+    /** Runs the simulation with the faults that were scheduled before. */
     public void run() {
         controlCluster.startAll();
         dataPlanes
@@ -884,7 +891,7 @@
         consistencyChecker.checkFinalLogs();
     }
 
-    /** The operator asks for the newest, over and over, at each. */
+    /** Reads the newest configuration from each control process repeatedly. */
     private void readFinalConfigurations() {
         for (int i = 0; i < 8; i++) {
             simulator.scheduleAfter(
@@ -902,7 +909,10 @@
         simulator.scheduleAt(Math.round(seconds * 1e6), () -> injectFault(fault));
     }
 
-    /** Some troubles by chance, alone and together, each over before the day is. */
+    /**
+     * Schedules one to four random faults, alone or together, each of which ends before the
+     * simulation does.
+     */
     public void addRandomFaults() {
         var random = simulator.random.split();
         int faultCount = 1 + random.nextInt(4);
@@ -938,7 +948,8 @@
             };
             double atSeconds = startSeconds + random.nextDouble() * (i == 0 ? 1 : 5);
             String fault = faults[random.nextInt(faults.length)];
-            // One control machine may be lost at once, and it has to catch up before the next.
+            // At most one fault of control machines, since a failed machine has to catch up before
+            // the next fails.
             boolean affectsControl =
                     fault.contains("core-")
                             || fault.startsWith("holder")
@@ -952,10 +963,7 @@
         scheduleFault(startSeconds + 7, "configure");
     }
 
-    /**
-     * The worst days, by chance: all that may happen to control machines, one loss after the other,
-     * and much besides.
-     */
+    /** Schedules a dense random sequence of control machine losses with other faults. */
     public void addWorstCaseFaults() {
         new WorstCaseSchedule(this).plan();
     }
@@ -972,13 +980,14 @@
         return consistencyChecker.promotions;
     }
 
-    /** Calls that the platform answered, be it that it had too many. */
+    /** Returns the number of platform calls with a response, including 429. */
     int platformCalls() {
         return platformCalls;
     }
 
     /**
-     * Of each promotion: from the loss of the primary until the next was named, in milliseconds.
+     * Returns for each promotion the time from the loss of the primary to the promotion of the
+     * next, in milliseconds.
      */
     public List<Long> promotionMillis() {
         return consistencyChecker.promotionMillis;
@@ -988,7 +997,7 @@
         return consistencyChecker.configurationApplyMillis;
     }
 
-    /** Acknowledged commits that a person gave up. */
+    /** Returns the number of acknowledged commits whose loss an operator accepted. */
     public int acceptedLostCommits() {
         return consistencyChecker.acceptedLostCommits;
     }
@@ -1005,12 +1014,12 @@
         return consistencyChecker.staleReads;
     }
 
-    /** What processes noted. */
+    /** Returns the trace events of all processes. */
     public List<String> traceLog() {
         return simulator.traceLog;
     }
 
-    /** Servers that were told to stop receiving and never to go on. */
+    /** Returns the servers whose replication is still paused. */
     public List<String> serversWithPausedReplication() {
         return databases.values().stream()
                 .flatMap(database -> database.servers.stream())
@@ -1023,7 +1032,7 @@
         return new ControlCounts(consistencyChecker, configurationChecker);
     }
 
-    /** The state of all processes, for whoever looks into a seed. */
+    /** Returns the state of all processes, for the analysis of a seed. */
     public List<String> status() {
         List<String> lines = controlCluster.status();
         dataPlanes
--- a/src/main/java/dillfront/simulation/system/WorstCaseSchedule.java
+++ b/src/main/java/dillfront/simulation/system/WorstCaseSchedule.java
@@ -3,9 +3,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A day by chance, of losses as close as the page allows: one control machine at a time, the next
- * right after the one before has had its time to catch up; and at any moment orders, races, storms,
- * lost answers, and troubles of servers and fronts.
+ * Schedules a random run with control machine losses as dense as the fault model allows: one at a
+ * time, the next as soon as the previous machine has had its time to catch up; together with
+ * configuration changes, conflicting changes, bursts, lost responses, and faults of database
+ * servers and data planes.
  */
 final class WorstCaseSchedule {
 
@@ -55,7 +56,7 @@
     }
 
     /**
-     * One loss after the other: the next once the one before has had its time, at once or a little
+     * Injects the next control machine loss once the previous one is over, at once or a little
      * later.
      */
     private void injectControlFault() {
--- a/src/main/java/dillfront/simulation/system/package-info.java
+++ b/src/main/java/dillfront/simulation/system/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The whole system in simulated time. Begin with {@link
+ * Simulation of the whole system in simulated time. Start with {@link
  * dillfront.simulation.system.SystemSimulation}.
  */
 package dillfront.simulation.system;
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -45,8 +45,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router whose callers prove who they are, with an authority of the test's own and nodes that
- * count what reaches them.
+ * Checks a router that authenticates its clients, with a token issuer of the test and nodes that
+ * count received statements.
  */
 class IdentityTest {
 
@@ -120,7 +120,9 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    /** Made by the JDK's own tool, and trusted by the clients of this test. */
+    /**
+     * Creates a server certificate with the JDK's keytool, which the clients of this test trust.
+     */
     private void createCertificate() throws Exception {
         Path store = folder.resolve("door.p12");
         assertEquals(
@@ -230,8 +232,8 @@
     }
 
     /**
-     * Up to what tells that the router waits: R with a question, Z, or the end. Only errors' codes
-     * and types are kept.
+     * Reads until the router waits for the client (R with a request, Z) or the connection ends. The
+     * summary keeps error codes and message types only.
      */
     private static String receive(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -341,7 +343,7 @@
         assertEquals(
                 "42501 ready", request(billing, "balance-check", "9-hotel-7/june"), "another type");
         assertEquals("42501 ready", request(billing, "no-such", "9-hotel-7/june"));
-        // A write under the name of a read's type.
+        // A write with the class of a read.
         write(
                 billing,
                 Messages.query(
@@ -349,7 +351,7 @@
                         "INSERT INTO objects (oid, body) VALUES ('9-hotel-7/x', '\\x9f') RETURNING "
                                 + "body /* id=77aa,c=history,d=700,cluster=0 */"));
         assertEquals("42501 ready", receive(billing));
-        assertEquals(1, statementsReceived(), "none of these reached a node");
+        assertEquals(1, statementsReceived(), "no denied statement reached a node");
         awaitLogged(
                 "denied who=billing-7 why=NO_RIGHT type=history write=false group=0 rule="
                         + folder.resolve("operator.star")
@@ -362,30 +364,30 @@
     void rejectsUnauthenticatedClients() throws Exception {
         Socket plain = connect();
         write(plain, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        assertEquals("28000 end", receive(plain), "in the clear");
+        assertEquals("28000 end", receive(plain), "without TLS");
         Socket pipelined = connect();
         ByteBuf pipelinedBytes = sslRequest();
         pipelinedBytes.writeBytes(Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
         write(pipelined, pipelinedBytes);
-        assertEquals("08P01 end", receive(pipelined), "bytes behind the request");
+        assertEquals("08P01 end", receive(pipelined), "bytes after the SSL request");
         assertEquals("28000 end", receive(sendCredentials("billing-7", "nonsense")));
         assertEquals(
                 "28000 end",
                 receive(sendCredentials("billing-7", token(secondKey, "billing-7", "t-1"))),
-                "a key of nobody");
+                "unknown signing key");
         assertEquals(
                 "28000 end",
                 receive(sendCredentials("tablet-7", token(firstKey, "billing-7", "t-1"))),
-                "another's token");
+                "token of another principal");
         assertEquals(
                 "28000 end",
                 receive(sendCredentials("guest", token(firstKey, "guest", "t-1"))),
-                "no such principal");
+                "unknown principal");
         Socket early = tls();
         write(early, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
         assertEquals("password?", receive(early));
         send(early, "history", "9-hotel-7/june");
-        assertEquals("08P01 end", receive(early), "a query before the proof");
+        assertEquals("08P01 end", receive(early), "a query before authentication");
         assertEquals(0, statementsReceived());
     }
 
@@ -396,7 +398,7 @@
         }
         Socket limited = tls();
         write(limited, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        assertEquals("28000 end", receive(limited), "not even asked");
+        assertEquals("28000 end", receive(limited), "rejected without a password request");
         logIn("tablet-7", token(firstKey, "tablet-7", "t-2"));
     }
 
@@ -411,8 +413,8 @@
         }
         Files.writeString(folder.resolve("revoked.txt"), "t-5\n");
         long revokedNanos = System.nanoTime();
-        assertEquals("row ready", receive(tablet), "its one final answer");
-        assertEquals("28000 end", receive(idle), "told and ended");
+        assertEquals("row ready", receive(tablet), "response of the transaction in flight");
+        assertEquals("28000 end", receive(idle), "idle session ended with an error");
         assertTrue(System.nanoTime() - revokedNanos < 1_000_000_000L);
         assertEquals("28000 end", request(tablet, "history", "9-hotel-7/june"));
         assertEquals("row ready", request(other, "history", "9-hotel-7/june"));
@@ -450,7 +452,7 @@
         String keySet = Files.readString(folder.resolve("keys.json"));
         for (String invalid :
                 List.of(keySet.substring(0, keySet.length() / 2), "{\"keys\":[]}", "")) {
-            // Each is wrong in another way than the one before, which is told anew.
+            // Each content is invalid in another way, so each is logged anew.
             int loggedBefore = countLogged("identity-unreadable");
             Files.writeString(folder.resolve("keys.json"), invalid);
             awaitLogged("identity-unreadable", loggedBefore + 1);
--- a/src/test/java/dillfront/benchmark/ProcessPauseTest.java
+++ b/src/test/java/dillfront/benchmark/ProcessPauseTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A router as a child that stands still for a while with work out and work in line, and a drain
- * told meanwhile: what it does first when it goes on. All sockets are ready then.
+ * Checks what a router process does first after a pause with requests in flight and queued, when a
+ * node started draining during the pause and all sockets are readable.
  */
 class ProcessPauseTest {
 
@@ -30,7 +30,7 @@
                 "serve");
     }
 
-    /** Reads of one group, of every other client before the stop, of the others during it. */
+    /** Sends reads of one group from every other client, starting at the index. */
     private static void sendReads(List<StubBackends.LoadClient> clients, int firstIndex)
             throws IOException {
         for (int i = firstIndex; i < clients.size(); i += 2) {
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Stopped once all that was said is out at nodes and none of it is answered; where answers were
-     * faster, once more.
+     * Pauses the router once all requests are in flight at nodes and none is answered; tries again
+     * where responses were faster.
      *
-     * @return when it was said
+     * @return the time when the requests were sent
      */
     private static long pauseWithRequestsInFlight(
             StubBackends backends, RouterProcess router, List<StubBackends.LoadClient> clients)
@@ -53,7 +53,7 @@
             sendReads(clients, 0);
             while (backends.arrivalCount(0) < arrivedBefore + CLIENTS / 2) {
                 assertTrue(
-                        System.nanoTime() < deadline, "waited in vain until all is out at nodes");
+                        System.nanoTime() < deadline, "requests did not reach the nodes in time");
                 Thread.sleep(1);
             }
             assertEquals(0, router.signal("STOP"));
@@ -69,7 +69,7 @@
                 assertTrue(clients.get(i).receive());
             }
         }
-        return fail("it never stood still with all its work out");
+        return fail("router was never paused with all requests in flight");
     }
 
     @Test
@@ -79,7 +79,7 @@
                         new RouterProcess(routerCommand(), Path.of("."), backends, 1.0)) {
             List<StubBackends.LoadClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                // All of the first group.
+                // All clients use the first group.
                 clients.add(backends.new LoadClient(router.port, i * StubBackends.GROUPS));
             }
             for (int warmUp = 0; warmUp < 10; warmUp++) {
@@ -92,7 +92,9 @@
             int drainingNode = 0;
             for (int pauseMillis : new int[] {50, 200, 800}) {
                 drainingNode++;
-                assertTrue(!backends.arrivals(drainingNode).isEmpty(), "it was used before");
+                assertTrue(
+                        !backends.arrivals(drainingNode).isEmpty(),
+                        "node received statements before its drain");
                 backends.awaitInstanceListRead();
                 long sentNanos = pauseWithRequestsInFlight(backends, router, clients);
                 sendReads(clients, 1);
@@ -105,8 +107,8 @@
                 for (StubBackends.LoadClient client : clients) {
                     served += client.receive() ? 1 : 0;
                 }
-                // Each has its answer: the value, or after a pause beyond the clients' 700 ms
-                // perhaps that it is too late.
+                // Each request has a response: the row, or possibly a time-out error after a pause
+                // beyond the clients' deadline of 700 ms.
                 assertTrue(
                         served == CLIENTS || elapsedMillis > 700,
                         served + " of " + CLIENTS + " after " + elapsedMillis + " ms");
@@ -116,7 +118,7 @@
                     for (StubBackends.LoadClient client : clients) {
                         assertTrue(
                                 client.receive(),
-                                "no node is blamed for a pause of " + pauseMillis + " ms");
+                                "no node is ejected after a pause of " + pauseMillis + " ms");
                     }
                 }
                 long lastArrivalNanos = 0;
@@ -126,9 +128,9 @@
                 assertTrue(
                         lastArrivalNanos - drainNanos
                                 < Math.min(DRAIN_GRACE_NANOS, pauseMillis * 1_000_000L),
-                        "sent to a node that drains "
+                        "statement sent to a draining node "
                                 + (lastArrivalNanos - drainNanos) / 1_000_000
-                                + " ms after it was told");
+                                + " ms after the drain");
                 backends.setLifecycle(drainingNode, "ready");
             }
             for (StubBackends.LoadClient client : clients) {
--- a/src/test/java/dillfront/benchmark/RouterGossipTest.java
+++ b/src/test/java/dillfront/benchmark/RouterGossipTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Routers as they are, with the operator's file: they find each other, say how things stand, and
- * leave.
+ * Runs routers with operator configurations: they discover each other, report their state to the
+ * control port, and leave.
  */
 class RouterGossipTest {
 
@@ -66,7 +66,7 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("not " + count + " of " + pattern + " in " + reply);
+        throw new AssertionError("not " + count + " times " + pattern + " in " + reply);
     }
 
     @Test
@@ -122,8 +122,8 @@
             assertEquals(
                     "unknown question; known: peers, peers json, status, status json\n",
                     query(0, "who\n"));
-            assertEquals("", query(0, "x".repeat(100)), "a line that is no question");
-            // Datagrams that nobody signed.
+            assertEquals("", query(0, "x".repeat(100)), "an overlong query");
+            // Datagrams without a valid signature.
             try (DatagramSocket unknownSender = new DatagramSocket()) {
                 byte[] junk = new byte[200];
                 String address = peers.toString().split("127.0.0.1:")[1].split("\"")[0];
--- a/src/test/java/dillfront/benchmark/TransactionCostTest.java
+++ b/src/test/java/dillfront/benchmark/TransactionCostTest.java
@@ -7,14 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds what a txn costs on the ordinary path; fails when someone adds a copy, a buffer or a system
- * call.
+ * Bounds the cost of a transaction on the ordinary path; fails when a change adds a copy, a buffer
+ * or a system call.
  */
 class TransactionCostTest {
 
-    /**
-     * What was counted when this was last lowered, and how much the beats among the txns may add.
-     */
+    /** Highest allowed count and relative tolerance for heartbeats between the transactions. */
     private static final Map<String, double[]> LIMITS =
             Map.of(
                     "allocated",
@@ -49,6 +47,10 @@
                 (name, limit) ->
                         assertTrue(
                                 counted.get(name) <= limit[0] * (1 + limit[1]),
-                                name + " was " + limit[0] + " a txn, and has grown: " + line));
+                                name
+                                        + " exceeds the limit of "
+                                        + limit[0]
+                                        + " per transaction: "
+                                        + line));
     }
 }
--- a/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConfigurationCheckerTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The auditor of control state finds each harm that the letter names, and takes what is right for
- * right.
+ * Checks that the configuration checker reports each kind of violation and accepts allowed
+ * behaviour.
  */
 class ConfigurationCheckerTest {
 
@@ -53,7 +53,7 @@
         assertNoViolations();
         checker.endRead(checker.beginRead(machineB), 4, changeFour.digest);
         assertEquals(1, simulation.controlCounts().revisionRegressions);
-        assertViolation("reads back 4, known before was 6");
+        assertViolation("reads 4, although already known: 6");
     }
 
     @Test
@@ -140,7 +140,7 @@
         checker.checkDataPlane("front", 1, false, 4, digestFour);
         assertNoViolations();
         checker.checkDataPlane("front", 1, true, 4, digestFour);
-        assertViolation("in touch uses 4");
+        assertViolation("is connected and uses 4");
         checker.checkDataPlane("front", 1, true, 5, digestFive);
         checker.checkDataPlane("front", 2, false, 4, digestFour);
         assertEquals(0, simulation.controlCounts().revisionRegressions);
--- a/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The auditor of simulated days finds what it is there for. */
+/**
+ * Checks that the consistency checker reports each kind of violation and accepts allowed behaviour.
+ */
 class ConsistencyCheckerTest {
 
     private final SystemSimulation simulation = new SystemSimulation(1, 1, 1, 0, 10_000);
@@ -79,7 +81,9 @@
         assertViolation("LOST");
     }
 
-    /** Guards against an auditor that lets more pass as given up than a person said. */
+    /**
+     * Guards against a checker that excuses the loss of more commits than the operator accepted.
+     */
     @Test
     void allowsPromotionToLoseOnlyAcceptedCommits() {
         appendToLogs("v", 1, primary, replica);
@@ -101,7 +105,7 @@
         assertTrue(
                 simulation.violations().isEmpty() && simulation.acceptedLostCommits() == 1,
                 simulation.violations().toString());
-        // It counted once; the next loss is another.
+        // An acceptance applies to one promotion; the next loss is another one.
         appendToLogs("x", 3, primary);
         simulation.consistencyChecker.acknowledge("db0", "x");
         simulation.consistencyChecker.onPromoted(replica);
@@ -152,8 +156,8 @@
     }
 
     /**
-     * Guards the stand-in: a promoted replica leads with what it had, and what was not received is
-     * cut back elsewhere.
+     * Guards the simulated database: a promoted replica keeps its own log, and entries that it did
+     * not receive are truncated elsewhere.
      */
     @Test
     void promotionTruncatesOtherLogs() {
@@ -167,7 +171,10 @@
         assertTrue(simulation.violations().isEmpty(), simulation.violations().toString());
     }
 
-    /** What a client says out of form is answered by the page, and nothing else is harmed. */
+    /**
+     * Malformed client lines get the error that the protocol defines, and other connections are
+     * unaffected.
+     */
     @Test
     void answersMalformedLinesWithErrors() {
         simulation.run();
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -18,10 +18,9 @@
 import java.util.TreeSet;
 
 /**
- * Plays simulated days and records what the processes send. The files under
- * src/test/resources/messages were written by {@link #main} on revision 6ff1719, before the code
- * was renamed and split; they are written anew only where a change of the protocol or of the
- * decisions is meant.
+ * Runs simulations and records the messages of the processes. The files under
+ * src/test/resources/messages were written by {@link #main} on revision 6ff1719. They are written
+ * again only for an intended change of the protocol or of decisions.
  */
 final class RecordedMessages {
 
@@ -34,7 +33,7 @@
 
     private RecordedMessages() {}
 
-    /** The days whose messages are kept, by name; not yet played. */
+    /** Returns the simulations whose messages are recorded, by name, before their run. */
     static Map<String, SystemSimulation> simulations() {
         Map<String, SystemSimulation> simulations = new TreeMap<>();
         for (long seed = 1; seed <= RANDOM_RUNS; seed++) {
@@ -49,8 +48,8 @@
     }
 
     /**
-     * Plays the day; a digest over the time, the ends and the bytes of each message, and how many
-     * there were.
+     * Runs the simulation and returns the number of messages and a digest of the time, ends and
+     * bytes of each.
      */
     static String runAndDigest(SystemSimulation simulation, Simulator.MessageObserver observer) {
         MessageDigest digest = sha256();
@@ -79,8 +78,8 @@
     }
 
     /**
-     * The fields of a message with the kind of each value, as a path from the outermost; what is
-     * repeated stands once.
+     * Returns the fields of a message with the type of each value, as paths from the outermost
+     * field; repeated elements appear once.
      */
     static TreeSet<String> shape(Object value, String path) {
         TreeSet<String> shape = new TreeSet<>();
@@ -94,7 +93,7 @@
         return shape;
     }
 
-    /** A message as text: names in their order, bytes in Base64. */
+    /** Formats a message as text: names in order, bytes in Base64. */
     static String format(Object value) {
         if (value instanceof Map<?, ?> map) {
             List<String> parts = new ArrayList<>();
@@ -113,7 +112,8 @@
     }
 
     /**
-     * The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine.
+     * Collects the first HTTP request, HTTP response and text line of each kind for each pair of
+     * machine kinds.
      */
     static final class FirstTextMessages implements Simulator.MessageObserver {
 
@@ -145,7 +145,6 @@
         }
     }
 
-    /** Writes the files. */
     public static void main(String[] args) throws IOException {
         FirstTextMessages textMessages = new FirstTextMessages();
         List<String> digests = new ArrayList<>();
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the processes of the whole system say to each other is what they said before the code was
- * renamed and split.
+ * Checks that the processes of the whole system exchange the same messages as the recorded
+ * revision.
  */
 class RecordedMessagesTest {
 
     /**
-     * Each byte, each moment and each decision of these days, HTTP calls and the lines of the wire
-     * among them.
+     * Each byte, time and decision of these simulations, including HTTP requests and protocol
+     * lines.
      */
     @Test
     void sendsRecordedMessages() throws IOException {
@@ -45,7 +45,7 @@
         assertEquals(expected, actual);
     }
 
-    /** Each codec reads the bytes of earlier versions, and writes the same bytes again. */
+    /** Each codec decodes the bytes of earlier versions and encodes them to the same bytes. */
     @Test
     void reencodesRecordedMessagesUnchanged() throws Exception {
         List<String> lines = Files.readAllLines(RecordedMessages.EXAMPLES);
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays each file under scenarios on simulated time: days with set troubles, no rule broken, and
- * what is expected besides.
+ * Runs each scenario file in simulated time: no invariant may be violated, and the file's
+ * expectations must hold.
  *
  * <pre>
  *   day SEED FRONTS_A_ZONE DATABASES SESSIONS_EACH SECONDS [CONTROL_MACHINES]
- *   seeds HOW_MANY       the day is played with each from SEED on; one without this line
- *   at SECONDS what happens, as Day.happen() and ControlTroubles have it
+ *   seeds HOW_MANY       runs the scenario with this many seeds from SEED on; default 1
+ *   at SECONDS fault, as in SystemSimulation.injectFault() and ControlFaultInjector
  *   expect served|promotions|promote_ms|platform_calls|config_ms|planned_ms|noted|given_up|said|losses|acknowledged|acknowledge_ms|replaced|replace_ms|behind|catch_up_ms ...
  * </pre>
  */
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Days with troubles by chance; `make measure-system SEED=n` tells one in full. */
+    /** Runs with random faults; `make measure-system SEED=n` prints one of them in full. */
     @Test
     void randomFaultsKeepInvariants() {
         for (long seed = 1; seed <= RANDOM_RUNS; seed++) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * The primary is back while its replicas are stopped, and whoever holds the duty goes at any
+     * A crashed primary returns while its replicas are paused, and the lease holder fails at any
      * moment of that.
      */
     @Test
@@ -69,7 +69,7 @@
         checkReplicationResumes("holder for 4");
     }
 
-    /** The same, and one of the replicas is out of the holder's reach from any moment on. */
+    /** As above, and one of the replicas becomes unreachable for the lease holder at any moment. */
     @Test
     void resumesReplicationAfterReplicaReconnects() {
         checkReplicationResumes("cut core-a db0-c2 for 3");
@@ -98,7 +98,10 @@
         }
     }
 
-    /** A person gives commits up, and whoever holds the duty goes at any moment about his call. */
+    /**
+     * An operator accepts the loss of commits, and the lease holder fails at any moment around the
+     * request.
+     */
     @Test
     void acceptedDataLossSurvivesLeaseHolderFailure() {
         for (long atMillis = 23_950;
@@ -125,13 +128,14 @@
     }
 
     /**
-     * The one that has them is back at any moment about the call: it leads on and nothing is lost,
-     * or another leads without them.
+     * The only server with the commits returns at any moment around the request: either it stays
+     * primary and nothing is lost, or another is promoted without them.
      */
     @Test
     void returningPrimaryResolvesAcceptedDataLoss() {
         int keptPrimary = 0;
-        // About the call in steps that fall between any two of the move's own.
+        // Smaller steps around the request, so that the return falls between any two steps of the
+        // primary change.
         for (long returnMillis = 23_000;
                 returnMillis < 27_000;
                 returnMillis += returnMillis >= 24_000 && returnMillis < 24_600 ? 10 : 50) {
@@ -170,7 +174,10 @@
         return simulation;
     }
 
-    /** The worst days of control state; `make measure-control SEED=n` tells one in full. */
+    /**
+     * Runs with dense control plane faults; `make measure-control SEED=n` prints one of them in
+     * full.
+     */
     @Test
     void worstCaseFaultsKeepInvariants() {
         for (long seed = 1_001; seed <= 1_000 + WORST_CASE_RUNS; seed++) {
@@ -189,7 +196,7 @@
                 times + "\n" + details);
     }
 
-    /** Of each planned change of a primary: from its record until the next one led. */
+    /** For each planned primary change: the time from its record until the new primary leads. */
     private static List<Long> plannedPromotionMillis(SystemSimulation simulation) {
         List<Long> durations = new ArrayList<>();
         TreeSet<String> planned = new TreeSet<>();
--- a/src/test/java/dillfront/simulation/system/SimulatorTest.java
+++ b/src/test/java/dillfront/simulation/system/SimulatorTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The simulated network, processes and disks do what the pages say of real ones. */
+/** Checks that the simulated network, processes and disks behave as the specified real ones. */
 class SimulatorTest {
 
     private final Simulator simulator = new Simulator(1);
