--- a/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
+++ b/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
@@ -29,7 +29,7 @@
      */
     private record CostSample(
             double startMicros,
-            double coldMicrosPerTxn,
+            double warmUpMicrosPerTxn,
             double warmMicrosPerTxn,
             double idleMicros) {}
 
@@ -40,10 +40,10 @@
         try (StubBackends backends = new StubBackends(20_000);
                 RouterProcess router = new RouterProcess(command, folder, backends, 1.0)) {
             long start = router.cpuMicros();
-            long coldTxns =
+            long warmUpTxns =
                     backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[
                             1];
-            long coldEnd = router.cpuMicros();
+            long warmUpEnd = router.cpuMicros();
             long warmTxns =
                     backends.runLoad(router.port, CLIENTS, CLIENT_PAUSE_MICROS, 400, LOAD_MILLIS)[
                             1];
@@ -53,8 +53,8 @@
             Thread.sleep(1000);
             return new CostSample(
                     start,
-                    (coldEnd - start) / (double) coldTxns,
-                    (warmEnd - coldEnd) / (double) warmTxns,
+                    (warmUpEnd - start) / (double) warmUpTxns,
+                    (warmEnd - warmUpEnd) / (double) warmTxns,
                     router.cpuMicros() - idleStart);
         }
     }
@@ -127,7 +127,7 @@
     private static CostSample medianOf(List<CostSample> samples) {
         return new CostSample(
                 median(samples.stream().map(CostSample::startMicros).toList()),
-                median(samples.stream().map(CostSample::coldMicrosPerTxn).toList()),
+                median(samples.stream().map(CostSample::warmUpMicrosPerTxn).toList()),
                 median(samples.stream().map(CostSample::warmMicrosPerTxn).toList()),
                 median(samples.stream().map(CostSample::idleMicros).toList()));
     }
@@ -198,7 +198,7 @@
                 "cost: cpu_per_txn_now_vs_before=%.2f first_now_vs_before=%.2f relay_ratio=%.2f "
                         + "start_cpu_now_vs_before=%.2f idle_ms_a_second=%.1f list_ms_worst_starved=%.0f %s%n",
                 current.warmMicrosPerTxn / baseline.warmMicrosPerTxn,
-                current.coldMicrosPerTxn / baseline.coldMicrosPerTxn,
+                current.warmUpMicrosPerTxn / baseline.warmUpMicrosPerTxn,
                 current.warmMicrosPerTxn / relayed.warmMicrosPerTxn,
                 current.startMicros / baseline.startMicros,
                 current.idleMicros / 1000,
--- a/src/main/java/dillfront/simulation/system/ClientSession.java
+++ b/src/main/java/dillfront/simulation/system/ClientSession.java
@@ -224,7 +224,7 @@
         } else if (line.startsWith("COMPLETE ")) {
             completionTag = line.substring(9);
         } else if (line.startsWith("ERROR ")) {
-            errorCode = Simulator.splitWords(line, 3)[1];
+            errorCode = Simulator.splitFields(line, 3)[1];
         }
     }
 
@@ -245,11 +245,11 @@
                 simulation.consistencyChecker.reportMisrouted(id, completionTag);
             }
             if (text.startsWith("SET")) {
-                String[] words = Simulator.splitWords(text, 3);
-                sessionSettings.put(words[1], words[2]);
+                String[] fields = Simulator.splitFields(text, 3);
+                sessionSettings.put(fields[1], fields[2]);
             } else if (text.startsWith("PREPARE")) {
-                String[] words = Simulator.splitWords(text, 3);
-                preparedStatements.put(words[1], words[2]);
+                String[] fields = Simulator.splitFields(text, 3);
+                preparedStatements.put(fields[1], fields[2]);
             } else if (finalStatementSent && hasWritten) {
                 lastWriteIndex =
                         Math.max(
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -68,7 +68,7 @@
     private final Map<Long, String> holderByFencingToken = new TreeMap<>();
     private final Map<String, long[]> dataPlaneStates = new LinkedHashMap<>();
     private boolean concurrentHoldersReported;
-    private long lastHeldMillis;
+    private long lastHolderSeenMillis;
     private boolean missingHolderReported;
     int machineLosses;
     int acknowledged;
@@ -277,16 +277,17 @@
             consistencyChecker.reportViolation("LEASE", "held by" + holderNames);
         }
         concurrentHoldersReported = holders > 1;
-        lastHeldMillis =
-                holders > 0 || !day.controlCluster.isStable() ? sim.millis() : lastHeldMillis;
-        if (sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS && !missingHolderReported) {
+        lastHolderSeenMillis =
+                holders > 0 || !day.controlCluster.isStable() ? sim.millis() : lastHolderSeenMillis;
+        if (sim.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS
+                && !missingHolderReported) {
             consistencyChecker.reportViolation(
                     "LEASE",
                     "no holder for "
                             + MAX_WITHOUT_HOLDER_MILLIS
                             + " ms although the cluster is stable");
         }
-        missingHolderReported = sim.millis() - lastHeldMillis > MAX_WITHOUT_HOLDER_MILLIS;
+        missingHolderReported = sim.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS;
         checkOverdueChanges();
     }
 
--- a/src/main/java/dillfront/simulation/system/ConfigurationClient.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationClient.java
@@ -53,7 +53,7 @@
         private boolean firstTargetOnly;
 
         /** Machines tried since the last time that all of them were tried. */
-        private final List<ControlMachine> triedMachines = new ArrayList<>();
+        private final List<ControlMachine> attemptedMachines = new ArrayList<>();
 
         /** Called once with the machine that acknowledged the change. */
         private Consumer<ControlMachine> onAcknowledged = c -> {};
@@ -197,22 +197,22 @@
     }
 
     /** Picks a machine that was not tried yet; starts over once all were tried. */
-    private ControlMachine nextUntried(List<ControlMachine> tried) {
-        List<ControlMachine> untried = new ArrayList<>(simulation.controlCluster.knownMachines());
-        untried.removeAll(tried);
-        if (untried.isEmpty()) {
-            tried.clear();
+    private ControlMachine nextTarget(List<ControlMachine> attempted) {
+        List<ControlMachine> remaining = new ArrayList<>(simulation.controlCluster.knownMachines());
+        remaining.removeAll(attempted);
+        if (remaining.isEmpty()) {
+            attempted.clear();
             return randomMachine();
         }
-        return untried.get(simulator.random.nextInt(untried.size()));
+        return remaining.get(simulator.random.nextInt(remaining.size()));
     }
 
     private void send(Change change) {
         ControlMachine target =
                 (change.attempts++ == 0 || change.firstTargetOnly) && change.firstTarget != null
                         ? change.firstTarget
-                        : nextUntried(change.triedMachines);
-        change.triedMachines.add(target);
+                        : nextTarget(change.attemptedMachines);
+        change.attemptedMachines.add(target);
         long startMillis = simulator.millis();
         long timeoutMillis = RESPONSE_TIMEOUT_MILLIS + Math.round(change.transferMillis());
         boolean responseLost =
--- a/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
+++ b/src/main/java/dillfront/simulation/system/ControlFaultInjector.java
@@ -31,26 +31,29 @@
                 || name.equals("other");
     }
 
-    private static int number(String[] words, int index, int defaultValue) {
-        return words.length > index && words[index].matches("\\d+")
-                ? Integer.parseInt(words[index])
+    private static int number(String[] fields, int index, int defaultValue) {
+        return fields.length > index && fields[index].matches("\\d+")
+                ? Integer.parseInt(fields[index])
                 : defaultValue;
     }
 
     /** Injects the fault of a line; returns false if the line is no fault of the control plane. */
-    boolean inject(String[] words, String line, long durationMillis) {
+    boolean inject(String[] fields, String line, long durationMillis) {
         ControlMachine machine =
-                words.length > 1 && isControl(words[1]) ? cluster.find(words[1]) : null;
-        switch (words[0]) {
+                fields.length > 1 && isControl(fields[1]) ? cluster.find(fields[1]) : null;
+        switch (fields[0]) {
             case "kill", "power", "wipe" -> {
-                if (words.length < 2 || !isControl(words[1])) {
+                if (fields.length < 2 || !isControl(fields[1])) {
                     return false;
                 }
                 cluster.failMachine(
-                        machine, !words[0].equals("kill"), words[0].equals("wipe"), durationMillis);
+                        machine,
+                        !fields[0].equals("kill"),
+                        fields[0].equals("wipe"),
+                        durationMillis);
             }
             case "freeze" -> {
-                if (!isControl(words[1])) {
+                if (!isControl(fields[1])) {
                     return false;
                 }
                 cluster.pause(machine, durationMillis);
@@ -65,7 +68,7 @@
                     }
                 }
             }
-            case "core_cut" -> isolate(machine, line, number(words, 2, 1), durationMillis);
+            case "core_cut" -> isolate(machine, line, number(fields, 2, 1), durationMillis);
             case "replace" ->
                     cluster.replace(
                             machine,
@@ -76,7 +79,7 @@
                 simulation.updateSeeds();
             }
             case "reset" -> {
-                if (!isControl(words[1])) {
+                if (!isControl(fields[1])) {
                     return false;
                 }
                 simulation.logEvent("reset " + machine.host.name);
@@ -86,10 +89,10 @@
             case "hard" -> cluster.crashRepeatedly(machine, durationMillis);
             case "disk_stall", "disk_slow", "disk_refuse" ->
                     cluster.injectDiskFault(
-                            machine, words[0], number(words, 2, 30), durationMillis);
+                            machine, fields[0], number(fields, 2, 30), durationMillis);
             case "after_ack" ->
-                    failAfterAcknowledgement(words[1], number(words, 2, 1), durationMillis);
-            case "closing" -> failAllAfterAcknowledgement(words[1], durationMillis);
+                    failAfterAcknowledgement(fields[1], number(fields, 2, 1), durationMillis);
+            case "closing" -> failAllAfterAcknowledgement(fields[1], durationMillis);
             case "configure" -> simulation.configurationClient.submit(null, acknowledgedBy -> {});
             case "order" -> {
                 if (line.contains(" hard")) {
@@ -100,22 +103,22 @@
             }
             case "repeat" -> simulation.configurationClient.resendAcknowledged();
             case "repeat_refused" -> simulation.configurationClient.resendRejected();
-            case "storm" -> submitBurst(number(words, 1, 100), number(words, 2, 50));
+            case "storm" -> submitBurst(number(fields, 1, 100), number(fields, 2, 50));
             case "race" -> {
-                int gapMillis = number(words, 2, 1_000);
-                for (int i = 0; i < number(words, 1, 1); i++) {
+                int gapMillis = number(fields, 2, 1_000);
+                for (int i = 0; i < number(fields, 1, 1); i++) {
                     simulator.scheduleAfter(
                             (double) i * gapMillis,
                             simulation.configurationClient::submitConflicting);
                 }
             }
-            case "big" -> simulation.configurationClient.extraRoutes = number(words, 1, 350);
+            case "big" -> simulation.configurationClient.extraRoutes = number(fields, 1, 350);
             case "lossy" -> {
-                simulation.configurationClient.responseLossRate = Double.parseDouble(words[1]);
+                simulation.configurationClient.responseLossRate = Double.parseDouble(fields[1]);
                 simulator.scheduleAfter(
                         durationMillis, () -> simulation.configurationClient.responseLossRate = 0);
             }
-            case "reads" -> simulation.configurationClient.readPeriodically(number(words, 1, 700));
+            case "reads" -> simulation.configurationClient.readPeriodically(number(fields, 1, 700));
             default -> {
                 return false;
             }
--- a/src/main/java/dillfront/simulation/system/DatabaseCluster.java
+++ b/src/main/java/dillfront/simulation/system/DatabaseCluster.java
@@ -394,11 +394,11 @@
         }
 
         private void handleLine(String line) {
-            String[] words = Simulator.splitWords(line, 4);
+            String[] fields = Simulator.splitFields(line, 4);
             if (!connected) {
-                if (!"CONNECT".equals(words[0])
-                        || !name.equals(words[1])
-                        || words[3] != null && !words[3].equals(server.id)) {
+                if (!"CONNECT".equals(fields[0])
+                        || !name.equals(fields[1])
+                        || fields[3] != null && !fields[3].equals(server.id)) {
                     sendLine("ERROR WRONGNODE");
                     closeConnection();
                 } else if (server.connections > connectionLimit) {
@@ -418,7 +418,7 @@
             } else if (line.equals("GOODBYE")) {
                 closeConnection();
             } else {
-                String[] statement = Simulator.splitWords(line, 3);
+                String[] statement = Simulator.splitFields(line, 3);
                 handleQuery(statement[1], statement[2]);
             }
         }
@@ -427,14 +427,14 @@
             String text = statement;
             LogPosition requiredPosition = null;
             if (text.startsWith("AFTER ")) {
-                String[] words = Simulator.splitWords(text, 3);
-                requiredPosition = LogPosition.parse(words[1]);
-                text = words[2];
+                String[] fields = Simulator.splitFields(text, 3);
+                requiredPosition = LogPosition.parse(fields[1]);
+                text = fields[2];
             }
-            String[] words = Simulator.splitWords(text, 4);
-            switch (words[0]) {
+            String[] fields = Simulator.splitFields(text, 4);
+            switch (fields[0]) {
                 case "SET":
-                    sessionSettings.put(words[1], text.substring(text.indexOf(' ', 4) + 1));
+                    sessionSettings.put(fields[1], text.substring(text.indexOf(' ', 4) + 1));
                     sendComplete("-");
                     break;
                 case "RESET":
@@ -443,15 +443,16 @@
                     sendComplete("-");
                     break;
                 case "PREPARE":
-                    preparedStatements.put(words[1], words[2] + " " + words[3]);
+                    preparedStatements.put(fields[1], fields[2] + " " + fields[3]);
                     sendComplete("-");
                     break;
                 case "STATUS":
                     state(server);
                     break;
                 case "PAUSE":
-                    if (Long.parseLong(words[1]) > DatabaseCluster.this.term && !server.isPrimary) {
-                        server.pausedForTerm = Long.parseLong(words[1]);
+                    if (Long.parseLong(fields[1]) > DatabaseCluster.this.term
+                            && !server.isPrimary) {
+                        server.pausedForTerm = Long.parseLong(fields[1]);
                     }
                     state(server);
                     break;
@@ -460,14 +461,14 @@
                     state(server);
                     break;
                 case "STEPDOWN":
-                    if (Long.parseLong(words[1]) > server.term && server.isPrimary) {
+                    if (Long.parseLong(fields[1]) > server.term && server.isPrimary) {
                         server.isPrimary = false;
                         server.notifyRoleChange();
                     }
                     state(server);
                     break;
                 case "BEGIN":
-                    readOnly = "READ".equals(words[1]);
+                    readOnly = "READ".equals(fields[1]);
                     if (!readOnly && !server.isPrimary) {
                         sendError("READONLY");
                     } else if (requiredPosition != null
@@ -486,7 +487,7 @@
                     sendComplete("-");
                     break;
                 default:
-                    execute(id, text, words, requiredPosition);
+                    execute(id, text, fields, requiredPosition);
             }
         }
 
@@ -507,12 +508,14 @@
             sendComplete("-");
         }
 
-        private void execute(String id, String text, String[] words, LogPosition requiredPosition) {
-            String prepared = words[0].equals("EXECUTE") ? preparedStatements.get(words[1]) : null;
-            boolean isCommit = words[0].equals("COMMIT");
+        private void execute(
+                String id, String text, String[] fields, LogPosition requiredPosition) {
+            String prepared =
+                    fields[0].equals("EXECUTE") ? preparedStatements.get(fields[1]) : null;
+            boolean isCommit = fields[0].equals("COMMIT");
             boolean isWrite =
-                    words[0].equals("WRITE") || prepared != null && prepared.startsWith("WRITE");
-            if (words[0].equals("EXECUTE") && prepared == null) {
+                    fields[0].equals("WRITE") || prepared != null && prepared.startsWith("WRITE");
+            if (fields[0].equals("EXECUTE") && prepared == null) {
                 sendError("UNKNOWN");
                 return;
             }
--- a/src/main/java/dillfront/simulation/system/Simulator.java
+++ b/src/main/java/dillfront/simulation/system/Simulator.java
@@ -600,7 +600,7 @@
         return new String(bytes, 0, bytes.length, StandardCharsets.ISO_8859_1);
     }
 
-    static String[] splitWords(String line, int maxParts) {
+    static String[] splitFields(String line, int maxParts) {
         return Arrays.copyOf(line.split(" ", maxParts), maxParts);
     }
 }
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -738,48 +738,48 @@
      * @throws IllegalArgumentException if the line describes no known fault
      */
     public void injectFault(String line) {
-        String[] words = line.trim().split("\\s+");
+        String[] fields = line.trim().split("\\s+");
         long durationMillis =
-                words.length > 2 && words[words.length - 2].equals("for")
-                        ? Math.round(Double.parseDouble(words[words.length - 1]) * 1_000)
+                fields.length > 2 && fields[fields.length - 2].equals("for")
+                        ? Math.round(Double.parseDouble(fields[fields.length - 1]) * 1_000)
                         : 3_000;
-        if (new ControlFaultInjector(this).inject(words, line, durationMillis)) {
+        if (new ControlFaultInjector(this).inject(fields, line, durationMillis)) {
             return;
         }
-        switch (words[0]) {
+        switch (fields[0]) {
             case "crash":
             case "dark":
                 {
-                    DatabaseCluster database = database(words[1]);
+                    DatabaseCluster database = database(fields[1]);
                     crash(
                             database,
-                            selectServer(database, words[2]),
-                            words[0].equals("dark"),
+                            selectServer(database, fields[2]),
+                            fields[0].equals("dark"),
                             durationMillis);
                     break;
                 }
             case "release":
                 {
-                    DatabaseCluster database = database(words[1]);
+                    DatabaseCluster database = database(fields[1]);
                     drainAndStop(
                             database,
-                            selectServer(database, words[2]),
+                            selectServer(database, fields[2]),
                             line.contains(" same"),
                             line.contains(" longer") ? durationMillis : 0,
                             line.contains(" by leave"));
                     break;
                 }
             case "lag":
-                database(words[1]).replicationLagMillis = 8 * Double.parseDouble(words[2]);
+                database(fields[1]).replicationLagMillis = 8 * Double.parseDouble(fields[2]);
                 simulator.scheduleAfter(
-                        durationMillis, () -> database(words[1]).replicationLagMillis = 8);
+                        durationMillis, () -> database(fields[1]).replicationLagMillis = 8);
                 break;
             case "promotes":
-                database(words[1]).promotionDelayMillis = Double.parseDouble(words[2]);
+                database(fields[1]).promotionDelayMillis = Double.parseDouble(fields[2]);
                 break;
             case "lose":
                 {
-                    DatabaseCluster.Server server = selectServer(database(words[1]), words[2]);
+                    DatabaseCluster.Server server = selectServer(database(fields[1]), fields[2]);
                     if (server != null) {
                         server.responseLossRate = 0.2;
                         simulator.scheduleAfter(durationMillis, () -> server.responseLossRate = 0);
@@ -788,14 +788,14 @@
                 }
             case "gone":
                 {
-                    DatabaseCluster database = database(words[1]);
+                    DatabaseCluster database = database(fields[1]);
                     removePermanently(
-                            database, selectServer(database, words[2]), line.contains(" same"));
+                            database, selectServer(database, fields[2]), line.contains(" same"));
                     break;
                 }
             case "deaf":
                 {
-                    DatabaseCluster.Server server = selectServer(database(words[1]), words[2]);
+                    DatabaseCluster.Server server = selectServer(database(fields[1]), fields[2]);
                     if (server != null) {
                         logEvent("block replication to " + server.id);
                         server.replicationBlocked = true;
@@ -805,16 +805,16 @@
                     break;
                 }
             case "primary_cut":
-                isolatePrimary(database(words[1]), words[2], durationMillis);
+                isolatePrimary(database(fields[1]), fields[2], durationMillis);
                 break;
             case "kill":
             case "power":
-                dataPlane(words[1].substring(6), words[0].equals("power"), durationMillis);
+                dataPlane(fields[1].substring(6), fields[0].equals("power"), durationMillis);
                 break;
             case "reset":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
-                    logEvent("reset " + words[1]);
+                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
+                    logEvent("reset " + fields[1]);
                     dataPlane.undisturbedSinceMillis =
                             Math.max(dataPlane.undisturbedSinceMillis, simulator.millis());
                     dataPlane.host.resetConnections();
@@ -822,19 +822,19 @@
                 }
             case "freeze":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
-                    logEvent("freeze " + words[1] + " for " + durationMillis);
+                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
+                    logEvent("freeze " + fields[1] + " for " + durationMillis);
                     dataPlane.host.pause(durationMillis);
                     dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
                     break;
                 }
             case "cut":
-                cutFor(words[1], words[2], durationMillis);
+                cutFor(fields[1], fields[2], durationMillis);
                 break;
             case "leave":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(words[1].substring(6));
-                    logEvent("SIGTERM " + words[1]);
+                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
+                    logEvent("SIGTERM " + fields[1]);
                     dataPlane.undisturbedSinceMillis = Long.MAX_VALUE / 2;
                     if (dataPlane.host.up) {
                         dataPlane.node.shutDown(
@@ -846,11 +846,11 @@
                     break;
                 }
             case "platform":
-                if (words[1].equals("slow")) {
+                if (fields[1].equals("slow")) {
                     platformSlowUntilMillis = simulator.millis() + durationMillis;
                     break;
                 }
-                if (words[1].equals("busy")) {
+                if (fields[1].equals("busy")) {
                     platformBusyUntilMillis = simulator.millis() + durationMillis;
                     break;
                 }
@@ -859,12 +859,12 @@
                 break;
             case "accept":
                 dataLossOperator.acceptLoss(
-                        database(words[1]).name,
-                        words.length > 2 && !words[2].equals("for") ? words[2] : "",
+                        database(fields[1]).name,
+                        fields.length > 2 && !fields[2].equals("for") ? fields[2] : "",
                         durationMillis);
                 break;
             case "all":
-                restartAll(words[1].equals("power"));
+                restartAll(fields[1].equals("power"));
                 break;
             default:
                 throw new IllegalArgumentException("unknown fault '" + line + "'");
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -48,7 +48,7 @@
 
     /** Runs with random faults; `make measure-system SEED=n` prints one of them in full. */
     @Test
-    void randomFaultsKeepInvariants() {
+    void invariantsHoldUnderRandomFaults() {
         for (long seed = 1; seed <= RANDOM_RUNS; seed++) {
             SystemSimulation simulation = new SystemSimulation(seed, 2, 2, 9, 24_000);
             simulation.addRandomFaults();
@@ -179,7 +179,7 @@
      * full.
      */
     @Test
-    void worstCaseFaultsKeepInvariants() {
+    void invariantsHoldUnderWorstCaseFaults() {
         for (long seed = 1_001; seed <= 1_000 + WORST_CASE_RUNS; seed++) {
             SystemSimulation simulation = ControlMeasure.day(seed);
             simulation.run();
@@ -201,13 +201,13 @@
         List<Long> durations = new ArrayList<>();
         TreeSet<String> planned = new TreeSet<>();
         for (String line : simulation.traceLog()) {
-            String[] words = line.split(" ");
-            if (words[2].equals("planned-move")) {
-                planned.add(words[3]);
-            } else if (words[2].equals("failover")) {
-                planned.remove(words[3]);
-            } else if (words[2].equals("primary") && planned.remove(words[3])) {
-                durations.add(Long.parseLong(words[5].substring("after_ms=".length())));
+            String[] fields = line.split(" ");
+            if (fields[2].equals("planned-move")) {
+                planned.add(fields[3]);
+            } else if (fields[2].equals("failover")) {
+                planned.remove(fields[3]);
+            } else if (fields[2].equals("primary") && planned.remove(fields[3])) {
+                durations.add(Long.parseLong(fields[5].substring("after_ms=".length())));
             }
         }
         return durations;
@@ -233,8 +233,8 @@
     private static void runScenario(Path file, List<String> lines, long seedOffset) {
         SystemSimulation simulation = null;
         for (String line : lines) {
-            String[] words = line.split("\\s+", 3);
-            if (words[0].equals("day")) {
+            String[] fields = line.split("\\s+", 3);
+            if (fields[0].equals("day")) {
                 String[] parameters = line.split("\\s+");
                 simulation =
                         new SystemSimulation(
@@ -244,8 +244,8 @@
                                 Integer.parseInt(parameters[4]),
                                 Long.parseLong(parameters[5]) * 1_000,
                                 parameters.length > 6 ? Integer.parseInt(parameters[6]) : 3);
-            } else if (words[0].equals("at")) {
-                simulation.scheduleFault(Double.parseDouble(words[1]), words[2]);
+            } else if (fields[0].equals("at")) {
+                simulation.scheduleFault(Double.parseDouble(fields[1]), fields[2]);
             }
         }
         simulation.run();
@@ -257,78 +257,78 @@
                         + String.join("\n", simulation.status());
         assertEquals(List.of(), simulation.violations().stream().limit(5).toList(), details);
         for (String line : lines) {
-            String[] words = line.split("\\s+", 3);
-            if (!words[0].equals("expect")) {
+            String[] fields = line.split("\\s+", 3);
+            if (!fields[0].equals("expect")) {
                 continue;
             }
-            switch (words[1]) {
+            switch (fields[1]) {
                 case "served" ->
                         assertTrue(
-                                simulation.served() >= Double.parseDouble(words[2]),
+                                simulation.served() >= Double.parseDouble(fields[2]),
                                 "served " + simulation.served() + "\n" + details);
                 case "promotions" ->
-                        assertEquals(Integer.parseInt(words[2]), simulation.promotions(), details);
+                        assertEquals(Integer.parseInt(fields[2]), simulation.promotions(), details);
                 case "promote_ms" ->
                         assertTrue(
                                 simulation.promotionMillis().stream()
-                                        .allMatch(ms -> ms <= Long.parseLong(words[2])),
+                                        .allMatch(ms -> ms <= Long.parseLong(fields[2])),
                                 simulation.promotionMillis() + "\n" + details);
                 case "platform_calls" ->
                         assertTrue(
-                                simulation.platformCalls() <= Integer.parseInt(words[2]),
+                                simulation.platformCalls() <= Integer.parseInt(fields[2]),
                                 simulation.platformCalls() + "\n" + details);
                 case "config_ms" ->
                         assertTrue(
                                 !simulation.configurationApplyMillis().isEmpty()
                                         && simulation.configurationApplyMillis().stream()
-                                                .allMatch(ms -> ms <= Long.parseLong(words[2])),
+                                                .allMatch(ms -> ms <= Long.parseLong(fields[2])),
                                 simulation.configurationApplyMillis() + "\n" + details);
                 case "planned_ms" ->
-                        assertWithin(plannedPromotionMillis(simulation), words[2], details);
+                        assertWithin(plannedPromotionMillis(simulation), fields[2], details);
                 case "losses" ->
                         assertTrue(
                                 simulation.controlCounts().machineLosses
-                                        >= Long.parseLong(words[2]),
+                                        >= Long.parseLong(fields[2]),
                                 simulation.controlCounts().machineLosses + "\n" + details);
                 case "acknowledged" ->
                         assertTrue(
                                 simulation.controlCounts().acknowledgedChanges
-                                        >= Long.parseLong(words[2]),
+                                        >= Long.parseLong(fields[2]),
                                 simulation.controlCounts().acknowledgedChanges + "\n" + details);
                 case "acknowledge_ms" ->
                         assertTrue(
                                 simulation.controlCounts().acknowledgeMillis.stream()
-                                        .allMatch(ms -> ms <= Long.parseLong(words[2])),
+                                        .allMatch(ms -> ms <= Long.parseLong(fields[2])),
                                 simulation.controlCounts().acknowledgeMillis + "\n" + details);
                 case "replaced" ->
                         assertEquals(
-                                Long.parseLong(words[2]),
+                                Long.parseLong(fields[2]),
                                 simulation.controlCounts().replacements,
                                 details);
                 case "replace_ms" ->
                         assertWithin(
-                                simulation.controlCounts().replacementMillis, words[2], details);
+                                simulation.controlCounts().replacementMillis, fields[2], details);
                 case "behind" ->
                         assertTrue(
                                 simulation.controlCounts().caughtUpChanges
-                                        >= Long.parseLong(words[2]),
+                                        >= Long.parseLong(fields[2]),
                                 simulation.controlCounts().caughtUpChanges + "\n" + details);
                 case "catch_up_ms" ->
-                        assertWithin(simulation.controlCounts().catchUpMillis, words[2], details);
+                        assertWithin(simulation.controlCounts().catchUpMillis, fields[2], details);
                 case "given_up" ->
                         assertTrue(
-                                words[2].equals("0")
+                                fields[2].equals("0")
                                         ? simulation.acceptedLostCommits() == 0
                                         : simulation.acceptedLostCommits()
-                                                >= Integer.parseInt(words[2]),
+                                                >= Integer.parseInt(fields[2]),
                                 "given up " + simulation.acceptedLostCommits() + "\n" + details);
                 case "said" ->
                         assertTrue(
-                                simulation.eventLog.stream().anyMatch(l -> l.contains(words[2])),
+                                simulation.eventLog.stream().anyMatch(l -> l.contains(fields[2])),
                                 details);
                 case "noted" ->
                         assertTrue(
-                                simulation.traceLog().stream().anyMatch(l -> l.contains(words[2])),
+                                simulation.traceLog().stream().anyMatch(l -> l.contains(fields[2])),
                                 details);
                 default -> throw new IllegalArgumentException(file + ": " + line);
             }
--- a/src/test/java/dillfront/simulation/system/SimulatorTest.java
+++ b/src/test/java/dillfront/simulation/system/SimulatorTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void cutsOnlyTheGivenDirection() {
+    void cutsOneDirectionOnly() {
         connect();
         simulator.cutOneWay(machineA, machineB, true);
         serverEnd.send(Simulator.bytes("back"));
