--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -46,8 +46,8 @@
 
     private record AcknowledgedRevision(long revision, long atMillis) {}
 
-    private final SystemSimulation day;
-    private final Simulator sim;
+    private final SystemSimulation simulation;
+    private final Simulator simulator;
     private final ConsistencyChecker consistencyChecker;
     private final History history = new History();
     private final List<ConfigurationClient.Change> pendingChanges = new ArrayList<>();
@@ -91,10 +91,10 @@
      */
     final List<Long> acknowledgeMillis = new ArrayList<>();
 
-    ConfigurationChecker(SystemSimulation day) {
-        this.day = day;
-        this.sim = day.simulator;
-        this.consistencyChecker = day.consistencyChecker;
+    ConfigurationChecker(SystemSimulation simulation) {
+        this.simulation = simulation;
+        this.simulator = simulation.simulator;
+        this.consistencyChecker = simulation.consistencyChecker;
     }
 
     static long digest(byte[] content) {
@@ -112,14 +112,14 @@
     /** Records that a change is sent to a process: one call of the history. */
     int beginCall(ConfigurationClient.Change change) {
         return history.begin(
-                sim.millis(), "operator", change.revision, Long.toHexString(change.digest));
+                simulator.millis(), "operator", change.revision, Long.toHexString(change.digest));
     }
 
     /** Records the outcome of a call; status 0 stands for no response. */
     void endCall(int call, int status) {
         history.end(
                 call,
-                sim.millis(),
+                simulator.millis(),
                 status == 200
                         ? History.Outcome.ACKNOWLEDGED
                         : status == 409 ? History.Outcome.REFUSED : History.Outcome.UNKNOWN);
@@ -157,9 +157,9 @@
                         .noneMatch(acknowledged -> acknowledged.revision() == change.revision);
         if (first) {
             acknowledged++;
-            acknowledgements.add(new AcknowledgedRevision(change.revision, sim.millis()));
-            acknowledgeMillis.add(sim.millis() - change.sentAtMillis);
-            day.measureApply(change.revision, sim.millis());
+            acknowledgements.add(new AcknowledgedRevision(change.revision, simulator.millis()));
+            acknowledgeMillis.add(simulator.millis() - change.sentAtMillis);
+            simulation.measureApply(change.revision, simulator.millis());
         }
         highestAcknowledgedRevision = Math.max(highestAcknowledgedRevision, change.revision);
         // A higher revision in flight may have superseded this one before it was decided; the
@@ -200,11 +200,12 @@
         return new PendingRead(
                 source,
                 Math.max(highestAcknowledgedRevision, highestReadRevision),
-                history.begin(sim.millis(), source.host.name));
+                history.begin(simulator.millis(), source.host.name));
     }
 
     void endRead(PendingRead pendingRead, long revision, long digest) {
-        history.end(pendingRead.historyCall, sim.millis(), revision, Long.toHexString(digest));
+        history.end(
+                pendingRead.historyCall, simulator.millis(), revision, Long.toHexString(digest));
         if (revision < pendingRead.minRevision) {
             revisionRegressions++;
             consistencyChecker.reportViolation(
@@ -216,7 +217,7 @@
                             + pendingRead.minRevision);
         }
         highestReadRevision = Math.max(highestReadRevision, revision);
-        finalReadRevision = day.hasEnded() ? Math.max(finalReadRevision, revision) : -1;
+        finalReadRevision = simulation.hasEnded() ? Math.max(finalReadRevision, revision) : -1;
         recordDecided(revision, digest, "read at " + pendingRead.source.host.name);
     }
 
@@ -229,7 +230,7 @@
             consistencyChecker.reportViolation(
                     "FENCE", fencingToken + " is used by " + previousHolder + " and by " + holder);
         }
-        day.controlCluster.lastActive(holder);
+        simulation.controlCluster.lastActive(holder);
     }
 
     // Observed state of the processes
@@ -237,19 +238,19 @@
     void processStarted(ControlMachine machine) {
         machine.catchUpRevision = highestAcknowledgedRevision;
         machine.catchUpChanges = acknowledged - machine.changesWhenCaughtUp;
-        machine.majorityContactSinceMillis = sim.millis();
+        machine.majorityContactSinceMillis = simulator.millis();
     }
 
     void checkPeriodically() {
-        sim.scheduleAfter(CHECK_INTERVAL_MILLIS, this::checkPeriodically);
+        simulator.scheduleAfter(CHECK_INTERVAL_MILLIS, this::checkPeriodically);
         int holders = 0;
         StringBuilder holderNames = new StringBuilder();
-        for (ControlMachine machine : day.controlCluster.machines()) {
+        for (ControlMachine machine : simulation.controlCluster.machines()) {
             if (!machine.isRunning() || machine.node == null) {
                 continue;
             }
-            if (!day.controlCluster.reachesMajority(machine)) {
-                machine.majorityContactSinceMillis = sim.millis();
+            if (!simulation.controlCluster.reachesMajority(machine)) {
+                machine.majorityContactSinceMillis = simulator.millis();
             }
             String status = machine.node.status();
             if (status.contains(" held ")) {
@@ -260,7 +261,7 @@
                     && statusField(status, "held=") >= machine.catchUpRevision) {
                 if (machine.catchUpChanges > 0) {
                     caughtUpChanges += machine.catchUpChanges;
-                    catchUpMillis.add(sim.millis() - machine.majorityContactSinceMillis);
+                    catchUpMillis.add(simulator.millis() - machine.majorityContactSinceMillis);
                 }
                 machine.catchUpRevision = -1;
             }
@@ -269,7 +270,7 @@
             }
             if (machine.awaitingMembership && isMember(machine)) {
                 machine.awaitingMembership = false;
-                replacementMillis.add(sim.millis() - machine.majorityContactSinceMillis);
+                replacementMillis.add(simulator.millis() - machine.majorityContactSinceMillis);
             }
         }
         if (holders > 1 && !concurrentHoldersReported) {
@@ -278,8 +279,10 @@
         }
         concurrentHoldersReported = holders > 1;
         lastHolderSeenMillis =
-                holders > 0 || !day.controlCluster.isStable() ? sim.millis() : lastHolderSeenMillis;
-        if (sim.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS
+                holders > 0 || !simulation.controlCluster.isStable()
+                        ? simulator.millis()
+                        : lastHolderSeenMillis;
+        if (simulator.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS
                 && !missingHolderReported) {
             consistencyChecker.reportViolation(
                     "LEASE",
@@ -287,7 +290,8 @@
                             + MAX_WITHOUT_HOLDER_MILLIS
                             + " ms although the cluster is stable");
         }
-        missingHolderReported = sim.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS;
+        missingHolderReported =
+                simulator.millis() - lastHolderSeenMillis > MAX_WITHOUT_HOLDER_MILLIS;
         checkOverdueChanges();
     }
 
@@ -307,7 +311,7 @@
 
     /** Returns whether all running processes list the candidate as a voting member. */
     private boolean isMember(ControlMachine candidate) {
-        for (ControlMachine observer : day.controlCluster.machines()) {
+        for (ControlMachine observer : simulation.controlCluster.machines()) {
             if (observer.isRunning() && observer.node != null) {
                 String status = observer.node.status();
                 int start = status.indexOf("members=[");
@@ -324,7 +328,7 @@
     }
 
     private void checkOverdueChanges() {
-        long stableSince = day.controlCluster.stableSinceMillis();
+        long stableSince = simulation.controlCluster.stableSinceMillis();
         pendingChanges.removeIf(
                 change -> {
                     if (change.finished
@@ -332,7 +336,7 @@
                             || change.conflicting != null && change.conflicting.accepted) {
                         return true;
                     }
-                    if (sim.millis() - Math.max(change.sentAtMillis, stableSince)
+                    if (simulator.millis() - Math.max(change.sentAtMillis, stableSince)
                             > MAX_ACKNOWLEDGE_MILLIS + change.transferMillis()) {
                         overdueChanges++;
                         consistencyChecker.reportViolation(
@@ -378,7 +382,7 @@
                 i--) {
             AcknowledgedRevision acknowledged = acknowledgements.get(i);
             required =
-                    acknowledged.atMillis() + MAX_APPLY_MILLIS < sim.millis()
+                    acknowledged.atMillis() + MAX_APPLY_MILLIS < simulator.millis()
                             ? Math.max(required, acknowledged.revision())
                             : required;
         }
@@ -423,17 +427,17 @@
                 rejectedAfterAcknowledge(change, "its content is in effect");
             }
         }
-        for (ControlMachine machine : day.controlCluster.machines()) {
+        for (ControlMachine machine : simulation.controlCluster.machines()) {
             if (machine.awaitingMembership
                     && machine.isRunning()
-                    && sim.millis() - machine.majorityContactSinceMillis
+                    && simulator.millis() - machine.majorityContactSinceMillis
                             > 2 * ControlCluster.CATCH_UP_MILLIS) {
                 replacementMillis.add(NOT_COMPLETED_MILLIS);
             }
             if (machine.catchUpRevision >= 0
                     && machine.catchUpChanges > 0
                     && machine.isRunning()
-                    && sim.millis() - machine.majorityContactSinceMillis
+                    && simulator.millis() - machine.majorityContactSinceMillis
                             > 2 * ControlCluster.CATCH_UP_MILLIS) {
                 catchUpMillis.add(NOT_COMPLETED_MILLIS);
             }
--- a/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConsistencyChecker.java
@@ -65,7 +65,7 @@
     int acceptedLostCommits;
 
     private final Set<String> seenCommits = new HashSet<>();
-    private final Simulator sim;
+    private final Simulator simulator;
     int lostCommits;
     int duplicateCommits;
     int staleReads;
@@ -89,24 +89,24 @@
     long maxDrainMillis = 7_000;
     private final Map<String, Long> primaryLost = new HashMap<>();
 
-    ConsistencyChecker(Simulator sim) {
-        this.sim = sim;
+    ConsistencyChecker(Simulator simulator) {
+        this.simulator = simulator;
     }
 
     void reportViolation(String rule, String description) {
-        violations.add(rule + " at " + sim.millis() + " ms: " + description);
+        violations.add(rule + " at " + simulator.millis() + " ms: " + description);
     }
 
     /**
      * Records that a client received the response to a write or commit, and returns its log index.
      */
     long acknowledge(String database, String id) {
-        DatabaseCluster db = databases.get(database);
+        DatabaseCluster cluster = databases.get(database);
         LogPosition position = null;
-        for (DatabaseCluster.Server s : db.servers) {
-            for (int i = s.log.size() - 1; i >= 0 && i > s.log.size() - 400; i--) {
-                if (s.log.get(i).attemptId.equals(id)) {
-                    position = s.log.get(i).position;
+        for (DatabaseCluster.Server server : cluster.servers) {
+            for (int i = server.log.size() - 1; i >= 0 && i > server.log.size() - 400; i--) {
+                if (server.log.get(i).attemptId.equals(id)) {
+                    position = server.log.get(i).position;
                     break;
                 }
             }
@@ -119,8 +119,8 @@
         // A primary accepts writes, so the accepted loss is over; later losses were not part of it.
         acceptedLosses.removeIf(loss -> loss.database().equals(database));
         acknowledged
-                .computeIfAbsent(database, d -> new ArrayList<>())
-                .add(new Acknowledgement(sim.micros(), position));
+                .computeIfAbsent(database, key -> new ArrayList<>())
+                .add(new Acknowledgement(simulator.micros(), position));
         return position.index();
     }
 
@@ -167,8 +167,9 @@
             reportViolation("TWICE", id + " runs a second time at " + server.id);
         }
         if (startsTransaction) {
-            Long drainedMicros = drainAcknowledgedMicros.get(server.id);
-            if (drainedMicros != null && sim.micros() > drainedMicros + maxDrainMillis * 1_000) {
+            Long boundaryMicros = drainAcknowledgedMicros.get(server.id);
+            if (boundaryMicros != null
+                    && simulator.micros() > boundaryMicros + maxDrainMillis * 1_000) {
                 reportViolation("DRAIN", id + " reaches " + server.id);
             }
         }
@@ -189,12 +190,12 @@
             }
         }
         if (text.startsWith("READ")) {
-            long drainedMicros =
+            long boundaryMicros =
                     attempt.transactionStart.startedAtMicros
                             - (attempt.readConsistency.equals("primary")
                                     ? 0
                                     : attempt.maxStalenessMillis * 1_000);
-            long required = requiredIndex(attempt.database, drainedMicros);
+            long required = requiredIndex(attempt.database, boundaryMicros);
             if (attempt.readConsistency.equals("own")) {
                 required = Math.max(required, attempt.transactionStart.lastWriteIndex);
             }
@@ -235,7 +236,7 @@
         }
         Long lostAtMillis = primaryLost.remove(database);
         if (lostAtMillis != null) {
-            promotionMillis.add(sim.millis() - lostAtMillis);
+            promotionMillis.add(simulator.millis() - lostAtMillis);
         }
     }
 
@@ -248,7 +249,7 @@
 
     /** Records that the request was rejected: no loss may be justified by it. */
     void lossAcceptanceRejected(AcceptedLoss acceptance) {
-        acceptedLosses.removeIf(g -> g == acceptance);
+        acceptedLosses.removeIf(loss -> loss == acceptance);
     }
 
     /**
@@ -258,7 +259,7 @@
      */
     private void applyAcceptedLosses(String database, LogPosition logEnd) {
         List<Acknowledgement> commits =
-                acknowledged.computeIfAbsent(database, d -> new ArrayList<>());
+                acknowledged.computeIfAbsent(database, key -> new ArrayList<>());
         int countBefore = commits.size();
         commits.removeIf(
                 commit ->
@@ -294,7 +295,7 @@
     java.util.function.BiConsumer<String, Long> onCommitsAbandoned = (database, number) -> {};
 
     void primaryLost(String database) {
-        primaryLost.put(database, sim.millis());
+        primaryLost.put(database, simulator.millis());
     }
 
     /**
@@ -303,8 +304,8 @@
      */
     void checkFinalLogs() {
         databases.forEach(
-                (name, db) -> {
-                    DatabaseCluster.Server primary = db.primary();
+                (name, cluster) -> {
+                    DatabaseCluster.Server primary = cluster.primary();
                     if (primary == null) {
                         return;
                     }
--- a/src/main/java/dillfront/simulation/system/DataLossOperator.java
+++ b/src/main/java/dillfront/simulation/system/DataLossOperator.java
@@ -62,24 +62,24 @@
                         1_000)
                 .whenComplete(
                         (response, failure) -> {
-                            JsonObject lacking = null;
+                            JsonObject reportedLoss = null;
                             if (failure == null && response.status() == 200) {
                                 for (JsonValue entry :
                                         Json.parse(Simulator.text(response.body()))
                                                 .asObject()
                                                 .get("lacking")
                                                 .asArray()) {
-                                    lacking =
+                                    reportedLoss =
                                             entry.asObject()
                                                             .getString("service", "")
                                                             .equals(service)
                                                     ? entry.asObject()
-                                                    : lacking;
+                                                    : reportedLoss;
                                 }
                             }
-                            if (lacking != null) {
-                                simulation.logEvent("reported loss " + lacking);
-                                submit(service, mode, lacking);
+                            if (reportedLoss != null) {
+                                simulation.logEvent("reported loss " + reportedLoss);
+                                submit(service, mode, reportedLoss);
                             } else if (simulator.millis() < endMillis) {
                                 simulator.scheduleAfter(
                                         RETRY_INTERVAL_MILLIS,
@@ -105,30 +105,30 @@
         return Json.parse(request.toString()).asObject().set(name, value);
     }
 
-    private void submit(String service, String mode, JsonObject lacking) {
+    private void submit(String service, String mode, JsonObject reportedLoss) {
         if (!mode.equals("wrong")) {
-            lastRequests.put(service, lacking);
-            send(lacking, mode, 0);
+            lastRequests.put(service, reportedLoss);
+            send(reportedLoss, mode, 0);
             return;
         }
-        send(withField(lacking, "service", "another"), mode, 0);
-        send(withField(lacking, "move", "7"), mode, 0);
-        JsonObject extended = Json.parse(lacking.toString()).asObject();
+        send(withField(reportedLoss, "service", "another"), mode, 0);
+        send(withField(reportedLoss, "move", "7"), mode, 0);
+        JsonObject extended = Json.parse(reportedLoss.toString()).asObject();
         extended.get("out_of_reach").asArray().add("another");
         send(extended, mode, 0);
         for (String name :
                 new String[] {"log_position", "least_acknowledged", "most_acknowledged"}) {
-            LogPosition position = LogPosition.parse(lacking.getString(name, ""));
+            LogPosition position = LogPosition.parse(reportedLoss.getString(name, ""));
             send(
                     withField(
-                            lacking,
+                            reportedLoss,
                             name,
                             new LogPosition(position.term(), position.index() + 1).toString()),
                     mode,
                     0);
             send(
                     withField(
-                            lacking,
+                            reportedLoss,
                             name,
                             new LogPosition(position.term(), Math.max(0, position.index() - 1))
                                     .toString()),
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -125,9 +125,9 @@
                 createServer(database, ZONES[(z + s) % ZONES.length], z, FIRST_DATABASE_PORT + s);
             }
             database.servers.get(0).isPrimary = true;
-            String[] kinds = {"primary", "bounded", "own"};
+            String[] consistencyLevels = {"primary", "bounded", "own"};
             for (int i = 0; i < sessionsPerService; i++) {
-                String readConsistency = kinds[i % 3];
+                String readConsistency = consistencyLevels[i % 3];
                 sessions.add(
                         new ClientSession(
                                 this,
@@ -425,7 +425,9 @@
             return database.findServer(selector);
         }
         List<DatabaseCluster.Server> replicas =
-                database.servers.stream().filter(s -> s != primary && s.host.up).toList();
+                database.servers.stream()
+                        .filter(server -> server != primary && server.host.up)
+                        .toList();
         return replicas.isEmpty()
                 ? null
                 : replicas.get(selector.equals("last") ? replicas.size() - 1 : 0);
@@ -557,7 +559,10 @@
                     database.servers.stream()
                             .filter(server -> server != primary)
                             .forEach(server -> isolatedFrom.add(server.host));
-            case "core" -> controlCluster.machines().forEach(c -> isolatedFrom.add(c.host));
+            case "core" ->
+                    controlCluster
+                            .machines()
+                            .forEach(controlMachine -> isolatedFrom.add(controlMachine.host));
             default ->
                     dataPlanes.values().stream()
                             .filter(dataPlane -> simulator.random.nextDouble() < 0.4)
@@ -683,14 +688,14 @@
                 });
     }
 
-    private void cutFor(String a, String b, long durationMillis) {
-        Simulator.Machine first = findMachine(a);
-        Simulator.Machine second = findMachine(b);
+    private void cutFor(String firstName, String secondName, long durationMillis) {
+        Simulator.Machine first = findMachine(firstName);
+        Simulator.Machine second = findMachine(secondName);
         if (first == null || second == null) {
             // The machine was replaced, and its replacement is not running yet.
             return;
         }
-        logEvent("cut " + a + " " + b);
+        logEvent("cut " + firstName + " " + secondName);
         simulator.cut(first, second, true);
         controlCluster.recordEvent();
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
