--- a/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
+++ b/src/main/java/dillfront/benchmark/RouterCostBenchmark.java
@@ -25,7 +25,7 @@
 
     /**
      * CPU time of one start and its load in microseconds: until the router serves, per transaction
-     * while cold, per transaction once warm, and during one idle second.
+     * during warm-up, per transaction once warm, and during one idle second.
      */
     private record CostSample(
             double startMicros,
@@ -101,7 +101,7 @@
                                     // The load has ended; no further signals are needed.
                                 }
                             },
-                            "hand");
+                            "pauser");
             pauser.start();
             Thread.sleep(500);
             for (int i = 0; i < DRAINS; i++) {
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -183,7 +183,7 @@
     void changeRejected(ConfigurationClient.Change change, ControlMachine responder, int status) {
         rejectedChanges.add(change);
         if (change.acknowledged) {
-            rejectedAfterAcknowledge(change, responder.host.name + " answers " + status);
+            rejectedAfterAcknowledge(change, responder.host.name + " responds " + status);
         }
     }
 
--- a/src/main/java/dillfront/simulation/system/DatabaseCluster.java
+++ b/src/main/java/dillfront/simulation/system/DatabaseCluster.java
@@ -14,10 +14,7 @@
  */
 final class DatabaseCluster {
 
-    /**
-     * One commit: its log position and the attempt that wrote it. The field acknowledged is unused
-     * and stays -1.
-     */
+    /** One commit: its log position and the attempt that wrote it. */
     static final class Commit {
         final LogPosition position;
         final String attemptId;
@@ -137,6 +134,8 @@
         boolean heartbeatsStopped;
 
         long term = 1;
+
+        /** Term of the PAUSE request in effect, which stops replication; 0 for none. */
         long pausedForTerm;
 
         /** The received log; the first appliedCount entries are applied. */
--- a/src/main/java/dillfront/simulation/system/Simulator.java
+++ b/src/main/java/dillfront/simulation/system/Simulator.java
@@ -17,7 +17,8 @@
 
 /**
  * Simulates time and a network of machines from one seed, so that a run is reproducible. A killed
- * machine resets its connections; a machine without power or behind a cut sends nothing.
+ * machine resets its connections; a machine that loses power or is cut off stops communicating
+ * without a reset.
  */
 final class Simulator {
 
@@ -53,7 +54,7 @@
 
         /**
          * @param kind FRAMES or LINES for a message on a connection; for HTTP the method and path
-         *     of a call, or the status of an answer
+         *     of a request, or the status of a response
          */
         void onSent(String from, String to, String kind, byte[] message);
     }
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -84,8 +84,8 @@
                 file,
                 """
                 D = "%s/"
-                identity(jwks = D + "keys.json", issuer = "depot", revoked = D + "revoked.txt", certificate = D + "door.pem",
-                         key = D + "door.key", overlap = "3s", holds = "60s")
+                identity(jwks = D + "keys.json", issuer = "depot", revoked = D + "revoked.txt", certificate = D + "server.pem",
+                         key = D + "server.key", overlap = "3s", holds = "60s")
                 role("reader", [allow(types = ["history", "stock-view"], access = "r", prefix = "9-hotel-7/"),
                                 deny(prefix = "9-hotel-7/safe")])
                 role("poster", [allow(types = ["post-movement"], access = "w", prefix = "9-hotel-7/")])
@@ -124,7 +124,7 @@
      * Creates a server certificate with the JDK's keytool, which the clients of this test trust.
      */
     private void createCertificate() throws Exception {
-        Path store = folder.resolve("door.p12");
+        Path store = folder.resolve("server.p12");
         assertEquals(
                 0,
                 new ProcessBuilder(
@@ -132,7 +132,7 @@
                                         .toString(),
                                 "-genkeypair",
                                 "-alias",
-                                "door",
+                                "server",
                                 "-keyalg",
                                 "EC",
                                 "-groupname",
@@ -152,14 +152,14 @@
                         .start()
                         .waitFor());
         KeyStore keys = KeyStore.getInstance(store.toFile(), PASSWORD.toCharArray());
-        writePem("door.pem", "CERTIFICATE", keys.getCertificate("door").getEncoded());
+        writePem("server.pem", "CERTIFICATE", keys.getCertificate("server").getEncoded());
         writePem(
-                "door.key",
+                "server.key",
                 "PRIVATE KEY",
-                keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
+                keys.getKey("server", PASSWORD.toCharArray()).getEncoded());
         KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
-        trusted.setCertificateEntry("door", keys.getCertificate("door"));
+        trusted.setCertificateEntry("server", keys.getCertificate("server"));
         TrustManagerFactory factory =
                 TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
         factory.init(trusted);
--- a/src/test/java/dillfront/benchmark/ProcessPauseTest.java
+++ b/src/test/java/dillfront/benchmark/ProcessPauseTest.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Pauses the router once all requests are in flight at nodes and none is answered; tries again
+     * Pauses the router once all requests are in flight at nodes and none is answered; repeats this
      * where responses were faster.
      *
      * @return the time when the requests were sent
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -143,7 +143,7 @@
                     loseOnlyCopy("crash db0 primary for " + (returnMillis - 16_500) / 1e3);
             simulation.run();
             String details =
-                    "back at "
+                    "return at "
                             + returnMillis
                             + "\n"
                             + String.join("\n", simulation.eventLog)
@@ -154,7 +154,9 @@
                     simulation.promotions() > 0, simulation.acceptedLostCommits() > 0, details);
             keptPrimary += simulation.promotions() == 0 ? 1 : 0;
         }
-        assertTrue(keptPrimary > 0 && keptPrimary < 128, keptPrimary + " times it led on");
+        assertTrue(
+                keptPrimary > 0 && keptPrimary < 128,
+                keptPrimary + " runs in which the former primary stayed primary");
     }
 
     private static SystemSimulation loseOnlyCopy(String lossOfPrimary) {
