--- a/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
+++ b/src/test/java/dillfront/simulation/system/ConsistencyCheckerTest.java
@@ -141,7 +141,7 @@
         connection.sessionSettings.put("a", "b");
         simulation.consistencyChecker.onExecute(primary, connection, "r", "READ k", true);
         assertViolation("PINNED");
-        simulation.consistencyChecker.onExecute(primary, connection, "nobody", "READ k", true);
+        simulation.consistencyChecker.onExecute(primary, connection, "unknown", "READ k", true);
         assertViolation("UNASKED");
     }
 
