--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -32,7 +32,7 @@
         DataPlaneNode node;
 
         /** Time since which no fault has affected the machine; in the future during a fault. */
-        long undisturbedSinceMillis;
+        long stableFromMillis;
 
         Configuration lastConfiguration = Configuration.NONE;
         long lastDigest;
@@ -324,7 +324,7 @@
 
     private void startDataPlane(DataPlaneMachine dataPlane, boolean isFirstStart) {
         dataPlane.host.up();
-        dataPlane.undisturbedSinceMillis = simulator.millis();
+        dataPlane.stableFromMillis = simulator.millis();
         DataPlaneNode node =
                 new DataPlaneNode(dataPlane.host, settings(dataPlane.host, false, isFirstStart));
         dataPlane.node = node;
@@ -343,7 +343,7 @@
             boolean connected =
                     stable
                             && !dataPlane.host.paused()
-                            && simulator.millis() - dataPlane.undisturbedSinceMillis
+                            && simulator.millis() - dataPlane.stableFromMillis
                                     >= ControlCluster.STABLE_AFTER_MILLIS;
             for (ControlMachine control : controlCluster.machines()) {
                 connected &=
@@ -388,7 +388,7 @@
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
             boolean expected =
                     dataPlane.host.up
-                            && dataPlane.undisturbedSinceMillis
+                            && dataPlane.stableFromMillis
                                     < acknowledgedMillis - ControlCluster.STABLE_AFTER_MILLIS;
             appliedByAll &= !expected || dataPlane.node.configurationRevision() >= revision;
         }
@@ -416,7 +416,7 @@
         return database;
     }
 
-    private DatabaseCluster.Server selectServer(DatabaseCluster database, String selector) {
+    private DatabaseCluster.Server select(DatabaseCluster database, String selector) {
         DatabaseCluster.Server primary = database.primary();
         if (selector.equals("primary")) {
             return primary;
@@ -569,7 +569,7 @@
                             .forEach(
                                     dataPlane -> {
                                         isolatedFrom.add(dataPlane.host);
-                                        dataPlane.undisturbedSinceMillis =
+                                        dataPlane.stableFromMillis =
                                                 simulator.millis() + durationMillis;
                                     });
         }
@@ -674,7 +674,7 @@
         }
         logEvent((powerLoss ? "power " : "kill ") + candidate.host.name);
         candidate.host.down(powerLoss);
-        candidate.undisturbedSinceMillis = Long.MAX_VALUE / 2;
+        candidate.stableFromMillis = Long.MAX_VALUE / 2;
         restartLater(candidate, durationMillis);
     }
 
@@ -700,7 +700,7 @@
         controlCluster.recordEvent();
         for (DataPlaneMachine dataPlane : dataPlanes.values()) {
             if (dataPlane.host == first || dataPlane.host == second) {
-                dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
+                dataPlane.stableFromMillis = simulator.millis() + durationMillis;
             }
         }
         simulator.scheduleAfter(
@@ -743,133 +743,125 @@
      * @throws IllegalArgumentException if the line describes no known fault
      */
     public void injectFault(String line) {
-        String[] fields = line.trim().split("\\s+");
-        long durationMillis =
-                fields.length > 2 && fields[fields.length - 2].equals("for")
-                        ? Math.round(Double.parseDouble(fields[fields.length - 1]) * 1_000)
+        String[] args = line.trim().split("\\s+");
+        long millis =
+                args.length > 2 && args[args.length - 2].equals("for")
+                        ? Math.round(Double.parseDouble(args[args.length - 1]) * 1_000)
                         : 3_000;
-        if (new ControlFaultInjector(this).inject(fields, line, durationMillis)) {
+        if (new ControlFaultInjector(this).inject(args, line, millis)) {
             return;
         }
-        switch (fields[0]) {
+        switch (args[0]) {
             case "crash":
             case "dark":
                 {
-                    DatabaseCluster database = database(fields[1]);
-                    crash(
-                            database,
-                            selectServer(database, fields[2]),
-                            fields[0].equals("dark"),
-                            durationMillis);
+                    DatabaseCluster database = database(args[1]);
+                    crash(database, select(database, args[2]), args[0].equals("dark"), millis);
                     break;
                 }
             case "release":
                 {
-                    DatabaseCluster database = database(fields[1]);
+                    DatabaseCluster database = database(args[1]);
                     drainAndStop(
                             database,
-                            selectServer(database, fields[2]),
+                            select(database, args[2]),
                             line.contains(" same"),
-                            line.contains(" longer") ? durationMillis : 0,
+                            line.contains(" longer") ? millis : 0,
                             line.contains(" by leave"));
                     break;
                 }
             case "lag":
-                database(fields[1]).replicationLagMillis = 8 * Double.parseDouble(fields[2]);
-                simulator.scheduleAfter(
-                        durationMillis, () -> database(fields[1]).replicationLagMillis = 8);
+                database(args[1]).replicationLagMillis = 8 * Double.parseDouble(args[2]);
+                simulator.scheduleAfter(millis, () -> database(args[1]).replicationLagMillis = 8);
                 break;
             case "promotes":
-                database(fields[1]).promotionDelayMillis = Double.parseDouble(fields[2]);
+                database(args[1]).promotionDelayMillis = Double.parseDouble(args[2]);
                 break;
             case "lose":
                 {
-                    DatabaseCluster.Server server = selectServer(database(fields[1]), fields[2]);
+                    DatabaseCluster.Server server = select(database(args[1]), args[2]);
                     if (server != null) {
                         server.responseLossRate = 0.2;
-                        simulator.scheduleAfter(durationMillis, () -> server.responseLossRate = 0);
+                        simulator.scheduleAfter(millis, () -> server.responseLossRate = 0);
                     }
                     break;
                 }
             case "gone":
                 {
-                    DatabaseCluster database = database(fields[1]);
-                    removePermanently(
-                            database, selectServer(database, fields[2]), line.contains(" same"));
+                    DatabaseCluster database = database(args[1]);
+                    removePermanently(database, select(database, args[2]), line.contains(" same"));
                     break;
                 }
             case "deaf":
                 {
-                    DatabaseCluster.Server server = selectServer(database(fields[1]), fields[2]);
+                    DatabaseCluster.Server server = select(database(args[1]), args[2]);
                     if (server != null) {
                         logEvent("block replication to " + server.id);
                         server.replicationBlocked = true;
-                        simulator.scheduleAfter(
-                                durationMillis, () -> server.replicationBlocked = false);
+                        simulator.scheduleAfter(millis, () -> server.replicationBlocked = false);
                     }
                     break;
                 }
             case "primary_cut":
-                isolatePrimary(database(fields[1]), fields[2], durationMillis);
+                isolatePrimary(database(args[1]), args[2], millis);
                 break;
             case "kill":
             case "power":
-                dataPlane(fields[1].substring(6), fields[0].equals("power"), durationMillis);
+                dataPlane(args[1].substring(6), args[0].equals("power"), millis);
                 break;
             case "reset":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
-                    logEvent("reset " + fields[1]);
-                    dataPlane.undisturbedSinceMillis =
-                            Math.max(dataPlane.undisturbedSinceMillis, simulator.millis());
-                    dataPlane.host.resetConnections();
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("reset " + args[1]);
+                    target.stableFromMillis = Math.max(target.stableFromMillis, simulator.millis());
+                    target.host.resetConnections();
                     break;
                 }
             case "freeze":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
-                    logEvent("freeze " + fields[1] + " for " + durationMillis);
-                    dataPlane.host.pause(durationMillis);
-                    dataPlane.undisturbedSinceMillis = simulator.millis() + durationMillis;
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("freeze " + args[1] + " for " + millis);
+                    target.host.pause(millis);
+                    target.stableFromMillis = simulator.millis() + millis;
                     break;
                 }
             case "cut":
-                cutFor(fields[1], fields[2], durationMillis);
+                cutFor(args[1], args[2], millis);
                 break;
             case "leave":
                 {
-                    DataPlaneMachine dataPlane = dataPlanes.get(fields[1].substring(6));
-                    logEvent("SIGTERM " + fields[1]);
-                    dataPlane.undisturbedSinceMillis = Long.MAX_VALUE / 2;
-                    if (dataPlane.host.up) {
-                        dataPlane.node.shutDown(
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("SIGTERM " + args[1]);
+                    target.stableFromMillis = Long.MAX_VALUE / 2;
+                    if (target.host.up) {
+                        target.node.shutDown(
                                 () -> {
-                                    dataPlane.host.down(false);
-                                    restartLater(dataPlane, 300);
+                                    target.host.down(false);
+                                    restartLater(target, 300);
                                 });
                     }
                     break;
                 }
             case "platform":
-                if (fields[1].equals("slow")) {
-                    platformSlowUntilMillis = simulator.millis() + durationMillis;
+                if (args[1].equals("slow")) {
+                    platformSlowUntilMillis = simulator.millis() + millis;
                     break;
                 }
-                if (fields[1].equals("busy")) {
-                    platformBusyUntilMillis = simulator.millis() + durationMillis;
+                if (args[1].equals("busy")) {
+                    platformBusyUntilMillis = simulator.millis() + millis;
                     break;
                 }
                 platformUnresponsive = true;
-                simulator.scheduleAfter(durationMillis, () -> platformUnresponsive = false);
+                simulator.scheduleAfter(millis, () -> platformUnresponsive = false);
                 break;
             case "accept":
                 dataLossOperator.acceptLoss(
-                        database(fields[1]).name,
-                        fields.length > 2 && !fields[2].equals("for") ? fields[2] : "",
-                        durationMillis);
+                        database(args[1]).name,
+                        args.length > 2 && !args[2].equals("for") ? args[2] : "",
+                        millis);
                 break;
             case "all":
-                restartAll(fields[1].equals("power"));
+                restartAll(args[1].equals("power"));
                 break;
             default:
                 throw new IllegalArgumentException("unknown fault '" + line + "'");
