--- a/src/main/java/dillfront/simulation/system/ControlCounts.java
+++ b/src/main/java/dillfront/simulation/system/ControlCounts.java
@@ -49,6 +49,7 @@
         acknowledgeMillis.addAll(configuration.acknowledgeMillis);
     }
 
+    /** Adds the counts of another simulation. */
     public void add(ControlCounts other) {
         machineLosses += other.machineLosses;
         acknowledgedChanges += other.acknowledgedChanges;
--- a/src/main/java/dillfront/simulation/system/SystemSimulation.java
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -31,7 +31,7 @@
         Simulator.Machine host;
         DataPlaneNode node;
 
-        /** Time since which no fault has affected the machine; in the future during a fault. */
+        /** Time from which no fault affects the machine; in the future during a fault. */
         long stableFromMillis;
 
         Configuration lastConfiguration = Configuration.NONE;
@@ -416,6 +416,7 @@
         return database;
     }
 
+    /** Selects a server: the primary, one by id, the last replica, or else the first replica. */
     private DatabaseCluster.Server select(DatabaseCluster database, String selector) {
         DatabaseCluster.Server primary = database.primary();
         if (selector.equals("primary")) {
