--- a/src/main/java/dillfront/benchmark/IdentityBenchmark.java
+++ b/src/main/java/dillfront/benchmark/IdentityBenchmark.java
@@ -1,6 +1,6 @@
 package dillfront.benchmark;
 
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.KeyBytes;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Principal;
@@ -45,7 +45,7 @@
                             1 << i % 5,
                             true,
                             i % 3 == 0,
-                            Rule.ANY,
+                            Rule.ANY_GROUP,
                             ("hotel-" + random.nextInt(ruleCount) + "/")
                                     .getBytes(StandardCharsets.UTF_8),
                             "rule " + i));
@@ -89,7 +89,7 @@
             long startNanos = System.nanoTime();
             for (int i = 0; i < listChecks; i++) {
                 allowedByList +=
-                        rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT])
+                        rights.verdictByScan(i % 5, false, 0, keys[i % KEY_COUNT])
                                         == Rights.Verdict.ALLOWED
                                 ? 1
                                 : 0;
@@ -97,7 +97,7 @@
             listNanos = Math.min(listNanos, (System.nanoTime() - startNanos) / (double) listChecks);
         }
         for (int i = 0; i < Math.min(listChecks, 2 * KEY_COUNT); i++) {
-            if (rights.plainly(i % 5, false, 0, keys[i % KEY_COUNT])
+            if (rights.verdictByScan(i % 5, false, 0, keys[i % KEY_COUNT])
                     != rights.verdict(i % 5, false, 0, keys[i % KEY_COUNT])) {
                 throw new IllegalStateException("index and list disagree on a verdict");
             }
@@ -127,10 +127,10 @@
                                 List.of(
                                         new Rule(
                                                 true,
-                                                Rule.ALL,
+                                                Rule.ALL_TYPES,
                                                 true,
                                                 true,
-                                                Rule.ANY,
+                                                Rule.ANY_GROUP,
                                                 new byte[0],
                                                 "r"))),
                         0,
@@ -139,36 +139,36 @@
         KeyBytes key = KeyBytes.of(new byte[] {'k'});
         double[] micros = new double[9];
         for (int pass = 0; pass < micros.length; pass++) {
-            Gate gate = new Gate();
-            gate.at(Duration.ofSeconds(1), unixNow);
-            gate.read(
+            AccessController gate = new AccessController();
+            gate.updateTime(Duration.ofSeconds(1), unixNow);
+            gate.replacePolicy(
                     new Policy(
                             Map.of("p", principal),
                             Set.of("k"),
                             Set.of(),
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
-            List<Gate.Session> sessions = new ArrayList<>();
+            List<AccessController.Session> sessions = new ArrayList<>();
             for (int i = 0; i < SESSION_COUNT; i++) {
                 sessions.add(
-                        (Gate.Session)
-                                gate.enter(
-                                        new Gate.Credential(
+                        (AccessController.Session)
+                                gate.openSession(
+                                        new AccessController.Credential(
                                                 "p",
                                                 "k",
                                                 "t" + i % 2,
                                                 Duration.ZERO,
                                                 unixNow.plusDays(1))));
             }
-            for (Gate.Session session : sessions) {
-                if (session.take(0, false, 0, key) != null) {
+            for (AccessController.Session session : sessions) {
+                if (session.admit(0, false, 0, key) != null) {
                     throw new IllegalStateException(
                             "session rejected a transaction that the policy allows");
                 }
-                session.done();
+                session.release();
             }
             long startNanos = System.nanoTime();
-            gate.read(
+            gate.replacePolicy(
                     new Policy(
                             Map.of("p", principal),
                             Set.of("k"),
@@ -176,7 +176,7 @@
                             Duration.ofSeconds(30),
                             Duration.ofSeconds(60)));
             for (int i = 0; i < SESSION_COUNT; i++) {
-                Refusal refusal = sessions.get(i).take(0, false, 0, key);
+                Refusal refusal = sessions.get(i).admit(0, false, 0, key);
                 if (refusal != (i % 2 == 1 ? Refusal.REVOKED : null)) {
                     throw new IllegalStateException("session " + i + ": " + refusal);
                 }
--- a/src/main/java/dillfront/benchmark/StubBackends.java
+++ b/src/main/java/dillfront/benchmark/StubBackends.java
@@ -1,11 +1,11 @@
 package dillfront.benchmark;
 
 import dillfront.router.pgwire.Messages;
-import dillfront.simulation.processes.Agent;
-import dillfront.simulation.processes.Catalogue;
-import dillfront.simulation.processes.Group;
-import dillfront.simulation.processes.Node;
-import dillfront.simulation.processes.Stage;
+import dillfront.simulation.processes.DiscoveryAgent;
+import dillfront.simulation.processes.DiscoveryCatalog;
+import dillfront.simulation.processes.NodeGroup;
+import dillfront.simulation.processes.SimulatedNode;
+import dillfront.simulation.processes.TestHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.Closeable;
@@ -51,11 +51,11 @@
     };
 
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
-    private final Stage stage = new Stage();
-    private final List<Node> nodes = new ArrayList<>();
-    private final List<Catalogue.Entry> initialEntries = new ArrayList<>();
-    private final Catalogue catalogue;
-    private final Agent discovery;
+    private final TestHarness stage = new TestHarness();
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final List<DiscoveryCatalog.Entry> initialEntries = new ArrayList<>();
+    private final DiscoveryCatalog catalogue;
+    private final DiscoveryAgent discovery;
     private final AtomicLong ids = new AtomicLong();
 
     /**
@@ -64,21 +64,23 @@
      * @param workMicros service time of a statement at a node, in microseconds
      */
     StubBackends(long workMicros) {
-        Node.Work work = new Node.Work(MAX_CONCURRENT_STATEMENTS, workMicros, 1, 1, 1, 1000);
+        SimulatedNode.Capacity work =
+                new SimulatedNode.Capacity(MAX_CONCURRENT_STATEMENTS, workMicros, 1, 1, 1, 1000);
         for (int i = 0; i < GROUPS * NODES_PER_GROUP; i++) {
-            Group group =
+            NodeGroup group =
                     i % NODES_PER_GROUP == 0
-                            ? new Group(stage, i / NODES_PER_GROUP, 0)
+                            ? new NodeGroup(stage, i / NODES_PER_GROUP, 0)
                             : nodes.get(i - 1).group();
-            Node node = new Node(stage, "s-" + i, group, i % NODES_PER_GROUP == 0, work);
+            SimulatedNode node =
+                    new SimulatedNode(stage, "s-" + i, group, i % NODES_PER_GROUP == 0, work);
             node.lag(0);
             nodes.add(node);
             initialEntries.add(
-                    new Catalogue.Entry(
-                            node.id(), i / NODES_PER_GROUP, "a", "ready", 0, node.leads()));
+                    new DiscoveryCatalog.Entry(
+                            node.id(), i / NODES_PER_GROUP, "a", "ready", 0, node.primary()));
         }
-        catalogue = new Catalogue(FIRST_GENERATION, initialEntries);
-        discovery = new Agent(stage, "discovery", catalogue, this::port);
+        catalogue = new DiscoveryCatalog(FIRST_GENERATION, initialEntries);
+        discovery = new DiscoveryAgent(stage, "discovery", catalogue, this::port);
     }
 
     private int port(String id) {
@@ -89,12 +91,12 @@
     String config(int port, double cores) {
         String entries =
                 initialEntries.stream()
-                        .map(entry -> Agent.row(entry, port(entry.id())))
+                        .map(entry -> DiscoveryAgent.entryJson(entry, port(entry.id())))
                         .collect(Collectors.joining(","));
         return ("{'name':'n0','listen':'127.0.0.1:"
                         + port
                         + "','discovery':'"
-                        + Stage.HOST
+                        + TestHarness.HOST
                         + ":"
                         + discovery.port()
                         + "','seed':'8c1f30d27a5be964','limits':{'cores':"
@@ -115,22 +117,22 @@
      * NODES_PER_GROUP - 1.
      */
     void setLifecycle(int node, String lifecycle) {
-        Catalogue.Entry entry = initialEntries.get(node);
+        DiscoveryCatalog.Entry entry = initialEntries.get(node);
         stage.run(
                 () ->
-                        catalogue.change(
-                                new Catalogue.Entry(
+                        catalogue.update(
+                                new DiscoveryCatalog.Entry(
                                         entry.id(),
                                         entry.group(),
                                         entry.zone(),
                                         lifecycle,
                                         0,
-                                        entry.leads())));
+                                        entry.primary())));
     }
 
     /** Waits until the router has the current instance list and polls for a newer one. */
     void awaitInstanceListRead() {
-        discovery.awaitAsker();
+        discovery.awaitCurrentSubscriber();
     }
 
     /** Returns how many statements the nodes of a group have received. */
@@ -144,7 +146,7 @@
 
     /** Returns the arrival times of the client statements at a node, by System.nanoTime(). */
     List<Long> arrivals(int node) {
-        return nodes.get(node).arrivals();
+        return nodes.get(node).arrivalNanos();
     }
 
     /** A client that sends one statement after the other. */
--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -3,18 +3,18 @@
 import dillfront.common.logging.Log;
 import dillfront.router.config.Setup;
 import dillfront.router.discovery.Member;
-import dillfront.router.memory.Memory;
-import dillfront.router.recovery.Doubts;
-import dillfront.router.recovery.Groups;
-import dillfront.router.recovery.Others;
-import dillfront.router.site.Sites;
+import dillfront.router.memory.RouterStateStore;
+import dillfront.router.recovery.GroupRecovery;
+import dillfront.router.recovery.InDoubtKeys;
+import dillfront.router.recovery.PeerInDoubtKeys;
+import dillfront.router.site.SiteHealthMonitor;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -28,7 +28,7 @@
  * referenced txns that may have run, and how far each group has come back. Joins these decisions to
  * the disk and to the router's words. On the loop.
  */
-final class Ledger implements Groups.Listener, Sites.Listener {
+final class Ledger implements GroupRecovery.Listener, SiteHealthMonitor.Listener {
 
     /**
      * State changes that are logged within one span of this length, in dial time-outs; the rest are
@@ -41,13 +41,13 @@
     private final Log log;
 
     /** Null where it is off. */
-    private final Doubts doubts;
+    private final InDoubtKeys doubts;
 
-    private final Memory memory;
-    private final Groups groups;
+    private final RouterStateStore memory;
+    private final GroupRecovery groups;
 
     /** Null where they are not watched. */
-    private final Sites sites;
+    private final SiteHealthMonitor sites;
 
     private Map<Integer, String> zones = Map.of();
     private Duration dial;
@@ -57,7 +57,7 @@
     private Duration now = Duration.ZERO;
 
     /** What other routers have in doubt; null where none tells. */
-    private Others others;
+    private PeerInDoubtKeys others;
 
     /**
      * @param bounds of the txns in doubt; null where they are not kept in mind
@@ -65,49 +65,49 @@
      * @param watchesSites what is lost is judged by site
      */
     Ledger(
-            Doubts.Bounds bounds,
-            Memory memory,
+            InDoubtKeys.Limits bounds,
+            RouterStateStore memory,
             boolean watchesSites,
             Setup setup,
             Duration began,
             Log log) {
         this.log = log;
         this.memory = memory;
-        Settings settings = setup.settings();
-        dial = settings.dial();
+        RoutingSettings settings = setup.settings();
+        dial = settings.connectTimeout();
         named(setup);
         sites =
                 watchesSites
-                        ? new Sites(zones.getOrDefault(settings.zone(), ""), dial, this)
+                        ? new SiteHealthMonitor(zones.getOrDefault(settings.zone(), ""), dial, this)
                         : null;
-        doubts = bounds == null ? null : new Doubts(bounds, memory);
-        groups = new Groups(began, dial, settings.coldFor(), this);
+        doubts = bounds == null ? null : new InDoubtKeys(bounds, memory);
+        groups = new GroupRecovery(began, dial, settings.warmUpTime(), this);
         if (memory != null) {
-            memory.leaders().forEach(groups::recall);
+            memory.primaries().forEach(groups::restorePrimary);
             if (doubts != null) {
-                memory.doubts().forEach(key -> doubts.recall(key, began));
+                memory.inDoubtKeys().forEach(key -> doubts.restore(key, began));
             }
         }
     }
 
-    void others(Others tell) {
+    void others(PeerInDoubtKeys tell) {
         others = tell;
     }
 
     private boolean elsewhere(long key) {
-        return others != null && others.mayDoubt(key);
+        return others != null && others.mayBeInDoubt(key);
     }
 
-    Doubts doubts() {
+    InDoubtKeys doubts() {
         return doubts;
     }
 
     void settings(Setup next) {
-        dial = next.settings().dial();
-        groups.settings(dial, next.settings().coldFor());
+        dial = next.settings().connectTimeout();
+        groups.settings(dial, next.settings().warmUpTime());
         named(next);
         if (sites != null) {
-            sites.settings(dial);
+            sites.setDialTimeout(dial);
         }
     }
 
@@ -124,34 +124,40 @@
     }
 
     boolean take(long key, Duration clock) {
-        return doubts.take(key, clock);
+        return doubts.begin(key, clock);
     }
 
     /** Since when it may have run; null where nothing here or elsewhere says so. */
     Duration ran(long key) {
-        Duration ran = doubts.ran(key);
-        return ran == null && elsewhere(key) ? Doubts.LONG_AGO : ran;
+        Duration ran = doubts.mayHaveRunSince(key);
+        return ran == null && elsewhere(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
     }
 
     void sends(long key, Duration clock) {
-        doubts.sends(key, clock);
+        doubts.recordSend(key, clock);
     }
 
     void over(long key, Duration clock) {
-        doubts.over(key, clock);
+        doubts.finish(key, clock);
     }
 
     /** A submission ended, of a txn with a key or without (0). */
-    void ended(long key, int node, Result result, boolean told, Report note, Duration clock) {
+    void ended(
+            long key,
+            int node,
+            SubmissionResult result,
+            boolean told,
+            NodeReport note,
+            Duration clock) {
         if (key != 0) {
-            doubts.ended(key, result.mayHaveRun(), told);
+            doubts.recordEnd(key, result.mayHaveRun(), told);
         }
-        if (result == Result.UNREACHABLE || result == Result.TIMED_OUT) {
-            groups.silent(node);
-        } else if (result != Result.UNSENT
-                && result != Result.WITHDRAWN
-                && result != Result.RESET) {
-            groups.heard(node, note.role(), note.position(), clock);
+        if (result == SubmissionResult.UNREACHABLE || result == SubmissionResult.TIMED_OUT) {
+            groups.recordNoAnswer(node);
+        } else if (result != SubmissionResult.UNSENT
+                && result != SubmissionResult.WITHDRAWN
+                && result != SubmissionResult.RESET) {
+            groups.recordAnswer(node, note.role(), note.position(), clock);
         }
     }
 
@@ -168,60 +174,62 @@
      * One that claims to lead, and gets no write, stands at no present either: nothing that it says
      * of itself counts.
      */
-    Report believed(int node, Report says, Duration clock) {
-        return says.role() == Role.PRIMARY && !groups.mayLead(node, clock) ? Report.NOTHING : says;
+    NodeReport believed(int node, NodeReport says, Duration clock) {
+        return says.role() == NodeRole.PRIMARY && !groups.isPrimaryAccepted(node, clock)
+                ? NodeReport.EMPTY
+                : says;
     }
 
     // ---- nodes
 
-    void probed(int node, boolean answered, Report report, Duration clock) {
+    void probed(int node, boolean answered, NodeReport report, Duration clock) {
         if (answered) {
-            groups.heard(node, report.role(), report.position(), clock);
+            groups.recordAnswer(node, report.role(), report.position(), clock);
         } else {
-            groups.silent(node);
+            groups.recordNoAnswer(node);
         }
     }
 
     void listed(List<Member> members) {
         for (Member m : members) {
             NodeRow row = m.row();
-            groups.listed(
+            groups.updateNode(
                     row.node(),
                     m.id(),
                     row.group(),
                     row.started(),
-                    row.standing() == Standing.READY);
+                    row.standing() == MemberState.READY);
             if (sites != null) {
-                sites.listed(
+                sites.updateNode(
                         row.node(),
                         zones.getOrDefault(row.zone(), "?"),
-                        row.standing() == Standing.READY);
+                        row.standing() == MemberState.READY);
             }
         }
     }
 
     void discovery(boolean there) {
-        groups.discovery(there);
+        groups.discoveryAvailable(there);
     }
 
     void forget(int node) {
-        groups.forget(node);
+        groups.removeNode(node);
         if (sites != null) {
-            sites.forget(node);
+            sites.removeNode(node);
         }
     }
 
     /**
      * @param sees what the router sees of each node, by its index, of so many
      */
-    void beat(Duration clock, int nodes, IntFunction<Sight> sees) {
+    void beat(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
         now = clock;
-        groups.beat(clock);
+        groups.tick(clock);
         for (int node = 0; node < nodes && sites != null; node++) {
-            sites.seen(node, sees.apply(node));
+            sites.observe(node, sees.apply(node));
         }
         if (sites != null) {
-            sites.beat(clock);
+            sites.tick(clock);
         }
         if (doubts != null) {
             doubts.expire(clock);
@@ -244,7 +252,7 @@
     }
 
     @Override
-    public void changed(int group, Groups.State from, Groups.State to) {
+    public void groupStateChanged(int group, GroupRecovery.State from, GroupRecovery.State to) {
         if (mayLog()) {
             log.info(
                     "recovery",
@@ -255,21 +263,23 @@
                     "to",
                     name(to),
                     "loss",
-                    name(groups.loss()),
+                    name(groups.outageScope()),
                     "sure",
-                    String.format(Locale.ROOT, "%.2f", groups.sure()));
+                    String.format(Locale.ROOT, "%.2f", groups.confidence()));
         }
     }
 
     @Override
-    public void changed(String site, Sites.State from, Sites.State to) {
+    public void siteStateChanged(
+            String site, SiteHealthMonitor.State from, SiteHealthMonitor.State to) {
         if (mayLog()) {
             log.info("site", "site", site, "from", name(from), "to", name(to));
         }
     }
 
     @Override
-    public void changed(Sites.Self from, Sites.Self to) {
+    public void siteStateChanged(
+            SiteHealthMonitor.Reachability from, SiteHealthMonitor.Reachability to) {
         if (mayLog()) {
             log.info("site", "self", name(to), "from", name(from));
         }
@@ -282,7 +292,7 @@
     @Override
     public void leads(int group, String node) {
         if (memory != null) {
-            memory.led(group, node);
+            memory.storePrimary(group, node);
         }
     }
 
@@ -290,11 +300,11 @@
     Map<String, Object> status(int closings, int witnesses) {
         Map<String, Object> all = new LinkedHashMap<>();
         Map<String, Object> recovery = new LinkedHashMap<>();
-        recovery.put("loss", name(groups.loss()));
-        recovery.put("sure", Math.round(groups.sure() * 100) / 100.0);
+        recovery.put("loss", name(groups.outageScope()));
+        recovery.put("sure", Math.round(groups.confidence() * 100) / 100.0);
         recovery.put("closings", closings);
         recovery.put("witnesses", witnesses);
-        recovery.put("writes_held_back", groups.held());
+        recovery.put("writes_held_back", groups.heldWrites());
         recovery.put("changes_unsaid", unsaid);
         all.put("recovery", recovery);
         Map<String, Object> states = new LinkedHashMap<>();
@@ -304,13 +314,14 @@
                                 states.put(
                                         String.valueOf(group),
                                         name(state)
-                                                + (groups.awaits(group) == null
+                                                + (groups.awaitedPrimary(group) == null
                                                         ? ""
-                                                        : ", awaits " + groups.awaits(group))));
+                                                        : ", awaits "
+                                                                + groups.awaitedPrimary(group))));
         all.put("groups", states);
         if (sites != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("self", name(sites.self()));
+            rows.put("self", name(sites.reachability()));
             sites.states().forEach((site, state) -> rows.put(site, name(state)));
             all.put("sites", rows);
         }
@@ -321,19 +332,19 @@
         }
         if (doubts != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("in_doubt", doubts.doubted());
+            rows.put("in_doubt", doubts.inDoubtCount());
             rows.put("kept", doubts.size());
-            rows.put("met", doubts.met());
-            rows.put("settled", doubts.settled());
+            rows.put("met", doubts.repeated());
+            rows.put("settled", doubts.resolved());
             rows.put("refused", doubts.refused());
             all.put("doubts", rows);
         }
         if (others != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("telling", others.telling());
-            rows.put("echoing", others.echoing());
-            rows.put("heard", others.heard());
-            rows.put("refused", others.refused());
+            rows.put("telling", others.reportingInstances());
+            rows.put("echoing", others.echoingInstances());
+            rows.put("heard", others.accepted());
+            rows.put("refused", others.rejected());
             all.put("others", rows);
         }
         return all;
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -14,19 +14,19 @@
 import dillfront.router.exchange.Asker;
 import dillfront.router.exchange.Desk;
 import dillfront.router.exchange.Exchange;
-import dillfront.router.pace.Pace;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
-import dillfront.router.peers.Telling;
+import dillfront.router.pace.LoopLagMonitor;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.peers.PeerRestrictionSync;
 import dillfront.router.pgwire.Statement;
-import dillfront.router.recovery.Doubts;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
+import dillfront.router.recovery.InDoubtKeys;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import java.time.Duration;
@@ -44,12 +44,12 @@
  * The module and what it drives: words of the network become its calls, its results go out again.
  */
 final class Router
-        implements Outlet,
+        implements RoutingActions,
                 Desk,
                 Fleet.Listener,
                 Watch.Listener,
-                Neighbours.Decisions,
-                Telling.Lists {
+                PeerHealthExchange.RoutingDecisions,
+                PeerRestrictionSync.ClosedNodeLists {
 
     /** The part of the memory that one answer may take: 2 MB where it is 128. */
     private static final int LONGEST_PART = 64;
@@ -59,13 +59,13 @@
     private final Counters counters;
     private final Log log;
     private final EventLoop loop;
-    private final Pace pace;
+    private final LoopLagMonitor pace;
 
     /** Of its own delay, what the module has been told. */
     private Duration told = Duration.ZERO;
 
     private final MemberList members;
-    private final Decide decide;
+    private final RoutingEngine decide;
     private final Fleet fleet;
 
     /** A slot is used again once its txn is over. */
@@ -82,7 +82,7 @@
     private final List<Integer> free = new ArrayList<>();
 
     /** Null where gossip is off. */
-    private Neighbours neighbours;
+    private PeerHealthExchange neighbours;
 
     /** How many others say that their lists have closed anything. */
     private int telling;
@@ -102,7 +102,7 @@
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new Pace(setup.settings().step());
+        pace = new LoopLagMonitor(setup.settings().clockStep());
         members = new MemberList(setup, clock, log);
         fleet =
                 new Fleet(
@@ -115,7 +115,7 @@
                         nodeConnections,
                         (int) (config.memoryMb() << 20) / LONGEST_PART,
                         this);
-        decide = new Decide(setup.settings(), this, new SplittableRandom(config.seed()));
+        decide = new RoutingEngine(setup.settings(), this, new SplittableRandom(config.seed()));
     }
 
     /** Some list is there: before that, nothing can be served. */
@@ -160,7 +160,7 @@
     }
 
     /** Others' words on nodes come through these. Before the first list. */
-    void hears(Neighbours others) {
+    void hears(PeerHealthExchange others) {
         neighbours = others;
     }
 
@@ -175,10 +175,10 @@
     void settings(Setup next) {
         tick();
         setup = next;
-        pace.step(next.settings().step());
+        pace.setStep(next.settings().clockStep());
         members.settings(next);
         fleet.settings(next);
-        decide.settings(next.settings());
+        decide.applySettings(next.settings());
         if (ledger != null) {
             ledger.settings(next);
         }
@@ -189,15 +189,15 @@
     @Override
     public void tick() {
         Duration now = clock.now();
-        Duration behind = pace.behind(now);
-        decide.at(now);
+        Duration behind = pace.totalLag(now);
+        decide.setTime(now);
         if (behind.compareTo(told) > 0) {
-            decide.late(behind.minus(told));
+            decide.recordPause(behind.minus(told));
             told = behind;
         }
     }
 
-    Pace pace() {
+    LoopLagMonitor pace() {
         return pace;
     }
 
@@ -215,9 +215,9 @@
         for (Member m : read) {
             rows.add(m.row());
         }
-        decide.list(list.flag("reset"), rows);
+        decide.updateMembers(list.flag("reset"), rows);
         if (neighbours != null) {
-            read.forEach(m -> neighbours.known(m.row().node(), m.id()));
+            read.forEach(m -> neighbours.addNode(m.row().node(), m.id()));
         }
         if (ledger != null) {
             ledger.listed(read);
@@ -229,11 +229,11 @@
     private void forget() {
         members.forget(
                 node -> {
-                    boolean over = decide.forget(node);
+                    boolean over = decide.forgetNode(node);
                     if (over) {
                         fleet.forget(node);
                         if (neighbours != null) {
-                            neighbours.forget(node);
+                            neighbours.removeNode(node);
                         }
                         if (ledger != null) {
                             ledger.forget(node);
@@ -241,7 +241,7 @@
                     }
                     return over;
                 });
-        counters.nodes = members.indices();
+        counters.nodeRows = members.indices();
     }
 
     /** Discovery itself has told a list. */
@@ -257,7 +257,7 @@
         if (ledger != null) {
             ledger.discovery(false);
         }
-        decide.listFailed();
+        decide.memberListFailed();
     }
 
     @Override
@@ -277,8 +277,9 @@
                 ledger != null
                         && ledger.keeps()
                         && statement.mark != 0
-                        && setup.settings().types().get(type).effect() == Effect.REFERENCED;
-        long key = marked ? Doubts.key(statement.group, statement.mark) : 0;
+                        && setup.settings().transactionTypes().get(type).repeatability()
+                                == Repeatability.DEDUPLICATED;
+        long key = marked ? InDoubtKeys.hash(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
         }
@@ -289,8 +290,8 @@
         } else {
             slots.set(slot, exchange);
         }
-        counters.taken++;
-        counters.txns++;
+        counters.startedTransactions++;
+        counters.openTransactions++;
         Duration now = clock.now();
         Duration token =
                 !setup.tokensCarried()
@@ -302,7 +303,7 @@
         Duration expiry = now.minus(waited).plus(patience);
         owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
         exchange.taken(
-                decide.take(
+                decide.accept(
                         slot,
                         type,
                         tenant,
@@ -321,22 +322,23 @@
      */
     private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
         ids.remove(statement.id);
-        counters.taken++;
+        counters.startedTransactions++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxPause());
+        never.decline(setup.settings().maxRetryDelay());
         message.release();
         return never;
     }
 
     @Override
-    public void ended(Exchange exchange, int node, Result result, boolean told, Report note) {
+    public void ended(
+            Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
         if (ledger != null) {
             ledger.ended(exchange.key(), node, result, told, note, clock.now());
         }
     }
 
     @Override
-    public Report believed(int node, Report says) {
+    public NodeReport believed(int node, NodeReport says) {
         return ledger == null ? says : ledger.believed(node, says, clock.now());
     }
 
@@ -354,7 +356,8 @@
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
     private Duration patience(Statement statement, int type) {
-        long longest = setup.settings().types().get(type).longest().toMillis();
+        long longest =
+                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
         return Duration.ofMillis(Math.min(statement.waitMs, longest));
     }
 
@@ -366,16 +369,16 @@
         slots.set(exchange.slot(), null);
         ids.remove(exchange.statement().id);
         free.add(exchange.slot());
-        counters.txns--;
+        counters.openTransactions--;
     }
 
     @Override
-    public void probed(int node, boolean answered, Report report) {
+    public void probed(int node, boolean answered, NodeReport report) {
         tick();
         if (ledger != null) {
             ledger.probed(node, answered, report, clock.now());
         }
-        decide.probed(node, answered, believed(node, report));
+        decide.probeCompleted(node, answered, believed(node, report));
     }
 
     // ---- what others say
@@ -392,14 +395,14 @@
 
     /** What is closed elsewhere by lists that have not come here yet is closed here too. */
     @Override
-    public void witnessed(Witnesses witnesses) {
+    public void peerReportsChanged(Witnesses witnesses) {
         telling = witnesses.telling();
         List<Witnesses.Word> newer = witnesses.newerThan(members.latest());
         if (newer.isEmpty()) {
             return;
         }
         Map<Long, String> ids = new HashMap<>();
-        members.ids().forEach(id -> ids.put(Ring.hash(id), id));
+        members.ids().forEach(id -> ids.put(PeerRegistry.hash(id), id));
         List<Member> closed = new ArrayList<>();
         for (Witnesses.Word word : newer) {
             String id = ids.get(word.node());
@@ -421,7 +424,7 @@
         }
         if (!closed.isEmpty()) {
             tick();
-            decide.list(false, closed.stream().map(Member::row).toList());
+            decide.updateMembers(false, closed.stream().map(Member::row).toList());
             if (ledger != null) {
                 ledger.listed(closed);
             }
@@ -429,20 +432,20 @@
     }
 
     @Override
-    public Sight sees(int node) {
-        return decide.sees(node);
+    public HealthObservation observeHealth(int node) {
+        return decide.observeHealth(node);
     }
 
     @Override
-    public void doubted(int node, boolean doubted) {
+    public void setSuspected(int node, boolean doubted) {
         tick();
-        decide.doubted(node, doubted);
+        decide.setSuspected(node, doubted);
     }
 
     @Override
     public void better(int node) {
         tick();
-        decide.better(node);
+        decide.advanceTrial(node);
     }
 
     // ---- results of the module
@@ -463,12 +466,12 @@
     }
 
     @Override
-    public void rollBack(int txn) {
+    public void reportUnknownOutcome(int txn) {
         slots.get(txn).rollBack();
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         fleet.release(node);
     }
 
@@ -479,24 +482,26 @@
 
     /** The watch goes on by itself on sockets. */
     @Override
-    public void follow() {}
+    public void watchMemberList() {}
 
     @Override
-    public void wake(Duration in) {
-        pace.expect(clock.now().plus(in));
+    public void scheduleWakeUp(Duration in) {
+        pace.expectTick(clock.now().plus(in));
         loop.schedule(
                 () -> {
                     try {
                         tick();
-                        pace.came(clock.now());
-                        counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longest().toMillis());
-                        decide.woken();
+                        pace.recordTick(clock.now());
+                        counters.longestLoopTurnMillis =
+                                Math.max(
+                                        counters.longestLoopTurnMillis,
+                                        pace.longestLag().toMillis());
+                        decide.onWakeUp();
                         if (neighbours != null) {
-                            neighbours.beat(clock.now());
+                            neighbours.tick(clock.now());
                         }
                         if (ledger != null) {
-                            ledger.beat(clock.now(), members.indices(), decide::sees);
+                            ledger.beat(clock.now(), members.indices(), decide::observeHealth);
                         }
                         forget();
                     } catch (RuntimeException fault) {
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/Side.java
@@ -7,14 +7,14 @@
 import dillfront.router.config.Setup;
 import dillfront.router.discovery.Witnesses;
 import dillfront.router.frontend.Clients;
-import dillfront.router.memory.Memory;
-import dillfront.router.operator.Operator;
-import dillfront.router.peers.Datagrams;
-import dillfront.router.peers.Neighbours;
-import dillfront.router.peers.Ring;
-import dillfront.router.peers.Standing;
-import dillfront.router.peers.Telling;
-import dillfront.router.recovery.Others;
+import dillfront.router.memory.RouterStateStore;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.router.peers.PeerHealthExchange;
+import dillfront.router.peers.PeerRegistry;
+import dillfront.router.peers.PeerRestrictionSync;
+import dillfront.router.peers.PeerStatusReport;
+import dillfront.router.peers.UdpGossipTransport;
+import dillfront.router.recovery.PeerInDoubtKeys;
 import io.netty.channel.EventLoop;
 import java.time.Duration;
 import java.util.HexFormat;
@@ -26,18 +26,24 @@
  */
 final class Side {
 
-    private final Neighbours neighbours;
-    private final Datagrams datagrams;
+    private final PeerHealthExchange neighbours;
+    private final UdpGossipTransport datagrams;
     private final Control control;
     private final Doorkeeper doorkeeper;
 
     /** Null where nothing is remembered. */
-    private final Memory memory;
+    private final RouterStateStore memory;
 
     private final Ledger ledger;
 
-    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log)
-            throws Operator.BadOperator {
+    Side(
+            OperatorConfig operator,
+            Config config,
+            Router router,
+            Clients clients,
+            EventLoop loop,
+            Log log)
+            throws OperatorConfig.InvalidOperatorConfigException {
         String name = config.name();
         long seed = config.seed();
         doorkeeper =
@@ -54,7 +60,10 @@
         if (doorkeeper != null) {
             clients.ask(doorkeeper);
         }
-        memory = operator.memory() == null ? null : Memory.open(operator.memory(), name, log, loop);
+        memory =
+                operator.stateFolder() == null
+                        ? null
+                        : RouterStateStore.open(operator.stateFolder(), name, log, loop);
         if (memory != null) {
             router.remembers(
                     members -> {
@@ -70,74 +79,80 @@
                     });
         }
         ledger =
-                memory == null && operator.doubts() == null && !operator.sites()
+                memory == null
+                                && operator.uncertainTransactionBounds() == null
+                                && !operator.assessesSites()
                         ? null
                         : new Ledger(
-                                operator.doubts(),
+                                operator.uncertainTransactionBounds(),
                                 memory,
-                                operator.sites(),
+                                operator.assessesSites(),
                                 config.setup(),
                                 router.clock().now(),
                                 log);
         if (ledger != null) {
             router.keeps(ledger, memory == null ? null : memory::whenKept);
         }
-        Operator.GossipPart gossip = operator.gossip();
+        OperatorConfig.GossipSection gossip = operator.gossip();
         if (gossip == null) {
             neighbours = null;
             datagrams = null;
         } else {
-            int self = gossip.self(name);
-            Ring ring = gossip.ring();
-            neighbours = new Neighbours(gossip.tuning(), ring.size(), router);
+            int self = gossip.selfIndex(name);
+            PeerRegistry ring = gossip.ring();
+            neighbours = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
             datagrams =
-                    new Datagrams(
+                    new UdpGossipTransport(
                             gossip.tuning(),
                             ring,
                             self,
-                            gossip.bind(),
-                            Ring.id(HexFormat.of().parseHex(gossip.publicKey())),
-                            gossip.key(),
+                            gossip.bindAddress(),
+                            PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
+                            gossip.privateKey(),
                             loop,
                             log,
                             router.clock()::now,
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
-                            (word, age) -> neighbours.claimed(word, age, router.clock().now()));
-            neighbours.speaksBy(datagrams::gossip);
+                            (word, age) ->
+                                    neighbours.receiveClaim(word, age, router.clock().now()));
+            neighbours.setGossip(datagrams::gossip);
             router.hears(neighbours);
-            Others others =
-                    operator.doubts() == null
+            PeerInDoubtKeys others =
+                    operator.uncertainTransactionBounds() == null
                             ? null
-                            : new Others(ring.size(), operator.doubts().keeps());
+                            : new PeerInDoubtKeys(
+                                    ring.size(), operator.uncertainTransactionBounds().retention());
             if (others != null) {
                 ledger.others(others);
             }
-            datagrams.tells(
-                    new Telling(
+            datagrams.setRestrictions(
+                    new PeerRestrictionSync(
                             others == null ? null : ledger.doubts(),
                             others,
-                            new Witnesses(gossip.tuning().liars()),
+                            new Witnesses(gossip.tuning().toleratedLiars()),
                             router,
                             router.clock()::now));
         }
         control =
-                operator.control() == null
+                operator.controlAddress() == null
                         ? null
                         : new Control(
                                 loop,
-                                operator.control(),
+                                operator.controlAddress(),
                                 log,
                                 question ->
                                         switch (question) {
                                             case "peers" ->
                                                     datagrams == null
                                                             ? "gossip is off\n"
-                                                            : Standing.table(datagrams, neighbours);
+                                                            : PeerStatusReport.table(
+                                                                    datagrams, neighbours);
                                             case "peers json" ->
                                                     datagrams == null
                                                             ? "{}\n"
-                                                            : Standing.json(datagrams, neighbours);
+                                                            : PeerStatusReport.json(
+                                                                    datagrams, neighbours);
                                             case "status" ->
                                                     ledger == null
                                                             ? "memory, doubts and sites are off\n"
--- a/src/main/java/dillfront/router/frontend/Clients.java
+++ b/src/main/java/dillfront/router/frontend/Clients.java
@@ -5,7 +5,7 @@
 import dillfront.common.network.Sockets;
 import dillfront.router.config.Clock;
 import dillfront.router.exchange.Desk;
-import dillfront.router.pace.Pace;
+import dillfront.router.pace.LoopLagMonitor;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -33,7 +33,7 @@
     final Desk desk;
     final Counters counters;
     final Log log;
-    final Pace pace;
+    final LoopLagMonitor pace;
     final Clock clock;
     private final EventLoop loop;
     private final int most;
@@ -77,7 +77,7 @@
      */
     public Clients(
             Desk desk,
-            Pace pace,
+            LoopLagMonitor pace,
             Clock clock,
             Counters counters,
             Log log,
@@ -134,7 +134,7 @@
 
     private void turn() {
         Duration began = clock.now();
-        while (!line.isEmpty() && pace.takesMore(began, clock.now())) {
+        while (!line.isEmpty() && pace.mayContinueTurn(began, clock.now())) {
             ClientConnection next = line.poll();
             next.inLine = false;
             next.pump();
--- a/src/main/java/dillfront/router/memory/Memory.java
+++ b/src/main/java/dillfront/router/memory/RouterStateStore.java
@@ -4,9 +4,9 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
 import dillfront.router.discovery.Closings;
-import dillfront.router.operator.Operator;
-import dillfront.router.recovery.Doubts;
-import dillfront.routing.api.Standing;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.router.recovery.InDoubtKeys;
+import dillfront.routing.api.MemberState;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,26 +29,26 @@
  * <p>A thread of its own writes, what has come meanwhile at once; what changes faster than the disk
  * takes it is folded, so that no more waits than there are nodes and txns. A disk that fails is
  * said once, and what waits is written again, at a gap, until it takes it. Meanwhile no txn is
- * kept, and {@link #able} says so.
+ * kept, and {@link #isWritable} says so.
  */
-public final class Memory implements Closings.Keeper, Doubts.Keeper {
+public final class RouterStateStore implements Closings.Keeper, InDoubtKeys.KeyStore {
 
     /** One word that closed a node. */
-    public record Closing(String id, Standing standing, long startedMs, long generation) {
+    public record Closing(String id, MemberState standing, long startedMs, long generation) {
 
-        String text() {
+        String format() {
             return standing + " " + startedMs + " " + generation;
         }
 
         /** Null where it is no such text. */
-        static Closing read(String id, String text) {
+        static Closing parse(String id, String text) {
             String[] parts = text.split(" ");
             try {
                 return parts.length != 3
                         ? null
                         : new Closing(
                                 id,
-                                Standing.valueOf(parts[0]),
+                                MemberState.valueOf(parts[0]),
                                 Long.parseLong(parts[1]),
                                 Long.parseLong(parts[2]));
             } catch (IllegalArgumentException bad) {
@@ -58,69 +58,69 @@
     }
 
     /** Names of texts: the first character tells what it is of. */
-    private static final String CLOSED = "c";
+    private static final String CLOSING_PREFIX = "c";
 
-    private static final String LED = "l";
+    private static final String PRIMARY_PREFIX = "l";
 
     /**
      * The end waits so long for what is not written yet; after that it is lost, as in a loss of
      * power.
      */
-    private static final long LAST_MS = 1000;
+    private static final long CLOSE_TIMEOUT_MS = 1000;
 
     /** Between two tries at a disk that fails. */
-    private static final long AGAIN_MS = 250;
+    private static final long RETRY_DELAY_MS = 250;
 
     private final Log log;
     private final Path folder;
     private final Executor loop;
 
     /** The writer's, once it runs. */
-    private final CompactingLog shelf;
+    private final CompactingLog storage;
 
     private final List<Closing> closings = new ArrayList<>();
-    private final Map<Integer, String> leaders = new HashMap<>();
-    private final Set<Long> doubts;
+    private final Map<Integer, String> primaries = new HashMap<>();
+    private final Set<Long> inDoubtKeys;
     private final Thread writer;
 
     /**
      * Not written yet: the last text of each, empty where it is to be taken out. This and what
      * follows, under its lock.
      */
-    private final Map<String, String> waiting = new HashMap<>();
+    private final Map<String, String> pendingTexts = new HashMap<>();
 
     /**
      * Not written yet: with the Unix time for people who look into the file; null where it is to be
      * taken out.
      */
-    private final Map<Long, Long> numbers = new HashMap<>();
+    private final Map<Long, Long> pendingKeys = new HashMap<>();
 
-    private final List<Consumer<Boolean>> told = new ArrayList<>();
-    private boolean over;
+    private final List<Consumer<Boolean>> pendingCallbacks = new ArrayList<>();
+    private boolean stopping;
     private volatile boolean failing;
-    private volatile long written;
+    private volatile long writtenEntries;
     private volatile long commits;
     private volatile long failures;
 
-    private Memory(Path folder, CompactingLog shelf, Log log, Executor loop) {
+    private RouterStateStore(Path folder, CompactingLog storage, Log log, Executor loop) {
         this.folder = folder;
-        this.shelf = shelf;
+        this.storage = storage;
         this.log = log;
         this.loop = loop;
-        shelf.strings()
+        storage.strings()
                 .forEach(
                         (name, text) -> {
                             String id = name.substring(1);
-                            if (name.startsWith(CLOSED)) {
-                                Closing closing = Closing.read(id, text);
+                            if (name.startsWith(CLOSING_PREFIX)) {
+                                Closing closing = Closing.parse(id, text);
                                 if (closing != null) {
                                     closings.add(closing);
                                 }
-                            } else if (name.startsWith(LED) && id.matches("\\d{1,9}")) {
-                                leaders.put(Integer.valueOf(id), text);
+                            } else if (name.startsWith(PRIMARY_PREFIX) && id.matches("\\d{1,9}")) {
+                                primaries.put(Integer.valueOf(id), text);
                             }
                         });
-        doubts = shelf.numbers().keySet();
+        inDoubtKeys = storage.numbers().keySet();
         writer = new Thread(this::write, "memory");
         writer.setDaemon(true);
         writer.start();
@@ -133,38 +133,40 @@
      *
      * @param loop where it is told that something was kept
      */
-    public static Memory open(Path folder, String name, Log log, Executor loop)
-            throws Operator.BadOperator {
-        CompactingLog shelf;
+    public static RouterStateStore open(Path folder, String name, Log log, Executor loop)
+            throws OperatorConfig.InvalidOperatorConfigException {
+        CompactingLog storage;
         try {
             StorageFolder disk = new StorageFolder.LocalFolder(folder);
             try {
-                shelf = CompactingLog.open(disk, folder.toString(), name);
-            } catch (CompactingLog.UnusableLogException bad) {
+                storage = CompactingLog.open(disk, folder.toString(), name);
+            } catch (CompactingLog.UnusableLogException unusable) {
                 disk.close();
-                throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
+                throw new OperatorConfig.InvalidOperatorConfigException(
+                        "memory " + folder + ": " + unusable.getMessage());
             }
-        } catch (IOException | CompactingLog.LockedException bad) {
-            throw new Operator.BadOperator("memory " + folder + ": " + bad.getMessage());
+        } catch (IOException | CompactingLog.LockedException unusable) {
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    "memory " + folder + ": " + unusable.getMessage());
         }
-        if (shelf.damage() != null) {
+        if (storage.damage() != null) {
             log.warn(
-                    shelf.isQuarantined() ? "memory-broken" : "memory-tail-cut",
+                    storage.isQuarantined() ? "memory-broken" : "memory-tail-cut",
                     "fault",
-                    shelf.damage());
+                    storage.damage());
         }
-        Memory memory = new Memory(folder, shelf, log, loop);
+        RouterStateStore store = new RouterStateStore(folder, storage, log, loop);
         log.info(
                 "memory",
                 "folder",
                 folder,
                 "closings",
-                memory.closings.size(),
+                store.closings.size(),
                 "leaders",
-                memory.leaders.size(),
+                store.primaries.size(),
                 "doubts",
-                memory.doubts.size());
-        return memory;
+                store.inDoubtKeys.size());
+        return store;
     }
 
     /** What was remembered when it was opened. */
@@ -173,54 +175,54 @@
     }
 
     /** By group, the id of the node that led it last, when it was opened. */
-    public Map<Integer, String> leaders() {
-        return Map.copyOf(leaders);
+    public Map<Integer, String> primaries() {
+        return Map.copyOf(primaries);
     }
 
     /** The keys that were kept when it was opened. */
-    public Set<Long> doubts() {
-        return doubts;
+    public Set<Long> inDoubtKeys() {
+        return inDoubtKeys;
     }
 
     @Override
-    public void closed(String id, Standing standing, long startedMs, long generation) {
-        put(CLOSED + id, new Closing(id, standing, startedMs, generation).text());
+    public void closed(String id, MemberState standing, long startedMs, long generation) {
+        put(CLOSING_PREFIX + id, new Closing(id, standing, startedMs, generation).format());
     }
 
     @Override
     public void opened(String id) {
-        put(CLOSED + id, "");
+        put(CLOSING_PREFIX + id, "");
     }
 
-    public void led(int group, String id) {
-        put(LED + group, id);
+    public void storePrimary(int group, String id) {
+        put(PRIMARY_PREFIX + group, id);
     }
 
     private void put(String name, String text) {
-        synchronized (waiting) {
-            waiting.put(name, text);
-            waiting.notifyAll();
+        synchronized (pendingTexts) {
+            pendingTexts.put(name, text);
+            pendingTexts.notifyAll();
         }
     }
 
     @Override
-    public boolean able() {
+    public boolean isWritable() {
         return !failing;
     }
 
     @Override
-    public void keep(long key) {
-        synchronized (waiting) {
-            numbers.put(key, System.currentTimeMillis());
-            waiting.notifyAll();
+    public void store(long key) {
+        synchronized (pendingTexts) {
+            pendingKeys.put(key, System.currentTimeMillis());
+            pendingTexts.notifyAll();
         }
     }
 
     /** It waits for the next change, so that a txn costs one sync and not two. */
     @Override
-    public void drop(long key) {
-        synchronized (waiting) {
-            numbers.put(key, null);
+    public void remove(long key) {
+        synchronized (pendingTexts) {
+            pendingKeys.put(key, null);
         }
     }
 
@@ -228,45 +230,45 @@
      * Tells on the loop once all that came before is on the disk, or, with false, that the disk
      * does not take it.
      */
-    public void whenKept(Consumer<Boolean> then) {
-        synchronized (waiting) {
+    public void whenKept(Consumer<Boolean> callback) {
+        synchronized (pendingTexts) {
             if (!failing) {
-                told.add(then);
-                waiting.notifyAll();
+                pendingCallbacks.add(callback);
+                pendingTexts.notifyAll();
                 return;
             }
         }
-        loop.execute(() -> then.accept(false));
+        loop.execute(() -> callback.accept(false));
     }
 
     private void write() {
         while (true) {
             Map<String, String> texts;
             Map<Long, Long> keys;
-            List<Consumer<Boolean>> tell;
-            synchronized (waiting) {
-                while (waiting.isEmpty() && told.isEmpty() && !over) {
+            List<Consumer<Boolean>> callbacks;
+            synchronized (pendingTexts) {
+                while (pendingTexts.isEmpty() && pendingCallbacks.isEmpty() && !stopping) {
                     try {
-                        waiting.wait();
+                        pendingTexts.wait();
                     } catch (InterruptedException stopped) {
                         return;
                     }
                 }
-                if (over && waiting.isEmpty() && numbers.isEmpty()) {
+                if (stopping && pendingTexts.isEmpty() && pendingKeys.isEmpty()) {
                     return;
                 }
-                texts = new HashMap<>(waiting);
-                keys = new HashMap<>(numbers);
-                tell = new ArrayList<>(told);
-                waiting.clear();
-                numbers.clear();
-                told.clear();
+                texts = new HashMap<>(pendingTexts);
+                keys = new HashMap<>(pendingKeys);
+                callbacks = new ArrayList<>(pendingCallbacks);
+                pendingTexts.clear();
+                pendingKeys.clear();
+                pendingCallbacks.clear();
             }
-            boolean kept = put(texts, keys);
-            if (!tell.isEmpty()) {
-                loop.execute(() -> tell.forEach(t -> t.accept(kept)));
+            boolean stored = put(texts, keys);
+            if (!callbacks.isEmpty()) {
+                loop.execute(() -> callbacks.forEach(t -> t.accept(stored)));
             }
-            if (!kept && !again(texts, keys)) {
+            if (!stored && !requeueAndWait(texts, keys)) {
                 return;
             }
         }
@@ -274,8 +276,8 @@
 
     private boolean put(Map<String, String> texts, Map<Long, Long> keys) {
         try {
-            shelf.put(texts, keys);
-            written += texts.size() + keys.size();
+            storage.put(texts, keys);
+            writtenEntries += texts.size() + keys.size();
             commits++;
             if (failing) {
                 failing = false;
@@ -295,47 +297,49 @@
     /**
      * What was not written waits again, but for what is newer by now; false once this is closed.
      */
-    private boolean again(Map<String, String> texts, Map<Long, Long> keys) {
-        synchronized (waiting) {
-            texts.forEach(waiting::putIfAbsent);
+    private boolean requeueAndWait(Map<String, String> texts, Map<Long, Long> keys) {
+        synchronized (pendingTexts) {
+            texts.forEach(pendingTexts::putIfAbsent);
             keys.forEach(
                     (key, number) -> {
-                        if (!numbers.containsKey(key)) {
-                            numbers.put(key, number);
+                        if (!pendingKeys.containsKey(key)) {
+                            pendingKeys.put(key, number);
                         }
                     });
             // So that a disk which works again is found, whatever else there is to write.
-            waiting.putIfAbsent("tried", "");
-            List<Consumer<Boolean>> tell = new ArrayList<>(told);
-            told.clear();
-            if (!tell.isEmpty()) {
-                loop.execute(() -> tell.forEach(t -> t.accept(false)));
+            pendingTexts.putIfAbsent("tried", "");
+            List<Consumer<Boolean>> callbacks = new ArrayList<>(pendingCallbacks);
+            pendingCallbacks.clear();
+            if (!callbacks.isEmpty()) {
+                loop.execute(() -> callbacks.forEach(t -> t.accept(false)));
             }
-            long until = System.nanoTime() + AGAIN_MS * 1_000_000;
+            long deadline = System.nanoTime() + RETRY_DELAY_MS * 1_000_000;
             try {
-                for (long left = AGAIN_MS;
-                        left > 0 && !over;
-                        left = (until - System.nanoTime()) / 1_000_000) {
-                    waiting.wait(left);
+                for (long remainingMs = RETRY_DELAY_MS;
+                        remainingMs > 0 && !stopping;
+                        remainingMs = (deadline - System.nanoTime()) / 1_000_000) {
+                    pendingTexts.wait(remainingMs);
                 }
             } catch (InterruptedException stopped) {
                 return false;
             }
-            return !over;
+            return !stopping;
         }
     }
 
     /** For the operator: names and numbers, in the order in which they are shown. */
     public Map<String, Object> status() {
         Map<String, Object> status = new java.util.LinkedHashMap<>();
-        synchronized (waiting) {
+        synchronized (pendingTexts) {
             status.put("folder", folder.toString());
-            status.put("written", written);
+            status.put("written", writtenEntries);
             status.put("commits", commits);
             status.put(
                     "waiting",
-                    waiting.size()
-                            + numbers.values().stream().filter(java.util.Objects::nonNull).count());
+                    pendingTexts.size()
+                            + pendingKeys.values().stream()
+                                    .filter(java.util.Objects::nonNull)
+                                    .count());
             status.put("failures", failures);
             status.put("failing", failing);
         }
@@ -344,18 +348,18 @@
 
     /** Writes what still waits, for a second at the most, and closes the folder. */
     public void close() {
-        synchronized (waiting) {
-            over = true;
-            waiting.notifyAll();
+        synchronized (pendingTexts) {
+            stopping = true;
+            pendingTexts.notifyAll();
         }
         try {
-            writer.join(LAST_MS);
+            writer.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
         // Where the disk hangs, the writer still has it; the process ends without it.
         if (!writer.isAlive()) {
-            shelf.close();
+            storage.close();
         }
     }
 }
--- a/src/main/java/dillfront/router/pace/Pace.java
+++ b/src/main/java/dillfront/router/pace/LoopLagMonitor.java
@@ -1,6 +1,6 @@
 package dillfront.router.pace;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 
@@ -16,48 +16,48 @@
  * takes queries, how old a query may be that has just been read, and whether a time limit that ran
  * meanwhile is to be believed.
  */
-public final class Pace {
+public final class LoopLagMonitor {
 
     /** A turn takes queries for this many steps of the clock, then looks at the sockets again. */
-    private static final double TURN = 1;
+    private static final double TURN_STEPS = 1;
 
     /** Up to so many steps a beat is late by the timer's own grain: that is no delay. */
-    private static final double GRAIN = 1;
+    private static final double RESOLUTION_STEPS = 1;
 
-    private Duration turn;
-    private Duration grain;
-    private Duration due;
-    private Duration behind = Duration.ZERO;
-    private Duration longest = Duration.ZERO;
-    private boolean cameLate;
+    private Duration turnLimit;
+    private Duration resolution;
+    private Duration dueAt;
+    private Duration totalLag = Duration.ZERO;
+    private Duration longestLag = Duration.ZERO;
+    private boolean lastTickLate;
 
     /**
      * @param step the clock's step, the shortest time that the router counts with
      */
-    public Pace(Duration step) {
-        step(step);
+    public LoopLagMonitor(Duration step) {
+        setStep(step);
     }
 
     /** The clock has another step from now on. */
-    public void step(Duration step) {
-        turn = times(step, TURN);
-        grain = times(step, GRAIN);
+    public void setStep(Duration step) {
+        turnLimit = multiply(step, TURN_STEPS);
+        resolution = multiply(step, RESOLUTION_STEPS);
     }
 
     /** The next beat is to come then. */
-    public void expect(Duration when) {
-        due = when;
+    public void expectTick(Duration nextTickAt) {
+        dueAt = nextTickAt;
     }
 
     /** The beat has come. */
-    public void came(Duration now) {
+    public void recordTick(Duration now) {
         Duration lag = lag(now);
-        cameLate = !lag.isZero();
-        if (cameLate) {
-            behind = behind.plus(lag);
-            longest = lag.compareTo(longest) > 0 ? lag : longest;
+        lastTickLate = !lag.isZero();
+        if (lastTickLate) {
+            totalLag = totalLag.plus(lag);
+            longestLag = lag.compareTo(longestLag) > 0 ? lag : longestLag;
         }
-        due = null;
+        dueAt = null;
     }
 
     /**
@@ -65,10 +65,10 @@
      * grain.
      */
     public Duration lag(Duration now) {
-        if (due == null) {
+        if (dueAt == null) {
             return Duration.ZERO;
         }
-        Duration late = now.minus(due).minus(grain);
+        Duration late = now.minus(dueAt).minus(resolution);
         return late.isNegative() ? Duration.ZERO : late;
     }
 
@@ -77,20 +77,20 @@
      * does after a look at all sockets, and the next is not overdue. Where it is not sure, the news
      * are read by themselves before a send.
      */
-    public boolean sure(Duration now) {
-        return due != null && !cameLate && lag(now).isZero();
+    public boolean isSocketDataRead(Duration now) {
+        return dueAt != null && !lastTickLate && lag(now).isZero();
     }
 
     /** All the time since the start for which the thread was late; never falls. */
-    public Duration behind(Duration now) {
-        return behind.plus(lag(now));
+    public Duration totalLag(Duration now) {
+        return totalLag.plus(lag(now));
     }
 
     /** The longest delay since this was last asked. */
-    public Duration longest() {
-        Duration was = longest;
-        longest = Duration.ZERO;
-        return was;
+    public Duration longestLag() {
+        Duration previous = longestLag;
+        longestLag = Duration.ZERO;
+        return previous;
     }
 
     /**
@@ -98,7 +98,7 @@
      * thread was away. The longest that can be, since an answer after the client's time is no
      * answer.
      */
-    public Duration age(Duration now) {
+    public Duration maxQueryAge(Duration now) {
         return lag(now);
     }
 
@@ -107,8 +107,8 @@
      * keeps the news of the list, and answers that have come, unread: between two turns all sockets
      * are looked at.
      */
-    public boolean takesMore(Duration began, Duration now) {
-        return now.minus(began).compareTo(turn) < 0;
+    public boolean mayContinueTurn(Duration turnStartedAt, Duration now) {
+        return now.minus(turnStartedAt).compareTo(turnLimit) < 0;
     }
 
     /**
@@ -116,9 +116,9 @@
      * limit was set: the answer may lie unread, so the sockets are looked at once more. Guards
      * against nodes blamed for the router's own pause.
      *
-     * @param behindThen what behind() was when the limit was set
+     * @param lagAtStart what behind() was when the limit was set
      */
-    public boolean believes(Duration behindThen, Duration now) {
-        return behind(now).compareTo(behindThen) <= 0;
+    public boolean isTimeLimitValid(Duration lagAtStart, Duration now) {
+        return totalLag(now).compareTo(lagAtStart) <= 0;
     }
 }
--- a/src/main/java/dillfront/router/peers/Drop.java
+++ b/src/main/java/dillfront/router/peers/DropReason.java
@@ -1,7 +1,7 @@
 package dillfront.router.peers;
 
 /** Why a datagram or a word was not taken, in the order of the looks at it. */
-public enum Drop {
+public enum DropReason {
     /** No datagram of this form: too short or long, another version, a length that does not fit. */
     FORM,
     /** Meant for another instance, or of this one itself. */
--- a/src/main/java/dillfront/router/peers/Ring.java
+++ b/src/main/java/dillfront/router/peers/PeerRegistry.java
@@ -21,10 +21,10 @@
  * first, then used, then the old one ends. Indices run in the order of the file; the table is as
  * long as that.
  */
-public final class Ring {
+public final class PeerRegistry {
 
     /** An Ed25519 key as X.509 writes it is this and 32 bytes (RFC 8410, section 4). */
-    private static final byte[] X509 = HexFormat.of().parseHex("302a300506032b6570032100");
+    private static final byte[] X509_PREFIX = HexFormat.of().parseHex("302a300506032b6570032100");
 
     private static final int KEY_BYTES = 32;
 
@@ -32,14 +32,15 @@
      * One key of an instance.
      *
      * @param id what names it on the wire: the first 8 bytes of its SHA-256
-     * @param from Unix time from which it counts, and until which
+     * @param validFrom Unix time from which it counts, and until which
      */
-    public record Key(int peer, long id, PublicKey key, Duration from, Duration until) {}
+    public record PeerKey(
+            int peer, long id, PublicKey key, Duration validFrom, Duration validUntil) {}
 
     private final List<String> names = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final Map<Long, Integer> peers = new HashMap<>();
-    private final Map<Long, Key> keys = new HashMap<>();
+    private final Map<Long, PeerKey> keys = new HashMap<>();
 
     /**
      * Adds an instance.
@@ -47,9 +48,9 @@
      * @param address where it listens, or null where that is learnt
      * @return its index
      */
-    public int add(String name, InetSocketAddress address) throws BadRing {
+    public int add(String name, InetSocketAddress address) throws InvalidPeerException {
         if (peers.putIfAbsent(hash(name), names.size()) != null) {
-            throw new BadRing("peer '" + name + "' is named twice");
+            throw new InvalidPeerException("peer '" + name + "' is named twice");
         }
         names.add(name);
         addresses.add(address);
@@ -59,7 +60,8 @@
     /**
      * @param hex the 32 bytes of an Ed25519 public key, as `dillfront keygen` prints them
      */
-    public void key(int peer, String hex, Duration from, Duration until) throws BadRing {
+    public void key(int peer, String hex, Duration from, Duration until)
+            throws InvalidPeerException {
         byte[] raw;
         try {
             raw = HexFormat.of().parseHex(hex);
@@ -67,19 +69,24 @@
             raw = new byte[0];
         }
         if (raw.length != KEY_BYTES) {
-            throw new BadRing(
+            throw new InvalidPeerException(
                     "a key of peer '" + names.get(peer) + "' is not 64 hexadecimal digits");
         }
         try {
-            byte[] x509 = ByteBuffer.allocate(X509.length + KEY_BYTES).put(X509).put(raw).array();
+            byte[] x509 =
+                    ByteBuffer.allocate(X509_PREFIX.length + KEY_BYTES)
+                            .put(X509_PREFIX)
+                            .put(raw)
+                            .array();
             PublicKey key =
                     KeyFactory.getInstance("Ed25519").generatePublic(new X509EncodedKeySpec(x509));
-            Key row = new Key(peer, id(raw), key, from, until);
-            if (keys.putIfAbsent(row.id, row) != null) {
-                throw new BadRing("a key of peer '" + names.get(peer) + "' is there twice");
+            PeerKey added = new PeerKey(peer, keyId(raw), key, from, until);
+            if (keys.putIfAbsent(added.id, added) != null) {
+                throw new InvalidPeerException(
+                        "a key of peer '" + names.get(peer) + "' is there twice");
             }
         } catch (GeneralSecurityException bad) {
-            throw new BadRing(
+            throw new InvalidPeerException(
                     "a key of peer '"
                             + names.get(peer)
                             + "' is no Ed25519 key: "
@@ -88,32 +95,33 @@
     }
 
     /** The 32 bytes of a public key, as `dillfront keygen` prints them. */
-    public static byte[] raw(PublicKey key) {
+    public static byte[] rawKey(PublicKey key) {
         byte[] x509 = key.getEncoded();
         return java.util.Arrays.copyOfRange(x509, x509.length - KEY_BYTES, x509.length);
     }
 
-    public static long id(byte[] raw) {
-        return first(raw);
+    public static long keyId(byte[] raw) {
+        return hashPrefix(raw);
     }
 
     /** What stands for a name on the wire: the first 8 bytes of its SHA-256. */
     public static long hash(String name) {
-        return first(name.getBytes(StandardCharsets.UTF_8));
+        return hashPrefix(name.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static long first(byte[] of) {
+    private static long hashPrefix(byte[] bytes) {
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(of)).getLong();
-        } catch (GeneralSecurityException none) {
-            throw new IllegalStateException(none);
+            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
+        } catch (GeneralSecurityException missing) {
+            throw new IllegalStateException(missing);
         }
     }
 
     /** Whether this is one of a peer's keys, whenever it counts. */
-    public boolean has(int peer, String hex) {
-        for (Key key : keys.values()) {
-            if (key.peer == peer && HexFormat.of().formatHex(raw(key.key)).equalsIgnoreCase(hex)) {
+    public boolean hasKey(int peer, String hex) {
+        for (PeerKey key : keys.values()) {
+            if (key.peer == peer
+                    && HexFormat.of().formatHex(rawKey(key.key)).equalsIgnoreCase(hex)) {
                 return true;
             }
         }
@@ -121,15 +129,15 @@
     }
 
     /** Whether the private key is the one that belongs to this public one. */
-    public boolean pair(java.security.PrivateKey mine, String hex) {
+    public boolean isKeyPair(java.security.PrivateKey privateKey, String hex) {
         try {
-            Key key = keys.get(id(HexFormat.of().parseHex(hex)));
+            PeerKey key = keys.get(keyId(HexFormat.of().parseHex(hex)));
             java.security.Signature signature = java.security.Signature.getInstance("Ed25519");
-            signature.initSign(mine);
-            signature.update(raw(key.key));
+            signature.initSign(privateKey);
+            signature.update(rawKey(key.key));
             byte[] signed = signature.sign();
             signature.initVerify(key.key);
-            signature.update(raw(key.key));
+            signature.update(rawKey(key.key));
             return signature.verify(signed);
         } catch (GeneralSecurityException bad) {
             return false;
@@ -159,19 +167,21 @@
     }
 
     /** Null where there is none of this id that counts at this Unix time. */
-    public Key key(long id, Duration unix) {
-        Key key = keys.get(id);
-        return key == null || unix.compareTo(key.from) < 0 || unix.compareTo(key.until) >= 0
+    public PeerKey key(long id, Duration unixTime) {
+        PeerKey key = keys.get(id);
+        return key == null
+                        || unixTime.compareTo(key.validFrom) < 0
+                        || unixTime.compareTo(key.validUntil) >= 0
                 ? null
                 : key;
     }
 
     /** What is wrong with a ring, for the operator. */
-    public static final class BadRing extends Exception {
+    public static final class InvalidPeerException extends Exception {
         private static final long serialVersionUID = 1;
 
-        BadRing(String fault) {
-            super(fault);
+        InvalidPeerException(String message) {
+            super(message);
         }
     }
 }
--- a/src/main/java/dillfront/router/peers/Standing.java
+++ b/src/main/java/dillfront/router/peers/PeerStatusReport.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.router.gossip.Gossip;
-import dillfront.router.gossip.Hearsay;
-import dillfront.router.gossip.Members;
+import dillfront.router.gossip.GossipProtocol;
+import dillfront.router.gossip.MembershipList;
+import dillfront.router.gossip.PeerClaims;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.util.ArrayList;
@@ -15,42 +15,42 @@
  * What an instance thinks of its peers, and of the nodes by hearsay, to be read by people or
  * programs.
  */
-public final class Standing {
+public final class PeerStatusReport {
 
-    private Standing() {}
+    private PeerStatusReport() {}
 
     /** One name and its number, in the order in which they are shown. */
     private record Count(String name, long number) {}
 
-    private static List<Count> counts(Datagrams datagrams, Hearsay hearsay) {
-        Gossip gossip = datagrams.gossip();
+    private static List<Count> counts(UdpGossipTransport transport, PeerClaims claims) {
+        GossipProtocol gossip = transport.gossip();
         List<Count> counts =
                 new ArrayList<>(
                         List.of(
-                                new Count("datagrams_sent", datagrams.datagramsSent()),
-                                new Count("datagrams_read", datagrams.datagramsRead()),
-                                new Count("bytes_sent", gossip.budget().sent()),
-                                new Count("unsent_for_budget", gossip.budget().refused()),
-                                new Count("unsent_for_address", datagrams.noAddress()),
-                                new Count("claims_taken", hearsay.taken()),
-                                new Count("claims_confirmed", hearsay.confirmed()),
-                                new Count("claims_overruled", hearsay.overruled()),
-                                new Count("claims_out_of_time", gossip.outOfTime()),
-                                new Count("words_crowded_out", gossip.crowdedOut())));
-        for (Drop why : Drop.values()) {
+                                new Count("datagrams_sent", transport.datagramsSent()),
+                                new Count("datagrams_read", transport.datagramsRead()),
+                                new Count("bytes_sent", gossip.budget().bytesSent()),
+                                new Count("unsent_for_budget", gossip.budget().refusedDatagrams()),
+                                new Count("unsent_for_address", transport.unsentForAddress()),
+                                new Count("claims_taken", claims.accepted()),
+                                new Count("claims_confirmed", claims.confirmed()),
+                                new Count("claims_overruled", claims.overruled()),
+                                new Count("claims_out_of_time", gossip.outdatedClaims()),
+                                new Count("words_crowded_out", gossip.evictedUpdates())));
+        for (DropReason reason : DropReason.values()) {
             counts.add(
                     new Count(
-                            "dropped_" + why.name().toLowerCase(Locale.ROOT),
-                            datagrams.drops(why)));
+                            "dropped_" + reason.name().toLowerCase(Locale.ROOT),
+                            transport.dropCount(reason)));
         }
         return counts;
     }
 
     /** A table: peers, then nodes on which others have a word, then counts since the start. */
-    public static String table(Datagrams datagrams, Neighbours neighbours) {
-        Ring ring = datagrams.ring();
-        Members members = datagrams.gossip().members();
-        Hearsay hearsay = neighbours.hearsay();
+    public static String table(UdpGossipTransport transport, PeerHealthExchange healthExchange) {
+        PeerRegistry registry = transport.registry();
+        MembershipList members = transport.gossip().membership();
+        PeerClaims claims = healthExchange.claims();
         StringBuilder out =
                 new StringBuilder(
                         String.format(
@@ -61,32 +61,33 @@
                                 "incarnation",
                                 "credit",
                                 "address"));
-        for (int p = 0; p < ring.size(); p++) {
+        for (int peer = 0; peer < registry.size(); peer++) {
             out.append(
                     String.format(
                             Locale.ROOT,
                             "%-24s %-8s %11d %6.2f  %s%n",
-                            ring.name(p),
-                            state(datagrams, members, p),
-                            members.incarnation(p),
-                            hearsay.credit(p),
-                            ring.address(p) == null ? "-" : text(ring, p)));
+                            registry.name(peer),
+                            state(transport, members, peer),
+                            members.incarnation(peer),
+                            claims.credit(peer),
+                            registry.address(peer) == null ? "-" : addressText(registry, peer)));
         }
         out.append(String.format(Locale.ROOT, "%n%-24s %-8s %6s%n", "node", "doubted", "claims"));
-        neighbours.nodes(
+        healthExchange.nodes(
                 (id, node) -> {
-                    if (hearsay.claims(node) > 0) {
+                    if (claims.claimCount(node) > 0) {
                         out.append(
                                 String.format(
                                         Locale.ROOT,
                                         "%-24s %-8s %6d%n",
                                         id,
-                                        neighbours.doubts(node) ? "yes" : "no",
-                                        hearsay.claims(node)));
+                                        healthExchange.isSuspected(node) ? "yes" : "no",
+                                        claims.claimCount(node)));
                     }
                 });
-        out.append(String.format(Locale.ROOT, "%n%-24s %8d%n", "own illness", members.ill()));
-        for (Count count : counts(datagrams, hearsay)) {
+        out.append(
+                String.format(Locale.ROOT, "%n%-24s %8d%n", "own illness", members.healthScore()));
+        for (Count count : counts(transport, claims)) {
             out.append(
                     String.format(
                             Locale.ROOT,
@@ -98,64 +99,64 @@
     }
 
     /** The same as one JSON object: peers, nodes, ill, counts. */
-    public static String json(Datagrams datagrams, Neighbours neighbours) {
-        Ring ring = datagrams.ring();
-        Members members = datagrams.gossip().members();
-        Hearsay hearsay = neighbours.hearsay();
+    public static String json(UdpGossipTransport transport, PeerHealthExchange healthExchange) {
+        PeerRegistry registry = transport.registry();
+        MembershipList members = transport.gossip().membership();
+        PeerClaims claims = healthExchange.claims();
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
             out.writeArrayFieldStart("peers");
-            for (int p = 0; p < ring.size(); p++) {
+            for (int peer = 0; peer < registry.size(); peer++) {
                 out.writeStartObject();
-                out.writeStringField("name", ring.name(p));
-                out.writeStringField("state", state(datagrams, members, p));
-                out.writeNumberField("incarnation", members.incarnation(p));
-                out.writeNumberField("credit", hearsay.credit(p));
-                if (ring.address(p) != null) {
-                    out.writeStringField("address", text(ring, p));
+                out.writeStringField("name", registry.name(peer));
+                out.writeStringField("state", state(transport, members, peer));
+                out.writeNumberField("incarnation", members.incarnation(peer));
+                out.writeNumberField("credit", claims.credit(peer));
+                if (registry.address(peer) != null) {
+                    out.writeStringField("address", addressText(registry, peer));
                 }
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeArrayFieldStart("nodes");
             List<String> ids = new ArrayList<>();
-            List<Integer> indices = new ArrayList<>();
-            neighbours.nodes(
+            List<Integer> nodes = new ArrayList<>();
+            healthExchange.nodes(
                     (id, node) -> {
                         ids.add(id);
-                        indices.add(node);
+                        nodes.add(node);
                     });
             for (int i = 0; i < ids.size(); i++) {
                 out.writeStartObject();
                 out.writeStringField("id", ids.get(i));
-                out.writeBooleanField("doubted", neighbours.doubts(indices.get(i)));
-                out.writeNumberField("claims", hearsay.claims(indices.get(i)));
+                out.writeBooleanField("doubted", healthExchange.isSuspected(nodes.get(i)));
+                out.writeNumberField("claims", claims.claimCount(nodes.get(i)));
                 out.writeEndObject();
             }
             out.writeEndArray();
-            out.writeNumberField("ill", members.ill());
+            out.writeNumberField("ill", members.healthScore());
             out.writeObjectFieldStart("counts");
-            for (Count count : counts(datagrams, hearsay)) {
+            for (Count count : counts(transport, claims)) {
                 out.writeNumberField(count.name, count.number);
             }
             out.writeEndObject();
             out.writeEndObject();
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        } catch (IOException impossible) {
+            throw new IllegalStateException(impossible);
         }
         return text.append('\n').toString();
     }
 
-    private static String state(Datagrams datagrams, Members members, int peer) {
-        return peer == datagrams.self()
+    private static String state(UdpGossipTransport transport, MembershipList members, int peer) {
+        return peer == transport.self()
                 ? "self"
                 : members.state(peer).name().toLowerCase(Locale.ROOT);
     }
 
-    private static String text(Ring ring, int peer) {
-        return ring.address(peer).getAddress().getHostAddress()
+    private static String addressText(PeerRegistry registry, int peer) {
+        return registry.address(peer).getAddress().getHostAddress()
                 + ":"
-                + ring.address(peer).getPort();
+                + registry.address(peer).getPort();
     }
 }
--- a/src/main/java/dillfront/router/plan/Plan.java
+++ b/src/main/java/dillfront/router/plan/LoadPlan.java
@@ -9,7 +9,7 @@
  *
  * @param lost none where this is the plan of an ordinary day
  */
-public record Plan(Set<String> lost, List<Group> groups) {
+public record LoadPlan(Set<String> lost, List<Group> groups) {
 
     /** Why not all of a kind is served. */
     public enum Limit {
@@ -26,46 +26,54 @@
     /**
      * @param primary who leads; where he is lost, the least of those who may come to, since nobody
      *     knows who will
-     * @param elects the one that led is lost: until another does, the group takes no write
+     * @param needsElection the one that led is lost: until another does, the group takes no write
      */
     public record Group(
-            int number, int members, int left, String primary, boolean elects, List<Row> rows) {}
+            int number,
+            int members,
+            int left,
+            String primary,
+            boolean needsElection,
+            List<TypeLoad> loads) {}
 
     /**
      * One kind of txn.
      *
-     * @param asked of the group, at all sites
+     * @param requested of the group, at all sites
      * @param limit what binds where not all is served
      */
-    public record Row(
-            String kind,
-            double asked,
+    public record TypeLoad(
+            String type,
+            double requested,
             double served,
-            double crosses,
+            double crossSite,
             Limit limit,
             List<Flow> flows) {}
 
     /** So much of what is asked at a site goes to a node. */
-    public record Flow(String from, String node, String at, double amount) {}
+    public record Flow(String fromSite, String node, String at, double amount) {}
 
-    public double asked() {
-        return groups.stream().flatMap(g -> g.rows.stream()).mapToDouble(Row::asked).sum();
+    public double requested() {
+        return groups.stream()
+                .flatMap(g -> g.loads.stream())
+                .mapToDouble(TypeLoad::requested)
+                .sum();
     }
 
     public double served() {
-        return groups.stream().flatMap(g -> g.rows.stream()).mapToDouble(Row::served).sum();
+        return groups.stream().flatMap(g -> g.loads.stream()).mapToDouble(TypeLoad::served).sum();
     }
 
     /** Of what is asked of a kind, over all groups, the part that is refused. */
-    public double refused(String kind) {
-        double asked = 0;
+    public double refusedPart(String type) {
+        double requested = 0;
         double served = 0;
         for (Group group : groups) {
-            for (Row row : group.rows) {
-                asked += row.kind.equals(kind) ? row.asked : 0;
-                served += row.kind.equals(kind) ? row.served : 0;
+            for (TypeLoad load : group.loads) {
+                requested += load.type.equals(type) ? load.requested : 0;
+                served += load.type.equals(type) ? load.served : 0;
             }
         }
-        return asked == 0 ? 0 : 1 - served / asked;
+        return requested == 0 ? 0 : 1 - served / requested;
     }
 }
--- a/src/main/java/dillfront/router/plan/Estate.java
+++ b/src/main/java/dillfront/router/plan/PlannerInput.java
@@ -11,33 +11,37 @@
  * where. All that is in it comes from what every router has alike, in an order of its own, so that
  * the same list makes the same plan everywhere.
  */
-public final class Estate {
+public final class PlannerInput {
 
     /**
      * @param capacity work a second, in units of a node of weight 1
      */
-    public record Node(String id, String site, int group, double capacity, boolean leads) {}
+    public record Node(String id, String site, int group, double capacity, boolean isPrimary) {}
 
     /**
      * @param primaryOnly writes and fresh reads
      * @param value of one txn
      * @param share of the work that is asked
      */
-    public record Kind(String name, boolean primaryOnly, double value, double share) {}
+    public record TransactionType(String name, boolean primaryOnly, double value, double share) {}
 
     private final List<String> sites;
     private final List<Node> nodes;
-    private final List<Kind> kinds;
-    private final double use;
-    private final double crossing;
+    private final List<TransactionType> transactionTypes;
+    private final double requestedPart;
+    private final double crossingCost;
 
     /**
      * @param sites all of them, also those where no node stands
-     * @param use what is asked, as a part of what all nodes can do
-     * @param crossing what one txn that crosses sites costs, as a part of the mean value
+     * @param requestedPart what is asked, as a part of what all nodes can do
+     * @param crossingCost what one txn that crosses sites costs, as a part of the mean value
      */
-    public Estate(
-            List<String> sites, List<Node> nodes, List<Kind> kinds, double use, double crossing) {
+    public PlannerInput(
+            List<String> sites,
+            List<Node> nodes,
+            List<TransactionType> transactionTypes,
+            double requestedPart,
+            double crossingCost) {
         this.sites = List.copyOf(new TreeSet<>(sites));
         List<Node> sorted = new ArrayList<>(nodes);
         sorted.sort(
@@ -46,29 +50,31 @@
                                 ? Integer.compare(a.group, b.group)
                                 : a.id.compareTo(b.id));
         this.nodes = List.copyOf(sorted);
-        this.kinds = List.copyOf(kinds);
-        this.use = use;
-        this.crossing = crossing;
+        this.transactionTypes = List.copyOf(transactionTypes);
+        this.requestedPart = requestedPart;
+        this.crossingCost = crossingCost;
     }
 
     public List<String> sites() {
         return sites;
     }
 
-    public List<Kind> kinds() {
-        return kinds;
+    public List<TransactionType> transactionTypes() {
+        return transactionTypes;
     }
 
-    public double use() {
-        return use;
+    public double requestedPart() {
+        return requestedPart;
     }
 
     /** What one crossing takes from the value of a txn. */
     double crossingPrice() {
-        double shares = kinds.stream().mapToDouble(Kind::share).sum();
+        double shares = transactionTypes.stream().mapToDouble(TransactionType::share).sum();
         return shares == 0
                 ? 0
-                : crossing * kinds.stream().mapToDouble(k -> k.value * k.share).sum() / shares;
+                : crossingCost
+                        * transactionTypes.stream().mapToDouble(k -> k.value * k.share).sum()
+                        / shares;
     }
 
     /** By group, all its members. */
@@ -87,14 +93,16 @@
      * Of what is asked, the part whose clients come to this site once those are lost: clients stand
      * where nodes do, and those of a lost site go to the others as much as they can do.
      */
-    double part(String site, Set<String> lost) {
-        double left =
+    double demandPart(String site, Set<String> lost) {
+        double remainingCapacity =
                 sites.stream().filter(s -> !lost.contains(s)).mapToDouble(this::capacity).sum();
-        return lost.contains(site) || left == 0 ? 0 : capacity(site) / left;
+        return lost.contains(site) || remainingCapacity == 0
+                ? 0
+                : capacity(site) / remainingCapacity;
     }
 
     /** Each site, and each pair of them, that may be lost with something left. */
-    public List<Set<String>> losses() {
+    public List<Set<String>> siteLosses() {
         List<Set<String>> losses = new ArrayList<>();
         for (int size = 1; size <= 2 && size < sites.size(); size++) {
             for (int a = 0; a < sites.size(); a++) {
--- a/src/main/java/dillfront/router/plan/Lists.java
+++ b/src/main/java/dillfront/router/plan/PlannerInputReader.java
@@ -8,34 +8,37 @@
 import java.util.TreeMap;
 
 /** An estate out of what a router is told: the settings, and the list in discovery's form. */
-public final class Lists {
+public final class PlannerInputReader {
 
-    private Lists() {}
+    private PlannerInputReader() {}
 
     /**
      * @param config a configuration, as the platform gives it to a router
-     * @param use what is asked, as a part of what all nodes can do
+     * @param requestedPart what is asked, as a part of what all nodes can do
      * @param mix the share of each txn type in the work; empty where all have the same
      */
-    public static Estate read(Tree config, double use, Map<String, Double> mix) throws BadConfig {
+    public static PlannerInput read(Tree config, double requestedPart, Map<String, Double> mix)
+            throws BadConfig {
         Tree settings = config.tree("settings");
-        List<?> reads = settings.tree("familyInfo").list("classRead");
+        List<?> readClasses = settings.tree("familyInfo").list("classRead");
         List<Tree> types = settings.trees("classes");
-        List<Estate.Kind> kinds = new ArrayList<>();
+        List<PlannerInput.TransactionType> transactionTypes = new ArrayList<>();
         Map<String, Double> shares = new TreeMap<>(mix);
         for (int i = 0; i < types.size(); i++) {
             String name = types.get(i).text("name");
-            String read = i < reads.size() ? String.valueOf(reads.get(i)) : "";
-            boolean primaryOnly = !List.of("eventual", "lag_bound", "causal").contains(read);
+            String readClass = i < readClasses.size() ? String.valueOf(readClasses.get(i)) : "";
+            boolean primaryOnly = !List.of("eventual", "lag_bound", "causal").contains(readClass);
             Double share = mix.isEmpty() ? 1.0 / types.size() : shares.getOrDefault(name, 0.0);
             shares.remove(name);
-            kinds.add(new Estate.Kind(name, primaryOnly, types.get(i).number("worth", 1), share));
+            transactionTypes.add(
+                    new PlannerInput.TransactionType(
+                            name, primaryOnly, types.get(i).number("worth", 1), share));
         }
         if (!shares.isEmpty()) {
             throw new BadConfig(
                     "no txn type '" + shares.keySet().iterator().next() + "' in the settings");
         }
-        List<Estate.Node> nodes = new ArrayList<>();
+        List<PlannerInput.Node> nodes = new ArrayList<>();
         List<String> sites = new ArrayList<>();
         settings.list("zones").forEach(z -> sites.add(String.valueOf(z)));
         for (Tree entry : config.tree("known").trees("instances")) {
@@ -48,7 +51,7 @@
                 sites.add(site);
             }
             nodes.add(
-                    new Estate.Node(
+                    new PlannerInput.Node(
                             entry.text("instanceId"),
                             site,
                             (int) entry.whole("cell"),
@@ -58,7 +61,11 @@
         if (nodes.isEmpty()) {
             throw new BadConfig("'known' lists no node that is ready");
         }
-        return new Estate(
-                sites, nodes, kinds, use, settings.tree("charges").number("crossZone", 0));
+        return new PlannerInput(
+                sites,
+                nodes,
+                transactionTypes,
+                requestedPart,
+                settings.tree("charges").number("crossZone", 0));
     }
 }
--- a/src/main/java/dillfront/router/recovery/Digest.java
+++ b/src/main/java/dillfront/router/recovery/KeyDigest.java
@@ -13,32 +13,32 @@
  * whatever there is to tell, and nobody reads keys out of it. It may hold a key that was never put
  * in, in one of 10,000 cases; what it holds restricts alone.
  */
-public final class Digest {
+public final class KeyDigest {
 
     /**
      * So many bits a key and so many of them set: one in 10,000 others seems to be there (Bloom
      * 1970; m/n = 20, k = 14).
      */
-    static final int BITS = 20;
+    static final int BITS_PER_KEY = 20;
 
-    private static final int SET = 14;
+    private static final int HASHES_PER_KEY = 14;
 
     /**
      * One with more of its bits set was made to hold everything: an honest one has half of them at
      * the most.
      */
-    private static final double FULL = 0.55;
+    private static final double MAX_SET_PART = 0.55;
 
     private final long[] words;
     private final SimpleBloomFilter filter;
 
-    private Digest(long[] words, SimpleBloomFilter filter) {
+    private KeyDigest(long[] words, SimpleBloomFilter filter) {
         this.words = words;
         this.filter = filter;
     }
 
     private static Shape shape(int words) {
-        return Shape.fromKM(SET, words * Long.SIZE);
+        return Shape.fromKM(HASHES_PER_KEY, words * Long.SIZE);
     }
 
     private static Hasher hasher(long key) {
@@ -51,26 +51,30 @@
      * does so soon.
      *
      * @param keys the latest last
-     * @param most words of 64 bits
+     * @param maxWords words of 64 bits
      */
-    public static Digest of(Iterable<Long> keys, int most) {
+    public static KeyDigest of(Iterable<Long> keys, int maxWords) {
         List<Long> all = new ArrayList<>();
         keys.forEach(all::add);
-        int words = Math.max(1, Math.min(most, (all.size() * BITS + Long.SIZE - 1) / Long.SIZE));
-        List<Long> told =
-                all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS), all.size());
+        int words =
+                Math.max(
+                        1,
+                        Math.min(
+                                maxWords, (all.size() * BITS_PER_KEY + Long.SIZE - 1) / Long.SIZE));
+        List<Long> included =
+                all.subList(Math.max(0, all.size() - words * Long.SIZE / BITS_PER_KEY), all.size());
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(words));
-        told.forEach(key -> filter.merge(hasher(key)));
-        return new Digest(told.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
+        included.forEach(key -> filter.merge(hasher(key)));
+        return new KeyDigest(included.isEmpty() ? new long[0] : filter.asBitMapArray(), filter);
     }
 
     /** As it was told; null where it claims more than any honest one. */
-    public static Digest read(long[] words) {
+    public static KeyDigest parse(long[] words) {
         SimpleBloomFilter filter = new SimpleBloomFilter(shape(Math.max(1, words.length)));
         filter.merge(BitMapExtractor.fromBitMapArray(words));
-        return filter.cardinality() > FULL * words.length * Long.SIZE
+        return filter.cardinality() > MAX_SET_PART * words.length * Long.SIZE
                 ? null
-                : new Digest(words, filter);
+                : new KeyDigest(words, filter);
     }
 
     public boolean isEmpty() {
@@ -81,7 +85,7 @@
         return words.clone();
     }
 
-    public boolean mayHold(long key) {
+    public boolean mayContain(long key) {
         return words.length > 0 && filter.contains(hasher(key));
     }
 }
--- a/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
+++ b/src/main/java/dillfront/simulation/system/ConfigurationChecker.java
@@ -1,6 +1,6 @@
 package dillfront.simulation.system;
 
-import dillfront.simulation.History;
+import dillfront.simulation.LinearizabilityChecker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -49,7 +49,7 @@
     private final SystemSimulation simulation;
     private final Simulator simulator;
     private final ConsistencyChecker consistencyChecker;
-    private final History history = new History();
+    private final LinearizabilityChecker history = new LinearizabilityChecker();
     private final List<ConfigurationClient.Change> pendingChanges = new ArrayList<>();
     private final List<AcknowledgedRevision> acknowledgements = new ArrayList<>();
     private long highestAcknowledgedRevision;
@@ -121,8 +121,10 @@
                 call,
                 simulator.millis(),
                 status == 200
-                        ? History.Outcome.ACKNOWLEDGED
-                        : status == 409 ? History.Outcome.REFUSED : History.Outcome.UNKNOWN);
+                        ? LinearizabilityChecker.Outcome.ACKNOWLEDGED
+                        : status == 409
+                                ? LinearizabilityChecker.Outcome.REFUSED
+                                : LinearizabilityChecker.Outcome.UNKNOWN);
     }
 
     void changeSent(ConfigurationClient.Change change) {
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -16,7 +16,7 @@
 import dillfront.common.logging.Log;
 import dillfront.router.Daemon;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -101,7 +101,7 @@
                                 new ByteArrayInputStream(
                                         backends.config(port, 1.0)
                                                 .getBytes(StandardCharsets.UTF_8))),
-                        Operator.read(file),
+                        OperatorConfig.read(file),
                         new Log(new PrintStream(log, true)));
         daemon.start();
     }
--- a/src/test/java/dillfront/benchmark/RouterGossipTest.java
+++ b/src/test/java/dillfront/benchmark/RouterGossipTest.java
@@ -6,9 +6,9 @@
 import dillfront.common.logging.Log;
 import dillfront.router.Daemon;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
-import dillfront.router.peers.Ring;
+import dillfront.router.peers.PeerRegistry;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -76,7 +76,7 @@
         for (int i = 0; i < ROUTERS; i++) {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
             Files.writeString(folder.resolve("r" + i + ".key"), KeyFile.text(pair.getPrivate()));
-            publicKeys.add(HexFormat.of().formatHex(Ring.raw(pair.getPublic())));
+            publicKeys.add(HexFormat.of().formatHex(PeerRegistry.rawKey(pair.getPublic())));
             peers.append(
                     String.format(
                             "peer(\"r%d\", address = \"127.0.0.1:%d\", keys = [\"%s\"])%n",
@@ -87,8 +87,8 @@
         List<Daemon> daemons = new ArrayList<>();
         try (StubBackends backends = new StubBackends(1000)) {
             for (int i = 0; i < ROUTERS; i++) {
-                Operator operator =
-                        Operator.read(
+                OperatorConfig operator =
+                        OperatorConfig.read(
                                 "r" + i + ".star",
                                 peers
                                         + "gossip(key = \""
--- a/src/test/java/dillfront/router/memory/MemoryTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -8,8 +8,8 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.common.storage.StorageFolder;
-import dillfront.router.operator.Operator;
-import dillfront.routing.api.Standing;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -32,7 +32,7 @@
  * Power that goes at any write, a disk that is full, a file that is cut, spoilt, another's, held or
  * no such file.
  */
-class MemoryTest {
+class RouterStateStoreTest {
 
     private static final int SECTOR = 512;
 
@@ -45,38 +45,38 @@
      * and of names that were made, changed or removed since the last sync of the folder any by
      * itself. A call may fail, with what it was to do done or not.
      */
-    private static final class Lossy implements StorageFolder {
+    private static final class LossyDisk implements StorageFolder {
 
         private final Map<String, byte[]> files = new TreeMap<>();
-        private final Map<String, Integer> synced = new HashMap<>();
+        private final Map<String, Integer> syncedLengths = new HashMap<>();
 
         /** What else may be found under a name after a loss of power; null for no file. */
-        private final Map<String, List<byte[]>> former = new TreeMap<>();
+        private final Map<String, List<byte[]>> formerContents = new TreeMap<>();
 
-        private Runnable each = () -> {};
+        private Runnable afterEachCall = () -> {};
 
         /** So many bytes may be written from now on. */
-        private long room = Long.MAX_VALUE;
+        private long freeBytes = Long.MAX_VALUE;
 
         /**
          * How many calls go well before one fails; and whether that one did its work all the same.
          */
-        private int fine = Integer.MAX_VALUE;
+        private int callsUntilFailure = Integer.MAX_VALUE;
 
-        private boolean done;
-        private long written;
+        private boolean failedCallTakesEffect;
+        private long bytesWritten;
 
-        Lossy(Map<String, byte[]> files) {
+        LossyDisk(Map<String, byte[]> files) {
             this.files.putAll(files);
         }
 
         /** Whether this call is to do its work; it ends with failed() in any case. */
-        private boolean works() {
-            return --fine != 0 || done;
+        private boolean takesEffect() {
+            return --callsUntilFailure != 0 || failedCallTakesEffect;
         }
 
-        private void failed() throws IOException {
-            if (fine == 0) {
+        private void throwIfFailing() throws IOException {
+            if (callsUntilFailure == 0) {
                 throw new IOException("Input/output error");
             }
         }
@@ -88,22 +88,22 @@
 
         @Override
         public void append(String name, ByteBuffer bytes) throws IOException {
-            if (works()) {
+            if (takesEffect()) {
                 byte[] before = files.get(name);
                 if (before == null) {
-                    named(name);
+                    recordName(name);
                     before = new byte[0];
                 }
-                int fits = (int) Math.min(bytes.remaining(), room);
+                int fits = (int) Math.min(bytes.remaining(), freeBytes);
                 byte[] after = Arrays.copyOf(before, before.length + fits);
                 bytes.get(after, before.length, fits);
                 files.put(name, after);
-                synced.putIfAbsent(name, before.length);
-                room -= fits;
-                written += fits;
-                each.run();
+                syncedLengths.putIfAbsent(name, before.length);
+                freeBytes -= fits;
+                bytesWritten += fits;
+                afterEachCall.run();
             }
-            failed();
+            throwIfFailing();
             if (bytes.hasRemaining()) {
                 throw new IOException("No space left on device");
             }
@@ -111,59 +111,59 @@
 
         @Override
         public void sync(String name) throws IOException {
-            if (works()) {
-                synced.remove(name);
+            if (takesEffect()) {
+                syncedLengths.remove(name);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void truncate(String name, long length) throws IOException {
-            if (works() && files.get(name).length > length) {
+            if (takesEffect() && files.get(name).length > length) {
                 files.put(name, Arrays.copyOf(files.get(name), (int) length));
-                synced.remove(name);
+                syncedLengths.remove(name);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
-            assertTrue(!synced.containsKey(from), "renamed before it was synced");
-            each.run();
-            if (works()) {
-                named(from);
-                named(to);
+            assertTrue(!syncedLengths.containsKey(from), "renamed before it was synced");
+            afterEachCall.run();
+            if (takesEffect()) {
+                recordName(from);
+                recordName(to);
                 files.put(to, files.remove(from));
-                synced.remove(to);
+                syncedLengths.remove(to);
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         @Override
         public void delete(String name) throws IOException {
-            if (works() && files.containsKey(name)) {
-                named(name);
+            if (takesEffect() && files.containsKey(name)) {
+                recordName(name);
                 files.remove(name);
-                synced.remove(name);
+                syncedLengths.remove(name);
             }
-            failed();
+            throwIfFailing();
         }
 
         @Override
         public void syncDirectory() throws IOException {
-            if (works()) {
-                former.clear();
+            if (takesEffect()) {
+                formerContents.clear();
             }
-            each.run();
-            failed();
+            afterEachCall.run();
+            throwIfFailing();
         }
 
         /** This name is about to be another file's, or nobody's. */
-        private void named(String name) {
-            former.computeIfAbsent(name, n -> new ArrayList<>()).add(files.get(name));
+        private void recordName(String name) {
+            formerContents.computeIfAbsent(name, n -> new ArrayList<>()).add(files.get(name));
         }
 
         @Override
@@ -173,11 +173,11 @@
          * What may be found after a loss of power now; all of it where there is little, else by
          * chance.
          */
-        List<Map<String, byte[]>> after(SplittableRandom chance) {
+        List<Map<String, byte[]>> statesAfterPowerLoss(SplittableRandom random) {
             List<Map<String, byte[]>> all = new ArrayList<>();
-            for (Map<String, byte[]> names : names()) {
+            for (Map<String, byte[]> names : nameStates()) {
                 all.add(names);
-                synced.forEach(
+                syncedLengths.forEach(
                         (name, from) -> {
                             byte[] now = files.get(name);
                             if (names.get(name) != now) {
@@ -192,7 +192,7 @@
                                     boolean there =
                                             sectors <= 5
                                                     ? (subset >> k & 1) != 0
-                                                    : chance.nextBoolean();
+                                                    : random.nextBoolean();
                                     int at = Math.max(from, (first + k) * SECTOR);
                                     int to = Math.min(now.length, (first + k + 1) * SECTOR);
                                     if (!there) {
@@ -214,9 +214,9 @@
         }
 
         /** Every way in which the names may be found, each by itself as it is or as it was. */
-        private List<Map<String, byte[]>> names() {
+        private List<Map<String, byte[]>> nameStates() {
             List<Map<String, byte[]>> all = new ArrayList<>(List.of(new TreeMap<>(files)));
-            former.forEach(
+            formerContents.forEach(
                     (name, was) -> {
                         for (Map<String, byte[]> one : new ArrayList<>(all)) {
                             for (byte[] file : was) {
@@ -234,8 +234,8 @@
         }
     }
 
-    private static String state(CompactingLog shelf) {
-        return new TreeMap<>(shelf.strings()) + " " + new TreeMap<>(shelf.numbers());
+    private static String state(CompactingLog storage) {
+        return new TreeMap<>(storage.strings()) + " " + new TreeMap<>(storage.numbers());
     }
 
     /**
@@ -244,66 +244,68 @@
      * whole; and it can go on from there, also if power goes again.
      */
     @Test
-    void powerGoesAtEachWriteAndAnySubsetOfUnsyncedSectorsIsLost() throws Exception {
-        SplittableRandom chance = new SplittableRandom(6);
-        Lossy disk = new Lossy(Map.of());
-        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
-        List<String> may = new ArrayList<>();
-        int[] looked = new int[1];
-        disk.each =
+    void survivesPowerLossAtEachWrite() throws Exception {
+        SplittableRandom random = new SplittableRandom(6);
+        LossyDisk disk = new LossyDisk(Map.of());
+        CompactingLog storage = CompactingLog.open(disk, "m", "r1");
+        List<String> allowedStates = new ArrayList<>();
+        int[] checked = new int[1];
+        disk.afterEachCall =
                 () ->
-                        disk.after(chance)
+                        disk.statesAfterPowerLoss(random)
                                 .forEach(
                                         files -> {
-                                            looked[0]++;
+                                            checked[0]++;
                                             try {
-                                                Lossy next = new Lossy(files);
-                                                CompactingLog again =
-                                                        CompactingLog.open(next, "m", "r1");
+                                                LossyDisk nextDisk = new LossyDisk(files);
+                                                CompactingLog reopened =
+                                                        CompactingLog.open(nextDisk, "m", "r1");
                                                 assertTrue(
-                                                        may.contains(state(again)),
+                                                        allowedStates.contains(state(reopened)),
                                                         "at look "
-                                                                + looked[0]
+                                                                + checked[0]
                                                                 + ": "
-                                                                + state(again)
+                                                                + state(reopened)
                                                                 + " of "
-                                                                + may);
-                                                again.put(Map.of("after", "this"), Map.of());
+                                                                + allowedStates);
+                                                reopened.put(Map.of("after", "this"), Map.of());
                                                 assertEquals(
-                                                        state(again),
-                                                        state(CompactingLog.open(next, "m", "r1")));
+                                                        state(reopened),
+                                                        state(
+                                                                CompactingLog.open(
+                                                                        nextDisk, "m", "r1")));
                                                 assertTrue(
-                                                        again.damage() == null
-                                                                || !again.isQuarantined(),
-                                                        again.damage());
+                                                        reopened.damage() == null
+                                                                || !reopened.isQuarantined(),
+                                                        reopened.damage());
                                             } catch (CompactingLog.UnusableLogException bad) {
                                                 throw new AssertionError(
-                                                        "at look " + looked[0], bad);
+                                                        "at look " + checked[0], bad);
                                             }
                                         });
         Map<String, String> texts = new TreeMap<>();
         Map<Long, Long> numbers = new TreeMap<>();
         for (int i = 0; i < 400; i++) {
-            Map<String, String> named = new HashMap<>();
-            Map<Long, Long> numbered = new HashMap<>();
-            for (int k = 0; k <= chance.nextInt(4); k++) {
-                named.put(
-                        "s-" + chance.nextInt(40),
-                        chance.nextInt(4) == 0
+            Map<String, String> textBatch = new HashMap<>();
+            Map<Long, Long> keyBatch = new HashMap<>();
+            for (int k = 0; k <= random.nextInt(4); k++) {
+                textBatch.put(
+                        "s-" + random.nextInt(40),
+                        random.nextInt(4) == 0
                                 ? ""
-                                : "DRAINING 0 " + i + "x".repeat(chance.nextInt(300)));
-                numbered.put((long) chance.nextInt(60), chance.nextInt(3) == 0 ? null : (long) i);
+                                : "DRAINING 0 " + i + "x".repeat(random.nextInt(300)));
+                keyBatch.put((long) random.nextInt(60), random.nextInt(3) == 0 ? null : (long) i);
             }
-            may.clear();
-            may.add(texts + " " + numbers);
-            texts.putAll(named);
+            allowedStates.clear();
+            allowedStates.add(texts + " " + numbers);
+            texts.putAll(textBatch);
             texts.values().removeIf(String::isEmpty);
-            numbers.putAll(numbered);
+            numbers.putAll(keyBatch);
             numbers.values().removeIf(java.util.Objects::isNull);
-            may.add(texts + " " + numbers);
-            shelf.put(named, numbered);
+            allowedStates.add(texts + " " + numbers);
+            storage.put(textBatch, keyBatch);
         }
-        assertTrue(looked[0] > 3000, "looked at " + looked[0] + " disks");
+        assertTrue(checked[0] > 3000, "looked at " + checked[0] + " disks");
     }
 
     /**
@@ -311,16 +313,16 @@
      * works on once there is room.
      */
     @Test
-    void aDiskThatIsFullLosesNothing() throws Exception {
+    void fullDiskLosesNothing() throws Exception {
         for (int room = 0; room < 300; room += 7) {
-            Lossy disk = new Lossy(Map.of());
-            CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
-            shelf.put(Map.of("a", "1"), Map.of(7L, 7L));
-            disk.room = room;
+            LossyDisk disk = new LossyDisk(Map.of());
+            CompactingLog storage = CompactingLog.open(disk, "m", "r1");
+            storage.put(Map.of("a", "1"), Map.of(7L, 7L));
+            disk.freeBytes = room;
             long last = 7;
             try {
                 while (true) {
-                    shelf.put(Map.of(), Map.of(last + 1, 0L));
+                    storage.put(Map.of(), Map.of(last + 1, 0L));
                     last++;
                 }
             } catch (CompactingLog.UnusableLogException full) {
@@ -328,12 +330,12 @@
             }
             assertEquals(
                     last - 6,
-                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
-            disk.room = 1000;
-            shelf.put(Map.of(), Map.of(100L, 0L));
+                    CompactingLog.open(new LossyDisk(disk.files), "m", "r1").numbers().size());
+            disk.freeBytes = 1000;
+            storage.put(Map.of(), Map.of(100L, 0L));
             assertEquals(
                     last - 5,
-                    CompactingLog.open(new Lossy(disk.files), "m", "r1").numbers().size());
+                    CompactingLog.open(new LossyDisk(disk.files), "m", "r1").numbers().size());
         }
     }
 
@@ -343,79 +345,85 @@
      * be kept, with or without what was not, and never a file that is called damaged.
      */
     @Test
-    void anyCallOfTheDiskMayFailOnce() throws Exception {
+    void survivesAnySingleDiskFailure() throws Exception {
         int[] failed = new int[1];
-        int[] looked = new int[1];
+        int[] checked = new int[1];
         for (int call = 1; call <= 130; call++) {
             for (boolean done : new boolean[] {false, true}) {
-                SplittableRandom chance = new SplittableRandom(call);
-                Lossy disk = new Lossy(Map.of());
-                CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
-                List<String> may = new ArrayList<>();
-                int now = call;
-                disk.each =
+                SplittableRandom random = new SplittableRandom(call);
+                LossyDisk disk = new LossyDisk(Map.of());
+                CompactingLog storage = CompactingLog.open(disk, "m", "r1");
+                List<String> allowedStates = new ArrayList<>();
+                int currentCall = call;
+                disk.afterEachCall =
                         () -> {
                             // Where nothing has failed, or that is long ago, the test above has
                             // looked.
                             for (Map<String, byte[]> files :
-                                    disk.fine > 2 || disk.fine < -8
+                                    disk.callsUntilFailure > 2 || disk.callsUntilFailure < -8
                                             ? List.<Map<String, byte[]>>of()
-                                            : disk.after(chance)) {
-                                looked[0]++;
+                                            : disk.statesAfterPowerLoss(random)) {
+                                checked[0]++;
                                 try {
-                                    CompactingLog again =
-                                            CompactingLog.open(new Lossy(files), "m", "r1");
+                                    CompactingLog reopened =
+                                            CompactingLog.open(new LossyDisk(files), "m", "r1");
                                     assertTrue(
-                                            may.contains(state(again)),
+                                            allowedStates.contains(state(reopened)),
                                             "call "
-                                                    + now
+                                                    + currentCall
                                                     + " "
                                                     + done
                                                     + ": "
-                                                    + state(again).length()
+                                                    + state(reopened).length()
                                                     + " of "
-                                                    + may.size());
+                                                    + allowedStates.size());
                                     assertTrue(
-                                            !again.isQuarantined(),
-                                            "call " + now + " " + done + ": " + again.damage());
+                                            !reopened.isQuarantined(),
+                                            "call "
+                                                    + currentCall
+                                                    + " "
+                                                    + done
+                                                    + ": "
+                                                    + reopened.damage());
                                 } catch (CompactingLog.UnusableLogException bad) {
-                                    throw new AssertionError("call " + now, bad);
+                                    throw new AssertionError("call " + currentCall, bad);
                                 }
                             }
                         };
-                disk.fine = call;
-                disk.done = done;
-                Map<String, String> is = new TreeMap<>();
-                may.add(is + " {}");
+                disk.callsUntilFailure = call;
+                disk.failedCallTakesEffect = done;
+                Map<String, String> expected = new TreeMap<>();
+                allowedStates.add(expected + " {}");
                 for (int i = 0; i < 40; i++) {
                     // Large texts, so that the file is written anew now and then.
                     Map<String, String> put =
                             Map.of(
                                     "s-" + i % 3,
-                                    i + "x".repeat(chance.nextInt(12_000)),
+                                    i + "x".repeat(random.nextInt(12_000)),
                                     "n",
                                     "" + i);
-                    Map<String, String> next = new TreeMap<>(is);
+                    Map<String, String> next = new TreeMap<>(expected);
                     next.putAll(put);
-                    may.add(next + " {}");
+                    allowedStates.add(next + " {}");
                     try {
-                        shelf.put(put, Map.of());
-                        is = next;
-                        may.clear();
-                        may.add(is + " {}");
-                        assertEquals(is + " {}", state(shelf));
+                        storage.put(put, Map.of());
+                        expected = next;
+                        allowedStates.clear();
+                        allowedStates.add(expected + " {}");
+                        assertEquals(expected + " {}", state(storage));
                     } catch (CompactingLog.UnusableLogException bad) {
                         failed[0]++;
-                        assertEquals(is + " {}", state(shelf));
+                        assertEquals(expected + " {}", state(storage));
                     }
                 }
                 assertTrue(
-                        may.contains(state(CompactingLog.open(new Lossy(disk.files), "m", "r1"))),
+                        allowedStates.contains(
+                                state(CompactingLog.open(new LossyDisk(disk.files), "m", "r1"))),
                         "call " + call + " " + done);
             }
         }
         assertTrue(failed[0] > 100, failed[0] + " puts failed");
-        assertTrue(looked[0] > 4_000, "looked at " + looked[0] + " disks");
+        assertTrue(checked[0] > 4_000, "looked at " + checked[0] + " disks");
     }
 
     /**
@@ -423,28 +431,30 @@
      * while it found that out.
      */
     @Test
-    void ofADamagedFileNothingIsReliedOn() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        KeyValueStore keep = KeyValueStore.open(disk, "m", "r1");
+    void usesNothingFromDamagedFile() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        KeyValueStore store = KeyValueStore.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
-            keep.put(Map.of("s-" + i, "promised " + i));
+            store.put(Map.of("s-" + i, "promised " + i));
         }
         byte[] good = disk.files.get(CompactingLog.FILE_NAME);
-        SplittableRandom chance = new SplittableRandom(9);
+        SplittableRandom random = new SplittableRandom(9);
         int damaged = 0;
         for (int at = 25; at < good.length - 60; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x10;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE_NAME, bad));
-            next.each =
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad));
+            next.afterEachCall =
                     () ->
-                            next.after(chance)
+                            next.statesAfterPowerLoss(random)
                                     .forEach(
                                             files -> {
                                                 try {
                                                     KeyValueStore again =
                                                             KeyValueStore.open(
-                                                                    new Lossy(files), "m", "r1");
+                                                                    new LossyDisk(files),
+                                                                    "m",
+                                                                    "r1");
                                                     assertEquals(Map.of(), again.entries());
                                                 } catch (KeyValueStore.StorageException broken) {
                                                     throw new AssertionError(broken);
@@ -453,9 +463,9 @@
             KeyValueStore found = KeyValueStore.open(next, "m", "r1");
             assertTrue(found.isDamaged(), "at " + at);
             assertEquals(Map.of(), found.entries());
-            next.each = () -> {};
+            next.afterEachCall = () -> {};
             found.put(Map.of("id", "another"));
-            KeyValueStore later = KeyValueStore.open(new Lossy(next.files), "m", "r1");
+            KeyValueStore later = KeyValueStore.open(new LossyDisk(next.files), "m", "r1");
             assertTrue(!later.isDamaged());
             assertEquals(Map.of("id", "another"), later.entries());
             damaged++;
@@ -463,19 +473,20 @@
         assertTrue(damaged > 100, damaged + " places");
         // A first record that is torn or spoilt: it was synced before the file had its name, so it
         // is no torn tail either.
-        Lossy fresh = new Lossy(Map.of());
+        LossyDisk fresh = new LossyDisk(Map.of());
         KeyValueStore.open(fresh, "m", "r1");
         byte[] first = fresh.files.get(CompactingLog.FILE_NAME);
         for (int at = 19; at < first.length; at++) {
             byte[] bad = first.clone();
             bad[at] ^= 0x10;
             assertTrue(
-                    KeyValueStore.open(new Lossy(Map.of(CompactingLog.FILE_NAME, bad)), "m", "r1")
+                    KeyValueStore.open(
+                                    new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad)), "m", "r1")
                             .isDamaged(),
                     "at " + at);
             assertTrue(
                     KeyValueStore.open(
-                                    new Lossy(
+                                    new LossyDisk(
                                             Map.of(
                                                     CompactingLog.FILE_NAME,
                                                     Arrays.copyOf(first, at))),
@@ -487,31 +498,31 @@
         // A file of its head alone: its first record was synced with it, so it is not a torn tail.
         KeyValueStore head =
                 KeyValueStore.open(
-                        new Lossy(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, 19))),
+                        new LossyDisk(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, 19))),
                         "m",
                         "r1");
         assertTrue(head.isDamaged());
         KeyValueStore none =
                 KeyValueStore.open(
-                        new Lossy(Map.of(CompactingLog.FILE_NAME, new byte[0])), "m", "r1");
+                        new LossyDisk(Map.of(CompactingLog.FILE_NAME, new byte[0])), "m", "r1");
         assertTrue(none.isDamaged());
     }
 
     /** A text that the form cannot hold is refused, and leaves what was kept as it was. */
     @Test
-    void aTextThatIsTooLongIsRefused() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        KeyValueStore keep = KeyValueStore.open(disk, "m", "r1");
+    void rejectsTooLongText() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        KeyValueStore store = KeyValueStore.open(disk, "m", "r1");
         String longest = "é".repeat(32_767) + "x";
-        keep.put(Map.of("a", longest));
+        store.put(Map.of("a", longest));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> keep.put(Map.of("b", "1", "a", longest + "x")));
-        assertThrows(IllegalArgumentException.class, () -> keep.put(Map.of(longest + "x", "1")));
-        keep.put(Map.of("c", "2"));
+                () -> store.put(Map.of("b", "1", "a", longest + "x")));
+        assertThrows(IllegalArgumentException.class, () -> store.put(Map.of(longest + "x", "1")));
+        store.put(Map.of("c", "2"));
         assertEquals(
                 Map.of("a", longest, "c", "2"),
-                KeyValueStore.open(new Lossy(disk.files), "m", "r1").entries());
+                KeyValueStore.open(new LossyDisk(disk.files), "m", "r1").entries());
     }
 
     /**
@@ -519,18 +530,18 @@
      * alone is cut.
      */
     @Test
-    void whatIsSpoiltIsFoundAndWhatWasBeforeItHolds() throws Exception {
-        Lossy disk = new Lossy(Map.of());
-        CompactingLog shelf = CompactingLog.open(disk, "m", "r1");
+    void keepsRecordsBeforeDamage() throws Exception {
+        LossyDisk disk = new LossyDisk(Map.of());
+        CompactingLog storage = CompactingLog.open(disk, "m", "r1");
         for (int i = 0; i < 8; i++) {
-            shelf.put(Map.of("s-" + i, "DRAINING"), Map.of());
+            storage.put(Map.of("s-" + i, "DRAINING"), Map.of());
         }
         byte[] good = disk.files.get(CompactingLog.FILE_NAME);
         int last = good.length;
         for (int at = 0; at < good.length; at++) {
             byte[] bad = good.clone();
             bad[at] ^= 0x40;
-            Lossy next = new Lossy(Map.of(CompactingLog.FILE_NAME, bad));
+            LossyDisk next = new LossyDisk(Map.of(CompactingLog.FILE_NAME, bad));
             try {
                 CompactingLog found = CompactingLog.open(next, "m", "r1");
                 assertTrue(found.damage() != null, "at " + at + " nothing was found");
@@ -550,7 +561,8 @@
         for (int cut = 0; cut < good.length; cut++) {
             CompactingLog found =
                     CompactingLog.open(
-                            new Lossy(Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, cut))),
+                            new LossyDisk(
+                                    Map.of(CompactingLog.FILE_NAME, Arrays.copyOf(good, cut))),
                             "m",
                             "r1");
             assertTrue(found.strings().size() < 8, "cut at " + cut);
@@ -559,54 +571,56 @@
 
     /** What is no longer needed gives its space back: a file under txns does not grow with them. */
     @Test
-    void theFileDoesNotGrowWithTheTxns() throws Exception {
-        CompactingLog shelf = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
-        long most = 0;
+    void fileSizeIsBounded() throws Exception {
+        CompactingLog storage = CompactingLog.open(new StorageFolder.LocalFolder(dir), "m", "r1");
+        long maxSize = 0;
         for (long i = 0; i < 3000; i++) {
             Map<Long, Long> batch = new HashMap<>(Map.of(i, i));
             batch.put(i - 20, null);
-            shelf.put(Map.of(), batch);
-            most = Math.max(most, Files.size(dir.resolve(CompactingLog.FILE_NAME)));
+            storage.put(Map.of(), batch);
+            maxSize = Math.max(maxSize, Files.size(dir.resolve(CompactingLog.FILE_NAME)));
         }
-        shelf.close();
-        assertTrue(most > 60_000 && most < 70_000, "the file came to " + most + " bytes");
+        storage.close();
+        assertTrue(maxSize > 60_000 && maxSize < 70_000, "the file came to " + maxSize + " bytes");
     }
 
     @Test
-    void aWordIsThereInTheNextLife() throws Exception {
+    void restoresClosingsAfterRestart() throws Exception {
         Path folder = dir.resolve("r1");
-        Memory first = Memory.open(folder, "r1", log, Runnable::run);
-        first.closed("s-1", Standing.DRAINING, 7, 42);
-        first.closed("s-2", Standing.GONE, 0, 43);
-        first.closed("s-3", Standing.GONE, 0, 44);
+        RouterStateStore first = RouterStateStore.open(folder, "r1", log, Runnable::run);
+        first.closed("s-1", MemberState.DRAINING, 7, 42);
+        first.closed("s-2", MemberState.GONE, 0, 43);
+        first.closed("s-3", MemberState.GONE, 0, 44);
         first.opened("s-3");
-        Operator.BadOperator held =
+        OperatorConfig.InvalidOperatorConfigException lockedFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
-                        () -> Memory.open(folder, "r1", log, Runnable::run));
-        assertTrue(held.getMessage().contains("another process holds"), held.getMessage());
+                        OperatorConfig.InvalidOperatorConfigException.class,
+                        () -> RouterStateStore.open(folder, "r1", log, Runnable::run));
+        assertTrue(
+                lockedFailure.getMessage().contains("another process holds"),
+                lockedFailure.getMessage());
         first.close();
-        Operator.BadOperator other =
+        OperatorConfig.InvalidOperatorConfigException otherNameFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
-                        () -> Memory.open(folder, "r2", log, Runnable::run));
+                        OperatorConfig.InvalidOperatorConfigException.class,
+                        () -> RouterStateStore.open(folder, "r2", log, Runnable::run));
         assertTrue(
-                other.getMessage().contains("is that of router 'r1', and this is 'r2'"),
-                other.getMessage());
-        Memory second = Memory.open(folder, "r1", log, Runnable::run);
+                otherNameFailure.getMessage().contains("is that of router 'r1', and this is 'r2'"),
+                otherNameFailure.getMessage());
+        RouterStateStore second = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(
                 Set.of(
-                        new Memory.Closing("s-1", Standing.DRAINING, 7, 42),
-                        new Memory.Closing("s-2", Standing.GONE, 0, 43)),
+                        new RouterStateStore.Closing("s-1", MemberState.DRAINING, 7, 42),
+                        new RouterStateStore.Closing("s-2", MemberState.GONE, 0, 43)),
                 Set.copyOf(second.closings()));
         second.close();
     }
 
     @Test
-    void whatIsNoSuchFileIsSetAsideAndNamed() throws Exception {
+    void setsAsideForeignFile() throws Exception {
         Path folder = Files.createDirectories(dir.resolve("r1"));
         Files.writeString(folder.resolve(CompactingLog.FILE_NAME), "no store at all ".repeat(1000));
-        Memory memory = Memory.open(folder, "r1", log, Runnable::run);
+        RouterStateStore memory = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(List.of(), memory.closings());
         memory.close();
         assertTrue(Files.exists(folder.resolve("memory.broken")), "set aside");
@@ -616,10 +630,10 @@
                                 "memory-broken fault=\"" + folder.resolve(CompactingLog.FILE_NAME)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
-        Operator.BadOperator none =
+        OperatorConfig.InvalidOperatorConfigException none =
                 assertThrows(
-                        Operator.BadOperator.class,
-                        () -> Memory.open(file, "r1", log, Runnable::run));
+                        OperatorConfig.InvalidOperatorConfigException.class,
+                        () -> RouterStateStore.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
 }
--- a/src/test/java/dillfront/router/memory/StoredMemoryTest.java
+++ b/src/test/java/dillfront/router/memory/StoredRouterStateTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -19,31 +19,31 @@
  * The memory of a router that revision 6ff1719 wrote (src/test/resources/stored/router) is read in
  * full.
  */
-class StoredMemoryTest {
+class StoredRouterStateTest {
 
     private static final long KEY = 0x1122334455667L;
 
     @TempDir Path folder;
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
 
-    private Memory open(int missing) throws Exception {
+    private RouterStateStore open(int missing) throws Exception {
         byte[] bytes = Files.readAllBytes(Path.of("src/test/resources/stored/router/memory.log"));
         Files.write(folder.resolve("memory.log"), Arrays.copyOf(bytes, bytes.length - missing));
-        return Memory.open(
+        return RouterStateStore.open(
                 folder, "router-1", new Log(new PrintStream(lines, true)), Runnable::run);
     }
 
     @Test
-    void memoryIsReadInFull() throws Exception {
-        Memory memory = open(0);
-        assertEquals(30, memory.closings().size());
-        Memory.Closing one =
-                memory.closings().stream()
+    void readsStoredState() throws Exception {
+        RouterStateStore store = open(0);
+        assertEquals(30, store.closings().size());
+        RouterStateStore.Closing one =
+                store.closings().stream()
                         .filter(c -> c.id().equals("n-7"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(new Memory.Closing("n-7", Standing.GONE, 7_000, 14), one);
-        assertEquals(Map.of(3, "n-5", 12, "n-7"), memory.leaders());
+        assertEquals(new RouterStateStore.Closing("n-7", MemberState.GONE, 7_000, 14), one);
+        assertEquals(Map.of(3, "n-5", 12, "n-7"), store.primaries());
         TreeSet<Long> expected = new TreeSet<>();
         for (long key = 1; key <= 30; key++) {
             if (key % 3 != 1) {
@@ -51,16 +51,16 @@
             }
         }
         expected.add(77L);
-        assertEquals(expected, new TreeSet<>(memory.doubts()));
-        memory.close();
+        assertEquals(expected, new TreeSet<>(store.inDoubtKeys()));
+        store.close();
     }
 
     @Test
-    void tornTailIsSaidAndTheRestIsRead() throws Exception {
-        Memory memory = open(5);
-        assertEquals(Map.of(3, "n-5", 12, "n-7"), memory.leaders());
+    void logsTornTailAndReadsRest() throws Exception {
+        RouterStateStore store = open(5);
+        assertEquals(Map.of(3, "n-5", 12, "n-7"), store.primaries());
         assertTrue(lines.toString().contains("memory-tail-cut"), lines.toString());
-        assertTrue(memory.doubts().size() >= 30, "doubts: " + memory.doubts().size());
-        memory.close();
+        assertTrue(store.inDoubtKeys().size() >= 30, "doubts: " + store.inDoubtKeys().size());
+        store.close();
     }
 }
--- a/src/test/java/dillfront/router/plan/PlannerTest.java
+++ b/src/test/java/dillfront/router/plan/LoadPlannerTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.router.plan.Estate.Kind;
-import dillfront.router.plan.Estate.Node;
-import dillfront.routing.Scene;
+import dillfront.router.plan.PlannerInput.Node;
+import dillfront.router.plan.PlannerInput.TransactionType;
+import dillfront.routing.RoutingHarness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -19,15 +19,15 @@
  * Where load goes once sites are lost: by scenes to be read, against all there is to choose from,
  * and alike everywhere.
  */
-class PlannerTest {
+class LoadPlannerTest {
 
-    private static final List<Kind> KINDS =
+    private static final List<TransactionType> TRANSACTION_TYPES =
             List.of(
-                    new Kind("move", true, 6, 0.25),
-                    new Kind("view", false, 3, 0.5),
-                    new Kind("any", false, 1, 0.25));
+                    new TransactionType("move", true, 6, 0.25),
+                    new TransactionType("view", false, 3, 0.5),
+                    new TransactionType("any", false, 1, 0.25));
 
-    private static Estate three(double use) {
+    private static PlannerInput threeSites(double use) {
         List<Node> nodes = new ArrayList<>();
         for (int g = 0; g < 3; g++) {
             for (int m = 0; m < 3; m++) {
@@ -37,15 +37,16 @@
                 nodes.add(new Node("s-" + g + m, site, g, m == 2 ? 1 : 2, m == g % 3));
             }
         }
-        return new Estate(List.of("north", "south", "west"), nodes, KINDS, use, 0.02);
+        return new PlannerInput(
+                List.of("north", "south", "west"), nodes, TRANSACTION_TYPES, use, 0.02);
     }
 
     @Test
-    void plansAreReadLikeAScene() throws IOException {
+    void matchesRecordedPlans() throws IOException {
         StringBuilder trace = new StringBuilder();
         for (double use : new double[] {0.4, 0.8}) {
-            Estate estate = three(use);
-            for (Plan plan : Planner.all(estate)) {
+            PlannerInput input = threeSites(use);
+            for (LoadPlan plan : LoadPlanner.allPlans(input)) {
                 trace.append(
                         String.format(
                                 Locale.ROOT,
@@ -53,8 +54,8 @@
                                 use,
                                 plan.lost(),
                                 plan.served(),
-                                plan.asked()));
-                for (Plan.Group group : plan.groups()) {
+                                plan.requested()));
+                for (LoadPlan.Group group : plan.groups()) {
                     trace.append(
                             String.format(
                                     Locale.ROOT,
@@ -63,16 +64,16 @@
                                     group.left(),
                                     group.members(),
                                     group.primary(),
-                                    group.elects() ? ", to be elected" : ""));
-                    for (Plan.Row row : group.rows()) {
+                                    group.needsElection() ? ", to be elected" : ""));
+                    for (LoadPlan.TypeLoad row : group.loads()) {
                         trace.append(
                                 String.format(
                                         Locale.ROOT,
                                         "    %-5s asked %.3f served %.3f crosses %.3f limit %s:",
-                                        row.kind(),
-                                        row.asked(),
+                                        row.type(),
+                                        row.requested(),
                                         row.served(),
-                                        row.crosses(),
+                                        row.crossSite(),
                                         row.limit()));
                         row.flows()
                                 .forEach(
@@ -81,7 +82,7 @@
                                                         String.format(
                                                                 Locale.ROOT,
                                                                 " %s>%s %.3f",
-                                                                f.from(),
+                                                                f.fromSite(),
                                                                 f.node(),
                                                                 f.amount())));
                         trace.append('\n');
@@ -89,87 +90,87 @@
                 }
             }
         }
-        Scene.compare("site-plans", trace);
+        RoutingHarness.assertTraceEquals("site-plans", trace);
     }
 
     /**
      * Every way to give whole units of what is asked to whole units of room, for estates so small
      * that all can be tried.
      */
-    private static double best(
-            Estate estate,
+    private static double bestValue(
+            PlannerInput input,
             Set<String> lost,
-            int[][] asked,
+            int[][] requested,
             List<Node> left,
             Node primary,
-            int[] room,
-            int at) {
-        int kinds = estate.kinds().size();
-        if (at == asked.length * kinds) {
+            int[] free,
+            int index) {
+        int typeCount = input.transactionTypes().size();
+        if (index == requested.length * typeCount) {
             return 0;
         }
-        int site = at / kinds;
-        int kind = at % kinds;
-        Kind its = estate.kinds().get(kind);
-        return give(
-                estate,
+        int site = index / typeCount;
+        int kind = index % typeCount;
+        TransactionType type = input.transactionTypes().get(kind);
+        return assignToNodes(
+                input,
                 lost,
-                asked,
+                requested,
                 left,
                 primary,
-                room,
-                at,
-                its,
-                estate.sites().get(site),
-                asked[site][kind],
+                free,
+                index,
+                type,
+                input.sites().get(site),
+                requested[site][kind],
                 0);
     }
 
-    private static double give(
-            Estate estate,
+    private static double assignToNodes(
+            PlannerInput input,
             Set<String> lost,
-            int[][] asked,
+            int[][] requested,
             List<Node> left,
             Node primary,
-            int[] room,
-            int at,
-            Kind kind,
+            int[] free,
+            int index,
+            TransactionType type,
             String site,
-            int rest,
+            int unserved,
             int node) {
         if (node == left.size()) {
-            return best(estate, lost, asked, left, primary, room, at + 1);
+            return bestValue(input, lost, requested, left, primary, free, index + 1);
         }
-        double most = 0;
+        double best = 0;
         Node to = left.get(node);
-        int may = kind.primaryOnly() && to != primary ? 0 : Math.min(rest, room[node]);
-        double each =
-                kind.value()
-                        - (!kind.primaryOnly() && to == primary
-                                ? 0.02 * kind.value() + estate.crossingPrice()
+        int maxAmount = type.primaryOnly() && to != primary ? 0 : Math.min(unserved, free[node]);
+        double unitValue =
+                type.value()
+                        - (!type.primaryOnly() && to == primary
+                                ? 0.02 * type.value() + input.crossingPrice()
                                 : 0)
-                        - (to.site().equals(site) ? 0 : estate.crossingPrice());
-        for (int amount = 0; amount <= may; amount++) {
-            room[node] -= amount;
-            most =
+                        - (to.site().equals(site) ? 0 : input.crossingPrice());
+        for (int amount = 0; amount <= maxAmount; amount++) {
+            free[node] -= amount;
+            best =
                     Math.max(
-                            most,
-                            amount * each
-                                    + give(
-                                            estate,
+                            best,
+                            amount * unitValue
+                                    + assignToNodes(
+                                            input,
                                             lost,
-                                            asked,
+                                            requested,
                                             left,
                                             primary,
-                                            room,
-                                            at,
-                                            kind,
+                                            free,
+                                            index,
+                                            type,
                                             site,
-                                            rest - amount,
+                                            unserved - amount,
                                             node + 1));
-            room[node] += amount;
+            free[node] += amount;
         }
-        return most;
+        return best;
     }
 
     /**
@@ -177,59 +178,60 @@
      * whole (a transport problem).
      */
     @Test
-    void noWayIsBetterThanThePlan() {
-        SplittableRandom chance = new SplittableRandom(31);
-        int looked = 0;
+    void matchesExhaustiveSearch() {
+        SplittableRandom random = new SplittableRandom(31);
+        int compared = 0;
         for (int round = 0; round < 300; round++) {
-            int members = 2 + chance.nextInt(2);
+            int members = 2 + random.nextInt(2);
             List<Node> nodes = new ArrayList<>();
             int[] whole = new int[members];
             for (int m = 0; m < members; m++) {
-                whole[m] = 1 + chance.nextInt(3);
+                whole[m] = 1 + random.nextInt(3);
                 nodes.add(
                         new Node(
                                 "n" + m,
-                                m == 0 ? "a" : chance.nextInt(2) == 0 ? "a" : "b",
+                                m == 0 ? "a" : random.nextInt(2) == 0 ? "a" : "b",
                                 0,
-                                whole[m] / Planner.FILL,
+                                whole[m] / LoadPlanner.MAX_UTILIZATION,
                                 m == 0));
             }
-            List<Kind> kinds =
+            List<TransactionType> types =
                     List.of(
-                            new Kind("w", true, 1 + chance.nextInt(6), 0.5),
-                            new Kind("r", false, 1 + chance.nextInt(6), 0.5));
-            double all = nodes.stream().mapToDouble(Node::capacity).sum();
-            Set<String> lost = chance.nextInt(3) == 0 ? Set.of("a") : Set.of();
-            int sum = 2 * (1 + chance.nextInt(3));
-            Estate estate = new Estate(List.of("a", "b"), nodes, kinds, sum / all, 0.05);
-            int[][] asked = new int[2][2];
+                            new TransactionType("w", true, 1 + random.nextInt(6), 0.5),
+                            new TransactionType("r", false, 1 + random.nextInt(6), 0.5));
+            double totalCapacity = nodes.stream().mapToDouble(Node::capacity).sum();
+            Set<String> lost = random.nextInt(3) == 0 ? Set.of("a") : Set.of();
+            int sum = 2 * (1 + random.nextInt(3));
+            PlannerInput input =
+                    new PlannerInput(List.of("a", "b"), nodes, types, sum / totalCapacity, 0.05);
+            int[][] requested = new int[2][2];
             boolean wholes = true;
             for (int s = 0; s < 2; s++) {
                 for (int k = 0; k < 2; k++) {
-                    double exact = sum * 0.5 * estate.part(estate.sites().get(s), lost);
-                    asked[s][k] = (int) Math.round(exact);
-                    wholes &= Math.abs(exact - asked[s][k]) < 1e-9;
+                    double exact = sum * 0.5 * input.demandPart(input.sites().get(s), lost);
+                    requested[s][k] = (int) Math.round(exact);
+                    wholes &= Math.abs(exact - requested[s][k]) < 1e-9;
                 }
             }
-            Plan plan = Planner.plan(estate, lost);
+            LoadPlan plan = LoadPlanner.plan(input, lost);
             List<Node> left = nodes.stream().filter(n -> !lost.contains(n.site())).toList();
             if (!wholes || left.isEmpty()) {
                 continue;
             }
-            looked++;
+            compared++;
             Node primary =
                     left.stream()
                             .filter(n -> n.id().equals(plan.groups().get(0).primary()))
                             .findAny()
                             .orElseThrow();
-            int[] room = left.stream().mapToInt(n -> whole[nodes.indexOf(n)]).toArray();
+            int[] free = left.stream().mapToInt(n -> whole[nodes.indexOf(n)]).toArray();
             assertEquals(
-                    best(estate, lost, asked, left, primary, room, 0),
-                    Planner.worth(estate, plan),
+                    bestValue(input, lost, requested, left, primary, free, 0),
+                    LoadPlanner.value(input, plan),
                     1e-6,
                     "round " + round);
         }
-        assertTrue(looked > 50, "looked at " + looked);
+        assertTrue(compared > 50, "looked at " + compared);
     }
 
     /**
@@ -237,38 +239,45 @@
      * have.
      */
     @Test
-    void theSameListMakesTheSamePlan() {
-        SplittableRandom chance = new SplittableRandom(32);
+    void planIsIndependentOfListOrder() {
+        SplittableRandom random = new SplittableRandom(32);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             nodes.add(
                     new Node(
                             "s-" + i,
-                            "z" + chance.nextInt(3),
+                            "z" + random.nextInt(3),
                             i / 5,
-                            1 + chance.nextInt(4),
+                            1 + random.nextInt(4),
                             i % 5 == 0));
         }
-        List<Plan> plans =
-                Planner.all(new Estate(List.of("z0", "z1", "z2"), nodes, KINDS, 0.75, 0.02));
+        List<LoadPlan> plans =
+                LoadPlanner.allPlans(
+                        new PlannerInput(
+                                List.of("z0", "z1", "z2"), nodes, TRANSACTION_TYPES, 0.75, 0.02));
         List<Node> other = new ArrayList<>(nodes);
         Collections.reverse(other);
         assertEquals(
                 plans,
-                Planner.all(new Estate(List.of("z2", "z1", "z0"), other, KINDS, 0.75, 0.02)));
-        for (Plan plan : plans) {
-            Planner.load(plan, nodes)
+                LoadPlanner.allPlans(
+                        new PlannerInput(
+                                List.of("z2", "z1", "z0"), other, TRANSACTION_TYPES, 0.75, 0.02)));
+        for (LoadPlan plan : plans) {
+            LoadPlanner.utilization(plan, nodes)
                     .forEach(
                             (id, load) ->
-                                    assertTrue(load <= Planner.FILL + 1e-6, id + " is at " + load));
+                                    assertTrue(
+                                            load <= LoadPlanner.MAX_UTILIZATION + 1e-6,
+                                            id + " is at " + load));
             plan.groups()
                     .forEach(
                             g ->
-                                    g.rows()
+                                    g.loads()
                                             .forEach(
                                                     r ->
                                                             assertTrue(
-                                                                    r.served() <= r.asked() + 1e-6,
+                                                                    r.served()
+                                                                            <= r.requested() + 1e-6,
                                                                     r.toString())));
         }
     }
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -42,7 +42,7 @@
             simulations.put("random-" + seed, simulation);
         }
         for (long seed = 1; seed <= WORST_CASE_RUNS; seed++) {
-            simulations.put("worst-" + seed, ControlMeasure.day(seed));
+            simulations.put("worst-" + seed, ControlMeasure.scheduleOf(seed));
         }
         return simulations;
     }
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -183,7 +183,7 @@
     @Test
     void invariantsHoldUnderWorstCaseFaults() {
         for (long seed = 1_001; seed <= 1_000 + WORST_CASE_RUNS; seed++) {
-            SystemSimulation simulation = ControlMeasure.day(seed);
+            SystemSimulation simulation = ControlMeasure.scheduleOf(seed);
             simulation.run();
             assertEquals(
                     List.of(),
