--- a/src/main/java/dillfront/simulation/CapacityMeasure.java
+++ b/src/main/java/dillfront/simulation/CapacityMeasure.java
@@ -22,9 +22,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Three real control processes on loopback, and hollow fronts and database servers in this one:
- * they ask for news and beat as the real ones do, and do nothing else. What a front hears and says,
- * and what control spends, at three sizes.
+ * Measures the capacity of the control plane: three real control-plane processes on loopback, with
+ * stub data planes and stub database servers in this process that request updates and send
+ * heartbeats as the real ones do, and nothing else. Reports the traffic per data plane and the
+ * resource usage of the control plane at three sizes.
  */
 public final class CapacityMeasure {
 
@@ -33,7 +34,7 @@
     private static final String[] IPS = ControlProcesses.IPS;
     private static final long BEAT_MS = ControlProcesses.BEAT_MS;
 
-    /** Where all hollow servers are asked how they are, each at an address of its own. */
+    /** Port of all stub database servers, each at an address of its own. */
     private static final int HOLLOW = 17_500;
 
     private static final int CALM_S = 6;
@@ -69,7 +70,7 @@
     private record Row(
             int fronts, double bytes, double messages, double share, long configMs, double mb) {}
 
-    /** Prints a line of results for each number of data planes. */
+    /** Prints one line of results for each number of data planes. */
     public static void main(String[] args) throws Exception {
         List<Row> rows = new ArrayList<>();
         for (int fronts : new int[] {50, 200, 800}) {
@@ -98,7 +99,7 @@
         System.exit(0);
     }
 
-    /** Leads, and does nothing. */
+    /** Stub database server that always reports the role of primary. */
     private static final class Server implements Environment.ConnectionListener {
         private Environment.Connection link;
 
@@ -119,7 +120,7 @@
 
         @Override
         public void onClose(String why) {
-            // It comes again.
+            // The control plane reconnects.
         }
     }
 
@@ -200,7 +201,10 @@
         return taken;
     }
 
-    /** As an operator does: one that got no clear answer goes again as it was. */
+    /**
+     * Sends the configuration as an operator does: a call without a definite answer is repeated
+     * unchanged.
+     */
     private void send(String body, int tries, CompletableFuture<Environment.HttpResponse> taken) {
         host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000)
                 .whenComplete(
@@ -241,7 +245,7 @@
                 });
     }
 
-    /** A front that asks for news, and keeps nothing but what it has. */
+    /** Stub data plane that requests updates and stores only the current configuration. */
     private final class Front implements Environment.ConnectionListener {
         private final int number;
         private Environment.Connection link;
@@ -300,7 +304,7 @@
                 suspects = in.number("sn", suspects);
                 in.maps("p").forEach(row -> record = Math.max(record, row.number("k", 0)));
                 if (in.has("cb")) {
-                    // Of a text that sends each configuration whole.
+                    // The measured revision sends each configuration complete.
                     body = in.bytes("cb");
                     versions[number] = Configuration.parse(body).revision();
                     if (waiting.decrementAndGet() == 0) {
@@ -318,7 +322,8 @@
                     }
                 }
                 if (in.number("q", -1) == question && in.flag("alone")) {
-                    // A real one would go on to another; this one asks the same again.
+                    // A real data plane would switch to another process; this one repeats the
+                    // request at the same process.
                     host.schedule(100, this::ask);
                 } else if (in.number("q", -1) == question) {
                     ask();
--- a/src/main/java/dillfront/simulation/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -22,11 +22,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Three real control processes on loopback, a front that only asks, and hundreds of changes of a
- * configuration of 300 routes: what the front and a control process hear for each, how long each
- * takes, and how long a process is behind that was away for 600. Before that, what a disk takes for
- * such changes. The first argument is another jar to measure, which may be of a text that sends
- * each configuration whole, or "disk" for the disk alone.
+ * Measures configuration changes: three real control-plane processes on loopback, a stub data plane
+ * that only requests updates, and hundreds of changes of a configuration of 300 routes. Reports the
+ * bytes that the data plane and a control-plane process receive per change, the latency of a
+ * change, and the catch-up time of a process that missed 600 changes. Measures the disk time of
+ * such changes first. The first argument is another jar to measure, whose revision may send each
+ * configuration complete, or "disk" for the disk measurement alone.
  */
 public final class ChangesMeasure {
 
@@ -126,8 +127,8 @@
     }
 
     /**
-     * A configuration of some 300 KB, kept as a control process keeps it: how long a put takes, and
-     * how long the file gets.
+     * Measures the latency of a put and the size of the file for a configuration of about 300 KB,
+     * stored as a control-plane process stores it.
      */
     private void disk() throws Exception {
         Path data = Files.createDirectories(processes.folder().resolve("disk"));
@@ -167,7 +168,7 @@
         long from = System.nanoTime();
         while (!is.so()) {
             if (System.nanoTime() - from > WITHIN_MS * 1_000_000) {
-                throw new IllegalStateException("not within " + WITHIN_MS + " ms");
+                throw new IllegalStateException("condition not met within " + WITHIN_MS + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
@@ -186,8 +187,8 @@
     }
 
     /**
-     * One time-out changes, and every tenth time a route goes and another comes. Sent until it is
-     * taken.
+     * Sends a configuration in which one timeout has changed and in which every tenth revision
+     * replaces one route. Retries until the configuration is accepted.
      */
     private void configure() throws Exception {
         version++;
@@ -241,14 +242,17 @@
                     return;
                 }
             } catch (CompletionException again) {
-                // To the next.
+                // Retry at the next process.
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new IllegalStateException("version " + version + " was not taken");
+        throw new IllegalStateException("version " + version + " was not accepted after 50 attempts");
     }
 
-    /** Asks the second process, which takes no orders here, and keeps the bytes alone. */
+    /**
+     * Stub data plane that requests updates from the second process, which receives no
+     * configuration calls here, and stores only the configuration bytes.
+     */
     private final class Front implements Environment.ConnectionListener {
         private Environment.Connection link;
         private String boot = "";
--- a/src/main/java/dillfront/simulation/Clockwork.java
+++ b/src/main/java/dillfront/simulation/Clockwork.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 
-/** Time, virtual or not, and what is to be done later. */
+/** Schedules tasks in real or virtual time. */
 public interface Clockwork {
 
-    /** Since the start. */
+    /** Returns the time since the start of the run. */
     Duration now();
 
     void after(Duration span, Runnable work);
--- a/src/main/java/dillfront/simulation/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -7,23 +7,26 @@
 import java.util.TreeMap;
 
 /**
- * The worst days of the control side in simulated time, and what became of the letter's five
- * points. With an argument: one seed, told in full.
+ * Simulates severe fault schedules of the control plane and reports its invariants: lost and
+ * reverted configurations, split leases, replacement and catch-up times. With one argument, replays
+ * that seed and prints all details.
  */
 public final class ControlMeasure {
 
     private static final long PLAY_MS = 40_000;
     private static final int DAYS = 90;
 
-    /** Days and worlds together; what the days leave of it is the worlds'. */
+    /** Total time budget; the model checker gets what the fault schedules leave. */
     private static final long BUDGET_MS = 39_000;
 
-    /** So much is theirs also where the machine is busy. */
+    /** Minimum time reserved for the model checker, also on a busy machine. */
     private static final long WORLDS_MS = 15_000;
 
     private ControlMeasure() {}
 
-    /** The day of a seed: three, four or five control machines; not yet played. */
+    /**
+     * Returns the fault schedule of a seed with three, four or five control processes; not yet run.
+     */
     public static Day day(long seed) {
         boolean busy = seed % 8 == 0;
         Day day =
@@ -39,8 +42,8 @@
     }
 
     /**
-     * Arguments: a seed, told in full; or a first seed and for how many milliseconds, without the
-     * small worlds.
+     * Arguments: one seed to replay with all details; or a first seed and the duration in
+     * milliseconds, without the model checker.
      */
     public static void main(String[] args) {
         if (args.length == 1) {
--- a/src/main/java/dillfront/simulation/ControlProcesses.java
+++ b/src/main/java/dillfront/simulation/ControlProcesses.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * Three real control processes on loopback, for a measure: their start, what the system counts of
- * them, and their end.
+ * Runs three real control-plane processes on loopback for a measurement: starts them, reads their
+ * resource usage from the operating system, and stops them.
  */
 final class ControlProcesses {
 
@@ -29,7 +29,7 @@
     private String platform = "127.0.0.1:1";
 
     /**
-     * @param java what the JVM is started with, and the program
+     * @param java the arguments of the JVM, including the program
      */
     ControlProcesses(String measure, int controlPort, int innerPort, String... java)
             throws IOException {
@@ -41,17 +41,17 @@
         }
     }
 
-    /** This one is started so from now on. */
+    /** Sets the JVM arguments of one process for its next starts. */
     void java(int which, String... command) {
         java.set(which, List.of(command));
     }
 
-    /** How this one was started last, or is next. */
+    /** Returns the JVM arguments of one process for its last or next start. */
     List<String> javaOf(int which) {
         return java.get(which);
     }
 
-    /** Where the platform is, for those that start from now on. */
+    /** Sets the address of the cloud platform for processes that start from now on. */
     void platform(String address) {
         platform = address;
     }
@@ -115,7 +115,7 @@
         return folder.resolve(IPS[which]);
     }
 
-    /** Killed; and its disk emptied, if so. */
+    /** Kills a process and deletes its data directory if requested. */
     void kill(int which, boolean emptied) throws IOException, InterruptedException {
         processes[which].destroyForcibly().waitFor();
         if (emptied) {
@@ -127,7 +127,7 @@
         return processes[of].toHandle().info().totalCpuDuration().orElse(Duration.ZERO).toNanos();
     }
 
-    /** Of all of them. */
+    /** Returns the CPU time of all processes. */
     long cpuNanos() {
         long all = 0;
         for (int i = 0; i < IPS.length; i++) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** What it read and wrote, as the system counts it. */
+    /** Returns an I/O counter of the process as the operating system reports it. */
     long io(int of, String name) throws IOException {
         return of(of, "io", name);
     }
--- a/src/main/java/dillfront/simulation/Crowd.java
+++ b/src/main/java/dillfront/simulation/Crowd.java
@@ -12,34 +12,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Instances that gossip in virtual time over a network that loses, doubles, delays and parts. Sizes
- * are those of the wire (dillfront.router.peers.Codec), signatures are taken as right: words here
- * are objects that nobody can change.
+ * Gossip instances in virtual time over a network that loses, duplicates, delays and partitions
+ * datagrams. Sizes are those of the wire format ({@link GossipCodec}); signatures are assumed to be
+ * valid because updates are immutable objects here.
  */
 public final class Crowd {
 
-    /** Looks at the clock, a period; as many as on sockets. */
+    /** Ticks per gossip period; the same number as with real sockets. */
     private static final int LOOKS = 10;
 
     private static final Duration EPOCH = Duration.ofDays(20_000);
 
-    /** Hears what claims are new at an instance. */
+    /** Receives the claims that are new at an instance. */
     public interface Ear {
         void claimed(int instance, GossipUpdate claim, Duration age);
     }
 
-    /** One instance; it may be off, or stand still, in which case what comes waits for it. */
+    /**
+     * One gossip instance. The instance may be powered off or paused; datagrams that arrive during
+     * a pause are handled when the pause ends.
+     */
     public final class Instance implements GossipTransport {
 
         public final int index;
         public GossipProtocol gossip;
 
-        /** What its clock shows beyond the others'. */
+        /** Offset of this instance's wall clock from the clocks of the other instances. */
         public Duration clock = Duration.ZERO;
 
         public boolean off;
 
-        /** The part of a parted network that it is in. */
+        /** The network partition that the instance is in. */
         public int side;
 
         public long datagrams;
@@ -51,7 +54,7 @@
             this.index = index;
         }
 
-        /** Starts it from nothing. */
+        /** Starts the instance with empty state and increments its incarnation. */
         public void start(List<Integer> seeds) {
             off = false;
             int mine = ++life;
@@ -81,12 +84,15 @@
             time.after(tuning.period().dividedBy(LOOKS), () -> beat(mine));
         }
 
-        /** Sets its clocks, before anything is asked of it from outside. */
+        /** Sets the clocks of the gossip protocol; required before each call from outside. */
         public void at() {
             gossip.setClocks(time.now(), EPOCH.plus(time.now()).plus(clock));
         }
 
-        /** Does nothing for so long, as a stopped process; then reads all that came. */
+        /**
+         * Pauses the instance as a stopped process would be; the datagrams that arrive meanwhile
+         * are handled at the end of the pause.
+         */
         public void standStill(Duration span) {
             still = true;
             time.after(
@@ -182,7 +188,7 @@
     public final Instance[] instances;
     public final Time time;
 
-    /** Parts of all datagrams. */
+    /** Probability that a datagram is lost. */
     public double lost;
 
     public double doubled;
@@ -191,7 +197,7 @@
     private final Ear ear;
     private final RandomGenerator chance;
 
-    /** So many instances that all know each other from the start. */
+    /** Creates instances whose peer registries all list each other from the start. */
     public Crowd(int count, GossipConfig tuning, Time time, long seed, Ear ear) {
         this.tuning = tuning;
         this.time = time;
@@ -203,7 +209,7 @@
         }
     }
 
-    /** All at once, each knowing where one in twenty is, and three at the least. */
+    /** Starts all instances at once. Each has one in twenty of them as seeds, at least three. */
     public void start() {
         List<Integer> seeds = new ArrayList<>();
         for (int i = 0; i < Math.min(Math.max(3, instances.length / 20), instances.length); i++) {
@@ -214,7 +220,7 @@
         }
     }
 
-    /** The mean of what one has sent so far, in bytes. */
+    /** Returns the mean number of bytes sent per instance so far. */
     public double bytes() {
         double sum = 0;
         for (Instance instance : instances) {
@@ -223,7 +229,9 @@
         return sum / instances.length;
     }
 
-    /** Over all pairs of instances that are on: how many hold the other there. */
+    /**
+     * Returns the fraction of pairs of running instances in which one lists the other as present.
+     */
     public double known() {
         long on = 0;
         long there = 0;
@@ -238,7 +246,10 @@
         return there / (double) Math.max(1, on);
     }
 
-    /** Over all pairs: how many hold one there, or suspect, that is off. */
+    /**
+     * Returns the fraction of pairs of a running and a stopped instance in which the running one
+     * still lists the stopped one as present or suspected.
+     */
     public double ghosts() {
         long off = 0;
         long there = 0;
--- a/src/main/java/dillfront/simulation/Dark.java
+++ b/src/main/java/dillfront/simulation/Dark.java
@@ -20,23 +20,25 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet that comes back cold as a whole, in virtual time: as many routers as there may be, each
- * deciding by {@link Decide} itself, before nodes that warm up as slowly as their settings allow
- * and fall over where they are pushed. Clients try again. Rougher than the world: one core a node,
- * one time for all statements, no connections, no lost messages. Same case, same run.
+ * Simulates in virtual time how a whole fleet returns after a power loss. Up to the full number of
+ * routers decide by {@link Decide} itself in front of nodes that warm up as slowly as their
+ * settings allow and become overloaded when they receive too much work. Clients retry. Coarser than
+ * {@link World}: one core per node, one duration for all statements, no connections and no lost
+ * messages. The same case always gives the same run.
  */
 public final class Dark {
 
     /**
-     * @param load what first tries ask for, as a part of what all nodes can do warm
-     * @param coldFrom the part of its work that a node can do at its start
-     * @param tries how often a client asks at the most
-     * @param surge what is asked for in the first second, as a multiple of the usual
-     * @param crowd how many clients ask in one moment as the routers are there, as a multiple of a
-     *     second's first tries
-     * @param lateNodes the part of the nodes that is back only after half of the time to warm
-     * @param lateRouters the part of the routers that starts only then; their clients go to the
-     *     others meanwhile
+     * @param load the first attempts that clients make, as a fraction of the capacity of all nodes
+     *     when warm
+     * @param coldFrom the fraction of its capacity that a node has at its start
+     * @param tries the maximum number of attempts of a client
+     * @param surge the request rate in the first second, as a multiple of the usual rate
+     * @param crowd the number of clients that send a request at the same moment once the routers
+     *     have started, as a multiple of the first attempts of one second
+     * @param lateNodes the fraction of nodes that return only after half of the warm-up time
+     * @param lateRouters the fraction of routers that start only then; their clients use other
+     *     routers meanwhile
      */
     public record Case(
             int routers,
@@ -53,12 +55,14 @@
             long seed) {}
 
     /**
-     * @param peak how near a cold node came to falling over, 1 and it did
-     * @param served what was served until all were warm, as a part of what nodes could have done of
-     *     it
-     * @param wave of the tries that come again, how many came in the fullest tenth of a second of
-     *     the crowd's, as a multiple of the mean over the two seconds behind it; 0 without a crowd
-     * @param first when the first txn was served after the first router was there, in seconds
+     * @param peak the highest load of a cold node as a fraction of its overload limit; the node is
+     *     overloaded at 1
+     * @param served the requests served until all nodes were warm, as a fraction of what the nodes
+     *     could have served
+     * @param wave of the retries after the burst, the number in the busiest tenth of a second, as a
+     *     multiple of the mean over two seconds; 0 without a burst
+     * @param first the time from the start of the first router to the first served transaction, in
+     *     seconds
      */
     public record Outcome(double peak, double served, double first, double wave) {}
 
@@ -87,7 +91,8 @@
     private final List<Router> routers = new ArrayList<>();
 
     /**
-     * Tries that came again, by tenths of a second, from when the first of a crowd were given up.
+     * Retries by tenths of a second, starting shortly before the first requests of a burst time
+     * out.
      */
     private final int[] waves = new int[20];
 
@@ -100,7 +105,7 @@
         chance = new SplittableRandom(given.seed);
     }
 
-    /** Plays it, from the return of power until all nodes are warm. */
+    /** Runs the case from the return of power until all nodes are warm. */
     public static Outcome play(Case given) {
         return new Dark(given).play();
     }
@@ -174,7 +179,8 @@
     }
 
     /**
-     * The clients of one router, one after another; while it is not there they ask at another one.
+     * Sends the requests of one router's clients, one after the other; while the router has not
+     * started, the clients use another one.
      */
     private void client(Router router) {
         double surge = now < 1.5 ? given.surge : 1;
@@ -221,8 +227,8 @@
         }
 
         /**
-         * When it will be done with one more; what it cannot be done with in time waits all the
-         * same, as in a queue.
+         * Returns the time at which the node completes one more request. A request that cannot be
+         * completed in time is queued all the same.
          */
         double take() {
             long in = (long) (now * PARTS / TIP_AFTER);
@@ -246,7 +252,7 @@
     private final class Router implements Outlet {
         final double startsAt;
 
-        /** Some get several times the mean. */
+        /** Some routers get several times the mean load. */
         final double weight = 0.2 + Math.pow(chance.nextDouble(), 3) * 4;
 
         final long seed;
@@ -266,7 +272,10 @@
             list();
         }
 
-        /** The whole list as it is, and again as nodes come back. */
+        /**
+         * Passes the complete server list to the routing engine, and again each time that a node
+         * returns.
+         */
         private void list() {
             List<NodeRow> rows = new ArrayList<>();
             double next = Double.MAX_VALUE;
--- a/src/main/java/dillfront/simulation/Dump.java
+++ b/src/main/java/dillfront/simulation/Dump.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The state of objects as a text, by their fields: two that give the same text go on alike. Only
- * for small worlds.
+ * Serializes the state of objects to text, field by field. Two object graphs with the same text
+ * behave the same from then on. Meant for small models only, since every field is written out.
  */
 final class Dump {
 
--- a/src/main/java/dillfront/simulation/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 
 /**
- * Measures gossip in virtual time, and once on loopback; prints a table and one line of figures,
- * all of this run. With an argument, also how it is with so many instances.
+ * Measures gossip in virtual time, and once on loopback. Prints a table and one line of results,
+ * all of this run. Each argument is a further number of instances to measure.
  */
 public final class GossipMeasure {
 
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Over the seeds: the median of how long pouring went on, in milliseconds, and the means of the
-     * rest.
+     * Results over all seeds: the median of the time in milliseconds during which routers kept
+     * sending to the hung node, and the means of the other values.
      */
     private record Row(double stopped, double value, double poured, double doubts) {}
 
@@ -55,8 +55,8 @@
         Row row = row(rate, gossip, lie);
         System.out.printf(
                 Locale.ROOT,
-                "%4.0f txns/s each, gossip %-3s lie %-9s last pour %6.0f ms  value %.4f  poured %5.1f  "
-                        + "false doubts %.5f%n",
+                "%4.0f txns/s each, gossip %-3s lie %-9s last send %6.0f ms  value %.4f  sent %5.1f  "
+                        + "false suspicions %.5f%n",
                 rate,
                 gossip ? "on" : "off",
                 lie,
@@ -67,7 +67,10 @@
         return row;
     }
 
-    /** What many instances cost, and how fast a claim and a healed parting spread. */
+    /**
+     * Cost of a number of instances, and the propagation time of a claim and of the end of a
+     * network partition.
+     */
     private record Size(
             double quiet, double spreadMs, double heardPart, double healSeconds, double gone) {}
 
@@ -124,13 +127,13 @@
                 spread,
                 parts
                         ? String.format(
-                                Locale.ROOT, ", parted %.2f unknown, healed in %.0f s", gone, heal)
+                                Locale.ROOT, ", partitioned %.2f unknown, healed in %.0f s", gone, heal)
                         : "");
         return new Size(quiet, spread, part, heal, gone);
     }
 
     /**
-     * @param args further numbers of instances, measured without a parting
+     * @param args further numbers of instances, measured without a network partition
      */
     public static void main(String[] args) throws Exception {
         double speedup = 0;
@@ -140,7 +143,7 @@
             Row on = shown(rate, true, World.Lie.NONE);
             Row lied = shown(rate, true, World.Lie.ALL);
             if (rate == RATE) {
-                // A beat is the least that can be told apart.
+                // One tick of 20 ms is the resolution of the measurement.
                 speedup = off.stopped / Math.max(20, on.stopped);
                 liar = lied.value / off.value;
                 shown(rate, true, World.Lie.PRIMARIES);
@@ -183,7 +186,7 @@
                                 1));
         System.out.printf(
                 Locale.ROOT,
-                "on loopback, 20 instances, one that lies: last pour %d ms with, %d without; value %.4f, %.4f%n",
+                "on loopback, 20 instances, one with false claims: last send %d ms with gossip, %d without; value %.4f, %.4f%n",
                 on.stopped().toMillis(),
                 off.stopped().toMillis(),
                 on.value(),
--- a/src/main/java/dillfront/simulation/History.java
+++ b/src/main/java/dillfront/simulation/History.java
@@ -12,30 +12,34 @@
 import java.util.TreeSet;
 
 /**
- * What operators asked of the configuration and what they were told, and whether that is
- * linearizable: whether each call can be given one moment between its beginning and its end, so
- * that one object that does them one after another says the same.
+ * Records the configuration calls of operators and checks that they are linearizable: each call can
+ * be assigned one moment between its start and its end such that a single register that executes
+ * the calls in that order gives the same answers.
  *
- * <p>The object: one number has one content for ever; an order with a number above the one held
- * takes its place, one with an older number changes nothing, both are acknowledged; an order whose
- * number has another content is refused; a read returns what is held. An order without a clear
- * answer takes effect at any moment after its beginning, or never; a read without one says nothing.
- * The order of calls of {@code begin} and {@code end} is the order of time; {@code at} is for the
- * text alone.
+ * <p>The register: one revision number has one content permanently. A write with a number above the
+ * current one replaces the current value, a write with an older number changes nothing, and both
+ * are acknowledged. A write whose number already has another content is refused. A read returns the
+ * current value. A write without a definite answer takes effect at any moment after its start, or
+ * never; a read without an answer carries no information. The order of the calls of {@code begin}
+ * and {@code end} is the order of time; {@code at} is used for messages only.
  *
- * <p>The search is exact, as Wing and Gong's with the memory of Lowe's: what changes nothing is
- * taken as soon as it fits, and only orders that change the object are tried in turn.
+ * <p>The search is exact: the algorithm of Wing and Gong with the memoization of Lowe. Operations
+ * that change nothing are applied as soon as they fit; only writes that change the register are
+ * tried in turn.
  */
 public final class History {
 
-    /** How a call ended. REFUSED is 409, for the number's other content, and nothing else. */
+    /**
+     * Outcome of a call. REFUSED is status 409, a conflict with another content of the same number,
+     * and nothing else.
+     */
     public enum Outcome {
         ACKNOWLEDGED,
         REFUSED,
         UNKNOWN
     }
 
-    /** What a read of an object that holds nothing yet returns. */
+    /** Revision number that a read returns when the register is empty. */
     public static final long NONE = -1;
 
     private static final int NEVER = Integer.MAX_VALUE;
@@ -76,7 +80,10 @@
     private final List<Operation> operations = new ArrayList<>();
     private int moments;
 
-    /** An order is sent. Returns the number of the operation, for its end. */
+    /**
+     * Records the start of a write. Returns the index of the operation for the matching {@code
+     * end}.
+     */
     public int begin(long at, String by, long number, String digest) {
         Operation one = new Operation(by, false, at, moments++);
         one.number = number;
@@ -85,15 +92,15 @@
         return operations.size() - 1;
     }
 
-    /** A read is sent. */
+    /** Records the start of a read. */
     public int begin(long at, String by) {
         operations.add(new Operation(by, true, at, moments++));
         return operations.size() - 1;
     }
 
     /**
-     * An order has its answer. Without a clear one it may still take effect; so may one that never
-     * ends.
+     * Records the end of a write. A write with an unknown outcome may still take effect, as may a
+     * write that never ends.
      */
     public void end(int operation, long at, Outcome outcome) {
         Operation one = ended(operation, at);
@@ -103,7 +110,7 @@
         }
     }
 
-    /** A read has its answer; one that failed is not ended. */
+    /** Records the end of a read. A read that failed is never ended. */
     public void end(int operation, long at, long number, String digest) {
         Operation one = ended(operation, at);
         one.outcome = Outcome.ACKNOWLEDGED;
@@ -126,14 +133,15 @@
     }
 
     /**
-     * Null where it is linearizable; else what the first call whose answer no order of moments
-     * explains was, and what came before it.
+     * Returns null if the history is linearizable, else a description of the first call whose
+     * answer no order of the operations explains, and of the calls before it.
      */
     public String check() {
         if (linearizable(moments)) {
             return null;
         }
-        // What was right at a moment was right before it: the first that breaks it lies at one end.
+        // A prefix of a linearizable history is linearizable, so a binary search finds the first
+        // end that breaks it.
         int right = 0;
         int wrong = moments;
         while (wrong - right > 1) {
@@ -163,7 +171,7 @@
         return text.toString();
     }
 
-    /** The plain cases by name. */
+    /** Returns a description of the contradiction in the simple cases, else an empty text. */
     private String contradicts(Operation broke) {
         for (Operation other : operations) {
             if (other == broke
@@ -184,10 +192,7 @@
         return "";
     }
 
-    /**
-     * What happened before this moment, ends that came later taken for answers that are still
-     * awaited.
-     */
+    /** Checks the history up to a moment; operations that end later count as still pending. */
     private boolean linearizable(int until) {
         Search search = new Search();
         for (Operation one : operations) {
@@ -202,21 +207,21 @@
     }
 
     private static final class Search {
-        /** In the order in which they began. */
+        /** In the order of their starts. */
         final List<Operation> all = new ArrayList<>();
 
         final List<Integer> ends = new ArrayList<>();
         final List<Outcome> outcomes = new ArrayList<>();
 
-        /** The content of a number, where an answer tells it. */
+        /** The content of each revision number that an answer reveals. */
         final Map<Long, String> content = new HashMap<>();
 
         final Set<Long> refused = new HashSet<>();
         final Set<String> seen = new HashSet<>();
 
         /**
-         * Whether the answers agree on one content a number; orders without an answer that explain
-         * nothing are left out.
+         * Returns whether the answers agree on one content per number. Removes writes without an
+         * answer that explain no other answer.
          */
         boolean prepare() {
             Set<String> reads = new HashSet<>();
@@ -241,8 +246,8 @@
                 if (outcomes.get(i) == Outcome.REFUSED && one.digest.equals(told)) {
                     return false;
                 }
-                // Its effect is seen by a read of it, or by a refusal of another; without these it
-                // is none.
+                // The effect of a write is observable only through a read of it or the refusal of
+                // another write; without these the write has no influence.
                 boolean explains =
                         reads.contains(one.number + "/" + one.digest)
                                 || refused.contains(one.number)
@@ -257,11 +262,10 @@
         }
 
         /**
-         * Whether all that is left can be done from here.
+         * Returns whether all remaining operations can be completed from this state.
          *
-         * @param from all before this are done
-         * @param bound contents of numbers that no answer tells, once they took effect; of the
-         *     others, only those that did
+         * @param first all operations before this index are done
+         * @param bound contents of the numbers whose writes have taken effect
          */
         boolean from(BitSet before, int first, long held, String digest, Map<Long, String> bound) {
             BitSet done = (BitSet) before.clone();
@@ -280,7 +284,7 @@
                     }
                 }
                 if (!left) {
-                    // What no answer came to may never happen.
+                    // Operations without an answer may never take effect.
                     return true;
                 }
                 for (int i = from; i < all.size() && all.get(i).begun < earliest; i++) {
@@ -298,8 +302,8 @@
                     } else if (outcomes.get(i) == Outcome.REFUSED) {
                         fits = is != null && !is.equals(one.digest);
                     } else {
-                        // Done already by another of the same content; or without an answer, and
-                        // too late to do anything.
+                        // Another write of the same content has already taken effect, or the write
+                        // has no answer and is too late to change anything.
                         fits =
                                 is != null
                                                 && (is.equals(one.digest)
--- a/src/main/java/dillfront/simulation/Loopback.java
+++ b/src/main/java/dillfront/simulation/Loopback.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The same world in real time: each router on an event loop, its words signed and sent over UDP on
- * loopback.
+ * Runs a {@link World} scenario in real time: each router on an event loop, with signed gossip
+ * updates sent over UDP on loopback.
  */
 public final class Loopback {
 
@@ -43,7 +43,7 @@
 
     private Loopback() {}
 
-    /** Plays it, in as much time as it says. */
+    /** Runs the scenario; takes as long as the scenario's end. */
     public static World.Outcome play(World.Script script) throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(LOOPS);
         List<UdpGossipTransport> all = new ArrayList<>();
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Keys, addresses and sockets of all; each reads the same ring from a text of its own, as each
-     * process would.
+     * Creates the keys, addresses and sockets of all routers. Each router has its own peer
+     * registry, as separate processes would.
      */
     private static void speak(
             World.Script script,
@@ -113,7 +113,8 @@
         for (int i = 0; i < routers.size(); i++) {
             PeerRegistry ring = new PeerRegistry();
             for (int k = 0; k < routers.size(); k++) {
-                // Only the first few addresses are told; the others are learnt.
+                // Only the first three addresses are configured; the others are learned through
+                // gossip.
                 ring.add(
                         "r" + k,
                         k < 3 || k == i
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -26,10 +26,11 @@
 import java.util.stream.Stream;
 
 /**
- * Power lost by all at once: real processes that lose it again and again and come back, judged over
- * all of it, with a memory that keeps writes before they are sent; what that memory costs; all
- * orders of events in a small world; and the return of a cold fleet in virtual time, at 100 and
- * 1,000 routers, against one that could use all that nodes can do. Ends with one line.
+ * Measures recovery from a power loss of all machines. Real processes lose power repeatedly and
+ * restart with a state store that persists writes before they are sent; an audit checks the
+ * complete record. Also measures the cost of the state store, checks all event orders of a small
+ * model, and simulates the return of a cold fleet in virtual time with 100 and 1,000 routers
+ * against an ideal router that uses the full capacity of the nodes. Prints one line of results.
  */
 public final class PowerMeasure {
 
@@ -37,7 +38,7 @@
     private static final int RIGS = 4;
     private static final int LOSSES = 5;
 
-    /** A return is over once so many txns were served, by all routers. */
+    /** Recovery is complete once all routers together have served this many transactions. */
     private static final int SERVED = 100;
 
     private static final Node.Work WORK = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
@@ -55,7 +56,7 @@
             int seed = 30 + i;
             fleets.add(rigs.submit(() -> losses(ROUTERS, LOSSES, seed)));
         }
-        // One router that gets all that the four get, beside them.
+        // Baseline: one router that gets the load of all four, run in parallel.
         Future<Losses> ideal = rigs.submit(() -> losses(1, LOSSES, 30));
         Losses all = new Losses(new ArrayList<>(), new long[6], 0);
         for (Future<Losses> one : fleets) {
@@ -130,7 +131,7 @@
     }
 
     /**
-     * @param backMs of each loss, until SERVED were served after it
+     * @param backMs for each power loss, the time until enough transactions were served after it
      */
     private record Losses(List<Long> backMs, long[] rules, double peak) {
 
@@ -185,8 +186,8 @@
     }
 
     /**
-     * How long the next life takes to read a memory of so many closed nodes, in a JVM that has read
-     * one before.
+     * Returns the time in milliseconds to read a state store with this number of closed nodes after
+     * a restart, in a JVM that has read one before.
      */
     private static long recoverMs(int closings) throws Exception {
         Path folder = Files.createTempDirectory("dillfront-memory");
@@ -206,7 +207,7 @@
             long took = (System.nanoTime() - from) / 1_000_000;
             next.close();
             if (found != closings) {
-                throw new IllegalStateException("of " + closings + " there are " + found);
+                throw new IllegalStateException("recovered " + found + " closed nodes of " + closings);
             }
             return took;
         } finally {
@@ -219,8 +220,8 @@
     }
 
     /**
-     * How many txns a second one router serves, to clients that ask the next as soon as they have
-     * an answer.
+     * Returns the transactions per second that one router serves to clients that send the next
+     * request as soon as the last is answered.
      */
     private static double rate(boolean remembers, boolean writes) throws Exception {
         Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(QUICK);
@@ -265,8 +266,8 @@
     }
 
     /**
-     * Real processes: all lose power, nodes and routers come back side by side, as many are served
-     * again, and so on.
+     * Runs real processes: all lose power, nodes and routers restart side by side, the next
+     * transactions are served, and so on.
      */
     private static Losses losses(int routers, int many, long seed) throws Exception {
         try (Rig rig =
--- a/src/main/java/dillfront/simulation/SiteMeasure.java
+++ b/src/main/java/dillfront/simulation/SiteMeasure.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The plans for lost sites: how long fifty and 120 nodes take, and what a greedy order would lose
- * against them. Ends with one line. What real processes do with a plan comes with the rest of that
- * direction.
+ * Measures load plans for lost sites: the planning time for 50 and 120 nodes, and the value that a
+ * greedy plan loses against the optimal one. Prints one line of results. The execution of plans by
+ * real processes is not measured here.
  */
 public final class SiteMeasure {
 
@@ -43,7 +43,8 @@
     }
 
     /**
-     * The median time of all plans of an estate, the ordinary day's and each loss, in milliseconds.
+     * Returns the median time in milliseconds to compute all plans of one input: the plan without a
+     * loss and one per lost site.
      */
     private static double ms(int nodes) {
         double[] took = new double[ESTATES];
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -25,21 +25,22 @@
 import java.util.TreeSet;
 
 /**
- * All that can happen in a world so small that it can be gone through: two routers that decide by
- * {@link Decide}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one group,
- * two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a router's
- * end, power lost by all, and time, in every order up to a depth. Each state is reached anew from
- * the beginning, so nothing in the decisions is copied; two orders are one state where each router
- * has had the same words at the same times, and the rest of the world is the same.
+ * Checks exhaustively a model small enough for all its states: two routers that decide by {@link
+ * Decide}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one group and two
+ * keys. The events are requests, sends, answers, lost connections, server lists, a drain, disk
+ * syncs, a router crash, a power loss of all machines, and the passage of time, in every order up
+ * to a depth. Each state is reached by replay from the initial state, so no state of the routers is
+ * copied. Two orders lead to the same state if each router received the same inputs at the same
+ * times and the rest of the model is equal.
  *
- * <p>What must hold: a key has its effect once; what was declined never runs; each ask of a router
- * that lives has one answer by its expiry; nothing is sent to a node that a router knows to drain,
- * across its lives where it was kept; no bounded read is sent to data older than its bound. A
- * planted fault shows that each is looked at.
+ * <p>Invariants: a key takes effect once; a declined transaction never runs; each request of a
+ * running router is answered once by its expiry; nothing is sent to a node that a router knows to
+ * drain, also after a restart if the drain was persisted; no bounded read is sent to data older
+ * than its bound. Injected faults show that each invariant is checked.
  */
 public final class Small {
 
-    /** Something that a router is made to do wrong. */
+    /** A fault that is injected into the routers. */
     public enum Plant {
         NONE,
         SENDS_BEFORE_KEPT,
@@ -52,8 +53,9 @@
     }
 
     /**
-     * @param states that were looked at, and how deep
-     * @param broken what did not hold first, and how it came about; null where all held
+     * @param states number of explored states
+     * @param depth the deepest explored path
+     * @param broken the first violated invariant and the steps that lead to it; null if all held
      */
     public record Found(int states, int depth, String broken) {}
 
@@ -68,7 +70,7 @@
     private static final Duration BOUND = TICK;
     private static final Duration COLD = TICK.multipliedBy(40);
 
-    /** How often each thing may happen on one way through. */
+    /** Limits on one path; first the number of requests. */
     private static final int ASKS = 3;
 
     private static final int READS = 1;
@@ -79,7 +81,7 @@
 
     private Small() {}
 
-    /** Goes through all states up to this depth, nearest first. */
+    /** Explores all states up to this depth in breadth-first order. */
     public static Found explore(int depth, int most, Plant plant) {
         Set<String> seen = new HashSet<>();
         ArrayDeque<int[]> next = new ArrayDeque<>(List.of(new int[0]));
@@ -112,12 +114,12 @@
 
     private record Step(String name, Runnable what) {}
 
-    /** A txn that a client asked for. */
+    /** A transaction that a client requested. */
     private static final class Ask {
         final Life of;
         final int id;
 
-        /** Negative for a read: BOUNDED or ANY. */
+        /** Key of a write; negative for a read: BOUNDED or ANY. */
         final int key;
 
         final Duration at;
@@ -143,7 +145,7 @@
         OVER
     }
 
-    /** One submission. */
+    /** One submission of a transaction to a node. */
     private static final class Sent {
         final Ask ask;
         final int node;
@@ -169,20 +171,20 @@
         final List<Sent> sent = new ArrayList<>();
         final Life[] lives = new Life[ROUTERS];
 
-        /** On each router's disk. */
+        /** In-doubt keys on each router's disk. */
         final List<TreeSet<Integer>> keptKeys = new ArrayList<>();
 
         final List<TreeSet<String>> keptDrains = new ArrayList<>();
 
-        /** By key, when it last had its effect, and how often. */
+        /** By key, the time at which it last took effect. */
         final Duration[] effect = new Duration[KEYS];
 
         final int[] effects = new int[KEYS];
 
-        /** Who had the effect's first txn. */
+        /** By key, the router whose transaction took effect last. */
         final int[] effectBy = new int[KEYS];
 
-        /** Which keys each router has reason to know of as having perhaps run, since when. */
+        /** The time since which each router has reason to assume that a key may have run. */
         final Duration[][] knows = new Duration[ROUTERS][KEYS];
 
         final Duration[] position = new Duration[NODES];
@@ -207,7 +209,8 @@
                 lives[r].begin();
             }
             if (plant == Plant.FORGETS_DRAINS) {
-                // Deep among all orders: it begins where the drain has been told and kept.
+                // This state lies deep in the search, so the exploration starts where the drain is
+                // known and persisted.
                 drains = true;
                 generation++;
                 for (Life life : lives) {
@@ -235,7 +238,8 @@
                 if (asks.size() < ASKS) {
                     for (int k = 0; k < KEYS; k++) {
                         int key = k;
-                        // The second key comes into play after the first: they are alike.
+                        // The second key is used only after the first, since the keys are
+                        // symmetric.
                         if (k == 0 || asks.stream().anyMatch(a -> a.key == 0)) {
                             all.add(new Step("r" + r + " is asked for k" + k, () -> life.ask(key)));
                         }
@@ -258,12 +262,12 @@
                     all.add(new Step("r" + r + " syncs", life::sync));
                 }
                 if (life.generation < generation) {
-                    all.add(new Step("r" + r + " is told", life::told));
+                    all.add(new Step("r" + r + " receives the list", life::told));
                 }
                 if (gossip < GOSSIP && life.doubts.inDoubtCount() > 0) {
                     all.add(
                             new Step(
-                                    "r" + r + " tells its doubts",
+                                    "r" + r + " gossips its in-doubt keys",
                                     () -> {
                                         gossip++;
                                         lives[1 - who].hears(life);
@@ -310,7 +314,7 @@
                                 }));
             }
             if (losses < LOSSES && !sent.isEmpty()) {
-                all.add(new Step("power goes", this::power));
+                all.add(new Step("power loss", this::power));
             }
             if (ticks < TICKS) {
                 all.add(new Step("time", this::tick));
@@ -323,7 +327,7 @@
             lives[r].begin();
         }
 
-        /** All at once; replicas have lost the end of their logs. */
+        /** Power loss of all machines; replicas have lost the end of their logs. */
         void power() {
             losses++;
             sent.forEach(s -> s.where = Where.OVER);
@@ -343,7 +347,7 @@
             ticks++;
             now = now.plus(TICK);
             for (int n = 0; n < NODES; n++) {
-                // The first replica keeps up, the second stands still.
+                // The first replica follows the primary, the second one receives nothing.
                 position[n] = n == 2 ? position[n] : now;
             }
             for (Sent one : List.copyOf(sent)) {
@@ -382,8 +386,8 @@
                 effect[key] = now;
                 one.ask.ran = true;
                 if (++effects[key] > 1 && effectBy[key] == one.ask.of.index) {
-                    // A stray that runs late is the network's doing: the platform counts its window
-                    // from the send.
+                    // The network delayed a submission that the router had given up on: the
+                    // platform counts the deduplication window from the send.
                     if (!stray) {
                         breaks("k" + key + " had its effect twice");
                     }
@@ -443,7 +447,7 @@
         }
     }
 
-    /** One life of a router: the decisions, and the little that lies between them and the world. */
+    /** One incarnation of a router: the routing engine and the state between it and the model. */
     private static final class Life implements Outlet, InDoubtKeys.KeyStore, Closings.Keeper {
         final World world;
         final int index;
@@ -451,8 +455,8 @@
         final List<String> words = new ArrayList<>();
 
         /**
-         * What is to be on the disk, and is not yet: {@code +0}, {@code -0} a key, {@code n2} a
-         * drain.
+         * Changes that are not yet synced to disk: {@code +0} adds a key, {@code -0} removes it,
+         * and {@code n2} is a drain.
          */
         final TreeSet<String> unsynced = new TreeSet<>();
 
@@ -527,8 +531,8 @@
         }
 
         /**
-         * What is remembered is told, then the list of the configuration, which is from before all
-         * drains.
+         * Restores the persisted state, then applies the server list of the configuration, which is
+         * older than all drains.
          */
         void begin() {
             closings.keeper(this);
@@ -565,7 +569,8 @@
             decide.at(world.now);
             decide.list(true, rows);
             if (world.plant == Plant.KEEPS_POSITIONS && world.started != null) {
-                // What a former life knew of the second replica, as if it held.
+                // The position of the second replica that a former incarnation knew, as if it still
+                // held.
                 decide.heard(1, Report.NOTHING, new Report(world.started, Role.REPLICA));
             }
         }
@@ -585,7 +590,7 @@
             if (world.plant != Plant.IGNORES_OTHERS) {
                 others.addAll(doubtsOf(other));
             }
-            // Known for this life alone: what others told is not kept, and told again.
+            // Reports of other routers are not persisted and apply to this incarnation only.
             told.addAll(doubtsOf(other));
         }
 
@@ -672,7 +677,7 @@
             end(ask);
         }
 
-        /** Killed: what was not synced is lost. */
+        /** Kills the incarnation; changes that were not synced are lost. */
         void end() {
             for (Ask ask : asks) {
                 ask.answer = ask.answer == null ? "lost" : ask.answer;
@@ -740,7 +745,7 @@
             world.knows[index][key] = since == null ? world.now : since;
         }
 
-        // ---- results
+        // ---- callbacks of the routing engine
 
         @Override
         public void submit(int txn, int node, Duration limit) {
@@ -785,7 +790,7 @@
         @Override
         public void wake(Duration in) {}
 
-        // ---- the disk
+        // ---- storage
 
         @Override
         public boolean isWritable() {
--- a/src/main/java/dillfront/simulation/StandInServer.java
+++ b/src/main/java/dillfront/simulation/StandInServer.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 
 /**
- * A stand-in for a database server, for measurements with real processes: heartbeats, STATUS,
- * PAUSE, RESUME, STEPDOWN, and statements of data planes. All servers of a group share one log, as
- * with synchronous replicas. On one environment's thread.
+ * Stub database server for measurements with real processes: sends heartbeats and handles STATUS,
+ * PAUSE, RESUME, STEPDOWN and the statements of data planes. All servers of a group share one log,
+ * as with synchronous replicas. Runs on the event loop of one environment.
  */
 final class StandInServer {
 
@@ -24,7 +24,7 @@
         final String service;
         final List<StandInServer> servers = new ArrayList<>();
 
-        /** Keys that were written. */
+        /** Keys of all completed writes. */
         final TreeSet<String> written = new TreeSet<>();
 
         private long term = 1;
@@ -38,7 +38,10 @@
             return servers.stream().filter(s -> s.primary).findFirst().orElse(null);
         }
 
-        /** The platform makes this server the primary; whether it runs. */
+        /**
+         * Handles the platform's promotion call: makes this server the primary. Returns whether the
+         * server runs.
+         */
         boolean promote(String id) {
             for (StandInServer server : servers) {
                 if (server.id.equals(id) && server.running) {
@@ -92,13 +95,13 @@
         return id;
     }
 
-    /** It is lost: it answers nothing any more, and sends no heartbeat. */
+    /** Fails the server: it answers nothing and sends no heartbeats. */
     void lose() {
         running = false;
         primary = false;
     }
 
-    /** It runs again, as a replica. */
+    /** Restarts the server as a replica. */
     void comeBack() {
         running = true;
         pauseTerm = 0;
@@ -127,7 +130,6 @@
                 control, "/Instances.Heartbeat/" + id, body, Map.of(), HEARTBEAT_TIMEOUT_MS);
     }
 
-    /** One connection. */
     private final class Session implements Environment.ConnectionListener {
         private Environment.Connection connection;
 
@@ -203,7 +205,7 @@
 
         @Override
         public void onClose(String reason) {
-            // The next connection is another session.
+            // Nothing to clean up: each connection has its own session.
         }
     }
 }
--- a/src/main/java/dillfront/simulation/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Some hundreds of random days of the whole system, and what became of the rules. With an argument:
- * one seed, told in full.
+ * Simulates hundreds of random fault schedules of the whole system and reports violations of its
+ * invariants. With an argument, replays one seed and prints all details.
  */
 public final class SystemMeasure {
 
@@ -25,8 +25,8 @@
     }
 
     /**
-     * With an argument, tells one seed in full; else plays days for some 45 s and prints one line
-     * of results.
+     * With an argument, replays that seed and prints all details; otherwise runs fault schedules
+     * for about 45 s and prints one line of results.
      */
     public static void main(String[] args) {
         if (args.length > 0) {
--- a/src/main/java/dillfront/simulation/Time.java
+++ b/src/main/java/dillfront/simulation/Time.java
@@ -4,7 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: what is due runs in the order of its time, and of its asking where times are equal.
+ * Scheduler in virtual time. Tasks run in the order of their due time; tasks due at the same time
+ * run in the order in which they were scheduled.
  */
 public final class Time implements Clockwork {
 
@@ -29,7 +30,7 @@
         due.add(new Due(now + Math.max(0, span.toNanos()), asked++, work));
     }
 
-    /** Runs all that is due by then. */
+    /** Runs all tasks due at or before the end and advances the clock to the end. */
     public void until(Duration end) {
         while (!due.isEmpty() && due.peek().nanos <= end.toNanos()) {
             Due next = due.poll();
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -21,14 +21,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Two versions at once, with real processes: three control processes and two data planes, of a
- * build of an earlier revision and of the present one. The control processes are replaced one after
- * the other on their disks, each version holds the lease once and carries out a failover, and the
- * configuration changes in between.
+ * Measures a rolling upgrade with real processes: three control-plane processes and two data
+ * planes, of a build of an earlier revision and of the present one. The control-plane processes are
+ * replaced one after the other on their data directories, each version holds the lease once and
+ * performs a failover, and the configuration changes in between.
  *
- * <p>The last line counts processes of either version that served beside the other (mixed),
- * acknowledged writes and configurations that are missing in the end (lost), and disks that a
- * process did not come back with (unread).
+ * <p>The last line counts processes of either version that served beside the other version (mixed),
+ * acknowledged writes and configurations that are missing at the end (lost), and processes that did
+ * not recover with their data directory (unread).
  */
 public final class UpgradeMeasure {
 
@@ -74,7 +74,7 @@
         try {
             measure.run();
         } catch (AssertionError failed) {
-            // The event loop's thread would go on for ever.
+            // The event loop's thread would keep the JVM running.
             System.out.println(failed.getMessage());
             measure.end();
             System.exit(1);
@@ -138,7 +138,7 @@
         }
     }
 
-    /** One process of the earlier version beside a lease holder of the present one. */
+    /** Downgrades one process while a process of the present version holds the lease. */
     private void goBack(int which) throws Exception {
         replace(which, before);
     }
@@ -160,7 +160,8 @@
                 });
         write();
         changeConfiguration();
-        // Else it would be waited for in the next one, as it may hold what no other log does.
+        // Without the restart the next failover would wait for this server, which may hold commits
+        // that no other log has.
         environment.eventLoop().submit(primary::comeBack).get();
     }
 
@@ -210,7 +211,7 @@
                 .toString();
     }
 
-    /** A write through each data plane is acknowledged. */
+    /** Sends one write through each data plane until it is acknowledged. */
     private void write() throws Exception {
         for (int i = 0; i < dataPlanes.size(); i++) {
             int port = CLIENT_PORT + i;
@@ -389,7 +390,7 @@
         long end = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.call()) {
             if (System.nanoTime() > end) {
-                StringBuilder text = new StringBuilder("not within the time: " + what);
+                StringBuilder text = new StringBuilder("not within " + STEP_TIMEOUT_MS + " ms: " + what);
                 for (int i = 0; i < ControlProcesses.IPS.length; i++) {
                     text.append('\n').append(controls.control(i)).append(' ').append(status(i));
                 }
--- a/src/main/java/dillfront/simulation/World.java
+++ b/src/main/java/dillfront/simulation/World.java
@@ -28,13 +28,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Routers with the decisions as they are, each with txns of its own, before nodes that one script
- * makes hang; with gossip or without. Tells what the txns earned and how long routers went on
- * sending to what hung.
+ * Simulates routers, each with its own transactions, in front of nodes of which the scenario makes
+ * one hang, with or without gossip. Routing is decided by {@link Decide} itself. Reports the value
+ * that the transactions earned and how long routers kept sending to the hung node.
  */
 public final class World {
 
-    /** What one run is. */
+    /** Parameters of one run. */
     public record Script(
             int routers,
             int groups,
@@ -48,7 +48,7 @@
             Lie lie,
             long seed) {}
 
-    /** What the last router says to others, if it lies. */
+    /** The nodes that the last router falsely reports as hung. */
     public enum Lie {
         NONE,
         ALL,
@@ -57,14 +57,16 @@
     }
 
     /**
-     * What came of it.
+     * Result of one run.
      *
-     * @param value earned, as a part of what was asked
-     * @param stopped from the first router's own evidence until the last stopped pouring
-     * @param poured txns sent to what hung after the first router's evidence, trials included
-     * @param doubts falsely held: node-beats at which a node that was well was doubted by hearsay,
-     *     of all node-beats
-     * @param bytes that one instance sent a second, in the mean
+     * @param value the earned value as a fraction of the requested value
+     * @param stopped from the first router's own evidence until the last router stopped sending to
+     *     the hung node
+     * @param poured transactions sent to the hung node after the first router's evidence, trial
+     *     requests included
+     * @param doubts the rate of false suspicions: node ticks at which a healthy node was suspected
+     *     because of peer reports, as a fraction of all node ticks
+     * @param bytes mean bytes per second sent by one instance
      */
     public record Outcome(
             double value, Duration stopped, int poured, double doubts, double bytes) {}
@@ -74,24 +76,24 @@
     private static final Duration WORK = Duration.ofMillis(20);
 
     /**
-     * A router that sends one txn after such a gap, with nothing else out there, only tries the
-     * node.
+     * A transaction sent to the hung node after this pause, with none other outstanding there, is a
+     * trial request and does not count as continued sending.
      */
     private static final Duration TRIAL = DIAL;
 
     private static final Duration CLIENT = Duration.ofMillis(750);
     private static final double[] VALUES = {3, 2, 6};
 
-    /** By what the routers of a world speak with each other. */
+    /** Gossip network between the routers of a simulation. */
     interface Wire {
 
-        /** Starts them; their new claims go to the routers. */
+        /** Starts the gossip instances; new claims are passed to the routers. */
         void start(List<Router> routers);
 
-        /** Its clocks set. */
+        /** Returns the gossip protocol of a router with its clocks set. */
         GossipProtocol of(int router);
 
-        /** The mean of what one has sent, in bytes. */
+        /** Returns the mean number of bytes sent per instance. */
         double bytes();
     }
 
@@ -101,7 +103,7 @@
     private final Wire wire;
 
     /**
-     * @param times one a router
+     * @param times one scheduler per router
      */
     World(Script script, List<? extends Clockwork> times, Wire wire) {
         this.script = script;
@@ -111,7 +113,7 @@
         }
     }
 
-    /** In virtual time. */
+    /** Runs the scenario in virtual time. */
     public static Outcome play(Script script) {
         Time time = new Time();
         World[] world = new World[1];
@@ -152,7 +154,7 @@
         return world[0].outcome();
     }
 
-    /** Each router's part begins on its own clockwork. */
+    /** Starts each router on its own scheduler. */
     void start() {
         if (script.gossip) {
             wire.start(routers);
@@ -162,7 +164,7 @@
         }
     }
 
-    /** Once all is over. */
+    /** Returns the result; to be called after the end of the run. */
     Outcome outcome() {
         double asked = 0;
         double earned = 0;
@@ -272,7 +274,7 @@
         }
     }
 
-    /** One router; all of it on its own clockwork. */
+    /** One router; all of its work runs on its own scheduler. */
     final class Router implements Outlet, PeerHealthExchange.RoutingDecisions {
 
         final int index;
@@ -282,7 +284,7 @@
         private final RandomGenerator mine;
         private final List<Txn> txns = new ArrayList<>();
 
-        /** At the node that hangs: the last send, or the begin of a doubt; and how many are out. */
+        /** For the hung node: the time of the last send or of the start of a suspicion. */
         private Duration heldBack;
 
         private boolean doubts;
@@ -383,7 +385,7 @@
                     });
         }
 
-        /** What the daemon does at its beat, and nothing more. */
+        /** Does what the router daemon does at each tick, and nothing more. */
         private void beat() {
             time.after(
                     BEAT,
@@ -394,7 +396,8 @@
                                 && decide.observeHealth(script.hung).ill()) {
                             evidence = time.now();
                         }
-                        // He who lies does not take it back by telling what he sees.
+                        // A router that publishes false claims does not retract them by reporting
+                        // its own observations.
                         if (script.gossip && !lies()) {
                             neighbours.tick(time.now());
                             for (int n = 0; n < nodes(); n++) {
@@ -486,7 +489,7 @@
         @Override
         public void release(int node) {}
 
-        /** A hung node answers no probe either. */
+        /** A hung node does not answer probes. */
         @Override
         public void probe(int node) {
             boolean answers = !hangs(node, time.now());
--- a/src/test/java/dillfront/simulation/DarkTest.java
+++ b/src/test/java/dillfront/simulation/DarkTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fleet that comes back cold as a whole, in virtual time: no node falls over, and none waits
- * until it is warm.
+ * Return of a whole fleet after a power loss, in virtual time: no cold node is overloaded, and
+ * service returns before the nodes are warm.
  */
 class DarkTest {
 
@@ -21,8 +21,8 @@
         for (int routers : new int[] {1, 10, 100}) {
             for (double load : new double[] {0.3, 1.0}) {
                 for (long seed = 0; seed < 4; seed++) {
-                    // Clients that ask thrice, and three times the usual in the first second; half
-                    // of all late, or none.
+                    // Three attempts per client and three times the usual rate in the first second;
+                    // half of the nodes and routers are late, or none.
                     Dark.Outcome outcome = Dark.play(of(routers, load, 3, 3, seed % 2 * 0.5, seed));
                     assertTrue(
                             outcome.peak() < 0.8,
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Guards against a crowd that power brings back at once, is declined at once, and comes again
-     * at once.
+     * Guards against synchronized retries: a burst of clients that arrives when power returns is
+     * declined at one moment and would retry at one moment.
      */
     @Test
     void theSecondWaveIsFlat() {
--- a/src/test/java/dillfront/simulation/HistoryTest.java
+++ b/src/test/java/dillfront/simulation/HistoryTest.java
@@ -88,7 +88,7 @@
         order(1, "y");
         refused(1, "z");
         assertNull(history.check());
-        // Both were perhaps in force, never both.
+        // Either write may have taken effect, but not both.
         refused(1, "x");
         assertNull(history.check());
         refused(1, "y");
@@ -226,7 +226,7 @@
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> breaks("read of 999/d999"));
     }
 
-    /** What it says of small random histories is what trying all orders says. */
+    /** Checks that the verdicts on small random histories equal those of an exhaustive search. */
     @Test
     void agreesWithAllOrdersTried() {
         int good = 0;
--- a/src/test/java/dillfront/simulation/SmallTest.java
+++ b/src/test/java/dillfront/simulation/SmallTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every order of what can happen in a small world: the rules hold, and each planted fault is found.
+ * Exhaustive check of a small model: the invariants hold in every order of events, and each
+ * injected fault is detected.
  */
 class SmallTest {
 
-    /** As deep as all orders can be gone through in some ten seconds. */
+    /** Depth at which all event orders are explored in about ten seconds. */
     private static final int DEPTH = 6;
 
     private static final int MOST = 160_000;
--- a/src/test/java/dillfront/simulation/WorldTest.java
+++ b/src/test/java/dillfront/simulation/WorldTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Routers with the decisions as they are, and one node that hangs. */
+/** Routers with the real routing engine in front of one node that hangs. */
 class WorldTest {
 
     private static final int SEEDS = 7;
@@ -58,7 +58,7 @@
             assertTrue(
                     with >= without * 0.999,
                     lie + ": " + with / SEEDS + " with, " + without / SEEDS + " without");
-            assertEquals(0, doubts, "no node that is well is doubted");
+            assertEquals(0, doubts, "no healthy node is suspected");
         }
     }
 
