--- a/src/main/java/dillfront/simulation/CapacityMeasure.java
+++ b/src/main/java/dillfront/simulation/CapacityMeasure.java
@@ -31,8 +31,8 @@
 
     private static final int INNER = 17_400;
     private static final int CONTROL = 17_300;
-    private static final String[] IPS = ControlProcesses.IPS;
-    private static final long BEAT_MS = ControlProcesses.BEAT_MS;
+    private static final String[] IPS = ControlPlaneProcesses.IPS;
+    private static final long BEAT_MS = ControlPlaneProcesses.HEARTBEAT_MS;
 
     /** Port of all stub database servers, each at an address of its own. */
     private static final int HOLLOW = 17_500;
@@ -43,8 +43,8 @@
     private static final int TRIES = 60;
 
     private final NettyEnvironment host = new NettyEnvironment(1);
-    private final ControlProcesses processes =
-            new ControlProcesses(
+    private final ControlPlaneProcesses processes =
+            new ControlPlaneProcesses(
                     "capacity",
                     CONTROL,
                     INNER,
@@ -206,7 +206,7 @@
      * unchanged.
      */
     private void send(String body, int tries, CompletableFuture<Environment.HttpResponse> taken) {
-        host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000)
+        host.post(processes.controlAddress(tries), "/Configuration.Replace", body, Map.of(), 8_000)
                 .whenComplete(
                         (is, fault) -> {
                             if (fault == null && is.status() == 200) {
@@ -236,7 +236,7 @@
                                     .add("call_sequence", host.nowMillis())
                                     .toString();
                     host.post(
-                            processes.control(host.random().nextInt(IPS.length)),
+                            processes.controlAddress(host.random().nextInt(IPS.length)),
                             "/Instances.Heartbeat/" + id,
                             body,
                             Map.of(),
@@ -262,7 +262,7 @@
         }
 
         void dial() {
-            link = host.connect(processes.inner(number), Environment.Framing.FRAMES, 1_000, this);
+            link = host.connect(processes.internalAddress(number), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
@@ -343,7 +343,7 @@
     }
 
     private void end() throws IOException, InterruptedException {
-        processes.end();
+        processes.close();
         host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
--- a/src/main/java/dillfront/simulation/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -39,7 +39,7 @@
     private static final long WITHIN_MS = 30_000;
 
     private final NettyEnvironment host = new NettyEnvironment(1);
-    private final ControlProcesses processes;
+    private final ControlPlaneProcesses processes;
     private final AtomicLong heard = new AtomicLong();
     private final AtomicLong has = new AtomicLong(-1);
     private final List<Long> took = new ArrayList<>();
@@ -48,7 +48,7 @@
 
     private ChangesMeasure(String jar) throws IOException {
         processes =
-                new ControlProcesses(
+                new ControlPlaneProcesses(
                         "changes",
                         CONTROL,
                         INNER,
@@ -82,8 +82,8 @@
         host.eventLoop().submit(() -> new Front().dial()).get();
         await(() -> has.get() == version);
         long front = heard.get();
-        long read = processes.io(1, "rchar");
-        long written = processes.io(1, "write_bytes");
+        long read = processes.ioCounter(1, "rchar");
+        long written = processes.ioCounter(1, "write_bytes");
         long cpu = processes.cpuNanos(1);
         took.clear();
         for (int i = 0; i < CHANGES; i++) {
@@ -99,8 +99,8 @@
                 length,
                 CHANGES,
                 (heard.get() - front) / CHANGES,
-                (processes.io(1, "rchar") - read) / CHANGES,
-                (processes.io(1, "write_bytes") - written) / CHANGES,
+                (processes.ioCounter(1, "rchar") - read) / CHANGES,
+                (processes.ioCounter(1, "write_bytes") - written) / CHANGES,
                 (processes.cpuNanos(1) - cpu) / 1e6 / CHANGES,
                 took.get(CHANGES / 2),
                 took.get(CHANGES * 99 / 100));
@@ -120,7 +120,7 @@
                     AWAY,
                     emptied,
                     (System.nanoTime() - from) / 1_000_000,
-                    processes.io(2, "rchar"),
+                    processes.ioCounter(2, "rchar"),
                     processes.peakMb(2));
         }
         System.out.println("changes: " + status(0));
@@ -177,7 +177,7 @@
     private String status(int of) {
         try {
             return new String(
-                    host.post(processes.control(of), "/status", "{}", Map.of(), 1_000)
+                    host.post(processes.controlAddress(of), "/status", "{}", Map.of(), 1_000)
                             .join()
                             .body(),
                     StandardCharsets.UTF_8);
@@ -231,7 +231,7 @@
             try {
                 Environment.HttpResponse answer =
                         host.post(
-                                        processes.control(tries % 2),
+                                        processes.controlAddress(tries % 2),
                                         "/Configuration.Replace",
                                         body,
                                         Map.of(),
@@ -263,7 +263,7 @@
         private boolean told;
 
         void dial() {
-            link = host.connect(processes.inner(1), Environment.Framing.FRAMES, 1_000, this);
+            link = host.connect(processes.internalAddress(1), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
@@ -334,7 +334,7 @@
     }
 
     private void end() throws IOException, InterruptedException {
-        processes.end();
+        processes.close();
         host.eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
--- /dev/null
+++ b/src/main/java/dillfront/simulation/ColdStartSimulation.java
@@ -0,0 +1,472 @@
+package dillfront.simulation;
+
+import dillfront.routing.Decide;
+import dillfront.routing.api.Effect;
+import dillfront.routing.api.Handle;
+import dillfront.routing.api.NodeRow;
+import dillfront.routing.api.Outlet;
+import dillfront.routing.api.Read;
+import dillfront.routing.api.Report;
+import dillfront.routing.api.Result;
+import dillfront.routing.api.Role;
+import dillfront.routing.api.Settings;
+import dillfront.routing.api.Standing;
+import dillfront.routing.api.TxnType;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+
+/**
+ * Simulates in virtual time how a whole fleet returns after a power loss. Up to the full number of
+ * routers decide by {@link Decide} itself in front of nodes that warm up as slowly as their
+ * settings allow and become overloaded when they receive too much work. Clients retry. Coarser than
+ * {@link RouterSimulation}: one core per node, one duration for all statements, no connections and no lost
+ * messages. The same case always gives the same run.
+ */
+public final class ColdStartSimulation {
+
+    /**
+     * @param loadFraction the first attempts that clients make, as a fraction of the capacity of all nodes
+     *     when warm
+     * @param initialCapacity the fraction of its capacity that a node has at its start
+     * @param maxAttempts the maximum number of attempts of a client
+     * @param surgeFactor the request rate in the first second, as a multiple of the usual rate
+     * @param burst the number of clients that send a request at the same moment once the routers
+     *     have started, as a multiple of the first attempts of one second
+     * @param lateNodeFraction the fraction of nodes that return only after half of the warm-up time
+     * @param lateRouterFraction the fraction of routers that start only then; their clients use other
+     *     routers meanwhile
+     */
+    public record Scenario(
+            int routers,
+            int groups,
+            int members,
+            double loadFraction,
+            double initialCapacity,
+            double overloadMultiple,
+            int maxAttempts,
+            double surgeFactor,
+            double burst,
+            double lateNodeFraction,
+            double lateRouterFraction,
+            long seed) {}
+
+    /**
+     * @param peakLoad the highest load of a cold node as a fraction of its overload limit; the node is
+     *     overloaded at 1
+     * @param servedFraction the requests served until all nodes were warm, as a fraction of what the nodes
+     *     could have served
+     * @param retryPeak of the retries after the burst, the number in the busiest tenth of a second, as a
+     *     multiple of the mean over two seconds; 0 without a burst
+     * @param firstServedSeconds the time from the start of the first router to the first served transaction, in
+     *     seconds
+     */
+    public record Outcome(double peakLoad, double servedFraction, double firstServedSeconds, double retryPeak) {}
+
+    private static final double WARM_UP_SECONDS = 6;
+    private static final double OVERLOAD_WINDOW_SECONDS = 1;
+    private static final double WORK_SECONDS = 0.02;
+    private static final double NETWORK_DELAY_SECONDS = 0.0005;
+    private static final double EXPIRY_SECONDS = 1.5;
+    private static final double BURST_AT_SECONDS = 0.7;
+    private static final int WINDOW_BUCKETS = 10;
+    private static final Duration TICK = Duration.ofMillis(5);
+
+    private record Event(double at, long number, Runnable action) {}
+
+    private final Scenario scenario;
+    private final SplittableRandom random;
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Double.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
+    private long nextEventNumber;
+    private double nowSeconds;
+    private final List<Node> nodes = new ArrayList<>();
+    private final List<Router> routers = new ArrayList<>();
+
+    /**
+     * Retries by tenths of a second, starting shortly before the first requests of a burst time
+     * out.
+     */
+    private final int[] retriesByTenth = new int[20];
+
+    private double peakLoad;
+    private double servedCount;
+    private double firstServedAt = Double.NaN;
+
+    private ColdStartSimulation(Scenario scenario) {
+        this.scenario = scenario;
+        random = new SplittableRandom(scenario.seed);
+    }
+
+    /** Runs the case from the return of power until all nodes are warm. */
+    public static Outcome run(Scenario scenario) {
+        return new ColdStartSimulation(scenario).run();
+    }
+
+    private static Duration toDuration(double seconds) {
+        return Duration.ofNanos((long) (seconds * 1e9));
+    }
+
+    private void schedule(double seconds, Runnable action) {
+        events.add(new Event(nowSeconds + seconds, nextEventNumber++, action));
+    }
+
+    private Outcome run() {
+        int count = scenario.groups * scenario.members;
+        double lateStart = WARM_UP_SECONDS / 2;
+        for (int i = 0; i < count; i++) {
+            nodes.add(
+                    new Node(
+                            i,
+                            random.nextDouble() < scenario.lateNodeFraction
+                                    ? lateStart + random.nextDouble()
+                                    : random.nextDouble() * 0.3));
+        }
+        double totalWeight = 0;
+        for (int i = 0; i < scenario.routers; i++) {
+            Router router =
+                    new Router(
+                            i,
+                            random.nextDouble() < scenario.lateRouterFraction
+                                    ? lateStart + random.nextDouble()
+                                    : 0.3 + random.nextDouble() * 0.3);
+            totalWeight += router.weight;
+            routers.add(router);
+            schedule(router.startsAt, router::start);
+        }
+        double rate = scenario.loadFraction * count / WORK_SECONDS;
+        for (Router router : routers) {
+            router.rate = rate * router.weight / totalWeight;
+            schedule(0, () -> scheduleClients(router));
+        }
+        for (int i = 0; i < scenario.burst * rate; i++) {
+            Router router = routers.get(random.nextInt(routers.size()));
+            schedule(BURST_AT_SECONDS + random.nextDouble() * 0.05, () -> sendRequest(router, scenario.maxAttempts));
+        }
+        double end = (scenario.lateNodeFraction > 0 ? lateStart + 1 : 0.3) + WARM_UP_SECONDS;
+        double possible = 0;
+        double sampledUntil = 0;
+        while (!events.isEmpty() && events.peek().at < end) {
+            Event next = events.poll();
+            for (; sampledUntil < next.at; sampledUntil += 0.05) {
+                double capacity = 0;
+                for (Node node : nodes) {
+                    capacity += sampledUntil < node.startsAt || sampledUntil < 0.6 ? 0 : node.capacityAt(sampledUntil);
+                }
+                possible += 0.05 * Math.min(rate * (sampledUntil < 1 ? scenario.surgeFactor : 1), capacity / WORK_SECONDS);
+            }
+            nowSeconds = next.at;
+            next.action.run();
+        }
+        int busiest = 0;
+        int total = 0;
+        for (int retries : retriesByTenth) {
+            busiest = Math.max(busiest, retries);
+            total += retries;
+        }
+        return new Outcome(
+                peakLoad,
+                servedCount / possible,
+                firstServedAt - 0.3,
+                scenario.burst > 0 ? busiest * retriesByTenth.length / Math.max(1.0, total) : 0);
+    }
+
+    /**
+     * Sends the requests of one router's clients, one after the other; while the router has not
+     * started, the clients use another one.
+     */
+    private void scheduleClients(Router router) {
+        double surge = nowSeconds < 1.5 ? scenario.surgeFactor : 1;
+        schedule(-Math.log(1 - random.nextDouble()) / (router.rate * surge), () -> scheduleClients(router));
+        sendRequest(router, scenario.maxAttempts);
+    }
+
+    private void sendRequest(Router ownRouter, int attemptsLeft) {
+        int tenth = (int) ((nowSeconds - BURST_AT_SECONDS - EXPIRY_SECONDS / 2) * 10);
+        if (attemptsLeft < scenario.maxAttempts && tenth >= 0 && tenth < retriesByTenth.length) {
+            retriesByTenth[tenth]++;
+        }
+        Router router = ownRouter;
+        for (int i = 0; i < 3 && router.routingEngine == null; i++) {
+            router = routers.get(random.nextInt(routers.size()));
+        }
+        if (router.routingEngine == null) {
+            if (attemptsLeft > 1) {
+                schedule(0.2, () -> sendRequest(ownRouter, attemptsLeft - 1));
+            }
+        } else {
+            router.handleRequest(ownRouter, attemptsLeft);
+        }
+    }
+
+    private final class Node {
+        final int id;
+        final double startsAt;
+        double freeAt;
+        final double[] workByBucket = new double[WINDOW_BUCKETS];
+        long currentBucket;
+
+        Node(int id, double startsAt) {
+            this.id = id;
+            this.startsAt = startsAt;
+        }
+
+        boolean isPrimary() {
+            return id % scenario.members == 0;
+        }
+
+        double capacityAt(double at) {
+            return Math.min(1, scenario.initialCapacity + (1 - scenario.initialCapacity) * (at - startsAt) / WARM_UP_SECONDS);
+        }
+
+        /**
+         * Returns the time at which the node completes one more request. A request that cannot be
+         * completed in time is queued all the same.
+         */
+        double enqueue() {
+            long bucket = (long) (nowSeconds * WINDOW_BUCKETS / OVERLOAD_WINDOW_SECONDS);
+            for (; currentBucket < bucket; currentBucket++) {
+                workByBucket[(int) ((currentBucket + 1) % WINDOW_BUCKETS)] = 0;
+            }
+            workByBucket[(int) (bucket % WINDOW_BUCKETS)] += WORK_SECONDS;
+            double capacity = capacityAt(nowSeconds);
+            if (capacity < 1) {
+                peakLoad =
+                        Math.max(
+                                peakLoad,
+                                Arrays.stream(workByBucket).sum()
+                                        / (scenario.overloadMultiple * capacity * OVERLOAD_WINDOW_SECONDS));
+            }
+            freeAt = Math.max(nowSeconds, freeAt) + WORK_SECONDS / capacity;
+            return freeAt;
+        }
+    }
+
+    private final class Router implements Outlet {
+        final double startsAt;
+
+        /** Some routers get several times the mean load. */
+        final double weight = 0.2 + Math.pow(random.nextDouble(), 3) * 4;
+
+        final long seed;
+        double rate;
+        Decide routingEngine;
+        private final List<Txn> txns = new ArrayList<>();
+        private final List<Integer> freeSlots = new ArrayList<>();
+
+        Router(int id, double startsAt) {
+            this.startsAt = startsAt;
+            seed = scenario.seed * 31 + id;
+        }
+
+        void start() {
+            routingEngine = new Decide(settings(), this, new SplittableRandom(seed));
+            routingEngine.at(toDuration(nowSeconds));
+            updateServers();
+        }
+
+        /**
+         * Passes the complete server list to the routing engine, and again each time that a node
+         * returns.
+         */
+        private void updateServers() {
+            List<NodeRow> rows = new ArrayList<>();
+            double nextStart = Double.MAX_VALUE;
+            for (Node node : nodes) {
+                if (node.startsAt <= nowSeconds) {
+                    rows.add(
+                            new NodeRow(
+                                    node.id,
+                                    node.id / scenario.members,
+                                    0,
+                                    1,
+                                    node.isPrimary(),
+                                    toDuration(node.startsAt),
+                                    Standing.READY));
+                } else {
+                    nextStart = Math.min(nextStart, node.startsAt - nowSeconds);
+                }
+            }
+            routingEngine.at(toDuration(nowSeconds));
+            routingEngine.list(true, rows);
+            if (nextStart < Double.MAX_VALUE) {
+                schedule(nextStart + 1e-6, this::updateServers);
+            }
+        }
+
+        void handleRequest(Router client, int attemptsLeft) {
+            int slot = freeSlots.isEmpty() ? txns.size() : freeSlots.remove(freeSlots.size() - 1);
+            Txn txn = new Txn(slot, client, attemptsLeft);
+            if (slot == txns.size()) {
+                txns.add(txn);
+            } else {
+                txns.set(slot, txn);
+            }
+            routingEngine.at(toDuration(nowSeconds));
+            int type = random.nextInt(10) < 3 ? 0 : random.nextInt(10) < 5 ? 1 : 2;
+            txn.handle =
+                    routingEngine.take(
+                            slot,
+                            type,
+                            -1,
+                            -1,
+                            random.nextInt(scenario.groups),
+                            toDuration(EXPIRY_SECONDS),
+                            null,
+                            Duration.ZERO,
+                            null);
+            txn.releaseSlotIfDone();
+        }
+
+        @Override
+        public void submit(int slot, int node, Duration limit) {
+            Txn txn = txns.get(slot);
+            txn.outstanding++;
+            double sentAt = nowSeconds;
+            double limitSeconds = limit.toNanos() / 1e9;
+            schedule(
+                    NETWORK_DELAY_SECONDS,
+                    () -> {
+                        double completedAt = nodes.get(node).enqueue() + NETWORK_DELAY_SECONDS;
+                        boolean inTime = completedAt - sentAt < limitSeconds;
+                        schedule(
+                                Math.max(0, (inTime ? completedAt : sentAt + limitSeconds) - nowSeconds),
+                                () -> txn.complete(node, inTime, nowSeconds - sentAt));
+                    });
+        }
+
+        @Override
+        public void decline(int slot, Duration pause) {
+            Txn txn = txns.get(slot);
+            txn.answered = true;
+            if (txn.attemptsLeft > 1) {
+                schedule(Math.max(0.001, pause.toNanos() / 1e9), () -> sendRequest(txn.client, txn.attemptsLeft - 1));
+            }
+        }
+
+        @Override
+        public void rollBack(int slot) {
+            txns.get(slot).answered = true;
+        }
+
+        @Override
+        public void release(int node) {}
+
+        @Override
+        public void probe(int node) {
+            schedule(
+                    2 * NETWORK_DELAY_SECONDS,
+                    () -> {
+                        routingEngine.at(toDuration(nowSeconds));
+                        routingEngine.probed(
+                                node,
+                                true,
+                                new Report(
+                                        toDuration(nowSeconds),
+                                        nodes.get(node).isPrimary() ? Role.PRIMARY : Role.REPLICA));
+                    });
+        }
+
+        @Override
+        public void follow() {}
+
+        @Override
+        public void wake(Duration delay) {
+            schedule(
+                    delay.toNanos() / 1e9,
+                    () -> {
+                        routingEngine.at(toDuration(nowSeconds));
+                        routingEngine.woken();
+                    });
+        }
+
+        private final class Txn {
+            final int slot;
+            final Router client;
+            final int attemptsLeft;
+            Handle handle;
+            int outstanding;
+            boolean answered;
+            boolean slotReleased;
+
+            Txn(int slot, Router client, int attemptsLeft) {
+                this.slot = slot;
+                this.client = client;
+                this.attemptsLeft = attemptsLeft;
+            }
+
+            void complete(int node, boolean inTime, double elapsedSeconds) {
+                outstanding--;
+                routingEngine.at(toDuration(nowSeconds));
+                if (inTime && !answered) {
+                    answered = true;
+                    servedCount++;
+                    firstServedAt = Double.isNaN(firstServedAt) ? nowSeconds : firstServedAt;
+                }
+                Role role = nodes.get(node).isPrimary() ? Role.PRIMARY : Role.REPLICA;
+                handle.ended(
+                        node,
+                        inTime ? Result.COMMITTED : Result.TIMED_OUT,
+                        toDuration(elapsedSeconds),
+                        answered,
+                        inTime ? new Report(toDuration(nowSeconds), role) : Report.NOTHING,
+                        Report.NOTHING);
+                releaseSlotIfDone();
+            }
+
+            void releaseSlotIfDone() {
+                if (handle != null && answered && outstanding == 0 && !slotReleased) {
+                    slotReleased = true;
+                    freeSlots.add(slot);
+                }
+            }
+        }
+    }
+
+    private Settings settings() {
+        List<TxnType> types =
+                List.of(
+                        type(Effect.REFERENCED, Read.WRITE, 6),
+                        type(Effect.REPEATABLE, Read.BOUNDED, 3),
+                        type(Effect.REPEATABLE, Read.ANY, 2));
+        return new Settings(
+                TICK,
+                0,
+                Duration.ofMillis(250),
+                Duration.ofSeconds(2),
+                6,
+                true,
+                false,
+                Duration.ZERO,
+                false,
+                false,
+                scenario.initialCapacity,
+                toDuration(WARM_UP_SECONDS),
+                scenario.overloadMultiple,
+                toDuration(OVERLOAD_WINDOW_SECONDS),
+                0.012,
+                scenario.routers,
+                types,
+                List.of());
+    }
+
+    private static TxnType type(Effect effect, Read read, double value) {
+        return new TxnType(
+                effect,
+                true,
+                Duration.ofSeconds(2),
+                read,
+                Duration.ofMillis(200),
+                toDuration(EXPIRY_SECONDS * 0.4),
+                toDuration(EXPIRY_SECONDS),
+                value,
+                0);
+    }
+}
--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -754,7 +754,7 @@
 
     /** All that the future depends on. */
     String state() {
-        Dump dump = new Dump();
+        StateDump dump = new StateDump();
         dump.add(now)
                 .add(left)
                 .add(told)
@@ -770,7 +770,7 @@
         }
         TreeSet<String> ways = new TreeSet<>();
         for (Sent one : sent) {
-            ways.add(new Dump().add(one.from).add(one.to).add(one.message).toString());
+            ways.add(new StateDump().add(one.from).add(one.to).add(one.message).toString());
         }
         dump.add(ways);
         for (Process p : processes) {
--- a/src/main/java/dillfront/simulation/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -23,8 +23,8 @@
         return Duration.ofMillis((long) (s * 1000));
     }
 
-    private static World.Script script(double rate, boolean gossip, World.Lie lie, long seed) {
-        return new World.Script(
+    private static RouterSimulation.Scenario script(double rate, boolean gossip, RouterSimulation.FalseClaims lie, long seed) {
+        return new RouterSimulation.Scenario(
                 ROUTERS, 2, 4, rate, 0, seconds(4), seconds(4), seconds(11), gossip, lie, seed);
     }
 
@@ -34,24 +34,24 @@
      */
     private record Row(double stopped, double value, double poured, double doubts) {}
 
-    private static Row row(double rate, boolean gossip, World.Lie lie) {
+    private static Row row(double rate, boolean gossip, RouterSimulation.FalseClaims lie) {
         List<Double> stopped = new ArrayList<>();
         double value = 0;
         double poured = 0;
         double doubts = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            World.Outcome one = World.play(script(rate, gossip, lie, seed));
-            stopped.add(one.stopped().toNanos() / 1e6);
-            value += one.value() / SEEDS;
-            poured += one.poured() / (double) SEEDS;
-            doubts += one.doubts() / SEEDS;
+            RouterSimulation.Outcome one = RouterSimulation.run(script(rate, gossip, lie, seed));
+            stopped.add(one.timeToStop().toNanos() / 1e6);
+            value += one.earnedFraction() / SEEDS;
+            poured += one.sentToHungNode() / (double) SEEDS;
+            doubts += one.falseSuspicionRate() / SEEDS;
         }
         stopped.sort(null);
         return new Row(
                 (stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2, value, poured, doubts);
     }
 
-    private static Row shown(double rate, boolean gossip, World.Lie lie) {
+    private static Row shown(double rate, boolean gossip, RouterSimulation.FalseClaims lie) {
         Row row = row(rate, gossip, lie);
         System.out.printf(
                 Locale.ROOT,
@@ -75,12 +75,12 @@
             double quiet, double spreadMs, double heardPart, double healSeconds, double gone) {}
 
     private static Size size(int count, double settle, boolean parts) {
-        Time time = new Time();
+        VirtualTimeScheduler time = new VirtualTimeScheduler();
         long[] last = new long[1];
         int[] heard = new int[1];
-        Crowd[] crowd = new Crowd[1];
+        GossipSimulation[] crowd = new GossipSimulation[1];
         crowd[0] =
-                new Crowd(
+                new GossipSimulation(
                         count,
                         GossipConfig.DEFAULT,
                         time,
@@ -92,30 +92,30 @@
                             crowd[0].instances[at].gossip.forward(claim, claim.origin());
                         });
         crowd[0].start();
-        time.until(seconds(settle));
-        double before = crowd[0].bytes();
-        time.until(seconds(settle + 10));
-        double quiet = (crowd[0].bytes() - before) / 10;
+        time.runUntil(seconds(settle));
+        double before = crowd[0].meanBytesSent();
+        time.runUntil(seconds(settle + 10));
+        double quiet = (crowd[0].meanBytesSent() - before) / 10;
         long said = time.now().toNanos();
-        crowd[0].instances[1].at();
+        crowd[0].instances[1].updateClocks();
         crowd[0].instances[1].gossip.publishClaim(5, Symptom.HUNG, 3, Duration.ZERO);
-        time.until(seconds(settle + 15));
+        time.runUntil(seconds(settle + 15));
         double spread = (last[0] - said) / 1e6;
         double part = heard[0] / (double) (count - 1);
         double heal = 0;
         double gone = 0;
         if (parts) {
-            for (Crowd.Instance one : crowd[0].instances) {
-                one.side = one.index % 2;
+            for (GossipSimulation.Instance one : crowd[0].instances) {
+                one.partition = one.index % 2;
             }
-            time.until(seconds(settle + 75));
-            gone = 1 - crowd[0].known();
-            for (Crowd.Instance one : crowd[0].instances) {
-                one.side = 0;
+            time.runUntil(seconds(settle + 75));
+            gone = 1 - crowd[0].knownFraction();
+            for (GossipSimulation.Instance one : crowd[0].instances) {
+                one.partition = 0;
             }
-            while (crowd[0].known() < 0.999 && heal < 120) {
+            while (crowd[0].knownFraction() < 0.999 && heal < 120) {
                 heal++;
-                time.until(seconds(settle + 75 + heal));
+                time.runUntil(seconds(settle + 75 + heal));
             }
         }
         System.out.printf(
@@ -139,15 +139,15 @@
         double speedup = 0;
         double liar = 0;
         for (double rate : new double[] {5, RATE, 60}) {
-            Row off = shown(rate, false, World.Lie.NONE);
-            Row on = shown(rate, true, World.Lie.NONE);
-            Row lied = shown(rate, true, World.Lie.ALL);
+            Row off = shown(rate, false, RouterSimulation.FalseClaims.NONE);
+            Row on = shown(rate, true, RouterSimulation.FalseClaims.NONE);
+            Row lied = shown(rate, true, RouterSimulation.FalseClaims.ALL);
             if (rate == RATE) {
                 // One tick of 20 ms is the resolution of the measurement.
                 speedup = off.stopped / Math.max(20, on.stopped);
                 liar = lied.value / off.value;
-                shown(rate, true, World.Lie.PRIMARIES);
-                shown(rate, true, World.Lie.HALF);
+                shown(rate, true, RouterSimulation.FalseClaims.PRIMARIES);
+                shown(rate, true, RouterSimulation.FalseClaims.HALF);
             }
         }
         Size twenty = size(20, 60, true);
@@ -156,8 +156,8 @@
         for (String count : args) {
             size(Integer.parseInt(count), 60, false);
         }
-        World.Script real =
-                new World.Script(
+        RouterSimulation.Scenario real =
+                new RouterSimulation.Scenario(
                         ROUTERS,
                         2,
                         4,
@@ -167,12 +167,12 @@
                         seconds(2),
                         seconds(6),
                         false,
-                        World.Lie.NONE,
+                        RouterSimulation.FalseClaims.NONE,
                         1);
-        World.Outcome off = Loopback.play(real);
-        World.Outcome on =
-                Loopback.play(
-                        new World.Script(
+        RouterSimulation.Outcome off = LoopbackSimulation.run(real);
+        RouterSimulation.Outcome on =
+                LoopbackSimulation.run(
+                        new RouterSimulation.Scenario(
                                 ROUTERS,
                                 2,
                                 4,
@@ -182,15 +182,15 @@
                                 seconds(2),
                                 seconds(6),
                                 true,
-                                World.Lie.ALL,
+                                RouterSimulation.FalseClaims.ALL,
                                 1));
         System.out.printf(
                 Locale.ROOT,
                 "on loopback, 20 instances, one with false claims: last send %d ms with gossip, %d without; value %.4f, %.4f%n",
-                on.stopped().toMillis(),
-                off.stopped().toMillis(),
-                on.value(),
-                off.value());
+                on.timeToStop().toMillis(),
+                off.timeToStop().toMillis(),
+                on.earnedFraction(),
+                off.earnedFraction());
         System.out.printf(
                 Locale.ROOT,
                 "gossip: speedup=%.1f liar=%.4f bytes_per_s_20=%.0f bytes_per_s_500=%.0f heal_s=%.0f "
@@ -201,7 +201,7 @@
                 many.quiet,
                 twenty.healSeconds,
                 twenty.spreadMs,
-                on.value() / off.value());
+                on.earnedFraction() / off.earnedFraction());
         System.exit(0);
     }
 }
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -93,15 +93,15 @@
         if (small.broken() != null) {
             throw new IllegalStateException(small.toString());
         }
-        Dark.Outcome[] hundred = play(100, 200);
-        Dark.Outcome[] thousand = play(1000, 4);
-        Dark.Outcome[] crowd =
+        ColdStartSimulation.Outcome[] hundred = play(100, 200);
+        ColdStartSimulation.Outcome[] thousand = play(1000, 4);
+        ColdStartSimulation.Outcome[] crowd =
                 IntStream.range(0, 24)
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        Dark.play(
-                                                new Dark.Case(
+                                        ColdStartSimulation.run(
+                                                new ColdStartSimulation.Scenario(
                                                         100,
                                                         4,
                                                         4,
@@ -114,7 +114,7 @@
                                                         0,
                                                         0,
                                                         seed)))
-                        .toArray(Dark.Outcome[]::new);
+                        .toArray(ColdStartSimulation.Outcome[]::new);
         System.out.printf(
                 Locale.ROOT,
                 "%s small_states=%d first_s_100=%.2f served_of_could_100=%.2f cold_peak_of_limit_100=%.2f "
@@ -127,7 +127,7 @@
                 worst(thousand, 0),
                 mean(thousand),
                 worst(thousand, 1),
-                Arrays.stream(crowd).mapToDouble(Dark.Outcome::wave).max().orElse(0));
+                Arrays.stream(crowd).mapToDouble(ColdStartSimulation.Outcome::retryPeak).max().orElse(0));
     }
 
     /**
@@ -152,13 +152,13 @@
         return "memory(folder = \"" + rig.folder().resolve("m" + r) + "\")\ndoubts()\n";
     }
 
-    private static Dark.Outcome[] play(int routers, int seeds) {
+    private static ColdStartSimulation.Outcome[] play(int routers, int seeds) {
         return IntStream.range(0, seeds)
                 .parallel()
                 .mapToObj(
                         seed ->
-                                Dark.play(
-                                        new Dark.Case(
+                                ColdStartSimulation.run(
+                                        new ColdStartSimulation.Scenario(
                                                 routers,
                                                 4,
                                                 4,
@@ -171,18 +171,18 @@
                                                 seed % 4 * 0.15,
                                                 seed % 5 * 0.1,
                                                 seed)))
-                .toArray(Dark.Outcome[]::new);
+                .toArray(ColdStartSimulation.Outcome[]::new);
     }
 
-    private static double worst(Dark.Outcome[] of, int which) {
+    private static double worst(ColdStartSimulation.Outcome[] of, int which) {
         return Arrays.stream(of)
-                .mapToDouble(o -> which == 0 ? o.first() : o.peak())
+                .mapToDouble(o -> which == 0 ? o.firstServedSeconds() : o.peakLoad())
                 .max()
                 .orElse(0);
     }
 
-    private static double mean(Dark.Outcome[] of) {
-        return Arrays.stream(of).mapToDouble(Dark.Outcome::served).average().orElse(0);
+    private static double mean(ColdStartSimulation.Outcome[] of) {
+        return Arrays.stream(of).mapToDouble(ColdStartSimulation.Outcome::servedFraction).average().orElse(0);
     }
 
     /**
--- a/src/main/java/dillfront/simulation/Clockwork.java
+++ b/src/main/java/dillfront/simulation/TaskScheduler.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /** Schedules tasks in real or virtual time. */
-public interface Clockwork {
+public interface TaskScheduler {
 
     /** Returns the time since the start of the run. */
     Duration now();
 
-    void after(Duration span, Runnable work);
+    void schedule(Duration delay, Runnable task);
 }
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -47,11 +47,11 @@
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofMillis(CALL_TIMEOUT_MS)).build();
     private final NettyEnvironment environment = new NettyEnvironment(1);
-    private final StandInServer.Group group = new StandInServer.Group(SERVICE);
+    private final StubDatabaseServer.Group group = new StubDatabaseServer.Group(SERVICE);
     private final List<Process> dataPlanes = new ArrayList<>();
     private final String[] before;
     private final String[] present;
-    private final ControlProcesses controls;
+    private final ControlPlaneProcesses controls;
     private final List<String> acknowledged = new ArrayList<>();
     private long revision;
     private int mixed;
@@ -61,7 +61,7 @@
     private UpgradeMeasure(Path beforeJar, Path presentJar) throws IOException {
         before = command(beforeJar);
         present = command(presentJar);
-        controls = new ControlProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, before);
+        controls = new ControlPlaneProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, before);
     }
 
     private static String[] command(Path jar) {
@@ -92,7 +92,7 @@
 
     private void run() throws Exception {
         startStandIns();
-        controls.platform("127.0.0.1:" + PLATFORM_PORT);
+        controls.platformAddress("127.0.0.1:" + PLATFORM_PORT);
         controls.start(true);
         startDataPlane(0, before);
         startDataPlane(1, present);
@@ -115,9 +115,9 @@
 
     private void replace(int which, String... java) throws Exception {
         controls.kill(which, false);
-        controls.java(which, java);
+        controls.jvmArguments(which, java);
         controls.start(which, false);
-        String members = status((which + 1) % ControlProcesses.IPS.length);
+        String members = status((which + 1) % ControlPlaneProcesses.IPS.length);
         try {
             until("it is back", () -> status(which).contains("version=" + revision + " "));
         } catch (AssertionError notBack) {
@@ -131,7 +131,7 @@
     }
 
     private void replaceAllThatAreOld() throws Exception {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             if (!isPresent(i)) {
                 replace(i, present);
             }
@@ -144,16 +144,16 @@
     }
 
     private boolean isPresent(int which) {
-        return List.of(present).equals(controls.javaOf(which));
+        return List.of(present).equals(controls.jvmArgumentsOf(which));
     }
 
     private void failOver(String when) throws Exception {
-        StandInServer primary = group.primary();
-        environment.eventLoop().submit(primary::lose).get();
+        StubDatabaseServer primary = group.primary();
+        environment.eventLoop().submit(primary::fail).get();
         until(
                 "another server is the primary " + when,
                 () -> {
-                    StandInServer next = group.primary();
+                    StubDatabaseServer next = group.primary();
                     return next != null
                             && status(0).contains(SERVICE + " primary=" + next.id())
                             && !status(0).contains("moving");
@@ -162,7 +162,7 @@
         changeConfiguration();
         // Without the restart the next failover would wait for this server, which may hold commits
         // that no other log has.
-        environment.eventLoop().submit(primary::comeBack).get();
+        environment.eventLoop().submit(primary::restart).get();
     }
 
     private void changeConfiguration() throws Exception {
@@ -174,7 +174,7 @@
         until(
                 "revision " + revision + " is everywhere",
                 () -> {
-                    for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+                    for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
                         if (!status(i).contains("version=" + revision + " ")) {
                             return false;
                         }
@@ -239,7 +239,7 @@
         for (String key : acknowledged) {
             lost += group.written.contains(key) ? 0 : 1;
         }
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             lost += status(i).contains("version=" + revision + " ") ? 0 : 1;
         }
     }
@@ -248,14 +248,14 @@
 
     private void startStandIns() throws IOException {
         List<String> addresses = new ArrayList<>();
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-            addresses.add(controls.control(i));
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+            addresses.add(controls.controlAddress(i));
         }
         environment.serveHttp(
                 "127.0.0.1:" + PLATFORM_PORT,
                 (method, path, body) -> CompletableFuture.completedFuture(promote(body)));
         for (int i = 0; i < SERVERS; i++) {
-            new StandInServer(
+            new StubDatabaseServer(
                     environment,
                     group,
                     "server-" + i,
@@ -273,8 +273,8 @@
 
     private void startDataPlane(int number, String... java) throws IOException {
         JsonArray seeds = Json.array().asArray();
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-            seeds.add(controls.control(i));
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+            seeds.add(controls.controlAddress(i));
         }
         JsonObject listen =
                 Json.object()
@@ -311,13 +311,13 @@
         for (Process process : dataPlanes) {
             process.destroyForcibly().waitFor();
         }
-        controls.end();
+        controls.close();
     }
 
     // ---- calls
 
     private int call(String method, String path, String body) throws InterruptedException {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             int status = call(i, method, path, body);
             if (status == 200) {
                 return status;
@@ -331,7 +331,7 @@
         try {
             return http.send(
                             HttpRequest.newBuilder(
-                                            URI.create("http://" + controls.control(which) + path))
+                                            URI.create("http://" + controls.controlAddress(which) + path))
                                     .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                                     .build(),
@@ -349,7 +349,7 @@
                                     HttpRequest.newBuilder(
                                                     URI.create(
                                                             "http://"
-                                                                    + controls.control(which)
+                                                                    + controls.controlAddress(which)
                                                                     + "/status"))
                                             .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                             .build(),
@@ -367,14 +367,14 @@
 
     private int holders() throws InterruptedException {
         int count = 0;
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             count += holdsLease(i) ? 1 : 0;
         }
         return count;
     }
 
     private int holder() throws InterruptedException {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             if (holdsLease(i)) {
                 return i;
             }
@@ -383,16 +383,16 @@
     }
 
     private int nonHolder() throws InterruptedException {
-        return (holder() + 1) % ControlProcesses.IPS.length;
+        return (holder() + 1) % ControlPlaneProcesses.IPS.length;
     }
 
     private void until(String what, Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.call()) {
             if (System.nanoTime() > end) {
-                StringBuilder text = new StringBuilder("not within " + STEP_TIMEOUT_MS + " ms: " + what);
-                for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-                    text.append('\n').append(controls.control(i)).append(' ').append(status(i));
+                StringBuilder text = new StringBuilder("not within the step timeout: " + what);
+                for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+                    text.append('\n').append(controls.controlAddress(i)).append(' ').append(status(i));
                 }
                 throw new AssertionError(text);
             }
--- a/src/test/java/dillfront/simulation/DarkTest.java
+++ b/src/test/java/dillfront/simulation/ColdStartSimulationTest.java
@@ -9,24 +9,24 @@
  * Return of a whole fleet after a power loss, in virtual time: no cold node is overloaded, and
  * service returns before the nodes are warm.
  */
-class DarkTest {
+class ColdStartSimulationTest {
 
-    private static Dark.Case of(
-            int routers, double load, int tries, double surge, double late, long seed) {
-        return new Dark.Case(routers, 4, 4, load, 0.2, 2, tries, surge, 0, late, late, seed);
+    private static ColdStartSimulation.Scenario scenario(
+            int routers, double load, int maxAttempts, double surgeFactor, double lateFraction, long seed) {
+        return new ColdStartSimulation.Scenario(routers, 4, 4, load, 0.2, 2, maxAttempts, surgeFactor, 0, lateFraction, lateFraction, seed);
     }
 
     @Test
-    void noColdNodeIsPushedOverByAllTogether() {
+    void overloadsNoColdNode() {
         for (int routers : new int[] {1, 10, 100}) {
             for (double load : new double[] {0.3, 1.0}) {
                 for (long seed = 0; seed < 4; seed++) {
                     // Three attempts per client and three times the usual rate in the first second;
                     // half of the nodes and routers are late, or none.
-                    Dark.Outcome outcome = Dark.play(of(routers, load, 3, 3, seed % 2 * 0.5, seed));
+                    ColdStartSimulation.Outcome result = ColdStartSimulation.run(scenario(routers, load, 3, 3, seed % 2 * 0.5, seed));
                     assertTrue(
-                            outcome.peak() < 0.8,
-                            routers + " routers, load " + load + ", seed " + seed + ": " + outcome);
+                            result.peakLoad() < 0.8,
+                            routers + " routers, load " + load + ", seed " + seed + ": " + result);
                 }
             }
         }
@@ -35,10 +35,10 @@
     @Test
     void serviceReturnsLongBeforeNodesAreWarm() {
         for (long seed = 0; seed < 4; seed++) {
-            Dark.Outcome few = Dark.play(of(10, 0.6, 3, 1, 0, seed));
-            assertTrue(few.first() < 1 && few.served() > 0.6, "seed " + seed + ": " + few);
-            Dark.Outcome many = Dark.play(of(100, 0.6, 3, 1, 0, seed));
-            assertTrue(many.first() < 2 && many.served() > 0.4, "seed " + seed + ": " + many);
+            ColdStartSimulation.Outcome few = ColdStartSimulation.run(scenario(10, 0.6, 3, 1, 0, seed));
+            assertTrue(few.firstServedSeconds() < 1 && few.servedFraction() > 0.6, "seed " + seed + ": " + few);
+            ColdStartSimulation.Outcome many = ColdStartSimulation.run(scenario(100, 0.6, 3, 1, 0, seed));
+            assertTrue(many.firstServedSeconds() < 2 && many.servedFraction() > 0.4, "seed " + seed + ": " + many);
         }
     }
 
@@ -47,12 +47,12 @@
      * declined at one moment and would retry at one moment.
      */
     @Test
-    void theSecondWaveIsFlat() {
+    void spreadsRetriesAfterBurst() {
         for (int routers : new int[] {10, 100}) {
             for (long seed = 0; seed < 6; seed++) {
-                Dark.Outcome outcome =
-                        Dark.play(
-                                new Dark.Case(
+                ColdStartSimulation.Outcome result =
+                        ColdStartSimulation.run(
+                                new ColdStartSimulation.Scenario(
                                         routers,
                                         4,
                                         4,
@@ -66,14 +66,14 @@
                                         0,
                                         seed));
                 assertTrue(
-                        outcome.wave() < 2 && outcome.peak() < 0.8,
-                        routers + " routers, seed " + seed + ": " + outcome);
+                        result.retryPeak() < 2 && result.peakLoad() < 0.8,
+                        routers + " routers, seed " + seed + ": " + result);
             }
         }
     }
 
     @Test
-    void theSameCaseIsTheSameRun() {
-        assertEquals(Dark.play(of(10, 0.6, 3, 3, 0.5, 9)), Dark.play(of(10, 0.6, 3, 3, 0.5, 9)));
+    void sameScenarioGivesSameResult() {
+        assertEquals(ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)), ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)));
     }
 }
