--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -47,7 +47,7 @@
  *       what a process takes for decided is one of them;
  *   <li>what was acknowledged stands in that line, what was refused stands there with another
  *       content, for ever;
- *   <li>the calls of the operators are linearizable ({@link History});
+ *   <li>the calls of the operators are linearizable ({@link LinearizabilityChecker});
  *   <li>one process at a time holds the lease, a number of it belongs to one life of one process,
  *       and each is above those held before;
  *   <li>whoever holds the lease knows until when those before could say that theirs runs;
@@ -177,7 +177,7 @@
     private final long seed;
     final Process[] processes;
     final List<Step> steps = new ArrayList<>();
-    final History history = new History();
+    final LinearizabilityChecker history = new LinearizabilityChecker();
     private final List<String> told = new ArrayList<>();
     private final List<Sent> sent = new ArrayList<>();
     private final boolean[][] cut;
@@ -375,7 +375,7 @@
             case TIME -> now += step.a;
             case ORDER -> order(step.a, step.b % 8, step.b / 8);
             case GIVE_UP -> {
-                history.end(asked[step.a].operation, now, History.Outcome.UNKNOWN);
+                history.end(asked[step.a].operation, now, LinearizabilityChecker.Outcome.UNKNOWN);
                 told.add("gives up " + step.a);
                 asked[step.a] = null;
             }
@@ -515,8 +515,8 @@
                                         one.operation,
                                         now,
                                         taken
-                                                ? History.Outcome.ACKNOWLEDGED
-                                                : History.Outcome.REFUSED);
+                                                ? LinearizabilityChecker.Outcome.ACKNOWLEDGED
+                                                : LinearizabilityChecker.Outcome.REFUSED);
                                 told.add(operator + " is told " + outcome);
                                 if (!Boolean.valueOf(taken)
                                         .equals(answered.getOrDefault(one.content, taken))) {
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -49,7 +49,7 @@
     private final NettyEnvironment environment = new NettyEnvironment(1);
     private final StubDatabaseServer.Group group = new StubDatabaseServer.Group(SERVICE);
     private final List<Process> dataPlanes = new ArrayList<>();
-    private final String[] before;
+    private final String[] earlier;
     private final String[] present;
     private final ControlPlaneProcesses controls;
     private final List<String> acknowledged = new ArrayList<>();
@@ -58,10 +58,10 @@
     private int lost;
     private int unread;
 
-    private UpgradeMeasure(Path beforeJar, Path presentJar) throws IOException {
-        before = command(beforeJar);
+    private UpgradeMeasure(Path earlierJar, Path presentJar) throws IOException {
+        earlier = command(earlierJar);
         present = command(presentJar);
-        controls = new ControlPlaneProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, before);
+        controls = new ControlPlaneProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, earlier);
     }
 
     private static String[] command(Path jar) {
@@ -76,10 +76,10 @@
         } catch (AssertionError failed) {
             // The event loop's thread would keep the JVM running.
             System.out.println(failed.getMessage());
-            measure.end();
+            measure.close();
             System.exit(1);
         }
-        measure.end();
+        measure.close();
         System.out.println(
                 "upgrade: mixed="
                         + measure.mixed
@@ -94,18 +94,18 @@
         startStandIns();
         controls.platformAddress("127.0.0.1:" + PLATFORM_PORT);
         controls.start(true);
-        startDataPlane(0, before);
+        startDataPlane(0, earlier);
         startDataPlane(1, present);
-        until("all control processes run", () -> holders() == 1);
+        await("all control processes run", () -> holders() == 1);
         changeConfiguration();
         write();
         replace(nonHolder(), present);
         failOver("with the earlier version as lease holder");
         replace(holder(), present);
-        until("another holds the lease", () -> holders() == 1);
-        replaceAllThatAreOld();
-        until("the present version holds the lease", () -> holders() == 1);
-        goBack(nonHolder());
+        await("another holds the lease", () -> holders() == 1);
+        replaceRemaining();
+        await("the present version holds the lease", () -> holders() == 1);
+        downgrade(nonHolder());
         failOver("with the present version as lease holder");
         mixed += dataPlanes.size();
         check();
@@ -113,13 +113,13 @@
 
     // ---- the steps
 
-    private void replace(int which, String... java) throws Exception {
-        controls.kill(which, false);
-        controls.jvmArguments(which, java);
-        controls.start(which, false);
-        String members = status((which + 1) % ControlPlaneProcesses.IPS.length);
+    private void replace(int index, String... jvmArguments) throws Exception {
+        controls.kill(index, false);
+        controls.jvmArguments(index, jvmArguments);
+        controls.start(index, false);
+        String members = status((index + 1) % ControlPlaneProcesses.IPS.length);
         try {
-            until("it is back", () -> status(which).contains("version=" + revision + " "));
+            await("it is back", () -> status(index).contains("version=" + revision + " "));
         } catch (AssertionError notBack) {
             unread++;
             System.out.println(notBack.getMessage() + "; members were " + members);
@@ -130,7 +130,7 @@
         write();
     }
 
-    private void replaceAllThatAreOld() throws Exception {
+    private void replaceRemaining() throws Exception {
         for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             if (!isPresent(i)) {
                 replace(i, present);
@@ -139,23 +139,23 @@
     }
 
     /** Downgrades one process while a process of the present version holds the lease. */
-    private void goBack(int which) throws Exception {
-        replace(which, before);
+    private void downgrade(int index) throws Exception {
+        replace(index, earlier);
     }
 
-    private boolean isPresent(int which) {
-        return List.of(present).equals(controls.jvmArgumentsOf(which));
+    private boolean isPresent(int index) {
+        return List.of(present).equals(controls.jvmArgumentsOf(index));
     }
 
     private void failOver(String when) throws Exception {
         StubDatabaseServer primary = group.primary();
         environment.eventLoop().submit(primary::fail).get();
-        until(
+        await(
                 "another server is the primary " + when,
                 () -> {
-                    StubDatabaseServer next = group.primary();
-                    return next != null
-                            && status(0).contains(SERVICE + " primary=" + next.id())
+                    StubDatabaseServer current = group.primary();
+                    return current != null
+                            && status(0).contains(SERVICE + " primary=" + current.id())
                             && !status(0).contains("moving");
                 });
         write();
@@ -168,10 +168,10 @@
     private void changeConfiguration() throws Exception {
         revision++;
         String body = configuration(revision);
-        until(
+        await(
                 "revision " + revision + " is acknowledged",
                 () -> call("POST", "/Configuration.Replace", body) == 200);
-        until(
+        await(
                 "revision " + revision + " is everywhere",
                 () -> {
                     for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
@@ -216,7 +216,7 @@
         for (int i = 0; i < dataPlanes.size(); i++) {
             int port = CLIENT_PORT + i;
             String key = "k" + acknowledged.size();
-            until("a write at data plane " + i + " is acknowledged", () -> write(port, key));
+            await("a write at data plane " + i + " is acknowledged", () -> write(port, key));
             acknowledged.add(key);
         }
     }
@@ -271,7 +271,7 @@
         return new HttpResponse(runs ? 200 : 409, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    private void startDataPlane(int number, String... java) throws IOException {
+    private void startDataPlane(int number, String... jvmArguments) throws IOException {
         JsonArray seeds = Json.array().asArray();
         for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             seeds.add(controls.controlAddress(i));
@@ -296,18 +296,18 @@
                         .add("cloud_api", Json.NULL);
         Path file = controls.folder().resolve("front-" + number + ".json");
         Files.writeString(file, settings.toString());
-        List<String> line = new ArrayList<>();
-        line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        line.addAll(List.of(java));
-        line.add("data-plane");
-        ProcessBuilder start = new ProcessBuilder(line);
-        start.environment().put("DILLFRONT_SETTINGS", file.toString());
-        start.redirectErrorStream(true)
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(List.of(jvmArguments));
+        command.add("data-plane");
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("DILLFRONT_SETTINGS", file.toString());
+        builder.redirectErrorStream(true)
                 .redirectOutput(controls.folder().resolve("front-" + number + ".log").toFile());
-        dataPlanes.add(start.start());
+        dataPlanes.add(builder.start());
     }
 
-    private void end() throws IOException, InterruptedException {
+    private void close() throws IOException, InterruptedException {
         for (Process process : dataPlanes) {
             process.destroyForcibly().waitFor();
         }
@@ -326,12 +326,12 @@
         return 0;
     }
 
-    private int call(int which, String method, String path, String body)
+    private int call(int index, String method, String path, String body)
             throws InterruptedException {
         try {
             return http.send(
                             HttpRequest.newBuilder(
-                                            URI.create("http://" + controls.controlAddress(which) + path))
+                                            URI.create("http://" + controls.controlAddress(index) + path))
                                     .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                                     .build(),
@@ -342,14 +342,14 @@
         }
     }
 
-    private String status(int which) throws InterruptedException {
+    private String status(int index) throws InterruptedException {
         try {
             String body =
                     http.send(
                                     HttpRequest.newBuilder(
                                                     URI.create(
                                                             "http://"
-                                                                    + controls.controlAddress(which)
+                                                                    + controls.controlAddress(index)
                                                                     + "/status"))
                                             .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                             .build(),
@@ -361,8 +361,8 @@
         }
     }
 
-    private boolean holdsLease(int which) throws InterruptedException {
-        return status(which).contains(" held promised=");
+    private boolean holdsLease(int index) throws InterruptedException {
+        return status(index).contains(" held promised=");
     }
 
     private int holders() throws InterruptedException {
@@ -386,11 +386,11 @@
         return (holder() + 1) % ControlPlaneProcesses.IPS.length;
     }
 
-    private void until(String what, Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
+    private void await(String description, Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.call()) {
-            if (System.nanoTime() > end) {
-                StringBuilder text = new StringBuilder("not within the step timeout: " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                StringBuilder text = new StringBuilder("not within the step timeout: " + description);
                 for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
                     text.append('\n').append(controls.controlAddress(i)).append(' ').append(status(i));
                 }
--- a/src/main/java/dillfront/simulation/system/ConfigAudit.java
+++ b/src/main/java/dillfront/simulation/system/ConfigAudit.java
@@ -1,6 +1,6 @@
 package dillfront.simulation.system;
 
-import dillfront.simulation.History;
+import dillfront.simulation.LinearizabilityChecker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -45,7 +45,7 @@
     private final Day day;
     private final Sim sim;
     private final Audit audit;
-    private final History history = new History();
+    private final LinearizabilityChecker history = new LinearizabilityChecker();
     private final List<Orders.Order> open = new ArrayList<>();
     private final List<Acknowledged> acknowledgements = new ArrayList<>();
     private long highestAcknowledged;
@@ -113,8 +113,8 @@
                 call,
                 sim.millis(),
                 status == 200
-                        ? History.Outcome.ACKNOWLEDGED
-                        : status == 409 ? History.Outcome.REFUSED : History.Outcome.UNKNOWN);
+                        ? LinearizabilityChecker.Outcome.ACKNOWLEDGED
+                        : status == 409 ? LinearizabilityChecker.Outcome.REFUSED : LinearizabilityChecker.Outcome.UNKNOWN);
     }
 
     void sent(Orders.Order o) {
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -43,7 +43,7 @@
             days.put("random-" + seed, day);
         }
         for (long seed = 1; seed <= WORST_DAYS; seed++) {
-            days.put("worst-" + seed, ControlMeasure.day(seed));
+            days.put("worst-" + seed, ControlMeasure.scheduleOf(seed));
         }
         return days;
     }
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -168,7 +168,7 @@
     @Test
     void worstDaysByChance() {
         for (long seed = 1_001; seed <= 1_000 + WORST_DAYS; seed++) {
-            Day day = ControlMeasure.day(seed);
+            Day day = ControlMeasure.scheduleOf(seed);
             day.play();
             assertEquals(
                     List.of(),
