--- a/src/main/java/dillfront/simulation/ControlWorld.java
+++ b/src/main/java/dillfront/simulation/ControlWorld.java
@@ -36,68 +36,73 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A few control processes by their real {@link ReplicatedRegister}, {@link LeaseManager}, {@link
- * PrimaryRecords}, {@link Table} and {@link ReconfigurationBarrier}, two operators, database
- * servers, their disks and what lies between them, all of it moved by steps that are chosen from
- * outside. After each step it is looked at whether all still holds:
+ * Model of a few control-plane processes that run the real {@link ReplicatedRegister}, {@link
+ * LeaseManager}, {@link PrimaryRecords}, {@link RegistryReplication} and {@link
+ * ReconfigurationBarrier}, with two operators, database servers, disks and the network between
+ * them. Every event is a step chosen from outside. After each step the model checks these
+ * invariants:
  *
  * <ul>
- *   <li>one ballot has one value; values that enough disks accepted are one line: past numbers keep
- *       their contents, the number in force never falls, sets change by one step of two at a time;
- *       what a process takes for decided is one of them;
- *   <li>what was acknowledged stands in that line, what was refused stands there with another
- *       content, for ever;
+ *   <li>one ballot has one value; the values accepted by a majority of disks form one sequence:
+ *       revision numbers keep their contents, the current revision never decreases, and the member
+ *       sets change one step at a time through a joint set; a value that a process considers
+ *       decided is part of that sequence;
+ *   <li>an acknowledged configuration stays in that sequence permanently, and a refused one is
+ *       there with another content;
  *   <li>the calls of the operators are linearizable ({@link LinearizabilityChecker});
- *   <li>one process at a time holds the lease, a number of it belongs to one life of one process,
- *       and each is above those held before;
- *   <li>whoever holds the lease knows until when those before could say that theirs runs;
- *   <li>that a server drains or left, once acknowledged, and a record that a holder may act on, are
- *       on the disks of enough that no majority lacks them; who says to have them has them, and who
- *       takes the duty over knows what there was when its lease began; rows and records never go
- *       back, and a number is one record's.
+ *   <li>at most one process holds the lease, a lease number belongs to one incarnation of one
+ *       process, and each lease number is above those held before;
+ *   <li>the lease holder knows until when former holders could claim their leases;
+ *   <li>an acknowledged drain or leave of a server, and a primary record that a lease holder may
+ *       act on, are on enough disks that no majority lacks them; a process has on disk what it
+ *       reports as durable; a new failover coordinator knows what was acknowledged when its lease
+ *       began; registry entries and records never go back, and a fencing token belongs to one
+ *       record.
  * </ul>
  */
 final class ControlWorld {
 
-    /** What may happen. */
+    /**
+     * The kinds of steps. Their names and arguments are written out in traces, which tests replay.
+     */
     enum Kind {
-        /** a says its message to b, which hears it. */
+        /** a sends its message to b, which receives the message. */
         MESSAGE,
-        /** a says its message to b; it is on its way. */
+        /** a sends its message to b; the message stays in flight. */
         SENT,
-        /** The message that was put on its way as the a-th comes, be it again. */
+        /** The a-th in-flight message is delivered, possibly again. */
         OLD,
-        /** The first write of a's disk is done. */
+        /** The first pending disk write of a completes. */
         DISK,
         /**
-         * The first write of a's disk fails; b = 1: yet it is there after a loss of power before
-         * the next one is done.
+         * The first pending disk write of a fails; with b = 1 its data is nevertheless on disk
+         * after a power loss before the next write completes.
          */
         REFUSED,
-        /** a loses its power; the first b of its writes were done. */
+        /** a loses power after the first b of its pending writes were completed. */
         CRASH,
         START,
-        /** a's disk is gone. */
+        /** The disk of a is replaced by an empty one. */
         EMPTY,
-        /** Milliseconds pass. */
+        /** The time advances by a milliseconds. */
         TIME,
-        /** Operator a sends an order to process b % 8, with number b / 8. */
+        /** Operator a sends a configuration to process b % 8, with revision b / 8. */
         ORDER,
-        /** Operator a has no answer. */
+        /** Operator a stops waiting for its answer. */
         GIVE_UP,
-        /** A read at a. */
+        /** A read starts at a. */
         READ,
         /**
-         * a, if it holds the lease, wants the processes of the bits of b as members; without bits,
-         * the second step.
+         * a, if it holds the lease, proposes the processes of the bits of b as members; without
+         * bits, it finishes the membership change.
          */
         SETS,
-        /** What a says does not reach b, until it does. */
+        /** Messages from a to b are lost until JOIN. */
         CUT,
         JOIN,
-        /** Server b / 3 says at a that it is ready, that it drains, or that it leaves. */
+        /** Server b / 3 reports at a that it is ready, draining or leaving. */
         SERVER,
-        /** a, if it has the duty, records who leads service b. */
+        /** a, if it is the failover coordinator, records a primary of service b. */
         RECORD
     }
 
@@ -109,16 +114,16 @@
     }
 
     /**
-     * What there is, and how often each thing may happen.
+     * The size of a model and the limits of its steps.
      *
-     * @param first nothing is on the disks, and the first process founds; else the first ones are
-     *     members
-     * @param lease whether the real lease runs; else the first process holds it
-     * @param numbers orders have numbers from 1 to this
-     * @param sets changes of the sets that may be asked for; up to two: those that the first steps
-     *     ask for, and the step that settles them
-     * @param servers what servers say; with these or records, sets are changed and settled only by
-     *     whoever has the duty, by its rule
+     * @param first all disks are empty and the first process bootstraps the cluster; else the first
+     *     processes are members
+     * @param lease whether the real lease manager runs; else the first process holds the lease
+     * @param numbers configurations have revisions from 1 to this
+     * @param sets the maximum number of membership steps; up to two: those of the initial steps,
+     *     and the step that finishes the change
+     * @param servers the maximum number of server reports; with these or records, only the failover
+     *     coordinator changes memberships, by its own rule
      */
     record Scene(
             int processes,
@@ -158,7 +163,10 @@
                     empties, refusals, ticks, sets, cuts, 0, 0);
         }
 
-        /** There is a duty: servers, and records of who leads. */
+        /**
+         * Returns whether the model includes the failover coordinator: servers and records of their
+         * primaries.
+         */
         boolean duty() {
             return servers + records > 0;
         }
@@ -166,7 +174,7 @@
 
     private static final int OPERATORS = 2;
 
-    /** Servers, each of a service of its own. */
+    /** Number of servers, each of a service of its own. */
     private static final int SERVERS = 2;
 
     private static final List<String> STATES = List.of("ready", "draining", "leaving", "left");
@@ -186,20 +194,19 @@
     private final TreeMap<Ballot, RegisterValue> values = new TreeMap<>();
     private final TreeMap<Ballot, TreeSet<String>> accepted = new TreeMap<>();
 
-    /** What enough disks accepted. */
+    /** Values accepted by a majority of disks. */
     private final TreeMap<Ballot, RegisterValue> chosen = new TreeMap<>();
 
     private final TreeMap<String, Boolean> answered = new TreeMap<>();
     private final TreeMap<Long, String> fences = new TreeMap<>();
 
-    /** Until when a holder could say that its lease runs. */
+    /** The time until which a holder could claim that its lease is valid. */
     private long spokenUntil;
 
     private final Map<String, Configuration> contents = new HashMap<>();
 
     /**
-     * How far servers are, as it was acknowledged to them; and records that a holder could act on,
-     * by service.
+     * Acknowledged state of each server, and the records that a holder could act on, by service.
      */
     private final TreeMap<String, Integer> acknowledged = new TreeMap<>();
 
@@ -208,10 +215,10 @@
     private long calls;
     long now = 1_000_000;
 
-    /** Something was answered or chosen in this step. */
+    /** Whether an operation was answered or a value was chosen in this step. */
     private boolean ended;
 
-    /** What did not hold first. */
+    /** The first violated invariant; null if all held. */
     String broken;
 
     private record Sent(int from, int to, Message message) {}
@@ -432,7 +439,7 @@
         }
     }
 
-    /** All that may happen next. */
+    /** Returns all steps that are possible next. */
     List<Step> choices() {
         List<Step> all = new ArrayList<>();
         int n = scene.processes;
@@ -461,8 +468,8 @@
             for (int b = 0; b < SERVERS; b++) {
                 may(all, Kind.RECORD, i, b);
             }
-            // Where few changes may be asked for, the first steps have asked for the sets; the
-            // second step of each is left.
+            // With few membership steps allowed, the initial steps have started the changes and
+            // only the finishing steps remain.
             for (int mask = 0; mask < (scene.sets > 2 ? 1 << n : 1); mask++) {
                 if (mask == 0 || Integer.bitCount(mask) >= 2) {
                     may(all, Kind.SETS, i, mask);
@@ -520,7 +527,7 @@
                                 told.add(operator + " is told " + outcome);
                                 if (!Boolean.valueOf(taken)
                                         .equals(answered.getOrDefault(one.content, taken))) {
-                                    breaks("order " + one.content + " is refused and acknowledged");
+                                    breaks("order " + one.content + " was both refused and acknowledged");
                                 }
                                 answered.put(one.content, taken);
                                 ended = true;
@@ -528,13 +535,13 @@
                         });
     }
 
-    // ---- what must hold
+    // ---- invariants
 
-    /** What was answered stands in the newest chosen value. */
+    /** Checks that the newest chosen value agrees with all answers. */
     private void stands() {
         if (chosen.isEmpty()) {
             if (!answered.isEmpty()) {
-                breaks("answered, with nothing chosen: " + answered);
+                breaks("answered although no value is chosen: " + answered);
             }
             return;
         }
@@ -603,7 +610,7 @@
             if (!chosen.containsKey(decided)) {
                 breaks(
                         p.id
-                                + " takes for decided what is not: "
+                                + " considers a value decided that is not: "
                                 + decided
                                 + " "
                                 + text(p.register.decidedValue()));
@@ -613,17 +620,17 @@
             String life = p.id + " life " + p.life;
             if (!fences.isEmpty() && p.lease.number() < fences.lastKey()) {
                 breaks(
-                        "the lease's number "
+                        "lease number "
                                 + p.lease.number()
-                                + " is held after "
+                                + " is held after number "
                                 + fences.lastKey());
             }
             if (!fences.containsKey(p.lease.number())
                     && Math.max(now, p.lease.formerLeaseEndMillis()) < spokenUntil) {
                 breaks(
-                        "the lease is "
+                        "the lease holder is "
                                 + life
-                                + "'s, who may think that what was said before is over by "
+                                + ", which assumes that former leases ended by "
                                 + p.lease.formerLeaseEndMillis()
                                 + ", not "
                                 + spokenUntil);
@@ -631,7 +638,7 @@
             spokenUntil = Math.max(spokenUntil, p.lease.validUntilMillis());
             if (!life.equals(fences.computeIfAbsent(p.lease.number(), n -> life))) {
                 breaks(
-                        "the lease's number "
+                        "lease number "
                                 + p.lease.number()
                                 + " is of "
                                 + fences.get(p.lease.number())
@@ -648,12 +655,15 @@
         String fault = lower == null ? null : follows(lower.getValue(), value);
         fault = fault == null && higher != null ? follows(value, higher.getValue()) : fault;
         if (fault != null) {
-            breaks("two lines of decided values: " + fault);
+            breaks("two sequences of decided values: " + fault);
         }
         ended = true;
     }
 
-    /** Null where this value may be the next one, or one after a few of the same sets. */
+    /**
+     * Returns null if the second value may follow the first, directly or after a few others of the
+     * same member sets; else a description of the violation.
+     */
     private String follows(RegisterValue before, RegisterValue after) {
         String both = text(before) + ", then " + text(after);
         boolean steps =
@@ -669,7 +679,8 @@
                         && before.isJoint()
                         && !after.isJoint()
                         && after.members().equals(before.members());
-        // Without a defence only what does harm counts, not that the steps are others.
+        // With a safety rule disabled, a deviating sequence of member sets is no violation by
+        // itself, only its harm is.
         boolean harmless = without != null && after.epoch() > before.epoch();
         if (!steps && !joins && !drops && !harmless) {
             return "sets: " + both;
@@ -692,7 +703,7 @@
             if (scene.lease && p.register != null && p.lease.isHeld()) {
                 if (holder != null) {
                     breaks(
-                            "two hold the lease: "
+                            "two processes hold the lease: "
                                     + holder.id
                                     + " with "
                                     + holder.lease.number()
@@ -706,7 +717,9 @@
         }
     }
 
-    /** What was acknowledged to servers, and what a holder could act on, is not lost. */
+    /**
+     * Checks that acknowledged server states and records that a holder could act on are not lost.
+     */
     private void duties() {
         if (!scene.duty()) {
             return;
@@ -731,7 +744,10 @@
                                 service + " has record " + number));
     }
 
-    /** None of those that are there and lack it are a majority of the sets in force. */
+    /**
+     * Checks that the processes which lack the data on disk are not a majority of the current
+     * member sets.
+     */
     private void everyMajority(Predicate<Process> has, String what) {
         RegisterValue is = newest();
         if (is != null
@@ -743,16 +759,16 @@
                                                         p.id.equals(of)
                                                                 && p.disk.containsKey("id")
                                                                 && !has.test(p)))) {
-            breaks("a majority does not have on disk that " + what + ": " + text(is));
+            breaks("a majority lacks on disk that " + what + ": " + text(is));
         }
     }
 
-    /** The value in force, for whoever looks from outside. */
+    /** Returns the newest chosen value. */
     RegisterValue newest() {
         return chosen.isEmpty() ? null : chosen.lastEntry().getValue();
     }
 
-    /** All that the future depends on. */
+    /** Returns the state that determines all further behavior. */
     String state() {
         StateDump dump = new StateDump();
         dump.add(now)
@@ -805,9 +821,9 @@
         return dump.toString();
     }
 
-    // ---- a process
+    // ---- processes
 
-    /** What one process says to another. */
+    /** A message between two processes. */
     private record Message(
             int from,
             int life,
@@ -825,7 +841,7 @@
             RegistryMessage registry,
             RecordsMessage records) {}
 
-    /** Another process, as its last message told. */
+    /** State of a peer according to its last message. */
     private static final class Peer {
         final PeerLease lease = new PeerLease();
         int life = -1;
@@ -843,29 +859,32 @@
         }
     }
 
-    /** A server waits until a majority has its row as far as this. */
+    /** A pending server acknowledgement that completes once a majority has stored the change. */
     private record Waits(String server, int rank, long change) {}
 
-    /** One control process: what {@code core.Core} does around register and lease, and no more. */
+    /**
+     * One control-plane process: the calls around register and lease that the real core makes, and
+     * nothing else.
+     */
     final class Process implements LeaseManager.Context {
         private static final long LOOK_MS = 50;
         final int index;
         final TreeMap<String, String> disk = new TreeMap<>();
         final ArrayDeque<Write> writes = new ArrayDeque<>();
 
-        /** What the disk refused, and may hold all the same. */
+        /** Data of a failed write that may be on disk nevertheless. */
         Map<String, String> doubtful = Map.of();
 
         int empties;
         int life = -1;
         String id = "";
 
-        /** Null while it is down. */
+        /** Null while the process is down. */
         ReplicatedRegister register;
 
         LeaseManager lease;
 
-        /** To whom there is something to say that was not yet said. */
+        /** The peers for which there is new state that was not sent yet. */
         final boolean[] news = new boolean[scene.processes];
 
         Peer[] peers;
@@ -879,8 +898,8 @@
         ReconfigurationBarrier settling;
 
         /**
-         * The lease under which it has the duty, since when, and whether it knows what earlier
-         * holders recorded.
+         * The lease number under which this process is the failover coordinator, the start of that
+         * lease, and whether the process knows the records of earlier holders.
          */
         long held;
 
@@ -889,14 +908,14 @@
         FencingTokens given;
 
         /**
-         * What was acknowledged to servers when the lease began: later words are for whoever has
-         * the duty by then.
+         * Server states acknowledged when the lease began; the coordinator at that time is
+         * responsible for later ones.
          */
         TreeMap<String, Integer> began = new TreeMap<>();
 
         final List<Waits> waits = new ArrayList<>();
 
-        /** As far as rows and records were seen here in this life. */
+        /** The latest server states and record numbers seen in this incarnation. */
         final TreeMap<String, Integer> rows = new TreeMap<>();
 
         final TreeMap<String, Long> numbers = new TreeMap<>();
@@ -925,7 +944,7 @@
             try {
                 fresh.restore(new TreeMap<>(disk));
             } catch (Configuration.InvalidConfigurationException bad) {
-                breaks(id + " cannot read its disk: " + bad.getMessage());
+                breaks(id + " cannot restore its state from disk: " + bad.getMessage());
             }
             register = fresh;
             lease.restore(new TreeMap<>(disk));
@@ -975,7 +994,7 @@
         void refused(boolean there) {
             Write first = writes.poll();
             doubtful = there ? first.texts : Map.of();
-            first.done.completeExceptionally(new IllegalStateException("the disk refuses"));
+            first.done.completeExceptionally(new IllegalStateException("disk write failed"));
         }
 
         void look(boolean time) {
@@ -994,7 +1013,7 @@
             }
         }
 
-        /** As {@code core.Core.found}. */
+        /** Bootstraps the cluster as the real core does. */
         private void found() {
             if (!scene.first || index != 0 || !register.isBlank()) {
                 return;
@@ -1066,7 +1085,7 @@
                 try {
                     register.receive(peer.id(), message.register());
                 } catch (Configuration.InvalidConfigurationException bad) {
-                    breaks("a message is not understood: " + bad.getMessage());
+                    breaks("a message is malformed: " + bad.getMessage());
                 }
             }
             peer.lease.update(message.lease(), now);
@@ -1091,7 +1110,7 @@
             told.add("reads " + index);
         }
 
-        /** As {@code core.Core.read}. */
+        /** Completes reads as the real core does. */
         private void readings() {
             for (Read one : List.copyOf(readings)) {
                 Configuration got =
@@ -1150,7 +1169,7 @@
             }
         }
 
-        /** As {@code core.Core.change}. */
+        /** Returns whether the membership change may finish, as the real core does. */
         private boolean settles(RegisterValue is) {
             Ballot joint = register.decidedBallot();
             return settling.canFinish(
@@ -1178,9 +1197,9 @@
             return is != null && is.isQuorum(of -> has(of, itself, other));
         }
 
-        // ---- the duty
+        // ---- failover coordinator
 
-        /** As {@code core.Duty.look} and {@code take}. */
+        /** Starts and ends the failover coordinator with the lease, as the real process does. */
         private void duty() {
             long number = !holdsLease() || !isVoter() ? 0 : scene.lease ? lease.number() : life + 1;
             if (held != number) {
@@ -1212,7 +1231,7 @@
                             if (STATES.indexOf(stateOf(server)) < rank) {
                                 breaks(
                                         id
-                                                + " takes the duty over and does not know that "
+                                                + " becomes failover coordinator and does not know that "
                                                 + server
                                                 + " is "
                                                 + STATES.get(rank));
@@ -1221,7 +1240,7 @@
                 records.renumberAll(given::next);
             }
             if (taken && register.decidedValue() != null && register.decidedValue().isJoint()) {
-                // Looked at often: the mark is set as soon as it may be.
+                // Evaluated at each step so that the barrier is set as early as possible.
                 settles(register.decidedValue());
             }
         }
@@ -1231,7 +1250,10 @@
             records.merge(new PrimaryRecord(service, number, "of " + number, false, false));
         }
 
-        /** What it recorded and a majority has, it may act on; what was acted on it knows. */
+        /**
+         * Marks the records of this lease that a majority has stored as ones that the coordinator
+         * may act on, and checks that the coordinator knows all such records.
+         */
         void mayAct() {
             for (PrimaryRecord lead : records.all()) {
                 long number = lead.number();
@@ -1247,7 +1269,7 @@
                                 || records.get(service).number() < number) {
                             breaks(
                                     id
-                                            + " has the duty and does not know record "
+                                            + " is failover coordinator and does not know record "
                                             + number
                                             + " of "
                                             + service);
@@ -1255,7 +1277,7 @@
                     });
         }
 
-        /** As {@code core.Core.beat} and {@code leave}. */
+        /** Handles a server report as the real core does. */
         void server(int server, int state) {
             String name = "d" + server;
             if (state < 2) {
@@ -1278,13 +1300,13 @@
             awaits(name);
         }
 
-        /** The change that made this row what it is; -1 where there is none. */
+        /** Returns the version of the last change of this row, or -1 if there is none. */
         private long changeNumberOf(String server) {
             DatabaseServer row = table.get(server);
             return row == null ? -1 : row.lastChangeVersion();
         }
 
-        /** Empty where there is no such row. */
+        /** Returns the state of a server, or an empty text if the server is unknown. */
         private String stateOf(String server) {
             DatabaseServer row = table.get(server);
             return row == null ? "" : row.state().wireName();
@@ -1298,7 +1320,7 @@
             Arrays.fill(news, true);
         }
 
-        /** As {@code core.Core.acknowledge}. */
+        /** Acknowledges server reports as the real core does. */
         private void acknowledge() {
             if (!waits.isEmpty()) {
                 long agreed =
@@ -1316,7 +1338,7 @@
             }
         }
 
-        /** Rows and records only go on, within a life. */
+        /** Checks that rows and records only move forward within an incarnation. */
         void onlyForward() {
             for (int i = 0; i < SERVERS; i++) {
                 String server = "d" + i;
@@ -1339,8 +1361,8 @@
         }
 
         /**
-         * What it says to have on its disk of the records, and what it was told that others have of
-         * its rows, is there.
+         * Checks that the records which the process reports as durable are on its disk, and that
+         * the rows which it believes stored at peers are on their disks.
          */
         void claims() {
             acted.forEach(
@@ -1348,9 +1370,9 @@
                         if (records.durableNumber() >= number && recordOnDisk(service) < number) {
                             breaks(
                                     id
-                                            + " says that it has record "
+                                            + " reports record "
                                             + records.durableNumber()
-                                            + " and all before, and lacks "
+                                            + " and all before as durable, and lacks on disk "
                                             + number
                                             + " of "
                                             + service);
@@ -1369,9 +1391,9 @@
                             && p.onDisk(server) < rank) {
                         breaks(
                                 id
-                                        + " was told that "
+                                        + " received the report that "
                                         + p.id
-                                        + " keeps its change "
+                                        + " stored its change "
                                         + change
                                         + ", and there "
                                         + server
@@ -1401,7 +1423,7 @@
             return null;
         }
 
-        // ---- what register and lease ask
+        // ---- callbacks of the register and the lease
 
         @Override
         public String selfId() {
@@ -1447,13 +1469,13 @@
 
         @Override
         public void broadcast() {
-            // When is chosen from outside.
+            // The time of sending is chosen by the steps.
             Arrays.fill(news, true);
         }
 
         @Override
         public void onDecided(RegisterValue value) {
-            // Seen after the step.
+            // Checked after the step.
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/ControlWorlds.java
+++ b/src/main/java/dillfront/simulation/ControlWorlds.java
@@ -22,19 +22,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Small worlds of the control side gone through: all that may happen up to a depth, nearest first,
- * and random walks far beyond it; and the same without one defence after the other, where it must
- * break.
+ * Model checker of the control plane. Explores all steps of small models up to a depth in
+ * breadth-first order, takes random walks far beyond that depth, and repeats this with one safety
+ * rule disabled at a time, which must lead to a violation.
  */
 public final class ControlWorlds {
 
     /**
-     * @param worlds states that were reached by breadth and walks that were taken, with all
-     *     defences
-     * @param steps that the walks took
-     * @param broken what did not hold with all defences, and how it came about; null where all held
-     * @param caught for each defence that broke something when it was taken out, the trace
-     * @param missed those that broke nothing in the time that there was
+     * @param worlds number of states reached by exploration and of walks, with all safety rules
+     *     enabled
+     * @param steps number of steps in the walks
+     * @param broken the first violation with all safety rules enabled and its trace; null if there
+     *     is none
+     * @param caught the trace of a violation for each safety rule whose absence was detected
+     * @param missed the safety rules whose absence was not detected within the time
      */
     public record Result(
             long worlds,
@@ -44,28 +45,28 @@
             List<SafetyRule> missed) {}
 
     /**
-     * States that were looked at, the deepest path to one, whether there was no more to see, and
-     * what broke.
+     * Result of an exploration: the number of states, the deepest path to one, whether the
+     * exploration was exhaustive, and the violation.
      */
     record Found(int states, int depth, boolean whole, String broken) {}
 
-    /** Two operators, one number, three members. */
+    /** Two operators, one revision number and three members. */
     static final Scene DUEL = new Scene(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
 
     static final String DUEL_BEGINS = "ORDER 0 8, ORDER 1 9";
 
-    /** An order, and one loss of power; whoever has no answer sends again. */
+    /** A configuration and one power loss; an operator without an answer repeats the call. */
     static final Scene LOSS = new Scene(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
 
     static final String LOSS_BEGINS = "ORDER 0 8";
 
     /**
-     * One member gives its place to another, while an order is under way at the one that goes; the
-     * first process asks for both steps.
+     * One member is replaced while a configuration is in progress at the removed member; the first
+     * process proposes both membership steps.
      */
     static final Scene REPLACED = new Scene(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
 
-    /** The same from where the joint value is under way, and one process may lose its power. */
+    /** The same, starting with the joint value in progress, with one power loss. */
     static final Scene JOINT = new Scene(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
 
     private static final String HEARD =
@@ -73,8 +74,8 @@
     static final String REPLACED_BEGINS = HEARD + ", SETS 0 11, ORDER 0 10";
 
     /**
-     * The joint value is accepted by the first alone, by a majority of the old set alone, or
-     * decided and to be settled.
+     * The joint value is accepted by the first process alone, by a majority of the old set alone,
+     * or decided and ready to be finished.
      */
     static final String REPLACED_BY_ONE =
             HEARD
@@ -89,15 +90,15 @@
                     + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, ORDER 0 10";
 
     /**
-     * Servers speak and a record is made while members stay; and while one gives its place, where
-     * one process may lose its power.
+     * Server reports and one record with fixed members, and during the replacement of a member,
+     * with one power loss.
      */
     static final Scene KEPT = new Scene(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
 
     static final Scene KEPT_SETS =
             new Scene(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
 
-    /** The first start, with a disk that is emptied. */
+    /** First start, with one replaced disk. */
     static final Scene FIRST = new Scene(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
 
     private static final int TRIES = 6;
@@ -105,38 +106,38 @@
     private static final double[] SPEEDS = {0, 0.05, 1, 3};
     private static final int MANY = 1_000;
 
-    /** Members that stay, two operators, power and disks. */
+    /** Fixed members, two operators, power losses and disk failures. */
     static final Scene POWER =
             new Scene(3, 3, false, false, 2, MANY, MANY, MANY, 8, 2, 3, MANY, 0, MANY);
 
-    /** Sets change, and the first process may ask for it. */
+    /** Membership changes proposed by the first process. */
     static final Scene SETS =
             new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 3, 1, 1, MANY, MANY, MANY);
 
-    /** All of it. */
+    /** All kinds of steps. */
     static final Scene ALL =
             new Scene(5, 3, false, true, 3, MANY, MANY, MANY, 6, 3, 2, MANY, MANY, MANY);
 
-    /** From empty disks; one of them is emptied again. */
+    /** Bootstrap from empty disks, one of which is replaced later. */
     static final Scene FOUNDED =
             new Scene(3, 3, true, true, 2, MANY, MANY, MANY, 6, 1, 2, MANY, MANY, MANY);
 
     static final Scene FIVE =
             new Scene(5, 5, false, true, 2, MANY, MANY, MANY, 4, 1, 2, MANY, MANY, MANY);
 
-    /** Who holds the lease, and nothing else: with members that stay, and with others. */
+    /** The lease alone, with fixed members and with membership changes. */
     static final Scene LEASE = new Scene(3, 3, false, true, 1, 0, 0, MANY, 3, 0, 1, MANY, 0, MANY);
 
     static final Scene LEASE_SETS =
             new Scene(4, 3, false, true, 1, 0, 0, MANY, 2, 0, 1, MANY, MANY, MANY);
 
-    /** Two members more, who come and go, with nothing else. */
+    /** Membership changes alone. */
     static final Scene CHANGES =
             new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 0, 0, 0, MANY, MANY, 0);
 
     /**
-     * Servers and records, with members that stay, and with others; the first process has the duty,
-     * or whoever holds the lease.
+     * Servers and records, with fixed members and with membership changes; the failover coordinator
+     * is the first process or the lease holder.
      */
     static final Scene SERVED =
             new Scene(3, 3, false, false, 1, 0, 0, MANY, 6, 2, 0, 0, 0, MANY, MANY, MANY);
@@ -149,10 +150,11 @@
             new Scene(5, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, MANY, MANY, MANY, MANY);
 
     /**
-     * A scene, how long a walk through it is, and what happens more often there than elsewhere.
+     * A model, the length of a random walk through it, and the kinds of steps that are more
+     * frequent than usual.
      *
-     * @param more a factor for a kind
-     * @param first steps that it begins with
+     * @param more a factor of the weight of a kind
+     * @param first the initial steps
      */
     record Walk(Scene scene, int length, Map<Kind, Integer> more, String first) {
         Walk(Scene scene, int length, Map<Kind, Integer> more) {
@@ -160,7 +162,7 @@
         }
     }
 
-    /** Where exploration begins. */
+    /** Start of an exploration. */
     private record Begun(String name, Scene scene, String first) {}
 
     private static final Map<Kind, Integer> CALM =
@@ -178,7 +180,10 @@
                     Kind.EMPTY,
                     0);
 
-    /** A member's promise was told to one proposer, and is asked for by another; power may go. */
+    /**
+     * A member has promised a ballot to one proposer and receives the request of another; power
+     * losses may follow.
+     */
     private static final Walk PROMISED =
             new Walk(
                     POWER,
@@ -209,7 +214,7 @@
                     "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, "
                             + "MESSAGE 1 0");
 
-    /** A proposer has offered a value to one member, and its power may go. */
+    /** A proposer has sent a value to one member, and may lose power. */
     private static final Walk OFFERED =
             new Walk(
                     POWER,
@@ -218,8 +223,8 @@
                     "ORDER 0 18, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, CRASH 2 0");
 
     /**
-     * One member has accepted the first step of a change, and without the defence the second, that
-     * no other knows of.
+     * One member alone has accepted the first step of a membership change and, with the safety rule
+     * disabled, the second.
      */
     private static final Walk UNDECIDED =
             new Walk(
@@ -232,8 +237,8 @@
                             + "TIME 250 0");
 
     /**
-     * A set was dropped, and one that belonged to it does not know; an order is under way in the
-     * new one.
+     * A member set was replaced and one of its former members does not know; a configuration is in
+     * progress in the new set.
      */
     private static final Walk DROPPED =
             new Walk(
@@ -259,8 +264,8 @@
                             + "MESSAGE 3 0, DISK 0 0, MESSAGE 0 3, DISK 3 0, MESSAGE 3 0, READ 2 0, MESSAGE 2 1");
 
     /**
-     * An order was decided, another set is asked for, and another order is under way at one that is
-     * left out.
+     * A configuration was decided, a membership change is proposed, and another configuration is in
+     * progress at a process that the change removes.
      */
     private static final Walk CHANGING =
             new Walk(
@@ -270,7 +275,10 @@
                     "MESSAGE 1 0, ORDER 0 16, "
                             + "DISK 0 0, MESSAGE 0 1, MESSAGE 1 0, DISK 1 0, SETS 0 1, ORDER 1 18, MESSAGE 1 0");
 
-    /** Several ask for other sets, where the defence is out, and some hold the lease by them. */
+    /**
+     * Several processes propose membership changes with the safety rule disabled, and some hold the
+     * lease by them.
+     */
     private static final Walk SEVERAL =
             new Walk(
                     LEASE_SETS,
@@ -282,7 +290,7 @@
                             + "TIME 50 0, DISK 2 0, TIME 250 0, TIME 10 0, DISK 2 0, DISK 0 0, MESSAGE 0 2, TIME 10 0, MESSAGE 3 1, "
                             + "DISK 2 0, DISK 1 0, SETS 2 2, MESSAGE 2 0, MESSAGE 2 1, DISK 1 0, MESSAGE 1 2, SETS 2 4, DISK 2 0");
 
-    /** The founder has heard one of two. */
+    /** The bootstrapping process has received a message from one of two peers. */
     private static final Walk FOUNDING =
             new Walk(
                     FOUNDED,
@@ -290,7 +298,7 @@
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.CRASH, 3),
                     "MESSAGE 0 1, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, CRASH 0 0, DISK 1 0");
 
-    /** An order was acknowledged, and one that accepted it is down. */
+    /** A configuration was acknowledged, and a process that accepted it is down. */
     private static final Walk EMPTIED =
             new Walk(
                     POWER,
@@ -301,8 +309,8 @@
     private static final Walk LEASING = new Walk(LEASE, 200, Map.of());
 
     /**
-     * A member promised the lease to one whose disk then does nothing, and another, which asked
-     * before, asks for a higher number.
+     * A member promised the lease to a candidate whose disk then stalls, and another candidate,
+     * which had requested it before, requests a higher number.
      */
     private static final Walk TURNING =
             new Walk(
@@ -316,8 +324,8 @@
                             + "MESSAGE 1 2");
 
     /**
-     * The holder is at work with a set of its own choice; a member of the former one asks another
-     * of them for the lease.
+     * The lease holder works with a new member set; a member of the former set requests the lease
+     * from another member of that set.
      */
     private static final Walk OVER =
             new Walk(
@@ -335,20 +343,23 @@
             Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.REFUSED, 0);
 
     /**
-     * Two ask for one number in the same moment; what the first one asked for is not on its disk
-     * yet.
+     * Two candidates request the same lease number at the same time; the request of the first one
+     * is not on its disk yet.
      */
     private static final String TIE =
             "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 1 0, ";
 
-    /** The second one held the lease by it, and lost it; the first one's disk goes on. */
+    /**
+     * The second candidate held the lease with this number and lost it; then the disk of the first
+     * one continues.
+     */
     private static final String HELD =
             TIE
                     + "MESSAGE 1 2, DISK 2 0, DISK 2 0, MESSAGE 2 1, TIME 1000 0, TIME 1000 0, TIME 1000 0, ";
 
     private static final Walk GIVEN_UP = new Walk(LEASE, 40, FEW, HELD + "DISK 0 0, MESSAGE 0 1");
 
-    /** The same, and whoever promised it asked for a higher one, in vain. */
+    /** The same, and the member that granted it requested a higher number without success. */
     private static final Walk VOTED =
             new Walk(
                     LEASE,
@@ -358,7 +369,10 @@
                             + "MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, TIME 1000 0, DISK 2 0, "
                             + "TIME 1000 0, TIME 1000 0, DISK 0 0, MESSAGE 0 2");
 
-    /** The first one got it; the second asked for the next, and gave that up once it saw so. */
+    /**
+     * The first candidate got the lease; the second requested the next number and abandoned it
+     * after learning of the holder.
+     */
     private static final Walk LOST =
             new Walk(
                     LEASE,
@@ -380,7 +394,9 @@
     static final String MET =
             "MESSAGE 1 0, MESSAGE 2 0, MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0";
 
-    /** A server's word is on the disk of one and known to another, who may lose its power. */
+    /**
+     * A server report is on the disk of one process and known to another, which may lose power.
+     */
     private static final Walk AGAIN =
             new Walk(
                     SERVED,
@@ -388,7 +404,7 @@
                     Map.of(Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 4),
                     MET + ", SERVER 1 1, DISK 1 0");
 
-    /** Two records are on their way in one word, the older one second. */
+    /** Two records are in flight in one message, the older one second. */
     private static final Walk RECORDED =
             new Walk(
                     SERVED,
@@ -396,7 +412,7 @@
                     Map.of(Kind.CUT, 0, Kind.EMPTY, 0),
                     MET + ", RECORD 0 1, RECORD 0 0");
 
-    /** A member that had a record loses its disk. */
+    /** A member that stored a record loses its disk. */
     private static final Walk EMPTIED_RECORD =
             new Walk(
                     SERVED,
@@ -405,8 +421,8 @@
                     MET + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
 
     /**
-     * The holder of the lease has made records, and a set with more members, whose promises it does
-     * not have, is under way.
+     * The lease holder has issued records, and a larger member set is in progress whose new members
+     * have not promised the lease.
      */
     private static final Walk GROWING =
             new Walk(
@@ -432,8 +448,8 @@
                             + "MESSAGE 0 3, MESSAGE 3 4, DISK 0 0, SETS 1 9, DISK 4 0, DISK 1 0, MESSAGE 1 0, SETS 1 31, DISK 0 0, MESSAGE 0 1, DISK 1 0");
 
     /**
-     * A newcomer takes the place of a member that does not know it: the joint value is decided, and
-     * a server speaks to that member.
+     * A new process replaces a member that does not know of it: the joint value is decided, and a
+     * server reports to that member.
      */
     private static final String JOINS =
             MET
@@ -454,7 +470,7 @@
                             + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, DISK 2 0");
 
     /**
-     * A member is silent, and the holder of the lease takes a newcomer in for it: the joint value
+     * A member does not respond and the lease holder replaces it by a new process: the joint value
      * is decided.
      */
     private static final String SILENT =
@@ -481,7 +497,7 @@
                     new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), KEPT_JOINT),
                     new Walk(DUTY_SETS, 300, Map.of(Kind.SETS, 8), SILENT));
 
-    /** From here each is explored. */
+    /** Starting points of the explorations. */
     private static final List<Begun> BEGUN =
             List.of(
                     new Begun("duel", DUEL, DUEL_BEGINS),
@@ -495,7 +511,7 @@
                     new Begun("kept joint", KEPT_SETS, KEPT_JOINT),
                     new Begun("kept settling", KEPT_SETS, KEPT_SETTLING));
 
-    /** Where a defence is missed soonest; any walk finds the others. */
+    /** Walks that detect the absence of a safety rule soonest; any walk detects the others. */
     private static final Map<SafetyRule, List<Walk>> NEAREST =
             Map.ofEntries(
                     Map.entry(SafetyRule.PROMISE_ON_DISK, List.of(PROMISED)),
@@ -532,16 +548,16 @@
 
     private ControlWorlds() {}
 
-    /** All states up to this depth from where these steps lead, nearest first. */
+    /** Explores all states up to this depth after the initial steps, in breadth-first order. */
     static Found explore(Scene scene, String first, SafetyRule without, int depth, int most) {
         return explore(scene, first, without, depth, most, false);
     }
 
     /**
-     * The same.
+     * Explores like the other overload.
      *
-     * @param terse words are said only where something happened to the speaker since the last:
-     *     deeper, and not all there is
+     * @param terse messages are sent only if the state of the sender has changed since the last
+     *     one: reaches deeper, but is not exhaustive
      */
     static Found explore(
             Scene scene, String first, SafetyRule without, int depth, int most, boolean terse) {
@@ -551,7 +567,7 @@
         int begin = next.peek().length;
         ControlWorld there = played(scene, without, 0, Arrays.asList(next.peek()));
         if (there.broken == null && there.steps.size() < begin) {
-            throw new IllegalArgumentException("not all of these steps can be: " + first);
+            throw new IllegalArgumentException("some of these initial steps are not possible: " + first);
         }
         int deepest = 0;
         while (!next.isEmpty() && seen.size() < most) {
@@ -600,12 +616,12 @@
         return world;
     }
 
-    /** Steps as {@link #told} writes them, played again. */
+    /** Replays steps as {@link #told} writes them. */
     static ControlWorld played(Scene scene, long seed, String steps) {
         return played(scene, null, seed, steps);
     }
 
-    /** The same without this defence. */
+    /** Replays steps with this safety rule disabled. */
     static ControlWorld played(Scene scene, SafetyRule without, long seed, String steps) {
         return played(scene, without, seed, steps(steps));
     }
@@ -628,8 +644,8 @@
     }
 
     /**
-     * How likely each kind is on one walk: drawn anew for each, so that some walks do little but
-     * one thing.
+     * Returns the weight of each kind of step, drawn for each walk so that some walks concentrate
+     * on few kinds.
      */
     private static double[] weights(Scene scene, SplittableRandom random) {
         double[] weights = new double[Kind.values().length];
@@ -664,7 +680,8 @@
     }
 
     /**
-     * One random walk: in spells, in which some links and disks are quick and others do nothing.
+     * Takes one random walk in phases; in each phase some links and disks are fast and others
+     * stall.
      */
     static ControlWorld walk(Walk walk, SafetyRule without, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -721,7 +738,7 @@
         int b = 0;
         switch (kind) {
             case MESSAGE, SENT -> {
-                // Mostly those who have something to say.
+                // Mostly processes with new state to send.
                 boolean any = random.nextInt(6) == 0;
                 double[] now = links.clone();
                 for (int k = 0; k < now.length; k++) {
@@ -742,7 +759,7 @@
             case OLD -> a = random.nextInt(world.steps.size() + 1);
             case REFUSED -> b = random.nextInt(2);
             case CRASH -> {
-                // Mostly those that lose something by it.
+                // Mostly processes with pending writes to lose.
                 for (int k = 0; k < n && world.processes[a].disk().isEmpty(); k++) {
                     a = random.nextInt(n);
                 }
@@ -769,7 +786,7 @@
     }
 
     /**
-     * The same break with as few of the steps as may be: those that can be left out are left out,
+     * Returns the same violation with as few steps as possible: removes steps that are not needed,
      * later ones first.
      */
     static ControlWorld shortest(Scene scene, SafetyRule without, long seed, ControlWorld broken) {
@@ -796,8 +813,8 @@
     }
 
     /**
-     * Walks without this defence until one breaks; null where none does in the walks or the time
-     * that there is.
+     * Takes walks with this safety rule disabled until one violates an invariant; returns null if
+     * none does within the number of walks or the time.
      */
     static String hunt(SafetyRule without, long seed, int most, long until) {
         List<Walk> walks = without == null ? WALKS : NEAREST.getOrDefault(without, WALKS);
@@ -817,8 +834,8 @@
     }
 
     /**
-     * Within about this time, on two threads: first by breadth, then walks with all defences up to
-     * two fifths of it, then without one after the other.
+     * Runs for about this time on two threads: exploration first, then walks with all safety rules
+     * enabled up to two fifths of the time, then walks with one rule disabled after the other.
      */
     public static Result run(long seed, long budgetMs) {
         long begun = System.nanoTime();
@@ -849,7 +866,7 @@
             }
             TreeMap<SafetyRule, String> caught = new TreeMap<>();
             List<SafetyRule> missed = List.of(SafetyRule.values());
-            // Whatever was missed is tried again with the time that others left.
+            // Undetected safety rules are tried again in the remaining time.
             for (long pass = 0;
                     !missed.isEmpty() && (pass == 0 || System.nanoTime() - begun < budget);
                     pass++) {
@@ -895,7 +912,10 @@
         return caught;
     }
 
-    /** Every other walk with all defences: how many, their steps, and what broke first. */
+    /**
+     * Takes every second walk with all safety rules enabled; returns the number of walks, their
+     * steps and the first violation.
+     */
     private static Found walks(long seed, int first, long until) {
         int count = 0;
         int steps = 0;
@@ -913,9 +933,9 @@
     }
 
     /**
-     * Arguments: the seed, the time in milliseconds, and one defence alone, EACH of them in turn,
-     * ALL for walks with all of them; or BREADTH or TERSE and a depth, then the second is the most
-     * states.
+     * Arguments: the seed, the time in milliseconds, and one safety rule to disable, EACH for every
+     * rule in turn, or ALL for walks with all rules enabled; or BREADTH or TERSE and a depth, in
+     * which case the second argument is the maximum number of states.
      */
     public static void main(String[] args) {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
--- a/src/test/java/dillfront/simulation/ControlWorldsTest.java
+++ b/src/test/java/dillfront/simulation/ControlWorldsTest.java
@@ -16,8 +16,8 @@
 class ControlWorldsTest {
 
     /**
-     * While its promise to another was on its way to the disk, a voter went on with the one before,
-     * and said so: two held the lease.
+     * Guards against two lease holders: while a voter wrote a promise to another candidate to disk,
+     * it still extended its former promise.
      */
     @Test
     void aVoterThatTurnsToAnotherGoesOnWithNobody() {
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The founder's first ballot was told before it was on its disk, and was used for another set
-     * after a loss of power.
+     * Guards against reuse of a ballot: the bootstrapping process sent its first ballot before the
+     * ballot was on disk, and used it for another member set after a power loss.
      */
     @Test
     void theFirstBallotIsOnTheDiskBeforeItIsTold() {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Two that had been members read by the majority of their former set, which knew that it was
-     * dropped, and nothing that came after.
+     * Guards against stale reads: two former members completed a read with the majority of their
+     * former member set, which knew that it was replaced but had no later configuration.
      */
     @Test
     void aMajorityOfADroppedSetIsNoneForReads() {
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Two asked for one number in the same moment, and one got it: the other asked for higher ones
-     * for ever, which nobody could promise, and never supported the holder.
+     * Guards against a livelock: two candidates requested the same lease number at the same moment
+     * and one got it; the other requested ever higher numbers, which no member could promise, and
+     * never supported the holder.
      */
     @Test
     void whoLostATieSupportsTheHolder() {
@@ -84,7 +85,7 @@
         assertEquals(0, other.lease.requestedNumber());
         assertEquals(holder.id, other.lease.promisedTo());
         assertEquals(holder.lease.number(), other.lease.promisedNumber());
-        // Nobody's disk is troubled any more, and another loss ends nothing.
+        // No further disk writes, and the loss of another process does not end the lease.
         rounds(world, 5_000);
         assertEquals(0, written);
         crash(world, 2);
@@ -95,8 +96,8 @@
     }
 
     /**
-     * The loser is killed with its own promise taken back: it asks for none of the numbers again
-     * that it asked for before.
+     * The loser of a tie crashes after its own promise was withdrawn: it requests none of its
+     * former numbers again.
      */
     @Test
     void whatWasAskedForIsNeverAskedForAgain() {
@@ -115,7 +116,10 @@
         assertNull(world.broken);
     }
 
-    /** Five, of which one had promised the number to the loser: it comes to the holder too. */
+    /**
+     * With five members, one of which had promised the number to the loser: that member supports
+     * the holder too.
+     */
     @Test
     void soDoesWhoeverPromisedTheLoser() {
         ControlWorld world = new ControlWorld(ControlWorlds.FIVE, null, 1);
@@ -149,8 +153,8 @@
     }
 
     /**
-     * Process 0 holds the lease by the promise of 2; 1 asked for the same number in the same
-     * moment.
+     * Process 0 holds the lease by the promise of 2; process 1 requested the same number at the
+     * same moment.
      */
     private static ControlWorld tie(ControlWorld.Scene scene) {
         ControlWorld world =
@@ -175,7 +179,7 @@
         return many;
     }
 
-    /** All is heard and written, over and over, for so long. */
+    /** Delivers all messages and completes all writes repeatedly for this time. */
     private void rounds(ControlWorld world, long ms) {
         written = 0;
         int n = world.processes.length;
@@ -204,8 +208,8 @@
     }
 
     /**
-     * A word that was meant for the life before raised how far a table is known, without its rows:
-     * a drain was acknowledged that one disk had.
+     * Guards against a lost drain: a message to a former incarnation advanced the known registry
+     * version without its rows, and a drain was acknowledged that only one disk had.
      */
     @Test
     void aWordForTheLifeBeforeRaisesNothing() {
@@ -217,8 +221,8 @@
     }
 
     /**
-     * Two records of one word went to the disk one after the other, by name; the number of the
-     * first stood for both.
+     * Guards against lost records: two records of one message were written one after the other in
+     * the order of their names, and the number of the first implied both.
      */
     @Test
     void recordsOfOneWordGoTogether() {
@@ -230,8 +234,8 @@
     }
 
     /**
-     * A member that came back without its disk was told what is newer than that disk had, and said
-     * that it has all before.
+     * Guards against lost records: a member that restarted without its disk received the records
+     * newer than its former disk and reported all earlier ones as durable.
      */
     @Test
     void recordsForADiskThatIsGoneAreNotTaken() {
@@ -244,8 +248,9 @@
     }
 
     /**
-     * A member that did not know that it goes acknowledged a drain by one that had agreed before it
-     * had it: the set after that lacked it.
+     * Guards against a lost drain: a member that did not know of its removal acknowledged a drain
+     * by the report of a member that had accepted the new set before it stored the drain; the new
+     * set lacked the drain.
      */
     @Test
     void whatIsKeptUnderANewerSetAcknowledgesNothing() {
@@ -261,8 +266,8 @@
     }
 
     /**
-     * The lease was out of hand while a set grew, and came back under its number: numbers within it
-     * began anew.
+     * Guards against reuse of a fencing token: the lease was interrupted while the member set grew
+     * and returned under its number, and the tokens within it restarted.
      */
     @Test
     void aLeaseThatComesBackGoesOnWithItsNumbers() {
@@ -276,7 +281,9 @@
                         + "DISK 1 0, MESSAGE 1 4, DISK 4 0, MESSAGE 1 4, DISK 4 0, MESSAGE 4 1");
     }
 
-    /** By these steps nothing breaks, and without the defence something does. */
+    /**
+     * Checks that these steps violate no invariant, and that they do with the safety rule disabled.
+     */
     private static ControlWorld needs(
             SafetyRule defence, ControlWorld.Scene scene, long seed, String steps) {
         assertNotNull(ControlWorlds.played(scene, defence, seed, steps).broken);
@@ -285,7 +292,7 @@
         return world;
     }
 
-    /** All there is up to these depths. */
+    /** Exhaustive exploration up to these depths. */
     @Test
     void allHolds() {
         whole(
@@ -300,8 +307,8 @@
     }
 
     /**
-     * A member's replacement, from its begin and from where the joint value is under way; with
-     * servers and records, too.
+     * Replacement of a member, from its start and with the joint value in progress, also with
+     * servers and records.
      */
     @Test
     void replacementHolds() {
@@ -335,7 +342,7 @@
                 1_700);
     }
 
-    /** Steps that begin an exploration and cannot be would leave it about something else. */
+    /** Impossible initial steps would let an exploration cover another case than intended. */
     @Test
     void beginsAsItSays() {
         assertThrows(
@@ -354,7 +361,10 @@
         assertNull(ControlWorlds.hunt(null, 1, 1_500, Long.MAX_VALUE));
     }
 
-    /** Without it something breaks, and by the same steps nothing does with it. */
+    /**
+     * Each safety rule is necessary: with the rule disabled an invariant is violated, and with the
+     * rule the same steps violate none.
+     */
     @ParameterizedTest
     @EnumSource(SafetyRule.class)
     void eachDefenceIsNeeded(SafetyRule one) {
