--- a/src/main/java/dillfront/simulation/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -91,15 +91,15 @@
         }
         System.out.printf(
                 "days=%d broken=%d served=%.4f%n", schedules, broken, served / Math.max(1, schedules));
-        ControlWorlds.Result modelChecking =
+        ControlPlaneModelChecker.Result modelChecking =
                 args.length > 0
-                        ? new ControlWorlds.Result(0, 0, null, new TreeMap<>(), List.of())
-                        : ControlWorlds.run(
+                        ? new ControlPlaneModelChecker.Result(0, 0, null, new TreeMap<>(), List.of())
+                        : ControlPlaneModelChecker.run(
                                 1, Math.max(1, BUDGET_MS - (System.nanoTime() - startNanos) / 1_000_000));
         modelChecking.missed()
                 .forEach(rule -> System.out.println("without " + rule + ": nothing broke"));
-        if (modelChecking.broken() != null) {
-            System.out.println("BROKEN with all defences: " + modelChecking.broken());
+        if (modelChecking.violation() != null) {
+            System.out.println("BROKEN with all defences: " + modelChecking.violation());
         }
         System.out.printf(
                 "control: losses=%d acknowledged=%d lost=%d back=%d two_under_one=%d refused_again=%d minority_answers=%d"
@@ -121,9 +121,9 @@
                 p99(counts.catchUpMs),
                 counts.wrongCaller,
                 counts.sentTwice,
-                modelChecking.worlds(),
-                modelChecking.caught().size() + modelChecking.missed().size(),
-                modelChecking.caught().size());
+                modelChecking.statesAndWalks(),
+                modelChecking.detected().size() + modelChecking.missed().size(),
+                modelChecking.detected().size());
     }
 
     private static long p99(List<Long> values) {
--- a/src/main/java/dillfront/simulation/ControlWorlds.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
@@ -1,9 +1,9 @@
 package dillfront.simulation;
 
 import dillfront.controlplane.consensus.SafetyRule;
-import dillfront.simulation.ControlWorld.Kind;
-import dillfront.simulation.ControlWorld.Scene;
-import dillfront.simulation.ControlWorld.Step;
+import dillfront.simulation.ControlPlaneModel.Kind;
+import dillfront.simulation.ControlPlaneModel.ModelLimits;
+import dillfront.simulation.ControlPlaneModel.Step;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -26,66 +26,66 @@
  * breadth-first order, takes random walks far beyond that depth, and repeats this with one safety
  * rule disabled at a time, which must lead to a violation.
  */
-public final class ControlWorlds {
+public final class ControlPlaneModelChecker {
 
     /**
-     * @param worlds number of states reached by exploration and of walks, with all safety rules
+     * @param statesAndWalks number of states reached by exploration and of walks, with all safety rules
      *     enabled
      * @param steps number of steps in the walks
-     * @param broken the first violation with all safety rules enabled and its trace; null if there
+     * @param violation the first violation with all safety rules enabled and its trace; null if there
      *     is none
-     * @param caught the trace of a violation for each safety rule whose absence was detected
+     * @param detected the trace of a violation for each safety rule whose absence was detected
      * @param missed the safety rules whose absence was not detected within the time
      */
     public record Result(
-            long worlds,
+            long statesAndWalks,
             long steps,
-            String broken,
-            TreeMap<SafetyRule, String> caught,
+            String violation,
+            TreeMap<SafetyRule, String> detected,
             List<SafetyRule> missed) {}
 
     /**
      * Result of an exploration: the number of states, the deepest path to one, whether the
      * exploration was exhaustive, and the violation.
      */
-    record Found(int states, int depth, boolean whole, String broken) {}
+    record Exploration(int states, int depth, boolean exhaustive, String violation) {}
 
     /** Two operators, one revision number and three members. */
-    static final Scene DUEL = new Scene(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
+    static final ModelLimits TWO_WRITERS = new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    static final String DUEL_BEGINS = "ORDER 0 8, ORDER 1 9";
+    static final String TWO_WRITERS_START = "ORDER 0 8, ORDER 1 9";
 
     /** A configuration and one power loss; an operator without an answer repeats the call. */
-    static final Scene LOSS = new Scene(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
+    static final ModelLimits POWER_LOSS = new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
 
-    static final String LOSS_BEGINS = "ORDER 0 8";
+    static final String POWER_LOSS_START = "ORDER 0 8";
 
     /**
      * One member is replaced while a configuration is in progress at the removed member; the first
      * process proposes both membership steps.
      */
-    static final Scene REPLACED = new Scene(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
+    static final ModelLimits MEMBER_REPLACEMENT = new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
 
     /** The same, starting with the joint value in progress, with one power loss. */
-    static final Scene JOINT = new Scene(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
+    static final ModelLimits JOINT_REPLACEMENT = new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
 
-    private static final String HEARD =
+    private static final String ALL_IN_CONTACT =
             "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0, MESSAGE 3 0, MESSAGE 0 3";
-    static final String REPLACED_BEGINS = HEARD + ", SETS 0 11, ORDER 0 10";
+    static final String MEMBER_REPLACEMENT_START = ALL_IN_CONTACT + ", SETS 0 11, ORDER 0 10";
 
     /**
      * The joint value is accepted by the first process alone, by a majority of the old set alone,
      * or decided and ready to be finished.
      */
-    static final String REPLACED_BY_ONE =
-            HEARD
+    static final String JOINT_ON_PROPOSER =
+            ALL_IN_CONTACT
                     + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, ORDER 0 10";
 
-    static final String REPLACED_BY_OLD =
-            HEARD
+    static final String JOINT_ON_OLD_MAJORITY =
+            ALL_IN_CONTACT
                     + ", SETS 0 11, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, DISK 2 0, ORDER 0 10";
-    static final String REPLACED_SETTLING =
-            HEARD
+    static final String JOINT_FINISHING =
+            ALL_IN_CONTACT
                     + ", SETS 0 11, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, MESSAGE 0 3, "
                     + "DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, TIME 50 0, SETS 0 0, DISK 0 0, ORDER 0 10";
 
@@ -93,79 +93,79 @@
      * Server reports and one record with fixed members, and during the replacement of a member,
      * with one power loss.
      */
-    static final Scene KEPT = new Scene(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
+    static final ModelLimits REGISTRY = new ModelLimits(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
 
-    static final Scene KEPT_SETS =
-            new Scene(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
+    static final ModelLimits REGISTRY_REPLACEMENT =
+            new ModelLimits(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
 
     /** First start, with one replaced disk. */
-    static final Scene FIRST = new Scene(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
+    static final ModelLimits FIRST_START = new ModelLimits(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
 
-    private static final int TRIES = 6;
+    private static final int MAX_DRAWS = 6;
     private static final int THREADS = 2;
-    private static final double[] SPEEDS = {0, 0.05, 1, 3};
-    private static final int MANY = 1_000;
+    private static final double[] SPEED_FACTORS = {0, 0.05, 1, 3};
+    private static final int UNLIMITED = 1_000;
 
     /** Fixed members, two operators, power losses and disk failures. */
-    static final Scene POWER =
-            new Scene(3, 3, false, false, 2, MANY, MANY, MANY, 8, 2, 3, MANY, 0, MANY);
+    static final ModelLimits FIXED_MEMBERS =
+            new ModelLimits(3, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 8, 2, 3, UNLIMITED, 0, UNLIMITED);
 
     /** Membership changes proposed by the first process. */
-    static final Scene SETS =
-            new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 3, 1, 1, MANY, MANY, MANY);
+    static final ModelLimits MEMBER_CHANGES =
+            new ModelLimits(4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 3, 1, 1, UNLIMITED, UNLIMITED, UNLIMITED);
 
     /** All kinds of steps. */
-    static final Scene ALL =
-            new Scene(5, 3, false, true, 3, MANY, MANY, MANY, 6, 3, 2, MANY, MANY, MANY);
+    static final ModelLimits ALL_STEPS =
+            new ModelLimits(5, 3, false, true, 3, UNLIMITED, UNLIMITED, UNLIMITED, 6, 3, 2, UNLIMITED, UNLIMITED, UNLIMITED);
 
     /** Bootstrap from empty disks, one of which is replaced later. */
-    static final Scene FOUNDED =
-            new Scene(3, 3, true, true, 2, MANY, MANY, MANY, 6, 1, 2, MANY, MANY, MANY);
+    static final ModelLimits BOOTSTRAP =
+            new ModelLimits(3, 3, true, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 6, 1, 2, UNLIMITED, UNLIMITED, UNLIMITED);
 
-    static final Scene FIVE =
-            new Scene(5, 5, false, true, 2, MANY, MANY, MANY, 4, 1, 2, MANY, MANY, MANY);
+    static final ModelLimits FIVE_MEMBERS =
+            new ModelLimits(5, 5, false, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 4, 1, 2, UNLIMITED, UNLIMITED, UNLIMITED);
 
     /** The lease alone, with fixed members and with membership changes. */
-    static final Scene LEASE = new Scene(3, 3, false, true, 1, 0, 0, MANY, 3, 0, 1, MANY, 0, MANY);
+    static final ModelLimits LEASE_ONLY = new ModelLimits(3, 3, false, true, 1, 0, 0, UNLIMITED, 3, 0, 1, UNLIMITED, 0, UNLIMITED);
 
-    static final Scene LEASE_SETS =
-            new Scene(4, 3, false, true, 1, 0, 0, MANY, 2, 0, 1, MANY, MANY, MANY);
+    static final ModelLimits LEASE_MEMBER_CHANGES =
+            new ModelLimits(4, 3, false, true, 1, 0, 0, UNLIMITED, 2, 0, 1, UNLIMITED, UNLIMITED, UNLIMITED);
 
     /** Membership changes alone. */
-    static final Scene CHANGES =
-            new Scene(4, 3, false, false, 2, MANY, MANY, MANY, 0, 0, 0, MANY, MANY, 0);
+    static final ModelLimits MEMBER_CHANGES_ONLY =
+            new ModelLimits(4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 0, 0, 0, UNLIMITED, UNLIMITED, 0);
 
     /**
      * Servers and records, with fixed members and with membership changes; the failover coordinator
      * is the first process or the lease holder.
      */
-    static final Scene SERVED =
-            new Scene(3, 3, false, false, 1, 0, 0, MANY, 6, 2, 0, 0, 0, MANY, MANY, MANY);
+    static final ModelLimits SERVERS =
+            new ModelLimits(3, 3, false, false, 1, 0, 0, UNLIMITED, 6, 2, 0, 0, 0, UNLIMITED, UNLIMITED, UNLIMITED);
 
-    static final Scene SERVED_SETS =
-            new Scene(4, 3, false, false, 1, 0, 0, MANY, 4, 2, 0, MANY, MANY, MANY, MANY, MANY);
-    static final Scene DUTY =
-            new Scene(3, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, 0, MANY, MANY, MANY);
-    static final Scene DUTY_SETS =
-            new Scene(5, 3, false, true, 1, 0, 0, MANY, 6, 2, 0, MANY, MANY, MANY, MANY, MANY);
+    static final ModelLimits SERVERS_MEMBER_CHANGES =
+            new ModelLimits(4, 3, false, false, 1, 0, 0, UNLIMITED, 4, 2, 0, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED);
+    static final ModelLimits COORDINATOR =
+            new ModelLimits(3, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, 0, UNLIMITED, UNLIMITED, UNLIMITED);
+    static final ModelLimits COORDINATOR_MEMBER_CHANGES =
+            new ModelLimits(5, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED);
 
     /**
      * A model, the length of a random walk through it, and the kinds of steps that are more
      * frequent than usual.
      *
-     * @param more a factor of the weight of a kind
-     * @param first the initial steps
+     * @param weightFactors a factor of the weight of a kind
+     * @param initialSteps the initial steps
      */
-    record Walk(Scene scene, int length, Map<Kind, Integer> more, String first) {
-        Walk(Scene scene, int length, Map<Kind, Integer> more) {
+    record Walk(ModelLimits limits, int length, Map<Kind, Integer> weightFactors, String initialSteps) {
+        Walk(ModelLimits scene, int length, Map<Kind, Integer> more) {
             this(scene, length, more, "");
         }
     }
 
     /** Start of an exploration. */
-    private record Begun(String name, Scene scene, String first) {}
+    private record StartingPoint(String name, ModelLimits limits, String initialSteps) {}
 
-    private static final Map<Kind, Integer> CALM =
+    private static final Map<Kind, Integer> RELIABLE_LINKS =
             Map.of(
                     Kind.SENT,
                     0,
@@ -184,9 +184,9 @@
      * A member has promised a ballot to one proposer and receives the request of another; power
      * losses may follow.
      */
-    private static final Walk PROMISED =
+    private static final Walk COMPETING_PROMISE =
             new Walk(
-                    POWER,
+                    FIXED_MEMBERS,
                     60,
                     Map.of(
                             Kind.SENT,
@@ -206,31 +206,31 @@
                     "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, "
                             + "MESSAGE 2 0, DISK 1 0");
 
-    private static final Walk DUELLING =
+    private static final Walk COMPETING_PROPOSERS =
             new Walk(
-                    POWER,
+                    FIXED_MEMBERS,
                     60,
-                    CALM,
+                    RELIABLE_LINKS,
                     "ORDER 0 18, DISK 2 0, ORDER 1 25, MESSAGE 0 2, DISK 1 0, MESSAGE 0 1, "
                             + "MESSAGE 1 0");
 
     /** A proposer has sent a value to one member, and may lose power. */
-    private static final Walk OFFERED =
+    private static final Walk VALUE_SENT =
             new Walk(
-                    POWER,
+                    FIXED_MEMBERS,
                     60,
-                    CALM,
+                    RELIABLE_LINKS,
                     "ORDER 0 18, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, MESSAGE 0 2, MESSAGE 2 0, DISK 0 0, CRASH 2 0");
 
     /**
      * One member alone has accepted the first step of a membership change and, with the safety rule
      * disabled, the second.
      */
-    private static final Walk UNDECIDED =
+    private static final Walk UNDECIDED_CHANGE =
             new Walk(
-                    CHANGES,
+                    MEMBER_CHANGES_ONLY,
                     60,
-                    CALM,
+                    RELIABLE_LINKS,
                     "MESSAGE 1 0, MESSAGE 2 1, MESSAGE 3 0, SETS 0 9, DISK 0 0, MESSAGE 0 1, "
                             + "DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, ORDER 1 9, DISK 1 0, MESSAGE 1 0, DISK 0 0, TIME 250 0, SETS 0 0, DISK 0 0, "
                             + "MESSAGE 0 1, MESSAGE 0 3, DISK 1 0, DISK 3 0, MESSAGE 1 0, MESSAGE 3 0, DISK 0 0, TIME 250 0, DISK 1 0, MESSAGE 1 0, DISK 0 0, "
@@ -240,9 +240,9 @@
      * A member set was replaced and one of its former members does not know; a configuration is in
      * progress in the new set.
      */
-    private static final Walk DROPPED =
+    private static final Walk REPLACED_SET =
             new Walk(
-                    SETS,
+                    MEMBER_CHANGES,
                     60,
                     Map.of(
                             Kind.CRASH,
@@ -267,9 +267,9 @@
      * A configuration was decided, a membership change is proposed, and another configuration is in
      * progress at a process that the change removes.
      */
-    private static final Walk CHANGING =
+    private static final Walk CHANGE_DURING_WRITE =
             new Walk(
-                    CHANGES,
+                    MEMBER_CHANGES_ONLY,
                     60,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.READ, 0),
                     "MESSAGE 1 0, ORDER 0 16, "
@@ -279,9 +279,9 @@
      * Several processes propose membership changes with the safety rule disabled, and some hold the
      * lease by them.
      */
-    private static final Walk SEVERAL =
+    private static final Walk SEVERAL_PROPOSERS =
             new Walk(
-                    LEASE_SETS,
+                    LEASE_MEMBER_CHANGES,
                     100,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.CRASH, 0),
                     "MESSAGE 0 3, TIME 1000 0, DISK 0 0, MESSAGE 0 1, DISK 2 0, MESSAGE 1 2, MESSAGE 3 2, MESSAGE 2 1, TIME 10 0, "
@@ -291,30 +291,30 @@
                             + "DISK 2 0, DISK 1 0, SETS 2 2, MESSAGE 2 0, MESSAGE 2 1, DISK 1 0, MESSAGE 1 2, SETS 2 4, DISK 2 0");
 
     /** The bootstrapping process has received a message from one of two peers. */
-    private static final Walk FOUNDING =
+    private static final Walk PARTIAL_BOOTSTRAP =
             new Walk(
-                    FOUNDED,
+                    BOOTSTRAP,
                     60,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.CRASH, 3),
                     "MESSAGE 0 1, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, CRASH 0 0, DISK 1 0");
 
     /** A configuration was acknowledged, and a process that accepted it is down. */
-    private static final Walk EMPTIED =
+    private static final Walk ACCEPTOR_DOWN =
             new Walk(
-                    POWER,
+                    FIXED_MEMBERS,
                     60,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 8, Kind.CRASH, 3),
                     "MESSAGE 1 0, ORDER 0 16, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 0 0");
 
-    private static final Walk LEASING = new Walk(LEASE, 200, Map.of());
+    private static final Walk LEASE_WALK = new Walk(LEASE_ONLY, 200, Map.of());
 
     /**
      * A member promised the lease to a candidate whose disk then stalls, and another candidate,
      * which had requested it before, requests a higher number.
      */
-    private static final Walk TURNING =
+    private static final Walk CHANGING_PROMISE =
             new Walk(
-                    LEASE,
+                    LEASE_ONLY,
                     60,
                     Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0),
                     "MESSAGE 1 2, MESSAGE 2 1, "
@@ -327,9 +327,9 @@
      * The lease holder works with a new member set; a member of the former set requests the lease
      * from another member of that set.
      */
-    private static final Walk OVER =
+    private static final Walk FORMER_MEMBERS =
             new Walk(
-                    LEASE_SETS,
+                    LEASE_MEMBER_CHANGES,
                     60,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CRASH, 0, Kind.CUT, 0),
                     "MESSAGE 0 1, MESSAGE 1 0, TIME 50 0, MESSAGE 3 0, TIME 50 0, TIME 50 0, TIME 50 0, TIME 50 0, DISK 0 0, "
@@ -339,33 +339,33 @@
                             + "DISK 0 0, TIME 250 0, TIME 250 0, TIME 250 0, MESSAGE 0 3, MESSAGE 3 0, TIME 250 0, TIME 250 0, TIME 250 0, "
                             + "MESSAGE 2 1, SENT 1 2, MESSAGE 1 2, TIME 250 0, TIME 250 0, DISK 2 0, TIME 250 0, TIME 250 0, DISK 2 0");
 
-    private static final Map<Kind, Integer> FEW =
+    private static final Map<Kind, Integer> RELIABLE_PROCESSES =
             Map.of(Kind.CRASH, 0, Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.REFUSED, 0);
 
     /**
      * Two candidates request the same lease number at the same time; the request of the first one
      * is not on its disk yet.
      */
-    private static final String TIE =
+    private static final String LEASE_TIE =
             "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, TIME 1000 0, DISK 1 0, ";
 
     /**
      * The second candidate held the lease with this number and lost it; then the disk of the first
      * one continues.
      */
-    private static final String HELD =
-            TIE
+    private static final String TIE_WINNER_EXPIRED =
+            LEASE_TIE
                     + "MESSAGE 1 2, DISK 2 0, DISK 2 0, MESSAGE 2 1, TIME 1000 0, TIME 1000 0, TIME 1000 0, ";
 
-    private static final Walk GIVEN_UP = new Walk(LEASE, 40, FEW, HELD + "DISK 0 0, MESSAGE 0 1");
+    private static final Walk TIE_ABANDONED = new Walk(LEASE_ONLY, 40, RELIABLE_PROCESSES, TIE_WINNER_EXPIRED + "DISK 0 0, MESSAGE 0 1");
 
     /** The same, and the member that granted it requested a higher number without success. */
-    private static final Walk VOTED =
+    private static final Walk TIE_VOTER_REQUESTED =
             new Walk(
-                    LEASE,
+                    LEASE_ONLY,
                     40,
-                    FEW,
-                    HELD
+                    RELIABLE_PROCESSES,
+                    TIE_WINNER_EXPIRED
                             + "MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, TIME 1000 0, DISK 2 0, "
                             + "TIME 1000 0, TIME 1000 0, DISK 0 0, MESSAGE 0 2");
 
@@ -373,60 +373,60 @@
      * The first candidate got the lease; the second requested the next number and abandoned it
      * after learning of the holder.
      */
-    private static final Walk LOST =
+    private static final Walk TIE_LOSER_ABANDONED =
             new Walk(
-                    LEASE,
+                    LEASE_ONLY,
                     60,
-                    FEW,
-                    TIE
+                    RELIABLE_PROCESSES,
+                    LEASE_TIE
                             + "DISK 0 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 2 0, "
                             + "MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 1, TIME 250 0, ".repeat(6)
                             + "DISK 1 0, DISK 1 0, MESSAGE 0 2, MESSAGE 2 0, MESSAGE 2 1, "
                             + "MESSAGE 0 1, TIME 50 0, MESSAGE 0 1, DISK 1 0, CRASH 0 0, TIME 1000 0, TIME 1000 0, MESSAGE 1 2, MESSAGE 2 1, MESSAGE 1 2, "
                             + "TIME 1000 0");
 
-    private static final List<Walk> SERVING =
+    private static final List<Walk> SERVER_WALKS =
             List.of(
-                    new Walk(SERVED, 200, Map.of()),
-                    new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 4)),
-                    new Walk(DUTY, 400, Map.of()),
-                    new Walk(DUTY_SETS, 800, Map.of()));
-    static final String MET =
+                    new Walk(SERVERS, 200, Map.of()),
+                    new Walk(SERVERS_MEMBER_CHANGES, 200, Map.of(Kind.SETS, 4)),
+                    new Walk(COORDINATOR, 400, Map.of()),
+                    new Walk(COORDINATOR_MEMBER_CHANGES, 800, Map.of()));
+    static final String MEMBERS_IN_CONTACT =
             "MESSAGE 1 0, MESSAGE 2 0, MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0";
 
     /**
      * A server report is on the disk of one process and known to another, which may lose power.
      */
-    private static final Walk AGAIN =
+    private static final Walk REPORT_IN_FLIGHT =
             new Walk(
-                    SERVED,
+                    SERVERS,
                     40,
                     Map.of(Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 4),
-                    MET + ", SERVER 1 1, DISK 1 0");
+                    MEMBERS_IN_CONTACT + ", SERVER 1 1, DISK 1 0");
 
     /** Two records are in flight in one message, the older one second. */
-    private static final Walk RECORDED =
+    private static final Walk TWO_RECORDS =
             new Walk(
-                    SERVED,
+                    SERVERS,
                     40,
                     Map.of(Kind.CUT, 0, Kind.EMPTY, 0),
-                    MET + ", RECORD 0 1, RECORD 0 0");
+                    MEMBERS_IN_CONTACT + ", RECORD 0 1, RECORD 0 0");
 
     /** A member that stored a record loses its disk. */
-    private static final Walk EMPTIED_RECORD =
+    private static final Walk RECORD_DISK_LOST =
             new Walk(
-                    SERVED,
+                    SERVERS,
                     40,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.SERVER, 0),
-                    MET + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
+                    MEMBERS_IN_CONTACT + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
 
     /**
      * The lease holder has issued records, and a larger member set is in progress whose new members
      * have not promised the lease.
      */
-    private static final Walk GROWING =
+    private static final Walk GROWING_SET =
             new Walk(
-                    DUTY_SETS,
+                    COORDINATOR_MEMBER_CHANGES,
                     60,
                     Map.of(
                             Kind.SENT,
@@ -451,29 +451,29 @@
      * A new process replaces a member that does not know of it: the joint value is decided, and a
      * server reports to that member.
      */
-    private static final String JOINS =
-            MET
+    private static final String JOINING_MEMBER =
+            MEMBERS_IN_CONTACT
                     + ", MESSAGE 3 0, MESSAGE 0 3, MESSAGE 1 2, MESSAGE 2 1, SETS 0 13, DISK 0 0, MESSAGE 0 2, DISK 2 0, MESSAGE 2 0, DISK 0 0, "
                     + "MESSAGE 0 2, MESSAGE 0 3, DISK 2 0, DISK 3 0";
 
-    static final String KEPT_BEGINS = MET + ", SERVER 1 1, RECORD 0 0";
-    static final String KEPT_JOINT = JOINS + ", SERVER 1 1, RECORD 0 0";
-    static final String KEPT_SETTLING =
-            JOINS
+    static final String REGISTRY_START = MEMBERS_IN_CONTACT + ", SERVER 1 1, RECORD 0 0";
+    static final String REGISTRY_JOINT = JOINING_MEMBER + ", SERVER 1 1, RECORD 0 0";
+    static final String REGISTRY_JOINT_FINISHING =
+            JOINING_MEMBER
                     + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0";
-    private static final Walk JOINED =
+    private static final Walk JOINED_MEMBER =
             new Walk(
-                    SERVED_SETS,
+                    SERVERS_MEMBER_CHANGES,
                     60,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 0, Kind.CRASH, 0),
-                    JOINS
+                    JOINING_MEMBER
                             + ", MESSAGE 2 0, MESSAGE 3 0, SERVER 1 1, DISK 1 0, SETS 0 0, TIME 50 0, DISK 0 0, MESSAGE 0 2, DISK 2 0");
 
     /**
      * A member does not respond and the lease holder replaces it by a new process: the joint value
      * is decided.
      */
-    private static final String SILENT =
+    private static final String UNRESPONSIVE_MEMBER =
             "MESSAGE 2 0, MESSAGE 1 0, MESSAGE 0 1, MESSAGE 1 0, MESSAGE 0 2, TIME 250 0, TIME 250 0, DISK 1 0, CRASH 0 1, "
                     + "MESSAGE 1 2, DISK 2 0, MESSAGE 2 1, RECORD 1 1, SERVER 2 1, MESSAGE 3 1, MESSAGE 1 3, SETS 1 14, DISK 1 0, DISK 1 0, MESSAGE 1 2, DISK 2 0, "
                     + "DISK 2 0, DISK 2 0, MESSAGE 2 1, DISK 1 0, DISK 1 0, MESSAGE 1 2, MESSAGE 1 3, DISK 2 0, DISK 2 0, DISK 3 0, DISK 3 0, MESSAGE 2 1, "
@@ -481,76 +481,76 @@
 
     private static final List<Walk> WALKS =
             List.of(
-                    new Walk(POWER, 200, Map.of()),
-                    new Walk(SETS, 300, Map.of()),
-                    new Walk(ALL, 800, Map.of()),
-                    new Walk(FOUNDED, 300, Map.of()),
-                    new Walk(FIVE, 800, Map.of()),
-                    new Walk(LEASE, 300, Map.of()),
-                    new Walk(LEASE_SETS, 600, Map.of()),
-                    new Walk(POWER, 1_000, Map.of()),
-                    new Walk(CHANGES, 200, Map.of(Kind.SETS, 4)),
-                    new Walk(SERVED, 200, Map.of()),
-                    new Walk(SERVED_SETS, 300, Map.of()),
-                    new Walk(DUTY, 400, Map.of()),
-                    new Walk(DUTY_SETS, 800, Map.of()),
-                    new Walk(SERVED_SETS, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), KEPT_JOINT),
-                    new Walk(DUTY_SETS, 300, Map.of(Kind.SETS, 8), SILENT));
+                    new Walk(FIXED_MEMBERS, 200, Map.of()),
+                    new Walk(MEMBER_CHANGES, 300, Map.of()),
+                    new Walk(ALL_STEPS, 800, Map.of()),
+                    new Walk(BOOTSTRAP, 300, Map.of()),
+                    new Walk(FIVE_MEMBERS, 800, Map.of()),
+                    new Walk(LEASE_ONLY, 300, Map.of()),
+                    new Walk(LEASE_MEMBER_CHANGES, 600, Map.of()),
+                    new Walk(FIXED_MEMBERS, 1_000, Map.of()),
+                    new Walk(MEMBER_CHANGES_ONLY, 200, Map.of(Kind.SETS, 4)),
+                    new Walk(SERVERS, 200, Map.of()),
+                    new Walk(SERVERS_MEMBER_CHANGES, 300, Map.of()),
+                    new Walk(COORDINATOR, 400, Map.of()),
+                    new Walk(COORDINATOR_MEMBER_CHANGES, 800, Map.of()),
+                    new Walk(SERVERS_MEMBER_CHANGES, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), REGISTRY_JOINT),
+                    new Walk(COORDINATOR_MEMBER_CHANGES, 300, Map.of(Kind.SETS, 8), UNRESPONSIVE_MEMBER));
 
     /** Starting points of the explorations. */
-    private static final List<Begun> BEGUN =
+    private static final List<StartingPoint> STARTING_POINTS =
             List.of(
-                    new Begun("duel", DUEL, DUEL_BEGINS),
-                    new Begun("loss", LOSS, LOSS_BEGINS),
-                    new Begun("first", FIRST, ""),
-                    new Begun("replaced", REPLACED, REPLACED_BEGINS),
-                    new Begun("replaced by one", JOINT, REPLACED_BY_ONE),
-                    new Begun("replaced by old", JOINT, REPLACED_BY_OLD),
-                    new Begun("replaced settling", JOINT, REPLACED_SETTLING),
-                    new Begun("kept", KEPT, KEPT_BEGINS),
-                    new Begun("kept joint", KEPT_SETS, KEPT_JOINT),
-                    new Begun("kept settling", KEPT_SETS, KEPT_SETTLING));
+                    new StartingPoint("duel", TWO_WRITERS, TWO_WRITERS_START),
+                    new StartingPoint("loss", POWER_LOSS, POWER_LOSS_START),
+                    new StartingPoint("first", FIRST_START, ""),
+                    new StartingPoint("replaced", MEMBER_REPLACEMENT, MEMBER_REPLACEMENT_START),
+                    new StartingPoint("replaced by one", JOINT_REPLACEMENT, JOINT_ON_PROPOSER),
+                    new StartingPoint("replaced by old", JOINT_REPLACEMENT, JOINT_ON_OLD_MAJORITY),
+                    new StartingPoint("replaced settling", JOINT_REPLACEMENT, JOINT_FINISHING),
+                    new StartingPoint("kept", REGISTRY, REGISTRY_START),
+                    new StartingPoint("kept joint", REGISTRY_REPLACEMENT, REGISTRY_JOINT),
+                    new StartingPoint("kept settling", REGISTRY_REPLACEMENT, REGISTRY_JOINT_FINISHING));
 
     /** Walks that detect the absence of a safety rule soonest; any walk detects the others. */
-    private static final Map<SafetyRule, List<Walk>> NEAREST =
+    private static final Map<SafetyRule, List<Walk>> DETECTING_WALKS =
             Map.ofEntries(
-                    Map.entry(SafetyRule.PROMISE_ON_DISK, List.of(PROMISED)),
-                    Map.entry(SafetyRule.BALLOT_ON_DISK, List.of(OFFERED)),
-                    Map.entry(SafetyRule.SETS_ON_DECIDED, List.of(UNDECIDED)),
-                    Map.entry(SafetyRule.JOINT_MAJORITIES, List.of(CHANGING)),
-                    Map.entry(SafetyRule.PROMISE_KEPT, List.of(DUELLING)),
-                    Map.entry(SafetyRule.SETS_BY_HOLDER, List.of(SEVERAL)),
-                    Map.entry(SafetyRule.OLDER_EPOCHS, List.of(OVER)),
-                    Map.entry(SafetyRule.FOUNDER_HEARS_ALL, List.of(FOUNDING)),
-                    Map.entry(SafetyRule.NEW_ID, List.of(EMPTIED)),
-                    Map.entry(SafetyRule.READ_BY_ITS_SETS, List.of(DROPPED)),
-                    Map.entry(SafetyRule.ROWS_ON_DISK, SERVING),
-                    Map.entry(SafetyRule.ROWS_OF_THIS_LIFE, List.of(AGAIN)),
-                    Map.entry(SafetyRule.ROWS_WITHOUT_GAP, List.of(AGAIN)),
-                    Map.entry(SafetyRule.ROWS_FORWARD, SERVING),
-                    Map.entry(SafetyRule.ROWS_UNDER_EPOCH, List.of(JOINED)),
-                    Map.entry(SafetyRule.ROWS_OF_LEAVES, SERVING),
-                    Map.entry(SafetyRule.RECORDS_ON_DISK, SERVING),
-                    Map.entry(SafetyRule.RECORDS_TOGETHER, List.of(RECORDED)),
-                    Map.entry(SafetyRule.RECORDS_WITHOUT_GAP, List.of(EMPTIED_RECORD)),
-                    Map.entry(SafetyRule.RECORDS_FORWARD, List.of(RECORDED)),
-                    Map.entry(SafetyRule.RECORDS_OF_MAJORITY, List.of(AGAIN)),
-                    Map.entry(SafetyRule.NUMBERS_ONCE, List.of(GROWING)),
-                    Map.entry(SafetyRule.LEASE_TURNS, List.of(TURNING)),
-                    Map.entry(SafetyRule.LEASE_ON_DISK, List.of(LEASING)),
-                    Map.entry(SafetyRule.LEASE_AFTER_START, List.of(LEASING)),
-                    Map.entry(SafetyRule.LEASE_FROM_ASKED, List.of(LEASING)),
-                    Map.entry(SafetyRule.LEASE_PROMISE_STANDS, List.of(LEASING)),
-                    Map.entry(SafetyRule.LEASE_NEVER_HELD, List.of(GIVEN_UP)),
-                    Map.entry(SafetyRule.LEASE_FORMER, List.of(LEASING)),
-                    Map.entry(SafetyRule.LEASE_NUMBERS_RISE, List.of(VOTED)),
-                    Map.entry(SafetyRule.LEASE_ASKED_ONCE, List.of(LOST)));
-
-    private ControlWorlds() {}
+                    Map.entry(SafetyRule.PROMISE_ON_DISK, List.of(COMPETING_PROMISE)),
+                    Map.entry(SafetyRule.BALLOT_ON_DISK, List.of(VALUE_SENT)),
+                    Map.entry(SafetyRule.SETS_ON_DECIDED, List.of(UNDECIDED_CHANGE)),
+                    Map.entry(SafetyRule.JOINT_MAJORITIES, List.of(CHANGE_DURING_WRITE)),
+                    Map.entry(SafetyRule.PROMISE_KEPT, List.of(COMPETING_PROPOSERS)),
+                    Map.entry(SafetyRule.SETS_BY_HOLDER, List.of(SEVERAL_PROPOSERS)),
+                    Map.entry(SafetyRule.OLDER_EPOCHS, List.of(FORMER_MEMBERS)),
+                    Map.entry(SafetyRule.FOUNDER_HEARS_ALL, List.of(PARTIAL_BOOTSTRAP)),
+                    Map.entry(SafetyRule.NEW_ID, List.of(ACCEPTOR_DOWN)),
+                    Map.entry(SafetyRule.READ_BY_ITS_SETS, List.of(REPLACED_SET)),
+                    Map.entry(SafetyRule.ROWS_ON_DISK, SERVER_WALKS),
+                    Map.entry(SafetyRule.ROWS_OF_THIS_LIFE, List.of(REPORT_IN_FLIGHT)),
+                    Map.entry(SafetyRule.ROWS_WITHOUT_GAP, List.of(REPORT_IN_FLIGHT)),
+                    Map.entry(SafetyRule.ROWS_FORWARD, SERVER_WALKS),
+                    Map.entry(SafetyRule.ROWS_UNDER_EPOCH, List.of(JOINED_MEMBER)),
+                    Map.entry(SafetyRule.ROWS_OF_LEAVES, SERVER_WALKS),
+                    Map.entry(SafetyRule.RECORDS_ON_DISK, SERVER_WALKS),
+                    Map.entry(SafetyRule.RECORDS_TOGETHER, List.of(TWO_RECORDS)),
+                    Map.entry(SafetyRule.RECORDS_WITHOUT_GAP, List.of(RECORD_DISK_LOST)),
+                    Map.entry(SafetyRule.RECORDS_FORWARD, List.of(TWO_RECORDS)),
+                    Map.entry(SafetyRule.RECORDS_OF_MAJORITY, List.of(REPORT_IN_FLIGHT)),
+                    Map.entry(SafetyRule.NUMBERS_ONCE, List.of(GROWING_SET)),
+                    Map.entry(SafetyRule.LEASE_TURNS, List.of(CHANGING_PROMISE)),
+                    Map.entry(SafetyRule.LEASE_ON_DISK, List.of(LEASE_WALK)),
+                    Map.entry(SafetyRule.LEASE_AFTER_START, List.of(LEASE_WALK)),
+                    Map.entry(SafetyRule.LEASE_FROM_ASKED, List.of(LEASE_WALK)),
+                    Map.entry(SafetyRule.LEASE_PROMISE_STANDS, List.of(LEASE_WALK)),
+                    Map.entry(SafetyRule.LEASE_NEVER_HELD, List.of(TIE_ABANDONED)),
+                    Map.entry(SafetyRule.LEASE_FORMER, List.of(LEASE_WALK)),
+                    Map.entry(SafetyRule.LEASE_NUMBERS_RISE, List.of(TIE_VOTER_REQUESTED)),
+                    Map.entry(SafetyRule.LEASE_ASKED_ONCE, List.of(TIE_LOSER_ABANDONED)));
+
+    private ControlPlaneModelChecker() {}
 
     /** Explores all states up to this depth after the initial steps, in breadth-first order. */
-    static Found explore(Scene scene, String first, SafetyRule without, int depth, int most) {
-        return explore(scene, first, without, depth, most, false);
+    static Exploration explore(ModelLimits limits, String initialSteps, SafetyRule disabledRule, int depth, int maxStates) {
+        return explore(limits, initialSteps, disabledRule, depth, maxStates, false);
     }
 
     /**
@@ -559,77 +559,77 @@
      * @param terse messages are sent only if the state of the sender has changed since the last
      *     one: reaches deeper, but is not exhaustive
      */
-    static Found explore(
-            Scene scene, String first, SafetyRule without, int depth, int most, boolean terse) {
-        Set<Long> seen = new HashSet<>();
-        ArrayDeque<Step[]> next =
-                new ArrayDeque<>(Collections.singleton(steps(first).toArray(new Step[0])));
-        int begin = next.peek().length;
-        ControlWorld there = played(scene, without, 0, Arrays.asList(next.peek()));
-        if (there.broken == null && there.steps.size() < begin) {
-            throw new IllegalArgumentException("some of these initial steps are not possible: " + first);
+    static Exploration explore(
+            ModelLimits limits, String initialSteps, SafetyRule disabledRule, int depth, int maxStates, boolean terse) {
+        Set<Long> visited = new HashSet<>();
+        ArrayDeque<Step[]> queue =
+                new ArrayDeque<>(Collections.singleton(parseSteps(initialSteps).toArray(new Step[0])));
+        int initialLength = queue.peek().length;
+        ControlPlaneModel start = replay(limits, disabledRule, 0, Arrays.asList(queue.peek()));
+        if (start.violation == null && start.steps.size() < initialLength) {
+            throw new IllegalArgumentException("some of these initial steps are not possible: " + initialSteps);
         }
         int deepest = 0;
-        while (!next.isEmpty() && seen.size() < most) {
-            Step[] path = next.poll();
-            ControlWorld world = played(scene, without, 0, Arrays.asList(path));
-            if (world.broken != null) {
-                return new Found(seen.size(), path.length - begin, false, told(world));
+        while (!queue.isEmpty() && visited.size() < maxStates) {
+            Step[] path = queue.poll();
+            ControlPlaneModel model = replay(limits, disabledRule, 0, Arrays.asList(path));
+            if (model.violation != null) {
+                return new Exploration(visited.size(), path.length - initialLength, false, describe(model));
             }
-            if (!seen.add(hash(world.state()))) {
+            if (!visited.add(hash(model.state()))) {
                 continue;
             }
-            deepest = Math.max(deepest, path.length - begin);
-            if (path.length - begin < depth) {
-                for (Step step : world.choices()) {
+            deepest = Math.max(deepest, path.length - initialLength);
+            if (path.length - initialLength < depth) {
+                for (Step step : model.possibleSteps()) {
                     if (terse
                             && step.kind() == Kind.MESSAGE
-                            && !world.processes[step.a()].news[step.b()]) {
+                            && !model.processes[step.a()].hasUnsentState[step.b()]) {
                         continue;
                     }
                     Step[] longer = Arrays.copyOf(path, path.length + 1);
                     longer[path.length] = step;
-                    next.add(longer);
+                    queue.add(longer);
                 }
             }
         }
-        return new Found(seen.size(), deepest, next.isEmpty(), null);
+        return new Exploration(visited.size(), deepest, queue.isEmpty(), null);
     }
 
-    private static long hash(String of) {
+    private static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
-        for (int i = 0; i < of.length(); i++) {
-            hash = (hash ^ of.charAt(i)) * 0x100000001b3L;
+        for (int i = 0; i < text.length(); i++) {
+            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
             hash ^= hash >>> 29;
         }
         return hash;
     }
 
-    private static ControlWorld played(
-            Scene scene, SafetyRule without, long seed, List<Step> steps) {
-        ControlWorld world = new ControlWorld(scene, without, seed);
+    private static ControlPlaneModel replay(
+            ModelLimits limits, SafetyRule disabledRule, long seed, List<Step> steps) {
+        ControlPlaneModel model = new ControlPlaneModel(limits, disabledRule, seed);
         for (Step step : steps) {
-            if (world.broken == null && world.can(step)) {
-                world.step(step);
+            if (model.violation == null && model.isPossible(step)) {
+                model.step(step);
             }
         }
-        return world;
+        return model;
     }
 
-    /** Replays steps as {@link #told} writes them. */
-    static ControlWorld played(Scene scene, long seed, String steps) {
-        return played(scene, null, seed, steps);
+    /** Replays steps as {@link #describe} writes them. */
+    static ControlPlaneModel replay(ModelLimits limits, long seed, String steps) {
+        return replay(limits, null, seed, steps);
     }
 
     /** Replays steps with this safety rule disabled. */
-    static ControlWorld played(Scene scene, SafetyRule without, long seed, String steps) {
-        return played(scene, without, seed, steps(steps));
+    static ControlPlaneModel replay(ModelLimits limits, SafetyRule disabledRule, long seed, String steps) {
+        return replay(limits, disabledRule, seed, parseSteps(steps));
     }
 
-    private static List<Step> steps(String text) {
+    private static List<Step> parseSteps(String text) {
         List<Step> path = new ArrayList<>();
-        for (String one : text.isEmpty() ? new String[0] : text.split(", ")) {
-            String[] parts = one.split(" ");
+        for (String step : text.isEmpty() ? new String[0] : text.split(", ")) {
+            String[] parts = step.split(" ");
             path.add(
                     new Step(
                             Kind.valueOf(parts[0]),
@@ -639,19 +639,19 @@
         return path;
     }
 
-    static String told(ControlWorld world) {
-        return world.broken + " after " + world.steps;
+    static String describe(ControlPlaneModel model) {
+        return model.violation + " after " + model.steps;
     }
 
     /**
      * Returns the weight of each kind of step, drawn for each walk so that some walks concentrate
      * on few kinds.
      */
-    private static double[] weights(Scene scene, SplittableRandom random) {
+    private static double[] weights(ModelLimits limits, SplittableRandom random) {
         double[] weights = new double[Kind.values().length];
         weights[Kind.MESSAGE.ordinal()] = 50;
         weights[Kind.DISK.ordinal()] = 25;
-        weights[Kind.TIME.ordinal()] = scene.lease() ? 12 : 5;
+        weights[Kind.TIME.ordinal()] = limits.usesLeaseManager() ? 12 : 5;
         weights[Kind.ORDER.ordinal()] = 3;
         weights[Kind.GIVE_UP.ordinal()] = 2;
         weights[Kind.READ.ordinal()] = 2;
@@ -667,15 +667,15 @@
         weights[Kind.CUT.ordinal()] = 1;
         weights[Kind.JOIN.ordinal()] = 2;
         double[] factors = {0.2, 1, 1, 3};
-        for (int i = 0; i < (scene.duty() ? weights.length : Kind.SERVER.ordinal()); i++) {
+        for (int i = 0; i < (limits.hasCoordinator() ? weights.length : Kind.SERVER.ordinal()); i++) {
             weights[i] *= factors[random.nextInt(factors.length)];
         }
-        weights[Kind.ORDER.ordinal()] *= Math.min(1, scene.orders());
-        weights[Kind.READ.ordinal()] *= Math.min(1, scene.reads());
-        weights[Kind.SETS.ordinal()] *= Math.min(1, scene.sets());
-        weights[Kind.EMPTY.ordinal()] *= Math.min(1, scene.empties());
-        weights[Kind.SERVER.ordinal()] *= Math.min(1, scene.servers());
-        weights[Kind.RECORD.ordinal()] *= Math.min(1, scene.records());
+        weights[Kind.ORDER.ordinal()] *= Math.min(1, limits.maxWrites());
+        weights[Kind.READ.ordinal()] *= Math.min(1, limits.maxReads());
+        weights[Kind.SETS.ordinal()] *= Math.min(1, limits.maxMembershipSteps());
+        weights[Kind.EMPTY.ordinal()] *= Math.min(1, limits.maxDiskLosses());
+        weights[Kind.SERVER.ordinal()] *= Math.min(1, limits.maxServerReports());
+        weights[Kind.RECORD.ordinal()] *= Math.min(1, limits.maxRecords());
         return weights;
     }
 
@@ -683,103 +683,103 @@
      * Takes one random walk in phases; in each phase some links and disks are fast and others
      * stall.
      */
-    static ControlWorld walk(Walk walk, SafetyRule without, long seed) {
+    static ControlPlaneModel walk(Walk walk, SafetyRule disabledRule, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double[] weights = weights(walk.scene, random);
-        walk.more.forEach((kind, factor) -> weights[kind.ordinal()] *= factor);
-        ControlWorld world = played(walk.scene, without, seed, steps(walk.first));
-        int n = walk.scene.processes();
-        int spell = 5 + random.nextInt(30);
-        double[] links = new double[n * n];
-        double[] disks = new double[n];
+        double[] weights = weights(walk.limits, random);
+        walk.weightFactors.forEach((kind, factor) -> weights[kind.ordinal()] *= factor);
+        ControlPlaneModel model = replay(walk.limits, disabledRule, seed, parseSteps(walk.initialSteps));
+        int processCount = walk.limits.processes();
+        int phaseLength = 5 + random.nextInt(30);
+        double[] linkSpeeds = new double[processCount * processCount];
+        double[] diskSpeeds = new double[processCount];
         Kind[] kinds = Kind.values();
-        for (int i = 0; i < walk.length && world.broken == null; i++) {
-            if (i == 0 || random.nextInt(spell) == 0) {
-                for (int k = 0; k < links.length; k++) {
-                    links[k] = SPEEDS[random.nextInt(SPEEDS.length)];
+        for (int i = 0; i < walk.length && model.violation == null; i++) {
+            if (i == 0 || random.nextInt(phaseLength) == 0) {
+                for (int k = 0; k < linkSpeeds.length; k++) {
+                    linkSpeeds[k] = SPEED_FACTORS[random.nextInt(SPEED_FACTORS.length)];
                 }
-                for (int k = 0; k < n; k++) {
-                    disks[k] = SPEEDS[random.nextInt(SPEEDS.length)];
+                for (int k = 0; k < processCount; k++) {
+                    diskSpeeds[k] = SPEED_FACTORS[random.nextInt(SPEED_FACTORS.length)];
                 }
             }
-            Kind kind = kinds[drawn(weights, random)];
-            Step step = drawn(world, kind, links, disks, random);
-            for (int again = 0; again < TRIES && !world.can(step); again++) {
-                step = drawn(world, kind, links, disks, random);
+            Kind kind = kinds[draw(weights, random)];
+            Step step = draw(model, kind, linkSpeeds, diskSpeeds, random);
+            for (int attempt = 0; attempt < MAX_DRAWS && !model.isPossible(step); attempt++) {
+                step = draw(model, kind, linkSpeeds, diskSpeeds, random);
             }
-            if (world.can(step)) {
-                world.step(step);
+            if (model.isPossible(step)) {
+                model.step(step);
             }
         }
-        return world;
+        return model;
     }
 
-    private static int drawn(double[] weights, SplittableRandom random) {
-        double all = 0;
+    private static int draw(double[] weights, SplittableRandom random) {
+        double total = 0;
         for (double weight : weights) {
-            all += weight;
+            total += weight;
         }
-        double dice = random.nextDouble() * all;
-        int at = 0;
-        while (at < weights.length - 1 && dice >= weights[at]) {
-            dice -= weights[at++];
+        double value = random.nextDouble() * total;
+        int index = 0;
+        while (index < weights.length - 1 && value >= weights[index]) {
+            value -= weights[index++];
         }
-        return at;
+        return index;
     }
 
-    private static Step drawn(
-            ControlWorld world,
+    private static Step draw(
+            ControlPlaneModel model,
             Kind kind,
-            double[] links,
-            double[] disks,
+            double[] linkSpeeds,
+            double[] diskSpeeds,
             SplittableRandom random) {
-        int n = world.scene.processes();
-        int a = random.nextInt(n);
+        int processCount = model.limits.processes();
+        int a = random.nextInt(processCount);
         int b = 0;
         switch (kind) {
             case MESSAGE, SENT -> {
                 // Mostly processes with new state to send.
-                boolean any = random.nextInt(6) == 0;
-                double[] now = links.clone();
-                for (int k = 0; k < now.length; k++) {
-                    now[k] *= any || world.processes[k / n].news[k % n] ? 1 : 0;
+                boolean anySender = random.nextInt(6) == 0;
+                double[] currentWeights = linkSpeeds.clone();
+                for (int k = 0; k < currentWeights.length; k++) {
+                    currentWeights[k] *= anySender || model.processes[k / processCount].hasUnsentState[k % processCount] ? 1 : 0;
                 }
-                int link = drawn(now, random);
-                a = link / n;
-                b = link % n;
+                int link = draw(currentWeights, random);
+                a = link / processCount;
+                b = link % processCount;
             }
             case DISK -> {
-                double[] now = disks.clone();
-                for (int k = 0; k < n; k++) {
-                    now[k] *= world.processes[k].disk().isEmpty() ? 0 : 1;
+                double[] currentWeights = diskSpeeds.clone();
+                for (int k = 0; k < processCount; k++) {
+                    currentWeights[k] *= model.processes[k].disk().isEmpty() ? 0 : 1;
                 }
-                a = drawn(now, random);
+                a = draw(currentWeights, random);
             }
-            case CUT, JOIN -> b = random.nextInt(n);
-            case OLD -> a = random.nextInt(world.steps.size() + 1);
+            case CUT, JOIN -> b = random.nextInt(processCount);
+            case OLD -> a = random.nextInt(model.steps.size() + 1);
             case REFUSED -> b = random.nextInt(2);
             case CRASH -> {
                 // Mostly processes with pending writes to lose.
-                for (int k = 0; k < n && world.processes[a].disk().isEmpty(); k++) {
-                    a = random.nextInt(n);
+                for (int k = 0; k < processCount && model.processes[a].disk().isEmpty(); k++) {
+                    a = random.nextInt(processCount);
                 }
                 b =
-                        world.processes[a].register == null || random.nextBoolean()
+                        model.processes[a].register == null || random.nextBoolean()
                                 ? 0
-                                : random.nextInt(world.processes[a].disk().size() + 1);
+                                : random.nextInt(model.processes[a].disk().size() + 1);
             }
             case TIME -> {
-                int dice = random.nextInt(20);
-                a = dice < 12 ? 10 : dice < 17 ? 50 : dice < 19 ? 250 : 1_000;
+                int value = random.nextInt(20);
+                a = value < 12 ? 10 : value < 17 ? 50 : value < 19 ? 250 : 1_000;
             }
             case ORDER -> {
                 a = random.nextInt(2);
-                b = random.nextInt(n) + 8 * (1 + random.nextInt(world.scene.numbers()));
+                b = random.nextInt(processCount) + 8 * (1 + random.nextInt(model.limits.revisions()));
             }
             case GIVE_UP -> a = random.nextInt(2);
             case SERVER -> b = random.nextInt(6);
             case RECORD -> b = random.nextInt(2);
-            case SETS -> b = random.nextBoolean() ? 0 : random.nextInt(1 << n);
+            case SETS -> b = random.nextBoolean() ? 0 : random.nextInt(1 << processCount);
             default -> {}
         }
         return new Step(kind, a, b);
@@ -789,45 +789,45 @@
      * Returns the same violation with as few steps as possible: removes steps that are not needed,
      * later ones first.
      */
-    static ControlWorld shortest(Scene scene, SafetyRule without, long seed, ControlWorld broken) {
-        List<Step> steps = new ArrayList<>(broken.steps);
-        ControlWorld best = broken;
-        for (int size = Math.max(1, steps.size() / 2); size > 0; size = size > 1 ? size / 2 : 0) {
-            boolean again = true;
-            while (again) {
-                again = false;
-                for (int at = steps.size() - size; at >= 0; at -= size) {
-                    List<Step> fewer = new ArrayList<>(steps.subList(0, at));
-                    fewer.addAll(steps.subList(at + size, steps.size()));
-                    ControlWorld world = played(scene, without, seed, fewer);
-                    if (world.broken != null) {
-                        best = world;
-                        steps = new ArrayList<>(world.steps);
-                        at = Math.min(at, steps.size() - size + 1);
-                        again = size == 1;
+    static ControlPlaneModel minimize(ModelLimits limits, SafetyRule disabledRule, long seed, ControlPlaneModel violating) {
+        List<Step> steps = new ArrayList<>(violating.steps);
+        ControlPlaneModel shortest = violating;
+        for (int chunk = Math.max(1, steps.size() / 2); chunk > 0; chunk = chunk > 1 ? chunk / 2 : 0) {
+            boolean repeat = true;
+            while (repeat) {
+                repeat = false;
+                for (int at = steps.size() - chunk; at >= 0; at -= chunk) {
+                    List<Step> remaining = new ArrayList<>(steps.subList(0, at));
+                    remaining.addAll(steps.subList(at + chunk, steps.size()));
+                    ControlPlaneModel model = replay(limits, disabledRule, seed, remaining);
+                    if (model.violation != null) {
+                        shortest = model;
+                        steps = new ArrayList<>(model.steps);
+                        at = Math.min(at, steps.size() - chunk + 1);
+                        repeat = chunk == 1;
                     }
                 }
             }
         }
-        return best;
+        return shortest;
     }
 
     /**
      * Takes walks with this safety rule disabled until one violates an invariant; returns null if
      * none does within the number of walks or the time.
      */
-    static String hunt(SafetyRule without, long seed, int most, long until) {
-        List<Walk> walks = without == null ? WALKS : NEAREST.getOrDefault(without, WALKS);
-        for (int i = 0; i < most && System.nanoTime() < until; i++) {
+    static String findViolation(SafetyRule disabledRule, long seed, int maxWalks, long deadlineNanos) {
+        List<Walk> walks = disabledRule == null ? WALKS : DETECTING_WALKS.getOrDefault(disabledRule, WALKS);
+        for (int i = 0; i < maxWalks && System.nanoTime() < deadlineNanos; i++) {
             Walk walk = walks.get(i % walks.size());
-            ControlWorld world = walk(walk, without, seed + i);
-            if (world.broken != null) {
-                ControlWorld least = shortest(walk.scene, without, seed + i, world);
-                String also =
-                        without == null
+            ControlPlaneModel model = walk(walk, disabledRule, seed + i);
+            if (model.violation != null) {
+                ControlPlaneModel minimized = minimize(walk.limits, disabledRule, seed + i, model);
+                String violationWithRule =
+                        disabledRule == null
                                 ? null
-                                : played(walk.scene, null, seed + i, least.steps).broken;
-                return also != null ? null : told(least);
+                                : replay(walk.limits, null, seed + i, minimized.steps).violation;
+                return violationWithRule != null ? null : describe(minimized);
             }
         }
         return null;
@@ -838,75 +838,75 @@
      * enabled up to two fifths of the time, then walks with one rule disabled after the other.
      */
     public static Result run(long seed, long budgetMs) {
-        long begun = System.nanoTime();
-        long budget = budgetMs * 1_000_000;
-        int most = (int) Math.max(200, budgetMs / 50);
-        ExecutorService two = Executors.newFixedThreadPool(THREADS);
+        long startNanos = System.nanoTime();
+        long budgetNanos = budgetMs * 1_000_000;
+        int maxStates = (int) Math.max(200, budgetMs / 50);
+        ExecutorService executor = Executors.newFixedThreadPool(THREADS);
         try {
-            List<Future<Found>> seen = new ArrayList<>();
-            for (Begun one : BEGUN) {
-                seen.add(two.submit(() -> explore(one.scene, one.first, null, 40, most)));
+            List<Future<Exploration>> explorations = new ArrayList<>();
+            for (StartingPoint result : STARTING_POINTS) {
+                explorations.add(executor.submit(() -> explore(result.limits, result.initialSteps, null, 40, maxStates)));
             }
-            List<Future<Found>> walked = new ArrayList<>();
+            List<Future<Exploration>> walkResults = new ArrayList<>();
             for (int t = 0; t < THREADS; t++) {
                 int first = t;
-                walked.add(two.submit(() -> walks(seed, first, begun + budget * 2 / 5)));
+                walkResults.add(executor.submit(() -> walkAll(seed, first, startNanos + budgetNanos * 2 / 5)));
             }
             long worlds = 0;
             long steps = 0;
             String broken = null;
-            for (Future<Found> one : seen) {
-                worlds += one.get().states;
-                broken = broken == null ? one.get().broken : broken;
+            for (Future<Exploration> result : explorations) {
+                worlds += result.get().states;
+                broken = broken == null ? result.get().violation : broken;
             }
-            for (Future<Found> one : walked) {
-                worlds += one.get().states;
-                steps += one.get().depth;
-                broken = broken == null ? one.get().broken : broken;
+            for (Future<Exploration> result : walkResults) {
+                worlds += result.get().states;
+                steps += result.get().depth;
+                broken = broken == null ? result.get().violation : broken;
             }
             TreeMap<SafetyRule, String> caught = new TreeMap<>();
             List<SafetyRule> missed = List.of(SafetyRule.values());
             // Undetected safety rules are tried again in the remaining time.
             for (long pass = 0;
-                    !missed.isEmpty() && (pass == 0 || System.nanoTime() - begun < budget);
+                    !missed.isEmpty() && (pass == 0 || System.nanoTime() - startNanos < budgetNanos);
                     pass++) {
-                caught.putAll(caught(missed, seed + pass * MANY * MANY, begun + budget, two));
-                missed = missed.stream().filter(one -> !caught.containsKey(one)).toList();
+                caught.putAll(findViolations(missed, seed + pass * UNLIMITED * UNLIMITED, startNanos + budgetNanos, executor));
+                missed = missed.stream().filter(result -> !caught.containsKey(result)).toList();
             }
             return new Result(worlds, steps, broken, caught, missed);
-        } catch (InterruptedException | ExecutionException fault) {
-            throw new IllegalStateException(fault);
+        } catch (InterruptedException | ExecutionException e) {
+            throw new IllegalStateException(e);
         } finally {
-            two.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    private static Map<SafetyRule, String> caught(
-            List<SafetyRule> which, long seed, long end, ExecutorService by)
+    private static Map<SafetyRule, String> findViolations(
+            List<SafetyRule> rules, long seed, long deadlineNanos, ExecutorService executor)
             throws InterruptedException, ExecutionException {
         Map<SafetyRule, Future<String>> hunts = new LinkedHashMap<>();
-        AtomicInteger left = new AtomicInteger(which.size());
-        for (SafetyRule one : which) {
+        AtomicInteger left = new AtomicInteger(rules.size());
+        for (SafetyRule rule : rules) {
             hunts.put(
-                    one,
-                    by.submit(
+                    rule,
+                    executor.submit(
                             () -> {
                                 long now = System.nanoTime();
-                                return hunt(
-                                        one,
+                                return findViolation(
+                                        rule,
                                         seed,
                                         Integer.MAX_VALUE,
                                         now
-                                                + Math.max(0, end - now)
+                                                + Math.max(0, deadlineNanos - now)
                                                         * THREADS
                                                         / Math.max(
                                                                 THREADS, left.getAndDecrement()));
                             }));
         }
         Map<SafetyRule, String> caught = new TreeMap<>();
-        for (Map.Entry<SafetyRule, Future<String>> one : hunts.entrySet()) {
-            if (one.getValue().get() != null) {
-                caught.put(one.getKey(), one.getValue().get());
+        for (Map.Entry<SafetyRule, Future<String>> rule : hunts.entrySet()) {
+            if (rule.getValue().get() != null) {
+                caught.put(rule.getKey(), rule.getValue().get());
             }
         }
         return caught;
@@ -916,20 +916,20 @@
      * Takes every second walk with all safety rules enabled; returns the number of walks, their
      * steps and the first violation.
      */
-    private static Found walks(long seed, int first, long until) {
+    private static Exploration walkAll(long seed, int first, long deadlineNanos) {
         int count = 0;
         int steps = 0;
-        for (long i = first; System.nanoTime() < until; i += THREADS) {
+        for (long i = first; System.nanoTime() < deadlineNanos; i += THREADS) {
             Walk walk = WALKS.get((int) (i / THREADS % WALKS.size()));
-            ControlWorld world = walk(walk, null, seed + i);
+            ControlPlaneModel model = walk(walk, null, seed + i);
             count++;
-            steps += world.steps.size();
-            if (world.broken != null) {
-                return new Found(
-                        count, steps, false, told(shortest(walk.scene, null, seed + i, world)));
+            steps += model.steps.size();
+            if (model.violation != null) {
+                return new Exploration(
+                        count, steps, false, describe(minimize(walk.limits, null, seed + i, model)));
             }
         }
-        return new Found(count, steps, false, null);
+        return new Exploration(count, steps, false, null);
     }
 
     /**
@@ -943,20 +943,20 @@
         if (args.length > 2 && args[2].equals("BREADTH")
                 || args.length > 2 && args[2].equals("TERSE")) {
             int depth = Integer.parseInt(args[3]);
-            for (Begun one : BEGUN) {
-                long begun = System.nanoTime();
+            for (StartingPoint one : STARTING_POINTS) {
+                long startNanos = System.nanoTime();
                 System.out.println(
                         one.name
                                 + ": "
                                 + explore(
-                                        one.scene,
-                                        one.first,
+                                        one.limits,
+                                        one.initialSteps,
                                         null,
                                         depth,
                                         (int) budget,
                                         args[2].equals("TERSE"))
                                 + " "
-                                + (System.nanoTime() - begun) / 1_000_000
+                                + (System.nanoTime() - startNanos) / 1_000_000
                                 + " ms");
             }
             return;
@@ -968,10 +968,10 @@
                             : new SafetyRule[] {
                                 args[2].equals("ALL") ? null : SafetyRule.valueOf(args[2])
                             }) {
-                long begun = System.nanoTime();
-                String trace = hunt(one, seed, Integer.MAX_VALUE, begun + budget * 1_000_000);
+                long startNanos = System.nanoTime();
+                String trace = findViolation(one, seed, Integer.MAX_VALUE, startNanos + budget * 1_000_000);
                 System.out.println(
-                        (System.nanoTime() - begun) / 1_000_000
+                        (System.nanoTime() - startNanos) / 1_000_000
                                 + " ms, "
                                 + (one == null ? "with all: " : "without " + one + ": ")
                                 + trace);
@@ -979,22 +979,22 @@
             return;
         }
         Result result = run(seed, budget);
-        result.caught.forEach(
-                (defence, trace) -> System.out.println("without " + defence + ": " + trace));
+        result.detected.forEach(
+                (rule, trace) -> System.out.println("without " + rule + ": " + trace));
         result.missed.forEach(
-                defence -> System.out.println("without " + defence + ": nothing broke"));
-        if (result.broken != null) {
-            System.out.println("BROKEN with all defences: " + result.broken);
+                rule -> System.out.println("without " + rule + ": nothing broke"));
+        if (result.violation != null) {
+            System.out.println("BROKEN with all defences: " + result.violation);
         }
         System.out.println("steps=" + result.steps);
         System.out.println(
                 "worlds="
-                        + result.worlds
+                        + result.statesAndWalks
                         + " defences="
                         + SafetyRule.values().length
                         + " defences_caught="
-                        + result.caught.size());
-        if (result.broken != null) {
+                        + result.detected.size());
+        if (result.violation != null) {
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/simulation/StateDump.java
+++ b/src/main/java/dillfront/simulation/StateDump.java
@@ -52,7 +52,7 @@
             out.append(']');
         } else if (value instanceof Enum<?> || !value.getClass().getName().startsWith(PROJECT_PACKAGE)) {
             out.append(value);
-        } else if (!(value instanceof ControlWorld.Process)) {
+        } else if (!(value instanceof ControlPlaneModel.ControlProcess)) {
             out.append('(');
             for (Field field : fields(value.getClass())) {
                 try {
