--- a/src/main/java/dillfront/simulation/CapacityMeasure.java
+++ b/src/main/java/dillfront/simulation/CapacityMeasure.java
@@ -68,7 +68,12 @@
     }
 
     private record Row(
-            int dataPlanes, double bytes, double messages, double cpuShare, long configMs, double peakMb) {}
+            int dataPlanes,
+            double bytes,
+            double messages,
+            double cpuShare,
+            long configMs,
+            double peakMb) {}
 
     /** Prints one line of results for each number of data planes. */
     public static void main(String[] args) throws Exception {
@@ -88,13 +93,21 @@
         double growth =
                 Math.pow(
                         10,
-                        Math.log(Math.max(1e-6, large.cpuShare()) / Math.max(1e-6, small.cpuShare()))
+                        Math.log(
+                                        Math.max(1e-6, large.cpuShare())
+                                                / Math.max(1e-6, small.cpuShare()))
                                 / sizes);
         for (Row row : rows) {
             System.out.printf(
                     "capacity: routers=%d bytes_a_router=%.0f messages_a_router=%.2f control_core_share=%.4f config_ms_p99=%d "
                             + "control_mb=%.0f growth_10x=%.1f%n",
-                    row.dataPlanes(), row.bytes(), row.messages(), row.cpuShare(), row.configMs(), row.peakMb(), growth);
+                    row.dataPlanes(),
+                    row.bytes(),
+                    row.messages(),
+                    row.cpuShare(),
+                    row.configMs(),
+                    row.peakMb(),
+                    growth);
         }
         System.exit(0);
     }
@@ -125,11 +138,15 @@
     }
 
     private Row run() throws Exception {
-        environment.listen("0.0.0.0:" + STUB_SERVER_PORT, Environment.Framing.LINES, accepted -> new StubServer());
+        environment.listen(
+                "0.0.0.0:" + STUB_SERVER_PORT,
+                Environment.Framing.LINES,
+                accepted -> new StubServer());
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(1_500);
         configure(1).get(10, TimeUnit.SECONDS);
-        environment.eventLoop()
+        environment
+                .eventLoop()
                 .submit(
                         () -> {
                             for (int i = 0; i < dataPlanes; i++) {
@@ -139,7 +156,12 @@
                                 for (int server = 0; server < 3; server++) {
                                     scheduleHeartbeats(
                                             "i-" + database + "-" + server,
-                                            "127.1." + database + "." + (10 + server) + ":" + STUB_SERVER_PORT,
+                                            "127.1."
+                                                    + database
+                                                    + "."
+                                                    + (10 + server)
+                                                    + ":"
+                                                    + STUB_SERVER_PORT,
                                             "db" + database,
                                             server == 0,
                                             environment.random().nextInt((int) HEARTBEAT_MS));
@@ -154,7 +176,8 @@
         TimeUnit.SECONDS.sleep(MEASURE_SECONDS);
         double cpuShare = (processes.cpuNanos() - cpuBefore) / 1e9 / MEASURE_SECONDS / IPS.length;
         double bytesEach = (double) (bytes.get() - bytesBefore) / MEASURE_SECONDS / dataPlanes;
-        double messagesEach = (double) (messages.get() - messagesBefore) / MEASURE_SECONDS / dataPlanes;
+        double messagesEach =
+                (double) (messages.get() - messagesBefore) / MEASURE_SECONDS / dataPlanes;
         List<Long> latenciesMillis = new ArrayList<>();
         for (int revision = 2; revision < 2 + CHANGES; revision++) {
             receivedByAll = new CompletableFuture<>();
@@ -169,7 +192,13 @@
         for (int i = 0; i < IPS.length; i++) {
             peakMb = Math.max(peakMb, processes.peakMb(i));
         }
-        return new Row(dataPlanes, bytesEach, messagesEach, cpuShare, latenciesMillis.get(latenciesMillis.size() - 1), peakMb);
+        return new Row(
+                dataPlanes,
+                bytesEach,
+                messagesEach,
+                cpuShare,
+                latenciesMillis.get(latenciesMillis.size() - 1),
+                peakMb);
     }
 
     private CompletableFuture<Environment.HttpResponse> configure(long revision) {
@@ -205,24 +234,35 @@
      * Sends the configuration as an operator does: a call without a definite answer is repeated
      * unchanged.
      */
-    private void send(String body, int attemptsLeft, CompletableFuture<Environment.HttpResponse> accepted) {
-        environment.post(processes.controlAddress(attemptsLeft), "/Configuration.Replace", body, Map.of(), 8_000)
+    private void send(
+            String body, int attemptsLeft, CompletableFuture<Environment.HttpResponse> accepted) {
+        environment
+                .post(
+                        processes.controlAddress(attemptsLeft),
+                        "/Configuration.Replace",
+                        body,
+                        Map.of(),
+                        8_000)
                 .whenComplete(
                         (response, error) -> {
                             if (error == null && response.status() == 200) {
                                 accepted.complete(response);
-                            } else if (attemptsLeft == 0 || error == null && response.status() < 500) {
+                            } else if (attemptsLeft == 0
+                                    || error == null && response.status() < 500) {
                                 accepted.completeExceptionally(
                                         error == null
-                                                ? new IllegalStateException("status " + response.status())
+                                                ? new IllegalStateException(
+                                                        "status " + response.status())
                                                 : error);
                             } else {
-                                environment.schedule(100, () -> send(body, attemptsLeft - 1, accepted));
+                                environment.schedule(
+                                        100, () -> send(body, attemptsLeft - 1, accepted));
                             }
                         });
     }
 
-    private void scheduleHeartbeats(String id, String address, String service, boolean isPrimary, long delayMillis) {
+    private void scheduleHeartbeats(
+            String id, String address, String service, boolean isPrimary, long delayMillis) {
         environment.schedule(
                 delayMillis,
                 () -> {
@@ -262,7 +302,12 @@
         }
 
         void connect() {
-            connection = environment.connect(processes.internalAddress(number), Environment.Framing.FRAMES, 1_000, this);
+            connection =
+                    environment.connect(
+                            processes.internalAddress(number),
+                            Environment.Framing.FRAMES,
+                            1_000,
+                            this);
         }
 
         @Override
@@ -302,7 +347,8 @@
                     tableVersion = fields.number("r", 0);
                 }
                 suspicionVersion = fields.number("sn", suspicionVersion);
-                fields.maps("p").forEach(row -> recordNumber = Math.max(recordNumber, row.number("k", 0)));
+                fields.maps("p")
+                        .forEach(row -> recordNumber = Math.max(recordNumber, row.number("k", 0)));
                 if (fields.has("cb")) {
                     // The measured revision sends each configuration complete.
                     configuration = fields.bytes("cb");
@@ -314,7 +360,8 @@
                     configuration =
                             fields.has("cx")
                                     ? BinaryDelta.apply(configuration, fields.bytes("cx"))
-                                    : Compression.decompress(fields.bytes("cz"), BinaryDelta.MAX_BYTES);
+                                    : Compression.decompress(
+                                            fields.bytes("cz"), BinaryDelta.MAX_BYTES);
                     receivedRevisions[number] = fields.number("cv", -1);
                     digestSent = false;
                     if (pendingDataPlanes.decrementAndGet() == 0) {
@@ -344,7 +391,8 @@
 
     private void close() throws IOException, InterruptedException {
         processes.close();
-        environment.eventLoop()
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/simulation/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -63,7 +63,8 @@
 
     /** Prints one line of results; a full run takes one to two minutes. */
     public static void main(String[] args) throws Exception {
-        ChangesMeasure measure = new ChangesMeasure(args.length > 0 ? args[0] : "target/dillfront.jar");
+        ChangesMeasure measure =
+                new ChangesMeasure(args.length > 0 ? args[0] : "target/dillfront.jar");
         try {
             measure.measureDisk();
             if (!(args.length > 0 && args[0].equals("disk"))) {
@@ -168,7 +169,8 @@
         long startNanos = System.nanoTime();
         while (!condition.isMet()) {
             if (System.nanoTime() - startNanos > AWAIT_TIMEOUT_MS * 1_000_000) {
-                throw new IllegalStateException("condition not met within " + AWAIT_TIMEOUT_MS + " ms");
+                throw new IllegalStateException(
+                        "condition not met within " + AWAIT_TIMEOUT_MS + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
@@ -177,7 +179,8 @@
     private String status(int index) {
         try {
             return new String(
-                    environment.post(processes.controlAddress(index), "/status", "{}", Map.of(), 1_000)
+                    environment
+                            .post(processes.controlAddress(index), "/status", "{}", Map.of(), 1_000)
                             .join()
                             .body(),
                     StandardCharsets.UTF_8);
@@ -230,7 +233,8 @@
         for (int attempt = 0; attempt < 50; attempt++) {
             try {
                 Environment.HttpResponse response =
-                        environment.post(
+                        environment
+                                .post(
                                         processes.controlAddress(attempt % 2),
                                         "/Configuration.Replace",
                                         body,
@@ -246,7 +250,8 @@
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new IllegalStateException("version " + revision + " was not accepted after 50 attempts");
+        throw new IllegalStateException(
+                "version " + revision + " was not accepted after 50 attempts");
     }
 
     /**
@@ -263,7 +268,9 @@
         private boolean digestSent;
 
         void connect() {
-            connection = environment.connect(processes.internalAddress(1), Environment.Framing.FRAMES, 1_000, this);
+            connection =
+                    environment.connect(
+                            processes.internalAddress(1), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
@@ -335,7 +342,8 @@
 
     private void close() throws IOException, InterruptedException {
         processes.close();
-        environment.eventLoop()
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/simulation/ColdStartSimulation.java
+++ b/src/main/java/dillfront/simulation/ColdStartSimulation.java
@@ -23,22 +23,22 @@
  * Simulates in virtual time how a whole fleet returns after a power loss. Up to the full number of
  * routers decide by {@link Decide} itself in front of nodes that warm up as slowly as their
  * settings allow and become overloaded when they receive too much work. Clients retry. Coarser than
- * {@link RouterSimulation}: one core per node, one duration for all statements, no connections and no lost
- * messages. The same case always gives the same run.
+ * {@link RouterSimulation}: one core per node, one duration for all statements, no connections and
+ * no lost messages. The same scenario always gives the same run.
  */
 public final class ColdStartSimulation {
 
     /**
-     * @param loadFraction the first attempts that clients make, as a fraction of the capacity of all nodes
-     *     when warm
+     * @param loadFraction the first attempts that clients make, as a fraction of the capacity of
+     *     all nodes when warm
      * @param initialCapacity the fraction of its capacity that a node has at its start
      * @param maxAttempts the maximum number of attempts of a client
      * @param surgeFactor the request rate in the first second, as a multiple of the usual rate
      * @param burst the number of clients that send a request at the same moment once the routers
      *     have started, as a multiple of the first attempts of one second
      * @param lateNodeFraction the fraction of nodes that return only after half of the warm-up time
-     * @param lateRouterFraction the fraction of routers that start only then; their clients use other
-     *     routers meanwhile
+     * @param lateRouterFraction the fraction of routers that start only then; their clients use
+     *     other routers meanwhile
      */
     public record Scenario(
             int routers,
@@ -55,16 +55,17 @@
             long seed) {}
 
     /**
-     * @param peakLoad the highest load of a cold node as a fraction of its overload limit; the node is
-     *     overloaded at 1
-     * @param servedFraction the requests served until all nodes were warm, as a fraction of what the nodes
-     *     could have served
-     * @param retryPeak of the retries after the burst, the number in the busiest tenth of a second, as a
-     *     multiple of the mean over two seconds; 0 without a burst
-     * @param firstServedSeconds the time from the start of the first router to the first served transaction, in
-     *     seconds
+     * @param peakLoad the highest load of a cold node as a fraction of its overload limit; the node
+     *     is overloaded at 1
+     * @param servedFraction the requests served until all nodes were warm, as a fraction of what
+     *     the nodes could have served
+     * @param retryPeak of the retries after the burst, the number in the busiest tenth of a second,
+     *     as a multiple of the mean over two seconds; 0 without a burst
+     * @param firstServedSeconds the time from the start of the first router to the first served
+     *     transaction, in seconds
      */
-    public record Outcome(double peakLoad, double servedFraction, double firstServedSeconds, double retryPeak) {}
+    public record Outcome(
+            double peakLoad, double servedFraction, double firstServedSeconds, double retryPeak) {}
 
     private static final double WARM_UP_SECONDS = 6;
     private static final double OVERLOAD_WINDOW_SECONDS = 1;
@@ -105,7 +106,7 @@
         random = new SplittableRandom(scenario.seed);
     }
 
-    /** Runs the case from the return of power until all nodes are warm. */
+    /** Runs the scenario from the return of power until all nodes are warm. */
     public static Outcome run(Scenario scenario) {
         return new ColdStartSimulation(scenario).run();
     }
@@ -148,7 +149,9 @@
         }
         for (int i = 0; i < scenario.burst * rate; i++) {
             Router router = routers.get(random.nextInt(routers.size()));
-            schedule(BURST_AT_SECONDS + random.nextDouble() * 0.05, () -> sendRequest(router, scenario.maxAttempts));
+            schedule(
+                    BURST_AT_SECONDS + random.nextDouble() * 0.05,
+                    () -> sendRequest(router, scenario.maxAttempts));
         }
         double end = (scenario.lateNodeFraction > 0 ? lateStart + 1 : 0.3) + WARM_UP_SECONDS;
         double possible = 0;
@@ -158,9 +161,16 @@
             for (; sampledUntil < next.at; sampledUntil += 0.05) {
                 double capacity = 0;
                 for (Node node : nodes) {
-                    capacity += sampledUntil < node.startsAt || sampledUntil < 0.6 ? 0 : node.capacityAt(sampledUntil);
+                    capacity +=
+                            sampledUntil < node.startsAt || sampledUntil < 0.6
+                                    ? 0
+                                    : node.capacityAt(sampledUntil);
                 }
-                possible += 0.05 * Math.min(rate * (sampledUntil < 1 ? scenario.surgeFactor : 1), capacity / WORK_SECONDS);
+                possible +=
+                        0.05
+                                * Math.min(
+                                        rate * (sampledUntil < 1 ? scenario.surgeFactor : 1),
+                                        capacity / WORK_SECONDS);
             }
             nowSeconds = next.at;
             next.action.run();
@@ -184,7 +194,9 @@
      */
     private void scheduleClients(Router router) {
         double surge = nowSeconds < 1.5 ? scenario.surgeFactor : 1;
-        schedule(-Math.log(1 - random.nextDouble()) / (router.rate * surge), () -> scheduleClients(router));
+        schedule(
+                -Math.log(1 - random.nextDouble()) / (router.rate * surge),
+                () -> scheduleClients(router));
         sendRequest(router, scenario.maxAttempts);
     }
 
@@ -223,7 +235,10 @@
         }
 
         double capacityAt(double at) {
-            return Math.min(1, scenario.initialCapacity + (1 - scenario.initialCapacity) * (at - startsAt) / WARM_UP_SECONDS);
+            return Math.min(
+                    1,
+                    scenario.initialCapacity
+                            + (1 - scenario.initialCapacity) * (at - startsAt) / WARM_UP_SECONDS);
         }
 
         /**
@@ -242,7 +257,9 @@
                         Math.max(
                                 peakLoad,
                                 Arrays.stream(workByBucket).sum()
-                                        / (scenario.overloadMultiple * capacity * OVERLOAD_WINDOW_SECONDS));
+                                        / (scenario.overloadMultiple
+                                                * capacity
+                                                * OVERLOAD_WINDOW_SECONDS));
             }
             freeAt = Math.max(nowSeconds, freeAt) + WORK_SECONDS / capacity;
             return freeAt;
@@ -337,7 +354,10 @@
                         double completedAt = nodes.get(node).enqueue() + NETWORK_DELAY_SECONDS;
                         boolean inTime = completedAt - sentAt < limitSeconds;
                         schedule(
-                                Math.max(0, (inTime ? completedAt : sentAt + limitSeconds) - nowSeconds),
+                                Math.max(
+                                        0,
+                                        (inTime ? completedAt : sentAt + limitSeconds)
+                                                - nowSeconds),
                                 () -> txn.complete(node, inTime, nowSeconds - sentAt));
                     });
         }
@@ -347,7 +367,9 @@
             Txn txn = txns.get(slot);
             txn.answered = true;
             if (txn.attemptsLeft > 1) {
-                schedule(Math.max(0.001, pause.toNanos() / 1e9), () -> sendRequest(txn.client, txn.attemptsLeft - 1));
+                schedule(
+                        Math.max(0.001, pause.toNanos() / 1e9),
+                        () -> sendRequest(txn.client, txn.attemptsLeft - 1));
             }
         }
 
--- a/src/main/java/dillfront/simulation/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -70,7 +70,8 @@
         int broken = 0;
         double served = 0;
         for (long seed = first;
-                (args.length > 0 || schedules < MAX_SCHEDULES) && (System.nanoTime() - startNanos) / 1_000_000 < schedulesMs;
+                (args.length > 0 || schedules < MAX_SCHEDULES)
+                        && (System.nanoTime() - startNanos) / 1_000_000 < schedulesMs;
                 seed++) {
             Day schedule = scheduleOf(seed);
             schedule.play();
@@ -90,16 +91,22 @@
             }
         }
         System.out.printf(
-                "days=%d broken=%d served=%.4f%n", schedules, broken, served / Math.max(1, schedules));
+                "days=%d broken=%d served=%.4f%n",
+                schedules, broken, served / Math.max(1, schedules));
         ControlPlaneModelChecker.Result modelChecking =
                 args.length > 0
-                        ? new ControlPlaneModelChecker.Result(0, 0, null, new TreeMap<>(), List.of())
+                        ? new ControlPlaneModelChecker.Result(
+                                0, 0, null, new TreeMap<>(), List.of())
                         : ControlPlaneModelChecker.run(
-                                1, Math.max(1, BUDGET_MS - (System.nanoTime() - startNanos) / 1_000_000));
-        modelChecking.missed()
-                .forEach(rule -> System.out.println("without " + rule + ": nothing broke"));
+                                1,
+                                Math.max(
+                                        1,
+                                        BUDGET_MS - (System.nanoTime() - startNanos) / 1_000_000));
+        modelChecking
+                .missed()
+                .forEach(rule -> System.out.println("without " + rule + ": no violation found"));
         if (modelChecking.violation() != null) {
-            System.out.println("BROKEN with all defences: " + modelChecking.violation());
+            System.out.println("VIOLATION with all safety rules: " + modelChecking.violation());
         }
         System.out.printf(
                 "control: losses=%d acknowledged=%d lost=%d back=%d two_under_one=%d refused_again=%d minority_answers=%d"
--- a/src/main/java/dillfront/simulation/ControlPlaneModel.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModel.java
@@ -116,14 +116,15 @@
     /**
      * The size of a model and the limits of its steps.
      *
-     * @param freshStart all disks are empty and the first process bootstraps the cluster; else the first
-     *     processes are members
-     * @param usesLeaseManager whether the real lease manager runs; else the first process holds the lease
+     * @param freshStart all disks are empty and the first process bootstraps the cluster; else the
+     *     first processes are members
+     * @param usesLeaseManager whether the real lease manager runs; else the first process holds the
+     *     lease
      * @param revisions configurations have revisions from 1 to this
-     * @param maxMembershipSteps the maximum number of membership steps; up to two: those of the initial steps,
-     *     and the step that finishes the change
-     * @param maxServerReports the maximum number of server reports; with these or records, only the failover
-     *     coordinator changes memberships, by its own rule
+     * @param maxMembershipSteps the maximum number of membership steps; up to two: those of the
+     *     initial steps, and the step that finishes the change
+     * @param maxServerReports the maximum number of server reports; with these or records, only the
+     *     failover coordinator changes memberships, by the rule of the real one
      */
     record ModelLimits(
             int processes,
@@ -177,7 +178,8 @@
     /** Number of servers, each of a service of its own. */
     private static final int SERVER_COUNT = 2;
 
-    private static final List<String> SERVER_STATES = List.of("ready", "draining", "leaving", "left");
+    private static final List<String> SERVER_STATES =
+            List.of("ready", "draining", "leaving", "left");
     private static final int[] TIME_STEPS_MILLIS = {10, 50, 250, 1_000};
 
     final ModelLimits limits;
@@ -215,7 +217,7 @@
     private long callSequence;
     long now = 1_000_000;
 
-    /** Whether an operation was answered or a value was chosen in this step. */
+    /** Whether this step answered an operation or completed the choice of a value. */
     private boolean historyChanged;
 
     /** The first violated invariant; null if all held. */
@@ -336,7 +338,8 @@
                         && !linkCut[step.a][step.b]
                         && processes[step.b].register != null;
             case OLD:
-                return step.a < inFlight.size() && processes[inFlight.get(step.a).to].register != null;
+                return step.a < inFlight.size()
+                        && processes[inFlight.get(step.a).to].register != null;
             case DISK:
             case REFUSED:
                 return running && !process.disk().isEmpty();
@@ -372,7 +375,10 @@
         remainingSteps[step.kind.ordinal()]--;
         switch (step.kind) {
             case MESSAGE -> processes[step.b].receive(processes[step.a].messageTo(step.b));
-            case SENT -> inFlight.add(new InFlightMessage(step.a, step.b, processes[step.a].messageTo(step.b)));
+            case SENT ->
+                    inFlight.add(
+                            new InFlightMessage(
+                                    step.a, step.b, processes[step.a].messageTo(step.b)));
             case OLD -> processes[inFlight.get(step.a).to].receive(inFlight.get(step.a).message);
             case DISK -> processes[step.a].completeWrite();
             case REFUSED -> processes[step.a].failWrite(step.b == 1);
@@ -382,8 +388,11 @@
             case TIME -> now += step.a;
             case ORDER -> startWrite(step.a, step.b % 8, step.b / 8);
             case GIVE_UP -> {
-                history.end(pendingWrites[step.a].operation, now, LinearizabilityChecker.Outcome.UNKNOWN);
-                operatorEvents.add("gives up " + step.a);
+                history.end(
+                        pendingWrites[step.a].operation,
+                        now,
+                        LinearizabilityChecker.Outcome.UNKNOWN);
+                operatorEvents.add("stops waiting " + step.a);
                 pendingWrites[step.a] = null;
             }
             case READ -> processes[step.a].startRead();
@@ -470,7 +479,9 @@
             }
             // With few membership steps allowed, the initial steps have started the changes and
             // only the finishing steps remain.
-            for (int mask = 0; mask < (limits.maxMembershipSteps > 2 ? 1 << processCount : 1); mask++) {
+            for (int mask = 0;
+                    mask < (limits.maxMembershipSteps > 2 ? 1 << processCount : 1);
+                    mask++) {
                 if (mask == 0 || Integer.bitCount(mask) >= 2) {
                     addIfPossible(all, Kind.SETS, process, mask);
                 }
@@ -524,10 +535,13 @@
                                         accepted
                                                 ? LinearizabilityChecker.Outcome.ACKNOWLEDGED
                                                 : LinearizabilityChecker.Outcome.REFUSED);
-                                operatorEvents.add(operator + " is told " + outcome);
+                                operatorEvents.add(operator + " receives " + outcome);
                                 if (!Boolean.valueOf(accepted)
                                         .equals(answers.getOrDefault(write.content, accepted))) {
-                                    recordViolation("order " + write.content + " was both refused and acknowledged");
+                                    recordViolation(
+                                            "order "
+                                                    + write.content
+                                                    + " was both refused and acknowledged");
                                 }
                                 answers.put(write.content, accepted);
                                 historyChanged = true;
@@ -550,7 +564,9 @@
                 (content, accepted) -> {
                     String[] revisionAndOperator = content.split("/");
                     Configuration configuration =
-                            configuration(Long.parseLong(revisionAndOperator[0]), Integer.parseInt(revisionAndOperator[1]));
+                            configuration(
+                                    Long.parseLong(revisionAndOperator[0]),
+                                    Integer.parseInt(revisionAndOperator[1]));
                     RegisterValue.Outcome outcome = newest.outcome(configuration);
                     if (outcome
                             != (accepted
@@ -599,7 +615,13 @@
     private void recordValue(Ballot ballot, RegisterValue value) {
         RegisterValue other = valuesByBallot.putIfAbsent(ballot, value);
         if (other != null && !describe(other).equals(describe(value))) {
-            recordViolation("two values under ballot " + ballot + ": " + describe(other) + "; " + describe(value));
+            recordViolation(
+                    "two values of ballot "
+                            + ballot
+                            + ": "
+                            + describe(other)
+                            + "; "
+                            + describe(value));
         }
     }
 
@@ -617,7 +639,7 @@
             }
         }
         if (limits.usesLeaseManager && process.lease.isHeld()) {
-            String incarnation = process.id + " life " + process.incarnation;
+            String incarnation = process.id + " incarnation " + process.incarnation;
             if (!leaseHolders.isEmpty() && process.lease.number() < leaseHolders.lastKey()) {
                 recordViolation(
                         "lease number "
@@ -636,13 +658,14 @@
                                 + claimedUntilMillis);
             }
             claimedUntilMillis = Math.max(claimedUntilMillis, process.lease.validUntilMillis());
-            if (!incarnation.equals(leaseHolders.computeIfAbsent(process.lease.number(), n -> incarnation))) {
+            if (!incarnation.equals(
+                    leaseHolders.computeIfAbsent(process.lease.number(), n -> incarnation))) {
                 recordViolation(
                         "lease number "
                                 + process.lease.number()
-                                + " is of "
+                                + " belongs to "
                                 + leaseHolders.get(process.lease.number())
-                                + " and of "
+                                + " and to "
                                 + incarnation);
             }
         }
@@ -653,7 +676,10 @@
         Map.Entry<Ballot, RegisterValue> higher = chosen.higherEntry(ballot);
         chosen.put(ballot, value);
         String problem = lower == null ? null : sequenceViolation(lower.getValue(), value);
-        problem = problem == null && higher != null ? sequenceViolation(value, higher.getValue()) : problem;
+        problem =
+                problem == null && higher != null
+                        ? sequenceViolation(value, higher.getValue())
+                        : problem;
         if (problem != null) {
             recordViolation("two sequences of decided values: " + problem);
         }
@@ -688,7 +714,8 @@
         if (!after.revisionDigests().entrySet().containsAll(before.revisionDigests().entrySet())) {
             return "numbers: " + description;
         }
-        long revisionIncrease = after.configuration().revision() - before.configuration().revision();
+        long revisionIncrease =
+                after.configuration().revision() - before.configuration().revision();
         return revisionIncrease < 0
                         || revisionIncrease == 0
                                 && !digest(before.configuration())
@@ -736,7 +763,8 @@
         acknowledgedStates.forEach(
                 (server, rank) ->
                         checkMajorityHas(
-                                process -> process.stateOnDisk(server) >= rank, server + " is " + SERVER_STATES.get(rank)));
+                                process -> process.stateOnDisk(server) >= rank,
+                                server + " is " + SERVER_STATES.get(rank)));
         actionableRecords.forEach(
                 (service, number) ->
                         checkMajorityHas(
@@ -759,7 +787,8 @@
                                                         process.id.equals(member)
                                                                 && process.disk.containsKey("id")
                                                                 && !has.test(process)))) {
-            recordViolation("a majority lacks on disk that " + description + ": " + describe(value));
+            recordViolation(
+                    "a majority lacks on disk that " + description + ": " + describe(value));
         }
     }
 
@@ -786,7 +815,12 @@
         }
         TreeSet<String> messages = new TreeSet<>();
         for (InFlightMessage message : inFlight) {
-            messages.add(new StateDump().add(message.from).add(message.to).add(message.message).toString());
+            messages.add(
+                    new StateDump()
+                            .add(message.from)
+                            .add(message.to)
+                            .add(message.message)
+                            .toString());
         }
         dump.add(messages);
         for (ControlProcess process : processes) {
@@ -1069,14 +1103,16 @@
             }
             peer.lastClock = message.clock();
             peer.peerToken = Math.max(peer.peerToken, message.token());
-            boolean answersCurrentIncarnation = message.echoIncarnation() == incarnation && message.echoId().equals(id);
+            boolean answersCurrentIncarnation =
+                    message.echoIncarnation() == incarnation && message.echoId().equals(id);
             if (answersCurrentIncarnation) {
                 peer.lastAnsweredSend = Math.max(peer.lastAnsweredSend, message.echoClock());
                 peer.answeredToken = Math.max(peer.answeredToken, message.echoToken());
                 peer.hasAnswered = true;
             }
             if (limits.hasCoordinator()
-                    && registry.receive(message.registry(), peer.registryProgress, answersCurrentIncarnation)) {
+                    && registry.receive(
+                            message.registry(), peer.registryProgress, answersCurrentIncarnation)) {
                 Arrays.fill(hasUnsentState, true);
             }
             peer.lease.epoch(message.epoch());
@@ -1121,11 +1157,18 @@
                                         member ->
                                                 member.equals(id)
                                                         || peer(member) != null
-                                                                && peer(member).answeredToken >= read.token);
+                                                                && peer(member).answeredToken
+                                                                        >= read.token);
                 if (configuration != null) {
                     pendingReads.remove(read);
-                    history.end(read.operation, now, configuration.revision(), digest(configuration));
-                    operatorEvents.add(index + " reads " + configuration.revision() + "/" + digest(configuration));
+                    history.end(
+                            read.operation, now, configuration.revision(), digest(configuration));
+                    operatorEvents.add(
+                            index
+                                    + " reads "
+                                    + configuration.revision()
+                                    + "/"
+                                    + digest(configuration));
                     historyChanged = true;
                 }
             }
@@ -1184,24 +1227,31 @@
                                     registry.durableVersion() >= version
                                             && records.durableNumber() >= record,
                                     peer ->
-                                            registry.durableVersionOf(peer.registryProgress) >= version
+                                            registry.durableVersionOf(peer.registryProgress)
+                                                            >= version
                                                     && peer.recordNumber >= record));
         }
 
         private boolean satisfies(String member, boolean selfSatisfies, Predicate<Peer> condition) {
-            return member.equals(id) ? selfSatisfies : peer(member) != null && condition.test(peer(member));
+            return member.equals(id)
+                    ? selfSatisfies
+                    : peer(member) != null && condition.test(peer(member));
         }
 
         private boolean hasQuorum(boolean selfSatisfies, Predicate<Peer> condition) {
             RegisterValue value = register.acceptedValue();
-            return value != null && value.isQuorum(member -> satisfies(member, selfSatisfies, condition));
+            return value != null
+                    && value.isQuorum(member -> satisfies(member, selfSatisfies, condition));
         }
 
         // ---- failover coordinator
 
         /** Starts and ends the failover coordinator with the lease, as the real process does. */
         private void updateCoordinator() {
-            long leaseNumber = !holdsLease() || !isVoter() ? 0 : limits.usesLeaseManager ? lease.number() : incarnation + 1;
+            long leaseNumber =
+                    !holdsLease() || !isVoter()
+                            ? 0
+                            : limits.usesLeaseManager ? lease.number() : incarnation + 1;
             if (coordinatorLease != leaseNumber) {
                 coordinatorLease = leaseNumber;
                 coordinatorLeaseStart = now;
@@ -1239,7 +1289,9 @@
                         });
                 records.renumberAll(fencingTokens::next);
             }
-            if (isCoordinator && register.decidedValue() != null && register.decidedValue().isJoint()) {
+            if (isCoordinator
+                    && register.decidedValue() != null
+                    && register.decidedValue().isJoint()) {
                 // Evaluated at each step so that the barrier is set as early as possible.
                 canFinishChange(register.decidedValue());
             }
@@ -1259,7 +1311,8 @@
                 long number = record.number();
                 if (number >> 20 == coordinatorLease
                         && hasQuorum(
-                                records.durableNumber() >= number, peer -> peer.recordNumber >= number)) {
+                                records.durableNumber() >= number,
+                                peer -> peer.recordNumber >= number)) {
                     actionableRecords.merge(record.service(), number, Math::max);
                 }
             }
@@ -1315,7 +1368,8 @@
         private void awaitAcknowledgement(String server) {
             int rank = SERVER_STATES.indexOf(stateOf(server));
             if (rank > 0) {
-                pendingAcknowledgements.add(new PendingAcknowledgement(server, rank, changeNumberOf(server)));
+                pendingAcknowledgements.add(
+                        new PendingAcknowledgement(server, rank, changeNumberOf(server)));
             }
             Arrays.fill(hasUnsentState, true);
         }
@@ -1328,7 +1382,9 @@
                                 registry.durableVersion(),
                                 peer ->
                                         registry.acknowledgedVersionOf(
-                                                peer.registryProgress, peer.lease.epoch(), epoch()));
+                                                peer.registryProgress,
+                                                peer.lease.epoch(),
+                                                epoch()));
                 for (PendingAcknowledgement pending : List.copyOf(pendingAcknowledgements)) {
                     if (pending.changeVersion <= majorityVersion) {
                         pendingAcknowledgements.remove(pending);
@@ -1350,12 +1406,17 @@
             }
             for (PrimaryRecord record : records.all()) {
                 if (seenRecords.getOrDefault(record.service(), -1L) > record.number()) {
-                    recordViolation(record.service() + " has record " + record.number() + " again at " + id);
+                    recordViolation(
+                            record.service()
+                                    + " has record "
+                                    + record.number()
+                                    + " again at "
+                                    + id);
                 }
                 seenRecords.put(record.service(), record.number());
                 String text = record.service() + " " + record.primary();
                 if (!text.equals(recordTexts.computeIfAbsent(record.number(), n -> text))) {
-                    recordViolation("two records under number " + record.number());
+                    recordViolation("two records with number " + record.number());
                 }
             }
         }
@@ -1387,7 +1448,8 @@
                     if (peerIndex != index
                             && peerProcess.id.equals(peers[peerIndex].id())
                             && peerProcess.disk.containsKey("id")
-                            && registry.durableVersionOf(peers[peerIndex].registryProgress) >= version
+                            && registry.durableVersionOf(peers[peerIndex].registryProgress)
+                                    >= version
                             && peerProcess.stateOnDisk(server) < rank) {
                         recordViolation(
                                 id
@@ -1440,7 +1502,8 @@
             DiskWrite write = new DiskWrite(entries, new CompletableFuture<>());
             writes.add(write);
             boolean promise =
-                    entries.containsKey("promised-ballot") && !entries.containsKey("accepted-ballot");
+                    entries.containsKey("promised-ballot")
+                            && !entries.containsKey("accepted-ballot");
             boolean ownBallot =
                     promise && Ballot.parse(entries.get("promised-ballot")).proposer().equals(id);
             boolean beforeWrite =
@@ -1448,7 +1511,8 @@
                             || lacksRule(SafetyRule.PROMISE_ON_DISK) && promise && !ownBallot
                             || lacksRule(SafetyRule.ACCEPTED_ON_DISK)
                                     && entries.containsKey("accepted-ballot")
-                            || lacksRule(SafetyRule.LEASE_ON_DISK) && entries.containsKey("promised")
+                            || lacksRule(SafetyRule.LEASE_ON_DISK)
+                                    && entries.containsKey("promised")
                             || lacksRule(SafetyRule.ROWS_ON_DISK)
                                     && entries.keySet().stream()
                                             .anyMatch(name -> name.startsWith("server:"))
@@ -1457,7 +1521,8 @@
                                             .anyMatch(name -> name.startsWith("lead:"));
             if (beforeWrite) {
                 if (entries.containsKey("accepted-ballot")) {
-                    acceptorsByBallot.computeIfAbsent(
+                    acceptorsByBallot
+                            .computeIfAbsent(
                                     Ballot.parse(entries.get("accepted-ballot")),
                                     b -> new TreeSet<>())
                             .add(id);
@@ -1490,7 +1555,8 @@
 
         @Override
         public boolean holdsLease() {
-            return lacksRule(SafetyRule.SETS_BY_HOLDER) || (limits.usesLeaseManager ? lease.isHeld() : index == 0);
+            return lacksRule(SafetyRule.SETS_BY_HOLDER)
+                    || (limits.usesLeaseManager ? lease.isHeld() : index == 0);
         }
 
         @Override
@@ -1508,7 +1574,9 @@
         @Override
         public boolean isMember(String processId) {
             RegisterValue value = register.acceptedValue();
-            return value != null && (value.members().contains(processId) || value.outgoing().contains(processId));
+            return value != null
+                    && (value.members().contains(processId)
+                            || value.outgoing().contains(processId));
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
@@ -29,11 +29,11 @@
 public final class ControlPlaneModelChecker {
 
     /**
-     * @param statesAndWalks number of states reached by exploration and of walks, with all safety rules
-     *     enabled
+     * @param statesAndWalks number of states reached by exploration and of walks, with all safety
+     *     rules enabled
      * @param steps number of steps in the walks
-     * @param violation the first violation with all safety rules enabled and its trace; null if there
-     *     is none
+     * @param violation the first violation with all safety rules enabled and its trace; null if
+     *     there is none
      * @param detected the trace of a violation for each safety rule whose absence was detected
      * @param missed the safety rules whose absence was not detected within the time
      */
@@ -51,12 +51,14 @@
     record Exploration(int states, int depth, boolean exhaustive, String violation) {}
 
     /** Two operators, one revision number and three members. */
-    static final ModelLimits TWO_WRITERS = new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
+    static final ModelLimits TWO_WRITERS =
+            new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 0, 0, 0, 0, 0, 0);
 
     static final String TWO_WRITERS_START = "ORDER 0 8, ORDER 1 9";
 
     /** A configuration and one power loss; an operator without an answer repeats the call. */
-    static final ModelLimits POWER_LOSS = new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
+    static final ModelLimits POWER_LOSS =
+            new ModelLimits(3, 3, false, false, 1, 2, 0, 0, 1, 0, 0, 0, 0, 0);
 
     static final String POWER_LOSS_START = "ORDER 0 8";
 
@@ -64,10 +66,12 @@
      * One member is replaced while a configuration is in progress at the removed member; the first
      * process proposes both membership steps.
      */
-    static final ModelLimits MEMBER_REPLACEMENT = new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
+    static final ModelLimits MEMBER_REPLACEMENT =
+            new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 0, 0, 0, 2, 2, 0);
 
     /** The same, starting with the joint value in progress, with one power loss. */
-    static final ModelLimits JOINT_REPLACEMENT = new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
+    static final ModelLimits JOINT_REPLACEMENT =
+            new ModelLimits(4, 3, false, false, 1, 1, 0, 0, 1, 0, 0, 1, 2, 0);
 
     private static final String ALL_IN_CONTACT =
             "MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0, MESSAGE 3 0, MESSAGE 0 3";
@@ -93,13 +97,15 @@
      * Server reports and one record with fixed members, and during the replacement of a member,
      * with one power loss.
      */
-    static final ModelLimits REGISTRY = new ModelLimits(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
+    static final ModelLimits REGISTRY =
+            new ModelLimits(3, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 2, 1);
 
     static final ModelLimits REGISTRY_REPLACEMENT =
             new ModelLimits(4, 3, false, false, 1, 0, 0, 0, 1, 0, 0, 1, 2, 0, 1, 1);
 
     /** First start, with one replaced disk. */
-    static final ModelLimits FIRST_START = new ModelLimits(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
+    static final ModelLimits FIRST_START =
+            new ModelLimits(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
 
     private static final int MAX_DRAWS = 6;
     private static final int THREADS = 2;
@@ -108,46 +114,70 @@
 
     /** Fixed members, two operators, power losses and disk failures. */
     static final ModelLimits FIXED_MEMBERS =
-            new ModelLimits(3, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 8, 2, 3, UNLIMITED, 0, UNLIMITED);
+            new ModelLimits(
+                    3, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 8, 2, 3, UNLIMITED, 0,
+                    UNLIMITED);
 
     /** Membership changes proposed by the first process. */
     static final ModelLimits MEMBER_CHANGES =
-            new ModelLimits(4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 3, 1, 1, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 3, 1, 1, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
 
     /** All kinds of steps. */
     static final ModelLimits ALL_STEPS =
-            new ModelLimits(5, 3, false, true, 3, UNLIMITED, UNLIMITED, UNLIMITED, 6, 3, 2, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    5, 3, false, true, 3, UNLIMITED, UNLIMITED, UNLIMITED, 6, 3, 2, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
 
     /** Bootstrap from empty disks, one of which is replaced later. */
     static final ModelLimits BOOTSTRAP =
-            new ModelLimits(3, 3, true, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 6, 1, 2, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    3, 3, true, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 6, 1, 2, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
 
     static final ModelLimits FIVE_MEMBERS =
-            new ModelLimits(5, 5, false, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 4, 1, 2, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    5, 5, false, true, 2, UNLIMITED, UNLIMITED, UNLIMITED, 4, 1, 2, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
 
     /** The lease alone, with fixed members and with membership changes. */
-    static final ModelLimits LEASE_ONLY = new ModelLimits(3, 3, false, true, 1, 0, 0, UNLIMITED, 3, 0, 1, UNLIMITED, 0, UNLIMITED);
+    static final ModelLimits LEASE_ONLY =
+            new ModelLimits(
+                    3, 3, false, true, 1, 0, 0, UNLIMITED, 3, 0, 1, UNLIMITED, 0, UNLIMITED);
 
     static final ModelLimits LEASE_MEMBER_CHANGES =
-            new ModelLimits(4, 3, false, true, 1, 0, 0, UNLIMITED, 2, 0, 1, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    4, 3, false, true, 1, 0, 0, UNLIMITED, 2, 0, 1, UNLIMITED, UNLIMITED,
+                    UNLIMITED);
 
     /** Membership changes alone. */
     static final ModelLimits MEMBER_CHANGES_ONLY =
-            new ModelLimits(4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 0, 0, 0, UNLIMITED, UNLIMITED, 0);
+            new ModelLimits(
+                    4, 3, false, false, 2, UNLIMITED, UNLIMITED, UNLIMITED, 0, 0, 0, UNLIMITED,
+                    UNLIMITED, 0);
 
     /**
      * Servers and records, with fixed members and with membership changes; the failover coordinator
      * is the first process or the lease holder.
      */
     static final ModelLimits SERVERS =
-            new ModelLimits(3, 3, false, false, 1, 0, 0, UNLIMITED, 6, 2, 0, 0, 0, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    3, 3, false, false, 1, 0, 0, UNLIMITED, 6, 2, 0, 0, 0, UNLIMITED, UNLIMITED,
+                    UNLIMITED);
 
     static final ModelLimits SERVERS_MEMBER_CHANGES =
-            new ModelLimits(4, 3, false, false, 1, 0, 0, UNLIMITED, 4, 2, 0, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    4, 3, false, false, 1, 0, 0, UNLIMITED, 4, 2, 0, UNLIMITED, UNLIMITED,
+                    UNLIMITED, UNLIMITED, UNLIMITED);
     static final ModelLimits COORDINATOR =
-            new ModelLimits(3, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, 0, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    3, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, 0, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
     static final ModelLimits COORDINATOR_MEMBER_CHANGES =
-            new ModelLimits(5, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED, UNLIMITED);
+            new ModelLimits(
+                    5, 3, false, true, 1, 0, 0, UNLIMITED, 6, 2, 0, UNLIMITED, UNLIMITED, UNLIMITED,
+                    UNLIMITED, UNLIMITED);
 
     /**
      * A model, the length of a random walk through it, and the kinds of steps that are more
@@ -156,7 +186,8 @@
      * @param weightFactors a factor of the weight of a kind
      * @param initialSteps the initial steps
      */
-    record Walk(ModelLimits limits, int length, Map<Kind, Integer> weightFactors, String initialSteps) {
+    record Walk(
+            ModelLimits limits, int length, Map<Kind, Integer> weightFactors, String initialSteps) {
         Walk(ModelLimits scene, int length, Map<Kind, Integer> more) {
             this(scene, length, more, "");
         }
@@ -357,7 +388,12 @@
             LEASE_TIE
                     + "MESSAGE 1 2, DISK 2 0, DISK 2 0, MESSAGE 2 1, TIME 1000 0, TIME 1000 0, TIME 1000 0, ";
 
-    private static final Walk TIE_ABANDONED = new Walk(LEASE_ONLY, 40, RELIABLE_PROCESSES, TIE_WINNER_EXPIRED + "DISK 0 0, MESSAGE 0 1");
+    private static final Walk TIE_ABANDONED =
+            new Walk(
+                    LEASE_ONLY,
+                    40,
+                    RELIABLE_PROCESSES,
+                    TIE_WINNER_EXPIRED + "DISK 0 0, MESSAGE 0 1");
 
     /** The same, and the member that granted it requested a higher number without success. */
     private static final Walk TIE_VOTER_REQUESTED =
@@ -394,9 +430,7 @@
     static final String MEMBERS_IN_CONTACT =
             "MESSAGE 1 0, MESSAGE 2 0, MESSAGE 0 1, MESSAGE 0 2, MESSAGE 1 0, MESSAGE 2 0";
 
-    /**
-     * A server report is on the disk of one process and known to another, which may lose power.
-     */
+    /** A server report is on the disk of one process and known to another, which may lose power. */
     private static final Walk REPORT_IN_FLIGHT =
             new Walk(
                     SERVERS,
@@ -418,7 +452,8 @@
                     SERVERS,
                     40,
                     Map.of(Kind.SENT, 0, Kind.OLD, 0, Kind.CUT, 0, Kind.EMPTY, 4, Kind.SERVER, 0),
-                    MEMBERS_IN_CONTACT + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
+                    MEMBERS_IN_CONTACT
+                            + ", RECORD 0 0, DISK 0 0, MESSAGE 0 1, DISK 1 0, MESSAGE 1 0, CRASH 1 0");
 
     /**
      * The lease holder has issued records, and a larger member set is in progress whose new members
@@ -494,8 +529,16 @@
                     new Walk(SERVERS_MEMBER_CHANGES, 300, Map.of()),
                     new Walk(COORDINATOR, 400, Map.of()),
                     new Walk(COORDINATOR_MEMBER_CHANGES, 800, Map.of()),
-                    new Walk(SERVERS_MEMBER_CHANGES, 200, Map.of(Kind.SETS, 8, Kind.TIME, 3), REGISTRY_JOINT),
-                    new Walk(COORDINATOR_MEMBER_CHANGES, 300, Map.of(Kind.SETS, 8), UNRESPONSIVE_MEMBER));
+                    new Walk(
+                            SERVERS_MEMBER_CHANGES,
+                            200,
+                            Map.of(Kind.SETS, 8, Kind.TIME, 3),
+                            REGISTRY_JOINT),
+                    new Walk(
+                            COORDINATOR_MEMBER_CHANGES,
+                            300,
+                            Map.of(Kind.SETS, 8),
+                            UNRESPONSIVE_MEMBER));
 
     /** Starting points of the explorations. */
     private static final List<StartingPoint> STARTING_POINTS =
@@ -509,7 +552,8 @@
                     new StartingPoint("replaced settling", JOINT_REPLACEMENT, JOINT_FINISHING),
                     new StartingPoint("kept", REGISTRY, REGISTRY_START),
                     new StartingPoint("kept joint", REGISTRY_REPLACEMENT, REGISTRY_JOINT),
-                    new StartingPoint("kept settling", REGISTRY_REPLACEMENT, REGISTRY_JOINT_FINISHING));
+                    new StartingPoint(
+                            "kept settling", REGISTRY_REPLACEMENT, REGISTRY_JOINT_FINISHING));
 
     /** Walks that detect the absence of a safety rule soonest; any walk detects the others. */
     private static final Map<SafetyRule, List<Walk>> DETECTING_WALKS =
@@ -549,7 +593,12 @@
     private ControlPlaneModelChecker() {}
 
     /** Explores all states up to this depth after the initial steps, in breadth-first order. */
-    static Exploration explore(ModelLimits limits, String initialSteps, SafetyRule disabledRule, int depth, int maxStates) {
+    static Exploration explore(
+            ModelLimits limits,
+            String initialSteps,
+            SafetyRule disabledRule,
+            int depth,
+            int maxStates) {
         return explore(limits, initialSteps, disabledRule, depth, maxStates, false);
     }
 
@@ -560,21 +609,29 @@
      *     one: reaches deeper, but is not exhaustive
      */
     static Exploration explore(
-            ModelLimits limits, String initialSteps, SafetyRule disabledRule, int depth, int maxStates, boolean terse) {
+            ModelLimits limits,
+            String initialSteps,
+            SafetyRule disabledRule,
+            int depth,
+            int maxStates,
+            boolean terse) {
         Set<Long> visited = new HashSet<>();
         ArrayDeque<Step[]> queue =
-                new ArrayDeque<>(Collections.singleton(parseSteps(initialSteps).toArray(new Step[0])));
+                new ArrayDeque<>(
+                        Collections.singleton(parseSteps(initialSteps).toArray(new Step[0])));
         int initialLength = queue.peek().length;
         ControlPlaneModel start = replay(limits, disabledRule, 0, Arrays.asList(queue.peek()));
         if (start.violation == null && start.steps.size() < initialLength) {
-            throw new IllegalArgumentException("some of these initial steps are not possible: " + initialSteps);
+            throw new IllegalArgumentException(
+                    "some of these initial steps are not possible: " + initialSteps);
         }
         int deepest = 0;
         while (!queue.isEmpty() && visited.size() < maxStates) {
             Step[] path = queue.poll();
             ControlPlaneModel model = replay(limits, disabledRule, 0, Arrays.asList(path));
             if (model.violation != null) {
-                return new Exploration(visited.size(), path.length - initialLength, false, describe(model));
+                return new Exploration(
+                        visited.size(), path.length - initialLength, false, describe(model));
             }
             if (!visited.add(hash(model.state()))) {
                 continue;
@@ -622,7 +679,8 @@
     }
 
     /** Replays steps with this safety rule disabled. */
-    static ControlPlaneModel replay(ModelLimits limits, SafetyRule disabledRule, long seed, String steps) {
+    static ControlPlaneModel replay(
+            ModelLimits limits, SafetyRule disabledRule, long seed, String steps) {
         return replay(limits, disabledRule, seed, parseSteps(steps));
     }
 
@@ -667,7 +725,9 @@
         weights[Kind.CUT.ordinal()] = 1;
         weights[Kind.JOIN.ordinal()] = 2;
         double[] factors = {0.2, 1, 1, 3};
-        for (int i = 0; i < (limits.hasCoordinator() ? weights.length : Kind.SERVER.ordinal()); i++) {
+        for (int i = 0;
+                i < (limits.hasCoordinator() ? weights.length : Kind.SERVER.ordinal());
+                i++) {
             weights[i] *= factors[random.nextInt(factors.length)];
         }
         weights[Kind.ORDER.ordinal()] *= Math.min(1, limits.maxWrites());
@@ -687,7 +747,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         double[] weights = weights(walk.limits, random);
         walk.weightFactors.forEach((kind, factor) -> weights[kind.ordinal()] *= factor);
-        ControlPlaneModel model = replay(walk.limits, disabledRule, seed, parseSteps(walk.initialSteps));
+        ControlPlaneModel model =
+                replay(walk.limits, disabledRule, seed, parseSteps(walk.initialSteps));
         int processCount = walk.limits.processes();
         int phaseLength = 5 + random.nextInt(30);
         double[] linkSpeeds = new double[processCount * processCount];
@@ -742,7 +803,12 @@
                 boolean anySender = random.nextInt(6) == 0;
                 double[] currentWeights = linkSpeeds.clone();
                 for (int k = 0; k < currentWeights.length; k++) {
-                    currentWeights[k] *= anySender || model.processes[k / processCount].hasUnsentState[k % processCount] ? 1 : 0;
+                    currentWeights[k] *=
+                            anySender
+                                            || model.processes[k / processCount]
+                                                    .hasUnsentState[k % processCount]
+                                    ? 1
+                                    : 0;
                 }
                 int link = draw(currentWeights, random);
                 a = link / processCount;
@@ -774,7 +840,9 @@
             }
             case ORDER -> {
                 a = random.nextInt(2);
-                b = random.nextInt(processCount) + 8 * (1 + random.nextInt(model.limits.revisions()));
+                b =
+                        random.nextInt(processCount)
+                                + 8 * (1 + random.nextInt(model.limits.revisions()));
             }
             case GIVE_UP -> a = random.nextInt(2);
             case SERVER -> b = random.nextInt(6);
@@ -789,10 +857,13 @@
      * Returns the same violation with as few steps as possible: removes steps that are not needed,
      * later ones first.
      */
-    static ControlPlaneModel minimize(ModelLimits limits, SafetyRule disabledRule, long seed, ControlPlaneModel violating) {
+    static ControlPlaneModel minimize(
+            ModelLimits limits, SafetyRule disabledRule, long seed, ControlPlaneModel violating) {
         List<Step> steps = new ArrayList<>(violating.steps);
         ControlPlaneModel shortest = violating;
-        for (int chunk = Math.max(1, steps.size() / 2); chunk > 0; chunk = chunk > 1 ? chunk / 2 : 0) {
+        for (int chunk = Math.max(1, steps.size() / 2);
+                chunk > 0;
+                chunk = chunk > 1 ? chunk / 2 : 0) {
             boolean repeat = true;
             while (repeat) {
                 repeat = false;
@@ -816,8 +887,10 @@
      * Takes walks with this safety rule disabled until one violates an invariant; returns null if
      * none does within the number of walks or the time.
      */
-    static String findViolation(SafetyRule disabledRule, long seed, int maxWalks, long deadlineNanos) {
-        List<Walk> walks = disabledRule == null ? WALKS : DETECTING_WALKS.getOrDefault(disabledRule, WALKS);
+    static String findViolation(
+            SafetyRule disabledRule, long seed, int maxWalks, long deadlineNanos) {
+        List<Walk> walks =
+                disabledRule == null ? WALKS : DETECTING_WALKS.getOrDefault(disabledRule, WALKS);
         for (int i = 0; i < maxWalks && System.nanoTime() < deadlineNanos; i++) {
             Walk walk = walks.get(i % walks.size());
             ControlPlaneModel model = walk(walk, disabledRule, seed + i);
@@ -845,12 +918,22 @@
         try {
             List<Future<Exploration>> explorations = new ArrayList<>();
             for (StartingPoint result : STARTING_POINTS) {
-                explorations.add(executor.submit(() -> explore(result.limits, result.initialSteps, null, 40, maxStates)));
+                explorations.add(
+                        executor.submit(
+                                () ->
+                                        explore(
+                                                result.limits,
+                                                result.initialSteps,
+                                                null,
+                                                40,
+                                                maxStates)));
             }
             List<Future<Exploration>> walkResults = new ArrayList<>();
             for (int t = 0; t < THREADS; t++) {
                 int first = t;
-                walkResults.add(executor.submit(() -> walkAll(seed, first, startNanos + budgetNanos * 2 / 5)));
+                walkResults.add(
+                        executor.submit(
+                                () -> walkAll(seed, first, startNanos + budgetNanos * 2 / 5)));
             }
             long worlds = 0;
             long steps = 0;
@@ -868,9 +951,15 @@
             List<SafetyRule> missed = List.of(SafetyRule.values());
             // Undetected safety rules are tried again in the remaining time.
             for (long pass = 0;
-                    !missed.isEmpty() && (pass == 0 || System.nanoTime() - startNanos < budgetNanos);
+                    !missed.isEmpty()
+                            && (pass == 0 || System.nanoTime() - startNanos < budgetNanos);
                     pass++) {
-                caught.putAll(findViolations(missed, seed + pass * UNLIMITED * UNLIMITED, startNanos + budgetNanos, executor));
+                caught.putAll(
+                        findViolations(
+                                missed,
+                                seed + pass * UNLIMITED * UNLIMITED,
+                                startNanos + budgetNanos,
+                                executor));
                 missed = missed.stream().filter(result -> !caught.containsKey(result)).toList();
             }
             return new Result(worlds, steps, broken, caught, missed);
@@ -926,7 +1015,10 @@
             steps += model.steps.size();
             if (model.violation != null) {
                 return new Exploration(
-                        count, steps, false, describe(minimize(walk.limits, null, seed + i, model)));
+                        count,
+                        steps,
+                        false,
+                        describe(minimize(walk.limits, null, seed + i, model)));
             }
         }
         return new Exploration(count, steps, false, null);
@@ -969,11 +1061,13 @@
                                 args[2].equals("ALL") ? null : SafetyRule.valueOf(args[2])
                             }) {
                 long startNanos = System.nanoTime();
-                String trace = findViolation(one, seed, Integer.MAX_VALUE, startNanos + budget * 1_000_000);
+                String trace =
+                        findViolation(
+                                one, seed, Integer.MAX_VALUE, startNanos + budget * 1_000_000);
                 System.out.println(
                         (System.nanoTime() - startNanos) / 1_000_000
                                 + " ms, "
-                                + (one == null ? "with all: " : "without " + one + ": ")
+                                + (one == null ? "with all rules: " : "without " + one + ": ")
                                 + trace);
             }
             return;
@@ -981,10 +1075,9 @@
         Result result = run(seed, budget);
         result.detected.forEach(
                 (rule, trace) -> System.out.println("without " + rule + ": " + trace));
-        result.missed.forEach(
-                rule -> System.out.println("without " + rule + ": nothing broke"));
+        result.missed.forEach(rule -> System.out.println("without " + rule + ": no violation found"));
         if (result.violation != null) {
-            System.out.println("BROKEN with all defences: " + result.violation);
+            System.out.println("VIOLATION with all safety rules: " + result.violation);
         }
         System.out.println("steps=" + result.steps);
         System.out.println(
--- a/src/main/java/dillfront/simulation/ControlPlaneProcesses.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneProcesses.java
@@ -124,7 +124,12 @@
     }
 
     long cpuNanos(int index) {
-        return processes[index].toHandle().info().totalCpuDuration().orElse(Duration.ZERO).toNanos();
+        return processes[index]
+                .toHandle()
+                .info()
+                .totalCpuDuration()
+                .orElse(Duration.ZERO)
+                .toNanos();
     }
 
     /** Returns the CPU time of all processes. */
--- a/src/main/java/dillfront/simulation/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -23,24 +23,41 @@
         return Duration.ofMillis((long) (value * 1000));
     }
 
-    private static RouterSimulation.Scenario scenario(double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims, long seed) {
+    private static RouterSimulation.Scenario scenario(
+            double txnsPerSecond,
+            boolean gossip,
+            RouterSimulation.FalseClaims falseClaims,
+            long seed) {
         return new RouterSimulation.Scenario(
-                ROUTERS, 2, 4, txnsPerSecond, 0, seconds(4), seconds(4), seconds(11), gossip, falseClaims, seed);
+                ROUTERS,
+                2,
+                4,
+                txnsPerSecond,
+                0,
+                seconds(4),
+                seconds(4),
+                seconds(11),
+                gossip,
+                falseClaims,
+                seed);
     }
 
     /**
      * Results over all seeds: the median of the time in milliseconds during which routers kept
      * sending to the hung node, and the means of the other values.
      */
-    private record Row(double stoppedMillis, double value, double sentToHungNode, double falseSuspicions) {}
+    private record Row(
+            double stoppedMillis, double value, double sentToHungNode, double falseSuspicions) {}
 
-    private static Row measure(double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims) {
+    private static Row measure(
+            double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims) {
         List<Double> stopped = new ArrayList<>();
         double value = 0;
         double sentToHungNode = 0;
         double falseSuspicions = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            RouterSimulation.Outcome outcome = RouterSimulation.run(scenario(txnsPerSecond, gossip, falseClaims, seed));
+            RouterSimulation.Outcome outcome =
+                    RouterSimulation.run(scenario(txnsPerSecond, gossip, falseClaims, seed));
             stopped.add(outcome.timeToStop().toNanos() / 1e6);
             value += outcome.earnedFraction() / SEEDS;
             sentToHungNode += outcome.sentToHungNode() / (double) SEEDS;
@@ -48,14 +65,18 @@
         }
         stopped.sort(null);
         return new Row(
-                (stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2, value, sentToHungNode, falseSuspicions);
+                (stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2,
+                value,
+                sentToHungNode,
+                falseSuspicions);
     }
 
-    private static Row measureAndPrint(double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims) {
+    private static Row measureAndPrint(
+            double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims) {
         Row row = measure(txnsPerSecond, gossip, falseClaims);
         System.out.printf(
                 Locale.ROOT,
-                "%4.0f txns/s each, gossip %-3s lie %-9s last send %6.0f ms  value %.4f  sent %5.1f  "
+                "%4.0f txns/s each, gossip %-3s false claims %-9s last send %6.0f ms  value %.4f  sent %5.1f  "
                         + "false suspicions %.5f%n",
                 txnsPerSecond,
                 gossip ? "on" : "off",
@@ -72,7 +93,11 @@
      * network partition.
      */
     private record Size(
-            double idleBytesPerSecond, double spreadMs, double reachedFraction, double healSeconds, double unknownFraction) {}
+            double idleBytesPerSecond,
+            double spreadMs,
+            double reachedFraction,
+            double healSeconds,
+            double unknownFraction) {}
 
     private static Size measureSize(int count, double settleSeconds, boolean partition) {
         VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
@@ -88,7 +113,9 @@
                         (instance, claim, age) -> {
                             receivedCount[0]++;
                             lastReceivedNanos[0] =
-                                    receivedCount[0] <= 0.95 * (count - 1) ? scheduler.now().toNanos() : lastReceivedNanos[0];
+                                    receivedCount[0] <= 0.95 * (count - 1)
+                                            ? scheduler.now().toNanos()
+                                            : lastReceivedNanos[0];
                             simulation[0].instances[instance].gossip.forward(claim, claim.origin());
                         });
         simulation[0].start();
@@ -127,9 +154,13 @@
                 spreadMs,
                 partition
                         ? String.format(
-                                Locale.ROOT, ", partitioned %.2f unknown, healed in %.0f s", unknownFraction, healSeconds)
+                                Locale.ROOT,
+                                ", partitioned %.2f unknown, healed in %.0f s",
+                                unknownFraction,
+                                healSeconds)
                         : "");
-        return new Size(idleBytesPerSecond, spreadMs, reachedFraction, healSeconds, unknownFraction);
+        return new Size(
+                idleBytesPerSecond, spreadMs, reachedFraction, healSeconds, unknownFraction);
     }
 
     /**
@@ -139,9 +170,12 @@
         double speedup = 0;
         double earnedWithFalseClaims = 0;
         for (double txnsPerSecond : new double[] {5, TXNS_PER_SECOND, 60}) {
-            Row withoutGossip = measureAndPrint(txnsPerSecond, false, RouterSimulation.FalseClaims.NONE);
-            Row withGossip = measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.NONE);
-            Row withFalseClaims = measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.ALL);
+            Row withoutGossip =
+                    measureAndPrint(txnsPerSecond, false, RouterSimulation.FalseClaims.NONE);
+            Row withGossip =
+                    measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.NONE);
+            Row withFalseClaims =
+                    measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.ALL);
             if (txnsPerSecond == TXNS_PER_SECOND) {
                 // One tick of 20 ms is the resolution of the measurement.
                 speedup = withoutGossip.stoppedMillis / Math.max(20, withGossip.stoppedMillis);
--- a/src/main/java/dillfront/simulation/GossipSimulation.java
+++ b/src/main/java/dillfront/simulation/GossipSimulation.java
@@ -81,7 +81,8 @@
                 updateClocks();
                 gossip.tick();
             }
-            scheduler.schedule(config.period().dividedBy(TICKS_PER_PERIOD), () -> tick(expectedStart));
+            scheduler.schedule(
+                    config.period().dividedBy(TICKS_PER_PERIOD), () -> tick(expectedStart));
         }
 
         /** Sets the clocks of the gossip protocol; required before each call from outside. */
@@ -121,7 +122,8 @@
                     continue;
                 }
                 scheduler.schedule(
-                        Duration.ofNanos((long) (meanDelay.toNanos() * (0.5 + random.nextDouble()))),
+                        Duration.ofNanos(
+                                (long) (meanDelay.toNanos() * (0.5 + random.nextDouble()))),
                         () -> {
                             if (receiver.stopped) {
                                 return;
@@ -130,7 +132,10 @@
                                     () -> {
                                         receiver.updateClocks();
                                         receiver.gossip.receivedFrom(index, incarnation, sentAt);
-                                        updates.forEach(update -> receiver.gossip.receiveUpdate(update, index));
+                                        updates.forEach(
+                                                update ->
+                                                        receiver.gossip.receiveUpdate(
+                                                                update, index));
                                         delivery.deliver(receiver.gossip, receiver);
                                     };
                             if (receiver.paused) {
@@ -154,7 +159,10 @@
 
         @Override
         public void requestProbe(int to, int target, int sequence, List<GossipUpdate> updates) {
-            send(to, updates, (receiver, at) -> receiver.handleProbeRequest(index, target, sequence));
+            send(
+                    to,
+                    updates,
+                    (receiver, at) -> receiver.handleProbeRequest(index, target, sequence));
         }
 
         @Override
@@ -198,7 +206,12 @@
     private final RandomGenerator random;
 
     /** Creates instances whose peer registries all list each other from the start. */
-    public GossipSimulation(int count, GossipConfig config, VirtualTimeScheduler scheduler, long seed, ClaimListener claimListener) {
+    public GossipSimulation(
+            int count,
+            GossipConfig config,
+            VirtualTimeScheduler scheduler,
+            long seed,
+            ClaimListener claimListener) {
         this.config = config;
         this.scheduler = scheduler;
         this.claimListener = claimListener;
--- a/src/main/java/dillfront/simulation/LinearizabilityChecker.java
+++ b/src/main/java/dillfront/simulation/LinearizabilityChecker.java
@@ -73,7 +73,14 @@
                                     + digest
                                     + " "
                                     + outcome.name().toLowerCase(Locale.ROOT);
-            return client + ": " + description + " [" + startMillis + ", " + (endMoment == NOT_ENDED ? "" : endMillis) + "]";
+            return client
+                    + ": "
+                    + description
+                    + " ["
+                    + startMillis
+                    + ", "
+                    + (endMoment == NOT_ENDED ? "" : endMillis)
+                    + "]";
         }
     }
 
@@ -164,7 +171,9 @@
         int shown = 0;
         for (int i = operations.size() - 1; i >= 0 && shown < 6; i--) {
             Operation one = operations.get(i);
-            if (one != violation && one.startMoment < invalidFrom && !(one.isRead && one.endMoment >= invalidFrom)) {
+            if (one != violation
+                    && one.startMoment < invalidFrom
+                    && !(one.isRead && one.endMoment >= invalidFrom)) {
                 text.append(shown++ == 0 ? ": " : "; ").append(one);
             }
         }
@@ -228,7 +237,8 @@
             for (int i = 0; i < operations.size(); i++) {
                 Operation operation = operations.get(i);
                 if (outcomes.get(i) == Outcome.ACKNOWLEDGED && operation.number != NONE) {
-                    String previous = contentByNumber.putIfAbsent(operation.number, operation.digest);
+                    String previous =
+                            contentByNumber.putIfAbsent(operation.number, operation.digest);
                     if (previous != null && !previous.equals(operation.digest)) {
                         return false;
                     }
@@ -267,7 +277,12 @@
          * @param firstIndex all operations before this index are done
          * @param writtenContents contents of the numbers whose writes have taken effect
          */
-        boolean canComplete(BitSet completed, int firstIndex, long current, String digest, Map<Long, String> writtenContents) {
+        boolean canComplete(
+                BitSet completed,
+                int firstIndex,
+                long current,
+                String digest,
+                Map<Long, String> writtenContents) {
             BitSet done = (BitSet) completed.clone();
             int index = firstIndex;
             List<Integer> candidates = new ArrayList<>();
@@ -277,7 +292,9 @@
                 candidates.clear();
                 int earliest = NOT_ENDED;
                 boolean answersRemain = false;
-                for (int i = index; i < operations.size() && operations.get(i).startMoment < earliest; i++) {
+                for (int i = index;
+                        i < operations.size() && operations.get(i).startMoment < earliest;
+                        i++) {
                     if (!done.get(i)) {
                         answersRemain |= outcomes.get(i) != Outcome.UNKNOWN;
                         earliest = Math.min(earliest, ends.get(i));
@@ -287,7 +304,9 @@
                     // Operations without an answer may never take effect.
                     return true;
                 }
-                for (int i = index; i < operations.size() && operations.get(i).startMoment < earliest; i++) {
+                for (int i = index;
+                        i < operations.size() && operations.get(i).startMoment < earliest;
+                        i++) {
                     if (done.get(i)) {
                         continue;
                     }
@@ -334,7 +353,8 @@
                                             .filter(
                                                     n ->
                                                             refused.contains(n)
-                                                                    && contentByNumber.get(n) == null)
+                                                                    && contentByNumber.get(n)
+                                                                            == null)
                                             .map(n -> n + writtenContents.get(n))
                                             .toList()))) {
                 return false;
@@ -347,7 +367,11 @@
                 done.set(i);
                 boolean replaces = operation.number > current;
                 if (canComplete(
-                        done, index, replaces ? operation.number : current, replaces ? operation.digest : digest, nextContents)) {
+                        done,
+                        index,
+                        replaces ? operation.number : current,
+                        replaces ? operation.digest : digest,
+                        nextContents)) {
                     return true;
                 }
                 done.clear(i);
--- a/src/main/java/dillfront/simulation/LoopbackSimulation.java
+++ b/src/main/java/dillfront/simulation/LoopbackSimulation.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a {@link RouterSimulation} scenario in real time: each router on an event loop, with signed gossip
- * updates sent over UDP on loopback.
+ * Runs a {@link RouterSimulation} scenario in real time: each router on an event loop, with signed
+ * gossip updates sent over UDP on loopback.
  */
 public final class LoopbackSimulation {
 
@@ -44,7 +44,8 @@
     private LoopbackSimulation() {}
 
     /** Runs the scenario; takes as long as the scenario's end. */
-    public static RouterSimulation.Outcome run(RouterSimulation.Scenario scenario) throws Exception {
+    public static RouterSimulation.Outcome run(RouterSimulation.Scenario scenario)
+            throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(EVENT_LOOPS);
         List<UdpGossipTransport> transports = new ArrayList<>();
         try {
@@ -142,7 +143,8 @@
                             scheduler::now,
                             () -> Duration.ofMillis(System.currentTimeMillis()),
                             new SplittableRandom(scenario.seed() + i),
-                            (claim, age) -> router.peerHealth.receiveClaim(claim, age, scheduler.now())));
+                            (claim, age) ->
+                                    router.peerHealth.receiveClaim(claim, age, scheduler.now())));
         }
         for (int i = 0; i < routers.size(); i++) {
             schedulers.get(i).loop().execute(transports.get(i)::open);
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -89,7 +89,9 @@
                         writes[0] / writes[1],
                         writes[0],
                         measureRecoveryMillis(100_000));
-        RouterModelChecker.CheckResult modelChecking = RouterModelChecker.explore(5, Integer.MAX_VALUE, RouterModelChecker.InjectedFault.NONE);
+        RouterModelChecker.CheckResult modelChecking =
+                RouterModelChecker.explore(
+                        5, Integer.MAX_VALUE, RouterModelChecker.InjectedFault.NONE);
         if (modelChecking.broken() != null) {
             throw new IllegalStateException(modelChecking.toString());
         }
@@ -127,7 +129,10 @@
                 worst(with1000Routers, 0),
                 mean(with1000Routers),
                 worst(with1000Routers, 1),
-                Arrays.stream(afterBurst).mapToDouble(ColdStartSimulation.Outcome::retryPeak).max().orElse(0));
+                Arrays.stream(afterBurst)
+                        .mapToDouble(ColdStartSimulation.Outcome::retryPeak)
+                        .max()
+                        .orElse(0));
     }
 
     /**
@@ -176,13 +181,17 @@
 
     private static double worst(ColdStartSimulation.Outcome[] outcomes, int column) {
         return Arrays.stream(outcomes)
-                .mapToDouble(outcome -> column == 0 ? outcome.firstServedSeconds() : outcome.peakLoad())
+                .mapToDouble(
+                        outcome -> column == 0 ? outcome.firstServedSeconds() : outcome.peakLoad())
                 .max()
                 .orElse(0);
     }
 
     private static double mean(ColdStartSimulation.Outcome[] outcomes) {
-        return Arrays.stream(outcomes).mapToDouble(ColdStartSimulation.Outcome::servedFraction).average().orElse(0);
+        return Arrays.stream(outcomes)
+                .mapToDouble(ColdStartSimulation.Outcome::servedFraction)
+                .average()
+                .orElse(0);
     }
 
     /**
@@ -207,7 +216,8 @@
             long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
             recovered.close();
             if (found != closings) {
-                throw new IllegalStateException("recovered " + found + " closed nodes of " + closings);
+                throw new IllegalStateException(
+                        "expected " + closings + " closed nodes, recovered " + found);
             }
             return elapsedMillis;
         } finally {
@@ -225,7 +235,8 @@
      */
     private static double measureRate(boolean persistsState, boolean writes) throws Exception {
         Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(FAST_WORK);
-        try (Rig rig = new Rig(persistsState ? plan.operator(PowerMeasure::storageSettings) : plan)) {
+        try (Rig rig =
+                new Rig(persistsState ? plan.operator(PowerMeasure::storageSettings) : plan)) {
             rig.start();
             long[] count = new long[1];
             rig.stage()
@@ -309,6 +320,8 @@
         rig.stage()
                 .await(
                         RECOVERED_TXNS + " were served",
-                        () -> incarnations.stream().mapToInt(load::committed).sum() >= RECOVERED_TXNS);
+                        () ->
+                                incarnations.stream().mapToInt(load::committed).sum()
+                                        >= RECOVERED_TXNS);
     }
 }
--- a/src/main/java/dillfront/simulation/RouterModelChecker.java
+++ b/src/main/java/dillfront/simulation/RouterModelChecker.java
@@ -119,7 +119,7 @@
         final RouterIncarnation router;
         final int id;
 
-        /** Key of a write; negative for a read: BOUNDED or ANY. */
+        /** Key of a write; negative for a read: BOUNDED_READ or ANY_READ. */
         final int key;
 
         final Duration startedAt;
@@ -155,7 +155,8 @@
         Result result;
         Report report;
 
-        Submission(Request request, int node, Duration limit, Duration sentAt, SubmissionState state) {
+        Submission(
+                Request request, int node, Duration limit, Duration sentAt, SubmissionState state) {
             this.request = request;
             this.node = node;
             this.sentAt = sentAt;
@@ -195,6 +196,7 @@
         int reads;
         int ticks;
         int crashes;
+        /** Number of lost connections. */
         int breaks;
         int gossip;
         String broken;
@@ -220,6 +222,7 @@
             }
         }
 
+        /** Records a violation unless there is an earlier one. */
         void breaks(String rule) {
             broken = broken == null ? rule : broken;
         }
@@ -241,7 +244,10 @@
                         // The second key is used only after the first, since the keys are
                         // symmetric.
                         if (k == 0 || requests.stream().anyMatch(a -> a.key == 0)) {
-                            steps.add(new Step("r" + index + " is asked for k" + k, () -> router.startRequest(key)));
+                            steps.add(
+                                    new Step(
+                                            "r" + index + " receives a request for k" + k,
+                                            () -> router.startRequest(key)));
                         }
                     }
                 }
@@ -251,7 +257,7 @@
                             new Step(
                                     "r"
                                             + index
-                                            + " is asked for "
+                                            + " receives a request for "
                                             + (read == ANY_READ ? "any read" : "a bounded read"),
                                     () -> {
                                         reads++;
@@ -276,7 +282,7 @@
                 if (crashes < MAX_CRASHES && (router.isBusy() || !router.unsynced.isEmpty())) {
                     steps.add(
                             new Step(
-                                    "r" + index + " ends",
+                                    "r" + index + " crashes",
                                     () -> {
                                         crashes++;
                                         router.end();
@@ -286,21 +292,31 @@
             }
             for (Submission submission : submissions) {
                 String name = "txn " + submission.request.id + " at n" + submission.node;
-                if (submission.state == SubmissionState.IN_FLIGHT || submission.state == SubmissionState.ABANDONED) {
+                if (submission.state == SubmissionState.IN_FLIGHT
+                        || submission.state == SubmissionState.ABANDONED) {
                     steps.add(new Step(name + " runs", () -> execute(submission)));
                 }
                 if (submission.state == SubmissionState.EXECUTED) {
-                    steps.add(new Step(name + " is answered", () -> complete(submission, submission.result)));
+                    steps.add(
+                            new Step(
+                                    name + " is answered",
+                                    () -> complete(submission, submission.result)));
                 }
-                if (breaks < MAX_CONNECTION_LOSSES && (submission.state == SubmissionState.IN_FLIGHT || submission.state == SubmissionState.EXECUTED)) {
+                if (breaks < MAX_CONNECTION_LOSSES
+                        && (submission.state == SubmissionState.IN_FLIGHT
+                                || submission.state == SubmissionState.EXECUTED)) {
                     steps.add(
                             new Step(
-                                    name + " breaks",
+                                    name + " loses its connection",
                                     () -> {
                                         breaks++;
-                                        boolean pending = submission.state == SubmissionState.IN_FLIGHT;
+                                        boolean pending =
+                                                submission.state == SubmissionState.IN_FLIGHT;
                                         complete(submission, Result.RESET);
-                                        submission.state = pending ? SubmissionState.ABANDONED : SubmissionState.DONE;
+                                        submission.state =
+                                                pending
+                                                        ? SubmissionState.ABANDONED
+                                                        : SubmissionState.DONE;
                                     }));
                 }
             }
@@ -351,12 +367,14 @@
                 positions[node] = node == 2 ? positions[node] : now;
             }
             for (Submission submission : List.copyOf(submissions)) {
-                if ((submission.state == SubmissionState.IN_FLIGHT || submission.state == SubmissionState.EXECUTED)
+                if ((submission.state == SubmissionState.IN_FLIGHT
+                                || submission.state == SubmissionState.EXECUTED)
                         && submission.deadline.compareTo(now) <= 0) {
                     boolean pending = submission.state == SubmissionState.IN_FLIGHT;
                     complete(submission, Result.TIMED_OUT);
                     submission.state = pending ? SubmissionState.ABANDONED : SubmissionState.DONE;
-                } else if (submission.state == SubmissionState.WAITING_FOR_SYNC && submission.deadline.compareTo(now) <= 0) {
+                } else if (submission.state == SubmissionState.WAITING_FOR_SYNC
+                        && submission.deadline.compareTo(now) <= 0) {
                     complete(submission, Result.UNSENT);
                 }
             }
@@ -376,25 +394,31 @@
             boolean abandoned = submission.state == SubmissionState.ABANDONED;
             submission.state = abandoned ? SubmissionState.DONE : SubmissionState.EXECUTED;
             int key = submission.request.key;
-            submission.report = new Report(positions[submission.node], submission.node == 0 ? Role.PRIMARY : Role.REPLICA);
+            submission.report =
+                    new Report(
+                            positions[submission.node],
+                            submission.node == 0 ? Role.PRIMARY : Role.REPLICA);
             if (key >= 0 && submission.node != 0) {
                 submission.result = Result.MISS;
                 return;
             }
             submission.result = Result.COMMITTED;
-            if (key >= 0 && (lastEffect[key] == null || now.minus(lastEffect[key]).compareTo(DEDUPLICATION_WINDOW) > 0)) {
+            if (key >= 0
+                    && (lastEffect[key] == null
+                            || now.minus(lastEffect[key]).compareTo(DEDUPLICATION_WINDOW) > 0)) {
                 lastEffect[key] = now;
                 submission.request.executed = true;
-                if (++effectCounts[key] > 1 && lastEffectBy[key] == submission.request.router.index) {
+                if (++effectCounts[key] > 1
+                        && lastEffectBy[key] == submission.request.router.index) {
                     // The network delayed a submission that the router had given up on: the
                     // platform counts the deduplication window from the send.
                     if (!abandoned) {
-                        breaks("k" + key + " had its effect twice");
+                        breaks("k" + key + " took effect twice");
                     }
                 }
                 lastEffectBy[key] = submission.request.router.index;
                 if ("declined".equals(submission.request.answer)) {
-                    breaks("txn " + submission.request.id + " was declined, and ran");
+                    breaks("txn " + submission.request.id + " was declined and ran");
                 }
             }
         }
@@ -436,7 +460,8 @@
                                     + submission.sentAt.toMillis()
                                     + submission.result
                                     + submission.request.router.requests.indexOf(submission.request)
-                                    + (routers[submission.request.router.index] == submission.request.router));
+                                    + (routers[submission.request.router.index]
+                                            == submission.request.router));
                 }
             }
             out.append(inFlight).append(requests.size());
@@ -448,7 +473,8 @@
     }
 
     /** One incarnation of a router: the routing engine and the state between it and the model. */
-    private static final class RouterIncarnation implements Outlet, InDoubtKeys.KeyStore, Closings.Keeper {
+    private static final class RouterIncarnation
+            implements Outlet, InDoubtKeys.KeyStore, Closings.Keeper {
         final Model model;
         final int index;
         final List<Request> requests = new ArrayList<>();
@@ -465,6 +491,7 @@
         final InDoubtKeys inDoubtKeys;
         final Closings closings = new Closings();
         final Set<Integer> peerInDoubtKeys = new TreeSet<>();
+        /** In-doubt keys that other routers reported to this incarnation. */
         final Set<Integer> received = new TreeSet<>();
         int listVersion;
 
@@ -562,7 +589,8 @@
             inputs.add("list " + version + "@" + model.now.toMillis());
             List<NodeRow> rows = new ArrayList<>();
             for (int node = 0; node < NODES; node++) {
-                Standing listedState = version > 1 && node == 2 ? Standing.DRAINING : Standing.READY;
+                Standing listedState =
+                        version > 1 && node == 2 ? Standing.DRAINING : Standing.READY;
                 Standing effectiveState = closings.heard("n" + node, listedState, 0, version);
                 rows.add(new NodeRow(node, 0, 0, 1, node == 0, null, effectiveState));
             }
@@ -575,6 +603,7 @@
             }
         }
 
+        /** Applies the current server list. */
         void received() {
             applyServerList(model.listVersion);
         }
@@ -586,7 +615,7 @@
         }
 
         void receiveGossip(RouterIncarnation other) {
-            inputs.add("doubts " + inDoubtKeysOf(other));
+            inputs.add("in-doubt keys " + inDoubtKeysOf(other));
             if (model.fault != InjectedFault.IGNORES_PEER_REPORTS) {
                 peerInDoubtKeys.addAll(inDoubtKeysOf(other));
             }
@@ -615,7 +644,10 @@
                 return;
             }
             Duration mayHaveRun = key < 0 ? null : inDoubtKeys.mayHaveRunSince(key);
-            mayHaveRun = mayHaveRun == null && peerInDoubtKeys.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : mayHaveRun;
+            mayHaveRun =
+                    mayHaveRun == null && peerInDoubtKeys.contains(key)
+                            ? InDoubtKeys.BEFORE_THIS_RUN
+                            : mayHaveRun;
             request.handle =
                     routingEngine.take(
                             requests.size() - 1,
@@ -632,11 +664,12 @@
 
         private void answer(Request request, String answer) {
             if (request.answer != null) {
-                model.breaks("txn " + request.id + " was answered " + request.answer + " and " + answer);
+                model.breaks(
+                        "txn " + request.id + " was answered " + request.answer + " and " + answer);
             }
             request.answer = answer;
             if (answer.equals("declined") && request.executed) {
-                model.breaks("txn " + request.id + " ran, and was declined");
+                model.breaks("txn " + request.id + " ran and was declined");
             }
         }
 
@@ -653,7 +686,13 @@
 
         void handleResult(Submission submission, Result result) {
             Request request = submission.request;
-            inputs.add("end " + requests.indexOf(request) + result + submission.node + "@" + model.now.toMillis());
+            inputs.add(
+                    "end "
+                            + requests.indexOf(request)
+                            + result
+                            + submission.node
+                            + "@"
+                            + model.now.toMillis());
             request.outstanding--;
             boolean acknowledged = result == Result.COMMITTED && request.answer == null;
             if (request.key >= 0) {
@@ -687,7 +726,9 @@
                     submission.state =
                             submission.state == SubmissionState.IN_FLIGHT
                                     ? SubmissionState.ABANDONED
-                                    : submission.state == SubmissionState.ABANDONED ? SubmissionState.ABANDONED : SubmissionState.DONE;
+                                    : submission.state == SubmissionState.ABANDONED
+                                            ? SubmissionState.ABANDONED
+                                            : SubmissionState.DONE;
                 }
             }
         }
@@ -706,7 +747,8 @@
             }
             unsynced.clear();
             for (Submission submission : List.copyOf(model.submissions)) {
-                if (submission.state == SubmissionState.WAITING_FOR_SYNC && submission.request.router == this) {
+                if (submission.state == SubmissionState.WAITING_FOR_SYNC
+                        && submission.request.router == this) {
                     routingEngine.at(model.now);
                     if (submission.request.answer == null
                             && !peerInDoubtKeys.contains(submission.request.key)
@@ -722,7 +764,8 @@
         private void send(Submission submission) {
             submission.state = SubmissionState.IN_FLIGHT;
             int key = submission.request.key;
-            if (submission.node == 2 && (listVersion > 1 || model.persistedDrains.get(index).contains("n2"))) {
+            if (submission.node == 2
+                    && (listVersion > 1 || model.persistedDrains.get(index).contains("n2"))) {
                 model.breaks("txn " + submission.request.id + " was sent to n2, which drains");
             }
             if (submission.request.answer != null) {
@@ -731,14 +774,20 @@
             if (key < 0) {
                 if (key == BOUNDED_READ
                         && submission.node != 0
-                        && model.positions[submission.node].compareTo(model.now.minus(MAX_STALENESS)) < 0) {
-                    model.breaks("a read was sent to n" + submission.node + ", which is too far behind");
+                        && model.positions[submission.node].compareTo(
+                                        model.now.minus(MAX_STALENESS))
+                                < 0) {
+                    model.breaks(
+                            "a read was sent to n" + submission.node + ", which is too far behind");
                 }
                 return;
             }
             Duration mayHaveRun =
-                    received.contains(key) ? InDoubtKeys.BEFORE_THIS_RUN : model.mayHaveRunSince[index][key];
-            if (mayHaveRun != null && model.now.minus(mayHaveRun).compareTo(DEDUPLICATION_WINDOW) >= 0) {
+                    received.contains(key)
+                            ? InDoubtKeys.BEFORE_THIS_RUN
+                            : model.mayHaveRunSince[index][key];
+            if (mayHaveRun != null
+                    && model.now.minus(mayHaveRun).compareTo(DEDUPLICATION_WINDOW) >= 0) {
                 model.breaks(
                         "k" + key + " was sent by r" + index + ", which knew that it may have run");
             }
@@ -759,7 +808,9 @@
                             || model.fault == InjectedFault.SENDS_BEFORE_PERSISTING
                             || !unsynced.contains("+" + request.key)
                                     && model.persistedKeys.get(index).contains(request.key);
-            Submission submission = new Submission(request, node, limit, model.now, SubmissionState.WAITING_FOR_SYNC);
+            Submission submission =
+                    new Submission(
+                            request, node, limit, model.now, SubmissionState.WAITING_FOR_SYNC);
             model.submissions.add(submission);
             if (persisted && !peerInDoubtKeys.contains(request.key)) {
                 send(submission);
--- a/src/main/java/dillfront/simulation/RouterSimulation.java
+++ b/src/main/java/dillfront/simulation/RouterSimulation.java
@@ -60,16 +60,20 @@
      * Result of one run.
      *
      * @param earnedFraction the earned value as a fraction of the requested value
-     * @param timeToStop from the first router's own evidence until the last router stopped sending to
-     *     the hung node
-     * @param sentToHungNode transactions sent to the hung node after the first router's evidence, trial
-     *     requests included
-     * @param falseSuspicionRate the rate of false suspicions: node ticks at which a healthy node was suspected
-     *     because of peer reports, as a fraction of all node ticks
+     * @param timeToStop from the first router's own evidence until the last router stopped sending
+     *     to the hung node
+     * @param sentToHungNode transactions sent to the hung node after the first router's evidence,
+     *     trial requests included
+     * @param falseSuspicionRate the rate of false suspicions: node ticks at which a healthy node
+     *     was suspected because of peer reports, as a fraction of all node ticks
      * @param bytesPerSecond mean bytes per second sent by one instance
      */
     public record Outcome(
-            double earnedFraction, Duration timeToStop, int sentToHungNode, double falseSuspicionRate, double bytesPerSecond) {}
+            double earnedFraction,
+            Duration timeToStop,
+            int sentToHungNode,
+            double falseSuspicionRate,
+            double bytesPerSecond) {}
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
@@ -105,7 +109,10 @@
     /**
      * @param schedulers one scheduler per router
      */
-    RouterSimulation(Scenario scenario, List<? extends TaskScheduler> schedulers, GossipNetwork gossipNetwork) {
+    RouterSimulation(
+            Scenario scenario,
+            List<? extends TaskScheduler> schedulers,
+            GossipNetwork gossipNetwork) {
         this.scenario = scenario;
         this.gossipNetwork = gossipNetwork;
         for (int i = 0; i < scenario.routers; i++) {
@@ -124,7 +131,8 @@
                         scheduler,
                         scenario.seed + 1,
                         (instance, claim, age) ->
-                                simulation[0].routers
+                                simulation[0]
+                                        .routers
                                         .get(instance)
                                         .peerHealth
                                         .receiveClaim(claim, age, scheduler.now()));
@@ -179,18 +187,26 @@
             nodeTicks += router.nodeTicks;
             falseSuspicions += router.falseSuspicions;
             firstEvidence =
-                    router.firstEvidence == null || firstEvidence != null && firstEvidence.compareTo(router.firstEvidence) < 0
+                    router.firstEvidence == null
+                                    || firstEvidence != null
+                                            && firstEvidence.compareTo(router.firstEvidence) < 0
                             ? firstEvidence
                             : router.firstEvidence;
-            lastSend = router.lastSendToHungNode.compareTo(lastSend) > 0 ? router.lastSendToHungNode : lastSend;
+            lastSend =
+                    router.lastSendToHungNode.compareTo(lastSend) > 0
+                            ? router.lastSendToHungNode
+                            : lastSend;
         }
         for (Router router : routers) {
             for (Duration at : router.sendsToHungNode) {
-                sentAfterEvidence += firstEvidence != null && at.compareTo(firstEvidence) > 0 ? 1 : 0;
+                sentAfterEvidence +=
+                        firstEvidence != null && at.compareTo(firstEvidence) > 0 ? 1 : 0;
             }
         }
         Duration timeToStop =
-                firstEvidence == null || lastSend.compareTo(firstEvidence) < 0 ? Duration.ZERO : lastSend.minus(firstEvidence);
+                firstEvidence == null || lastSend.compareTo(firstEvidence) < 0
+                        ? Duration.ZERO
+                        : lastSend.minus(firstEvidence);
         return new Outcome(
                 earned / requested,
                 timeToStop,
@@ -303,7 +319,9 @@
             random = new SplittableRandom(scenario.seed * 1_000_003 + index);
             routingEngine =
                     new Decide(
-                            settings(scenario.routers), this, new SplittableRandom(random.nextLong()));
+                            settings(scenario.routers),
+                            this,
+                            new SplittableRandom(random.nextLong()));
             peerHealth = new PeerHealthExchange(gossipConfig, scenario.routers, this);
             peerHealth.setGossip(() -> gossipNetwork.protocolOf(index));
         }
@@ -345,7 +363,8 @@
                             default -> false;
                         };
                 if (claimed) {
-                    gossipNetwork.protocolOf(index)
+                    gossipNetwork
+                            .protocolOf(index)
                             .publishClaim(
                                     PeerRegistry.hash("node-" + node),
                                     Symptom.HUNG,
@@ -359,7 +378,10 @@
         private void scheduleNextTxn() {
             Duration gap =
                     Duration.ofNanos(
-                            (long) (-Math.log(1 - random.nextDouble()) / scenario.txnsPerSecond * 1e9));
+                            (long)
+                                    (-Math.log(1 - random.nextDouble())
+                                            / scenario.txnsPerSecond
+                                            * 1e9));
             scheduler.schedule(
                     gap,
                     () -> {
@@ -403,7 +425,9 @@
                             for (int node = 0; node < nodes(); node++) {
                                 nodeTicks++;
                                 boolean healthy =
-                                        node != scenario.hungNode || scheduler.now().compareTo(scenario.hangStart) < 0;
+                                        node != scenario.hungNode
+                                                || scheduler.now().compareTo(scenario.hangStart)
+                                                        < 0;
                                 falseSuspicions += peerHealth.isSuspected(node) && healthy ? 1 : 0;
                             }
                         }
@@ -419,7 +443,10 @@
         @Override
         public void setSuspected(int node, boolean suspected) {
             if (node == scenario.hungNode) {
-                lastSendOrSuspicion = suspected && !hungNodeSuspected && lastSendOrSuspicion == null ? scheduler.now() : lastSendOrSuspicion;
+                lastSendOrSuspicion =
+                        suspected && !hungNodeSuspected && lastSendOrSuspicion == null
+                                ? scheduler.now()
+                                : lastSendOrSuspicion;
                 hungNodeSuspected = suspected;
             }
             routingEngine.at(scheduler.now());
@@ -446,9 +473,13 @@
                 sendsToHungNode.add(now);
             }
             outstandingAtHungNode += node == scenario.hungNode ? 1 : 0;
-            Duration serviceTime = Duration.ofNanos((long) (MEAN_SERVICE_TIME.toNanos() * (0.5 + random.nextDouble())));
+            Duration serviceTime =
+                    Duration.ofNanos(
+                            (long) (MEAN_SERVICE_TIME.toNanos() * (0.5 + random.nextDouble())));
             boolean responds =
-                    !isHung(node, now) && !isHung(node, now.plus(serviceTime)) && serviceTime.compareTo(limit) < 0;
+                    !isHung(node, now)
+                            && !isHung(node, now.plus(serviceTime))
+                            && serviceTime.compareTo(limit) < 0;
             scheduler.schedule(
                     responds ? serviceTime : limit,
                     () -> {
--- a/src/main/java/dillfront/simulation/StateDump.java
+++ b/src/main/java/dillfront/simulation/StateDump.java
@@ -50,7 +50,8 @@
                 add(Array.get(value, i));
             }
             out.append(']');
-        } else if (value instanceof Enum<?> || !value.getClass().getName().startsWith(PROJECT_PACKAGE)) {
+        } else if (value instanceof Enum<?>
+                || !value.getClass().getName().startsWith(PROJECT_PACKAGE)) {
             out.append(value);
         } else if (!(value instanceof ControlPlaneModel.ControlProcess)) {
             out.append('(');
--- a/src/main/java/dillfront/simulation/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -55,7 +55,8 @@
         int promotions = 0;
         double served = 0;
         for (long seed = 1;
-                schedules < MAX_SCHEDULES && (System.nanoTime() - startNanos) / 1_000_000 < BUDGET_MS;
+                schedules < MAX_SCHEDULES
+                        && (System.nanoTime() - startNanos) / 1_000_000 < BUDGET_MS;
                 seed++) {
             Day schedule = run(seed);
             schedules++;
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -331,7 +331,10 @@
         try {
             return http.send(
                             HttpRequest.newBuilder(
-                                            URI.create("http://" + controls.controlAddress(index) + path))
+                                            URI.create(
+                                                    "http://"
+                                                            + controls.controlAddress(index)
+                                                            + path))
                                     .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                                     .build(),
@@ -390,9 +393,13 @@
         long deadlineNanos = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.call()) {
             if (System.nanoTime() > deadlineNanos) {
-                StringBuilder text = new StringBuilder("not within the step timeout: " + description);
+                StringBuilder text =
+                        new StringBuilder("not within the step timeout: " + description);
                 for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
-                    text.append('\n').append(controls.controlAddress(i)).append(' ').append(status(i));
+                    text.append('\n')
+                            .append(controls.controlAddress(i))
+                            .append(' ')
+                            .append(status(i));
                 }
                 throw new AssertionError(text);
             }
--- a/src/test/java/dillfront/simulation/ColdStartSimulationTest.java
+++ b/src/test/java/dillfront/simulation/ColdStartSimulationTest.java
@@ -12,8 +12,25 @@
 class ColdStartSimulationTest {
 
     private static ColdStartSimulation.Scenario scenario(
-            int routers, double load, int maxAttempts, double surgeFactor, double lateFraction, long seed) {
-        return new ColdStartSimulation.Scenario(routers, 4, 4, load, 0.2, 2, maxAttempts, surgeFactor, 0, lateFraction, lateFraction, seed);
+            int routers,
+            double load,
+            int maxAttempts,
+            double surgeFactor,
+            double lateFraction,
+            long seed) {
+        return new ColdStartSimulation.Scenario(
+                routers,
+                4,
+                4,
+                load,
+                0.2,
+                2,
+                maxAttempts,
+                surgeFactor,
+                0,
+                lateFraction,
+                lateFraction,
+                seed);
     }
 
     @Test
@@ -23,7 +40,9 @@
                 for (long seed = 0; seed < 4; seed++) {
                     // Three attempts per client and three times the usual rate in the first second;
                     // half of the nodes and routers are late, or none.
-                    ColdStartSimulation.Outcome result = ColdStartSimulation.run(scenario(routers, load, 3, 3, seed % 2 * 0.5, seed));
+                    ColdStartSimulation.Outcome result =
+                            ColdStartSimulation.run(
+                                    scenario(routers, load, 3, 3, seed % 2 * 0.5, seed));
                     assertTrue(
                             result.peakLoad() < 0.8,
                             routers + " routers, load " + load + ", seed " + seed + ": " + result);
@@ -35,10 +54,16 @@
     @Test
     void serviceReturnsLongBeforeNodesAreWarm() {
         for (long seed = 0; seed < 4; seed++) {
-            ColdStartSimulation.Outcome few = ColdStartSimulation.run(scenario(10, 0.6, 3, 1, 0, seed));
-            assertTrue(few.firstServedSeconds() < 1 && few.servedFraction() > 0.6, "seed " + seed + ": " + few);
-            ColdStartSimulation.Outcome many = ColdStartSimulation.run(scenario(100, 0.6, 3, 1, 0, seed));
-            assertTrue(many.firstServedSeconds() < 2 && many.servedFraction() > 0.4, "seed " + seed + ": " + many);
+            ColdStartSimulation.Outcome few =
+                    ColdStartSimulation.run(scenario(10, 0.6, 3, 1, 0, seed));
+            assertTrue(
+                    few.firstServedSeconds() < 1 && few.servedFraction() > 0.6,
+                    "seed " + seed + ": " + few);
+            ColdStartSimulation.Outcome many =
+                    ColdStartSimulation.run(scenario(100, 0.6, 3, 1, 0, seed));
+            assertTrue(
+                    many.firstServedSeconds() < 2 && many.servedFraction() > 0.4,
+                    "seed " + seed + ": " + many);
         }
     }
 
@@ -74,6 +99,8 @@
 
     @Test
     void sameScenarioGivesSameResult() {
-        assertEquals(ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)), ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)));
+        assertEquals(
+                ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)),
+                ColdStartSimulation.run(scenario(10, 0.6, 3, 3, 0.5, 9)));
     }
 }
--- a/src/test/java/dillfront/simulation/ControlPlaneModelCheckerTest.java
+++ b/src/test/java/dillfront/simulation/ControlPlaneModelCheckerTest.java
@@ -26,11 +26,17 @@
                         + "TIME 250 0, DISK 0 0, DISK 0 0, DISK 1 0, MESSAGE 0 2, DISK 2 0, DISK 2 0, MESSAGE 1 0, "
                         + "MESSAGE 1 2, MESSAGE 2 1, TIME 1000 0, DISK 1 0, ".repeat(3)
                         + "MESSAGE 1 2, MESSAGE 0 2, MESSAGE 2 0, DISK 2 0, DISK 2 0, MESSAGE 2 1";
-        ControlPlaneModel model = ControlPlaneModelChecker.replay(ControlPlaneModelChecker.LEASE_ONLY, 1, steps);
+        ControlPlaneModel model =
+                ControlPlaneModelChecker.replay(ControlPlaneModelChecker.LEASE_ONLY, 1, steps);
         assertNull(model.violation);
         assertTrue(model.processes[1].lease.isHeld());
         assertNotNull(
-                ControlPlaneModelChecker.replay(ControlPlaneModelChecker.LEASE_ONLY, SafetyRule.LEASE_TURNS, 1, steps).violation);
+                ControlPlaneModelChecker.replay(
+                                ControlPlaneModelChecker.LEASE_ONLY,
+                                SafetyRule.LEASE_TURNS,
+                                1,
+                                steps)
+                        .violation);
     }
 
     /**
@@ -122,7 +128,8 @@
      */
     @Test
     void voterOfTieLoserSupportsHolder() {
-        ControlPlaneModel model = new ControlPlaneModel(ControlPlaneModelChecker.FIVE_MEMBERS, null, 1);
+        ControlPlaneModel model =
+                new ControlPlaneModel(ControlPlaneModelChecker.FIVE_MEMBERS, null, 1);
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 3; i++) {
                 for (int j = 0; j < 3; j++) {
@@ -297,13 +304,24 @@
     void invariantsHoldInAllStates() {
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.TWO_WRITERS, ControlPlaneModelChecker.TWO_WRITERS_START, null, 7, 100_000),
+                        ControlPlaneModelChecker.TWO_WRITERS,
+                        ControlPlaneModelChecker.TWO_WRITERS_START,
+                        null,
+                        7,
+                        100_000),
                 6_000);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.POWER_LOSS, ControlPlaneModelChecker.POWER_LOSS_START, null, 5, 100_000),
+                        ControlPlaneModelChecker.POWER_LOSS,
+                        ControlPlaneModelChecker.POWER_LOSS_START,
+                        null,
+                        5,
+                        100_000),
                 9_000);
-        assertExhaustive(ControlPlaneModelChecker.explore(ControlPlaneModelChecker.FIRST_START, "", null, 5, 100_000), 5_000);
+        assertExhaustive(
+                ControlPlaneModelChecker.explore(
+                        ControlPlaneModelChecker.FIRST_START, "", null, 5, 100_000),
+                5_000);
     }
 
     /**
@@ -314,31 +332,59 @@
     void invariantsHoldDuringReplacement() {
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.MEMBER_REPLACEMENT, ControlPlaneModelChecker.MEMBER_REPLACEMENT_START, null, 3, 100_000),
+                        ControlPlaneModelChecker.MEMBER_REPLACEMENT,
+                        ControlPlaneModelChecker.MEMBER_REPLACEMENT_START,
+                        null,
+                        3,
+                        100_000),
                 2_000);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.JOINT_REPLACEMENT, ControlPlaneModelChecker.JOINT_ON_PROPOSER, null, 3, 100_000),
+                        ControlPlaneModelChecker.JOINT_REPLACEMENT,
+                        ControlPlaneModelChecker.JOINT_ON_PROPOSER,
+                        null,
+                        3,
+                        100_000),
                 2_500);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.JOINT_REPLACEMENT, ControlPlaneModelChecker.JOINT_ON_OLD_MAJORITY, null, 3, 100_000),
+                        ControlPlaneModelChecker.JOINT_REPLACEMENT,
+                        ControlPlaneModelChecker.JOINT_ON_OLD_MAJORITY,
+                        null,
+                        3,
+                        100_000),
                 2_200);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.JOINT_REPLACEMENT, ControlPlaneModelChecker.JOINT_FINISHING, null, 3, 100_000),
+                        ControlPlaneModelChecker.JOINT_REPLACEMENT,
+                        ControlPlaneModelChecker.JOINT_FINISHING,
+                        null,
+                        3,
+                        100_000),
                 1_000);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.REGISTRY, ControlPlaneModelChecker.REGISTRY_START, null, 3, 100_000),
+                        ControlPlaneModelChecker.REGISTRY,
+                        ControlPlaneModelChecker.REGISTRY_START,
+                        null,
+                        3,
+                        100_000),
                 2_200);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.REGISTRY_REPLACEMENT, ControlPlaneModelChecker.REGISTRY_JOINT, null, 3, 100_000),
+                        ControlPlaneModelChecker.REGISTRY_REPLACEMENT,
+                        ControlPlaneModelChecker.REGISTRY_JOINT,
+                        null,
+                        3,
+                        100_000),
                 4_000);
         assertExhaustive(
                 ControlPlaneModelChecker.explore(
-                        ControlPlaneModelChecker.REGISTRY_REPLACEMENT, ControlPlaneModelChecker.REGISTRY_JOINT_FINISHING, null, 3, 100_000),
+                        ControlPlaneModelChecker.REGISTRY_REPLACEMENT,
+                        ControlPlaneModelChecker.REGISTRY_JOINT_FINISHING,
+                        null,
+                        3,
+                        100_000),
                 1_700);
     }
 
@@ -347,10 +393,13 @@
     void rejectsImpossibleInitialSteps() {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> ControlPlaneModelChecker.explore(ControlPlaneModelChecker.TWO_WRITERS, "SETS 0 3", null, 1, 10));
+                () ->
+                        ControlPlaneModelChecker.explore(
+                                ControlPlaneModelChecker.TWO_WRITERS, "SETS 0 3", null, 1, 10));
     }
 
-    private static void assertExhaustive(ControlPlaneModelChecker.Exploration exploration, int minStates) {
+    private static void assertExhaustive(
+            ControlPlaneModelChecker.Exploration exploration, int minStates) {
         assertNull(exploration.violation());
         assertTrue(exploration.exhaustive(), exploration.toString());
         assertTrue(exploration.states() >= minStates, exploration.toString());
@@ -368,6 +417,8 @@
     @ParameterizedTest
     @EnumSource(SafetyRule.class)
     void detectsDisabledSafetyRule(SafetyRule rule) {
-        assertNotNull(ControlPlaneModelChecker.findViolation(rule, 1, 60_000, Long.MAX_VALUE), rule.name());
+        assertNotNull(
+                ControlPlaneModelChecker.findViolation(rule, 1, 60_000, Long.MAX_VALUE),
+                rule.name());
     }
 }
--- a/src/test/java/dillfront/simulation/LinearizabilityCheckerTest.java
+++ b/src/test/java/dillfront/simulation/LinearizabilityCheckerTest.java
@@ -223,7 +223,8 @@
         open.forEach(write -> endWrite(write, Outcome.ACKNOWLEDGED));
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> assertNull(checker.check()));
         completedRead(999, "d999");
-        assertTimeoutPreemptively(Duration.ofSeconds(10), () -> assertViolation("read of 999/d999"));
+        assertTimeoutPreemptively(
+                Duration.ofSeconds(10), () -> assertViolation("read of 999/d999"));
     }
 
     /** Checks that the verdicts on small random histories equal those of an exhaustive search. */
@@ -269,13 +270,16 @@
                                         : dice < 4 ? Outcome.REFUSED : Outcome.UNKNOWN;
                         candidate.end(id, 0, call.outcome);
                         call.endMoment =
-                                call.outcome == Outcome.UNKNOWN ? Integer.MAX_VALUE : call.endMoment;
+                                call.outcome == Outcome.UNKNOWN
+                                        ? Integer.MAX_VALUE
+                                        : call.endMoment;
                     }
                 }
             }
             boolean valid = hasValidOrder(calls, LinearizabilityChecker.NONE, "", new HashMap<>());
             linearizable += valid ? 1 : 0;
-            assertEquals(valid, candidate.check() == null, "seed " + seed + ": " + candidate.check());
+            assertEquals(
+                    valid, candidate.check() == null, "seed " + seed + ": " + candidate.check());
         }
         assertTrue(
                 linearizable > runs / 20 && linearizable < runs * 19 / 20,
@@ -326,7 +330,11 @@
             Map<Long, String> nextContents = new HashMap<>(writtenContents);
             nextContents.putIfAbsent(call.number, call.digest);
             boolean replaces = written == null && call.number > current;
-            if (hasValidOrder(rest, replaces ? call.number : current, replaces ? call.digest : digest, nextContents)) {
+            if (hasValidOrder(
+                    rest,
+                    replaces ? call.number : current,
+                    replaces ? call.digest : digest,
+                    nextContents)) {
                 return true;
             }
         }
--- a/src/test/java/dillfront/simulation/RouterModelCheckerTest.java
+++ b/src/test/java/dillfront/simulation/RouterModelCheckerTest.java
@@ -21,13 +21,19 @@
 
     @Test
     void invariantsHoldInEveryOrder() {
-        RouterModelChecker.CheckResult result = RouterModelChecker.explore(DEPTH, MAX_STATES, RouterModelChecker.InjectedFault.NONE);
+        RouterModelChecker.CheckResult result =
+                RouterModelChecker.explore(
+                        DEPTH, MAX_STATES, RouterModelChecker.InjectedFault.NONE);
         assertNull(result.broken());
-        assertTrue(result.states() > 20_000 && result.states() < MAX_STATES, "all of them: " + result);
+        assertTrue(
+                result.states() > 20_000 && result.states() < MAX_STATES, "all of them: " + result);
     }
 
     @ParameterizedTest
-    @EnumSource(value = RouterModelChecker.InjectedFault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    @EnumSource(
+            value = RouterModelChecker.InjectedFault.class,
+            mode = EnumSource.Mode.EXCLUDE,
+            names = "NONE")
     void detectsInjectedFault(RouterModelChecker.InjectedFault fault) {
         assertNotNull(RouterModelChecker.explore(DEPTH + 3, MAX_STATES, fault).broken());
     }
