--- a/src/main/java/dillfront/simulation/ControlPlaneModel.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModel.java
@@ -147,21 +147,35 @@
         ModelLimits(
                 int processes,
                 int members,
-                boolean first,
-                boolean lease,
-                int numbers,
-                int orders,
-                int reads,
-                int sent,
-                int crashes,
-                int empties,
-                int refusals,
-                int ticks,
-                int sets,
-                int cuts) {
+                boolean freshStart,
+                boolean usesLeaseManager,
+                int revisions,
+                int maxWrites,
+                int maxReads,
+                int maxInFlight,
+                int maxCrashes,
+                int maxDiskLosses,
+                int maxWriteFailures,
+                int maxTimeSteps,
+                int maxMembershipSteps,
+                int maxLinkCuts) {
             this(
-                    processes, members, first, lease, numbers, orders, reads, sent, crashes,
-                    empties, refusals, ticks, sets, cuts, 0, 0);
+                    processes,
+                    members,
+                    freshStart,
+                    usesLeaseManager,
+                    revisions,
+                    maxWrites,
+                    maxReads,
+                    maxInFlight,
+                    maxCrashes,
+                    maxDiskLosses,
+                    maxWriteFailures,
+                    maxTimeSteps,
+                    maxMembershipSteps,
+                    maxLinkCuts,
+                    0,
+                    0);
         }
 
         /**
@@ -1560,8 +1574,8 @@
         }
 
         @Override
-        public boolean isDisabled(SafetyRule defence) {
-            return lacksRule(defence);
+        public boolean isDisabled(SafetyRule rule) {
+            return lacksRule(rule);
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
@@ -107,7 +107,7 @@
     static final ModelLimits FIRST_START =
             new ModelLimits(3, 3, true, false, 1, 1, 0, 0, 1, 1, 0, 0, 0, 0);
 
-    private static final int MAX_DRAWS = 6;
+    private static final int MAX_REDRAWS = 6;
     private static final int THREADS = 2;
     private static final double[] SPEED_FACTORS = {0, 0.05, 1, 3};
     private static final int UNLIMITED = 1_000;
@@ -188,8 +188,8 @@
      */
     record Walk(
             ModelLimits limits, int length, Map<Kind, Integer> weightFactors, String initialSteps) {
-        Walk(ModelLimits scene, int length, Map<Kind, Integer> more) {
-            this(scene, length, more, "");
+        Walk(ModelLimits limits, int length, Map<Kind, Integer> weightFactors) {
+            this(limits, length, weightFactors, "");
         }
     }
 
@@ -765,7 +765,7 @@
             }
             Kind kind = kinds[draw(weights, random)];
             Step step = draw(model, kind, linkSpeeds, diskSpeeds, random);
-            for (int attempt = 0; attempt < MAX_DRAWS && !model.isPossible(step); attempt++) {
+            for (int attempt = 0; attempt < MAX_REDRAWS && !model.isPossible(step); attempt++) {
                 step = draw(model, kind, linkSpeeds, diskSpeeds, random);
             }
             if (model.isPossible(step)) {
@@ -917,52 +917,52 @@
         ExecutorService executor = Executors.newFixedThreadPool(THREADS);
         try {
             List<Future<Exploration>> explorations = new ArrayList<>();
-            for (StartingPoint result : STARTING_POINTS) {
+            for (StartingPoint entry : STARTING_POINTS) {
                 explorations.add(
                         executor.submit(
                                 () ->
                                         explore(
-                                                result.limits,
-                                                result.initialSteps,
+                                                entry.limits,
+                                                entry.initialSteps,
                                                 null,
                                                 40,
                                                 maxStates)));
             }
             List<Future<Exploration>> walkResults = new ArrayList<>();
-            for (int t = 0; t < THREADS; t++) {
-                int first = t;
+            for (int thread = 0; thread < THREADS; thread++) {
+                int firstWalk = thread;
                 walkResults.add(
                         executor.submit(
-                                () -> walkAll(seed, first, startNanos + budgetNanos * 2 / 5)));
+                                () -> walkAll(seed, firstWalk, startNanos + budgetNanos * 2 / 5)));
             }
-            long worlds = 0;
+            long statesAndWalks = 0;
             long steps = 0;
-            String broken = null;
-            for (Future<Exploration> result : explorations) {
-                worlds += result.get().states;
-                broken = broken == null ? result.get().violation : broken;
+            String violation = null;
+            for (Future<Exploration> entry : explorations) {
+                statesAndWalks += entry.get().states;
+                violation = violation == null ? entry.get().violation : violation;
             }
-            for (Future<Exploration> result : walkResults) {
-                worlds += result.get().states;
-                steps += result.get().depth;
-                broken = broken == null ? result.get().violation : broken;
+            for (Future<Exploration> entry : walkResults) {
+                statesAndWalks += entry.get().states;
+                steps += entry.get().depth;
+                violation = violation == null ? entry.get().violation : violation;
             }
-            TreeMap<SafetyRule, String> caught = new TreeMap<>();
+            TreeMap<SafetyRule, String> detected = new TreeMap<>();
             List<SafetyRule> missed = List.of(SafetyRule.values());
             // Undetected safety rules are tried again in the remaining time.
             for (long pass = 0;
                     !missed.isEmpty()
                             && (pass == 0 || System.nanoTime() - startNanos < budgetNanos);
                     pass++) {
-                caught.putAll(
+                detected.putAll(
                         findViolations(
                                 missed,
                                 seed + pass * UNLIMITED * UNLIMITED,
                                 startNanos + budgetNanos,
                                 executor));
-                missed = missed.stream().filter(result -> !caught.containsKey(result)).toList();
+                missed = missed.stream().filter(entry -> !detected.containsKey(entry)).toList();
             }
-            return new Result(worlds, steps, broken, caught, missed);
+            return new Result(statesAndWalks, steps, violation, detected, missed);
         } catch (InterruptedException | ExecutionException e) {
             throw new IllegalStateException(e);
         } finally {
@@ -973,10 +973,10 @@
     private static Map<SafetyRule, String> findViolations(
             List<SafetyRule> rules, long seed, long deadlineNanos, ExecutorService executor)
             throws InterruptedException, ExecutionException {
-        Map<SafetyRule, Future<String>> hunts = new LinkedHashMap<>();
-        AtomicInteger left = new AtomicInteger(rules.size());
+        Map<SafetyRule, Future<String>> searches = new LinkedHashMap<>();
+        AtomicInteger remaining = new AtomicInteger(rules.size());
         for (SafetyRule rule : rules) {
-            hunts.put(
+            searches.put(
                     rule,
                     executor.submit(
                             () -> {
@@ -989,26 +989,27 @@
                                                 + Math.max(0, deadlineNanos - now)
                                                         * THREADS
                                                         / Math.max(
-                                                                THREADS, left.getAndDecrement()));
+                                                                THREADS,
+                                                                remaining.getAndDecrement()));
                             }));
         }
-        Map<SafetyRule, String> caught = new TreeMap<>();
-        for (Map.Entry<SafetyRule, Future<String>> rule : hunts.entrySet()) {
+        Map<SafetyRule, String> detected = new TreeMap<>();
+        for (Map.Entry<SafetyRule, Future<String>> rule : searches.entrySet()) {
             if (rule.getValue().get() != null) {
-                caught.put(rule.getKey(), rule.getValue().get());
+                detected.put(rule.getKey(), rule.getValue().get());
             }
         }
-        return caught;
+        return detected;
     }
 
     /**
      * Takes every second walk with all safety rules enabled; returns the number of walks, their
      * steps and the first violation.
      */
-    private static Exploration walkAll(long seed, int first, long deadlineNanos) {
+    private static Exploration walkAll(long seed, int firstWalk, long deadlineNanos) {
         int count = 0;
         int steps = 0;
-        for (long i = first; System.nanoTime() < deadlineNanos; i += THREADS) {
+        for (long i = firstWalk; System.nanoTime() < deadlineNanos; i += THREADS) {
             Walk walk = WALKS.get((int) (i / THREADS % WALKS.size()));
             ControlPlaneModel model = walk(walk, null, seed + i);
             count++;
@@ -1031,21 +1032,21 @@
      */
     public static void main(String[] args) {
         long seed = args.length > 0 ? Long.parseLong(args[0]) : 1;
-        long budget = args.length > 1 ? Long.parseLong(args[1]) : 15_000;
+        long budgetMs = args.length > 1 ? Long.parseLong(args[1]) : 15_000;
         if (args.length > 2 && args[2].equals("BREADTH")
                 || args.length > 2 && args[2].equals("TERSE")) {
             int depth = Integer.parseInt(args[3]);
-            for (StartingPoint one : STARTING_POINTS) {
+            for (StartingPoint entry : STARTING_POINTS) {
                 long startNanos = System.nanoTime();
                 System.out.println(
-                        one.name
+                        entry.name
                                 + ": "
                                 + explore(
-                                        one.limits,
-                                        one.initialSteps,
+                                        entry.limits,
+                                        entry.initialSteps,
                                         null,
                                         depth,
-                                        (int) budget,
+                                        (int) budgetMs,
                                         args[2].equals("TERSE"))
                                 + " "
                                 + (System.nanoTime() - startNanos) / 1_000_000
@@ -1054,7 +1055,7 @@
             return;
         }
         if (args.length > 2) {
-            for (SafetyRule one :
+            for (SafetyRule entry :
                     args[2].equals("EACH")
                             ? SafetyRule.values()
                             : new SafetyRule[] {
@@ -1063,19 +1064,20 @@
                 long startNanos = System.nanoTime();
                 String trace =
                         findViolation(
-                                one, seed, Integer.MAX_VALUE, startNanos + budget * 1_000_000);
+                                entry, seed, Integer.MAX_VALUE, startNanos + budgetMs * 1_000_000);
                 System.out.println(
                         (System.nanoTime() - startNanos) / 1_000_000
                                 + " ms, "
-                                + (one == null ? "with all rules: " : "without " + one + ": ")
+                                + (entry == null ? "with all rules: " : "without " + entry + ": ")
                                 + trace);
             }
             return;
         }
-        Result result = run(seed, budget);
+        Result result = run(seed, budgetMs);
         result.detected.forEach(
                 (rule, trace) -> System.out.println("without " + rule + ": " + trace));
-        result.missed.forEach(rule -> System.out.println("without " + rule + ": no violation found"));
+        result.missed.forEach(
+                rule -> System.out.println("without " + rule + ": no violation found"));
         if (result.violation != null) {
             System.out.println("VIOLATION with all safety rules: " + result.violation);
         }
--- a/src/main/java/dillfront/simulation/GossipMeasure.java
+++ b/src/main/java/dillfront/simulation/GossipMeasure.java
@@ -47,26 +47,29 @@
      * sending to the hung node, and the means of the other values.
      */
     private record Row(
-            double stoppedMillis, double value, double sentToHungNode, double falseSuspicions) {}
+            double stoppedMillis,
+            double earnedFraction,
+            double sentToHungNode,
+            double falseSuspicions) {}
 
     private static Row measure(
             double txnsPerSecond, boolean gossip, RouterSimulation.FalseClaims falseClaims) {
         List<Double> stopped = new ArrayList<>();
-        double value = 0;
+        double earnedFraction = 0;
         double sentToHungNode = 0;
         double falseSuspicions = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             RouterSimulation.Outcome outcome =
                     RouterSimulation.run(scenario(txnsPerSecond, gossip, falseClaims, seed));
             stopped.add(outcome.timeToStop().toNanos() / 1e6);
-            value += outcome.earnedFraction() / SEEDS;
+            earnedFraction += outcome.earnedFraction() / SEEDS;
             sentToHungNode += outcome.sentToHungNode() / (double) SEEDS;
             falseSuspicions += outcome.falseSuspicionRate() / SEEDS;
         }
         stopped.sort(null);
         return new Row(
                 (stopped.get(SEEDS / 2) + stopped.get((SEEDS - 1) / 2)) / 2,
-                value,
+                earnedFraction,
                 sentToHungNode,
                 falseSuspicions);
     }
@@ -82,7 +85,7 @@
                 gossip ? "on" : "off",
                 falseClaims,
                 row.stoppedMillis,
-                row.value,
+                row.earnedFraction,
                 row.sentToHungNode,
                 row.falseSuspicions);
         return row;
@@ -179,7 +182,8 @@
             if (txnsPerSecond == TXNS_PER_SECOND) {
                 // One tick of 20 ms is the resolution of the measurement.
                 speedup = withoutGossip.stoppedMillis / Math.max(20, withGossip.stoppedMillis);
-                earnedWithFalseClaims = withFalseClaims.value / withoutGossip.value;
+                earnedWithFalseClaims =
+                        withFalseClaims.earnedFraction / withoutGossip.earnedFraction;
                 measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.PRIMARIES);
                 measureAndPrint(txnsPerSecond, true, RouterSimulation.FalseClaims.HALF);
             }
--- a/src/main/java/dillfront/simulation/LinearizabilityChecker.java
+++ b/src/main/java/dillfront/simulation/LinearizabilityChecker.java
@@ -144,7 +144,7 @@
      * answer no order of the operations explains, and of the calls before it.
      */
     public String check() {
-        if (linearizable(nextMoment)) {
+        if (isLinearizable(nextMoment)) {
             return null;
         }
         // A prefix of a linearizable history is linearizable, so a binary search finds the first
@@ -153,15 +153,15 @@
         int invalidFrom = nextMoment;
         while (invalidFrom - validUntil > 1) {
             int middle = (validUntil + invalidFrom) >>> 1;
-            if (linearizable(middle)) {
+            if (isLinearizable(middle)) {
                 validUntil = middle;
             } else {
                 invalidFrom = middle;
             }
         }
         Operation violation = null;
-        for (Operation one : operations) {
-            violation = one.endMoment == invalidFrom - 1 ? one : violation;
+        for (Operation operation : operations) {
+            violation = operation.endMoment == invalidFrom - 1 ? operation : violation;
         }
         StringBuilder text =
                 new StringBuilder("not linearizable: ")
@@ -170,11 +170,11 @@
                         .append("; before it");
         int shown = 0;
         for (int i = operations.size() - 1; i >= 0 && shown < 6; i--) {
-            Operation one = operations.get(i);
-            if (one != violation
-                    && one.startMoment < invalidFrom
-                    && !(one.isRead && one.endMoment >= invalidFrom)) {
-                text.append(shown++ == 0 ? ": " : "; ").append(one);
+            Operation operation = operations.get(i);
+            if (operation != violation
+                    && operation.startMoment < invalidFrom
+                    && !(operation.isRead && operation.endMoment >= invalidFrom)) {
+                text.append(shown++ == 0 ? ": " : "; ").append(operation);
             }
         }
         return text.toString();
@@ -202,7 +202,7 @@
     }
 
     /** Checks the history up to a moment; operations that end later count as still pending. */
-    private boolean linearizable(int until) {
+    private boolean isLinearizable(int until) {
         Search search = new Search();
         for (Operation operation : operations) {
             boolean answered = operation.endMoment < until;
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -92,7 +92,7 @@
         RouterModelChecker.CheckResult modelChecking =
                 RouterModelChecker.explore(
                         5, Integer.MAX_VALUE, RouterModelChecker.InjectedFault.NONE);
-        if (modelChecking.broken() != null) {
+        if (modelChecking.violation() != null) {
             throw new IllegalStateException(modelChecking.toString());
         }
         ColdStartSimulation.Outcome[] with100Routers = simulate(100, 200);
@@ -316,12 +316,12 @@
     }
 
     private static void awaitServed(Rig rig, Load load) {
-        List<String> incarnations = rig.routers().stream().map(Router::life).toList();
+        List<String> incarnationIds = rig.routers().stream().map(Router::life).toList();
         rig.stage()
                 .await(
                         RECOVERED_TXNS + " were served",
                         () ->
-                                incarnations.stream().mapToInt(load::committed).sum()
+                                incarnationIds.stream().mapToInt(load::committed).sum()
                                         >= RECOVERED_TXNS);
     }
 }
--- a/src/main/java/dillfront/simulation/RouterModelChecker.java
+++ b/src/main/java/dillfront/simulation/RouterModelChecker.java
@@ -55,9 +55,9 @@
     /**
      * @param states number of explored states
      * @param depth the deepest explored path
-     * @param broken the first violated invariant and the steps that lead to it; null if all held
+     * @param violation the first violated invariant and the steps that lead to it; null if all held
      */
-    public record CheckResult(int states, int depth, String broken) {}
+    public record CheckResult(int states, int depth, String violation) {}
 
     private static final int ROUTERS = 2;
     private static final int NODES = 3;
@@ -92,11 +92,11 @@
             for (int choice : path) {
                 model.step(choice);
             }
-            if (model.broken != null) {
+            if (model.violation != null) {
                 return new CheckResult(
                         visited.size(),
                         path.length,
-                        model.broken + " after " + String.join(", ", model.steps));
+                        model.violation + " after " + String.join(", ", model.steps));
             }
             if (!visited.add(model.state())) {
                 continue;
@@ -196,10 +196,12 @@
         int reads;
         int ticks;
         int crashes;
+
         /** Number of lost connections. */
         int breaks;
+
         int gossip;
-        String broken;
+        String violation;
 
         Model(InjectedFault fault) {
             this.fault = fault;
@@ -224,7 +226,7 @@
 
         /** Records a violation unless there is an earlier one. */
         void breaks(String rule) {
-            broken = broken == null ? rule : broken;
+            violation = violation == null ? rule : violation;
         }
 
         void step(int choice) {
@@ -243,7 +245,7 @@
                         int key = k;
                         // The second key is used only after the first, since the keys are
                         // symmetric.
-                        if (k == 0 || requests.stream().anyMatch(a -> a.key == 0)) {
+                        if (k == 0 || requests.stream().anyMatch(request -> request.key == 0)) {
                             steps.add(
                                     new Step(
                                             "r" + index + " receives a request for k" + k,
@@ -491,8 +493,10 @@
         final InDoubtKeys inDoubtKeys;
         final Closings closings = new Closings();
         final Set<Integer> peerInDoubtKeys = new TreeSet<>();
+
         /** In-doubt keys that other routers reported to this incarnation. */
         final Set<Integer> received = new TreeSet<>();
+
         int listVersion;
 
         RouterIncarnation(Model model, int index) {
@@ -630,7 +634,8 @@
         }
 
         boolean isBusy() {
-            return requests.stream().anyMatch(a -> a.answer == null || a.outstanding > 0);
+            return requests.stream()
+                    .anyMatch(request -> request.answer == null || request.outstanding > 0);
         }
 
         void startRequest(int key) {
--- a/src/main/java/dillfront/simulation/RouterSimulation.java
+++ b/src/main/java/dillfront/simulation/RouterSimulation.java
@@ -215,7 +215,7 @@
                 scenario.gossip ? gossipNetwork.meanBytesSent() / seconds(scenario.end) : 0);
     }
 
-    private int nodes() {
+    private int nodeCount() {
         return scenario.groups * scenario.members;
     }
 
@@ -332,7 +332,7 @@
 
         private void start() {
             List<NodeRow> rows = new ArrayList<>();
-            for (int node = 0; node < nodes(); node++) {
+            for (int node = 0; node < nodeCount(); node++) {
                 rows.add(
                         new NodeRow(
                                 node,
@@ -354,12 +354,12 @@
         }
 
         private void publishFalseClaims() {
-            for (int node = 0; node < nodes(); node++) {
+            for (int node = 0; node < nodeCount(); node++) {
                 boolean claimed =
                         switch (scenario.falseClaims) {
                             case ALL -> true;
                             case PRIMARIES -> node % scenario.members == 0;
-                            case HALF -> node < nodes() / 2;
+                            case HALF -> node < nodeCount() / 2;
                             default -> false;
                         };
                 if (claimed) {
@@ -422,7 +422,7 @@
                         // its own observations.
                         if (scenario.gossip && !publishesFalseClaims()) {
                             peerHealth.tick(scheduler.now());
-                            for (int node = 0; node < nodes(); node++) {
+                            for (int node = 0; node < nodeCount(); node++) {
                                 nodeTicks++;
                                 boolean healthy =
                                         node != scenario.hungNode
--- a/src/test/java/dillfront/simulation/RouterModelCheckerTest.java
+++ b/src/test/java/dillfront/simulation/RouterModelCheckerTest.java
@@ -24,7 +24,7 @@
         RouterModelChecker.CheckResult result =
                 RouterModelChecker.explore(
                         DEPTH, MAX_STATES, RouterModelChecker.InjectedFault.NONE);
-        assertNull(result.broken());
+        assertNull(result.violation());
         assertTrue(
                 result.states() > 20_000 && result.states() < MAX_STATES, "all of them: " + result);
     }
@@ -35,6 +35,6 @@
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
     void detectsInjectedFault(RouterModelChecker.InjectedFault fault) {
-        assertNotNull(RouterModelChecker.explore(DEPTH + 3, MAX_STATES, fault).broken());
+        assertNotNull(RouterModelChecker.explore(DEPTH + 3, MAX_STATES, fault).violation());
     }
 }
