--- a/src/main/java/dillfront/simulation/ControlPlaneModel.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModel.java
@@ -308,14 +308,14 @@
         violation = violation == null ? description : violation;
     }
 
-    private Configuration configuration(long number, int operator) {
+    private Configuration configuration(long revision, int operator) {
         return contents.computeIfAbsent(
-                number + "/" + operator,
+                revision + "/" + operator,
                 key -> {
                     try {
                         return Configuration.parse(
                                 ("{\"revision_number\":"
-                                                + number
+                                                + revision
                                                 + ",\"by\":"
                                                 + operator
                                                 + ",\"services\":[],\"routes\":[]}")
@@ -454,9 +454,9 @@
         checkCoordinators();
         if (historyChanged) {
             historyChanged = false;
-            String sequenceFault = history.check();
-            if (sequenceFault != null) {
-                recordViolation(sequenceFault);
+            String historyFault = history.check();
+            if (historyFault != null) {
+                recordViolation(historyFault);
             }
             checkAnswers();
         }
@@ -467,44 +467,46 @@
         List<Step> all = new ArrayList<>();
         int processCount = limits.processes;
         for (int process = 0; process < processCount; process++) {
-            for (int j = 0; j < processCount; j++) {
-                addIfPossible(all, Kind.MESSAGE, process, j);
-                addIfPossible(all, Kind.SENT, process, j);
-                if (process != j) {
-                    addIfPossible(all, linkCut[process][j] ? Kind.JOIN : Kind.CUT, process, j);
+            for (int peer = 0; peer < processCount; peer++) {
+                addIfPossible(all, Kind.MESSAGE, process, peer);
+                addIfPossible(all, Kind.SENT, process, peer);
+                if (process != peer) {
+                    addIfPossible(
+                            all, linkCut[process][peer] ? Kind.JOIN : Kind.CUT, process, peer);
                 }
             }
             addIfPossible(all, Kind.DISK, process, 0);
             addIfPossible(all, Kind.REFUSED, process, 0);
             addIfPossible(all, Kind.REFUSED, process, 1);
-            for (int done = 0;
-                    processes[process].register != null && done <= processes[process].disk().size();
-                    done++) {
-                addIfPossible(all, Kind.CRASH, process, done);
+            for (int completedWrites = 0;
+                    processes[process].register != null
+                            && completedWrites <= processes[process].disk().size();
+                    completedWrites++) {
+                addIfPossible(all, Kind.CRASH, process, completedWrites);
             }
             addIfPossible(all, Kind.START, process, 0);
             addIfPossible(all, Kind.EMPTY, process, 0);
             addIfPossible(all, Kind.READ, process, 0);
-            for (int b = 0; b < 3 * SERVER_COUNT; b++) {
-                addIfPossible(all, Kind.SERVER, process, b);
+            for (int argument = 0; argument < 3 * SERVER_COUNT; argument++) {
+                addIfPossible(all, Kind.SERVER, process, argument);
             }
-            for (int b = 0; b < SERVER_COUNT; b++) {
-                addIfPossible(all, Kind.RECORD, process, b);
+            for (int argument = 0; argument < SERVER_COUNT; argument++) {
+                addIfPossible(all, Kind.RECORD, process, argument);
             }
             // With few membership steps allowed, the initial steps have started the changes and
             // only the finishing steps remain.
-            for (int mask = 0;
-                    mask < (limits.maxMembershipSteps > 2 ? 1 << processCount : 1);
-                    mask++) {
-                if (mask == 0 || Integer.bitCount(mask) >= 2) {
-                    addIfPossible(all, Kind.SETS, process, mask);
+            for (int memberBits = 0;
+                    memberBits < (limits.maxMembershipSteps > 2 ? 1 << processCount : 1);
+                    memberBits++) {
+                if (memberBits == 0 || Integer.bitCount(memberBits) >= 2) {
+                    addIfPossible(all, Kind.SETS, process, memberBits);
                 }
             }
         }
         for (int operator = 0; operator < OPERATORS; operator++) {
             for (int process = 0; process < processCount; process++) {
-                for (int number = 1; number <= limits.revisions; number++) {
-                    addIfPossible(all, Kind.ORDER, operator, process + 8 * number);
+                for (int revision = 1; revision <= limits.revisions; revision++) {
+                    addIfPossible(all, Kind.ORDER, operator, process + 8 * revision);
                 }
             }
             addIfPossible(all, Kind.GIVE_UP, operator, 0);
@@ -525,31 +527,31 @@
         }
     }
 
-    private void startWrite(int operator, int process, long number) {
-        Configuration configuration = configuration(number, operator);
+    private void startWrite(int operator, int process, long revision) {
+        Configuration configuration = configuration(revision, operator);
         String digest = Integer.toString(operator);
         PendingWrite write =
                 new PendingWrite(
-                        history.begin(now, "operator " + operator, number, digest),
+                        history.begin(now, "operator " + operator, revision, digest),
                         process,
-                        number + "/" + digest);
+                        revision + "/" + digest);
         pendingWrites[operator] = write;
-        operatorEvents.add("asks " + operator + " " + write.content);
+        operatorEvents.add("writes " + operator + " " + write.content);
         processes[process]
                 .register
                 .propose(configuration)
                 .whenComplete(
-                        (outcome, fault) -> {
-                            if (pendingWrites[operator] == write && fault == null) {
+                        (result, error) -> {
+                            if (pendingWrites[operator] == write && error == null) {
                                 pendingWrites[operator] = null;
-                                boolean accepted = outcome == RegisterValue.Outcome.ACCEPTED;
+                                boolean accepted = result == RegisterValue.Outcome.ACCEPTED;
                                 history.end(
                                         write.operation,
                                         now,
                                         accepted
                                                 ? LinearizabilityChecker.Outcome.ACKNOWLEDGED
                                                 : LinearizabilityChecker.Outcome.REFUSED);
-                                operatorEvents.add(operator + " receives " + outcome);
+                                operatorEvents.add(operator + " receives " + result);
                                 if (!Boolean.valueOf(accepted)
                                         .equals(answers.getOrDefault(write.content, accepted))) {
                                     recordViolation(
@@ -1190,9 +1192,9 @@
 
         private SortedSet<String> memberSet(int memberBits) {
             TreeSet<String> members = new TreeSet<>();
-            for (int i = 0; i < limits.processes; i++) {
-                String peerId = i == index ? id : peers[i].id();
-                if ((memberBits >> i & 1) == 1 && !peerId.isEmpty()) {
+            for (int process = 0; process < limits.processes; process++) {
+                String peerId = process == index ? id : peers[process].id();
+                if ((memberBits >> process & 1) == 1 && !peerId.isEmpty()) {
                     members.add(peerId);
                 }
             }
--- a/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
+++ b/src/main/java/dillfront/simulation/ControlPlaneModelChecker.java
@@ -543,17 +543,21 @@
     /** Starting points of the explorations. */
     private static final List<StartingPoint> STARTING_POINTS =
             List.of(
-                    new StartingPoint("duel", TWO_WRITERS, TWO_WRITERS_START),
-                    new StartingPoint("loss", POWER_LOSS, POWER_LOSS_START),
-                    new StartingPoint("first", FIRST_START, ""),
-                    new StartingPoint("replaced", MEMBER_REPLACEMENT, MEMBER_REPLACEMENT_START),
-                    new StartingPoint("replaced by one", JOINT_REPLACEMENT, JOINT_ON_PROPOSER),
-                    new StartingPoint("replaced by old", JOINT_REPLACEMENT, JOINT_ON_OLD_MAJORITY),
-                    new StartingPoint("replaced settling", JOINT_REPLACEMENT, JOINT_FINISHING),
-                    new StartingPoint("kept", REGISTRY, REGISTRY_START),
-                    new StartingPoint("kept joint", REGISTRY_REPLACEMENT, REGISTRY_JOINT),
+                    new StartingPoint("two writers", TWO_WRITERS, TWO_WRITERS_START),
+                    new StartingPoint("power loss", POWER_LOSS, POWER_LOSS_START),
+                    new StartingPoint("first start", FIRST_START, ""),
                     new StartingPoint(
-                            "kept settling", REGISTRY_REPLACEMENT, REGISTRY_JOINT_FINISHING));
+                            "member replacement", MEMBER_REPLACEMENT, MEMBER_REPLACEMENT_START),
+                    new StartingPoint("joint on proposer", JOINT_REPLACEMENT, JOINT_ON_PROPOSER),
+                    new StartingPoint(
+                            "joint on old majority", JOINT_REPLACEMENT, JOINT_ON_OLD_MAJORITY),
+                    new StartingPoint("joint finishing", JOINT_REPLACEMENT, JOINT_FINISHING),
+                    new StartingPoint("registry", REGISTRY, REGISTRY_START),
+                    new StartingPoint("registry joint", REGISTRY_REPLACEMENT, REGISTRY_JOINT),
+                    new StartingPoint(
+                            "registry joint finishing",
+                            REGISTRY_REPLACEMENT,
+                            REGISTRY_JOINT_FINISHING));
 
     /** Walks that detect the absence of a safety rule soonest; any walk detects the others. */
     private static final Map<SafetyRule, List<Walk>> DETECTING_WALKS =
--- a/src/main/java/dillfront/simulation/GossipSimulation.java
+++ b/src/main/java/dillfront/simulation/GossipSimulation.java
@@ -54,7 +54,7 @@
             this.index = index;
         }
 
-        /** Starts the instance with empty state and increments its incarnation. */
+        /** Starts the instance with empty state; the ticks of an earlier start end. */
         public void start(List<Integer> seeds) {
             stopped = false;
             int expectedStart = ++startCount;
