--- a/src/main/java/dillfront/simulation/StubDatabaseServer.java
+++ b/src/main/java/dillfront/simulation/StubDatabaseServer.java
@@ -205,7 +205,7 @@
 
         @Override
         public void onClose(String reason) {
-            // Nothing to clean up: each connection has its own session.
+            // Nothing to release: each connection has its own session.
         }
     }
 }
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -102,7 +102,7 @@
         replace(nonHolder(), present);
         failOver("with the earlier version as lease holder");
         replace(holder(), present);
-        await("another holds the lease", () -> holders() == 1);
+        await("another process holds the lease", () -> holders() == 1);
         replaceRemaining();
         await("the present version holds the lease", () -> holders() == 1);
         downgrade(nonHolder());
@@ -119,7 +119,7 @@
         controls.start(index, false);
         String members = status((index + 1) % ControlPlaneProcesses.IPS.length);
         try {
-            await("it is back", () -> status(index).contains("version=" + revision + " "));
+            await("the replaced process is back", () -> status(index).contains("version=" + revision + " "));
         } catch (AssertionError notBack) {
             unread++;
             System.out.println(notBack.getMessage() + "; members were " + members);
@@ -172,7 +172,7 @@
                 "revision " + revision + " is acknowledged",
                 () -> call("POST", "/Configuration.Replace", body) == 200);
         await(
-                "revision " + revision + " is everywhere",
+                "revision " + revision + " is at every control-plane process",
                 () -> {
                     for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
                         if (!status(i).contains("version=" + revision + " ")) {
@@ -244,7 +244,7 @@
         }
     }
 
-    // ---- processes and stand-ins
+    // ---- processes and stubs
 
     private void startStandIns() throws IOException {
         List<String> addresses = new ArrayList<>();
