--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -91,7 +91,7 @@
     }
 
     private void run() throws Exception {
-        startStandIns();
+        startStubs();
         controls.platformAddress("127.0.0.1:" + PLATFORM_PORT);
         controls.start(true);
         startDataPlane(0, earlier);
@@ -119,7 +119,9 @@
         controls.start(index, false);
         String members = status((index + 1) % ControlPlaneProcesses.IPS.length);
         try {
-            await("the replaced process is back", () -> status(index).contains("version=" + revision + " "));
+            await(
+                    "the replaced process is back",
+                    () -> status(index).contains("version=" + revision + " "));
         } catch (AssertionError notBack) {
             unread++;
             System.out.println(notBack.getMessage() + "; members were " + members);
@@ -246,7 +248,7 @@
 
     // ---- processes and stubs
 
-    private void startStandIns() throws IOException {
+    private void startStubs() throws IOException {
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             addresses.add(controls.controlAddress(i));
