--- a/src/main/java/dillfront/simulation/ColdStartSimulation.java
+++ b/src/main/java/dillfront/simulation/ColdStartSimulation.java
@@ -1,17 +1,17 @@
 package dillfront.simulation;
 
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,7 +21,7 @@
 
 /**
  * Simulates in virtual time how a whole fleet returns after a power loss. Up to the full number of
- * routers decide by {@link Decide} itself in front of nodes that warm up as slowly as their
+ * routers decide by {@link RoutingEngine} itself in front of nodes that warm up as slowly as their
  * settings allow and become overloaded when they receive too much work. Clients retry. Coarser than
  * {@link RouterSimulation}: one core per node, one duration for all statements, no connections and
  * no lost messages. The same scenario always gives the same run.
@@ -266,7 +266,7 @@
         }
     }
 
-    private final class Router implements Outlet {
+    private final class Router implements RoutingActions {
         final double startsAt;
 
         /** Some routers get several times the mean load. */
@@ -274,7 +274,7 @@
 
         final long seed;
         double rate;
-        Decide routingEngine;
+        RoutingEngine routingEngine;
         private final List<Txn> txns = new ArrayList<>();
         private final List<Integer> freeSlots = new ArrayList<>();
 
@@ -284,8 +284,8 @@
         }
 
         void start() {
-            routingEngine = new Decide(settings(), this, new SplittableRandom(seed));
-            routingEngine.at(toDuration(nowSeconds));
+            routingEngine = new RoutingEngine(settings(), this, new SplittableRandom(seed));
+            routingEngine.setTime(toDuration(nowSeconds));
             updateServers();
         }
 
@@ -306,13 +306,13 @@
                                     1,
                                     node.isPrimary(),
                                     toDuration(node.startsAt),
-                                    Standing.READY));
+                                    MemberState.READY));
                 } else {
                     nextStart = Math.min(nextStart, node.startsAt - nowSeconds);
                 }
             }
-            routingEngine.at(toDuration(nowSeconds));
-            routingEngine.list(true, rows);
+            routingEngine.setTime(toDuration(nowSeconds));
+            routingEngine.updateMembers(true, rows);
             if (nextStart < Double.MAX_VALUE) {
                 schedule(nextStart + 1e-6, this::updateServers);
             }
@@ -326,10 +326,10 @@
             } else {
                 txns.set(slot, txn);
             }
-            routingEngine.at(toDuration(nowSeconds));
+            routingEngine.setTime(toDuration(nowSeconds));
             int type = random.nextInt(10) < 3 ? 0 : random.nextInt(10) < 5 ? 1 : 2;
             txn.handle =
-                    routingEngine.take(
+                    routingEngine.accept(
                             slot,
                             type,
                             -1,
@@ -374,38 +374,40 @@
         }
 
         @Override
-        public void rollBack(int slot) {
+        public void reportUnknownOutcome(int slot) {
             txns.get(slot).answered = true;
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {
             schedule(
                     2 * NETWORK_DELAY_SECONDS,
                     () -> {
-                        routingEngine.at(toDuration(nowSeconds));
-                        routingEngine.probed(
+                        routingEngine.setTime(toDuration(nowSeconds));
+                        routingEngine.probeCompleted(
                                 node,
                                 true,
-                                new Report(
+                                new NodeReport(
                                         toDuration(nowSeconds),
-                                        nodes.get(node).isPrimary() ? Role.PRIMARY : Role.REPLICA));
+                                        nodes.get(node).isPrimary()
+                                                ? NodeRole.PRIMARY
+                                                : NodeRole.REPLICA));
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration delay) {
+        public void scheduleWakeUp(Duration delay) {
             schedule(
                     delay.toNanos() / 1e9,
                     () -> {
-                        routingEngine.at(toDuration(nowSeconds));
-                        routingEngine.woken();
+                        routingEngine.setTime(toDuration(nowSeconds));
+                        routingEngine.onWakeUp();
                     });
         }
 
@@ -413,7 +415,7 @@
             final int slot;
             final Router client;
             final int attemptsLeft;
-            Handle handle;
+            TransactionHandle handle;
             int outstanding;
             boolean answered;
             boolean slotReleased;
@@ -426,20 +428,20 @@
 
             void complete(int node, boolean inTime, double elapsedSeconds) {
                 outstanding--;
-                routingEngine.at(toDuration(nowSeconds));
+                routingEngine.setTime(toDuration(nowSeconds));
                 if (inTime && !answered) {
                     answered = true;
                     servedCount++;
                     firstServedAt = Double.isNaN(firstServedAt) ? nowSeconds : firstServedAt;
                 }
-                Role role = nodes.get(node).isPrimary() ? Role.PRIMARY : Role.REPLICA;
-                handle.ended(
+                NodeRole role = nodes.get(node).isPrimary() ? NodeRole.PRIMARY : NodeRole.REPLICA;
+                handle.submissionEnded(
                         node,
-                        inTime ? Result.COMMITTED : Result.TIMED_OUT,
+                        inTime ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                         toDuration(elapsedSeconds),
                         answered,
-                        inTime ? new Report(toDuration(nowSeconds), role) : Report.NOTHING,
-                        Report.NOTHING);
+                        inTime ? new NodeReport(toDuration(nowSeconds), role) : NodeReport.EMPTY,
+                        NodeReport.EMPTY);
                 releaseSlotIfDone();
             }
 
@@ -452,13 +454,13 @@
         }
     }
 
-    private Settings settings() {
-        List<TxnType> types =
+    private RoutingSettings settings() {
+        List<TransactionType> types =
                 List.of(
-                        type(Effect.REFERENCED, Read.WRITE, 6),
-                        type(Effect.REPEATABLE, Read.BOUNDED, 3),
-                        type(Effect.REPEATABLE, Read.ANY, 2));
-        return new Settings(
+                        type(Repeatability.DEDUPLICATED, Consistency.WRITE, 6),
+                        type(Repeatability.IDEMPOTENT, Consistency.BOUNDED_STALENESS, 3),
+                        type(Repeatability.IDEMPOTENT, Consistency.EVENTUAL, 2));
+        return new RoutingSettings(
                 TICK,
                 0,
                 Duration.ofMillis(250),
@@ -479,8 +481,8 @@
                 List.of());
     }
 
-    private static TxnType type(Effect effect, Read read, double value) {
-        return new TxnType(
+    private static TransactionType type(Repeatability effect, Consistency read, double value) {
+        return new TransactionType(
                 effect,
                 true,
                 Duration.ofSeconds(2),
--- a/src/main/java/dillfront/simulation/ControlMeasure.java
+++ b/src/main/java/dillfront/simulation/ControlMeasure.java
@@ -1,7 +1,7 @@
 package dillfront.simulation;
 
 import dillfront.simulation.system.ControlCounts;
-import dillfront.simulation.system.Day;
+import dillfront.simulation.system.SystemSimulation;
 import java.util.Collections;
 import java.util.List;
 import java.util.TreeMap;
@@ -27,17 +27,17 @@
     /**
      * Returns the fault schedule of a seed with three, four or five control processes; not yet run.
      */
-    public static Day scheduleOf(long seed) {
+    public static SystemSimulation scheduleOf(long seed) {
         boolean busy = seed % 8 == 0;
-        Day schedule =
-                new Day(
+        SystemSimulation schedule =
+                new SystemSimulation(
                         seed,
                         busy ? 2 : 1,
                         busy ? 2 : 1,
                         busy ? 9 : 3,
                         SCHEDULE_MS,
                         seed % 5 < 3 ? 3 : seed % 5 == 3 ? 4 : 5);
-        schedule.worst();
+        schedule.addWorstCaseFaults();
         return schedule;
     }
 
@@ -47,19 +47,19 @@
      */
     public static void main(String[] args) {
         if (args.length == 1) {
-            Day schedule = scheduleOf(Long.parseLong(args[0]));
-            schedule.play();
-            schedule.story.forEach(System.out::println);
-            schedule.told().forEach(System.out::println);
+            SystemSimulation schedule = scheduleOf(Long.parseLong(args[0]));
+            schedule.run();
+            schedule.eventLog.forEach(System.out::println);
+            schedule.traceLog().forEach(System.out::println);
             schedule.status().forEach(System.out::println);
-            schedule.breaches().forEach(System.out::println);
+            schedule.violations().forEach(System.out::println);
             System.out.println(
                     "served "
                             + schedule.served()
                             + " promotions "
                             + schedule.promotions()
                             + " promote_ms "
-                            + schedule.promoteMs());
+                            + schedule.promotionMillis());
             return;
         }
         long startNanos = System.nanoTime();
@@ -73,20 +73,20 @@
                 (args.length > 0 || schedules < MAX_SCHEDULES)
                         && (System.nanoTime() - startNanos) / 1_000_000 < schedulesMs;
                 seed++) {
-            Day schedule = scheduleOf(seed);
-            schedule.play();
+            SystemSimulation schedule = scheduleOf(seed);
+            schedule.run();
             schedules++;
-            counts.add(schedule.control());
+            counts.add(schedule.controlCounts());
             served += schedule.served();
-            if (!schedule.breaches().isEmpty()) {
+            if (!schedule.violations().isEmpty()) {
                 broken++;
                 System.out.println(
                         "seed "
                                 + seed
                                 + ": "
-                                + schedule.breaches().get(0)
-                                + (schedule.breaches().size() > 1
-                                        ? " and " + (schedule.breaches().size() - 1) + " more"
+                                + schedule.violations().get(0)
+                                + (schedule.violations().size() > 1
+                                        ? " and " + (schedule.violations().size() - 1) + " more"
                                         : ""));
             }
         }
@@ -112,22 +112,22 @@
                 "control: losses=%d acknowledged=%d lost=%d back=%d two_under_one=%d refused_again=%d minority_answers=%d"
                         + " two_holders=%d fence_repeats=%d replaced=%d no_majority=%d replace_ms_p99=%d behind_changes=%d catch_up_ms_p99=%d"
                         + " wrong_caller=%d sent_twice=%d worlds=%d defences=%d defences_caught=%d%n",
-                counts.losses,
-                counts.acknowledged,
-                counts.lost,
-                counts.back,
-                counts.twoUnderOne,
-                counts.refusedAgain,
-                counts.minorityAnswers,
-                counts.twoHolders,
-                counts.fenceRepeats,
-                counts.replaced,
-                counts.noMajority,
-                p99(counts.replaceMs),
-                counts.behindChanges,
-                p99(counts.catchUpMs),
-                counts.wrongCaller,
-                counts.sentTwice,
+                counts.machineLosses,
+                counts.acknowledgedChanges,
+                counts.lostChanges,
+                counts.revisionRegressions,
+                counts.conflictingContents,
+                counts.rejectedAfterAcknowledge,
+                counts.minorityResponses,
+                counts.concurrentLeaseHolders,
+                counts.fencingTokenReuses,
+                counts.replacements,
+                counts.overdueChanges,
+                p99(counts.replacementMillis),
+                counts.caughtUpChanges,
+                p99(counts.catchUpMillis),
+                counts.misroutedResponses,
+                counts.duplicateExecutions,
                 modelChecking.statesAndWalks(),
                 modelChecking.detected().size() + modelChecking.missed().size(),
                 modelChecking.detected().size());
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -2,13 +2,13 @@
 
 import dillfront.common.logging.Log;
 import dillfront.router.memory.RouterStateStore;
-import dillfront.routing.api.Standing;
-import dillfront.simulation.processes.Audit;
-import dillfront.simulation.processes.Load;
-import dillfront.simulation.processes.Mix;
-import dillfront.simulation.processes.Node;
+import dillfront.routing.api.MemberState;
+import dillfront.simulation.processes.InvariantChecker;
+import dillfront.simulation.processes.LoadGenerator;
 import dillfront.simulation.processes.Rig;
-import dillfront.simulation.processes.Router;
+import dillfront.simulation.processes.RouterProcess;
+import dillfront.simulation.processes.SimulatedNode;
+import dillfront.simulation.processes.TransactionMix;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -41,8 +41,10 @@
     /** Recovery is complete once all routers together have served this many transactions. */
     private static final int RECOVERED_TXNS = 100;
 
-    private static final Node.Work WORK = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
-    private static final Node.Work FAST_WORK = new Node.Work(8, 500, 0.2, 3000, 2, 1000);
+    private static final SimulatedNode.Capacity WORK =
+            new SimulatedNode.Capacity(2, 5000, 0.2, 3000, 2, 1000);
+    private static final SimulatedNode.Capacity FAST_WORK =
+            new SimulatedNode.Capacity(8, 500, 0.2, 3000, 2, 1000);
     private static final int CLOSED_LOOP_CLIENTS = 64;
     private static final long CLOSED_LOOP_MS = 1500;
 
@@ -204,7 +206,7 @@
         try {
             RouterStateStore store = RouterStateStore.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                store.closed("s-" + i, Standing.DRAINING, i, i);
+                store.closed("s-" + i, MemberState.DRAINING, i, i);
             }
             CountDownLatch persisted = new CountDownLatch(1);
             store.whenKept(success -> persisted.countDown());
@@ -234,12 +236,12 @@
      * request as soon as the last is answered.
      */
     private static double measureRate(boolean persistsState, boolean writes) throws Exception {
-        Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(FAST_WORK);
+        Rig.Plan plan = Rig.Plan.of(1, 1, 3).capacity(FAST_WORK);
         try (Rig rig =
-                new Rig(persistsState ? plan.operator(PowerMeasure::storageSettings) : plan)) {
+                new Rig(persistsState ? plan.operatorFile(PowerMeasure::storageSettings) : plan)) {
             rig.start();
             long[] count = new long[1];
-            rig.stage()
+            rig.harness()
                     .run(
                             () -> {
                                 for (int i = 0; i < CLOSED_LOOP_CLIENTS; i++) {
@@ -247,13 +249,13 @@
                                 }
                             });
             Thread.sleep(CLOSED_LOOP_MS / 2);
-            long startNanos = rig.stage().now();
-            long before = rig.stage().call(() -> count[0]);
+            long startNanos = rig.harness().nowNanos();
+            long before = rig.harness().call(() -> count[0]);
             Thread.sleep(CLOSED_LOOP_MS);
-            long after = rig.stage().call(() -> count[0]);
-            double rate = (after - before) * 1e9 / (rig.stage().now() - startNanos);
-            rig.stage().run(() -> count[0] = Long.MIN_VALUE / 2);
-            rig.settle();
+            long after = rig.harness().call(() -> count[0]);
+            double rate = (after - before) * 1e9 / (rig.harness().nowNanos() - startNanos);
+            rig.harness().run(() -> count[0] = Long.MIN_VALUE / 2);
+            rig.awaitAllAnswered();
             return rate;
         }
     }
@@ -263,14 +265,16 @@
             return;
         }
         long number = ++count[0];
-        Mix.Type type =
-                writes ? Mix.type("move") : Mix.TYPES.get((int) (number % Mix.TYPES.size()));
+        TransactionMix.TransactionType type =
+                writes
+                        ? TransactionMix.type("move")
+                        : TransactionMix.TYPES.get((int) (number % TransactionMix.TYPES.size()));
         rig.router(0)
-                .caller()
-                .ask(
+                .client()
+                .submit(
                         type.name(),
                         0,
-                        type.write() ? "c" + number : "16-" + number % 1000,
+                        type.isWrite() ? "c" + number : "16-" + number % 1000,
                         1500,
                         0,
                         answer -> sendNext(rig, writes, count));
@@ -284,40 +288,41 @@
         try (Rig rig =
                 new Rig(
                         Rig.Plan.of(routers, 2, 3)
-                                .work(WORK)
+                                .capacity(WORK)
                                 .zones("a", "b", "c")
-                                .operator(PowerMeasure::storageSettings))) {
+                                .operatorFile(PowerMeasure::storageSettings))) {
             rig.start();
-            Load load = new Load(rig, seed, 5000);
+            LoadGenerator load = new LoadGenerator(rig, seed, 5000);
             load.start();
             List<Long> backMs = new ArrayList<>();
             for (int loss = 0; loss < count; loss++) {
                 awaitServed(rig, load);
-                rig.cut();
-                for (Node node : rig.nodes()) {
-                    rig.back(node, 0);
+                rig.losePower();
+                for (SimulatedNode node : rig.nodes()) {
+                    rig.restartNode(node, 0);
                 }
                 for (int router = 0; router < routers; router++) {
                     rig.agent(router, 0).open();
                 }
-                long startNanos = rig.stage().now();
+                long startNanos = rig.harness().nowNanos();
                 rig.start();
                 awaitServed(rig, load);
-                backMs.add((rig.stage().now() - startNanos) / 1_000_000);
+                backMs.add((rig.harness().nowNanos() - startNanos) / 1_000_000);
             }
             load.stop();
-            rig.settle();
-            rig.routers().forEach(Router::end);
-            Audit audit = Audit.of(rig.stage().record(), true);
+            rig.awaitAllAnswered();
+            rig.routers().forEach(RouterProcess::shutDown);
+            InvariantChecker audit = InvariantChecker.of(rig.harness().events(), true);
             long[] rules = new long[6];
-            audit.breaches().forEach(breach -> rules[breach.rule()]++);
-            return new Losses(backMs, rules, audit.peak());
+            audit.violations().forEach(breach -> rules[breach.rule()]++);
+            return new Losses(backMs, rules, audit.peakWarmupLoad());
         }
     }
 
-    private static void awaitServed(Rig rig, Load load) {
-        List<String> incarnationIds = rig.routers().stream().map(Router::life).toList();
-        rig.stage()
+    private static void awaitServed(Rig rig, LoadGenerator load) {
+        List<String> incarnationIds =
+                rig.routers().stream().map(RouterProcess::incarnation).toList();
+        rig.harness()
                 .await(
                         RECOVERED_TXNS + " were served",
                         () ->
--- a/src/main/java/dillfront/simulation/RouterModelChecker.java
+++ b/src/main/java/dillfront/simulation/RouterModelChecker.java
@@ -2,18 +2,18 @@
 
 import dillfront.router.discovery.Closings;
 import dillfront.router.recovery.InDoubtKeys;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,8 +26,8 @@
 
 /**
  * Checks exhaustively a model small enough for all its states: two routers that decide by {@link
- * Decide}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one group and two
- * keys. The events are requests, sends, answers, lost connections, server lists, a drain, disk
+ * RoutingEngine}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one group and
+ * two keys. The events are requests, sends, answers, lost connections, server lists, a drain, disk
  * syncs, a router crash, a power loss of all machines, and the passage of time, in every order up
  * to a depth. Each state is reached by replay from the initial state, so no state of the routers is
  * copied. Two orders lead to the same state if each router received the same inputs at the same
@@ -123,7 +123,7 @@
         final int key;
 
         final Duration startedAt;
-        Handle handle;
+        TransactionHandle handle;
         int outstanding;
         String answer;
         boolean executed;
@@ -152,8 +152,8 @@
         final Duration deadline;
         final Duration sentAt;
         SubmissionState state;
-        Result result;
-        Report report;
+        SubmissionResult result;
+        NodeReport report;
 
         Submission(
                 Request request, int node, Duration limit, Duration sentAt, SubmissionState state) {
@@ -314,7 +314,7 @@
                                         breaks++;
                                         boolean pending =
                                                 submission.state == SubmissionState.IN_FLIGHT;
-                                        complete(submission, Result.RESET);
+                                        complete(submission, SubmissionResult.RESET);
                                         submission.state =
                                                 pending
                                                         ? SubmissionState.ABANDONED
@@ -373,11 +373,11 @@
                                 || submission.state == SubmissionState.EXECUTED)
                         && submission.deadline.compareTo(now) <= 0) {
                     boolean pending = submission.state == SubmissionState.IN_FLIGHT;
-                    complete(submission, Result.TIMED_OUT);
+                    complete(submission, SubmissionResult.TIMED_OUT);
                     submission.state = pending ? SubmissionState.ABANDONED : SubmissionState.DONE;
                 } else if (submission.state == SubmissionState.WAITING_FOR_SYNC
                         && submission.deadline.compareTo(now) <= 0) {
-                    complete(submission, Result.UNSENT);
+                    complete(submission, SubmissionResult.UNSENT);
                 }
             }
             for (RouterIncarnation router : routers) {
@@ -397,14 +397,14 @@
             submission.state = abandoned ? SubmissionState.DONE : SubmissionState.EXECUTED;
             int key = submission.request.key;
             submission.report =
-                    new Report(
+                    new NodeReport(
                             positions[submission.node],
-                            submission.node == 0 ? Role.PRIMARY : Role.REPLICA);
+                            submission.node == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA);
             if (key >= 0 && submission.node != 0) {
-                submission.result = Result.MISS;
+                submission.result = SubmissionResult.MISS;
                 return;
             }
-            submission.result = Result.COMMITTED;
+            submission.result = SubmissionResult.COMMITTED;
             if (key >= 0
                     && (lastEffect[key] == null
                             || now.minus(lastEffect[key]).compareTo(DEDUPLICATION_WINDOW) > 0)) {
@@ -425,7 +425,7 @@
             }
         }
 
-        void complete(Submission submission, Result result) {
+        void complete(Submission submission, SubmissionResult result) {
             submission.state = SubmissionState.DONE;
             RouterIncarnation router = submission.request.router;
             if (routers[router.index] == router) {
@@ -476,7 +476,7 @@
 
     /** One incarnation of a router: the routing engine and the state between it and the model. */
     private static final class RouterIncarnation
-            implements Outlet, InDoubtKeys.KeyStore, Closings.Keeper {
+            implements RoutingActions, InDoubtKeys.KeyStore, Closings.Keeper {
         final Model model;
         final int index;
         final List<Request> requests = new ArrayList<>();
@@ -489,7 +489,7 @@
         final TreeSet<String> unsynced = new TreeSet<>();
 
         final Duration startedAt;
-        final Decide routingEngine;
+        final RoutingEngine routingEngine;
         final InDoubtKeys inDoubtKeys;
         final Closings closings = new Closings();
         final Set<Integer> peerInDoubtKeys = new TreeSet<>();
@@ -504,43 +504,43 @@
             this.index = index;
             startedAt = model.now;
             inDoubtKeys = new InDoubtKeys(new InDoubtKeys.Limits(16, Duration.ofHours(1)), this);
-            routingEngine = new Decide(settings(), this, new SplittableRandom(index));
+            routingEngine = new RoutingEngine(settings(), this, new SplittableRandom(index));
         }
 
-        private static Settings settings() {
-            List<TxnType> types =
+        private static RoutingSettings settings() {
+            List<TransactionType> types =
                     List.of(
-                            new TxnType(
-                                    Effect.REFERENCED,
+                            new TransactionType(
+                                    Repeatability.DEDUPLICATED,
                                     true,
                                     DEDUPLICATION_WINDOW,
-                                    Read.WRITE,
+                                    Consistency.WRITE,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     6,
                                     0.3),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     DEDUPLICATION_WINDOW,
-                                    Read.BOUNDED,
+                                    Consistency.BOUNDED_STALENESS,
                                     MAX_STALENESS,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0),
-                            new TxnType(
-                                    Effect.REPEATABLE,
+                            new TransactionType(
+                                    Repeatability.IDEMPOTENT,
                                     true,
                                     DEDUPLICATION_WINDOW,
-                                    Read.ANY,
+                                    Consistency.EVENTUAL,
                                     Duration.ZERO,
                                     EXPIRY.dividedBy(2),
                                     EXPIRY,
                                     2,
                                     0));
-            return new Settings(
+            return new RoutingSettings(
                     Duration.ofMillis(5),
                     0,
                     TICK,
@@ -570,9 +570,9 @@
             if (model.fault != InjectedFault.FORGETS_DRAINS) {
                 model.persistedDrains
                         .get(index)
-                        .forEach(id -> closings.close(id, Standing.DRAINING, 0, 2));
+                        .forEach(id -> closings.close(id, MemberState.DRAINING, 0, 2));
             }
-            routingEngine.at(model.now);
+            routingEngine.setTime(model.now);
             for (int key : model.persistedKeys.get(index)) {
                 if (model.fault == InjectedFault.TRUSTS_OLD_TIMES) {
                     inDoubtKeys.begin(key, model.now);
@@ -593,17 +593,18 @@
             inputs.add("list " + version + "@" + model.now.toMillis());
             List<NodeRow> rows = new ArrayList<>();
             for (int node = 0; node < NODES; node++) {
-                Standing listedState =
-                        version > 1 && node == 2 ? Standing.DRAINING : Standing.READY;
-                Standing effectiveState = closings.heard("n" + node, listedState, 0, version);
+                MemberState listedState =
+                        version > 1 && node == 2 ? MemberState.DRAINING : MemberState.READY;
+                MemberState effectiveState = closings.heard("n" + node, listedState, 0, version);
                 rows.add(new NodeRow(node, 0, 0, 1, node == 0, null, effectiveState));
             }
-            routingEngine.at(model.now);
-            routingEngine.list(true, rows);
+            routingEngine.setTime(model.now);
+            routingEngine.updateMembers(true, rows);
             if (model.fault == InjectedFault.KEEPS_OLD_POSITIONS && model.restartedAt != null) {
                 // The position of the second replica that a former incarnation knew, as if it still
                 // held.
-                routingEngine.heard(1, Report.NOTHING, new Report(model.restartedAt, Role.REPLICA));
+                routingEngine.nodeReported(
+                        1, NodeReport.EMPTY, new NodeReport(model.restartedAt, NodeRole.REPLICA));
             }
         }
 
@@ -614,8 +615,8 @@
 
         void wakeUp() {
             inputs.add("wake@" + model.now.toMillis());
-            routingEngine.at(model.now);
-            routingEngine.woken();
+            routingEngine.setTime(model.now);
+            routingEngine.onWakeUp();
         }
 
         void receiveGossip(RouterIncarnation other) {
@@ -643,7 +644,7 @@
             model.requests.add(request);
             requests.add(request);
             inputs.add("ask " + key + "@" + model.now.toMillis());
-            routingEngine.at(model.now);
+            routingEngine.setTime(model.now);
             if (key >= 0 && !inDoubtKeys.begin(key, model.now)) {
                 answer(request, "declined");
                 return;
@@ -654,7 +655,7 @@
                             ? InDoubtKeys.BEFORE_THIS_RUN
                             : mayHaveRun;
             request.handle =
-                    routingEngine.take(
+                    routingEngine.accept(
                             requests.size() - 1,
                             key < 0 ? -key : 0,
                             -1,
@@ -689,7 +690,7 @@
             }
         }
 
-        void handleResult(Submission submission, Result result) {
+        void handleResult(Submission submission, SubmissionResult result) {
             Request request = submission.request;
             inputs.add(
                     "end "
@@ -699,7 +700,7 @@
                             + "@"
                             + model.now.toMillis());
             request.outstanding--;
-            boolean acknowledged = result == Result.COMMITTED && request.answer == null;
+            boolean acknowledged = result == SubmissionResult.COMMITTED && request.answer == null;
             if (request.key >= 0) {
                 inDoubtKeys.recordEnd(request.key, result.mayHaveRun(), acknowledged);
             }
@@ -709,15 +710,16 @@
                     model.mayHaveRunSince[index][request.key] = null;
                 }
             }
-            routingEngine.at(model.now);
-            boolean hasReport = result == Result.COMMITTED || result == Result.MISS;
-            request.handle.ended(
+            routingEngine.setTime(model.now);
+            boolean hasReport =
+                    result == SubmissionResult.COMMITTED || result == SubmissionResult.MISS;
+            request.handle.submissionEnded(
                     submission.node,
                     result,
                     model.now.minus(submission.sentAt),
                     request.answer != null,
-                    hasReport ? submission.report : Report.NOTHING,
-                    Report.NOTHING);
+                    hasReport ? submission.report : NodeReport.EMPTY,
+                    NodeReport.EMPTY);
             end(request);
         }
 
@@ -754,13 +756,13 @@
             for (Submission submission : List.copyOf(model.submissions)) {
                 if (submission.state == SubmissionState.WAITING_FOR_SYNC
                         && submission.request.router == this) {
-                    routingEngine.at(model.now);
+                    routingEngine.setTime(model.now);
                     if (submission.request.answer == null
                             && !peerInDoubtKeys.contains(submission.request.key)
-                            && submission.request.handle.stands(submission.node)) {
+                            && submission.request.handle.maySend(submission.node)) {
                         send(submission);
                     } else {
-                        model.complete(submission, Result.UNSENT);
+                        model.complete(submission, SubmissionResult.UNSENT);
                     }
                 }
             }
@@ -830,21 +832,21 @@
         }
 
         @Override
-        public void rollBack(int txn) {
+        public void reportUnknownOutcome(int txn) {
             answer(requests.get(txn), "rolled back");
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         @Override
         public void probe(int node) {}
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration delay) {}
+        public void scheduleWakeUp(Duration delay) {}
 
         // ---- storage
 
@@ -866,7 +868,7 @@
         }
 
         @Override
-        public void closed(String id, Standing standing, long startedMs, long version) {
+        public void closed(String id, MemberState standing, long startedMs, long version) {
             unsynced.add(id);
         }
 
--- a/src/main/java/dillfront/simulation/RouterSimulation.java
+++ b/src/main/java/dillfront/simulation/RouterSimulation.java
@@ -1,25 +1,25 @@
 package dillfront.simulation;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import dillfront.router.gossip.GossipConfig;
 import dillfront.router.gossip.GossipProtocol;
 import dillfront.router.gossip.Symptom;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Handle;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -29,8 +29,8 @@
 
 /**
  * Simulates routers, each with its own transactions, in front of nodes of which the scenario makes
- * one hang, with or without gossip. Routing is decided by {@link Decide} itself. Reports the value
- * that the transactions earned and how long routers kept sending to the hung node.
+ * one hang, with or without gossip. Routing is decided by {@link RoutingEngine} itself. Reports the
+ * value that the transactions earned and how long routers kept sending to the hung node.
  */
 public final class RouterSimulation {
 
@@ -212,7 +212,7 @@
                 timeToStop,
                 sentAfterEvidence,
                 falseSuspicions / (double) Math.max(1, nodeTicks),
-                scenario.gossip ? gossipNetwork.meanBytesSent() / seconds(scenario.end) : 0);
+                scenario.gossip ? gossipNetwork.meanBytesSent() / toSeconds(scenario.end) : 0);
     }
 
     private int nodeCount() {
@@ -225,9 +225,9 @@
                 && at.compareTo(scenario.hangStart.plus(scenario.hangDuration)) < 0;
     }
 
-    private static Settings settings(int routers) {
+    private static RoutingSettings settings(int routers) {
         Duration millisecond = Duration.ofMillis(1);
-        return new Settings(
+        return new RoutingSettings(
                 millisecond.multipliedBy(5),
                 0,
                 CONNECT_TIMEOUT,
@@ -245,31 +245,31 @@
                 0.012,
                 routers,
                 List.of(
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.BOUNDED,
+                                Consistency.BOUNDED_STALENESS,
                                 millisecond.multipliedBy(200),
                                 millisecond.multipliedBy(300),
                                 CLIENT_TIMEOUT,
                                 3,
                                 0),
-                        new TxnType(
-                                Effect.REPEATABLE,
+                        new TransactionType(
+                                Repeatability.IDEMPOTENT,
                                 false,
                                 Duration.ZERO,
-                                Read.ANY,
+                                Consistency.EVENTUAL,
                                 Duration.ZERO,
                                 millisecond.multipliedBy(300),
                                 CLIENT_TIMEOUT,
                                 2,
                                 0),
-                        new TxnType(
-                                Effect.REFERENCED,
+                        new TransactionType(
+                                Repeatability.DEDUPLICATED,
                                 true,
                                 Duration.ofSeconds(2),
-                                Read.WRITE,
+                                Consistency.WRITE,
                                 Duration.ZERO,
                                 CLIENT_TIMEOUT,
                                 CLIENT_TIMEOUT,
@@ -281,7 +281,7 @@
     private static final class Txn {
         final int type;
         final Duration arrivedAt;
-        Handle handle;
+        TransactionHandle handle;
         boolean answered;
 
         Txn(int type, Duration arrivedAt) {
@@ -291,12 +291,12 @@
     }
 
     /** One router; all of its work runs on its own scheduler. */
-    final class Router implements Outlet, PeerHealthExchange.RoutingDecisions {
+    final class Router implements RoutingActions, PeerHealthExchange.RoutingDecisions {
 
         final int index;
         final TaskScheduler scheduler;
         final PeerHealthExchange peerHealth;
-        private final Decide routingEngine;
+        private final RoutingEngine routingEngine;
         private final RandomGenerator random;
         private final List<Txn> txns = new ArrayList<>();
 
@@ -318,7 +318,7 @@
             this.scheduler = scheduler;
             random = new SplittableRandom(scenario.seed * 1_000_003 + index);
             routingEngine =
-                    new Decide(
+                    new RoutingEngine(
                             settings(scenario.routers),
                             this,
                             new SplittableRandom(random.nextLong()));
@@ -341,11 +341,11 @@
                                 1,
                                 node % scenario.members == 0,
                                 null,
-                                Standing.READY));
+                                MemberState.READY));
                 peerHealth.addNode(node, "node-" + node);
             }
-            routingEngine.at(scheduler.now());
-            routingEngine.list(true, rows);
+            routingEngine.setTime(scheduler.now());
+            routingEngine.updateMembers(true, rows);
             scheduleNextTxn();
             tick();
             if (publishesFalseClaims()) {
@@ -390,10 +390,10 @@
                         Txn txn = new Txn(type, scheduler.now());
                         txns.add(txn);
                         requestedValue += VALUE_BY_TYPE[type];
-                        routingEngine.at(scheduler.now());
+                        routingEngine.setTime(scheduler.now());
                         int id = txns.size() - 1;
                         txn.handle =
-                                routingEngine.take(
+                                routingEngine.accept(
                                         id,
                                         type,
                                         -1,
@@ -412,10 +412,10 @@
             scheduler.schedule(
                     TICK_INTERVAL,
                     () -> {
-                        routingEngine.at(scheduler.now());
+                        routingEngine.setTime(scheduler.now());
                         if (firstEvidence == null
                                 && isHung(scenario.hungNode, scheduler.now())
-                                && routingEngine.observeHealth(scenario.hungNode).ill()) {
+                                && routingEngine.observeHealth(scenario.hungNode).isFaulty()) {
                             firstEvidence = scheduler.now();
                         }
                         // A router that publishes false claims does not retract them by reporting
@@ -436,7 +436,7 @@
         }
 
         @Override
-        public Sight observeHealth(int node) {
+        public HealthObservation observeHealth(int node) {
             return routingEngine.observeHealth(node);
         }
 
@@ -449,14 +449,14 @@
                                 : lastSendOrSuspicion;
                 hungNodeSuspected = suspected;
             }
-            routingEngine.at(scheduler.now());
+            routingEngine.setTime(scheduler.now());
             routingEngine.setSuspected(node, suspected);
         }
 
         @Override
         public void better(int node) {
-            routingEngine.at(scheduler.now());
-            routingEngine.better(node);
+            routingEngine.setTime(scheduler.now());
+            routingEngine.advanceTrial(node);
         }
 
         @Override
@@ -483,11 +483,12 @@
             scheduler.schedule(
                     responds ? serviceTime : limit,
                     () -> {
-                        routingEngine.at(scheduler.now());
+                        routingEngine.setTime(scheduler.now());
                         outstandingAtHungNode -= node == scenario.hungNode ? 1 : 0;
                         Duration position =
                                 scheduler.now().minusMillis(node % scenario.members == 0 ? 0 : 20);
-                        Role role = node % scenario.members == 0 ? Role.PRIMARY : Role.REPLICA;
+                        NodeRole role =
+                                node % scenario.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                         boolean answersTxn = responds && !txn.answered;
                         if (answersTxn) {
                             txn.answered = true;
@@ -496,14 +497,15 @@
                                             <= (txn.type == 2 ? 750 : 300);
                             earnedValue += timely ? VALUE_BY_TYPE[txn.type] : 0;
                         }
-                        Report report = responds ? new Report(position, role) : Report.NOTHING;
-                        txn.handle.ended(
+                        NodeReport report =
+                                responds ? new NodeReport(position, role) : NodeReport.EMPTY;
+                        txn.handle.submissionEnded(
                                 node,
-                                responds ? Result.COMMITTED : Result.TIMED_OUT,
+                                responds ? SubmissionResult.COMMITTED : SubmissionResult.TIMED_OUT,
                                 scheduler.now().minus(now),
                                 txn.answered,
                                 report,
-                                Report.NOTHING);
+                                NodeReport.EMPTY);
                     });
         }
 
@@ -513,12 +515,12 @@
         }
 
         @Override
-        public void rollBack(int slot) {
+        public void reportUnknownOutcome(int slot) {
             txns.get(slot).answered = true;
         }
 
         @Override
-        public void release(int node) {}
+        public void closeIdleConnections(int node) {}
 
         /** A hung node does not answer probes. */
         @Override
@@ -527,27 +529,28 @@
             scheduler.schedule(
                     responds ? Duration.ofMillis(2) : CONNECT_TIMEOUT,
                     () -> {
-                        routingEngine.at(scheduler.now());
-                        Role role = node % scenario.members == 0 ? Role.PRIMARY : Role.REPLICA;
-                        routingEngine.probed(
+                        routingEngine.setTime(scheduler.now());
+                        NodeRole role =
+                                node % scenario.members == 0 ? NodeRole.PRIMARY : NodeRole.REPLICA;
+                        routingEngine.probeCompleted(
                                 node,
                                 responds,
                                 responds
-                                        ? new Report(scheduler.now().minusMillis(20), role)
-                                        : Report.NOTHING);
+                                        ? new NodeReport(scheduler.now().minusMillis(20), role)
+                                        : NodeReport.EMPTY);
                     });
         }
 
         @Override
-        public void follow() {}
+        public void watchMemberList() {}
 
         @Override
-        public void wake(Duration delay) {
+        public void scheduleWakeUp(Duration delay) {
             scheduler.schedule(
                     delay,
                     () -> {
-                        routingEngine.at(scheduler.now());
-                        routingEngine.woken();
+                        routingEngine.setTime(scheduler.now());
+                        routingEngine.onWakeUp();
                     });
         }
     }
--- a/src/main/java/dillfront/simulation/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import dillfront.simulation.system.Day;
+import dillfront.simulation.system.SystemSimulation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -17,10 +17,10 @@
 
     private SystemMeasure() {}
 
-    private static Day run(long seed) {
-        Day schedule = new Day(seed, 2, 2, 9, SCHEDULE_MS);
-        schedule.random();
-        schedule.play();
+    private static SystemSimulation run(long seed) {
+        SystemSimulation schedule = new SystemSimulation(seed, 2, 2, 9, SCHEDULE_MS);
+        schedule.addRandomFaults();
+        schedule.run();
         return schedule;
     }
 
@@ -30,18 +30,18 @@
      */
     public static void main(String[] args) {
         if (args.length > 0) {
-            Day schedule = run(Long.parseLong(args[0]));
-            schedule.story.forEach(System.out::println);
-            schedule.told().forEach(System.out::println);
+            SystemSimulation schedule = run(Long.parseLong(args[0]));
+            schedule.eventLog.forEach(System.out::println);
+            schedule.traceLog().forEach(System.out::println);
             schedule.status().forEach(System.out::println);
-            schedule.breaches().forEach(System.out::println);
+            schedule.violations().forEach(System.out::println);
             System.out.println(
                     "served "
                             + schedule.served()
                             + " promotions "
                             + schedule.promotions()
                             + " promote_ms "
-                            + schedule.promoteMs());
+                            + schedule.promotionMillis());
             return;
         }
         long startNanos = System.nanoTime();
@@ -58,24 +58,24 @@
                 schedules < MAX_SCHEDULES
                         && (System.nanoTime() - startNanos) / 1_000_000 < BUDGET_MS;
                 seed++) {
-            Day schedule = run(seed);
+            SystemSimulation schedule = run(seed);
             schedules++;
-            violations += schedule.breaches().size();
-            lost += schedule.lost();
-            twice += schedule.twice();
-            stale += schedule.stale();
+            violations += schedule.violations().size();
+            lost += schedule.lostCommits();
+            twice += schedule.duplicateCommits();
+            stale += schedule.staleReads();
             promotions += schedule.promotions();
             served += schedule.served();
-            promote.addAll(schedule.promoteMs());
-            config.addAll(schedule.configMs());
-            if (!schedule.breaches().isEmpty()) {
+            promote.addAll(schedule.promotionMillis());
+            config.addAll(schedule.configurationApplyMillis());
+            if (!schedule.violations().isEmpty()) {
                 System.out.println(
                         "seed "
                                 + seed
                                 + ": "
-                                + schedule.breaches().get(0)
-                                + (schedule.breaches().size() > 1
-                                        ? " and " + (schedule.breaches().size() - 1) + " more"
+                                + schedule.violations().get(0)
+                                + (schedule.violations().size() > 1
+                                        ? " and " + (schedule.violations().size() - 1) + " more"
                                         : ""));
             } else if (schedule.served() < 0.8) {
                 System.out.println("seed " + seed + ": served " + schedule.served());
--- a/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
+++ b/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
@@ -326,7 +326,8 @@
         until(30);
         double first = crowd.meanBytesSent();
         VirtualTimeScheduler again = new VirtualTimeScheduler();
-        GossipSimulation second = new GossipSimulation(30, GossipConfig.DEFAULT, again, 10, (at, claim, age) -> {});
+        GossipSimulation second =
+                new GossipSimulation(30, GossipConfig.DEFAULT, again, 10, (at, claim, age) -> {});
         second.start();
         again.runUntil(Duration.ofSeconds(30));
         assertEquals(first, second.meanBytesSent());
