--- a/src/main/java/dillfront/benchmark/StandIns.java
+++ b/src/main/java/dillfront/benchmark/StandIns.java
@@ -1,11 +1,11 @@
 package dillfront.benchmark;
 
 import dillfront.router.pgwire.Messages;
-import dillfront.simulation.processes.Agent;
-import dillfront.simulation.processes.Catalogue;
-import dillfront.simulation.processes.Group;
-import dillfront.simulation.processes.Node;
-import dillfront.simulation.processes.Stage;
+import dillfront.simulation.processes.DiscoveryAgent;
+import dillfront.simulation.processes.DiscoveryCatalog;
+import dillfront.simulation.processes.NodeGroup;
+import dillfront.simulation.processes.SimulatedNode;
+import dillfront.simulation.processes.TestHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.Closeable;
@@ -52,28 +52,28 @@
     };
 
     private final InetAddress here = InetAddress.getLoopbackAddress();
-    private final Stage stage = new Stage();
-    private final List<Node> nodes = new ArrayList<>();
-    private final List<Catalogue.Entry> first = new ArrayList<>();
-    private final Catalogue catalogue;
-    private final Agent discovery;
+    private final TestHarness stage = new TestHarness();
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final List<DiscoveryCatalog.Entry> first = new ArrayList<>();
+    private final DiscoveryCatalog catalogue;
+    private final DiscoveryAgent discovery;
     private final AtomicLong ids = new AtomicLong();
 
     /**
      * @param workMicros how long a node takes for a statement
      */
     StandIns(long workMicros) {
-        Node.Work work = new Node.Work(AT_ONCE, workMicros, 1, 1, 1, 1000);
+        SimulatedNode.Capacity work = new SimulatedNode.Capacity(AT_ONCE, workMicros, 1, 1, 1, 1000);
         for (int i = 0; i < GROUPS * MEMBERS; i++) {
-            Group group =
-                    i % MEMBERS == 0 ? new Group(stage, i / MEMBERS, 0) : nodes.get(i - 1).group();
-            Node node = new Node(stage, "s-" + i, group, i % MEMBERS == 0, work);
+            NodeGroup group =
+                    i % MEMBERS == 0 ? new NodeGroup(stage, i / MEMBERS, 0) : nodes.get(i - 1).group();
+            SimulatedNode node = new SimulatedNode(stage, "s-" + i, group, i % MEMBERS == 0, work);
             node.lag(0);
             nodes.add(node);
-            first.add(new Catalogue.Entry(node.id(), i / MEMBERS, "a", "ready", 0, node.leads()));
+            first.add(new DiscoveryCatalog.Entry(node.id(), i / MEMBERS, "a", "ready", 0, node.primary()));
         }
-        catalogue = new Catalogue(FIRST_GENERATION, first);
-        discovery = new Agent(stage, "discovery", catalogue, this::port);
+        catalogue = new DiscoveryCatalog(FIRST_GENERATION, first);
+        discovery = new DiscoveryAgent(stage, "discovery", catalogue, this::port);
     }
 
     private int port(String id) {
@@ -84,12 +84,12 @@
     String config(int port, double cores) {
         String known =
                 first.stream()
-                        .map(e -> Agent.row(e, port(e.id())))
+                        .map(e -> DiscoveryAgent.entryJson(e, port(e.id())))
                         .collect(Collectors.joining(","));
         return ("{'name':'n0','listen':'127.0.0.1:"
                         + port
                         + "','discovery':'"
-                        + Stage.HOST
+                        + TestHarness.HOST
                         + ":"
                         + discovery.port()
                         + "','seed':'8c1f30d27a5be964','limits':{'cores':"
@@ -107,17 +107,17 @@
 
     /** From now on this node drains, or is ready again; its number runs below GROUPS * MEMBERS. */
     void tell(int node, String lifecycle) {
-        Catalogue.Entry e = first.get(node);
+        DiscoveryCatalog.Entry e = first.get(node);
         stage.run(
                 () ->
-                        catalogue.change(
-                                new Catalogue.Entry(
-                                        e.id(), e.group(), e.zone(), lifecycle, 0, e.leads())));
+                        catalogue.update(
+                                new DiscoveryCatalog.Entry(
+                                        e.id(), e.group(), e.zone(), lifecycle, 0, e.primary())));
     }
 
     /** Waits until the router has the list as it is now, and asks for a newer one. */
     void awaitListRead() {
-        discovery.awaitAsker();
+        discovery.awaitCurrentSubscriber();
     }
 
     /** How many statements came to the nodes of this group so far. */
@@ -131,7 +131,7 @@
 
     /** When each statement of a client came to this node, by System.nanoTime(). */
     List<Long> arrivals(int node) {
-        return nodes.get(node).arrivals();
+        return nodes.get(node).arrivalNanos();
     }
 
     /** One client that asks for as long as it is let. */
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -3,12 +3,12 @@
 import dillfront.common.logging.Log;
 import dillfront.router.memory.RouterStateStore;
 import dillfront.routing.api.Standing;
-import dillfront.simulation.processes.Audit;
-import dillfront.simulation.processes.Load;
-import dillfront.simulation.processes.Mix;
-import dillfront.simulation.processes.Node;
+import dillfront.simulation.processes.InvariantChecker;
+import dillfront.simulation.processes.LoadGenerator;
+import dillfront.simulation.processes.TransactionMix;
+import dillfront.simulation.processes.SimulatedNode;
 import dillfront.simulation.processes.Rig;
-import dillfront.simulation.processes.Router;
+import dillfront.simulation.processes.RouterProcess;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -40,8 +40,8 @@
     /** A return is over once so many txns were served, by all routers. */
     private static final int SERVED = 100;
 
-    private static final Node.Work WORK = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
-    private static final Node.Work QUICK = new Node.Work(8, 500, 0.2, 3000, 2, 1000);
+    private static final SimulatedNode.Capacity WORK = new SimulatedNode.Capacity(2, 5000, 0.2, 3000, 2, 1000);
+    private static final SimulatedNode.Capacity QUICK = new SimulatedNode.Capacity(8, 500, 0.2, 3000, 2, 1000);
     private static final int CLOSED = 64;
     private static final long CLOSED_MS = 1500;
 
@@ -223,11 +223,11 @@
      * an answer.
      */
     private static double rate(boolean remembers, boolean writes) throws Exception {
-        Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(QUICK);
-        try (Rig rig = new Rig(remembers ? plan.operator(PowerMeasure::memory) : plan)) {
+        Rig.Plan plan = Rig.Plan.of(1, 1, 3).capacity(QUICK);
+        try (Rig rig = new Rig(remembers ? plan.operatorFile(PowerMeasure::memory) : plan)) {
             rig.start();
             long[] count = new long[1];
-            rig.stage()
+            rig.harness()
                     .run(
                             () -> {
                                 for (int i = 0; i < CLOSED; i++) {
@@ -235,13 +235,13 @@
                                 }
                             });
             Thread.sleep(CLOSED_MS / 2);
-            long from = rig.stage().now();
-            long before = rig.stage().call(() -> count[0]);
+            long from = rig.harness().nowNanos();
+            long before = rig.harness().call(() -> count[0]);
             Thread.sleep(CLOSED_MS);
-            long after = rig.stage().call(() -> count[0]);
-            double rate = (after - before) * 1e9 / (rig.stage().now() - from);
-            rig.stage().run(() -> count[0] = Long.MIN_VALUE / 2);
-            rig.settle();
+            long after = rig.harness().call(() -> count[0]);
+            double rate = (after - before) * 1e9 / (rig.harness().nowNanos() - from);
+            rig.harness().run(() -> count[0] = Long.MIN_VALUE / 2);
+            rig.awaitAllAnswered();
             return rate;
         }
     }
@@ -251,14 +251,14 @@
             return;
         }
         long number = ++count[0];
-        Mix.Type type =
-                writes ? Mix.type("move") : Mix.TYPES.get((int) (number % Mix.TYPES.size()));
+        TransactionMix.TransactionType type =
+                writes ? TransactionMix.type("move") : TransactionMix.TYPES.get((int) (number % TransactionMix.TYPES.size()));
         rig.router(0)
-                .caller()
-                .ask(
+                .client()
+                .submit(
                         type.name(),
                         0,
-                        type.write() ? "c" + number : "16-" + number % 1000,
+                        type.isWrite() ? "c" + number : "16-" + number % 1000,
                         1500,
                         0,
                         a -> next(rig, writes, count));
@@ -272,40 +272,40 @@
         try (Rig rig =
                 new Rig(
                         Rig.Plan.of(routers, 2, 3)
-                                .work(WORK)
+                                .capacity(WORK)
                                 .zones("a", "b", "c")
-                                .operator(PowerMeasure::memory))) {
+                                .operatorFile(PowerMeasure::memory))) {
             rig.start();
-            Load load = new Load(rig, seed, 5000);
+            LoadGenerator load = new LoadGenerator(rig, seed, 5000);
             load.start();
             List<Long> backMs = new ArrayList<>();
             for (int loss = 0; loss < many; loss++) {
                 served(rig, load);
-                rig.cut();
-                for (Node node : rig.nodes()) {
-                    rig.back(node, 0);
+                rig.losePower();
+                for (SimulatedNode node : rig.nodes()) {
+                    rig.restartNode(node, 0);
                 }
                 for (int r = 0; r < routers; r++) {
                     rig.agent(r, 0).open();
                 }
-                long at = rig.stage().now();
+                long at = rig.harness().nowNanos();
                 rig.start();
                 served(rig, load);
-                backMs.add((rig.stage().now() - at) / 1_000_000);
+                backMs.add((rig.harness().nowNanos() - at) / 1_000_000);
             }
             load.stop();
-            rig.settle();
-            rig.routers().forEach(Router::end);
-            Audit audit = Audit.of(rig.stage().record(), true);
+            rig.awaitAllAnswered();
+            rig.routers().forEach(RouterProcess::shutDown);
+            InvariantChecker audit = InvariantChecker.of(rig.harness().events(), true);
             long[] rules = new long[6];
-            audit.breaches().forEach(b -> rules[b.rule()]++);
-            return new Losses(backMs, rules, audit.peak());
+            audit.violations().forEach(b -> rules[b.rule()]++);
+            return new Losses(backMs, rules, audit.peakWarmupLoad());
         }
     }
 
-    private static void served(Rig rig, Load load) {
-        List<String> lives = rig.routers().stream().map(Router::life).toList();
-        rig.stage()
+    private static void served(Rig rig, LoadGenerator load) {
+        List<String> lives = rig.routers().stream().map(RouterProcess::incarnation).toList();
+        rig.harness()
                 .await(
                         SERVED + " were served",
                         () -> lives.stream().mapToInt(load::committed).sum() >= SERVED);
--- a/src/main/java/dillfront/simulation/processes/Agent.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryAgent.java
@@ -22,35 +22,35 @@
  * It may know an older version than the catalogue has, be silent, or be gone and come back. All
  * calls on the stage's loop or through run().
  */
-public final class Agent {
+public final class DiscoveryAgent {
 
-    private final Stage stage;
+    private final TestHarness harness;
     private final String name;
-    private final Catalogue catalogue;
+    private final DiscoveryCatalog catalog;
 
     /** Where whoever asks reaches this node: each router by a way of its own. */
-    private final Map<String, ToIntFunction<String>> ways = new HashMap<>();
+    private final Map<String, ToIntFunction<String>> nodePortsByRouter = new HashMap<>();
 
-    private final ToIntFunction<String> plain;
+    private final ToIntFunction<String> defaultNodePorts;
     private int port;
-    private Channel door;
+    private Channel listener;
 
     /** Knows no later version than this. */
-    private long upTo = Long.MAX_VALUE;
+    private long limitGeneration = Long.MAX_VALUE;
 
-    private boolean silent;
-    private final Set<Asker> askers = new LinkedHashSet<>();
+    private boolean withholdResponses;
+    private final Set<Subscriber> subscribers = new LinkedHashSet<>();
 
     /** What each life of a router was told of: to name those that a whole list leaves out. */
-    private final Map<String, Set<String>> named = new HashMap<>();
+    private final Map<String, Set<String>> listedNodes = new HashMap<>();
 
     /** Serves discovery for this cluster. */
-    public Agent(Stage stage, String name, Catalogue catalogue, ToIntFunction<String> plain) {
-        this.stage = stage;
+    public DiscoveryAgent(TestHarness stage, String name, DiscoveryCatalog catalogue, ToIntFunction<String> plain) {
+        this.harness = stage;
         this.name = name;
-        this.catalogue = catalogue;
-        this.plain = plain;
-        catalogue.onChange(this::tell);
+        this.catalog = catalogue;
+        this.defaultNodePorts = plain;
+        catalogue.onChange(this::notifySubscribers);
         open();
     }
 
@@ -59,51 +59,51 @@
     }
 
     /** Whoever's name begins so is told the ports that it gets to nodes by. */
-    void way(String router, ToIntFunction<String> portOf) {
-        ways.put(router, portOf);
+    void setNodePorts(String router, ToIntFunction<String> portOf) {
+        nodePortsByRouter.put(router, portOf);
     }
 
     /** Listens, on the same port as before. */
     public void open() {
-        door = stage.listen(port, Asker::new);
-        port = Stage.port(door);
+        listener = harness.listen(port, Subscriber::new);
+        port = TestHarness.port(listener);
     }
 
     /** Gone, as its process is: connections end, new ones are refused. */
     public void close() {
-        stage.run(
+        harness.run(
                 () -> {
-                    door.close();
-                    List.copyOf(askers).forEach(a -> a.ctx.close());
+                    listener.close();
+                    List.copyOf(subscribers).forEach(a -> a.ctx.close());
                 });
-        stage.await("an agent's door closed", () -> !door.isOpen());
+        harness.await("an agent's door closed", () -> !listener.isOpen());
     }
 
-    public boolean up() {
-        return door.isOpen();
+    public boolean isListening() {
+        return listener.isOpen();
     }
 
     /** Waits until somebody who has the list as it is now asks for a newer one. */
-    public void awaitAsker() {
-        stage.await(
+    public void awaitCurrentSubscriber() {
+        harness.await(
                 "somebody with the newest list asks for a newer one",
                 () ->
-                        askers.stream()
+                        subscribers.stream()
                                 .anyMatch(
                                         a ->
-                                                a.asks
-                                                        && a.after
-                                                                == catalogue
-                                                                        .upTo(upTo)
+                                                a.requestOpen
+                                                        && a.knownGeneration
+                                                                == catalog
+                                                                        .versionAt(limitGeneration)
                                                                         .generation()));
     }
 
     /** Says nothing from now on, and has not heard either; or speaks up again. */
-    public void silent(boolean now) {
-        stage.run(
+    public void withholdResponses(boolean now) {
+        harness.run(
                 () -> {
-                    silent = now;
-                    tell();
+                    withholdResponses = now;
+                    notifySubscribers();
                 });
     }
 
@@ -111,53 +111,53 @@
      * Knows no version later than this, as one that lags or was restored; asked by those connected,
      * it says so.
      */
-    public void upTo(long generation) {
-        stage.run(
+    public void limitGeneration(long generation) {
+        harness.run(
                 () -> {
-                    upTo = generation;
-                    tell();
+                    limitGeneration = generation;
+                    notifySubscribers();
                 });
     }
 
-    private void tell() {
-        if (!silent) {
-            List.copyOf(askers).forEach(Asker::answerIfNewer);
+    private void notifySubscribers() {
+        if (!withholdResponses) {
+            List.copyOf(subscribers).forEach(Subscriber::respondIfChanged);
         }
     }
 
-    private final class Asker extends TerminalHandler {
+    private final class Subscriber extends TerminalHandler {
 
-        private final StringBuilder said = new StringBuilder();
+        private final StringBuilder received = new StringBuilder();
         private ChannelHandlerContext ctx;
 
         /** A call is open, for what is newer than this; negative for all. */
-        private boolean asks;
+        private boolean requestOpen;
 
-        private long after;
-        private ScheduledFuture<?> wait;
+        private long knownGeneration;
+        private ScheduledFuture<?> timeoutTask;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
-            askers.add(this);
+            subscribers.add(this);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object read) {
             ByteBuf bytes = (ByteBuf) read;
-            said.append(bytes.toString(StandardCharsets.US_ASCII));
+            received.append(bytes.toString(StandardCharsets.US_ASCII));
             bytes.release();
-            for (int end = said.indexOf("\r\n\r\n"); end >= 0; end = said.indexOf("\r\n\r\n")) {
-                String line = said.substring(0, said.indexOf("\r\n"));
-                said.delete(0, end + 4);
-                asked(line);
+            for (int end = received.indexOf("\r\n\r\n"); end >= 0; end = received.indexOf("\r\n\r\n")) {
+                String line = received.substring(0, received.indexOf("\r\n"));
+                received.delete(0, end + 4);
+                handleRequest(line);
             }
         }
 
-        private void asked(String line) {
-            String life = stage.behind(ctx.channel());
-            asks = true;
-            after =
+        private void handleRequest(String line) {
+            String life = harness.connectionOwner(ctx.channel());
+            requestOpen = true;
+            knownGeneration =
                     line.contains("after=")
                             ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1"))
                             : -1;
@@ -165,22 +165,22 @@
                     line.contains("wait_ms=")
                             ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
                             : 0;
-            if (after >= 0) {
-                long read = after;
-                long at = stage.now();
-                stage.afterNextLook(
-                        () -> stage.happened(new Happening.Heard(at, life + "<" + name, read)));
+            if (knownGeneration >= 0) {
+                long read = knownGeneration;
+                long at = harness.nowNanos();
+                harness.afterNextPoll(
+                        () -> harness.recordEvent(new Event.ListAcknowledged(at, life + "<" + name, read)));
             }
-            if (!silent) {
-                answerIfNewer();
+            if (!withholdResponses) {
+                respondIfChanged();
             }
-            if (asks) {
-                wait =
-                        stage.loop()
+            if (requestOpen) {
+                timeoutTask =
+                        harness.loop()
                                 .schedule(
                                         () -> {
-                                            if (asks && !silent) {
-                                                answer();
+                                            if (requestOpen && !withholdResponses) {
+                                                respond();
                                             }
                                         },
                                         waitMs,
@@ -188,37 +188,37 @@
             }
         }
 
-        void answerIfNewer() {
-            if (asks && catalogue.upTo(upTo).generation() != after) {
-                answer();
+        void respondIfChanged() {
+            if (requestOpen && catalog.versionAt(limitGeneration).generation() != knownGeneration) {
+                respond();
             }
         }
 
-        private void answer() {
-            asks = false;
-            if (wait != null) {
-                wait.cancel(false);
+        private void respond() {
+            requestOpen = false;
+            if (timeoutTask != null) {
+                timeoutTask.cancel(false);
             }
-            String life = stage.behind(ctx.channel());
-            Catalogue.Version now = catalogue.upTo(upTo);
-            boolean whole = after < 0 || after > now.generation();
-            Catalogue.Version then = whole ? null : catalogue.upTo(after);
+            String life = harness.connectionOwner(ctx.channel());
+            DiscoveryCatalog.Version now = catalog.versionAt(limitGeneration);
+            boolean whole = knownGeneration < 0 || knownGeneration > now.generation();
+            DiscoveryCatalog.Version then = whole ? null : catalog.versionAt(knownGeneration);
             List<String> rows = new ArrayList<>();
-            Set<String> known = named.computeIfAbsent(life, k -> new TreeSet<>());
+            Set<String> known = listedNodes.computeIfAbsent(life, k -> new TreeSet<>());
             Set<String> left = new TreeSet<>(whole ? known : then.entries().keySet());
-            for (Catalogue.Entry e : now.entries().values()) {
+            for (DiscoveryCatalog.Entry e : now.entries().values()) {
                 left.remove(e.id());
                 if (whole || !e.equals(then.entries().get(e.id()))) {
-                    rows.add(row(e, life));
-                    told(life, now.generation(), e.id(), e.lifecycle(), e.startedMs());
+                    rows.add(entryJson(e, life));
+                    recordEntrySent(life, now.generation(), e.id(), e.lifecycle(), e.startedMs());
                 }
                 known.add(e.id());
             }
             for (String id : left) {
                 if (!whole) {
-                    rows.add(row(then.entries().get(id).is("gone"), life));
+                    rows.add(entryJson(then.entries().get(id).withLifecycle("gone"), life));
                 }
-                told(
+                recordEntrySent(
                         life,
                         now.generation(),
                         id,
@@ -242,17 +242,17 @@
                             StandardCharsets.US_ASCII));
         }
 
-        private void told(
+        private void recordEntrySent(
                 String life, long generation, String id, String standing, long startedMs) {
-            stage.happened(
-                    new Happening.Told(
-                            stage.now(), life + "<" + name, generation, id, standing, startedMs));
+            harness.recordEvent(
+                    new Event.ListEntrySent(
+                            harness.nowNanos(), life + "<" + name, generation, id, standing, startedMs));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            askers.remove(this);
-            asks = false;
+            subscribers.remove(this);
+            requestOpen = false;
         }
 
         @Override
@@ -261,23 +261,23 @@
         }
     }
 
-    private String row(Catalogue.Entry e, String life) {
-        ToIntFunction<String> way = ways.getOrDefault(life.replaceAll("#.*", ""), plain);
-        return row(e, way.applyAsInt(e.id()));
+    private String entryJson(DiscoveryCatalog.Entry e, String life) {
+        ToIntFunction<String> way = nodePortsByRouter.getOrDefault(life.replaceAll("#.*", ""), defaultNodePorts);
+        return entryJson(e, way.applyAsInt(e.id()));
     }
 
     /** As discovery lists a node, in its form. */
-    public static String row(Catalogue.Entry e, int port) {
+    public static String entryJson(DiscoveryCatalog.Entry e, int port) {
         return String.format(
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\",\"machineType\":\"m\","
                         + "\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d,\"role\":\"%s\"}",
                 e.id(),
-                Stage.HOST,
+                TestHarness.HOST,
                 port,
                 e.zone(),
                 e.group(),
                 e.lifecycle(),
                 e.startedMs(),
-                e.leads() ? "leader" : "follower");
+                e.primary() ? "leader" : "follower");
     }
 }
--- a/src/main/java/dillfront/simulation/processes/Catalogue.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryCatalog.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 
 /** What discovery knows, one version after another; agents tell of it. On the stage's loop. */
-public final class Catalogue {
+public final class DiscoveryCatalog {
 
     /** One node as a list has it. */
     public record Entry(
-            String id, int group, String zone, String lifecycle, long startedMs, boolean leads) {
+            String id, int group, String zone, String lifecycle, long startedMs, boolean primary) {
 
-        Entry is(String other) {
-            return new Entry(id, group, zone, other, startedMs, leads);
+        Entry withLifecycle(String other) {
+            return new Entry(id, group, zone, other, startedMs, primary);
         }
 
-        Entry startedAt(long ms) {
-            return new Entry(id, group, zone, "ready", ms, leads);
+        Entry readyWithStart(long ms) {
+            return new Entry(id, group, zone, "ready", ms, primary);
         }
     }
 
@@ -26,9 +26,9 @@
     /** All that there were: a rig's changes are few, and it ends. */
     private final List<Version> versions = new ArrayList<>();
 
-    private final List<Runnable> heed = new ArrayList<>();
+    private final List<Runnable> listeners = new ArrayList<>();
 
-    public Catalogue(long first, List<Entry> entries) {
+    public DiscoveryCatalog(long first, List<Entry> entries) {
         Map<String, Entry> all = new TreeMap<>();
         entries.forEach(e -> all.put(e.id(), e));
         versions.add(new Version(first, all));
@@ -39,7 +39,7 @@
     }
 
     /** The latest of at most this generation; the first where all are later. */
-    Version upTo(long generation) {
+    Version versionAt(long generation) {
         Version found = versions.get(0);
         for (Version v : versions) {
             found = v.generation <= generation ? v : found;
@@ -48,11 +48,11 @@
     }
 
     void onChange(Runnable agent) {
-        heed.add(agent);
+        listeners.add(agent);
     }
 
     /** One change more: these entries are so now; one that is gone is listed no more. */
-    public long change(Entry... entries) {
+    public long update(Entry... entries) {
         Map<String, Entry> all = new TreeMap<>(latest().entries);
         for (Entry e : entries) {
             if (e.lifecycle().equals("gone")) {
@@ -62,7 +62,7 @@
             }
         }
         versions.add(new Version(latest().generation + 1, all));
-        List.copyOf(heed).forEach(Runnable::run);
+        List.copyOf(listeners).forEach(Runnable::run);
         return latest().generation;
     }
 
--- /dev/null
+++ b/src/main/java/dillfront/simulation/processes/LoadGenerator.java
@@ -0,0 +1,88 @@
+package dillfront.simulation.processes;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Clients that ask at all routers, by a seed: each type in turn, at a steady rate, whatever comes
+ * back.
+ */
+public final class LoadGenerator {
+
+    private final Rig rig;
+    private final SplittableRandom random;
+    private final long intervalNanos;
+    private final long timeoutMs;
+    private boolean running;
+    private final Map<String, Integer> committed = new HashMap<>();
+    private long writeCount;
+
+    /** When the next is due, whatever the machine does meanwhile. */
+    private long nextDueNanos;
+
+    /**
+     * @param gapMicros between two queries, over all routers
+     */
+    public LoadGenerator(Rig rig, long seed, long gapMicros) {
+        this(rig, seed, gapMicros, 1500);
+    }
+
+    /**
+     * @param gapMicros between two transactions; waitMs is what a client allows one
+     */
+    public LoadGenerator(Rig rig, long seed, long gapMicros, long waitMs) {
+        this.rig = rig;
+        this.timeoutMs = waitMs;
+        random = new SplittableRandom(seed);
+        intervalNanos = gapMicros * 1000;
+    }
+
+    /** Sends from now on. */
+    public void start() {
+        rig.harness()
+                .run(
+                        () -> {
+                            running = true;
+                            nextDueNanos = rig.harness().nowNanos();
+                            submitNext();
+                        });
+    }
+
+    /** On the loop: how many this life of a router has served. */
+    public int committed(String life) {
+        return committed.getOrDefault(life, 0);
+    }
+
+    public void stop() {
+        rig.harness().run(() -> running = false);
+    }
+
+    private void submitNext() {
+        if (!running) {
+            return;
+        }
+        nextDueNanos += intervalNanos;
+        rig.harness().loop().schedule(this::submitNext, nextDueNanos - rig.harness().nowNanos(), TimeUnit.NANOSECONDS);
+        RouterProcess router = rig.router(random.nextInt(rig.routers().size()));
+        TransactionMix.TransactionType type = TransactionMix.TYPES.get(random.nextInt(TransactionMix.TYPES.size()));
+        int group = random.nextInt(rig.groups().size());
+        String key = type.isWrite() ? "k" + ++writeCount : "16-" + random.nextInt(1000);
+        if (!router.down()) {
+            String life = router.incarnation();
+            router.client()
+                    .submit(
+                            type.name(),
+                            group,
+                            key,
+                            timeoutMs,
+                            0,
+                            a ->
+                                    committed.merge(
+                                            life,
+                                            a.outcome().equals("committed") ? 1 : 0,
+                                            Integer::sum));
+        }
+    }
+}
--- a/src/main/java/dillfront/simulation/processes/Caller.java
+++ b/src/main/java/dillfront/simulation/processes/QueryClient.java
@@ -20,25 +20,25 @@
  * Clients of one router: each query on a connection of its own that is kept for the next, each with
  * a new id, and what became of it in the record. On the stage's loop.
  */
-public final class Caller {
+public final class QueryClient {
 
-    private final Stage stage;
-    private final Router router;
-    private final ArrayDeque<Line> free = new ArrayDeque<>();
+    private final TestHarness harness;
+    private final RouterProcess router;
+    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
     /** Those that wait for an answer, by their ids. */
-    private final Map<String, Line> out = new HashMap<>();
+    private final Map<String, ClientConnection> pending = new HashMap<>();
 
-    private long number;
+    private long queryCount;
 
-    Caller(Stage stage, Router router) {
-        this.stage = stage;
+    QueryClient(TestHarness stage, RouterProcess router) {
+        this.harness = stage;
         this.router = router;
     }
 
     /** How many wait for an answer. */
-    public int waiting() {
-        return out.size();
+    public int pendingCount() {
+        return pending.size();
     }
 
     /**
@@ -48,15 +48,15 @@
      * @param afterMs when its session last wrote, in Unix milliseconds; 0 where it has not
      * @param then is told how it ended
      */
-    public String ask(
+    public String submit(
             String type,
             int group,
             String key,
             long waitMs,
             long afterMs,
-            Consumer<Happening.Answered> then) {
-        String txn = router.name() + "-" + ++number;
-        Mix.Type row = Mix.type(type);
+            Consumer<Event.QueryEnded> then) {
+        String txn = router.name() + "-" + ++queryCount;
+        TransactionMix.TransactionType row = TransactionMix.type(type);
         String comment =
                 " /* id="
                         + txn
@@ -64,69 +64,69 @@
                         + type
                         + ",d="
                         + waitMs
-                        + (row.referenced() ? ",k=" + key : "")
+                        + (row.isDeduplicated() ? ",k=" + key : "")
                         + ",cluster="
                         + group
                         + (afterMs > 0 ? ",after=" + afterMs : "")
                         + " */";
         String text =
-                row.write()
+                row.isWrite()
                         ? "INSERT INTO objects (oid, body) VALUES ('"
                                 + key
                                 + "', '\\x9f03') RETURNING body"
                                 + comment
                         : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment;
-        stage.happened(
-                new Happening.Asked(
-                        stage.now(), txn, type, group, key, waitMs, afterMs, router.life()));
+        harness.recordEvent(
+                new Event.QuerySent(
+                        harness.nowNanos(), txn, type, group, key, waitMs, afterMs, router.incarnation()));
         send(txn, text, then, false);
         return txn;
     }
 
-    private void send(String txn, String text, Consumer<Happening.Answered> then, boolean again) {
-        Line line = again ? null : free.poll();
+    private void send(String txn, String text, Consumer<Event.QueryEnded> then, boolean again) {
+        ClientConnection line = again ? null : idle.poll();
         if (line == null) {
-            line = new Line();
-            line.dial();
+            line = new ClientConnection();
+            line.connect();
         }
         line.txn = txn;
-        line.text = text;
-        line.then = then;
-        line.again = again;
-        line.onNew = line.queries++ == 0;
-        out.put(txn, line);
-        if (line.up) {
-            line.write();
+        line.queryText = text;
+        line.callback = then;
+        line.retried = again;
+        line.firstQuery = line.queries++ == 0;
+        pending.put(txn, line);
+        if (line.handshakeDone) {
+            line.writeQuery();
         }
     }
 
     /** One connection. */
-    private final class Line extends TerminalHandler {
+    private final class ClientConnection extends TerminalHandler {
 
         private final Frames frames = new Frames(1 << 22);
         private ChannelHandlerContext ctx;
-        private boolean up;
-        private boolean reached;
+        private boolean handshakeDone;
+        private boolean connected;
         private String txn;
-        private String text;
-        private Consumer<Happening.Answered> then;
-        private boolean again;
-        private boolean onNew;
+        private String queryText;
+        private Consumer<Event.QueryEnded> callback;
+        private boolean retried;
+        private boolean firstQuery;
         private int queries;
-        private String how;
-        private String said = "";
+        private String outcome;
+        private String responseText = "";
 
-        void dial() {
-            ChannelFuture connecting = Sockets.connect(stage.loop(), router.address(), this, 5000);
+        void connect() {
+            ChannelFuture connecting = Sockets.connect(harness.loop(), router.address(), this, 5000);
             if (connecting == null) {
-                stage.loop().execute(this::ended);
+                harness.loop().execute(this::onClosed);
                 return;
             }
             connecting.channel().config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
             connecting.addListener(
                     done -> {
                         if (!done.isSuccess()) {
-                            stage.loop().execute(this::ended);
+                            harness.loop().execute(this::onClosed);
                         }
                     });
         }
@@ -134,13 +134,13 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
-            reached = true;
+            connected = true;
             ctx.writeAndFlush(Messages.startup(Unpooled.buffer(64), "worker", "catalog"));
         }
 
-        void write() {
-            how = null;
-            ctx.writeAndFlush(Messages.query(Unpooled.buffer(256), text));
+        void writeQuery() {
+            outcome = null;
+            ctx.writeAndFlush(Messages.query(Unpooled.buffer(256), queryText));
         }
 
         @Override
@@ -148,7 +148,7 @@
             frames.add((ByteBuf) read);
             try {
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
-                    message(message);
+                    handleMessage(message);
                     message.release();
                 }
             } catch (BadFrame bad) {
@@ -156,56 +156,56 @@
             }
         }
 
-        private void message(ByteBuf message) {
+        private void handleMessage(ByteBuf message) {
             switch (message.getByte(message.readerIndex())) {
                 case 'D' -> {
                     int from = message.readerIndex() + 11;
-                    said =
+                    responseText =
                             message.toString(
                                             from,
                                             message.writerIndex() - from,
                                             StandardCharsets.US_ASCII)
                                     .replace("\0", "");
                 }
-                case 'C' -> how = "committed";
+                case 'C' -> outcome = "committed";
                 case 'E' -> {
                     String code = Messages.code(message);
-                    how = code.equals("53300") || code.equals("57P03") ? "declined" : "rolled-back";
-                    said =
+                    outcome = code.equals("53300") || code.equals("57P03") ? "declined" : "rolled-back";
+                    responseText =
                             message.toString(
                                             message.readerIndex() + 5,
                                             message.readableBytes() - 5,
                                             StandardCharsets.US_ASCII)
                                     .replace('\0', '|');
                 }
-                case 'Z' -> ready();
+                case 'Z' -> onReady();
                 default -> {}
             }
         }
 
-        private void ready() {
-            if (!up) {
-                up = true;
+        private void onReady() {
+            if (!handshakeDone) {
+                handshakeDone = true;
                 if (txn != null) {
-                    write();
+                    writeQuery();
                 }
                 return;
             }
-            if (txn != null && how != null) {
-                free.push(this);
-                over(how, said);
+            if (txn != null && outcome != null) {
+                idle.push(this);
+                finish(outcome, responseText);
             }
         }
 
-        private void over(String ending, String with) {
-            Happening.Answered answered = new Happening.Answered(stage.now(), txn, ending, with);
-            Consumer<Happening.Answered> told = then;
+        private void finish(String ending, String with) {
+            Event.QueryEnded answered = new Event.QueryEnded(harness.nowNanos(), txn, ending, with);
+            Consumer<Event.QueryEnded> told = callback;
             txn = null;
             // What the router sent to nodes before it answered may still lie unread there.
-            stage.afterNextLook(
+            harness.afterNextPoll(
                     () -> {
-                        out.remove(answered.txn());
-                        stage.happened(answered);
+                        pending.remove(answered.txn());
+                        harness.recordEvent(answered);
                         if (told != null) {
                             told.accept(answered);
                         }
@@ -213,25 +213,25 @@
         }
 
         /** A kept connection that ends as a query crosses its end: once more, on a new one. */
-        private void ended() {
-            free.remove(this);
+        private void onClosed() {
+            idle.remove(this);
             frames.release();
             if (txn == null) {
                 return;
             }
-            if (!onNew && !again && how == null) {
-                out.remove(txn);
+            if (!firstQuery && !retried && outcome == null) {
+                pending.remove(txn);
                 String once = txn;
                 txn = null;
-                send(once, text, then, true);
+                send(once, queryText, callback, true);
             } else {
-                over(reached ? "broken" : "unreached", "");
+                finish(connected ? "broken" : "unreached", "");
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended();
+            onClosed();
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/processes/Router.java
+++ b/src/main/java/dillfront/simulation/processes/RouterProcess.java
@@ -17,38 +17,38 @@
  * A router as a process of its own, started, hit by signals and started anew under its name, port
  * and folder.
  */
-public final class Router {
+public final class RouterProcess {
 
-    private static final long PATIENCE_MS = 30_000;
+    private static final long TIMEOUT_MS = 30_000;
 
-    private final Stage stage;
+    private final TestHarness harness;
     private final String name;
     private final InetSocketAddress address;
-    private final Path config;
+    private final Path configFile;
     private final List<String> command;
-    private final Map<String, String> more;
-    private final Caller caller;
+    private final Map<String, String> extraEnvironment;
+    private final QueryClient client;
     private Process process;
-    private volatile int lives;
+    private volatile int startCount;
     private volatile boolean down = true;
 
     /** What the present life wrote; a rig's routers say little, and end. */
-    private volatile List<String> lines = List.of();
+    private volatile List<String> logLines = List.of();
 
-    Router(
-            Stage stage,
+    RouterProcess(
+            TestHarness stage,
             String name,
             InetSocketAddress address,
             Path config,
             List<String> command,
             Map<String, String> more) {
-        this.stage = stage;
+        this.harness = stage;
         this.name = name;
         this.address = address;
-        this.config = config;
+        this.configFile = config;
         this.command = command;
-        this.more = more;
-        caller = new Caller(stage, this);
+        this.extraEnvironment = more;
+        client = new QueryClient(stage, this);
     }
 
     public String name() {
@@ -60,17 +60,17 @@
     }
 
     /** The process that there is, or was last. */
-    public String life() {
-        return name + "#" + lives;
+    public String incarnation() {
+        return name + "#" + startCount;
     }
 
-    public Caller caller() {
-        return caller;
+    public QueryClient client() {
+        return client;
     }
 
     /** Its configuration file, to be written anew by whoever changes it. */
-    public Path config() {
-        return config;
+    public Path configFile() {
+        return configFile;
     }
 
     public boolean down() {
@@ -85,20 +85,20 @@
     public void start() {
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(k -> k.startsWith("LB_"));
-        builder.environment().putAll(Map.of("LB_CONFIG", config.toString(), "LB_NAME", name));
-        builder.environment().putAll(more);
+        builder.environment().putAll(Map.of("LB_CONFIG", configFile.toString(), "LB_NAME", name));
+        builder.environment().putAll(extraEnvironment);
         builder.redirectErrorStream(true);
         List<String> said = Collections.synchronizedList(new ArrayList<>());
-        lines = said;
+        logLines = said;
         try {
             process = builder.start();
         } catch (IOException bad) {
             throw new IllegalStateException(bad);
         }
-        lives++;
+        startCount++;
         down = false;
-        String life = life();
-        stage.run(() -> stage.happened(new Happening.Started(life)));
+        String life = incarnation();
+        harness.run(() -> harness.recordEvent(new Event.Started(life)));
         Process of = process;
         Thread reader =
                 new Thread(
@@ -122,38 +122,38 @@
     }
 
     /** What it has logged so far in this life. */
-    public List<String> lines() {
-        List<String> said = lines;
+    public List<String> logLines() {
+        List<String> said = logLines;
         synchronized (said) {
             return List.copyOf(said);
         }
     }
 
     /** Waits until the router has written such a line, and fails after the usual time. */
-    public void awaitLine(String what, Predicate<String> such) {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
-        while (lines().stream().noneMatch(such)) {
+    public void awaitLogLine(String what, Predicate<String> such) {
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+        while (logLines().stream().noneMatch(such)) {
             if (System.nanoTime() - until > 0
-                    || !process.isAlive() && lines().stream().noneMatch(such)) {
+                    || !process.isAlive() && logLines().stream().noneMatch(such)) {
                 throw new IllegalStateException(
-                        life() + " never said " + what + "; it said " + lines());
+                        incarnation() + " never said " + what + "; it said " + logLines());
             }
-            Stage.pause();
+            TestHarness.sleepBriefly();
         }
     }
 
     public void awaitServing() {
-        awaitLine("serving", l -> l.contains(" serving "));
+        awaitLogLine("serving", l -> l.contains(" serving "));
     }
 
     /** Sends the process a signal by its name. */
-    public void signal(String signal) {
+    public void sendSignal(String signal) {
         try {
             if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                             .start()
                             .waitFor()
                     != 0) {
-                throw new IllegalStateException("no " + signal + " to " + life());
+                throw new IllegalStateException("no " + signal + " to " + incarnation());
             }
         } catch (IOException | InterruptedException bad) {
             throw new IllegalStateException(bad);
@@ -162,28 +162,28 @@
 
     /** Power is gone: no word, and nothing ends well. */
     public void kill() {
-        stage.run(() -> stage.happened(new Happening.Ended(life(), true)));
+        harness.run(() -> harness.recordEvent(new Event.Ended(incarnation(), true)));
         down = true;
         process.destroyForcibly();
-        awaitEnd();
+        awaitExit();
     }
 
     /**
      * Told to end; those who deal out clients hear of it by its own line. Returns once it has
      * ended, by itself.
      */
-    public void end() {
-        signal("TERM");
-        awaitLine("stopping", l -> l.contains(" stopping "));
+    public void shutDown() {
+        sendSignal("TERM");
+        awaitLogLine("stopping", l -> l.contains(" stopping "));
         down = true;
-        awaitEnd();
-        stage.run(() -> stage.happened(new Happening.Ended(life(), false)));
+        awaitExit();
+        harness.run(() -> harness.recordEvent(new Event.Ended(incarnation(), false)));
     }
 
-    private void awaitEnd() {
+    private void awaitExit() {
         try {
-            if (!process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException(life() + " does not end; it said " + lines());
+            if (!process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                throw new IllegalStateException(incarnation() + " does not end; it said " + logLines());
             }
         } catch (InterruptedException stopped) {
             throw new IllegalStateException(stopped);
@@ -193,7 +193,7 @@
     void close() {
         if (process != null && process.isAlive()) {
             process.destroyForcibly();
-            awaitEnd();
+            awaitExit();
         }
     }
 }
--- a/src/main/java/dillfront/simulation/processes/Node.java
+++ b/src/main/java/dillfront/simulation/processes/SimulatedNode.java
@@ -21,33 +21,33 @@
  * it has. It warms up after a start, falls over where it is pushed, lags, hangs, errs, and dies, by
  * the rig's word. On the stage's loop.
  */
-public final class Node {
+public final class SimulatedNode {
 
     /** What it does with a statement. */
-    public enum Mood {
-        WELL,
-        HANGS,
-        ERRS,
-        FULL
+    public enum Behavior {
+        NORMAL,
+        HANGING,
+        FAILING,
+        REJECTING
     }
 
     /** How many statements may wait before more are turned away, by core. */
-    private static final int QUEUE = 64;
+    private static final int MAX_QUEUED_PER_CORE = 64;
 
     /** Into so many parts the time is cut over which a push counts. */
-    private static final int PARTS = 10;
+    private static final int LOAD_WINDOW_SLOTS = 10;
 
     final String id;
-    final Group group;
-    private final Stage stage;
-    private final Work work;
-    private Channel door;
+    final NodeGroup group;
+    private final TestHarness harness;
+    private final Capacity capacity;
+    private Channel listener;
     private int port;
-    private final Set<Talk> talks = new LinkedHashSet<>();
+    private final Set<RouterConnection> connections = new LinkedHashSet<>();
     long startedMs;
-    boolean leads;
-    private Mood mood = Mood.WELL;
-    private double slower = 1;
+    boolean primary;
+    private Behavior behavior = Behavior.NORMAL;
+    private double slowdown = 1;
 
     /**
      * How far behind the present its data is, while it is no primary; and from when it stands
@@ -55,57 +55,57 @@
      */
     private long lagMs = 5;
 
-    private long frozenMs = Long.MAX_VALUE;
-    private long floorMs;
+    private long frozenPositionMs = Long.MAX_VALUE;
+    private long minPositionMs;
 
     /** When each core is free. */
-    private final long[] free;
+    private final long[] coreFreeNanos;
 
-    private long life;
-    private boolean tipped;
+    private long incarnation;
+    private boolean overloaded;
 
     /**
      * Work sent in each part of the last time that counts, in core nanoseconds, and the part in
      * use.
      */
-    private final double[] sent = new double[PARTS];
+    private final double[] workBySlot = new double[LOAD_WINDOW_SLOTS];
 
-    private long part;
-    long statements;
-    private final List<Long> arrivals = new ArrayList<>();
+    private long currentSlot;
+    long statementCount;
+    private final List<Long> arrivalNanos = new ArrayList<>();
 
     /**
      * What nodes of a rig can do.
      *
      * @param cores how many statements at once
-     * @param micros what a statement takes on a warm core
-     * @param coldFrom the part of that which a node does right after its start
-     * @param coldMs until it is warm
-     * @param tipMultiple more than so many times what it can do, over tipMs, and it falls over
+     * @param statementMicros what a statement takes on a warm core
+     * @param initialSpeedFraction the part of that which a node does right after its start
+     * @param warmupMs until it is warm
+     * @param overloadFactor more than so many times what it can do, over tipMs, and it falls over
      */
-    public record Work(
-            int cores, long micros, double coldFrom, long coldMs, double tipMultiple, long tipMs) {}
+    public record Capacity(
+            int cores, long statementMicros, double initialSpeedFraction, long warmupMs, double overloadFactor, long overloadWindowMs) {}
 
     /** A node of this group that listens at once. */
-    public Node(Stage stage, String id, Group group, boolean leads, Work work) {
-        this.stage = stage;
+    public SimulatedNode(TestHarness stage, String id, NodeGroup group, boolean leads, Capacity work) {
+        this.harness = stage;
         this.id = id;
         this.group = group;
-        this.leads = leads;
-        this.work = work;
-        free = new long[work.cores];
+        this.primary = leads;
+        this.capacity = work;
+        coreFreeNanos = new long[work.cores];
         group.members.add(this);
-        door = stage.listen(0, Talk::new);
-        port = Stage.port(door);
+        listener = stage.listen(0, RouterConnection::new);
+        port = TestHarness.port(listener);
     }
 
-    public Group group() {
+    public NodeGroup group() {
         return group;
     }
 
     /** When each statement came, by System.nanoTime(). */
-    public List<Long> arrivals() {
-        return stage.call(() -> List.copyOf(arrivals));
+    public List<Long> arrivalNanos() {
+        return harness.call(() -> List.copyOf(arrivalNanos));
     }
 
     public String id() {
@@ -116,168 +116,168 @@
         return port;
     }
 
-    public boolean leads() {
-        return leads;
+    public boolean primary() {
+        return primary;
     }
 
-    public boolean up() {
-        return door.isOpen();
+    public boolean isListening() {
+        return listener.isOpen();
     }
 
-    public void mood(Mood now) {
-        stage.run(() -> mood = now);
+    public void behavior(Behavior now) {
+        harness.run(() -> behavior = now);
     }
 
     /** Statements take so many times what they do. */
-    public void slower(double times) {
-        stage.run(() -> slower = times);
+    public void slowdown(double times) {
+        harness.run(() -> slowdown = times);
     }
 
     public void lag(long ms) {
-        stage.run(() -> lagMs = ms);
+        harness.run(() -> lagMs = ms);
     }
 
     /** Its data stands still from now on, or goes on. */
-    public void frozen(boolean now) {
-        stage.run(() -> frozenMs = now ? position() : Long.MAX_VALUE);
+    public void freeze(boolean now) {
+        harness.run(() -> frozenPositionMs = now ? positionMs() : Long.MAX_VALUE);
     }
 
     /**
      * It takes itself for the primary from now on, or no longer; what its group thinks is the
      * group's affair.
      */
-    public void leads(boolean now) {
-        stage.run(
+    public void primary(boolean now) {
+        harness.run(
                 () -> {
-                    floorMs = position();
-                    leads = now;
+                    minPositionMs = positionMs();
+                    primary = now;
                 });
     }
 
     /** Dies at once: connections are reset, new ones refused, what it had begun has not run. */
     public void kill() {
-        stage.run(
+        harness.run(
                 () -> {
-                    life++;
-                    door.close();
-                    for (Talk talk : List.copyOf(talks)) {
-                        Stage.reset(talk.ctx.channel());
+                    incarnation++;
+                    listener.close();
+                    for (RouterConnection talk : List.copyOf(connections)) {
+                        TestHarness.resetConnection(talk.ctx.channel());
                     }
-                    stage.happened(new Happening.Ended(id, true));
+                    harness.recordEvent(new Event.Ended(id, true));
                 });
-        stage.await("a node's door closed", () -> !door.isOpen());
+        harness.await("a node's door closed", () -> !listener.isOpen());
     }
 
     /** Starts anew on the same port, cold, with its data so far behind what it had. */
     public void start(long lostMs) {
-        door = stage.listen(port, Talk::new);
-        stage.run(
+        listener = harness.listen(port, RouterConnection::new);
+        harness.run(
                 () -> {
-                    floorMs = 0;
+                    minPositionMs = 0;
                     startedMs = System.currentTimeMillis();
-                    frozenMs = lostMs > 0 ? startedMs - lostMs : Long.MAX_VALUE;
-                    Arrays.fill(free, 0);
-                    Arrays.fill(sent, 0);
-                    tipped = false;
-                    stage.happened(new Happening.Started(id));
+                    frozenPositionMs = lostMs > 0 ? startedMs - lostMs : Long.MAX_VALUE;
+                    Arrays.fill(coreFreeNanos, 0);
+                    Arrays.fill(workBySlot, 0);
+                    overloaded = false;
+                    harness.recordEvent(new Event.Started(id));
                 });
     }
 
     /** As if it had been up for long. */
-    public void warm() {
-        stage.run(
+    public void markWarm() {
+        harness.run(
                 () -> {
                     startedMs = 0;
-                    frozenMs = Long.MAX_VALUE;
+                    frozenPositionMs = Long.MAX_VALUE;
                 });
     }
 
     /** In Unix milliseconds: all that was committed before is here. */
-    long position() {
+    long positionMs() {
         long now = System.currentTimeMillis();
-        return leads && frozenMs == Long.MAX_VALUE
+        return primary && frozenPositionMs == Long.MAX_VALUE
                 ? now
-                : Math.max(floorMs, Math.min(frozenMs, now - lagMs));
+                : Math.max(minPositionMs, Math.min(frozenPositionMs, now - lagMs));
     }
 
     /** The part of a warm node's work that it can do now. */
-    private double warmth() {
-        double age = (System.currentTimeMillis() - startedMs) / (double) work.coldMs;
-        return startedMs == 0 || age >= 1 ? 1 : work.coldFrom + (1 - work.coldFrom) * age;
+    private double speedFraction() {
+        double age = (System.currentTimeMillis() - startedMs) / (double) capacity.warmupMs;
+        return startedMs == 0 || age >= 1 ? 1 : capacity.initialSpeedFraction + (1 - capacity.initialSpeedFraction) * age;
     }
 
     /** Counts what is sent to it while it is cold; true once it was too much. */
-    private boolean pushed() {
-        long now = stage.now() / (work.tipMs * 1_000_000 / PARTS);
-        for (; part < now; part++) {
-            sent[(int) ((part + 1) % PARTS)] = 0;
-            part = now - part > PARTS ? now - PARTS : part;
+    private boolean addLoad() {
+        long now = harness.nowNanos() / (capacity.overloadWindowMs * 1_000_000 / LOAD_WINDOW_SLOTS);
+        for (; currentSlot < now; currentSlot++) {
+            workBySlot[(int) ((currentSlot + 1) % LOAD_WINDOW_SLOTS)] = 0;
+            currentSlot = now - currentSlot > LOAD_WINDOW_SLOTS ? now - LOAD_WINDOW_SLOTS : currentSlot;
         }
-        sent[(int) (now % PARTS)] += work.micros * 1000.0;
-        double warmth = warmth();
+        workBySlot[(int) (now % LOAD_WINDOW_SLOTS)] += capacity.statementMicros * 1000.0;
+        double warmth = speedFraction();
         if (warmth < 1) {
             double of =
-                    Arrays.stream(sent).sum()
-                            / (work.tipMultiple * warmth * work.cores * work.tipMs * 1e6);
-            stage.happened(new Happening.Pressed(id, of));
-            tipped |= of >= 1;
+                    Arrays.stream(workBySlot).sum()
+                            / (capacity.overloadFactor * warmth * capacity.cores * capacity.overloadWindowMs * 1e6);
+            harness.recordEvent(new Event.WarmupLoad(id, of));
+            overloaded |= of >= 1;
         }
-        return tipped;
+        return overloaded;
     }
 
-    private void statement(Talk talk, String text) {
-        statements++;
-        arrivals.add(System.nanoTime());
-        String life = stage.behind(talk.ctx.channel());
+    private void execute(RouterConnection talk, String text) {
+        statementCount++;
+        arrivalNanos.add(System.nanoTime());
+        String life = harness.connectionOwner(talk.ctx.channel());
         Statement s = Statement.read(text);
-        stage.happened(new Happening.Sent(stage.now(), life, id, startedMs, s.txn, s.type, s.key));
-        if (pushed() || mood == Mood.HANGS) {
+        harness.recordEvent(new Event.StatementReceived(harness.nowNanos(), life, id, startedMs, s.txn, s.type, s.key));
+        if (addLoad() || behavior == Behavior.HANGING) {
             return;
         }
         int core = 0;
-        for (int i = 1; i < free.length; i++) {
-            core = free[i] < free[core] ? i : core;
+        for (int i = 1; i < coreFreeNanos.length; i++) {
+            core = coreFreeNanos[i] < coreFreeNanos[core] ? i : core;
         }
-        long now = stage.now();
-        double each = work.micros * 1000 * slower / warmth();
-        if (mood == Mood.FULL || free[core] - now > QUEUE * each) {
-            talk.error("53300", "full");
+        long now = harness.nowNanos();
+        double each = capacity.statementMicros * 1000 * slowdown / speedFraction();
+        if (behavior == Behavior.REJECTING || coreFreeNanos[core] - now > MAX_QUEUED_PER_CORE * each) {
+            talk.sendError("53300", "full");
             return;
         }
-        if (mood == Mood.ERRS) {
-            talk.error("XX000", "it broke");
+        if (behavior == Behavior.FAILING) {
+            talk.sendError("XX000", "it broke");
             return;
         }
-        free[core] = Math.max(now, free[core]) + (long) each;
-        long of = this.life;
-        stage.loop()
+        coreFreeNanos[core] = Math.max(now, coreFreeNanos[core]) + (long) each;
+        long of = this.incarnation;
+        harness.loop()
                 .schedule(
                         () -> {
-                            if (of == this.life) {
-                                done(talk, s);
+                            if (of == this.incarnation) {
+                                complete(talk, s);
                             }
                         },
-                        free[core] - now,
+                        coreFreeNanos[core] - now,
                         TimeUnit.NANOSECONDS);
     }
 
-    private void done(Talk talk, Statement s) {
-        if (s.write && !leads) {
-            talk.error("25006", "no primary");
+    private void complete(RouterConnection talk, Statement s) {
+        if (s.isWrite && !primary) {
+            talk.sendError("25006", "no primary");
             return;
         }
         long now = System.currentTimeMillis();
-        long position = position();
-        if (s.write) {
+        long position = positionMs();
+        if (s.isWrite) {
             position = group.commit(this, s, now);
         } else {
-            stage.happened(new Happening.Read(id, s.txn, s.type, position, now));
+            harness.recordEvent(new Event.ReadServed(id, s.txn, s.type, position, now));
         }
-        talk.value(s, position);
+        talk.sendRow(s, position);
     }
 
     /** What the rig's own clients write, read back. */
-    record Statement(String txn, String type, String key, int group, boolean write, int bytes) {
+    record Statement(String txn, String type, String key, int group, boolean isWrite, int bytes) {
 
         static Statement read(String text) {
             boolean write = text.startsWith("INSERT");
@@ -305,7 +305,7 @@
     }
 
     /** A connection: one statement at a time is answered, as routers send them. */
-    private final class Talk extends TerminalHandler {
+    private final class RouterConnection extends TerminalHandler {
 
         private final Frames frames = new Frames();
         private ChannelHandlerContext ctx;
@@ -314,7 +314,7 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             ctx = context;
-            talks.add(this);
+            connections.add(this);
         }
 
         @Override
@@ -322,14 +322,14 @@
             frames.add((ByteBuf) read);
             try {
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
-                    message(message);
+                    handleMessage(message);
                 }
             } catch (BadFrame bad) {
                 context.close();
             }
         }
 
-        private void message(ByteBuf message) {
+        private void handleMessage(ByteBuf message) {
             String text =
                     message.toString(
                             message.readerIndex() + 5,
@@ -339,39 +339,39 @@
             if (!started) {
                 started = true;
                 frames.typed();
-                if (mood != Mood.HANGS) {
+                if (behavior != Behavior.HANGING) {
                     ctx.writeAndFlush(
                             Messages.ready(
                                     Unpooled.buffer().writeByte('R').writeInt(8).writeInt(0)));
                 }
-            } else if (text.startsWith("SHOW") && mood != Mood.HANGS) {
+            } else if (text.startsWith("SHOW") && behavior != Behavior.HANGING) {
                 ctx.writeAndFlush(
                         Messages.ready(
-                                row(
+                                writeRow(
                                         Unpooled.buffer(),
-                                        report().getBytes(StandardCharsets.US_ASCII))));
+                                        statusText().getBytes(StandardCharsets.US_ASCII))));
             } else if (!text.startsWith("SHOW")) {
-                statement(this, text);
+                execute(this, text);
             }
         }
 
-        void error(String code, String why) {
+        void sendError(String code, String why) {
             ctx.writeAndFlush(
                     Messages.ready(
                             Messages.error(
-                                    notes(Unpooled.buffer(), position()), false, code, why, null)));
+                                    writeStatusParameters(Unpooled.buffer(), positionMs()), false, code, why, null)));
         }
 
-        void value(Statement s, long position) {
+        void sendRow(Statement s, long position) {
             byte[] value = new byte[s.bytes];
             byte[] said = Long.toString(position).getBytes(StandardCharsets.US_ASCII);
             System.arraycopy(said, 0, value, 0, Math.min(said.length, value.length));
-            ctx.writeAndFlush(Messages.ready(row(notes(Unpooled.buffer(256), position), value)));
+            ctx.writeAndFlush(Messages.ready(writeRow(writeStatusParameters(Unpooled.buffer(256), position), value)));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            talks.remove(this);
+            connections.remove(this);
             frames.release();
         }
 
@@ -381,29 +381,29 @@
         }
     }
 
-    private String report() {
-        long ms = position();
+    private String statusText() {
+        long ms = positionMs();
         return "x0="
                 + ms / 1000
                 + "."
                 + String.valueOf(1000 + ms % 1000).substring(1)
                 + ",x1="
-                + (leads ? 1 : 0);
+                + (primary ? 1 : 0);
     }
 
-    private ByteBuf notes(ByteBuf out, long position) {
-        parameter(out, "node_role", leads ? "leader" : "follower");
-        parameter(out, "replay_position", Long.toString(position));
-        parameter(out, "server_load", report());
+    private ByteBuf writeStatusParameters(ByteBuf out, long position) {
+        writeParameter(out, "node_role", primary ? "leader" : "follower");
+        writeParameter(out, "replay_position", Long.toString(position));
+        writeParameter(out, "server_load", statusText());
         return out;
     }
 
-    private static void parameter(ByteBuf out, String name, String value) {
+    private static void writeParameter(ByteBuf out, String name, String value) {
         out.writeByte('S').writeInt(6 + name.length() + value.length());
         out.writeCharSequence(name + "\0" + value + "\0", StandardCharsets.US_ASCII);
     }
 
-    private static ByteBuf row(ByteBuf out, byte[] value) {
+    private static ByteBuf writeRow(ByteBuf out, byte[] value) {
         out.writeByte('T')
                 .writeInt(29)
                 .writeShort(1)
--- a/src/main/java/dillfront/simulation/processes/Mix.java
+++ b/src/main/java/dillfront/simulation/processes/TransactionMix.java
@@ -3,45 +3,45 @@
 import java.util.List;
 
 /** The txn types of a rig, as its settings have them and as its auditor judges them. */
-public final class Mix {
+public final class TransactionMix {
 
     /**
-     * @param boundMs how old a bounded read's data may be
+     * @param maxStalenessMs how old a bounded read's data may be
      */
-    public record Type(String name, String effect, String read, long boundMs) {
+    public record TransactionType(String name, String effect, String consistency, long maxStalenessMs) {
 
-        public boolean write() {
-            return read.equals("mutate");
+        public boolean isWrite() {
+            return consistency.equals("mutate");
         }
 
-        boolean referenced() {
+        boolean isDeduplicated() {
             return effect.equals("dedup");
         }
     }
 
-    public static final long WINDOW_MS = 2000;
-    public static final List<Type> TYPES =
+    public static final long DEDUP_WINDOW_MS = 2000;
+    public static final List<TransactionType> TYPES =
             List.of(
-                    new Type("view", "retryable", "lag_bound", 200),
-                    new Type("own", "retryable", "causal", 0),
-                    new Type("any", "retryable", "eventual", 0),
-                    new Type("fresh", "retryable", "strong", 0),
-                    new Type("move", "dedup", "mutate", 0),
-                    new Type("once", "fragile", "mutate", 0));
+                    new TransactionType("view", "retryable", "lag_bound", 200),
+                    new TransactionType("own", "retryable", "causal", 0),
+                    new TransactionType("any", "retryable", "eventual", 0),
+                    new TransactionType("fresh", "retryable", "strong", 0),
+                    new TransactionType("move", "dedup", "mutate", 0),
+                    new TransactionType("once", "fragile", "mutate", 0));
 
-    private Mix() {}
+    private TransactionMix() {}
 
-    public static Type type(String name) {
+    public static TransactionType type(String name) {
         return TYPES.stream().filter(t -> t.name.equals(name)).findFirst().orElseThrow();
     }
 
     /** The settings object of a configuration, for a router that stands in this zone. */
-    static String settings(
-            String zone, List<String> zones, int routers, long expiryMs, Node.Work work) {
+    static String settingsJson(
+            String zone, List<String> zones, int routers, long expiryMs, SimulatedNode.Capacity work) {
         StringBuilder classes = new StringBuilder();
         StringBuilder reads = new StringBuilder();
         StringBuilder bounds = new StringBuilder();
-        for (Type t : TYPES) {
+        for (TransactionType t : TYPES) {
             String comma = classes.length() == 0 ? "" : ",";
             classes.append(comma)
                     .append(
@@ -50,17 +50,17 @@
                                             + "'lateShare':%s}",
                                     t.name,
                                     t.effect,
-                                    t.referenced()
+                                    t.isDeduplicated()
                                             ? "'dedupScope':'cell','dedupWindowUs':"
-                                                    + WINDOW_MS * 1000
+                                                    + DEDUP_WINDOW_MS * 1000
                                                     + ","
                                             : "",
                                     expiryMs * 400,
                                     expiryMs * 1000,
-                                    t.write() ? "6.0" : "2.0",
-                                    t.write() ? "0.3" : "0.0"));
-            reads.append(comma).append('\'').append(t.read).append('\'');
-            bounds.append(comma).append(t.boundMs * 1000);
+                                    t.isWrite() ? "6.0" : "2.0",
+                                    t.isWrite() ? "0.3" : "0.0"));
+            reads.append(comma).append('\'').append(t.consistency).append('\'');
+            bounds.append(comma).append(t.maxStalenessMs * 1000);
         }
         return "{'az':'"
                 + zone
@@ -77,13 +77,13 @@
                 + "],'classBoundUs':["
                 + bounds
                 + "],'listRole':'static','guards':'off','tokens':'brought'},'rules':{'drainGraceUs':250000,'coldFrom':"
-                + work.coldFrom()
+                + work.initialSpeedFraction()
                 + ",'coldUs':"
-                + work.coldMs() * 1000
+                + work.warmupMs() * 1000
                 + ",'tipMultiple':"
-                + work.tipMultiple()
+                + work.overloadFactor()
                 + ",'tipAfterUs':"
-                + work.tipMs() * 1000
+                + work.overloadWindowMs() * 1000
                 + "},'tenants':[]}";
     }
 }
--- a/src/test/java/dillfront/simulation/processes/PowerTest.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTest.java
@@ -13,86 +13,86 @@
  * All lose power in one moment, under load, and come back in this order or that; the five rules
  * hold over all of it.
  */
-class PowerTest extends Losses {
+class PowerLossTest extends PowerLossTestBase {
 
     /**
      * Guards against routers that wait for a warm node to show what one can do, where there is
      * none.
      */
     @Test
-    void aFleetThatIsColdAsAWholeIsServedFrom() throws Exception {
-        begin(ALWAYS_COLD);
+    void servesFromNodesThatAreAllCold() throws Exception {
+        startRig(NEVER_WARM);
         for (int loss = 0; loss < 3; loss++) {
-            rig.cut();
-            for (Node node : rig.nodes()) {
-                rig.back(node, 0);
+            rig.losePower();
+            for (SimulatedNode node : rig.nodes()) {
+                rig.restartNode(node, 0);
             }
-            agents();
-            routers(0, 1, 2, 3);
+            openAgents();
+            startRouters(0, 1, 2, 3);
             // The next loss strikes when one has just begun to serve, then some have, then all.
-            served(1 + 20 * loss, IntStream.rangeClosed(0, loss + 1).toArray());
+            awaitServed(1 + 20 * loss, IntStream.rangeClosed(0, loss + 1).toArray());
         }
-        judge();
+        assertInvariants();
     }
 
     /** Guards against what depends on who is back first. */
     @Test
-    void theyComeBackInSixOrders() throws Exception {
-        begin(USUAL);
-        String[] all = rig.nodes().stream().map(Node::id).toArray(String[]::new);
+    void recoversInAnyRestartOrder() throws Exception {
+        startRig(WARM_AFTER_3_S);
+        String[] all = rig.nodes().stream().map(SimulatedNode::id).toArray(String[]::new);
         for (int order = 0; order < 6; order++) {
-            rig.cut();
+            rig.losePower();
             switch (order) {
                 case 0 -> {
                     // Routers first: they know the nodes from of old, and nobody answers.
-                    routers(0, 1, 2, 3);
-                    back(0, all);
-                    agents();
+                    startRouters(0, 1, 2, 3);
+                    restartNodes(0, all);
+                    openAgents();
                 }
                 case 1 -> {
-                    back(0, all);
-                    agents();
-                    routers(0, 1, 2, 3);
+                    restartNodes(0, all);
+                    openAgents();
+                    startRouters(0, 1, 2, 3);
                 }
                 case 2 -> {
                     // Discovery last: until then the old list holds.
-                    back(0, all);
-                    routers(0, 1, 2, 3);
-                    served(5, 0, 1, 2, 3);
-                    agents();
+                    restartNodes(0, all);
+                    startRouters(0, 1, 2, 3);
+                    awaitServed(5, 0, 1, 2, 3);
+                    openAgents();
                 }
                 case 3 -> {
                     // One site late, with the primaries of both groups.
-                    agents();
-                    back(0, "s-1", "s-2", "s-4", "s-5");
-                    routers(0, 1, 2, 3);
-                    back(0, "s-0", "s-3");
+                    openAgents();
+                    restartNodes(0, "s-1", "s-2", "s-4", "s-5");
+                    startRouters(0, 1, 2, 3);
+                    restartNodes(0, "s-0", "s-3");
                 }
                 case 4 -> {
                     // Half of the routers never come back.
-                    back(0, all);
-                    agents();
-                    routers(0, 1);
-                    served(40, 0, 1);
+                    restartNodes(0, all);
+                    openAgents();
+                    startRouters(0, 1);
+                    awaitServed(40, 0, 1);
                 }
                 default -> {
                     // All at once, in no order at all; replicas have lost the end of their logs.
                     List<Thread> threads = new ArrayList<>();
-                    threads.add(new Thread(() -> routers(0, 1, 2, 3)));
-                    threads.add(new Thread(this::agents));
+                    threads.add(new Thread(() -> startRouters(0, 1, 2, 3)));
+                    threads.add(new Thread(this::openAgents));
                     threads.forEach(Thread::start);
-                    back(0, "s-0", "s-3");
-                    back(20_000, "s-1", "s-2", "s-4", "s-5");
+                    restartNodes(0, "s-0", "s-3");
+                    restartNodes(20_000, "s-1", "s-2", "s-4", "s-5");
                     for (Thread thread : threads) {
                         thread.join();
                     }
                 }
             }
             if (order != 4) {
-                served(40, 0, 1, 2, 3);
+                awaitServed(40, 0, 1, 2, 3);
             }
         }
-        judge();
+        assertInvariants();
     }
 
     /**
@@ -100,33 +100,33 @@
      * older than it was.
      */
     @Test
-    void aNodeThatDrainedStaysClosedInTheNextLife() throws Exception {
-        begin(Rig.Plan.of(ROUTERS, 2, 3).work(USUAL).operator(this::remembers));
-        rig.stage().run(() -> rig.catalogue().change(rig.catalogue().entry("s-2").is("draining")));
-        rig.stage().run(() -> rig.catalogue().change(rig.catalogue().entry("s-5").is("gone")));
+    void drainedNodeStaysClosedAfterRestart() throws Exception {
+        startRig(Rig.Plan.of(ROUTERS, 2, 3).capacity(WARM_AFTER_3_S).operatorFile(this::memoryOperatorFile));
+        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("draining")));
+        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-5").withLifecycle("gone")));
         for (int r = 0; r < ROUTERS; r++) {
             int who = r;
-            rig.stage()
+            rig.harness()
                     .await(
                             "router " + r + " has heard",
-                            () -> rig.heard(rig.router(who).life() + "<a0") == 43);
-            status(
+                            () -> rig.acknowledgedGeneration(rig.router(who).incarnation() + "<a0") == 43);
+            awaitStatus(
                     r,
                     "closings are kept",
                     said -> said.contains("closings=2 ") && said.contains(" waiting=0 "));
         }
-        rig.cut();
+        rig.losePower();
         // The nodes never went down: they are not newly started, so no list opens them by that.
-        for (Node node : rig.nodes()) {
+        for (SimulatedNode node : rig.nodes()) {
             node.start(0);
         }
         for (int r = 0; r < ROUTERS; r++) {
-            rig.agent(r, 0).upTo(41);
+            rig.agent(r, 0).limitGeneration(41);
         }
-        agents();
-        routers(0, 1, 2, 3);
-        served(40, 0, 1, 2, 3);
-        judge(true);
+        openAgents();
+        startRouters(0, 1, 2, 3);
+        awaitServed(40, 0, 1, 2, 3);
+        assertInvariants(true);
     }
 
     /**
@@ -134,52 +134,52 @@
      * its states.
      */
     @Test
-    void powerGoesAgainInEachStateOfRecovery() throws Exception {
-        begin(Rig.Plan.of(2, 1, 3).work(ALWAYS_COLD).operator(this::remembers));
-        CompletableFuture<Happening.Answered> write = rig.ask(0, "move", 0, "token", 1500);
-        assertEquals("committed", write.get(30, TimeUnit.SECONDS).how());
+    void recoversFromPowerLossInEachRecoveryState() throws Exception {
+        startRig(Rig.Plan.of(2, 1, 3).capacity(NEVER_WARM).operatorFile(this::memoryOperatorFile));
+        CompletableFuture<Event.QueryEnded> write = rig.submit(0, "move", 0, "token", 1500);
+        assertEquals("committed", write.get(30, TimeUnit.SECONDS).outcome());
         // Its time is no earlier than its answer says.
         long wrote = System.currentTimeMillis();
         for (String state : List.of("dark", "contested", "known", "covered", "warm", "covered")) {
             if (state.equals("warm")) {
                 // Nodes that never went down: routers and discovery alone lose their power.
-                rig.routers().forEach(Router::kill);
+                rig.routers().forEach(RouterProcess::kill);
                 rig.agent(0, 0).close();
                 rig.agent(1, 0).close();
-                rig.stage()
+                rig.harness()
                         .run(
                                 () ->
                                         rig.nodes()
                                                 .forEach(
                                                         n ->
-                                                                rig.catalogue()
-                                                                        .change(
-                                                                                rig.catalogue()
+                                                                rig.catalog()
+                                                                        .update(
+                                                                                rig.catalog()
                                                                                         .entry(
                                                                                                 n
                                                                                                         .id())
-                                                                                        .startedAt(
+                                                                                        .readyWithStart(
                                                                                                 0))));
-                rig.nodes().forEach(Node::warm);
+                rig.nodes().forEach(SimulatedNode::markWarm);
             } else {
-                rig.cut();
+                rig.losePower();
             }
             switch (state) {
                 case "dark" -> {}
-                case "contested" -> back(0, "s-1", "s-2");
+                case "contested" -> restartNodes(0, "s-1", "s-2");
                 case "known" -> {
-                    back(0, "s-0");
+                    restartNodes(0, "s-0");
                     // They come back behind what they had told before.
-                    back(20_000, "s-1", "s-2");
+                    restartNodes(20_000, "s-1", "s-2");
                 }
-                case "covered" -> back(0, "s-0", "s-1", "s-2");
+                case "covered" -> restartNodes(0, "s-0", "s-1", "s-2");
                 default -> {}
             }
-            agent(0);
-            agent(1);
-            routers(0, 1);
+            openAgentIfClosed(0);
+            openAgentIfClosed(1);
+            startRouters(0, 1);
             for (int r = 0; r < 2; r++) {
-                status(
+                awaitStatus(
                         r,
                         "its group is " + state,
                         said -> said.replace("\"", "").contains("groups 0=" + state));
@@ -188,14 +188,14 @@
             // wrote, and the auditor looks.
             for (int r = 0; r < 2; r++) {
                 int who = r;
-                rig.stage()
+                rig.harness()
                         .run(
                                 () ->
                                         rig.router(who)
-                                                .caller()
-                                                .ask("own", 0, "token", 1000, wrote, null));
+                                                .client()
+                                                .submit("own", 0, "token", 1000, wrote, null));
             }
-            status(
+            awaitStatus(
                     0,
                     "what was lost",
                     said ->
@@ -206,12 +206,12 @@
                                         default -> "loss=all";
                                     }));
         }
-        served(20, 0, 1);
-        judge(true);
+        awaitServed(20, 0, 1);
+        assertInvariants(true);
     }
 
-    private void agent(int r) {
-        if (!rig.agent(r, 0).up()) {
+    private void openAgentIfClosed(int r) {
+        if (!rig.agent(r, 0).isListening()) {
             rig.agent(r, 0).open();
         }
     }
