--- a/src/main/java/dillfront/simulation/processes/DiscoveryAgent.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryAgent.java
@@ -45,12 +45,12 @@
     private final Map<String, Set<String>> listedNodes = new HashMap<>();
 
     /** Serves discovery for this cluster. */
-    public DiscoveryAgent(TestHarness stage, String name, DiscoveryCatalog catalogue, ToIntFunction<String> plain) {
-        this.harness = stage;
+    public DiscoveryAgent(TestHarness harness, String name, DiscoveryCatalog catalog, ToIntFunction<String> defaultNodePorts) {
+        this.harness = harness;
         this.name = name;
-        this.catalog = catalogue;
-        this.defaultNodePorts = plain;
-        catalogue.onChange(this::notifySubscribers);
+        this.catalog = catalog;
+        this.defaultNodePorts = defaultNodePorts;
+        catalog.onChange(this::notifySubscribers);
         open();
     }
 
@@ -74,7 +74,7 @@
         harness.run(
                 () -> {
                     listener.close();
-                    List.copyOf(subscribers).forEach(a -> a.ctx.close());
+                    List.copyOf(subscribers).forEach(subscriber -> subscriber.ctx.close());
                 });
         harness.await("an agent's door closed", () -> !listener.isOpen());
     }
@@ -90,19 +90,19 @@
                 () ->
                         subscribers.stream()
                                 .anyMatch(
-                                        a ->
-                                                a.requestOpen
-                                                        && a.knownGeneration
+                                        subscriber ->
+                                                subscriber.requestOpen
+                                                        && subscriber.knownGeneration
                                                                 == catalog
                                                                         .versionAt(limitGeneration)
                                                                         .generation()));
     }
 
     /** Says nothing from now on, and has not heard either; or speaks up again. */
-    public void withholdResponses(boolean now) {
+    public void withholdResponses(boolean withhold) {
         harness.run(
                 () -> {
-                    withholdResponses = now;
+                    withholdResponses = withhold;
                     notifySubscribers();
                 });
     }
@@ -147,29 +147,29 @@
             ByteBuf bytes = (ByteBuf) read;
             received.append(bytes.toString(StandardCharsets.US_ASCII));
             bytes.release();
-            for (int end = received.indexOf("\r\n\r\n"); end >= 0; end = received.indexOf("\r\n\r\n")) {
-                String line = received.substring(0, received.indexOf("\r\n"));
-                received.delete(0, end + 4);
-                handleRequest(line);
+            for (int headerEnd = received.indexOf("\r\n\r\n"); headerEnd >= 0; headerEnd = received.indexOf("\r\n\r\n")) {
+                String requestLine = received.substring(0, received.indexOf("\r\n"));
+                received.delete(0, headerEnd + 4);
+                handleRequest(requestLine);
             }
         }
 
-        private void handleRequest(String line) {
-            String life = harness.connectionOwner(ctx.channel());
+        private void handleRequest(String requestLine) {
+            String incarnation = harness.connectionOwner(ctx.channel());
             requestOpen = true;
             knownGeneration =
-                    line.contains("after=")
-                            ? Long.parseLong(line.replaceAll(".*after=(\\d+).*", "$1"))
+                    requestLine.contains("after=")
+                            ? Long.parseLong(requestLine.replaceAll(".*after=(\\d+).*", "$1"))
                             : -1;
             long waitMs =
-                    line.contains("wait_ms=")
-                            ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
+                    requestLine.contains("wait_ms=")
+                            ? Long.parseLong(requestLine.replaceAll(".*wait_ms=(\\d+).*", "$1"))
                             : 0;
             if (knownGeneration >= 0) {
-                long read = knownGeneration;
-                long at = harness.nowNanos();
+                long acknowledged = knownGeneration;
+                long atNanos = harness.nowNanos();
                 harness.afterNextPoll(
-                        () -> harness.recordEvent(new Event.ListAcknowledged(at, life + "<" + name, read)));
+                        () -> harness.recordEvent(new Event.ListAcknowledged(atNanos, incarnation + "<" + name, acknowledged)));
             }
             if (!withholdResponses) {
                 respondIfChanged();
@@ -199,39 +199,39 @@
             if (timeoutTask != null) {
                 timeoutTask.cancel(false);
             }
-            String life = harness.connectionOwner(ctx.channel());
-            DiscoveryCatalog.Version now = catalog.versionAt(limitGeneration);
-            boolean whole = knownGeneration < 0 || knownGeneration > now.generation();
-            DiscoveryCatalog.Version then = whole ? null : catalog.versionAt(knownGeneration);
-            List<String> rows = new ArrayList<>();
-            Set<String> known = listedNodes.computeIfAbsent(life, k -> new TreeSet<>());
-            Set<String> left = new TreeSet<>(whole ? known : then.entries().keySet());
-            for (DiscoveryCatalog.Entry e : now.entries().values()) {
-                left.remove(e.id());
-                if (whole || !e.equals(then.entries().get(e.id()))) {
-                    rows.add(entryJson(e, life));
-                    recordEntrySent(life, now.generation(), e.id(), e.lifecycle(), e.startedMs());
+            String incarnation = harness.connectionOwner(ctx.channel());
+            DiscoveryCatalog.Version current = catalog.versionAt(limitGeneration);
+            boolean complete = knownGeneration < 0 || knownGeneration > current.generation();
+            DiscoveryCatalog.Version previous = complete ? null : catalog.versionAt(knownGeneration);
+            List<String> entries = new ArrayList<>();
+            Set<String> known = listedNodes.computeIfAbsent(incarnation, k -> new TreeSet<>());
+            Set<String> removed = new TreeSet<>(complete ? known : previous.entries().keySet());
+            for (DiscoveryCatalog.Entry entry : current.entries().values()) {
+                removed.remove(entry.id());
+                if (complete || !entry.equals(previous.entries().get(entry.id()))) {
+                    entries.add(entryJson(entry, incarnation));
+                    recordEntrySent(incarnation, current.generation(), entry.id(), entry.lifecycle(), entry.startedMs());
                 }
-                known.add(e.id());
+                known.add(entry.id());
             }
-            for (String id : left) {
-                if (!whole) {
-                    rows.add(entryJson(then.entries().get(id).withLifecycle("gone"), life));
+            for (String id : removed) {
+                if (!complete) {
+                    entries.add(entryJson(previous.entries().get(id).withLifecycle("gone"), incarnation));
                 }
                 recordEntrySent(
-                        life,
-                        now.generation(),
+                        incarnation,
+                        current.generation(),
                         id,
-                        whole ? "absent" : "gone",
-                        whole ? 0 : then.entries().get(id).startedMs());
+                        complete ? "absent" : "gone",
+                        complete ? 0 : previous.entries().get(id).startedMs());
             }
             String body =
                     "{\"generation\":"
-                            + now.generation()
+                            + current.generation()
                             + ",\"reset\":"
-                            + whole
+                            + complete
                             + ",\"instances\":["
-                            + String.join(",", rows)
+                            + String.join(",", entries)
                             + "]}";
             ctx.writeAndFlush(
                     Unpooled.copiedBuffer(
@@ -243,10 +243,10 @@
         }
 
         private void recordEntrySent(
-                String life, long generation, String id, String standing, long startedMs) {
+                String incarnation, long generation, String id, String lifecycle, long startedMs) {
             harness.recordEvent(
                     new Event.ListEntrySent(
-                            harness.nowNanos(), life + "<" + name, generation, id, standing, startedMs));
+                            harness.nowNanos(), incarnation + "<" + name, generation, id, lifecycle, startedMs));
         }
 
         @Override
@@ -261,23 +261,23 @@
         }
     }
 
-    private String entryJson(DiscoveryCatalog.Entry e, String life) {
-        ToIntFunction<String> way = nodePortsByRouter.getOrDefault(life.replaceAll("#.*", ""), defaultNodePorts);
-        return entryJson(e, way.applyAsInt(e.id()));
+    private String entryJson(DiscoveryCatalog.Entry entry, String incarnation) {
+        ToIntFunction<String> nodePorts = nodePortsByRouter.getOrDefault(incarnation.replaceAll("#.*", ""), defaultNodePorts);
+        return entryJson(entry, nodePorts.applyAsInt(entry.id()));
     }
 
     /** As discovery lists a node, in its form. */
-    public static String entryJson(DiscoveryCatalog.Entry e, int port) {
+    public static String entryJson(DiscoveryCatalog.Entry entry, int port) {
         return String.format(
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\",\"machineType\":\"m\","
                         + "\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":%d,\"role\":\"%s\"}",
-                e.id(),
+                entry.id(),
                 TestHarness.HOST,
                 port,
-                e.zone(),
-                e.group(),
-                e.lifecycle(),
-                e.startedMs(),
-                e.primary() ? "leader" : "follower");
+                entry.zone(),
+                entry.group(),
+                entry.lifecycle(),
+                entry.startedMs(),
+                entry.primary() ? "leader" : "follower");
     }
 }
--- a/src/main/java/dillfront/simulation/processes/DiscoveryCatalog.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryCatalog.java
@@ -12,12 +12,12 @@
     public record Entry(
             String id, int group, String zone, String lifecycle, long startedMs, boolean primary) {
 
-        Entry withLifecycle(String other) {
-            return new Entry(id, group, zone, other, startedMs, primary);
+        Entry withLifecycle(String newLifecycle) {
+            return new Entry(id, group, zone, newLifecycle, startedMs, primary);
         }
 
-        Entry readyWithStart(long ms) {
-            return new Entry(id, group, zone, "ready", ms, primary);
+        Entry readyWithStart(long newStartedMs) {
+            return new Entry(id, group, zone, "ready", newStartedMs, primary);
         }
     }
 
@@ -28,10 +28,10 @@
 
     private final List<Runnable> listeners = new ArrayList<>();
 
-    public DiscoveryCatalog(long first, List<Entry> entries) {
-        Map<String, Entry> all = new TreeMap<>();
-        entries.forEach(e -> all.put(e.id(), e));
-        versions.add(new Version(first, all));
+    public DiscoveryCatalog(long firstGeneration, List<Entry> entries) {
+        Map<String, Entry> byId = new TreeMap<>();
+        entries.forEach(entry -> byId.put(entry.id(), entry));
+        versions.add(new Version(firstGeneration, byId));
     }
 
     Version latest() {
@@ -41,27 +41,27 @@
     /** The latest of at most this generation; the first where all are later. */
     Version versionAt(long generation) {
         Version found = versions.get(0);
-        for (Version v : versions) {
-            found = v.generation <= generation ? v : found;
+        for (Version version : versions) {
+            found = version.generation <= generation ? version : found;
         }
         return found;
     }
 
-    void onChange(Runnable agent) {
-        listeners.add(agent);
+    void onChange(Runnable listener) {
+        listeners.add(listener);
     }
 
     /** One change more: these entries are so now; one that is gone is listed no more. */
     public long update(Entry... entries) {
-        Map<String, Entry> all = new TreeMap<>(latest().entries);
-        for (Entry e : entries) {
-            if (e.lifecycle().equals("gone")) {
-                all.remove(e.id());
+        Map<String, Entry> byId = new TreeMap<>(latest().entries);
+        for (Entry entry : entries) {
+            if (entry.lifecycle().equals("gone")) {
+                byId.remove(entry.id());
             } else {
-                all.put(e.id(), e);
+                byId.put(entry.id(), entry);
             }
         }
-        versions.add(new Version(latest().generation + 1, all));
+        versions.add(new Version(latest().generation + 1, byId));
         List.copyOf(listeners).forEach(Runnable::run);
         return latest().generation;
     }
--- a/src/main/java/dillfront/simulation/processes/InvariantChecker.java
+++ b/src/main/java/dillfront/simulation/processes/InvariantChecker.java
@@ -40,8 +40,8 @@
 
         final Map<String, ClosedNode> closedNodes;
 
-        Incarnation(Map<String, ClosedNode> closed) {
-            this.closedNodes = closed;
+        Incarnation(Map<String, ClosedNode> closedNodes) {
+            this.closedNodes = closedNodes;
         }
     }
 
@@ -68,23 +68,23 @@
 
     private final Map<String, Map<String, ClosedNode>> closedNodesByOwner = new HashMap<>();
 
-    private InvariantChecker(boolean remembers) {
-        this.closuresPersist = remembers;
+    private InvariantChecker(boolean closuresPersist) {
+        this.closuresPersist = closuresPersist;
     }
 
     /** All breaches of this record; the run is over, and who has no answer by now gets none. */
-    public static InvariantChecker of(List<Event> record) {
-        return of(record, false);
+    public static InvariantChecker of(List<Event> events) {
+        return of(events, false);
     }
 
     /**
-     * @param remembers routers keep over their lives what closes a node
+     * @param closuresPersist routers keep over their lives what closes a node
      */
-    public static InvariantChecker of(List<Event> record, boolean remembers) {
-        InvariantChecker audit = new InvariantChecker(remembers);
-        record.forEach(audit::apply);
-        audit.checkUnanswered();
-        return audit;
+    public static InvariantChecker of(List<Event> events, boolean closuresPersist) {
+        InvariantChecker checker = new InvariantChecker(closuresPersist);
+        events.forEach(checker::apply);
+        checker.checkUnanswered();
+        return checker;
     }
 
     public List<Violation> violations() {
@@ -100,9 +100,9 @@
         return sent;
     }
 
-    public long countEnded(String how) {
+    public long countEnded(String outcome) {
         return transactions.values().stream()
-                .filter(t -> t.result != null && t.result.outcome().equals(how))
+                .filter(transaction -> transaction.result != null && transaction.result.outcome().equals(outcome))
                 .count();
     }
 
@@ -110,55 +110,55 @@
         return transactions.size();
     }
 
-    private void addViolation(int rule, String what) {
-        violations.add(new Violation(rule, what));
+    private void addViolation(int rule, String description) {
+        violations.add(new Violation(rule, description));
     }
 
     private Incarnation incarnation(String name) {
-        String who = closuresPersist ? name.replaceAll("#.*", "") : name;
+        String owner = closuresPersist ? name.replaceAll("#.*", "") : name;
         return incarnations.computeIfAbsent(
-                name, k -> new Incarnation(closedNodesByOwner.computeIfAbsent(who, w -> new HashMap<>())));
+                name, k -> new Incarnation(closedNodesByOwner.computeIfAbsent(owner, w -> new HashMap<>())));
     }
 
     private TransactionState transaction(String id) {
         return transactions.computeIfAbsent(id, k -> new TransactionState());
     }
 
-    private void apply(Event what) {
+    private void apply(Event event) {
         // Java 17 has no patterns in switch yet.
-        if (what instanceof Event.Ended e) {
-            incarnation(e.incarnation()).ended = true;
-            incarnation(e.incarnation()).killed |= e.killed();
-        } else if (what instanceof Event.ListEntrySent t) {
-            incarnation(t.subscription().replaceAll("<.*", "")).unacknowledged.add(t);
-        } else if (what instanceof Event.ListAcknowledged h) {
-            acknowledge(h);
-        } else if (what instanceof Event.StatementReceived s) {
-            sent(s);
-        } else if (what instanceof Event.WriteApplied r) {
+        if (event instanceof Event.Ended ended) {
+            incarnation(ended.incarnation()).ended = true;
+            incarnation(ended.incarnation()).killed |= ended.killed();
+        } else if (event instanceof Event.ListEntrySent entry) {
+            incarnation(entry.subscription().replaceAll("<.*", "")).unacknowledged.add(entry);
+        } else if (event instanceof Event.ListAcknowledged acknowledgement) {
+            acknowledge(acknowledgement);
+        } else if (event instanceof Event.StatementReceived statement) {
+            sent(statement);
+        } else if (event instanceof Event.WriteApplied r) {
             applied(r);
-        } else if (what instanceof Event.ReadServed r) {
+        } else if (event instanceof Event.ReadServed r) {
             checkRead(r);
-        } else if (what instanceof Event.WarmupLoad p) {
-            peakWarmupLoad = Math.max(peakWarmupLoad, p.limitRatio());
-            if (p.limitRatio() >= 1 && overloadedNodes.add(p.node())) {
-                addViolation(4, "node " + p.node() + " was cold and fell over");
+        } else if (event instanceof Event.WarmupLoad load) {
+            peakWarmupLoad = Math.max(peakWarmupLoad, load.limitRatio());
+            if (load.limitRatio() >= 1 && overloadedNodes.add(load.node())) {
+                addViolation(4, "node " + load.node() + " was cold and fell over");
             }
-        } else if (what instanceof Event.QuerySent a) {
+        } else if (event instanceof Event.QuerySent a) {
             transaction(a.txn()).query = a;
-        } else if (what instanceof Event.QueryEnded a) {
+        } else if (event instanceof Event.QueryEnded a) {
             queryEnded(a);
         }
     }
 
     // ---- what closes a node
 
-    private void acknowledge(Event.ListAcknowledged h) {
-        Incarnation life = incarnation(h.subscription().replaceAll("<.*", ""));
-        for (Event.ListEntrySent t : List.copyOf(life.unacknowledged)) {
-            if (t.subscription().equals(h.subscription()) && t.generation() <= h.generation()) {
-                life.unacknowledged.remove(t);
-                applyEntry(life, t, true);
+    private void acknowledge(Event.ListAcknowledged acknowledgement) {
+        Incarnation incarnation = incarnation(acknowledgement.subscription().replaceAll("<.*", ""));
+        for (Event.ListEntrySent entry : List.copyOf(incarnation.unacknowledged)) {
+            if (entry.subscription().equals(acknowledgement.subscription()) && entry.generation() <= acknowledgement.generation()) {
+                incarnation.unacknowledged.remove(entry);
+                applyEntry(incarnation, entry, true);
             }
         }
     }
@@ -167,135 +167,135 @@
      * A word that opens a node counts once told, one that closes it once read; only a newer word or
      * start opens it again.
      */
-    private static void applyEntry(Incarnation life, Event.ListEntrySent t, boolean read) {
-        ClosedNode before = life.closedNodes.get(t.node());
+    private static void applyEntry(Incarnation incarnation, Event.ListEntrySent entry, boolean acknowledged) {
+        ClosedNode previous = incarnation.closedNodes.get(entry.node());
         boolean newer =
-                before == null
-                        || t.generation() > before.generation
-                        || t.startedMs() > before.startedMs;
-        if (t.lifecycle().equals("ready")) {
+                previous == null
+                        || entry.generation() > previous.generation
+                        || entry.startedMs() > previous.startedMs;
+        if (entry.lifecycle().equals("ready")) {
             if (newer) {
-                life.closedNodes.remove(t.node());
+                incarnation.closedNodes.remove(entry.node());
             }
-        } else if (read && (newer || t.generation() == before.generation)) {
-            life.closedNodes.put(
-                    t.node(),
+        } else if (acknowledged && (newer || entry.generation() == previous.generation)) {
+            incarnation.closedNodes.put(
+                    entry.node(),
                     new ClosedNode(
-                            t.generation(),
-                            before == null
-                                    ? t.startedMs()
-                                    : Math.max(t.startedMs(), before.startedMs),
-                            t.lifecycle()));
+                            entry.generation(),
+                            previous == null
+                                    ? entry.startedMs()
+                                    : Math.max(entry.startedMs(), previous.startedMs),
+                            entry.lifecycle()));
         }
     }
 
-    private void sent(Event.StatementReceived s) {
+    private void sent(Event.StatementReceived statement) {
         sent++;
-        Incarnation life = incarnation(s.incarnation());
-        for (Event.ListEntrySent t : life.unacknowledged) {
-            applyEntry(life, t, false);
+        Incarnation incarnation = incarnation(statement.incarnation());
+        for (Event.ListEntrySent entry : incarnation.unacknowledged) {
+            applyEntry(incarnation, entry, false);
         }
-        ClosedNode closed = life.closedNodes.get(s.node());
+        ClosedNode closed = incarnation.closedNodes.get(statement.node());
         if (closed != null) {
             addViolation(
                     3,
-                    s.incarnation()
+                    statement.incarnation()
                             + " sent "
-                            + s.txn()
+                            + statement.txn()
                             + " to "
-                            + s.node()
+                            + statement.node()
                             + ", which is "
                             + closed.lifecycle
                             + " by generation "
                             + closed.generation);
         }
-        TransactionState txn = transaction(s.txn());
-        txn.sendCount++;
-        if (txn.result != null && !txn.result.outcome().equals("broken")) {
+        TransactionState transaction = transaction(statement.txn());
+        transaction.sendCount++;
+        if (transaction.result != null && !transaction.result.outcome().equals("broken")) {
             addViolation(
                     1,
-                    s.incarnation() + " sent " + s.txn() + " to " + s.node() + " after its final answer");
+                    statement.incarnation() + " sent " + statement.txn() + " to " + statement.node() + " after its final answer");
         }
-        if (txn.applied && s.type().equals("once")) {
-            addViolation(2, s.incarnation() + " sent " + s.txn() + " again, once-only, after it had run");
+        if (transaction.applied && statement.type().equals("once")) {
+            addViolation(2, statement.incarnation() + " sent " + statement.txn() + " again, once-only, after it had run");
         }
     }
 
     // ---- effects and answers
 
-    private void applied(Event.WriteApplied r) {
-        TransactionMix.TransactionType type = TransactionMix.type(r.type());
-        transaction(r.txn()).applied = true;
+    private void applied(Event.WriteApplied write) {
+        TransactionMix.TransactionType type = TransactionMix.type(write.type());
+        transaction(write.txn()).applied = true;
         if (type.isWrite()) {
-            String before = applied.putIfAbsent(r.group() + " " + r.key(), r.txn());
-            if (before != null) {
-                addViolation(2, "key " + r.key() + " had its effect by " + before + " and by " + r.txn());
+            String previousTxn = applied.putIfAbsent(write.group() + " " + write.key(), write.txn());
+            if (previousTxn != null) {
+                addViolation(2, "key " + write.key() + " had its effect by " + previousTxn + " and by " + write.txn());
             }
         }
-        if (transaction(r.txn()).result != null) {
-            checkDeclinedNotApplied(r.txn());
+        if (transaction(write.txn()).result != null) {
+            checkDeclinedNotApplied(write.txn());
         }
     }
 
     private void checkDeclinedNotApplied(String id) {
-        TransactionState txn = transactions.get(id);
-        if (txn.applied && txn.result.outcome().equals("declined")) {
+        TransactionState transaction = transactions.get(id);
+        if (transaction.applied && transaction.result.outcome().equals("declined")) {
             addViolation(2, id + " was declined, and it has run");
         }
     }
 
-    private void queryEnded(Event.QueryEnded a) {
-        TransactionState txn = transaction(a.txn());
-        if (txn.result != null) {
-            addViolation(1, a.txn() + " was answered " + txn.result.outcome() + " and " + a.outcome());
+    private void queryEnded(Event.QueryEnded ended) {
+        TransactionState transaction = transaction(ended.txn());
+        if (transaction.result != null) {
+            addViolation(1, ended.txn() + " was answered " + transaction.result.outcome() + " and " + ended.outcome());
             return;
         }
-        txn.result = a;
-        if (a.outcome().equals("committed") && txn.sendCount == 0) {
-            addViolation(1, a.txn() + " was served what no node made for it");
+        transaction.result = ended;
+        if (ended.outcome().equals("committed") && transaction.sendCount == 0) {
+            addViolation(1, ended.txn() + " was served what no node made for it");
         }
-        checkDeclinedNotApplied(a.txn());
-        long lateMs = (a.atNanos() - txn.query.atNanos()) / 1_000_000 - txn.query.timeoutMs();
-        if (lateMs > TOLERANCE_MS && !incarnation(txn.query.incarnation()).killed && !a.outcome().equals("unreached")) {
+        checkDeclinedNotApplied(ended.txn());
+        long lateMs = (ended.atNanos() - transaction.query.atNanos()) / 1_000_000 - transaction.query.timeoutMs();
+        if (lateMs > TOLERANCE_MS && !incarnation(transaction.query.incarnation()).killed && !ended.outcome().equals("unreached")) {
             addViolation(
                     1,
-                    a.txn()
+                    ended.txn()
                             + " of "
-                            + txn.query.incarnation()
+                            + transaction.query.incarnation()
                             + " was answered "
-                            + a.outcome()
+                            + ended.outcome()
                             + " "
                             + lateMs
                             + " ms after its client gave up");
         }
     }
 
-    private void checkRead(Event.ReadServed r) {
-        TransactionMix.TransactionType type = TransactionMix.type(r.type());
-        Event.QuerySent asked = transaction(r.txn()).query;
-        long ageMs = r.servedMs() - r.positionMs();
+    private void checkRead(Event.ReadServed read) {
+        TransactionMix.TransactionType type = TransactionMix.type(read.type());
+        Event.QuerySent query = transaction(read.txn()).query;
+        long ageMs = read.servedMs() - read.positionMs();
         if (type.consistency().equals("causal")
-                && asked != null
-                && asked.sessionWriteMs() > 0
-                && r.positionMs() < asked.sessionWriteMs()) {
+                && query != null
+                && query.sessionWriteMs() > 0
+                && read.positionMs() < query.sessionWriteMs()) {
             addViolation(
                     5,
-                    r.txn()
+                    read.txn()
                             + " at "
-                            + r.node()
+                            + read.node()
                             + " did not see its session's write, "
-                            + (asked.sessionWriteMs() - r.positionMs())
+                            + (query.sessionWriteMs() - read.positionMs())
                             + " ms behind");
         }
         if (type.consistency().equals("lag_bound") && ageMs > type.maxStalenessMs() + TOLERANCE_MS
                 || type.consistency().equals("strong") && ageMs > TOLERANCE_MS) {
             addViolation(
                     5,
-                    r.txn()
+                    read.txn()
                             + ", "
-                            + r.type()
+                            + read.type()
                             + ", at "
-                            + r.node()
+                            + read.node()
                             + " was answered from data "
                             + ageMs
                             + " ms old");
@@ -304,19 +304,19 @@
 
     private void checkUnanswered() {
         transactions.forEach(
-                (id, txn) -> {
-                    if (txn.query == null) {
+                (id, transaction) -> {
+                    if (transaction.query == null) {
                         return;
                     }
-                    Incarnation life = incarnation(txn.query.incarnation());
-                    boolean broken = txn.result != null && txn.result.outcome().equals("broken");
-                    if ((txn.result == null || broken) && !life.killed) {
+                    Incarnation incarnation = incarnation(transaction.query.incarnation());
+                    boolean connectionBroken = transaction.result != null && transaction.result.outcome().equals("broken");
+                    if ((transaction.result == null || connectionBroken) && !incarnation.killed) {
                         addViolation(
                                 1,
                                 id
                                         + " of "
-                                        + txn.query.incarnation()
-                                        + (broken
+                                        + transaction.query.incarnation()
+                                        + (connectionBroken
                                                 ? ": its connection ended with no answer"
                                                 : " has no answer"));
                     }
--- a/src/main/java/dillfront/simulation/processes/LoadGenerator.java
+++ b/src/main/java/dillfront/simulation/processes/LoadGenerator.java
@@ -23,20 +23,20 @@
     private long nextDueNanos;
 
     /**
-     * @param gapMicros between two queries, over all routers
+     * @param intervalMicros between two queries, over all routers
      */
-    public LoadGenerator(Rig rig, long seed, long gapMicros) {
-        this(rig, seed, gapMicros, 1500);
+    public LoadGenerator(Rig rig, long seed, long intervalMicros) {
+        this(rig, seed, intervalMicros, 1500);
     }
 
     /**
-     * @param gapMicros between two transactions; waitMs is what a client allows one
+     * @param intervalMicros between two transactions; waitMs is what a client allows one
      */
-    public LoadGenerator(Rig rig, long seed, long gapMicros, long waitMs) {
+    public LoadGenerator(Rig rig, long seed, long intervalMicros, long timeoutMs) {
         this.rig = rig;
-        this.timeoutMs = waitMs;
+        this.timeoutMs = timeoutMs;
         random = new SplittableRandom(seed);
-        intervalNanos = gapMicros * 1000;
+        intervalNanos = intervalMicros * 1000;
     }
 
     /** Sends from now on. */
@@ -51,8 +51,8 @@
     }
 
     /** On the loop: how many this life of a router has served. */
-    public int committed(String life) {
-        return committed.getOrDefault(life, 0);
+    public int committed(String incarnation) {
+        return committed.getOrDefault(incarnation, 0);
     }
 
     public void stop() {
@@ -70,7 +70,7 @@
         int group = random.nextInt(rig.groups().size());
         String key = type.isWrite() ? "k" + ++writeCount : "16-" + random.nextInt(1000);
         if (!router.down()) {
-            String life = router.incarnation();
+            String incarnation = router.incarnation();
             router.client()
                     .submit(
                             type.name(),
@@ -78,10 +78,10 @@
                             key,
                             timeoutMs,
                             0,
-                            a ->
+                            ended ->
                                     committed.merge(
-                                            life,
-                                            a.outcome().equals("committed") ? 1 : 0,
+                                            incarnation,
+                                            ended.outcome().equals("committed") ? 1 : 0,
                                             Integer::sum));
         }
     }
--- a/src/main/java/dillfront/simulation/processes/NodeGroup.java
+++ b/src/main/java/dillfront/simulation/processes/NodeGroup.java
@@ -21,10 +21,10 @@
 
     private long lastCommitMs;
 
-    public NodeGroup(TestHarness stage, int number, long windowMs) {
-        this.harness = stage;
+    public NodeGroup(TestHarness harness, int number, long dedupWindowMs) {
+        this.harness = harness;
         this.number = number;
-        this.dedupWindowMs = windowMs;
+        this.dedupWindowMs = dedupWindowMs;
     }
 
     public List<SimulatedNode> members() {
@@ -32,24 +32,24 @@
     }
 
     /** The position of the commit: each has one of its own, and none is earlier than one before. */
-    long commit(SimulatedNode by, SimulatedNode.Statement s, long nowMs) {
+    long commit(SimulatedNode node, SimulatedNode.Statement statement, long nowMs) {
         lastCommitMs = Math.max(nowMs, lastCommitMs + 1);
-        Long before = lastEffectMs.get(s.key());
-        if (before == null || nowMs - before > dedupWindowMs) {
-            lastEffectMs.put(s.key(), nowMs);
-            harness.recordEvent(new Event.WriteApplied(by.id, number, s.txn(), s.type(), s.key()));
+        Long previousMs = lastEffectMs.get(statement.key());
+        if (previousMs == null || nowMs - previousMs > dedupWindowMs) {
+            lastEffectMs.put(statement.key(), nowMs);
+            harness.recordEvent(new Event.WriteApplied(node.id, number, statement.txn(), statement.type(), statement.key()));
         }
         return lastCommitMs;
     }
 
     /** On the loop: a repeat of this key would be dropped. */
     public boolean deduplicates(String key) {
-        Long at = lastEffectMs.get(key);
-        return at != null && System.currentTimeMillis() - at <= dedupWindowMs;
+        Long lastMs = lastEffectMs.get(key);
+        return lastMs != null && System.currentTimeMillis() - lastMs <= dedupWindowMs;
     }
 
     /** By hand: one that takes over leads, the others no longer. */
-    public void promote(SimulatedNode next) {
-        harness.run(() -> members.forEach(m -> m.primary(m == next)));
+    public void promote(SimulatedNode newPrimary) {
+        harness.run(() -> members.forEach(member -> member.primary(member == newPrimary)));
     }
 }
--- a/src/main/java/dillfront/simulation/processes/QueryClient.java
+++ b/src/main/java/dillfront/simulation/processes/QueryClient.java
@@ -31,8 +31,8 @@
 
     private long queryCount;
 
-    QueryClient(TestHarness stage, RouterProcess router) {
-        this.harness = stage;
+    QueryClient(TestHarness harness, RouterProcess router) {
+        this.harness = harness;
         this.router = router;
     }
 
@@ -45,32 +45,32 @@
      * Asks once.
      *
      * @param key what the statement is about; for a referenced txn also its idempotency key
-     * @param afterMs when its session last wrote, in Unix milliseconds; 0 where it has not
-     * @param then is told how it ended
+     * @param sessionWriteMs when its session last wrote, in Unix milliseconds; 0 where it has not
+     * @param callback is told how it ended
      */
     public String submit(
             String type,
             int group,
             String key,
-            long waitMs,
-            long afterMs,
-            Consumer<Event.QueryEnded> then) {
+            long timeoutMs,
+            long sessionWriteMs,
+            Consumer<Event.QueryEnded> callback) {
         String txn = router.name() + "-" + ++queryCount;
-        TransactionMix.TransactionType row = TransactionMix.type(type);
+        TransactionMix.TransactionType transactionType = TransactionMix.type(type);
         String comment =
                 " /* id="
                         + txn
                         + ",c="
                         + type
                         + ",d="
-                        + waitMs
-                        + (row.isDeduplicated() ? ",k=" + key : "")
+                        + timeoutMs
+                        + (transactionType.isDeduplicated() ? ",k=" + key : "")
                         + ",cluster="
                         + group
-                        + (afterMs > 0 ? ",after=" + afterMs : "")
+                        + (sessionWriteMs > 0 ? ",after=" + sessionWriteMs : "")
                         + " */";
-        String text =
-                row.isWrite()
+        String queryText =
+                transactionType.isWrite()
                         ? "INSERT INTO objects (oid, body) VALUES ('"
                                 + key
                                 + "', '\\x9f03') RETURNING body"
@@ -78,25 +78,25 @@
                         : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment;
         harness.recordEvent(
                 new Event.QuerySent(
-                        harness.nowNanos(), txn, type, group, key, waitMs, afterMs, router.incarnation()));
-        send(txn, text, then, false);
+                        harness.nowNanos(), txn, type, group, key, timeoutMs, sessionWriteMs, router.incarnation()));
+        send(txn, queryText, callback, false);
         return txn;
     }
 
-    private void send(String txn, String text, Consumer<Event.QueryEnded> then, boolean again) {
-        ClientConnection line = again ? null : idle.poll();
-        if (line == null) {
-            line = new ClientConnection();
-            line.connect();
+    private void send(String txn, String queryText, Consumer<Event.QueryEnded> callback, boolean retried) {
+        ClientConnection connection = retried ? null : idle.poll();
+        if (connection == null) {
+            connection = new ClientConnection();
+            connection.connect();
         }
-        line.txn = txn;
-        line.queryText = text;
-        line.callback = then;
-        line.retried = again;
-        line.firstQuery = line.queries++ == 0;
-        pending.put(txn, line);
-        if (line.handshakeDone) {
-            line.writeQuery();
+        connection.txn = txn;
+        connection.queryText = queryText;
+        connection.callback = callback;
+        connection.retried = retried;
+        connection.firstQuery = connection.queries++ == 0;
+        pending.put(txn, connection);
+        if (connection.handshakeDone) {
+            connection.writeQuery();
         }
     }
 
@@ -124,8 +124,8 @@
             }
             connecting.channel().config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
             connecting.addListener(
-                    done -> {
-                        if (!done.isSuccess()) {
+                    result -> {
+                        if (!result.isSuccess()) {
                             harness.loop().execute(this::onClosed);
                         }
                     });
@@ -151,7 +151,7 @@
                     handleMessage(message);
                     message.release();
                 }
-            } catch (BadFrame bad) {
+            } catch (BadFrame e) {
                 context.close();
             }
         }
@@ -159,11 +159,11 @@
         private void handleMessage(ByteBuf message) {
             switch (message.getByte(message.readerIndex())) {
                 case 'D' -> {
-                    int from = message.readerIndex() + 11;
+                    int valueStart = message.readerIndex() + 11;
                     responseText =
                             message.toString(
-                                            from,
-                                            message.writerIndex() - from,
+                                            valueStart,
+                                            message.writerIndex() - valueStart,
                                             StandardCharsets.US_ASCII)
                                     .replace("\0", "");
                 }
@@ -197,17 +197,17 @@
             }
         }
 
-        private void finish(String ending, String with) {
-            Event.QueryEnded answered = new Event.QueryEnded(harness.nowNanos(), txn, ending, with);
-            Consumer<Event.QueryEnded> told = callback;
+        private void finish(String finalOutcome, String finalText) {
+            Event.QueryEnded ended = new Event.QueryEnded(harness.nowNanos(), txn, finalOutcome, finalText);
+            Consumer<Event.QueryEnded> finishedCallback = callback;
             txn = null;
             // What the router sent to nodes before it answered may still lie unread there.
             harness.afterNextPoll(
                     () -> {
-                        pending.remove(answered.txn());
-                        harness.recordEvent(answered);
-                        if (told != null) {
-                            told.accept(answered);
+                        pending.remove(ended.txn());
+                        harness.recordEvent(ended);
+                        if (finishedCallback != null) {
+                            finishedCallback.accept(ended);
                         }
                     });
         }
@@ -221,9 +221,9 @@
             }
             if (!firstQuery && !retried && outcome == null) {
                 pending.remove(txn);
-                String once = txn;
+                String retriedTxn = txn;
                 txn = null;
-                send(once, queryText, callback, true);
+                send(retriedTxn, queryText, callback, true);
             } else {
                 finish(connected ? "broken" : "unreached", "");
             }
--- a/src/main/java/dillfront/simulation/processes/Rig.java
+++ b/src/main/java/dillfront/simulation/processes/Rig.java
@@ -75,19 +75,19 @@
             return new Plan(routers, groups, membersPerGroup, zones, ms, capacity, command, settings, operatorFile);
         }
 
-        public Plan capacity(SimulatedNode.Capacity other) {
+        public Plan capacity(SimulatedNode.Capacity newCapacity) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, other, command, settings, operatorFile);
+                    routers, groups, membersPerGroup, zones, expiryMs, newCapacity, command, settings, operatorFile);
         }
 
-        public Plan command(List<String> other) {
+        public Plan command(List<String> newCommand) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, capacity, other, settings, operatorFile);
+                    routers, groups, membersPerGroup, zones, expiryMs, capacity, newCommand, settings, operatorFile);
         }
 
-        public Plan operatorFile(BiFunction<Rig, Integer, String> text) {
+        public Plan operatorFile(BiFunction<Rig, Integer, String> newOperatorFile) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, capacity, command, settings, text);
+                    routers, groups, membersPerGroup, zones, expiryMs, capacity, command, settings, newOperatorFile);
         }
     }
 
@@ -117,27 +117,27 @@
         folder = Files.createTempDirectory("dillfront-rig");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         List<DiscoveryCatalog.Entry> entries = new ArrayList<>();
-        for (int g = 0; g < plan.groups; g++) {
-            NodeGroup group = new NodeGroup(harness, g, TransactionMix.DEDUP_WINDOW_MS);
+        for (int groupIndex = 0; groupIndex < plan.groups; groupIndex++) {
+            NodeGroup group = new NodeGroup(harness, groupIndex, TransactionMix.DEDUP_WINDOW_MS);
             groups.add(group);
-            for (int m = 0; m < plan.membersPerGroup; m++) {
-                String id = "s-" + (g * plan.membersPerGroup + m);
-                nodes.put(id, new SimulatedNode(harness, id, group, m == 0, plan.capacity));
+            for (int memberIndex = 0; memberIndex < plan.membersPerGroup; memberIndex++) {
+                String id = "s-" + (groupIndex * plan.membersPerGroup + memberIndex);
+                nodes.put(id, new SimulatedNode(harness, id, group, memberIndex == 0, plan.capacity));
                 entries.add(
                         new DiscoveryCatalog.Entry(
-                                id, g, plan.zones.get(m % plan.zones.size()), "ready", 0, m == 0));
+                                id, groupIndex, plan.zones.get(memberIndex % plan.zones.size()), "ready", 0, memberIndex == 0));
             }
         }
         catalog = new DiscoveryCatalog(INITIAL_GENERATION, entries);
-        for (int r = 0; r < plan.routers; r++) {
-            String name = "r" + r;
+        for (int routerIndex = 0; routerIndex < plan.routers; routerIndex++) {
+            String name = "r" + routerIndex;
             Path config = folder.resolve(name + ".json");
             List<String> command = plan.command != null ? plan.command : routerCommand();
-            Map<String, String> more = new HashMap<>();
+            Map<String, String> extraEnvironment = new HashMap<>();
             if (plan.operatorFile != null) {
-                more.put("LB_OPERATOR", folder.resolve(name + ".star").toString());
+                extraEnvironment.put("LB_OPERATOR", folder.resolve(name + ".star").toString());
             }
-            RouterProcess router = new RouterProcess(harness, name, TestHarness.freeAddress(r), config, command, more);
+            RouterProcess router = new RouterProcess(harness, name, TestHarness.freeAddress(routerIndex), config, command, extraEnvironment);
             routers.add(router);
             for (SimulatedNode node : nodes.values()) {
                 nodeProxies.put(
@@ -146,11 +146,11 @@
             }
             agents.add(new ArrayList<>());
             agentProxies.add(new ArrayList<>());
-            addAgent(r);
-            writeConfiguration(r, 0);
+            addAgent(routerIndex);
+            writeConfiguration(routerIndex, 0);
         }
-        for (int r = 0; r < plan.routers && plan.operatorFile != null; r++) {
-            Files.writeString(folder.resolve("r" + r + ".star"), plan.operatorFile.apply(this, r));
+        for (int routerIndex = 0; routerIndex < plan.routers && plan.operatorFile != null; routerIndex++) {
+            Files.writeString(folder.resolve("r" + routerIndex + ".star"), plan.operatorFile.apply(this, routerIndex));
         }
     }
 
@@ -186,8 +186,8 @@
         return routers;
     }
 
-    public RouterProcess router(int r) {
-        return routers.get(r);
+    public RouterProcess router(int routerIndex) {
+        return routers.get(routerIndex);
     }
 
     public List<NodeGroup> groups() {
@@ -207,8 +207,8 @@
     }
 
     /** The way from a router to a node. */
-    public TcpFaultProxy nodeProxy(int router, String node) {
-        return nodeProxies.get("r" + router + ">" + node);
+    public TcpFaultProxy nodeProxy(int router, String nodeId) {
+        return nodeProxies.get("r" + router + ">" + nodeId);
     }
 
     public TcpFaultProxy agentProxy(int router, int agent) {
@@ -220,39 +220,39 @@
     }
 
     /** One agent more for this router, at a port of its own; its number. */
-    public int addAgent(int r) {
-        String name = "r" + r;
+    public int addAgent(int routerIndex) {
+        String name = "r" + routerIndex;
         DiscoveryAgent agent =
-                new DiscoveryAgent(harness, "a" + agents.get(r).size(), catalog, id -> nodes.get(id).port());
+                new DiscoveryAgent(harness, "a" + agents.get(routerIndex).size(), catalog, id -> nodes.get(id).port());
         agent.setNodePorts(name, id -> nodeProxies.get(name + ">" + id).port());
-        agents.get(r).add(agent);
-        agentProxies.get(r).add(new TcpFaultProxy(harness, routers.get(r)::incarnation, () -> TestHarness.localAddress(agent.port())));
-        return agents.get(r).size() - 1;
+        agents.get(routerIndex).add(agent);
+        agentProxies.get(routerIndex).add(new TcpFaultProxy(harness, routers.get(routerIndex)::incarnation, () -> TestHarness.localAddress(agent.port())));
+        return agents.get(routerIndex).size() - 1;
     }
 
     /**
      * Writes the router's configuration, with discovery at this agent of its own and the first list
      * as known.
      */
-    public void writeConfiguration(int r, int agent) {
-        String name = "r" + r;
+    public void writeConfiguration(int routerIndex, int agent) {
+        String name = "r" + routerIndex;
         List<String> known = new ArrayList<>();
-        for (DiscoveryCatalog.Entry e : catalog.versionAt(INITIAL_GENERATION).entries().values()) {
-            known.add(DiscoveryAgent.entryJson(e, nodeProxies.get(name + ">" + e.id()).port()));
+        for (DiscoveryCatalog.Entry entry : catalog.versionAt(INITIAL_GENERATION).entries().values()) {
+            known.add(DiscoveryAgent.entryJson(entry, nodeProxies.get(name + ">" + entry.id()).port()));
         }
         String text =
                 "{'name':'"
                         + name
                         + "','listen':'"
-                        + routers.get(r).address().getHostString()
+                        + routers.get(routerIndex).address().getHostString()
                         + ":"
-                        + routers.get(r).address().getPort()
+                        + routers.get(routerIndex).address().getPort()
                         + "','discovery':'"
                         + TestHarness.HOST
                         + ":"
-                        + agentProxies.get(r).get(agent).port()
+                        + agentProxies.get(routerIndex).get(agent).port()
                         + "','seed':'"
-                        + Long.toHexString(0x8c1f30d27a5be964L + r)
+                        + Long.toHexString(0x8c1f30d27a5be964L + routerIndex)
                         + "','limits':"
                         + "{'cores':1.0,'memory_mb':128,'sockets':512},'known':{'generation':"
                         + INITIAL_GENERATION
@@ -262,18 +262,18 @@
                         + "]},'settings':"
                         + plan.settings.apply(
                                 TransactionMix.settingsJson(
-                                        plan.zones.get(r % plan.zones.size()),
+                                        plan.zones.get(routerIndex % plan.zones.size()),
                                         plan.zones,
                                         plan.routers,
                                         plan.expiryMs,
                                         plan.capacity))
                         + "}";
         try {
-            Path next = folder.resolve(name + ".next");
-            Files.writeString(next, text.replace('\'', '"'));
-            Files.move(next, routers.get(r).configFile(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-        } catch (IOException bad) {
-            throw new IllegalStateException(bad);
+            Path newFile = folder.resolve(name + ".next");
+            Files.writeString(newFile, text.replace('\'', '"'));
+            Files.move(newFile, routers.get(routerIndex).configFile(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+        } catch (IOException ex) {
+            throw new IllegalStateException(ex);
         }
     }
 
@@ -281,16 +281,16 @@
      * On the loop: the latest generation that this life has shown at this agent to have read;
      * negative where none.
      */
-    public long acknowledgedGeneration(String lifeAndAgent) {
-        return harness.acknowledgedGeneration(lifeAndAgent);
+    public long acknowledgedGeneration(String subscription) {
+        return harness.acknowledgedGeneration(subscription);
     }
 
     /**
      * Datagrams between these two are lost from now on, both ways, or pass; for routers that talk.
      */
-    public void setPartitioned(int one, int other, boolean lost) {
-        udpProxies.get(one).setBlocked(other, lost);
-        udpProxies.get(other).setBlocked(one, lost);
+    public void setPartitioned(int first, int second, boolean partitioned) {
+        udpProxies.get(first).setBlocked(second, partitioned);
+        udpProxies.get(second).setBlocked(first, partitioned);
     }
 
     /**
@@ -299,37 +299,37 @@
      */
     public List<UdpFaultProxy> udpProxies(List<InetSocketAddress> sockets) {
         if (udpProxies.isEmpty()) {
-            sockets.forEach(s -> udpProxies.add(new UdpFaultProxy(harness, s, sockets)));
+            sockets.forEach(socket -> udpProxies.add(new UdpFaultProxy(harness, socket, sockets)));
         }
         return udpProxies;
     }
 
     /** Power is gone for all at once: routers, nodes, and the agents that routers are at. */
     public void losePower() {
-        routers.stream().filter(r -> !r.down()).forEach(RouterProcess::kill);
+        routers.stream().filter(router -> !router.down()).forEach(RouterProcess::kill);
         nodes.values().stream().filter(SimulatedNode::isListening).forEach(SimulatedNode::kill);
-        agents.forEach(all -> all.stream().filter(DiscoveryAgent::isListening).forEach(DiscoveryAgent::close));
+        agents.forEach(routerAgents -> routerAgents.stream().filter(DiscoveryAgent::isListening).forEach(DiscoveryAgent::close));
     }
 
     /** A node is back, cold, with its data so far behind what it had, and discovery knows of it. */
-    public void restartNode(SimulatedNode node, long lostMs) {
-        node.start(lostMs);
+    public void restartNode(SimulatedNode node, long lostDataMs) {
+        node.start(lostDataMs);
         harness.run(
                 () -> {
-                    DiscoveryCatalog.Entry before = catalog.entry(node.id());
-                    catalog.update(before.readyWithStart(node.startedMs));
+                    DiscoveryCatalog.Entry previous = catalog.entry(node.id());
+                    catalog.update(previous.readyWithStart(node.startedMs));
                 });
     }
 
     /** A client of this router asks once, with no write of its session before. */
     public CompletableFuture<Event.QueryEnded> submit(
-            int router, String type, int group, String key, long waitMs) {
+            int router, String type, int group, String key, long timeoutMs) {
         CompletableFuture<Event.QueryEnded> answer = new CompletableFuture<>();
         harness.run(
                 () ->
                         routers.get(router)
                                 .client()
-                                .submit(type, group, key, waitMs, 0, answer::complete));
+                                .submit(type, group, key, timeoutMs, 0, answer::complete));
         return answer;
     }
 
@@ -339,13 +339,13 @@
         harness.run(
                 () ->
                         harness.forEachEvent(
-                                h -> {
+                                event -> {
                                     counts[0] +=
-                                            h instanceof Event.StatementReceived s && s.key().equals(key)
+                                            event instanceof Event.StatementReceived statement && statement.key().equals(key)
                                                     ? 1
                                                     : 0;
                                     counts[1] +=
-                                            h instanceof Event.WriteApplied r && r.key().equals(key)
+                                            event instanceof Event.WriteApplied write && write.key().equals(key)
                                                     ? 1
                                                     : 0;
                                 }));
@@ -356,7 +356,7 @@
     public void awaitAllAnswered() {
         harness.await(
                 "all clients had their answers",
-                () -> routers.stream().allMatch(r -> r.client().pendingCount() == 0));
+                () -> routers.stream().allMatch(router -> router.client().pendingCount() == 0));
     }
 
     private void stopProcesses() {
@@ -368,8 +368,8 @@
         stopProcesses();
         harness.close();
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path file : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
--- a/src/main/java/dillfront/simulation/processes/RouterProcess.java
+++ b/src/main/java/dillfront/simulation/processes/RouterProcess.java
@@ -36,19 +36,19 @@
     private volatile List<String> logLines = List.of();
 
     RouterProcess(
-            TestHarness stage,
+            TestHarness harness,
             String name,
             InetSocketAddress address,
-            Path config,
+            Path configFile,
             List<String> command,
-            Map<String, String> more) {
-        this.harness = stage;
+            Map<String, String> extraEnvironment) {
+        this.harness = harness;
         this.name = name;
         this.address = address;
-        this.configFile = config;
+        this.configFile = configFile;
         this.command = command;
-        this.extraEnvironment = more;
-        client = new QueryClient(stage, this);
+        this.extraEnvironment = extraEnvironment;
+        client = new QueryClient(harness, this);
     }
 
     public String name() {
@@ -83,67 +83,67 @@
 
     /** Starts the process, and returns at once. */
     public void start() {
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().keySet().removeIf(k -> k.startsWith("LB_"));
-        builder.environment().putAll(Map.of("LB_CONFIG", configFile.toString(), "LB_NAME", name));
-        builder.environment().putAll(extraEnvironment);
-        builder.redirectErrorStream(true);
-        List<String> said = Collections.synchronizedList(new ArrayList<>());
-        logLines = said;
+        ProcessBuilder processBuilder = new ProcessBuilder(command);
+        processBuilder.environment().keySet().removeIf(k -> k.startsWith("LB_"));
+        processBuilder.environment().putAll(Map.of("LB_CONFIG", configFile.toString(), "LB_NAME", name));
+        processBuilder.environment().putAll(extraEnvironment);
+        processBuilder.redirectErrorStream(true);
+        List<String> captured = Collections.synchronizedList(new ArrayList<>());
+        logLines = captured;
         try {
-            process = builder.start();
-        } catch (IOException bad) {
-            throw new IllegalStateException(bad);
+            process = processBuilder.start();
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
         startCount++;
         down = false;
-        String life = incarnation();
-        harness.run(() -> harness.recordEvent(new Event.Started(life)));
-        Process of = process;
+        String incarnation = incarnation();
+        harness.run(() -> harness.recordEvent(new Event.Started(incarnation)));
+        Process started = process;
         Thread reader =
                 new Thread(
                         () -> {
                             try (BufferedReader in =
                                     new BufferedReader(
                                             new InputStreamReader(
-                                                    of.getInputStream(), StandardCharsets.UTF_8))) {
+                                                    started.getInputStream(), StandardCharsets.UTF_8))) {
                                 for (String line = in.readLine();
                                         line != null;
                                         line = in.readLine()) {
-                                    said.add(line);
+                                    captured.add(line);
                                 }
-                            } catch (IOException over) {
+                            } catch (IOException e) {
                                 // It ended in the middle of a line.
                             }
                         },
-                        "lines of " + life);
+                        "lines of " + incarnation);
         reader.setDaemon(true);
         reader.start();
     }
 
     /** What it has logged so far in this life. */
     public List<String> logLines() {
-        List<String> said = logLines;
-        synchronized (said) {
-            return List.copyOf(said);
+        List<String> captured = logLines;
+        synchronized (captured) {
+            return List.copyOf(captured);
         }
     }
 
     /** Waits until the router has written such a line, and fails after the usual time. */
-    public void awaitLogLine(String what, Predicate<String> such) {
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
-        while (logLines().stream().noneMatch(such)) {
-            if (System.nanoTime() - until > 0
-                    || !process.isAlive() && logLines().stream().noneMatch(such)) {
+    public void awaitLogLine(String description, Predicate<String> condition) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+        while (logLines().stream().noneMatch(condition)) {
+            if (System.nanoTime() - deadlineNanos > 0
+                    || !process.isAlive() && logLines().stream().noneMatch(condition)) {
                 throw new IllegalStateException(
-                        incarnation() + " never said " + what + "; it said " + logLines());
+                        incarnation() + " never said " + description + "; it said " + logLines());
             }
             TestHarness.sleepBriefly();
         }
     }
 
     public void awaitServing() {
-        awaitLogLine("serving", l -> l.contains(" serving "));
+        awaitLogLine("serving", line -> line.contains(" serving "));
     }
 
     /** Sends the process a signal by its name. */
@@ -155,8 +155,8 @@
                     != 0) {
                 throw new IllegalStateException("no " + signal + " to " + incarnation());
             }
-        } catch (IOException | InterruptedException bad) {
-            throw new IllegalStateException(bad);
+        } catch (IOException | InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
@@ -185,8 +185,8 @@
             if (!process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 throw new IllegalStateException(incarnation() + " does not end; it said " + logLines());
             }
-        } catch (InterruptedException stopped) {
-            throw new IllegalStateException(stopped);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
--- a/src/main/java/dillfront/simulation/processes/SimulatedNode.java
+++ b/src/main/java/dillfront/simulation/processes/SimulatedNode.java
@@ -87,15 +87,15 @@
             int cores, long statementMicros, double initialSpeedFraction, long warmupMs, double overloadFactor, long overloadWindowMs) {}
 
     /** A node of this group that listens at once. */
-    public SimulatedNode(TestHarness stage, String id, NodeGroup group, boolean leads, Capacity work) {
-        this.harness = stage;
+    public SimulatedNode(TestHarness harness, String id, NodeGroup group, boolean primary, Capacity capacity) {
+        this.harness = harness;
         this.id = id;
         this.group = group;
-        this.primary = leads;
-        this.capacity = work;
-        coreFreeNanos = new long[work.cores];
+        this.primary = primary;
+        this.capacity = capacity;
+        coreFreeNanos = new long[capacity.cores];
         group.members.add(this);
-        listener = stage.listen(0, RouterConnection::new);
+        listener = harness.listen(0, RouterConnection::new);
         port = TestHarness.port(listener);
     }
 
@@ -124,13 +124,13 @@
         return listener.isOpen();
     }
 
-    public void behavior(Behavior now) {
-        harness.run(() -> behavior = now);
+    public void behavior(Behavior newBehavior) {
+        harness.run(() -> behavior = newBehavior);
     }
 
     /** Statements take so many times what they do. */
-    public void slowdown(double times) {
-        harness.run(() -> slowdown = times);
+    public void slowdown(double factor) {
+        harness.run(() -> slowdown = factor);
     }
 
     public void lag(long ms) {
@@ -138,19 +138,19 @@
     }
 
     /** Its data stands still from now on, or goes on. */
-    public void freeze(boolean now) {
-        harness.run(() -> frozenPositionMs = now ? positionMs() : Long.MAX_VALUE);
+    public void freeze(boolean frozen) {
+        harness.run(() -> frozenPositionMs = frozen ? positionMs() : Long.MAX_VALUE);
     }
 
     /**
      * It takes itself for the primary from now on, or no longer; what its group thinks is the
      * group's affair.
      */
-    public void primary(boolean now) {
+    public void primary(boolean nowPrimary) {
         harness.run(
                 () -> {
                     minPositionMs = positionMs();
-                    primary = now;
+                    primary = nowPrimary;
                 });
     }
 
@@ -160,8 +160,8 @@
                 () -> {
                     incarnation++;
                     listener.close();
-                    for (RouterConnection talk : List.copyOf(connections)) {
-                        TestHarness.resetConnection(talk.ctx.channel());
+                    for (RouterConnection connection : List.copyOf(connections)) {
+                        TestHarness.resetConnection(connection.ctx.channel());
                     }
                     harness.recordEvent(new Event.Ended(id, true));
                 });
@@ -169,13 +169,13 @@
     }
 
     /** Starts anew on the same port, cold, with its data so far behind what it had. */
-    public void start(long lostMs) {
+    public void start(long lostDataMs) {
         listener = harness.listen(port, RouterConnection::new);
         harness.run(
                 () -> {
                     minPositionMs = 0;
                     startedMs = System.currentTimeMillis();
-                    frozenPositionMs = lostMs > 0 ? startedMs - lostMs : Long.MAX_VALUE;
+                    frozenPositionMs = lostDataMs > 0 ? startedMs - lostDataMs : Long.MAX_VALUE;
                     Arrays.fill(coreFreeNanos, 0);
                     Arrays.fill(workBySlot, 0);
                     overloaded = false;
@@ -194,43 +194,43 @@
 
     /** In Unix milliseconds: all that was committed before is here. */
     long positionMs() {
-        long now = System.currentTimeMillis();
+        long nowMs = System.currentTimeMillis();
         return primary && frozenPositionMs == Long.MAX_VALUE
-                ? now
-                : Math.max(minPositionMs, Math.min(frozenPositionMs, now - lagMs));
+                ? nowMs
+                : Math.max(minPositionMs, Math.min(frozenPositionMs, nowMs - lagMs));
     }
 
     /** The part of a warm node's work that it can do now. */
     private double speedFraction() {
-        double age = (System.currentTimeMillis() - startedMs) / (double) capacity.warmupMs;
-        return startedMs == 0 || age >= 1 ? 1 : capacity.initialSpeedFraction + (1 - capacity.initialSpeedFraction) * age;
+        double warmupProgress = (System.currentTimeMillis() - startedMs) / (double) capacity.warmupMs;
+        return startedMs == 0 || warmupProgress >= 1 ? 1 : capacity.initialSpeedFraction + (1 - capacity.initialSpeedFraction) * warmupProgress;
     }
 
     /** Counts what is sent to it while it is cold; true once it was too much. */
     private boolean addLoad() {
-        long now = harness.nowNanos() / (capacity.overloadWindowMs * 1_000_000 / LOAD_WINDOW_SLOTS);
-        for (; currentSlot < now; currentSlot++) {
+        long slot = harness.nowNanos() / (capacity.overloadWindowMs * 1_000_000 / LOAD_WINDOW_SLOTS);
+        for (; currentSlot < slot; currentSlot++) {
             workBySlot[(int) ((currentSlot + 1) % LOAD_WINDOW_SLOTS)] = 0;
-            currentSlot = now - currentSlot > LOAD_WINDOW_SLOTS ? now - LOAD_WINDOW_SLOTS : currentSlot;
+            currentSlot = slot - currentSlot > LOAD_WINDOW_SLOTS ? slot - LOAD_WINDOW_SLOTS : currentSlot;
         }
-        workBySlot[(int) (now % LOAD_WINDOW_SLOTS)] += capacity.statementMicros * 1000.0;
-        double warmth = speedFraction();
-        if (warmth < 1) {
-            double of =
+        workBySlot[(int) (slot % LOAD_WINDOW_SLOTS)] += capacity.statementMicros * 1000.0;
+        double speedFraction = speedFraction();
+        if (speedFraction < 1) {
+            double limitRatio =
                     Arrays.stream(workBySlot).sum()
-                            / (capacity.overloadFactor * warmth * capacity.cores * capacity.overloadWindowMs * 1e6);
-            harness.recordEvent(new Event.WarmupLoad(id, of));
-            overloaded |= of >= 1;
+                            / (capacity.overloadFactor * speedFraction * capacity.cores * capacity.overloadWindowMs * 1e6);
+            harness.recordEvent(new Event.WarmupLoad(id, limitRatio));
+            overloaded |= limitRatio >= 1;
         }
         return overloaded;
     }
 
-    private void execute(RouterConnection talk, String text) {
+    private void execute(RouterConnection connection, String sql) {
         statementCount++;
         arrivalNanos.add(System.nanoTime());
-        String life = harness.connectionOwner(talk.ctx.channel());
-        Statement s = Statement.read(text);
-        harness.recordEvent(new Event.StatementReceived(harness.nowNanos(), life, id, startedMs, s.txn, s.type, s.key));
+        String client = harness.connectionOwner(connection.ctx.channel());
+        Statement statement = Statement.read(sql);
+        harness.recordEvent(new Event.StatementReceived(harness.nowNanos(), client, id, startedMs, statement.txn, statement.type, statement.key));
         if (addLoad() || behavior == Behavior.HANGING) {
             return;
         }
@@ -238,69 +238,69 @@
         for (int i = 1; i < coreFreeNanos.length; i++) {
             core = coreFreeNanos[i] < coreFreeNanos[core] ? i : core;
         }
-        long now = harness.nowNanos();
-        double each = capacity.statementMicros * 1000 * slowdown / speedFraction();
-        if (behavior == Behavior.REJECTING || coreFreeNanos[core] - now > MAX_QUEUED_PER_CORE * each) {
-            talk.sendError("53300", "full");
+        long nowNanos = harness.nowNanos();
+        double durationNanos = capacity.statementMicros * 1000 * slowdown / speedFraction();
+        if (behavior == Behavior.REJECTING || coreFreeNanos[core] - nowNanos > MAX_QUEUED_PER_CORE * durationNanos) {
+            connection.sendError("53300", "full");
             return;
         }
         if (behavior == Behavior.FAILING) {
-            talk.sendError("XX000", "it broke");
+            connection.sendError("XX000", "it broke");
             return;
         }
-        coreFreeNanos[core] = Math.max(now, coreFreeNanos[core]) + (long) each;
-        long of = this.incarnation;
+        coreFreeNanos[core] = Math.max(nowNanos, coreFreeNanos[core]) + (long) durationNanos;
+        long startedIncarnation = this.incarnation;
         harness.loop()
                 .schedule(
                         () -> {
-                            if (of == this.incarnation) {
-                                complete(talk, s);
+                            if (startedIncarnation == this.incarnation) {
+                                complete(connection, statement);
                             }
                         },
-                        coreFreeNanos[core] - now,
+                        coreFreeNanos[core] - nowNanos,
                         TimeUnit.NANOSECONDS);
     }
 
-    private void complete(RouterConnection talk, Statement s) {
-        if (s.isWrite && !primary) {
-            talk.sendError("25006", "no primary");
+    private void complete(RouterConnection connection, Statement statement) {
+        if (statement.isWrite && !primary) {
+            connection.sendError("25006", "no primary");
             return;
         }
-        long now = System.currentTimeMillis();
-        long position = positionMs();
-        if (s.isWrite) {
-            position = group.commit(this, s, now);
+        long nowMs = System.currentTimeMillis();
+        long positionMs = positionMs();
+        if (statement.isWrite) {
+            positionMs = group.commit(this, statement, nowMs);
         } else {
-            harness.recordEvent(new Event.ReadServed(id, s.txn, s.type, position, now));
+            harness.recordEvent(new Event.ReadServed(id, statement.txn, statement.type, positionMs, nowMs));
         }
-        talk.sendRow(s, position);
+        connection.sendRow(statement, positionMs);
     }
 
     /** What the rig's own clients write, read back. */
     record Statement(String txn, String type, String key, int group, boolean isWrite, int bytes) {
 
-        static Statement read(String text) {
-            boolean write = text.startsWith("INSERT");
-            String oid = text.substring(text.indexOf('\'') + 1);
-            oid = oid.substring(0, oid.indexOf('\''));
-            String digits = oid.replaceAll("-.*", "");
-            String key = field(text, ",k=");
+        static Statement read(String sql) {
+            boolean write = sql.startsWith("INSERT");
+            String objectId = sql.substring(sql.indexOf('\'') + 1);
+            objectId = objectId.substring(0, objectId.indexOf('\''));
+            String digits = objectId.replaceAll("-.*", "");
+            String key = field(sql, ",k=");
             return new Statement(
-                    field(text, "id="),
-                    field(text, ",c="),
-                    key.isEmpty() ? oid : key,
-                    Integer.parseInt(field(text, ",cluster=")),
+                    field(sql, "id="),
+                    field(sql, ",c="),
+                    key.isEmpty() ? objectId : key,
+                    Integer.parseInt(field(sql, ",cluster=")),
                     write,
                     digits.matches("\\d{1,6}") ? Integer.parseInt(digits) : 16);
         }
 
-        private static String field(String text, String name) {
-            int at = text.indexOf(name);
-            int to = at + name.length();
-            while (at >= 0 && to < text.length() && ", ".indexOf(text.charAt(to)) < 0) {
-                to++;
+        private static String field(String sql, String name) {
+            int start = sql.indexOf(name);
+            int end = start + name.length();
+            while (start >= 0 && end < sql.length() && ", ".indexOf(sql.charAt(end)) < 0) {
+                end++;
             }
-            return at < 0 ? "" : text.substring(at + name.length(), to);
+            return start < 0 ? "" : sql.substring(start + name.length(), end);
         }
     }
 
@@ -324,13 +324,13 @@
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
                     handleMessage(message);
                 }
-            } catch (BadFrame bad) {
+            } catch (BadFrame e) {
                 context.close();
             }
         }
 
         private void handleMessage(ByteBuf message) {
-            String text =
+            String sql =
                     message.toString(
                             message.readerIndex() + 5,
                             Math.max(0, message.readableBytes() - 6),
@@ -344,29 +344,29 @@
                             Messages.ready(
                                     Unpooled.buffer().writeByte('R').writeInt(8).writeInt(0)));
                 }
-            } else if (text.startsWith("SHOW") && behavior != Behavior.HANGING) {
+            } else if (sql.startsWith("SHOW") && behavior != Behavior.HANGING) {
                 ctx.writeAndFlush(
                         Messages.ready(
                                 writeRow(
                                         Unpooled.buffer(),
                                         statusText().getBytes(StandardCharsets.US_ASCII))));
-            } else if (!text.startsWith("SHOW")) {
-                execute(this, text);
+            } else if (!sql.startsWith("SHOW")) {
+                execute(this, sql);
             }
         }
 
-        void sendError(String code, String why) {
+        void sendError(String code, String message) {
             ctx.writeAndFlush(
                     Messages.ready(
                             Messages.error(
-                                    writeStatusParameters(Unpooled.buffer(), positionMs()), false, code, why, null)));
+                                    writeStatusParameters(Unpooled.buffer(), positionMs()), false, code, message, null)));
         }
 
-        void sendRow(Statement s, long position) {
-            byte[] value = new byte[s.bytes];
-            byte[] said = Long.toString(position).getBytes(StandardCharsets.US_ASCII);
-            System.arraycopy(said, 0, value, 0, Math.min(said.length, value.length));
-            ctx.writeAndFlush(Messages.ready(writeRow(writeStatusParameters(Unpooled.buffer(256), position), value)));
+        void sendRow(Statement statement, long positionMs) {
+            byte[] value = new byte[statement.bytes];
+            byte[] positionText = Long.toString(positionMs).getBytes(StandardCharsets.US_ASCII);
+            System.arraycopy(positionText, 0, value, 0, Math.min(positionText.length, value.length));
+            ctx.writeAndFlush(Messages.ready(writeRow(writeStatusParameters(Unpooled.buffer(256), positionMs), value)));
         }
 
         @Override
@@ -382,18 +382,18 @@
     }
 
     private String statusText() {
-        long ms = positionMs();
+        long positionMs = positionMs();
         return "x0="
-                + ms / 1000
+                + positionMs / 1000
                 + "."
-                + String.valueOf(1000 + ms % 1000).substring(1)
+                + String.valueOf(1000 + positionMs % 1000).substring(1)
                 + ",x1="
                 + (primary ? 1 : 0);
     }
 
-    private ByteBuf writeStatusParameters(ByteBuf out, long position) {
+    private ByteBuf writeStatusParameters(ByteBuf out, long positionMs) {
         writeParameter(out, "node_role", primary ? "leader" : "follower");
-        writeParameter(out, "replay_position", Long.toString(position));
+        writeParameter(out, "replay_position", Long.toString(positionMs));
         writeParameter(out, "server_load", statusText());
         return out;
     }
--- a/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
+++ b/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
@@ -42,11 +42,11 @@
     private long delayNanos;
     private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
 
-    TcpFaultProxy(TestHarness stage, Supplier<String> who, Supplier<InetSocketAddress> target) {
-        this.harness = stage;
-        this.clientName = who;
-        this.targetAddress = target;
-        listener = stage.listen(0, ClientHandler::new);
+    TcpFaultProxy(TestHarness harness, Supplier<String> clientName, Supplier<InetSocketAddress> targetAddress) {
+        this.harness = harness;
+        this.clientName = clientName;
+        this.targetAddress = targetAddress;
+        listener = harness.listen(0, ClientHandler::new);
         port = TestHarness.port(listener);
     }
 
@@ -74,9 +74,9 @@
 
     /** What was cut is reset, as by a machine that knows nothing of it; new ones pass. */
     public void heal() {
-        boolean lost = toTargetMode == Mode.DROP || fromTargetMode == Mode.DROP;
+        boolean wasDropping = toTargetMode == Mode.DROP || fromTargetMode == Mode.DROP;
         setModes(Mode.FORWARD, Mode.FORWARD);
-        if (lost) {
+        if (wasDropping) {
             resetConnections();
         }
     }
@@ -182,18 +182,18 @@
          * The other side hears of an end as it would without a relay, but through a cut nobody
          * hears of it.
          */
-        void onChannelClosed(boolean nearEnded) {
-            if (!nearEnded) {
+        void onChannelClosed(boolean closedByClient) {
+            if (!closedByClient) {
                 unregisterPort();
             }
-            if (nearEnded && toTargetMode == Mode.FORWARD && targetChannel != null) {
+            if (closedByClient && toTargetMode == Mode.FORWARD && targetChannel != null) {
                 closed();
                 targetChannel.flush();
                 targetChannel.close();
-            } else if (!nearEnded && fromTargetMode == Mode.FORWARD) {
+            } else if (!closedByClient && fromTargetMode == Mode.FORWARD) {
                 closed();
                 clientChannel.close();
-            } else if (nearEnded) {
+            } else if (closedByClient) {
                 reset();
             }
         }
@@ -260,8 +260,8 @@
 
         private final ProxiedConnection connection;
 
-        TargetHandler(ProxiedConnection link) {
-            this.connection = link;
+        TargetHandler(ProxiedConnection connection) {
+            this.connection = connection;
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/processes/TestHarness.java
+++ b/src/main/java/dillfront/simulation/processes/TestHarness.java
@@ -61,8 +61,8 @@
      */
     private final Map<Long, String> connectionOwner = new HashMap<>();
 
-    private static Thread newThread(Runnable work) {
-        Thread thread = new Thread(work, "stage");
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "stage");
         thread.setDaemon(true);
         return thread;
     }
@@ -77,10 +77,10 @@
     }
 
     /** On the loop. */
-    void recordEvent(Event what) {
-        events.add(what);
-        if (what instanceof Event.ListAcknowledged h) {
-            acknowledgedGeneration.put(h.subscription(), h.generation());
+    void recordEvent(Event event) {
+        events.add(event);
+        if (event instanceof Event.ListAcknowledged acknowledged) {
+            acknowledgedGeneration.put(acknowledged.subscription(), acknowledged.generation());
         }
     }
 
@@ -88,45 +88,45 @@
      * On the loop: what this life has last shown to have read at this agent, {@code r1#2<a0};
      * negative where nothing.
      */
-    long acknowledgedGeneration(String lifeAndAgent) {
-        return acknowledgedGeneration.getOrDefault(lifeAndAgent, -1L);
+    long acknowledgedGeneration(String subscription) {
+        return acknowledgedGeneration.getOrDefault(subscription, -1L);
     }
 
     /**
      * On the loop: this connection, open on our side, is one of whoever is named; null once it is
      * over.
      */
-    void connectionOwner(int from, int to, String who) {
-        if (who == null) {
-            connectionOwner.remove(portPair(from, to));
+    void connectionOwner(int clientPort, int serverPort, String owner) {
+        if (owner == null) {
+            connectionOwner.remove(portPair(clientPort, serverPort));
         } else {
-            connectionOwner.put(portPair(from, to), who);
+            connectionOwner.put(portPair(clientPort, serverPort), owner);
         }
     }
 
-    private static long portPair(int from, int to) {
-        return (long) from << 16 | to;
+    private static long portPair(int clientPort, int serverPort) {
+        return (long) clientPort << 16 | serverPort;
     }
 
     /** On the loop: who is behind one that was accepted; its port where nobody is known. */
     String connectionOwner(Channel accepted) {
-        int from = ((InetSocketAddress) accepted.remoteAddress()).getPort();
-        return connectionOwner.getOrDefault(portPair(from, port(accepted)), "port-" + from);
+        int clientPort = ((InetSocketAddress) accepted.remoteAddress()).getPort();
+        return connectionOwner.getOrDefault(portPair(clientPort, port(accepted)), "port-" + clientPort);
     }
 
     /** On the loop: what happened so far, in its order. */
-    void forEachEvent(Consumer<Event> of) {
-        events.forEach(of);
+    void forEachEvent(Consumer<Event> consumer) {
+        events.forEach(consumer);
     }
 
     /** On the loop: how many statements of this life of a router the node has read so far. */
-    long statementsReceived(String life, String node) {
+    long statementsReceived(String incarnation, String node) {
         return events.stream()
                 .filter(
-                        h ->
-                                h instanceof Event.StatementReceived s
-                                        && s.incarnation().equals(life)
-                                        && s.node().equals(node))
+                        event ->
+                                event instanceof Event.StatementReceived statement
+                                        && statement.incarnation().equals(incarnation)
+                                        && statement.node().equals(node))
                 .count();
     }
 
@@ -134,10 +134,10 @@
     long writesReceived(String node) {
         return events.stream()
                 .filter(
-                        h ->
-                                h instanceof Event.StatementReceived s
-                                        && s.node().equals(node)
-                                        && TransactionMix.type(s.type()).isWrite())
+                        event ->
+                                event instanceof Event.StatementReceived statement
+                                        && statement.node().equals(node)
+                                        && TransactionMix.type(statement.type()).isWrite())
                 .count();
     }
 
@@ -147,38 +147,38 @@
     }
 
     /** Done on the loop; returns once it is. */
-    public <T> T call(Callable<T> what) {
+    public <T> T call(Callable<T> task) {
         if (loop.inEventLoop()) {
             try {
-                return what.call();
-            } catch (Exception fault) {
-                throw new IllegalStateException(fault);
+                return task.call();
+            } catch (Exception e) {
+                throw new IllegalStateException(e);
             }
         }
         try {
-            return loop.submit(what).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        } catch (ExecutionException fault) {
-            throw new IllegalStateException(fault.getCause());
-        } catch (Exception stopped) {
-            throw new IllegalStateException(stopped);
+            return loop.submit(task).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException e) {
+            throw new IllegalStateException(e.getCause());
+        } catch (Exception e) {
+            throw new IllegalStateException(e);
         }
     }
 
     /** Runs this on the stage's event loop and waits for it. */
-    public void run(Runnable what) {
+    public void run(Runnable task) {
         call(
                 () -> {
-                    what.run();
+                    task.run();
                     return null;
                 });
     }
 
     /** Waits until this is so, as looked at on the loop; not for how long, but for what. */
-    public void await(String what, BooleanSupplier so) {
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
-        while (!call(so::getAsBoolean)) {
-            if (System.nanoTime() - until > 0) {
-                throw new IllegalStateException("it never came that " + what);
+    public void await(String description, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+        while (!call(condition::getAsBoolean)) {
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IllegalStateException("it never came that " + description);
             }
             sleepBriefly();
         }
@@ -189,16 +189,16 @@
      * written before a word of its own that was just read lies in some socket here by then, as
      * loopback delivers at once.
      */
-    void afterNextPoll(Runnable then) {
-        loop.schedule(() -> loop.schedule(then, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
+    void afterNextPoll(Runnable task) {
+        loop.schedule(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
     }
 
     /**
      * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its
      * port only as the loop next looks at its sockets, so a port that is taken is tried again.
      */
-    Channel listen(int port, Supplier<TerminalHandler> each) {
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    Channel listen(int port, Supplier<TerminalHandler> handlerFactory) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (true) {
             ChannelFuture bound =
                     call(
@@ -208,12 +208,12 @@
                                             localAddress(port),
                                             1024,
                                             WriteBufferWaterMark.DEFAULT,
-                                            () -> new UnpooledInitializer(each.get())));
+                                            () -> new UnpooledInitializer(handlerFactory.get())));
             bound.awaitUninterruptibly(TIMEOUT_MS);
             if (bound.isSuccess()) {
                 return bound.channel();
             }
-            if (!(bound.cause() instanceof BindException) || System.nanoTime() - until > 0) {
+            if (!(bound.cause() instanceof BindException) || System.nanoTime() - deadlineNanos > 0) {
                 throw new IllegalStateException("port " + port, bound.cause());
             }
             sleepBriefly();
@@ -224,8 +224,8 @@
     static void sleepBriefly() {
         try {
             Thread.sleep(1);
-        } catch (InterruptedException stopped) {
-            throw new IllegalStateException(stopped);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
@@ -233,14 +233,14 @@
     static void resetConnection(Channel channel) {
         try {
             ((SocketChannelConfig) channel.config()).setSoLinger(0);
-        } catch (ChannelException over) {
+        } catch (ChannelException e) {
             // The other side has ended it in this moment.
         }
         channel.close();
     }
 
-    static int port(Channel door) {
-        return ((InetSocketAddress) door.localAddress()).getPort();
+    static int port(Channel channel) {
+        return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
     /**
@@ -250,10 +250,10 @@
      */
     static InetSocketAddress freeAddress(int number) {
         String host = "127.0.1." + (1 + number);
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-            return new InetSocketAddress(host, free.getLocalPort());
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+            return new InetSocketAddress(host, socket.getLocalPort());
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
     }
 
@@ -274,8 +274,8 @@
 
         private final TerminalHandler delegate;
 
-        UnpooledInitializer(TerminalHandler meant) {
-            this.delegate = meant;
+        UnpooledInitializer(TerminalHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/processes/TransactionMix.java
+++ b/src/main/java/dillfront/simulation/processes/TransactionMix.java
@@ -32,40 +32,40 @@
     private TransactionMix() {}
 
     public static TransactionType type(String name) {
-        return TYPES.stream().filter(t -> t.name.equals(name)).findFirst().orElseThrow();
+        return TYPES.stream().filter(type -> type.name.equals(name)).findFirst().orElseThrow();
     }
 
     /** The settings object of a configuration, for a router that stands in this zone. */
     static String settingsJson(
-            String zone, List<String> zones, int routers, long expiryMs, SimulatedNode.Capacity work) {
+            String zone, List<String> allZones, int routers, long deadlineMs, SimulatedNode.Capacity capacity) {
         StringBuilder classes = new StringBuilder();
-        StringBuilder reads = new StringBuilder();
-        StringBuilder bounds = new StringBuilder();
-        for (TransactionType t : TYPES) {
-            String comma = classes.length() == 0 ? "" : ",";
-            classes.append(comma)
+        StringBuilder consistencies = new StringBuilder();
+        StringBuilder stalenessBounds = new StringBuilder();
+        for (TransactionType type : TYPES) {
+            String separator = classes.length() == 0 ? "" : ",";
+            classes.append(separator)
                     .append(
                             String.format(
                                     "{'name':'%s','effect':'%s',%s'targetUs':%d,'deadlineUs':%d,'worth':%s,"
                                             + "'lateShare':%s}",
-                                    t.name,
-                                    t.effect,
-                                    t.isDeduplicated()
+                                    type.name,
+                                    type.effect,
+                                    type.isDeduplicated()
                                             ? "'dedupScope':'cell','dedupWindowUs':"
                                                     + DEDUP_WINDOW_MS * 1000
                                                     + ","
                                             : "",
-                                    expiryMs * 400,
-                                    expiryMs * 1000,
-                                    t.isWrite() ? "6.0" : "2.0",
-                                    t.isWrite() ? "0.3" : "0.0"));
-            reads.append(comma).append('\'').append(t.consistency).append('\'');
-            bounds.append(comma).append(t.maxStalenessMs * 1000);
+                                    deadlineMs * 400,
+                                    deadlineMs * 1000,
+                                    type.isWrite() ? "6.0" : "2.0",
+                                    type.isWrite() ? "0.3" : "0.0"));
+            consistencies.append(separator).append('\'').append(type.consistency).append('\'');
+            stalenessBounds.append(separator).append(type.maxStalenessMs * 1000);
         }
         return "{'az':'"
                 + zone
                 + "','zones':['"
-                + String.join("','", zones)
+                + String.join("','", allZones)
                 + "'],'stepUs':5000,'groupSize':"
                 + routers
                 + ",'registryMode':'push','bounds':{'dialTimeoutUs':250000,'maxAttempts':6,'probes':true,'retryAfter':true,"
@@ -73,17 +73,17 @@
                 + "['x0','x1']},'classes':["
                 + classes
                 + "],'familyInfo':{'classRead':["
-                + reads
+                + consistencies
                 + "],'classBoundUs':["
-                + bounds
+                + stalenessBounds
                 + "],'listRole':'static','guards':'off','tokens':'brought'},'rules':{'drainGraceUs':250000,'coldFrom':"
-                + work.initialSpeedFraction()
+                + capacity.initialSpeedFraction()
                 + ",'coldUs':"
-                + work.warmupMs() * 1000
+                + capacity.warmupMs() * 1000
                 + ",'tipMultiple':"
-                + work.overloadFactor()
+                + capacity.overloadFactor()
                 + ",'tipAfterUs':"
-                + work.overloadWindowMs() * 1000
+                + capacity.overloadWindowMs() * 1000
                 + "},'tenants':[]}";
     }
 }
--- a/src/main/java/dillfront/simulation/processes/UdpFaultProxy.java
+++ b/src/main/java/dillfront/simulation/processes/UdpFaultProxy.java
@@ -34,12 +34,12 @@
 
     /**
      * @param target where the router's own socket is
-     * @param known where those of all routers are, by their numbers
+     * @param routerAddresses where those of all routers are, by their numbers
      */
-    UdpFaultProxy(TestHarness stage, InetSocketAddress target, List<InetSocketAddress> known) {
-        this.harness = stage;
+    UdpFaultProxy(TestHarness harness, InetSocketAddress target, List<InetSocketAddress> routerAddresses) {
+        this.harness = harness;
         this.target = target;
-        this.routerAddresses = known;
+        this.routerAddresses = routerAddresses;
         socket = open((from, packet) -> forwardToTarget(packet));
     }
 
@@ -47,7 +47,7 @@
         void handle(InetSocketAddress from, DatagramPacket packet);
     }
 
-    private NioDatagramChannel open(DatagramHandler to) {
+    private NioDatagramChannel open(DatagramHandler handler) {
         return harness.call(
                 () -> {
                     NioDatagramChannel channel = new NioDatagramChannel();
@@ -59,7 +59,7 @@
                                         public void channelRead(
                                                 ChannelHandlerContext ctx, Object read) {
                                             DatagramPacket packet = (DatagramPacket) read;
-                                            to.handle(packet.sender(), packet);
+                                            handler.handle(packet.sender(), packet);
                                         }
 
                                         @Override
@@ -80,10 +80,10 @@
     }
 
     /** Datagrams between this router and that one are lost from now on, or pass. */
-    public void setBlocked(int other, boolean lost) {
+    public void setBlocked(int other, boolean blocked) {
         harness.run(
                 () -> {
-                    if (lost) {
+                    if (blocked) {
                         setBlocked.add(other);
                     } else {
                         setBlocked.remove(other);
@@ -98,20 +98,20 @@
             packet.release();
             return;
         }
-        NioDatagramChannel near = senderChannels.get(from);
-        if (near == null) {
-            near = open((of, answer) -> forwardToSender(from, answer));
-            senderChannels.put(from, near);
+        NioDatagramChannel senderChannel = senderChannels.get(from);
+        if (senderChannel == null) {
+            senderChannel = open((source, reply) -> forwardToSender(from, reply));
+            senderChannels.put(from, senderChannel);
         }
-        near.writeAndFlush(new DatagramPacket(packet.content(), target));
+        senderChannel.writeAndFlush(new DatagramPacket(packet.content(), target));
     }
 
     /** From this router to the one that it sees at that port. */
-    private void forwardToSender(InetSocketAddress to, DatagramPacket packet) {
-        if (setBlocked.contains(routerAddresses.indexOf(to))) {
+    private void forwardToSender(InetSocketAddress sender, DatagramPacket packet) {
+        if (setBlocked.contains(routerAddresses.indexOf(sender))) {
             packet.release();
             return;
         }
-        socket.writeAndFlush(new DatagramPacket(packet.content(), to));
+        socket.writeAndFlush(new DatagramPacket(packet.content(), sender));
     }
 }
--- a/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
+++ b/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
@@ -22,16 +22,16 @@
      * This write runs, and nobody hears of it: with nothing else out, nodes' answers to this router
      * are held from now on.
      */
-    private void runWriteWithoutAnswer(int r, String key, long waitMs) {
+    private void runWriteWithoutAnswer(int routerIndex, String key, long timeoutMs) {
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(n -> rig.nodeProxy(r, n.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
-        rig.submit(r, "move", 0, key, waitMs);
+        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
+        rig.submit(routerIndex, "move", 0, key, timeoutMs);
         rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
     }
 
-    private void forwardNodeAnswers(int r) {
-        rig.nodes().forEach(n -> rig.nodeProxy(r, n.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
+    private void forwardNodeAnswers(int routerIndex) {
+        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
     }
 
     private void awaitDedupWindowEnd(String key) {
@@ -63,7 +63,7 @@
         awaitDedupWindowEnd("held-1");
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "held-1", 1500)));
         assertArrayEquals(new long[] {1, 1}, rig.receivedAndAppliedCounts("held-1"));
-        awaitStatus(0, "it met it", said -> said.contains(" met=2 "));
+        awaitStatus(0, "it met it", report -> report.contains(" met=2 "));
         assertInvariants(true);
     }
 
@@ -73,7 +73,7 @@
      */
     @Test
     void sendsRepeatOnlyWithinDedupWindow() throws Exception {
-        startRig(Rig.Plan.of(1, 1, 3).capacity(WARM_AFTER_3_S).operatorFile((set, r) -> "doubts()\n"));
+        startRig(Rig.Plan.of(1, 1, 3).capacity(WARM_AFTER_3_S).operatorFile((ignored, r) -> "doubts()\n"));
         runWriteWithoutAnswer(0, "inside-1", 200);
         rig.harness().await("its client has given up", () -> rig.router(0).client().pendingCount() == 0);
         forwardNodeAnswers(0);
@@ -102,7 +102,7 @@
             awaitStatus(
                     r,
                     "s-1 leads, and is remembered",
-                    said -> said.contains("leaders=\"0:s-1\"") && said.contains(" waiting=0 "));
+                    report -> report.contains("leaders=\"0:s-1\"") && report.contains(" waiting=0 "));
         }
         rig.losePower();
         rig.node("s-0").primary(true);
@@ -110,21 +110,21 @@
         for (int r = 0; r < 2; r++) {
             rig.agent(r, 0).open();
         }
-        long before = rig.harness().call(() -> rig.harness().writesReceived("s-0"));
+        long previousWrites = rig.harness().call(() -> rig.harness().writesReceived("s-0"));
         startRouters(0, 1);
         for (int r = 0; r < 2; r++) {
-            awaitStatus(r, "it awaits s-1", said -> said.contains("awaits s-1"));
+            awaitStatus(r, "it awaits s-1", report -> report.contains("awaits s-1"));
         }
         restartNodes(0, "s-1");
         for (int r = 0; r < 2; r++) {
-            awaitStatus(r, "s-1 has spoken", said -> !said.contains("awaits s-1"));
+            awaitStatus(r, "s-1 has spoken", report -> !report.contains("awaits s-1"));
         }
         // Both say that they lead now; what is served is served by the one that led before.
         for (int r = 0, i = 0; r < 2; i++) {
             r += outcome(rig.submit(r, "move", 0, "both-" + i, 1500)).equals("committed") ? 1 : 0;
             assertTrue(i < 100, "no write goes through");
         }
-        assertEquals(before, rig.harness().call(() -> rig.harness().writesReceived("s-0")));
+        assertEquals(previousWrites, rig.harness().call(() -> rig.harness().writesReceived("s-0")));
         rig.groups().get(0).promote(rig.node("s-1"));
         awaitServed(40, 0, 1);
         assertInvariants(true);
@@ -135,8 +135,8 @@
      */
     @Test
     void declinesWritesWhenDiskIsFull() throws Exception {
-        List<String> own = Rig.routerCommand();
-        String quoted = String.join(" ", own.stream().map(a -> "'" + a + "'").toList());
+        List<String> routerCommand = Rig.routerCommand();
+        String quoted = String.join(" ", routerCommand.stream().map(argument -> "'" + argument + "'").toList());
         startRig(
                 Rig.Plan.of(2, 1, 3)
                         .capacity(WARM_AFTER_3_S)
@@ -151,26 +151,26 @@
                                                         "'-XX:+UseSerialGC' -XX:-UsePerfData"))));
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(n -> rig.nodeProxy(1, n.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
+        rig.nodes().forEach(node -> rig.nodeProxy(1, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
         // More out at once than its file has room for.
-        List<CompletableFuture<Event.QueryEnded>> many =
+        List<CompletableFuture<Event.QueryEnded>> writes =
                 IntStream.range(0, 40)
                         .mapToObj(i -> rig.submit(1, "move", 0, "many-" + i, 1500))
                         .toList();
         rig.router(1)
                 .awaitLogLine(
                         "that its disk failed",
-                        l -> l.contains("memory-failed") && l.contains("memory.log"));
+                        line -> line.contains("memory-failed") && line.contains("memory.log"));
         assertEquals("declined", outcome(rig.submit(1, "move", 0, "late-1", 1500)));
         assertEquals(0, rig.receivedAndAppliedCounts("late-1")[0]);
         forwardNodeAnswers(1);
-        for (CompletableFuture<Event.QueryEnded> one : many) {
-            outcome(one);
+        for (CompletableFuture<Event.QueryEnded> write : writes) {
+            outcome(write);
         }
-        rig.router(1).awaitLogLine("that its disk works", l -> l.contains("memory-works-again"));
+        rig.router(1).awaitLogLine("that its disk works", line -> line.contains("memory-works-again"));
         load.start();
-        String life = rig.router(1).incarnation();
-        awaitServed(rig.harness().call(() -> load.committed(life)) + 40, 1);
+        String incarnation = rig.router(1).incarnation();
+        awaitServed(rig.harness().call(() -> load.committed(incarnation)) + 40, 1);
         rig.losePower();
         // One disk is gone, the other one is from before.
         try (Stream<Path> files = Files.list(rig.folder().resolve("m0"))) {
--- a/src/test/java/dillfront/simulation/processes/PowerLossTest.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTest.java
@@ -22,7 +22,7 @@
     @Test
     void servesFromNodesThatAreAllCold() throws Exception {
         startRig(NEVER_WARM);
-        for (int loss = 0; loss < 3; loss++) {
+        for (int lossIndex = 0; lossIndex < 3; lossIndex++) {
             rig.losePower();
             for (SimulatedNode node : rig.nodes()) {
                 rig.restartNode(node, 0);
@@ -30,7 +30,7 @@
             openAgents();
             startRouters(0, 1, 2, 3);
             // The next loss strikes when one has just begun to serve, then some have, then all.
-            awaitServed(1 + 20 * loss, IntStream.rangeClosed(0, loss + 1).toArray());
+            awaitServed(1 + 20 * lossIndex, IntStream.rangeClosed(0, lossIndex + 1).toArray());
         }
         assertInvariants();
     }
@@ -39,24 +39,24 @@
     @Test
     void recoversInAnyRestartOrder() throws Exception {
         startRig(WARM_AFTER_3_S);
-        String[] all = rig.nodes().stream().map(SimulatedNode::id).toArray(String[]::new);
+        String[] nodeIds = rig.nodes().stream().map(SimulatedNode::id).toArray(String[]::new);
         for (int order = 0; order < 6; order++) {
             rig.losePower();
             switch (order) {
                 case 0 -> {
                     // Routers first: they know the nodes from of old, and nobody answers.
                     startRouters(0, 1, 2, 3);
-                    restartNodes(0, all);
+                    restartNodes(0, nodeIds);
                     openAgents();
                 }
                 case 1 -> {
-                    restartNodes(0, all);
+                    restartNodes(0, nodeIds);
                     openAgents();
                     startRouters(0, 1, 2, 3);
                 }
                 case 2 -> {
                     // Discovery last: until then the old list holds.
-                    restartNodes(0, all);
+                    restartNodes(0, nodeIds);
                     startRouters(0, 1, 2, 3);
                     awaitServed(5, 0, 1, 2, 3);
                     openAgents();
@@ -70,7 +70,7 @@
                 }
                 case 4 -> {
                     // Half of the routers never come back.
-                    restartNodes(0, all);
+                    restartNodes(0, nodeIds);
                     openAgents();
                     startRouters(0, 1);
                     awaitServed(40, 0, 1);
@@ -105,15 +105,15 @@
         rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("draining")));
         rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-5").withLifecycle("gone")));
         for (int r = 0; r < ROUTERS; r++) {
-            int who = r;
+            int routerIndex = r;
             rig.harness()
                     .await(
                             "router " + r + " has heard",
-                            () -> rig.acknowledgedGeneration(rig.router(who).incarnation() + "<a0") == 43);
+                            () -> rig.acknowledgedGeneration(rig.router(routerIndex).incarnation() + "<a0") == 43);
             awaitStatus(
                     r,
                     "closings are kept",
-                    said -> said.contains("closings=2 ") && said.contains(" waiting=0 "));
+                    report -> report.contains("closings=2 ") && report.contains(" waiting=0 "));
         }
         rig.losePower();
         // The nodes never went down: they are not newly started, so no list opens them by that.
@@ -139,7 +139,7 @@
         CompletableFuture<Event.QueryEnded> write = rig.submit(0, "move", 0, "token", 1500);
         assertEquals("committed", write.get(30, TimeUnit.SECONDS).outcome());
         // Its time is no earlier than its answer says.
-        long wrote = System.currentTimeMillis();
+        long writtenMs = System.currentTimeMillis();
         for (String state : List.of("dark", "contested", "known", "covered", "warm", "covered")) {
             if (state.equals("warm")) {
                 // Nodes that never went down: routers and discovery alone lose their power.
@@ -151,12 +151,12 @@
                                 () ->
                                         rig.nodes()
                                                 .forEach(
-                                                        n ->
+                                                        node ->
                                                                 rig.catalog()
                                                                         .update(
                                                                                 rig.catalog()
                                                                                         .entry(
-                                                                                                n
+                                                                                                node
                                                                                                         .id())
                                                                                         .readyWithStart(
                                                                                                 0))));
@@ -182,24 +182,24 @@
                 awaitStatus(
                         r,
                         "its group is " + state,
-                        said -> said.replace("\"", "").contains("groups 0=" + state));
+                        report -> report.replace("\"", "").contains("groups 0=" + state));
             }
             // A session that wrote before any of it: its reads wait for nodes that have what it
             // wrote, and the auditor looks.
             for (int r = 0; r < 2; r++) {
-                int who = r;
+                int routerIndex = r;
                 rig.harness()
                         .run(
                                 () ->
-                                        rig.router(who)
+                                        rig.router(routerIndex)
                                                 .client()
-                                                .submit("own", 0, "token", 1000, wrote, null));
+                                                .submit("own", 0, "token", 1000, writtenMs, null));
             }
             awaitStatus(
                     0,
                     "what was lost",
-                    said ->
-                            said.contains(
+                    report ->
+                            report.contains(
                                     switch (state) {
                                         case "dark" -> "loss=unsure";
                                         case "warm" -> "loss=router";
--- a/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
@@ -38,8 +38,8 @@
     Rig rig;
     LoadGenerator load;
 
-    void startRig(SimulatedNode.Capacity work) throws Exception {
-        startRig(Rig.Plan.of(ROUTERS, 2, 3).capacity(work).zones("a", "b", "c"));
+    void startRig(SimulatedNode.Capacity capacity) throws Exception {
+        startRig(Rig.Plan.of(ROUTERS, 2, 3).capacity(capacity).zones("a", "b", "c"));
     }
 
     void startRig(Rig.Plan plan) throws Exception {
@@ -56,25 +56,25 @@
     }
 
     /** Until each of these has served so many in its present life. */
-    void awaitServed(int many, int... who) {
-        for (int r : who) {
-            String life = rig.router(r).incarnation();
-            rig.harness().await(life + " served " + many, () -> load.committed(life) >= many);
+    void awaitServed(int count, int... routerIndexes) {
+        for (int routerIndex : routerIndexes) {
+            String incarnation = rig.router(routerIndex).incarnation();
+            rig.harness().await(incarnation + " served " + count, () -> load.committed(incarnation) >= count);
         }
     }
 
-    void restartNodes(long lostMs, String... ids) {
+    void restartNodes(long lostDataMs, String... ids) {
         for (String id : ids) {
-            rig.restartNode(rig.node(id), lostMs);
+            rig.restartNode(rig.node(id), lostDataMs);
         }
     }
 
-    void startRouters(int... who) {
-        for (int r : who) {
-            rig.router(r).start();
+    void startRouters(int... routerIndexes) {
+        for (int routerIndex : routerIndexes) {
+            rig.router(routerIndex).start();
         }
-        for (int r : who) {
-            rig.router(r).awaitServing();
+        for (int routerIndex : routerIndexes) {
+            rig.router(routerIndex).awaitServing();
         }
     }
 
@@ -88,24 +88,24 @@
         assertInvariants(false);
     }
 
-    void assertInvariants(boolean remember) {
+    void assertInvariants(boolean closuresPersist) {
         load.stop();
         rig.awaitAllAnswered();
         rig.routers().stream().filter(r -> !r.down()).forEach(RouterProcess::shutDown);
-        InvariantChecker audit = InvariantChecker.of(rig.harness().events(), remember);
-        assertEquals(List.of(), audit.violations().stream().limit(5).toList());
-        assertTrue(audit.peakWarmupLoad() < 0.8, "a cold node got " + audit.peakWarmupLoad() + " of what tips it");
+        InvariantChecker checker = InvariantChecker.of(rig.harness().events(), closuresPersist);
+        assertEquals(List.of(), checker.violations().stream().limit(5).toList());
+        assertTrue(checker.peakWarmupLoad() < 0.8, "a cold node got " + checker.peakWarmupLoad() + " of what tips it");
     }
 
     private final InetSocketAddress[] controlAddresses = new InetSocketAddress[ROUTERS];
 
     /** What an instance says of itself. */
-    private String queryControl(int r, String question) {
-        try (Socket socket = new Socket(controlAddresses[r].getAddress(), controlAddresses[r].getPort())) {
+    private String queryControl(int routerIndex, String request) {
+        try (Socket socket = new Socket(controlAddresses[routerIndex].getAddress(), controlAddresses[routerIndex].getPort())) {
             socket.setSoTimeout(3000);
-            socket.getOutputStream().write(question.getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException notNow) {
+        } catch (IOException e) {
             return "";
         }
     }
@@ -115,23 +115,23 @@
     }
 
     /** Writes by keys of their own, until one is committed: nodes may be cold. */
-    void awaitOtherWriteCommitted(int r) throws Exception {
-        int other = 0;
-        while (!outcome(rig.submit(r, "move", 0, "other-" + r + "-" + ++other, 1500))
+    void awaitOtherWriteCommitted(int routerIndex) throws Exception {
+        int attempt = 0;
+        while (!outcome(rig.submit(routerIndex, "move", 0, "other-" + routerIndex + "-" + ++attempt, 1500))
                 .equals("committed")) {
-            assertTrue(other < 100, "no other write goes through");
+            assertTrue(attempt < 100, "no other write goes through");
         }
     }
 
     /** The operator's file of a router that remembers, and can be asked how far it is. */
-    String memoryOperatorFile(Rig set, int r) {
-        controlAddresses[r] = TestHarness.freeAddress(100 + r);
+    String memoryOperatorFile(Rig newRig, int routerIndex) {
+        controlAddresses[routerIndex] = TestHarness.freeAddress(100 + routerIndex);
         return "memory(folder = \""
-                + set.folder().resolve("m" + r)
+                + newRig.folder().resolve("m" + routerIndex)
                 + "\")\ndoubts(keeps = \"600s\")\ncontrol(\""
-                + controlAddresses[r].getHostString()
+                + controlAddresses[routerIndex].getHostString()
                 + ":"
-                + controlAddresses[r].getPort()
+                + controlAddresses[routerIndex].getPort()
                 + "\")\n";
     }
 
@@ -142,37 +142,37 @@
      * The same, for one of so many that talk to each other; the last of them may be no router, but
      * whoever has its key.
      */
-    String gossipOperatorFile(Rig set, int r, int routers, int peers)
+    String gossipOperatorFile(Rig newRig, int routerIndex, int routers, int peers)
             throws IOException, GeneralSecurityException {
         if (keys.isEmpty()) {
-            for (int p = 0; p < peers; p++) {
+            for (int peer = 0; peer < peers; peer++) {
                 keys.add(KeyPairGenerator.getInstance("Ed25519").generateKeyPair());
-                sockets.add(TestHarness.freeAddress(150 + p));
+                sockets.add(TestHarness.freeAddress(150 + peer));
             }
         }
-        List<UdpFaultProxy> hubs = set.udpProxies(sockets.subList(0, routers));
-        Path key = set.folder().resolve("key" + r);
-        Files.writeString(key, KeyFile.text(keys.get(r).getPrivate()));
+        List<UdpFaultProxy> hubs = newRig.udpProxies(sockets.subList(0, routers));
+        Path key = newRig.folder().resolve("key" + routerIndex);
+        Files.writeString(key, KeyFile.text(keys.get(routerIndex).getPrivate()));
         StringBuilder text =
-                new StringBuilder(memoryOperatorFile(set, r))
+                new StringBuilder(memoryOperatorFile(newRig, routerIndex))
                         .append(
                                 "gossip(key = \""
                                         + key
                                         + "\", public = \""
-                                        + publicKeyHex(r)
+                                        + publicKeyHex(routerIndex)
                                         + "\", period = \"200ms\", liars = "
                                         + (peers < 3 ? 0 : 1)
                                         + ", bytes_per_second = 20000, bind = \""
-                                        + hostAndPort(sockets.get(r))
+                                        + hostAndPort(sockets.get(routerIndex))
                                         + "\")\n");
-        for (int p = 0; p < peers; p++) {
+        for (int peer = 0; peer < peers; peer++) {
             text.append(
                     "peer(\"r"
-                            + p
+                            + peer
                             + "\", address = \""
-                            + hostAndPort(p < routers ? hubs.get(p).address() : sockets.get(p))
+                            + hostAndPort(peer < routers ? hubs.get(peer).address() : sockets.get(peer))
                             + "\", keys = [\""
-                            + publicKeyHex(p)
+                            + publicKeyHex(peer)
                             + "\"])\n");
         }
         return text.toString();
@@ -195,14 +195,14 @@
     }
 
     /** Until this router says such a thing of itself. */
-    void awaitStatus(int r, String what, Predicate<String> such) throws InterruptedException {
-        String said = queryControl(r, "status\n");
-        for (long until = System.nanoTime() + 30_000_000_000L;
-                !such.test(said);
-                said = queryControl(r, "status\n")) {
+    void awaitStatus(int routerIndex, String description, Predicate<String> condition) throws InterruptedException {
+        String report = queryControl(routerIndex, "status\n");
+        for (long deadlineNanos = System.nanoTime() + 30_000_000_000L;
+                !condition.test(report);
+                report = queryControl(routerIndex, "status\n")) {
             assertTrue(
-                    System.nanoTime() < until,
-                    "router " + r + " never said that " + what + ": " + said);
+                    System.nanoTime() < deadlineNanos,
+                    "router " + routerIndex + " never said that " + description + ": " + report);
             Thread.sleep(5);
         }
     }
--- a/src/test/java/dillfront/simulation/processes/SiteLossTest.java
+++ b/src/test/java/dillfront/simulation/processes/SiteLossTest.java
@@ -15,16 +15,16 @@
     private static final List<List<String>> NODES_BY_SITE =
             List.of(List.of("s-0", "s-3"), List.of("s-1", "s-4"), List.of("s-2", "s-5"));
 
-    private void awaitSiteStatus(int r, String what) throws InterruptedException {
-        awaitStatus(r, what, said -> said.contains(what));
+    private void awaitSiteStatus(int routerIndex, String expected) throws InterruptedException {
+        awaitStatus(routerIndex, expected, report -> report.contains(expected));
     }
 
-    private void setSiteCut(int r, int site, boolean lost) {
+    private void setSiteCut(int routerIndex, int site, boolean cut) {
         for (String node : NODES_BY_SITE.get(site)) {
-            if (lost) {
-                rig.nodeProxy(r, node).dropTraffic();
+            if (cut) {
+                rig.nodeProxy(routerIndex, node).dropTraffic();
             } else {
-                rig.nodeProxy(r, node).heal();
+                rig.nodeProxy(routerIndex, node).heal();
             }
         }
     }
@@ -54,19 +54,19 @@
             awaitSiteStatus(r, "a=well b=well c=well");
         }
         // With resets: the machines are there, nothing listens.
-        NODES_BY_SITE.get(1).forEach(n -> rig.node(n).kill());
+        NODES_BY_SITE.get(1).forEach(node -> rig.node(node).kill());
         for (int r = 0; r < 3; r++) {
             awaitSiteStatus(r, "a=well b=lost c=well");
         }
-        NODES_BY_SITE.get(1).forEach(n -> rig.restartNode(rig.node(n), 0));
+        NODES_BY_SITE.get(1).forEach(node -> rig.restartNode(rig.node(node), 0));
         // To one router alone: it is an island, the others are as they were.
         setSiteCut(0, 1, true);
         setSiteCut(0, 2, true);
         awaitSiteStatus(0, "sites self=island a=well b=lost c=lost");
         awaitSiteStatus(1, "self=joined a=well");
-        String life = rig.router(1).incarnation();
-        int before = rig.harness().call(() -> load.committed(life));
-        awaitServed(before + 40, 1);
+        String incarnation = rig.router(1).incarnation();
+        int committedBefore = rig.harness().call(() -> load.committed(incarnation));
+        awaitServed(committedBefore + 40, 1);
         setSiteCut(0, 1, false);
         setSiteCut(0, 2, false);
         awaitSiteStatus(0, "sites self=joined a=well b=well c=well");
--- a/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
+++ b/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
@@ -29,11 +29,11 @@
                 Rig.Plan.of(routers, 1, 3)
                         .capacity(WARM_AFTER_3_S)
                         .operatorFile(
-                                (set, r) -> {
+                                (newRig, r) -> {
                                     try {
-                                        return gossipOperatorFile(set, r, routers, peers);
-                                    } catch (Exception bad) {
-                                        throw new IllegalStateException(bad);
+                                        return gossipOperatorFile(newRig, r, routers, peers);
+                                    } catch (Exception e) {
+                                        throw new IllegalStateException(e);
                                     }
                                 }));
     }
@@ -42,16 +42,16 @@
      * A write of this router runs, its client gives up unheard, and the group has forgotten it by
      * then.
      */
-    private void leaveWriteUncertain(int r, String key) throws Exception {
+    private void leaveWriteUncertain(int routerIndex, String key) throws Exception {
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(n -> rig.nodeProxy(r, n.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
-        rig.submit(r, "move", 0, key, 300);
+        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
+        rig.submit(routerIndex, "move", 0, key, 300);
         rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
         rig.awaitAllAnswered();
-        rig.nodes().forEach(n -> rig.nodeProxy(r, n.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
+        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
         rig.harness().await("the group forgot " + key, () -> !rig.groups().get(0).deduplicates(key));
-        awaitStatus(r, "it is in doubt", said -> said.contains("in_doubt=1 "));
+        awaitStatus(routerIndex, "it is in doubt", report -> report.contains("in_doubt=1 "));
     }
 
     /**
@@ -64,12 +64,12 @@
         rig.setPartitioned(0, 2, true);
         rig.setPartitioned(1, 2, true);
         leaveWriteUncertain(0, "gone-1");
-        awaitStatus(1, "it was told", said -> said.contains("telling=1 "));
+        awaitStatus(1, "it was told", report -> report.contains("telling=1 "));
         // Nobody is waited for: the one that hears nothing serves.
         awaitOtherWriteCommitted(2);
-        awaitStatus(2, "it was not told", said -> said.contains("telling=0 "));
+        awaitStatus(2, "it was not told", report -> report.contains("telling=0 "));
         rig.setPartitioned(0, 2, false);
-        awaitStatus(2, "it was told", said -> said.contains("telling=1 "));
+        awaitStatus(2, "it was told", report -> report.contains("telling=1 "));
         rig.router(0).kill();
         for (int r = 1; r < 3; r++) {
             assertEquals("rolled-back", outcome(rig.submit(r, "move", 0, "gone-1", 1500)));
@@ -87,7 +87,7 @@
     void recoversUncertainWritesFromPeersAfterDiskLoss() throws Exception {
         startGossipingRig(2, 2);
         leaveWriteUncertain(0, "disk-1");
-        awaitStatus(1, "it was told", said -> said.contains("telling=1 "));
+        awaitStatus(1, "it was told", report -> report.contains("telling=1 "));
         rig.router(0).kill();
         try (Stream<Path> files = Files.list(rig.folder().resolve("m0"))) {
             for (Path file : files.toList()) {
@@ -95,7 +95,7 @@
             }
         }
         startRouters(0);
-        awaitStatus(0, "it hears its own word", said -> said.contains("echoing=1 "));
+        awaitStatus(0, "it hears its own word", report -> report.contains("echoing=1 "));
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "disk-1", 1500)));
         awaitOtherWriteCommitted(0);
         assertArrayEquals(new long[] {1, 1}, rig.receivedAndAppliedCounts("disk-1"));
@@ -116,34 +116,34 @@
         rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("draining")));
         rig.harness()
                 .await("router 1 has heard", () -> rig.acknowledgedGeneration(rig.router(1).incarnation() + "<a0") == 42);
-        awaitStatus(1, "it is closed", said -> said.contains("closings=1 "));
+        awaitStatus(1, "it is closed", report -> report.contains("closings=1 "));
         // One witness: it may lie.
         awaitStatus(
                 0,
                 "one says so, and nothing is closed",
-                said -> said.contains("closings=0 witnesses=1 "));
+                report -> report.contains("closings=0 witnesses=1 "));
         awaitOtherWriteCommitted(0);
-        awaitStatus(0, "still nothing is closed", said -> said.contains("closings=0 witnesses=1 "));
+        awaitStatus(0, "still nothing is closed", report -> report.contains("closings=0 witnesses=1 "));
         rig.agent(2, 0).limitGeneration(Long.MAX_VALUE);
-        awaitStatus(0, "two say so", said -> said.contains("closings=1 witnesses=2 "));
+        awaitStatus(0, "two say so", report -> report.contains("closings=1 witnesses=2 "));
         rig.router(0)
                 .awaitLogLine(
                         "that s-2 is closed",
-                        l -> l.contains("closed-elsewhere id=s-2 generation=42 latest_here=41"));
-        String life = rig.router(0).incarnation();
+                        line -> line.contains("closed-elsewhere id=s-2 generation=42 latest_here=41"));
+        String incarnation = rig.router(0).incarnation();
         // What was on its way then has come; from here on nothing does.
         load.stop();
         rig.awaitAllAnswered();
-        long before = rig.harness().call(() -> rig.harness().statementsReceived(life, "s-2"));
+        long receivedBefore = rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2"));
         load.start();
-        awaitServed(rig.harness().call(() -> load.committed(life)) + 100, 0);
-        assertEquals(before, rig.harness().call(() -> rig.harness().statementsReceived(life, "s-2")));
+        awaitServed(rig.harness().call(() -> load.committed(incarnation)) + 100, 0);
+        assertEquals(receivedBefore, rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2")));
         rig.agent(0, 0).limitGeneration(Long.MAX_VALUE);
         rig.agent(3, 0).limitGeneration(Long.MAX_VALUE);
         rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("ready")));
         rig.harness()
                 .await("router 0 has heard", () -> rig.acknowledgedGeneration(rig.router(0).incarnation() + "<a0") == 43);
-        awaitStatus(0, "its own list opens it again", said -> said.contains("closings=0 "));
+        awaitStatus(0, "its own list opens it again", report -> report.contains("closings=0 "));
         assertInvariants(true);
     }
 
@@ -154,34 +154,34 @@
     @Test
     void ignoresPeerThatReportsEverythingUncertain() throws Exception {
         startGossipingRig(1, 2);
-        PeerRegistry ring = new PeerRegistry();
-        for (int p = 0; p < 2; p++) {
-            ring.key(
-                    ring.add("r" + p, socket(p)),
-                    publicKeyHex(p),
+        PeerRegistry registry = new PeerRegistry();
+        for (int peer = 0; peer < 2; peer++) {
+            registry.key(
+                    registry.add("r" + peer, socket(peer)),
+                    publicKeyHex(peer),
                     Duration.ZERO,
                     Duration.ofDays(1_000_000));
         }
-        long unix = System.currentTimeMillis();
+        long unixMs = System.currentTimeMillis();
         GossipCodec codec =
                 new GossipCodec(
-                        ring,
+                        registry,
                         1,
                         PeerRegistry.keyId(PeerRegistry.rawKey(key(1).getPublic())),
                         key(1).getPrivate(),
                         socket(1),
                         1200,
-                        unix * 1000);
-        long[] all = new long[128];
-        Arrays.fill(all, -1L);
-        long[] some = new long[128];
-        Arrays.fill(some, 0x5555555555555555L);
-        try (DatagramSocket liar = new DatagramSocket(socket(1))) {
-            for (long[] says : List.of(all, some)) {
-                for (int about = 0; about < 2; about++) {
+                        unixMs * 1000);
+        long[] allBits = new long[128];
+        Arrays.fill(allBits, -1L);
+        long[] alternatingBits = new long[128];
+        Arrays.fill(alternatingBits, 0x5555555555555555L);
+        try (DatagramSocket faultySocket = new DatagramSocket(socket(1))) {
+            for (long[] filter : List.of(allBits, alternatingBits)) {
+                for (int filterIndex = 0; filterIndex < 2; filterIndex++) {
                     ByteBuf out = Unpooled.buffer();
-                    codec.write(out, 0, 7, 9, about, says, Duration.ofMillis(unix));
-                    liar.send(
+                    codec.write(out, 0, 7, 9, filterIndex, filter, Duration.ofMillis(unixMs));
+                    faultySocket.send(
                             new DatagramPacket(
                                     out.array(),
                                     out.readableBytes(),
@@ -189,13 +189,13 @@
                 }
             }
         }
-        awaitStatus(0, "it heard and refused", said -> said.contains("heard=2 refused=2"));
-        int through = 0;
+        awaitStatus(0, "it heard and refused", report -> report.contains("heard=2 refused=2"));
+        int committed = 0;
         for (int i = 0; i < 50; i++) {
-            through += outcome(rig.submit(0, "move", 0, "lied-" + i, 1500)).equals("committed") ? 1 : 0;
+            committed += outcome(rig.submit(0, "move", 0, "lied-" + i, 1500)).equals("committed") ? 1 : 0;
         }
         // Half of the bits set, 14 of them asked for: one write in 16,000 is held back by each.
-        assertTrue(through >= 45, "of 50 writes " + through + " went through");
+        assertTrue(committed >= 45, "of 50 writes " + committed + " went through");
         assertInvariants(true);
     }
 }
--- a/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
+++ b/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
@@ -27,17 +27,17 @@
      * one process.
      */
     private static List<String> withSignalIgnored(String signal, List<String> command) {
-        List<String> all =
+        List<String> wrapped =
                 new ArrayList<>(
                         List.of("/bin/sh", "-c", "trap '' " + signal + "; exec \"$0\" \"$@\""));
-        all.addAll(command);
-        return all;
+        wrapped.addAll(command);
+        return wrapped;
     }
 
     private static List<String> withDefaultSignals(List<String> command) {
-        List<String> all = new ArrayList<>(List.of("env", "--default-signal=HUP,TERM"));
-        all.addAll(command);
-        return all;
+        List<String> wrapped = new ArrayList<>(List.of("env", "--default-signal=HUP,TERM"));
+        wrapped.addAll(command);
+        return wrapped;
     }
 
     private static long countLogLines(RouterProcess router, String part) {
@@ -49,59 +49,59 @@
      */
     @Test
     void warnsOfOrRestoresIgnoredSignals() throws Exception {
-        try (Rig plain = new Rig(Rig.Plan.of(1, 1, 2).command(withSignalIgnored("HUP TERM", Rig.routerCommand())));
-                Rig mended =
+        try (Rig ignoring = new Rig(Rig.Plan.of(1, 1, 2).command(withSignalIgnored("HUP TERM", Rig.routerCommand())));
+                Rig restored =
                         new Rig(
                                 Rig.Plan.of(1, 1, 2)
                                         .command(withSignalIgnored("HUP TERM", withDefaultSignals(Rig.routerCommand()))))) {
-            plain.start();
-            mended.start();
-            assertEquals(2, countLogLines(plain.router(0), "signal-ignored"), "told of both");
-            assertEquals(0, countLogLines(mended.router(0), "signal-ignored"));
-            int next = mended.addAgent(0);
-            mended.writeConfiguration(0, next);
-            mended.router(0).sendSignal("HUP");
-            mended.router(0).awaitLogLine("reloaded", l -> l.contains("reloaded by=SIGHUP"));
+            ignoring.start();
+            restored.start();
+            assertEquals(2, countLogLines(ignoring.router(0), "signal-ignored"), "told of both");
+            assertEquals(0, countLogLines(restored.router(0), "signal-ignored"));
+            int newAgent = restored.addAgent(0);
+            restored.writeConfiguration(0, newAgent);
+            restored.router(0).sendSignal("HUP");
+            restored.router(0).awaitLogLine("reloaded", line -> line.contains("reloaded by=SIGHUP"));
             // Ignored, but what it was about is in the file: found once the old place is gone.
-            int other = plain.addAgent(0);
-            plain.writeConfiguration(0, other);
-            plain.router(0).sendSignal("HUP");
-            plain.agent(0, 0).close();
-            plain.router(0).awaitLogLine("reloaded", l -> l.contains("reloaded by=file"));
-            mended.router(0).shutDown();
+            int otherAgent = ignoring.addAgent(0);
+            ignoring.writeConfiguration(0, otherAgent);
+            ignoring.router(0).sendSignal("HUP");
+            ignoring.agent(0, 0).close();
+            ignoring.router(0).awaitLogLine("reloaded", line -> line.contains("reloaded by=file"));
+            restored.router(0).shutDown();
         }
     }
 
     /** Guards against an end by a figure: what waits longer than that figure would be lost. */
     @Test
     void shutdownWaitsForLastPendingDeadline() throws Exception {
-        try (Rig slow = new Rig(Rig.Plan.of(2, 1, 2).expiry(8000))) {
-            slow.start();
-            QueryClient first = slow.router(0).client();
-            slow.harness().run(() -> first.submit("any", 0, "16-warm", 8000, 0, null));
-            slow.awaitAllAnswered();
+        try (Rig rig = new Rig(Rig.Plan.of(2, 1, 2).expiry(8000))) {
+            rig.start();
+            QueryClient client = rig.router(0).client();
+            rig.harness().run(() -> client.submit("any", 0, "16-warm", 8000, 0, null));
+            rig.awaitAllAnswered();
             // Both members take it and say nothing until well past the 3.5 s that once were the
             // end.
-            slow.nodes().forEach(n -> n.behavior(SimulatedNode.Behavior.HANGING));
-            slow.harness().run(() -> first.submit("move", 0, "k1", 6000, 0, null));
-            slow.harness()
+            rig.nodes().forEach(node -> node.behavior(SimulatedNode.Behavior.HANGING));
+            rig.harness().run(() -> client.submit("move", 0, "k1", 6000, 0, null));
+            rig.harness()
                     .await(
                             "the write is out",
-                            () -> slow.nodes().stream().mapToLong(n -> n.statementCount).sum() == 2);
-            slow.router(0).sendSignal("TERM");
-            slow.router(0).awaitLogLine("stopping", l -> l.contains(" stopping "));
+                            () -> rig.nodes().stream().mapToLong(node -> node.statementCount).sum() == 2);
+            rig.router(0).sendSignal("TERM");
+            rig.router(0).awaitLogLine("stopping", line -> line.contains(" stopping "));
             // New ones still come; the other router's clients notice nothing.
-            slow.harness().run(() -> first.submit("fresh", 0, "16-late", 5000, 0, null));
-            slow.router(0).shutDown();
+            rig.harness().run(() -> client.submit("fresh", 0, "16-late", 5000, 0, null));
+            rig.router(0).shutDown();
             assertEquals(
                     0,
-                    countLogLines(slow.router(0), "stopped-with-work"),
-                    slow.router(0).logLines().toString());
-            assertTrue(countLogLines(slow.router(0), " counters ") == 1, "its last line");
-            slow.awaitAllAnswered();
-            InvariantChecker audit = InvariantChecker.of(slow.harness().events());
-            assertEquals(List.of(), audit.violations());
-            assertEquals(3, audit.queryCount());
+                    countLogLines(rig.router(0), "stopped-with-work"),
+                    rig.router(0).logLines().toString());
+            assertTrue(countLogLines(rig.router(0), " counters ") == 1, "its last line");
+            rig.awaitAllAnswered();
+            InvariantChecker checker = InvariantChecker.of(rig.harness().events());
+            assertEquals(List.of(), checker.violations());
+            assertEquals(3, checker.queryCount());
         }
     }
 
@@ -111,30 +111,30 @@
      */
     @Test
     void recordsStatementBeforeLaterAnswer() throws Exception {
-        try (Rig one = new Rig(Rig.Plan.of(1, 1, 2))) {
-            one.start();
-            QueryClient caller = one.router(0).client();
+        try (Rig rig = new Rig(Rig.Plan.of(1, 1, 2))) {
+            rig.start();
+            QueryClient client = rig.router(0).client();
             // Both connections are up, and rest.
             for (int i = 0; i < 8; i++) {
-                one.harness().run(() -> caller.submit("any", 0, "16-warm", 2000, 0, null));
-                one.awaitAllAnswered();
+                rig.harness().run(() -> client.submit("any", 0, "16-warm", 2000, 0, null));
+                rig.awaitAllAnswered();
             }
-            one.nodes().forEach(n -> n.behavior(SimulatedNode.Behavior.HANGING));
-            one.harness()
+            rig.nodes().forEach(node -> node.behavior(SimulatedNode.Behavior.HANGING));
+            rig.harness()
                     .run(
                             () -> {
-                                caller.submit("any", 0, "16-hangs", 500, 0, null);
+                                client.submit("any", 0, "16-hangs", 500, 0, null);
                                 try {
                                     Thread.sleep(700);
-                                } catch (InterruptedException stopped) {
-                                    throw new IllegalStateException(stopped);
+                                } catch (InterruptedException e) {
+                                    throw new IllegalStateException(e);
                                 }
                             });
-            one.awaitAllAnswered();
-            one.router(0).shutDown();
-            InvariantChecker audit = InvariantChecker.of(one.harness().events());
-            assertEquals(List.of(), audit.violations());
-            assertEquals(9, audit.queryCount());
+            rig.awaitAllAnswered();
+            rig.router(0).shutDown();
+            InvariantChecker checker = InvariantChecker.of(rig.harness().events());
+            assertEquals(List.of(), checker.violations());
+            assertEquals(9, checker.queryCount());
         }
     }
 
@@ -145,30 +145,30 @@
      */
     @Test
     void appliesEveryNodeClosureDespiteFaults() throws Exception {
-        SplittableRandom chance = new SplittableRandom(29);
+        SplittableRandom random = new SplittableRandom(29);
         try (Rig set = new Rig(Rig.Plan.of(ROUTERS, 2, 4))) {
             rig = set;
             set.start();
             LoadGenerator load = new LoadGenerator(set, 7, 2000);
             load.start();
-            int[] seen = new int[10];
+            int[] faultCounts = new int[10];
             for (int round = 0; round < ROUNDS; round++) {
-                int kind = chance.nextInt(seen.length);
-                seen[kind]++;
-                injectFault(kind, chance.nextInt(ROUTERS), chance.nextInt(4) + 4 * chance.nextInt(2));
-                for (int r = 0; r < ROUTERS; r++) {
-                    awaitLatestList(r);
+                int kind = random.nextInt(faultCounts.length);
+                faultCounts[kind]++;
+                injectFault(kind, random.nextInt(ROUTERS), random.nextInt(4) + 4 * random.nextInt(2));
+                for (int routerIndex = 0; routerIndex < ROUTERS; routerIndex++) {
+                    awaitLatestList(routerIndex);
                 }
             }
             load.stop();
             set.awaitAllAnswered();
             set.routers().forEach(RouterProcess::shutDown);
-            InvariantChecker audit = InvariantChecker.of(set.harness().events());
-            assertEquals(List.of(), audit.violations().stream().limit(5).toList());
+            InvariantChecker checker = InvariantChecker.of(set.harness().events());
+            assertEquals(List.of(), checker.violations().stream().limit(5).toList());
             assertTrue(
-                    audit.countEnded("committed") > audit.queryCount() / 2,
-                    audit.countEnded("committed") + " of " + audit.queryCount());
-            for (int kind : seen) {
+                    checker.countEnded("committed") > checker.queryCount() / 2,
+                    checker.countEnded("committed") + " of " + checker.queryCount());
+            for (int kind : faultCounts) {
                 assertTrue(kind > 0, "each kind was played");
             }
         }
@@ -178,72 +178,72 @@
      * Until this router has shown, at the agent that it is at, that it knows the latest that this
      * agent knows.
      */
-    private void awaitLatestList(int r) {
-        String life = rig.router(r).incarnation() + "<a" + agentByRouter[r];
+    private void awaitLatestList(int routerIndex) {
+        String subscription = rig.router(routerIndex).incarnation() + "<a" + agentByRouter[routerIndex];
         try {
             rig.harness()
                     .await(
-                            life + " knows the list",
-                            () -> rig.acknowledgedGeneration(life) >= rig.catalog().latest().generation());
-        } catch (IllegalStateException never) {
+                            subscription + " knows the list",
+                            () -> rig.acknowledgedGeneration(subscription) >= rig.catalog().latest().generation());
+        } catch (IllegalStateException timeout) {
             throw new IllegalStateException(
-                    never.getMessage()
+                    timeout.getMessage()
                             + "; it knows "
-                            + rig.acknowledgedGeneration(life)
+                            + rig.acknowledgedGeneration(subscription)
                             + " of "
                             + rig.catalog().latest().generation()
                             + ", and said "
-                            + rig.router(r).logLines(),
-                    never);
+                            + rig.router(routerIndex).logLines(),
+                    timeout);
         }
     }
 
-    private void injectFault(int kind, int r, int node) {
-        String id = "s-" + node;
-        DiscoveryCatalog catalogue = rig.catalog();
+    private void injectFault(int kind, int routerIndex, int nodeIndex) {
+        String nodeId = "s-" + nodeIndex;
+        DiscoveryCatalog catalog = rig.catalog();
         switch (kind) {
-            case 0 -> rig.harness().run(() -> catalogue.update(nextLifecycle(id)));
+            case 0 -> rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
             case 1 ->
                     rig.harness()
                             .run(
                                     () -> {
                                         // Two changes in the same millisecond.
-                                        catalogue.update(nextLifecycle(id));
-                                        catalogue.update(nextLifecycle("s-" + (node + 1) % 8));
+                                        catalog.update(nextLifecycle(nodeId));
+                                        catalog.update(nextLifecycle("s-" + (nodeIndex + 1) % 8));
                                     });
-            case 2 -> moveDiscovery(r, true, false);
-            case 3 -> moveDiscovery(r, false, false);
-            case 4 -> moveDiscovery(r, true, true);
-            case 5 -> moveDiscovery(r, false, true);
+            case 2 -> moveDiscovery(routerIndex, true, false);
+            case 3 -> moveDiscovery(routerIndex, false, false);
+            case 4 -> moveDiscovery(routerIndex, true, true);
+            case 5 -> moveDiscovery(routerIndex, false, true);
             case 6 -> {
                 // The agent is silent while the list changes, then it is heard again.
-                rig.agent(r, agentByRouter[r]).withholdResponses(true);
-                rig.harness().run(() -> catalogue.update(nextLifecycle(id)));
-                rig.agent(r, agentByRouter[r]).withholdResponses(false);
+                rig.agent(routerIndex, agentByRouter[routerIndex]).withholdResponses(true);
+                rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
+                rig.agent(routerIndex, agentByRouter[routerIndex]).withholdResponses(false);
             }
             case 7 -> {
-                rig.router(r).sendSignal("STOP");
-                rig.harness().run(() -> catalogue.update(nextLifecycle(id)));
-                rig.router(r).sendSignal("CONT");
+                rig.router(routerIndex).sendSignal("STOP");
+                rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
+                rig.router(routerIndex).sendSignal("CONT");
             }
             case 8 -> {
                 // Connections to the node hang as they come up, while it leaves the list and
                 // another takes its row.
-                rig.nodeProxy(r, id).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER);
+                rig.nodeProxy(routerIndex, nodeId).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER);
                 for (int i = 0; i < 3; i++) {
-                    rig.harness().run(() -> catalogue.update(nextLifecycle(id)));
-                    awaitLatestList(r);
+                    rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
+                    awaitLatestList(routerIndex);
                 }
-                rig.nodeProxy(r, id).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD);
+                rig.nodeProxy(routerIndex, nodeId).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD);
             }
             default -> {
-                RouterProcess router = rig.router(r);
-                if (node % 2 == 0) {
+                RouterProcess router = rig.router(routerIndex);
+                if (nodeIndex % 2 == 0) {
                     router.kill();
                 } else {
                     router.shutDown();
                 }
-                rig.harness().run(() -> catalogue.update(nextLifecycle(id)));
+                rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
                 router.start();
                 router.awaitServing();
             }
@@ -254,28 +254,28 @@
      * Discovery moves, told by the signal or by the file alone; the new one knows less at first, or
      * the list changes meanwhile.
      */
-    private void moveDiscovery(int r, boolean signal, boolean older) {
-        int next = rig.addAgent(r);
-        long before = rig.harness().call(() -> rig.catalog().latest().generation());
-        rig.harness().run(() -> rig.catalog().update(nextLifecycle("s-" + (1 + next % 3))));
-        awaitLatestList(r);
-        if (older) {
-            rig.agent(r, next).limitGeneration(before);
+    private void moveDiscovery(int routerIndex, boolean signal, boolean newAgentLags) {
+        int newAgent = rig.addAgent(routerIndex);
+        long previousGeneration = rig.harness().call(() -> rig.catalog().latest().generation());
+        rig.harness().run(() -> rig.catalog().update(nextLifecycle("s-" + (1 + newAgent % 3))));
+        awaitLatestList(routerIndex);
+        if (newAgentLags) {
+            rig.agent(routerIndex, newAgent).limitGeneration(previousGeneration);
         }
-        rig.writeConfiguration(r, next);
+        rig.writeConfiguration(routerIndex, newAgent);
         if (signal) {
-            rig.router(r).sendSignal("HUP");
+            rig.router(routerIndex).sendSignal("HUP");
         }
-        String life = rig.router(r).incarnation() + "<a" + next;
+        String subscription = rig.router(routerIndex).incarnation() + "<a" + newAgent;
         if (!signal) {
-            rig.agent(r, agentByRouter[r]).close();
+            rig.agent(routerIndex, agentByRouter[routerIndex]).close();
         }
-        rig.harness().await(life + " has come to the new agent", () -> rig.acknowledgedGeneration(life) >= 0);
+        rig.harness().await(subscription + " has come to the new agent", () -> rig.acknowledgedGeneration(subscription) >= 0);
         if (signal) {
-            rig.agent(r, agentByRouter[r]).close();
+            rig.agent(routerIndex, agentByRouter[routerIndex]).close();
         }
-        agentByRouter[r] = next;
-        rig.agent(r, next).limitGeneration(Long.MAX_VALUE);
+        agentByRouter[routerIndex] = newAgent;
+        rig.agent(routerIndex, newAgent).limitGeneration(Long.MAX_VALUE);
     }
 
     /**
@@ -283,13 +283,13 @@
      * of a group stay.
      */
     private DiscoveryCatalog.Entry nextLifecycle(String id) {
-        DiscoveryCatalog.Entry e = rig.catalog().entry(id);
+        DiscoveryCatalog.Entry entry = rig.catalog().entry(id);
         DiscoveryCatalog.Entry first = rig.catalog().versionAt(0).entries().get(id);
         if (Integer.parseInt(id.substring(2)) % 4 < 2) {
-            return e;
+            return entry;
         }
-        return e == null
+        return entry == null
                 ? first.readyWithStart(System.currentTimeMillis())
-                : e.withLifecycle(e.lifecycle().equals("ready") ? "draining" : "gone");
+                : entry.withLifecycle(entry.lifecycle().equals("ready") ? "draining" : "gone");
     }
 }
