--- a/src/main/java/dillfront/simulation/processes/DiscoveryAgent.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryAgent.java
@@ -18,9 +18,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * An agent of discovery: the list over HTTP, whole or what changed, at once or once something has.
- * It may know an older version than the catalogue has, be silent, or be gone and come back. All
- * calls on the stage's loop or through run().
+ * Serves the discovery list over HTTP, in full or as changes, at once or after the next change.
+ * Tests can make the agent lag behind the catalog, withhold its responses, or stop and restart. All
+ * calls run on the harness's loop or go through {@link TestHarness#run}.
  */
 public final class DiscoveryAgent {
 
@@ -28,24 +28,36 @@
     private final String name;
     private final DiscoveryCatalog catalog;
 
-    /** Where whoever asks reaches this node: each router by a way of its own. */
+    /**
+     * The port at which a router reaches a node, by router name: each router has its own proxies.
+     */
     private final Map<String, ToIntFunction<String>> nodePortsByRouter = new HashMap<>();
 
     private final ToIntFunction<String> defaultNodePorts;
     private int port;
     private Channel listener;
 
-    /** Knows no later version than this. */
+    /** Versions of the catalog after this generation are not served. */
     private long limitGeneration = Long.MAX_VALUE;
 
     private boolean withholdResponses;
     private final Set<Subscriber> subscribers = new LinkedHashSet<>();
 
-    /** What each life of a router was told of: to name those that a whole list leaves out. */
+    /**
+     * Nodes ever listed to each router incarnation. Used to record the nodes that a full list
+     * omits.
+     */
     private final Map<String, Set<String>> listedNodes = new HashMap<>();
 
-    /** Serves discovery for this cluster. */
-    public DiscoveryAgent(TestHarness harness, String name, DiscoveryCatalog catalog, ToIntFunction<String> defaultNodePorts) {
+    /**
+     * Creates the agent and opens its listener; {@code defaultNodePorts} serves routers without
+     * ports of their own.
+     */
+    public DiscoveryAgent(
+            TestHarness harness,
+            String name,
+            DiscoveryCatalog catalog,
+            ToIntFunction<String> defaultNodePorts) {
         this.harness = harness;
         this.name = name;
         this.catalog = catalog;
@@ -58,47 +70,47 @@
         return port;
     }
 
-    /** Whoever's name begins so is told the ports that it gets to nodes by. */
+    /** Sets the ports at which the named router reaches the nodes. */
     void setNodePorts(String router, ToIntFunction<String> portOf) {
         nodePortsByRouter.put(router, portOf);
     }
 
-    /** Listens, on the same port as before. */
+    /** Opens the listener, on the same port as before. */
     public void open() {
         listener = harness.listen(port, Subscriber::new);
         port = TestHarness.port(listener);
     }
 
-    /** Gone, as its process is: connections end, new ones are refused. */
+    /** Closes the listener and all connections, as the end of the agent's process does. */
     public void close() {
         harness.run(
                 () -> {
                     listener.close();
                     List.copyOf(subscribers).forEach(subscriber -> subscriber.ctx.close());
                 });
-        harness.await("an agent's door closed", () -> !listener.isOpen());
+        harness.await("the agent's listener is closed", () -> !listener.isOpen());
     }
 
     public boolean isListening() {
         return listener.isOpen();
     }
 
-    /** Waits until somebody who has the list as it is now asks for a newer one. */
+    /** Waits until a client that has the current list has an open request for a newer one. */
     public void awaitCurrentSubscriber() {
         harness.await(
-                "somebody with the newest list asks for a newer one",
+                "a client with the current list requests a newer one",
                 () ->
                         subscribers.stream()
                                 .anyMatch(
                                         subscriber ->
                                                 subscriber.requestOpen
                                                         && subscriber.knownGeneration
-                                                                == catalog
-                                                                        .versionAt(limitGeneration)
+                                                                == catalog.versionAt(
+                                                                                limitGeneration)
                                                                         .generation()));
     }
 
-    /** Says nothing from now on, and has not heard either; or speaks up again. */
+    /** Withholds all responses from now on, or resumes them. */
     public void withholdResponses(boolean withhold) {
         harness.run(
                 () -> {
@@ -108,8 +120,8 @@
     }
 
     /**
-     * Knows no version later than this, as one that lags or was restored; asked by those connected,
-     * it says so.
+     * Hides versions after this generation, as an agent that lags or was restored from a backup
+     * does. Clients with an open request are answered accordingly.
      */
     public void limitGeneration(long generation) {
         harness.run(
@@ -130,7 +142,10 @@
         private final StringBuilder received = new StringBuilder();
         private ChannelHandlerContext ctx;
 
-        /** A call is open, for what is newer than this; negative for all. */
+        /**
+         * Whether a request is open, for changes after {@code knownGeneration}; negative asks for
+         * the full list.
+         */
         private boolean requestOpen;
 
         private long knownGeneration;
@@ -147,7 +162,9 @@
             ByteBuf bytes = (ByteBuf) read;
             received.append(bytes.toString(StandardCharsets.US_ASCII));
             bytes.release();
-            for (int headerEnd = received.indexOf("\r\n\r\n"); headerEnd >= 0; headerEnd = received.indexOf("\r\n\r\n")) {
+            for (int headerEnd = received.indexOf("\r\n\r\n");
+                    headerEnd >= 0;
+                    headerEnd = received.indexOf("\r\n\r\n")) {
                 String requestLine = received.substring(0, received.indexOf("\r\n"));
                 received.delete(0, headerEnd + 4);
                 handleRequest(requestLine);
@@ -169,7 +186,10 @@
                 long acknowledged = knownGeneration;
                 long atNanos = harness.nowNanos();
                 harness.afterNextPoll(
-                        () -> harness.recordEvent(new Event.ListAcknowledged(atNanos, incarnation + "<" + name, acknowledged)));
+                        () ->
+                                harness.recordEvent(
+                                        new Event.ListAcknowledged(
+                                                atNanos, incarnation + "<" + name, acknowledged)));
             }
             if (!withholdResponses) {
                 respondIfChanged();
@@ -202,7 +222,8 @@
             String incarnation = harness.connectionOwner(ctx.channel());
             DiscoveryCatalog.Version current = catalog.versionAt(limitGeneration);
             boolean complete = knownGeneration < 0 || knownGeneration > current.generation();
-            DiscoveryCatalog.Version previous = complete ? null : catalog.versionAt(knownGeneration);
+            DiscoveryCatalog.Version previous =
+                    complete ? null : catalog.versionAt(knownGeneration);
             List<String> entries = new ArrayList<>();
             Set<String> known = listedNodes.computeIfAbsent(incarnation, k -> new TreeSet<>());
             Set<String> removed = new TreeSet<>(complete ? known : previous.entries().keySet());
@@ -210,13 +231,20 @@
                 removed.remove(entry.id());
                 if (complete || !entry.equals(previous.entries().get(entry.id()))) {
                     entries.add(entryJson(entry, incarnation));
-                    recordEntrySent(incarnation, current.generation(), entry.id(), entry.lifecycle(), entry.startedMs());
+                    recordEntrySent(
+                            incarnation,
+                            current.generation(),
+                            entry.id(),
+                            entry.lifecycle(),
+                            entry.startedMs());
                 }
                 known.add(entry.id());
             }
             for (String id : removed) {
                 if (!complete) {
-                    entries.add(entryJson(previous.entries().get(id).withLifecycle("gone"), incarnation));
+                    entries.add(
+                            entryJson(
+                                    previous.entries().get(id).withLifecycle("gone"), incarnation));
                 }
                 recordEntrySent(
                         incarnation,
@@ -246,7 +274,12 @@
                 String incarnation, long generation, String id, String lifecycle, long startedMs) {
             harness.recordEvent(
                     new Event.ListEntrySent(
-                            harness.nowNanos(), incarnation + "<" + name, generation, id, lifecycle, startedMs));
+                            harness.nowNanos(),
+                            incarnation + "<" + name,
+                            generation,
+                            id,
+                            lifecycle,
+                            startedMs));
         }
 
         @Override
@@ -262,11 +295,12 @@
     }
 
     private String entryJson(DiscoveryCatalog.Entry entry, String incarnation) {
-        ToIntFunction<String> nodePorts = nodePortsByRouter.getOrDefault(incarnation.replaceAll("#.*", ""), defaultNodePorts);
+        ToIntFunction<String> nodePorts =
+                nodePortsByRouter.getOrDefault(incarnation.replaceAll("#.*", ""), defaultNodePorts);
         return entryJson(entry, nodePorts.applyAsInt(entry.id()));
     }
 
-    /** As discovery lists a node, in its form. */
+    /** Formats a node's entry as discovery lists it. */
     public static String entryJson(DiscoveryCatalog.Entry entry, int port) {
         return String.format(
                 "{\"instanceId\":\"%s\",\"hostPort\":\"%s:%d\",\"zone\":\"%s\",\"machineType\":\"m\","
--- a/src/main/java/dillfront/simulation/processes/DiscoveryCatalog.java
+++ b/src/main/java/dillfront/simulation/processes/DiscoveryCatalog.java
@@ -5,10 +5,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What discovery knows, one version after another; agents tell of it. On the stage's loop. */
+/**
+ * Holds all versions of the discovery list that the agents serve. All calls run on the harness's
+ * loop.
+ */
 public final class DiscoveryCatalog {
 
-    /** One node as a list has it. */
+    /** Describes one node in the list. */
     public record Entry(
             String id, int group, String zone, String lifecycle, long startedMs, boolean primary) {
 
@@ -23,7 +26,7 @@
 
     record Version(long generation, Map<String, Entry> entries) {}
 
-    /** All that there were: a rig's changes are few, and it ends. */
+    /** Every version so far. Bounded, as a rig makes few changes before it closes. */
     private final List<Version> versions = new ArrayList<>();
 
     private final List<Runnable> listeners = new ArrayList<>();
@@ -38,7 +41,9 @@
         return versions.get(versions.size() - 1);
     }
 
-    /** The latest of at most this generation; the first where all are later. */
+    /**
+     * Returns the latest version of at most this generation, or the first version if all are later.
+     */
     Version versionAt(long generation) {
         Version found = versions.get(0);
         for (Version version : versions) {
@@ -51,7 +56,10 @@
         listeners.add(listener);
     }
 
-    /** One change more: these entries are so now; one that is gone is listed no more. */
+    /**
+     * Publishes a new version with these entries replaced and returns its generation. Entries with
+     * lifecycle {@code gone} are removed from the list.
+     */
     public long update(Entry... entries) {
         Map<String, Entry> byId = new TreeMap<>(latest().entries);
         for (Entry entry : entries) {
--- a/src/main/java/dillfront/simulation/processes/Event.java
+++ b/src/main/java/dillfront/simulation/processes/Event.java
@@ -1,35 +1,39 @@
 package dillfront.simulation.processes;
 
 /**
- * One thing that happened in a rig, as its stand-ins saw it; in one list, in one order. Times are
- * nanoseconds of the stage. A router's life is one process of it: its name and how often it was
- * started, as {@code r1#2}.
+ * Records one event of a rig as its simulated components observed it. All events form one ordered
+ * list. Times in {@code atNanos} count from the start of the harness. An incarnation is one process
+ * of a router, written as the router's name and its start count, {@code r1#2}; a subscription is an
+ * incarnation at one agent, {@code r1#2<a0}.
  */
 public sealed interface Event {
 
-    /**
-     * A process of a router was started, or was killed; whoever was told to end and did so ended
-     * well.
-     */
+    /** A router process or a node was started. */
     record Started(String incarnation) implements Event {}
 
-    /** What is to be done to the rig. */
+    /** A router process or a node ended: killed, or shut down in order. */
     record Ended(String incarnation, boolean killed) implements Event {}
 
     /**
-     * Discovery wrote this to a router. The standing is the list's word, or {@code absent} from a
-     * whole list.
+     * An agent sent one list entry to a router. The lifecycle is the one in the list, or {@code
+     * absent} for a node that a full list omits.
      */
-    record ListEntrySent(long atNanos, String subscription, long generation, String node, String lifecycle, long startedMs)
+    record ListEntrySent(
+            long atNanos,
+            String subscription,
+            long generation,
+            String node,
+            String lifecycle,
+            long startedMs)
             implements Event {}
 
     /**
-     * A router has shown that it read all up to this generation of this agent; all it sent before
-     * that has been read.
+     * A router acknowledged the agent's list up to this generation. All statements that the router
+     * sent before have been read.
      */
     record ListAcknowledged(long atNanos, String subscription, long generation) implements Event {}
 
-    /** A node has read a whole statement. */
+    /** A node received a complete statement. */
     record StatementReceived(
             long atNanos,
             String incarnation,
@@ -40,24 +44,28 @@
             String key)
             implements Event {}
 
-    /** A write had its effect: of this group, by its key, or by its id where it has none. */
-    record WriteApplied(String node, int group, String txn, String type, String key) implements Event {}
+    /**
+     * A write took effect in its group, identified by its idempotency key, or by its id if it has
+     * none.
+     */
+    record WriteApplied(String node, int group, String txn, String type, String key)
+            implements Event {}
 
     /**
-     * A read was answered from data as of this moment, in Unix milliseconds, when this was the
-     * time.
+     * A node served a read at {@code servedMs} from data as of {@code positionMs}, both in Unix
+     * milliseconds.
      */
     record ReadServed(String node, String txn, String type, long positionMs, long servedMs)
             implements Event {}
 
     /**
-     * A cold node got this share of what tips it, over the time that it takes; from 1 on it has
-     * fallen over.
+     * A cold node's load within the overload window, as a ratio of its overload limit. From 1 on
+     * the node is overloaded.
      */
     record WarmupLoad(String node, double limitRatio) implements Event {}
 
     /**
-     * A client wrote the last byte of a query to this router. Its token is the time of its
+     * A client sent a complete query to a router. {@code sessionWriteMs} is the Unix time of the
      * session's last write, or 0.
      */
     record QuerySent(
@@ -72,8 +80,10 @@
             implements Event {}
 
     /**
-     * A client read the last byte of an answer: committed, declined, rolled-back; or its connection
-     * ended: broken.
+     * A client received a complete response ({@code committed}, {@code declined} or {@code
+     * rolled-back}), or its connection ended ({@code broken}) or was never established ({@code
+     * unreached}).
      */
-    record QueryEnded(long atNanos, String txn, String outcome, String responseText) implements Event {}
+    record QueryEnded(long atNanos, String txn, String outcome, String responseText)
+            implements Event {}
 }
--- a/src/main/java/dillfront/simulation/processes/InvariantChecker.java
+++ b/src/main/java/dillfront/simulation/processes/InvariantChecker.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * Judges the five rules over a whole rig, from what its stand-ins recorded, across all lives of its
- * routers. Pure: the same record, the same verdict. A rule about lists counts from when the router
- * has shown that it read the word, not from a time, so that a slow machine makes no breach and
- * hides none.
+ * Checks the five rules against the recorded events of a whole rig, across all incarnations of its
+ * routers. The check is deterministic: equal events give equal violations. A list entry that closes
+ * a node takes effect when the router acknowledges it, not at a point in time, so a slow machine
+ * neither causes nor hides a violation.
  */
 public final class InvariantChecker {
 
-    /** One breach: the rule by its number, and what happened where. */
+    /** Describes one violation by the number of its rule and what happened. */
     public record Violation(int rule, String description) {
 
         @Override
@@ -25,17 +25,20 @@
         }
     }
 
-    /** An answer so late counts as none; and data so much older than it may be counts as stale. */
+    /**
+     * A response later than its deadline by more than this violates rule 1; data older than its
+     * bound by more than this violates rule 5.
+     */
     private static final long TOLERANCE_MS = 1000;
 
-    /** The last word that closed a node, as one life has heard it. */
+    /** The latest list entry that closed a node, as one router acknowledged it. */
     private record ClosedNode(long generation, long startedMs, String lifecycle) {}
 
     private static final class Incarnation {
         boolean killed;
         boolean ended;
 
-        /** Told, and not yet shown to be read. */
+        /** Entries sent to this incarnation and not yet acknowledged. */
         final List<Event.ListEntrySent> unacknowledged = new ArrayList<>();
 
         final Map<String, ClosedNode> closedNodes;
@@ -61,8 +64,8 @@
     private int sent;
 
     /**
-     * What closes a node binds a router in all its lives, since it remembers; else in the life that
-     * has heard it.
+     * Whether closed nodes stay closed across restarts of a router, because it persists them.
+     * Otherwise they are tracked for each incarnation.
      */
     private final boolean closuresPersist;
 
@@ -72,13 +75,16 @@
         this.closuresPersist = closuresPersist;
     }
 
-    /** All breaches of this record; the run is over, and who has no answer by now gets none. */
+    /**
+     * Returns the checker with all violations in these events. The run is over: a query without a
+     * response by now has none.
+     */
     public static InvariantChecker of(List<Event> events) {
         return of(events, false);
     }
 
     /**
-     * @param closuresPersist routers keep over their lives what closes a node
+     * @param closuresPersist whether routers persist closed nodes across restarts
      */
     public static InvariantChecker of(List<Event> events, boolean closuresPersist) {
         InvariantChecker checker = new InvariantChecker(closuresPersist);
@@ -91,7 +97,7 @@
         return violations;
     }
 
-    /** How near any cold node came to falling over. */
+    /** Returns the highest load of any cold node, as a ratio of its overload limit. */
     public double peakWarmupLoad() {
         return peakWarmupLoad;
     }
@@ -102,7 +108,10 @@
 
     public long countEnded(String outcome) {
         return transactions.values().stream()
-                .filter(transaction -> transaction.result != null && transaction.result.outcome().equals(outcome))
+                .filter(
+                        transaction ->
+                                transaction.result != null
+                                        && transaction.result.outcome().equals(outcome))
                 .count();
     }
 
@@ -117,7 +126,10 @@
     private Incarnation incarnation(String name) {
         String owner = closuresPersist ? name.replaceAll("#.*", "") : name;
         return incarnations.computeIfAbsent(
-                name, k -> new Incarnation(closedNodesByOwner.computeIfAbsent(owner, w -> new HashMap<>())));
+                name,
+                k ->
+                        new Incarnation(
+                                closedNodesByOwner.computeIfAbsent(owner, w -> new HashMap<>())));
     }
 
     private TransactionState transaction(String id) {
@@ -125,7 +137,7 @@
     }
 
     private void apply(Event event) {
-        // Java 17 has no patterns in switch yet.
+        // Java 17 has no pattern matching in switch.
         if (event instanceof Event.Ended ended) {
             incarnation(ended.incarnation()).ended = true;
             incarnation(ended.incarnation()).killed |= ended.killed();
@@ -151,12 +163,13 @@
         }
     }
 
-    // ---- what closes a node
+    // Rule 3: no statement goes to a closed node
 
     private void acknowledge(Event.ListAcknowledged acknowledgement) {
         Incarnation incarnation = incarnation(acknowledgement.subscription().replaceAll("<.*", ""));
         for (Event.ListEntrySent entry : List.copyOf(incarnation.unacknowledged)) {
-            if (entry.subscription().equals(acknowledgement.subscription()) && entry.generation() <= acknowledgement.generation()) {
+            if (entry.subscription().equals(acknowledgement.subscription())
+                    && entry.generation() <= acknowledgement.generation()) {
                 incarnation.unacknowledged.remove(entry);
                 applyEntry(incarnation, entry, true);
             }
@@ -164,10 +177,11 @@
     }
 
     /**
-     * A word that opens a node counts once told, one that closes it once read; only a newer word or
-     * start opens it again.
+     * Applies a list entry. An entry that opens a node counts once sent, one that closes it once
+     * acknowledged. Only a newer generation or a newer start of the node opens it again.
      */
-    private static void applyEntry(Incarnation incarnation, Event.ListEntrySent entry, boolean acknowledged) {
+    private static void applyEntry(
+            Incarnation incarnation, Event.ListEntrySent entry, boolean acknowledged) {
         ClosedNode previous = incarnation.closedNodes.get(entry.node());
         boolean newer =
                 previous == null
@@ -214,22 +228,40 @@
         if (transaction.result != null && !transaction.result.outcome().equals("broken")) {
             addViolation(
                     1,
-                    statement.incarnation() + " sent " + statement.txn() + " to " + statement.node() + " after its final answer");
+                    statement.incarnation()
+                            + " sent "
+                            + statement.txn()
+                            + " to "
+                            + statement.node()
+                            + " after its final answer");
         }
         if (transaction.applied && statement.type().equals("once")) {
-            addViolation(2, statement.incarnation() + " sent " + statement.txn() + " again, once-only, after it had run");
+            addViolation(
+                    2,
+                    statement.incarnation()
+                            + " sent "
+                            + statement.txn()
+                            + " again, once-only, after it had run");
         }
     }
 
-    // ---- effects and answers
+    // Rules 1, 2 and 5: responses, effects and age of data
 
     private void applied(Event.WriteApplied write) {
         TransactionMix.TransactionType type = TransactionMix.type(write.type());
         transaction(write.txn()).applied = true;
         if (type.isWrite()) {
-            String previousTxn = applied.putIfAbsent(write.group() + " " + write.key(), write.txn());
+            String previousTxn =
+                    applied.putIfAbsent(write.group() + " " + write.key(), write.txn());
             if (previousTxn != null) {
-                addViolation(2, "key " + write.key() + " had its effect by " + previousTxn + " and by " + write.txn());
+                addViolation(
+                        2,
+                        "key "
+                                + write.key()
+                                + " had its effect by "
+                                + previousTxn
+                                + " and by "
+                                + write.txn());
             }
         }
         if (transaction(write.txn()).result != null) {
@@ -247,7 +279,13 @@
     private void queryEnded(Event.QueryEnded ended) {
         TransactionState transaction = transaction(ended.txn());
         if (transaction.result != null) {
-            addViolation(1, ended.txn() + " was answered " + transaction.result.outcome() + " and " + ended.outcome());
+            addViolation(
+                    1,
+                    ended.txn()
+                            + " was answered "
+                            + transaction.result.outcome()
+                            + " and "
+                            + ended.outcome());
             return;
         }
         transaction.result = ended;
@@ -255,8 +293,12 @@
             addViolation(1, ended.txn() + " was served what no node made for it");
         }
         checkDeclinedNotApplied(ended.txn());
-        long lateMs = (ended.atNanos() - transaction.query.atNanos()) / 1_000_000 - transaction.query.timeoutMs();
-        if (lateMs > TOLERANCE_MS && !incarnation(transaction.query.incarnation()).killed && !ended.outcome().equals("unreached")) {
+        long lateMs =
+                (ended.atNanos() - transaction.query.atNanos()) / 1_000_000
+                        - transaction.query.timeoutMs();
+        if (lateMs > TOLERANCE_MS
+                && !incarnation(transaction.query.incarnation()).killed
+                && !ended.outcome().equals("unreached")) {
             addViolation(
                     1,
                     ended.txn()
@@ -309,7 +351,9 @@
                         return;
                     }
                     Incarnation incarnation = incarnation(transaction.query.incarnation());
-                    boolean connectionBroken = transaction.result != null && transaction.result.outcome().equals("broken");
+                    boolean connectionBroken =
+                            transaction.result != null
+                                    && transaction.result.outcome().equals("broken");
                     if ((transaction.result == null || connectionBroken) && !incarnation.killed) {
                         addViolation(
                                 1,
--- a/src/main/java/dillfront/simulation/processes/LoadGenerator.java
+++ b/src/main/java/dillfront/simulation/processes/LoadGenerator.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients that ask at all routers, by a seed: each type in turn, at a steady rate, whatever comes
- * back.
+ * Sends queries of random types to random routers, from a seed, at a constant rate that does not
+ * depend on the responses.
  */
 public final class LoadGenerator {
 
@@ -19,18 +19,19 @@
     private final Map<String, Integer> committed = new HashMap<>();
     private long writeCount;
 
-    /** When the next is due, whatever the machine does meanwhile. */
+    /** When the next query is due; not delayed by a slow machine. */
     private long nextDueNanos;
 
     /**
-     * @param intervalMicros between two queries, over all routers
+     * @param intervalMicros time between two queries, over all routers
      */
     public LoadGenerator(Rig rig, long seed, long intervalMicros) {
         this(rig, seed, intervalMicros, 1500);
     }
 
     /**
-     * @param intervalMicros between two transactions; waitMs is what a client allows one
+     * @param intervalMicros time between two queries, over all routers
+     * @param timeoutMs how long a client waits for its response
      */
     public LoadGenerator(Rig rig, long seed, long intervalMicros, long timeoutMs) {
         this.rig = rig;
@@ -39,7 +40,7 @@
         intervalNanos = intervalMicros * 1000;
     }
 
-    /** Sends from now on. */
+    /** Starts sending. */
     public void start() {
         rig.harness()
                 .run(
@@ -50,7 +51,7 @@
                         });
     }
 
-    /** On the loop: how many this life of a router has served. */
+    /** Returns how many queries this router incarnation has committed. Call on the loop. */
     public int committed(String incarnation) {
         return committed.getOrDefault(incarnation, 0);
     }
@@ -64,9 +65,15 @@
             return;
         }
         nextDueNanos += intervalNanos;
-        rig.harness().loop().schedule(this::submitNext, nextDueNanos - rig.harness().nowNanos(), TimeUnit.NANOSECONDS);
+        rig.harness()
+                .loop()
+                .schedule(
+                        this::submitNext,
+                        nextDueNanos - rig.harness().nowNanos(),
+                        TimeUnit.NANOSECONDS);
         RouterProcess router = rig.router(random.nextInt(rig.routers().size()));
-        TransactionMix.TransactionType type = TransactionMix.TYPES.get(random.nextInt(TransactionMix.TYPES.size()));
+        TransactionMix.TransactionType type =
+                TransactionMix.TYPES.get(random.nextInt(TransactionMix.TYPES.size()));
         int group = random.nextInt(rig.groups().size());
         String key = type.isWrite() ? "k" + ++writeCount : "16-" + random.nextInt(1000);
         if (!router.down()) {
--- a/src/main/java/dillfront/simulation/processes/NodeGroup.java
+++ b/src/main/java/dillfront/simulation/processes/NodeGroup.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A primary and its replicas, and what they have written. On the stage's loop. */
+/**
+ * Holds a primary, its replicas and the writes that they have committed. All calls run on the
+ * harness's loop.
+ */
 public final class NodeGroup {
 
     private final TestHarness harness;
@@ -14,8 +17,8 @@
     private final long dedupWindowMs;
 
     /**
-     * When each key last had its effect; the group drops repeats within its window. Ends with the
-     * rig.
+     * When each idempotency key last took effect, in Unix milliseconds. Repeats within the
+     * deduplication window are dropped. Never trimmed, as the group ends with its rig.
      */
     private final Map<String, Long> lastEffectMs = new HashMap<>();
 
@@ -31,24 +34,29 @@
         return members;
     }
 
-    /** The position of the commit: each has one of its own, and none is earlier than one before. */
+    /**
+     * Applies a write unless it is a repeat, and returns its commit position. Positions are unique
+     * and increase.
+     */
     long commit(SimulatedNode node, SimulatedNode.Statement statement, long nowMs) {
         lastCommitMs = Math.max(nowMs, lastCommitMs + 1);
         Long previousMs = lastEffectMs.get(statement.key());
         if (previousMs == null || nowMs - previousMs > dedupWindowMs) {
             lastEffectMs.put(statement.key(), nowMs);
-            harness.recordEvent(new Event.WriteApplied(node.id, number, statement.txn(), statement.type(), statement.key()));
+            harness.recordEvent(
+                    new Event.WriteApplied(
+                            node.id, number, statement.txn(), statement.type(), statement.key()));
         }
         return lastCommitMs;
     }
 
-    /** On the loop: a repeat of this key would be dropped. */
+    /** Returns whether a repeat of this key would be dropped now. Call on the loop. */
     public boolean deduplicates(String key) {
         Long lastMs = lastEffectMs.get(key);
         return lastMs != null && System.currentTimeMillis() - lastMs <= dedupWindowMs;
     }
 
-    /** By hand: one that takes over leads, the others no longer. */
+    /** Makes this node the primary and all other members replicas. */
     public void promote(SimulatedNode newPrimary) {
         harness.run(() -> members.forEach(member -> member.primary(member == newPrimary)));
     }
--- a/src/main/java/dillfront/simulation/processes/QueryClient.java
+++ b/src/main/java/dillfront/simulation/processes/QueryClient.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * Clients of one router: each query on a connection of its own that is kept for the next, each with
- * a new id, and what became of it in the record. On the stage's loop.
+ * Sends queries to one router and records their outcomes. Each query has a new id and runs on a
+ * connection of its own, which is reused afterwards. All calls run on the harness's loop.
  */
 public final class QueryClient {
 
@@ -26,7 +26,7 @@
     private final RouterProcess router;
     private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
-    /** Those that wait for an answer, by their ids. */
+    /** Connections that wait for a response, by transaction id. */
     private final Map<String, ClientConnection> pending = new HashMap<>();
 
     private long queryCount;
@@ -36,17 +36,18 @@
         this.router = router;
     }
 
-    /** How many wait for an answer. */
+    /** Returns how many queries wait for a response. */
     public int pendingCount() {
         return pending.size();
     }
 
     /**
-     * Asks once.
+     * Sends one query and returns its transaction id.
      *
-     * @param key what the statement is about; for a referenced txn also its idempotency key
-     * @param sessionWriteMs when its session last wrote, in Unix milliseconds; 0 where it has not
-     * @param callback is told how it ended
+     * @param key the object of the statement; for a deduplicated transaction also its idempotency
+     *     key
+     * @param sessionWriteMs when the session last wrote, in Unix milliseconds; 0 if it has not
+     * @param callback receives the outcome; may be null
      */
     public String submit(
             String type,
@@ -78,12 +79,20 @@
                         : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment;
         harness.recordEvent(
                 new Event.QuerySent(
-                        harness.nowNanos(), txn, type, group, key, timeoutMs, sessionWriteMs, router.incarnation()));
+                        harness.nowNanos(),
+                        txn,
+                        type,
+                        group,
+                        key,
+                        timeoutMs,
+                        sessionWriteMs,
+                        router.incarnation()));
         send(txn, queryText, callback, false);
         return txn;
     }
 
-    private void send(String txn, String queryText, Consumer<Event.QueryEnded> callback, boolean retried) {
+    private void send(
+            String txn, String queryText, Consumer<Event.QueryEnded> callback, boolean retried) {
         ClientConnection connection = retried ? null : idle.poll();
         if (connection == null) {
             connection = new ClientConnection();
@@ -100,7 +109,7 @@
         }
     }
 
-    /** One connection. */
+    /** Handles one connection to the router. */
     private final class ClientConnection extends TerminalHandler {
 
         private final Frames frames = new Frames(1 << 22);
@@ -117,7 +126,8 @@
         private String responseText = "";
 
         void connect() {
-            ChannelFuture connecting = Sockets.connect(harness.loop(), router.address(), this, 5000);
+            ChannelFuture connecting =
+                    Sockets.connect(harness.loop(), router.address(), this, 5000);
             if (connecting == null) {
                 harness.loop().execute(this::onClosed);
                 return;
@@ -170,7 +180,10 @@
                 case 'C' -> outcome = "committed";
                 case 'E' -> {
                     String code = Messages.code(message);
-                    outcome = code.equals("53300") || code.equals("57P03") ? "declined" : "rolled-back";
+                    outcome =
+                            code.equals("53300") || code.equals("57P03")
+                                    ? "declined"
+                                    : "rolled-back";
                     responseText =
                             message.toString(
                                             message.readerIndex() + 5,
@@ -198,10 +211,12 @@
         }
 
         private void finish(String finalOutcome, String finalText) {
-            Event.QueryEnded ended = new Event.QueryEnded(harness.nowNanos(), txn, finalOutcome, finalText);
+            Event.QueryEnded ended =
+                    new Event.QueryEnded(harness.nowNanos(), txn, finalOutcome, finalText);
             Consumer<Event.QueryEnded> finishedCallback = callback;
             txn = null;
-            // What the router sent to nodes before it answered may still lie unread there.
+            // Nodes may not yet have read the statements that the router sent before its
+            // response.
             harness.afterNextPoll(
                     () -> {
                         pending.remove(ended.txn());
@@ -212,7 +227,11 @@
                     });
         }
 
-        /** A kept connection that ends as a query crosses its end: once more, on a new one. */
+        /**
+         * Retries the query once on a new connection if a reused connection closed before its
+         * response: the query may have crossed the router's close. Otherwise records the query as
+         * broken or unreached.
+         */
         private void onClosed() {
             idle.remove(this);
             frames.release();
--- a/src/main/java/dillfront/simulation/processes/Rig.java
+++ b/src/main/java/dillfront/simulation/processes/Rig.java
@@ -16,21 +16,20 @@
 import java.util.stream.Stream;
 
 /**
- * A whole installation on loopback: routers as real processes, nodes, an agent of discovery for
- * each router, clients, and a relay on each way between them. All that it started it ends, also
- * where a test fails in the middle.
+ * Runs a whole deployment on loopback: routers as real processes, simulated nodes, discovery agents
+ * for each router, clients, and a fault proxy on each link between them. {@link #close} ends
+ * everything the rig started, also after a failed test.
  */
 public final class Rig implements AutoCloseable {
 
     /**
-     * What there is to be.
+     * Describes the deployment.
      *
-     * @param zones routers and the members of a group stand in them by turns
-     * @param expiryMs how long clients of each type may wait, by the settings
-     * @param command what starts a router; null for this JVM's own classes
-     * @param settings what is changed in the text of the settings, which is in single quotes there
-     * @param operatorFile the text of the operator's file for a router, by the rig and its index; null
-     *     for none
+     * @param zones zones to which routers and the members of a group are assigned in turn
+     * @param expiryMs deadline of each transaction type in the settings
+     * @param command the command that starts a router; null for this JVM's own classes
+     * @param settings change to the text of the settings, which uses single quotes here
+     * @param operatorFile text of a router's operator file, by rig and router index; null for none
      */
     public record Plan(
             int routers,
@@ -43,7 +42,7 @@
             UnaryOperator<String> settings,
             BiFunction<Rig, Integer, String> operatorFile) {
 
-        /** So many routers, groups, and members a group. */
+        /** Returns a plan with this number of routers, groups, and members in each group. */
         public static Plan of(int routers, int groups, int members) {
             return new Plan(
                     routers,
@@ -57,7 +56,7 @@
                     null);
         }
 
-        /** The same plan over these zones, in turn. */
+        /** Returns the same plan with these zones. */
         public Plan zones(String... names) {
             return new Plan(
                     routers,
@@ -72,22 +71,55 @@
         }
 
         public Plan expiry(long ms) {
-            return new Plan(routers, groups, membersPerGroup, zones, ms, capacity, command, settings, operatorFile);
+            return new Plan(
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    ms,
+                    capacity,
+                    command,
+                    settings,
+                    operatorFile);
         }
 
         public Plan capacity(SimulatedNode.Capacity newCapacity) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, newCapacity, command, settings, operatorFile);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    expiryMs,
+                    newCapacity,
+                    command,
+                    settings,
+                    operatorFile);
         }
 
         public Plan command(List<String> newCommand) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, capacity, newCommand, settings, operatorFile);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    expiryMs,
+                    capacity,
+                    newCommand,
+                    settings,
+                    operatorFile);
         }
 
         public Plan operatorFile(BiFunction<Rig, Integer, String> newOperatorFile) {
             return new Plan(
-                    routers, groups, membersPerGroup, zones, expiryMs, capacity, command, settings, newOperatorFile);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    expiryMs,
+                    capacity,
+                    command,
+                    settings,
+                    newOperatorFile);
         }
     }
 
@@ -102,16 +134,16 @@
     private final DiscoveryCatalog catalog;
     private final List<RouterProcess> routers = new ArrayList<>();
 
-    /** By router and node. */
+    /** Proxies from each router to each node, keyed {@code r0>s-1}. */
     private final Map<String, TcpFaultProxy> nodeProxies = new HashMap<>();
 
-    /** By router: its agents, as many as it was ever moved to, and the ways there. */
+    /** Agents by router index; moving a router's discovery adds one. */
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
 
     private final List<List<TcpFaultProxy>> agentProxies = new ArrayList<>();
     private final List<UdpFaultProxy> udpProxies = new ArrayList<>();
 
-    /** Sets all up; the routers are started by start(). */
+    /** Sets up all components. Routers are started by {@link #start}. */
     public Rig(Plan plan) throws IOException {
         this.plan = plan;
         folder = Files.createTempDirectory("dillfront-rig");
@@ -122,10 +154,16 @@
             groups.add(group);
             for (int memberIndex = 0; memberIndex < plan.membersPerGroup; memberIndex++) {
                 String id = "s-" + (groupIndex * plan.membersPerGroup + memberIndex);
-                nodes.put(id, new SimulatedNode(harness, id, group, memberIndex == 0, plan.capacity));
+                nodes.put(
+                        id, new SimulatedNode(harness, id, group, memberIndex == 0, plan.capacity));
                 entries.add(
                         new DiscoveryCatalog.Entry(
-                                id, groupIndex, plan.zones.get(memberIndex % plan.zones.size()), "ready", 0, memberIndex == 0));
+                                id,
+                                groupIndex,
+                                plan.zones.get(memberIndex % plan.zones.size()),
+                                "ready",
+                                0,
+                                memberIndex == 0));
             }
         }
         catalog = new DiscoveryCatalog(INITIAL_GENERATION, entries);
@@ -137,24 +175,41 @@
             if (plan.operatorFile != null) {
                 extraEnvironment.put("LB_OPERATOR", folder.resolve(name + ".star").toString());
             }
-            RouterProcess router = new RouterProcess(harness, name, TestHarness.freeAddress(routerIndex), config, command, extraEnvironment);
+            RouterProcess router =
+                    new RouterProcess(
+                            harness,
+                            name,
+                            TestHarness.freeAddress(routerIndex),
+                            config,
+                            command,
+                            extraEnvironment);
             routers.add(router);
             for (SimulatedNode node : nodes.values()) {
                 nodeProxies.put(
                         name + ">" + node.id(),
-                        new TcpFaultProxy(harness, router::incarnation, () -> TestHarness.localAddress(node.port())));
+                        new TcpFaultProxy(
+                                harness,
+                                router::incarnation,
+                                () -> TestHarness.localAddress(node.port())));
             }
             agents.add(new ArrayList<>());
             agentProxies.add(new ArrayList<>());
             addAgent(routerIndex);
             writeConfiguration(routerIndex, 0);
         }
-        for (int routerIndex = 0; routerIndex < plan.routers && plan.operatorFile != null; routerIndex++) {
-            Files.writeString(folder.resolve("r" + routerIndex + ".star"), plan.operatorFile.apply(this, routerIndex));
+        for (int routerIndex = 0;
+                routerIndex < plan.routers && plan.operatorFile != null;
+                routerIndex++) {
+            Files.writeString(
+                    folder.resolve("r" + routerIndex + ".star"),
+                    plan.operatorFile.apply(this, routerIndex));
         }
     }
 
-    /** The program by this JVM's own classes, as the deployment would start it. */
+    /**
+     * Returns the command that starts a router from this JVM's own classes, with the deployment's
+     * options.
+     */
     public static List<String> routerCommand() {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -168,7 +223,7 @@
                 "serve");
     }
 
-    /** Starts all routers side by side, and returns once all serve. */
+    /** Starts all routers in parallel and returns once all of them serve. */
     public void start() {
         routers.forEach(RouterProcess::start);
         routers.forEach(RouterProcess::awaitServing);
@@ -206,7 +261,7 @@
         return catalog;
     }
 
-    /** The way from a router to a node. */
+    /** Returns the proxy from a router to a node. */
     public TcpFaultProxy nodeProxy(int router, String nodeId) {
         return nodeProxies.get("r" + router + ">" + nodeId);
     }
@@ -219,26 +274,39 @@
         return agents.get(router).get(agent);
     }
 
-    /** One agent more for this router, at a port of its own; its number. */
+    /** Adds a discovery agent for this router, on a port of its own, and returns its index. */
     public int addAgent(int routerIndex) {
         String name = "r" + routerIndex;
         DiscoveryAgent agent =
-                new DiscoveryAgent(harness, "a" + agents.get(routerIndex).size(), catalog, id -> nodes.get(id).port());
+                new DiscoveryAgent(
+                        harness,
+                        "a" + agents.get(routerIndex).size(),
+                        catalog,
+                        id -> nodes.get(id).port());
         agent.setNodePorts(name, id -> nodeProxies.get(name + ">" + id).port());
         agents.get(routerIndex).add(agent);
-        agentProxies.get(routerIndex).add(new TcpFaultProxy(harness, routers.get(routerIndex)::incarnation, () -> TestHarness.localAddress(agent.port())));
+        agentProxies
+                .get(routerIndex)
+                .add(
+                        new TcpFaultProxy(
+                                harness,
+                                routers.get(routerIndex)::incarnation,
+                                () -> TestHarness.localAddress(agent.port())));
         return agents.get(routerIndex).size() - 1;
     }
 
     /**
-     * Writes the router's configuration, with discovery at this agent of its own and the first list
-     * as known.
+     * Writes the router's configuration file, with this one of its agents as discovery and the
+     * initial list as the known list.
      */
     public void writeConfiguration(int routerIndex, int agent) {
         String name = "r" + routerIndex;
         List<String> known = new ArrayList<>();
-        for (DiscoveryCatalog.Entry entry : catalog.versionAt(INITIAL_GENERATION).entries().values()) {
-            known.add(DiscoveryAgent.entryJson(entry, nodeProxies.get(name + ">" + entry.id()).port()));
+        for (DiscoveryCatalog.Entry entry :
+                catalog.versionAt(INITIAL_GENERATION).entries().values()) {
+            known.add(
+                    DiscoveryAgent.entryJson(
+                            entry, nodeProxies.get(name + ">" + entry.id()).port()));
         }
         String text =
                 "{'name':'"
@@ -271,22 +339,26 @@
         try {
             Path newFile = folder.resolve(name + ".next");
             Files.writeString(newFile, text.replace('\'', '"'));
-            Files.move(newFile, routers.get(routerIndex).configFile(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+            Files.move(
+                    newFile,
+                    routers.get(routerIndex).configFile(),
+                    java.nio.file.StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException ex) {
             throw new IllegalStateException(ex);
         }
     }
 
     /**
-     * On the loop: the latest generation that this life has shown at this agent to have read;
-     * negative where none.
+     * Returns the latest generation that this subscription has acknowledged, or a negative number
+     * if none. Call on the loop.
      */
     public long acknowledgedGeneration(String subscription) {
         return harness.acknowledgedGeneration(subscription);
     }
 
     /**
-     * Datagrams between these two are lost from now on, both ways, or pass; for routers that talk.
+     * Blocks or unblocks datagrams between two routers in both directions. Requires {@link
+     * #udpProxies}.
      */
     public void setPartitioned(int first, int second, boolean partitioned) {
         udpProxies.get(first).setBlocked(second, partitioned);
@@ -294,8 +366,8 @@
     }
 
     /**
-     * A hub before each router's datagrams, whose own sockets are at these addresses. Before
-     * start().
+     * Places a proxy in front of each router's UDP socket at these addresses, on the first call;
+     * call it before {@link #start}. Later calls return the same proxies.
      */
     public List<UdpFaultProxy> udpProxies(List<InetSocketAddress> sockets) {
         if (udpProxies.isEmpty()) {
@@ -304,14 +376,21 @@
         return udpProxies;
     }
 
-    /** Power is gone for all at once: routers, nodes, and the agents that routers are at. */
+    /** Simulates a power loss of all routers, nodes and agents at once. */
     public void losePower() {
         routers.stream().filter(router -> !router.down()).forEach(RouterProcess::kill);
         nodes.values().stream().filter(SimulatedNode::isListening).forEach(SimulatedNode::kill);
-        agents.forEach(routerAgents -> routerAgents.stream().filter(DiscoveryAgent::isListening).forEach(DiscoveryAgent::close));
+        agents.forEach(
+                routerAgents ->
+                        routerAgents.stream()
+                                .filter(DiscoveryAgent::isListening)
+                                .forEach(DiscoveryAgent::close));
     }
 
-    /** A node is back, cold, with its data so far behind what it had, and discovery knows of it. */
+    /**
+     * Restarts a node cold, with its last {@code lostDataMs} of data lost, and updates its
+     * discovery entry.
+     */
     public void restartNode(SimulatedNode node, long lostDataMs) {
         node.start(lostDataMs);
         harness.run(
@@ -321,7 +400,7 @@
                 });
     }
 
-    /** A client of this router asks once, with no write of its session before. */
+    /** Sends one query to this router from a session without an earlier write. */
     public CompletableFuture<Event.QueryEnded> submit(
             int router, String type, int group, String key, long timeoutMs) {
         CompletableFuture<Event.QueryEnded> answer = new CompletableFuture<>();
@@ -333,7 +412,10 @@
         return answer;
     }
 
-    /** How often nodes have read a statement with this key, and how often it had its effect. */
+    /**
+     * Returns how many statements with this key nodes have received, and how many of them took
+     * effect.
+     */
     public long[] receivedAndAppliedCounts(String key) {
         long[] counts = new long[2];
         harness.run(
@@ -341,21 +423,23 @@
                         harness.forEachEvent(
                                 event -> {
                                     counts[0] +=
-                                            event instanceof Event.StatementReceived statement && statement.key().equals(key)
+                                            event instanceof Event.StatementReceived statement
+                                                            && statement.key().equals(key)
                                                     ? 1
                                                     : 0;
                                     counts[1] +=
-                                            event instanceof Event.WriteApplied write && write.key().equals(key)
+                                            event instanceof Event.WriteApplied write
+                                                            && write.key().equals(key)
                                                     ? 1
                                                     : 0;
                                 }));
         return counts;
     }
 
-    /** Until nobody waits for an answer. */
+    /** Waits until no client waits for a response. */
     public void awaitAllAnswered() {
         harness.await(
-                "all clients had their answers",
+                "all queries have a response",
                 () -> routers.stream().allMatch(router -> router.client().pendingCount() == 0));
     }
 
--- a/src/main/java/dillfront/simulation/processes/RouterProcess.java
+++ b/src/main/java/dillfront/simulation/processes/RouterProcess.java
@@ -14,8 +14,8 @@
 import java.util.function.Predicate;
 
 /**
- * A router as a process of its own, started, hit by signals and started anew under its name, port
- * and folder.
+ * Controls one router process: starts it, sends it signals, and restarts it under the same name,
+ * port and folder.
  */
 public final class RouterProcess {
 
@@ -32,7 +32,9 @@
     private volatile int startCount;
     private volatile boolean down = true;
 
-    /** What the present life wrote; a rig's routers say little, and end. */
+    /**
+     * Output of the current process. Not bounded, as routers of a rig log little and end with it.
+     */
     private volatile List<String> logLines = List.of();
 
     RouterProcess(
@@ -59,7 +61,7 @@
         return address;
     }
 
-    /** The process that there is, or was last. */
+    /** Returns the name of the current process, or of the last one if none runs. */
     public String incarnation() {
         return name + "#" + startCount;
     }
@@ -68,7 +70,10 @@
         return client;
     }
 
-    /** Its configuration file, to be written anew by whoever changes it. */
+    /**
+     * Returns the router's configuration file. Changes to it take effect once the router reloads
+     * it.
+     */
     public Path configFile() {
         return configFile;
     }
@@ -81,11 +86,13 @@
         return process.pid();
     }
 
-    /** Starts the process, and returns at once. */
+    /** Starts the process without waiting until it serves. */
     public void start() {
         ProcessBuilder processBuilder = new ProcessBuilder(command);
         processBuilder.environment().keySet().removeIf(k -> k.startsWith("LB_"));
-        processBuilder.environment().putAll(Map.of("LB_CONFIG", configFile.toString(), "LB_NAME", name));
+        processBuilder
+                .environment()
+                .putAll(Map.of("LB_CONFIG", configFile.toString(), "LB_NAME", name));
         processBuilder.environment().putAll(extraEnvironment);
         processBuilder.redirectErrorStream(true);
         List<String> captured = Collections.synchronizedList(new ArrayList<>());
@@ -106,22 +113,23 @@
                             try (BufferedReader in =
                                     new BufferedReader(
                                             new InputStreamReader(
-                                                    started.getInputStream(), StandardCharsets.UTF_8))) {
+                                                    started.getInputStream(),
+                                                    StandardCharsets.UTF_8))) {
                                 for (String line = in.readLine();
                                         line != null;
                                         line = in.readLine()) {
                                     captured.add(line);
                                 }
                             } catch (IOException e) {
-                                // It ended in the middle of a line.
+                                // The process ended in the middle of a line.
                             }
                         },
-                        "lines of " + incarnation);
+                        "log of " + incarnation);
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** What it has logged so far in this life. */
+    /** Returns the lines that the current process has logged so far. */
     public List<String> logLines() {
         List<String> captured = logLines;
         synchronized (captured) {
@@ -129,14 +137,14 @@
         }
     }
 
-    /** Waits until the router has written such a line, and fails after the usual time. */
+    /** Waits for a matching log line; throws after 30 s or if the process ends without one. */
     public void awaitLogLine(String description, Predicate<String> condition) {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (logLines().stream().noneMatch(condition)) {
             if (System.nanoTime() - deadlineNanos > 0
                     || !process.isAlive() && logLines().stream().noneMatch(condition)) {
                 throw new IllegalStateException(
-                        incarnation() + " never said " + description + "; it said " + logLines());
+                        incarnation() + " did not log " + description + "; its log: " + logLines());
             }
             TestHarness.sleepBriefly();
         }
@@ -146,21 +154,21 @@
         awaitLogLine("serving", line -> line.contains(" serving "));
     }
 
-    /** Sends the process a signal by its name. */
+    /** Sends the process a signal by name. */
     public void sendSignal(String signal) {
         try {
             if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                             .start()
                             .waitFor()
                     != 0) {
-                throw new IllegalStateException("no " + signal + " to " + incarnation());
+                throw new IllegalStateException("cannot send " + signal + " to " + incarnation());
             }
         } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Power is gone: no word, and nothing ends well. */
+    /** Kills the process at once, as a power loss does. */
     public void kill() {
         harness.run(() -> harness.recordEvent(new Event.Ended(incarnation(), true)));
         down = true;
@@ -169,8 +177,8 @@
     }
 
     /**
-     * Told to end; those who deal out clients hear of it by its own line. Returns once it has
-     * ended, by itself.
+     * Sends SIGTERM and waits until the process has ended. Load generators stop using the router
+     * once it logs {@code stopping}.
      */
     public void shutDown() {
         sendSignal("TERM");
@@ -183,7 +191,8 @@
     private void awaitExit() {
         try {
             if (!process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException(incarnation() + " does not end; it said " + logLines());
+                throw new IllegalStateException(
+                        incarnation() + " did not end within 30 s; its log: " + logLines());
             }
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/dillfront/simulation/processes/SimulatedNode.java
+++ b/src/main/java/dillfront/simulation/processes/SimulatedNode.java
@@ -17,13 +17,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One member of a group: takes statements, works them off on so many cores, and answers with what
- * it has. It warms up after a start, falls over where it is pushed, lags, hangs, errs, and dies, by
- * the rig's word. On the stage's loop.
+ * Simulates one member of a group: executes statements on a fixed number of cores and returns
+ * generated rows. Tests can make the node start cold, become overloaded, lag, hang, fail or crash.
+ * All calls run on the harness's loop.
  */
 public final class SimulatedNode {
 
-    /** What it does with a statement. */
+    /** How the node treats statements. */
     public enum Behavior {
         NORMAL,
         HANGING,
@@ -31,10 +31,10 @@
         REJECTING
     }
 
-    /** How many statements may wait before more are turned away, by core. */
+    /** Statements that may wait for each core before the node rejects more. */
     private static final int MAX_QUEUED_PER_CORE = 64;
 
-    /** Into so many parts the time is cut over which a push counts. */
+    /** Number of slots into which the overload window is divided. */
     private static final int LOAD_WINDOW_SLOTS = 10;
 
     final String id;
@@ -49,25 +49,19 @@
     private Behavior behavior = Behavior.NORMAL;
     private double slowdown = 1;
 
-    /**
-     * How far behind the present its data is, while it is no primary; and from when it stands
-     * still.
-     */
+    /** How far the data lags behind the present while the node is a replica. */
     private long lagMs = 5;
 
     private long frozenPositionMs = Long.MAX_VALUE;
     private long minPositionMs;
 
-    /** When each core is free. */
+    /** When each core becomes free. */
     private final long[] coreFreeNanos;
 
     private long incarnation;
     private boolean overloaded;
 
-    /**
-     * Work sent in each part of the last time that counts, in core nanoseconds, and the part in
-     * use.
-     */
+    /** Work received in each slot of the overload window, in core nanoseconds. */
     private final double[] workBySlot = new double[LOAD_WINDOW_SLOTS];
 
     private long currentSlot;
@@ -75,19 +69,27 @@
     private final List<Long> arrivalNanos = new ArrayList<>();
 
     /**
-     * What nodes of a rig can do.
+     * Describes what a node can process.
      *
-     * @param cores how many statements at once
-     * @param statementMicros what a statement takes on a warm core
-     * @param initialSpeedFraction the part of that which a node does right after its start
-     * @param warmupMs until it is warm
-     * @param overloadFactor more than so many times what it can do, over tipMs, and it falls over
+     * @param cores statements that execute in parallel
+     * @param statementMicros duration of a statement on a warm core
+     * @param initialSpeedFraction speed right after a start, as a fraction of the warm node's
+     * @param warmupMs time until the node is warm
+     * @param overloadFactor a cold node is overloaded by more than this multiple of what it can
+     *     process within overloadWindowMs
+     * @param overloadWindowMs time over which that work counts
      */
     public record Capacity(
-            int cores, long statementMicros, double initialSpeedFraction, long warmupMs, double overloadFactor, long overloadWindowMs) {}
-
-    /** A node of this group that listens at once. */
-    public SimulatedNode(TestHarness harness, String id, NodeGroup group, boolean primary, Capacity capacity) {
+            int cores,
+            long statementMicros,
+            double initialSpeedFraction,
+            long warmupMs,
+            double overloadFactor,
+            long overloadWindowMs) {}
+
+    /** Creates a node of this group and opens its listener. */
+    public SimulatedNode(
+            TestHarness harness, String id, NodeGroup group, boolean primary, Capacity capacity) {
         this.harness = harness;
         this.id = id;
         this.group = group;
@@ -103,7 +105,7 @@
         return group;
     }
 
-    /** When each statement came, by System.nanoTime(). */
+    /** Returns when each statement arrived, by System.nanoTime(). */
     public List<Long> arrivalNanos() {
         return harness.call(() -> List.copyOf(arrivalNanos));
     }
@@ -128,7 +130,7 @@
         harness.run(() -> behavior = newBehavior);
     }
 
-    /** Statements take so many times what they do. */
+    /** Multiplies the duration of statements by this factor. */
     public void slowdown(double factor) {
         harness.run(() -> slowdown = factor);
     }
@@ -137,14 +139,14 @@
         harness.run(() -> lagMs = ms);
     }
 
-    /** Its data stands still from now on, or goes on. */
+    /** Stops the node's data from advancing, or lets it advance again. */
     public void freeze(boolean frozen) {
         harness.run(() -> frozenPositionMs = frozen ? positionMs() : Long.MAX_VALUE);
     }
 
     /**
-     * It takes itself for the primary from now on, or no longer; what its group thinks is the
-     * group's affair.
+     * Makes this node act as the primary or as a replica. Other members are not changed, so a group
+     * can have two nodes that act as primary.
      */
     public void primary(boolean nowPrimary) {
         harness.run(
@@ -154,7 +156,10 @@
                 });
     }
 
-    /** Dies at once: connections are reset, new ones refused, what it had begun has not run. */
+    /**
+     * Crashes the node: connections are reset, new ones are refused, and statements in progress do
+     * not take effect.
+     */
     public void kill() {
         harness.run(
                 () -> {
@@ -165,10 +170,10 @@
                     }
                     harness.recordEvent(new Event.Ended(id, true));
                 });
-        harness.await("a node's door closed", () -> !listener.isOpen());
+        harness.await("the node's listener is closed", () -> !listener.isOpen());
     }
 
-    /** Starts anew on the same port, cold, with its data so far behind what it had. */
+    /** Restarts the node on the same port, cold, with its last {@code lostDataMs} of data lost. */
     public void start(long lostDataMs) {
         listener = harness.listen(port, RouterConnection::new);
         harness.run(
@@ -183,7 +188,7 @@
                 });
     }
 
-    /** As if it had been up for long. */
+    /** Makes the node warm, as after a long uptime. */
     public void markWarm() {
         harness.run(
                 () -> {
@@ -192,7 +197,7 @@
                 });
     }
 
-    /** In Unix milliseconds: all that was committed before is here. */
+    /** Returns the position in Unix milliseconds up to which the node has all committed data. */
     long positionMs() {
         long nowMs = System.currentTimeMillis();
         return primary && frozenPositionMs == Long.MAX_VALUE
@@ -200,25 +205,35 @@
                 : Math.max(minPositionMs, Math.min(frozenPositionMs, nowMs - lagMs));
     }
 
-    /** The part of a warm node's work that it can do now. */
+    /** Returns the current speed as a fraction of a warm node's. */
     private double speedFraction() {
-        double warmupProgress = (System.currentTimeMillis() - startedMs) / (double) capacity.warmupMs;
-        return startedMs == 0 || warmupProgress >= 1 ? 1 : capacity.initialSpeedFraction + (1 - capacity.initialSpeedFraction) * warmupProgress;
+        double warmupProgress =
+                (System.currentTimeMillis() - startedMs) / (double) capacity.warmupMs;
+        return startedMs == 0 || warmupProgress >= 1
+                ? 1
+                : capacity.initialSpeedFraction
+                        + (1 - capacity.initialSpeedFraction) * warmupProgress;
     }
 
-    /** Counts what is sent to it while it is cold; true once it was too much. */
+    /** Adds a statement to the load of a cold node and returns whether the node is overloaded. */
     private boolean addLoad() {
-        long slot = harness.nowNanos() / (capacity.overloadWindowMs * 1_000_000 / LOAD_WINDOW_SLOTS);
+        long slot =
+                harness.nowNanos() / (capacity.overloadWindowMs * 1_000_000 / LOAD_WINDOW_SLOTS);
         for (; currentSlot < slot; currentSlot++) {
             workBySlot[(int) ((currentSlot + 1) % LOAD_WINDOW_SLOTS)] = 0;
-            currentSlot = slot - currentSlot > LOAD_WINDOW_SLOTS ? slot - LOAD_WINDOW_SLOTS : currentSlot;
+            currentSlot =
+                    slot - currentSlot > LOAD_WINDOW_SLOTS ? slot - LOAD_WINDOW_SLOTS : currentSlot;
         }
         workBySlot[(int) (slot % LOAD_WINDOW_SLOTS)] += capacity.statementMicros * 1000.0;
         double speedFraction = speedFraction();
         if (speedFraction < 1) {
             double limitRatio =
                     Arrays.stream(workBySlot).sum()
-                            / (capacity.overloadFactor * speedFraction * capacity.cores * capacity.overloadWindowMs * 1e6);
+                            / (capacity.overloadFactor
+                                    * speedFraction
+                                    * capacity.cores
+                                    * capacity.overloadWindowMs
+                                    * 1e6);
             harness.recordEvent(new Event.WarmupLoad(id, limitRatio));
             overloaded |= limitRatio >= 1;
         }
@@ -230,7 +245,15 @@
         arrivalNanos.add(System.nanoTime());
         String client = harness.connectionOwner(connection.ctx.channel());
         Statement statement = Statement.read(sql);
-        harness.recordEvent(new Event.StatementReceived(harness.nowNanos(), client, id, startedMs, statement.txn, statement.type, statement.key));
+        harness.recordEvent(
+                new Event.StatementReceived(
+                        harness.nowNanos(),
+                        client,
+                        id,
+                        startedMs,
+                        statement.txn,
+                        statement.type,
+                        statement.key));
         if (addLoad() || behavior == Behavior.HANGING) {
             return;
         }
@@ -240,12 +263,13 @@
         }
         long nowNanos = harness.nowNanos();
         double durationNanos = capacity.statementMicros * 1000 * slowdown / speedFraction();
-        if (behavior == Behavior.REJECTING || coreFreeNanos[core] - nowNanos > MAX_QUEUED_PER_CORE * durationNanos) {
+        if (behavior == Behavior.REJECTING
+                || coreFreeNanos[core] - nowNanos > MAX_QUEUED_PER_CORE * durationNanos) {
             connection.sendError("53300", "full");
             return;
         }
         if (behavior == Behavior.FAILING) {
-            connection.sendError("XX000", "it broke");
+            connection.sendError("XX000", "simulated failure");
             return;
         }
         coreFreeNanos[core] = Math.max(nowNanos, coreFreeNanos[core]) + (long) durationNanos;
@@ -263,7 +287,7 @@
 
     private void complete(RouterConnection connection, Statement statement) {
         if (statement.isWrite && !primary) {
-            connection.sendError("25006", "no primary");
+            connection.sendError("25006", "node is not the primary");
             return;
         }
         long nowMs = System.currentTimeMillis();
@@ -271,12 +295,13 @@
         if (statement.isWrite) {
             positionMs = group.commit(this, statement, nowMs);
         } else {
-            harness.recordEvent(new Event.ReadServed(id, statement.txn, statement.type, positionMs, nowMs));
+            harness.recordEvent(
+                    new Event.ReadServed(id, statement.txn, statement.type, positionMs, nowMs));
         }
         connection.sendRow(statement, positionMs);
     }
 
-    /** What the rig's own clients write, read back. */
+    /** A statement as {@link QueryClient} writes it, parsed. */
     record Statement(String txn, String type, String key, int group, boolean isWrite, int bytes) {
 
         static Statement read(String sql) {
@@ -304,7 +329,7 @@
         }
     }
 
-    /** A connection: one statement at a time is answered, as routers send them. */
+    /** Handles one connection. The node answers one statement at a time, as routers send them. */
     private final class RouterConnection extends TerminalHandler {
 
         private final Frames frames = new Frames();
@@ -359,14 +384,23 @@
             ctx.writeAndFlush(
                     Messages.ready(
                             Messages.error(
-                                    writeStatusParameters(Unpooled.buffer(), positionMs()), false, code, message, null)));
+                                    writeStatusParameters(Unpooled.buffer(), positionMs()),
+                                    false,
+                                    code,
+                                    message,
+                                    null)));
         }
 
         void sendRow(Statement statement, long positionMs) {
             byte[] value = new byte[statement.bytes];
             byte[] positionText = Long.toString(positionMs).getBytes(StandardCharsets.US_ASCII);
-            System.arraycopy(positionText, 0, value, 0, Math.min(positionText.length, value.length));
-            ctx.writeAndFlush(Messages.ready(writeRow(writeStatusParameters(Unpooled.buffer(256), positionMs), value)));
+            System.arraycopy(
+                    positionText, 0, value, 0, Math.min(positionText.length, value.length));
+            ctx.writeAndFlush(
+                    Messages.ready(
+                            writeRow(
+                                    writeStatusParameters(Unpooled.buffer(256), positionMs),
+                                    value)));
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
+++ b/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
@@ -16,13 +16,13 @@
 import java.util.function.Supplier;
 
 /**
- * Stands between two processes on a port of its own, for as long as the rig: passes bytes on, or
- * does to them what a network does. Each way has its own fault. All calls on the stage's loop or
- * through {@link TestHarness#run}.
+ * Forwards TCP connections between two processes on a port of its own and injects network faults,
+ * separately for each direction. All calls run on the harness's loop or go through {@link
+ * TestHarness#run}.
  */
 public final class TcpFaultProxy {
 
-    /** What happens to bytes of one way. */
+    /** How the proxy treats bytes of one direction. */
     public enum Mode {
         FORWARD,
         BUFFER,
@@ -32,7 +32,7 @@
     private final TestHarness harness;
     private final Supplier<InetSocketAddress> targetAddress;
 
-    /** Whoever comes through here, at this moment. */
+    /** Names the process that connects through this proxy at the moment. */
     private final Supplier<String> clientName;
 
     private final int port;
@@ -42,7 +42,10 @@
     private long delayNanos;
     private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
 
-    TcpFaultProxy(TestHarness harness, Supplier<String> clientName, Supplier<InetSocketAddress> targetAddress) {
+    TcpFaultProxy(
+            TestHarness harness,
+            Supplier<String> clientName,
+            Supplier<InetSocketAddress> targetAddress) {
         this.harness = harness;
         this.clientName = clientName;
         this.targetAddress = targetAddress;
@@ -54,7 +57,7 @@
         return port;
     }
 
-    /** From now on, also for connections that are open. */
+    /** Sets the modes of both directions, for open and new connections. */
     public void setModes(Mode toTarget, Mode fromTarget) {
         harness.run(
                 () -> {
@@ -65,14 +68,17 @@
     }
 
     /**
-     * Cut off: whatever is written is lost, connections stay open, new ones come up and hear
-     * nothing.
+     * Drops all bytes in both directions. Connections stay open and new ones are accepted, but no
+     * data arrives.
      */
     public void dropTraffic() {
         setModes(Mode.DROP, Mode.DROP);
     }
 
-    /** What was cut is reset, as by a machine that knows nothing of it; new ones pass. */
+    /**
+     * Forwards again. Resets connections if bytes were dropped, as a machine without their state
+     * does.
+     */
     public void heal() {
         boolean wasDropping = toTargetMode == Mode.DROP || fromTargetMode == Mode.DROP;
         setModes(Mode.FORWARD, Mode.FORWARD);
@@ -81,7 +87,7 @@
         }
     }
 
-    /** Each piece of bytes takes so long, both ways. */
+    /** Delays each read of bytes by this time, in both directions. */
     public void delay(long micros) {
         harness.run(() -> delayNanos = micros * 1000);
     }
@@ -90,11 +96,11 @@
         harness.run(() -> List.copyOf(connections).forEach(ProxiedConnection::reset));
     }
 
-    /** New connections are refused, at once; or accepted again, on the same port. */
+    /** Refuses new connections, or accepts them again on the same port. */
     public void refuseConnections(boolean refused) {
         if (refused) {
             harness.run(() -> listener.close());
-            harness.await("a door closed", () -> !listener.isOpen());
+            harness.await("the proxy's listener is closed", () -> !listener.isOpen());
         } else if (!listener.isOpen()) {
             listener = harness.listen(port, ClientHandler::new);
         }
@@ -105,7 +111,7 @@
         List.copyOf(connections).forEach(ProxiedConnection::reset);
     }
 
-    /** One connection through here: near is whoever dialed, far the target. */
+    /** Connects one client to the target. */
     private final class ProxiedConnection {
 
         private final String clientId = clientName.get();
@@ -122,7 +128,8 @@
             clientChannel = from;
             connections.add(this);
             ChannelFuture connecting =
-                    Sockets.connect(harness.loop(), targetAddress.get(), new TargetHandler(this), 2000);
+                    Sockets.connect(
+                            harness.loop(), targetAddress.get(), new TargetHandler(this), 2000);
             if (connecting == null) {
                 reset();
                 return;
@@ -179,8 +186,9 @@
         }
 
         /**
-         * The other side hears of an end as it would without a relay, but through a cut nobody
-         * hears of it.
+         * Closes the other side when one side closes, as without a proxy. If its direction does not
+         * forward, the client does not see the target's close, and the target is reset after the
+         * client's.
          */
         void onChannelClosed(boolean closedByClient) {
             if (!closedByClient) {
@@ -208,8 +216,8 @@
         }
 
         /**
-         * Once, and as soon as it is so: the next connection may have the same port, and another
-         * name behind it.
+         * Unregisters the local port, once, as soon as it is free: the next connection from that
+         * port may belong to another process.
          */
         private void unregisterPort() {
             if (localPort != 0) {
--- a/src/main/java/dillfront/simulation/processes/TestHarness.java
+++ b/src/main/java/dillfront/simulation/processes/TestHarness.java
@@ -28,21 +28,21 @@
 import java.util.function.Supplier;
 
 /**
- * Where all stand-ins of a rig play: one thread, so that what happens has one order, and a record
- * of it that the auditor reads. Buffers are not pooled: what is measured in the same process counts
- * pooled ones.
+ * Runs all simulated components of a rig on one event loop, which gives their events one order, and
+ * records the events for {@link InvariantChecker}. Buffers are unpooled, because memory
+ * measurements in the same process count pooled ones.
  */
 public final class TestHarness implements AutoCloseable {
 
     /**
-     * What has not come by then never comes: far beyond any time that a machine under load may
-     * take.
+     * An event that has not occurred by then counts as missing. Far beyond any delay of a loaded
+     * machine.
      */
     private static final long TIMEOUT_MS = 30_000;
 
     /**
-     * Where stand-ins listen. Connections come from 127.0.0.1: none of them takes the port of a
-     * door that is shut for a while.
+     * Address at which simulated components listen. Connections originate from 127.0.0.1, so none
+     * of them takes the port of a listener that is closed for a while.
      */
     public static final String HOST = "127.0.0.2";
 
@@ -50,19 +50,22 @@
     private final EventLoop loop = loopGroup.next();
     private final long startNanos = System.nanoTime();
 
-    /** All that happened, in its order; on the loop. Ends with the rig. */
+    /**
+     * All events in order. Accessed on the loop only. Never trimmed, as the harness ends with its
+     * rig.
+     */
     private final List<Event> events = new ArrayList<>();
 
     private final Map<String, Long> acknowledgedGeneration = new HashMap<>();
 
     /**
-     * Who is behind a connection, by both its ports, as one port may serve to several places;
-     * emptied as they close.
+     * Owner of each open connection, by both ports, as one local port may connect to several
+     * targets.
      */
     private final Map<Long, String> connectionOwner = new HashMap<>();
 
     private static Thread newThread(Runnable task) {
-        Thread thread = new Thread(task, "stage");
+        Thread thread = new Thread(task, "test-harness");
         thread.setDaemon(true);
         return thread;
     }
@@ -71,12 +74,12 @@
         return loop;
     }
 
-    /** Nanoseconds since the stage was set. */
+    /** Returns the nanoseconds since the harness was created. */
     public long nowNanos() {
         return System.nanoTime() - startNanos;
     }
 
-    /** On the loop. */
+    /** Records an event. Call on the loop. */
     void recordEvent(Event event) {
         events.add(event);
         if (event instanceof Event.ListAcknowledged acknowledged) {
@@ -85,16 +88,16 @@
     }
 
     /**
-     * On the loop: what this life has last shown to have read at this agent, {@code r1#2<a0};
-     * negative where nothing.
+     * Returns the latest generation that this subscription, {@code r1#2<a0}, has acknowledged, or a
+     * negative number if none. Call on the loop.
      */
     long acknowledgedGeneration(String subscription) {
         return acknowledgedGeneration.getOrDefault(subscription, -1L);
     }
 
     /**
-     * On the loop: this connection, open on our side, is one of whoever is named; null once it is
-     * over.
+     * Registers the owner of an open connection, or removes it if {@code owner} is null. Call on
+     * the loop.
      */
     void connectionOwner(int clientPort, int serverPort, String owner) {
         if (owner == null) {
@@ -108,18 +111,25 @@
         return (long) clientPort << 16 | serverPort;
     }
 
-    /** On the loop: who is behind one that was accepted; its port where nobody is known. */
+    /**
+     * Returns the owner of an accepted connection, or its port if the owner is unknown. Call on the
+     * loop.
+     */
     String connectionOwner(Channel accepted) {
         int clientPort = ((InetSocketAddress) accepted.remoteAddress()).getPort();
-        return connectionOwner.getOrDefault(portPair(clientPort, port(accepted)), "port-" + clientPort);
+        return connectionOwner.getOrDefault(
+                portPair(clientPort, port(accepted)), "port-" + clientPort);
     }
 
-    /** On the loop: what happened so far, in its order. */
+    /** Passes all events so far to the consumer, in order. Call on the loop. */
     void forEachEvent(Consumer<Event> consumer) {
         events.forEach(consumer);
     }
 
-    /** On the loop: how many statements of this life of a router the node has read so far. */
+    /**
+     * Returns how many statements of this router incarnation the node has received. Call on the
+     * loop.
+     */
     long statementsReceived(String incarnation, String node) {
         return events.stream()
                 .filter(
@@ -130,7 +140,7 @@
                 .count();
     }
 
-    /** On the loop: how many statements that write this node has read so far. */
+    /** Returns how many write statements this node has received. Call on the loop. */
     long writesReceived(String node) {
         return events.stream()
                 .filter(
@@ -141,12 +151,12 @@
                 .count();
     }
 
-    /** A copy of what happened so far. */
+    /** Returns a copy of all events so far. */
     public List<Event> events() {
         return call(() -> List.copyOf(events));
     }
 
-    /** Done on the loop; returns once it is. */
+    /** Runs the task on the loop and returns its result. */
     public <T> T call(Callable<T> task) {
         if (loop.inEventLoop()) {
             try {
@@ -164,7 +174,7 @@
         }
     }
 
-    /** Runs this on the stage's event loop and waits for it. */
+    /** Runs the task on the loop and waits for its end. */
     public void run(Runnable task) {
         call(
                 () -> {
@@ -173,29 +183,29 @@
                 });
     }
 
-    /** Waits until this is so, as looked at on the loop; not for how long, but for what. */
+    /** Waits until the condition, evaluated on the loop, is true; throws after 30 s. */
     public void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!call(condition::getAsBoolean)) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new IllegalStateException("it never came that " + description);
+                throw new IllegalStateException("timed out waiting until " + description);
             }
             sleepBriefly();
         }
     }
 
     /**
-     * On the loop: done once all sockets that are ready now have been read. What a process had
-     * written before a word of its own that was just read lies in some socket here by then, as
-     * loopback delivers at once.
+     * Runs the task once all sockets that are readable now have been read. As loopback delivers at
+     * once, that includes everything a process had written before the message just read. Call on
+     * the loop.
      */
     void afterNextPoll(Runnable task) {
         loop.schedule(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its
-     * port only as the loop next looks at its sockets, so a port that is taken is tried again.
+     * Opens a listener on loopback; port 0 picks a free one. Call off the loop: a closed listener
+     * releases its port only at the loop's next poll, so binding to a port in use is retried.
      */
     Channel listen(int port, Supplier<TerminalHandler> handlerFactory) {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
@@ -213,14 +223,15 @@
             if (bound.isSuccess()) {
                 return bound.channel();
             }
-            if (!(bound.cause() instanceof BindException) || System.nanoTime() - deadlineNanos > 0) {
-                throw new IllegalStateException("port " + port, bound.cause());
+            if (!(bound.cause() instanceof BindException)
+                    || System.nanoTime() - deadlineNanos > 0) {
+                throw new IllegalStateException("cannot listen on port " + port, bound.cause());
             }
             sleepBriefly();
         }
     }
 
-    /** Between two looks at what is awaited. */
+    /** Sleeps 1 ms between two evaluations of a condition. */
     static void sleepBriefly() {
         try {
             Thread.sleep(1);
@@ -229,12 +240,12 @@
         }
     }
 
-    /** Ends a connection as a machine does that knows nothing of it. */
+    /** Resets a connection, as a machine without its state does. */
     static void resetConnection(Channel channel) {
         try {
             ((SocketChannelConfig) channel.config()).setSoLinger(0);
         } catch (ChannelException e) {
-            // The other side has ended it in this moment.
+            // The peer closed the connection at the same time.
         }
         channel.close();
     }
@@ -244,9 +255,8 @@
     }
 
     /**
-     * A loopback address of its own, with a port that nobody listens on now. Nothing else in a rig
-     * uses that address, so that none of its many connections takes the port while a process is
-     * down.
+     * Returns a loopback address with a free port. No other component of a rig uses that address,
+     * so no connection takes the port while a process is down.
      */
     static InetSocketAddress freeAddress(int number) {
         String host = "127.0.1." + (1 + number);
@@ -267,8 +277,8 @@
     }
 
     /**
-     * Has the channel use buffers of its own before anything is read, then leaves it to the handler
-     * meant.
+     * Gives the channel unpooled buffers before the first read, then replaces itself by the actual
+     * handler.
      */
     private static final class UnpooledInitializer extends TerminalHandler {
 
--- a/src/main/java/dillfront/simulation/processes/TransactionMix.java
+++ b/src/main/java/dillfront/simulation/processes/TransactionMix.java
@@ -2,13 +2,16 @@
 
 import java.util.List;
 
-/** The txn types of a rig, as its settings have them and as its auditor judges them. */
+/**
+ * Defines the transaction types of a rig, for the router settings and for {@link InvariantChecker}.
+ */
 public final class TransactionMix {
 
     /**
-     * @param maxStalenessMs how old a bounded read's data may be
+     * @param maxStalenessMs how old the data of a bounded read may be
      */
-    public record TransactionType(String name, String effect, String consistency, long maxStalenessMs) {
+    public record TransactionType(
+            String name, String effect, String consistency, long maxStalenessMs) {
 
         public boolean isWrite() {
             return consistency.equals("mutate");
@@ -35,9 +38,13 @@
         return TYPES.stream().filter(type -> type.name.equals(name)).findFirst().orElseThrow();
     }
 
-    /** The settings object of a configuration, for a router that stands in this zone. */
+    /** Returns the settings object of the configuration of a router in this zone. */
     static String settingsJson(
-            String zone, List<String> allZones, int routers, long deadlineMs, SimulatedNode.Capacity capacity) {
+            String zone,
+            List<String> allZones,
+            int routers,
+            long deadlineMs,
+            SimulatedNode.Capacity capacity) {
         StringBuilder classes = new StringBuilder();
         StringBuilder consistencies = new StringBuilder();
         StringBuilder stalenessBounds = new StringBuilder();
--- a/src/main/java/dillfront/simulation/processes/UdpFaultProxy.java
+++ b/src/main/java/dillfront/simulation/processes/UdpFaultProxy.java
@@ -13,9 +13,9 @@
 import java.util.TreeSet;
 
 /**
- * Stands before the datagrams of one router: others reach it here, and it sees each of them at a
- * port of its own, as behind a translation of addresses. Passes datagrams on, or loses those of
- * some others, both ways. On the stage's loop.
+ * Forwards datagrams to and from one router and can drop those of selected peers, in both
+ * directions. Peers send to the proxy, and the router sees each peer at a port of the proxy, as
+ * behind address translation. All calls run on the harness's loop.
  */
 public final class UdpFaultProxy {
 
@@ -24,8 +24,8 @@
     private final NioDatagramChannel socket;
 
     /**
-     * By where a datagram came from: the port at which the target sees its sender. As many as
-     * senders; ends with the rig.
+     * By sender address, the channel whose port the target sees as that sender. Bounded by the
+     * number of senders.
      */
     private final Map<InetSocketAddress, NioDatagramChannel> senderChannels = new HashMap<>();
 
@@ -33,10 +33,13 @@
     private final List<InetSocketAddress> routerAddresses;
 
     /**
-     * @param target where the router's own socket is
-     * @param routerAddresses where those of all routers are, by their numbers
+     * @param target the router's own UDP socket
+     * @param routerAddresses the UDP sockets of all routers, by index
      */
-    UdpFaultProxy(TestHarness harness, InetSocketAddress target, List<InetSocketAddress> routerAddresses) {
+    UdpFaultProxy(
+            TestHarness harness,
+            InetSocketAddress target,
+            List<InetSocketAddress> routerAddresses) {
         this.harness = harness;
         this.target = target;
         this.routerAddresses = routerAddresses;
@@ -65,7 +68,7 @@
                                         @Override
                                         public void exceptionCaught(
                                                 ChannelHandlerContext ctx, Throwable cause) {
-                                            // A router that is down has no port.
+                                            // A router that is down has no open port.
                                         }
                                     });
                     harness.loop().register(channel);
@@ -74,12 +77,14 @@
                 });
     }
 
-    /** Where others reach the router. */
+    /** Returns the address at which peers reach the router. */
     public InetSocketAddress address() {
         return harness.call(() -> socket.localAddress());
     }
 
-    /** Datagrams between this router and that one are lost from now on, or pass. */
+    /**
+     * Drops datagrams between this router and the given one from now on, or forwards them again.
+     */
     public void setBlocked(int other, boolean blocked) {
         harness.run(
                 () -> {
@@ -91,7 +96,7 @@
                 });
     }
 
-    /** From some router to this one. */
+    /** Forwards a peer's datagram to this router. */
     private void forwardToTarget(DatagramPacket packet) {
         InetSocketAddress from = packet.sender();
         if (setBlocked.contains(routerAddresses.indexOf(from))) {
@@ -106,7 +111,7 @@
         senderChannel.writeAndFlush(new DatagramPacket(packet.content(), target));
     }
 
-    /** From this router to the one that it sees at that port. */
+    /** Forwards this router's datagram to the peer. */
     private void forwardToSender(InetSocketAddress sender, DatagramPacket packet) {
         if (setBlocked.contains(routerAddresses.indexOf(sender))) {
             packet.release();
--- a/src/main/java/dillfront/simulation/processes/package-info.java
+++ b/src/main/java/dillfront/simulation/processes/package-info.java
@@ -1,2 +1,5 @@
-/** Many real router processes with nodes, clients and faults, and the auditor of the five rules. */
+/**
+ * Runs real router processes against simulated nodes, clients and network faults, and checks the
+ * five rules.
+ */
 package dillfront.simulation.processes;
--- a/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
+++ b/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
@@ -3,21 +3,24 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dillfront.routing.Scene;
-import dillfront.simulation.processes.Event.QueryEnded;
-import dillfront.simulation.processes.Event.QuerySent;
 import dillfront.simulation.processes.Event.Ended;
 import dillfront.simulation.processes.Event.ListAcknowledged;
-import dillfront.simulation.processes.Event.WarmupLoad;
-import dillfront.simulation.processes.Event.WriteApplied;
+import dillfront.simulation.processes.Event.ListEntrySent;
+import dillfront.simulation.processes.Event.QueryEnded;
+import dillfront.simulation.processes.Event.QuerySent;
 import dillfront.simulation.processes.Event.ReadServed;
 import dillfront.simulation.processes.Event.StatementReceived;
-import dillfront.simulation.processes.Event.ListEntrySent;
+import dillfront.simulation.processes.Event.WarmupLoad;
+import dillfront.simulation.processes.Event.WriteApplied;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule catches a breach that was planted, and lets pass what only looks like one. */
+/**
+ * Checks that each rule detects a planted violation and accepts similar event sequences that are
+ * allowed.
+ */
 class InvariantCheckerTest {
 
     private static final long MS = 1_000_000;
@@ -40,13 +43,20 @@
     }
 
     private void checkScenario(String description, Event... events) {
-        trace.append(description).append(": ").append(InvariantChecker.of(List.of(events)).violations()).append('\n');
+        trace.append(description)
+                .append(": ")
+                .append(InvariantChecker.of(List.of(events)).violations())
+                .append('\n');
     }
 
     @Test
     void detectsPlantedViolationsOnly() throws IOException {
         QuerySent query = querySent("t1", "any", 500);
-        checkScenario("all well", query, statementReceived("t1", "any", "s-1"), queryEnded("t1", "committed"));
+        checkScenario(
+                "all well",
+                query,
+                statementReceived("t1", "any", "s-1"),
+                queryEnded("t1", "committed"));
         checkScenario("no answer", query, statementReceived("t1", "any", "s-1"));
         checkScenario(
                 "no answer, and the router was killed",
@@ -59,8 +69,13 @@
                 statementReceived("t1", "any", "s-1"),
                 new Ended("r0#1", false),
                 queryEnded("t1", "broken"));
-        checkScenario("two answers", query, queryEnded("t1", "declined"), queryEnded("t1", "committed"));
-        checkScenario("sent after the answer", query, queryEnded("t1", "declined"), statementReceived("t1", "any", "s-1"));
+        checkScenario(
+                "two answers", query, queryEnded("t1", "declined"), queryEnded("t1", "committed"));
+        checkScenario(
+                "sent after the answer",
+                query,
+                queryEnded("t1", "declined"),
+                statementReceived("t1", "any", "s-1"));
         checkScenario("served from nowhere", query, queryEnded("t1", "committed"));
         checkScenario("answered late", query, new QueryEnded(1600 * MS, "t1", "declined", ""));
         QuerySent moveQuery = querySent("t1", "move", 500);
@@ -95,18 +110,36 @@
                 queryEnded("t1", "rolled-back"));
         List<Event> drained = new ArrayList<>(List.of(query, entrySent(42, "draining", 0)));
         StatementReceived lateStatement = statementReceived("t1", "any", "s-1");
-        checkScenario("told and not read", query, entrySent(42, "draining", 0), lateStatement, queryEnded("t1", "committed"));
+        checkScenario(
+                "told and not read",
+                query,
+                entrySent(42, "draining", 0),
+                lateStatement,
+                queryEnded("t1", "committed"));
         drained.add(new ListAcknowledged(1, "r0#1<a0", 42));
-        checkScenario("read, and sent to", with(drained, lateStatement, queryEnded("t1", "committed")));
+        checkScenario(
+                "read, and sent to", with(drained, lateStatement, queryEnded("t1", "committed")));
         checkScenario(
                 "opened by an older word",
-                with(drained, entrySent(41, "ready", 0), lateStatement, queryEnded("t1", "committed")));
+                with(
+                        drained,
+                        entrySent(41, "ready", 0),
+                        lateStatement,
+                        queryEnded("t1", "committed")));
         checkScenario(
                 "opened by a newer word, not read yet",
-                with(drained, entrySent(43, "ready", 0), lateStatement, queryEnded("t1", "committed")));
+                with(
+                        drained,
+                        entrySent(43, "ready", 0),
+                        lateStatement,
+                        queryEnded("t1", "committed")));
         checkScenario(
                 "opened by a new start",
-                with(drained, entrySent(41, "ready", 7), lateStatement, queryEnded("t1", "committed")));
+                with(
+                        drained,
+                        entrySent(41, "ready", 7),
+                        lateStatement,
+                        queryEnded("t1", "committed")));
         checkScenario(
                 "heard in another life",
                 query,
@@ -121,7 +154,11 @@
                 new ListAcknowledged(1, "r0#1<a0", 42),
                 lateStatement,
                 queryEnded("t1", "committed"));
-        checkScenario("pressed", new WarmupLoad("s-1", 0.9), new WarmupLoad("s-1", 1.1), new WarmupLoad("s-1", 1.2));
+        checkScenario(
+                "pressed",
+                new WarmupLoad("s-1", 0.9),
+                new WarmupLoad("s-1", 1.1),
+                new WarmupLoad("s-1", 1.2));
         checkScenario(
                 "old data for a bounded read",
                 querySent("t1", "view", 500),
@@ -152,8 +189,12 @@
     @Test
     void isDeterministicForSameEvents() {
         List<Event> events =
-                List.of(querySent("t1", "any", 500), querySent("t2", "any", 500), statementReceived("t1", "any", "s-1"));
-        assertEquals(InvariantChecker.of(events).violations(), InvariantChecker.of(events).violations());
+                List.of(
+                        querySent("t1", "any", 500),
+                        querySent("t2", "any", 500),
+                        statementReceived("t1", "any", "s-1"));
+        assertEquals(
+                InvariantChecker.of(events).violations(), InvariantChecker.of(events).violations());
         assertEquals(2, InvariantChecker.of(events).violations().size());
     }
 }
--- a/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
+++ b/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
@@ -13,38 +13,56 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a router keeps for its next life: writes that may have run, who led, and what it does where
- * its disk fails.
+ * Tests what a router persists across restarts: uncertain writes, the primary of each group, and
+ * its handling of disk failures.
  */
 class PersistedStateTest extends PowerLossTestBase {
 
     /**
-     * This write runs, and nobody hears of it: with nothing else out, nodes' answers to this router
-     * are held from now on.
+     * Runs one write whose answer does not reach the router. No other query is pending; node
+     * answers to this router are buffered from now on.
      */
     private void runWriteWithoutAnswer(int routerIndex, String key, long timeoutMs) {
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
+        rig.nodes()
+                .forEach(
+                        node ->
+                                rig.nodeProxy(routerIndex, node.id())
+                                        .setModes(
+                                                TcpFaultProxy.Mode.FORWARD,
+                                                TcpFaultProxy.Mode.BUFFER));
         rig.submit(routerIndex, "move", 0, key, timeoutMs);
         rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
     }
 
     private void forwardNodeAnswers(int routerIndex) {
-        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
+        rig.nodes()
+                .forEach(
+                        node ->
+                                rig.nodeProxy(routerIndex, node.id())
+                                        .setModes(
+                                                TcpFaultProxy.Mode.FORWARD,
+                                                TcpFaultProxy.Mode.FORWARD));
     }
 
     private void awaitDedupWindowEnd(String key) {
-        rig.harness().await("the group forgot " + key, () -> !rig.groups().get(0).deduplicates(key));
+        rig.harness()
+                .await(
+                        "the deduplication window of " + key + " has ended",
+                        () -> !rig.groups().get(0).deduplicates(key));
     }
 
     /**
-     * Guards against a write that has its effect again, by the client's own repeat, after all have
-     * lost power.
+     * Guards against a write that takes effect twice: its client repeats it after a power loss of
+     * all components.
      */
     @Test
     void doesNotResendUncertainWriteAfterRestart() throws Exception {
-        startRig(Rig.Plan.of(2, 1, 3).capacity(WARM_AFTER_3_S).operatorFile(this::memoryOperatorFile));
+        startRig(
+                Rig.Plan.of(2, 1, 3)
+                        .capacity(WARM_AFTER_3_S)
+                        .operatorFile(this::memoryOperatorFile));
         runWriteWithoutAnswer(0, "held-1", 1500);
         rig.losePower();
         forwardNodeAnswers(0);
@@ -55,34 +73,42 @@
         startRouters(0, 1);
         load.start();
         awaitServed(5, 0, 1);
-        // Other writes go through, once there is room: their nodes are cold.
+        // Other writes commit once the nodes, which are cold, have capacity.
         awaitOtherWriteCommitted(0);
-        // A client that comes inside the window cannot be told from one that comes after it: no
-        // clock counted the outage.
+        // A repeat within the window looks like one after it: no clock measured the outage.
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "held-1", 1500)));
         awaitDedupWindowEnd("held-1");
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "held-1", 1500)));
         assertArrayEquals(new long[] {1, 1}, rig.receivedAndAppliedCounts("held-1"));
-        awaitStatus(0, "it met it", report -> report.contains(" met=2 "));
+        awaitStatus(0, "it rejected both repeats", report -> report.contains(" met=2 "));
         assertInvariants(true);
     }
 
     /**
-     * Within one life: inside the window a repeat goes to its group, which drops it; past it, it is
-     * never sent.
+     * Guards against a repeat that takes effect twice without a restart: within the window the
+     * group drops it, after the window the router must not send it.
      */
     @Test
     void sendsRepeatOnlyWithinDedupWindow() throws Exception {
-        startRig(Rig.Plan.of(1, 1, 3).capacity(WARM_AFTER_3_S).operatorFile((ignored, r) -> "doubts()\n"));
+        startRig(
+                Rig.Plan.of(1, 1, 3)
+                        .capacity(WARM_AFTER_3_S)
+                        .operatorFile((ignored, r) -> "doubts()\n"));
         runWriteWithoutAnswer(0, "inside-1", 200);
-        rig.harness().await("its client has given up", () -> rig.router(0).client().pendingCount() == 0);
+        rig.harness()
+                .await(
+                        "its client has timed out",
+                        () -> rig.router(0).client().pendingCount() == 0);
         forwardNodeAnswers(0);
         CompletableFuture<Event.QueryEnded> inside = rig.submit(0, "move", 0, "inside-1", 1000);
-        // On a machine so slow that the window is over by then, the other half of the rule.
+        // On a slow machine the window may already be over, and the repeat must not be sent.
         boolean sent = outcome(inside).equals("committed");
         assertArrayEquals(new long[] {sent ? 2 : 1, 1}, rig.receivedAndAppliedCounts("inside-1"));
         runWriteWithoutAnswer(0, "past-1", 200);
-        rig.harness().await("its client has given up", () -> rig.router(0).client().pendingCount() == 0);
+        rig.harness()
+                .await(
+                        "its client has timed out",
+                        () -> rig.router(0).client().pendingCount() == 0);
         forwardNodeAnswers(0);
         awaitDedupWindowEnd("past-1");
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "past-1", 1000)));
@@ -91,18 +117,22 @@
     }
 
     /**
-     * Guards against a former primary that is back first, believes in itself, and is the one that
-     * the old list names.
+     * Guards against the wrong primary after a power loss: an older one returns first, still acts
+     * as primary, and is the primary in the old discovery list.
      */
     @Test
     void waitsForFormerPrimaryBeforeAcceptingOtherClaim() throws Exception {
-        startRig(Rig.Plan.of(2, 1, 3).capacity(WARM_AFTER_3_S).operatorFile(this::memoryOperatorFile));
+        startRig(
+                Rig.Plan.of(2, 1, 3)
+                        .capacity(WARM_AFTER_3_S)
+                        .operatorFile(this::memoryOperatorFile));
         rig.groups().get(0).promote(rig.node("s-1"));
         for (int r = 0; r < 2; r++) {
             awaitStatus(
                     r,
-                    "s-1 leads, and is remembered",
-                    report -> report.contains("leaders=\"0:s-1\"") && report.contains(" waiting=0 "));
+                    "s-1 is primary and is stored",
+                    report ->
+                            report.contains("leaders=\"0:s-1\"") && report.contains(" waiting=0 "));
         }
         rig.losePower();
         rig.node("s-0").primary(true);
@@ -113,16 +143,16 @@
         long previousWrites = rig.harness().call(() -> rig.harness().writesReceived("s-0"));
         startRouters(0, 1);
         for (int r = 0; r < 2; r++) {
-            awaitStatus(r, "it awaits s-1", report -> report.contains("awaits s-1"));
+            awaitStatus(r, "it waits for s-1", report -> report.contains("awaits s-1"));
         }
         restartNodes(0, "s-1");
         for (int r = 0; r < 2; r++) {
-            awaitStatus(r, "s-1 has spoken", report -> !report.contains("awaits s-1"));
+            awaitStatus(r, "it no longer waits for s-1", report -> !report.contains("awaits s-1"));
         }
-        // Both say that they lead now; what is served is served by the one that led before.
+        // Both nodes claim to be primary now; writes must go to the one that was primary before.
         for (int r = 0, i = 0; r < 2; i++) {
             r += outcome(rig.submit(r, "move", 0, "both-" + i, 1500)).equals("committed") ? 1 : 0;
-            assertTrue(i < 100, "no write goes through");
+            assertTrue(i < 100, "no write was committed");
         }
         assertEquals(previousWrites, rig.harness().call(() -> rig.harness().writesReceived("s-0")));
         rig.groups().get(0).promote(rig.node("s-1"));
@@ -131,12 +161,15 @@
     }
 
     /**
-     * A file system as full as can be made without a mount: no file of that process may be longer.
+     * Guards against a write that is sent though its record cannot be stored. A file size limit of
+     * the process stands in for a full file system, which would need a mount.
      */
     @Test
     void declinesWritesWhenDiskIsFull() throws Exception {
         List<String> routerCommand = Rig.routerCommand();
-        String quoted = String.join(" ", routerCommand.stream().map(argument -> "'" + argument + "'").toList());
+        String quoted =
+                String.join(
+                        " ", routerCommand.stream().map(argument -> "'" + argument + "'").toList());
         startRig(
                 Rig.Plan.of(2, 1, 3)
                         .capacity(WARM_AFTER_3_S)
@@ -151,15 +184,21 @@
                                                         "'-XX:+UseSerialGC' -XX:-UsePerfData"))));
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(node -> rig.nodeProxy(1, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
-        // More out at once than its file has room for.
+        rig.nodes()
+                .forEach(
+                        node ->
+                                rig.nodeProxy(1, node.id())
+                                        .setModes(
+                                                TcpFaultProxy.Mode.FORWARD,
+                                                TcpFaultProxy.Mode.BUFFER));
+        // More pending writes than the file has room for.
         List<CompletableFuture<Event.QueryEnded>> writes =
                 IntStream.range(0, 40)
                         .mapToObj(i -> rig.submit(1, "move", 0, "many-" + i, 1500))
                         .toList();
         rig.router(1)
                 .awaitLogLine(
-                        "that its disk failed",
+                        "the disk failure",
                         line -> line.contains("memory-failed") && line.contains("memory.log"));
         assertEquals("declined", outcome(rig.submit(1, "move", 0, "late-1", 1500)));
         assertEquals(0, rig.receivedAndAppliedCounts("late-1")[0]);
@@ -167,12 +206,14 @@
         for (CompletableFuture<Event.QueryEnded> write : writes) {
             outcome(write);
         }
-        rig.router(1).awaitLogLine("that its disk works", line -> line.contains("memory-works-again"));
+        rig.router(1)
+                .awaitLogLine(
+                        "the recovery of its disk", line -> line.contains("memory-works-again"));
         load.start();
         String incarnation = rig.router(1).incarnation();
         awaitServed(rig.harness().call(() -> load.committed(incarnation)) + 40, 1);
         rig.losePower();
-        // One disk is gone, the other one is from before.
+        // Router r0 loses its disk, router r1 keeps its old files.
         try (Stream<Path> files = Files.list(rig.folder().resolve("m0"))) {
             for (Path file : files.toList()) {
                 Files.delete(file);
--- a/src/test/java/dillfront/simulation/processes/PowerLossTest.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All lose power in one moment, under load, and come back in this order or that; the five rules
- * hold over all of it.
+ * All components lose power at once, under load, and restart in different orders. The five rules
+ * hold throughout.
  */
 class PowerLossTest extends PowerLossTestBase {
 
     /**
-     * Guards against routers that wait for a warm node to show what one can do, where there is
-     * none.
+     * Guards against routers that wait for a warm node to learn a node's capacity when all nodes
+     * are cold.
      */
     @Test
     void servesFromNodesThatAreAllCold() throws Exception {
@@ -29,13 +29,14 @@
             }
             openAgents();
             startRouters(0, 1, 2, 3);
-            // The next loss strikes when one has just begun to serve, then some have, then all.
+            // The next power loss occurs after two routers have begun to serve, then after three,
+            // then after all.
             awaitServed(1 + 20 * lossIndex, IntStream.rangeClosed(0, lossIndex + 1).toArray());
         }
         assertInvariants();
     }
 
-    /** Guards against what depends on who is back first. */
+    /** Guards against a recovery that depends on the restart order. */
     @Test
     void recoversInAnyRestartOrder() throws Exception {
         startRig(WARM_AFTER_3_S);
@@ -44,7 +45,8 @@
             rig.losePower();
             switch (order) {
                 case 0 -> {
-                    // Routers first: they know the nodes from of old, and nobody answers.
+                    // Routers first: they know the nodes from their configuration, but no node
+                    // answers.
                     startRouters(0, 1, 2, 3);
                     restartNodes(0, nodeIds);
                     openAgents();
@@ -55,28 +57,28 @@
                     startRouters(0, 1, 2, 3);
                 }
                 case 2 -> {
-                    // Discovery last: until then the old list holds.
+                    // Discovery last: until then the known list applies.
                     restartNodes(0, nodeIds);
                     startRouters(0, 1, 2, 3);
                     awaitServed(5, 0, 1, 2, 3);
                     openAgents();
                 }
                 case 3 -> {
-                    // One site late, with the primaries of both groups.
+                    // One site is late, with the primaries of both groups.
                     openAgents();
                     restartNodes(0, "s-1", "s-2", "s-4", "s-5");
                     startRouters(0, 1, 2, 3);
                     restartNodes(0, "s-0", "s-3");
                 }
                 case 4 -> {
-                    // Half of the routers never come back.
+                    // Half of the routers do not restart.
                     restartNodes(0, nodeIds);
                     openAgents();
                     startRouters(0, 1);
                     awaitServed(40, 0, 1);
                 }
                 default -> {
-                    // All at once, in no order at all; replicas have lost the end of their logs.
+                    // All concurrently; replicas have lost the end of their logs.
                     List<Thread> threads = new ArrayList<>();
                     threads.add(new Thread(() -> startRouters(0, 1, 2, 3)));
                     threads.add(new Thread(this::openAgents));
@@ -96,27 +98,41 @@
     }
 
     /**
-     * Guards against a drain that is forgotten with the power, where discovery itself comes back
-     * older than it was.
+     * Guards against a drained node that opens again after a power loss, when discovery restarts
+     * with an older list.
      */
     @Test
     void drainedNodeStaysClosedAfterRestart() throws Exception {
-        startRig(Rig.Plan.of(ROUTERS, 2, 3).capacity(WARM_AFTER_3_S).operatorFile(this::memoryOperatorFile));
-        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("draining")));
-        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-5").withLifecycle("gone")));
+        startRig(
+                Rig.Plan.of(ROUTERS, 2, 3)
+                        .capacity(WARM_AFTER_3_S)
+                        .operatorFile(this::memoryOperatorFile));
+        rig.harness()
+                .run(
+                        () ->
+                                rig.catalog()
+                                        .update(
+                                                rig.catalog()
+                                                        .entry("s-2")
+                                                        .withLifecycle("draining")));
+        rig.harness()
+                .run(() -> rig.catalog().update(rig.catalog().entry("s-5").withLifecycle("gone")));
         for (int r = 0; r < ROUTERS; r++) {
             int routerIndex = r;
             rig.harness()
                     .await(
-                            "router " + r + " has heard",
-                            () -> rig.acknowledgedGeneration(rig.router(routerIndex).incarnation() + "<a0") == 43);
+                            "router " + r + " acknowledged the list",
+                            () ->
+                                    rig.acknowledgedGeneration(
+                                                    rig.router(routerIndex).incarnation() + "<a0")
+                                            == 43);
             awaitStatus(
                     r,
-                    "closings are kept",
+                    "two closed nodes are stored",
                     report -> report.contains("closings=2 ") && report.contains(" waiting=0 "));
         }
         rig.losePower();
-        // The nodes never went down: they are not newly started, so no list opens them by that.
+        // The nodes keep their start times, so no list opens them as newly started.
         for (SimulatedNode node : rig.nodes()) {
             node.start(0);
         }
@@ -130,19 +146,19 @@
     }
 
     /**
-     * Guards against what holds only where recovery comes to its end: power goes again in each of
-     * its states.
+     * Guards against a recovery that is correct only if it completes: power is lost again in each
+     * of its states.
      */
     @Test
     void recoversFromPowerLossInEachRecoveryState() throws Exception {
         startRig(Rig.Plan.of(2, 1, 3).capacity(NEVER_WARM).operatorFile(this::memoryOperatorFile));
         CompletableFuture<Event.QueryEnded> write = rig.submit(0, "move", 0, "token", 1500);
         assertEquals("committed", write.get(30, TimeUnit.SECONDS).outcome());
-        // Its time is no earlier than its answer says.
+        // The write's commit time is no later than this.
         long writtenMs = System.currentTimeMillis();
         for (String state : List.of("dark", "contested", "known", "covered", "warm", "covered")) {
             if (state.equals("warm")) {
-                // Nodes that never went down: routers and discovery alone lose their power.
+                // The nodes stay up: only routers and discovery lose power.
                 rig.routers().forEach(RouterProcess::kill);
                 rig.agent(0, 0).close();
                 rig.agent(1, 0).close();
@@ -169,7 +185,7 @@
                 case "contested" -> restartNodes(0, "s-1", "s-2");
                 case "known" -> {
                     restartNodes(0, "s-0");
-                    // They come back behind what they had told before.
+                    // Their data is behind the positions that they reported before.
                     restartNodes(20_000, "s-1", "s-2");
                 }
                 case "covered" -> restartNodes(0, "s-0", "s-1", "s-2");
@@ -184,8 +200,8 @@
                         "its group is " + state,
                         report -> report.replace("\"", "").contains("groups 0=" + state));
             }
-            // A session that wrote before any of it: its reads wait for nodes that have what it
-            // wrote, and the auditor looks.
+            // A session that wrote before the first power loss: its reads wait for nodes that
+            // have the write, which rule 5 checks.
             for (int r = 0; r < 2; r++) {
                 int routerIndex = r;
                 rig.harness()
@@ -197,7 +213,7 @@
             }
             awaitStatus(
                     0,
-                    "what was lost",
+                    "which components lost power",
                     report ->
                             report.contains(
                                     switch (state) {
--- a/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
@@ -23,17 +23,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.AfterEach;
 
-/**
- * A rig that loses its power: how its scenes begin, what they wait for, and how they are judged.
- */
+/** Sets up, drives and checks a rig whose components lose power. */
 abstract class PowerLossTestBase {
 
     static final int ROUTERS = 4;
 
-    /** Far longer than a test may wait: who serves, serves from cold nodes. */
-    static final SimulatedNode.Capacity NEVER_WARM = new SimulatedNode.Capacity(2, 5000, 0.2, 3_600_000, 2, 1000);
+    /** Warms up over an hour, longer than any test: every router serves from cold nodes. */
+    static final SimulatedNode.Capacity NEVER_WARM =
+            new SimulatedNode.Capacity(2, 5000, 0.2, 3_600_000, 2, 1000);
 
-    static final SimulatedNode.Capacity WARM_AFTER_3_S = new SimulatedNode.Capacity(2, 5000, 0.2, 3000, 2, 1000);
+    static final SimulatedNode.Capacity WARM_AFTER_3_S =
+            new SimulatedNode.Capacity(2, 5000, 0.2, 3000, 2, 1000);
 
     Rig rig;
     LoadGenerator load;
@@ -55,11 +55,14 @@
         rig.close();
     }
 
-    /** Until each of these has served so many in its present life. */
+    /** Waits until the current process of each of these routers has committed this many queries. */
     void awaitServed(int count, int... routerIndexes) {
         for (int routerIndex : routerIndexes) {
             String incarnation = rig.router(routerIndex).incarnation();
-            rig.harness().await(incarnation + " served " + count, () -> load.committed(incarnation) >= count);
+            rig.harness()
+                    .await(
+                            incarnation + " served " + count,
+                            () -> load.committed(incarnation) >= count);
         }
     }
 
@@ -94,14 +97,22 @@
         rig.routers().stream().filter(r -> !r.down()).forEach(RouterProcess::shutDown);
         InvariantChecker checker = InvariantChecker.of(rig.harness().events(), closuresPersist);
         assertEquals(List.of(), checker.violations().stream().limit(5).toList());
-        assertTrue(checker.peakWarmupLoad() < 0.8, "a cold node got " + checker.peakWarmupLoad() + " of what tips it");
+        assertTrue(
+                checker.peakWarmupLoad() < 0.8,
+                "a cold node reached " + checker.peakWarmupLoad() + " of its overload limit");
     }
 
     private final InetSocketAddress[] controlAddresses = new InetSocketAddress[ROUTERS];
 
-    /** What an instance says of itself. */
+    /**
+     * Sends a request to the router's control address and returns its response, or an empty text on
+     * failure.
+     */
     private String queryControl(int routerIndex, String request) {
-        try (Socket socket = new Socket(controlAddresses[routerIndex].getAddress(), controlAddresses[routerIndex].getPort())) {
+        try (Socket socket =
+                new Socket(
+                        controlAddresses[routerIndex].getAddress(),
+                        controlAddresses[routerIndex].getPort())) {
             socket.setSoTimeout(3000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -114,16 +125,22 @@
         return answer.get(30, TimeUnit.SECONDS).outcome();
     }
 
-    /** Writes by keys of their own, until one is committed: nodes may be cold. */
+    /** Sends writes with other keys until one commits; nodes may be cold. */
     void awaitOtherWriteCommitted(int routerIndex) throws Exception {
         int attempt = 0;
-        while (!outcome(rig.submit(routerIndex, "move", 0, "other-" + routerIndex + "-" + ++attempt, 1500))
+        while (!outcome(
+                        rig.submit(
+                                routerIndex,
+                                "move",
+                                0,
+                                "other-" + routerIndex + "-" + ++attempt,
+                                1500))
                 .equals("committed")) {
-            assertTrue(attempt < 100, "no other write goes through");
+            assertTrue(attempt < 100, "no other write was committed");
         }
     }
 
-    /** The operator's file of a router that remembers, and can be asked how far it is. */
+    /** Returns the operator file of a router that persists its state and has a control address. */
     String memoryOperatorFile(Rig newRig, int routerIndex) {
         controlAddresses[routerIndex] = TestHarness.freeAddress(100 + routerIndex);
         return "memory(folder = \""
@@ -139,8 +156,8 @@
     private final List<InetSocketAddress> sockets = new ArrayList<>();
 
     /**
-     * The same, for one of so many that talk to each other; the last of them may be no router, but
-     * whoever has its key.
+     * Returns the same for a router that gossips with its peers. Peers from index {@code routers}
+     * on have a key but no router process.
      */
     String gossipOperatorFile(Rig newRig, int routerIndex, int routers, int peers)
             throws IOException, GeneralSecurityException {
@@ -170,7 +187,8 @@
                     "peer(\"r"
                             + peer
                             + "\", address = \""
-                            + hostAndPort(peer < routers ? hubs.get(peer).address() : sockets.get(peer))
+                            + hostAndPort(
+                                    peer < routers ? hubs.get(peer).address() : sockets.get(peer))
                             + "\", keys = [\""
                             + publicKeyHex(peer)
                             + "\"])\n");
@@ -194,15 +212,21 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Until this router says such a thing of itself. */
-    void awaitStatus(int routerIndex, String description, Predicate<String> condition) throws InterruptedException {
+    /** Waits until the router's status report matches. */
+    void awaitStatus(int routerIndex, String description, Predicate<String> condition)
+            throws InterruptedException {
         String report = queryControl(routerIndex, "status\n");
         for (long deadlineNanos = System.nanoTime() + 30_000_000_000L;
                 !condition.test(report);
                 report = queryControl(routerIndex, "status\n")) {
             assertTrue(
                     System.nanoTime() < deadlineNanos,
-                    "router " + routerIndex + " never said that " + description + ": " + report);
+                    "router "
+                            + routerIndex
+                            + " did not report that "
+                            + description
+                            + ": "
+                            + report);
             Thread.sleep(5);
         }
     }
--- a/src/test/java/dillfront/simulation/processes/SiteLossTest.java
+++ b/src/test/java/dillfront/simulation/processes/SiteLossTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A site of three that is lost to real routers: in silence, with resets, to one of them alone. They
- * tell which, and serve.
+ * One of three sites becomes unreachable: with dropped traffic, with resets, or for one router
+ * only. Each router reports the lost site and keeps serving.
  */
 class SiteLossTest extends PowerLossTestBase {
 
-    /** Two groups, a member of each at each site. */
+    /** Nodes by site: two groups with one member of each at each site. */
     private static final List<List<String>> NODES_BY_SITE =
             List.of(List.of("s-0", "s-3"), List.of("s-1", "s-4"), List.of("s-2", "s-5"));
 
@@ -39,13 +39,13 @@
         for (int r = 0; r < 3; r++) {
             awaitSiteStatus(r, "sites self=joined a=well b=well c=well");
         }
-        // In silence, for all: connections stay open and say nothing.
+        // Dropped traffic, for all routers: connections stay open without data.
         for (int r = 0; r < 3; r++) {
             setSiteCut(r, 2, true);
         }
         awaitSiteStatus(0, "a=well b=well c=lost");
         awaitSiteStatus(1, "a=well b=well c=lost");
-        // The one that stands there is cut off from its own site's nodes alone.
+        // The router at that site loses only its own site's nodes.
         awaitSiteStatus(2, "sites self=joined a=well b=well c=lost");
         for (int r = 0; r < 3; r++) {
             setSiteCut(r, 2, false);
@@ -53,13 +53,13 @@
         for (int r = 0; r < 3; r++) {
             awaitSiteStatus(r, "a=well b=well c=well");
         }
-        // With resets: the machines are there, nothing listens.
+        // Resets: the machines are up, but no process listens.
         NODES_BY_SITE.get(1).forEach(node -> rig.node(node).kill());
         for (int r = 0; r < 3; r++) {
             awaitSiteStatus(r, "a=well b=lost c=well");
         }
         NODES_BY_SITE.get(1).forEach(node -> rig.restartNode(rig.node(node), 0));
-        // To one router alone: it is an island, the others are as they were.
+        // For one router only: it is isolated, the others are not affected.
         setSiteCut(0, 1, true);
         setSiteCut(0, 2, true);
         awaitSiteStatus(0, "sites self=island a=well b=lost c=lost");
@@ -71,7 +71,8 @@
         setSiteCut(0, 2, false);
         awaitSiteStatus(0, "sites self=joined a=well b=well c=well");
         assertTrue(
-                rig.router(0).logLines().stream().anyMatch(l -> l.contains("INFO site self=island")),
+                rig.router(0).logLines().stream()
+                        .anyMatch(l -> l.contains("INFO site self=island")),
                 rig.router(0).logLines().toString());
         assertInvariants(true);
     }
--- a/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
+++ b/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What routers that talk tell each other of writes that may have run: one that is gone, one without
- * its disk, one that lies.
+ * Tests the gossip about uncertain writes between routers: with a killed router, with a lost disk,
+ * and with a faulty peer.
  */
 class UncertainWriteGossipTest extends PowerLossTestBase {
 
@@ -39,24 +39,40 @@
     }
 
     /**
-     * A write of this router runs, its client gives up unheard, and the group has forgotten it by
-     * then.
+     * Leaves one write of this router uncertain: the write takes effect, its client times out, and
+     * the group's deduplication window ends.
      */
     private void leaveWriteUncertain(int routerIndex, String key) throws Exception {
         load.stop();
         rig.awaitAllAnswered();
-        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER));
+        rig.nodes()
+                .forEach(
+                        node ->
+                                rig.nodeProxy(routerIndex, node.id())
+                                        .setModes(
+                                                TcpFaultProxy.Mode.FORWARD,
+                                                TcpFaultProxy.Mode.BUFFER));
         rig.submit(routerIndex, "move", 0, key, 300);
         rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
         rig.awaitAllAnswered();
-        rig.nodes().forEach(node -> rig.nodeProxy(routerIndex, node.id()).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD));
-        rig.harness().await("the group forgot " + key, () -> !rig.groups().get(0).deduplicates(key));
-        awaitStatus(routerIndex, "it is in doubt", report -> report.contains("in_doubt=1 "));
+        rig.nodes()
+                .forEach(
+                        node ->
+                                rig.nodeProxy(routerIndex, node.id())
+                                        .setModes(
+                                                TcpFaultProxy.Mode.FORWARD,
+                                                TcpFaultProxy.Mode.FORWARD));
+        rig.harness()
+                .await(
+                        "the deduplication window of " + key + " has ended",
+                        () -> !rig.groups().get(0).deduplicates(key));
+        awaitStatus(
+                routerIndex, "one write is uncertain", report -> report.contains("in_doubt=1 "));
     }
 
     /**
-     * Guards against a client that goes to another router, once its own is gone; also where that
-     * one was cut off for a while.
+     * Guards against a write that takes effect twice: its client moves to another router after its
+     * own was killed. One of the other routers was partitioned for a while.
      */
     @Test
     void survivingRouterRejectsWriteLeftUncertainByFailedRouter() throws Exception {
@@ -64,12 +80,12 @@
         rig.setPartitioned(0, 2, true);
         rig.setPartitioned(1, 2, true);
         leaveWriteUncertain(0, "gone-1");
-        awaitStatus(1, "it was told", report -> report.contains("telling=1 "));
-        // Nobody is waited for: the one that hears nothing serves.
+        awaitStatus(1, "it received one report", report -> report.contains("telling=1 "));
+        // Routers do not wait for their peers: the partitioned one serves.
         awaitOtherWriteCommitted(2);
-        awaitStatus(2, "it was not told", report -> report.contains("telling=0 "));
+        awaitStatus(2, "it received no report", report -> report.contains("telling=0 "));
         rig.setPartitioned(0, 2, false);
-        awaitStatus(2, "it was told", report -> report.contains("telling=1 "));
+        awaitStatus(2, "it received one report", report -> report.contains("telling=1 "));
         rig.router(0).kill();
         for (int r = 1; r < 3; r++) {
             assertEquals("rolled-back", outcome(rig.submit(r, "move", 0, "gone-1", 1500)));
@@ -80,14 +96,14 @@
     }
 
     /**
-     * Guards against a disk that is gone with the power: others tell what this router had told
+     * Guards against uncertain writes lost with the disk: peers return what this router had sent
      * them.
      */
     @Test
     void recoversUncertainWritesFromPeersAfterDiskLoss() throws Exception {
         startGossipingRig(2, 2);
         leaveWriteUncertain(0, "disk-1");
-        awaitStatus(1, "it was told", report -> report.contains("telling=1 "));
+        awaitStatus(1, "it received one report", report -> report.contains("telling=1 "));
         rig.router(0).kill();
         try (Stream<Path> files = Files.list(rig.folder().resolve("m0"))) {
             for (Path file : files.toList()) {
@@ -95,7 +111,7 @@
             }
         }
         startRouters(0);
-        awaitStatus(0, "it hears its own word", report -> report.contains("echoing=1 "));
+        awaitStatus(0, "it received its own report back", report -> report.contains("echoing=1 "));
         assertEquals("rolled-back", outcome(rig.submit(0, "move", 0, "disk-1", 1500)));
         awaitOtherWriteCommitted(0);
         assertArrayEquals(new long[] {1, 1}, rig.receivedAndAppliedCounts("disk-1"));
@@ -103,8 +119,8 @@
     }
 
     /**
-     * Guards against an agent that lags: what two others were told binds, what one alone says does
-     * not.
+     * Guards against a lagging agent: a closure that two peers report applies, one that a single
+     * peer reports does not.
      */
     @Test
     void closesNodeOnTwoPeerReportsWhenOwnAgentLags() throws Exception {
@@ -113,43 +129,67 @@
         rig.agent(0, 0).limitGeneration(41);
         rig.agent(2, 0).limitGeneration(41);
         rig.agent(3, 0).limitGeneration(41);
-        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("draining")));
         rig.harness()
-                .await("router 1 has heard", () -> rig.acknowledgedGeneration(rig.router(1).incarnation() + "<a0") == 42);
-        awaitStatus(1, "it is closed", report -> report.contains("closings=1 "));
-        // One witness: it may lie.
+                .run(
+                        () ->
+                                rig.catalog()
+                                        .update(
+                                                rig.catalog()
+                                                        .entry("s-2")
+                                                        .withLifecycle("draining")));
+        rig.harness()
+                .await(
+                        "router 1 acknowledged the list",
+                        () ->
+                                rig.acknowledgedGeneration(rig.router(1).incarnation() + "<a0")
+                                        == 42);
+        awaitStatus(1, "one node is closed", report -> report.contains("closings=1 "));
+        // A single report may be false.
         awaitStatus(
                 0,
-                "one says so, and nothing is closed",
+                "one peer reports a closed node and no node is closed",
                 report -> report.contains("closings=0 witnesses=1 "));
         awaitOtherWriteCommitted(0);
-        awaitStatus(0, "still nothing is closed", report -> report.contains("closings=0 witnesses=1 "));
+        awaitStatus(0, "no node is closed", report -> report.contains("closings=0 witnesses=1 "));
         rig.agent(2, 0).limitGeneration(Long.MAX_VALUE);
-        awaitStatus(0, "two say so", report -> report.contains("closings=1 witnesses=2 "));
+        awaitStatus(
+                0,
+                "two peers report a closed node and it is closed",
+                report -> report.contains("closings=1 witnesses=2 "));
         rig.router(0)
                 .awaitLogLine(
-                        "that s-2 is closed",
-                        line -> line.contains("closed-elsewhere id=s-2 generation=42 latest_here=41"));
+                        "the closed node s-2",
+                        line ->
+                                line.contains(
+                                        "closed-elsewhere id=s-2 generation=42 latest_here=41"));
         String incarnation = rig.router(0).incarnation();
-        // What was on its way then has come; from here on nothing does.
+        // Pending statements have arrived; from here on the node receives none.
         load.stop();
         rig.awaitAllAnswered();
-        long receivedBefore = rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2"));
+        long receivedBefore =
+                rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2"));
         load.start();
         awaitServed(rig.harness().call(() -> load.committed(incarnation)) + 100, 0);
-        assertEquals(receivedBefore, rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2")));
+        assertEquals(
+                receivedBefore,
+                rig.harness().call(() -> rig.harness().statementsReceived(incarnation, "s-2")));
         rig.agent(0, 0).limitGeneration(Long.MAX_VALUE);
         rig.agent(3, 0).limitGeneration(Long.MAX_VALUE);
-        rig.harness().run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("ready")));
         rig.harness()
-                .await("router 0 has heard", () -> rig.acknowledgedGeneration(rig.router(0).incarnation() + "<a0") == 43);
-        awaitStatus(0, "its own list opens it again", report -> report.contains("closings=0 "));
+                .run(() -> rig.catalog().update(rig.catalog().entry("s-2").withLifecycle("ready")));
+        rig.harness()
+                .await(
+                        "router 0 acknowledged the list",
+                        () ->
+                                rig.acknowledgedGeneration(rig.router(0).incarnation() + "<a0")
+                                        == 43);
+        awaitStatus(0, "its own list reopens the node", report -> report.contains("closings=0 "));
         assertInvariants(true);
     }
 
     /**
-     * One that says that it has everything in doubt is not heard; one that says it of some costs
-     * those alone.
+     * Guards against a faulty peer: a report that all writes are uncertain is refused, and one
+     * about some writes holds back those only.
      */
     @Test
     void ignoresPeerThatReportsEverythingUncertain() throws Exception {
@@ -189,13 +229,17 @@
                 }
             }
         }
-        awaitStatus(0, "it heard and refused", report -> report.contains("heard=2 refused=2"));
+        awaitStatus(0, "it refused both reports", report -> report.contains("heard=2 refused=2"));
         int committed = 0;
         for (int i = 0; i < 50; i++) {
-            committed += outcome(rig.submit(0, "move", 0, "lied-" + i, 1500)).equals("committed") ? 1 : 0;
+            committed +=
+                    outcome(rig.submit(0, "move", 0, "lied-" + i, 1500)).equals("committed")
+                            ? 1
+                            : 0;
         }
-        // Half of the bits set, 14 of them asked for: one write in 16,000 is held back by each.
-        assertTrue(committed >= 45, "of 50 writes " + committed + " went through");
+        // Half of the bits are set and each write checks 14 of them, so each report holds back
+        // one write in 16,000.
+        assertTrue(committed >= 45, "committed " + committed + " of 50 writes");
         assertInvariants(true);
     }
 }
--- a/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
+++ b/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
@@ -9,22 +9,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several routers as processes, and words of the operators and of discovery that are lost, late,
- * old or out of order.
+ * Sends operator signals and discovery updates to several router processes while updates are lost,
+ * late, stale or out of order.
  */
 class UpdateDeliveryTest {
 
     private static final int ROUTERS = 3;
     private static final int ROUNDS = 200;
 
-    /** Which agent a router was last moved to. */
+    /** The agent that each router uses, by index. */
     private final int[] agentByRouter = new int[ROUTERS];
 
     private Rig rig;
 
     /**
-     * A shell that starts the program with this signal ignored, as nohup and others do, and leaves
-     * one process.
+     * Wraps the command in a shell that ignores this signal, as nohup does, and then executes the
+     * command in the same process.
      */
     private static List<String> withSignalIgnored(String signal, List<String> command) {
         List<String> wrapped =
@@ -40,29 +40,43 @@
         return wrapped;
     }
 
-    private static long countLogLines(RouterProcess router, String part) {
-        return router.logLines().stream().filter(l -> l.contains(part)).count();
+    private static long countLogLines(RouterProcess router, String text) {
+        return router.logLines().stream().filter(line -> line.contains(text)).count();
     }
 
     /**
-     * Guards against a word that is lost since whoever started the router had the signal ignored.
+     * Guards against a lost SIGHUP: the parent process started the router with the signal ignored.
      */
     @Test
     void warnsOfOrRestoresIgnoredSignals() throws Exception {
-        try (Rig ignoring = new Rig(Rig.Plan.of(1, 1, 2).command(withSignalIgnored("HUP TERM", Rig.routerCommand())));
+        try (Rig ignoring =
+                        new Rig(
+                                Rig.Plan.of(1, 1, 2)
+                                        .command(
+                                                withSignalIgnored(
+                                                        "HUP TERM", Rig.routerCommand())));
                 Rig restored =
                         new Rig(
                                 Rig.Plan.of(1, 1, 2)
-                                        .command(withSignalIgnored("HUP TERM", withDefaultSignals(Rig.routerCommand()))))) {
+                                        .command(
+                                                withSignalIgnored(
+                                                        "HUP TERM",
+                                                        withDefaultSignals(
+                                                                Rig.routerCommand()))))) {
             ignoring.start();
             restored.start();
-            assertEquals(2, countLogLines(ignoring.router(0), "signal-ignored"), "told of both");
+            assertEquals(
+                    2,
+                    countLogLines(ignoring.router(0), "signal-ignored"),
+                    "one warning for each signal");
             assertEquals(0, countLogLines(restored.router(0), "signal-ignored"));
             int newAgent = restored.addAgent(0);
             restored.writeConfiguration(0, newAgent);
             restored.router(0).sendSignal("HUP");
-            restored.router(0).awaitLogLine("reloaded", line -> line.contains("reloaded by=SIGHUP"));
-            // Ignored, but what it was about is in the file: found once the old place is gone.
+            restored.router(0)
+                    .awaitLogLine("reloaded", line -> line.contains("reloaded by=SIGHUP"));
+            // The signal is ignored, but the router reads the file again once the old agent is
+            // gone.
             int otherAgent = ignoring.addAgent(0);
             ignoring.writeConfiguration(0, otherAgent);
             ignoring.router(0).sendSignal("HUP");
@@ -72,7 +86,7 @@
         }
     }
 
-    /** Guards against an end by a figure: what waits longer than that figure would be lost. */
+    /** Guards against a fixed shutdown time, which would drop queries with a longer deadline. */
     @Test
     void shutdownWaitsForLastPendingDeadline() throws Exception {
         try (Rig rig = new Rig(Rig.Plan.of(2, 1, 2).expiry(8000))) {
@@ -80,24 +94,29 @@
             QueryClient client = rig.router(0).client();
             rig.harness().run(() -> client.submit("any", 0, "16-warm", 8000, 0, null));
             rig.awaitAllAnswered();
-            // Both members take it and say nothing until well past the 3.5 s that once were the
-            // end.
+            // Both members accept the write and do not answer for longer than 3.5 s, a former
+            // fixed shutdown time.
             rig.nodes().forEach(node -> node.behavior(SimulatedNode.Behavior.HANGING));
             rig.harness().run(() -> client.submit("move", 0, "k1", 6000, 0, null));
             rig.harness()
                     .await(
-                            "the write is out",
-                            () -> rig.nodes().stream().mapToLong(node -> node.statementCount).sum() == 2);
+                            "both nodes received a statement",
+                            () ->
+                                    rig.nodes().stream()
+                                                    .mapToLong(node -> node.statementCount)
+                                                    .sum()
+                                            == 2);
             rig.router(0).sendSignal("TERM");
             rig.router(0).awaitLogLine("stopping", line -> line.contains(" stopping "));
-            // New ones still come; the other router's clients notice nothing.
+            // New queries still arrive; clients of the other router are not affected.
             rig.harness().run(() -> client.submit("fresh", 0, "16-late", 5000, 0, null));
             rig.router(0).shutDown();
             assertEquals(
                     0,
                     countLogLines(rig.router(0), "stopped-with-work"),
                     rig.router(0).logLines().toString());
-            assertTrue(countLogLines(rig.router(0), " counters ") == 1, "its last line");
+            assertTrue(
+                    countLogLines(rig.router(0), " counters ") == 1, "one line with the counters");
             rig.awaitAllAnswered();
             InvariantChecker checker = InvariantChecker.of(rig.harness().events());
             assertEquals(List.of(), checker.violations());
@@ -106,15 +125,15 @@
     }
 
     /**
-     * Guards against a breach that is none: the stage had no core, and a statement and the answer
-     * behind it lie unread together.
+     * Guards against a false violation: the harness had no core, so a statement and the response
+     * after it were both unread.
      */
     @Test
     void recordsStatementBeforeLaterAnswer() throws Exception {
         try (Rig rig = new Rig(Rig.Plan.of(1, 1, 2))) {
             rig.start();
             QueryClient client = rig.router(0).client();
-            // Both connections are up, and rest.
+            // Opens connections to both nodes and leaves them idle.
             for (int i = 0; i < 8; i++) {
                 rig.harness().run(() -> client.submit("any", 0, "16-warm", 2000, 0, null));
                 rig.awaitAllAnswered();
@@ -139,9 +158,9 @@
     }
 
     /**
-     * Hundreds of rounds by a seed: each is a word of the operators or of discovery that comes in
-     * one of the ways that go wrong, under load; it ends once each router has shown that it knows.
-     * Nothing may go to a node that a router has heard to drain.
+     * Injects 200 faults under load, from a seed. Each changes the discovery list or the agent in
+     * one of the ways that can fail, and ends once every router has acknowledged the latest list.
+     * Guards against statements to a node whose closure a router has acknowledged.
      */
     @Test
     void appliesEveryNodeClosureDespiteFaults() throws Exception {
@@ -155,7 +174,8 @@
             for (int round = 0; round < ROUNDS; round++) {
                 int kind = random.nextInt(faultCounts.length);
                 faultCounts[kind]++;
-                injectFault(kind, random.nextInt(ROUTERS), random.nextInt(4) + 4 * random.nextInt(2));
+                injectFault(
+                        kind, random.nextInt(ROUTERS), random.nextInt(4) + 4 * random.nextInt(2));
                 for (int routerIndex = 0; routerIndex < ROUTERS; routerIndex++) {
                     awaitLatestList(routerIndex);
                 }
@@ -169,30 +189,30 @@
                     checker.countEnded("committed") > checker.queryCount() / 2,
                     checker.countEnded("committed") + " of " + checker.queryCount());
             for (int kind : faultCounts) {
-                assertTrue(kind > 0, "each kind was played");
+                assertTrue(kind > 0, "each kind of fault was injected");
             }
         }
     }
 
-    /**
-     * Until this router has shown, at the agent that it is at, that it knows the latest that this
-     * agent knows.
-     */
+    /** Waits until this router has acknowledged the latest list at its current agent. */
     private void awaitLatestList(int routerIndex) {
-        String subscription = rig.router(routerIndex).incarnation() + "<a" + agentByRouter[routerIndex];
+        String subscription =
+                rig.router(routerIndex).incarnation() + "<a" + agentByRouter[routerIndex];
         try {
             rig.harness()
                     .await(
-                            subscription + " knows the list",
-                            () -> rig.acknowledgedGeneration(subscription) >= rig.catalog().latest().generation());
+                            subscription + " acknowledged the latest list",
+                            () ->
+                                    rig.acknowledgedGeneration(subscription)
+                                            >= rig.catalog().latest().generation());
         } catch (IllegalStateException timeout) {
             throw new IllegalStateException(
                     timeout.getMessage()
-                            + "; it knows "
+                            + "; it acknowledged generation "
                             + rig.acknowledgedGeneration(subscription)
                             + " of "
                             + rig.catalog().latest().generation()
-                            + ", and said "
+                            + "; its log: "
                             + rig.router(routerIndex).logLines(),
                     timeout);
         }
@@ -216,7 +236,7 @@
             case 4 -> moveDiscovery(routerIndex, true, true);
             case 5 -> moveDiscovery(routerIndex, false, true);
             case 6 -> {
-                // The agent is silent while the list changes, then it is heard again.
+                // The agent does not respond while the list changes, then responds again.
                 rig.agent(routerIndex, agentByRouter[routerIndex]).withholdResponses(true);
                 rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
                 rig.agent(routerIndex, agentByRouter[routerIndex]).withholdResponses(false);
@@ -227,14 +247,16 @@
                 rig.router(routerIndex).sendSignal("CONT");
             }
             case 8 -> {
-                // Connections to the node hang as they come up, while it leaves the list and
-                // another takes its row.
-                rig.nodeProxy(routerIndex, nodeId).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER);
+                // Answers of the node are buffered, so new connections do not complete, while the
+                // node leaves the list and returns with a new start time.
+                rig.nodeProxy(routerIndex, nodeId)
+                        .setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.BUFFER);
                 for (int i = 0; i < 3; i++) {
                     rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
                     awaitLatestList(routerIndex);
                 }
-                rig.nodeProxy(routerIndex, nodeId).setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD);
+                rig.nodeProxy(routerIndex, nodeId)
+                        .setModes(TcpFaultProxy.Mode.FORWARD, TcpFaultProxy.Mode.FORWARD);
             }
             default -> {
                 RouterProcess router = rig.router(routerIndex);
@@ -251,8 +273,8 @@
     }
 
     /**
-     * Discovery moves, told by the signal or by the file alone; the new one knows less at first, or
-     * the list changes meanwhile.
+     * Updates the list and moves a router to a new agent, announced by a signal or found through
+     * the file alone. The new agent may lag behind at first.
      */
     private void moveDiscovery(int routerIndex, boolean signal, boolean newAgentLags) {
         int newAgent = rig.addAgent(routerIndex);
@@ -270,7 +292,10 @@
         if (!signal) {
             rig.agent(routerIndex, agentByRouter[routerIndex]).close();
         }
-        rig.harness().await(subscription + " has come to the new agent", () -> rig.acknowledgedGeneration(subscription) >= 0);
+        rig.harness()
+                .await(
+                        subscription + " uses the new agent",
+                        () -> rig.acknowledgedGeneration(subscription) >= 0);
         if (signal) {
             rig.agent(routerIndex, agentByRouter[routerIndex]).close();
         }
@@ -279,8 +304,8 @@
     }
 
     /**
-     * What is ready drains; what drains is gone; what is gone is back, started anew. The first two
-     * of a group stay.
+     * Returns the next lifecycle: ready, draining, gone, then ready with a new start time. The
+     * first two members of each group stay as they are.
      */
     private DiscoveryCatalog.Entry nextLifecycle(String id) {
         DiscoveryCatalog.Entry entry = rig.catalog().entry(id);
