--- a/src/main/java/dillfront/simulation/processes/InvariantChecker.java
+++ b/src/main/java/dillfront/simulation/processes/InvariantChecker.java
@@ -129,7 +129,7 @@
                 name,
                 k ->
                         new Incarnation(
-                                closedNodesByOwner.computeIfAbsent(owner, w -> new HashMap<>())));
+                                closedNodesByOwner.computeIfAbsent(owner, key -> new HashMap<>())));
     }
 
     private TransactionState transaction(String id) {
@@ -147,19 +147,19 @@
             acknowledge(acknowledgement);
         } else if (event instanceof Event.StatementReceived statement) {
             sent(statement);
-        } else if (event instanceof Event.WriteApplied r) {
-            applied(r);
-        } else if (event instanceof Event.ReadServed r) {
-            checkRead(r);
+        } else if (event instanceof Event.WriteApplied write) {
+            applied(write);
+        } else if (event instanceof Event.ReadServed read) {
+            checkRead(read);
         } else if (event instanceof Event.WarmupLoad load) {
             peakWarmupLoad = Math.max(peakWarmupLoad, load.limitRatio());
             if (load.limitRatio() >= 1 && overloadedNodes.add(load.node())) {
                 addViolation(4, "node " + load.node() + " was cold and fell over");
             }
-        } else if (event instanceof Event.QuerySent a) {
-            transaction(a.txn()).query = a;
-        } else if (event instanceof Event.QueryEnded a) {
-            queryEnded(a);
+        } else if (event instanceof Event.QuerySent query) {
+            transaction(query.txn()).query = query;
+        } else if (event instanceof Event.QueryEnded queryEnded) {
+            queryEnded(queryEnded);
         }
     }
 
@@ -316,7 +316,7 @@
         TransactionMix.TransactionType type = TransactionMix.type(read.type());
         Event.QuerySent query = transaction(read.txn()).query;
         long ageMs = read.servedMs() - read.positionMs();
-        if (type.consistency().equals("causal")
+        if (type.readClass().equals("causal")
                 && query != null
                 && query.sessionWriteMs() > 0
                 && read.positionMs() < query.sessionWriteMs()) {
@@ -329,8 +329,8 @@
                             + (query.sessionWriteMs() - read.positionMs())
                             + " ms behind");
         }
-        if (type.consistency().equals("lag_bound") && ageMs > type.maxStalenessMs() + TOLERANCE_MS
-                || type.consistency().equals("strong") && ageMs > TOLERANCE_MS) {
+        if (type.readClass().equals("lag_bound") && ageMs > type.maxStalenessMs() + TOLERANCE_MS
+                || type.readClass().equals("strong") && ageMs > TOLERANCE_MS) {
             addViolation(
                     5,
                     read.txn()
--- a/src/main/java/dillfront/simulation/processes/LoadGenerator.java
+++ b/src/main/java/dillfront/simulation/processes/LoadGenerator.java
@@ -76,7 +76,7 @@
                 TransactionMix.TYPES.get(random.nextInt(TransactionMix.TYPES.size()));
         int group = random.nextInt(rig.groups().size());
         String key = type.isWrite() ? "k" + ++writeCount : "16-" + random.nextInt(1000);
-        if (!router.down()) {
+        if (!router.isDown()) {
             String incarnation = router.incarnation();
             router.client()
                     .submit(
--- a/src/main/java/dillfront/simulation/processes/Rig.java
+++ b/src/main/java/dillfront/simulation/processes/Rig.java
@@ -26,7 +26,7 @@
      * Describes the deployment.
      *
      * @param zones zones to which routers and the members of a group are assigned in turn
-     * @param expiryMs deadline of each transaction type in the settings
+     * @param deadlineMs deadline of each transaction type in the settings
      * @param command the command that starts a router; null for this JVM's own classes
      * @param settings change to the text of the settings, which uses single quotes here
      * @param operatorFile text of a router's operator file, by rig and router index; null for none
@@ -36,7 +36,7 @@
             int groups,
             int membersPerGroup,
             List<String> zones,
-            long expiryMs,
+            long deadlineMs,
             SimulatedNode.Capacity capacity,
             List<String> command,
             UnaryOperator<String> settings,
@@ -63,14 +63,14 @@
                     groups,
                     membersPerGroup,
                     List.of(names),
-                    expiryMs,
+                    deadlineMs,
                     capacity,
                     command,
                     settings,
                     operatorFile);
         }
 
-        public Plan expiry(long ms) {
+        public Plan deadline(long ms) {
             return new Plan(
                     routers,
                     groups,
@@ -89,7 +89,7 @@
                     groups,
                     membersPerGroup,
                     zones,
-                    expiryMs,
+                    deadlineMs,
                     newCapacity,
                     command,
                     settings,
@@ -102,7 +102,7 @@
                     groups,
                     membersPerGroup,
                     zones,
-                    expiryMs,
+                    deadlineMs,
                     capacity,
                     newCommand,
                     settings,
@@ -115,7 +115,7 @@
                     groups,
                     membersPerGroup,
                     zones,
-                    expiryMs,
+                    deadlineMs,
                     capacity,
                     command,
                     settings,
@@ -333,7 +333,7 @@
                                         plan.zones.get(routerIndex % plan.zones.size()),
                                         plan.zones,
                                         plan.routers,
-                                        plan.expiryMs,
+                                        plan.deadlineMs,
                                         plan.capacity))
                         + "}";
         try {
@@ -378,7 +378,7 @@
 
     /** Simulates a power loss of all routers, nodes and agents at once. */
     public void losePower() {
-        routers.stream().filter(router -> !router.down()).forEach(RouterProcess::kill);
+        routers.stream().filter(router -> !router.isDown()).forEach(RouterProcess::kill);
         nodes.values().stream().filter(SimulatedNode::isListening).forEach(SimulatedNode::kill);
         agents.forEach(
                 routerAgents ->
--- a/src/main/java/dillfront/simulation/processes/RouterProcess.java
+++ b/src/main/java/dillfront/simulation/processes/RouterProcess.java
@@ -30,7 +30,7 @@
     private final QueryClient client;
     private Process process;
     private volatile int startCount;
-    private volatile boolean down = true;
+    private volatile boolean isDown = true;
 
     /**
      * Output of the current process. Not bounded, as routers of a rig log little and end with it.
@@ -78,8 +78,8 @@
         return configFile;
     }
 
-    public boolean down() {
-        return down;
+    public boolean isDown() {
+        return isDown;
     }
 
     public long pid() {
@@ -103,7 +103,7 @@
             throw new IllegalStateException(e);
         }
         startCount++;
-        down = false;
+        isDown = false;
         String incarnation = incarnation();
         harness.run(() -> harness.recordEvent(new Event.Started(incarnation)));
         Process started = process;
@@ -171,7 +171,7 @@
     /** Kills the process at once, as a power loss does. */
     public void kill() {
         harness.run(() -> harness.recordEvent(new Event.Ended(incarnation(), true)));
-        down = true;
+        isDown = true;
         process.destroyForcibly();
         awaitExit();
     }
@@ -183,7 +183,7 @@
     public void shutDown() {
         sendSignal("TERM");
         awaitLogLine("stopping", l -> l.contains(" stopping "));
-        down = true;
+        isDown = true;
         awaitExit();
         harness.run(() -> harness.recordEvent(new Event.Ended(incarnation(), false)));
     }
--- a/src/main/java/dillfront/simulation/processes/SimulatedNode.java
+++ b/src/main/java/dillfront/simulation/processes/SimulatedNode.java
@@ -273,11 +273,11 @@
             return;
         }
         coreFreeNanos[core] = Math.max(nowNanos, coreFreeNanos[core]) + (long) durationNanos;
-        long startedIncarnation = this.incarnation;
+        long incarnationAtStart = this.incarnation;
         harness.loop()
                 .schedule(
                         () -> {
-                            if (startedIncarnation == this.incarnation) {
+                            if (incarnationAtStart == this.incarnation) {
                                 complete(connection, statement);
                             }
                         },
--- a/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
+++ b/src/main/java/dillfront/simulation/processes/TcpFaultProxy.java
@@ -33,7 +33,7 @@
     private final Supplier<InetSocketAddress> targetAddress;
 
     /** Names the process that connects through this proxy at the moment. */
-    private final Supplier<String> clientName;
+    private final Supplier<String> clientIdSupplier;
 
     private final int port;
     private Channel listener;
@@ -44,10 +44,10 @@
 
     TcpFaultProxy(
             TestHarness harness,
-            Supplier<String> clientName,
+            Supplier<String> clientIdSupplier,
             Supplier<InetSocketAddress> targetAddress) {
         this.harness = harness;
-        this.clientName = clientName;
+        this.clientIdSupplier = clientIdSupplier;
         this.targetAddress = targetAddress;
         listener = harness.listen(0, ClientHandler::new);
         port = TestHarness.port(listener);
@@ -114,7 +114,7 @@
     /** Connects one client to the target. */
     private final class ProxiedConnection {
 
-        private final String clientId = clientName.get();
+        private final String clientId = clientIdSupplier.get();
         private final List<ByteBuf> toTargetBuffer = new ArrayList<>();
         private final List<ByteBuf> toClientBuffer = new ArrayList<>();
         private Channel clientChannel;
@@ -190,18 +190,18 @@
          * forward, the client does not see the target's close, and the target is reset after the
          * client's.
          */
-        void onChannelClosed(boolean closedByClient) {
-            if (!closedByClient) {
+        void onChannelClosed(boolean clientClosed) {
+            if (!clientClosed) {
                 unregisterPort();
             }
-            if (closedByClient && toTargetMode == Mode.FORWARD && targetChannel != null) {
+            if (clientClosed && toTargetMode == Mode.FORWARD && targetChannel != null) {
                 closed();
                 targetChannel.flush();
                 targetChannel.close();
-            } else if (!closedByClient && fromTargetMode == Mode.FORWARD) {
+            } else if (!clientClosed && fromTargetMode == Mode.FORWARD) {
                 closed();
                 clientChannel.close();
-            } else if (closedByClient) {
+            } else if (clientClosed) {
                 reset();
             }
         }
--- a/src/main/java/dillfront/simulation/processes/TransactionMix.java
+++ b/src/main/java/dillfront/simulation/processes/TransactionMix.java
@@ -11,14 +11,14 @@
      * @param maxStalenessMs how old the data of a bounded read may be
      */
     public record TransactionType(
-            String name, String effect, String consistency, long maxStalenessMs) {
+            String name, String effectClass, String readClass, long maxStalenessMs) {
 
         public boolean isWrite() {
-            return consistency.equals("mutate");
+            return readClass.equals("mutate");
         }
 
         boolean isDeduplicated() {
-            return effect.equals("dedup");
+            return effectClass.equals("dedup");
         }
     }
 
@@ -46,7 +46,7 @@
             long deadlineMs,
             SimulatedNode.Capacity capacity) {
         StringBuilder classes = new StringBuilder();
-        StringBuilder consistencies = new StringBuilder();
+        StringBuilder readClasses = new StringBuilder();
         StringBuilder stalenessBounds = new StringBuilder();
         for (TransactionType type : TYPES) {
             String separator = classes.length() == 0 ? "" : ",";
@@ -56,7 +56,7 @@
                                     "{'name':'%s','effect':'%s',%s'targetUs':%d,'deadlineUs':%d,'worth':%s,"
                                             + "'lateShare':%s}",
                                     type.name,
-                                    type.effect,
+                                    type.effectClass,
                                     type.isDeduplicated()
                                             ? "'dedupScope':'cell','dedupWindowUs':"
                                                     + DEDUP_WINDOW_MS * 1000
@@ -66,7 +66,7 @@
                                     deadlineMs * 1000,
                                     type.isWrite() ? "6.0" : "2.0",
                                     type.isWrite() ? "0.3" : "0.0"));
-            consistencies.append(separator).append('\'').append(type.consistency).append('\'');
+            readClasses.append(separator).append('\'').append(type.readClass).append('\'');
             stalenessBounds.append(separator).append(type.maxStalenessMs * 1000);
         }
         return "{'az':'"
@@ -80,7 +80,7 @@
                 + "['x0','x1']},'classes':["
                 + classes
                 + "],'familyInfo':{'classRead':["
-                + consistencies
+                + readClasses
                 + "],'classBoundUs':["
                 + stalenessBounds
                 + "],'listRole':'static','guards':'off','tokens':'brought'},'rules':{'drainGraceUs':250000,'coldFrom':"
--- a/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
+++ b/src/test/java/dillfront/simulation/processes/PersistedStateTest.java
@@ -33,7 +33,7 @@
                                                 TcpFaultProxy.Mode.FORWARD,
                                                 TcpFaultProxy.Mode.BUFFER));
         rig.submit(routerIndex, "move", 0, key, timeoutMs);
-        rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
+        rig.harness().await(key + " took effect", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
     }
 
     private void forwardNodeAnswers(int routerIndex) {
@@ -49,7 +49,7 @@
     private void awaitDedupWindowEnd(String key) {
         rig.harness()
                 .await(
-                        "the deduplication window of " + key + " has ended",
+                        "the deduplication window ended for " + key,
                         () -> !rig.groups().get(0).deduplicates(key));
     }
 
@@ -121,7 +121,7 @@
      * as primary, and is the primary in the old discovery list.
      */
     @Test
-    void waitsForFormerPrimaryBeforeAcceptingOtherClaim() throws Exception {
+    void prefersFormerPrimaryOverEarlierClaimant() throws Exception {
         startRig(
                 Rig.Plan.of(2, 1, 3)
                         .capacity(WARM_AFTER_3_S)
--- a/src/test/java/dillfront/simulation/processes/PowerLossTest.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTest.java
@@ -20,7 +20,7 @@
      * are cold.
      */
     @Test
-    void servesFromNodesThatAreAllCold() throws Exception {
+    void servesWhileAllNodesWarmUp() throws Exception {
         startRig(NEVER_WARM);
         for (int lossIndex = 0; lossIndex < 3; lossIndex++) {
             rig.losePower();
@@ -132,7 +132,7 @@
                     report -> report.contains("closings=2 ") && report.contains(" waiting=0 "));
         }
         rig.losePower();
-        // The nodes keep their start times, so no list opens them as newly started.
+        // The list keeps the nodes' earlier start times, so no entry opens them as newly started.
         for (SimulatedNode node : rig.nodes()) {
             node.start(0);
         }
--- a/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
+++ b/src/test/java/dillfront/simulation/processes/PowerLossTestBase.java
@@ -94,7 +94,7 @@
     void assertInvariants(boolean closuresPersist) {
         load.stop();
         rig.awaitAllAnswered();
-        rig.routers().stream().filter(r -> !r.down()).forEach(RouterProcess::shutDown);
+        rig.routers().stream().filter(r -> !r.isDown()).forEach(RouterProcess::shutDown);
         InvariantChecker checker = InvariantChecker.of(rig.harness().events(), closuresPersist);
         assertEquals(List.of(), checker.violations().stream().limit(5).toList());
         assertTrue(
--- a/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
+++ b/src/test/java/dillfront/simulation/processes/UncertainWriteGossipTest.java
@@ -53,7 +53,7 @@
                                                 TcpFaultProxy.Mode.FORWARD,
                                                 TcpFaultProxy.Mode.BUFFER));
         rig.submit(routerIndex, "move", 0, key, 300);
-        rig.harness().await(key + " ran", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
+        rig.harness().await(key + " took effect", () -> rig.receivedAndAppliedCounts(key)[1] == 1);
         rig.awaitAllAnswered();
         rig.nodes()
                 .forEach(
@@ -64,7 +64,7 @@
                                                 TcpFaultProxy.Mode.FORWARD));
         rig.harness()
                 .await(
-                        "the deduplication window of " + key + " has ended",
+                        "the deduplication window ended for " + key,
                         () -> !rig.groups().get(0).deduplicates(key));
         awaitStatus(
                 routerIndex, "one write is uncertain", report -> report.contains("in_doubt=1 "));
--- a/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
+++ b/src/test/java/dillfront/simulation/processes/UpdateDeliveryTest.java
@@ -88,8 +88,8 @@
 
     /** Guards against a fixed shutdown time, which would drop queries with a longer deadline. */
     @Test
-    void shutdownWaitsForLastPendingDeadline() throws Exception {
-        try (Rig rig = new Rig(Rig.Plan.of(2, 1, 2).expiry(8000))) {
+    void shutsDownAfterLastPendingDeadline() throws Exception {
+        try (Rig rig = new Rig(Rig.Plan.of(2, 1, 2).deadline(8000))) {
             rig.start();
             QueryClient client = rig.router(0).client();
             rig.harness().run(() -> client.submit("any", 0, "16-warm", 8000, 0, null));
@@ -165,31 +165,33 @@
     @Test
     void appliesEveryNodeClosureDespiteFaults() throws Exception {
         SplittableRandom random = new SplittableRandom(29);
-        try (Rig set = new Rig(Rig.Plan.of(ROUTERS, 2, 4))) {
-            rig = set;
-            set.start();
-            LoadGenerator load = new LoadGenerator(set, 7, 2000);
+        try (Rig newRig = new Rig(Rig.Plan.of(ROUTERS, 2, 4))) {
+            rig = newRig;
+            newRig.start();
+            LoadGenerator load = new LoadGenerator(newRig, 7, 2000);
             load.start();
             int[] faultCounts = new int[10];
             for (int round = 0; round < ROUNDS; round++) {
-                int kind = random.nextInt(faultCounts.length);
-                faultCounts[kind]++;
+                int faultKind = random.nextInt(faultCounts.length);
+                faultCounts[faultKind]++;
                 injectFault(
-                        kind, random.nextInt(ROUTERS), random.nextInt(4) + 4 * random.nextInt(2));
+                        faultKind,
+                        random.nextInt(ROUTERS),
+                        random.nextInt(4) + 4 * random.nextInt(2));
                 for (int routerIndex = 0; routerIndex < ROUTERS; routerIndex++) {
                     awaitLatestList(routerIndex);
                 }
             }
             load.stop();
-            set.awaitAllAnswered();
-            set.routers().forEach(RouterProcess::shutDown);
-            InvariantChecker checker = InvariantChecker.of(set.harness().events());
+            newRig.awaitAllAnswered();
+            newRig.routers().forEach(RouterProcess::shutDown);
+            InvariantChecker checker = InvariantChecker.of(newRig.harness().events());
             assertEquals(List.of(), checker.violations().stream().limit(5).toList());
             assertTrue(
                     checker.countEnded("committed") > checker.queryCount() / 2,
                     checker.countEnded("committed") + " of " + checker.queryCount());
-            for (int kind : faultCounts) {
-                assertTrue(kind > 0, "each kind of fault was injected");
+            for (int faultCount : faultCounts) {
+                assertTrue(faultCount > 0, "each kind of fault was injected");
             }
         }
     }
@@ -218,10 +220,10 @@
         }
     }
 
-    private void injectFault(int kind, int routerIndex, int nodeIndex) {
+    private void injectFault(int faultKind, int routerIndex, int nodeIndex) {
         String nodeId = "s-" + nodeIndex;
         DiscoveryCatalog catalog = rig.catalog();
-        switch (kind) {
+        switch (faultKind) {
             case 0 -> rig.harness().run(() -> catalog.update(nextLifecycle(nodeId)));
             case 1 ->
                     rig.harness()
