--- a/src/main/java/dillfront/simulation/processes/InvariantChecker.java
+++ b/src/main/java/dillfront/simulation/processes/InvariantChecker.java
@@ -106,6 +106,7 @@
         return sent;
     }
 
+    /** Returns how many queries ended with this outcome. */
     public long countEnded(String outcome) {
         return transactions.values().stream()
                 .filter(
--- a/src/main/java/dillfront/simulation/processes/Rig.java
+++ b/src/main/java/dillfront/simulation/processes/Rig.java
@@ -70,6 +70,7 @@
                     operatorFile);
         }
 
+        /** Returns the same plan with this deadline for each transaction type. */
         public Plan deadline(long ms) {
             return new Plan(
                     routers,
@@ -83,6 +84,7 @@
                     operatorFile);
         }
 
+        /** Returns the same plan with this capacity of each node. */
         public Plan capacity(SimulatedNode.Capacity newCapacity) {
             return new Plan(
                     routers,
@@ -96,6 +98,7 @@
                     operatorFile);
         }
 
+        /** Returns the same plan with this command for starting a router. */
         public Plan command(List<String> newCommand) {
             return new Plan(
                     routers,
@@ -109,6 +112,7 @@
                     operatorFile);
         }
 
+        /** Returns the same plan with these operator files. */
         public Plan operatorFile(BiFunction<Rig, Integer, String> newOperatorFile) {
             return new Plan(
                     routers,
--- a/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
+++ b/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
@@ -30,11 +30,11 @@
         return new QuerySent(0, txn, type, 0, "k-" + txn, timeoutMs, 0, "r0#1");
     }
 
-    private static StatementReceived statementReceived(String txn, String type, String node) {
+    private static StatementReceived received(String txn, String type, String node) {
         return new StatementReceived(5 * MS, "r0#1", node, 0, txn, type, "k-" + txn);
     }
 
-    private static QueryEnded queryEnded(String txn, String outcome) {
+    private static QueryEnded ended(String txn, String outcome) {
         return new QueryEnded(9 * MS, txn, outcome, "");
     }
 
@@ -42,7 +42,7 @@
         return new ListEntrySent(0, "r0#1<a0", generation, "s-1", lifecycle, startedMs);
     }
 
-    private void checkScenario(String description, Event... events) {
+    private void check(String description, Event... events) {
         trace.append(description)
                 .append(": ")
                 .append(InvariantChecker.of(List.of(events)).violations())
@@ -52,128 +52,110 @@
     @Test
     void detectsPlantedViolationsOnly() throws IOException {
         QuerySent query = querySent("t1", "any", 500);
-        checkScenario(
-                "all well",
-                query,
-                statementReceived("t1", "any", "s-1"),
-                queryEnded("t1", "committed"));
-        checkScenario("no answer", query, statementReceived("t1", "any", "s-1"));
-        checkScenario(
+        check("all well", query, received("t1", "any", "s-1"), ended("t1", "committed"));
+        check("no answer", query, received("t1", "any", "s-1"));
+        check(
                 "no answer, and the router was killed",
                 query,
-                statementReceived("t1", "any", "s-1"),
+                received("t1", "any", "s-1"),
                 new Ended("r0#1", true));
-        checkScenario(
+        check(
                 "ended by itself with it out",
                 query,
-                statementReceived("t1", "any", "s-1"),
+                received("t1", "any", "s-1"),
                 new Ended("r0#1", false),
-                queryEnded("t1", "broken"));
-        checkScenario(
-                "two answers", query, queryEnded("t1", "declined"), queryEnded("t1", "committed"));
-        checkScenario(
+                ended("t1", "broken"));
+        check("two answers", query, ended("t1", "declined"), ended("t1", "committed"));
+        check(
                 "sent after the answer",
                 query,
-                queryEnded("t1", "declined"),
-                statementReceived("t1", "any", "s-1"));
-        checkScenario("served from nowhere", query, queryEnded("t1", "committed"));
-        checkScenario("answered late", query, new QueryEnded(1600 * MS, "t1", "declined", ""));
+                ended("t1", "declined"),
+                received("t1", "any", "s-1"));
+        check("served from nowhere", query, ended("t1", "committed"));
+        check("answered late", query, new QueryEnded(1600 * MS, "t1", "declined", ""));
         QuerySent moveQuery = querySent("t1", "move", 500);
         WriteApplied write = new WriteApplied("s-1", 0, "t1", "move", "k-t1");
-        checkScenario(
+        check(
                 "a key twice",
                 moveQuery,
                 write,
                 new WriteApplied("s-2", 0, "t2", "move", "k-t1"),
-                queryEnded("t1", "committed"));
-        checkScenario(
+                ended("t1", "committed"));
+        check(
                 "the same key in two groups",
                 moveQuery,
-                statementReceived("t1", "move", "s-1"),
+                received("t1", "move", "s-1"),
                 write,
                 new WriteApplied("s-5", 1, "t2", "move", "k-t1"),
-                queryEnded("t1", "committed"));
-        checkScenario("declined after it ran", moveQuery, write, queryEnded("t1", "declined"));
-        checkScenario("declined, then it ran", moveQuery, queryEnded("t1", "declined"), write);
-        checkScenario(
+                ended("t1", "committed"));
+        check("declined after it ran", moveQuery, write, ended("t1", "declined"));
+        check("declined, then it ran", moveQuery, ended("t1", "declined"), write);
+        check(
                 "rolled back, and it ran",
                 moveQuery,
-                statementReceived("t1", "move", "s-1"),
+                received("t1", "move", "s-1"),
                 write,
-                queryEnded("t1", "rolled-back"));
-        checkScenario(
+                ended("t1", "rolled-back"));
+        check(
                 "once-only, sent again after it ran",
                 querySent("t1", "once", 500),
-                statementReceived("t1", "once", "s-1"),
+                received("t1", "once", "s-1"),
                 new WriteApplied("s-1", 0, "t1", "once", "k-t1"),
-                statementReceived("t1", "once", "s-2"),
-                queryEnded("t1", "rolled-back"));
+                received("t1", "once", "s-2"),
+                ended("t1", "rolled-back"));
         List<Event> drained = new ArrayList<>(List.of(query, entrySent(42, "draining", 0)));
-        StatementReceived lateStatement = statementReceived("t1", "any", "s-1");
-        checkScenario(
+        StatementReceived late = received("t1", "any", "s-1");
+        check(
                 "told and not read",
                 query,
                 entrySent(42, "draining", 0),
-                lateStatement,
-                queryEnded("t1", "committed"));
+                late,
+                ended("t1", "committed"));
         drained.add(new ListAcknowledged(1, "r0#1<a0", 42));
-        checkScenario(
-                "read, and sent to", with(drained, lateStatement, queryEnded("t1", "committed")));
-        checkScenario(
+        check("read, and sent to", with(drained, late, ended("t1", "committed")));
+        check(
                 "opened by an older word",
-                with(
-                        drained,
-                        entrySent(41, "ready", 0),
-                        lateStatement,
-                        queryEnded("t1", "committed")));
-        checkScenario(
+                with(drained, entrySent(41, "ready", 0), late, ended("t1", "committed")));
+        check(
                 "opened by a newer word, not read yet",
-                with(
-                        drained,
-                        entrySent(43, "ready", 0),
-                        lateStatement,
-                        queryEnded("t1", "committed")));
-        checkScenario(
+                with(drained, entrySent(43, "ready", 0), late, ended("t1", "committed")));
+        check(
                 "opened by a new start",
-                with(
-                        drained,
-                        entrySent(41, "ready", 7),
-                        lateStatement,
-                        queryEnded("t1", "committed")));
-        checkScenario(
+                with(drained, entrySent(41, "ready", 7), late, ended("t1", "committed")));
+        check(
                 "heard in another life",
                 query,
                 new ListEntrySent(0, "r0#2<a0", 42, "s-1", "gone", 0),
                 new ListAcknowledged(1, "r0#2<a0", 42),
-                lateStatement,
-                queryEnded("t1", "committed"));
-        checkScenario(
+                late,
+                ended("t1", "committed"));
+        check(
                 "left out of a whole list",
                 query,
                 entrySent(42, "absent", 0),
                 new ListAcknowledged(1, "r0#1<a0", 42),
-                lateStatement,
-                queryEnded("t1", "committed"));
-        checkScenario(
+                late,
+                ended("t1", "committed"));
+        check(
                 "pressed",
                 new WarmupLoad("s-1", 0.9),
                 new WarmupLoad("s-1", 1.1),
                 new WarmupLoad("s-1", 1.2));
-        checkScenario(
+        check(
                 "old data for a bounded read",
                 querySent("t1", "view", 500),
                 new ReadServed("s-1", "t1", "view", 8_000, 10_000));
-        checkScenario(
+        check(
                 "old data for any read",
                 query,
                 new ReadServed("s-1", "t1", "any", 1_000, 10_000),
-                lateStatement,
-                queryEnded("t1", "committed"));
-        checkScenario(
+                late,
+                ended("t1", "committed"));
+        check(
                 "a primary of yesterday",
                 querySent("t1", "fresh", 500),
                 new ReadServed("s-1", "t1", "fresh", 1_000, 10_000));
-        checkScenario(
+        check(
                 "its own write unseen",
                 new QuerySent(0, "t1", "own", 0, "k", 500, 9_000, "r0#1"),
                 new ReadServed("s-1", "t1", "own", 8_999, 10_000));
@@ -192,7 +174,7 @@
                 List.of(
                         querySent("t1", "any", 500),
                         querySent("t2", "any", 500),
-                        statementReceived("t1", "any", "s-1"));
+                        received("t1", "any", "s-1"));
         assertEquals(
                 InvariantChecker.of(events).violations(), InvariantChecker.of(events).violations());
         assertEquals(2, InvariantChecker.of(events).violations().size());
