--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -4,15 +4,15 @@
 import dillfront.bootstrap.DataPlaneProgram;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
-import dillfront.common.logging.Silence;
+import dillfront.common.logging.NettyLoggerFactory;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.router.Daemon;
 import dillfront.router.Rehearsal;
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
-import dillfront.routing.simulator.BadInput;
-import dillfront.routing.simulator.Drill;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.routing.simulator.InvalidInputException;
+import dillfront.routing.simulator.SimulatorServer;
 import java.io.IOException;
 import java.util.List;
 
@@ -33,21 +33,24 @@
                                 "rehearse-system")
                         .contains(args[0])) {
             // Not for what the platform starts: the library's classes would cost each start.
-            System.exit(Commands.run(args));
+            System.exit(RootCommand.run(args));
         }
         try {
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Daemon daemon =
-                        new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
+                        new Daemon(
+                                Config.read(System.getenv()),
+                                OperatorConfig.fromEnvironment(System.getenv()),
+                                log);
                 // Before the start: the JVM's own answer to SIGHUP is to end.
                 daemon.hear(() -> Config.again(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Rehearsal.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
@@ -57,22 +60,22 @@
                 dillfront.bootstrap.WarmUp.run();
                 System.exit(0);
             } else {
-                new Drill(System.in, System.out).run();
+                new SimulatorServer(System.in, System.out).run();
             }
-        } catch (BadConfig bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (BadConfig e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (Operator.BadOperator bad) {
-            System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
+        } catch (OperatorConfig.InvalidOperatorConfigException e) {
+            System.err.println("dillfront: LB_OPERATOR " + e.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (BadInput bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (InvalidInputException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (IOException broken) {
-            System.err.println("dillfront: cannot go on: " + broken.getMessage());
+        } catch (IOException e) {
+            System.err.println("dillfront: cannot go on: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/Daemon.java
@@ -10,7 +10,7 @@
 import dillfront.router.discovery.Rereading;
 import dillfront.router.discovery.Watch;
 import dillfront.router.frontend.Clients;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -60,7 +60,7 @@
     private final Duration beganCpu = cpu();
 
     private final Config config;
-    private final Operator operator;
+    private final OperatorConfig operator;
     private final Log log;
     private final Counters counters = new Counters();
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -99,18 +99,18 @@
     private volatile Side side;
 
     public Daemon(Config config, Log log) {
-        this(config, Operator.NONE, log);
+        this(config, OperatorConfig.NONE, log);
     }
 
     /** Binds the parts of one router; nothing listens before start(). */
-    public Daemon(Config config, Operator operator, Log log) {
+    public Daemon(Config config, OperatorConfig operator, Log log) {
         this.config = config;
         this.operator = operator;
         this.log = log;
         discovery = config.discovery();
         setup = config.setup();
         named = config.named();
-        rereading = new Rereading(config.setup().settings().dial());
+        rereading = new Rereading(config.setup().settings().connectTimeout());
     }
 
     Log log() {
@@ -155,9 +155,9 @@
                                                 share,
                                                 config.sockets() * 3 / 10,
                                                 (config.memoryMb() << 20) / WAITING_PART,
-                                                config.setup().settings().dial());
+                                                config.setup().settings().connectTimeout());
                                 side =
-                                        operator == Operator.NONE
+                                        operator == OperatorConfig.NONE
                                                 ? null
                                                 : new Side(
                                                         operator, begun, router, clients, loop,
@@ -169,7 +169,7 @@
                                 watch =
                                         new Watch(
                                                 discovery,
-                                                config.setup().settings().dial(),
+                                                config.setup().settings().connectTimeout(),
                                                 counters,
                                                 log,
                                                 loop,
@@ -182,13 +182,15 @@
                     .sync();
             // What discovery has told is known before the door opens; if it says nothing, the known
             // list will do.
-            long due = System.nanoTime() + NEWS_DIALS * config.setup().settings().dial().toNanos();
+            long due =
+                    System.nanoTime()
+                            + NEWS_DIALS * config.setup().settings().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
                                     router.listed()
                                             && (watch.answered() || System.nanoTime() - due > 0))
                     .get()) {
-                Thread.sleep(config.setup().settings().step().toMillis() + 1);
+                Thread.sleep(config.setup().settings().clockStep().toMillis() + 1);
             }
             rest();
             loop.submit(() -> clients.open(config.listen())).get().sync();
@@ -196,7 +198,7 @@
             throw new BadConfig("interrupted");
         } catch (Exception fault) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            if (fault instanceof Operator.BadOperator) {
+            if (fault instanceof OperatorConfig.InvalidOperatorConfigException) {
                 throw new BadConfig("LB_OPERATOR: " + fault.getMessage());
             }
             throw new BadConfig("LB_LISTEN " + config.listen() + ": " + fault.getMessage());
@@ -369,7 +371,7 @@
             Duration now = router.clock().now();
             due =
                     (router.owedUntil().compareTo(now) > 0 ? router.owedUntil() : now)
-                            .plus(setup.settings().dial().multipliedBy(LAST_DIALS));
+                            .plus(setup.settings().connectTimeout().multipliedBy(LAST_DIALS));
         } finally {
             lookIfOver();
         }
@@ -378,7 +380,7 @@
     private void lookIfOver() {
         boolean over = false;
         try {
-            over = clients.empty() && counters.txns == 0;
+            over = clients.empty() && counters.openTransactions == 0;
         } catch (RuntimeException fault) {
             // It would vanish in the timer's future, and the end with it.
             log.warn("end", "fault", fault);
@@ -386,7 +388,7 @@
         if (!over && due != null && router.clock().now().compareTo(due) < 0) {
             loop.schedule(
                     this::lookIfOver,
-                    config.setup().settings().step().toNanos(),
+                    config.setup().settings().clockStep().toNanos(),
                     TimeUnit.NANOSECONDS);
             return;
         }
@@ -395,7 +397,7 @@
                 log.warn(
                         "stopped-with-work",
                         "txns",
-                        counters.txns,
+                        counters.openTransactions,
                         "clients",
                         counters.clientConnections);
             }
--- a/src/main/java/dillfront/router/Doorkeeper.java
+++ b/src/main/java/dillfront/router/Doorkeeper.java
@@ -5,12 +5,12 @@
 import dillfront.router.config.Clock;
 import dillfront.router.config.Setup;
 import dillfront.router.frontend.Callers;
-import dillfront.router.identity.Gate;
-import dillfront.router.identity.Penalty;
+import dillfront.router.identity.AccessController;
+import dillfront.router.identity.LoginThrottle;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Refusal;
-import dillfront.router.operator.Operator;
-import dillfront.router.tokens.Tokens;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.router.tokens.TokenVerifier;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
@@ -45,7 +45,7 @@
     private static final Duration HANDSHAKE = Duration.ofSeconds(2);
 
     /** All that one look at the files gave. */
-    private record Read(Policy policy, Tokens tokens, SslContext tls) {}
+    private record Read(Policy policy, TokenVerifier tokens, SslContext tls) {}
 
     private final Path operatorFile;
 
@@ -55,36 +55,36 @@
     private final Clock clock;
     private final EventLoop loop;
     private final Log log;
-    private final Gate gate = new Gate();
-    private final Penalty penalty;
+    private final AccessController gate = new AccessController();
+    private final LoginThrottle penalty;
     private final ScheduledThreadPoolExecutor reader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
     /** What was read last and was good, and the files of it as they were then. */
-    private Operator.IdentityPart part;
+    private OperatorConfig.IdentityConfig part;
 
     private String seen;
     private String fault = "";
-    private Tokens tokens;
+    private TokenVerifier tokens;
     private SslContext tls;
     private int handshakes;
 
     /** Reads the files once, or says what is wrong with them. */
     Doorkeeper(
             Path operatorFile,
-            Operator operator,
+            OperatorConfig operator,
             Setup setup,
             long seed,
             Clock clock,
             EventLoop loop,
             Log log)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         this.operatorFile = operatorFile;
         this.setup = setup;
         this.clock = clock;
         this.loop = loop;
         this.log = log;
-        penalty = new Penalty(seed);
+        penalty = new LoginThrottle(seed);
         part = operator.identity();
         seen = stamps(part);
         take(read(part, setup));
@@ -130,7 +130,7 @@
     // ---- on the reader's thread
 
     /** Sizes and times of all files: when one differs they are read again. */
-    private String stamps(Operator.IdentityPart of) {
+    private String stamps(OperatorConfig.IdentityConfig of) {
         List<Path> files = new ArrayList<>(of.files());
         files.add(operatorFile);
         StringBuilder all = new StringBuilder();
@@ -156,16 +156,16 @@
         String wrong = "";
         Read read = null;
         try {
-            Operator operator = Operator.read(operatorFile);
+            OperatorConfig operator = OperatorConfig.read(operatorFile);
             if (operator.identity() == null) {
-                throw new Operator.BadOperator(
+                throw new OperatorConfig.InvalidOperatorConfigException(
                         operatorFile + ": identity() is gone; that waits for a start");
             }
             String now = stamps(operator.identity());
             read = read(operator.identity(), setup);
             part = operator.identity();
             seen = now;
-        } catch (Operator.BadOperator bad) {
+        } catch (OperatorConfig.InvalidOperatorConfigException bad) {
             wrong = bad.getMessage();
         } catch (RuntimeException bad) {
             wrong = String.valueOf(bad);
@@ -186,7 +186,7 @@
                                 "keys",
                                 good.policy.keys());
                     } else {
-                        gate.unreadable();
+                        gate.markPolicyUnreadable();
                         if (!said) {
                             log.warn("identity-unreadable", "fault", why);
                         }
@@ -194,13 +194,15 @@
                 });
     }
 
-    private Read read(Operator.IdentityPart of, Setup by) throws Operator.BadOperator {
+    private Read read(OperatorConfig.IdentityConfig of, Setup by)
+            throws OperatorConfig.InvalidOperatorConfigException {
         try {
-            Tokens next = new Tokens(Files.readString(of.jwks()), of.issuer(), of.audience());
+            TokenVerifier next =
+                    new TokenVerifier(Files.readString(of.jwks()), of.issuer(), of.audience());
             Set<String> revoked =
-                    of.revoked() == null
+                    of.revokedFile() == null
                             ? Set.of()
-                            : Files.readAllLines(of.revoked(), StandardCharsets.UTF_8).stream()
+                            : Files.readAllLines(of.revokedFile(), StandardCharsets.UTF_8).stream()
                                     .map(String::strip)
                                     .filter(l -> !l.isEmpty() && !l.startsWith("#"))
                                     .collect(Collectors.toSet());
@@ -213,11 +215,12 @@
                                     .protocols("TLSv1.3", "TLSv1.2")
                                     .build();
             return new Read(
-                    of.policy(by.types(), by.tenants(), next.ids(), revoked), next, context);
-        } catch (Tokens.BadToken bad) {
-            throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
+                    of.policy(by.types(), by.tenants(), next.keyIds(), revoked), next, context);
+        } catch (TokenVerifier.InvalidTokenException bad) {
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    of.jwks() + ": " + bad.getMessage());
         } catch (IOException | IllegalArgumentException bad) {
-            throw new Operator.BadOperator("identity: " + bad);
+            throw new OperatorConfig.InvalidOperatorConfigException("identity: " + bad);
         }
     }
 
@@ -226,13 +229,13 @@
     private void take(Read read) {
         tokens = read.tokens;
         tls = read.tls;
-        gate.read(read.policy);
+        gate.replacePolicy(read.policy);
     }
 
     @Override
     public void tick() {
-        gate.at(clock.now(), Duration.ofMillis(clock.unixMillis()));
-        penalty.at(clock.now());
+        gate.updateTime(clock.now(), Duration.ofMillis(clock.unixMillis()));
+        penalty.updateTime(clock.now());
     }
 
     @Override
@@ -256,39 +259,40 @@
     @Override
     public Duration wait(String address, String user) {
         tick();
-        return penalty.wait(address, user);
+        return penalty.loginDelay(address, user);
     }
 
     /** The signature is checked by the reader's thread; what it says is weighed here. */
     @Override
     public void enter(String address, String user, String token, Entry entry) {
-        Tokens by = tokens;
+        TokenVerifier by = tokens;
         reader.execute(
                 () -> {
-                    Gate.Credential credential = null;
+                    AccessController.Credential credential = null;
                     String wrong = null;
                     try {
-                        credential = by.read(token);
+                        credential = by.verify(token);
                         wrong =
                                 credential.principal().equals(user)
                                         ? null
                                         : "the token is for '" + credential.principal() + "'";
-                    } catch (Tokens.BadToken bad) {
+                    } catch (TokenVerifier.InvalidTokenException bad) {
                         wrong = bad.getMessage();
                     }
-                    Gate.Credential said = credential;
+                    AccessController.Credential said = credential;
                     String fault = wrong;
                     loop.execute(
                             () -> {
                                 tick();
-                                Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
-                                if (in instanceof Gate.Session session) {
-                                    penalty.right(address, user);
+                                Object in =
+                                        fault != null ? Refusal.UNKNOWN : gate.openSession(said);
+                                if (in instanceof AccessController.Session session) {
+                                    penalty.recordSuccess(address, user);
                                     entry.entered(session);
                                     return;
                                 }
-                                penalty.failed(address, user);
-                                String why = fault != null ? fault : ((Refusal) in).word();
+                                penalty.recordFailure(address, user);
+                                String why = fault != null ? fault : ((Refusal) in).label();
                                 log.warn(
                                         "login-refused",
                                         "user",
@@ -304,7 +308,7 @@
 
     @Override
     public void denied(
-            Gate.Session session,
+            AccessController.Session session,
             Refusal why,
             String type,
             boolean write,
@@ -313,7 +317,7 @@
         log.warn(
                 "denied",
                 "who",
-                session.name(),
+                session.principalName(),
                 "why",
                 why,
                 "type",
--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/Ledger.java
@@ -8,13 +8,13 @@
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.router.recovery.PeerInDoubtKeys;
 import dillfront.router.site.SiteHealthMonitor;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.MemberState;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.SubmissionResult;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -73,15 +73,15 @@
             Log log) {
         this.log = log;
         this.memory = memory;
-        Settings settings = setup.settings();
-        dial = settings.dial();
+        RoutingSettings settings = setup.settings();
+        dial = settings.connectTimeout();
         named(setup);
         sites =
                 watchesSites
                         ? new SiteHealthMonitor(zones.getOrDefault(settings.zone(), ""), dial, this)
                         : null;
         doubts = bounds == null ? null : new InDoubtKeys(bounds, memory);
-        groups = new GroupRecovery(began, dial, settings.coldFor(), this);
+        groups = new GroupRecovery(began, dial, settings.warmUpTime(), this);
         if (memory != null) {
             memory.primaries().forEach(groups::restorePrimary);
             if (doubts != null) {
@@ -103,8 +103,8 @@
     }
 
     void settings(Setup next) {
-        dial = next.settings().dial();
-        groups.settings(dial, next.settings().coldFor());
+        dial = next.settings().connectTimeout();
+        groups.settings(dial, next.settings().warmUpTime());
         named(next);
         if (sites != null) {
             sites.setDialTimeout(dial);
@@ -142,15 +142,21 @@
     }
 
     /** A submission ended, of a txn with a key or without (0). */
-    void ended(long key, int node, Result result, boolean told, Report note, Duration clock) {
+    void ended(
+            long key,
+            int node,
+            SubmissionResult result,
+            boolean told,
+            NodeReport note,
+            Duration clock) {
         if (key != 0) {
             doubts.recordEnd(key, result.mayHaveRun(), told);
         }
-        if (result == Result.UNREACHABLE || result == Result.TIMED_OUT) {
+        if (result == SubmissionResult.UNREACHABLE || result == SubmissionResult.TIMED_OUT) {
             groups.recordNoAnswer(node);
-        } else if (result != Result.UNSENT
-                && result != Result.WITHDRAWN
-                && result != Result.RESET) {
+        } else if (result != SubmissionResult.UNSENT
+                && result != SubmissionResult.WITHDRAWN
+                && result != SubmissionResult.RESET) {
             groups.recordAnswer(node, note.role(), note.position(), clock);
         }
     }
@@ -168,15 +174,15 @@
      * One that claims to lead, and gets no write, stands at no present either: nothing that it says
      * of itself counts.
      */
-    Report believed(int node, Report says, Duration clock) {
-        return says.role() == Role.PRIMARY && !groups.isPrimaryAccepted(node, clock)
-                ? Report.NOTHING
+    NodeReport believed(int node, NodeReport says, Duration clock) {
+        return says.role() == NodeRole.PRIMARY && !groups.isPrimaryAccepted(node, clock)
+                ? NodeReport.EMPTY
                 : says;
     }
 
     // ---- nodes
 
-    void probed(int node, boolean answered, Report report, Duration clock) {
+    void probed(int node, boolean answered, NodeReport report, Duration clock) {
         if (answered) {
             groups.recordAnswer(node, report.role(), report.position(), clock);
         } else {
@@ -192,12 +198,12 @@
                     m.id(),
                     row.group(),
                     row.started(),
-                    row.standing() == Standing.READY);
+                    row.standing() == MemberState.READY);
             if (sites != null) {
                 sites.updateNode(
                         row.node(),
                         zones.getOrDefault(row.zone(), "?"),
-                        row.standing() == Standing.READY);
+                        row.standing() == MemberState.READY);
             }
         }
     }
@@ -216,7 +222,7 @@
     /**
      * @param sees what the router sees of each node, by its index, of so many
      */
-    void beat(Duration clock, int nodes, IntFunction<Sight> sees) {
+    void beat(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
         now = clock;
         groups.tick(clock);
         for (int node = 0; node < nodes && sites != null; node++) {
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -20,13 +20,13 @@
 import dillfront.router.peers.PeerRestrictionSync;
 import dillfront.router.pgwire.Statement;
 import dillfront.router.recovery.InDoubtKeys;
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Outlet;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingActions;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import java.time.Duration;
@@ -44,7 +44,7 @@
  * The module and what it drives: words of the network become its calls, its results go out again.
  */
 final class Router
-        implements Outlet,
+        implements RoutingActions,
                 Desk,
                 Fleet.Listener,
                 Watch.Listener,
@@ -65,7 +65,7 @@
     private Duration told = Duration.ZERO;
 
     private final MemberList members;
-    private final Decide decide;
+    private final RoutingEngine decide;
     private final Fleet fleet;
 
     /** A slot is used again once its txn is over. */
@@ -102,7 +102,7 @@
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new LoopLagMonitor(setup.settings().step());
+        pace = new LoopLagMonitor(setup.settings().clockStep());
         members = new MemberList(setup, clock, log);
         fleet =
                 new Fleet(
@@ -115,7 +115,7 @@
                         nodeConnections,
                         (int) (config.memoryMb() << 20) / LONGEST_PART,
                         this);
-        decide = new Decide(setup.settings(), this, new SplittableRandom(config.seed()));
+        decide = new RoutingEngine(setup.settings(), this, new SplittableRandom(config.seed()));
     }
 
     /** Some list is there: before that, nothing can be served. */
@@ -175,10 +175,10 @@
     void settings(Setup next) {
         tick();
         setup = next;
-        pace.setStep(next.settings().step());
+        pace.setStep(next.settings().clockStep());
         members.settings(next);
         fleet.settings(next);
-        decide.settings(next.settings());
+        decide.applySettings(next.settings());
         if (ledger != null) {
             ledger.settings(next);
         }
@@ -190,9 +190,9 @@
     public void tick() {
         Duration now = clock.now();
         Duration behind = pace.totalLag(now);
-        decide.at(now);
+        decide.setTime(now);
         if (behind.compareTo(told) > 0) {
-            decide.late(behind.minus(told));
+            decide.recordPause(behind.minus(told));
             told = behind;
         }
     }
@@ -215,7 +215,7 @@
         for (Member m : read) {
             rows.add(m.row());
         }
-        decide.list(list.flag("reset"), rows);
+        decide.updateMembers(list.flag("reset"), rows);
         if (neighbours != null) {
             read.forEach(m -> neighbours.addNode(m.row().node(), m.id()));
         }
@@ -229,7 +229,7 @@
     private void forget() {
         members.forget(
                 node -> {
-                    boolean over = decide.forget(node);
+                    boolean over = decide.forgetNode(node);
                     if (over) {
                         fleet.forget(node);
                         if (neighbours != null) {
@@ -241,7 +241,7 @@
                     }
                     return over;
                 });
-        counters.nodes = members.indices();
+        counters.nodeRows = members.indices();
     }
 
     /** Discovery itself has told a list. */
@@ -257,7 +257,7 @@
         if (ledger != null) {
             ledger.discovery(false);
         }
-        decide.listFailed();
+        decide.memberListFailed();
     }
 
     @Override
@@ -277,7 +277,8 @@
                 ledger != null
                         && ledger.keeps()
                         && statement.mark != 0
-                        && setup.settings().types().get(type).effect() == Effect.REFERENCED;
+                        && setup.settings().transactionTypes().get(type).repeatability()
+                                == Repeatability.DEDUPLICATED;
         long key = marked ? InDoubtKeys.hash(statement.group, statement.mark) : 0;
         if (marked && !ledger.take(key, clock.now())) {
             return refused(statement, message, asker);
@@ -289,8 +290,8 @@
         } else {
             slots.set(slot, exchange);
         }
-        counters.taken++;
-        counters.txns++;
+        counters.startedTransactions++;
+        counters.openTransactions++;
         Duration now = clock.now();
         Duration token =
                 !setup.tokensCarried()
@@ -302,7 +303,7 @@
         Duration expiry = now.minus(waited).plus(patience);
         owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
         exchange.taken(
-                decide.take(
+                decide.accept(
                         slot,
                         type,
                         tenant,
@@ -321,22 +322,23 @@
      */
     private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
         ids.remove(statement.id);
-        counters.taken++;
+        counters.startedTransactions++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxPause());
+        never.decline(setup.settings().maxRetryDelay());
         message.release();
         return never;
     }
 
     @Override
-    public void ended(Exchange exchange, int node, Result result, boolean told, Report note) {
+    public void ended(
+            Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
         if (ledger != null) {
             ledger.ended(exchange.key(), node, result, told, note, clock.now());
         }
     }
 
     @Override
-    public Report believed(int node, Report says) {
+    public NodeReport believed(int node, NodeReport says) {
         return ledger == null ? says : ledger.believed(node, says, clock.now());
     }
 
@@ -354,7 +356,8 @@
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
     private Duration patience(Statement statement, int type) {
-        long longest = setup.settings().types().get(type).longest().toMillis();
+        long longest =
+                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
         return Duration.ofMillis(Math.min(statement.waitMs, longest));
     }
 
@@ -366,16 +369,16 @@
         slots.set(exchange.slot(), null);
         ids.remove(exchange.statement().id);
         free.add(exchange.slot());
-        counters.txns--;
+        counters.openTransactions--;
     }
 
     @Override
-    public void probed(int node, boolean answered, Report report) {
+    public void probed(int node, boolean answered, NodeReport report) {
         tick();
         if (ledger != null) {
             ledger.probed(node, answered, report, clock.now());
         }
-        decide.probed(node, answered, believed(node, report));
+        decide.probeCompleted(node, answered, believed(node, report));
     }
 
     // ---- what others say
@@ -421,7 +424,7 @@
         }
         if (!closed.isEmpty()) {
             tick();
-            decide.list(false, closed.stream().map(Member::row).toList());
+            decide.updateMembers(false, closed.stream().map(Member::row).toList());
             if (ledger != null) {
                 ledger.listed(closed);
             }
@@ -429,7 +432,7 @@
     }
 
     @Override
-    public Sight observeHealth(int node) {
+    public HealthObservation observeHealth(int node) {
         return decide.observeHealth(node);
     }
 
@@ -442,7 +445,7 @@
     @Override
     public void better(int node) {
         tick();
-        decide.better(node);
+        decide.advanceTrial(node);
     }
 
     // ---- results of the module
@@ -463,12 +466,12 @@
     }
 
     @Override
-    public void rollBack(int txn) {
+    public void reportUnknownOutcome(int txn) {
         slots.get(txn).rollBack();
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         fleet.release(node);
     }
 
@@ -479,19 +482,21 @@
 
     /** The watch goes on by itself on sockets. */
     @Override
-    public void follow() {}
+    public void watchMemberList() {}
 
     @Override
-    public void wake(Duration in) {
+    public void scheduleWakeUp(Duration in) {
         pace.expectTick(clock.now().plus(in));
         loop.schedule(
                 () -> {
                     try {
                         tick();
                         pace.recordTick(clock.now());
-                        counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longestLag().toMillis());
-                        decide.woken();
+                        counters.longestLoopTurnMillis =
+                                Math.max(
+                                        counters.longestLoopTurnMillis,
+                                        pace.longestLag().toMillis());
+                        decide.onWakeUp();
                         if (neighbours != null) {
                             neighbours.tick(clock.now());
                         }
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/Side.java
@@ -8,7 +8,7 @@
 import dillfront.router.discovery.Witnesses;
 import dillfront.router.frontend.Clients;
 import dillfront.router.memory.RouterStateStore;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
 import dillfront.router.peers.PeerRestrictionSync;
@@ -36,8 +36,14 @@
 
     private final Ledger ledger;
 
-    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log)
-            throws Operator.BadOperator {
+    Side(
+            OperatorConfig operator,
+            Config config,
+            Router router,
+            Clients clients,
+            EventLoop loop,
+            Log log)
+            throws OperatorConfig.InvalidOperatorConfigException {
         String name = config.name();
         long seed = config.seed();
         doorkeeper =
@@ -55,9 +61,9 @@
             clients.ask(doorkeeper);
         }
         memory =
-                operator.memory() == null
+                operator.stateFolder() == null
                         ? null
-                        : RouterStateStore.open(operator.memory(), name, log, loop);
+                        : RouterStateStore.open(operator.stateFolder(), name, log, loop);
         if (memory != null) {
             router.remembers(
                     members -> {
@@ -73,24 +79,26 @@
                     });
         }
         ledger =
-                memory == null && operator.doubts() == null && !operator.sites()
+                memory == null
+                                && operator.uncertainTransactionBounds() == null
+                                && !operator.assessesSites()
                         ? null
                         : new Ledger(
-                                operator.doubts(),
+                                operator.uncertainTransactionBounds(),
                                 memory,
-                                operator.sites(),
+                                operator.assessesSites(),
                                 config.setup(),
                                 router.clock().now(),
                                 log);
         if (ledger != null) {
             router.keeps(ledger, memory == null ? null : memory::whenKept);
         }
-        Operator.GossipPart gossip = operator.gossip();
+        OperatorConfig.GossipSection gossip = operator.gossip();
         if (gossip == null) {
             neighbours = null;
             datagrams = null;
         } else {
-            int self = gossip.self(name);
+            int self = gossip.selfIndex(name);
             PeerRegistry ring = gossip.ring();
             neighbours = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
             datagrams =
@@ -98,9 +106,9 @@
                             gossip.tuning(),
                             ring,
                             self,
-                            gossip.bind(),
+                            gossip.bindAddress(),
                             PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
-                            gossip.key(),
+                            gossip.privateKey(),
                             loop,
                             log,
                             router.clock()::now,
@@ -111,9 +119,10 @@
             neighbours.setGossip(datagrams::gossip);
             router.hears(neighbours);
             PeerInDoubtKeys others =
-                    operator.doubts() == null
+                    operator.uncertainTransactionBounds() == null
                             ? null
-                            : new PeerInDoubtKeys(ring.size(), operator.doubts().retention());
+                            : new PeerInDoubtKeys(
+                                    ring.size(), operator.uncertainTransactionBounds().retention());
             if (others != null) {
                 ledger.others(others);
             }
@@ -126,11 +135,11 @@
                             router.clock()::now));
         }
         control =
-                operator.control() == null
+                operator.controlAddress() == null
                         ? null
                         : new Control(
                                 loop,
-                                operator.control(),
+                                operator.controlAddress(),
                                 log,
                                 question ->
                                         switch (question) {
--- a/src/main/java/dillfront/router/backend/Call.java
+++ b/src/main/java/dillfront/router/backend/Call.java
@@ -2,9 +2,9 @@
 
 import dillfront.router.exchange.Answer;
 import dillfront.router.pgwire.Messages;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
@@ -46,8 +46,8 @@
     private ByteBuf completion;
     String code;
     private Duration position;
-    private Role role;
-    private Report report = Report.NOTHING;
+    private NodeRole role;
+    private NodeReport report = NodeReport.EMPTY;
 
     Call(Pool pool) {
         this.pool = pool;
@@ -59,7 +59,12 @@
 
     abstract void write(ChannelHandlerContext ctx, ChannelPromise last);
 
-    abstract void over(Result result, Duration took, Answer answer, Report note, Report report);
+    abstract void over(
+            SubmissionResult result,
+            Duration took,
+            Answer answer,
+            NodeReport note,
+            NodeReport report);
 
     /** Takes one message of the answer over; false where it is out of turn. */
     boolean take(ByteBuf message) {
@@ -92,11 +97,11 @@
         this.position = position;
     }
 
-    void noted(Role role) {
+    void noted(NodeRole role) {
         this.role = role;
     }
 
-    void reported(Report report) {
+    void reported(NodeReport report) {
         this.report = report;
     }
 
@@ -115,22 +120,24 @@
     }
 
     /** How it ended, by what came back of it. */
-    Result result() {
+    SubmissionResult result() {
         if (spoilt) {
-            return whole ? Result.SPOILT : Result.UNREACHABLE;
+            return whole ? SubmissionResult.SPOILT : SubmissionResult.UNREACHABLE;
         }
         if (code != null) {
             return switch (code) {
-                case "25006", "72000" -> Result.MISS;
-                case "53300", "57P03" -> Result.FULL;
-                default -> Result.ERROR;
+                case "25006", "72000" -> SubmissionResult.MISS;
+                case "53300", "57P03" -> SubmissionResult.FULL;
+                default -> SubmissionResult.ERROR;
             };
         }
-        return completion != null ? Result.COMMITTED : whole ? Result.RESET : Result.UNREACHABLE;
+        return completion != null
+                ? SubmissionResult.COMMITTED
+                : whole ? SubmissionResult.RESET : SubmissionResult.UNREACHABLE;
     }
 
     /** The one place where a call ends: whatever it holds goes on or back. */
-    void end(Result result) {
+    void end(SubmissionResult result) {
         if (ended) {
             return;
         }
@@ -141,7 +148,7 @@
             pool.fleet.counters.timers--;
         }
         Answer answer = null;
-        if (result == Result.COMMITTED) {
+        if (result == SubmissionResult.COMMITTED) {
             answer = new Answer(description, row, completion);
         } else {
             release(description);
@@ -155,8 +162,8 @@
                 result,
                 Duration.ofNanos(System.nanoTime() - startedNanos),
                 answer,
-                spoilt ? Report.NOTHING : new Report(position, role),
-                spoilt ? Report.NOTHING : report);
+                spoilt ? NodeReport.EMPTY : new NodeReport(position, role),
+                spoilt ? NodeReport.EMPTY : report);
     }
 
     private static void release(ByteBuf message) {
--- a/src/main/java/dillfront/router/backend/Connection.java
+++ b/src/main/java/dillfront/router/backend/Connection.java
@@ -5,8 +5,8 @@
 import dillfront.router.pgwire.BadFrame;
 import dillfront.router.pgwire.Frames;
 import dillfront.router.pgwire.Messages;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeRole;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -71,7 +71,7 @@
                         fleet.loop,
                         address,
                         this,
-                        (int) fleet.setup.settings().dial().toMillis() + 1);
+                        (int) fleet.setup.settings().connectTimeout().toMillis() + 1);
         if (connecting == null) {
             close();
             return;
@@ -80,7 +80,9 @@
         fleet.counters.timers++;
         dialing =
                 fleet.loop.schedule(
-                        this::close, fleet.setup.settings().dial().toNanos(), TimeUnit.NANOSECONDS);
+                        this::close,
+                        fleet.setup.settings().connectTimeout().toNanos(),
+                        TimeUnit.NANOSECONDS);
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
@@ -169,7 +171,7 @@
                     channel.eventLoop()
                             .schedule(
                                     () -> spoilt("an answer that does not go on"),
-                                    fleet.setup.settings().dial().toNanos(),
+                                    fleet.setup.settings().connectTimeout().toNanos(),
                                     TimeUnit.NANOSECONDS);
         }
     }
@@ -239,8 +241,10 @@
         if (role >= 0) {
             call.noted(
                     Messages.is(message, role, LEADER)
-                            ? Role.PRIMARY
-                            : Messages.is(message, role, FOLLOWER) ? Role.REPLICA : (Role) null);
+                            ? NodeRole.PRIMARY
+                            : Messages.is(message, role, FOLLOWER)
+                                    ? NodeRole.REPLICA
+                                    : (NodeRole) null);
         } else if (position >= 0) {
             call.noted(fleet.position(message, position));
         } else if (load >= 0) {
@@ -275,7 +279,7 @@
         Call late = call;
         call = null;
         close();
-        late.end(late.whole ? Result.TIMED_OUT : Result.UNREACHABLE);
+        late.end(late.whole ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
     }
 
     @Override
@@ -311,7 +315,7 @@
             lost.end(lost.result());
         }
         if (caller != null && pool.waiting.remove(caller)) {
-            caller.end(Result.UNREACHABLE);
+            caller.end(SubmissionResult.UNREACHABLE);
         }
         caller = null;
     }
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/Fleet.java
@@ -8,9 +8,9 @@
 import dillfront.router.exchange.Submitter;
 import dillfront.router.pace.LoopLagMonitor;
 import dillfront.router.pgwire.Messages;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.NodeRole;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
 
     /** Where the word of a probe goes. */
     public interface Listener {
-        void probed(int node, boolean answered, Report report);
+        void probed(int node, boolean answered, NodeReport report);
     }
 
     /**
@@ -93,8 +93,8 @@
         this.most = most;
         this.longest = longest;
         this.listener = listener;
-        restNanos = setup.settings().dial().toNanos() / 4;
-        Duration every = setup.settings().dial();
+        restNanos = setup.settings().connectTimeout().toNanos() / 4;
+        Duration every = setup.settings().connectTimeout();
         loop.scheduleWithFixedDelay(
                 this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -114,7 +114,7 @@
 
     public void news(Runnable look) {
         news = look;
-        lookedNanos = System.nanoTime() - setup.settings().step().toNanos();
+        lookedNanos = System.nanoTime() - setup.settings().clockStep().toNanos();
     }
 
     /**
@@ -128,7 +128,7 @@
             return;
         }
         long now = System.nanoTime();
-        if (now - lookedNanos >= setup.settings().step().toNanos()) {
+        if (now - lookedNanos >= setup.settings().clockStep().toNanos()) {
             lookedNanos = now;
             news.run();
         }
@@ -182,11 +182,11 @@
                     long most =
                             Math.min(
                                     limit.toNanos(),
-                                    KEPT_DIALS * setup.settings().dial().toNanos());
+                                    KEPT_DIALS * setup.settings().connectTimeout().toNanos());
                     counters.timers++;
                     submission.limit =
                             loop.schedule(
-                                    () -> submission.end(Result.UNSENT),
+                                    () -> submission.end(SubmissionResult.UNSENT),
                                     most,
                                     TimeUnit.NANOSECONDS);
                     kept.whenKept(
@@ -198,7 +198,7 @@
                                         limit.toNanos()
                                                 - (System.nanoTime() - submission.startedNanos);
                                 if (!well || left <= 0) {
-                                    submission.end(Result.UNSENT);
+                                    submission.end(SubmissionResult.UNSENT);
                                     return;
                                 }
                                 submission.limit.cancel(false);
@@ -212,7 +212,7 @@
     @Override
     public void probe(int node) {
         counters.probes++;
-        start(new Probe(pools.get(node)), setup.settings().dial());
+        start(new Probe(pools.get(node)), setup.settings().connectTimeout());
     }
 
     /**
@@ -228,7 +228,7 @@
         look();
         Pool pool = call.pool;
         if (!call.stands()) {
-            call.end(Result.UNSENT);
+            call.end(SubmissionResult.UNSENT);
             return;
         }
         Connection idle = pool.rested();
@@ -239,7 +239,7 @@
         }
         if (open >= most && !closeOldest()) {
             // This router's own limit, and no word on the node.
-            call.end(Result.UNSENT);
+            call.end(SubmissionResult.UNSENT);
             return;
         }
         pool.waiting.add(call);
@@ -268,7 +268,7 @@
             call.connection.giveUp();
         } else {
             call.pool.waiting.remove(call);
-            call.end(Result.UNREACHABLE);
+            call.end(SubmissionResult.UNREACHABLE);
         }
     }
 
@@ -277,7 +277,7 @@
         loop.execute(pools.get(node)::closeIdle);
     }
 
-    void probed(int node, boolean answered, Report report) {
+    void probed(int node, boolean answered, NodeReport report) {
         listener.probed(node, answered, report);
     }
 
@@ -294,7 +294,7 @@
 
     /** Before the node does: what is written to a connection that it has closed is lost. */
     private void closeOld() {
-        long margin = 4 * setup.settings().dial().toNanos();
+        long margin = 4 * setup.settings().connectTimeout().toNanos();
         long idle = Math.max(setup.idle().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (Pool pool : pools) {
@@ -341,9 +341,9 @@
      * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in
      * seconds, x1 as 0 or 1. Whatever else it may be is read as a text.
      */
-    Report report(ByteBuf message, int at) {
+    NodeReport report(ByteBuf message, int at) {
         Duration position = null;
-        Role role = null;
+        NodeRole role = null;
         int end = message.writerIndex() - 1;
         int i = at;
         while (i < end) {
@@ -382,13 +382,13 @@
             if (!plain || isRole && (rest || thousandths != 0 && thousandths != 1000)) {
                 return report(Messages.text(message, at));
             } else if (isRole) {
-                role = thousandths == 1000 ? Role.PRIMARY : Role.REPLICA;
+                role = thousandths == 1000 ? NodeRole.PRIMARY : NodeRole.REPLICA;
             } else if (own && message.getByte(name + 1) == '0') {
                 position = position(thousandths - 1);
             }
             i++;
         }
-        return new Report(position, role);
+        return new NodeReport(position, role);
     }
 
     /** A position in Unix milliseconds; null where it is none, as one that is still to come. */
@@ -401,7 +401,7 @@
     }
 
     private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().dial().toMillis()
+        return ms <= 0 || ms > clock.unixMillis() + setup.settings().connectTimeout().toMillis()
                 ? null
                 : clock.since(ms);
     }
@@ -411,9 +411,9 @@
      * lower one counts. One that cannot be read whole tells nothing, least of all who is the
      * primary.
      */
-    Report report(String text) {
+    NodeReport report(String text) {
         Duration position = null;
-        Role role = null;
+        NodeRole role = null;
         try {
             for (String field : text.split(",")) {
                 String[] named = field.trim().split("=", 2);
@@ -421,7 +421,7 @@
                 if (!Double.isFinite(value) || named[0].equals("x1") && value != 0 && value != 1) {
                     throw new NumberFormatException();
                 } else if (named[0].equals("x1")) {
-                    role = value == 1 ? Role.PRIMARY : Role.REPLICA;
+                    role = value == 1 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                 } else if (named[0].equals("x0")) {
                     position = position((long) Math.floor(value * 1000 - 1));
                 }
@@ -429,8 +429,8 @@
         } catch (NumberFormatException none) {
             log.warn(
                     "report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
-            return Report.NOTHING;
+            return NodeReport.EMPTY;
         }
-        return new Report(position, role);
+        return new NodeReport(position, role);
     }
 }
--- a/src/main/java/dillfront/router/backend/Pool.java
+++ b/src/main/java/dillfront/router/backend/Pool.java
@@ -1,6 +1,6 @@
 package dillfront.router.backend;
 
-import dillfront.routing.api.Result;
+import dillfront.routing.api.SubmissionResult;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Iterator;
@@ -67,7 +67,7 @@
                 idle.remove(free);
                 free.carry(call);
             } else {
-                call.end(Result.UNSENT);
+                call.end(SubmissionResult.UNSENT);
             }
         }
     }
--- a/src/main/java/dillfront/router/backend/Probe.java
+++ b/src/main/java/dillfront/router/backend/Probe.java
@@ -2,8 +2,8 @@
 
 import dillfront.router.exchange.Answer;
 import dillfront.router.pgwire.Messages;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 import java.time.Duration;
@@ -27,8 +27,13 @@
     }
 
     @Override
-    void over(Result result, Duration took, Answer answer, Report note, Report report) {
-        Report told = report;
+    void over(
+            SubmissionResult result,
+            Duration took,
+            Answer answer,
+            NodeReport note,
+            NodeReport report) {
+        NodeReport told = report;
         if (answer != null) {
             String text = Messages.column(answer.row());
             if (text != null && pool.fleet.setup.reports()) {
@@ -37,6 +42,9 @@
             answer.release();
         }
         // One that answers in no form is up.
-        pool.fleet.probed(pool.node, result == Result.COMMITTED || result == Result.SPOILT, told);
+        pool.fleet.probed(
+                pool.node,
+                result == SubmissionResult.COMMITTED || result == SubmissionResult.SPOILT,
+                told);
     }
 }
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -3,8 +3,8 @@
 import dillfront.router.exchange.Answer;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.pgwire.Statement;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.ChannelHandlerContext;
@@ -57,7 +57,12 @@
     }
 
     @Override
-    void over(Result result, Duration took, Answer answer, Report note, Report report) {
+    void over(
+            SubmissionResult result,
+            Duration took,
+            Answer answer,
+            NodeReport note,
+            NodeReport report) {
         pool.fleet.counters.ended(result);
         exchange.ended(pool.node, result, took, answer, note, report);
     }
--- a/src/main/java/dillfront/router/config/Config.java
+++ b/src/main/java/dillfront/router/config/Config.java
@@ -79,7 +79,7 @@
             names.add("limits");
         }
         // Timers of clients and of discovery.
-        if (!setup.settings().dial().equals(other.setup.settings().dial())) {
+        if (!setup.settings().connectTimeout().equals(other.setup.settings().connectTimeout())) {
             names.add("settings.bounds.dialTimeoutUs");
         }
         return names;
@@ -101,7 +101,7 @@
             throw new BadConfig(fault);
         }
         Setup setup = Setup.read(settings);
-        if (setup.settings().dial().isZero() || setup.settings().step().isZero()) {
+        if (setup.settings().connectTimeout().isZero() || setup.settings().clockStep().isZero()) {
             throw new BadConfig("settings lack stepUs or bounds.dialTimeoutUs");
         }
         return new Config(
--- a/src/main/java/dillfront/router/config/Setup.java
+++ b/src/main/java/dillfront/router/config/Setup.java
@@ -1,10 +1,10 @@
 package dillfront.router.config;
 
-import dillfront.routing.Decide;
-import dillfront.routing.api.Effect;
-import dillfront.routing.api.Read;
-import dillfront.routing.api.Settings;
-import dillfront.routing.api.TxnType;
+import dillfront.routing.RoutingEngine;
+import dillfront.routing.api.Consistency;
+import dillfront.routing.api.Repeatability;
+import dillfront.routing.api.RoutingSettings;
+import dillfront.routing.api.TransactionType;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
  * @param reports nodes tell of themselves: in answers and probes, or in probes alone
  */
 public record Setup(
-        Settings settings,
+        RoutingSettings settings,
         Map<String, Integer> types,
         Map<String, Integer> tenants,
         Map<String, Integer> zones,
@@ -52,7 +52,7 @@
 
     /** Spreads the numbers that stand for sessions over the module's indices. */
     public static int session(long number) {
-        return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, Decide.SESSIONS);
+        return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, RoutingEngine.SESSION_SLOTS);
     }
 
     // Loops, not streams: these are read at every start, which pays for each class of the JDK that
@@ -74,20 +74,20 @@
         return into;
     }
 
-    private static Settings settings(Tree setup, Tree family, Map<String, Integer> zones) {
+    private static RoutingSettings settings(Tree setup, Tree family, Map<String, Integer> zones) {
         Tree bounds = setup.tree("bounds");
         Tree rules = setup.tree("rules");
         Tree charges = setup.tree("charges");
         List<Tree> classes = setup.trees("classes");
-        List<TxnType> rows = new ArrayList<>();
+        List<TransactionType> rows = new ArrayList<>();
         for (int i = 0; i < classes.size(); i++) {
             Tree type = classes.get(i);
             rows.add(
-                    new TxnType(
+                    new TransactionType(
                             switch (type.text("effect")) {
-                                case "retryable" -> Effect.REPEATABLE;
-                                case "dedup" -> Effect.REFERENCED;
-                                default -> Effect.ONCE_ONLY;
+                                case "retryable" -> Repeatability.IDEMPOTENT;
+                                case "dedup" -> Repeatability.DEDUPLICATED;
+                                default -> Repeatability.NOT_REPEATABLE;
                             },
                             !type.text("dedupScope").equals("all"),
                             type.span("dedupWindowUs"),
@@ -100,7 +100,7 @@
                             type.number("worth", 1),
                             type.number("lateShare", 0)));
         }
-        return new Settings(
+        return new RoutingSettings(
                 setup.span("stepUs"),
                 zones.getOrDefault(setup.text("az"), -1),
                 bounds.span("dialTimeoutUs"),
@@ -129,13 +129,13 @@
         return quotas;
     }
 
-    private static Read read(List<?> reads, int i) {
+    private static Consistency read(List<?> reads, int i) {
         return switch (i < reads.size() ? String.valueOf(reads.get(i)) : "") {
-            case "eventual" -> Read.ANY;
-            case "lag_bound" -> Read.BOUNDED;
-            case "causal" -> Read.SESSION;
-            case "mutate" -> Read.WRITE;
-            default -> Read.FRESH;
+            case "eventual" -> Consistency.EVENTUAL;
+            case "lag_bound" -> Consistency.BOUNDED_STALENESS;
+            case "causal" -> Consistency.SESSION;
+            case "mutate" -> Consistency.WRITE;
+            default -> Consistency.STRONG;
         };
     }
 
--- a/src/main/java/dillfront/router/discovery/Closings.java
+++ b/src/main/java/dillfront/router/discovery/Closings.java
@@ -1,6 +1,6 @@
 package dillfront.router.discovery;
 
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -21,7 +21,7 @@
 
     /** Who is told of each change, so that a later life may begin with them. */
     public interface Keeper {
-        void closed(String id, Standing standing, long startedMs, long generation);
+        void closed(String id, MemberState standing, long startedMs, long generation);
 
         void opened(String id);
     }
@@ -38,7 +38,7 @@
      * The last word that closed a node: of which list, what it said, and the start of the process
      * that it spoke of.
      */
-    private record Closing(long generation, Standing standing, long startedMs) {}
+    private record Closing(long generation, MemberState standing, long startedMs) {}
 
     /** Emptied by words that open a node again, and at the bound. */
     private final Map<String, Closing> closed = new LinkedHashMap<>();
@@ -57,11 +57,11 @@
      * @param generation of that list
      * @param startedMs when the node last started, as the list has it
      */
-    public Standing heard(String id, Standing said, long startedMs, long generation) {
+    public MemberState heard(String id, MemberState said, long startedMs, long generation) {
         Closing before = closed.get(id);
         boolean older =
                 before != null && generation <= before.generation && startedMs <= before.startedMs;
-        if (said != Standing.READY) {
+        if (said != MemberState.READY) {
             close(id, said, startedMs, generation);
             return said;
         }
@@ -81,18 +81,18 @@
      * An older word that comes later says nothing new. One that drained stays drained when it is
      * gone: that binds more.
      */
-    public void close(String id, Standing said, long startedMs, long generation) {
+    public void close(String id, MemberState said, long startedMs, long generation) {
         Closing before = closed.get(id);
         if (before == null || generation >= before.generation || startedMs > before.startedMs) {
             boolean drained =
                     before != null
-                            && before.standing == Standing.DRAINING
+                            && before.standing == MemberState.DRAINING
                             && startedMs <= before.startedMs;
             closed.remove(id);
             Closing now =
                     new Closing(
                             before == null ? generation : Math.max(generation, before.generation),
-                            drained ? Standing.DRAINING : said,
+                            drained ? MemberState.DRAINING : said,
                             before == null ? startedMs : Math.max(startedMs, before.startedMs));
             closed.put(id, now);
             version += now.equals(before) ? 0 : 1;
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -5,8 +5,8 @@
 import dillfront.router.config.Clock;
 import dillfront.router.config.Setup;
 import dillfront.router.config.Tree;
+import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeRow;
-import dillfront.routing.api.Standing;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -66,7 +66,7 @@
      * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
      * it again.
      */
-    public void recall(String id, Standing standing, long startedMs, long generation) {
+    public void recall(String id, MemberState standing, long startedMs, long generation) {
         closings.close(id, standing, startedMs, generation);
     }
 
@@ -99,11 +99,11 @@
         for (Tree entry : list.trees("instances")) {
             String id = entry.text("instanceId");
             InetSocketAddress address = Address.parse(entry.text("hostPort"));
-            Standing standing =
+            MemberState standing =
                     switch (entry.text("lifecycle")) {
-                        case "ready" -> Standing.READY;
-                        case "draining" -> Standing.DRAINING;
-                        case "gone" -> Standing.GONE;
+                        case "ready" -> MemberState.READY;
+                        case "draining" -> MemberState.DRAINING;
+                        case "gone" -> MemberState.GONE;
                         default -> null;
                     };
             if (id.isEmpty() || address == null || standing == null) {
@@ -118,7 +118,7 @@
                 continue;
             }
             long startedMs = entry.whole("startedAtMs");
-            Standing holds = closings.heard(id, standing, startedMs, generation);
+            MemberState holds = closings.heard(id, standing, startedMs, generation);
             if (holds != standing) {
                 log.warn(
                         "list-older",
@@ -133,7 +133,7 @@
                 standing = holds;
             }
             open.remove(id);
-            if (standing == Standing.GONE) {
+            if (standing == MemberState.GONE) {
                 if (!nodes.containsKey(id)) {
                     continue;
                 }
@@ -163,7 +163,7 @@
         }
         // A whole list closes those that it leaves out.
         for (String id : open) {
-            closings.close(id, Standing.GONE, nodes.get(id).startedMs, generation);
+            closings.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
         }
         closings.trim(nodes.size());
         return members;
@@ -215,12 +215,12 @@
     public Member closedElsewhere(String id, long generation, long startedMs) {
         Member member = rows.get(id);
         if (member == null
-                || member.row().standing() != Standing.READY
+                || member.row().standing() != MemberState.READY
                 || member.startedMs() > startedMs
                 || generation <= latest) {
             return null;
         }
-        closings.close(id, Standing.DRAINING, startedMs, generation);
+        closings.close(id, MemberState.DRAINING, startedMs, generation);
         NodeRow row = member.row();
         Member now =
                 new Member(
@@ -232,7 +232,7 @@
                                 row.size(),
                                 row.primary(),
                                 row.started(),
-                                Standing.DRAINING),
+                                MemberState.DRAINING),
                         member.address(),
                         member.startedMs());
         rows.put(id, now);
--- a/src/main/java/dillfront/router/discovery/Watch.java
+++ b/src/main/java/dillfront/router/discovery/Watch.java
@@ -285,7 +285,7 @@
         }
 
         private void fault(String fault) {
-            counters.listFaults++;
+            counters.failedLists++;
             log.warn("list-dropped", "fault", fault);
             close();
         }
--- a/src/main/java/dillfront/router/exchange/Desk.java
+++ b/src/main/java/dillfront/router/exchange/Desk.java
@@ -1,8 +1,8 @@
 package dillfront.router.exchange;
 
 import dillfront.router.pgwire.Statement;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.SubmissionResult;
 import io.netty.buffer.ByteBuf;
 import java.time.Duration;
 
@@ -27,10 +27,10 @@
      *
      * @param told its client gets its answer by that
      */
-    void ended(Exchange exchange, int node, Result result, boolean told, Report note);
+    void ended(Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note);
 
     /** What the module is to believe of what a node says of itself. */
-    Report believed(int node, Report says);
+    NodeReport believed(int node, NodeReport says);
 
     /** Whether it may go to this node, beyond what the module knows of it. */
     boolean may(Exchange exchange, int node);
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -1,9 +1,9 @@
 package dillfront.router.exchange;
 
 import dillfront.router.pgwire.Statement;
-import dillfront.routing.api.Handle;
-import dillfront.routing.api.Report;
-import dillfront.routing.api.Result;
+import dillfront.routing.api.NodeReport;
+import dillfront.routing.api.SubmissionResult;
+import dillfront.routing.api.TransactionHandle;
 import io.netty.buffer.ByteBuf;
 import java.time.Duration;
 
@@ -26,7 +26,7 @@
      */
     private final long key;
 
-    private Handle handle;
+    private TransactionHandle handle;
     private int out;
     private boolean answered;
     private boolean over;
@@ -62,7 +62,7 @@
     }
 
     /** The module has taken the txn; it may be answered already. */
-    public void taken(Handle by) {
+    public void taken(TransactionHandle by) {
         handle = by;
         releaseIfOver();
     }
@@ -94,7 +94,7 @@
         }
         answered = true;
         desk.tick();
-        handle.left();
+        handle.clientDisconnected();
         releaseIfOver();
     }
 
@@ -105,14 +105,19 @@
      */
     public boolean stands(int node) {
         desk.tick();
-        return !answered && desk.may(this, node) && handle.stands(node);
+        return !answered && desk.may(this, node) && handle.maySend(node);
     }
 
     /**
      * @param answer what the node answered where it committed, else null; taken over
      */
     public void ended(
-            int node, Result result, Duration took, Answer answer, Report note, Report report) {
+            int node,
+            SubmissionResult result,
+            Duration took,
+            Answer answer,
+            NodeReport note,
+            NodeReport report) {
         desk.tick();
         out--;
         boolean told = answer != null && !answered;
@@ -123,7 +128,7 @@
         } else if (answer != null) {
             answer.release();
         }
-        handle.ended(
+        handle.submissionEnded(
                 node,
                 result,
                 took,
--- a/src/main/java/dillfront/router/frontend/Callers.java
+++ b/src/main/java/dillfront/router/frontend/Callers.java
@@ -1,6 +1,6 @@
 package dillfront.router.frontend;
 
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.Refusal;
 import io.netty.channel.ChannelHandler;
 import java.time.Duration;
@@ -25,7 +25,7 @@
 
     /** What came of a credential. */
     interface Entry {
-        void entered(Gate.Session session);
+        void entered(AccessController.Session session);
 
         void refused(Refusal why, String text);
     }
@@ -34,5 +34,10 @@
 
     /** For the record: a txn of someone who is in was not taken. */
     void denied(
-            Gate.Session session, Refusal why, String type, boolean write, int group, String cause);
+            AccessController.Session session,
+            Refusal why,
+            String type,
+            boolean write,
+            int group,
+            String cause);
 }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -4,7 +4,7 @@
 import dillfront.router.exchange.Answer;
 import dillfront.router.exchange.Asker;
 import dillfront.router.exchange.Exchange;
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.Refusal;
 import dillfront.router.pgwire.BadFrame;
 import dillfront.router.pgwire.BadStatement;
@@ -35,7 +35,7 @@
 
     private boolean proving;
     private boolean encrypted;
-    private Gate.Session session;
+    private AccessController.Session session;
     private boolean counted;
 
     /** After a message of the extended protocol, until its Sync. */
@@ -206,13 +206,13 @@
      */
     private void prove(String name) {
         if (clients.callers.tlsAlone() && !encrypted) {
-            refuse(Refusal.UNKNOWN.code(), "only over TLS");
+            refuse(Refusal.UNKNOWN.sqlState(), "only over TLS");
             return;
         }
         Duration wait = clients.callers.wait(address(), name);
         if (!wait.isZero()) {
             refuse(
-                    Refusal.PENALTY.code(),
+                    Refusal.PENALTY.sqlState(),
                     "failed too often, to be tried again in "
                             + Math.max(1, wait.toMillis())
                             + " ms");
@@ -246,9 +246,9 @@
                 token,
                 new Callers.Entry() {
                     @Override
-                    public void entered(Gate.Session in) {
+                    public void entered(AccessController.Session in) {
                         if (closed) {
-                            in.leave();
+                            in.close();
                             return;
                         }
                         session = in;
@@ -267,7 +267,7 @@
                         if (!closed) {
                             owes = false;
                             // Why in full stands in the log alone.
-                            refuse(why.code(), "not let in: " + why.word());
+                            refuse(why.sqlState(), "not let in: " + why.label());
                         }
                     }
                 });
@@ -325,7 +325,7 @@
             // It came when this router had said goodbye: no longer than what is out may it go on.
             // Never sent, so harmless.
             message.release();
-            clients.counters.turnedAway++;
+            clients.counters.declinedWhileStopping++;
             error(Messages.DECLINED, "this router ends, trying again is harmless", null);
             clients.free(this);
             return;
@@ -337,7 +337,7 @@
             statement = Statement.read(message);
         } catch (BadStatement bad) {
             message.release();
-            clients.counters.outOfForm++;
+            clients.counters.malformedQueries++;
             clients.log.warn("query-out-of-form", "fault", bad.getMessage());
             error(Messages.OUT_OF_FORM, bad.getMessage(), null);
             return;
@@ -353,7 +353,7 @@
             owes = false;
             uncount();
             message.release();
-            clients.counters.outOfForm++;
+            clients.counters.malformedQueries++;
             clients.log.warn("query-unknown", "type", statement.type, "group", statement.group);
             error(Messages.OUT_OF_FORM, "unknown type or group, or an id that is open", null);
         } else {
@@ -369,14 +369,14 @@
     private boolean mayTake(Statement statement, ByteBuf message) {
         clients.callers.tick();
         int type = clients.desk.type(statement.type);
-        Refusal no = session.take(type, statement.write, statement.group, statement);
+        Refusal no = session.admit(type, statement.write, statement.group, statement);
         if (no == null) {
             counted = true;
             return true;
         }
         String cause =
                 no == Refusal.NO_RIGHT
-                        ? session.cause(type, statement.write, statement.group, statement)
+                        ? session.decidingRule(type, statement.write, statement.group, statement)
                         : "-";
         clients.callers.denied(
                 session, no, statement.type, statement.write, statement.group, cause);
@@ -384,9 +384,9 @@
         if (no.endsSession()) {
             dismiss(no);
         } else {
-            Duration pause = no == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
+            Duration pause = no == Refusal.BUSY ? session.retryDelay() : Duration.ZERO;
             error(
-                    no.code(),
+                    no.sqlState(),
                     no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
                     pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
         }
@@ -395,20 +395,20 @@
 
     /** Has it end, where it is idle and no longer let in. */
     void lookAgain() {
-        if (session != null && !closed && idle() && session.over() != null) {
-            dismiss(session.over());
+        if (session != null && !closed && idle() && session.refusal() != null) {
+            dismiss(session.refusal());
         }
     }
 
     private void dismiss(Refusal why) {
-        refuse(why.code(), "no longer let in: " + why.word());
+        refuse(why.sqlState(), "no longer let in: " + why.label());
     }
 
     /** Its txn is over, for its share. */
     private void uncount() {
         if (counted) {
             counted = false;
-            session.done();
+            session.release();
         }
     }
 
@@ -489,11 +489,11 @@
         owes = false;
         uncount();
         if (session != null) {
-            session.leave();
+            session.close();
             session = null;
         }
         if (exchange != null) {
-            clients.counters.left++;
+            clients.counters.abandonedByClient++;
             Exchange out = exchange;
             exchange = null;
             out.left();
--- a/src/main/java/dillfront/router/gossip/BandwidthBudget.java
+++ b/src/main/java/dillfront/router/gossip/BandwidthBudget.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.seconds;
+import static dillfront.routing.api.Durations.toSeconds;
 
 import java.time.Duration;
 
@@ -51,7 +51,7 @@
      * as sent.
      */
     boolean tryTake(int bytes, Purpose purpose, Duration now) {
-        double seconds = seconds(now.minus(refilledAt));
+        double seconds = toSeconds(now.minus(refilledAt));
         tokens = Math.min(rate * BUCKET_SECONDS, tokens + Math.max(0, seconds) * rate);
         refilledAt = now;
         if (tokens - bytes < purpose.reservedPart * rate * BUCKET_SECONDS) {
--- a/src/main/java/dillfront/router/gossip/ClaimReporter.java
+++ b/src/main/java/dillfront/router/gossip/ClaimReporter.java
@@ -1,8 +1,8 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,7 +47,7 @@
      */
     public void observe(
             int node,
-            Sight sight,
+            HealthObservation sight,
             boolean alreadyReported,
             Duration now,
             ClaimPublisher publisher) {
@@ -63,8 +63,8 @@
                                         / claimValidity.toNanos());
         allowanceUpdatedAt = now;
         NodeState state = nodes.get(node);
-        if (!sight.ill()) {
-            if (state.published && sight.health() == Sight.Health.WELL) {
+        if (!sight.isFaulty()) {
+            if (state.published && sight.health() == HealthObservation.Health.WELL) {
                 publisher.publish(node, Symptom.WELL, 0, Duration.ZERO);
                 state.published = false;
             }
@@ -76,7 +76,9 @@
                 !state.unhealthy
                         || now.minus(state.publishedAt)
                                                 .compareTo(
-                                                        times(claimValidity, REPEAT_INTERVAL_PART))
+                                                        multiply(
+                                                                claimValidity,
+                                                                REPEAT_INTERVAL_PART))
                                         >= 0
                                 && sight.evidence() > 0;
         state.unhealthy = true;
--- a/src/main/java/dillfront/router/gossip/GossipProtocol.java
+++ b/src/main/java/dillfront/router/gossip/GossipProtocol.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -431,7 +431,7 @@
     public void tick() {
         if (lastTickAt != null) {
             Duration gap = now.minus(lastTickAt);
-            Duration maxGap = times(config.period(), PAUSE_PERIODS);
+            Duration maxGap = multiply(config.period(), PAUSE_PERIODS);
             if (gap.compareTo(maxGap) > 0) {
                 // A router that was paused received no acks meanwhile and would otherwise suspect
                 // all its peers.
@@ -445,7 +445,7 @@
         lastTickAt = now;
         membership.expireSuspicions(now);
         indirectProbes.values().removeIf(p -> now.minus(p.at).compareTo(config.period()) > 0);
-        Duration ack = membership.scaleByHealth(times(config.period(), DIRECT_ACK_PERIODS));
+        Duration ack = membership.scaleByHealth(multiply(config.period(), DIRECT_ACK_PERIODS));
         if (probedPeer >= 0
                 && !ackReceived
                 && !indirectProbesSent
@@ -486,7 +486,7 @@
         datagramsInPeriod = 0;
         // Jitter, so that instances which started together do not probe at the same moment.
         double jitter = 0.9 + 0.2 * random.nextDouble();
-        nextProbeAt = now.plus(times(membership.scaleByHealth(config.period()), jitter));
+        nextProbeAt = now.plus(multiply(membership.scaleByHealth(config.period()), jitter));
         probedPeer = membership.nextToProbe();
         ackReceived = false;
         indirectProbesSent = false;
--- a/src/main/java/dillfront/router/gossip/MembershipList.java
+++ b/src/main/java/dillfront/router/gossip/MembershipList.java
@@ -1,6 +1,6 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -237,7 +237,7 @@
         double shortest = MIN_SUSPICION_PERIODS * Math.max(1, Math.log10(alive + 1));
         double longest = shortest * MAX_SUSPICION_MULTIPLE;
         double shortening = Math.log(accusers) / Math.log(MAX_EXTRA_ACCUSERS + 1);
-        return times(period, longest - (longest - shortest) * Math.min(1, shortening));
+        return multiply(period, longest - (longest - shortest) * Math.min(1, shortening));
     }
 
     private void changeState(Peer entry, int peer, State state, Duration now) {
--- a/src/main/java/dillfront/router/gossip/PeerClaims.java
+++ b/src/main/java/dillfront/router/gossip/PeerClaims.java
@@ -1,8 +1,8 @@
 package dillfront.router.gossip;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -125,7 +125,7 @@
         // Enough claims to discard the lying votes twice, and to judge the credit of the others.
         maxClaims = 3 * (toleratedLiars + 1) + 2;
         claimValidity = config.claimValidity();
-        overtakenWithin = times(claimValidity, OVERTAKEN_PART);
+        overtakenWithin = multiply(claimValidity, OVERTAKEN_PART);
         credit = new double[instances];
         Arrays.fill(credit, INITIAL_CREDIT);
         voteGroup = new int[instances];
@@ -221,11 +221,13 @@
     }
 
     /** Records what this router itself observes of a node. */
-    public void observe(int node, Sight sight) {
+    public void observe(int node, HealthObservation sight) {
         NodeState state = nodeState(node);
-        state.unhealthy = sight.ill();
+        state.unhealthy = sight.isFaulty();
         state.healthyAt =
-                sight.wellAt().compareTo(state.healthyAt) > 0 ? sight.wellAt() : state.healthyAt;
+                sight.lastHealthyAt().compareTo(state.healthyAt) > 0
+                        ? sight.lastHealthyAt()
+                        : state.healthyAt;
         updateCredit(state);
     }
 
--- a/src/main/java/dillfront/router/memory/RouterStateStore.java
+++ b/src/main/java/dillfront/router/memory/RouterStateStore.java
@@ -4,9 +4,9 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
 import dillfront.router.discovery.Closings;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.recovery.InDoubtKeys;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
 public final class RouterStateStore implements Closings.Keeper, InDoubtKeys.KeyStore {
 
     /** The list entry that closed a node. */
-    public record Closing(String id, Standing standing, long startedMs, long generation) {
+    public record Closing(String id, MemberState standing, long startedMs, long generation) {
 
         String format() {
             return standing + " " + startedMs + " " + generation;
@@ -48,7 +48,7 @@
                         ? null
                         : new Closing(
                                 id,
-                                Standing.valueOf(parts[0]),
+                                MemberState.valueOf(parts[0]),
                                 Long.parseLong(parts[1]),
                                 Long.parseLong(parts[2]));
             } catch (IllegalArgumentException bad) {
@@ -131,7 +131,7 @@
      * @param loop executor for the callbacks of {@link #whenKept}
      */
     public static RouterStateStore open(Path folder, String name, Log log, Executor loop)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         CompactingLog storage;
         try {
             StorageFolder disk = new StorageFolder.LocalFolder(folder);
@@ -139,10 +139,12 @@
                 storage = CompactingLog.open(disk, folder.toString(), name);
             } catch (CompactingLog.UnusableLogException unusable) {
                 disk.close();
-                throw new Operator.BadOperator("memory " + folder + ": " + unusable.getMessage());
+                throw new OperatorConfig.InvalidOperatorConfigException(
+                        "memory " + folder + ": " + unusable.getMessage());
             }
         } catch (IOException | CompactingLog.LockedException unusable) {
-            throw new Operator.BadOperator("memory " + folder + ": " + unusable.getMessage());
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    "memory " + folder + ": " + unusable.getMessage());
         }
         if (storage.damage() != null) {
             log.warn(
@@ -180,7 +182,7 @@
     }
 
     @Override
-    public void closed(String id, Standing standing, long startedMs, long generation) {
+    public void closed(String id, MemberState standing, long startedMs, long generation) {
         put(CLOSING_PREFIX + id, new Closing(id, standing, startedMs, generation).format());
     }
 
--- a/src/main/java/dillfront/router/pace/LoopLagMonitor.java
+++ b/src/main/java/dillfront/router/pace/LoopLagMonitor.java
@@ -1,6 +1,6 @@
 package dillfront.router.pace;
 
-import static dillfront.routing.api.Spans.times;
+import static dillfront.routing.api.Durations.multiply;
 
 import java.time.Duration;
 
@@ -43,8 +43,8 @@
 
     /** Changes the clock step. */
     public void setStep(Duration step) {
-        turnLimit = times(step, TURN_STEPS);
-        resolution = times(step, RESOLUTION_STEPS);
+        turnLimit = multiply(step, TURN_STEPS);
+        resolution = multiply(step, RESOLUTION_STEPS);
     }
 
     /** Sets the time at which the next tick is due. */
--- a/src/main/java/dillfront/router/peers/PeerHealthExchange.java
+++ b/src/main/java/dillfront/router/peers/PeerHealthExchange.java
@@ -6,7 +6,7 @@
 import dillfront.router.gossip.GossipUpdate;
 import dillfront.router.gossip.PeerClaims;
 import dillfront.router.gossip.Symptom;
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
 
     /** The part of the routing decisions that gossip reads and influences. */
     public interface RoutingDecisions {
-        Sight observeHealth(int node);
+        HealthObservation observeHealth(int node);
 
         void setSuspected(int node, boolean suspected);
 
@@ -104,7 +104,7 @@
             if (state == null) {
                 continue;
             }
-            Sight sight = decisions.observeHealth(node);
+            HealthObservation sight = decisions.observeHealth(node);
             claims.observe(node, sight);
             if (gossip != null) {
                 reporter.observe(
--- a/src/main/java/dillfront/router/recovery/GroupRecovery.java
+++ b/src/main/java/dillfront/router/recovery/GroupRecovery.java
@@ -1,6 +1,6 @@
 package dillfront.router.recovery;
 
-import dillfront.routing.api.Role;
+import dillfront.routing.api.NodeRole;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,9 +16,9 @@
  *
  * <p>Otherwise writes could go to an outdated primary that is the first to return after a power
  * loss, or that an old list names, and they would be lost to the group. Within a run {@link
- * dillfront.routing.Decide} accepts the latest report, since a hung node must not block a group.
- * Its cost: if the former primary is lost permanently but still listed, writes of its group wait
- * for that time once, and clients get an answer that asks for a later retry.
+ * dillfront.routing.RoutingEngine} accepts the latest report, since a hung node must not block a
+ * group. Its cost: if the former primary is lost permanently but still listed, writes of its group
+ * wait for that time once, and clients get an answer that asks for a later retry.
  *
  * <p>Pure: the caller supplies the time and passes in each report once. The number of rows is
  * bounded by the nodes and groups in the lists.
@@ -75,7 +75,7 @@
         Duration startedAt;
         Duration answeredAt;
         boolean unanswered;
-        Role role;
+        NodeRole role;
         Duration position;
 
         NodeState(String id) {
@@ -196,7 +196,7 @@
      * Handles an answer of a node, with the role and the replay position that it reports; null if
      * it reports none.
      */
-    public void recordAnswer(int node, Role role, Duration position, Duration now) {
+    public void recordAnswer(int node, NodeRole role, Duration position, Duration now) {
         NodeState nodeState = node < nodes.size() ? nodes.get(node) : null;
         if (nodeState == null) {
             return;
@@ -211,9 +211,9 @@
         GroupState state = groupState(nodeState.group);
         if (nodeState.id.equals(state.formerPrimary) && role != null) {
             // The former primary has reported, so its present role replaces the stored one.
-            state.formerConfirmed = role == Role.PRIMARY;
+            state.formerConfirmed = role == NodeRole.PRIMARY;
             state.formerPrimary = state.formerConfirmed ? state.formerPrimary : null;
-        } else if (role == Role.PRIMARY
+        } else if (role == NodeRole.PRIMARY
                 && state.formerPrimary != null
                 && state.otherClaimedAt == null) {
             state.otherClaimedAt = now;
@@ -302,7 +302,7 @@
     private static List<NodeState> reportedPrimaries(GroupState state) {
         List<NodeState> primaries = new ArrayList<>();
         for (NodeState nodeState : state.members) {
-            if (nodeState.isPresent() && nodeState.role == Role.PRIMARY) {
+            if (nodeState.isPresent() && nodeState.role == NodeRole.PRIMARY) {
                 primaries.add(nodeState);
             }
         }
@@ -319,7 +319,7 @@
             anyAnswers |= nodeState.isPresent();
             allAnswer &= nodeState.isPresent() || !nodeState.ready;
             anyWarmingUp |= nodeState.ready && isWarmingUp(nodeState, now);
-            if (nodeState.ready && nodeState.role != Role.PRIMARY) {
+            if (nodeState.ready && nodeState.role != NodeRole.PRIMARY) {
                 hasReplica = true;
                 covered |=
                         nodeState.isPresent()
--- a/src/main/java/dillfront/router/recovery/InDoubtKeys.java
+++ b/src/main/java/dillfront/router/recovery/InDoubtKeys.java
@@ -10,9 +10,9 @@
  * Tracks the referenced transactions that may have run with unknown outcome, by group and
  * idempotency key. A client that retries sends a new id with the same key: by the id alone the
  * retry would count as a new transaction and, after the deduplication window, take effect twice. An
- * entry holds the time since which the transaction may have run; {@link dillfront.routing.Decide}
- * then sends a retry only within the window, and afterwards gives an answer that confirms no
- * effect.
+ * entry holds the time since which the transaction may have run; {@link
+ * dillfront.routing.RoutingEngine} then sends a retry only within the window, and afterwards gives
+ * an answer that confirms no effect.
  *
  * <p>An entry from an earlier run or from another router has no usable time, since no clock covers
  * an outage: the transaction may have run at any time, so its window counts as over. Such an entry
--- a/src/main/java/dillfront/router/site/SiteHealthMonitor.java
+++ b/src/main/java/dillfront/router/site/SiteHealthMonitor.java
@@ -1,8 +1,8 @@
 package dillfront.router.site;
 
-import static dillfront.routing.api.Spans.later;
+import static dillfront.routing.api.Durations.max;
 
-import dillfront.routing.api.Sight;
+import dillfront.routing.api.HealthObservation;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -71,7 +71,7 @@
     private static final class NodeState {
         final String site;
         boolean ready;
-        Sight.Health health = Sight.Health.UNKNOWN;
+        HealthObservation.Health health = HealthObservation.Health.UNKNOWN;
 
         NodeState(String site) {
             this.site = site;
@@ -137,7 +137,7 @@
     }
 
     /** Records the router's observation of a node. */
-    public void observe(int index, Sight sight) {
+    public void observe(int index, HealthObservation sight) {
         if (index < nodes.size() && nodes.get(index) != null) {
             nodes.get(index).health = sight.health();
         }
@@ -173,10 +173,10 @@
         for (NodeState nodeState : nodes) {
             if (nodeState != null && nodeState.ready && nodeState.site.equals(site)) {
                 nodeCount++;
-                healthy += nodeState.health == Sight.Health.WELL ? 1 : 0;
+                healthy += nodeState.health == HealthObservation.Health.WELL ? 1 : 0;
                 unhealthy +=
-                        nodeState.health != Sight.Health.WELL
-                                        && nodeState.health != Sight.Health.UNKNOWN
+                        nodeState.health != HealthObservation.Health.WELL
+                                        && nodeState.health != HealthObservation.Health.UNKNOWN
                                 ? 1
                                 : 0;
             }
@@ -190,7 +190,7 @@
     private void updateVerdict(String site, SiteState state, Duration now) {
         // Quiet time starts only when the underlying observations are stable too, not just the
         // verdict.
-        Duration quietFrom = later(state.flapForgivenAt, state.observedSince);
+        Duration quietFrom = max(state.flapForgivenAt, state.observedSince);
         if (state.flaps > 0
                 && now.minus(quietFrom).compareTo(dialTimeout.multipliedBy(FLAP_FORGIVEN_DIALS))
                         > 0) {
--- a/src/main/java/dillfront/routing/api/Read.java
+++ b/src/main/java/dillfront/routing/api/Consistency.java
@@ -3,10 +3,10 @@
 /**
  * How current the data must be that a txn type is answered from; a write goes to the primary alone.
  */
-public enum Read {
-    ANY,
-    BOUNDED,
+public enum Consistency {
+    EVENTUAL,
+    BOUNDED_STALENESS,
     SESSION,
-    FRESH,
+    STRONG,
     WRITE
 }
--- a/src/main/java/dillfront/routing/api/Sight.java
+++ b/src/main/java/dillfront/routing/api/HealthObservation.java
@@ -5,10 +5,11 @@
 /**
  * What this router itself knows of a node's health; nothing in it comes from others.
  *
- * @param wellAt when a submission there last got an answer that was no refusal for want of room
+ * @param lastHealthyAt when a submission there last got an answer that was no refusal for want of
+ *     room
  * @param evidence how many submissions tell of it now; zero where only what is past does
  */
-public record Sight(Health health, Duration wellAt, int evidence) {
+public record HealthObservation(Health health, Duration lastHealthyAt, int evidence) {
 
     /** UNKNOWN is neither: too little was sent there of late. */
     public enum Health {
@@ -19,7 +20,7 @@
         LOST
     }
 
-    public boolean ill() {
+    public boolean isFaulty() {
         return health != Health.WELL && health != Health.UNKNOWN;
     }
 }
--- a/src/main/java/dillfront/routing/api/Standing.java
+++ b/src/main/java/dillfront/routing/api/MemberState.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** What the member list says of a node. */
-public enum Standing {
+public enum MemberState {
     READY,
     DRAINING,
     GONE
--- a/src/main/java/dillfront/routing/api/Report.java
+++ b/src/main/java/dillfront/routing/api/NodeReport.java
@@ -9,7 +9,7 @@
  * @param position up to where it has applied every commit; null where it did not say
  * @param role null where it did not say
  */
-public record Report(Duration position, Role role) {
+public record NodeReport(Duration position, NodeRole role) {
 
-    public static final Report NOTHING = new Report(null, null);
+    public static final NodeReport EMPTY = new NodeReport(null, null);
 }
--- a/src/main/java/dillfront/routing/api/Role.java
+++ b/src/main/java/dillfront/routing/api/NodeRole.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** What a node said it was. */
-public enum Role {
+public enum NodeRole {
     PRIMARY,
     REPLICA
 }
--- a/src/main/java/dillfront/routing/api/NodeRow.java
+++ b/src/main/java/dillfront/routing/api/NodeRow.java
@@ -14,4 +14,4 @@
         double size,
         boolean primary,
         Duration started,
-        Standing standing) {}
+        MemberState standing) {}
--- a/src/main/java/dillfront/routing/api/Result.java
+++ b/src/main/java/dillfront/routing/api/SubmissionResult.java
@@ -1,7 +1,7 @@
 package dillfront.routing.api;
 
 /** How a submission ended. */
-public enum Result {
+public enum SubmissionResult {
     COMMITTED(true),
     ERROR(true),
     FULL(false),
@@ -21,7 +21,7 @@
 
     private final boolean mayHaveRun;
 
-    Result(boolean mayHaveRun) {
+    SubmissionResult(boolean mayHaveRun) {
         this.mayHaveRun = mayHaveRun;
     }
 
--- a/src/main/java/dillfront/routing/package-info.java
+++ b/src/main/java/dillfront/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions of the router, without I/O: {@link dillfront.routing.Decide}. */
+/** The decisions of the router, without I/O: {@link dillfront.routing.RoutingEngine}. */
 package dillfront.routing;
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -8,7 +8,7 @@
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
 import dillfront.router.pgwire.Messages;
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
@@ -711,7 +711,7 @@
                 "client_connections",
                 "node_connections");
         noLeaks();
-        Scene.compare("router-serves", trace);
+        RoutingHarness.assertTraceEquals("router-serves", trace);
     }
 
     @Test
@@ -752,7 +752,7 @@
                 "ended_spoilt",
                 "ended_timed_out");
         noLeaks();
-        Scene.compare("router-endings", trace);
+        RoutingHarness.assertTraceEquals("router-endings", trace);
     }
 
     /**
@@ -788,7 +788,7 @@
                 .sorted()
                 .forEach(line -> trace.append(line).append('\n'));
         noLeaks();
-        Scene.compare("router-behind", trace);
+        RoutingHarness.assertTraceEquals("router-behind", trace);
     }
 
     @Test
@@ -811,7 +811,7 @@
         statementsSeen();
         counted("out_of_form", "taken", "client_connections");
         noLeaks();
-        Scene.compare("router-out-of-form", trace);
+        RoutingHarness.assertTraceEquals("router-out-of-form", trace);
     }
 
     @Test
@@ -840,7 +840,7 @@
         say("the others still", startup().writeBytes(ask("any", "k", 900)), 2);
         counted("accepted", "taken", "client_connections");
         noLeaks();
-        Scene.compare("router-no-client", trace);
+        RoutingHarness.assertTraceEquals("router-no-client", trace);
     }
 
     /** Guards against answers lost, and new clients turned away, while a router is being ended. */
@@ -874,7 +874,7 @@
                 "txns_held",
                 "client_connections",
                 "node_connections");
-        Scene.compare("router-ends", trace);
+        RoutingHarness.assertTraceEquals("router-ends", trace);
     }
 
     private volatile String toldNow;
@@ -989,7 +989,7 @@
                                                             .replaceAll("127.0.0.1:\\d+", "HERE"))
                                             .append('\n'));
         }
-        Scene.compare("router-settings", trace);
+        RoutingHarness.assertTraceEquals("router-settings", trace);
     }
 
     /**
@@ -1042,7 +1042,7 @@
                                                         .replaceAll("127.0.0.1:\\d+", "LATER")
                                                         .replace(file.toString(), "FILE"))
                                         .append('\n'));
-        Scene.compare("router-reloads", trace);
+        RoutingHarness.assertTraceEquals("router-reloads", trace);
     }
 
     /** A second router with the node's list from this stand-in alone; the first has ended. */
@@ -1102,7 +1102,7 @@
             statementsSeen();
         }
         counted("committed", "declined", "ended_unsent");
-        Scene.compare("router-news-first", trace);
+        RoutingHarness.assertTraceEquals("router-news-first", trace);
     }
 
     /**
@@ -1141,7 +1141,7 @@
             statementsSeen();
             counted("lists", "committed", "declined");
         }
-        Scene.compare("router-former", trace);
+        RoutingHarness.assertTraceEquals("router-former", trace);
     }
 
     /** Guards against a door that opens on a list that is old by a restart. */
@@ -1155,7 +1155,7 @@
             statementsSeen();
             counted("lists", "committed", "declined");
         }
-        Scene.compare("router-door", trace);
+        RoutingHarness.assertTraceEquals("router-door", trace);
     }
 
     /**
@@ -1171,7 +1171,7 @@
         trace.append("asked twice more, after two silences, within 4 s: ")
                 .append(took < 4000 && took > 1000)
                 .append('\n');
-        Scene.compare("router-list-silent", trace);
+        RoutingHarness.assertTraceEquals("router-list-silent", trace);
     }
 
     /**
@@ -1242,7 +1242,7 @@
         say("the last of 100", ask("any", "k", 4_000), 1);
         counted("txns_held", "node_connections", "timers");
         noLeaks();
-        Scene.compare("router-replaced", trace);
+        RoutingHarness.assertTraceEquals("router-replaced", trace);
     }
 
     private static final int FIRST_OF_CHANGES = 50;
@@ -1324,7 +1324,7 @@
         say("both are in use", startup().writeBytes(ask("once", "k", 900)), 2);
         statementsSeen();
         counted("submitted", "ended_unreachable", "declined", "timers");
-        Scene.compare("router-no-connection", trace);
+        RoutingHarness.assertTraceEquals("router-no-connection", trace);
     }
 
     /** Guards against running out of descriptors: idle clients make room for new ones. */
@@ -1347,7 +1347,7 @@
             socket.close();
         }
         counted("accepted", "committed", "client_connections");
-        Scene.compare("router-full", trace);
+        RoutingHarness.assertTraceEquals("router-full", trace);
     }
 
     private Socket another() throws IOException {
@@ -1393,7 +1393,7 @@
                 .append('\n');
         counted("accepted", "committed", "client_connections");
         noLeaks();
-        Scene.compare("router-silent", trace);
+        RoutingHarness.assertTraceEquals("router-silent", trace);
     }
 
     private static boolean reads(Socket socket) {
@@ -1429,7 +1429,7 @@
         say("the id once it is over", ask("any", "k", 900, "7f"), 1);
         statementsSeen();
         counted("out_of_form", "taken", "committed");
-        Scene.compare("router-same-id", trace);
+        RoutingHarness.assertTraceEquals("router-same-id", trace);
     }
 
     @Test
@@ -1491,7 +1491,7 @@
                                 .getMessage()
                                 .replaceAll(":\\d{4,5}", ":PORT"))
                 .append('\n');
-        Scene.compare("bad-config", trace);
+        RoutingHarness.assertTraceEquals("bad-config", trace);
     }
 
     /** Guards against a door that opens while the start is still being paid for. */
@@ -1513,7 +1513,7 @@
                                             c[2] / 100.0)
                                     .toMillis()));
         }
-        Scene.compare("router-owes", trace);
+        RoutingHarness.assertTraceEquals("router-owes", trace);
     }
 
     @Test
@@ -1534,6 +1534,6 @@
                 "timers",
                 "ended_timed_out");
         noLeaks();
-        Scene.compare("router-left", trace);
+        RoutingHarness.assertTraceEquals("router-left", trace);
     }
 }
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -6,7 +6,7 @@
 import dillfront.router.config.Clock;
 import dillfront.router.config.Setup;
 import dillfront.router.config.Tree;
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.ByteArrayInputStream;
@@ -66,7 +66,7 @@
         trace.append(parse("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n{a}"));
         trace.append(parse("SSH-2.0-x\r\n\r\n"));
         trace.append(parse("x".repeat(9000)));
-        Scene.compare("http", trace);
+        RoutingHarness.assertTraceEquals("http", trace);
     }
 
     /** Guards against a table of all machines that there ever were. */
@@ -145,6 +145,6 @@
         lines.toString(StandardCharsets.UTF_8)
                 .lines()
                 .forEach(line -> trace.append(line.substring(line.indexOf("WARN"))).append('\n'));
-        Scene.compare("list", trace);
+        RoutingHarness.assertTraceEquals("list", trace);
     }
 }
--- a/src/test/java/dillfront/router/gossip/PeerClaimsTest.java
+++ b/src/test/java/dillfront/router/gossip/PeerClaimsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Sight.Health;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.HealthObservation.Health;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
@@ -32,7 +32,7 @@
     }
 
     private void observe(int node, Health health, Duration wellAt) {
-        claims.observe(node, new Sight(health, wellAt, 1));
+        claims.observe(node, new HealthObservation(health, wellAt, 1));
     }
 
     @Test
--- a/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -8,8 +8,8 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.common.storage.StorageFolder;
-import dillfront.router.operator.Operator;
-import dillfront.routing.api.Standing;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -595,21 +595,21 @@
     void restoresClosingsAfterRestart() throws Exception {
         Path folder = dir.resolve("r1");
         RouterStateStore first = RouterStateStore.open(folder, "r1", log, Runnable::run);
-        first.closed("s-1", Standing.DRAINING, 7, 42);
-        first.closed("s-2", Standing.GONE, 0, 43);
-        first.closed("s-3", Standing.GONE, 0, 44);
+        first.closed("s-1", MemberState.DRAINING, 7, 42);
+        first.closed("s-2", MemberState.GONE, 0, 43);
+        first.closed("s-3", MemberState.GONE, 0, 44);
         first.opened("s-3");
-        Operator.BadOperator lockedFailure =
+        OperatorConfig.InvalidOperatorConfigException lockedFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(folder, "r1", log, Runnable::run));
         assertTrue(
                 lockedFailure.getMessage().contains("another process holds"),
                 lockedFailure.getMessage());
         first.close();
-        Operator.BadOperator otherNameFailure =
+        OperatorConfig.InvalidOperatorConfigException otherNameFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(folder, "r2", log, Runnable::run));
         assertTrue(
                 otherNameFailure.getMessage().contains("is that of router 'r1', and this is 'r2'"),
@@ -617,8 +617,8 @@
         RouterStateStore second = RouterStateStore.open(folder, "r1", log, Runnable::run);
         assertEquals(
                 Set.of(
-                        new RouterStateStore.Closing("s-1", Standing.DRAINING, 7, 42),
-                        new RouterStateStore.Closing("s-2", Standing.GONE, 0, 43)),
+                        new RouterStateStore.Closing("s-1", MemberState.DRAINING, 7, 42),
+                        new RouterStateStore.Closing("s-2", MemberState.GONE, 0, 43)),
                 Set.copyOf(second.closings()));
         second.close();
     }
@@ -637,9 +637,9 @@
                                 "memory-broken fault=\"" + folder.resolve(CompactingLog.FILE_NAME)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
-        Operator.BadOperator none =
+        OperatorConfig.InvalidOperatorConfigException none =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
--- a/src/test/java/dillfront/router/memory/StoredRouterStateTest.java
+++ b/src/test/java/dillfront/router/memory/StoredRouterStateTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.routing.api.Standing;
+import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
                         .filter(c -> c.id().equals("n-7"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(new RouterStateStore.Closing("n-7", Standing.GONE, 7_000, 14), one);
+        assertEquals(new RouterStateStore.Closing("n-7", MemberState.GONE, 7_000, 14), one);
         assertEquals(Map.of(3, "n-5", 12, "n-7"), store.primaries());
         TreeSet<Long> expected = new TreeSet<>();
         for (long key = 1; key <= 30; key++) {
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -49,7 +49,7 @@
         assertEquals(true, plain);
         byte[] seen = new byte[read.length()];
         for (int i = 0; i < seen.length; i++) {
-            seen[i] = read.at(i);
+            seen[i] = read.byteAt(i);
         }
         assertArrayEquals(key, seen, Arrays.toString(seen));
     }
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
@@ -83,7 +83,7 @@
         trace.append("longer: ")
                 .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST + 1)))
                 .append('\n');
-        Scene.compare("messages", trace);
+        RoutingHarness.assertTraceEquals("messages", trace);
     }
 
     /** Slices that are out must not move when the buffer they were cut from grows. */
@@ -165,7 +165,7 @@
             }
             trace.append('\n');
         }
-        Scene.compare("statements", trace);
+        RoutingHarness.assertTraceEquals("statements", trace);
         // Cut short anywhere, it is out of form, never half a txn.
         for (int length = 0; length < write.length(); length++) {
             ByteBuf message = query(write.substring(0, length));
--- a/src/test/java/dillfront/router/plan/LoadPlannerTest.java
+++ b/src/test/java/dillfront/router/plan/LoadPlannerTest.java
@@ -5,7 +5,7 @@
 
 import dillfront.router.plan.PlannerInput.Node;
 import dillfront.router.plan.PlannerInput.TransactionType;
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -90,7 +90,7 @@
                 }
             }
         }
-        Scene.compare("site-plans", trace);
+        RoutingHarness.assertTraceEquals("site-plans", trace);
     }
 
     /**
--- a/src/test/java/dillfront/router/recovery/RecoveryStateTest.java
+++ b/src/test/java/dillfront/router/recovery/RecoveryStateTest.java
@@ -1,12 +1,12 @@
 package dillfront.router.recovery;
 
-import static dillfront.routing.api.Role.PRIMARY;
-import static dillfront.routing.api.Role.REPLICA;
+import static dillfront.routing.api.NodeRole.PRIMARY;
+import static dillfront.routing.api.NodeRole.REPLICA;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -104,7 +104,7 @@
         trace.append("a second after 9 was met: ").append(keys.size()).append(" are kept\n");
         keys.expire(ms(1140));
         trace.append("a second after the others: ").append(keys.size()).append('\n');
-        Scene.compare("doubts", trace);
+        RoutingHarness.assertTraceEquals("doubts", trace);
     }
 
     /**
@@ -244,6 +244,6 @@
         appendGroupState(10, "n0 leads", other);
         appendGroupState(2009, "just before the time is over", other);
         appendGroupState(2010, "it is over", other);
-        Scene.compare("groups", trace);
+        RoutingHarness.assertTraceEquals("groups", trace);
     }
 }
--- a/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
+++ b/src/test/java/dillfront/router/site/SiteHealthMonitorTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.routing.Scene;
-import dillfront.routing.api.Sight;
-import dillfront.routing.api.Sight.Health;
+import dillfront.routing.RoutingHarness;
+import dillfront.routing.api.HealthObservation;
+import dillfront.routing.api.HealthObservation.Health;
 import java.io.IOException;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
@@ -48,7 +48,7 @@
         for (int i = 0; i < 2; i++) {
             monitor.observe(
                     (site.charAt(0) - 'a') * 2 + i,
-                    new Sight(health[i % health.length], Duration.ZERO, 0));
+                    new HealthObservation(health[i % health.length], Duration.ZERO, 0));
         }
     }
 
@@ -113,7 +113,7 @@
         runUntil(13_000);
         observe("and b", "b", Health.WELL);
         runUntil(16_000);
-        Scene.compare("sites", trace);
+        RoutingHarness.assertTraceEquals("sites", trace);
     }
 
     /** Load must not swing with a site that goes down and recovers ten times in a minute. */
@@ -129,6 +129,6 @@
         assertTrue(changes < 3 + 10, "verdict changes: " + changes + " for twenty observations");
         runUntil(now + 60_000);
         trace.append("a minute later c is ").append(monitor.states().get("c")).append('\n');
-        Scene.compare("sites-flap", trace);
+        RoutingHarness.assertTraceEquals("sites-flap", trace);
     }
 }
--- a/src/test/java/dillfront/routing/PaceTest.java
+++ b/src/test/java/dillfront/routing/PaceTest.java
@@ -1,6 +1,6 @@
 package dillfront.routing;
 
-import static dillfront.routing.Scene.ms;
+import static dillfront.routing.RoutingHarness.millis;
 
 import dillfront.router.pace.LoopLagMonitor;
 import java.io.IOException;
@@ -14,15 +14,15 @@
 class PaceTest {
 
     private final StringBuilder trace = new StringBuilder();
-    private final LoopLagMonitor pace = new LoopLagMonitor(ms(5));
+    private final LoopLagMonitor pace = new LoopLagMonitor(millis(5));
 
-    private void shows(String what, long at) {
-        Duration now = ms(at);
+    private void record(String text, long atMillis) {
+        Duration now = millis(atMillis);
         trace.append(
                 String.format(
                         "%4d %-34s late %3d, in all %3d, %s, a limit from 0 is %s\n",
-                        at,
-                        what,
+                        atMillis,
+                        text,
                         pace.lag(now).toMillis(),
                         pace.totalLag(now).toMillis(),
                         pace.isSocketDataRead(now) ? "sure" : "not sure",
@@ -36,34 +36,34 @@
      * was judged.
      */
     @Test
-    void anOverdueBeatTellsOfThePauseAtOnce() throws IOException {
-        pace.expectTick(ms(20));
-        shows("on time", 10);
-        shows("within the timer's grain", 24);
-        pace.recordTick(ms(24));
-        pace.expectTick(ms(44));
-        shows("a beat later", 40);
-        shows("stopped for 300 ms, reads first", 344);
-        pace.recordTick(ms(346));
-        pace.expectTick(ms(366));
-        shows("the beat has come", 346);
-        shows("on time again", 360);
-        pace.recordTick(ms(366));
-        pace.expectTick(ms(386));
-        shows("and a beat later", 386);
-        pace.recordTick(ms(386));
-        pace.expectTick(ms(700));
-        shows("a dial time-out later it is calm", 650);
+    void detectsPauseFromOverdueTick() throws IOException {
+        pace.expectTick(millis(20));
+        record("on time", 10);
+        record("within the timer's grain", 24);
+        pace.recordTick(millis(24));
+        pace.expectTick(millis(44));
+        record("a beat later", 40);
+        record("stopped for 300 ms, reads first", 344);
+        pace.recordTick(millis(346));
+        pace.expectTick(millis(366));
+        record("the beat has come", 346);
+        record("on time again", 360);
+        pace.recordTick(millis(366));
+        pace.expectTick(millis(386));
+        record("and a beat later", 386);
+        pace.recordTick(millis(386));
+        pace.expectTick(millis(700));
+        record("a dial time-out later it is calm", 650);
         trace.append("longest ")
                 .append(pace.longestLag().toMillis())
                 .append(", then ")
                 .append(pace.longestLag().toMillis())
                 .append("; a turn of 4 ms takes more: ")
-                .append(pace.mayContinueTurn(ms(1), ms(5)))
+                .append(pace.mayContinueTurn(millis(1), millis(5)))
                 .append(", of 5 ms: ")
-                .append(pace.mayContinueTurn(ms(1), ms(6)))
+                .append(pace.mayContinueTurn(millis(1), millis(6)))
                 .append('\n');
-        Scene.compare("pace", trace);
+        RoutingHarness.assertTraceEquals("pace", trace);
     }
 
     /**
@@ -71,37 +71,41 @@
      * slowness.
      */
     @Test
-    void itsOwnPauseIsNoNodesFault() throws IOException {
-        for (boolean told : new boolean[] {false, true}) {
-            Scene s = new Scene(false).three();
+    void doesNotBlameNodesForItsOwnPause() throws IOException {
+        for (boolean pauseRecorded : new boolean[] {false, true}) {
+            RoutingHarness harness = new RoutingHarness(false).withThreeNodes();
             for (int i = 0; i < 40; i++) {
-                s.to(s.ms + 30);
-                s.well(s.take(Scene.FRESH), 20);
+                harness.advanceTo(harness.millis + 30);
+                harness.commit(harness.accept(RoutingHarness.STRONG_READ), 20);
             }
-            int[] out = {s.take(Scene.FRESH), s.take(Scene.FRESH), s.take(Scene.FRESH)};
-            s.trace.setLength(0);
-            s.note(
-                    (told ? "told of" : "not told of")
+            int[] pending = {
+                harness.accept(RoutingHarness.STRONG_READ),
+                harness.accept(RoutingHarness.STRONG_READ),
+                harness.accept(RoutingHarness.STRONG_READ)
+            };
+            harness.trace.setLength(0);
+            harness.comment(
+                    (pauseRecorded ? "told of" : "not told of")
                             + " a pause of 800 ms, with three txns out to the primary");
-            s.ms += 800;
-            s.decide.at(ms(s.ms));
-            if (told) {
-                s.decide.late(ms(780));
+            harness.millis += 800;
+            harness.engine.setTime(millis(harness.millis));
+            if (pauseRecorded) {
+                harness.engine.recordPause(millis(780));
             }
-            s.note("two more before any answer is read");
-            s.take(Scene.FRESH);
-            s.take(Scene.FRESH);
-            s.note("the answers");
-            for (int txn : out) {
-                s.well(txn, 800);
+            harness.comment("two more before any answer is read");
+            harness.accept(RoutingHarness.STRONG_READ);
+            harness.accept(RoutingHarness.STRONG_READ);
+            harness.comment("the answers");
+            for (int transaction : pending) {
+                harness.commit(transaction, 800);
             }
-            s.note("six more");
+            harness.comment("six more");
             for (int i = 0; i < 6; i++) {
-                s.take(Scene.FRESH);
+                harness.accept(RoutingHarness.STRONG_READ);
             }
-            trace.append(s.trace);
+            trace.append(harness.trace);
         }
-        Scene.compare("own-pause", trace);
+        RoutingHarness.assertTraceEquals("own-pause", trace);
     }
 
     /**
@@ -109,14 +113,14 @@
      * router.
      */
     @Test
-    void whatLayInLineTooLongIsDeclinedWithATimeToComeBack() throws IOException {
-        Scene s = new Scene(false).three();
-        for (int waited : new int[] {0, 15, 100, 280, 600}) {
-            s.note("waited " + waited + " ms of an SLA time of 400");
-            s.waited = ms(waited);
-            s.take(Scene.FRESH);
-            s.to(s.ms + 30);
+    void declinesRequestsThatWaitedTooLongWithRetryDelay() throws IOException {
+        RoutingHarness harness = new RoutingHarness(false).withThreeNodes();
+        for (int waitedMillis : new int[] {0, 15, 100, 280, 600}) {
+            harness.comment("waited " + waitedMillis + " ms of an SLA time of 400");
+            harness.queueTime = millis(waitedMillis);
+            harness.accept(RoutingHarness.STRONG_READ);
+            harness.advanceTo(harness.millis + 30);
         }
-        Scene.compare("in-line", s.trace);
+        RoutingHarness.assertTraceEquals("in-line", harness.trace);
     }
 }
--- a/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
+++ b/src/test/java/dillfront/simulation/processes/InvariantCheckerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dillfront.routing.Scene;
+import dillfront.routing.RoutingHarness;
 import dillfront.simulation.processes.Event.Ended;
 import dillfront.simulation.processes.Event.ListAcknowledged;
 import dillfront.simulation.processes.Event.ListEntrySent;
@@ -159,7 +159,7 @@
                 "its own write unseen",
                 new QuerySent(0, "t1", "own", 0, "k", 500, 9_000, "r0#1"),
                 new ReadServed("s-1", "t1", "own", 8_999, 10_000));
-        Scene.compare("audit", trace);
+        RoutingHarness.assertTraceEquals("audit", trace);
     }
 
     private static Event[] with(List<Event> events, Event... more) {
