--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -10,7 +10,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * The state of a control process in a folder; written on a thread of its own, as a write blocks.
+ * Stores the state of a control process in a folder. Writes block, so they run on a thread of their
+ * own and complete on the event loop.
  */
 final class FileStateStore implements StateStore {
 
@@ -31,9 +32,9 @@
         this.environment = environment;
         this.log = log;
         if (store.isDamaged()) {
-            // What was promised may be gone with the damaged part: as with an empty disk, others
-            // are asked first.
-            log.warn("disk", "fault", "damaged; what it held is not relied on");
+            // The damaged part may have held promises. As with an empty disk, the node learns from
+            // its peers before it votes.
+            log.warn("disk", "fault", "damaged; its content is ignored");
             initialState = Map.of();
         } else {
             initialState = store.entries();
@@ -47,22 +48,22 @@
 
     @Override
     public CompletableFuture<Void> put(Map<String, String> texts) {
-        CompletableFuture<Void> done = new CompletableFuture<>();
-        writer.execute(() -> write(texts, done));
-        return done;
+        CompletableFuture<Void> written = new CompletableFuture<>();
+        writer.execute(() -> write(texts, written));
+        return written;
     }
 
-    private void write(Map<String, String> texts, CompletableFuture<Void> done) {
+    private void write(Map<String, String> texts, CompletableFuture<Void> written) {
         try {
             store.put(texts);
-            environment.eventLoop().execute(() -> done.complete(null));
-        } catch (KeyValueStore.StorageException | IllegalArgumentException bad) {
+            environment.eventLoop().execute(() -> written.complete(null));
+        } catch (KeyValueStore.StorageException | IllegalArgumentException e) {
             environment
                     .eventLoop()
                     .execute(
                             () -> {
-                                log.warn("disk", "fault", bad.getMessage());
-                                done.completeExceptionally(bad);
+                                log.warn("disk", "fault", e.getMessage());
+                                written.completeExceptionally(e);
                             });
         }
     }
--- a/src/main/java/dillfront/cli/Keys.java
+++ b/src/main/java/dillfront/cli/KeysCommand.java
@@ -27,12 +27,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Keys that sign callers' tokens, and tokens for a try-out; nothing here talks to a router. */
+/** Manages the keys that sign clients' tokens, offline; can also sign tokens for tests. */
 @Command(
         name = "keys",
-        description = "Makes and publishes keys that sign tokens, and signs tokens.",
+        description = "Creates and publishes keys that sign tokens, and signs tokens.",
         mixinStandardHelpOptions = true)
-final class Keys implements Runnable {
+final class KeysCommand implements Runnable {
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -42,64 +42,68 @@
                 spec.commandLine(), "expected new, public, token or revoke");
     }
 
-    /** Beside it and then moved: a router never reads half of it. */
-    private static void replace(Path file, String text) throws IOException {
-        Path half = file.resolveSibling(file.getFileName() + ".new");
-        Files.writeString(half, text);
-        Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces a file by an atomic move, so that a router never reads a partial file. */
+    private static void replaceAtomically(Path file, String text) throws IOException {
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        Files.writeString(temporary, text);
+        Files.move(
+                temporary,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static ECKey read(Path file) throws IOException {
+    private static ECKey readSigningKey(Path file) throws IOException {
         try {
             JWK key = JWK.parse(Files.readString(file));
             if (key instanceof ECKey ec && ec.isPrivate()) {
                 return ec;
             }
-        } catch (ParseException bad) {
-            // Told below, without what the file says: it may be a secret.
+        } catch (ParseException e) {
+            // Reported below without the parser's message, which could quote a secret.
         }
-        throw new IOException(file + ": no signing key as `dillfront keys new` writes it");
+        throw new IOException(file + ": not a signing key as written by `dillfront keys new`");
     }
 
     @Command(
             name = "new",
             description =
-                    "Makes a signing key (ES256): the private one into FILE, which must not be there yet.")
-    int make(
+                    "Creates a signing key (ES256) and writes the private key to FILE, which must not exist.")
+    int create(
             @Parameters(paramLabel = "FILE") Path file,
             @Option(
                             names = "--id",
                             required = true,
                             paramLabel = "ID",
-                            description = "its name in key sets and tokens")
+                            description = "name of the key in key sets and tokens")
                     String id)
             throws JOSEException {
         ECKey key =
                 new ECKeyGenerator(Curve.P_256).keyID(id).algorithm(JWSAlgorithm.ES256).generate();
-        return Commands.secret(file, key.toJSONString() + "\n");
+        return RootCommand.writeSecret(file, key.toJSONString() + "\n");
     }
 
     @Command(
             name = "public",
             description =
-                    "Writes the key set that routers read: the public parts of all these keys.")
+                    "Writes the key set that routers read, with the public parts of the given keys.")
     int publish(
             @Option(
                             names = "--to",
                             required = true,
                             paramLabel = "SET",
-                            description = "replaced in one step")
+                            description = "replaced atomically")
                     Path to,
             @Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) {
         try {
             List<JWK> keys = new ArrayList<>();
             for (Path file : files) {
-                keys.add(read(file).toPublicJWK());
+                keys.add(readSigningKey(file).toPublicJWK());
             }
-            replace(to, new JWKSet(keys).toString() + "\n");
+            replaceAtomically(to, new JWKSet(keys).toString() + "\n");
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
@@ -122,11 +126,11 @@
                             names = "--minutes",
                             defaultValue = "60",
                             paramLabel = "N",
-                            description = "good for so long")
+                            description = "validity in minutes")
                     int minutes)
             throws JOSEException {
         try {
-            ECKey key = read(file);
+            ECKey key = readSigningKey(file);
             String id = UUID.randomUUID().toString();
             Instant now = Instant.now();
             SignedJWT jwt =
@@ -145,28 +149,26 @@
             System.out.println(jwt.serialize());
             System.err.println("id " + id);
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
-    @Command(
-            name = "revoke",
-            description = "Adds ids of tokens to the list of those that count no more.")
+    @Command(name = "revoke", description = "Adds ids of tokens to the list of revoked ids.")
     int revoke(
             @Option(names = "--list", required = true, paramLabel = "LIST") Path list,
             @Parameters(paramLabel = "ID", arity = "1..*") List<String> ids) {
         try {
             String before = Files.exists(list) ? Files.readString(list) : "";
-            replace(
+            replaceAtomically(
                     list,
                     before
                             + (before.isEmpty() || before.endsWith("\n") ? "" : "\n")
                             + String.join("\n", ids)
                             + "\n");
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -4,24 +4,24 @@
 import dillfront.bootstrap.DataPlaneProgram;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
-import dillfront.common.logging.Silence;
+import dillfront.common.logging.NettyLoggerFactory;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.router.Daemon;
 import dillfront.router.Rehearsal;
 import dillfront.router.config.BadConfig;
 import dillfront.router.config.Config;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.simulator.InvalidInputException;
 import dillfront.routing.simulator.SimulatorServer;
 import java.io.IOException;
 import java.util.List;
 
-/** The command line: one subcommand a way of running the decisions. */
+/** Entry point: starts one of the programs, or runs a subcommand of {@link RootCommand}. */
 public final class Main {
 
     private Main() {}
 
-    /** Runs the subcommand and ends the process with its exit code. */
+    /** Starts the named program, or runs a subcommand and exits with its code. */
     public static void main(String[] args) {
         if (args.length != 1
                 || !List.of(
@@ -32,22 +32,26 @@
                                 "control-plane",
                                 "rehearse-system")
                         .contains(args[0])) {
-            // Not for what the platform starts: the library's classes would cost each start.
-            System.exit(Commands.run(args));
+            // The programs themselves skip picocli, whose class loading would slow each start.
+            System.exit(RootCommand.run(args));
         }
         try {
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Daemon daemon =
-                        new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
-                // Before the start: the JVM's own answer to SIGHUP is to end.
+                        new Daemon(
+                                Config.read(System.getenv()),
+                                OperatorConfig.fromEnvironment(System.getenv()),
+                                log);
+                // Registered before the start: the default reaction of the JVM to SIGHUP is to
+                // exit.
                 daemon.hear(() -> Config.again(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 Rehearsal.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
@@ -59,20 +63,20 @@
             } else {
                 new SimulatorServer(System.in, System.out).run();
             }
-        } catch (BadConfig bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (BadConfig e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (Operator.BadOperator bad) {
-            System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
+        } catch (OperatorConfig.InvalidOperatorConfigException e) {
+            System.err.println("dillfront: LB_OPERATOR " + e.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (InvalidInputException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (InvalidInputException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (IOException broken) {
-            System.err.println("dillfront: cannot go on: " + broken.getMessage());
+        } catch (IOException e) {
+            System.err.println("dillfront: I/O error: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/common/config/ConfigurationParser.java
+++ b/src/main/java/dillfront/common/config/ConfigurationParser.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads and checks one configuration; each fault names its place. */
+/** Parses and validates a configuration; each error names the field. */
 final class ConfigurationParser {
 
     private static final long DAY_MS = 86_400_000;
@@ -24,13 +24,13 @@
     private static final long MAX_SYNCHRONOUS_REPLICAS = 1_000;
     static final long DEFAULT_TRANSACTION_IDLE_MS = 3_000;
 
-    /** Whole numbers above this are not exact as floating point. */
-    private static final long MAX_EXACT = 1L << 52;
+    /** Larger integers are parsed from the text: a double may not represent them exactly. */
+    private static final long MAX_EXACT_DOUBLE = 1L << 52;
 
     private final byte[] body;
     private final Map<String, Service> services = new HashMap<>();
     private final Map<String, Route> routes = new HashMap<>();
-    private final Set<String> routePlaces = new HashSet<>();
+    private final Set<String> routeKeys = new HashSet<>();
     private final Set<String> routeNames = new HashSet<>();
 
     ConfigurationParser(byte[] body) {
@@ -38,39 +38,39 @@
     }
 
     Configuration parse() throws InvalidConfigurationException {
-        JsonObject all = parseJson();
-        long revision = number(all, "", "revision_number", 0, Long.MAX_VALUE, null);
+        JsonObject root = parseJson();
+        long revision = number(root, "", "revision_number", 0, Long.MAX_VALUE, null);
         int index = 0;
-        for (JsonValue element : array(all, "services")) {
+        for (JsonValue element : array(root, "services")) {
             parseService(element, "services[" + index++ + "]");
         }
         index = 0;
-        for (JsonValue element : array(all, "routes")) {
+        for (JsonValue element : array(root, "routes")) {
             parseRoute(element, "routes[" + index++ + "]");
         }
-        return new Configuration(revision, body, routes, services, transactionIdle(all));
+        return new Configuration(revision, body, routes, services, transactionIdle(root));
     }
 
     private JsonObject parseJson() throws InvalidConfigurationException {
         String text;
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
-        } catch (CharacterCodingException bad) {
-            throw new InvalidConfigurationException("the body is not UTF-8");
+        } catch (CharacterCodingException e) {
+            throw new InvalidConfigurationException("body is not UTF-8");
         }
         try {
             return Json.parse(text).asObject();
-        } catch (ParseException bad) {
+        } catch (ParseException e) {
             throw new InvalidConfigurationException(
                     "line "
-                            + bad.getLocation().line
+                            + e.getLocation().line
                             + ", column "
-                            + bad.getLocation().column
-                            + ": no whole JSON");
-        } catch (UnsupportedOperationException bad) {
-            throw new InvalidConfigurationException("the body is no object");
-        } catch (StackOverflowError bad) {
-            throw new InvalidConfigurationException("the body is nested too deep");
+                            + e.getLocation().column
+                            + ": invalid JSON");
+        } catch (UnsupportedOperationException e) {
+            throw new InvalidConfigurationException("body is not an object");
+        } catch (StackOverflowError e) {
+            throw new InvalidConfigurationException("body is nested too deep");
         }
     }
 
@@ -92,7 +92,7 @@
                                         0L));
         if (services.put(service.name(), service) != null) {
             throw new InvalidConfigurationException(
-                    place + ".name: '" + service.name() + "' stands twice");
+                    place + ".name: '" + service.name() + "' is defined twice");
         }
     }
 
@@ -113,12 +113,12 @@
                         number(row, place, "max_staleness_ms", 0, DAY_MS, 0L));
         if (!services.containsKey(route.service())) {
             throw new InvalidConfigurationException(
-                    place + ".service: no service is named '" + route.service() + "'");
+                    place + ".service: no service has the name '" + route.service() + "'");
         }
-        if (!routePlaces.add(route.database() + " " + prefix)) {
+        if (!routeKeys.add(route.database() + " " + prefix)) {
             throw new InvalidConfigurationException(
                     place
-                            + ": a second route for host '"
+                            + ": duplicate route for host '"
                             + route.database()
                             + "' and prefix '"
                             + prefix
@@ -126,7 +126,7 @@
         }
         if (!routeNames.add(route.name())) {
             throw new InvalidConfigurationException(
-                    place + ".name: '" + route.name() + "' stands twice");
+                    place + ".name: '" + route.name() + "' is defined twice");
         }
         routes.put(route.database(), route);
     }
@@ -143,8 +143,8 @@
         };
     }
 
-    private static long transactionIdle(JsonObject all) throws InvalidConfigurationException {
-        JsonValue limits = all.get("limits");
+    private static long transactionIdle(JsonObject root) throws InvalidConfigurationException {
+        JsonValue limits = root.get("limits");
         return limits == null
                 ? DEFAULT_TRANSACTION_IDLE_MS
                 : number(
@@ -162,7 +162,7 @@
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
         if (value == null || !value.isArray()) {
-            throw new InvalidConfigurationException(name + ": no list");
+            throw new InvalidConfigurationException(name + ": not a list");
         }
         return value.asArray();
     }
@@ -170,7 +170,7 @@
     private static JsonObject object(JsonValue value, String place)
             throws InvalidConfigurationException {
         if (!value.isObject()) {
-            throw new InvalidConfigurationException(place + ": no object");
+            throw new InvalidConfigurationException(place + ": not an object");
         }
         return value.asObject();
     }
@@ -179,31 +179,34 @@
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
         if (value == null || !value.isString() || value.asString().isEmpty()) {
-            throw new InvalidConfigurationException(place + "." + name + ": no text");
+            throw new InvalidConfigurationException(
+                    place + "." + name + ": not a non-empty string");
         }
         return value.asString();
     }
 
     /**
-     * @param otherwise stands for a field that is not there; null where it has to be
+     * Reads an integer field.
+     *
+     * @param defaultValue default of an optional field; null for a required field
      */
     private static long number(
-            JsonObject in, String place, String name, long min, long max, Long otherwise)
+            JsonObject in, String place, String name, long min, long max, Long defaultValue)
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
-        if (value == null && otherwise != null) {
-            return otherwise;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
-        String where = place.isEmpty() ? name : place + "." + name;
+        String field = place.isEmpty() ? name : place + "." + name;
         try {
             double number = value == null || !value.isNumber() ? Double.NaN : value.asDouble();
             if (!(number >= min && number <= max) || number != Math.rint(number)) {
                 throw new InvalidConfigurationException(
-                        where + ": " + value + " is no whole number from " + min + " to " + max);
+                        field + ": " + value + " is not an integer from " + min + " to " + max);
             }
-            return number > MAX_EXACT ? Long.parseLong(value.toString()) : (long) number;
-        } catch (NumberFormatException bad) {
-            throw new InvalidConfigurationException(where + ": " + value + " is no number");
+            return number > MAX_EXACT_DOUBLE ? Long.parseLong(value.toString()) : (long) number;
+        } catch (NumberFormatException e) {
+            throw new InvalidConfigurationException(field + ": " + value + " is not a number");
         }
     }
 }
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -23,23 +23,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP connection: calls in, one after the other. Answers are told apart by nothing but their
- * order, so the next call begins once the one before has its answer, and whoever sends several at
- * once sees them done in that order. Bodies, silence, the time of a call and answers that nobody
- * reads are bounded; what is sent beyond that stays in the socket.
+ * Serves the requests of one HTTP connection, one at a time. Pipelined responses are matched to
+ * requests by their order only, so the handler starts a request after the response to the previous
+ * one. The size of bodies, idle time, handling time and unread responses are bounded; input beyond
+ * that stays in the socket buffer.
  */
 public final class HttpServerHandler extends TerminalHandler {
 
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int IDLE_TIMEOUT_S = 60;
 
-    /** Above all that a call may take by itself. */
+    /** Above the time that any endpoint takes by itself. */
     static final long MAX_HANDLING_MS = 10_000;
 
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What is called, and what it answers. */
+    /** Handles requests. */
     public interface HttpEndpoint {
         CompletableFuture<Environment.HttpResponse> call(String method, String path, byte[] body);
     }
@@ -49,27 +49,27 @@
     private final long timeoutMillis;
     private ChannelHandlerContext ctx;
 
-    /** The call that is not answered yet; null where none is. */
+    /** The request in progress; null for none. */
     private Exchange current;
 
-    /** What was read meanwhile. */
+    /** Input that arrived during the request in progress. */
     private final ArrayDeque<HttpObject> pendingParts = new ArrayDeque<>();
 
-    /** The call that is being read. */
+    /** The request whose body is being read. */
     private HttpRequest currentRequest;
 
     private ByteBuf body;
 
-    /** After a call that is the last one, or no HTTP: whatever follows is no call. */
+    /** Set after the last request or malformed input; all further input is discarded. */
     private boolean lastRequest;
 
-    HttpServerHandler(Environment host, HttpEndpoint calls, long longestMs) {
-        this.environment = host;
-        this.endpoint = calls;
-        this.timeoutMillis = longestMs;
+    HttpServerHandler(Environment environment, HttpEndpoint endpoint, long timeoutMillis) {
+        this.environment = environment;
+        this.endpoint = endpoint;
+        this.timeoutMillis = timeoutMillis;
     }
 
-    /** One call's turn to be answered: once, and not after the connection is over. */
+    /** A request in progress, which gets one response unless the connection closes before. */
     private final class Exchange {
         private final boolean last;
         private final Environment.Timer timeout;
@@ -83,14 +83,15 @@
                             () ->
                                     respond(
                                             errorResponse(
-                                                    503, "no answer in " + timeoutMillis + " ms")));
+                                                    503,
+                                                    "no response in " + timeoutMillis + " ms")));
         }
 
-        void respond(Environment.HttpResponse is) {
+        void respond(Environment.HttpResponse response) {
             if (current == this) {
                 timeout.cancel();
                 current = null;
-                write(is, last);
+                write(response, last);
             }
         }
     }
@@ -107,14 +108,14 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-        pendingParts.add((HttpObject) in);
+    public void channelRead(ChannelHandlerContext context, Object received) {
+        pendingParts.add((HttpObject) received);
         readNext();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        // Not at once: it may be an answer that is just being written.
+        // Deferred: the event may be fired from within the write of a response.
         ctx.channel().eventLoop().execute(this::readNext);
     }
 
@@ -138,7 +139,7 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            refuse(400, "the request is no HTTP", true);
+            refuse(400, "malformed HTTP request", true);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -148,7 +149,7 @@
             if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
                 refuse(
                         413,
-                        "a body of more than " + MAX_BODY_BYTES + " bytes",
+                        "body exceeds " + MAX_BODY_BYTES + " bytes",
                         !HttpUtil.isKeepAlive(currentRequest));
                 return;
             }
@@ -162,87 +163,90 @@
     private void startRequest(HttpRequest request) {
         currentRequest = request;
         body = Unpooled.buffer(256);
-        String expected = request.headers().get("Expect");
-        boolean large = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
-        if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
-            // Whether its body comes all the same, nobody can say: what follows is not read as
-            // calls.
-            refuse(large ? 413 : 417, "not expected", true);
-        } else if (large) {
+        String expectation = request.headers().get("Expect");
+        boolean tooLarge = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
+        if (expectation != null && (tooLarge || !expectation.equalsIgnoreCase("100-continue"))) {
+            // The client may or may not send the body after the refusal, so the following bytes
+            // cannot be parsed as requests.
+            refuse(tooLarge ? 413 : 417, "expectation refused", true);
+        } else if (tooLarge) {
             refuse(
                     413,
-                    "a body of more than " + MAX_BODY_BYTES + " bytes",
+                    "body exceeds " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
-        } else if (expected != null) {
-            // Not through the codec, which would take it for the answer.
+        } else if (expectation != null) {
+            // Bypasses the codec, which would take it for the final response.
             ctx.pipeline().context("codec").writeAndFlush(Unpooled.wrappedBuffer(CONTINUE));
         }
     }
 
-    /** The rest of its body, if any, is passed over. */
-    private void refuse(int status, String why, boolean last) {
+    /** Responds with an error; the rest of the body is discarded. */
+    private void refuse(int status, String message, boolean last) {
         currentRequest = null;
         body = null;
         lastRequest = last;
-        new Exchange(last).respond(errorResponse(status, why));
+        new Exchange(last).respond(errorResponse(status, message));
     }
 
     private void dispatch() {
         HttpRequest request = currentRequest;
         currentRequest = null;
         lastRequest = !HttpUtil.isKeepAlive(request);
-        Exchange its = new Exchange(lastRequest);
-        byte[] all = new byte[body.readableBytes()];
-        body.readBytes(all);
+        Exchange exchange = new Exchange(lastRequest);
+        byte[] content = new byte[body.readableBytes()];
+        body.readBytes(content);
         body = null;
         String uri = request.uri();
-        int query = uri.indexOf('?');
+        int queryStart = uri.indexOf('?');
         try {
-            endpoint.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
+            endpoint.call(
+                            request.method().name(),
+                            queryStart < 0 ? uri : uri.substring(0, queryStart),
+                            content)
                     .whenComplete(
-                            (is, fault) ->
-                                    its.respond(
-                                            fault != null
+                            (response, error) ->
+                                    exchange.respond(
+                                            error != null
                                                     ? errorResponse(
-                                                            503, String.valueOf(fault.getMessage()))
-                                                    : is == null || is.body() == null
-                                                            ? errorResponse(500, "no answer")
-                                                            : is));
-        } catch (RuntimeException | StackOverflowError fault) {
-            // This call alone pays for it, not those beside it on the connection.
-            reportFault(fault);
-            its.respond(errorResponse(500, "fault in " + request.method().name()));
+                                                            503, String.valueOf(error.getMessage()))
+                                                    : response == null || response.body() == null
+                                                            ? errorResponse(500, "no response")
+                                                            : response));
+        } catch (RuntimeException | StackOverflowError error) {
+            // The fault fails this request only, not the others on the connection.
+            reportError(error);
+            exchange.respond(errorResponse(500, "internal error in " + request.method().name()));
         }
     }
 
-    private void write(Environment.HttpResponse is, boolean last) {
+    private void write(Environment.HttpResponse response, boolean last) {
         DefaultFullHttpResponse out =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.valueOf(is.status()),
-                        Unpooled.wrappedBuffer(is.body()));
+                        HttpResponseStatus.valueOf(response.status()),
+                        Unpooled.wrappedBuffer(response.body()));
         out.headers()
                 .set("Content-Type", "application/json")
-                .set("Content-Length", is.body().length);
-        if (is.location() != null) {
-            out.headers().set("Location", is.location());
+                .set("Content-Length", response.body().length);
+        if (response.location() != null) {
+            out.headers().set("Location", response.location());
         }
         if (last) {
             out.headers().set("Connection", "close");
         }
-        var sent = ctx.writeAndFlush(out);
+        var written = ctx.writeAndFlush(out);
         if (last) {
-            sent.addListener(ChannelFutureListener.CLOSE);
+            written.addListener(ChannelFutureListener.CLOSE);
         }
         if (!pendingParts.isEmpty()) {
-            // Not at once: an answer may come while the next call is being read.
+            // Deferred: this method may be called from within the read of a request.
             ctx.channel().eventLoop().execute(this::readNext);
         }
     }
 
     /**
-     * Nothing came or went for long. Whoever takes long to read an answer is not silent while he
-     * reads.
+     * Closes an idle connection. The idle handler observes output, so a client that reads a large
+     * response slowly does not count as idle.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
@@ -251,12 +255,12 @@
         }
     }
 
-    /** An answer that says what was wrong. */
-    public static Environment.HttpResponse errorResponse(int status, String fault) {
+    /** Creates a response with an error message. */
+    public static Environment.HttpResponse errorResponse(int status, String message) {
         return new Environment.HttpResponse(
                 status,
                 com.eclipsesource.json.Json.object()
-                        .add("error_message", fault)
+                        .add("error_message", message)
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
     }
@@ -272,18 +276,18 @@
         pendingParts.clear();
     }
 
-    private void reportFault(Throwable fault) {
+    private void reportError(Throwable error) {
         environment.warn(
-                "fault on a call: "
-                        + fault
+                "error in a request: "
+                        + error
                         + " at "
-                        + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
+                        + (error.getStackTrace().length == 0 ? "-" : error.getStackTrace()[0]));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            reportFault(cause);
+            reportError(cause);
         }
         ctx.close();
     }
--- a/src/main/java/dillfront/common/environment/RingLog.java
+++ b/src/main/java/dillfront/common/environment/RingLog.java
@@ -3,8 +3,9 @@
 import java.io.PrintStream;
 
 /**
- * The last things that were noted, in memory. They go out once something is wrong, with what led to
- * it, and at most so many times a minute: no trouble can make the log the next trouble.
+ * Keeps the last events in a ring buffer and writes them out with the next warning, which shows
+ * what led to it. The number of dumps per minute is bounded, so that a burst of warnings cannot
+ * overload the process by its log.
  */
 public final class RingLog {
 
@@ -16,11 +17,13 @@
     private final String name;
     private final String[] lines = new String[CAPACITY];
 
-    /** How many were noted, and how many of them went out or fell out. */
+    /** Number of events that were recorded. */
     private long recorded;
 
-    private long written;
-    private long minute;
+    /** Number of events that were written or overwritten. */
+    private long consumed;
+
+    private long currentMinute;
     private int dumpsThisMinute;
 
     public RingLog(PrintStream out, String name) {
@@ -28,30 +31,30 @@
         this.name = name;
     }
 
-    public void record(long ms, String event) {
-        lines[(int) (recorded++ % CAPACITY)] = ms + " " + event;
+    public void record(long millis, String event) {
+        lines[(int) (recorded++ % CAPACITY)] = millis + " " + event;
     }
 
-    /** Notes it, and writes out all that was not written yet. */
-    public void warn(long ms, String event) {
-        record(ms, event);
-        if (ms / MINUTE_MS != minute) {
-            minute = ms / MINUTE_MS;
+    /** Records an event and writes all events since the last dump. */
+    public void warn(long millis, String event) {
+        record(millis, event);
+        if (millis / MINUTE_MS != currentMinute) {
+            currentMinute = millis / MINUTE_MS;
             dumpsThisMinute = 0;
         }
         if (++dumpsThisMinute > MAX_DUMPS_PER_MINUTE) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        if (recorded - written > CAPACITY) {
+        if (recorded - consumed > CAPACITY) {
             text.append(name)
-                    .append(" left out ")
-                    .append(recorded - written - CAPACITY)
+                    .append(" dropped ")
+                    .append(recorded - consumed - CAPACITY)
                     .append('\n');
-            written = recorded - CAPACITY;
+            consumed = recorded - CAPACITY;
         }
-        for (; written < recorded; written++) {
-            text.append(name).append(' ').append(lines[(int) (written % CAPACITY)]).append('\n');
+        for (; consumed < recorded; consumed++) {
+            text.append(name).append(' ').append(lines[(int) (consumed % CAPACITY)]).append('\n');
         }
         out.print(text);
         out.flush();
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -13,50 +13,54 @@
 import java.util.function.Supplier;
 
 /**
- * Channels made by hand, on the one loop. Netty's bootstraps would copy themselves, look up names
- * that are numbers here, and load classes for all that at every start.
+ * Creates channels on an event loop without Netty's bootstraps, which would copy their options,
+ * resolve host names and load more classes at each start.
  */
 public final class Sockets {
 
     private Sockets() {}
 
     /**
-     * Opens one to this address; on the loop. The handler is its only one. Null where no descriptor
-     * is left.
+     * Opens a connection with a single handler; called on the event loop.
+     *
+     * @return null if no file descriptor is left
      */
     public static ChannelFuture connect(
-            EventLoop loop, InetSocketAddress to, TerminalHandler handler, int timeoutMs) {
+            EventLoop loop, InetSocketAddress address, TerminalHandler handler, int timeoutMs) {
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
-        } catch (ChannelException none) {
+        } catch (ChannelException e) {
             return null;
         }
         channel.config().setTcpNoDelay(true).setConnectTimeoutMillis(timeoutMs);
         channel.pipeline().addLast(handler);
         ChannelFuture registered = loop.register(channel);
-        return registered.isSuccess() ? channel.connect(to) : registered;
+        return registered.isSuccess() ? channel.connect(address) : registered;
     }
 
     /**
-     * A door: each that comes gets a handler of its own; on the loop. Its channel is the future's.
+     * Opens a listener with one handler per accepted connection; called on the event loop. The
+     * returned future holds the server channel.
      */
     public static ChannelFuture listen(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             int backlog,
-            WriteBufferWaterMark mark,
-            Supplier<TerminalHandler> each) {
-        NioServerSocketChannel door = new NioServerSocketChannel();
-        door.config().setBacklog(backlog).setReuseAddress(true);
-        door.pipeline()
+            WriteBufferWaterMark writeBufferLimits,
+            Supplier<TerminalHandler> handlers) {
+        NioServerSocketChannel server = new NioServerSocketChannel();
+        server.config().setBacklog(backlog).setReuseAddress(true);
+        server.pipeline()
                 .addLast(
                         new TerminalHandler() {
                             @Override
-                            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                                NioSocketChannel client = (NioSocketChannel) accepted;
-                                client.config().setTcpNoDelay(true).setWriteBufferWaterMark(mark);
-                                client.pipeline().addLast(each.get());
+                            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                                NioSocketChannel client = (NioSocketChannel) message;
+                                client.config()
+                                        .setTcpNoDelay(true)
+                                        .setWriteBufferWaterMark(writeBufferLimits);
+                                client.pipeline().addLast(handlers.get());
                                 loop.register(client)
                                         .addListener(
                                                 done -> {
@@ -69,8 +73,8 @@
                             @Override
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {
-                                // No descriptor was left: those who wait in line are let in a
-                                // little later, not at once again.
+                                // Out of file descriptors: accept pending connections after a
+                                // pause instead of retrying in a tight loop.
                                 Channel channel = ctx.channel();
                                 if (channel.config().isAutoRead()) {
                                     channel.config().setAutoRead(false);
@@ -82,7 +86,7 @@
                                 ctx.fireExceptionCaught(cause);
                             }
                         });
-        ChannelFuture registered = loop.register(door);
-        return registered.isSuccess() ? door.bind(at) : registered;
+        ChannelFuture registered = loop.register(server);
+        return registered.isSuccess() ? server.bind(address) : registered;
     }
 }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -241,7 +241,7 @@
                     }
                     return over;
                 });
-        counters.nodes = members.indices();
+        counters.nodeRows = members.indices();
     }
 
     /** Discovery itself has told a list. */
@@ -290,8 +290,8 @@
         } else {
             slots.set(slot, exchange);
         }
-        counters.taken++;
-        counters.txns++;
+        counters.startedTransactions++;
+        counters.openTransactions++;
         Duration now = clock.now();
         Duration token =
                 !setup.tokensCarried()
@@ -322,7 +322,7 @@
      */
     private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
         ids.remove(statement.id);
-        counters.taken++;
+        counters.startedTransactions++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
         never.decline(setup.settings().maxRetryDelay());
         message.release();
@@ -369,7 +369,7 @@
         slots.set(exchange.slot(), null);
         ids.remove(exchange.statement().id);
         free.add(exchange.slot());
-        counters.txns--;
+        counters.openTransactions--;
     }
 
     @Override
@@ -492,8 +492,10 @@
                     try {
                         tick();
                         pace.recordTick(clock.now());
-                        counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longestLag().toMillis());
+                        counters.longestLoopTurnMillis =
+                                Math.max(
+                                        counters.longestLoopTurnMillis,
+                                        pace.longestLag().toMillis());
                         decide.onWakeUp();
                         if (neighbours != null) {
                             neighbours.tick(clock.now());
--- a/src/main/java/dillfront/router/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -5,47 +5,46 @@
 import java.util.Set;
 
 /**
- * All that is known of who may do what, as one reading of the operator's files gave it; never
- * changed, only replaced.
+ * An immutable snapshot of the access policy from one read of the operator's files.
  *
  * @param principals by name
- * @param keys ids of the signing keys and certificates' issuers that count now
- * @param revoked ids of credentials that count no more: serials of certificates, ids of tokens
- * @param overlap for how long a key that is no longer among the keys still counts for those who
- *     came by it
- * @param holds for how long this state stands when it can't be read again
- * @param shares how many txns of each tenant may be out at once
+ * @param keys ids of the valid signing keys and certificate issuers
+ * @param revokedCredentials ids of revoked credentials: serial numbers of certificates, ids of
+ *     tokens
+ * @param keyGracePeriod grace period in which a retired key is still accepted
+ * @param maxStaleness how long the policy stays in force while the files cannot be read
+ * @param shares bounds on the transactions in flight of each tenant
  */
 public record Policy(
         Map<String, Principal> principals,
         Set<String> keys,
-        Set<String> revoked,
-        Duration overlap,
-        Duration holds,
-        Shares.Setting shares) {
+        Set<String> revokedCredentials,
+        Duration keyGracePeriod,
+        Duration maxStaleness,
+        TenantShares.Limits shares) {
 
-    public static final Policy NOBODY =
+    public static final Policy EMPTY =
             new Policy(
                     Map.of(),
                     Set.of(),
                     Set.of(),
                     Duration.ZERO,
                     Duration.ZERO,
-                    Shares.Setting.NONE);
+                    TenantShares.Limits.NONE);
 
-    /** Where tenants have no shares. */
+    /** A policy without tenant shares. */
     public Policy(
             Map<String, Principal> principals,
             Set<String> keys,
             Set<String> revoked,
             Duration overlap,
             Duration holds) {
-        this(principals, keys, revoked, overlap, holds, Shares.Setting.NONE);
+        this(principals, keys, revoked, overlap, holds, TenantShares.Limits.NONE);
     }
 
     public Policy {
         principals = Map.copyOf(principals);
         keys = Set.copyOf(keys);
-        revoked = Set.copyOf(revoked);
+        revokedCredentials = Set.copyOf(revokedCredentials);
     }
 }
--- /dev/null
+++ b/src/main/java/dillfront/router/script/ScriptException.java
@@ -0,0 +1,27 @@
+package dillfront.router.script;
+
+/** A script is invalid or fails; line and column of the place count from one. */
+public final class ScriptException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    private final int line;
+    private final int column;
+
+    public ScriptException(int line, int column, String message) {
+        super(message);
+        this.line = line;
+        this.column = column;
+    }
+
+    ScriptException(Token token, String message) {
+        this(token.line(), token.column(), message);
+    }
+
+    public int line() {
+        return line;
+    }
+
+    public int column() {
+        return column;
+    }
+}
--- a/src/main/java/dillfront/router/script/Token.java
+++ b/src/main/java/dillfront/router/script/Token.java
@@ -1,9 +1,9 @@
 package dillfront.router.script;
 
 /**
- * One word of a script.
+ * One lexical token of a script.
  *
- * @param text as it stands there; of a string, what it says
+ * @param text the source text; for a string, its value without quotes and escapes
  */
 record Token(Kind kind, String text, int line, int column) {
 
@@ -11,19 +11,19 @@
         NAME,
         NUMBER,
         STRING,
-        SIGN,
+        OPERATOR,
         NEWLINE,
         INDENT,
         DEDENT,
         END
     }
 
-    boolean is(String sign) {
-        return (kind == Kind.SIGN || kind == Kind.NAME) && text.equals(sign);
+    boolean matches(String expected) {
+        return (kind == Kind.OPERATOR || kind == Kind.NAME) && text.equals(expected);
     }
 
-    /** As an error names it. */
-    String shown() {
+    /** Returns the description for error messages. */
+    String describe() {
         return switch (kind) {
             case NEWLINE -> "the end of the line";
             case INDENT -> "an indented line";
--- a/src/main/java/dillfront/simulation/system/ControlMachine.java
+++ b/src/main/java/dillfront/simulation/system/ControlMachine.java
@@ -5,47 +5,48 @@
 /** A machine with a control process and a disk. */
 final class ControlMachine {
 
-    final Sim.Machine machine;
-    final Disk disk;
-    ControlNode core;
+    final Simulator.Machine host;
+    final SimulatedDisk disk;
+    ControlNode node;
 
-    /** When its process last began. */
-    long startedAt;
+    /** Time of the last start of the process. */
+    long startedAtMillis;
 
-    /** It is gone for good; nobody starts it again. */
-    boolean gone;
+    /** The machine was removed permanently and is not started again. */
+    boolean decommissioned;
 
     /**
-     * The newest number that was acknowledged when its process began; -1 once it has all of that.
+     * The highest revision that was acknowledged when the process started; -1 once the process has
+     * caught up.
      */
-    long behind = -1;
+    long catchUpRevision = -1;
 
-    /** How many changes it has to catch up. */
-    int behindBy;
+    /** Number of changes that the process missed. */
+    int catchUpChanges;
 
-    /** It took the place of another, and is not yet one of those that count. */
-    boolean replaces;
+    /** The machine replaces another one and is not yet a voting member. */
+    boolean awaitingMembership;
 
-    /** Cut off from a majority since then, without a break; -1 where it is not. */
-    long aloneSince = -1;
+    /** Since when the machine has been without a majority; -1 where it reaches one. */
+    long isolatedSinceMillis = -1;
 
-    /** Since when it has reached a majority, in this life. */
-    long contactFrom;
+    /** Since when the machine has reached a majority in this incarnation. */
+    long majorityContactSinceMillis;
 
-    /** Acknowledged numbers when it was last known to have all. */
-    int hadChanges;
+    /** Number of acknowledged changes when the machine last had all of them. */
+    int changesWhenCaughtUp;
 
-    ControlMachine(Sim sim, Sim.Machine machine) {
-        this.machine = machine;
-        disk = new Disk(sim, machine);
+    ControlMachine(Simulator sim, Simulator.Machine host) {
+        this.host = host;
+        disk = new SimulatedDisk(sim, host);
     }
 
-    boolean runs() {
-        return machine.up && !machine.frozen();
+    boolean isRunning() {
+        return host.up && !host.paused();
     }
 
-    void down(boolean power) {
-        machine.down(power);
-        disk.cutShort();
+    void down(boolean powerLoss) {
+        host.down(powerLoss);
+        disk.interrupt();
     }
 }
--- a/src/test/java/dillfront/bootstrap/TcpRelay.java
+++ b/src/test/java/dillfront/bootstrap/TcpRelay.java
@@ -9,81 +9,81 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Stands at the address by which one process knows another: passes bytes on to that one and back,
- * or loses them, each way by itself.
+ * A TCP relay between two processes, which forwards bytes or drops them, per direction. It listens
+ * at the address that one process has for the other.
  */
 final class TcpRelay implements AutoCloseable {
 
-    private final ServerSocket door = new ServerSocket();
+    private final ServerSocket listener = new ServerSocket();
     private final InetSocketAddress target;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private boolean loses;
-    private boolean losesBack;
+    private boolean dropsForward;
+    private boolean dropsBackward;
 
-    TcpRelay(InetSocketAddress at, InetSocketAddress target) throws IOException {
+    TcpRelay(InetSocketAddress address, InetSocketAddress target) throws IOException {
         this.target = target;
-        door.bind(at);
-        thread(
+        listener.bind(address);
+        startThread(
                 () -> {
-                    while (!door.isClosed()) {
+                    while (!listener.isClosed()) {
                         try {
-                            Socket near = door.accept();
-                            open.add(near);
-                            thread(() -> meet(near));
-                        } catch (IOException closed) {
+                            Socket client = listener.accept();
+                            open.add(client);
+                            startThread(() -> relay(client));
+                        } catch (IOException e) {
                             return;
                         }
                     }
                 });
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void meet(Socket near) {
-        boolean cut;
+    private void relay(Socket client) {
+        boolean dropsBoth;
         synchronized (this) {
-            cut = loses && losesBack;
+            dropsBoth = dropsForward && dropsBackward;
         }
-        if (cut) {
-            // Whoever dials through a cut says what he wants, and nobody hears it.
-            pump(near, near, () -> true);
+        if (dropsBoth) {
+            // A connection opened during a partition is accepted, and its bytes are discarded.
+            copy(client, client, () -> true);
             return;
         }
-        Socket far = new Socket();
-        open.add(far);
+        Socket server = new Socket();
+        open.add(server);
         try {
-            far.connect(target, 1_000);
-        } catch (IOException refused) {
-            reset(near);
-            reset(far);
+            server.connect(target, 1_000);
+        } catch (IOException e) {
+            reset(client);
+            reset(server);
             return;
         }
-        thread(() -> pump(far, near, () -> losesBack));
-        pump(near, far, () -> loses);
+        startThread(() -> copy(server, client, () -> dropsBackward));
+        copy(client, server, () -> dropsForward);
     }
 
-    private void pump(Socket from, Socket to, BooleanSupplier lost) {
+    private void copy(Socket from, Socket to, BooleanSupplier drops) {
         byte[] bytes = new byte[1 << 16];
         try {
             for (int read = from.getInputStream().read(bytes);
                     read >= 0;
                     read = from.getInputStream().read(bytes)) {
                 synchronized (this) {
-                    if (!lost.getAsBoolean()) {
+                    if (!drops.getAsBoolean()) {
                         to.getOutputStream().write(bytes, 0, read);
                     }
                 }
             }
-        } catch (IOException over) {
-            // As an end, below.
+        } catch (IOException e) {
+            // Handled as the end of the stream, below.
         }
         synchronized (this) {
-            if (lost.getAsBoolean()) {
-                // Through a cut nobody hears of an end.
+            if (drops.getAsBoolean()) {
+                // During a partition the end of the stream is not forwarded either.
                 return;
             }
         }
@@ -95,31 +95,34 @@
         open.remove(socket);
         try {
             socket.setSoLinger(true, 0);
-        } catch (IOException over) {
-            // It is closed already.
+        } catch (IOException e) {
+            // Already closed.
         }
         try {
             socket.close();
-        } catch (IOException over) {
-            // It is over, which is what was wanted.
+        } catch (IOException e) {
+            // Already closed.
         }
     }
 
-    /** From now on nothing passes to the target, or back; connections stay open. */
-    synchronized void lose(boolean there, boolean back) {
-        loses = there;
-        losesBack = back;
+    /** Drops bytes to the target, back, or both; connections stay open. */
+    synchronized void drop(boolean forward, boolean backward) {
+        dropsForward = forward;
+        dropsBackward = backward;
     }
 
-    /** All passes again; what has lost bytes is reset, as by a machine that knows nothing of it. */
+    /**
+     * Forwards again, and resets all connections that may have lost bytes, as a restarted machine
+     * would.
+     */
     void heal() {
-        lose(false, false);
+        drop(false, false);
         open.forEach(this::reset);
     }
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         open.forEach(this::reset);
     }
 }
--- a/src/test/java/dillfront/common/environment/HttpPostTest.java
+++ b/src/test/java/dillfront/common/environment/HttpPostTest.java
@@ -19,13 +19,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * A call of the platform has a connection of its own: what came back there, whole and in time, is
- * its answer, and nothing else.
- */
+/** Tests that a request succeeds only with a complete final response within its timeout. */
 class HttpPostTest {
 
-    private final NettyEnvironment host = new NettyEnvironment(1);
+    private final NettyEnvironment environment = new NettyEnvironment(1);
     private ServerSocket platform;
 
     @BeforeEach
@@ -37,94 +34,92 @@
     @AfterEach
     void close() throws Exception {
         platform.close();
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
     }
 
-    private CompletableFuture<Environment.HttpResponse> post(int timeoutMs) {
-        return host.post(
+    private CompletableFuture<Environment.HttpResponse> post(int timeoutMillis) {
+        return environment.post(
                 "127.0.0.1:" + platform.getLocalPort(),
                 "/promotion",
                 "{}",
                 Map.of("Dillfront-Fence-Number", "7"),
-                timeoutMs);
+                timeoutMillis);
     }
 
     /**
-     * What becomes of a call that is answered with these bytes, after which the connection is
-     * closed.
+     * Returns the status of a request whose response is these bytes and a close of the connection;
+     * "none" if it fails.
      */
-    private String answeredWith(String bytes) throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = post(5_000);
-        try (Socket call = platform.accept()) {
-            String head = request(call);
+    private String outcomeOf(String bytes) throws Exception {
+        CompletableFuture<Environment.HttpResponse> response = post(5_000);
+        try (Socket connection = platform.accept()) {
+            String head = request(connection);
             assertTrue(head.contains("ence-number: 7") || head.contains("ence-Number: 7"), head);
-            call.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
+            connection.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
         }
         try {
-            return Integer.toString(is.get(8, TimeUnit.SECONDS).status());
-        } catch (ExecutionException none) {
+            return Integer.toString(response.get(8, TimeUnit.SECONDS).status());
+        } catch (ExecutionException e) {
             return "none";
         }
     }
 
-    private static String request(Socket call) throws IOException {
-        StringBuilder all = new StringBuilder();
-        while (!all.toString().endsWith("\r\n\r\n{}")) {
-            int next = call.getInputStream().read();
-            assertTrue(next >= 0, "the call ended within " + all);
-            all.append((char) next);
+    private static String request(Socket connection) throws IOException {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("\r\n\r\n{}")) {
+            int next = connection.getInputStream().read();
+            assertTrue(next >= 0, "request ended within " + received);
+            received.append((char) next);
         }
-        return all.toString();
+        return received.toString();
     }
 
     @Test
     void failsOnIncompleteResponse() throws Exception {
-        assertEquals("200", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
-        assertEquals("409", answeredWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
-        assertEquals("none", answeredWith(""));
-        assertEquals("none", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}"));
+        assertEquals("200", outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
+        assertEquals("409", outcomeOf("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals("none", outcomeOf(""));
+        assertEquals("none", outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}"));
         assertEquals(
-                "none",
-                answeredWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
-        assertEquals("none", answeredWith("no HTTP at all\r\n\r\n"));
+                "none", outcomeOf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
+        assertEquals("none", outcomeOf("no HTTP at all\r\n\r\n"));
     }
 
-    /** Guards against a word on the way that is taken for the answer. */
+    /** Guards against an informational response (1xx) that is treated as the final one. */
     @Test
     void ignoresInformationalResponses() throws Exception {
         assertEquals(
                 "409",
-                answeredWith(
+                outcomeOf(
                         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
     }
 
     @Test
     void failsAfterTheTimeout() throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = post(200);
-        try (Socket call = platform.accept()) {
-            request(call);
-            assertThrows(ExecutionException.class, () -> is.get(8, TimeUnit.SECONDS));
-            assertEquals(-1, call.getInputStream().read(), "the connection is left");
+        CompletableFuture<Environment.HttpResponse> response = post(200);
+        try (Socket connection = platform.accept()) {
+            request(connection);
+            assertThrows(ExecutionException.class, () -> response.get(8, TimeUnit.SECONDS));
+            assertEquals(-1, connection.getInputStream().read(), "the connection is closed");
         }
     }
 
-    /**
-     * Guards against a call that leaves once the process runs again, though its time was over while
-     * it stood still.
-     */
+    /** Guards against a request that a paused process sends after its timeout has passed. */
     @Test
     void sendsNothingAfterTheTimeout() throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = new CompletableFuture<>();
+        CompletableFuture<Environment.HttpResponse> response = new CompletableFuture<>();
         BlockingQueue<Boolean> accepted = new LinkedBlockingQueue<>();
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .execute(
                         () -> {
-                            post(100).whenComplete((answer, fault) -> is.complete(answer));
-                            // The process stands still from before it is connected until its time
-                            // is over.
+                            post(100).whenComplete((answer, fault) -> response.complete(answer));
+                            // Blocks the event loop from before the connect completes until the
+                            // timeout has passed.
                             try {
                                 accepted.poll(8, TimeUnit.SECONDS);
                                 Thread.sleep(200);
@@ -132,10 +127,11 @@
                                 Thread.currentThread().interrupt();
                             }
                         });
-        try (Socket call = platform.accept()) {
+        try (Socket connection = platform.accept()) {
             accepted.add(true);
-            assertEquals(-1, call.getInputStream().read(), "something was sent after its time");
+            assertEquals(
+                    -1, connection.getInputStream().read(), "bytes were sent after the timeout");
         }
-        assertEquals(null, is.get(8, TimeUnit.SECONDS));
+        assertEquals(null, response.get(8, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
+++ b/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
@@ -10,43 +10,45 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
-/** A machine whose time goes on by the test's word, and whose connections are the test's. */
+/** An environment with simulated time and connections that the test scripts. */
 public final class ScriptedEnvironment implements Environment {
 
     private record Event(long at, long order, Runnable run) {}
 
-    /** One end of a connection: what the program sent there, and what the test says to it. */
-    public static final class Line implements Connection {
+    /**
+     * The remote end of a connection: records what the program sends, and sends what the test says.
+     */
+    public static final class ScriptedConnection implements Connection {
         public final String address;
         public final List<String> sent = new ArrayList<>();
         public boolean closed;
-        private final Framing form;
-        private final ConnectionListener ear;
+        private final Framing framing;
+        private final ConnectionListener listener;
 
-        public Line(String address, Framing form, ConnectionListener ear) {
+        public ScriptedConnection(String address, Framing framing, ConnectionListener listener) {
             this.address = address;
-            this.form = form;
-            this.ear = ear;
+            this.framing = framing;
+            this.listener = listener;
         }
 
         public void open() {
-            ear.onOpen(this);
+            listener.onOpen(this);
         }
 
-        /** Lines, as they come one after the other; none once the program has closed. */
-        public void say(String... lines) {
+        /** Delivers lines to the program in order, unless the connection is closed. */
+        public void receive(String... lines) {
             for (String line : lines) {
                 if (!closed) {
-                    ear.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
+                    listener.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         }
 
-        /** The connection breaks. */
+        /** Breaks the connection. */
         public void reset() {
             if (!closed) {
                 closed = true;
-                ear.onClose("broken");
+                listener.onClose("broken");
             }
         }
 
@@ -55,7 +57,9 @@
             if (!closed) {
                 String text = new String(message, StandardCharsets.ISO_8859_1);
                 sent.addAll(
-                        form == Framing.LINES ? Arrays.asList(text.split("\r\n")) : List.of(text));
+                        framing == Framing.LINES
+                                ? Arrays.asList(text.split("\r\n"))
+                                : List.of(text));
             }
         }
 
@@ -69,7 +73,7 @@
             return 0;
         }
 
-        public String last() {
+        public String lastSent() {
             return sent.isEmpty() ? "" : sent.get(sent.size() - 1);
         }
     }
@@ -83,12 +87,12 @@
     private final SplittableRandom random = new SplittableRandom(1);
     private long order;
     private long now = 1_000;
-    public final List<Line> dialed = new ArrayList<>();
-    public final List<String> noted = new ArrayList<>();
+    public final List<ScriptedConnection> connections = new ArrayList<>();
+    public final List<String> loggedEvents = new ArrayList<>();
 
-    /** Time goes on, and what is due happens. */
-    public void pass(long ms) {
-        long end = now + ms;
+    /** Advances the time and runs the tasks that are due. */
+    public void advance(long millis) {
+        long end = now + millis;
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event next = events.poll();
             now = Math.max(now, next.at());
@@ -98,15 +102,15 @@
     }
 
     /**
-     * The process stands still for so long: what was due meanwhile comes only after what the test
-     * says next.
+     * Advances the time without running tasks, as in a paused process: tasks that became due run
+     * only at the next {@link #advance}.
      */
-    public void freeze(long ms) {
-        now += ms;
+    public void pauseProcess(long millis) {
+        now += millis;
     }
 
-    public Line lastDialed() {
-        return dialed.get(dialed.size() - 1);
+    public ScriptedConnection lastConnection() {
+        return connections.get(connections.size() - 1);
     }
 
     @Override
@@ -115,29 +119,34 @@
     }
 
     @Override
-    public Timer schedule(long ms, Runnable run) {
-        boolean[] off = new boolean[1];
+    public Timer schedule(long delayMillis, Runnable task) {
+        boolean[] cancelled = new boolean[1];
         events.add(
                 new Event(
-                        now + Math.max(0, ms),
+                        now + Math.max(0, delayMillis),
                         order++,
                         () -> {
-                            if (!off[0]) {
-                                run.run();
+                            if (!cancelled[0]) {
+                                task.run();
                             }
                         }));
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
     }
 
     @Override
-    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
-        dialed.add(new Line(address, form, ear));
-        return lastDialed();
+    public Connection connect(
+            String address, Framing framing, int timeoutMillis, ConnectionListener listener) {
+        connections.add(new ScriptedConnection(address, framing, listener));
+        return lastConnection();
     }
 
     @Override
     public CompletableFuture<HttpResponse> post(
-            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+            String address,
+            String path,
+            String json,
+            Map<String, String> headers,
+            int timeoutMillis) {
         return new CompletableFuture<>();
     }
 
@@ -148,11 +157,11 @@
 
     @Override
     public void trace(String event) {
-        noted.add(event);
+        loggedEvents.add(event);
     }
 
     @Override
     public void warn(String event) {
-        noted.add(event);
+        loggedEvents.add(event);
     }
 }
