--- a/src/main/java/dillfront/benchmark/Counts.java
+++ b/src/main/java/dillfront/benchmark/Counts.java
@@ -2,8 +2,8 @@
 
 import com.sun.management.ThreadMXBean;
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import io.netty.buffer.PoolArenaMetric;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.ByteArrayInputStream;
@@ -118,9 +118,9 @@
             port = free.getLocalPort();
         }
         try (StandIns round = new StandIns(WORK_MICROS)) {
-            Daemon daemon =
-                    new Daemon(
-                            Config.read(
+            RouterServer daemon =
+                    new RouterServer(
+                            RouterConfig.read(
                                     new ByteArrayInputStream(
                                             round.config(port, 8)
                                                     .getBytes(StandardCharsets.US_ASCII))),
--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -9,7 +9,7 @@
 import dillfront.common.logging.Log;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.controlplane.ControlNode;
-import dillfront.router.Signals;
+import dillfront.router.SignalHandlers;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -73,15 +73,15 @@
 
     private static void handleSignals(
             ControlNode node, NettyEnvironment environment, SettingsSource source, Log log) {
-        Signals.on(
+        SignalHandlers.register(
                 "TERM",
                 () ->
                         environment
                                 .eventLoop()
                                 .execute(() -> node.shutDown(() -> Runtime.getRuntime().halt(0))),
                 log);
-        Signals.on("HUP", () -> reloadSettings(source, node, environment, log), log);
-        Signals.on(
+        SignalHandlers.register("HUP", () -> reloadSettings(source, node, environment, log), log);
+        SignalHandlers.register(
                 "USR2",
                 () ->
                         environment
--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -10,7 +10,7 @@
 import dillfront.common.environment.RingLog;
 import dillfront.common.logging.Log;
 import dillfront.dataplane.DataPlaneNode;
-import dillfront.router.Signals;
+import dillfront.router.SignalHandlers;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
@@ -80,18 +80,18 @@
 
     private static void handleSignals(
             DataPlaneNode node, NettyEnvironment environment, SettingsSource source, Log log) {
-        Signals.on(
+        SignalHandlers.register(
                 "TERM",
                 () ->
                         environment
                                 .eventLoop()
                                 .execute(() -> node.shutDown(() -> Runtime.getRuntime().halt(0))),
                 log);
-        Signals.on(
+        SignalHandlers.register(
                 "HUP",
                 () -> environment.eventLoop().execute(() -> reloadSettings(node, source, log)),
                 log);
-        Signals.on(
+        SignalHandlers.register(
                 "USR2",
                 () ->
                         environment
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -6,10 +6,10 @@
 import dillfront.common.logging.Log;
 import dillfront.common.logging.Silence;
 import dillfront.common.storage.KeyValueStore;
-import dillfront.router.Daemon;
-import dillfront.router.Rehearsal;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.WarmUpRun;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.Operator;
 import dillfront.routing.simulator.InvalidInputException;
 import dillfront.routing.simulator.SimulatorServer;
@@ -39,16 +39,16 @@
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
                 Silence.over(log);
-                Daemon daemon =
-                        new Daemon(Config.read(System.getenv()), Operator.of(System.getenv()), log);
+                RouterServer daemon =
+                        new RouterServer(RouterConfig.read(System.getenv()), Operator.of(System.getenv()), log);
                 // Before the start: the JVM's own answer to SIGHUP is to end.
-                daemon.hear(() -> Config.again(System.getenv()));
+                daemon.registerSignals(() -> RouterConfig.readForReload(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
                 Silence.over(log);
-                Rehearsal.run(log);
+                WarmUpRun.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
             } else if (args[0].equals("control-plane")) {
@@ -59,7 +59,7 @@
             } else {
                 new SimulatorServer(System.in, System.out).run();
             }
-        } catch (BadConfig bad) {
+        } catch (ConfigException bad) {
             System.err.println("dillfront: " + bad.getMessage());
             System.exit(1);
         } catch (Operator.BadOperator bad) {
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/Site.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Tree;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.JsonObject;
 import dillfront.router.plan.LoadPlan;
 import dillfront.router.plan.LoadPlanner;
 import dillfront.router.plan.PlannerInput;
@@ -98,10 +98,10 @@
             }
             PlannerInput estate;
             try (InputStream in = Files.newInputStream(file)) {
-                estate = PlannerInputReader.read(Tree.parse(in), use, mix);
+                estate = PlannerInputReader.read(JsonObject.parse(in), use, mix);
             } catch (NoSuchFileException none) {
                 return Commands.fault(file + ": no such file");
-            } catch (IOException | BadConfig bad) {
+            } catch (IOException | ConfigException bad) {
                 return Commands.fault(
                         file
                                 + ": "
--- a/src/main/java/dillfront/router/Doorkeeper.java
+++ b/src/main/java/dillfront/router/FileClientAuthenticator.java
@@ -1,10 +1,10 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
-import dillfront.router.frontend.Callers;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.frontend.ClientAuthenticator;
 import dillfront.router.identity.Gate;
 import dillfront.router.identity.Penalty;
 import dillfront.router.identity.Policy;
@@ -38,62 +38,62 @@
  * object. Handshakes' arithmetic is done by that thread too, so that a storm of them takes none of
  * the loop's turns; so many at once, and the next are turned away.
  */
-final class Doorkeeper implements Callers {
+final class FileClientAuthenticator implements ClientAuthenticator {
 
-    private static final Duration LOOK = Duration.ofMillis(250);
-    private static final int HANDSHAKES = 64;
-    private static final Duration HANDSHAKE = Duration.ofSeconds(2);
+    private static final Duration FILE_CHECK_INTERVAL = Duration.ofMillis(250);
+    private static final int MAX_CONCURRENT_HANDSHAKES = 64;
+    private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
     /** All that one look at the files gave. */
-    private record Read(Policy policy, Tokens tokens, SslContext tls) {}
+    private record IdentityFiles(Policy policy, Tokens tokens, SslContext tls) {}
 
     private final Path operatorFile;
 
     /** On the reader's thread after the start. */
-    private Setup setup;
+    private RouterSettings settings;
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final EventLoop loop;
     private final Log log;
     private final Gate gate = new Gate();
     private final Penalty penalty;
-    private final ScheduledThreadPoolExecutor reader =
+    private final ScheduledThreadPoolExecutor fileReader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
     /** What was read last and was good, and the files of it as they were then. */
-    private Operator.IdentityPart part;
+    private Operator.IdentityPart identity;
 
-    private String seen;
-    private String fault = "";
+    private String fileStamps;
+    private String lastError = "";
     private Tokens tokens;
     private SslContext tls;
     private int handshakes;
 
     /** Reads the files once, or says what is wrong with them. */
-    Doorkeeper(
+    FileClientAuthenticator(
             Path operatorFile,
             Operator operator,
-            Setup setup,
+            RouterSettings setup,
             long seed,
-            Clock clock,
+            MonotonicClock clock,
             EventLoop loop,
             Log log)
             throws Operator.BadOperator {
         this.operatorFile = operatorFile;
-        this.setup = setup;
+        this.settings = setup;
         this.clock = clock;
         this.loop = loop;
         this.log = log;
         penalty = new Penalty(seed);
-        part = operator.identity();
-        seen = stamps(part);
-        take(read(part, setup));
-        reader.scheduleWithFixedDelay(
-                this::look, LOOK.toMillis(), LOOK.toMillis(), TimeUnit.MILLISECONDS);
+        identity = operator.identity();
+        fileStamps = readStamps(identity);
+        apply(readFiles(identity, setup));
+        fileReader.scheduleWithFixedDelay(
+                this::checkFiles, FILE_CHECK_INTERVAL.toMillis(), FILE_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     void close() {
-        reader.shutdownNow();
+        fileReader.shutdownNow();
     }
 
     /**
@@ -101,27 +101,27 @@
      * turn of the loop. Guards against rights that speak of a type by an index which has become
      * another's.
      */
-    void settle(Setup next, Runnable then) throws BadConfig {
+    void applySettings(RouterSettings next, Runnable then) throws ConfigException {
         try {
-            reader.submit(
+            fileReader.submit(
                             () -> {
                                 // Where the settings are the same, a file that cannot be read now
                                 // keeps nobody from moving discovery.
-                                Read read = next.equals(setup) ? null : read(part, next);
-                                setup = next;
+                                IdentityFiles read = next.equals(settings) ? null : readFiles(identity, next);
+                                settings = next;
                                 loop.execute(
                                         () -> {
                                             then.run();
                                             if (read != null) {
                                                 tick();
-                                                take(read);
+                                                apply(read);
                                             }
                                         });
                                 return null;
                             })
                     .get();
         } catch (InterruptedException | ExecutionException | RejectedExecutionException bad) {
-            throw new BadConfig(
+            throw new ConfigException(
                     "identity, by these settings: "
                             + (bad.getCause() == null ? bad : bad.getCause().getMessage()));
         }
@@ -130,7 +130,7 @@
     // ---- on the reader's thread
 
     /** Sizes and times of all files: when one differs they are read again. */
-    private String stamps(Operator.IdentityPart of) {
+    private String readStamps(Operator.IdentityPart of) {
         List<Path> files = new ArrayList<>(of.files());
         files.add(operatorFile);
         StringBuilder all = new StringBuilder();
@@ -149,36 +149,36 @@
         return all.toString();
     }
 
-    private void look() {
-        if (fault.isEmpty() && stamps(part).equals(seen)) {
+    private void checkFiles() {
+        if (lastError.isEmpty() && readStamps(identity).equals(fileStamps)) {
             return;
         }
         String wrong = "";
-        Read read = null;
+        IdentityFiles read = null;
         try {
             Operator operator = Operator.read(operatorFile);
             if (operator.identity() == null) {
                 throw new Operator.BadOperator(
                         operatorFile + ": identity() is gone; that waits for a start");
             }
-            String now = stamps(operator.identity());
-            read = read(operator.identity(), setup);
-            part = operator.identity();
-            seen = now;
+            String now = readStamps(operator.identity());
+            read = readFiles(operator.identity(), settings);
+            identity = operator.identity();
+            fileStamps = now;
         } catch (Operator.BadOperator bad) {
             wrong = bad.getMessage();
         } catch (RuntimeException bad) {
             wrong = String.valueOf(bad);
         }
-        boolean said = wrong.equals(fault);
-        fault = wrong;
-        Read good = read;
+        boolean said = wrong.equals(lastError);
+        lastError = wrong;
+        IdentityFiles good = read;
         String why = wrong;
         loop.execute(
                 () -> {
                     tick();
                     if (good != null) {
-                        take(good);
+                        apply(good);
                         log.info(
                                 "identity-read",
                                 "principals",
@@ -194,7 +194,7 @@
                 });
     }
 
-    private Read read(Operator.IdentityPart of, Setup by) throws Operator.BadOperator {
+    private IdentityFiles readFiles(Operator.IdentityPart of, RouterSettings by) throws Operator.BadOperator {
         try {
             Tokens next = new Tokens(Files.readString(of.jwks()), of.issuer(), of.audience());
             Set<String> revoked =
@@ -212,8 +212,8 @@
                                     .sslProvider(SslProvider.JDK)
                                     .protocols("TLSv1.3", "TLSv1.2")
                                     .build();
-            return new Read(
-                    of.policy(by.types(), by.tenants(), next.ids(), revoked), next, context);
+            return new IdentityFiles(
+                    of.policy(by.typeIndices(), by.tenantIndices(), next.ids(), revoked), next, context);
         } catch (Tokens.BadToken bad) {
             throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
         } catch (IOException | IllegalArgumentException bad) {
@@ -223,7 +223,7 @@
 
     // ---- on the loop
 
-    private void take(Read read) {
+    private void apply(IdentityFiles read) {
         tokens = read.tokens;
         tls = read.tls;
         gate.read(read.policy);
@@ -236,34 +236,34 @@
     }
 
     @Override
-    public boolean tlsAlone() {
+    public boolean requiresTls() {
         return tls != null;
     }
 
     @Override
-    public ChannelHandler tls() {
-        if (tls == null || handshakes >= HANDSHAKES) {
+    public ChannelHandler tlsHandler() {
+        if (tls == null || handshakes >= MAX_CONCURRENT_HANDSHAKES) {
             return null;
         }
         SslHandler handler =
-                new SslHandler(tls.newEngine(io.netty.buffer.ByteBufAllocator.DEFAULT), reader);
-        handler.setHandshakeTimeoutMillis(HANDSHAKE.toMillis());
+                new SslHandler(tls.newEngine(io.netty.buffer.ByteBufAllocator.DEFAULT), fileReader);
+        handler.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT.toMillis());
         handshakes++;
         handler.handshakeFuture().addListener(done -> handshakes--);
         return handler;
     }
 
     @Override
-    public Duration wait(String address, String user) {
+    public Duration retryDelay(String address, String user) {
         tick();
         return penalty.wait(address, user);
     }
 
     /** The signature is checked by the reader's thread; what it says is weighed here. */
     @Override
-    public void enter(String address, String user, String token, Entry entry) {
+    public void authenticate(String address, String user, String token, LoginCallback entry) {
         Tokens by = tokens;
-        reader.execute(
+        fileReader.execute(
                 () -> {
                     Gate.Credential credential = null;
                     String wrong = null;
@@ -284,7 +284,7 @@
                                 Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
                                 if (in instanceof Gate.Session session) {
                                     penalty.right(address, user);
-                                    entry.entered(session);
+                                    entry.accepted(session);
                                     return;
                                 }
                                 penalty.failed(address, user);
@@ -297,13 +297,13 @@
                                         address,
                                         "why",
                                         why);
-                                entry.refused((Refusal) in, why);
+                                entry.rejected((Refusal) in, why);
                             });
                 });
     }
 
     @Override
-    public void denied(
+    public void transactionDenied(
             Gate.Session session,
             Refusal why,
             String type,
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -1,12 +1,12 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.admin.Control;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
-import dillfront.router.config.Setup;
-import dillfront.router.discovery.Witnesses;
-import dillfront.router.frontend.Clients;
+import dillfront.router.admin.AdminServer;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.discovery.PeerClosureReports;
+import dillfront.router.frontend.ClientListener;
 import dillfront.router.memory.RouterStateStore;
 import dillfront.router.operator.Operator;
 import dillfront.router.peers.PeerHealthExchange;
@@ -24,76 +24,76 @@
  * What the operator's file adds to a router: gossip, and a door for questions on loopback. On the
  * loop but for its making.
  */
-final class Side {
+final class OptionalServices {
 
-    private final PeerHealthExchange neighbours;
-    private final UdpGossipTransport datagrams;
-    private final Control control;
-    private final Doorkeeper doorkeeper;
+    private final PeerHealthExchange peerHealth;
+    private final UdpGossipTransport gossipTransport;
+    private final AdminServer adminServer;
+    private final FileClientAuthenticator authenticator;
 
     /** Null where nothing is remembered. */
-    private final RouterStateStore memory;
+    private final RouterStateStore stateStore;
 
-    private final Ledger ledger;
+    private final RecoveryCoordinator recovery;
 
-    Side(Operator operator, Config config, Router router, Clients clients, EventLoop loop, Log log)
+    OptionalServices(Operator operator, RouterConfig config, Router router, ClientListener clients, EventLoop loop, Log log)
             throws Operator.BadOperator {
         String name = config.name();
         long seed = config.seed();
-        doorkeeper =
+        authenticator =
                 operator.identity() == null
                         ? null
-                        : new Doorkeeper(
+                        : new FileClientAuthenticator(
                                 operator.file(),
                                 operator,
-                                config.setup(),
+                                config.settings(),
                                 seed,
                                 router.clock(),
                                 loop,
                                 log);
-        if (doorkeeper != null) {
-            clients.ask(doorkeeper);
+        if (authenticator != null) {
+            clients.setAuthenticator(authenticator);
         }
-        memory =
+        stateStore =
                 operator.memory() == null
                         ? null
                         : RouterStateStore.open(operator.memory(), name, log, loop);
-        if (memory != null) {
-            router.remembers(
+        if (stateStore != null) {
+            router.configureMemberList(
                     members -> {
-                        memory.closings()
+                        stateStore.closings()
                                 .forEach(
                                         c ->
-                                                members.recall(
+                                                members.restoreClosed(
                                                         c.id(),
                                                         c.standing(),
                                                         c.startedMs(),
                                                         c.generation()));
-                        members.keeper(memory);
+                        members.setClosureListener(stateStore);
                     });
         }
-        ledger =
-                memory == null && operator.doubts() == null && !operator.sites()
+        recovery =
+                stateStore == null && operator.doubts() == null && !operator.sites()
                         ? null
-                        : new Ledger(
+                        : new RecoveryCoordinator(
                                 operator.doubts(),
-                                memory,
+                                stateStore,
                                 operator.sites(),
-                                config.setup(),
+                                config.settings(),
                                 router.clock().now(),
                                 log);
-        if (ledger != null) {
-            router.keeps(ledger, memory == null ? null : memory::whenKept);
+        if (recovery != null) {
+            router.setRecovery(recovery, stateStore == null ? null : stateStore::whenKept);
         }
         Operator.GossipPart gossip = operator.gossip();
         if (gossip == null) {
-            neighbours = null;
-            datagrams = null;
+            peerHealth = null;
+            gossipTransport = null;
         } else {
             int self = gossip.self(name);
             PeerRegistry ring = gossip.ring();
-            neighbours = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
-            datagrams =
+            peerHealth = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
+            gossipTransport =
                     new UdpGossipTransport(
                             gossip.tuning(),
                             ring,
@@ -107,57 +107,57 @@
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
                             (word, age) ->
-                                    neighbours.receiveClaim(word, age, router.clock().now()));
-            neighbours.setGossip(datagrams::gossip);
-            router.hears(neighbours);
+                                    peerHealth.receiveClaim(word, age, router.clock().now()));
+            peerHealth.setGossip(gossipTransport::gossip);
+            router.setPeerHealth(peerHealth);
             PeerInDoubtKeys others =
                     operator.doubts() == null
                             ? null
                             : new PeerInDoubtKeys(ring.size(), operator.doubts().retention());
             if (others != null) {
-                ledger.others(others);
+                recovery.peerInDoubtKeys(others);
             }
-            datagrams.setRestrictions(
+            gossipTransport.setRestrictions(
                     new PeerRestrictionSync(
-                            others == null ? null : ledger.doubts(),
+                            others == null ? null : recovery.inDoubtKeys(),
                             others,
-                            new Witnesses(gossip.tuning().toleratedLiars()),
+                            new PeerClosureReports(gossip.tuning().toleratedLiars()),
                             router,
                             router.clock()::now));
         }
-        control =
+        adminServer =
                 operator.control() == null
                         ? null
-                        : new Control(
+                        : new AdminServer(
                                 loop,
                                 operator.control(),
                                 log,
                                 question ->
                                         switch (question) {
                                             case "peers" ->
-                                                    datagrams == null
+                                                    gossipTransport == null
                                                             ? "gossip is off\n"
                                                             : PeerStatusReport.table(
-                                                                    datagrams, neighbours);
+                                                                    gossipTransport, peerHealth);
                                             case "peers json" ->
-                                                    datagrams == null
+                                                    gossipTransport == null
                                                             ? "{}\n"
                                                             : PeerStatusReport.json(
-                                                                    datagrams, neighbours);
+                                                                    gossipTransport, peerHealth);
                                             case "status" ->
-                                                    ledger == null
+                                                    recovery == null
                                                             ? "memory, doubts and sites are off\n"
-                                                            : Status.table(
-                                                                    ledger.status(
-                                                                            router.closings(),
-                                                                            router.witnesses()));
+                                                            : StatusFormatter.toText(
+                                                                    recovery.status(
+                                                                            router.closedNodeCount(),
+                                                                            router.reportingPeerCount()));
                                             case "status json" ->
-                                                    ledger == null
+                                                    recovery == null
                                                             ? "{}\n"
-                                                            : Status.json(
-                                                                    ledger.status(
-                                                                            router.closings(),
-                                                                            router.witnesses()));
+                                                            : StatusFormatter.toJson(
+                                                                    recovery.status(
+                                                                            router.closedNodeCount(),
+                                                                            router.reportingPeerCount()));
                                             default ->
                                                     "unknown question; known: peers, peers json, status, status json\n";
                                         });
@@ -167,35 +167,35 @@
      * False where nothing here goes by the settings; else what follows happens with the rights read
      * anew, or not at all.
      */
-    boolean settle(Setup next, Runnable then) throws BadConfig {
-        if (doorkeeper == null) {
+    boolean applySettings(RouterSettings next, Runnable then) throws ConfigException {
+        if (authenticator == null) {
             return false;
         }
-        doorkeeper.settle(next, then);
+        authenticator.applySettings(next, then);
         return true;
     }
 
     void open() {
-        if (datagrams != null) {
-            datagrams.open();
+        if (gossipTransport != null) {
+            gossipTransport.open();
         }
-        if (control != null) {
-            control.open();
+        if (adminServer != null) {
+            adminServer.open();
         }
     }
 
     void close() {
-        if (datagrams != null) {
-            datagrams.close();
+        if (gossipTransport != null) {
+            gossipTransport.close();
         }
-        if (control != null) {
-            control.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
-        if (doorkeeper != null) {
-            doorkeeper.close();
+        if (authenticator != null) {
+            authenticator.close();
         }
-        if (memory != null) {
-            memory.close();
+        if (stateStore != null) {
+            stateStore.close();
         }
     }
 }
--- a/src/main/java/dillfront/router/Ledger.java
+++ b/src/main/java/dillfront/router/RecoveryCoordinator.java
@@ -1,7 +1,7 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.Setup;
+import dillfront.router.config.RouterSettings;
 import dillfront.router.discovery.Member;
 import dillfront.router.memory.RouterStateStore;
 import dillfront.router.recovery.GroupRecovery;
@@ -28,121 +28,121 @@
  * referenced txns that may have run, and how far each group has come back. Joins these decisions to
  * the disk and to the router's words. On the loop.
  */
-final class Ledger implements GroupRecovery.Listener, SiteHealthMonitor.Listener {
+final class RecoveryCoordinator implements GroupRecovery.Listener, SiteHealthMonitor.Listener {
 
     /**
      * State changes that are logged within one span of this length, in dial time-outs; the rest are
      * counted.
      */
-    private static final int LINES = 64;
+    private static final int MAX_LOG_LINES_PER_WINDOW = 64;
 
-    private static final int LINES_DIALS = 40;
+    private static final int LOG_WINDOW_CONNECT_TIMEOUTS = 40;
 
     private final Log log;
 
     /** Null where it is off. */
-    private final InDoubtKeys doubts;
+    private final InDoubtKeys inDoubtKeys;
 
-    private final RouterStateStore memory;
-    private final GroupRecovery groups;
+    private final RouterStateStore stateStore;
+    private final GroupRecovery groupRecovery;
 
     /** Null where they are not watched. */
-    private final SiteHealthMonitor sites;
+    private final SiteHealthMonitor siteHealth;
 
-    private Map<Integer, String> zones = Map.of();
-    private Duration dial;
-    private Duration linesFrom = Duration.ZERO;
-    private int lines;
-    private long unsaid;
+    private Map<Integer, String> zoneNames = Map.of();
+    private Duration connectTimeout;
+    private Duration logWindowStart = Duration.ZERO;
+    private int logLinesInWindow;
+    private long suppressedLogLines;
     private Duration now = Duration.ZERO;
 
     /** What other routers have in doubt; null where none tells. */
-    private PeerInDoubtKeys others;
+    private PeerInDoubtKeys peerInDoubtKeys;
 
     /**
      * @param bounds of the txns in doubt; null where they are not kept in mind
      * @param memory null where nothing is remembered
      * @param watchesSites what is lost is judged by site
      */
-    Ledger(
+    RecoveryCoordinator(
             InDoubtKeys.Limits bounds,
             RouterStateStore memory,
             boolean watchesSites,
-            Setup setup,
+            RouterSettings setup,
             Duration began,
             Log log) {
         this.log = log;
-        this.memory = memory;
-        RoutingSettings settings = setup.settings();
-        dial = settings.connectTimeout();
-        named(setup);
-        sites =
+        this.stateStore = memory;
+        RoutingSettings settings = setup.routing();
+        connectTimeout = settings.connectTimeout();
+        updateZoneNames(setup);
+        siteHealth =
                 watchesSites
-                        ? new SiteHealthMonitor(zones.getOrDefault(settings.zone(), ""), dial, this)
+                        ? new SiteHealthMonitor(zoneNames.getOrDefault(settings.zone(), ""), connectTimeout, this)
                         : null;
-        doubts = bounds == null ? null : new InDoubtKeys(bounds, memory);
-        groups = new GroupRecovery(began, dial, settings.warmUpTime(), this);
+        inDoubtKeys = bounds == null ? null : new InDoubtKeys(bounds, memory);
+        groupRecovery = new GroupRecovery(began, connectTimeout, settings.warmUpTime(), this);
         if (memory != null) {
-            memory.primaries().forEach(groups::restorePrimary);
-            if (doubts != null) {
-                memory.inDoubtKeys().forEach(key -> doubts.restore(key, began));
+            memory.primaries().forEach(groupRecovery::restorePrimary);
+            if (inDoubtKeys != null) {
+                memory.inDoubtKeys().forEach(key -> inDoubtKeys.restore(key, began));
             }
         }
     }
 
-    void others(PeerInDoubtKeys tell) {
-        others = tell;
+    void peerInDoubtKeys(PeerInDoubtKeys tell) {
+        peerInDoubtKeys = tell;
     }
 
-    private boolean elsewhere(long key) {
-        return others != null && others.mayBeInDoubt(key);
+    private boolean isInDoubtAtPeer(long key) {
+        return peerInDoubtKeys != null && peerInDoubtKeys.mayBeInDoubt(key);
     }
 
-    InDoubtKeys doubts() {
-        return doubts;
+    InDoubtKeys inDoubtKeys() {
+        return inDoubtKeys;
     }
 
-    void settings(Setup next) {
-        dial = next.settings().connectTimeout();
-        groups.settings(dial, next.settings().warmUpTime());
-        named(next);
-        if (sites != null) {
-            sites.setDialTimeout(dial);
+    void applySettings(RouterSettings next) {
+        connectTimeout = next.routing().connectTimeout();
+        groupRecovery.settings(connectTimeout, next.routing().warmUpTime());
+        updateZoneNames(next);
+        if (siteHealth != null) {
+            siteHealth.setDialTimeout(connectTimeout);
         }
     }
 
-    private void named(Setup setup) {
+    private void updateZoneNames(RouterSettings setup) {
         Map<Integer, String> names = new HashMap<>();
-        setup.zones().forEach((name, index) -> names.put(index, name));
-        zones = names;
+        setup.zoneIndices().forEach((name, index) -> names.put(index, name));
+        zoneNames = names;
     }
 
     // ---- txns
 
-    boolean keeps() {
-        return doubts != null;
+    boolean tracksKeys() {
+        return inDoubtKeys != null;
     }
 
-    boolean take(long key, Duration clock) {
-        return doubts.begin(key, clock);
+    boolean begin(long key, Duration clock) {
+        return inDoubtKeys.begin(key, clock);
     }
 
     /** Since when it may have run; null where nothing here or elsewhere says so. */
-    Duration ran(long key) {
-        Duration ran = doubts.mayHaveRunSince(key);
-        return ran == null && elsewhere(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
+    Duration mayHaveRunSince(long key) {
+        Duration ran = inDoubtKeys.mayHaveRunSince(key);
+        return ran == null && isInDoubtAtPeer(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
     }
 
-    void sends(long key, Duration clock) {
-        doubts.recordSend(key, clock);
+    void recordSend(long key, Duration clock) {
+        inDoubtKeys.recordSend(key, clock);
     }
 
-    void over(long key, Duration clock) {
-        doubts.finish(key, clock);
+    void finish(long key, Duration clock) {
+        inDoubtKeys.finish(key, clock);
     }
 
     /** A submission ended, of a txn with a key or without (0). */
-    void ended(
+    void recordSubmissionEnd(
             long key,
             int node,
             SubmissionResult result,
@@ -150,14 +150,14 @@
             NodeReport note,
             Duration clock) {
         if (key != 0) {
-            doubts.recordEnd(key, result.mayHaveRun(), told);
+            inDoubtKeys.recordEnd(key, result.mayHaveRun(), told);
         }
         if (result == SubmissionResult.UNREACHABLE || result == SubmissionResult.TIMED_OUT) {
-            groups.recordNoAnswer(node);
+            groupRecovery.recordNoAnswer(node);
         } else if (result != SubmissionResult.UNSENT
                 && result != SubmissionResult.WITHDRAWN
                 && result != SubmissionResult.RESET) {
-            groups.recordAnswer(node, note.role(), note.position(), clock);
+            groupRecovery.recordAnswer(node, note.role(), note.position(), clock);
         }
     }
 
@@ -167,85 +167,85 @@
      * told that it may have run.
      */
     boolean mayWrite(long key, int node, Duration clock) {
-        return (key == 0 || !elsewhere(key)) && groups.mayWrite(node, clock);
+        return (key == 0 || !isInDoubtAtPeer(key)) && groupRecovery.mayWrite(node, clock);
     }
 
     /**
      * One that claims to lead, and gets no write, stands at no present either: nothing that it says
      * of itself counts.
      */
-    NodeReport believed(int node, NodeReport says, Duration clock) {
-        return says.role() == NodeRole.PRIMARY && !groups.isPrimaryAccepted(node, clock)
+    NodeReport trustedReport(int node, NodeReport says, Duration clock) {
+        return says.role() == NodeRole.PRIMARY && !groupRecovery.isPrimaryAccepted(node, clock)
                 ? NodeReport.EMPTY
                 : says;
     }
 
     // ---- nodes
 
-    void probed(int node, boolean answered, NodeReport report, Duration clock) {
+    void recordProbe(int node, boolean answered, NodeReport report, Duration clock) {
         if (answered) {
-            groups.recordAnswer(node, report.role(), report.position(), clock);
+            groupRecovery.recordAnswer(node, report.role(), report.position(), clock);
         } else {
-            groups.recordNoAnswer(node);
+            groupRecovery.recordNoAnswer(node);
         }
     }
 
-    void listed(List<Member> members) {
+    void updateMembers(List<Member> members) {
         for (Member m : members) {
             NodeRow row = m.row();
-            groups.updateNode(
+            groupRecovery.updateNode(
                     row.node(),
                     m.id(),
                     row.group(),
                     row.started(),
                     row.standing() == MemberState.READY);
-            if (sites != null) {
-                sites.updateNode(
+            if (siteHealth != null) {
+                siteHealth.updateNode(
                         row.node(),
-                        zones.getOrDefault(row.zone(), "?"),
+                        zoneNames.getOrDefault(row.zone(), "?"),
                         row.standing() == MemberState.READY);
             }
         }
     }
 
-    void discovery(boolean there) {
-        groups.discoveryAvailable(there);
+    void setDiscoveryAvailable(boolean there) {
+        groupRecovery.discoveryAvailable(there);
     }
 
-    void forget(int node) {
-        groups.removeNode(node);
-        if (sites != null) {
-            sites.removeNode(node);
+    void removeNode(int node) {
+        groupRecovery.removeNode(node);
+        if (siteHealth != null) {
+            siteHealth.removeNode(node);
         }
     }
 
     /**
      * @param sees what the router sees of each node, by its index, of so many
      */
-    void beat(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
+    void tick(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
         now = clock;
-        groups.tick(clock);
-        for (int node = 0; node < nodes && sites != null; node++) {
-            sites.observe(node, sees.apply(node));
+        groupRecovery.tick(clock);
+        for (int node = 0; node < nodes && siteHealth != null; node++) {
+            siteHealth.observe(node, sees.apply(node));
         }
-        if (sites != null) {
-            sites.tick(clock);
+        if (siteHealth != null) {
+            siteHealth.tick(clock);
         }
-        if (doubts != null) {
-            doubts.expire(clock);
+        if (inDoubtKeys != null) {
+            inDoubtKeys.expire(clock);
         }
-        if (others != null) {
-            others.expire(clock);
+        if (peerInDoubtKeys != null) {
+            peerInDoubtKeys.expire(clock);
         }
     }
 
     private boolean mayLog() {
-        if (now.minus(linesFrom).compareTo(dial.multipliedBy(LINES_DIALS)) > 0) {
-            linesFrom = now;
-            lines = 0;
+        if (now.minus(logWindowStart).compareTo(connectTimeout.multipliedBy(LOG_WINDOW_CONNECT_TIMEOUTS)) > 0) {
+            logWindowStart = now;
+            logLinesInWindow = 0;
         }
-        if (lines++ >= LINES) {
-            unsaid++;
+        if (logLinesInWindow++ >= MAX_LOG_LINES_PER_WINDOW) {
+            suppressedLogLines++;
             return false;
         }
         return true;
@@ -263,9 +263,9 @@
                     "to",
                     name(to),
                     "loss",
-                    name(groups.outageScope()),
+                    name(groupRecovery.outageScope()),
                     "sure",
-                    String.format(Locale.ROOT, "%.2f", groups.confidence()));
+                    String.format(Locale.ROOT, "%.2f", groupRecovery.confidence()));
         }
     }
 
@@ -291,8 +291,8 @@
 
     @Override
     public void leads(int group, String node) {
-        if (memory != null) {
-            memory.storePrimary(group, node);
+        if (stateStore != null) {
+            stateStore.storePrimary(group, node);
         }
     }
 
@@ -300,51 +300,51 @@
     Map<String, Object> status(int closings, int witnesses) {
         Map<String, Object> all = new LinkedHashMap<>();
         Map<String, Object> recovery = new LinkedHashMap<>();
-        recovery.put("loss", name(groups.outageScope()));
-        recovery.put("sure", Math.round(groups.confidence() * 100) / 100.0);
+        recovery.put("loss", name(groupRecovery.outageScope()));
+        recovery.put("sure", Math.round(groupRecovery.confidence() * 100) / 100.0);
         recovery.put("closings", closings);
         recovery.put("witnesses", witnesses);
-        recovery.put("writes_held_back", groups.heldWrites());
-        recovery.put("changes_unsaid", unsaid);
+        recovery.put("writes_held_back", groupRecovery.heldWrites());
+        recovery.put("changes_unsaid", suppressedLogLines);
         all.put("recovery", recovery);
         Map<String, Object> states = new LinkedHashMap<>();
-        groups.states()
+        groupRecovery.states()
                 .forEach(
                         (group, state) ->
                                 states.put(
                                         String.valueOf(group),
                                         name(state)
-                                                + (groups.awaitedPrimary(group) == null
+                                                + (groupRecovery.awaitedPrimary(group) == null
                                                         ? ""
                                                         : ", awaits "
-                                                                + groups.awaitedPrimary(group))));
+                                                                + groupRecovery.awaitedPrimary(group))));
         all.put("groups", states);
-        if (sites != null) {
+        if (siteHealth != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("self", name(sites.reachability()));
-            sites.states().forEach((site, state) -> rows.put(site, name(state)));
+            rows.put("self", name(siteHealth.reachability()));
+            siteHealth.states().forEach((site, state) -> rows.put(site, name(state)));
             all.put("sites", rows);
         }
-        if (memory != null) {
-            Map<String, Object> kept = memory.status();
-            kept.put("leaders", String.join(",", groups.leaders()));
+        if (stateStore != null) {
+            Map<String, Object> kept = stateStore.status();
+            kept.put("leaders", String.join(",", groupRecovery.leaders()));
             all.put("memory", kept);
         }
-        if (doubts != null) {
+        if (inDoubtKeys != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("in_doubt", doubts.inDoubtCount());
-            rows.put("kept", doubts.size());
-            rows.put("met", doubts.repeated());
-            rows.put("settled", doubts.resolved());
-            rows.put("refused", doubts.refused());
+            rows.put("in_doubt", inDoubtKeys.inDoubtCount());
+            rows.put("kept", inDoubtKeys.size());
+            rows.put("met", inDoubtKeys.repeated());
+            rows.put("settled", inDoubtKeys.resolved());
+            rows.put("refused", inDoubtKeys.refused());
             all.put("doubts", rows);
         }
-        if (others != null) {
+        if (peerInDoubtKeys != null) {
             Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("telling", others.reportingInstances());
-            rows.put("echoing", others.echoingInstances());
-            rows.put("heard", others.accepted());
-            rows.put("refused", others.rejected());
+            rows.put("telling", peerInDoubtKeys.reportingInstances());
+            rows.put("echoing", peerInDoubtKeys.echoingInstances());
+            rows.put("heard", peerInDoubtKeys.accepted());
+            rows.put("refused", peerInDoubtKeys.rejected());
             all.put("others", rows);
         }
         return all;
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -2,17 +2,17 @@
 
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
-import dillfront.router.backend.Fleet;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Config;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.backend.NodeConnectionManager;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterConfig;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.config.JsonObject;
 import dillfront.router.discovery.Member;
 import dillfront.router.discovery.MemberList;
-import dillfront.router.discovery.Watch;
-import dillfront.router.discovery.Witnesses;
-import dillfront.router.exchange.Asker;
-import dillfront.router.exchange.Desk;
+import dillfront.router.discovery.DiscoveryClient;
+import dillfront.router.discovery.PeerClosureReports;
+import dillfront.router.exchange.ResponseReceiver;
+import dillfront.router.exchange.ExchangeHandler;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.pace.LoopLagMonitor;
 import dillfront.router.peers.PeerHealthExchange;
@@ -45,142 +45,142 @@
  */
 final class Router
         implements RoutingActions,
-                Desk,
-                Fleet.Listener,
-                Watch.Listener,
+                ExchangeHandler,
+                NodeConnectionManager.ProbeListener,
+                DiscoveryClient.Listener,
                 PeerHealthExchange.RoutingDecisions,
                 PeerRestrictionSync.ClosedNodeLists {
 
     /** The part of the memory that one answer may take: 2 MB where it is 128. */
-    private static final int LONGEST_PART = 64;
+    private static final int RESPONSE_MEMORY_DIVISOR = 64;
 
-    private Setup setup;
-    private final Clock clock;
+    private RouterSettings settings;
+    private final MonotonicClock clock;
     private final Counters counters;
     private final Log log;
     private final EventLoop loop;
-    private final LoopLagMonitor pace;
+    private final LoopLagMonitor loopLag;
 
     /** Of its own delay, what the module has been told. */
-    private Duration told = Duration.ZERO;
+    private Duration reported = Duration.ZERO;
 
     private final MemberList members;
-    private final RoutingEngine decide;
-    private final Fleet fleet;
+    private final RoutingEngine engine;
+    private final NodeConnectionManager connectionManager;
 
     /** A slot is used again once its txn is over. */
-    private final List<Exchange> slots = new ArrayList<>();
+    private final List<Exchange> exchanges = new ArrayList<>();
 
     /** Of the txns that hold a slot. */
-    private final Set<Long> ids = new HashSet<>();
+    private final Set<Long> openTransactionIds = new HashSet<>();
 
-    private boolean listed;
+    private boolean hasMemberList;
 
     /** The last expiry of all that was taken. */
-    private Duration owedUntil = Duration.ZERO;
+    private Duration lastExpiry = Duration.ZERO;
 
-    private final List<Integer> free = new ArrayList<>();
+    private final List<Integer> freeSlots = new ArrayList<>();
 
     /** Null where gossip is off. */
-    private PeerHealthExchange neighbours;
+    private PeerHealthExchange peerHealth;
 
     /** How many others say that their lists have closed anything. */
-    private int telling;
+    private int reportingPeers;
 
     /** Null where nothing is kept in mind beyond the txns that are out. */
-    private Ledger ledger;
+    private RecoveryCoordinator recovery;
 
     Router(
-            Config config,
-            Clock clock,
+            RouterConfig config,
+            MonotonicClock clock,
             Counters counters,
             Log log,
             EventLoop loop,
             int nodeConnections) {
-        this.setup = config.setup();
+        this.settings = config.settings();
         this.clock = clock;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new LoopLagMonitor(setup.settings().clockStep());
-        members = new MemberList(setup, clock, log);
-        fleet =
-                new Fleet(
-                        setup,
+        loopLag = new LoopLagMonitor(settings.routing().clockStep());
+        members = new MemberList(settings, clock, log);
+        connectionManager =
+                new NodeConnectionManager(
+                        settings,
                         clock,
-                        pace,
+                        loopLag,
                         counters,
                         log,
                         loop,
                         nodeConnections,
-                        (int) (config.memoryMb() << 20) / LONGEST_PART,
+                        (int) (config.memoryMb() << 20) / RESPONSE_MEMORY_DIVISOR,
                         this);
-        decide = new RoutingEngine(setup.settings(), this, new SplittableRandom(config.seed()));
+        engine = new RoutingEngine(settings.routing(), this, new SplittableRandom(config.seed()));
     }
 
     /** Some list is there: before that, nothing can be served. */
-    boolean listed() {
-        return listed;
+    boolean hasMemberList() {
+        return hasMemberList;
     }
 
     /** By then each txn that was taken so far is answered, or nobody waits for it any more. */
-    Duration owedUntil() {
-        return owedUntil;
+    Duration lastExpiry() {
+        return lastExpiry;
     }
 
     /** Where the news come from, which go before all that is sent. */
-    void watch(Watch watch) {
-        fleet.news(watch::look);
+    void setDiscoveryClient(DiscoveryClient watch) {
+        connectionManager.discoveryReader(watch::readPending);
     }
 
     /**
      * Who remembers for a later life, and what is remembered from an earlier one. Before the first
      * list.
      */
-    void remembers(Consumer<MemberList> memory) {
+    void configureMemberList(Consumer<MemberList> memory) {
         memory.accept(members);
     }
 
     /** How many nodes are closed by words that are remembered. */
-    int closings() {
-        return members.closings();
+    int closedNodeCount() {
+        return members.closedNodes();
     }
 
-    int witnesses() {
-        return telling;
+    int reportingPeerCount() {
+        return reportingPeers;
     }
 
     /**
      * What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key
      * waits for. Before the first list.
      */
-    void keeps(Ledger by, Fleet.Kept before) {
-        ledger = by;
-        fleet.kept(before);
+    void setRecovery(RecoveryCoordinator by, NodeConnectionManager.PersistenceBarrier before) {
+        recovery = by;
+        connectionManager.persistenceBarrier(before);
     }
 
     /** Others' words on nodes come through these. Before the first list. */
-    void hears(PeerHealthExchange others) {
-        neighbours = others;
+    void setPeerHealth(PeerHealthExchange others) {
+        peerHealth = others;
     }
 
     void close() {
-        fleet.close();
+        connectionManager.close();
     }
 
     /**
      * Other settings from now on, for what is taken and sent; the caller asks for the whole list
      * then.
      */
-    void settings(Setup next) {
+    void applySettings(RouterSettings next) {
         tick();
-        setup = next;
-        pace.setStep(next.settings().clockStep());
-        members.settings(next);
-        fleet.settings(next);
-        decide.applySettings(next.settings());
-        if (ledger != null) {
-            ledger.settings(next);
+        settings = next;
+        loopLag.setStep(next.routing().clockStep());
+        members.applySettings(next);
+        connectionManager.applySettings(next);
+        engine.applySettings(next.routing());
+        if (recovery != null) {
+            recovery.applySettings(next);
         }
     }
 
@@ -189,130 +189,130 @@
     @Override
     public void tick() {
         Duration now = clock.now();
-        Duration behind = pace.totalLag(now);
-        decide.setTime(now);
-        if (behind.compareTo(told) > 0) {
-            decide.recordPause(behind.minus(told));
-            told = behind;
+        Duration behind = loopLag.totalLag(now);
+        engine.setTime(now);
+        if (behind.compareTo(reported) > 0) {
+            engine.recordPause(behind.minus(reported));
+            reported = behind;
         }
     }
 
-    LoopLagMonitor pace() {
-        return pace;
+    LoopLagMonitor loopLag() {
+        return loopLag;
     }
 
-    Clock clock() {
+    MonotonicClock clock() {
         return clock;
     }
 
     @Override
-    public void list(Tree list) {
+    public void listReceived(JsonObject list) {
         List<Member> read = members.read(list);
-        read.forEach(m -> fleet.known(m.row().node(), m.address(), m.startedMs()));
-        listed = true;
+        read.forEach(m -> connectionManager.updateNode(m.row().node(), m.address(), m.startedMs()));
+        hasMemberList = true;
         tick();
         List<NodeRow> rows = new ArrayList<>(read.size());
         for (Member m : read) {
             rows.add(m.row());
         }
-        decide.updateMembers(list.flag("reset"), rows);
-        if (neighbours != null) {
-            read.forEach(m -> neighbours.addNode(m.row().node(), m.id()));
+        engine.updateMembers(list.getBoolean("reset"), rows);
+        if (peerHealth != null) {
+            read.forEach(m -> peerHealth.addNode(m.row().node(), m.id()));
         }
-        if (ledger != null) {
-            ledger.listed(read);
+        if (recovery != null) {
+            recovery.updateMembers(read);
         }
-        forget();
+        removeDepartedNodes();
     }
 
     /** Who has left the list goes from all tables at once, as soon as nothing of it is out. */
-    private void forget() {
-        members.forget(
+    private void removeDepartedNodes() {
+        members.removeDeparted(
                 node -> {
-                    boolean over = decide.forgetNode(node);
+                    boolean over = engine.forgetNode(node);
                     if (over) {
-                        fleet.forget(node);
-                        if (neighbours != null) {
-                            neighbours.removeNode(node);
+                        connectionManager.removeNode(node);
+                        if (peerHealth != null) {
+                            peerHealth.removeNode(node);
                         }
-                        if (ledger != null) {
-                            ledger.forget(node);
+                        if (recovery != null) {
+                            recovery.removeNode(node);
                         }
                     }
                     return over;
                 });
-        counters.nodes = members.indices();
+        counters.nodes = members.indexCount();
     }
 
     /** Discovery itself has told a list. */
-    void told() {
-        if (ledger != null) {
-            ledger.discovery(true);
+    void reported() {
+        if (recovery != null) {
+            recovery.setDiscoveryAvailable(true);
         }
     }
 
     @Override
     public void listFailed() {
         tick();
-        if (ledger != null) {
-            ledger.discovery(false);
+        if (recovery != null) {
+            recovery.setDiscoveryAvailable(false);
         }
-        decide.memberListFailed();
+        engine.memberListFailed();
     }
 
     @Override
-    public Exchange take(
-            Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant) {
-        Integer type = setup.types().get(statement.type);
-        if (type == null || !members.mayHave(statement.group)) {
+    public Exchange begin(
+            Statement statement, ByteBuf message, ResponseReceiver asker, Duration waited, int tenant) {
+        Integer type = settings.typeIndices().get(statement.type);
+        if (type == null || !members.mayHaveGroup(statement.group)) {
             return null;
         }
         // Guards against one client's query that passes for another's: nodes tell txns apart by
         // nothing else.
-        if (!ids.add(statement.id)) {
+        if (!openTransactionIds.add(statement.idHash)) {
             return null;
         }
         tick();
         boolean marked =
-                ledger != null
-                        && ledger.keeps()
-                        && statement.mark != 0
-                        && setup.settings().transactionTypes().get(type).repeatability()
+                recovery != null
+                        && recovery.tracksKeys()
+                        && statement.idempotencyKeyHash != 0
+                        && settings.routing().transactionTypes().get(type).repeatability()
                                 == Repeatability.DEDUPLICATED;
-        long key = marked ? InDoubtKeys.hash(statement.group, statement.mark) : 0;
-        if (marked && !ledger.take(key, clock.now())) {
-            return refused(statement, message, asker);
+        long key = marked ? InDoubtKeys.hash(statement.group, statement.idempotencyKeyHash) : 0;
+        if (marked && !recovery.begin(key, clock.now())) {
+            return declineUntracked(statement, message, asker);
         }
-        int slot = free.isEmpty() ? slots.size() : free.remove(free.size() - 1);
+        int slot = freeSlots.isEmpty() ? exchanges.size() : freeSlots.remove(freeSlots.size() - 1);
         Exchange exchange = new Exchange(this, slot, statement, message, asker, key);
-        if (slot == slots.size()) {
-            slots.add(exchange);
+        if (slot == exchanges.size()) {
+            exchanges.add(exchange);
         } else {
-            slots.set(slot, exchange);
+            exchanges.set(slot, exchange);
         }
         counters.taken++;
         counters.txns++;
         Duration now = clock.now();
         Duration token =
-                !setup.tokensCarried()
+                !settings.hasSessionTokens()
                         ? null
-                        : statement.afterMs == 0
+                        : statement.lastWriteMs == 0
                                 ? Duration.ZERO
-                                : now.minus(clock.since(statement.afterMs));
-        Duration patience = patience(statement, type);
+                                : now.minus(clock.sinceStart(statement.lastWriteMs));
+        Duration patience = clientTimeout(statement, type);
         Duration expiry = now.minus(waited).plus(patience);
-        owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
-        exchange.taken(
-                decide.accept(
+        lastExpiry = expiry.compareTo(lastExpiry) > 0 ? expiry : lastExpiry;
+        exchange.accepted(
+                engine.accept(
                         slot,
                         type,
                         tenant,
-                        Setup.session(statement.key),
+                        RouterSettings.sessionSlot(statement.keyHash),
                         statement.group,
                         patience,
                         token,
                         waited,
-                        marked ? ledger.ran(key) : null));
+                        marked ? recovery.mayHaveRunSince(key) : null));
         return exchange;
     }
 
@@ -320,96 +320,96 @@
      * It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time
      * that clients heed.
      */
-    private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
-        ids.remove(statement.id);
+    private Exchange declineUntracked(Statement statement, ByteBuf message, ResponseReceiver asker) {
+        openTransactionIds.remove(statement.idHash);
         counters.taken++;
         Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxRetryDelay());
+        never.decline(settings.routing().maxRetryDelay());
         message.release();
         return never;
     }
 
     @Override
-    public void ended(
+    public void submissionEnded(
             Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
-        if (ledger != null) {
-            ledger.ended(exchange.key(), node, result, told, note, clock.now());
+        if (recovery != null) {
+            recovery.recordSubmissionEnd(exchange.key(), node, result, told, note, clock.now());
         }
     }
 
     @Override
-    public NodeReport believed(int node, NodeReport says) {
-        return ledger == null ? says : ledger.believed(node, says, clock.now());
+    public NodeReport trustedReport(int node, NodeReport says) {
+        return recovery == null ? says : recovery.trustedReport(node, says, clock.now());
     }
 
     @Override
-    public boolean may(Exchange exchange, int node) {
-        return ledger == null
+    public boolean maySend(Exchange exchange, int node) {
+        return recovery == null
                 || !exchange.statement().write
-                || ledger.mayWrite(exchange.key(), node, clock.now());
+                || recovery.mayWrite(exchange.key(), node, clock.now());
     }
 
     @Override
-    public int type(String name) {
-        return setup.types().getOrDefault(name, -1);
+    public int typeIndex(String name) {
+        return settings.typeIndices().getOrDefault(name, -1);
     }
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
-    private Duration patience(Statement statement, int type) {
+    private Duration clientTimeout(Statement statement, int type) {
         long longest =
-                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
-        return Duration.ofMillis(Math.min(statement.waitMs, longest));
+                settings.routing().transactionTypes().get(type).totalClientTimeout().toMillis();
+        return Duration.ofMillis(Math.min(statement.timeoutMs, longest));
     }
 
     @Override
-    public void over(Exchange exchange) {
+    public void exchangeFinished(Exchange exchange) {
         if (exchange.key() != 0) {
-            ledger.over(exchange.key(), clock.now());
+            recovery.finish(exchange.key(), clock.now());
         }
-        slots.set(exchange.slot(), null);
-        ids.remove(exchange.statement().id);
-        free.add(exchange.slot());
+        exchanges.set(exchange.slot(), null);
+        openTransactionIds.remove(exchange.statement().idHash);
+        freeSlots.add(exchange.slot());
         counters.txns--;
     }
 
     @Override
-    public void probed(int node, boolean answered, NodeReport report) {
+    public void probeCompleted(int node, boolean answered, NodeReport report) {
         tick();
-        if (ledger != null) {
-            ledger.probed(node, answered, report, clock.now());
+        if (recovery != null) {
+            recovery.recordProbe(node, answered, report, clock.now());
         }
-        decide.probeCompleted(node, answered, believed(node, report));
+        engine.probeCompleted(node, answered, trustedReport(node, report));
     }
 
     // ---- what others say
 
     @Override
     public long closedVersion() {
-        return members.closingsVersion();
+        return members.closedNodesVersion();
     }
 
     @Override
     public Map<String, long[]> closed() {
-        return members.closed();
+        return members.closures();
     }
 
     /** What is closed elsewhere by lists that have not come here yet is closed here too. */
     @Override
-    public void peerReportsChanged(Witnesses witnesses) {
-        telling = witnesses.telling();
-        List<Witnesses.Word> newer = witnesses.newerThan(members.latest());
+    public void peerReportsChanged(PeerClosureReports witnesses) {
+        reportingPeers = witnesses.reportingInstances();
+        List<PeerClosureReports.Closure> newer = witnesses.closuresNewerThan(members.latestGeneration());
         if (newer.isEmpty()) {
             return;
         }
         Map<Long, String> ids = new HashMap<>();
-        members.ids().forEach(id -> ids.put(PeerRegistry.hash(id), id));
+        members.nodeIds().forEach(id -> ids.put(PeerRegistry.hash(id), id));
         List<Member> closed = new ArrayList<>();
-        for (Witnesses.Word word : newer) {
-            String id = ids.get(word.node());
+        for (PeerClosureReports.Closure word : newer) {
+            String id = ids.get(word.nodeHash());
             Member member =
                     id == null
                             ? null
-                            : members.closedElsewhere(id, word.generation(), word.startedMs());
+                            : members.closeByPeerReport(id, word.generation(), word.startedMs());
             if (member != null) {
                 closed.add(member);
                 log.info(
@@ -419,33 +419,33 @@
                         "generation",
                         word.generation(),
                         "latest_here",
-                        members.latest());
+                        members.latestGeneration());
             }
         }
         if (!closed.isEmpty()) {
             tick();
-            decide.updateMembers(false, closed.stream().map(Member::row).toList());
-            if (ledger != null) {
-                ledger.listed(closed);
+            engine.updateMembers(false, closed.stream().map(Member::row).toList());
+            if (recovery != null) {
+                recovery.updateMembers(closed);
             }
         }
     }
 
     @Override
     public HealthObservation observeHealth(int node) {
-        return decide.observeHealth(node);
+        return engine.observeHealth(node);
     }
 
     @Override
     public void setSuspected(int node, boolean doubted) {
         tick();
-        decide.setSuspected(node, doubted);
+        engine.setSuspected(node, doubted);
     }
 
     @Override
     public void better(int node) {
         tick();
-        decide.advanceTrial(node);
+        engine.advanceTrial(node);
     }
 
     // ---- results of the module
@@ -453,31 +453,31 @@
     @Override
     public void submit(int txn, int node, Duration limit) {
         counters.submitted++;
-        Exchange exchange = slots.get(txn);
+        Exchange exchange = exchanges.get(txn);
         if (exchange.key() != 0) {
-            ledger.sends(exchange.key(), clock.now());
+            recovery.recordSend(exchange.key(), clock.now());
         }
-        fleet.submit(exchange, node, limit);
+        connectionManager.submit(exchange, node, limit);
     }
 
     @Override
     public void decline(int txn, Duration pause) {
-        slots.get(txn).decline(pause);
+        exchanges.get(txn).decline(pause);
     }
 
     @Override
     public void reportUnknownOutcome(int txn) {
-        slots.get(txn).rollBack();
+        exchanges.get(txn).rollBack();
     }
 
     @Override
     public void closeIdleConnections(int node) {
-        fleet.release(node);
+        connectionManager.closeIdleConnections(node);
     }
 
     @Override
     public void probe(int node) {
-        fleet.probe(node);
+        connectionManager.probe(node);
     }
 
     /** The watch goes on by itself on sockets. */
@@ -486,22 +486,22 @@
 
     @Override
     public void scheduleWakeUp(Duration in) {
-        pace.expectTick(clock.now().plus(in));
+        loopLag.expectTick(clock.now().plus(in));
         loop.schedule(
                 () -> {
                     try {
                         tick();
-                        pace.recordTick(clock.now());
+                        loopLag.recordTick(clock.now());
                         counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, pace.longestLag().toMillis());
-                        decide.onWakeUp();
-                        if (neighbours != null) {
-                            neighbours.tick(clock.now());
+                                Math.max(counters.longestTurnMs, loopLag.longestLag().toMillis());
+                        engine.onWakeUp();
+                        if (peerHealth != null) {
+                            peerHealth.tick(clock.now());
                         }
-                        if (ledger != null) {
-                            ledger.beat(clock.now(), members.indices(), decide::observeHealth);
+                        if (recovery != null) {
+                            recovery.tick(clock.now(), members.indexCount(), engine::observeHealth);
                         }
-                        forget();
+                        removeDepartedNodes();
                     } catch (RuntimeException fault) {
                         // A timer's fault would vanish in its future, and the clock's beat with it.
                         log.warn("beat", "fault", fault);
--- a/src/main/java/dillfront/router/Daemon.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -2,14 +2,14 @@
 
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Config;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
-import dillfront.router.discovery.Rereading;
-import dillfront.router.discovery.Watch;
-import dillfront.router.frontend.Clients;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterConfig;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.config.JsonObject;
+import dillfront.router.discovery.ConfigReloadBackoff;
+import dillfront.router.discovery.DiscoveryClient;
+import dillfront.router.frontend.ClientListener;
 import dillfront.router.operator.Operator;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -24,46 +24,46 @@
 import java.util.concurrent.TimeUnit;
 
 /** Starts one router, keeps it going, and ends it. */
-public final class Daemon {
+public final class RouterServer {
 
     /** New clients may go on coming so long after the word to end. */
-    private static final Duration STILL_COMING = Duration.ofMillis(600);
+    private static final Duration SHUTDOWN_ACCEPT_TIME = Duration.ofMillis(600);
 
     /**
      * What is answered last still has to be read by its client, so many dial time-outs after the
      * last expiry.
      */
-    private static final int LAST_DIALS = 1;
+    private static final int SHUTDOWN_GRACE_CONNECT_TIMEOUTS = 1;
 
-    private static final Duration MOST_OWED = Duration.ofSeconds(1);
+    private static final Duration MAX_CPU_DEBT = Duration.ofSeconds(1);
 
     /** How long the door waits for discovery where some list is known, in dial time-outs. */
-    private static final int NEWS_DIALS = 2;
+    private static final int FIRST_LIST_CONNECT_TIMEOUTS = 2;
 
     /**
      * Descriptors that are neither a client's nor a node's: files, the list, the door, the
      * selector.
      */
-    private static final int OTHERS = 40;
+    private static final int RESERVED_DESCRIPTORS = 40;
 
     /** The part of the memory that messages of clients may take until they are whole. */
-    private static final int WAITING_PART = 16;
+    private static final int PARTIAL_MESSAGE_MEMORY_DIVISOR = 16;
 
     /** Where a configuration is read from anew. */
-    public interface Source {
-        Config read() throws BadConfig;
+    public interface ConfigSource {
+        RouterConfig read() throws ConfigException;
     }
 
-    private final long beganNanos = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     /** Up to here there was one thread: it has taken as much of its core as of the time. */
-    private final Duration beganCpu = cpu();
+    private final Duration startCpuTime = cpuTime();
 
-    private final Config config;
+    private final RouterConfig config;
     private final Operator operator;
     private final Log log;
     private final Counters counters = new Counters();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("router"));
     private final EventLoop loop = group.next();
@@ -72,45 +72,45 @@
     private InetSocketAddress discovery;
 
     /** By the latest configuration; on the loop. */
-    private Setup setup;
+    private RouterSettings settings;
 
     private Router router;
-    private Clients clients;
-    private Watch watch;
+    private ClientListener clientListener;
+    private DiscoveryClient discoveryClient;
 
     /** Where a configuration is read from anew; null where nothing is heard. */
-    private volatile Source source;
+    private volatile ConfigSource configSource;
 
     /** Where discovery was by the file that was read last; under this object's lock. */
-    private String named;
+    private String configuredDiscovery;
 
-    private final Rereading rereading;
+    private final ConfigReloadBackoff reloadBackoff;
 
     /** What was wrong with the file when it was last read unasked; under the lock. */
-    private String unread = "";
+    private String lastReloadError = "";
 
     /** On the loop: the file is being read unasked. */
-    private boolean looking;
+    private boolean reloadInProgress;
 
     /** On the loop, once this router ends: what it took is over by then. */
-    private Duration due;
+    private Duration shutdownDeadline;
 
     /** Gossip and the questions about it; null where the operator's file does not ask for it. */
-    private volatile Side side;
+    private volatile OptionalServices optionalServices;
 
-    public Daemon(Config config, Log log) {
+    public RouterServer(RouterConfig config, Log log) {
         this(config, Operator.NONE, log);
     }
 
     /** Binds the parts of one router; nothing listens before start(). */
-    public Daemon(Config config, Operator operator, Log log) {
+    public RouterServer(RouterConfig config, Operator operator, Log log) {
         this.config = config;
         this.operator = operator;
         this.log = log;
         discovery = config.discovery();
-        setup = config.setup();
-        named = config.named();
-        rereading = new Rereading(config.setup().settings().connectTimeout());
+        settings = config.settings();
+        configuredDiscovery = config.configuredDiscovery();
+        reloadBackoff = new ConfigReloadBackoff(config.settings().routing().connectTimeout());
     }
 
     Log log() {
@@ -121,62 +121,62 @@
      * Hears the platform's words to this process from now on: SIGHUP to read the configuration
      * anew, SIGUSR2 to print.
      */
-    public void hear(Source from) {
-        source = from;
-        Signals.on("HUP", () -> reload(from), log);
-        Signals.on("USR2", this::print, log);
+    public void registerSignals(ConfigSource from) {
+        configSource = from;
+        SignalHandlers.register("HUP", () -> reload(from), log);
+        SignalHandlers.register("USR2", this::printCounters, log);
     }
 
     /** Says which of these words never reach this process; after hear(). */
     private void checkSignals() {
-        Signals.check("HUP", 1, "a new configuration is found only once discovery is lost", log);
-        Signals.check("TERM", 15, "a planned end is not heard, and what is out then is lost", log);
+        SignalHandlers.warnIfIgnored("HUP", 1, "a new configuration is found only once discovery is lost", log);
+        SignalHandlers.warnIfIgnored("TERM", 15, "a planned end is not heard, and what is out then is lost", log);
     }
 
     /** Returns once clients can connect. */
-    public void start() throws BadConfig {
-        int share = Math.max(2, (config.sockets() - OTHERS) / 2);
+    public void start() throws ConfigException {
+        int share = Math.max(2, (config.maxDescriptors() - RESERVED_DESCRIPTORS) / 2);
         try {
-            rest();
+            waitOutCpuDebt();
             loop.submit(
                             () -> {
                                 // By the latest settings, which a word before the start may have
                                 // changed.
-                                Config begun = config.by(setup);
-                                router = new Router(begun, new Clock(), counters, log, loop, share);
-                                clients =
-                                        new Clients(
+                                RouterConfig begun = config.withSettings(settings);
+                                router = new Router(begun, new MonotonicClock(), counters, log, loop, share);
+                                clientListener =
+                                        new ClientListener(
                                                 router,
-                                                router.pace(),
+                                                router.loopLag(),
                                                 router.clock(),
                                                 counters,
                                                 log,
                                                 loop,
                                                 share,
-                                                config.sockets() * 3 / 10,
-                                                (config.memoryMb() << 20) / WAITING_PART,
-                                                config.setup().settings().connectTimeout());
-                                side =
+                                                config.maxDescriptors() * 3 / 10,
+                                                (config.memoryMb() << 20) / PARTIAL_MESSAGE_MEMORY_DIVISOR,
+                                                config.settings().routing().connectTimeout());
+                                optionalServices =
                                         operator == Operator.NONE
                                                 ? null
-                                                : new Side(
-                                                        operator, begun, router, clients, loop,
+                                                : new OptionalServices(
+                                                        operator, begun, router, clientListener, loop,
                                                         log);
-                                boolean known = !config.known().list("instances").isEmpty();
+                                boolean known = !config.initialMembers().getList("instances").isEmpty();
                                 if (known) {
-                                    router.list(config.known());
+                                    router.listReceived(config.initialMembers());
                                 }
-                                watch =
-                                        new Watch(
+                                discoveryClient =
+                                        new DiscoveryClient(
                                                 discovery,
-                                                config.setup().settings().connectTimeout(),
+                                                config.settings().routing().connectTimeout(),
                                                 counters,
                                                 log,
                                                 loop,
-                                                known ? config.known().whole("generation") : -1,
-                                                new News());
-                                router.watch(watch);
-                                watch.start();
+                                                known ? config.initialMembers().getLong("generation") : -1,
+                                                new DiscoveryListener());
+                                router.setDiscoveryClient(discoveryClient);
+                                discoveryClient.start();
                                 return null;
                             })
                     .sync();
@@ -184,27 +184,27 @@
             // list will do.
             long due =
                     System.nanoTime()
-                            + NEWS_DIALS * config.setup().settings().connectTimeout().toNanos();
+                            + FIRST_LIST_CONNECT_TIMEOUTS * config.settings().routing().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
-                                    router.listed()
-                                            && (watch.answered() || System.nanoTime() - due > 0))
+                                    router.hasMemberList()
+                                            && (discoveryClient.hasAnswered() || System.nanoTime() - due > 0))
                     .get()) {
-                Thread.sleep(config.setup().settings().clockStep().toMillis() + 1);
+                Thread.sleep(config.settings().routing().clockStep().toMillis() + 1);
             }
-            rest();
-            loop.submit(() -> clients.open(config.listen())).get().sync();
+            waitOutCpuDebt();
+            loop.submit(() -> clientListener.open(config.listen())).get().sync();
         } catch (InterruptedException stopped) {
-            throw new BadConfig("interrupted");
+            throw new ConfigException("interrupted");
         } catch (Exception fault) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             if (fault instanceof Operator.BadOperator) {
-                throw new BadConfig("LB_OPERATOR: " + fault.getMessage());
+                throw new ConfigException("LB_OPERATOR: " + fault.getMessage());
             }
-            throw new BadConfig("LB_LISTEN " + config.listen() + ": " + fault.getMessage());
+            throw new ConfigException("LB_LISTEN " + config.listen() + ": " + fault.getMessage());
         }
-        if (side != null) {
-            loop.execute(side::open);
+        if (optionalServices != null) {
+            loop.execute(optionalServices::open);
         }
         checkSignals();
         log.info("serving", "name", config.name(), "listen", config.listen());
@@ -215,22 +215,22 @@
      * at once. Waits until it is, with the door shut: else those who come first wait, 0.4 s on half
      * a core.
      */
-    private void rest() throws InterruptedException {
-        Duration up = beganCpu.plusNanos(System.nanoTime() - beganNanos);
-        Thread.sleep(owed(cpu(), up, config.cores()).toMillis());
+    private void waitOutCpuDebt() throws InterruptedException {
+        Duration up = startCpuTime.plusNanos(System.nanoTime() - startNanos);
+        Thread.sleep(cpuDebt(cpuTime(), up, config.cpuCores()).toMillis());
     }
 
     /**
      * For how long nothing may be used until a share of the time covers what was used; a second at
      * the most.
      */
-    static Duration owed(Duration used, Duration up, double share) {
+    static Duration cpuDebt(Duration used, Duration up, double share) {
         Duration owed = Duration.ofNanos((long) (used.toNanos() / share)).minus(up);
-        return owed.isNegative() ? Duration.ZERO : owed.compareTo(MOST_OWED) > 0 ? MOST_OWED : owed;
+        return owed.isNegative() ? Duration.ZERO : owed.compareTo(MAX_CPU_DEBT) > 0 ? MAX_CPU_DEBT : owed;
     }
 
     /** In ticks of a hundredth of a second, as Linux tells them; zero elsewhere. */
-    private static Duration cpu() {
+    private static Duration cpuTime() {
         try {
             String stat = Files.readString(Path.of("/proc/self/stat"), StandardCharsets.ISO_8859_1);
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -248,9 +248,9 @@
      */
     public void stop() {
         log.info("stopping", "name", config.name());
-        loop.schedule(this::leave, STILL_COMING.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::beginShutdown, SHUTDOWN_ACCEPT_TIME.toMillis(), TimeUnit.MILLISECONDS);
         try {
-            ended.await();
+            stopped.await();
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -262,41 +262,41 @@
      * Goes over to the configuration as it is now, if it can be used; at any time, also before the
      * start. One reading after another, so that several words in a row end in the latest file.
      */
-    public synchronized void reload(Source source) {
+    public synchronized void reload(ConfigSource source) {
         try {
-            goOver(source.read(), "SIGHUP");
-        } catch (BadConfig bad) {
-            onLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
+            switchTo(source.read(), "SIGHUP");
+        } catch (ConfigException bad) {
+            runOnLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
         }
     }
 
-    private void goOver(Config next, String word) throws BadConfig {
-        if (side == null || !side.settle(next.setup(), () -> follow(next, word))) {
-            onLoop(() -> follow(next, word));
+    private void switchTo(RouterConfig next, String word) throws ConfigException {
+        if (optionalServices == null || !optionalServices.applySettings(next.settings(), () -> applyConfig(next, word))) {
+            runOnLoop(() -> applyConfig(next, word));
         }
-        named = next.named();
+        configuredDiscovery = next.configuredDiscovery();
     }
 
     /**
      * What discovery tells goes to the router; where it is lost, the configuration may name another
      * place by now.
      */
-    private final class News implements Watch.Listener {
+    private final class DiscoveryListener implements DiscoveryClient.Listener {
 
         @Override
-        public void list(Tree list) {
-            rereading.heard();
-            router.list(list);
-            router.told();
+        public void listReceived(JsonObject list) {
+            reloadBackoff.reset();
+            router.listReceived(list);
+            router.reported();
         }
 
         @Override
         public void listFailed() {
             router.listFailed();
-            if (source != null && !looking && rereading.lost(router.clock().now())) {
-                looking = true;
+            if (configSource != null && !reloadInProgress && reloadBackoff.shouldReload(router.clock().now())) {
+                reloadInProgress = true;
                 // Not on the loop, which waits for no disk; rare, so it needs no thread that stays.
-                Thread look = new Thread(Daemon.this::lookAgain, "configuration");
+                Thread look = new Thread(RouterServer.this::reloadAfterDiscoveryLoss, "configuration");
                 look.setDaemon(true);
                 look.start();
             }
@@ -308,25 +308,25 @@
      * was lost, and counts as given now. A file that cannot be used, or names the same place,
      * changes nothing; nor does LB_DISCOVERY, which held at the start alone.
      */
-    private synchronized void lookAgain() {
+    private synchronized void reloadAfterDiscoveryLoss() {
         try {
-            Config next = source.read();
-            if (!next.named().equals(named)) {
-                goOver(next, "file");
+            RouterConfig next = configSource.read();
+            if (!next.configuredDiscovery().equals(configuredDiscovery)) {
+                switchTo(next, "file");
             }
-            unread = "";
-        } catch (BadConfig bad) {
-            if (!unread.equals(bad.getMessage())) {
-                unread = bad.getMessage();
-                onLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
+            lastReloadError = "";
+        } catch (ConfigException bad) {
+            if (!lastReloadError.equals(bad.getMessage())) {
+                lastReloadError = bad.getMessage();
+                runOnLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
             }
         } finally {
-            onLoop(() -> looking = false);
+            runOnLoop(() -> reloadInProgress = false);
         }
     }
 
     /** Once the router has ended, what it is told no longer counts. */
-    private void onLoop(Runnable then) {
+    private void runOnLoop(Runnable then) {
         if (!loop.isShuttingDown()) {
             loop.execute(then);
         }
@@ -336,8 +336,8 @@
      * Txns that were taken go on by the settings of their time; a list that was read by the old
      * ones is asked for anew.
      */
-    private void follow(Config next, String word) {
-        boolean other = !setup.equals(next.setup());
+    private void applyConfig(RouterConfig next, String word) {
+        boolean other = !settings.equals(next.settings());
         log.info(
                 "reloaded",
                 "by",
@@ -347,48 +347,48 @@
                 "settings",
                 other ? "changed" : "same",
                 "kept_as_at_start",
-                config.fixed(next));
-        setup = next.setup();
+                config.restartOnlyFields(next));
+        settings = next.settings();
         if (other && router != null) {
-            router.settings(setup);
+            router.applySettings(settings);
         }
         if (other || !discovery.equals(next.discovery())) {
             discovery = next.discovery();
-            if (watch != null) {
-                watch.move(discovery);
+            if (discoveryClient != null) {
+                discoveryClient.changeAddress(discovery);
             }
         }
     }
 
     /** On request. */
-    public void print() {
+    public void printCounters() {
         loop.execute(() -> counters.print(log));
     }
 
-    private void leave() {
+    private void beginShutdown() {
         try {
-            clients.leave();
+            clientListener.beginShutdown();
             Duration now = router.clock().now();
-            due =
-                    (router.owedUntil().compareTo(now) > 0 ? router.owedUntil() : now)
-                            .plus(setup.settings().connectTimeout().multipliedBy(LAST_DIALS));
+            shutdownDeadline =
+                    (router.lastExpiry().compareTo(now) > 0 ? router.lastExpiry() : now)
+                            .plus(settings.routing().connectTimeout().multipliedBy(SHUTDOWN_GRACE_CONNECT_TIMEOUTS));
         } finally {
-            lookIfOver();
+            finishShutdownIfIdle();
         }
     }
 
-    private void lookIfOver() {
+    private void finishShutdownIfIdle() {
         boolean over = false;
         try {
-            over = clients.empty() && counters.txns == 0;
+            over = clientListener.closeIdleAndCheckEmpty() && counters.txns == 0;
         } catch (RuntimeException fault) {
             // It would vanish in the timer's future, and the end with it.
             log.warn("end", "fault", fault);
         }
-        if (!over && due != null && router.clock().now().compareTo(due) < 0) {
+        if (!over && shutdownDeadline != null && router.clock().now().compareTo(shutdownDeadline) < 0) {
             loop.schedule(
-                    this::lookIfOver,
-                    config.setup().settings().clockStep().toNanos(),
+                    this::finishShutdownIfIdle,
+                    config.settings().routing().clockStep().toNanos(),
                     TimeUnit.NANOSECONDS);
             return;
         }
@@ -401,13 +401,13 @@
                         "clients",
                         counters.clientConnections);
             }
-            watch.close();
-            if (side != null) {
-                side.close();
+            discoveryClient.close();
+            if (optionalServices != null) {
+                optionalServices.close();
             }
             router.close();
         } finally {
-            ended.countDown();
+            stopped.countDown();
         }
     }
 }
--- a/src/main/java/dillfront/router/Signals.java
+++ b/src/main/java/dillfront/router/SignalHandlers.java
@@ -8,15 +8,15 @@
 import sun.misc.Signal;
 
 /** Words of the platform to the process, each heard on a thread of its own. */
-public final class Signals {
+public final class SignalHandlers {
 
-    private Signals() {}
+    private SignalHandlers() {}
 
     /**
      * The type is no promise of the platform, and may go; a proxy round it costs 25 ms of every
      * start.
      */
-    public static void on(String name, Runnable run, Log log) {
+    public static void register(String name, Runnable run, Log log) {
         try {
             Signal.handle(new Signal(name), signal -> run.run());
         } catch (IllegalArgumentException none) {
@@ -29,8 +29,8 @@
      * ignored, as nohup does and some supervisors and shells, leaves it ignored there, and the JVM
      * then installs nothing and throws nothing.
      */
-    static void check(String name, int number, String follows, Log log) {
-        String ignored = mask("SigIgn:");
+    static void warnIfIgnored(String name, int number, String follows, Log log) {
+        String ignored = readStatusField("SigIgn:");
         if (ignored != null && (Long.parseUnsignedLong(ignored, 16) >>> number - 1 & 1) != 0) {
             log.warn(
                     "signal-ignored",
@@ -46,7 +46,7 @@
     }
 
     /** What Linux tells of this process; null elsewhere. */
-    private static String mask(String line) {
+    private static String readStatusField(String line) {
         try {
             String all =
                     Files.readString(Path.of("/proc/self/status"), StandardCharsets.ISO_8859_1);
--- a/src/main/java/dillfront/router/Status.java
+++ b/src/main/java/dillfront/router/StatusFormatter.java
@@ -10,11 +10,11 @@
  * What an instance says of itself, in sections of names and values: to be read by people, a line a
  * section, or by programs.
  */
-final class Status {
+final class StatusFormatter {
 
-    private Status() {}
+    private StatusFormatter() {}
 
-    static String table(Map<String, Object> sections) {
+    static String toText(Map<String, Object> sections) {
         StringBuilder out = new StringBuilder();
         sections.forEach(
                 (section, rows) -> {
@@ -35,22 +35,22 @@
         return out.toString();
     }
 
-    static String json(Map<String, Object> sections) {
+    static String toJson(Map<String, Object> sections) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-            object(out, sections);
+            writeObject(out, sections);
         } catch (IOException none) {
             throw new IllegalStateException(none);
         }
         return text.append('\n').toString();
     }
 
-    private static void object(JsonGenerator out, Map<?, ?> rows) throws IOException {
+    private static void writeObject(JsonGenerator out, Map<?, ?> rows) throws IOException {
         out.writeStartObject();
         for (Map.Entry<?, ?> row : rows.entrySet()) {
             out.writeFieldName(String.valueOf(row.getKey()));
             if (row.getValue() instanceof Map<?, ?> inner) {
-                object(out, inner);
+                writeObject(out, inner);
             } else if (row.getValue() instanceof Boolean flag) {
                 out.writeBoolean(flag);
             } else if (row.getValue() instanceof Number number) {
--- a/src/main/java/dillfront/router/Rehearsal.java
+++ b/src/main/java/dillfront/router/WarmUpRun.java
@@ -1,8 +1,8 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -19,7 +19,7 @@
  * at its start. The build runs this and keeps the classes that were loaded, so that a router that
  * starts again serves sooner. Nothing leaves the machine.
  */
-public final class Rehearsal {
+public final class WarmUpRun {
 
     private static final String CONFIG =
             "{'name':'rehearsal','listen':'%1$s','discovery':'127.0.0.1:1','seed':'1',"
@@ -33,19 +33,19 @@
                     + "['eventual','mutate'],'listRole':'static','guards':'off','tokens':'brought'},"
                     + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}}";
 
-    private Rehearsal() {}
+    private WarmUpRun() {}
 
     /** Runs one router against itself for a moment, so that the classes it needs are loaded. */
-    public static void run(Log log) throws IOException, BadConfig {
+    public static void run(Log log) throws IOException, ConfigException {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
-        Config read =
-                Config.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
-        Daemon daemon = new Daemon(read, log);
-        daemon.hear(() -> read);
+        RouterConfig read =
+                RouterConfig.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
+        RouterServer daemon = new RouterServer(read, log);
+        daemon.registerSignals(() -> read);
         daemon.start();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5000);
--- a/src/main/java/dillfront/router/admin/Control.java
+++ b/src/main/java/dillfront/router/admin/AdminServer.java
@@ -21,33 +21,33 @@
  * and the end. A few at a time, a short line, and a second for it: what asks badly costs no more
  * than that.
  */
-public final class Control {
+public final class AdminServer {
 
-    private static final int MOST = 4;
-    private static final int LONGEST = 64;
-    private static final long PATIENCE_MS = 1000;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final int MAX_QUERY_CHARS = 64;
+    private static final long QUERY_TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final Log log;
-    private final UnaryOperator<String> answers;
-    private Channel door;
+    private final UnaryOperator<String> responder;
+    private Channel serverChannel;
     private int open;
 
     /**
      * @param answers a text for a question, without the end of its line
      */
-    public Control(
+    public AdminServer(
             EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> answers) {
         this.loop = loop;
         this.address = address;
         this.log = log;
-        this.answers = answers;
+        this.responder = answers;
     }
 
     /** On the loop. */
     public void open() {
-        Sockets.listen(loop, address, MOST, WriteBufferWaterMark.DEFAULT, Question::new)
+        Sockets.listen(loop, address, MAX_CONNECTIONS, WriteBufferWaterMark.DEFAULT, QueryHandler::new)
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
@@ -59,32 +59,32 @@
                                         done.cause());
                             }
                         })
-                .addListener((ChannelFutureListener) done -> door = done.channel());
+                .addListener((ChannelFutureListener) done -> serverChannel = done.channel());
     }
 
     public void close() {
-        if (door != null) {
-            door.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
     /** One connection; gives its place back in channelInactive. */
-    private final class Question extends TerminalHandler {
+    private final class QueryHandler extends TerminalHandler {
 
-        private final StringBuilder line = new StringBuilder();
-        private ScheduledFuture<?> patience;
-        private boolean counted;
+        private final StringBuilder query = new StringBuilder();
+        private ScheduledFuture<?> timeout;
+        private boolean admitted;
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (open >= MOST) {
+            if (open >= MAX_CONNECTIONS) {
                 ctx.close();
                 return;
             }
             open++;
-            counted = true;
-            patience = loop.schedule(() -> ctx.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+            admitted = true;
+            timeout = loop.schedule(() -> ctx.close(), QUERY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -95,18 +95,18 @@
                     char c = (char) bytes.readUnsignedByte();
                     if (c == '\n') {
                         answered = true;
-                        String text = answers.apply(line.toString().strip());
+                        String text = responder.apply(query.toString().strip());
                         ctx.writeAndFlush(
                                         ByteBufUtil.encodeString(
                                                 ctx.alloc(),
                                                 java.nio.CharBuffer.wrap(text),
                                                 StandardCharsets.UTF_8))
                                 .addListener(ChannelFutureListener.CLOSE);
-                    } else if (line.length() >= LONGEST) {
+                    } else if (query.length() >= MAX_QUERY_CHARS) {
                         ctx.close();
                         return;
                     } else {
-                        line.append(c);
+                        query.append(c);
                     }
                 }
             } finally {
@@ -116,10 +116,10 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (counted) {
-                counted = false;
+            if (admitted) {
+                admitted = false;
                 open--;
-                patience.cancel(false);
+                timeout.cancel(false);
             }
         }
 
--- a/src/main/java/dillfront/router/backend/Probe.java
+++ b/src/main/java/dillfront/router/backend/HealthProbe.java
@@ -1,6 +1,6 @@
 package dillfront.router.backend;
 
-import dillfront.router.exchange.Answer;
+import dillfront.router.exchange.NodeResponse;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.SubmissionResult;
@@ -9,40 +9,40 @@
 import java.time.Duration;
 
 /** Asks a node how it is: for its report where nodes have one, else for a row. */
-final class Probe extends Call {
+final class HealthProbe extends NodeRequest {
 
-    Probe(Pool pool) {
+    HealthProbe(NodeConnectionPool pool) {
         super(pool);
     }
 
     @Override
-    boolean stands() {
+    boolean isStillValid() {
         return true;
     }
 
     @Override
     void write(ChannelHandlerContext ctx, ChannelPromise last) {
-        String query = pool.fleet.setup.reports() ? "SHOW server_load" : "SELECT 1";
+        String query = pool.manager.settings.hasLoadReports() ? "SHOW server_load" : "SELECT 1";
         ctx.writeAndFlush(Messages.query(ctx.alloc().buffer(query.length() + 6), query), last);
     }
 
     @Override
-    void over(
+    void onEnd(
             SubmissionResult result,
             Duration took,
-            Answer answer,
+            NodeResponse answer,
             NodeReport note,
             NodeReport report) {
         NodeReport told = report;
         if (answer != null) {
             String text = Messages.column(answer.row());
-            if (text != null && pool.fleet.setup.reports()) {
-                told = pool.fleet.report(text);
+            if (text != null && pool.manager.settings.hasLoadReports()) {
+                told = pool.manager.parseReport(text);
             }
             answer.release();
         }
         // One that answers in no form is up.
-        pool.fleet.probed(
+        pool.manager.probeCompleted(
                 pool.node,
                 result == SubmissionResult.COMMITTED || result == SubmissionResult.SPOILT,
                 told);
--- a/src/main/java/dillfront/router/backend/Connection.java
+++ b/src/main/java/dillfront/router/backend/NodeConnection.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.network.Sockets;
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameException;
+import dillfront.router.pgwire.FrameDecoder;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.SubmissionResult;
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to a node: opened for a call, then carrying one call at a time. */
-final class Connection extends TerminalHandler {
+final class NodeConnection extends TerminalHandler {
 
     private static final byte[] ROLE = ascii("node_role");
     private static final byte[] POSITION = ascii("replay_position");
@@ -27,37 +27,37 @@
     private static final byte[] LEADER = ascii("leader\0");
     private static final byte[] FOLLOWER = ascii("follower\0");
 
-    private final Fleet fleet;
-    private final Pool pool;
+    private final NodeConnectionManager manager;
+    private final NodeConnectionPool pool;
     private final InetSocketAddress address;
     private final long openedMs;
-    private final Frames frames;
+    private final FrameDecoder decoder;
     private Channel channel;
     private ChannelHandlerContext ctx;
-    private ScheduledFuture<?> dialing;
+    private ScheduledFuture<?> connectTimer;
 
     /** While an answer has begun and has not ended. */
-    private ScheduledFuture<?> stalling;
+    private ScheduledFuture<?> stallTimer;
 
     /**
      * Whom it is opened for; it may have gone over another connection by the time this one is up.
      */
-    private Call caller;
+    private NodeRequest initiator;
 
-    private Call call;
-    private boolean up;
-    private boolean closed;
+    private NodeRequest request;
+    private boolean established;
+    private boolean isClosed;
 
     /** Since when it could be used; later than now while it rests. */
-    long idleSince;
+    long idleSinceNanos;
 
-    Connection(Pool pool, Call caller) {
+    NodeConnection(NodeConnectionPool pool, NodeRequest caller) {
         this.pool = pool;
-        this.caller = caller;
-        fleet = pool.fleet;
-        frames = new Frames(fleet.longest);
+        this.initiator = caller;
+        manager = pool.manager;
+        decoder = new FrameDecoder(manager.maxMessageBytes);
         address = pool.address;
-        openedMs = fleet.clock.unixMillis();
+        openedMs = manager.clock.unixMillis();
     }
 
     private static byte[] ascii(String text) {
@@ -65,23 +65,23 @@
     }
 
     void open() {
-        fleet.opened(this);
+        manager.connectionOpened(this);
         ChannelFuture connecting =
                 Sockets.connect(
-                        fleet.loop,
+                        manager.loop,
                         address,
                         this,
-                        (int) fleet.setup.settings().connectTimeout().toMillis() + 1);
+                        (int) manager.settings.routing().connectTimeout().toMillis() + 1);
         if (connecting == null) {
             close();
             return;
         }
         channel = connecting.channel();
-        fleet.counters.timers++;
-        dialing =
-                fleet.loop.schedule(
+        manager.counters.timers++;
+        connectTimer =
+                manager.loop.schedule(
                         this::close,
-                        fleet.setup.settings().connectTimeout().toNanos(),
+                        manager.settings.routing().connectTimeout().toNanos(),
                         TimeUnit.NANOSECONDS);
         connecting.addListener(
                 done -> {
@@ -92,31 +92,31 @@
     }
 
     /** The dial is over, well or not. */
-    private void dialed() {
-        if (dialing != null) {
-            dialing.cancel(false);
-            dialing = null;
-            fleet.counters.timers--;
+    private void cancelConnectTimer() {
+        if (connectTimer != null) {
+            connectTimer.cancel(false);
+            connectTimer = null;
+            manager.counters.timers--;
         }
     }
 
-    boolean closed() {
-        return closed;
+    boolean isClosed() {
+        return isClosed;
     }
 
     /** Neither the address nor the process behind it has changed since. */
-    boolean usable() {
-        return !closed && address.equals(pool.address) && openedMs >= pool.startedMs;
+    boolean isUsable() {
+        return !isClosed && address.equals(pool.address) && openedMs >= pool.nodeStartedMs;
     }
 
-    void carry(Call next) {
-        call = next;
+    void send(NodeRequest next) {
+        request = next;
         next.connection = this;
         ChannelPromise last = ctx.newPromise();
         last.addListener(
                 done -> {
                     if (done.isSuccess()) {
-                        next.whole = true;
+                        next.fullySent = true;
                     } else {
                         close();
                     }
@@ -136,90 +136,90 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object read) {
-        if (closed) {
+        if (isClosed) {
             ((ByteBuf) read).release();
             return;
         }
-        frames.add((ByteBuf) read);
+        decoder.add((ByteBuf) read);
         try {
-            for (ByteBuf message = frames.next();
+            for (ByteBuf message = decoder.next();
                     message != null;
-                    message = closed ? null : frames.next()) {
+                    message = isClosed ? null : decoder.next()) {
                 byte type = message.getByte(message.readerIndex());
-                if (!taken(type, message)) {
-                    spoilt("message " + (char) type + " out of turn");
+                if (!handleMessage(type, message)) {
+                    failProtocol("message " + (char) type + " out of turn");
                     return;
                 }
             }
-        } catch (BadFrame bad) {
-            spoilt(bad.getMessage());
+        } catch (FrameException bad) {
+            failProtocol(bad.getMessage());
         }
-        if (call == null && up && frames.waiting() > 0) {
-            spoilt("more than the answer");
+        if (request == null && established && decoder.bufferedBytes() > 0) {
+            failProtocol("more than the answer");
         }
     }
 
     /** Guards against lengths that do not fit: what has begun goes on at once, or it never will. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        boolean open = call != null && (frames.waiting() > 0 || call.begun());
-        if (!open && stalling != null) {
-            stalled();
-        } else if (open && stalling == null) {
-            fleet.counters.timers++;
-            stalling =
+        boolean open = request != null && (decoder.bufferedBytes() > 0 || request.hasResponseStarted());
+        if (!open && stallTimer != null) {
+            cancelStallTimer();
+        } else if (open && stallTimer == null) {
+            manager.counters.timers++;
+            stallTimer =
                     channel.eventLoop()
                             .schedule(
-                                    () -> spoilt("an answer that does not go on"),
-                                    fleet.setup.settings().connectTimeout().toNanos(),
+                                    () -> failProtocol("an answer that does not go on"),
+                                    manager.settings.routing().connectTimeout().toNanos(),
                                     TimeUnit.NANOSECONDS);
         }
     }
 
     /** No answer is open any more. */
-    private void stalled() {
-        if (stalling != null) {
-            stalling.cancel(false);
-            stalling = null;
-            fleet.counters.timers--;
+    private void cancelStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
+            stallTimer = null;
+            manager.counters.timers--;
         }
     }
 
-    private void spoilt(String fault) {
-        fleet.log.warn("node-nonsense", "node", pool.node, "address", address, "fault", fault);
-        if (call != null) {
-            call.spoilt = true;
+    private void failProtocol(String fault) {
+        manager.log.warn("node-nonsense", "node", pool.node, "address", address, "fault", fault);
+        if (request != null) {
+            request.protocolError = true;
         }
         close();
     }
 
     /** Takes one message over; false where none such can come now. */
-    private boolean taken(byte type, ByteBuf message) {
-        if (call != null && (type == 'T' || type == 'D' || type == 'C')) {
-            return call.take(message);
+    private boolean handleMessage(byte type, ByteBuf message) {
+        if (request != null && (type == 'T' || type == 'D' || type == 'C')) {
+            return request.accept(message);
         }
         try {
             switch (type) {
                 case 'N' -> {}
-                case 'S' -> parameter(message);
+                case 'S' -> handleParameter(message);
                 case 'R' -> {
-                    return !up
+                    return !established
                             && message.readableBytes() == 9
                             && message.getInt(message.readerIndex() + 5) == 0;
                 }
                 case 'K' -> {
-                    return !up;
+                    return !established;
                 }
                 case 'E' -> {
-                    if (call == null) {
+                    if (request == null) {
                         close();
-                    } else if (call.code == null) {
-                        call.code = Messages.code(message);
-                        return call.code.length() == 5;
+                    } else if (request.errorCode == null) {
+                        request.errorCode = Messages.sqlState(message);
+                        return request.errorCode.length() == 5;
                     }
                 }
                 case 'Z' -> {
-                    return ready();
+                    return handleReady();
                 }
                 default -> {
                     return false;
@@ -231,55 +231,55 @@
         }
     }
 
-    private void parameter(ByteBuf message) {
-        if (call == null) {
+    private void handleParameter(ByteBuf message) {
+        if (request == null) {
             return;
         }
-        int role = Messages.valueOf(message, ROLE);
-        int position = role < 0 ? Messages.valueOf(message, POSITION) : -1;
-        int load = role < 0 && position < 0 ? Messages.valueOf(message, LOAD) : -1;
+        int role = Messages.parameterValueOffset(message, ROLE);
+        int position = role < 0 ? Messages.parameterValueOffset(message, POSITION) : -1;
+        int load = role < 0 && position < 0 ? Messages.parameterValueOffset(message, LOAD) : -1;
         if (role >= 0) {
-            call.noted(
-                    Messages.is(message, role, LEADER)
+            request.recordNote(
+                    Messages.matchesAt(message, role, LEADER)
                             ? NodeRole.PRIMARY
-                            : Messages.is(message, role, FOLLOWER)
+                            : Messages.matchesAt(message, role, FOLLOWER)
                                     ? NodeRole.REPLICA
                                     : (NodeRole) null);
         } else if (position >= 0) {
-            call.noted(fleet.position(message, position));
+            request.recordNote(manager.parsePosition(message, position));
         } else if (load >= 0) {
-            call.reported(fleet.report(message, load));
+            request.recordReport(manager.parseReport(message, load));
         }
     }
 
-    private boolean ready() {
-        if (!up) {
-            if (frames.waiting() > 0) {
+    private boolean handleReady() {
+        if (!established) {
+            if (decoder.bufferedBytes() > 0) {
                 return false;
             }
-            up = true;
-            dialed();
-            caller = null;
-            pool.free(this, 0);
+            established = true;
+            cancelConnectTimer();
+            initiator = null;
+            pool.addIdle(this, 0);
             return true;
         }
-        if (call == null || !call.answered()) {
+        if (request == null || !request.isResponseComplete()) {
             return false;
         }
-        Call done = call;
-        call = null;
-        stalled();
-        pool.free(this, fleet.restNanos);
+        NodeRequest done = request;
+        request = null;
+        cancelStallTimer();
+        pool.addIdle(this, manager.reuseDelayNanos);
         done.end(done.result());
         return true;
     }
 
     /** The time of the call it carries is up: to stop waiting is to close the connection. */
-    void giveUp() {
-        Call late = call;
-        call = null;
+    void timeOut() {
+        NodeRequest late = request;
+        request = null;
         close();
-        late.end(late.whole ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
+        late.end(late.fullySent ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
     }
 
     @Override
@@ -290,33 +290,33 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            fleet.log.warn("node-connection", "node", pool.node, "fault", cause);
+            manager.log.warn("node-connection", "node", pool.node, "fault", cause);
         }
         close();
     }
 
     /** The one place where a connection is given back, with what it carried. */
     void close() {
-        if (closed) {
+        if (isClosed) {
             return;
         }
-        closed = true;
-        dialed();
-        stalled();
+        isClosed = true;
+        cancelConnectTimer();
+        cancelStallTimer();
         if (channel != null) {
             channel.close();
         }
-        frames.release();
+        decoder.release();
         pool.idle.remove(this);
-        fleet.closed(this);
-        Call lost = call;
-        call = null;
+        manager.connectionClosed(this);
+        NodeRequest lost = request;
+        request = null;
         if (lost != null) {
             lost.end(lost.result());
         }
-        if (caller != null && pool.waiting.remove(caller)) {
-            caller.end(SubmissionResult.UNREACHABLE);
+        if (initiator != null && pool.waiting.remove(initiator)) {
+            initiator.end(SubmissionResult.UNREACHABLE);
         }
-        caller = null;
+        initiator = null;
     }
 }
--- a/src/main/java/dillfront/router/backend/Fleet.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionManager.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.exchange.Submitter;
 import dillfront.router.pace.LoopLagMonitor;
@@ -21,100 +21,100 @@
 import java.util.function.Consumer;
 
 /** All nodes, by the indices that the list gave them, and all connections to them. */
-public final class Fleet implements Submitter {
+public final class NodeConnectionManager implements Submitter {
 
     /** Where the word of a probe goes. */
-    public interface Listener {
-        void probed(int node, boolean answered, NodeReport report);
+    public interface ProbeListener {
+        void probeCompleted(int node, boolean answered, NodeReport report);
     }
 
     /**
      * Who tells, on the loop, once all that was to be kept is; or, with false, that it cannot be.
      */
-    public interface Kept {
-        void whenKept(Consumer<Boolean> then);
+    public interface PersistenceBarrier {
+        void whenPersisted(Consumer<Boolean> then);
     }
 
     /**
      * A submission waits so long at the most to be kept, in dial time-outs; then it has never been
      * sent.
      */
-    private static final int KEPT_DIALS = 1;
+    private static final int PERSIST_CONNECT_TIMEOUTS = 1;
 
-    Setup setup;
-    final Clock clock;
-    final LoopLagMonitor pace;
+    RouterSettings settings;
+    final MonotonicClock clock;
+    final LoopLagMonitor loopLag;
     final Counters counters;
     final Log log;
 
     /** A peer that acknowledges late holds back what comes behind an answer by 40 ms. */
-    final long restNanos;
+    final long reuseDelayNanos;
 
     /** Of one message of a node. */
-    final int longest;
+    final int maxMessageBytes;
 
     final EventLoop loop;
-    private final int most;
-    private final Listener listener;
+    private final int maxConnections;
+    private final ProbeListener listener;
 
     /** One a node index; what was opened for a node that is forgotten closes by itself. */
-    private final List<Pool> pools = new ArrayList<>();
+    private final List<NodeConnectionPool> pools = new ArrayList<>();
 
-    private int open;
+    private int openConnections;
 
     /** What has to be kept before a txn with a key is sent; null where nothing is. */
-    private Kept kept;
+    private PersistenceBarrier persistenceBarrier;
 
     /** Reads what discovery has written: see look(). */
-    private Runnable news = () -> {};
+    private Runnable discoveryReader = () -> {};
 
-    private long lookedNanos;
+    private long lastDiscoveryReadNanos;
 
     /**
      * @param most how many connections may be open at once
      * @param longest how many bytes one message of a node may have
      */
-    public Fleet(
-            Setup setup,
-            Clock clock,
+    public NodeConnectionManager(
+            RouterSettings setup,
+            MonotonicClock clock,
             LoopLagMonitor pace,
             Counters counters,
             Log log,
             EventLoop loop,
             int most,
             int longest,
-            Listener listener) {
-        this.setup = setup;
+            ProbeListener listener) {
+        this.settings = setup;
         this.clock = clock;
-        this.pace = pace;
+        this.loopLag = pace;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        this.most = most;
-        this.longest = longest;
+        this.maxConnections = most;
+        this.maxMessageBytes = longest;
         this.listener = listener;
-        restNanos = setup.settings().connectTimeout().toNanos() / 4;
-        Duration every = setup.settings().connectTimeout();
+        reuseDelayNanos = setup.routing().connectTimeout().toNanos() / 4;
+        Duration every = setup.routing().connectTimeout();
         loop.scheduleWithFixedDelay(
-                this::closeOld, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
+                this::closeExpired, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
      * For what is sent from now on; what rests and how often old connections are looked for stays
      * as at the start.
      */
-    public void settings(Setup next) {
-        setup = next;
+    public void applySettings(RouterSettings next) {
+        settings = next;
     }
 
     /** From now on what carries a key is kept before it is sent. */
-    public void kept(Kept by) {
-        kept = by;
+    public void persistenceBarrier(PersistenceBarrier by) {
+        persistenceBarrier = by;
     }
 
-    public void news(Runnable look) {
-        news = look;
-        lookedNanos = System.nanoTime() - setup.settings().clockStep().toNanos();
+    public void discoveryReader(Runnable look) {
+        discoveryReader = look;
+        lastDiscoveryReadNanos = System.nanoTime() - settings.routing().clockStep().toNanos();
     }
 
     /**
@@ -123,14 +123,14 @@
      * meanwhile. Guards against a send that overtakes a drain which lies unread: after a pause all
      * sockets are ready at once, and discovery's is one among hundreds.
      */
-    void look() {
-        if (pace.isSocketDataRead(clock.now())) {
+    void readDiscovery() {
+        if (loopLag.isSocketDataRead(clock.now())) {
             return;
         }
         long now = System.nanoTime();
-        if (now - lookedNanos >= setup.settings().clockStep().toNanos()) {
-            lookedNanos = now;
-            news.run();
+        if (now - lastDiscoveryReadNanos >= settings.routing().clockStep().toNanos()) {
+            lastDiscoveryReadNanos = now;
+            discoveryReader.run();
         }
     }
 
@@ -138,15 +138,15 @@
      * What the list says of a node: old connections are not used for a new address or a new
      * process.
      */
-    public void known(int node, InetSocketAddress address, long startedMs) {
+    public void updateNode(int node, InetSocketAddress address, long startedMs) {
         while (pools.size() <= node) {
-            pools.add(new Pool(this, pools.size()));
+            pools.add(new NodeConnectionPool(this, pools.size()));
         }
-        Pool pool = pools.get(node);
+        NodeConnectionPool pool = pools.get(node);
         pool.address = address;
-        pool.startedMs = startedMs;
-        for (Connection connection : List.copyOf(pool.idle)) {
-            if (!connection.usable()) {
+        pool.nodeStartedMs = startedMs;
+        for (NodeConnection connection : List.copyOf(pool.idle)) {
+            if (!connection.isUsable()) {
                 connection.close();
             }
         }
@@ -155,20 +155,20 @@
     /**
      * The node has left the list and nothing is out there: its index may name another from now on.
      */
-    public void forget(int node) {
+    public void removeNode(int node) {
         pools.get(node).address = null;
         pools.get(node).closeIdle();
-        pools.set(node, new Pool(this, node));
+        pools.set(node, new NodeConnectionPool(this, node));
     }
 
     @Override
     public void submit(Exchange exchange, int node, Duration limit) {
         exchange.submitted();
         Submission submission = new Submission(pools.get(node), exchange, limit);
-        if (kept == null || exchange.key() == 0) {
+        if (persistenceBarrier == null || exchange.key() == 0) {
             start(submission, limit);
         } else {
-            startKept(submission, limit);
+            startAfterPersist(submission, limit);
         }
     }
 
@@ -176,20 +176,20 @@
      * Guards against a write that nobody remembers after a loss of power: it goes once it is kept,
      * if it still stands then.
      */
-    private void startKept(Submission submission, Duration limit) {
+    private void startAfterPersist(Submission submission, Duration limit) {
         loop.execute(
                 () -> {
                     long most =
                             Math.min(
                                     limit.toNanos(),
-                                    KEPT_DIALS * setup.settings().connectTimeout().toNanos());
+                                    PERSIST_CONNECT_TIMEOUTS * settings.routing().connectTimeout().toNanos());
                     counters.timers++;
-                    submission.limit =
+                    submission.timeout =
                             loop.schedule(
                                     () -> submission.end(SubmissionResult.UNSENT),
                                     most,
                                     TimeUnit.NANOSECONDS);
-                    kept.whenKept(
+                    persistenceBarrier.whenPersisted(
                             well -> {
                                 if (submission.ended) {
                                     return;
@@ -201,10 +201,10 @@
                                     submission.end(SubmissionResult.UNSENT);
                                     return;
                                 }
-                                submission.limit.cancel(false);
+                                submission.timeout.cancel(false);
                                 counters.timers--;
-                                submission.limit = null;
-                                go(submission, Duration.ofNanos(left));
+                                submission.timeout = null;
+                                dispatch(submission, Duration.ofNanos(left));
                             });
                 });
     }
@@ -212,60 +212,60 @@
     @Override
     public void probe(int node) {
         counters.probes++;
-        start(new Probe(pools.get(node)), setup.settings().connectTimeout());
+        start(new HealthProbe(pools.get(node)), settings.routing().connectTimeout());
     }
 
     /**
      * Only once the module has returned: what ends at once must not reach it within its own call.
      */
-    private void start(Call call, Duration limit) {
-        loop.execute(() -> go(call, limit));
+    private void start(NodeRequest call, Duration limit) {
+        loop.execute(() -> dispatch(call, limit));
     }
 
-    private void go(Call call, Duration limit) {
+    private void dispatch(NodeRequest call, Duration limit) {
         counters.timers++;
-        call.limit = loop.schedule(() -> late(call), limit.toNanos(), TimeUnit.NANOSECONDS);
-        look();
-        Pool pool = call.pool;
-        if (!call.stands()) {
+        call.timeout = loop.schedule(() -> onTimeout(call), limit.toNanos(), TimeUnit.NANOSECONDS);
+        readDiscovery();
+        NodeConnectionPool pool = call.pool;
+        if (!call.isStillValid()) {
             call.end(SubmissionResult.UNSENT);
             return;
         }
-        Connection idle = pool.rested();
+        NodeConnection idle = pool.findReusable();
         if (idle != null) {
             pool.idle.remove(idle);
-            idle.carry(call);
+            idle.send(call);
             return;
         }
-        if (open >= most && !closeOldest()) {
+        if (openConnections >= maxConnections && !closeOldest()) {
             // This router's own limit, and no word on the node.
             call.end(SubmissionResult.UNSENT);
             return;
         }
         pool.waiting.add(call);
         if (!pool.idle.isEmpty()) {
-            rested(pool);
+            scheduleWaiting(pool);
         }
-        new Connection(pool, call).open();
+        new NodeConnection(pool, call).open();
     }
 
     /** One that is free now will have rested then. */
-    void rested(Pool pool) {
-        loop.schedule(pool::carryWaiting, restNanos, TimeUnit.NANOSECONDS);
+    void scheduleWaiting(NodeConnectionPool pool) {
+        loop.schedule(pool::sendWaiting, reuseDelayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void late(Call call) {
+    private void onTimeout(NodeRequest call) {
         if (call.ended) {
             return;
         }
-        if (!call.lastLook && !pace.isTimeLimitValid(call.behindAtStart, clock.now())) {
+        if (!call.finalReadDone && !loopLag.isTimeLimitValid(call.lagAtStart, clock.now())) {
             // After the next look at all sockets.
-            call.lastLook = true;
-            loop.schedule(() -> late(call), 0, TimeUnit.NANOSECONDS);
+            call.finalReadDone = true;
+            loop.schedule(() -> onTimeout(call), 0, TimeUnit.NANOSECONDS);
             return;
         }
         if (call.connection != null) {
-            call.connection.giveUp();
+            call.connection.timeOut();
         } else {
             call.pool.waiting.remove(call);
             call.end(SubmissionResult.UNREACHABLE);
@@ -273,32 +273,32 @@
     }
 
     @Override
-    public void release(int node) {
+    public void closeIdleConnections(int node) {
         loop.execute(pools.get(node)::closeIdle);
     }
 
-    void probed(int node, boolean answered, NodeReport report) {
-        listener.probed(node, answered, report);
+    void probeCompleted(int node, boolean answered, NodeReport report) {
+        listener.probeCompleted(node, answered, report);
     }
 
-    void opened(Connection connection) {
-        open++;
+    void connectionOpened(NodeConnection connection) {
+        openConnections++;
         counters.nodeConnections++;
         counters.dialed++;
     }
 
-    void closed(Connection connection) {
-        open--;
+    void connectionClosed(NodeConnection connection) {
+        openConnections--;
         counters.nodeConnections--;
     }
 
     /** Before the node does: what is written to a connection that it has closed is lost. */
-    private void closeOld() {
-        long margin = 4 * setup.settings().connectTimeout().toNanos();
-        long idle = Math.max(setup.idle().toNanos() - margin, margin);
+    private void closeExpired() {
+        long margin = 4 * settings.routing().connectTimeout().toNanos();
+        long idle = Math.max(settings.nodeIdleTimeout().toNanos() - margin, margin);
         long now = System.nanoTime();
-        for (Pool pool : pools) {
-            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSince > idle) {
+        for (NodeConnectionPool pool : pools) {
+            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSinceNanos > idle) {
                 pool.idle.peekFirst().close();
             }
         }
@@ -306,10 +306,10 @@
 
     /** Makes room under the limit of descriptors. */
     private boolean closeOldest() {
-        Connection oldest = null;
-        for (Pool pool : pools) {
-            Connection first = pool.idle.peekFirst();
-            if (first != null && (oldest == null || first.idleSince - oldest.idleSince < 0)) {
+        NodeConnection oldest = null;
+        for (NodeConnectionPool pool : pools) {
+            NodeConnection first = pool.idle.peekFirst();
+            if (first != null && (oldest == null || first.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = first;
             }
         }
@@ -320,28 +320,28 @@
     }
 
     public void close() {
-        pools.forEach(Pool::closeIdle);
+        pools.forEach(NodeConnectionPool::closeIdle);
     }
 
     /** The ordinary form, digits alone, is read in place. */
-    Duration position(ByteBuf message, int at) {
+    Duration parsePosition(ByteBuf message, int at) {
         long ms = 0;
         int end = message.writerIndex() - 1;
         for (int i = at; i < end; i++) {
             int digit = message.getByte(i) - '0';
             if (digit < 0 || digit > 9 || end - at > 15) {
-                return position(Messages.text(message, at));
+                return parsePosition(Messages.text(message, at));
             }
             ms = ms * 10 + digit;
         }
-        return position(ms);
+        return parsePosition(ms);
     }
 
     /**
      * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in
      * seconds, x1 as 0 or 1. Whatever else it may be is read as a text.
      */
-    NodeReport report(ByteBuf message, int at) {
+    NodeReport parseReport(ByteBuf message, int at) {
         Duration position = null;
         NodeRole role = null;
         int end = message.writerIndex() - 1;
@@ -380,11 +380,11 @@
             boolean own = plain && message.getByte(name) == 'x' && message.getByte(name + 2) == '=';
             boolean isRole = own && message.getByte(name + 1) == '1';
             if (!plain || isRole && (rest || thousandths != 0 && thousandths != 1000)) {
-                return report(Messages.text(message, at));
+                return parseReport(Messages.text(message, at));
             } else if (isRole) {
                 role = thousandths == 1000 ? NodeRole.PRIMARY : NodeRole.REPLICA;
             } else if (own && message.getByte(name + 1) == '0') {
-                position = position(thousandths - 1);
+                position = parsePosition(thousandths - 1);
             }
             i++;
         }
@@ -392,18 +392,18 @@
     }
 
     /** A position in Unix milliseconds; null where it is none, as one that is still to come. */
-    Duration position(String text) {
+    Duration parsePosition(String text) {
         try {
-            return position(Long.parseLong(text));
+            return parsePosition(Long.parseLong(text));
         } catch (NumberFormatException none) {
             return null;
         }
     }
 
-    private Duration position(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + setup.settings().connectTimeout().toMillis()
+    private Duration parsePosition(long ms) {
+        return ms <= 0 || ms > clock.unixMillis() + settings.routing().connectTimeout().toMillis()
                 ? null
-                : clock.since(ms);
+                : clock.sinceStart(ms);
     }
 
     /**
@@ -411,7 +411,7 @@
      * lower one counts. One that cannot be read whole tells nothing, least of all who is the
      * primary.
      */
-    NodeReport report(String text) {
+    NodeReport parseReport(String text) {
         Duration position = null;
         NodeRole role = null;
         try {
@@ -423,7 +423,7 @@
                 } else if (named[0].equals("x1")) {
                     role = value == 1 ? NodeRole.PRIMARY : NodeRole.REPLICA;
                 } else if (named[0].equals("x0")) {
-                    position = position((long) Math.floor(value * 1000 - 1));
+                    position = parsePosition((long) Math.floor(value * 1000 - 1));
                 }
             }
         } catch (NumberFormatException none) {
--- a/src/main/java/dillfront/router/backend/Pool.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionPool.java
@@ -6,22 +6,22 @@
 import java.util.Iterator;
 
 /** The connections to one node, and the calls that wait for one. */
-final class Pool {
+final class NodeConnectionPool {
 
-    final Fleet fleet;
+    final NodeConnectionManager manager;
     final int node;
     InetSocketAddress address;
 
     /** When the node last started, in Unix time; what was opened before that is not used again. */
-    long startedMs;
+    long nodeStartedMs;
 
     /** The one used last at the end: it is used first, so that the others grow old. */
-    final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
 
-    final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    final ArrayDeque<NodeRequest> waiting = new ArrayDeque<>();
 
-    Pool(Fleet fleet, int node) {
-        this.fleet = fleet;
+    NodeConnectionPool(NodeConnectionManager fleet, int node) {
+        this.manager = fleet;
         this.node = node;
     }
 
@@ -29,43 +29,43 @@
      * A connection is up and free. After an answer it rests before it is used again: what comes
      * behind that, a second copy or noise, must find no call that would take it for its own answer.
      */
-    void free(Connection connection, long restNanos) {
-        if (!connection.usable()) {
+    void addIdle(NodeConnection connection, long restNanos) {
+        if (!connection.isUsable()) {
             connection.close();
             return;
         }
-        connection.idleSince = System.nanoTime() + restNanos;
+        connection.idleSinceNanos = System.nanoTime() + restNanos;
         idle.addLast(connection);
         if (restNanos == 0) {
-            carryWaiting();
+            sendWaiting();
         } else if (!waiting.isEmpty()) {
-            fleet.rested(this);
+            manager.scheduleWaiting(this);
         }
     }
 
     /** The one used last of those that have rested; null where none has. */
-    Connection rested() {
+    NodeConnection findReusable() {
         long now = System.nanoTime();
-        for (Iterator<Connection> latest = idle.descendingIterator(); latest.hasNext(); ) {
-            Connection connection = latest.next();
-            if (now - connection.idleSince >= 0) {
+        for (Iterator<NodeConnection> latest = idle.descendingIterator(); latest.hasNext(); ) {
+            NodeConnection connection = latest.next();
+            if (now - connection.idleSinceNanos >= 0) {
                 return connection;
             }
         }
         return null;
     }
 
-    void carryWaiting() {
-        for (Connection free = rested(); free != null && !waiting.isEmpty(); free = rested()) {
+    void sendWaiting() {
+        for (NodeConnection free = findReusable(); free != null && !waiting.isEmpty(); free = findReusable()) {
             // Before each: the machine may stand still between two of them.
-            fleet.look();
-            if (free.closed()) {
+            manager.readDiscovery();
+            if (free.isClosed()) {
                 continue;
             }
-            Call call = waiting.poll();
-            if (call.stands()) {
+            NodeRequest call = waiting.poll();
+            if (call.isStillValid()) {
                 idle.remove(free);
-                free.carry(call);
+                free.send(call);
             } else {
                 call.end(SubmissionResult.UNSENT);
             }
--- a/src/main/java/dillfront/router/backend/Call.java
+++ b/src/main/java/dillfront/router/backend/NodeRequest.java
@@ -1,6 +1,6 @@
 package dillfront.router.backend;
 
-import dillfront.router.exchange.Answer;
+import dillfront.router.exchange.NodeResponse;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRole;
@@ -15,74 +15,74 @@
  * One question to a node, a submission or a probe: its time limit, and what has come back of the
  * answer.
  */
-abstract class Call {
+abstract class NodeRequest {
 
-    final Pool pool;
+    final NodeConnectionPool pool;
     final long startedNanos = System.nanoTime();
 
     /** Where it is out; null while it waits for a connection, and once it has ended. */
-    Connection connection;
+    NodeConnection connection;
 
     /** Owned here: cancelled when the call ends. */
-    ScheduledFuture<?> limit;
+    ScheduledFuture<?> timeout;
 
     /** How far the router was behind then, in all. */
-    final Duration behindAtStart;
+    final Duration lagAtStart;
 
     /** Its time is up, and the sockets are looked at once more before that counts. */
-    boolean lastLook;
+    boolean finalReadDone;
 
     /** Its last byte was written. */
-    boolean whole;
+    boolean fullySent;
 
     boolean ended;
 
     /** The node spoke out of turn or in no form: no word of this answer counts. */
-    boolean spoilt;
+    boolean protocolError;
 
     // The answer so far; given on or released when the call ends.
     private ByteBuf description;
     private ByteBuf row;
     private ByteBuf completion;
-    String code;
+    String errorCode;
     private Duration position;
     private NodeRole role;
     private NodeReport report = NodeReport.EMPTY;
 
-    Call(Pool pool) {
+    NodeRequest(NodeConnectionPool pool) {
         this.pool = pool;
-        behindAtStart = pool.fleet.pace.totalLag(pool.fleet.clock.now());
+        lagAtStart = pool.manager.loopLag.totalLag(pool.manager.clock.now());
     }
 
     /** Whether it may still be sent, after it had to wait for a connection. */
-    abstract boolean stands();
+    abstract boolean isStillValid();
 
     abstract void write(ChannelHandlerContext ctx, ChannelPromise last);
 
-    abstract void over(
+    abstract void onEnd(
             SubmissionResult result,
             Duration took,
-            Answer answer,
+            NodeResponse answer,
             NodeReport note,
             NodeReport report);
 
     /** Takes one message of the answer over; false where it is out of turn. */
-    boolean take(ByteBuf message) {
+    boolean accept(ByteBuf message) {
         switch (message.getByte(message.readerIndex())) {
             case 'T' -> {
-                if (description == null && code == null && Messages.oneField(message)) {
+                if (description == null && errorCode == null && Messages.hasOneField(message)) {
                     description = message;
                     return true;
                 }
             }
             case 'D' -> {
-                if (description != null && row == null && Messages.oneColumn(message)) {
+                if (description != null && row == null && Messages.hasOneColumn(message)) {
                     row = message;
                     return true;
                 }
             }
             case 'C' -> {
-                if (row != null && completion == null && Messages.oneText(message)) {
+                if (row != null && completion == null && Messages.hasOneString(message)) {
                     completion = message;
                     return true;
                 }
@@ -93,15 +93,15 @@
         return false;
     }
 
-    void noted(Duration position) {
+    void recordNote(Duration position) {
         this.position = position;
     }
 
-    void noted(NodeRole role) {
+    void recordNote(NodeRole role) {
         this.role = role;
     }
 
-    void reported(NodeReport report) {
+    void recordReport(NodeReport report) {
         this.report = report;
     }
 
@@ -110,22 +110,22 @@
     }
 
     /** Some of an answer is there. */
-    boolean begun() {
-        return description != null || code != null;
+    boolean hasResponseStarted() {
+        return description != null || errorCode != null;
     }
 
     /** Whether an answer is there whole, if the connection should end now. */
-    boolean answered() {
-        return completion != null || code != null;
+    boolean isResponseComplete() {
+        return completion != null || errorCode != null;
     }
 
     /** How it ended, by what came back of it. */
     SubmissionResult result() {
-        if (spoilt) {
-            return whole ? SubmissionResult.SPOILT : SubmissionResult.UNREACHABLE;
+        if (protocolError) {
+            return fullySent ? SubmissionResult.SPOILT : SubmissionResult.UNREACHABLE;
         }
-        if (code != null) {
-            return switch (code) {
+        if (errorCode != null) {
+            return switch (errorCode) {
                 case "25006", "72000" -> SubmissionResult.MISS;
                 case "53300", "57P03" -> SubmissionResult.FULL;
                 default -> SubmissionResult.ERROR;
@@ -133,7 +133,7 @@
         }
         return completion != null
                 ? SubmissionResult.COMMITTED
-                : whole ? SubmissionResult.RESET : SubmissionResult.UNREACHABLE;
+                : fullySent ? SubmissionResult.RESET : SubmissionResult.UNREACHABLE;
     }
 
     /** The one place where a call ends: whatever it holds goes on or back. */
@@ -143,13 +143,13 @@
         }
         ended = true;
         connection = null;
-        if (limit != null) {
-            limit.cancel(false);
-            pool.fleet.counters.timers--;
+        if (timeout != null) {
+            timeout.cancel(false);
+            pool.manager.counters.timers--;
         }
-        Answer answer = null;
+        NodeResponse answer = null;
         if (result == SubmissionResult.COMMITTED) {
-            answer = new Answer(description, row, completion);
+            answer = new NodeResponse(description, row, completion);
         } else {
             release(description);
             release(row);
@@ -158,12 +158,12 @@
         description = null;
         row = null;
         completion = null;
-        over(
+        onEnd(
                 result,
                 Duration.ofNanos(System.nanoTime() - startedNanos),
                 answer,
-                spoilt ? NodeReport.EMPTY : new NodeReport(position, role),
-                spoilt ? NodeReport.EMPTY : report);
+                protocolError ? NodeReport.EMPTY : new NodeReport(position, role),
+                protocolError ? NodeReport.EMPTY : report);
     }
 
     private static void release(ByteBuf message) {
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -1,6 +1,6 @@
 package dillfront.router.backend;
 
-import dillfront.router.exchange.Answer;
+import dillfront.router.exchange.NodeResponse;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.pgwire.Statement;
 import dillfront.routing.api.NodeReport;
@@ -13,20 +13,20 @@
 import java.time.Duration;
 
 /** A txn at a node. */
-final class Submission extends Call {
+final class Submission extends NodeRequest {
 
     private final Exchange exchange;
-    private final long endNanos;
+    private final long deadlineNanos;
 
-    Submission(Pool pool, Exchange exchange, Duration limit) {
+    Submission(NodeConnectionPool pool, Exchange exchange, Duration limit) {
         super(pool);
         this.exchange = exchange;
-        endNanos = startedNanos + limit.toNanos();
+        deadlineNanos = startedNanos + limit.toNanos();
     }
 
     @Override
-    boolean stands() {
-        return exchange.stands(pool.node);
+    boolean isStillValid() {
+        return exchange.maySend(pool.node);
     }
 
     /** The client's statement as it came, but for how long to wait. */
@@ -36,34 +36,34 @@
         ByteBuf message = exchange.message();
         int start = message.readerIndex();
         int size = message.readableBytes();
-        long leftMs = Math.max(1, (endNanos - System.nanoTime()) / 1_000_000);
+        long leftMs = Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
         String digits = Long.toString(leftMs);
-        if (digits.length() == statement.waitTo - statement.waitFrom) {
+        if (digits.length() == statement.timeoutEnd - statement.timeoutStart) {
             // As long as the client's own: written over it, since the message is this txn's alone,
             // and sent in one piece.
-            message.setCharSequence(start + statement.waitFrom, digits, StandardCharsets.US_ASCII);
+            message.setCharSequence(start + statement.timeoutStart, digits, StandardCharsets.US_ASCII);
             ctx.writeAndFlush(message.retainedSlice(start, size), last);
             return;
         }
         ByteBuf head = ctx.alloc().buffer(5 + digits.length());
         head.writeByte('Q')
-                .writeInt(size - 1 - (statement.waitTo - statement.waitFrom) + digits.length());
+                .writeInt(size - 1 - (statement.timeoutEnd - statement.timeoutStart) + digits.length());
         ByteBufUtil.writeAscii(head, digits);
         ctx.write(head.readRetainedSlice(5));
-        ctx.write(message.retainedSlice(start + 5, statement.waitFrom - 5));
+        ctx.write(message.retainedSlice(start + 5, statement.timeoutStart - 5));
         ctx.write(head);
         ctx.writeAndFlush(
-                message.retainedSlice(start + statement.waitTo, size - statement.waitTo), last);
+                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd), last);
     }
 
     @Override
-    void over(
+    void onEnd(
             SubmissionResult result,
             Duration took,
-            Answer answer,
+            NodeResponse answer,
             NodeReport note,
             NodeReport report) {
-        pool.fleet.counters.ended(result);
-        exchange.ended(pool.node, result, took, answer, note, report);
+        pool.manager.counters.ended(result);
+        exchange.submissionEnded(pool.node, result, took, answer, note, report);
     }
 }
--- a/src/main/java/dillfront/router/config/BadConfig.java
+++ b/src/main/java/dillfront/router/config/ConfigException.java
@@ -1,11 +1,11 @@
 package dillfront.router.config;
 
 /** The configuration cannot be used; the message names the fault. */
-public final class BadConfig extends Exception {
+public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public BadConfig(String fault) {
+    public ConfigException(String fault) {
         super(fault);
     }
 }
--- a/src/main/java/dillfront/router/config/Tree.java
+++ b/src/main/java/dillfront/router/config/JsonObject.java
@@ -12,19 +12,19 @@
 import java.util.Map;
 
 /** One JSON object read whole, for the rare messages: configuration, settings and member lists. */
-public final class Tree {
+public final class JsonObject {
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Map<String, Object> values = new HashMap<>();
 
     /** A text that holds one object and nothing else. */
-    public static Tree parse(InputStream text) throws IOException {
+    public static JsonObject parse(InputStream text) throws IOException {
         try (JsonParser json = JSON.createParser(text)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not an object");
             }
-            Tree tree = read(json);
+            JsonObject tree = read(json);
             if (json.nextToken() != null) {
                 throw new IOException("more than one object");
             }
@@ -33,8 +33,8 @@
     }
 
     /** The parser stands at the object's opening brace, and is left at its closing one. */
-    public static Tree read(JsonParser json) throws IOException {
-        Tree tree = new Tree();
+    public static JsonObject read(JsonParser json) throws IOException {
+        JsonObject tree = new JsonObject();
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String name = json.currentName();
             json.nextToken();
@@ -66,46 +66,46 @@
         return values.get(name);
     }
 
-    public Tree tree(String name) {
-        return values.get(name) instanceof Tree tree ? tree : new Tree();
+    public JsonObject getObject(String name) {
+        return values.get(name) instanceof JsonObject tree ? tree : new JsonObject();
     }
 
     /** The objects of a list that has to be there. */
-    public List<Tree> trees(String name) {
-        List<Tree> trees = new ArrayList<>();
-        for (Object one : list(name)) {
-            if (one instanceof Tree tree) {
+    public List<JsonObject> getObjects(String name) {
+        List<JsonObject> trees = new ArrayList<>();
+        for (Object one : getList(name)) {
+            if (one instanceof JsonObject tree) {
                 trees.add(tree);
             }
         }
         return trees;
     }
 
-    public List<?> list(String name) {
+    public List<?> getList(String name) {
         return values.get(name) instanceof List<?> list ? list : List.of();
     }
 
-    public String text(String name) {
+    public String getString(String name) {
         return values.get(name) instanceof String text ? text : "";
     }
 
-    public boolean flag(String name) {
+    public boolean getBoolean(String name) {
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    public double number(String name, double otherwise) {
+    public double getDouble(String name, double otherwise) {
         return values.get(name) instanceof Number number ? number.doubleValue() : otherwise;
     }
 
-    public long whole(String name) {
+    public long getLong(String name) {
         return values.get(name) instanceof Number number ? number.longValue() : 0;
     }
 
-    public Duration span(String name) {
-        return micros(whole(name));
+    public Duration getDuration(String name) {
+        return microsToDuration(getLong(name));
     }
 
-    public static Duration micros(long us) {
+    public static Duration microsToDuration(long us) {
         return Duration.ofSeconds(
                 Math.floorDiv(us, 1_000_000L), Math.floorMod(us, 1_000_000L) * 1000);
     }
--- a/src/main/java/dillfront/router/config/Clock.java
+++ b/src/main/java/dillfront/router/config/MonotonicClock.java
@@ -4,9 +4,9 @@
 import java.time.Instant;
 
 /** Spans since the start: the wall clock is read once, then only the monotonic one. */
-public final class Clock {
+public final class MonotonicClock {
 
-    private final Instant start = Instant.now();
+    private final Instant startInstant = Instant.now();
     private final long startNanos = System.nanoTime();
 
     public Duration now() {
@@ -14,11 +14,11 @@
     }
 
     /** A Unix time as a span since the start; negative where it was before. */
-    public Duration since(long unixMillis) {
-        return Duration.between(start, Instant.ofEpochMilli(unixMillis));
+    public Duration sinceStart(long unixMillis) {
+        return Duration.between(startInstant, Instant.ofEpochMilli(unixMillis));
     }
 
     public long unixMillis() {
-        return start.plus(now()).toEpochMilli();
+        return startInstant.plus(now()).toEpochMilli();
     }
 }
--- /dev/null
+++ b/src/main/java/dillfront/router/config/SettingsValidator.java
@@ -0,0 +1,220 @@
+package dillfront.router.config;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * What is wrong with a settings object, by place. What is absent has its default and is no fault; a
+ * key that is there must be of its kind, since one that is misread would be taken for its default
+ * without a word.
+ */
+final class SettingsValidator {
+
+    /** How a place must be: a number within bounds, one of some words, a flag. */
+    private interface Constraint {
+        String violation(Object value);
+    }
+
+    private static final long UNBOUNDED = Long.MAX_VALUE;
+    private static final Constraint NON_NEGATIVE = range(0, UNBOUNDED);
+    private static final Constraint POSITIVE = range(1, UNBOUNDED);
+    private static final Constraint FRACTION = range(0, 1);
+    private static final Constraint BOOLEAN =
+            value -> value instanceof Boolean ? null : "is neither true nor false";
+    private static final Constraint NON_EMPTY_STRING =
+            value -> value instanceof String s && !s.isEmpty() ? null : "is no name";
+
+    private final JsonObject settings;
+    private String firstError;
+
+    private SettingsValidator(JsonObject settings) {
+        this.settings = settings;
+    }
+
+    /** The first fault, with its place; null where there is none. */
+    static String firstError(JsonObject settings) {
+        SettingsValidator checks = new SettingsValidator(settings);
+        checks.validate();
+        return checks.firstError;
+    }
+
+    private void validate() {
+        checkFields(
+                settings,
+                "",
+                "stepUs",
+                POSITIVE,
+                "groupSize",
+                POSITIVE,
+                "registryMode",
+                oneOf("push", "ask"),
+                "az",
+                NON_EMPTY_STRING);
+        checkFields(
+                section("bounds"),
+                "bounds.",
+                "dialTimeoutUs",
+                POSITIVE,
+                "keepaliveUs",
+                NON_NEGATIVE,
+                "maxAttempts",
+                POSITIVE,
+                "maxRetryAfterUs",
+                NON_NEGATIVE,
+                "probes",
+                BOOLEAN,
+                "retryAfter",
+                BOOLEAN);
+        checkFields(
+                section("rules"),
+                "rules.",
+                "coldFrom",
+                FRACTION,
+                "coldUs",
+                NON_NEGATIVE,
+                "tipMultiple",
+                NON_NEGATIVE,
+                "tipAfterUs",
+                NON_NEGATIVE,
+                "drainGraceUs",
+                NON_NEGATIVE,
+                "askWithinUs",
+                NON_NEGATIVE,
+                "droppedStayOpen",
+                BOOLEAN);
+        checkFields(section("charges"), "charges.", "probe", NON_NEGATIVE);
+        checkFields(section("stats"), "stats.", "how", oneOf("inline", "on_probe", "off"));
+        checkFields(
+                section("familyInfo"),
+                "familyInfo.",
+                "guards",
+                oneOf("off", "bounce", "await"),
+                "listRole",
+                oneOf("trailing", "static", "off"),
+                "tokens",
+                oneOf("brought", "kept"),
+                "originTimeUs",
+                NON_NEGATIVE);
+        List<JsonObject> types = namedObjects("classes");
+        for (int i = 0; i < types.size(); i++) {
+            checkFields(
+                    types.get(i),
+                    "classes[" + i + "].",
+                    "effect",
+                    oneOf("retryable", "dedup", "fragile"),
+                    "dedupScope",
+                    oneOf("all", "zone", "cell"),
+                    "dedupWindowUs",
+                    NON_NEGATIVE,
+                    "targetUs",
+                    POSITIVE,
+                    "deadlineUs",
+                    POSITIVE,
+                    "worth",
+                    NON_NEGATIVE,
+                    "lateShare",
+                    FRACTION);
+        }
+        checkElements(
+                "classRead",
+                oneOf("mutate", "strong", "causal", "lag_bound", "eventual"),
+                types.size());
+        checkElements("classBoundUs", NON_NEGATIVE, types.size());
+        List<?> reads = settings.getObject("familyInfo").getList("classRead");
+        List<?> bounds = settings.getObject("familyInfo").getList("classBoundUs");
+        for (int i = 0; firstError == null && i < reads.size(); i++) {
+            if (reads.get(i).equals("lag_bound")
+                    && (i >= bounds.size() || ((Number) bounds.get(i)).longValue() < 1)) {
+                firstError =
+                        "settings.familyInfo.classBoundUs["
+                                + i
+                                + "]: classRead["
+                                + i
+                                + "] is lag_bound and needs a bound";
+            }
+        }
+        List<JsonObject> tenants = namedObjects("tenants");
+        for (int i = 0; i < tenants.size(); i++) {
+            checkFields(tenants.get(i), "tenants[" + i + "].", "quotaPerS", NON_NEGATIVE);
+        }
+    }
+
+    private JsonObject section(String name) {
+        Object value = settings.value(name);
+        if (firstError == null && value != null && !(value instanceof JsonObject)) {
+            firstError = "settings." + name + " is no object";
+        }
+        return settings.getObject(name);
+    }
+
+    /** Names and forms in turn. */
+    private void checkFields(JsonObject tree, String place, Object... forms) {
+        for (int i = 0; firstError == null && i < forms.length; i += 2) {
+            Object value = tree.value((String) forms[i]);
+            String wrong = value == null ? null : ((Constraint) forms[i + 1]).violation(value);
+            firstError =
+                    wrong == null
+                            ? null
+                            : "settings." + place + forms[i] + " " + wrong + ": '" + value + "'";
+        }
+    }
+
+    /** Objects of a list, each with a name of its own. */
+    private List<JsonObject> namedObjects(String name) {
+        Set<String> names = new HashSet<>();
+        List<?> all = settings.getList(name);
+        for (int i = 0; firstError == null && i < all.size(); i++) {
+            String own = all.get(i) instanceof JsonObject tree ? tree.getString("name") : "";
+            if (own.isEmpty() || !names.add(own)) {
+                firstError = "settings." + name + "[" + i + "] has no name of its own: '" + own + "'";
+            }
+        }
+        return firstError == null ? settings.getObjects(name) : List.of();
+    }
+
+    private void checkElements(String name, Constraint form, int types) {
+        List<?> all = settings.getObject("familyInfo").getList(name);
+        if (firstError == null && all.size() > types) {
+            firstError =
+                    "settings.familyInfo."
+                            + name
+                            + " has "
+                            + all.size()
+                            + " values for "
+                            + types
+                            + " classes";
+        }
+        for (int i = 0; firstError == null && i < all.size(); i++) {
+            String wrong = all.get(i) == null ? "is missing" : form.violation(all.get(i));
+            firstError =
+                    wrong == null
+                            ? null
+                            : "settings.familyInfo."
+                                    + name
+                                    + "["
+                                    + i
+                                    + "] "
+                                    + wrong
+                                    + ": '"
+                                    + all.get(i)
+                                    + "'";
+        }
+    }
+
+    private static Constraint range(long least, long most) {
+        return value ->
+                !(value instanceof Number n)
+                        ? "is no number"
+                        : n.doubleValue() >= least && n.doubleValue() <= most
+                                ? null
+                                : "is out of range, "
+                                        + least
+                                        + (most == UNBOUNDED ? " or more" : " to " + most);
+    }
+
+    private static Constraint oneOf(String... known) {
+        return value ->
+                List.of(known).contains(value) ? null : "is none of " + String.join(", ", known);
+    }
+}
--- a/src/main/java/dillfront/router/discovery/Closings.java
+++ b/src/main/java/dillfront/router/discovery/ClosedNodes.java
@@ -17,38 +17,38 @@
  *
  * <p>Pure: no clock, no socket; decided by what the lists say alone.
  */
-public final class Closings {
+public final class ClosedNodes {
 
     /** Who is told of each change, so that a later life may begin with them. */
-    public interface Keeper {
-        void closed(String id, MemberState standing, long startedMs, long generation);
+    public interface Listener {
+        void nodeClosed(String id, MemberState standing, long startedMs, long generation);
 
-        void opened(String id);
+        void nodeOpened(String id);
     }
 
     /**
      * How many nodes are remembered, in lists of the present length; those closed first are
      * forgotten first.
      */
-    private static final int LISTS = 4;
+    private static final int CAPACITY_IN_LISTS = 4;
 
-    private static final int LEAST = 64;
+    private static final int MIN_CAPACITY = 64;
 
     /**
      * The last word that closed a node: of which list, what it said, and the start of the process
      * that it spoke of.
      */
-    private record Closing(long generation, MemberState standing, long startedMs) {}
+    private record ClosedNode(long generation, MemberState state, long startedMs) {}
 
     /** Emptied by words that open a node again, and at the bound. */
-    private final Map<String, Closing> closed = new LinkedHashMap<>();
+    private final Map<String, ClosedNode> closed = new LinkedHashMap<>();
 
-    private Keeper keeper;
+    private Listener listener;
     private long version;
 
     /** From now on; what is remembered from before is told by close() before that. */
-    public void keeper(Keeper of) {
-        keeper = of;
+    public void listener(Listener of) {
+        listener = of;
     }
 
     /**
@@ -57,8 +57,8 @@
      * @param generation of that list
      * @param startedMs when the node last started, as the list has it
      */
-    public MemberState heard(String id, MemberState said, long startedMs, long generation) {
-        Closing before = closed.get(id);
+    public MemberState update(String id, MemberState said, long startedMs, long generation) {
+        ClosedNode before = closed.get(id);
         boolean older =
                 before != null && generation <= before.generation && startedMs <= before.startedMs;
         if (said != MemberState.READY) {
@@ -66,12 +66,12 @@
             return said;
         }
         if (older) {
-            return before.standing;
+            return before.state;
         }
         if (closed.remove(id) != null) {
             version++;
-            if (keeper != null) {
-                keeper.opened(id);
+            if (listener != null) {
+                listener.nodeOpened(id);
             }
         }
         return said;
@@ -82,28 +82,28 @@
      * gone: that binds more.
      */
     public void close(String id, MemberState said, long startedMs, long generation) {
-        Closing before = closed.get(id);
+        ClosedNode before = closed.get(id);
         if (before == null || generation >= before.generation || startedMs > before.startedMs) {
             boolean drained =
                     before != null
-                            && before.standing == MemberState.DRAINING
+                            && before.state == MemberState.DRAINING
                             && startedMs <= before.startedMs;
             closed.remove(id);
-            Closing now =
-                    new Closing(
+            ClosedNode now =
+                    new ClosedNode(
                             before == null ? generation : Math.max(generation, before.generation),
                             drained ? MemberState.DRAINING : said,
                             before == null ? startedMs : Math.max(startedMs, before.startedMs));
             closed.put(id, now);
             version += now.equals(before) ? 0 : 1;
-            if (keeper != null && !now.equals(before)) {
-                keeper.closed(id, now.standing, now.startedMs, now.generation);
+            if (listener != null && !now.equals(before)) {
+                listener.nodeClosed(id, now.state, now.startedMs, now.generation);
             }
         }
     }
 
     /** The words that hold, by the ids of their nodes, the latest last. */
-    Map<String, long[]> words() {
+    Map<String, long[]> entries() {
         Map<String, long[]> words = new LinkedHashMap<>();
         closed.forEach(
                 (id, closing) -> words.put(id, new long[] {closing.generation, closing.startedMs}));
@@ -121,13 +121,13 @@
 
     /** So many nodes are listed now: what goes beyond the bound is forgotten. */
     void trim(int listed) {
-        int most = Math.max(LEAST, LISTS * listed);
+        int most = Math.max(MIN_CAPACITY, CAPACITY_IN_LISTS * listed);
         Iterator<String> first = closed.keySet().iterator();
         while (closed.size() > most) {
             String forgotten = first.next();
             first.remove();
-            if (keeper != null) {
-                keeper.opened(forgotten);
+            if (listener != null) {
+                listener.nodeOpened(forgotten);
             }
         }
     }
--- a/src/main/java/dillfront/router/discovery/Rereading.java
+++ b/src/main/java/dillfront/router/discovery/ConfigReloadBackoff.java
@@ -11,34 +11,34 @@
  * says nothing new, and a discovery that is down for an hour is down for every router. Pure: the
  * caller has the clock.
  */
-public final class Rereading {
+public final class ConfigReloadBackoff {
 
     /** The first gap and the longest, in dial time-outs. */
-    private static final int FIRST_DIALS = 1;
+    private static final int MIN_DELAY_CONNECT_TIMEOUTS = 1;
 
-    private static final int LAST_DIALS = 16;
+    private static final int MAX_DELAY_CONNECT_TIMEOUTS = 16;
 
-    private final Duration first;
-    private final Duration last;
-    private Duration gap;
-    private Duration next = Duration.ZERO;
+    private final Duration minDelay;
+    private final Duration maxDelay;
+    private Duration delay;
+    private Duration nextReload = Duration.ZERO;
 
     /**
      * @param dial how long a connection may take to come up
      */
-    public Rereading(Duration dial) {
-        first = dial.multipliedBy(FIRST_DIALS);
-        last = dial.multipliedBy(LAST_DIALS);
-        gap = first;
+    public ConfigReloadBackoff(Duration dial) {
+        minDelay = dial.multipliedBy(MIN_DELAY_CONNECT_TIMEOUTS);
+        maxDelay = dial.multipliedBy(MAX_DELAY_CONNECT_TIMEOUTS);
+        delay = minDelay;
     }
 
     /** Discovery was lost, or was tried in vain; whether the configuration is to be read now. */
-    public boolean lost(Duration now) {
-        if (now.compareTo(next) < 0) {
+    public boolean shouldReload(Duration now) {
+        if (now.compareTo(nextReload) < 0) {
             return false;
         }
-        next = now.plus(gap);
-        gap = gap.multipliedBy(2).compareTo(last) < 0 ? gap.multipliedBy(2) : last;
+        nextReload = now.plus(delay);
+        delay = delay.multipliedBy(2).compareTo(maxDelay) < 0 ? delay.multipliedBy(2) : maxDelay;
         return true;
     }
 
@@ -46,7 +46,7 @@
      * Discovery has told something. The gap since the last reading stays: one that comes and goes
      * asks for no more.
      */
-    public void heard() {
-        gap = first;
+    public void reset() {
+        delay = minDelay;
     }
 }
--- a/src/main/java/dillfront/router/discovery/Watch.java
+++ b/src/main/java/dillfront/router/discovery/DiscoveryClient.java
@@ -4,7 +4,7 @@
 import dillfront.common.logging.Log;
 import dillfront.common.network.Sockets;
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.config.Tree;
+import dillfront.router.config.JsonObject;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.buffer.ByteBufUtil;
@@ -23,11 +23,11 @@
  * Asks discovery for what is newer than the last list, again and again; one connection at a time,
  * two while it moves.
  */
-public final class Watch {
+public final class DiscoveryClient {
 
     /** Where the lists go. */
     public interface Listener {
-        void list(Tree list);
+        void listReceived(JsonObject list);
 
         /** The watch broke; the last list holds. */
         void listFailed();
@@ -37,11 +37,11 @@
      * How long discovery may wait for news, and how long an answer may take beyond that, in dial
      * time-outs.
      */
-    private static final int WAIT_DIALS = 4;
+    private static final int LONG_POLL_CONNECT_TIMEOUTS = 4;
 
-    private static final int LATE_DIALS = 2;
+    private static final int RESPONSE_CONNECT_TIMEOUTS = 2;
 
-    private final long dialNanos;
+    private final long connectTimeoutNanos;
     private final Counters counters;
     private final Log log;
     private final EventLoop loop;
@@ -51,26 +51,26 @@
     /** Of the latest list from this address; negative where none is known. */
     private long generation;
 
-    private Asking asking;
+    private DiscoveryConnection current;
 
     /**
      * Where discovery was before it moved: heard until the new one has told its list, or it ends by
      * itself.
      */
-    private Asking former;
+    private DiscoveryConnection previous;
 
     private boolean closed;
 
     /** Discovery has answered since the start, so what it had told until then is known. */
-    private boolean answered;
+    private boolean hasAnswered;
 
     /** Said once, until it is reached again. */
-    private boolean unreachable;
+    private boolean unreachableLogged;
 
     /**
      * @param generation of the list that is known; negative where none is
      */
-    public Watch(
+    public DiscoveryClient(
             InetSocketAddress address,
             Duration dial,
             Counters counters,
@@ -79,7 +79,7 @@
             long generation,
             Listener listener) {
         this.address = address;
-        dialNanos = dial.toNanos();
+        connectTimeoutNanos = dial.toNanos();
         this.counters = counters;
         this.log = log;
         this.loop = loop;
@@ -89,9 +89,9 @@
 
     /** Connects to discovery and keeps asking until close(). */
     public void start() {
-        if (!closed && (asking == null || asking.over || asking == former)) {
-            asking = new Asking(generation);
-            asking.open();
+        if (!closed && (current == null || current.ended || current == previous)) {
+            current = new DiscoveryConnection(generation);
+            current.open();
         }
     }
 
@@ -100,15 +100,15 @@
      * for whole; until then the old address is heard too. Guards against a drain that it has told,
      * and that lies unread meanwhile.
      */
-    public void move(InetSocketAddress to) {
+    public void changeAddress(InetSocketAddress to) {
         address = to;
-        unreachable = false;
-        if (former != null) {
-            former.close();
+        unreachableLogged = false;
+        if (previous != null) {
+            previous.close();
         }
-        former = asking;
-        if (former != null && !former.up) {
-            former.close();
+        previous = current;
+        if (previous != null && !previous.connected) {
+            previous.close();
         }
         generation = -1;
         start();
@@ -118,24 +118,24 @@
      * Reads now what discovery has written, out of its turn among the sockets: what it has told
      * binds what is sent.
      */
-    public void look() {
-        if (former != null) {
-            former.look();
+    public void readPending() {
+        if (previous != null) {
+            previous.readPending();
         }
-        if (asking != null) {
-            asking.look();
+        if (current != null) {
+            current.readPending();
         }
     }
 
     /** Discovery has answered since the start. */
-    public boolean answered() {
-        return answered;
+    public boolean hasAnswered() {
+        return hasAnswered;
     }
 
     /** Closes the connection and stops all timers. */
     public void close() {
         closed = true;
-        for (Asking one : new Asking[] {former, asking}) {
+        for (DiscoveryConnection one : new DiscoveryConnection[] {previous, current}) {
             if (one != null) {
                 one.close();
             }
@@ -143,40 +143,40 @@
     }
 
     /** One connection to discovery. Owns its buffer and its timer; both go back in close(). */
-    private final class Asking extends TerminalHandler {
+    private final class DiscoveryConnection extends TerminalHandler {
 
-        private final HttpAnswers answers = new HttpAnswers();
-        private final InetSocketAddress at = address;
-        private final long waitMs = TimeUnit.NANOSECONDS.toMillis(WAIT_DIALS * dialNanos);
+        private final HttpResponseDecoder decoder = new HttpResponseDecoder();
+        private final InetSocketAddress remoteAddress = address;
+        private final long waitMs = TimeUnit.NANOSECONDS.toMillis(LONG_POLL_CONNECT_TIMEOUTS * connectTimeoutNanos);
         private Channel channel;
-        private ScheduledFuture<?> silence;
-        private boolean over;
-        private boolean up;
+        private ScheduledFuture<?> responseTimer;
+        private boolean ended;
+        private boolean connected;
 
         /** What is newer than this is asked for; negative for the whole list. */
-        private long after;
+        private long afterGeneration;
 
         /** Its first answer is there: from then on it may be waited for. */
-        private boolean proven;
+        private boolean responded;
 
-        Asking(long after) {
-            this.after = after;
+        DiscoveryConnection(long after) {
+            this.afterGeneration = after;
         }
 
-        void look() {
-            if (up && !over && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
+        void readPending() {
+            if (connected && !ended && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
                 socket.read();
             }
         }
 
         void open() {
-            silentAfter(LATE_DIALS * dialNanos);
+            startResponseTimer(RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos);
             ChannelFuture connecting =
                     Sockets.connect(
                             loop,
-                            at,
+                            remoteAddress,
                             this,
-                            (int) TimeUnit.NANOSECONDS.toMillis(2 * LATE_DIALS * dialNanos));
+                            (int) TimeUnit.NANOSECONDS.toMillis(2 * RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos));
             if (connecting == null) {
                 close();
                 return;
@@ -190,21 +190,21 @@
                     });
         }
 
-        private void silentAfter(long nanos) {
-            if (silence != null) {
-                silence.cancel(false);
+        private void startResponseTimer(long nanos) {
+            if (responseTimer != null) {
+                responseTimer.cancel(false);
             }
-            silence =
+            responseTimer =
                     loop.schedule(
                             () -> {
                                 // Guards against a pause of this process taken for discovery's:
                                 // what it wrote meanwhile lies unread.
-                                ScheduledFuture<?> awaited = silence;
-                                look();
-                                if (over || silence != awaited) {
+                                ScheduledFuture<?> awaited = responseTimer;
+                                readPending();
+                                if (ended || responseTimer != awaited) {
                                     return;
                                 }
-                                log.warn("list-silent", "address", at);
+                                log.warn("list-silent", "address", remoteAddress);
                                 close();
                             },
                             nanos,
@@ -213,17 +213,17 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            up = true;
-            unreachable = false;
-            ask(ctx);
+            connected = true;
+            unreachableLogged = false;
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
+        private void sendRequest(ChannelHandlerContext ctx) {
             // The first is not waited for: it proves the way there, and brings what was told before
             // this watch.
             String query =
-                    after >= 0 ? "?after=" + after + "&wait_ms=" + (proven ? waitMs : 0) : "";
-            String host = at.getAddress().getHostAddress() + ":" + at.getPort();
+                    afterGeneration >= 0 ? "?after=" + afterGeneration + "&wait_ms=" + (responded ? waitMs : 0) : "";
+            String host = remoteAddress.getAddress().getHostAddress() + ":" + remoteAddress.getPort();
             ctx.writeAndFlush(
                     ByteBufUtil.writeAscii(
                             ctx.alloc(),
@@ -234,49 +234,49 @@
                                     + "\r\n\r\n"));
             // Short, since a connection that has fallen silent looks like one with no news until
             // the wait is over.
-            silentAfter(
-                    (after >= 0 && proven ? WAIT_DIALS : 0) * dialNanos + LATE_DIALS * dialNanos);
+            startResponseTimer(
+                    (afterGeneration >= 0 && responded ? LONG_POLL_CONNECT_TIMEOUTS : 0) * connectTimeoutNanos + RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object read) {
-            if (over) {
+            if (ended) {
                 ((ByteBuf) read).release();
                 return;
             }
-            answers.add((ByteBuf) read);
+            decoder.add((ByteBuf) read);
             try {
-                ByteBuf body = answers.next();
+                ByteBuf body = decoder.next();
                 if (body != null) {
-                    took(body);
-                    ask(ctx);
+                    handleBody(body);
+                    sendRequest(ctx);
                 }
-            } catch (BadHttp bad) {
-                fault(bad.getMessage());
+            } catch (HttpFormatException bad) {
+                fail(bad.getMessage());
             }
         }
 
-        private void took(ByteBuf body) throws BadHttp {
+        private void handleBody(ByteBuf body) throws HttpFormatException {
             try {
-                if (answers.status() != 200) {
-                    throw new BadHttp("status " + answers.status());
+                if (decoder.status() != 200) {
+                    throw new HttpFormatException("status " + decoder.status());
                 }
-                Tree list = Tree.parse(new ByteBufInputStream(body));
-                if (list.number("generation", -1) < 0
-                        || list.flag("reset") && list.list("instances").isEmpty()) {
-                    throw new BadHttp("no generation, or a whole list of nothing");
+                JsonObject list = JsonObject.parse(new ByteBufInputStream(body));
+                if (list.getDouble("generation", -1) < 0
+                        || list.getBoolean("reset") && list.getList("instances").isEmpty()) {
+                    throw new HttpFormatException("no generation, or a whole list of nothing");
                 }
-                after = list.whole("generation");
-                generation = this == asking ? after : generation;
-                proven = true;
-                answered = true;
+                afterGeneration = list.getLong("generation");
+                generation = this == current ? afterGeneration : generation;
+                responded = true;
+                hasAnswered = true;
                 counters.lists++;
-                listener.list(list);
-                if (this == asking && former != null) {
-                    former.close();
+                listener.listReceived(list);
+                if (this == current && previous != null) {
+                    previous.close();
                 }
             } catch (IOException bad) {
-                throw new BadHttp(
+                throw new HttpFormatException(
                         "no JSON: "
                                 + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
             } finally {
@@ -284,7 +284,7 @@
             }
         }
 
-        private void fault(String fault) {
+        private void fail(String fault) {
             counters.listFaults++;
             log.warn("list-dropped", "fault", fault);
             close();
@@ -305,28 +305,28 @@
 
         /** The one place where a connection is given back; the next comes after a pause. */
         void close() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
-            silence.cancel(false);
+            ended = true;
+            responseTimer.cancel(false);
             if (channel != null) {
                 channel.close();
             }
-            answers.release();
-            if (this == former) {
-                former = null;
+            decoder.release();
+            if (this == previous) {
+                previous = null;
                 return;
             }
-            if (!up && !unreachable) {
-                unreachable = true;
-                log.warn("list-unreachable", "address", at);
+            if (!connected && !unreachableLogged) {
+                unreachableLogged = true;
+                log.warn("list-unreachable", "address", remoteAddress);
             }
             if (!closed) {
                 listener.listFailed();
                 // One that has answered is asked again at once: until then nothing is heard of
                 // drains.
-                loop.schedule(Watch.this::start, proven ? 0 : dialNanos / 4, TimeUnit.NANOSECONDS);
+                loop.schedule(DiscoveryClient.this::start, responded ? 0 : connectTimeoutNanos / 4, TimeUnit.NANOSECONDS);
             }
         }
     }
--- a/src/main/java/dillfront/router/discovery/BadHttp.java
+++ b/src/main/java/dillfront/router/discovery/HttpFormatException.java
@@ -1,11 +1,11 @@
 package dillfront.router.discovery;
 
 /** The answer cannot be read, nor what comes behind it. */
-public final class BadHttp extends Exception {
+public final class HttpFormatException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public BadHttp(String fault) {
+    public HttpFormatException(String fault) {
         super(fault, null, false, false);
     }
 }
