--- a/src/main/java/dillfront/router/discovery/HttpAnswers.java
+++ b/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
@@ -8,42 +8,42 @@
  * Cuts an HTTP/1.1 server's answers out of what it sends. Only answers of a stated length are read.
  * Owns what is not yet cut off; gives it back when it is used up, and in release().
  */
-public final class HttpAnswers {
+public final class HttpResponseDecoder {
 
-    private static final int LONGEST_HEAD = 1 << 13;
-    private static final int LONGEST_BODY = 1 << 21;
+    private static final int MAX_HEAD_BYTES = 1 << 13;
+    private static final int MAX_BODY_BYTES = 1 << 21;
 
-    private ByteBuf held;
+    private ByteBuf buffer;
     private int status;
-    private int length = -1;
+    private int bodyLength = -1;
 
     /** Takes the buffer over. */
     public void add(ByteBuf in) {
-        if (held == null) {
-            held = in;
+        if (buffer == null) {
+            buffer = in;
         } else {
-            held.discardSomeReadBytes();
-            held.writeBytes(in);
+            buffer.discardSomeReadBytes();
+            buffer.writeBytes(in);
             in.release();
         }
     }
 
     /** The body of the next whole answer, to be released by the caller; null until one is there. */
-    public ByteBuf next() throws BadHttp {
-        if (held != null && length < 0) {
-            head();
+    public ByteBuf next() throws HttpFormatException {
+        if (buffer != null && bodyLength < 0) {
+            parseHead();
         }
-        if (held == null || length < 0 || held.readableBytes() < length) {
+        if (buffer == null || bodyLength < 0 || buffer.readableBytes() < bodyLength) {
             return null;
         }
-        ByteBuf body = held.readRetainedSlice(length);
-        length = -1;
-        if (!held.isReadable()) {
+        ByteBuf body = buffer.readRetainedSlice(bodyLength);
+        bodyLength = -1;
+        if (!buffer.isReadable()) {
             release();
         } else {
-            ByteBuf rest = held.copy();
-            held.release();
-            held = rest;
+            ByteBuf rest = buffer.copy();
+            buffer.release();
+            buffer = rest;
         }
         return body;
     }
@@ -53,36 +53,36 @@
         return status;
     }
 
-    private void head() throws BadHttp {
+    private void parseHead() throws HttpFormatException {
         int end = -1;
-        for (int i = held.readerIndex(); i + 3 < held.writerIndex() && end < 0; i++) {
-            if (held.getByte(i) == '\r' && held.getInt(i) == 0x0d0a0d0a) {
+        for (int i = buffer.readerIndex(); i + 3 < buffer.writerIndex() && end < 0; i++) {
+            if (buffer.getByte(i) == '\r' && buffer.getInt(i) == 0x0d0a0d0a) {
                 end = i;
             }
         }
         if (end < 0
-                ? held.readableBytes() > LONGEST_HEAD
-                : end - held.readerIndex() > LONGEST_HEAD) {
-            throw new BadHttp("head too long");
+                ? buffer.readableBytes() > MAX_HEAD_BYTES
+                : end - buffer.readerIndex() > MAX_HEAD_BYTES) {
+            throw new HttpFormatException("head too long");
         }
         if (end < 0) {
             return;
         }
         String[] lines =
-                held.toString(
-                                held.readerIndex(),
-                                end - held.readerIndex(),
+                buffer.toString(
+                                buffer.readerIndex(),
+                                end - buffer.readerIndex(),
                                 StandardCharsets.ISO_8859_1)
                         .split("\r\n");
-        held.readerIndex(end + 4);
+        buffer.readerIndex(end + 4);
         String first = lines[0];
         boolean known = first.startsWith("HTTP/1.0 ") || first.startsWith("HTTP/1.1 ");
         int code =
                 known && first.length() >= 12 && (first.length() == 12 || first.charAt(12) == ' ')
-                        ? number(first.substring(9, 12), 3)
+                        ? parseDigits(first.substring(9, 12), 3)
                         : -1;
         if (code < 0) {
-            throw new BadHttp("no status line");
+            throw new HttpFormatException("no status line");
         }
         status = code;
         int stated = -1;
@@ -92,23 +92,23 @@
                     colon < 0 ? "" : lines[i].substring(0, colon).trim().toLowerCase(Locale.ROOT);
             String value = colon < 0 ? "" : lines[i].substring(colon + 1).trim();
             if (name.equals("transfer-encoding")) {
-                throw new BadHttp("an answer in chunks");
+                throw new HttpFormatException("an answer in chunks");
             } else if (name.equals("content-length")) {
-                int length = number(value, 9);
+                int length = parseDigits(value, 9);
                 if (length < 0 || stated >= 0 && stated != length) {
-                    throw new BadHttp("length " + value);
+                    throw new HttpFormatException("length " + value);
                 }
                 stated = length;
             }
         }
-        if (stated < 0 || stated > LONGEST_BODY) {
-            throw new BadHttp(stated < 0 ? "no length" : "length " + stated);
+        if (stated < 0 || stated > MAX_BODY_BYTES) {
+            throw new HttpFormatException(stated < 0 ? "no length" : "length " + stated);
         }
-        length = stated;
+        bodyLength = stated;
     }
 
     /** Digits and nothing else, at most so many; negative where it is no such number. */
-    private static int number(String text, int most) {
+    private static int parseDigits(String text, int most) {
         int number = text.isEmpty() || text.length() > most ? -1 : 0;
         for (int i = 0; i < text.length() && number >= 0; i++) {
             int digit = text.charAt(i) - '0';
@@ -119,9 +119,9 @@
 
     /** Releases what has not been read to its end. */
     public void release() {
-        if (held != null) {
-            held.release();
-            held = null;
+        if (buffer != null) {
+            buffer.release();
+            buffer = null;
         }
     }
 }
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -2,9 +2,9 @@
 
 import dillfront.common.logging.Log;
 import dillfront.common.network.Address;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.config.JsonObject;
 import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeRow;
 import java.net.InetSocketAddress;
@@ -22,85 +22,85 @@
 /** Reads discovery's lists. Ids become indices here. */
 public final class MemberList {
 
-    private Setup setup;
-    private final Clock clock;
+    private RouterSettings settings;
+    private final MonotonicClock clock;
     private final Log log;
 
     /** Its index, and when it last started, in Unix time, as the last list had it. */
-    private record Known(int index, long startedMs) {}
+    private record IndexedNode(int index, long startedMs) {}
 
     /** Of the machines in the list, and of those that have left it until they are forgotten. */
-    private final Map<String, Known> nodes = new HashMap<>();
+    private final Map<String, IndexedNode> nodes = new HashMap<>();
 
-    private final Closings closings = new Closings();
+    private final ClosedNodes closedNodes = new ClosedNodes();
 
     /** Ids of those that have left the list. */
-    private final Set<String> left = new TreeSet<>();
+    private final Set<String> departed = new TreeSet<>();
 
     /** Indices that may be given again, and how many there are in all. */
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
+    private final ArrayDeque<Integer> freeIndices = new ArrayDeque<>();
 
-    private int indices;
+    private int indexCount;
 
     /** Of the latest list that was read. */
-    private long latest = -1;
+    private long latestGeneration = -1;
 
     /** The last row of each, to be said again where others close it. */
-    private final Map<String, Member> rows = new HashMap<>();
+    private final Map<String, Member> membersById = new HashMap<>();
 
     /** Grows with the groups that any list has named. */
     private final Set<Integer> groups = new HashSet<>();
 
-    public MemberList(Setup setup, Clock clock, Log log) {
-        this.setup = setup;
+    public MemberList(RouterSettings setup, MonotonicClock clock, Log log) {
+        this.settings = setup;
         this.clock = clock;
         this.log = log;
     }
 
     /** What is read from now on is read by these. */
-    public void settings(Setup next) {
-        setup = next;
+    public void applySettings(RouterSettings next) {
+        settings = next;
     }
 
     /**
      * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
      * it again.
      */
-    public void recall(String id, MemberState standing, long startedMs, long generation) {
-        closings.close(id, standing, startedMs, generation);
+    public void restoreClosed(String id, MemberState standing, long startedMs, long generation) {
+        closedNodes.close(id, standing, startedMs, generation);
     }
 
     /** Who keeps such words for a later life. */
-    public void keeper(Closings.Keeper keeper) {
-        closings.keeper(keeper);
+    public void setClosureListener(ClosedNodes.Listener keeper) {
+        closedNodes.listener(keeper);
     }
 
     /** How many nodes are closed by words that are remembered. */
-    public int closings() {
-        return closings.size();
+    public int closedNodes() {
+        return closedNodes.size();
     }
 
     /** Whether any list has named this group, or none has come yet. */
-    public boolean mayHave(int group) {
+    public boolean mayHaveGroup(int group) {
         return groups.isEmpty() || groups.contains(group);
     }
 
     /** An entry that cannot be read is left out, and does not spoil the others. */
-    public List<Member> read(Tree list) {
+    public List<Member> read(JsonObject list) {
         List<Member> members = new ArrayList<>();
-        long generation = list.whole("generation");
-        latest = Math.max(latest, generation);
+        long generation = list.getLong("generation");
+        latestGeneration = Math.max(latestGeneration, generation);
         Set<String> open = new TreeSet<>();
-        if (list.flag("reset")) {
+        if (list.getBoolean("reset")) {
             open.addAll(nodes.keySet());
-            open.removeAll(left);
-            left.addAll(open);
+            open.removeAll(departed);
+            departed.addAll(open);
         }
-        for (Tree entry : list.trees("instances")) {
-            String id = entry.text("instanceId");
-            InetSocketAddress address = Address.parse(entry.text("hostPort"));
+        for (JsonObject entry : list.getObjects("instances")) {
+            String id = entry.getString("instanceId");
+            InetSocketAddress address = Address.parse(entry.getString("hostPort"));
             MemberState standing =
-                    switch (entry.text("lifecycle")) {
+                    switch (entry.getString("lifecycle")) {
                         case "ready" -> MemberState.READY;
                         case "draining" -> MemberState.DRAINING;
                         case "gone" -> MemberState.GONE;
@@ -112,13 +112,13 @@
                         "id",
                         id,
                         "address",
-                        entry.text("hostPort"),
+                        entry.getString("hostPort"),
                         "lifecycle",
-                        entry.text("lifecycle"));
+                        entry.getString("lifecycle"));
                 continue;
             }
-            long startedMs = entry.whole("startedAtMs");
-            MemberState holds = closings.heard(id, standing, startedMs, generation);
+            long startedMs = entry.getLong("startedAtMs");
+            MemberState holds = closedNodes.update(id, standing, startedMs, generation);
             if (holds != standing) {
                 log.warn(
                         "list-older",
@@ -137,35 +137,35 @@
                 if (!nodes.containsKey(id)) {
                     continue;
                 }
-                left.add(id);
+                departed.add(id);
             } else {
-                left.remove(id);
+                departed.remove(id);
             }
-            Known before = nodes.get(id);
-            int node = before != null ? before.index : free.isEmpty() ? indices++ : free.poll();
-            nodes.put(id, new Known(node, startedMs));
-            groups.add((int) entry.whole("cell"));
-            rows.put(
+            IndexedNode before = nodes.get(id);
+            int node = before != null ? before.index : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
+            nodes.put(id, new IndexedNode(node, startedMs));
+            groups.add((int) entry.getLong("cell"));
+            membersById.put(
                     id,
                     new Member(
                             id,
                             new NodeRow(
                                     node,
-                                    (int) entry.whole("cell"),
-                                    setup.zone(entry.text("zone")),
-                                    entry.number("weight", 1),
-                                    entry.text("role").equals("leader"),
-                                    startedMs == 0 ? null : clock.since(startedMs),
+                                    (int) entry.getLong("cell"),
+                                    settings.zoneIndex(entry.getString("zone")),
+                                    entry.getDouble("weight", 1),
+                                    entry.getString("role").equals("leader"),
+                                    startedMs == 0 ? null : clock.sinceStart(startedMs),
                                     standing),
                             address,
                             startedMs));
-            members.add(rows.get(id));
+            members.add(membersById.get(id));
         }
         // A whole list closes those that it leaves out.
         for (String id : open) {
-            closings.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
+            closedNodes.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
         }
-        closings.trim(nodes.size());
+        closedNodes.trim(nodes.size());
         return members;
     }
 
@@ -173,38 +173,38 @@
      * Gives back the index of each node that has left the list, if nobody holds anything of it any
      * more.
      */
-    public void forget(IntPredicate over) {
-        for (Iterator<String> ids = left.iterator(); ids.hasNext(); ) {
+    public void removeDeparted(IntPredicate over) {
+        for (Iterator<String> ids = departed.iterator(); ids.hasNext(); ) {
             String id = ids.next();
             if (over.test(nodes.get(id).index)) {
-                free.add(nodes.remove(id).index);
-                rows.remove(id);
+                freeIndices.add(nodes.remove(id).index);
+                membersById.remove(id);
                 ids.remove();
             }
         }
     }
 
     /** Of all nodes that a list has named and that are not forgotten. */
-    public Set<String> ids() {
+    public Set<String> nodeIds() {
         return Set.copyOf(nodes.keySet());
     }
 
     /** Of the latest list that was read; negative where none was. */
-    public long latest() {
-        return latest;
+    public long latestGeneration() {
+        return latestGeneration;
     }
 
     /** Changes with closings(). */
-    public long closingsVersion() {
-        return closings.version();
+    public long closedNodesVersion() {
+        return closedNodes.version();
     }
 
     /**
      * What is closed now, by the ids of nodes: the generation of the list that closed it, and the
      * start it spoke of.
      */
-    public Map<String, long[]> closed() {
-        return closings.words();
+    public Map<String, long[]> closures() {
+        return closedNodes.entries();
     }
 
     /**
@@ -212,15 +212,15 @@
      * closed here as well, as by a word that is remembered. Null where it is not known here, has
      * started since, or is closed already.
      */
-    public Member closedElsewhere(String id, long generation, long startedMs) {
-        Member member = rows.get(id);
+    public Member closeByPeerReport(String id, long generation, long startedMs) {
+        Member member = membersById.get(id);
         if (member == null
                 || member.row().standing() != MemberState.READY
                 || member.startedMs() > startedMs
-                || generation <= latest) {
+                || generation <= latestGeneration) {
             return null;
         }
-        closings.close(id, MemberState.DRAINING, startedMs, generation);
+        closedNodes.close(id, MemberState.DRAINING, startedMs, generation);
         NodeRow row = member.row();
         Member now =
                 new Member(
@@ -235,12 +235,12 @@
                                 MemberState.DRAINING),
                         member.address(),
                         member.startedMs());
-        rows.put(id, now);
+        membersById.put(id, now);
         return now;
     }
 
     /** How many indices were ever needed at once. */
-    public int indices() {
-        return indices;
+    public int indexCount() {
+        return indexCount;
     }
 }
--- a/src/main/java/dillfront/router/discovery/Witnesses.java
+++ b/src/main/java/dillfront/router/discovery/PeerClosureReports.java
@@ -15,67 +15,67 @@
  *
  * <p>Pure. Rows are as many as instances, each of them bounded by what one datagram holds.
  */
-public final class Witnesses {
+public final class PeerClosureReports {
 
     /**
      * A node, by a hash of its id, that is closed by a list of this generation, if it has not
      * started since.
      */
-    public record Word(long node, long generation, long startedMs) {}
+    public record Closure(long nodeHash, long generation, long startedMs) {}
 
-    private final int liars;
+    private final int toleratedLiars;
 
     /** By instance: its last word, whole. */
-    private final Map<Integer, List<Word>> said = new HashMap<>();
+    private final Map<Integer, List<Closure>> reports = new HashMap<>();
 
     /**
      * @param liars so many instances may say what they like without closing anything
      */
-    public Witnesses(int liars) {
-        this.liars = liars;
+    public PeerClosureReports(int liars) {
+        this.toleratedLiars = liars;
     }
 
     /** An instance says all that its lists have closed. */
-    public void says(int instance, List<Word> words) {
-        said.put(instance, List.copyOf(words));
+    public void update(int instance, List<Closure> words) {
+        reports.put(instance, List.copyOf(words));
     }
 
     /** How many instances say that their lists have closed anything. */
-    public int telling() {
-        return (int) said.values().stream().filter(words -> !words.isEmpty()).count();
+    public int reportingInstances() {
+        return (int) reports.values().stream().filter(words -> !words.isEmpty()).count();
     }
 
     /** What enough of them say of nodes in lists newer than this generation. */
-    public List<Word> newerThan(long generation) {
-        Map<Long, List<Word>> byNode = new HashMap<>();
-        for (List<Word> words : said.values()) {
-            for (Word word : words) {
+    public List<Closure> closuresNewerThan(long generation) {
+        Map<Long, List<Closure>> byNode = new HashMap<>();
+        for (List<Closure> words : reports.values()) {
+            for (Closure word : words) {
                 if (word.generation > generation) {
-                    byNode.computeIfAbsent(word.node, k -> new ArrayList<>()).add(word);
+                    byNode.computeIfAbsent(word.nodeHash, k -> new ArrayList<>()).add(word);
                 }
             }
         }
-        List<Word> enough = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, List<Word>>> all = byNode.entrySet().iterator();
+        List<Closure> enough = new ArrayList<>();
+        for (Iterator<Map.Entry<Long, List<Closure>>> all = byNode.entrySet().iterator();
                 all.hasNext(); ) {
-            Map.Entry<Long, List<Word>> one = all.next();
-            if (one.getValue().size() > liars) {
+            Map.Entry<Long, List<Closure>> one = all.next();
+            if (one.getValue().size() > toleratedLiars) {
                 // As far as the least of the first who are enough: none of the liars can make it
                 // more.
                 enough.add(
-                        new Word(
+                        new Closure(
                                 one.getKey(),
-                                nth(one.getValue().stream().map(Word::generation).toList()),
-                                nth(one.getValue().stream().map(Word::startedMs).toList())));
+                                boundByCorrectInstance(one.getValue().stream().map(Closure::generation).toList()),
+                                boundByCorrectInstance(one.getValue().stream().map(Closure::startedMs).toList())));
             }
         }
-        enough.sort((a, b) -> Long.compare(a.node, b.node));
+        enough.sort((a, b) -> Long.compare(a.nodeHash, b.nodeHash));
         return enough;
     }
 
-    private long nth(List<Long> of) {
+    private long boundByCorrectInstance(List<Long> of) {
         List<Long> sorted = new ArrayList<>(of);
         sorted.sort(Collections.reverseOrder());
-        return sorted.get(liars);
+        return sorted.get(toleratedLiars);
     }
 }
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -14,11 +14,11 @@
  */
 public final class Exchange {
 
-    private final Desk desk;
+    private final ExchangeHandler handler;
     private final int slot;
     private final Statement statement;
     private final ByteBuf message;
-    private final Asker asker;
+    private final ResponseReceiver receiver;
 
     /**
      * What stands for its group and idempotency key where the router keeps them in mind
@@ -27,21 +27,21 @@
     private final long key;
 
     private TransactionHandle handle;
-    private int out;
+    private int pendingSubmissions;
     private boolean answered;
-    private boolean over;
+    private boolean finished;
 
     /**
      * @param asker gets the answer; it owns the buffers that it is given
      */
     public Exchange(
-            Desk desk, int slot, Statement statement, ByteBuf message, Asker asker, long key) {
-        this.desk = desk;
+            ExchangeHandler desk, int slot, Statement statement, ByteBuf message, ResponseReceiver asker, long key) {
+        this.handler = desk;
         this.key = key;
         this.slot = slot;
         this.statement = statement;
         this.message = message;
-        this.asker = asker;
+        this.receiver = asker;
     }
 
     public int slot() {
@@ -62,7 +62,7 @@
     }
 
     /** The module has taken the txn; it may be answered already. */
-    public void taken(TransactionHandle by) {
+    public void accepted(TransactionHandle by) {
         handle = by;
         releaseIfOver();
     }
@@ -70,30 +70,30 @@
     // ---- from the module
 
     public void submitted() {
-        out++;
+        pendingSubmissions++;
     }
 
     public void decline(Duration pause) {
         answered = true;
-        asker.declined(pause);
+        receiver.declined(pause);
         releaseIfOver();
     }
 
     public void rollBack() {
         answered = true;
-        asker.rolledBack();
+        receiver.rolledBack();
         releaseIfOver();
     }
 
     // ---- from the client side
 
     /** The client's connection is gone; an answer is not delivered any more. */
-    public void left() {
+    public void clientDisconnected() {
         if (answered) {
             return;
         }
         answered = true;
-        desk.tick();
+        handler.tick();
         handle.clientDisconnected();
         releaseIfOver();
     }
@@ -103,28 +103,28 @@
     /**
      * Whether a submission that waited for its connection may still go; if not, it ends as unsent.
      */
-    public boolean stands(int node) {
-        desk.tick();
-        return !answered && desk.may(this, node) && handle.maySend(node);
+    public boolean maySend(int node) {
+        handler.tick();
+        return !answered && handler.maySend(this, node) && handle.maySend(node);
     }
 
     /**
      * @param answer what the node answered where it committed, else null; taken over
      */
-    public void ended(
+    public void submissionEnded(
             int node,
             SubmissionResult result,
             Duration took,
-            Answer answer,
+            NodeResponse answer,
             NodeReport note,
             NodeReport report) {
-        desk.tick();
-        out--;
+        handler.tick();
+        pendingSubmissions--;
         boolean told = answer != null && !answered;
-        desk.ended(this, node, result, told, note);
+        handler.submissionEnded(this, node, result, told, note);
         if (told) {
             answered = true;
-            asker.committed(answer);
+            receiver.committed(answer);
         } else if (answer != null) {
             answer.release();
         }
@@ -133,16 +133,16 @@
                 result,
                 took,
                 answered,
-                desk.believed(node, note),
-                desk.believed(node, report));
+                handler.trustedReport(node, note),
+                handler.trustedReport(node, report));
         releaseIfOver();
     }
 
     private void releaseIfOver() {
-        if (handle != null && answered && out == 0 && !over) {
-            over = true;
+        if (handle != null && answered && pendingSubmissions == 0 && !finished) {
+            finished = true;
             message.release();
-            desk.over(this);
+            handler.exchangeFinished(this);
         }
     }
 }
--- a/src/main/java/dillfront/router/exchange/Desk.java
+++ b/src/main/java/dillfront/router/exchange/ExchangeHandler.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 
 /** Where exchanges are begun and given back. */
-public interface Desk {
+public interface ExchangeHandler {
 
     /**
      * Takes a txn, and the message that holds its statement. The answer may come during the call.
@@ -17,27 +17,27 @@
      * @return null where nothing was taken: no such txn type or group is known, or a txn of this id
      *     is out, and the message is still the caller's
      */
-    Exchange take(Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant);
+    Exchange begin(Statement statement, ByteBuf message, ResponseReceiver asker, Duration waited, int tenant);
 
     /** The index of a txn type by its name; -1 where it is unknown. */
-    int type(String name);
+    int typeIndex(String name);
 
     /**
      * A submission ended; before the module is told.
      *
      * @param told its client gets its answer by that
      */
-    void ended(Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note);
+    void submissionEnded(Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note);
 
     /** What the module is to believe of what a node says of itself. */
-    NodeReport believed(int node, NodeReport says);
+    NodeReport trustedReport(int node, NodeReport says);
 
     /** Whether it may go to this node, beyond what the module knows of it. */
-    boolean may(Exchange exchange, int node);
+    boolean maySend(Exchange exchange, int node);
 
     /** Sets the module's clock: called before each word to a handle. */
     void tick();
 
     /** The client has its answer, or left, and nothing is out. */
-    void over(Exchange exchange);
+    void exchangeFinished(Exchange exchange);
 }
--- a/src/main/java/dillfront/router/exchange/Answer.java
+++ b/src/main/java/dillfront/router/exchange/NodeResponse.java
@@ -3,13 +3,13 @@
 import io.netty.buffer.ByteBuf;
 
 /** A node's whole answer: three messages as they came, owned by whoever holds this. */
-public record Answer(ByteBuf description, ByteBuf row, ByteBuf completion) {
+public record NodeResponse(ByteBuf description, ByteBuf row, ByteBuf completion) {
 
     /**
      * The three as one slice, where they lie one behind the other in the buffer that they were read
      * into; takes them over then. Null where they do not, and they stay as they are.
      */
-    public ByteBuf joined() {
+    public ByteBuf joinedSlice() {
         ByteBuf root = description.unwrap();
         if (root == null
                 || root != row.unwrap()
--- a/src/main/java/dillfront/router/exchange/Asker.java
+++ b/src/main/java/dillfront/router/exchange/ResponseReceiver.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /** The client side of a txn: gets one final answer, unless it has left. */
-public interface Asker {
+public interface ResponseReceiver {
 
     /** Takes the answer over. */
-    void committed(Answer answer);
+    void committed(NodeResponse answer);
 
     void declined(Duration pause);
 
--- a/src/main/java/dillfront/router/exchange/Submitter.java
+++ b/src/main/java/dillfront/router/exchange/Submitter.java
@@ -7,7 +7,7 @@
 
     void submit(Exchange exchange, int node, Duration limit);
 
-    void release(int node);
+    void closeIdleConnections(int node);
 
     void probe(int node);
 }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -1,14 +1,14 @@
 package dillfront.router.frontend;
 
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.exchange.Answer;
-import dillfront.router.exchange.Asker;
+import dillfront.router.exchange.NodeResponse;
+import dillfront.router.exchange.ResponseReceiver;
 import dillfront.router.exchange.Exchange;
 import dillfront.router.identity.Gate;
 import dillfront.router.identity.Refusal;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.BadStatement;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameException;
+import dillfront.router.pgwire.StatementFormatException;
+import dillfront.router.pgwire.FrameDecoder;
 import dillfront.router.pgwire.Messages;
 import dillfront.router.pgwire.Statement;
 import io.netty.buffer.ByteBuf;
@@ -20,10 +20,10 @@
 import java.time.Duration;
 
 /** One client: queries taken one after another, each answered before the next is looked at. */
-final class ClientConnection extends TerminalHandler implements Asker {
+final class ClientConnection extends TerminalHandler implements ResponseReceiver {
 
-    private final Clients clients;
-    private final Frames frames = new Frames();
+    private final ClientListener clients;
+    private final FrameDecoder decoder = new FrameDecoder();
     private ChannelHandlerContext ctx;
     private boolean started;
 
@@ -31,72 +31,72 @@
      * Where callers are asked: the name given, until it is proven; who is in; whether its txn is
      * out.
      */
-    private String user;
+    private String claimedUser;
 
-    private boolean proving;
+    private boolean awaitingPassword;
     private boolean encrypted;
     private Gate.Session session;
-    private boolean counted;
+    private boolean countedInShare;
 
     /** After a message of the extended protocol, until its Sync. */
-    private boolean skipping;
+    private boolean skippingUntilSync;
 
     /** The txn that is out; the connection owes its answer. */
     private Exchange exchange;
 
-    private boolean owes;
+    private boolean responsePending;
     private boolean closed;
 
     /**
      * Since when it could have sent a whole query: since it came, was answered, or began one after
      * that.
      */
-    private long since = System.nanoTime();
+    private long waitingSinceNanos = System.nanoTime();
 
-    private boolean served;
+    private boolean hasServedQuery;
 
     /** Of a message that is not whole, as last told. */
-    private int told;
+    private int reportedBytes;
 
     /** How long what was read last may have lain in the socket, and when it was read. */
-    private Duration age = Duration.ZERO;
+    private Duration maxReadAge = Duration.ZERO;
 
     private long readNanos;
 
     /** In the clients' line, to be looked at in its turn. */
-    boolean inLine;
+    boolean queued;
 
-    ClientConnection(Clients clients) {
+    ClientConnection(ClientListener clients) {
         this.clients = clients;
     }
 
     /** Nothing of a query is here, and no answer is owed; one may be on its way out. */
-    boolean quiet() {
-        return !owes && frames.waiting() == 0;
+    boolean isBetweenQueries() {
+        return !responsePending && decoder.bufferedBytes() == 0;
     }
 
     /** And none is on its way out: a close would cut that off. */
-    boolean idle() {
-        return quiet() && flushed();
+    boolean isIdle() {
+        return isBetweenQueries() && isFlushed();
     }
 
-    private boolean flushed() {
+    private boolean isFlushed() {
         ChannelOutboundBuffer out = ctx.channel().unsafe().outboundBuffer();
         return out == null || out.isEmpty();
     }
 
-    boolean owes() {
-        return owes;
+    boolean responsePending() {
+        return responsePending;
     }
 
     long waitedNanos() {
-        return System.nanoTime() - since;
+        return System.nanoTime() - waitingSinceNanos;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         ctx = context;
-        clients.opened(this);
+        clients.clientConnected(this);
     }
 
     @Override
@@ -105,81 +105,81 @@
             ((ByteBuf) read).release();
             return;
         }
-        if (served && quiet()) {
-            since = System.nanoTime();
+        if (hasServedQuery && isBetweenQueries()) {
+            waitingSinceNanos = System.nanoTime();
         }
-        if (!owes) {
-            age = clients.pace.maxQueryAge(clients.clock.now());
+        if (!responsePending) {
+            maxReadAge = clients.loopLag.maxQueryAge(clients.clock.now());
             readNanos = System.nanoTime();
         }
-        frames.add((ByteBuf) read);
-        clients.line(this);
+        decoder.add((ByteBuf) read);
+        clients.queue(this);
         // What is written ahead waits with the client once it is more than one query can be.
-        if (frames.waiting() > Frames.LONGEST && !closed) {
+        if (decoder.bufferedBytes() > FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !closed) {
             ctx.channel().config().setAutoRead(false);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        clients.line(this);
+        clients.queue(this);
     }
 
     /** Looks at what was read: its turn has come. */
-    void pump() {
+    void processMessages() {
         if (closed) {
             return;
         }
         try {
-            while (!closed && !owes && ctx.channel().isWritable()) {
-                ByteBuf message = frames.next();
+            while (!closed && !responsePending && ctx.channel().isWritable()) {
+                ByteBuf message = decoder.next();
                 if (message == null) {
                     break;
                 }
                 if (started) {
-                    message(message);
+                    handleMessage(message);
                 } else {
-                    startup(message);
+                    handleStartup(message);
                 }
             }
-        } catch (BadFrame bad) {
-            refuse(Messages.VIOLATION, bad.getMessage());
+        } catch (FrameException bad) {
+            reject(Messages.PROTOCOL_VIOLATION, bad.getMessage());
         } catch (RuntimeException fault) {
             // Outside the channel's own events nobody else would tell it: this client alone pays
             // for the fault.
             exceptionCaught(ctx, fault);
         }
-        waits();
-        if (!closed && frames.waiting() <= Frames.LONGEST && !ctx.channel().config().isAutoRead()) {
+        reportBufferedBytes();
+        if (!closed && decoder.bufferedBytes() <= FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !ctx.channel().config().isAutoRead()) {
             ctx.channel().config().setAutoRead(true);
         }
     }
 
-    private void waits() {
-        int before = told;
-        told = frames.waiting();
-        clients.waits(told - before);
+    private void reportBufferedBytes() {
+        int before = reportedBytes;
+        reportedBytes = decoder.bufferedBytes();
+        clients.bufferedBytesChanged(reportedBytes - before);
     }
 
-    private void startup(ByteBuf message) {
+    private void handleStartup(ByteBuf message) {
         int code = message.getInt(message.readerIndex() + 4);
         String name =
-                code == Messages.VERSION && clients.callers != null ? Messages.user(message) : null;
+                code == Messages.PROTOCOL_VERSION && clients.authenticator != null ? Messages.user(message) : null;
         message.release();
         switch (code) {
-            case Messages.SSL -> encrypt();
-            case Messages.GSS -> ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte('N'));
-            case Messages.CANCEL -> close();
-            case Messages.VERSION -> {
+            case Messages.SSL_REQUEST -> handleTlsRequest();
+            case Messages.GSSENC_REQUEST -> ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte('N'));
+            case Messages.CANCEL_REQUEST -> close();
+            case Messages.PROTOCOL_VERSION -> {
                 started = true;
-                frames.typed();
-                if (clients.callers != null) {
-                    prove(name);
+                decoder.startupReceived();
+                if (clients.authenticator != null) {
+                    requestPassword(name);
                 } else {
-                    ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
+                    ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
                 }
             }
-            default -> refuse("0A000", "protocol version " + (code >>> 16) + "." + (code & 0xffff));
+            default -> reject("0A000", "protocol version " + (code >>> 16) + "." + (code & 0xffff));
         }
     }
 
@@ -187,10 +187,10 @@
      * The one byte in the clear that says whether TLS begins; what came with the question would
      * pass for a part of it.
      */
-    private void encrypt() {
-        ChannelHandler tls = clients.callers == null || encrypted ? null : clients.callers.tls();
-        if (tls != null && frames.waiting() > 0) {
-            refuse(Messages.VIOLATION, "bytes behind the request for TLS");
+    private void handleTlsRequest() {
+        ChannelHandler tls = clients.authenticator == null || encrypted ? null : clients.authenticator.tlsHandler();
+        if (tls != null && decoder.bufferedBytes() > 0) {
+            reject(Messages.PROTOCOL_VIOLATION, "bytes behind the request for TLS");
             return;
         }
         ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tls == null ? 'N' : 'S'));
@@ -204,22 +204,22 @@
      * Asks for the token, as a password (AuthenticationCleartextPassword), over TLS alone where
      * there is TLS.
      */
-    private void prove(String name) {
-        if (clients.callers.tlsAlone() && !encrypted) {
-            refuse(Refusal.UNKNOWN.code(), "only over TLS");
+    private void requestPassword(String name) {
+        if (clients.authenticator.requiresTls() && !encrypted) {
+            reject(Refusal.UNKNOWN.code(), "only over TLS");
             return;
         }
-        Duration wait = clients.callers.wait(address(), name);
+        Duration wait = clients.authenticator.retryDelay(address(), name);
         if (!wait.isZero()) {
-            refuse(
+            reject(
                     Refusal.PENALTY.code(),
                     "failed too often, to be tried again in "
                             + Math.max(1, wait.toMillis())
                             + " ms");
             return;
         }
-        user = name;
-        proving = true;
+        claimedUser = name;
+        awaitingPassword = true;
         ctx.writeAndFlush(ctx.alloc().buffer(9).writeByte('R').writeInt(8).writeInt(3));
     }
 
@@ -229,59 +229,59 @@
                 : "";
     }
 
-    private void proof(ByteBuf message) {
-        if ((char) message.getByte(message.readerIndex()) != 'p' || !proving) {
+    private void handlePassword(ByteBuf message) {
+        if ((char) message.getByte(message.readerIndex()) != 'p' || !awaitingPassword) {
             message.release();
-            refuse(Messages.VIOLATION, "expected a password message");
+            reject(Messages.PROTOCOL_VIOLATION, "expected a password message");
             return;
         }
-        proving = false;
+        awaitingPassword = false;
         String token = Messages.password(message);
         message.release();
         // Nothing else is looked at until it is known who this is.
-        owes = true;
-        clients.callers.enter(
+        responsePending = true;
+        clients.authenticator.authenticate(
                 address(),
-                user,
+                claimedUser,
                 token,
-                new Callers.Entry() {
+                new ClientAuthenticator.LoginCallback() {
                     @Override
-                    public void entered(Gate.Session in) {
+                    public void accepted(Gate.Session in) {
                         if (closed) {
                             in.leave();
                             return;
                         }
                         session = in;
-                        owes = false;
+                        responsePending = false;
                         // Who has proven himself is no stranger.
-                        clients.taken(ClientConnection.this);
-                        since = System.nanoTime();
-                        ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
-                        if (frames.waiting() > 0) {
-                            clients.line(ClientConnection.this);
+                        clients.queryAccepted(ClientConnection.this);
+                        waitingSinceNanos = System.nanoTime();
+                        ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
+                        if (decoder.bufferedBytes() > 0) {
+                            clients.queue(ClientConnection.this);
                         }
                     }
 
                     @Override
-                    public void refused(Refusal why, String text) {
+                    public void rejected(Refusal why, String text) {
                         if (!closed) {
-                            owes = false;
+                            responsePending = false;
                             // Why in full stands in the log alone.
-                            refuse(why.code(), "not let in: " + why.word());
+                            reject(why.code(), "not let in: " + why.word());
                         }
                     }
                 });
     }
 
     /** Takes one message over. */
-    private void message(ByteBuf message) {
+    private void handleMessage(ByteBuf message) {
         char type = (char) message.getByte(message.readerIndex());
-        if (clients.callers != null && session == null) {
-            proof(message);
+        if (clients.authenticator != null && session == null) {
+            handlePassword(message);
             return;
         }
-        if (type == 'Q' && !skipping) {
-            query(message);
+        if (type == 'Q' && !skippingUntilSync) {
+            handleQuery(message);
             return;
         }
         message.release();
@@ -289,76 +289,76 @@
             case 'Q', 'H' -> {}
             case 'X' -> close();
             case 'S' -> {
-                skipping = false;
+                skippingUntilSync = false;
                 ctx.writeAndFlush(Messages.ready());
             }
             case 'P', 'B', 'D', 'E', 'C' -> {
-                if (!skipping) {
-                    skipping = true;
+                if (!skippingUntilSync) {
+                    skippingUntilSync = true;
                     ctx.writeAndFlush(
                             Messages.error(
                                     ctx.alloc().buffer(128),
                                     false,
-                                    Messages.NOT_SUPPORTED,
+                                    Messages.FEATURE_NOT_SUPPORTED,
                                     "only simple queries are served here",
                                     null));
                 }
             }
             case 'F' -> {
-                if (!skipping) {
-                    error(Messages.NOT_SUPPORTED, "no functions are served here", null);
+                if (!skippingUntilSync) {
+                    sendError(Messages.FEATURE_NOT_SUPPORTED, "no functions are served here", null);
                 }
             }
-            default -> refuse(Messages.VIOLATION, "unknown message");
+            default -> reject(Messages.PROTOCOL_VIOLATION, "unknown message");
         }
     }
 
-    private void query(ByteBuf message) {
+    private void handleQuery(ByteBuf message) {
         clients.counters.queries++;
-        if (Messages.empty(message)) {
+        if (Messages.isBlankQuery(message)) {
             message.release();
-            known();
+            markServed();
             ctx.writeAndFlush(Messages.emptyQuery(ctx.alloc().buffer(11)));
             return;
         }
-        if (clients.leaving()) {
+        if (clients.shuttingDown()) {
             // It came when this router had said goodbye: no longer than what is out may it go on.
             // Never sent, so harmless.
             message.release();
             clients.counters.turnedAway++;
-            error(Messages.DECLINED, "this router ends, trying again is harmless", null);
-            clients.free(this);
+            sendError(Messages.DECLINED, "this router ends, trying again is harmless", null);
+            clients.queryAnswered(this);
             return;
         }
         // From its last byte, or since nothing went before it on this connection.
-        Duration waited = age.plusNanos(System.nanoTime() - readNanos);
+        Duration waited = maxReadAge.plusNanos(System.nanoTime() - readNanos);
         Statement statement;
         try {
             statement = Statement.read(message);
-        } catch (BadStatement bad) {
+        } catch (StatementFormatException bad) {
             message.release();
             clients.counters.outOfForm++;
             clients.log.warn("query-out-of-form", "fault", bad.getMessage());
-            error(Messages.OUT_OF_FORM, bad.getMessage(), null);
+            sendError(Messages.SYNTAX_ERROR, bad.getMessage(), null);
             return;
         }
-        if (session != null && !mayTake(statement, message)) {
+        if (session != null && !isAuthorized(statement, message)) {
             return;
         }
-        owes = true;
+        responsePending = true;
         Exchange taken =
-                clients.desk.take(
+                clients.exchangeHandler.begin(
                         statement, message, this, waited, session == null ? -1 : session.tenant());
         if (taken == null) {
-            owes = false;
-            uncount();
+            responsePending = false;
+            releaseShare();
             message.release();
             clients.counters.outOfForm++;
             clients.log.warn("query-unknown", "type", statement.type, "group", statement.group);
-            error(Messages.OUT_OF_FORM, "unknown type or group, or an id that is open", null);
+            sendError(Messages.SYNTAX_ERROR, "unknown type or group, or an id that is open", null);
         } else {
-            known();
-            exchange = owes ? taken : null;
+            markServed();
+            exchange = responsePending ? taken : null;
         }
     }
 
@@ -366,26 +366,26 @@
      * Whether this session may have this txn begun; if not, it has been told, and the message is
      * gone.
      */
-    private boolean mayTake(Statement statement, ByteBuf message) {
-        clients.callers.tick();
-        int type = clients.desk.type(statement.type);
+    private boolean isAuthorized(Statement statement, ByteBuf message) {
+        clients.authenticator.tick();
+        int type = clients.exchangeHandler.typeIndex(statement.type);
         Refusal no = session.take(type, statement.write, statement.group, statement);
         if (no == null) {
-            counted = true;
+            countedInShare = true;
             return true;
         }
         String cause =
                 no == Refusal.NO_RIGHT
                         ? session.cause(type, statement.write, statement.group, statement)
                         : "-";
-        clients.callers.denied(
+        clients.authenticator.transactionDenied(
                 session, no, statement.type, statement.write, statement.group, cause);
         message.release();
         if (no.endsSession()) {
-            dismiss(no);
+            endSession(no);
         } else {
             Duration pause = no == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
-            error(
+            sendError(
                     no.code(),
                     no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
                     pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
@@ -394,39 +394,39 @@
     }
 
     /** Has it end, where it is idle and no longer let in. */
-    void lookAgain() {
-        if (session != null && !closed && idle() && session.over() != null) {
-            dismiss(session.over());
+    void revalidateSession() {
+        if (session != null && !closed && isIdle() && session.over() != null) {
+            endSession(session.over());
         }
     }
 
-    private void dismiss(Refusal why) {
-        refuse(why.code(), "no longer let in: " + why.word());
+    private void endSession(Refusal why) {
+        reject(why.code(), "no longer let in: " + why.word());
     }
 
     /** Its txn is over, for its share. */
-    private void uncount() {
-        if (counted) {
-            counted = false;
+    private void releaseShare() {
+        if (countedInShare) {
+            countedInShare = false;
             session.done();
         }
     }
 
-    private void known() {
-        served = true;
-        since = System.nanoTime();
-        clients.taken(this);
+    private void markServed() {
+        hasServedQuery = true;
+        waitingSinceNanos = System.nanoTime();
+        clients.queryAccepted(this);
     }
 
-    private void error(String code, String text, String detail) {
+    private void sendError(String code, String text, String detail) {
         ByteBuf out = ctx.alloc().buffer(160);
         ctx.writeAndFlush(Messages.ready(Messages.error(out, false, code, text, detail)));
     }
 
     @Override
-    public void committed(Answer answer) {
+    public void committed(NodeResponse answer) {
         clients.counters.committed++;
-        ByteBuf all = answer.joined();
+        ByteBuf all = answer.joinedSlice();
         if (all != null) {
             ctx.write(all, ctx.voidPromise());
         } else {
@@ -435,59 +435,59 @@
             ctx.write(answer.completion(), ctx.voidPromise());
         }
         ctx.writeAndFlush(Messages.ready(), ctx.voidPromise());
-        answered();
+        responseSent();
     }
 
     @Override
     public void declined(Duration pause) {
         clients.counters.declined++;
-        error(
+        sendError(
                 Messages.DECLINED,
                 "declined, trying again is harmless",
                 pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
-        answered();
+        responseSent();
     }
 
     @Override
     public void rolledBack() {
         clients.counters.rolledBack++;
-        error(Messages.ROLLED_BACK, "rolled back, whether it has run is not known", null);
-        answered();
+        sendError(Messages.ROLLED_BACK, "rolled back, whether it has run is not known", null);
+        responseSent();
     }
 
     /** What comes next is looked at once the module has returned. */
-    private void answered() {
-        uncount();
+    private void responseSent() {
+        releaseShare();
         exchange = null;
-        owes = false;
-        since = System.nanoTime();
-        age = Duration.ZERO;
-        readNanos = since;
-        clients.free(this);
-        if (frames.waiting() > 0) {
-            clients.line(this);
+        responsePending = false;
+        waitingSinceNanos = System.nanoTime();
+        maxReadAge = Duration.ZERO;
+        readNanos = waitingSinceNanos;
+        clients.queryAnswered(this);
+        if (decoder.bufferedBytes() > 0) {
+            clients.queue(this);
         }
     }
 
-    private void refuse(String code, String text) {
+    private void reject(String code, String text) {
         clients.log.warn("client-refused", "fault", text);
         closed = true;
-        frames.release();
-        waits();
+        decoder.release();
+        reportBufferedBytes();
         // Its last words are sent before the end, and what still comes is let go: a close would cut
         // them off.
         ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), true, code, text, null))
-                .addListener(sent -> clients.closeSoon(this, ctx));
+                .addListener(sent -> clients.closeAfterDelay(this, ctx));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closed = true;
-        frames.release();
-        waits();
-        clients.closed(this);
-        owes = false;
-        uncount();
+        decoder.release();
+        reportBufferedBytes();
+        clients.clientDisconnected(this);
+        responsePending = false;
+        releaseShare();
         if (session != null) {
             session.leave();
             session = null;
@@ -496,7 +496,7 @@
             clients.counters.left++;
             Exchange out = exchange;
             exchange = null;
-            out.left();
+            out.clientDisconnected();
         }
     }
 
--- a/src/main/java/dillfront/router/frontend/Clients.java
+++ b/src/main/java/dillfront/router/frontend/ClientListener.java
@@ -3,8 +3,8 @@
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
 import dillfront.common.network.Sockets;
-import dillfront.router.config.Clock;
-import dillfront.router.exchange.Desk;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.exchange.ExchangeHandler;
 import dillfront.router.pace.LoopLagMonitor;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -22,51 +22,51 @@
 import java.util.function.Predicate;
 
 /** The door for clients, and those that are in. */
-public final class Clients {
+public final class ClientListener {
 
     /**
      * A connection on which nothing is open may be closed after 2 s, as clients are told; in dial
      * time-outs.
      */
-    private static final int IDLE_DIALS = 8;
+    private static final int IDLE_CONNECT_TIMEOUTS = 8;
 
-    final Desk desk;
+    final ExchangeHandler exchangeHandler;
     final Counters counters;
     final Log log;
-    final LoopLagMonitor pace;
-    final Clock clock;
+    final LoopLagMonitor loopLag;
+    final MonotonicClock clock;
     private final EventLoop loop;
-    private final int most;
-    private final int mostKnown;
-    private final long mostWaiting;
-    private final long dialNanos;
+    private final int maxClients;
+    private final int maxActiveClients;
+    private final long maxBufferedBytes;
+    private final long connectTimeoutNanos;
 
     /** Refused: they get their last words and no more. */
-    private final Set<ClientConnection> refused = new LinkedHashSet<>();
+    private final Set<ClientConnection> rejected = new LinkedHashSet<>();
 
     /** Nothing that they sent has been of use so far, the ones that came last at the end. */
-    private final Set<ClientConnection> strangers = new LinkedHashSet<>();
+    private final Set<ClientConnection> newClients = new LinkedHashSet<>();
 
     /** Those whose queries were taken, the ones answered last at the end. */
-    private final Set<ClientConnection> known = new LinkedHashSet<>();
+    private final Set<ClientConnection> activeClients = new LinkedHashSet<>();
 
     /**
      * Those of whom something was read that has not been looked at yet, in the order in which it
      * was read.
      */
-    private final ArrayDeque<ClientConnection> line = new ArrayDeque<>();
+    private final ArrayDeque<ClientConnection> queue = new ArrayDeque<>();
 
-    private boolean turning;
+    private boolean turnScheduled;
 
     /** Bytes of messages that are not whole yet. */
-    private long waiting;
+    private long bufferedBytes;
 
-    private Channel door;
+    private Channel serverChannel;
 
     /** Null where all are served. */
-    Callers callers;
+    ClientAuthenticator authenticator;
 
-    private boolean leaving;
+    private boolean shuttingDown;
 
     /**
      * @param most how many clients may be in at once
@@ -75,10 +75,10 @@
      * @param dial how long one that was refused may take to read why; for what else they get, a
      *     multiple of it
      */
-    public Clients(
-            Desk desk,
+    public ClientListener(
+            ExchangeHandler desk,
             LoopLagMonitor pace,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
             Log log,
             EventLoop loop,
@@ -86,22 +86,22 @@
             int mostKnown,
             long mostWaiting,
             Duration dial) {
-        this.desk = desk;
-        this.pace = pace;
+        this.exchangeHandler = desk;
+        this.loopLag = pace;
         this.clock = clock;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        this.most = most;
-        this.mostKnown = mostKnown;
-        this.mostWaiting = mostWaiting;
-        dialNanos = dial.toNanos();
-        loop.scheduleWithFixedDelay(this::closeOld, dialNanos, dialNanos, TimeUnit.NANOSECONDS);
+        this.maxClients = most;
+        this.maxActiveClients = mostKnown;
+        this.maxBufferedBytes = mostWaiting;
+        connectTimeoutNanos = dial.toNanos();
+        loop.scheduleWithFixedDelay(this::closeExpired, connectTimeoutNanos, connectTimeoutNanos, TimeUnit.NANOSECONDS);
     }
 
     /** From now on those who come are asked who they are; before the door opens. */
-    public void ask(Callers who) {
-        callers = who;
+    public void setAuthenticator(ClientAuthenticator who) {
+        authenticator = who;
     }
 
     /** Listens on this address. */
@@ -110,10 +110,10 @@
                 Sockets.listen(
                         loop,
                         address,
-                        2 * most,
+                        2 * maxClients,
                         new WriteBufferWaterMark(1 << 15, 1 << 16),
                         () -> new ClientConnection(this));
-        door = bound.channel();
+        serverChannel = bound.channel();
         return bound;
     }
 
@@ -121,64 +121,64 @@
      * Something was read of a client: it is looked at once the sockets that are ready have been, so
      * that news of the list and answers of nodes go before new queries.
      */
-    void line(ClientConnection client) {
-        if (!client.inLine) {
-            client.inLine = true;
-            line.add(client);
+    void queue(ClientConnection client) {
+        if (!client.queued) {
+            client.queued = true;
+            queue.add(client);
         }
-        if (!turning) {
-            turning = true;
-            loop.execute(this::turn);
+        if (!turnScheduled) {
+            turnScheduled = true;
+            loop.execute(this::processQueue);
         }
     }
 
-    private void turn() {
+    private void processQueue() {
         Duration began = clock.now();
-        while (!line.isEmpty() && pace.mayContinueTurn(began, clock.now())) {
-            ClientConnection next = line.poll();
-            next.inLine = false;
-            next.pump();
+        while (!queue.isEmpty() && loopLag.mayContinueTurn(began, clock.now())) {
+            ClientConnection next = queue.poll();
+            next.queued = false;
+            next.processMessages();
         }
-        turning = !line.isEmpty();
-        if (turning) {
+        turnScheduled = !queue.isEmpty();
+        if (turnScheduled) {
             // Not execute(): that would come before the next look at the sockets.
-            loop.schedule(this::turn, 0, TimeUnit.NANOSECONDS);
+            loop.schedule(this::processQueue, 0, TimeUnit.NANOSECONDS);
         }
     }
 
-    void opened(ClientConnection client) {
+    void clientConnected(ClientConnection client) {
         counters.accepted++;
         counters.clientConnections++;
-        strangers.add(client);
-        makeRoom();
+        newClients.add(client);
+        evictIfFull();
     }
 
     /** Ends the sending side, and the whole once the client has had time to read what was sent. */
-    void closeSoon(ClientConnection client, ChannelHandlerContext ctx) {
-        if (strangers.remove(client) || known.remove(client)) {
-            refused.add(client);
+    void closeAfterDelay(ClientConnection client, ChannelHandlerContext ctx) {
+        if (newClients.remove(client) || activeClients.remove(client)) {
+            rejected.add(client);
         }
         if (ctx.channel() instanceof DuplexChannel socket && socket.isActive()) {
             socket.shutdownOutput();
         }
-        loop.schedule(() -> ctx.close(), dialNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> ctx.close(), connectTimeoutNanos, TimeUnit.NANOSECONDS);
     }
 
-    void closed(ClientConnection client) {
-        if (out(client)) {
-            makeRoom();
+    void clientDisconnected(ClientConnection client) {
+        if (remove(client)) {
+            evictIfFull();
         }
     }
 
     /** The one place where a client ceases to count. */
-    private boolean out(ClientConnection client) {
-        boolean was = refused.remove(client) || strangers.remove(client) || known.remove(client);
+    private boolean remove(ClientConnection client) {
+        boolean was = rejected.remove(client) || newClients.remove(client) || activeClients.remove(client);
         counters.clientConnections -= was ? 1 : 0;
         return was;
     }
 
     private void close(ClientConnection client) {
-        out(client);
+        remove(client);
         client.close();
     }
 
@@ -186,11 +186,11 @@
      * A query of its own was taken. Clients hold a third of all descriptors at the most, also for
      * those who ask once and stay: near that the one idle longest goes, so that another can come.
      */
-    void taken(ClientConnection client) {
-        if (strangers.remove(client)) {
-            known.add(client);
+    void queryAccepted(ClientConnection client) {
+        if (newClients.remove(client)) {
+            activeClients.add(client);
             ClientConnection leaver =
-                    known.size() >= mostKnown ? first(known, ClientConnection::idle) : null;
+                    activeClients.size() >= maxActiveClients ? firstMatching(activeClients, ClientConnection::isIdle) : null;
             if (leaver != null) {
                 close(leaver);
             }
@@ -198,14 +198,14 @@
     }
 
     /** It has its answer. */
-    void free(ClientConnection client) {
-        if (known.remove(client)) {
-            known.add(client);
+    void queryAnswered(ClientConnection client) {
+        if (activeClients.remove(client)) {
+            activeClients.add(client);
         }
-        if (leaving) {
+        if (shuttingDown) {
             loop.execute(this::closeIdle);
-        } else if (size() >= most) {
-            loop.execute(this::makeRoom);
+        } else if (size() >= maxClients) {
+            loop.execute(this::evictIfFull);
         }
     }
 
@@ -213,12 +213,12 @@
      * More or less of its messages waits than before. Guards against memory full of messages never
      * sent to their end.
      */
-    void waits(long more) {
-        waiting += more;
-        if (more > 0 && waiting > mostWaiting) {
-            for (Set<ClientConnection> some : List.of(strangers, known)) {
+    void bufferedBytesChanged(long more) {
+        bufferedBytes += more;
+        if (more > 0 && bufferedBytes > maxBufferedBytes) {
+            for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
                 for (ClientConnection client : List.copyOf(some)) {
-                    if (waiting > mostWaiting / 2 && !client.owes() && !client.quiet()) {
+                    if (bufferedBytes > maxBufferedBytes / 2 && !client.responsePending() && !client.isBetweenQueries()) {
                         close(client);
                     }
                 }
@@ -227,7 +227,7 @@
     }
 
     private int size() {
-        return refused.size() + strangers.size() + known.size();
+        return rejected.size() + newClients.size() + activeClients.size();
     }
 
     /**
@@ -236,40 +236,40 @@
      * Where none is, the door waits, and what has come stays in line before it. Guards against
      * hundreds that connect, say nothing or no whole query, and would keep the usual clients out.
      */
-    private void makeRoom() {
-        if (size() >= most) {
-            ClientConnection leaver = first(refused, client -> true);
-            boolean many = strangers.size() > known.size();
+    private void evictIfFull() {
+        if (size() >= maxClients) {
+            ClientConnection leaver = firstMatching(rejected, client -> true);
+            boolean many = newClients.size() > activeClients.size();
             leaver =
                     leaver != null
                             ? leaver
-                            : first(
-                                    strangers,
+                            : firstMatching(
+                                    newClients,
                                     client ->
-                                            !client.owes()
-                                                    && (many || client.waitedNanos() > dialNanos));
-            leaver = leaver != null ? leaver : first(known, ClientConnection::idle);
+                                            !client.responsePending()
+                                                    && (many || client.waitedNanos() > connectTimeoutNanos));
+            leaver = leaver != null ? leaver : firstMatching(activeClients, ClientConnection::isIdle);
             if (leaver != null) {
                 close(leaver);
             }
         }
-        boolean open = size() < most;
-        if (!leaving && door.config().isAutoRead() != open) {
+        boolean open = size() < maxClients;
+        if (!shuttingDown && serverChannel.config().isAutoRead() != open) {
             log.info(
                     "door",
                     "open",
                     open,
                     "refused",
-                    refused.size(),
+                    rejected.size(),
                     "strangers",
-                    strangers.size(),
+                    newClients.size(),
                     "known",
-                    known.size());
-            door.config().setAutoRead(open);
+                    activeClients.size());
+            serverChannel.config().setAutoRead(open);
         }
     }
 
-    private static ClientConnection first(
+    private static ClientConnection firstMatching(
             Set<ClientConnection> of, Predicate<ClientConnection> which) {
         for (ClientConnection client : of) {
             if (which.test(client)) {
@@ -283,16 +283,16 @@
      * Strangers have their time; so has a message to be sent to its end; who is idle goes while the
      * house is half full.
      */
-    private void closeOld() {
-        if (callers != null) {
-            callers.tick();
-            List.copyOf(known).forEach(ClientConnection::lookAgain);
-            List.copyOf(strangers).forEach(ClientConnection::lookAgain);
+    private void closeExpired() {
+        if (authenticator != null) {
+            authenticator.tick();
+            List.copyOf(activeClients).forEach(ClientConnection::revalidateSession);
+            List.copyOf(newClients).forEach(ClientConnection::revalidateSession);
         }
-        for (Set<ClientConnection> some : List.of(strangers, known)) {
+        for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
             for (ClientConnection client : List.copyOf(some)) {
-                boolean stays = some == known && client.quiet() && size() <= most / 2;
-                if (!client.owes() && !stays && client.waitedNanos() > IDLE_DIALS * dialNanos) {
+                boolean stays = some == activeClients && client.isBetweenQueries() && size() <= maxClients / 2;
+                if (!client.responsePending() && !stays && client.waitedNanos() > IDLE_CONNECT_TIMEOUTS * connectTimeoutNanos) {
                     close(client);
                 }
             }
@@ -300,21 +300,21 @@
     }
 
     /** Nothing new is taken: see ClientConnection.query(). */
-    boolean leaving() {
-        return leaving;
+    boolean shuttingDown() {
+        return shuttingDown;
     }
 
     /** No new clients; those that are in go once they have their answers. */
-    public void leave() {
-        leaving = true;
-        door.close();
+    public void beginShutdown() {
+        shuttingDown = true;
+        serverChannel.close();
         closeIdle();
     }
 
     private void closeIdle() {
-        for (Set<ClientConnection> some : List.of(strangers, known)) {
+        for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
             for (ClientConnection client : List.copyOf(some)) {
-                if (client.idle()) {
+                if (client.isIdle()) {
                     close(client);
                 }
             }
@@ -322,7 +322,7 @@
     }
 
     /** After leave(): whether all have gone. Those whose answers are out by now go here. */
-    public boolean empty() {
+    public boolean closeIdleAndCheckEmpty() {
         closeIdle();
         return size() == 0;
     }
--- a/src/main/java/dillfront/router/memory/RouterStateStore.java
+++ b/src/main/java/dillfront/router/memory/RouterStateStore.java
@@ -3,7 +3,7 @@
 import dillfront.common.logging.Log;
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
-import dillfront.router.discovery.Closings;
+import dillfront.router.discovery.ClosedNodes;
 import dillfront.router.operator.Operator;
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.api.MemberState;
@@ -31,7 +31,7 @@
  * failure is logged once, and the pending changes are retried at an interval until a write
  * succeeds. Meanwhile no transaction is stored, and {@link #isWritable} returns false.
  */
-public final class RouterStateStore implements Closings.Keeper, InDoubtKeys.KeyStore {
+public final class RouterStateStore implements ClosedNodes.Listener, InDoubtKeys.KeyStore {
 
     /** The list entry that closed a node. */
     public record Closing(String id, MemberState standing, long startedMs, long generation) {
@@ -180,12 +180,12 @@
     }
 
     @Override
-    public void closed(String id, MemberState standing, long startedMs, long generation) {
+    public void nodeClosed(String id, MemberState standing, long startedMs, long generation) {
         put(CLOSING_PREFIX + id, new Closing(id, standing, startedMs, generation).format());
     }
 
     @Override
-    public void opened(String id) {
+    public void nodeOpened(String id) {
         put(CLOSING_PREFIX + id, "");
     }
 
--- a/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
+++ b/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
@@ -1,6 +1,6 @@
 package dillfront.router.peers;
 
-import dillfront.router.discovery.Witnesses;
+import dillfront.router.discovery.PeerClosureReports;
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.router.recovery.KeyDigest;
 import dillfront.router.recovery.PeerInDoubtKeys;
@@ -24,14 +24,14 @@
         Map<String, long[]> closed();
 
         /** Called when a peer has reported the nodes closed by its lists. */
-        void peerReportsChanged(Witnesses witnesses);
+        void peerReportsChanged(PeerClosureReports witnesses);
     }
 
     /** Null if in-doubt keys are not tracked. */
     private final InDoubtKeys inDoubtKeys;
 
     private final PeerInDoubtKeys peerInDoubtKeys;
-    private final Witnesses witnesses;
+    private final PeerClosureReports witnesses;
     private final ClosedNodeLists lists;
     private final Supplier<Duration> clock;
 
@@ -42,7 +42,7 @@
     public PeerRestrictionSync(
             InDoubtKeys inDoubtKeys,
             PeerInDoubtKeys peerInDoubtKeys,
-            Witnesses witnesses,
+            PeerClosureReports witnesses,
             ClosedNodeLists lists,
             Supplier<Duration> clock) {
         this.inDoubtKeys = inDoubtKeys;
@@ -114,11 +114,11 @@
 
     @Override
     public void receiveClosedNodes(int peer, long[] closedNodes) {
-        List<Witnesses.Word> reports = new ArrayList<>();
+        List<PeerClosureReports.Closure> reports = new ArrayList<>();
         for (int i = 0; i + 2 < closedNodes.length; i += GossipCodec.PARTS_PER_CLOSED_NODE) {
-            reports.add(new Witnesses.Word(closedNodes[i], closedNodes[i + 1], closedNodes[i + 2]));
+            reports.add(new PeerClosureReports.Closure(closedNodes[i], closedNodes[i + 1], closedNodes[i + 2]));
         }
-        witnesses.says(peer, reports);
+        witnesses.update(peer, reports);
         lists.peerReportsChanged(witnesses);
     }
 }
--- a/src/main/java/dillfront/router/pgwire/Messages.java
+++ b/src/main/java/dillfront/router/pgwire/Messages.java
@@ -11,22 +11,22 @@
     /**
      * The first number of a client's startup: version 3.0, and the requests that come in its place.
      */
-    public static final int VERSION = 196608;
+    public static final int PROTOCOL_VERSION = 196608;
 
-    public static final int CANCEL = 80877102;
-    public static final int SSL = 80877103;
-    public static final int GSS = 80877104;
+    public static final int CANCEL_REQUEST = 80877102;
+    public static final int SSL_REQUEST = 80877103;
+    public static final int GSSENC_REQUEST = 80877104;
 
     public static final String DECLINED = "53300";
     public static final String ROLLED_BACK = "40003";
-    public static final String OUT_OF_FORM = "42601";
-    public static final String NOT_SUPPORTED = "0A000";
-    public static final String VIOLATION = "08P01";
+    public static final String SYNTAX_ERROR = "42601";
+    public static final String FEATURE_NOT_SUPPORTED = "0A000";
+    public static final String PROTOCOL_VIOLATION = "08P01";
 
     private Messages() {}
 
     /** What a client is told once it has started. */
-    public static ByteBuf welcome(ByteBuf out) {
+    public static ByteBuf sessionStart(ByteBuf out) {
         out.writeByte('R').writeInt(8).writeInt(0);
         parameter(out, "server_version", "15.0");
         parameter(out, "server_encoding", "UTF8");
@@ -90,7 +90,7 @@
     /** Appends a StartupMessage of version 3.0. */
     public static ByteBuf startup(ByteBuf out, String user, String database) {
         int start = out.writerIndex();
-        out.writeInt(0).writeInt(VERSION);
+        out.writeInt(0).writeInt(PROTOCOL_VERSION);
         text(out, "user");
         text(out, user);
         text(out, "database");
@@ -110,8 +110,8 @@
         int at = message.readerIndex() + 8;
         int end = message.writerIndex();
         while (at < end && message.getByte(at) != 0) {
-            int nameTo = zero(message, at, end);
-            int valueTo = zero(message, Math.min(end, nameTo + 1), end);
+            int nameTo = indexOfZero(message, at, end);
+            int valueTo = indexOfZero(message, Math.min(end, nameTo + 1), end);
             if (nameTo - at == 4
                     && message.toString(at, 4, StandardCharsets.US_ASCII).equals("user")) {
                 return message.toString(
@@ -124,7 +124,7 @@
         return "";
     }
 
-    private static int zero(ByteBuf message, int from, int end) {
+    private static int indexOfZero(ByteBuf message, int from, int end) {
         int at = from;
         while (at < end && message.getByte(at) != 0) {
             at++;
@@ -136,11 +136,11 @@
     public static String password(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.toString(
-                from, zero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
+                from, indexOfZero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
     }
 
     /** The code of an error message; empty where it holds none. */
-    public static String code(ByteBuf message) {
+    public static String sqlState(ByteBuf message) {
         int at = message.readerIndex() + 5;
         while (at < message.writerIndex() && message.getByte(at) != 0) {
             int zero = message.indexOf(at, message.writerIndex(), (byte) 0);
@@ -159,10 +159,10 @@
      * Where the value of a parameter message of this name begins; negative where it has another
      * name, or no form.
      */
-    public static int valueOf(ByteBuf message, byte[] name) {
+    public static int parameterValueOffset(ByteBuf message, byte[] name) {
         int from = message.readerIndex() + 5;
         int value = from + name.length + 1;
-        return is(message, from, name)
+        return matchesAt(message, from, name)
                         && value < message.writerIndex()
                         && message.getByte(value - 1) == 0
                         && message.getByte(message.writerIndex() - 1) == 0
@@ -171,7 +171,7 @@
     }
 
     /** Whether these bytes stand there. */
-    public static boolean is(ByteBuf message, int at, byte[] bytes) {
+    public static boolean matchesAt(ByteBuf message, int at, byte[] bytes) {
         if (at + bytes.length > message.writerIndex()) {
             return false;
         }
@@ -191,14 +191,14 @@
     /** The one column of a row as text; null where there is not just one, or it is null. */
     public static String column(ByteBuf row) {
         int at = row.readerIndex() + 5;
-        if (!oneColumn(row)) {
+        if (!hasOneColumn(row)) {
             return null;
         }
         return row.toString(at + 6, row.getInt(at + 2), StandardCharsets.UTF_8);
     }
 
     /** Whether a description is of one column, and nothing else. */
-    public static boolean oneField(ByteBuf description) {
+    public static boolean hasOneField(ByteBuf description) {
         int at = description.readerIndex() + 5;
         int zero =
                 description.readableBytes() < 7 || description.getShort(at) != 1
@@ -208,13 +208,13 @@
     }
 
     /** Whether a message holds one text up to its end. */
-    public static boolean oneText(ByteBuf message) {
+    public static boolean hasOneString(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.indexOf(from, message.writerIndex(), (byte) 0) == message.writerIndex() - 1;
     }
 
     /** Whether a row holds one column that fills it. */
-    public static boolean oneColumn(ByteBuf row) {
+    public static boolean hasOneColumn(ByteBuf row) {
         int at = row.readerIndex() + 5;
         return row.readableBytes() >= 11
                 && row.getShort(at) == 1
@@ -222,7 +222,7 @@
     }
 
     /** Whether a query holds nothing: white space and semicolons. */
-    public static boolean empty(ByteBuf query) {
+    public static boolean isBlankQuery(ByteBuf query) {
         for (int i = query.readerIndex() + 5; i < query.writerIndex(); i++) {
             byte c = query.getByte(i);
             if (c != 0 && c != ' ' && c != ';' && c != '\n' && c != '\t' && c != '\r') {
--- a/src/main/java/dillfront/router/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -18,10 +18,10 @@
     private static final byte[] END = ascii(" */");
     private static final byte[] ID = ascii("id");
     private static final byte[] TYPE = ascii("c");
-    private static final byte[] WAIT = ascii("d");
+    private static final byte[] TIMEOUT = ascii("d");
     private static final byte[] GROUP = ascii("cluster");
-    private static final byte[] AFTER = ascii("after");
-    private static final byte[] MARK = ascii("k");
+    private static final byte[] LAST_WRITE = ascii("after");
+    private static final byte[] IDEMPOTENCY_KEY = ascii("k");
 
     /** Its client's name for the type. */
     public String type;
@@ -29,27 +29,27 @@
     public boolean write;
 
     /** A hash of what tells this txn from all others. */
-    public long id;
+    public long idHash;
 
     /** A hash of the quoted key, which names the session where there is one. */
-    public long key;
+    public long keyHash;
 
     /** A hash of the idempotency key that a referenced txn carries; 0 where there is none. */
-    public long mark;
+    public long idempotencyKeyHash;
 
-    public long waitMs = -1;
+    public long timeoutMs = -1;
     public int group;
 
     /** Unix time of the session's last write; 0 where it has none, or does not say. */
-    public long afterMs;
+    public long lastWriteMs;
 
     /** Where the digits of the waiting time begin and end in the message. */
-    public int waitFrom;
+    public int timeoutStart;
 
-    public int waitTo;
+    public int timeoutEnd;
 
     /** Where the key begins in the message, and its bytes. */
-    private int keyFrom;
+    private int keyStart;
 
     private int keyLength;
 
@@ -64,7 +64,7 @@
     }
 
     /** Reads a query message, type and length before it and a zero behind. */
-    public static Statement read(ByteBuf message) throws BadStatement {
+    public static Statement read(ByteBuf message) throws StatementFormatException {
         Statement statement = new Statement(message);
         statement.read();
         return statement;
@@ -78,30 +78,30 @@
 
     @Override
     public byte at(int index) {
-        return message.getByte(keyFrom + index);
+        return message.getByte(keyStart + index);
     }
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private void read() throws BadStatement {
+    private void read() throws StatementFormatException {
         if (end < at || message.getByte(end) != 0) {
-            throw new BadStatement("no zero behind the statement");
+            throw new StatementFormatException("no zero behind the statement");
         }
-        write = !skip(SELECT);
-        if (write && !skip(INSERT)) {
-            throw new BadStatement("neither the read nor the write that is served here");
+        write = !skipIfPresent(SELECT);
+        if (write && !skipIfPresent(INSERT)) {
+            throw new StatementFormatException("neither the read nor the write that is served here");
         }
         int from = at;
         while (at < end && message.getByte(at) != '\'') {
             at++;
         }
         if (at == from) {
-            throw new BadStatement("no key");
+            throw new StatementFormatException("no key");
         }
-        key = hash(from, at);
-        keyFrom = from;
+        keyHash = hash(from, at);
+        keyStart = from;
         keyLength = at - from;
         if (write) {
             expect(VALUE);
@@ -110,61 +110,61 @@
                 at++;
             }
             if ((at - digits) % 2 != 0) {
-                throw new BadStatement("the value has half a byte");
+                throw new StatementFormatException("the value has half a byte");
             }
             expect(RETURNING);
         } else {
             expect(COMMENT);
         }
-        comment();
+        readComment();
         expect(END);
         if (at != end) {
-            throw new BadStatement("something behind the comment");
+            throw new StatementFormatException("something behind the comment");
         }
     }
 
-    private void comment() throws BadStatement {
+    private void readComment() throws StatementFormatException {
         boolean named = false;
         boolean grouped = false;
         int from = at;
         while (true) {
             int name = at;
-            int equals = stop('=');
+            int equals = scanTo('=');
             if (equals == name || at >= end || message.getByte(at) != '=') {
-                throw new BadStatement("a name without a value");
+                throw new StatementFormatException("a name without a value");
             }
             at++;
             int value = at;
-            int to = stop(',');
-            if (is(name, equals, ID)) {
+            int to = scanTo(',');
+            if (matches(name, equals, ID)) {
                 named = to > value;
-                id = hash(value, to);
-            } else if (is(name, equals, TYPE)) {
-                type = text(value, to);
-            } else if (is(name, equals, WAIT)) {
-                waitMs = number(value, to);
-                waitFrom = value - message.readerIndex();
-                waitTo = to - message.readerIndex();
-            } else if (is(name, equals, GROUP)) {
-                group = (int) Math.min(Integer.MAX_VALUE, number(value, to));
+                idHash = hash(value, to);
+            } else if (matches(name, equals, TYPE)) {
+                type = readText(value, to);
+            } else if (matches(name, equals, TIMEOUT)) {
+                timeoutMs = readNumber(value, to);
+                timeoutStart = value - message.readerIndex();
+                timeoutEnd = to - message.readerIndex();
+            } else if (matches(name, equals, GROUP)) {
+                group = (int) Math.min(Integer.MAX_VALUE, readNumber(value, to));
                 grouped = true;
-            } else if (is(name, equals, MARK)) {
-                mark = hash(value, to);
-            } else if (is(name, equals, AFTER)) {
-                afterMs = number(value, to);
+            } else if (matches(name, equals, IDEMPOTENCY_KEY)) {
+                idempotencyKeyHash = hash(value, to);
+            } else if (matches(name, equals, LAST_WRITE)) {
+                lastWriteMs = readNumber(value, to);
             }
             if (at >= end || message.getByte(at) != ',') {
                 break;
             }
             at++;
         }
-        if (at == from || !named || type == null || waitMs < 0 || !grouped) {
-            throw new BadStatement("the comment lacks id, c, d or cluster");
+        if (at == from || !named || type == null || timeoutMs < 0 || !grouped) {
+            throw new StatementFormatException("the comment lacks id, c, d or cluster");
         }
     }
 
     /** Goes on to this character or to what ends a comment's entry. */
-    private int stop(char mark) {
+    private int scanTo(char mark) {
         while (at < end
                 && message.getByte(at) != mark
                 && message.getByte(at) != ','
@@ -183,39 +183,39 @@
         return hash;
     }
 
-    private boolean is(int from, int to, byte[] name) {
-        return to - from == name.length && Messages.is(message, from, name);
+    private boolean matches(int from, int to, byte[] name) {
+        return to - from == name.length && Messages.matchesAt(message, from, name);
     }
 
-    private String text(int from, int to) {
+    private String readText(int from, int to) {
         return message.toString(from, to - from, StandardCharsets.UTF_8);
     }
 
-    private long number(int from, int to) throws BadStatement {
+    private long readNumber(int from, int to) throws StatementFormatException {
         long number = 0;
         for (int i = from; i < to; i++) {
             int digit = message.getByte(i) - '0';
             if (digit < 0 || digit > 9) {
-                throw new BadStatement("no number: '" + text(from, Math.min(to, from + 40)) + "'");
+                throw new StatementFormatException("no number: '" + readText(from, Math.min(to, from + 40)) + "'");
             }
             number = number * 10 + digit;
         }
         if (to == from || to - from > 17) {
-            throw new BadStatement("no number, or too long a one");
+            throw new StatementFormatException("no number, or too long a one");
         }
         return number;
     }
 
-    private boolean skip(byte[] words) {
+    private boolean skipIfPresent(byte[] words) {
         // No words hold a zero, and one stands at the end: none can match beyond it.
-        boolean there = Messages.is(message, at, words);
+        boolean there = Messages.matchesAt(message, at, words);
         at += there ? words.length : 0;
         return there;
     }
 
-    private void expect(byte[] words) throws BadStatement {
-        if (!skip(words)) {
-            throw new BadStatement("out of form at byte " + (at - message.readerIndex() - 5));
+    private void expect(byte[] words) throws StatementFormatException {
+        if (!skipIfPresent(words)) {
+            throw new StatementFormatException("out of form at byte " + (at - message.readerIndex() - 5));
         }
     }
 }
--- a/src/main/java/dillfront/router/plan/PlannerInputReader.java
+++ b/src/main/java/dillfront/router/plan/PlannerInputReader.java
@@ -1,7 +1,7 @@
 package dillfront.router.plan;
 
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Tree;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,57 +20,57 @@
      * @param requestedPart requested work, as a part of the capacity of all nodes
      * @param mix share of each transaction type in the work; empty for equal shares
      */
-    public static PlannerInput read(Tree config, double requestedPart, Map<String, Double> mix)
-            throws BadConfig {
-        Tree settings = config.tree("settings");
-        List<?> readClasses = settings.tree("familyInfo").list("classRead");
-        List<Tree> types = settings.trees("classes");
+    public static PlannerInput read(JsonObject config, double requestedPart, Map<String, Double> mix)
+            throws ConfigException {
+        JsonObject settings = config.getObject("settings");
+        List<?> readClasses = settings.getObject("familyInfo").getList("classRead");
+        List<JsonObject> types = settings.getObjects("classes");
         List<PlannerInput.TransactionType> transactionTypes = new ArrayList<>();
         Map<String, Double> shares = new TreeMap<>(mix);
         for (int i = 0; i < types.size(); i++) {
-            String name = types.get(i).text("name");
+            String name = types.get(i).getString("name");
             String readClass = i < readClasses.size() ? String.valueOf(readClasses.get(i)) : "";
             boolean primaryOnly = !List.of("eventual", "lag_bound", "causal").contains(readClass);
             Double share = mix.isEmpty() ? 1.0 / types.size() : shares.getOrDefault(name, 0.0);
             shares.remove(name);
             transactionTypes.add(
                     new PlannerInput.TransactionType(
-                            name, primaryOnly, types.get(i).number("worth", 1), share));
+                            name, primaryOnly, types.get(i).getDouble("worth", 1), share));
         }
         if (!shares.isEmpty()) {
-            throw new BadConfig(
+            throw new ConfigException(
                     "the settings define no transaction type '"
                             + shares.keySet().iterator().next()
                             + "'");
         }
         List<PlannerInput.Node> nodes = new ArrayList<>();
         List<String> sites = new ArrayList<>();
-        settings.list("zones").forEach(z -> sites.add(String.valueOf(z)));
-        for (Tree entry : config.tree("known").trees("instances")) {
-            if (!entry.text("lifecycle").equals("ready")) {
+        settings.getList("zones").forEach(z -> sites.add(String.valueOf(z)));
+        for (JsonObject entry : config.getObject("known").getObjects("instances")) {
+            if (!entry.getString("lifecycle").equals("ready")) {
                 continue;
             }
-            double weight = entry.number("weight", 1);
-            String site = entry.text("zone");
+            double weight = entry.getDouble("weight", 1);
+            String site = entry.getString("zone");
             if (!sites.contains(site)) {
                 sites.add(site);
             }
             nodes.add(
                     new PlannerInput.Node(
-                            entry.text("instanceId"),
+                            entry.getString("instanceId"),
                             site,
-                            (int) entry.whole("cell"),
+                            (int) entry.getLong("cell"),
                             weight > 0 ? weight : 1,
-                            entry.text("role").equals("leader")));
+                            entry.getString("role").equals("leader")));
         }
         if (nodes.isEmpty()) {
-            throw new BadConfig("'known' lists no instance with lifecycle 'ready'");
+            throw new ConfigException("'known' lists no instance with lifecycle 'ready'");
         }
         return new PlannerInput(
                 sites,
                 nodes,
                 transactionTypes,
                 requestedPart,
-                settings.tree("charges").number("crossZone", 0));
+                settings.getObject("charges").getDouble("crossZone", 0));
     }
 }
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -1,8 +1,8 @@
 package dillfront.routing.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.config.JsonObject;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeReport;
@@ -27,7 +27,7 @@
     private final JsonGenerator replyWriter;
     private final RoutingEngine engine;
     private final long originUs;
-    private final Setup setup;
+    private final RouterSettings setup;
 
     /** Node indices by id; grows with each node that appears in a member list. */
     private final Map<String, Integer> nodes = new HashMap<>();
@@ -48,39 +48,39 @@
         boolean answered;
     }
 
-    SimulatedRouter(int id, long seed, Tree setup, JsonGenerator replyWriter) {
+    SimulatedRouter(int id, long seed, JsonObject setup, JsonGenerator replyWriter) {
         this.id = id;
         this.replyWriter = replyWriter;
-        this.setup = Setup.read(setup);
-        originUs = setup.tree("familyInfo").whole("originTimeUs");
+        this.setup = RouterSettings.read(setup);
+        originUs = setup.getObject("familyInfo").getLong("originTimeUs");
         RandomGenerator random = new SplittableRandom(seed);
-        engine = new RoutingEngine(this.setup.settings(), this, random);
+        engine = new RoutingEngine(this.setup.routing(), this, random);
     }
 
     void setTime(long timeUs) {
-        engine.setTime(Tree.micros(timeUs - originUs));
+        engine.setTime(JsonObject.microsToDuration(timeUs - originUs));
     }
 
-    void updateMembers(boolean complete, List<Tree> entries) {
+    void updateMembers(boolean complete, List<JsonObject> entries) {
         List<NodeRow> rows = new ArrayList<>();
-        for (Tree entry : entries) {
-            String id = entry.text("node");
+        for (JsonObject entry : entries) {
+            String id = entry.getString("node");
             Integer node = nodes.get(id);
             if (node == null) {
                 node = nodeIds.size();
                 nodes.put(id, node);
                 nodeIds.add(id);
             }
-            long startedUs = entry.whole("lastStartUs");
+            long startedUs = entry.getLong("lastStartUs");
             rows.add(
                     new NodeRow(
                             node,
-                            (int) entry.whole("db"),
-                            setup.zone(entry.text("locality")),
-                            entry.number("scale", 1),
-                            entry.number("primary", 0) == 1,
-                            startedUs == 0 ? null : Tree.micros(startedUs - originUs),
-                            switch ((int) entry.whole("availability")) {
+                            (int) entry.getLong("db"),
+                            setup.zoneIndex(entry.getString("locality")),
+                            entry.getDouble("scale", 1),
+                            entry.getDouble("primary", 0) == 1,
+                            startedUs == 0 ? null : JsonObject.microsToDuration(startedUs - originUs),
+                            switch ((int) entry.getLong("availability")) {
                                 case 1 -> MemberState.READY;
                                 case 2 -> MemberState.DRAINING;
                                 default -> MemberState.GONE;
@@ -94,7 +94,7 @@
     }
 
     void requestArrived(SimulatorEvent event) throws InvalidInputException {
-        Integer type = setup.types().get(event.qos);
+        Integer type = setup.typeIndices().get(event.qos);
         if (type == null) {
             throw event.invalid("unknown qos '" + event.qos + "'");
         }
@@ -108,19 +108,19 @@
         transaction.answered = false;
         transaction.handle = null;
         slotsById.put(event.corr, slot);
-        int session = event.hasUser ? Setup.session(event.user) : -1;
+        int session = event.hasUser ? RouterSettings.sessionSlot(event.user) : -1;
         Duration sinceLastWrite =
-                !setup.tokensCarried() || Double.isNaN(event.lastWriteMs)
+                !setup.hasSessionTokens() || Double.isNaN(event.lastWriteMs)
                         ? null
                         : Duration.ofNanos((long) Math.floor(event.lastWriteMs * 1e6));
         transaction.handle =
                 engine.accept(
                         slot,
                         type,
-                        setup.tenants().getOrDefault(event.account, -1),
+                        setup.tenantIndices().getOrDefault(event.account, -1),
                         session,
                         (int) event.partitionNo,
-                        Tree.micros(event.expiresInUs),
+                        JsonObject.microsToDuration(event.expiresInUs),
                         sinceLastWrite,
                         Duration.ZERO,
                         null);
@@ -143,7 +143,7 @@
         transaction.pending--;
         transaction.answered |= event.finished;
         transaction.handle.submissionEnded(
-                node, result, Tree.micros(event.durationUs), event.finished, current, event.report);
+                node, result, JsonObject.microsToDuration(event.durationUs), event.finished, current, event.report);
         releaseIfFinished(slot);
     }
 
--- a/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorEvent.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import dillfront.router.config.Tree;
+import dillfront.router.config.JsonObject;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.SubmissionResult;
@@ -52,8 +52,8 @@
     boolean finished;
     boolean hasUser;
     NodeReport report;
-    Tree setup;
-    List<Tree> rows;
+    JsonObject setup;
+    List<JsonObject> rows;
 
     /** Reads one event; returns false at the end of the input. */
     boolean read(JsonParser parser) throws IOException, InvalidInputException {
@@ -133,13 +133,13 @@
             case "setup" ->
                     setup =
                             parser.currentToken() == JsonToken.START_OBJECT
-                                    ? Tree.read(parser)
+                                    ? JsonObject.read(parser)
                                     : null;
             case "rowsIn" -> {
                 if (parser.currentToken() == JsonToken.START_ARRAY) {
                     rows = new ArrayList<>();
                     while (parser.nextToken() == JsonToken.START_OBJECT) {
-                        rows.add(Tree.read(parser));
+                        rows.add(JsonObject.read(parser));
                     }
                 }
             }
@@ -156,9 +156,9 @@
             parser.skipChildren();
             return NodeReport.EMPTY;
         }
-        Tree values = Tree.read(parser);
-        double x0 = values.number("x0", Double.NaN);
-        double x1 = values.number("x1", Double.NaN);
+        JsonObject values = JsonObject.read(parser);
+        double x0 = values.getDouble("x0", Double.NaN);
+        double x1 = values.getDouble("x1", Double.NaN);
         return new NodeReport(
                 Double.isNaN(x0) ? null : Duration.ofMillis((long) Math.floor(x0 * 1000 - 1)),
                 Double.isNaN(x1) ? null : x1 == 1 ? NodeRole.PRIMARY : NodeRole.REPLICA);
--- a/src/main/java/dillfront/routing/simulator/SimulatorServer.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatorServer.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.exc.InputCoercionException;
 import com.fasterxml.jackson.core.util.MinimalPrettyPrinter;
-import dillfront.router.config.Tree;
+import dillfront.router.config.JsonObject;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -31,7 +31,7 @@
     private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
 
     /** Member lists by buffer number; the simulator reuses sixteen numbers. */
-    private final Map<Integer, List<Tree>> memberLists = new HashMap<>();
+    private final Map<Integer, List<JsonObject>> memberLists = new HashMap<>();
 
     /**
      * @param in the simulator's events
@@ -119,7 +119,7 @@
                     router.memberListFailed();
                     return;
                 }
-                List<Tree> rows = memberLists.get(event.buffer);
+                List<JsonObject> rows = memberLists.get(event.buffer);
                 if (rows == null) {
                     throw event.invalid("buffer " + event.buffer + " has no member list");
                 }
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -194,7 +194,7 @@
         try {
             RouterStateStore first = RouterStateStore.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                first.closed("s-" + i, MemberState.DRAINING, i, i);
+                first.nodeClosed("s-" + i, MemberState.DRAINING, i, i);
             }
             CountDownLatch kept = new CountDownLatch(1);
             first.whenKept(well -> kept.countDown());
--- a/src/main/java/dillfront/simulation/Small.java
+++ b/src/main/java/dillfront/simulation/Small.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import dillfront.router.discovery.Closings;
+import dillfront.router.discovery.ClosedNodes;
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.Consistency;
@@ -26,7 +26,7 @@
 
 /**
  * All that can happen in a world so small that it can be gone through: two routers that decide by
- * {@link RoutingEngine}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one
+ * {@link RoutingEngine}, {@link InDoubtKeys} and {@link ClosedNodes} themselves, three nodes of one
  * group, two keys; asks, sends, answers, lost connections, lists, a drain, syncs of the disk, a
  * router's end, power lost by all, and time, in every order up to a depth. Each state is reached
  * anew from the beginning, so nothing in the decisions is copied; two orders are one state where
@@ -448,7 +448,7 @@
 
     /** One life of a router: the decisions, and the little that lies between them and the world. */
     private static final class Life
-            implements RoutingActions, InDoubtKeys.KeyStore, Closings.Keeper {
+            implements RoutingActions, InDoubtKeys.KeyStore, ClosedNodes.Listener {
         final World world;
         final int index;
         final List<Ask> asks = new ArrayList<>();
@@ -463,7 +463,7 @@
         final Duration began;
         final RoutingEngine decide;
         final InDoubtKeys doubts;
-        final Closings closings = new Closings();
+        final ClosedNodes closings = new ClosedNodes();
         final Set<Integer> others = new TreeSet<>();
         final Set<Integer> told = new TreeSet<>();
         int generation;
@@ -535,7 +535,7 @@
          * drains.
          */
         void begin() {
-            closings.keeper(this);
+            closings.listener(this);
             if (world.plant != Plant.FORGETS_DRAINS) {
                 world.keptDrains
                         .get(index)
@@ -563,7 +563,7 @@
             List<NodeRow> rows = new ArrayList<>();
             for (int n = 0; n < NODES; n++) {
                 MemberState said = of > 1 && n == 2 ? MemberState.DRAINING : MemberState.READY;
-                MemberState holds = closings.heard("n" + n, said, 0, of);
+                MemberState holds = closings.update("n" + n, said, 0, of);
                 rows.add(new NodeRow(n, 0, 0, 1, n == 0, null, holds));
             }
             decide.setTime(world.now);
@@ -810,11 +810,11 @@
         }
 
         @Override
-        public void closed(String id, MemberState standing, long startedMs, long of) {
+        public void nodeClosed(String id, MemberState standing, long startedMs, long of) {
             unsynced.add(id);
         }
 
         @Override
-        public void opened(String id) {}
+        public void nodeOpened(String id) {}
     }
 }
--- a/src/main/java/dillfront/simulation/processes/Caller.java
+++ b/src/main/java/dillfront/simulation/processes/Caller.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.network.Sockets;
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameException;
+import dillfront.router.pgwire.FrameDecoder;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -103,7 +103,7 @@
     /** One connection. */
     private final class Line extends TerminalHandler {
 
-        private final Frames frames = new Frames(1 << 22);
+        private final FrameDecoder frames = new FrameDecoder(1 << 22);
         private ChannelHandlerContext ctx;
         private boolean up;
         private boolean reached;
@@ -151,7 +151,7 @@
                     message(message);
                     message.release();
                 }
-            } catch (BadFrame bad) {
+            } catch (FrameException bad) {
                 context.close();
             }
         }
@@ -169,7 +169,7 @@
                 }
                 case 'C' -> how = "committed";
                 case 'E' -> {
-                    String code = Messages.code(message);
+                    String code = Messages.sqlState(message);
                     how = code.equals("53300") || code.equals("57P03") ? "declined" : "rolled-back";
                     said =
                             message.toString(
--- a/src/main/java/dillfront/simulation/processes/Node.java
+++ b/src/main/java/dillfront/simulation/processes/Node.java
@@ -1,8 +1,8 @@
 package dillfront.simulation.processes;
 
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameException;
+import dillfront.router.pgwire.FrameDecoder;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -307,7 +307,7 @@
     /** A connection: one statement at a time is answered, as routers send them. */
     private final class Talk extends TerminalHandler {
 
-        private final Frames frames = new Frames();
+        private final FrameDecoder frames = new FrameDecoder();
         private ChannelHandlerContext ctx;
         private boolean started;
 
@@ -324,7 +324,7 @@
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
                     message(message);
                 }
-            } catch (BadFrame bad) {
+            } catch (FrameException bad) {
                 context.close();
             }
         }
@@ -338,7 +338,7 @@
             message.release();
             if (!started) {
                 started = true;
-                frames.typed();
+                frames.startupReceived();
                 if (mood != Mood.HANGS) {
                     ctx.writeAndFlush(
                             Messages.ready(
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -14,8 +14,8 @@
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.Operator;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
@@ -58,7 +58,7 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<Socket> open = new ArrayList<>();
     private StandIns round;
-    private Daemon daemon;
+    private RouterServer daemon;
     private int port;
     private SSLContext trust;
     private ECKey first;
@@ -96,8 +96,8 @@
         round = new StandIns(250_000);
         port = Drive.freePort();
         daemon =
-                new Daemon(
-                        Config.read(
+                new RouterServer(
+                        RouterConfig.read(
                                 new ByteArrayInputStream(
                                         round.config(port, 1.0).getBytes(StandardCharsets.UTF_8))),
                         Operator.read(file),
@@ -205,7 +205,7 @@
     }
 
     private static ByteBuf sslRequest() {
-        return Unpooled.buffer().writeInt(8).writeInt(Messages.SSL);
+        return Unpooled.buffer().writeInt(8).writeInt(Messages.SSL_REQUEST);
     }
 
     private static void write(Socket socket, ByteBuf bytes) throws IOException {
--- a/src/test/java/dillfront/benchmark/SideTest.java
+++ b/src/test/java/dillfront/benchmark/SideTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.Operator;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.PeerRegistry;
@@ -83,7 +83,7 @@
             controls.add(Drive.freePort());
         }
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        List<Daemon> daemons = new ArrayList<>();
+        List<RouterServer> daemons = new ArrayList<>();
         try (StandIns round = new StandIns(1000)) {
             for (int i = 0; i < ROUTERS; i++) {
                 Operator operator =
@@ -100,9 +100,9 @@
                 String config =
                         round.config(Drive.freePort(), 1.0)
                                 .replace("\"name\":\"n0\"", "\"name\":\"r" + i + "\"");
-                Daemon daemon =
-                        new Daemon(
-                                Config.read(
+                RouterServer daemon =
+                        new RouterServer(
+                                RouterConfig.read(
                                         new ByteArrayInputStream(
                                                 config.getBytes(StandardCharsets.UTF_8))),
                                 operator,
@@ -140,7 +140,7 @@
             until(0, "\"state\":\"left\"", 1);
             until(1, "\"state\":\"left\"", 1);
         } finally {
-            daemons.forEach(Daemon::stop);
+            daemons.forEach(RouterServer::stop);
         }
         assertTrue(
                 !log.toString(StandardCharsets.UTF_8).contains("fault="),
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
@@ -96,29 +96,29 @@
      * For scenes in which no time-out is meant to end: on a busy machine a stand-in takes longer
      * than these.
      */
-    private static final String PATIENT = "patient";
+    private static final String LONG_TIMEOUTS = "patient";
 
     @TempDir Path dir;
     private final StringBuilder trace = new StringBuilder();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
-    private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
-    private final AtomicInteger lists = new AtomicInteger();
+    private final List<String> receivedStatements = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> discoveryRequests = Collections.synchronizedList(new ArrayList<>());
+    private final AtomicInteger discoveryConnections = new AtomicInteger();
 
     /** Where the loop is to stand still next. */
-    private final Queue<Hold> holds = new ConcurrentLinkedQueue<>();
+    private final Queue<LoopHold> loopHolds = new ConcurrentLinkedQueue<>();
 
     /**
      * The connection on which discovery was asked last for what is newer; and, once the test is
      * ready to tell, the one that waits.
      */
-    private volatile Socket last;
+    private volatile Socket lastRequester;
 
-    private volatile Socket waiting;
+    private volatile Socket waitingRequester;
     private volatile boolean ready;
     private ServerSocket node;
     private ServerSocket list;
-    private Daemon daemon;
+    private RouterServer router;
     private Socket client;
 
     @BeforeEach
@@ -133,7 +133,7 @@
             try {
                 start(here, scene);
                 return;
-            } catch (BadConfig taken) {
+            } catch (ConfigException taken) {
                 if (tries == 5 || !taken.getMessage().endsWith("Address already in use")) {
                     throw taken;
                 }
@@ -154,9 +154,9 @@
                                 + "','discovery':'127.0.0.1:"
                                 + list.getLocalPort()
                                 + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':"
-                                + listed(41)
+                                + wholeList(41)
                                 + ",'settings':"
-                                + (scene.getTags().contains(PATIENT)
+                                + (scene.getTags().contains(LONG_TIMEOUTS)
                                         ? SETTINGS.replace(
                                                         "'dialTimeoutUs':250000",
                                                         "'dialTimeoutUs':2000000")
@@ -166,21 +166,21 @@
                                         : SETTINGS)
                                 + "}")
                         .replace('\'', '"'));
-        daemon =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", config.toString())),
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", config.toString())),
                         new Log(
                                 new PrintStream(log, true) {
                                     @Override
                                     public void println(Object line) {
                                         super.println(line);
-                                        Hold next = holds.peek();
-                                        if (next != null && line.toString().contains(next.at)) {
-                                            holds.remove().stand();
+                                        LoopHold next = loopHolds.peek();
+                                        if (next != null && line.toString().contains(next.logText)) {
+                                            loopHolds.remove().block();
                                         }
                                     }
                                 }));
-        daemon.start();
+        router.start();
         client = new Socket(here, port);
         client.setSoTimeout(5000);
     }
@@ -188,8 +188,8 @@
     @AfterEach
     void stop() throws IOException {
         client.close();
-        if (daemon != null) {
-            daemon.stop();
+        if (router != null) {
+            router.stop();
         }
         node.close();
         list.close();
@@ -197,11 +197,11 @@
 
     // ---- the stand-ins
 
-    private interface Peer {
-        void meet(Socket socket) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private static void serve(ServerSocket door, Peer peer) {
+    private static void serve(ServerSocket door, ConnectionHandler peer) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -212,7 +212,7 @@
                                             new Thread(
                                                     () -> {
                                                         try (socket) {
-                                                            peer.meet(socket);
+                                                            peer.handle(socket);
                                                         } catch (IOException over) {
                                                             // The router ended it: so be it.
                                                         }
@@ -228,7 +228,7 @@
         thread.start();
     }
 
-    private String listed(int generation) {
+    private String wholeList(int generation) {
         return "{'generation':"
                 + generation
                 + ",'reset':true,'instances':[{'instanceId':'s-1','hostPort':'127.0.0.1:"
@@ -241,18 +241,18 @@
      * A second address of discovery: answers at once with the whole list, and notes what it was
      * asked.
      */
-    private void laterList(Socket socket) throws IOException {
+    private void serveSecondDiscovery(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
-                asked.add(line.replaceAll(" HTTP.*", ""));
-            } else if (line.isEmpty() && asked.size() < 2) {
-                answer(socket, listed(42));
+                discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
+            } else if (line.isEmpty() && discoveryRequests.size() < 2) {
+                answer(socket, wholeList(42));
             }
         }
-        asked.add("closed");
+        discoveryRequests.add("closed");
     }
 
     private static void answer(Socket socket, String list) throws IOException {
@@ -269,7 +269,7 @@
      * Answers the first call with rubbish, then the first on each connection: the known list holds.
      */
     private void list(Socket socket) throws IOException {
-        if (lists.incrementAndGet() == 1) {
+        if (discoveryConnections.incrementAndGet() == 1) {
             socket.getOutputStream()
                     .write(
                             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"a\""
@@ -278,7 +278,7 @@
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        boolean answers = lists.get() > 1;
+        boolean answers = discoveryConnections.get() > 1;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isEmpty() && answers) {
                 answers = false;
@@ -290,7 +290,7 @@
     /**
      * Discovery by the test's word: the whole list at once or as late as said, then what is told.
      */
-    private Peer tells(BlockingQueue<String> told, long firstAfter) {
+    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> told, long firstAfter) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -298,13 +298,13 @@
                                     socket.getInputStream(), StandardCharsets.US_ASCII));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("GET")) {
-                    asked.add(line.replaceAll(" HTTP.*", ""));
+                    discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
                 } else if (line.isEmpty()) {
                     try {
-                        pause(asked.size() == 1 ? firstAfter : 0);
+                        pause(discoveryRequests.size() == 1 ? firstAfter : 0);
                         answer(
                                 socket,
-                                asked.size() == 1 && firstAfter == 0 ? listed(42) : told.take());
+                                discoveryRequests.size() == 1 && firstAfter == 0 ? wholeList(42) : told.take());
                     } catch (InterruptedException over) {
                         return;
                     }
@@ -318,7 +318,7 @@
      * tells whoever asked last. From the moment that the test is ready to tell, that one is not
      * answered before.
      */
-    private Peer watched(BlockingQueue<String> told) {
+    private ConnectionHandler longPollingDiscovery(BlockingQueue<String> told) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -335,17 +335,17 @@
                     answer(
                             socket,
                             wait == 0
-                                    ? listed(42)
-                                    : whenTold(socket, told, System.nanoTime() + wait * 1_000_000));
+                                    ? wholeList(42)
+                                    : awaitUpdate(socket, told, System.nanoTime() + wait * 1_000_000));
                 }
             }
         };
     }
 
-    private String whenTold(Socket socket, BlockingQueue<String> told, long end) {
-        last = socket;
-        while (last == socket && (ready || System.nanoTime() < end)) {
-            waiting = ready ? socket : null;
+    private String awaitUpdate(Socket socket, BlockingQueue<String> told, long end) {
+        lastRequester = socket;
+        while (lastRequester == socket && (ready || System.nanoTime() < end)) {
+            waitingRequester = ready ? socket : null;
             String next = told.poll();
             if (next != null) {
                 return next;
@@ -355,15 +355,15 @@
         return "{'generation':42,'reset':false,'instances':[]}";
     }
 
-    private String drains() {
-        return listed(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
+    private String drainingList() {
+        return wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
     }
 
     /**
      * A query that nobody can read, with this word in its line of the log, at which the loop may be
      * held.
      */
-    private static ByteBuf busy(String word) {
+    private static ByteBuf malformedQuery(String word) {
         return Messages.query(
                 Unpooled.buffer(),
                 "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d="
@@ -375,36 +375,36 @@
      * The router's loop stands still at the first line of its log that holds this text, until it is
      * let go.
      */
-    private static final class Hold {
-        private final String at;
-        private final CountDownLatch stands = new CountDownLatch(1);
-        private final CountDownLatch goes = new CountDownLatch(1);
+    private static final class LoopHold {
+        private final String logText;
+        private final CountDownLatch reached = new CountDownLatch(1);
+        private final CountDownLatch released = new CountDownLatch(1);
 
-        Hold(String at) {
-            this.at = at;
+        LoopHold(String at) {
+            this.logText = at;
         }
 
-        private void stand() {
-            stands.countDown();
+        private void block() {
+            reached.countDown();
             try {
-                goes.await(20, TimeUnit.SECONDS);
+                released.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException over) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        boolean stands() {
-            return stands.getCount() == 0;
+        boolean reached() {
+            return reached.getCount() == 0;
         }
 
-        void go() {
-            goes.countDown();
+        void release() {
+            released.countDown();
         }
     }
 
-    private Hold hold(String at) {
-        Hold hold = new Hold(at);
-        holds.add(hold);
+    private LoopHold holdLoopAt(String at) {
+        LoopHold hold = new LoopHold(at);
+        loopHolds.add(hold);
         return hold;
     }
 
@@ -412,7 +412,7 @@
      * How many bytes lie unread in this process's socket between these two ports; -1 where there is
      * none.
      */
-    private static int unread(int local, int remote) {
+    private static int unreadBytes(int local, int remote) {
         String ends = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
         try {
             for (String file : new String[] {"/proc/net/tcp", "/proc/net/tcp6"}) {
@@ -443,7 +443,7 @@
                 send(socket, Messages.ready(row("x0=1,x1=1")));
                 continue;
             }
-            seen.add(
+            receivedStatements.add(
                     text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
             String key = text.replaceAll("[^']*'([^']*)'.*", "$1");
             ByteBuf note = Unpooled.buffer();
@@ -556,11 +556,11 @@
 
     // ---- the client
 
-    private static ByteBuf ask(String type, String key, int wait) {
-        return ask(type, key, wait, Integer.toHexString(IDS.incrementAndGet()));
+    private static ByteBuf query(String type, String key, int wait) {
+        return query(type, key, wait, Integer.toHexString(IDS.incrementAndGet()));
     }
 
-    private static ByteBuf ask(String type, String key, int wait, String id) {
+    private static ByteBuf query(String type, String key, int wait, String id) {
         String comment = "/* id=" + id + ",c=" + type + ",d=" + wait + ",k=5c,cluster=2 */";
         return Messages.query(
                 Unpooled.buffer(),
@@ -577,7 +577,7 @@
     }
 
     /** Reads up to so many ReadyForQuery, or to the end of the connection. */
-    private String hear(int readies) throws IOException {
+    private String readResponses(int readies) throws IOException {
         StringBuilder heard = new StringBuilder();
         DataInputStream in = new DataInputStream(client.getInputStream());
         int left = readies;
@@ -608,16 +608,16 @@
         return heard.toString().trim();
     }
 
-    private void say(String what, ByteBuf bytes, int readies) throws IOException {
+    private void sendAndTrace(String what, ByteBuf bytes, int readies) throws IOException {
         send(client, bytes);
-        trace.append(String.format("%-22s %s\n", what, hear(readies)));
+        trace.append(String.format("%-22s %s\n", what, readResponses(readies)));
     }
 
-    private void statementsSeen() {
-        seen.stream()
+    private void traceStatements() {
+        receivedStatements.stream()
                 .distinct()
                 .forEach(text -> trace.append("   node: ").append(text).append('\n'));
-        seen.clear();
+        receivedStatements.clear();
     }
 
     /** The last line of counters. */
@@ -630,17 +630,17 @@
     }
 
     /** Until one line of counters, printed from now on, has all of these. */
-    private void untilCounted(String... all) throws InterruptedException {
+    private void awaitCounters(String... all) throws InterruptedException {
         long before =
                 log.toString(StandardCharsets.UTF_8)
                         .lines()
                         .filter(l -> l.contains(" counters "))
                         .count();
         try {
-            until(
+            awaitCondition(
                     "counters have " + List.of(all),
                     () -> {
-                        daemon.print();
+                        router.printCounters();
                         return log.toString(StandardCharsets.UTF_8)
                                 .lines()
                                 .filter(l -> l.contains(" counters "))
@@ -659,11 +659,11 @@
         }
     }
 
-    private void counted(String... names) throws Exception {
+    private void stopAndTraceCounters(String... names) throws Exception {
         client.close();
-        if (daemon != null) {
-            daemon.stop();
-            daemon = null;
+        if (router != null) {
+            router.stop();
+            router = null;
         }
         String line = counters();
         for (String name : names) {
@@ -672,7 +672,7 @@
     }
 
     /** What was cut off and never given back is found once the collector has been by. */
-    private static void noLeaks() {
+    private static void assertNoLeaks() {
         for (int i = 0; i < 5; i++) {
             System.gc();
             ByteBufAllocator.DEFAULT.directBuffer(16).release();
@@ -683,25 +683,25 @@
     // ---- the scenes
 
     @Test
-    void answersInOrderAndStatementsUnchanged() throws Exception {
-        say(
+    void answersInOrderAndForwardsStatementsUnchanged() throws Exception {
+        sendAndTrace(
                 "all in one packet",
                 startup()
                         .writeBytes(Messages.query(Unpooled.buffer(), ""))
-                        .writeBytes(ask("any", "k1", 900))
-                        .writeBytes(ask("move", "k2", 900)),
+                        .writeBytes(query("any", "k1", 900))
+                        .writeBytes(query("move", "k2", 900)),
                 4);
-        say("read", ask("any", "k3", 900), 1);
-        say("a long value", ask("any", "v".repeat(50_000), 900), 1);
-        statementsSeen();
-        say("a longer answer", ask("any", "wide", 900), 1);
+        sendAndTrace("read", query("any", "k3", 900), 1);
+        sendAndTrace("a long value", query("any", "v".repeat(50_000), 900), 1);
+        traceStatements();
+        sendAndTrace("a longer answer", query("any", "wide", 900), 1);
         String shorter =
                 trace.toString()
                         .replaceAll("v{50000}", "v (50000 times)")
                         .replaceAll("w{300000}", "w (300000 times)");
         trace.setLength(0);
         trace.append(shorter);
-        counted(
+        stopAndTraceCounters(
                 "queries",
                 "taken",
                 "committed",
@@ -710,13 +710,13 @@
                 "txns_held",
                 "client_connections",
                 "node_connections");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-serves", trace);
     }
 
     @Test
-    void endingsAreToldApart() throws Exception {
-        say("startup", startup(), 1);
+    void distinguishesSubmissionResults() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         for (String key :
                 new String[] {
                     "full",
@@ -733,16 +733,16 @@
                     "large",
                     "fields"
                 }) {
-            say("once, " + key, ask("once", key, 400), 1);
+            sendAndTrace("once, " + key, query("once", key, 400), 1);
             // Until it has recovered in the module's eyes.
             for (int i = 0; i < 6; i++) {
-                send(client, ask("any", "ok", 900));
-                hear(1);
+                send(client, query("any", "ok", 900));
+                readResponses(1);
             }
-            seen.removeIf(text -> text.contains("'ok'"));
+            receivedStatements.removeIf(text -> text.contains("'ok'"));
         }
-        statementsSeen();
-        counted(
+        traceStatements();
+        stopAndTraceCounters(
                 "out_of_form",
                 "txns_held",
                 "node_connections",
@@ -751,7 +751,7 @@
                 "ended_reset",
                 "ended_spoilt",
                 "ended_timed_out");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-endings", trace);
     }
 
@@ -760,17 +760,17 @@
      * connection.
      */
     @Test
-    void whatComesBehindAnAnswerIsNobodysAnswer() throws Exception {
-        say("startup", startup(), 1);
+    void discardsDataAfterResponse() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         for (String key : new String[] {"behind", "apart", "noise", "report"}) {
-            say(
+            sendAndTrace(
                     key + ", k1, k2",
-                    ask("once", key, 900)
-                            .writeBytes(ask("any", "k1", 900))
-                            .writeBytes(ask("any", "k2", 900)),
+                    query("once", key, 900)
+                            .writeBytes(query("any", "k1", 900))
+                            .writeBytes(query("any", "k2", 900)),
                     3);
         }
-        counted(
+        stopAndTraceCounters(
                 "committed",
                 "submitted",
                 "node_connections",
@@ -787,39 +787,39 @@
                 .distinct()
                 .sorted()
                 .forEach(line -> trace.append(line).append('\n'));
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-behind", trace);
     }
 
     @Test
-    void whatIsOutOfFormReachesNoNode() throws Exception {
-        say("SSL", Unpooled.buffer().writeInt(8).writeInt(Messages.SSL), 0);
+    void rejectsMalformedQueriesWithoutReachingNode() throws Exception {
+        sendAndTrace("SSL", Unpooled.buffer().writeInt(8).writeInt(Messages.SSL_REQUEST), 0);
         trace.append((char) client.getInputStream().read()).append('\n');
-        say("startup", startup(), 1);
-        say("nonsense", Messages.query(Unpooled.buffer(), "DROP TABLE objects"), 1);
-        say("unknown type", ask("other", "k", 900), 1);
+        sendAndTrace("startup", startup(), 1);
+        sendAndTrace("nonsense", Messages.query(Unpooled.buffer(), "DROP TABLE objects"), 1);
+        sendAndTrace("unknown type", query("other", "k", 900), 1);
         ByteBuf group =
                 Messages.query(
                         Unpooled.buffer(),
                         "SELECT body FROM objects WHERE oid = 'k' /* id=9b,c=any,d=900,cluster=9 */");
-        say("unknown group", group, 1);
+        sendAndTrace("unknown group", group, 1);
         ByteBuf extended = Unpooled.buffer().writeByte('P').writeInt(6).writeShort(0);
         extended.writeByte('E').writeInt(4).writeByte('S').writeInt(4);
-        say("extended", extended, 1);
-        say("still usable", ask("any", "k", 900), 1);
-        say("unknown message", Unpooled.buffer().writeByte('!').writeInt(4), 1);
-        statementsSeen();
-        counted("out_of_form", "taken", "client_connections");
-        noLeaks();
+        sendAndTrace("extended", extended, 1);
+        sendAndTrace("still usable", query("any", "k", 900), 1);
+        sendAndTrace("unknown message", Unpooled.buffer().writeByte('!').writeInt(4), 1);
+        traceStatements();
+        stopAndTraceCounters("out_of_form", "taken", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-out-of-form", trace);
     }
 
     @Test
-    void whatIsNoClientIsToldSoAndClosed() throws Exception {
+    void closesInvalidClientsWithError() throws Exception {
         Object[][] cases = {
-            {"cancel", Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL).writeLong(7)},
+            {"cancel", Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL_REQUEST).writeLong(7)},
             {"version 2", Unpooled.buffer().writeInt(8).writeInt(2 << 16)},
-            {"a startup too long", Unpooled.buffer().writeInt(10_001).writeInt(Messages.VERSION)},
+            {"a startup too long", Unpooled.buffer().writeInt(10_001).writeInt(Messages.PROTOCOL_VERSION)},
             {"a length too small", startup().writeByte('Q').writeInt(3)},
             {
                 "a query too long",
@@ -831,42 +831,42 @@
         for (Object[] one : cases) {
             client = new Socket(first.getInetAddress(), first.getPort());
             client.setSoTimeout(5000);
-            say((String) one[0], (ByteBuf) one[1], 9);
+            sendAndTrace((String) one[0], (ByteBuf) one[1], 9);
             client.close();
         }
         client = first;
-        say("GSS", Unpooled.buffer().writeInt(8).writeInt(Messages.GSS), 0);
+        sendAndTrace("GSS", Unpooled.buffer().writeInt(8).writeInt(Messages.GSSENC_REQUEST), 0);
         trace.append((char) client.getInputStream().read()).append('\n');
-        say("the others still", startup().writeBytes(ask("any", "k", 900)), 2);
-        counted("accepted", "taken", "client_connections");
-        noLeaks();
+        sendAndTrace("the others still", startup().writeBytes(query("any", "k", 900)), 2);
+        stopAndTraceCounters("accepted", "taken", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-no-client", trace);
     }
 
     /** Guards against answers lost, and new clients turned away, while a router is being ended. */
     @Test
-    void theEndComesOnceAllIsAnswered() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "hang", 1500));
-        until("the node has a submission", () -> !seen.isEmpty());
-        Thread stopping = new Thread(daemon::stop);
+    void stopsOnceAllQueriesAreAnswered() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "hang", 1500));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
+        Thread stopping = new Thread(router::stop);
         stopping.start();
-        until(
+        awaitCondition(
                 "the end has begun",
                 () -> log.toString(StandardCharsets.UTF_8).contains(" stopping "));
         Socket first = client;
         client = new Socket(first.getInetAddress(), first.getPort());
-        say("new, while it ends", startup().writeBytes(ask("once", "k", 900)), 2);
-        trace.append("then                   ").append(hear(1)).append('\n');
+        sendAndTrace("new, while it ends", startup().writeBytes(query("once", "k", 900)), 2);
+        trace.append("then                   ").append(readResponses(1)).append('\n');
         client = first;
         trace.append("the first              ")
-                .append(hear(1))
+                .append(readResponses(1))
                 .append(' ')
-                .append(hear(1))
+                .append(readResponses(1))
                 .append('\n');
         stopping.join(4000);
-        daemon = null;
-        counted(
+        router = null;
+        stopAndTraceCounters(
                 "accepted",
                 "taken",
                 "committed",
@@ -877,7 +877,7 @@
         RoutingHarness.assertTraceEquals("router-ends", trace);
     }
 
-    private volatile String toldNow;
+    private volatile String currentList;
 
     /**
      * The generation that discovery was asked last for more than, and how many connections have had
@@ -885,13 +885,13 @@
      */
     private volatile long askedAfter;
 
-    private final AtomicInteger renewed = new AtomicInteger();
+    private final AtomicInteger refreshedConnections = new AtomicInteger();
 
     /**
      * Discovery that tells what is so now: whole where nothing is known, else once it is newer or
      * the wait is over.
      */
-    private void tellsNow(Socket socket) throws IOException {
+    private void serveCurrentList(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -901,7 +901,7 @@
                 String after = line.replaceAll(".*after=(\\d+)&.*|.*", "$1");
                 askedAfter = after.isEmpty() ? -1 : Long.parseLong(after);
                 if (++times == 2) {
-                    renewed.incrementAndGet();
+                    refreshedConnections.incrementAndGet();
                 }
                 long end =
                         System.nanoTime()
@@ -910,24 +910,24 @@
                                                         + line.replaceAll(
                                                                 ".*wait_ms=(\\d+) .*|.*", "$1"))
                                         * 1_000_000;
-                while (System.nanoTime() < end && toldNow.contains(":" + after + ",")) {
+                while (System.nanoTime() < end && currentList.contains(":" + after + ",")) {
                     pause(5);
                 }
-                answer(socket, toldNow);
+                answer(socket, currentList);
             }
         }
     }
 
-    private void switchTo(Path file, String text, String settings) throws Exception {
-        int before = renewed.get();
+    private void reloadSettings(Path file, String text, String settings) throws Exception {
+        int before = refreshedConnections.get();
         Files.writeString(file, text);
-        daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-        until(
+        router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
+        awaitCondition(
                 "the settings are taken over",
                 () ->
                         log.toString(StandardCharsets.UTF_8)
                                 .endsWith(settings + " kept_as_at_start=[]\n"));
-        until("the list is read by the new ones", () -> renewed.get() > before);
+        awaitCondition("the list is read by the new ones", () -> refreshedConnections.get() > before);
     }
 
     /**
@@ -935,12 +935,12 @@
      * way back.
      */
     @Test
-    @Tag(PATIENT)
-    void otherSettingsAreTakenOverInServiceAndTakenBack() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void appliesAndRevertsSettingsWhileServing() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            toldNow = listed(42);
-            serve(discovery, this::tellsNow);
-            startAnew(discovery);
+            currentList = wholeList(42);
+            serve(discovery, this::serveCurrentList);
+            restartWithDiscovery(discovery);
             Path file = dir.resolve("config.json");
             String first = Files.readString(file);
             String other =
@@ -950,28 +950,28 @@
                             .replace(
                                     "\"deadlineUs\":4000000,\"lateShare\"",
                                     "\"deadlineUs\":3000000,\"lateShare\"");
-            say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
-            send(client, ask("move", "slow", 4_000));
-            until("seen has 2", () -> seen.size() >= 2);
-            switchTo(file, other, "changed");
-            trace.append("what was out             ").append(hear(1)).append('\n');
-            say("a type that is new", ask("transfer", "new", 4_000), 1);
-            say("one that is no more", ask("move", "old", 4_000), 1);
-            toldNow = listed(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
-            until("the router knows that it is gone", () -> askedAfter == 43);
-            say("gone, and open", ask("transfer", "gone", 4_000), 1);
-            send(client, ask("transfer", "slow", 4_000));
-            until("seen has 5", () -> seen.size() >= 5);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 4_000)), 2);
+            send(client, query("move", "slow", 4_000));
+            awaitCondition("seen has 2", () -> receivedStatements.size() >= 2);
+            reloadSettings(file, other, "changed");
+            trace.append("what was out             ").append(readResponses(1)).append('\n');
+            sendAndTrace("a type that is new", query("transfer", "new", 4_000), 1);
+            sendAndTrace("one that is no more", query("move", "old", 4_000), 1);
+            currentList = wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
+            awaitCondition("the router knows that it is gone", () -> askedAfter == 43);
+            sendAndTrace("gone, and open", query("transfer", "gone", 4_000), 1);
+            send(client, query("transfer", "slow", 4_000));
+            awaitCondition("seen has 5", () -> receivedStatements.size() >= 5);
             Files.writeString(file, other.replace("\"await\"", "\"wait\""));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-            switchTo(file, first, "changed");
-            trace.append("what was out             ").append(hear(1)).append('\n');
-            say("gone, and closed", ask("any", "none", 300), 1);
-            toldNow = listed(44);
-            until("the router knows that it is back", () -> askedAfter == 44);
-            say("as before", ask("move", "back", 4_000), 1);
-            statementsSeen();
-            counted(
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
+            reloadSettings(file, first, "changed");
+            trace.append("what was out             ").append(readResponses(1)).append('\n');
+            sendAndTrace("gone, and closed", query("any", "none", 300), 1);
+            currentList = wholeList(44);
+            awaitCondition("the router knows that it is back", () -> askedAfter == 44);
+            sendAndTrace("as before", query("move", "back", 4_000), 1);
+            traceStatements();
+            stopAndTraceCounters(
                     "taken",
                     "committed",
                     "declined",
@@ -997,8 +997,8 @@
      * a bad file.
      */
     @Test
-    @Tag(PATIENT)
-    void aNewConfigurationMovesDiscoveryAndDisturbsNothing() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void movesDiscoveryOnReloadWithoutDisruption() throws Exception {
         Path file = dir.resolve("config.json");
         String first = Files.readString(file);
         Map<String, String> env =
@@ -1007,31 +1007,31 @@
                         file.toString(),
                         "LB_DISCOVERY",
                         "127.0.0.1:" + list.getLocalPort());
-        Signals.on(
+        SignalHandlers.register(
                 "HUP",
-                () -> daemon.reload(() -> Config.again(env)),
+                () -> router.reload(() -> RouterConfig.readForReload(env)),
                 new Log(new PrintStream(log, true)));
-        say("startup", startup(), 1);
-        send(client, ask("any", "slow", 900));
-        until("the node has a submission", () -> !seen.isEmpty());
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "slow", 900));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
         try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::laterList);
+            serve(later, this::serveSecondDiscovery);
             Files.writeString(
                     file,
                     first.replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
                                     "\"discovery\":\"127.0.0.1:" + later.getLocalPort())
                             .replace("\"sockets\":256", "\"sockets\":300"));
-            hangUp();
-            trace.append("what was out           ").append(hear(1)).append('\n');
-            until("asked has 2", () -> asked.size() >= 2);
+            sendSighup();
+            trace.append("what was out           ").append(readResponses(1)).append('\n');
+            awaitCondition("asked has 2", () -> discoveryRequests.size() >= 2);
             Files.writeString(file, first.substring(9));
-            hangUp();
-            say("after a bad file", ask("any", "k", 900), 1);
-            counted("committed", "lists", "client_connections");
-            until("asked has 3", () -> asked.size() >= 3);
+            sendSighup();
+            sendAndTrace("after a bad file", query("any", "k", 900), 1);
+            stopAndTraceCounters("committed", "lists", "client_connections");
+            awaitCondition("asked has 3", () -> discoveryRequests.size() >= 3);
         }
-        asked.forEach(line -> trace.append(line).append('\n'));
+        discoveryRequests.forEach(line -> trace.append(line).append('\n'));
         log.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(l -> l.contains(" reload"))
@@ -1046,9 +1046,9 @@
     }
 
     /** A second router with the node's list from this stand-in alone; the first has ended. */
-    private void startAnew(ServerSocket discovery) throws Exception {
+    private void restartWithDiscovery(ServerSocket discovery) throws Exception {
         client.close();
-        daemon.stop();
+        router.stop();
         Path file = dir.resolve("config.json");
         String text =
                 Files.readString(file)
@@ -1056,9 +1056,9 @@
                                 "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
                                 "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort());
         Files.writeString(file, text);
-        daemon = new Daemon(Config.read(Map.of("LB_CONFIG", file.toString())), daemon.log());
-        daemon.start();
-        client = another();
+        router = new RouterServer(RouterConfig.read(Map.of("LB_CONFIG", file.toString())), router.log());
+        router.start();
+        client = newClient();
     }
 
     /**
@@ -1066,42 +1066,42 @@
      * and send.
      */
     @Test
-    void newsGoBeforeWhatWasDecidedWithoutThem() throws Exception {
+    void readsDrainBeforeSendingDecidedTransaction() throws Exception {
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, watched(told));
+            serve(discovery, longPollingDiscovery(told));
             // Time enough for a txn on the busiest machine: only the order counts here.
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace("\"deadlineUs\":1000000", "\"deadlineUs\":4000000"));
-            startAnew(discovery);
-            say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
+            restartWithDiscovery(discovery);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 4_000)), 2);
             ready = true;
-            until("discovery is asked for what is newer", () -> waiting != null);
+            awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
             // In one turn: the loop stands still, a txn is decided, the loop stands still, then the
             // txn would be sent.
-            Hold before = hold("'still");
-            Hold between = hold(" counters ");
-            send(client, busy("still").writeBytes(ask("move", "drained", 4_000)));
-            until("the loop stands still before it decides", before::stands);
-            daemon.print();
-            before.go();
-            until("the loop stands still between decision and send", between::stands);
-            told.add(drains());
-            until(
+            LoopHold before = holdLoopAt("'still");
+            LoopHold between = holdLoopAt(" counters ");
+            send(client, malformedQuery("still").writeBytes(query("move", "drained", 4_000)));
+            awaitCondition("the loop stands still before it decides", before::reached);
+            router.printCounters();
+            before.release();
+            awaitCondition("the loop stands still between decision and send", between::reached);
+            told.add(drainingList());
+            awaitCondition(
                     "the drain lies unread",
-                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
+                    () -> told.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
             // Many steps of the clock: whoever was away for so long knows it. More of them change
             // nothing.
             Thread.sleep(100);
-            between.go();
-            trace.append("the loop stands still        ").append(hear(1)).append('\n');
-            trace.append("a txn to a node that drains  ").append(hear(1)).append('\n');
-            statementsSeen();
+            between.release();
+            trace.append("the loop stands still        ").append(readResponses(1)).append('\n');
+            trace.append("a txn to a node that drains  ").append(readResponses(1)).append('\n');
+            traceStatements();
         }
-        counted("committed", "declined", "ended_unsent");
+        stopAndTraceCounters("committed", "declined", "ended_unsent");
         RoutingHarness.assertTraceEquals("router-news-first", trace);
     }
 
@@ -1110,50 +1110,50 @@
      * one is not up.
      */
     @Test
-    @Tag(PATIENT)
-    void whatTheFormerDiscoveryToldHolds() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void honorsDrainFromPreviousDiscovery() throws Exception {
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress());
                 ServerSocket silent = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, watched(told));
-            startAnew(discovery);
-            say("startup and query", startup().writeBytes(ask("any", "k", 900)), 2);
+            serve(discovery, longPollingDiscovery(told));
+            restartWithDiscovery(discovery);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
             ready = true;
-            until("discovery is asked for what is newer", () -> waiting != null);
-            Hold still = hold("'still");
-            send(client, busy("still"));
-            until("the loop stands still", still::stands);
-            told.add(drains());
-            until(
+            awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
+            LoopHold still = holdLoopAt("'still");
+            send(client, malformedQuery("still"));
+            awaitCondition("the loop stands still", still::reached);
+            told.add(drainingList());
+            awaitCondition(
                     "the drain lies unread",
-                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
+                    () -> told.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace(":" + discovery.getLocalPort(), ":" + silent.getLocalPort()));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             // As long as a drain may take to be known.
             Thread.sleep(300);
-            still.go();
-            trace.append("the loop stood still  ").append(hear(1)).append('\n');
-            say("after the grace", ask("any", "drained", 300), 1);
-            statementsSeen();
-            counted("lists", "committed", "declined");
+            still.release();
+            trace.append("the loop stood still  ").append(readResponses(1)).append('\n');
+            sendAndTrace("after the grace", query("any", "drained", 300), 1);
+            traceStatements();
+            stopAndTraceCounters("lists", "committed", "declined");
         }
         RoutingHarness.assertTraceEquals("router-former", trace);
     }
 
     /** Guards against a door that opens on a list that is old by a restart. */
     @Test
-    @Tag(PATIENT)
-    void theDoorOpensOnceDiscoveryHasSpoken() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void listensOnceDiscoveryHasAnswered() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, tells(new LinkedBlockingQueue<>(List.of(drains())), 300));
-            startAnew(discovery);
-            say("the first query", startup().writeBytes(ask("any", "drained", 300)), 2);
-            statementsSeen();
-            counted("lists", "committed", "declined");
+            serve(discovery, discoveryFromQueue(new LinkedBlockingQueue<>(List.of(drainingList())), 300));
+            restartWithDiscovery(discovery);
+            sendAndTrace("the first query", startup().writeBytes(query("any", "drained", 300)), 2);
+            traceStatements();
+            stopAndTraceCounters("lists", "committed", "declined");
         }
         RoutingHarness.assertTraceEquals("router-door", trace);
     }
@@ -1163,10 +1163,10 @@
      * silent.
      */
     @Test
-    void aWatchThatFallsSilentIsBegunAnew() throws Exception {
-        say("startup", startup(), 1);
+    void reconnectsSilentDiscoveryClient() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         long since = System.nanoTime();
-        until("lists has 4", () -> lists.get() >= 4);
+        awaitCondition("lists has 4", () -> discoveryConnections.get() >= 4);
         long took = (System.nanoTime() - since) / 1_000_000;
         trace.append("asked twice more, after two silences, within 4 s: ")
                 .append(took < 4000 && took > 1000)
@@ -1178,12 +1178,12 @@
      * Where the signal is ignored, as nohup leaves it, `env --default-signal=HUP` in .ci/run
      * restores it.
      */
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         long before = reloads();
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
                 .start()
                 .waitFor();
-        until("the configuration is read anew after SIGHUP", () -> reloads() > before);
+        awaitCondition("the configuration is read anew after SIGHUP", () -> reloads() > before);
     }
 
     private long reloads() {
@@ -1194,7 +1194,7 @@
     }
 
     /** Bounded, and it fails with what it waited for. */
-    private static void until(String what, BooleanSupplier is) throws InterruptedException {
+    private static void awaitCondition(String what, BooleanSupplier is) throws InterruptedException {
         for (long end = System.nanoTime() + 20_000_000_000L; !is.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + what);
             Thread.sleep(5);
@@ -1203,11 +1203,11 @@
 
     /** Guards against rows, connections and tables of nodes that are replaced all day. */
     @Test
-    @Tag(PATIENT)
-    void nodesThatAreReplacedLeaveNothingBehind() throws Exception {
-        say("startup", startup(), 1);
+    @Tag(LONG_TIMEOUTS)
+    void freesStateOfReplacedNodes() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::changingList);
+            serve(later, this::serveChangingList);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
@@ -1215,23 +1215,23 @@
                             .replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
                                     "\"discovery\":\"127.0.0.1:" + later.getLocalPort()));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             for (int i = 0; i < 100; i++) {
                 // Out while its node is replaced; but no faster than the router hears of it, or
                 // more rows are in use at once.
                 // The last comes while nothing is out: a probe's connection is all that there is to
                 // it.
                 if (i < 99) {
-                    send(client, ask("any", "k", 4_000));
+                    send(client, query("any", "k", 4_000));
                 }
-                replaced = i;
+                replacementCount = i;
                 if (i < 99) {
-                    hear(1);
+                    readResponses(1);
                 }
-                int told = FIRST_OF_CHANGES + i;
-                until("the router has list " + told, () -> askedAfter == told);
+                int told = FIRST_REPLACEMENT_GENERATION + i;
+                awaitCondition("the router has list " + told, () -> askedAfter == told);
             }
-            untilCounted("node_rows=[2-5]", "node_connections=1");
+            awaitCounters("node_rows=[2-5]", "node_connections=1");
         }
         trace.append("connections to nodes now: ")
                 .append(counters().replaceAll(".* node_connections=(\\d+).*", "$1"))
@@ -1239,19 +1239,19 @@
         trace.append("at most 5 rows for 100 machines: ")
                 .append(counters().matches(".* node_rows=[2-5] .*"))
                 .append('\n');
-        say("the last of 100", ask("any", "k", 4_000), 1);
-        counted("txns_held", "node_connections", "timers");
-        noLeaks();
+        sendAndTrace("the last of 100", query("any", "k", 4_000), 1);
+        stopAndTraceCounters("txns_held", "node_connections", "timers");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-replaced", trace);
     }
 
-    private static final int FIRST_OF_CHANGES = 50;
+    private static final int FIRST_REPLACEMENT_GENERATION = 50;
 
     /** How often the machine was replaced so far. */
-    private volatile int replaced;
+    private volatile int replacementCount;
 
     /** Tells of the newest machine, and that all are gone which whoever asks was told of before. */
-    private void changingList(Socket socket) throws IOException {
+    private void serveChangingList(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -1270,10 +1270,10 @@
                 askedAfter = after;
             } else if (line.isEmpty()) {
                 for (long end = System.nanoTime() + wait * 1_000_000;
-                        FIRST_OF_CHANGES + replaced <= after && System.nanoTime() < end; ) {
+                        FIRST_REPLACEMENT_GENERATION + replacementCount <= after && System.nanoTime() < end; ) {
                     pause(1);
                 }
-                int now = FIRST_OF_CHANGES + replaced;
+                int now = FIRST_REPLACEMENT_GENERATION + replacementCount;
                 String entry =
                         "{'instanceId':'s-%d','hostPort':'127.0.0.1:"
                                 + node.getLocalPort()
@@ -1300,37 +1300,37 @@
 
     /** Guards against blaming a node for the router's own limit on connections. */
     @Test
-    @Tag(PATIENT)
-    void withNoConnectionLeftNothingIsSentAndNoNodeBlamed() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void doesNotBlameNodeForOwnConnectionLimit() throws Exception {
         client.close();
-        daemon.stop();
+        router.stop();
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file, Files.readString(file).replace("\"sockets\":256", "\"sockets\":44"));
-        daemon =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", file.toString())),
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", file.toString())),
                         new Log(new PrintStream(log, true)));
-        daemon.start();
+        router.start();
         for (int i = 1; i < 3; i++) {
-            client = another();
-            send(client, startup().writeBytes(ask("once", "hang", 3_000)));
+            client = newClient();
+            send(client, startup().writeBytes(query("once", "hang", 3_000)));
             int many = i;
-            until("seen has " + many, () -> seen.size() >= many);
+            awaitCondition("seen has " + many, () -> receivedStatements.size() >= many);
             client.close();
-            untilCounted("left=" + many);
+            awaitCounters("left=" + many);
         }
-        client = another();
-        say("both are in use", startup().writeBytes(ask("once", "k", 900)), 2);
-        statementsSeen();
-        counted("submitted", "ended_unreachable", "declined", "timers");
+        client = newClient();
+        sendAndTrace("both are in use", startup().writeBytes(query("once", "k", 900)), 2);
+        traceStatements();
+        stopAndTraceCounters("submitted", "ended_unreachable", "declined", "timers");
         RoutingHarness.assertTraceEquals("router-no-connection", trace);
     }
 
     /** Guards against running out of descriptors: idle clients make room for new ones. */
     @Test
-    void atTheLimitTheClientIdleLongestMakesRoom() throws Exception {
-        say("startup", startup(), 1);
+    void evictsLongestIdleClientAtLimit() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         List<Socket> more = new ArrayList<>();
         Socket first = client;
         for (int i = 0; i < 108; i++) {
@@ -1338,19 +1338,19 @@
             client.setSoTimeout(5000);
             more.add(client);
             send(client, startup().writeBytes(Messages.query(Unpooled.buffer(), "")));
-            hear(2);
+            readResponses(2);
         }
-        say("the last of 109", ask("any", "k", 900), 1);
+        sendAndTrace("the last of 109", query("any", "k", 900), 1);
         client = first;
-        trace.append("the first              ").append(hear(1)).append('\n');
+        trace.append("the first              ").append(readResponses(1)).append('\n');
         for (Socket socket : more) {
             socket.close();
         }
-        counted("accepted", "committed", "client_connections");
+        stopAndTraceCounters("accepted", "committed", "client_connections");
         RoutingHarness.assertTraceEquals("router-full", trace);
     }
 
-    private Socket another() throws IOException {
+    private Socket newClient() throws IOException {
         Socket socket = new Socket(client.getInetAddress(), client.getPort());
         socket.setSoTimeout(5000);
         return socket;
@@ -1361,42 +1361,42 @@
      * ask.
      */
     @Test
-    void thoseWhoSayNothingKeepNobodyOutAndGo() throws Exception {
-        say("startup and query", startup().writeBytes(ask("any", "k", 900)), 2);
+    void silentClientsDoNotBlockOthers() throws Exception {
+        sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
         List<Socket> silent = new ArrayList<>();
         long since = System.nanoTime();
         Socket first = client;
         for (int i = 0; i < 300; i++) {
             client = first;
-            silent.add(another());
+            silent.add(newClient());
             if (i % 3 == 1) {
                 send(silent.get(i), startup());
             } else if (i % 3 == 2) {
-                send(silent.get(i), startup().writeBytes(ask("any", "half", 900), 30));
+                send(silent.get(i), startup().writeBytes(query("any", "half", 900), 30));
             }
             if (i % 50 == 49) {
-                client = another();
-                say(
+                client = newClient();
+                sendAndTrace(
                         "a new one among " + (i + 1),
-                        startup().writeBytes(ask("any", "k" + i, 900)),
+                        startup().writeBytes(query("any", "k" + i, 900)),
                         2);
                 client.close();
             }
         }
         client = first;
-        say("the first", ask("any", "k", 900), 1);
+        sendAndTrace("the first", query("any", "k", 900), 1);
         for (Socket socket : silent) {
-            while (reads(socket)) {}
+            while (readsByte(socket)) {}
         }
         trace.append("the silent are closed within 3 s: ")
                 .append(System.nanoTime() - since < 3_000_000_000L)
                 .append('\n');
-        counted("accepted", "committed", "client_connections");
-        noLeaks();
+        stopAndTraceCounters("accepted", "committed", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-silent", trace);
     }
 
-    private static boolean reads(Socket socket) {
+    private static boolean readsByte(Socket socket) {
         try {
             return socket.getInputStream().read() >= 0;
         } catch (IOException reset) {
@@ -1406,16 +1406,16 @@
 
     /** Guards against a txn that passes for another's, and a wait that nobody could have. */
     @Test
-    void anIdThatIsOpenIsRefused() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "slow", 900, "7f"));
-        until("the node has a submission", () -> !seen.isEmpty());
+    void rejectsOpenTransactionId() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "slow", 900, "7f"));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
         Socket first = client;
-        client = another();
-        say("the same id", startup().writeBytes(ask("any", "k", 900, "7f")), 2);
-        say(
+        client = newClient();
+        sendAndTrace("the same id", startup().writeBytes(query("any", "k", 900, "7f")), 2);
+        sendAndTrace(
                 "a wait of ages",
-                ask("any", "k", 900)
+                query("any", "k", 900)
                         .writerIndex(0)
                         .writeBytes(
                                 Messages.query(
@@ -1425,15 +1425,15 @@
                 1);
         client.close();
         client = first;
-        trace.append("the first              ").append(hear(1)).append('\n');
-        say("the id once it is over", ask("any", "k", 900, "7f"), 1);
-        statementsSeen();
-        counted("out_of_form", "taken", "committed");
+        trace.append("the first              ").append(readResponses(1)).append('\n');
+        sendAndTrace("the id once it is over", query("any", "k", 900, "7f"), 1);
+        traceStatements();
+        stopAndTraceCounters("out_of_form", "taken", "committed");
         RoutingHarness.assertTraceEquals("router-same-id", trace);
     }
 
     @Test
-    void whatCannotBeUsedIsNamed() throws Exception {
+    void namesConfigurationFault() throws Exception {
         String good = Files.readString(dir.resolve("config.json"));
         String[][] cases = {
             {"", ""},
@@ -1463,8 +1463,8 @@
                                     change[0].replace('\'', '"'), change[1].replace('\'', '"')));
             trace.append(
                             assertThrows(
-                                            BadConfig.class,
-                                            () -> Config.read(Map.of("LB_CONFIG", file.toString())))
+                                            ConfigException.class,
+                                            () -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())))
                                     .getMessage()
                                     .replace(file.toString(), "FILE")
                                     .replaceAll(":\\d{4,5}", ":PORT"))
@@ -1479,15 +1479,15 @@
                                 dir.resolve("config.json").toString(),
                                 "LB_LISTEN",
                                 "here"))) {
-            trace.append(assertThrows(BadConfig.class, () -> Config.read(env)).getMessage())
+            trace.append(assertThrows(ConfigException.class, () -> RouterConfig.read(env)).getMessage())
                     .append('\n');
         }
-        Daemon second =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
+        RouterServer second =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
                         new Log(new PrintStream(log, true)));
         trace.append(
-                        assertThrows(BadConfig.class, second::start)
+                        assertThrows(ConfigException.class, second::start)
                                 .getMessage()
                                 .replaceAll(":\\d{4,5}", ":PORT"))
                 .append('\n');
@@ -1496,7 +1496,7 @@
 
     /** Guards against a door that opens while the start is still being paid for. */
     @Test
-    void theStartIsPaidForBeforeTheDoorOpens() throws Exception {
+    void waitsOutStartupCpuDebt() throws Exception {
         long[][] cases = {
             {200, 280, 50}, {310, 300, 50}, {100, 280, 50}, {100, 280, 100}, {900, 300, 10}
         };
@@ -1507,7 +1507,7 @@
                             c[0],
                             c[1],
                             c[2],
-                            Daemon.owed(
+                            RouterServer.cpuDebt(
                                             java.time.Duration.ofMillis(c[0]),
                                             java.time.Duration.ofMillis(c[1]),
                                             c[2] / 100.0)
@@ -1517,13 +1517,13 @@
     }
 
     @Test
-    void aClientThatLeavesLeavesNothingBehind() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "hang", 900));
-        until("the node has a submission", () -> !seen.isEmpty());
+    void freesStateOfDisconnectedClient() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "hang", 900));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
         client.close();
-        untilCounted("ended_timed_out=1", "txns_held=0");
-        counted(
+        awaitCounters("ended_timed_out=1", "txns_held=0");
+        stopAndTraceCounters(
                 "taken",
                 "left",
                 "committed",
@@ -1533,7 +1533,7 @@
                 "node_connections",
                 "timers",
                 "ended_timed_out");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-left", trace);
     }
 }
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.config.JsonObject;
 import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -28,7 +28,7 @@
 
     private static String parse(String... pieces) {
         StringBuilder seen = new StringBuilder();
-        HttpAnswers answers = new HttpAnswers();
+        HttpResponseDecoder answers = new HttpResponseDecoder();
         try {
             for (String piece : pieces) {
                 answers.add(bytes(piece));
@@ -40,7 +40,7 @@
                     body.release();
                 }
             }
-        } catch (BadHttp bad) {
+        } catch (HttpFormatException bad) {
             seen.append(bad.getMessage());
         }
         answers.release();
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void answers() throws IOException {
+    void decodesResponses() throws IOException {
         String two =
                 "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 3\r\n\r\n{a}HTTP/1.1 503 No\r\ncontent-length:0\r\n\r\n";
         String whole = parse(two);
@@ -71,8 +71,8 @@
 
     /** Guards against a table of all machines that there ever were. */
     @Test
-    void machinesThatAreReplacedAllDayNeedNoMoreIndices() throws IOException {
-        MemberList list = new MemberList(Setup.read(new Tree()), new Clock(), new Log(System.err));
+    void reusesIndicesOfReplacedNodes() throws IOException {
+        MemberList list = new MemberList(RouterSettings.read(new JsonObject()), new MonotonicClock(), new Log(System.err));
         String entry =
                 "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
         StringBuilder seen = new StringBuilder();
@@ -85,7 +85,7 @@
                                     + String.format(entry, day - 1, "gone");
             List<Member> members =
                     list.read(
-                            Tree.parse(
+                            JsonObject.parse(
                                     new ByteArrayInputStream(
                                             ("{'generation':1,'reset':"
                                                             + (day % 10 == 9)
@@ -100,16 +100,16 @@
             }
             // What was out at index 0 never ends; all others are given back a day late.
             int later = day;
-            list.forget(node -> node > 0 && later % 2 == 0);
+            list.removeDeparted(node -> node > 0 && later % 2 == 0);
         }
-        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", seen + "| " + list.indices());
+        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", seen + "| " + list.indexCount());
     }
 
     @Test
-    void anEntryThatCannotBeReadDoesNotSpoilTheOthers() throws IOException {
+    void skipsUnreadableEntry() throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
-        Setup setup = Setup.read(new Tree());
-        MemberList list = new MemberList(setup, new Clock(), new Log(new PrintStream(lines, true)));
+        RouterSettings setup = RouterSettings.read(new JsonObject());
+        MemberList list = new MemberList(setup, new MonotonicClock(), new Log(new PrintStream(lines, true)));
         String entry =
                 "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
                         + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
@@ -133,14 +133,14 @@
                         + "]}";
         List<Member> members =
                 list.read(
-                        Tree.parse(
+                        JsonObject.parse(
                                 new ByteArrayInputStream(
                                         text.replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
         members.forEach(m -> trace.append(m).append('\n'));
         trace.append("group 3: ")
-                .append(list.mayHave(3))
+                .append(list.mayHaveGroup(3))
                 .append(", group 4: ")
-                .append(list.mayHave(4))
+                .append(list.mayHaveGroup(4))
                 .append('\n');
         lines.toString(StandardCharsets.UTF_8)
                 .lines()
--- a/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -595,10 +595,10 @@
     void restoresClosingsAfterRestart() throws Exception {
         Path folder = dir.resolve("r1");
         RouterStateStore first = RouterStateStore.open(folder, "r1", log, Runnable::run);
-        first.closed("s-1", MemberState.DRAINING, 7, 42);
-        first.closed("s-2", MemberState.GONE, 0, 43);
-        first.closed("s-3", MemberState.GONE, 0, 44);
-        first.opened("s-3");
+        first.nodeClosed("s-1", MemberState.DRAINING, 7, 42);
+        first.nodeClosed("s-2", MemberState.GONE, 0, 43);
+        first.nodeClosed("s-3", MemberState.GONE, 0, 44);
+        first.nodeOpened("s-3");
         Operator.BadOperator lockedFailure =
                 assertThrows(
                         Operator.BadOperator.class,
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -21,7 +21,7 @@
     private static final String BEHIND = "' /* id=9b1f,c=history,d=480,cluster=2 */";
 
     @Property(tries = 1000, seed = "51")
-    void theKeyIsAllBetweenTheQuotes(@ForAll @Size(max = 40) byte[] key, @ForAll boolean quoted) {
+    void readsKeyBetweenQuotes(@ForAll @Size(max = 40) byte[] key, @ForAll boolean quoted) {
         if (quoted && key.length > 2) {
             key[key.length / 2] = '\'';
         }
@@ -41,7 +41,7 @@
         Statement read;
         try {
             read = Statement.read(message);
-        } catch (BadStatement bad) {
+        } catch (StatementFormatException bad) {
             assertEquals(false, plain, bad.getMessage());
             return;
         }
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -22,9 +22,9 @@
     }
 
     /** What the cutter makes of these pieces. */
-    private static String cut(boolean untyped, ByteBuf... pieces) {
+    private static String decode(boolean untyped, ByteBuf... pieces) {
         StringBuilder seen = new StringBuilder();
-        Frames frames = untyped ? new Frames() : new Frames(Frames.LONGEST);
+        FrameDecoder frames = untyped ? new FrameDecoder() : new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
         try {
             for (ByteBuf piece : pieces) {
                 frames.add(piece);
@@ -32,64 +32,64 @@
                     seen.append(message.readableBytes())
                             .append(untyped ? "startup " : (char) message.getByte(0) + " ");
                     if (untyped) {
-                        frames.typed();
+                        frames.startupReceived();
                         untyped = false;
                     }
                     message.release();
                 }
             }
-        } catch (BadFrame bad) {
+        } catch (FrameException bad) {
             seen.append(bad.getMessage());
         }
-        seen.append(" left ").append(frames.waiting());
+        seen.append(" left ").append(frames.bufferedBytes());
         frames.release();
         return seen.toString();
     }
 
     @Test
-    void messagesAreCutWhereverTheyAreSplit() throws IOException {
+    void decodesMessagesAtEverySplit() throws IOException {
         ByteBuf all = Messages.startup(Unpooled.buffer(), "worker", "catalog");
         all.writeBytes(query(""))
                 .writeBytes(query("SELECT 1"))
                 .writeBytes(Messages.ready(Unpooled.buffer()));
-        String whole = cut(true, all.copy());
+        String whole = decode(true, all.copy());
         trace.append("whole: ").append(whole).append('\n');
         for (int at = 1; at < all.readableBytes(); at++) {
             assertEquals(
                     whole,
-                    cut(true, all.copy(0, at), all.copy(at, all.readableBytes() - at)),
+                    decode(true, all.copy(0, at), all.copy(at, all.readableBytes() - at)),
                     "cut at " + at);
         }
         ByteBuf[] bytes = new ByteBuf[all.readableBytes()];
         for (int i = 0; i < bytes.length; i++) {
             bytes[i] = all.copy(i, 1);
         }
-        assertEquals(whole, cut(true, bytes), "byte by byte");
+        assertEquals(whole, decode(true, bytes), "byte by byte");
         trace.append("short startup: ")
-                .append(cut(true, Unpooled.buffer().writeInt(7).writeInt(0)))
+                .append(decode(true, Unpooled.buffer().writeInt(7).writeInt(0)))
                 .append('\n');
         trace.append("long startup: ")
-                .append(cut(true, Unpooled.buffer().writeInt(10_001).writeInt(0)))
+                .append(decode(true, Unpooled.buffer().writeInt(10_001).writeInt(0)))
                 .append('\n');
         trace.append("length 3: ")
-                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(3)))
+                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(3)))
                 .append('\n');
         trace.append("negative: ")
-                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(-1)))
+                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(-1)))
                 .append('\n');
         trace.append("longest: ")
-                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST)))
+                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES)))
                 .append('\n');
         trace.append("longer: ")
-                .append(cut(false, Unpooled.buffer().writeByte('Q').writeInt(Frames.LONGEST + 1)))
+                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES + 1)))
                 .append('\n');
         RoutingHarness.assertTraceEquals("messages", trace);
     }
 
     /** Slices that are out must not move when the buffer they were cut from grows. */
     @Test
-    void aSliceKeepsItsBytesWhileTheNextMessageComes() throws BadFrame {
-        Frames frames = new Frames(Frames.LONGEST);
+    void keepsSliceIntactWhileNextMessageArrives() throws FrameException {
+        FrameDecoder frames = new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
         ByteBuf two = query("first").writeBytes(query("second"));
         frames.add(two.copy(0, 14));
         ByteBuf first = frames.next();
@@ -100,14 +100,14 @@
                 first.toString(5, 5, StandardCharsets.US_ASCII)
                         + "|"
                         + second.toString(5, 6, StandardCharsets.US_ASCII));
-        assertEquals(0, frames.waiting());
+        assertEquals(0, frames.bufferedBytes());
         first.release();
         second.release();
         assertEquals("0 0", first.refCnt() + " " + second.refCnt());
     }
 
     @Test
-    void statements() throws IOException {
+    void parsesStatements() throws IOException {
         String read =
                 "SELECT body FROM objects WHERE oid = '7f3a' /* id=9b,c=basket,d=480,cluster=2 */";
         String write =
@@ -149,18 +149,18 @@
                         .append(" type ")
                         .append(s.type)
                         .append(" wait ")
-                        .append(s.waitMs)
+                        .append(s.timeoutMs)
                         .append(" group ")
                         .append(s.group)
                         .append(" after ")
-                        .append(s.afterMs)
+                        .append(s.lastWriteMs)
                         .append(" digits ")
                         .append(
                                 message.toString(
-                                        s.waitFrom,
-                                        s.waitTo - s.waitFrom,
+                                        s.timeoutStart,
+                                        s.timeoutEnd - s.timeoutStart,
                                         StandardCharsets.US_ASCII));
-            } catch (BadStatement bad) {
+            } catch (StatementFormatException bad) {
                 trace.append(bad.getMessage());
             }
             trace.append('\n');
@@ -170,7 +170,7 @@
         for (int length = 0; length < write.length(); length++) {
             ByteBuf message = query(write.substring(0, length));
             org.junit.jupiter.api.Assertions.assertThrows(
-                    BadStatement.class, () -> Statement.read(message));
+                    StatementFormatException.class, () -> Statement.read(message));
         }
     }
 }
