--- a/src/main/java/dillfront/router/FileClientAuthenticator.java
+++ b/src/main/java/dillfront/router/FileClientAuthenticator.java
@@ -101,132 +101,132 @@
      * turn of the loop. Guards against rights that speak of a type by an index which has become
      * another's.
      */
-    void applySettings(RouterSettings next, Runnable then) throws ConfigException {
+    void applySettings(RouterSettings newSettings, Runnable task) throws ConfigException {
         try {
             fileReader.submit(
                             () -> {
                                 // Where the settings are the same, a file that cannot be read now
                                 // keeps nobody from moving discovery.
-                                IdentityFiles read = next.equals(settings) ? null : readFiles(identity, next);
-                                settings = next;
+                                IdentityFiles identityFiles = newSettings.equals(settings) ? null : readFiles(identity, newSettings);
+                                settings = newSettings;
                                 loop.execute(
                                         () -> {
-                                            then.run();
-                                            if (read != null) {
+                                            task.run();
+                                            if (identityFiles != null) {
                                                 tick();
-                                                apply(read);
+                                                apply(identityFiles);
                                             }
                                         });
                                 return null;
                             })
                     .get();
-        } catch (InterruptedException | ExecutionException | RejectedExecutionException bad) {
+        } catch (InterruptedException | ExecutionException | RejectedExecutionException e) {
             throw new ConfigException(
                     "identity, by these settings: "
-                            + (bad.getCause() == null ? bad : bad.getCause().getMessage()));
+                            + (e.getCause() == null ? e : e.getCause().getMessage()));
         }
     }
 
     // ---- on the reader's thread
 
     /** Sizes and times of all files: when one differs they are read again. */
-    private String readStamps(Operator.IdentityPart of) {
-        List<Path> files = new ArrayList<>(of.files());
+    private String readStamps(Operator.IdentityPart identityPart) {
+        List<Path> files = new ArrayList<>(identityPart.files());
         files.add(operatorFile);
-        StringBuilder all = new StringBuilder();
+        StringBuilder stamps = new StringBuilder();
         for (Path file : files) {
             try {
-                all.append(file)
+                stamps.append(file)
                         .append(' ')
                         .append(Files.getLastModifiedTime(file).toInstant())
                         .append(' ')
                         .append(Files.size(file))
                         .append('\n');
-            } catch (IOException none) {
-                all.append(file).append(" not there\n");
+            } catch (IOException e) {
+                stamps.append(file).append(" not there\n");
             }
         }
-        return all.toString();
+        return stamps.toString();
     }
 
     private void checkFiles() {
         if (lastError.isEmpty() && readStamps(identity).equals(fileStamps)) {
             return;
         }
-        String wrong = "";
-        IdentityFiles read = null;
+        String error = "";
+        IdentityFiles identityFiles = null;
         try {
             Operator operator = Operator.read(operatorFile);
             if (operator.identity() == null) {
                 throw new Operator.BadOperator(
                         operatorFile + ": identity() is gone; that waits for a start");
             }
-            String now = readStamps(operator.identity());
-            read = readFiles(operator.identity(), settings);
+            String stamps = readStamps(operator.identity());
+            identityFiles = readFiles(operator.identity(), settings);
             identity = operator.identity();
-            fileStamps = now;
-        } catch (Operator.BadOperator bad) {
-            wrong = bad.getMessage();
-        } catch (RuntimeException bad) {
-            wrong = String.valueOf(bad);
+            fileStamps = stamps;
+        } catch (Operator.BadOperator e) {
+            error = e.getMessage();
+        } catch (RuntimeException e) {
+            error = String.valueOf(e);
         }
-        boolean said = wrong.equals(lastError);
-        lastError = wrong;
-        IdentityFiles good = read;
-        String why = wrong;
+        boolean alreadyLogged = error.equals(lastError);
+        lastError = error;
+        IdentityFiles validFiles = identityFiles;
+        String errorMessage = error;
         loop.execute(
                 () -> {
                     tick();
-                    if (good != null) {
-                        apply(good);
+                    if (validFiles != null) {
+                        apply(validFiles);
                         log.info(
                                 "identity-read",
                                 "principals",
-                                good.policy.principals().size(),
+                                validFiles.policy.principals().size(),
                                 "keys",
-                                good.policy.keys());
+                                validFiles.policy.keys());
                     } else {
                         gate.unreadable();
-                        if (!said) {
-                            log.warn("identity-unreadable", "fault", why);
+                        if (!alreadyLogged) {
+                            log.warn("identity-unreadable", "fault", errorMessage);
                         }
                     }
                 });
     }
 
-    private IdentityFiles readFiles(Operator.IdentityPart of, RouterSettings by) throws Operator.BadOperator {
+    private IdentityFiles readFiles(Operator.IdentityPart identityPart, RouterSettings routerSettings) throws Operator.BadOperator {
         try {
-            Tokens next = new Tokens(Files.readString(of.jwks()), of.issuer(), of.audience());
+            Tokens newTokens = new Tokens(Files.readString(identityPart.jwks()), identityPart.issuer(), identityPart.audience());
             Set<String> revoked =
-                    of.revoked() == null
+                    identityPart.revoked() == null
                             ? Set.of()
-                            : Files.readAllLines(of.revoked(), StandardCharsets.UTF_8).stream()
+                            : Files.readAllLines(identityPart.revoked(), StandardCharsets.UTF_8).stream()
                                     .map(String::strip)
-                                    .filter(l -> !l.isEmpty() && !l.startsWith("#"))
+                                    .filter(line -> !line.isEmpty() && !line.startsWith("#"))
                                     .collect(Collectors.toSet());
-            SslContext context =
-                    of.certificate() == null
+            SslContext sslContext =
+                    identityPart.certificate() == null
                             ? null
                             : SslContextBuilder.forServer(
-                                            of.certificate().toFile(), of.privateKey().toFile())
+                                            identityPart.certificate().toFile(), identityPart.privateKey().toFile())
                                     .sslProvider(SslProvider.JDK)
                                     .protocols("TLSv1.3", "TLSv1.2")
                                     .build();
             return new IdentityFiles(
-                    of.policy(by.typeIndices(), by.tenantIndices(), next.ids(), revoked), next, context);
-        } catch (Tokens.BadToken bad) {
-            throw new Operator.BadOperator(of.jwks() + ": " + bad.getMessage());
-        } catch (IOException | IllegalArgumentException bad) {
-            throw new Operator.BadOperator("identity: " + bad);
+                    identityPart.policy(routerSettings.typeIndices(), routerSettings.tenantIndices(), newTokens.ids(), revoked), newTokens, sslContext);
+        } catch (Tokens.BadToken e) {
+            throw new Operator.BadOperator(identityPart.jwks() + ": " + e.getMessage());
+        } catch (IOException | IllegalArgumentException e) {
+            throw new Operator.BadOperator("identity: " + e);
         }
     }
 
     // ---- on the loop
 
-    private void apply(IdentityFiles read) {
-        tokens = read.tokens;
-        tls = read.tls;
-        gate.read(read.policy);
+    private void apply(IdentityFiles identityFiles) {
+        tokens = identityFiles.tokens;
+        tls = identityFiles.tls;
+        gate.read(identityFiles.policy);
     }
 
     @Override
@@ -261,34 +261,34 @@
 
     /** The signature is checked by the reader's thread; what it says is weighed here. */
     @Override
-    public void authenticate(String address, String user, String token, LoginCallback entry) {
-        Tokens by = tokens;
+    public void authenticate(String address, String user, String token, LoginCallback callback) {
+        Tokens currentTokens = tokens;
         fileReader.execute(
                 () -> {
                     Gate.Credential credential = null;
-                    String wrong = null;
+                    String credentialError = null;
                     try {
-                        credential = by.read(token);
-                        wrong =
+                        credential = currentTokens.read(token);
+                        credentialError =
                                 credential.principal().equals(user)
                                         ? null
                                         : "the token is for '" + credential.principal() + "'";
-                    } catch (Tokens.BadToken bad) {
-                        wrong = bad.getMessage();
+                    } catch (Tokens.BadToken e) {
+                        credentialError = e.getMessage();
                     }
-                    Gate.Credential said = credential;
-                    String fault = wrong;
+                    Gate.Credential verifiedCredential = credential;
+                    String rejection = credentialError;
                     loop.execute(
                             () -> {
                                 tick();
-                                Object in = fault != null ? Refusal.UNKNOWN : gate.enter(said);
-                                if (in instanceof Gate.Session session) {
+                                Object result = rejection != null ? Refusal.UNKNOWN : gate.enter(verifiedCredential);
+                                if (result instanceof Gate.Session session) {
                                     penalty.right(address, user);
-                                    entry.accepted(session);
+                                    callback.accepted(session);
                                     return;
                                 }
                                 penalty.failed(address, user);
-                                String why = fault != null ? fault : ((Refusal) in).word();
+                                String reason = rejection != null ? rejection : ((Refusal) result).word();
                                 log.warn(
                                         "login-refused",
                                         "user",
@@ -296,8 +296,8 @@
                                         "address",
                                         address,
                                         "why",
-                                        why);
-                                entry.rejected((Refusal) in, why);
+                                        reason);
+                                callback.rejected((Refusal) result, reason);
                             });
                 });
     }
@@ -305,17 +305,17 @@
     @Override
     public void transactionDenied(
             Gate.Session session,
-            Refusal why,
+            Refusal refusal,
             String type,
             boolean write,
             int group,
-            String cause) {
+            String rule) {
         log.warn(
                 "denied",
                 "who",
                 session.name(),
                 "why",
-                why,
+                refusal,
                 "type",
                 type,
                 "write",
@@ -323,6 +323,6 @@
                 "group",
                 group,
                 "rule",
-                cause);
+                rule);
     }
 }
--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -90,14 +90,14 @@
             peerHealth = null;
             gossipTransport = null;
         } else {
-            int self = gossip.self(name);
-            PeerRegistry ring = gossip.ring();
-            peerHealth = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
+            int selfIndex = gossip.self(name);
+            PeerRegistry peers = gossip.ring();
+            peerHealth = new PeerHealthExchange(gossip.tuning(), peers.size(), router);
             gossipTransport =
                     new UdpGossipTransport(
                             gossip.tuning(),
-                            ring,
-                            self,
+                            peers,
+                            selfIndex,
                             gossip.bind(),
                             PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
                             gossip.key(),
@@ -106,21 +106,21 @@
                             router.clock()::now,
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
-                            (word, age) ->
-                                    peerHealth.receiveClaim(word, age, router.clock().now()));
+                            (claim, age) ->
+                                    peerHealth.receiveClaim(claim, age, router.clock().now()));
             peerHealth.setGossip(gossipTransport::gossip);
             router.setPeerHealth(peerHealth);
-            PeerInDoubtKeys others =
+            PeerInDoubtKeys peerKeys =
                     operator.doubts() == null
                             ? null
-                            : new PeerInDoubtKeys(ring.size(), operator.doubts().retention());
-            if (others != null) {
-                recovery.peerInDoubtKeys(others);
+                            : new PeerInDoubtKeys(peers.size(), operator.doubts().retention());
+            if (peerKeys != null) {
+                recovery.peerInDoubtKeys(peerKeys);
             }
             gossipTransport.setRestrictions(
                     new PeerRestrictionSync(
-                            others == null ? null : recovery.inDoubtKeys(),
-                            others,
+                            peerKeys == null ? null : recovery.inDoubtKeys(),
+                            peerKeys,
                             new PeerClosureReports(gossip.tuning().toleratedLiars()),
                             router,
                             router.clock()::now));
@@ -132,8 +132,8 @@
                                 loop,
                                 operator.control(),
                                 log,
-                                question ->
-                                        switch (question) {
+                                query ->
+                                        switch (query) {
                                             case "peers" ->
                                                     gossipTransport == null
                                                             ? "gossip is off\n"
@@ -167,11 +167,11 @@
      * False where nothing here goes by the settings; else what follows happens with the rights read
      * anew, or not at all.
      */
-    boolean applySettings(RouterSettings next, Runnable then) throws ConfigException {
+    boolean applySettings(RouterSettings newSettings, Runnable task) throws ConfigException {
         if (authenticator == null) {
             return false;
         }
-        authenticator.applySettings(next, then);
+        authenticator.applySettings(newSettings, task);
         return true;
     }
 
--- a/src/main/java/dillfront/router/RecoveryCoordinator.java
+++ b/src/main/java/dillfront/router/RecoveryCoordinator.java
@@ -60,38 +60,38 @@
     private PeerInDoubtKeys peerInDoubtKeys;
 
     /**
-     * @param bounds of the txns in doubt; null where they are not kept in mind
-     * @param memory null where nothing is remembered
+     * @param limits of the txns in doubt; null where they are not kept in mind
+     * @param stateStore null where nothing is remembered
      * @param watchesSites what is lost is judged by site
      */
     RecoveryCoordinator(
-            InDoubtKeys.Limits bounds,
-            RouterStateStore memory,
+            InDoubtKeys.Limits limits,
+            RouterStateStore stateStore,
             boolean watchesSites,
-            RouterSettings setup,
-            Duration began,
+            RouterSettings routerSettings,
+            Duration startTime,
             Log log) {
         this.log = log;
-        this.stateStore = memory;
-        RoutingSettings settings = setup.routing();
+        this.stateStore = stateStore;
+        RoutingSettings settings = routerSettings.routing();
         connectTimeout = settings.connectTimeout();
-        updateZoneNames(setup);
+        updateZoneNames(routerSettings);
         siteHealth =
                 watchesSites
                         ? new SiteHealthMonitor(zoneNames.getOrDefault(settings.zone(), ""), connectTimeout, this)
                         : null;
-        inDoubtKeys = bounds == null ? null : new InDoubtKeys(bounds, memory);
-        groupRecovery = new GroupRecovery(began, connectTimeout, settings.warmUpTime(), this);
-        if (memory != null) {
-            memory.primaries().forEach(groupRecovery::restorePrimary);
+        inDoubtKeys = limits == null ? null : new InDoubtKeys(limits, stateStore);
+        groupRecovery = new GroupRecovery(startTime, connectTimeout, settings.warmUpTime(), this);
+        if (stateStore != null) {
+            stateStore.primaries().forEach(groupRecovery::restorePrimary);
             if (inDoubtKeys != null) {
-                memory.inDoubtKeys().forEach(key -> inDoubtKeys.restore(key, began));
+                stateStore.inDoubtKeys().forEach(key -> inDoubtKeys.restore(key, startTime));
             }
         }
     }
 
-    void peerInDoubtKeys(PeerInDoubtKeys tell) {
-        peerInDoubtKeys = tell;
+    void peerInDoubtKeys(PeerInDoubtKeys peerKeys) {
+        peerInDoubtKeys = peerKeys;
     }
 
     private boolean isInDoubtAtPeer(long key) {
@@ -102,18 +102,18 @@
         return inDoubtKeys;
     }
 
-    void applySettings(RouterSettings next) {
-        connectTimeout = next.routing().connectTimeout();
-        groupRecovery.settings(connectTimeout, next.routing().warmUpTime());
-        updateZoneNames(next);
+    void applySettings(RouterSettings newSettings) {
+        connectTimeout = newSettings.routing().connectTimeout();
+        groupRecovery.settings(connectTimeout, newSettings.routing().warmUpTime());
+        updateZoneNames(newSettings);
         if (siteHealth != null) {
             siteHealth.setDialTimeout(connectTimeout);
         }
     }
 
-    private void updateZoneNames(RouterSettings setup) {
+    private void updateZoneNames(RouterSettings routerSettings) {
         Map<Integer, String> names = new HashMap<>();
-        setup.zoneIndices().forEach((name, index) -> names.put(index, name));
+        routerSettings.zoneIndices().forEach((name, index) -> names.put(index, name));
         zoneNames = names;
     }
 
@@ -123,22 +123,22 @@
         return inDoubtKeys != null;
     }
 
-    boolean begin(long key, Duration clock) {
-        return inDoubtKeys.begin(key, clock);
+    boolean begin(long key, Duration time) {
+        return inDoubtKeys.begin(key, time);
     }
 
     /** Since when it may have run; null where nothing here or elsewhere says so. */
     Duration mayHaveRunSince(long key) {
-        Duration ran = inDoubtKeys.mayHaveRunSince(key);
-        return ran == null && isInDoubtAtPeer(key) ? InDoubtKeys.BEFORE_THIS_RUN : ran;
+        Duration since = inDoubtKeys.mayHaveRunSince(key);
+        return since == null && isInDoubtAtPeer(key) ? InDoubtKeys.BEFORE_THIS_RUN : since;
     }
 
-    void recordSend(long key, Duration clock) {
-        inDoubtKeys.recordSend(key, clock);
+    void recordSend(long key, Duration time) {
+        inDoubtKeys.recordSend(key, time);
     }
 
-    void finish(long key, Duration clock) {
-        inDoubtKeys.finish(key, clock);
+    void finish(long key, Duration time) {
+        inDoubtKeys.finish(key, time);
     }
 
     /** A submission ended, of a txn with a key or without (0). */
@@ -146,18 +146,18 @@
             long key,
             int node,
             SubmissionResult result,
-            boolean told,
-            NodeReport note,
-            Duration clock) {
+            boolean clientAnswered,
+            NodeReport report,
+            Duration time) {
         if (key != 0) {
-            inDoubtKeys.recordEnd(key, result.mayHaveRun(), told);
+            inDoubtKeys.recordEnd(key, result.mayHaveRun(), clientAnswered);
         }
         if (result == SubmissionResult.UNREACHABLE || result == SubmissionResult.TIMED_OUT) {
             groupRecovery.recordNoAnswer(node);
         } else if (result != SubmissionResult.UNSENT
                 && result != SubmissionResult.WITHDRAWN
                 && result != SubmissionResult.RESET) {
-            groupRecovery.recordAnswer(node, note.role(), note.position(), clock);
+            groupRecovery.recordAnswer(node, report.role(), report.position(), time);
         }
     }
 
@@ -166,36 +166,36 @@
      * send. Guards against a write that waited for the disk or a connection while another router
      * told that it may have run.
      */
-    boolean mayWrite(long key, int node, Duration clock) {
-        return (key == 0 || !isInDoubtAtPeer(key)) && groupRecovery.mayWrite(node, clock);
+    boolean mayWrite(long key, int node, Duration time) {
+        return (key == 0 || !isInDoubtAtPeer(key)) && groupRecovery.mayWrite(node, time);
     }
 
     /**
      * One that claims to lead, and gets no write, stands at no present either: nothing that it says
      * of itself counts.
      */
-    NodeReport trustedReport(int node, NodeReport says, Duration clock) {
-        return says.role() == NodeRole.PRIMARY && !groupRecovery.isPrimaryAccepted(node, clock)
+    NodeReport trustedReport(int node, NodeReport report, Duration time) {
+        return report.role() == NodeRole.PRIMARY && !groupRecovery.isPrimaryAccepted(node, time)
                 ? NodeReport.EMPTY
-                : says;
+                : report;
     }
 
     // ---- nodes
 
-    void recordProbe(int node, boolean answered, NodeReport report, Duration clock) {
+    void recordProbe(int node, boolean answered, NodeReport report, Duration time) {
         if (answered) {
-            groupRecovery.recordAnswer(node, report.role(), report.position(), clock);
+            groupRecovery.recordAnswer(node, report.role(), report.position(), time);
         } else {
             groupRecovery.recordNoAnswer(node);
         }
     }
 
     void updateMembers(List<Member> members) {
-        for (Member m : members) {
-            NodeRow row = m.row();
+        for (Member member : members) {
+            NodeRow row = member.row();
             groupRecovery.updateNode(
                     row.node(),
-                    m.id(),
+                    member.id(),
                     row.group(),
                     row.started(),
                     row.standing() == MemberState.READY);
@@ -208,8 +208,8 @@
         }
     }
 
-    void setDiscoveryAvailable(boolean there) {
-        groupRecovery.discoveryAvailable(there);
+    void setDiscoveryAvailable(boolean available) {
+        groupRecovery.discoveryAvailable(available);
     }
 
     void removeNode(int node) {
@@ -220,22 +220,22 @@
     }
 
     /**
-     * @param sees what the router sees of each node, by its index, of so many
+     * @param observations what the router sees of each node, by its index, of so many
      */
-    void tick(Duration clock, int nodes, IntFunction<HealthObservation> sees) {
-        now = clock;
-        groupRecovery.tick(clock);
-        for (int node = 0; node < nodes && siteHealth != null; node++) {
-            siteHealth.observe(node, sees.apply(node));
+    void tick(Duration time, int nodeCount, IntFunction<HealthObservation> observations) {
+        now = time;
+        groupRecovery.tick(time);
+        for (int node = 0; node < nodeCount && siteHealth != null; node++) {
+            siteHealth.observe(node, observations.apply(node));
         }
         if (siteHealth != null) {
-            siteHealth.tick(clock);
+            siteHealth.tick(time);
         }
         if (inDoubtKeys != null) {
-            inDoubtKeys.expire(clock);
+            inDoubtKeys.expire(time);
         }
         if (peerInDoubtKeys != null) {
-            peerInDoubtKeys.expire(clock);
+            peerInDoubtKeys.expire(time);
         }
     }
 
@@ -285,8 +285,8 @@
         }
     }
 
-    private static String name(Enum<?> of) {
-        return of.name().toLowerCase(Locale.ROOT);
+    private static String name(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 
     @Override
@@ -298,7 +298,7 @@
 
     /** For the operator: sections of names and values, in the order in which they are shown. */
     Map<String, Object> status(int closings, int witnesses) {
-        Map<String, Object> all = new LinkedHashMap<>();
+        Map<String, Object> sections = new LinkedHashMap<>();
         Map<String, Object> recovery = new LinkedHashMap<>();
         recovery.put("loss", name(groupRecovery.outageScope()));
         recovery.put("sure", Math.round(groupRecovery.confidence() * 100) / 100.0);
@@ -306,7 +306,7 @@
         recovery.put("witnesses", witnesses);
         recovery.put("writes_held_back", groupRecovery.heldWrites());
         recovery.put("changes_unsaid", suppressedLogLines);
-        all.put("recovery", recovery);
+        sections.put("recovery", recovery);
         Map<String, Object> states = new LinkedHashMap<>();
         groupRecovery.states()
                 .forEach(
@@ -318,35 +318,35 @@
                                                         ? ""
                                                         : ", awaits "
                                                                 + groupRecovery.awaitedPrimary(group))));
-        all.put("groups", states);
+        sections.put("groups", states);
         if (siteHealth != null) {
-            Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("self", name(siteHealth.reachability()));
-            siteHealth.states().forEach((site, state) -> rows.put(site, name(state)));
-            all.put("sites", rows);
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("self", name(siteHealth.reachability()));
+            siteHealth.states().forEach((site, state) -> fields.put(site, name(state)));
+            sections.put("sites", fields);
         }
         if (stateStore != null) {
-            Map<String, Object> kept = stateStore.status();
-            kept.put("leaders", String.join(",", groupRecovery.leaders()));
-            all.put("memory", kept);
+            Map<String, Object> storeStatus = stateStore.status();
+            storeStatus.put("leaders", String.join(",", groupRecovery.leaders()));
+            sections.put("memory", storeStatus);
         }
         if (inDoubtKeys != null) {
-            Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("in_doubt", inDoubtKeys.inDoubtCount());
-            rows.put("kept", inDoubtKeys.size());
-            rows.put("met", inDoubtKeys.repeated());
-            rows.put("settled", inDoubtKeys.resolved());
-            rows.put("refused", inDoubtKeys.refused());
-            all.put("doubts", rows);
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("in_doubt", inDoubtKeys.inDoubtCount());
+            fields.put("kept", inDoubtKeys.size());
+            fields.put("met", inDoubtKeys.repeated());
+            fields.put("settled", inDoubtKeys.resolved());
+            fields.put("refused", inDoubtKeys.refused());
+            sections.put("doubts", fields);
         }
         if (peerInDoubtKeys != null) {
-            Map<String, Object> rows = new LinkedHashMap<>();
-            rows.put("telling", peerInDoubtKeys.reportingInstances());
-            rows.put("echoing", peerInDoubtKeys.echoingInstances());
-            rows.put("heard", peerInDoubtKeys.accepted());
-            rows.put("refused", peerInDoubtKeys.rejected());
-            all.put("others", rows);
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("telling", peerInDoubtKeys.reportingInstances());
+            fields.put("echoing", peerInDoubtKeys.echoingInstances());
+            fields.put("heard", peerInDoubtKeys.accepted());
+            fields.put("refused", peerInDoubtKeys.rejected());
+            sections.put("others", fields);
         }
-        return all;
+        return sections;
     }
 }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -137,8 +137,8 @@
      * Who remembers for a later life, and what is remembered from an earlier one. Before the first
      * list.
      */
-    void configureMemberList(Consumer<MemberList> memory) {
-        memory.accept(members);
+    void configureMemberList(Consumer<MemberList> configurer) {
+        configurer.accept(members);
     }
 
     /** How many nodes are closed by words that are remembered. */
@@ -154,14 +154,14 @@
      * What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key
      * waits for. Before the first list.
      */
-    void setRecovery(RecoveryCoordinator by, NodeConnectionManager.PersistenceBarrier before) {
-        recovery = by;
-        connectionManager.persistenceBarrier(before);
+    void setRecovery(RecoveryCoordinator coordinator, NodeConnectionManager.PersistenceBarrier barrier) {
+        recovery = coordinator;
+        connectionManager.persistenceBarrier(barrier);
     }
 
     /** Others' words on nodes come through these. Before the first list. */
-    void setPeerHealth(PeerHealthExchange others) {
-        peerHealth = others;
+    void setPeerHealth(PeerHealthExchange health) {
+        peerHealth = health;
     }
 
     void close() {
@@ -172,15 +172,15 @@
      * Other settings from now on, for what is taken and sent; the caller asks for the whole list
      * then.
      */
-    void applySettings(RouterSettings next) {
+    void applySettings(RouterSettings newSettings) {
         tick();
-        settings = next;
-        loopLag.setStep(next.routing().clockStep());
-        members.applySettings(next);
-        connectionManager.applySettings(next);
-        engine.applySettings(next.routing());
+        settings = newSettings;
+        loopLag.setStep(newSettings.routing().clockStep());
+        members.applySettings(newSettings);
+        connectionManager.applySettings(newSettings);
+        engine.applySettings(newSettings.routing());
         if (recovery != null) {
-            recovery.applySettings(next);
+            recovery.applySettings(newSettings);
         }
     }
 
@@ -189,11 +189,11 @@
     @Override
     public void tick() {
         Duration now = clock.now();
-        Duration behind = loopLag.totalLag(now);
+        Duration lag = loopLag.totalLag(now);
         engine.setTime(now);
-        if (behind.compareTo(reported) > 0) {
-            engine.recordPause(behind.minus(reported));
-            reported = behind;
+        if (lag.compareTo(reported) > 0) {
+            engine.recordPause(lag.minus(reported));
+            reported = lag;
         }
     }
 
@@ -207,20 +207,20 @@
 
     @Override
     public void listReceived(JsonObject list) {
-        List<Member> read = members.read(list);
-        read.forEach(m -> connectionManager.updateNode(m.row().node(), m.address(), m.startedMs()));
+        List<Member> received = members.read(list);
+        received.forEach(member -> connectionManager.updateNode(member.row().node(), member.address(), member.startedMs()));
         hasMemberList = true;
         tick();
-        List<NodeRow> rows = new ArrayList<>(read.size());
-        for (Member m : read) {
-            rows.add(m.row());
+        List<NodeRow> rows = new ArrayList<>(received.size());
+        for (Member member : received) {
+            rows.add(member.row());
         }
         engine.updateMembers(list.getBoolean("reset"), rows);
         if (peerHealth != null) {
-            read.forEach(m -> peerHealth.addNode(m.row().node(), m.id()));
+            received.forEach(member -> peerHealth.addNode(member.row().node(), member.id()));
         }
         if (recovery != null) {
-            recovery.updateMembers(read);
+            recovery.updateMembers(received);
         }
         removeDepartedNodes();
     }
@@ -229,8 +229,8 @@
     private void removeDepartedNodes() {
         members.removeDeparted(
                 node -> {
-                    boolean over = engine.forgetNode(node);
-                    if (over) {
+                    boolean removed = engine.forgetNode(node);
+                    if (removed) {
                         connectionManager.removeNode(node);
                         if (peerHealth != null) {
                             peerHealth.removeNode(node);
@@ -239,7 +239,7 @@
                             recovery.removeNode(node);
                         }
                     }
-                    return over;
+                    return removed;
                 });
         counters.nodes = members.indexCount();
     }
@@ -262,7 +262,7 @@
 
     @Override
     public Exchange begin(
-            Statement statement, ByteBuf message, ResponseReceiver asker, Duration waited, int tenant) {
+            Statement statement, ByteBuf message, ResponseReceiver receiver, Duration timeSinceReceived, int tenant) {
         Integer type = settings.typeIndices().get(statement.type);
         if (type == null || !members.mayHaveGroup(statement.group)) {
             return null;
@@ -273,18 +273,18 @@
             return null;
         }
         tick();
-        boolean marked =
+        boolean tracked =
                 recovery != null
                         && recovery.tracksKeys()
                         && statement.idempotencyKeyHash != 0
                         && settings.routing().transactionTypes().get(type).repeatability()
                                 == Repeatability.DEDUPLICATED;
-        long key = marked ? InDoubtKeys.hash(statement.group, statement.idempotencyKeyHash) : 0;
-        if (marked && !recovery.begin(key, clock.now())) {
-            return declineUntracked(statement, message, asker);
+        long key = tracked ? InDoubtKeys.hash(statement.group, statement.idempotencyKeyHash) : 0;
+        if (tracked && !recovery.begin(key, clock.now())) {
+            return declineUntracked(statement, message, receiver);
         }
         int slot = freeSlots.isEmpty() ? exchanges.size() : freeSlots.remove(freeSlots.size() - 1);
-        Exchange exchange = new Exchange(this, slot, statement, message, asker, key);
+        Exchange exchange = new Exchange(this, slot, statement, message, receiver, key);
         if (slot == exchanges.size()) {
             exchanges.add(exchange);
         } else {
@@ -293,14 +293,14 @@
         counters.taken++;
         counters.txns++;
         Duration now = clock.now();
-        Duration token =
+        Duration timeSinceLastWrite =
                 !settings.hasSessionTokens()
                         ? null
                         : statement.lastWriteMs == 0
                                 ? Duration.ZERO
                                 : now.minus(clock.sinceStart(statement.lastWriteMs));
-        Duration patience = clientTimeout(statement, type);
-        Duration expiry = now.minus(waited).plus(patience);
+        Duration timeout = clientTimeout(statement, type);
+        Duration expiry = now.minus(timeSinceReceived).plus(timeout);
         lastExpiry = expiry.compareTo(lastExpiry) > 0 ? expiry : lastExpiry;
         exchange.accepted(
                 engine.accept(
@@ -309,10 +309,10 @@
                         tenant,
                         RouterSettings.sessionSlot(statement.keyHash),
                         statement.group,
-                        patience,
-                        token,
-                        waited,
-                        marked ? recovery.mayHaveRunSince(key) : null));
+                        timeout,
+                        timeSinceLastWrite,
+                        timeSinceReceived,
+                        tracked ? recovery.mayHaveRunSince(key) : null));
         return exchange;
     }
 
@@ -320,26 +320,26 @@
      * It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time
      * that clients heed.
      */
-    private Exchange declineUntracked(Statement statement, ByteBuf message, ResponseReceiver asker) {
+    private Exchange declineUntracked(Statement statement, ByteBuf message, ResponseReceiver receiver) {
         openTransactionIds.remove(statement.idHash);
         counters.taken++;
-        Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(settings.routing().maxRetryDelay());
+        Exchange declined = new Exchange(this, -1, statement, message, receiver, 0);
+        declined.decline(settings.routing().maxRetryDelay());
         message.release();
-        return never;
+        return declined;
     }
 
     @Override
     public void submissionEnded(
-            Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
+            Exchange exchange, int node, SubmissionResult result, boolean clientAnswered, NodeReport report) {
         if (recovery != null) {
-            recovery.recordSubmissionEnd(exchange.key(), node, result, told, note, clock.now());
+            recovery.recordSubmissionEnd(exchange.key(), node, result, clientAnswered, report, clock.now());
         }
     }
 
     @Override
-    public NodeReport trustedReport(int node, NodeReport says) {
-        return recovery == null ? says : recovery.trustedReport(node, says, clock.now());
+    public NodeReport trustedReport(int node, NodeReport report) {
+        return recovery == null ? report : recovery.trustedReport(node, report, clock.now());
     }
 
     @Override
@@ -356,9 +356,9 @@
 
     /** Nobody waits longer than the settings let his type wait, whatever he says. */
     private Duration clientTimeout(Statement statement, int type) {
-        long longest =
+        long maxTimeoutMillis =
                 settings.routing().transactionTypes().get(type).totalClientTimeout().toMillis();
-        return Duration.ofMillis(Math.min(statement.timeoutMs, longest));
+        return Duration.ofMillis(Math.min(statement.timeoutMs, maxTimeoutMillis));
     }
 
     @Override
@@ -395,38 +395,38 @@
 
     /** What is closed elsewhere by lists that have not come here yet is closed here too. */
     @Override
-    public void peerReportsChanged(PeerClosureReports witnesses) {
-        reportingPeers = witnesses.reportingInstances();
-        List<PeerClosureReports.Closure> newer = witnesses.closuresNewerThan(members.latestGeneration());
-        if (newer.isEmpty()) {
+    public void peerReportsChanged(PeerClosureReports reports) {
+        reportingPeers = reports.reportingInstances();
+        List<PeerClosureReports.Closure> newerClosures = reports.closuresNewerThan(members.latestGeneration());
+        if (newerClosures.isEmpty()) {
             return;
         }
-        Map<Long, String> ids = new HashMap<>();
-        members.nodeIds().forEach(id -> ids.put(PeerRegistry.hash(id), id));
-        List<Member> closed = new ArrayList<>();
-        for (PeerClosureReports.Closure word : newer) {
-            String id = ids.get(word.nodeHash());
+        Map<Long, String> idsByHash = new HashMap<>();
+        members.nodeIds().forEach(id -> idsByHash.put(PeerRegistry.hash(id), id));
+        List<Member> closedMembers = new ArrayList<>();
+        for (PeerClosureReports.Closure closure : newerClosures) {
+            String id = idsByHash.get(closure.nodeHash());
             Member member =
                     id == null
                             ? null
-                            : members.closeByPeerReport(id, word.generation(), word.startedMs());
+                            : members.closeByPeerReport(id, closure.generation(), closure.startedMs());
             if (member != null) {
-                closed.add(member);
+                closedMembers.add(member);
                 log.info(
                         "closed-elsewhere",
                         "id",
                         id,
                         "generation",
-                        word.generation(),
+                        closure.generation(),
                         "latest_here",
                         members.latestGeneration());
             }
         }
-        if (!closed.isEmpty()) {
+        if (!closedMembers.isEmpty()) {
             tick();
-            engine.updateMembers(false, closed.stream().map(Member::row).toList());
+            engine.updateMembers(false, closedMembers.stream().map(Member::row).toList());
             if (recovery != null) {
-                recovery.updateMembers(closed);
+                recovery.updateMembers(closedMembers);
             }
         }
     }
@@ -437,9 +437,9 @@
     }
 
     @Override
-    public void setSuspected(int node, boolean doubted) {
+    public void setSuspected(int node, boolean suspected) {
         tick();
-        engine.setSuspected(node, doubted);
+        engine.setSuspected(node, suspected);
     }
 
     @Override
@@ -451,18 +451,18 @@
     // ---- results of the module
 
     @Override
-    public void submit(int txn, int node, Duration limit) {
+    public void submit(int txn, int node, Duration timeout) {
         counters.submitted++;
         Exchange exchange = exchanges.get(txn);
         if (exchange.key() != 0) {
             recovery.recordSend(exchange.key(), clock.now());
         }
-        connectionManager.submit(exchange, node, limit);
+        connectionManager.submit(exchange, node, timeout);
     }
 
     @Override
-    public void decline(int txn, Duration pause) {
-        exchanges.get(txn).decline(pause);
+    public void decline(int txn, Duration retryAfter) {
+        exchanges.get(txn).decline(retryAfter);
     }
 
     @Override
@@ -485,8 +485,8 @@
     public void watchMemberList() {}
 
     @Override
-    public void scheduleWakeUp(Duration in) {
-        loopLag.expectTick(clock.now().plus(in));
+    public void scheduleWakeUp(Duration delay) {
+        loopLag.expectTick(clock.now().plus(delay));
         loop.schedule(
                 () -> {
                     try {
@@ -502,12 +502,12 @@
                             recovery.tick(clock.now(), members.indexCount(), engine::observeHealth);
                         }
                         removeDepartedNodes();
-                    } catch (RuntimeException fault) {
+                    } catch (RuntimeException e) {
                         // A timer's fault would vanish in its future, and the clock's beat with it.
-                        log.warn("beat", "fault", fault);
+                        log.warn("beat", "fault", e);
                     }
                 },
-                in.toNanos(),
+                delay.toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/dillfront/router/RouterServer.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -121,9 +121,9 @@
      * Hears the platform's words to this process from now on: SIGHUP to read the configuration
      * anew, SIGUSR2 to print.
      */
-    public void registerSignals(ConfigSource from) {
-        configSource = from;
-        SignalHandlers.register("HUP", () -> reload(from), log);
+    public void registerSignals(ConfigSource newSource) {
+        configSource = newSource;
+        SignalHandlers.register("HUP", () -> reload(newSource), log);
         SignalHandlers.register("USR2", this::printCounters, log);
     }
 
@@ -135,15 +135,15 @@
 
     /** Returns once clients can connect. */
     public void start() throws ConfigException {
-        int share = Math.max(2, (config.maxDescriptors() - RESERVED_DESCRIPTORS) / 2);
+        int connectionsPerSide = Math.max(2, (config.maxDescriptors() - RESERVED_DESCRIPTORS) / 2);
         try {
             waitOutCpuDebt();
             loop.submit(
                             () -> {
                                 // By the latest settings, which a word before the start may have
                                 // changed.
-                                RouterConfig begun = config.withSettings(settings);
-                                router = new Router(begun, new MonotonicClock(), counters, log, loop, share);
+                                RouterConfig initialConfig = config.withSettings(settings);
+                                router = new Router(initialConfig, new MonotonicClock(), counters, log, loop, connectionsPerSide);
                                 clientListener =
                                         new ClientListener(
                                                 router,
@@ -152,7 +152,7 @@
                                                 counters,
                                                 log,
                                                 loop,
-                                                share,
+                                                connectionsPerSide,
                                                 config.maxDescriptors() * 3 / 10,
                                                 (config.memoryMb() << 20) / PARTIAL_MESSAGE_MEMORY_DIVISOR,
                                                 config.settings().routing().connectTimeout());
@@ -160,10 +160,10 @@
                                         operator == Operator.NONE
                                                 ? null
                                                 : new OptionalServices(
-                                                        operator, begun, router, clientListener, loop,
+                                                        operator, initialConfig, router, clientListener, loop,
                                                         log);
-                                boolean known = !config.initialMembers().getList("instances").isEmpty();
-                                if (known) {
+                                boolean hasKnownMembers = !config.initialMembers().getList("instances").isEmpty();
+                                if (hasKnownMembers) {
                                     router.listReceived(config.initialMembers());
                                 }
                                 discoveryClient =
@@ -173,7 +173,7 @@
                                                 counters,
                                                 log,
                                                 loop,
-                                                known ? config.initialMembers().getLong("generation") : -1,
+                                                hasKnownMembers ? config.initialMembers().getLong("generation") : -1,
                                                 new DiscoveryListener());
                                 router.setDiscoveryClient(discoveryClient);
                                 discoveryClient.start();
@@ -182,26 +182,26 @@
                     .sync();
             // What discovery has told is known before the door opens; if it says nothing, the known
             // list will do.
-            long due =
+            long listDeadline =
                     System.nanoTime()
                             + FIRST_LIST_CONNECT_TIMEOUTS * config.settings().routing().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
                                     router.hasMemberList()
-                                            && (discoveryClient.hasAnswered() || System.nanoTime() - due > 0))
+                                            && (discoveryClient.hasAnswered() || System.nanoTime() - listDeadline > 0))
                     .get()) {
                 Thread.sleep(config.settings().routing().clockStep().toMillis() + 1);
             }
             waitOutCpuDebt();
             loop.submit(() -> clientListener.open(config.listen())).get().sync();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             throw new ConfigException("interrupted");
-        } catch (Exception fault) {
+        } catch (Exception e) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            if (fault instanceof Operator.BadOperator) {
-                throw new ConfigException("LB_OPERATOR: " + fault.getMessage());
+            if (e instanceof Operator.BadOperator) {
+                throw new ConfigException("LB_OPERATOR: " + e.getMessage());
             }
-            throw new ConfigException("LB_LISTEN " + config.listen() + ": " + fault.getMessage());
+            throw new ConfigException("LB_LISTEN " + config.listen() + ": " + e.getMessage());
         }
         if (optionalServices != null) {
             loop.execute(optionalServices::open);
@@ -216,17 +216,17 @@
      * a core.
      */
     private void waitOutCpuDebt() throws InterruptedException {
-        Duration up = startCpuTime.plusNanos(System.nanoTime() - startNanos);
-        Thread.sleep(cpuDebt(cpuTime(), up, config.cpuCores()).toMillis());
+        Duration uptime = startCpuTime.plusNanos(System.nanoTime() - startNanos);
+        Thread.sleep(cpuDebt(cpuTime(), uptime, config.cpuCores()).toMillis());
     }
 
     /**
      * For how long nothing may be used until a share of the time covers what was used; a second at
      * the most.
      */
-    static Duration cpuDebt(Duration used, Duration up, double share) {
-        Duration owed = Duration.ofNanos((long) (used.toNanos() / share)).minus(up);
-        return owed.isNegative() ? Duration.ZERO : owed.compareTo(MAX_CPU_DEBT) > 0 ? MAX_CPU_DEBT : owed;
+    static Duration cpuDebt(Duration used, Duration uptime, double cpuShare) {
+        Duration debt = Duration.ofNanos((long) (used.toNanos() / cpuShare)).minus(uptime);
+        return debt.isNegative() ? Duration.ZERO : debt.compareTo(MAX_CPU_DEBT) > 0 ? MAX_CPU_DEBT : debt;
     }
 
     /** In ticks of a hundredth of a second, as Linux tells them; zero elsewhere. */
@@ -236,7 +236,7 @@
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             return Duration.ofMillis(
                     10 * (Long.parseLong(fields[11]) + Long.parseLong(fields[12])));
-        } catch (IOException | NumberFormatException none) {
+        } catch (IOException | NumberFormatException e) {
             return Duration.ZERO;
         }
     }
@@ -251,7 +251,7 @@
         loop.schedule(this::beginShutdown, SHUTDOWN_ACCEPT_TIME.toMillis(), TimeUnit.MILLISECONDS);
         try {
             stopped.await();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         counters.print(log);
@@ -265,16 +265,16 @@
     public synchronized void reload(ConfigSource source) {
         try {
             switchTo(source.read(), "SIGHUP");
-        } catch (ConfigException bad) {
-            runOnLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
+        } catch (ConfigException e) {
+            runOnLoop(() -> log.warn("reload-refused", "fault", e.getMessage()));
         }
     }
 
-    private void switchTo(RouterConfig next, String word) throws ConfigException {
-        if (optionalServices == null || !optionalServices.applySettings(next.settings(), () -> applyConfig(next, word))) {
-            runOnLoop(() -> applyConfig(next, word));
+    private void switchTo(RouterConfig newConfig, String trigger) throws ConfigException {
+        if (optionalServices == null || !optionalServices.applySettings(newConfig.settings(), () -> applyConfig(newConfig, trigger))) {
+            runOnLoop(() -> applyConfig(newConfig, trigger));
         }
-        configuredDiscovery = next.configuredDiscovery();
+        configuredDiscovery = newConfig.configuredDiscovery();
     }
 
     /**
@@ -296,9 +296,9 @@
             if (configSource != null && !reloadInProgress && reloadBackoff.shouldReload(router.clock().now())) {
                 reloadInProgress = true;
                 // Not on the loop, which waits for no disk; rare, so it needs no thread that stays.
-                Thread look = new Thread(RouterServer.this::reloadAfterDiscoveryLoss, "configuration");
-                look.setDaemon(true);
-                look.start();
+                Thread reloadThread = new Thread(RouterServer.this::reloadAfterDiscoveryLoss, "configuration");
+                reloadThread.setDaemon(true);
+                reloadThread.start();
             }
         }
     }
@@ -310,15 +310,15 @@
      */
     private synchronized void reloadAfterDiscoveryLoss() {
         try {
-            RouterConfig next = configSource.read();
-            if (!next.configuredDiscovery().equals(configuredDiscovery)) {
-                switchTo(next, "file");
+            RouterConfig newConfig = configSource.read();
+            if (!newConfig.configuredDiscovery().equals(configuredDiscovery)) {
+                switchTo(newConfig, "file");
             }
             lastReloadError = "";
-        } catch (ConfigException bad) {
-            if (!lastReloadError.equals(bad.getMessage())) {
-                lastReloadError = bad.getMessage();
-                runOnLoop(() -> log.warn("reload-refused", "fault", bad.getMessage()));
+        } catch (ConfigException e) {
+            if (!lastReloadError.equals(e.getMessage())) {
+                lastReloadError = e.getMessage();
+                runOnLoop(() -> log.warn("reload-refused", "fault", e.getMessage()));
             }
         } finally {
             runOnLoop(() -> reloadInProgress = false);
@@ -326,9 +326,9 @@
     }
 
     /** Once the router has ended, what it is told no longer counts. */
-    private void runOnLoop(Runnable then) {
+    private void runOnLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
-            loop.execute(then);
+            loop.execute(task);
         }
     }
 
@@ -336,24 +336,24 @@
      * Txns that were taken go on by the settings of their time; a list that was read by the old
      * ones is asked for anew.
      */
-    private void applyConfig(RouterConfig next, String word) {
-        boolean other = !settings.equals(next.settings());
+    private void applyConfig(RouterConfig newConfig, String trigger) {
+        boolean settingsChanged = !settings.equals(newConfig.settings());
         log.info(
                 "reloaded",
                 "by",
-                word,
+                trigger,
                 "discovery",
-                next.discovery(),
+                newConfig.discovery(),
                 "settings",
-                other ? "changed" : "same",
+                settingsChanged ? "changed" : "same",
                 "kept_as_at_start",
-                config.restartOnlyFields(next));
-        settings = next.settings();
-        if (other && router != null) {
+                config.restartOnlyFields(newConfig));
+        settings = newConfig.settings();
+        if (settingsChanged && router != null) {
             router.applySettings(settings);
         }
-        if (other || !discovery.equals(next.discovery())) {
-            discovery = next.discovery();
+        if (settingsChanged || !discovery.equals(newConfig.discovery())) {
+            discovery = newConfig.discovery();
             if (discoveryClient != null) {
                 discoveryClient.changeAddress(discovery);
             }
@@ -378,14 +378,14 @@
     }
 
     private void finishShutdownIfIdle() {
-        boolean over = false;
+        boolean drained = false;
         try {
-            over = clientListener.closeIdleAndCheckEmpty() && counters.txns == 0;
-        } catch (RuntimeException fault) {
+            drained = clientListener.closeIdleAndCheckEmpty() && counters.txns == 0;
+        } catch (RuntimeException e) {
             // It would vanish in the timer's future, and the end with it.
-            log.warn("end", "fault", fault);
+            log.warn("end", "fault", e);
         }
-        if (!over && shutdownDeadline != null && router.clock().now().compareTo(shutdownDeadline) < 0) {
+        if (!drained && shutdownDeadline != null && router.clock().now().compareTo(shutdownDeadline) < 0) {
             loop.schedule(
                     this::finishShutdownIfIdle,
                     config.settings().routing().clockStep().toNanos(),
@@ -393,7 +393,7 @@
             return;
         }
         try {
-            if (!over) {
+            if (!drained) {
                 log.warn(
                         "stopped-with-work",
                         "txns",
--- a/src/main/java/dillfront/router/SignalHandlers.java
+++ b/src/main/java/dillfront/router/SignalHandlers.java
@@ -16,11 +16,11 @@
      * The type is no promise of the platform, and may go; a proxy round it costs 25 ms of every
      * start.
      */
-    public static void register(String name, Runnable run, Log log) {
+    public static void register(String name, Runnable action, Log log) {
         try {
-            Signal.handle(new Signal(name), signal -> run.run());
-        } catch (IllegalArgumentException none) {
-            log.warn("no-signal", "name", name, "fault", none);
+            Signal.handle(new Signal(name), signal -> action.run());
+        } catch (IllegalArgumentException e) {
+            log.warn("no-signal", "name", name, "fault", e);
         }
     }
 
@@ -29,7 +29,7 @@
      * ignored, as nohup does and some supervisors and shells, leaves it ignored there, and the JVM
      * then installs nothing and throws nothing.
      */
-    static void warnIfIgnored(String name, int number, String follows, Log log) {
+    static void warnIfIgnored(String name, int number, String consequence, Log log) {
         String ignored = readStatusField("SigIgn:");
         if (ignored != null && (Long.parseUnsignedLong(ignored, 16) >>> number - 1 & 1) != 0) {
             log.warn(
@@ -37,7 +37,7 @@
                     "name",
                     name,
                     "follows",
-                    follows,
+                    consequence,
                     "do",
                     "start it by env --default-signal="
                             + name
@@ -46,13 +46,13 @@
     }
 
     /** What Linux tells of this process; null elsewhere. */
-    private static String readStatusField(String line) {
+    private static String readStatusField(String fieldName) {
         try {
-            String all =
+            String status =
                     Files.readString(Path.of("/proc/self/status"), StandardCharsets.ISO_8859_1);
-            int at = all.indexOf(line);
-            return at < 0 ? null : all.substring(at + line.length(), all.indexOf('\n', at)).strip();
-        } catch (IOException none) {
+            int fieldStart = status.indexOf(fieldName);
+            return fieldStart < 0 ? null : status.substring(fieldStart + fieldName.length(), status.indexOf('\n', fieldStart)).strip();
+        } catch (IOException e) {
             return null;
         }
     }
--- a/src/main/java/dillfront/router/StatusFormatter.java
+++ b/src/main/java/dillfront/router/StatusFormatter.java
@@ -39,8 +39,8 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             writeObject(out, sections);
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
         return text.append('\n').toString();
     }
--- a/src/main/java/dillfront/router/admin/AdminServer.java
+++ b/src/main/java/dillfront/router/admin/AdminServer.java
@@ -88,8 +88,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) {
-            ByteBuf bytes = (ByteBuf) read;
+        public void channelRead(ChannelHandlerContext ctx, Object data) {
+            ByteBuf bytes = (ByteBuf) data;
             try {
                 while (bytes.isReadable() && !answered) {
                     char c = (char) bytes.readUnsignedByte();
--- a/src/main/java/dillfront/router/backend/HealthProbe.java
+++ b/src/main/java/dillfront/router/backend/HealthProbe.java
@@ -21,30 +21,30 @@
     }
 
     @Override
-    void write(ChannelHandlerContext ctx, ChannelPromise last) {
+    void write(ChannelHandlerContext ctx, ChannelPromise promise) {
         String query = pool.manager.settings.hasLoadReports() ? "SHOW server_load" : "SELECT 1";
-        ctx.writeAndFlush(Messages.query(ctx.alloc().buffer(query.length() + 6), query), last);
+        ctx.writeAndFlush(Messages.query(ctx.alloc().buffer(query.length() + 6), query), promise);
     }
 
     @Override
     void onEnd(
             SubmissionResult result,
-            Duration took,
-            NodeResponse answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report) {
-        NodeReport told = report;
-        if (answer != null) {
-            String text = Messages.column(answer.row());
+        NodeReport latestReport = report;
+        if (response != null) {
+            String text = Messages.column(response.row());
             if (text != null && pool.manager.settings.hasLoadReports()) {
-                told = pool.manager.parseReport(text);
+                latestReport = pool.manager.parseReport(text);
             }
-            answer.release();
+            response.release();
         }
         // One that answers in no form is up.
         pool.manager.probeCompleted(
                 pool.node,
                 result == SubmissionResult.COMMITTED || result == SubmissionResult.SPOILT,
-                told);
+                latestReport);
     }
 }
--- a/src/main/java/dillfront/router/backend/NodeConnection.java
+++ b/src/main/java/dillfront/router/backend/NodeConnection.java
@@ -51,9 +51,9 @@
     /** Since when it could be used; later than now while it rests. */
     long idleSinceNanos;
 
-    NodeConnection(NodeConnectionPool pool, NodeRequest caller) {
+    NodeConnection(NodeConnectionPool pool, NodeRequest initiator) {
         this.pool = pool;
-        this.initiator = caller;
+        this.initiator = initiator;
         manager = pool.manager;
         decoder = new FrameDecoder(manager.maxMessageBytes);
         address = pool.address;
@@ -109,19 +109,19 @@
         return !isClosed && address.equals(pool.address) && openedMs >= pool.nodeStartedMs;
     }
 
-    void send(NodeRequest next) {
-        request = next;
-        next.connection = this;
-        ChannelPromise last = ctx.newPromise();
-        last.addListener(
+    void send(NodeRequest newRequest) {
+        request = newRequest;
+        newRequest.connection = this;
+        ChannelPromise promise = ctx.newPromise();
+        promise.addListener(
                 done -> {
                     if (done.isSuccess()) {
-                        next.fullySent = true;
+                        newRequest.fullySent = true;
                     } else {
                         close();
                     }
                 });
-        next.write(ctx, last);
+        newRequest.write(ctx, promise);
     }
 
     @Override
@@ -135,12 +135,12 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) {
+    public void channelRead(ChannelHandlerContext context, Object data) {
         if (isClosed) {
-            ((ByteBuf) read).release();
+            ((ByteBuf) data).release();
             return;
         }
-        decoder.add((ByteBuf) read);
+        decoder.add((ByteBuf) data);
         try {
             for (ByteBuf message = decoder.next();
                     message != null;
@@ -151,8 +151,8 @@
                     return;
                 }
             }
-        } catch (FrameException bad) {
-            failProtocol(bad.getMessage());
+        } catch (FrameException e) {
+            failProtocol(e.getMessage());
         }
         if (request == null && established && decoder.bufferedBytes() > 0) {
             failProtocol("more than the answer");
@@ -162,10 +162,10 @@
     /** Guards against lengths that do not fit: what has begun goes on at once, or it never will. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        boolean open = request != null && (decoder.bufferedBytes() > 0 || request.hasResponseStarted());
-        if (!open && stallTimer != null) {
+        boolean responseOpen = request != null && (decoder.bufferedBytes() > 0 || request.hasResponseStarted());
+        if (!responseOpen && stallTimer != null) {
             cancelStallTimer();
-        } else if (open && stallTimer == null) {
+        } else if (responseOpen && stallTimer == null) {
             manager.counters.timers++;
             stallTimer =
                     channel.eventLoop()
@@ -185,8 +185,8 @@
         }
     }
 
-    private void failProtocol(String fault) {
-        manager.log.warn("node-nonsense", "node", pool.node, "address", address, "fault", fault);
+    private void failProtocol(String error) {
+        manager.log.warn("node-nonsense", "node", pool.node, "address", address, "fault", error);
         if (request != null) {
             request.protocolError = true;
         }
@@ -266,20 +266,20 @@
         if (request == null || !request.isResponseComplete()) {
             return false;
         }
-        NodeRequest done = request;
+        NodeRequest completed = request;
         request = null;
         cancelStallTimer();
         pool.addIdle(this, manager.reuseDelayNanos);
-        done.end(done.result());
+        completed.end(completed.result());
         return true;
     }
 
     /** The time of the call it carries is up: to stop waiting is to close the connection. */
     void timeOut() {
-        NodeRequest late = request;
+        NodeRequest timedOut = request;
         request = null;
         close();
-        late.end(late.fullySent ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
+        timedOut.end(timedOut.fullySent ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
     }
 
     @Override
@@ -309,10 +309,10 @@
         decoder.release();
         pool.idle.remove(this);
         manager.connectionClosed(this);
-        NodeRequest lost = request;
+        NodeRequest interrupted = request;
         request = null;
-        if (lost != null) {
-            lost.end(lost.result());
+        if (interrupted != null) {
+            interrupted.end(interrupted.result());
         }
         if (initiator != null && pool.waiting.remove(initiator)) {
             initiator.end(SubmissionResult.UNREACHABLE);
--- a/src/main/java/dillfront/router/backend/NodeConnectionManager.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionManager.java
@@ -71,49 +71,49 @@
     private long lastDiscoveryReadNanos;
 
     /**
-     * @param most how many connections may be open at once
-     * @param longest how many bytes one message of a node may have
+     * @param maxConnections how many connections may be open at once
+     * @param maxMessageBytes how many bytes one message of a node may have
      */
     public NodeConnectionManager(
             RouterSettings setup,
             MonotonicClock clock,
-            LoopLagMonitor pace,
+            LoopLagMonitor loopLag,
             Counters counters,
             Log log,
             EventLoop loop,
-            int most,
-            int longest,
+            int maxConnections,
+            int maxMessageBytes,
             ProbeListener listener) {
         this.settings = setup;
         this.clock = clock;
-        this.loopLag = pace;
+        this.loopLag = loopLag;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        this.maxConnections = most;
-        this.maxMessageBytes = longest;
+        this.maxConnections = maxConnections;
+        this.maxMessageBytes = maxMessageBytes;
         this.listener = listener;
         reuseDelayNanos = setup.routing().connectTimeout().toNanos() / 4;
-        Duration every = setup.routing().connectTimeout();
+        Duration interval = setup.routing().connectTimeout();
         loop.scheduleWithFixedDelay(
-                this::closeExpired, every.toNanos(), every.toNanos(), TimeUnit.NANOSECONDS);
+                this::closeExpired, interval.toNanos(), interval.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
      * For what is sent from now on; what rests and how often old connections are looked for stays
      * as at the start.
      */
-    public void applySettings(RouterSettings next) {
-        settings = next;
+    public void applySettings(RouterSettings newSettings) {
+        settings = newSettings;
     }
 
     /** From now on what carries a key is kept before it is sent. */
-    public void persistenceBarrier(PersistenceBarrier by) {
-        persistenceBarrier = by;
+    public void persistenceBarrier(PersistenceBarrier barrier) {
+        persistenceBarrier = barrier;
     }
 
-    public void discoveryReader(Runnable look) {
-        discoveryReader = look;
+    public void discoveryReader(Runnable reader) {
+        discoveryReader = reader;
         lastDiscoveryReadNanos = System.nanoTime() - settings.routing().clockStep().toNanos();
     }
 
@@ -162,13 +162,13 @@
     }
 
     @Override
-    public void submit(Exchange exchange, int node, Duration limit) {
+    public void submit(Exchange exchange, int node, Duration timeout) {
         exchange.submitted();
-        Submission submission = new Submission(pools.get(node), exchange, limit);
+        Submission submission = new Submission(pools.get(node), exchange, timeout);
         if (persistenceBarrier == null || exchange.key() == 0) {
-            start(submission, limit);
+            start(submission, timeout);
         } else {
-            startAfterPersist(submission, limit);
+            startAfterPersist(submission, timeout);
         }
     }
 
@@ -176,35 +176,35 @@
      * Guards against a write that nobody remembers after a loss of power: it goes once it is kept,
      * if it still stands then.
      */
-    private void startAfterPersist(Submission submission, Duration limit) {
+    private void startAfterPersist(Submission submission, Duration timeout) {
         loop.execute(
                 () -> {
-                    long most =
+                    long maxWaitNanos =
                             Math.min(
-                                    limit.toNanos(),
+                                    timeout.toNanos(),
                                     PERSIST_CONNECT_TIMEOUTS * settings.routing().connectTimeout().toNanos());
                     counters.timers++;
                     submission.timeout =
                             loop.schedule(
                                     () -> submission.end(SubmissionResult.UNSENT),
-                                    most,
+                                    maxWaitNanos,
                                     TimeUnit.NANOSECONDS);
                     persistenceBarrier.whenPersisted(
-                            well -> {
+                            persisted -> {
                                 if (submission.ended) {
                                     return;
                                 }
-                                long left =
-                                        limit.toNanos()
+                                long remainingNanos =
+                                        timeout.toNanos()
                                                 - (System.nanoTime() - submission.startedNanos);
-                                if (!well || left <= 0) {
+                                if (!persisted || remainingNanos <= 0) {
                                     submission.end(SubmissionResult.UNSENT);
                                     return;
                                 }
                                 submission.timeout.cancel(false);
                                 counters.timers--;
                                 submission.timeout = null;
-                                dispatch(submission, Duration.ofNanos(left));
+                                dispatch(submission, Duration.ofNanos(remainingNanos));
                             });
                 });
     }
@@ -218,35 +218,35 @@
     /**
      * Only once the module has returned: what ends at once must not reach it within its own call.
      */
-    private void start(NodeRequest call, Duration limit) {
-        loop.execute(() -> dispatch(call, limit));
+    private void start(NodeRequest request, Duration timeout) {
+        loop.execute(() -> dispatch(request, timeout));
     }
 
-    private void dispatch(NodeRequest call, Duration limit) {
+    private void dispatch(NodeRequest request, Duration timeout) {
         counters.timers++;
-        call.timeout = loop.schedule(() -> onTimeout(call), limit.toNanos(), TimeUnit.NANOSECONDS);
+        request.timeout = loop.schedule(() -> onTimeout(request), timeout.toNanos(), TimeUnit.NANOSECONDS);
         readDiscovery();
-        NodeConnectionPool pool = call.pool;
-        if (!call.isStillValid()) {
-            call.end(SubmissionResult.UNSENT);
+        NodeConnectionPool pool = request.pool;
+        if (!request.isStillValid()) {
+            request.end(SubmissionResult.UNSENT);
             return;
         }
         NodeConnection idle = pool.findReusable();
         if (idle != null) {
             pool.idle.remove(idle);
-            idle.send(call);
+            idle.send(request);
             return;
         }
         if (openConnections >= maxConnections && !closeOldest()) {
             // This router's own limit, and no word on the node.
-            call.end(SubmissionResult.UNSENT);
+            request.end(SubmissionResult.UNSENT);
             return;
         }
-        pool.waiting.add(call);
+        pool.waiting.add(request);
         if (!pool.idle.isEmpty()) {
             scheduleWaiting(pool);
         }
-        new NodeConnection(pool, call).open();
+        new NodeConnection(pool, request).open();
     }
 
     /** One that is free now will have rested then. */
@@ -254,21 +254,21 @@
         loop.schedule(pool::sendWaiting, reuseDelayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void onTimeout(NodeRequest call) {
-        if (call.ended) {
+    private void onTimeout(NodeRequest request) {
+        if (request.ended) {
             return;
         }
-        if (!call.finalReadDone && !loopLag.isTimeLimitValid(call.lagAtStart, clock.now())) {
+        if (!request.finalReadDone && !loopLag.isTimeLimitValid(request.lagAtStart, clock.now())) {
             // After the next look at all sockets.
-            call.finalReadDone = true;
-            loop.schedule(() -> onTimeout(call), 0, TimeUnit.NANOSECONDS);
+            request.finalReadDone = true;
+            loop.schedule(() -> onTimeout(request), 0, TimeUnit.NANOSECONDS);
             return;
         }
-        if (call.connection != null) {
-            call.connection.timeOut();
+        if (request.connection != null) {
+            request.connection.timeOut();
         } else {
-            call.pool.waiting.remove(call);
-            call.end(SubmissionResult.UNREACHABLE);
+            request.pool.waiting.remove(request);
+            request.end(SubmissionResult.UNREACHABLE);
         }
     }
 
@@ -295,10 +295,10 @@
     /** Before the node does: what is written to a connection that it has closed is lost. */
     private void closeExpired() {
         long margin = 4 * settings.routing().connectTimeout().toNanos();
-        long idle = Math.max(settings.nodeIdleTimeout().toNanos() - margin, margin);
+        long maxIdleNanos = Math.max(settings.nodeIdleTimeout().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (NodeConnectionPool pool : pools) {
-            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSinceNanos > idle) {
+            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSinceNanos > maxIdleNanos) {
                 pool.idle.peekFirst().close();
             }
         }
@@ -308,9 +308,9 @@
     private boolean closeOldest() {
         NodeConnection oldest = null;
         for (NodeConnectionPool pool : pools) {
-            NodeConnection first = pool.idle.peekFirst();
-            if (first != null && (oldest == null || first.idleSinceNanos - oldest.idleSinceNanos < 0)) {
-                oldest = first;
+            NodeConnection oldestIdle = pool.idle.peekFirst();
+            if (oldestIdle != null && (oldest == null || oldestIdle.idleSinceNanos - oldest.idleSinceNanos < 0)) {
+                oldest = oldestIdle;
             }
         }
         if (oldest != null) {
@@ -324,28 +324,28 @@
     }
 
     /** The ordinary form, digits alone, is read in place. */
-    Duration parsePosition(ByteBuf message, int at) {
-        long ms = 0;
+    Duration parsePosition(ByteBuf message, int offset) {
+        long millis = 0;
         int end = message.writerIndex() - 1;
-        for (int i = at; i < end; i++) {
+        for (int i = offset; i < end; i++) {
             int digit = message.getByte(i) - '0';
-            if (digit < 0 || digit > 9 || end - at > 15) {
-                return parsePosition(Messages.text(message, at));
+            if (digit < 0 || digit > 9 || end - offset > 15) {
+                return parsePosition(Messages.text(message, offset));
             }
-            ms = ms * 10 + digit;
+            millis = millis * 10 + digit;
         }
-        return parsePosition(ms);
+        return parsePosition(millis);
     }
 
     /**
      * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in
      * seconds, x1 as 0 or 1. Whatever else it may be is read as a text.
      */
-    NodeReport parseReport(ByteBuf message, int at) {
+    NodeReport parseReport(ByteBuf message, int offset) {
         Duration position = null;
         NodeRole role = null;
         int end = message.writerIndex() - 1;
-        int i = at;
+        int i = offset;
         while (i < end) {
             int name = i;
             boolean named = true;
@@ -355,21 +355,21 @@
             // In thousandths, rounded down; what comes behind those is dropped.
             long thousandths = 0;
             int places = -1;
-            boolean plain = named && i + 1 < end && message.getByte(i + 1) != ',';
+            boolean isDecimal = named && i + 1 < end && message.getByte(i + 1) != ',';
             int length = 0;
-            boolean rest = false;
+            boolean hasRemainder = false;
             i++;
             while (i < end && message.getByte(i) != ',') {
                 int digit = message.getByte(i) - '0';
                 if (digit == '.' - '0' && places < 0) {
                     places = 0;
                 } else if (digit < 0 || digit > 9 || length > 17) {
-                    plain = false;
+                    isDecimal = false;
                 } else if (places < 3) {
                     thousandths = thousandths * 10 + digit;
                     places += places < 0 ? 0 : 1;
                 } else {
-                    rest |= digit > 0;
+                    hasRemainder |= digit > 0;
                 }
                 i++;
                 length++;
@@ -377,13 +377,13 @@
             for (int k = Math.max(places, 0); k < 3; k++) {
                 thousandths *= 10;
             }
-            boolean own = plain && message.getByte(name) == 'x' && message.getByte(name + 2) == '=';
-            boolean isRole = own && message.getByte(name + 1) == '1';
-            if (!plain || isRole && (rest || thousandths != 0 && thousandths != 1000)) {
-                return parseReport(Messages.text(message, at));
+            boolean isKnownField = isDecimal && message.getByte(name) == 'x' && message.getByte(name + 2) == '=';
+            boolean isRole = isKnownField && message.getByte(name + 1) == '1';
+            if (!isDecimal || isRole && (hasRemainder || thousandths != 0 && thousandths != 1000)) {
+                return parseReport(Messages.text(message, offset));
             } else if (isRole) {
                 role = thousandths == 1000 ? NodeRole.PRIMARY : NodeRole.REPLICA;
-            } else if (own && message.getByte(name + 1) == '0') {
+            } else if (isKnownField && message.getByte(name + 1) == '0') {
                 position = parsePosition(thousandths - 1);
             }
             i++;
@@ -395,15 +395,15 @@
     Duration parsePosition(String text) {
         try {
             return parsePosition(Long.parseLong(text));
-        } catch (NumberFormatException none) {
+        } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    private Duration parsePosition(long ms) {
-        return ms <= 0 || ms > clock.unixMillis() + settings.routing().connectTimeout().toMillis()
+    private Duration parsePosition(long millis) {
+        return millis <= 0 || millis > clock.unixMillis() + settings.routing().connectTimeout().toMillis()
                 ? null
-                : clock.sinceStart(ms);
+                : clock.sinceStart(millis);
     }
 
     /**
@@ -426,7 +426,7 @@
                     position = parsePosition((long) Math.floor(value * 1000 - 1));
                 }
             }
-        } catch (NumberFormatException none) {
+        } catch (NumberFormatException e) {
             log.warn(
                     "report-out-of-form", "report", text.substring(0, Math.min(text.length(), 80)));
             return NodeReport.EMPTY;
--- a/src/main/java/dillfront/router/backend/NodeConnectionPool.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionPool.java
@@ -46,8 +46,8 @@
     /** The one used last of those that have rested; null where none has. */
     NodeConnection findReusable() {
         long now = System.nanoTime();
-        for (Iterator<NodeConnection> latest = idle.descendingIterator(); latest.hasNext(); ) {
-            NodeConnection connection = latest.next();
+        for (Iterator<NodeConnection> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
+            NodeConnection connection = newestFirst.next();
             if (now - connection.idleSinceNanos >= 0) {
                 return connection;
             }
@@ -56,18 +56,18 @@
     }
 
     void sendWaiting() {
-        for (NodeConnection free = findReusable(); free != null && !waiting.isEmpty(); free = findReusable()) {
+        for (NodeConnection connection = findReusable(); connection != null && !waiting.isEmpty(); connection = findReusable()) {
             // Before each: the machine may stand still between two of them.
             manager.readDiscovery();
-            if (free.isClosed()) {
+            if (connection.isClosed()) {
                 continue;
             }
-            NodeRequest call = waiting.poll();
-            if (call.isStillValid()) {
-                idle.remove(free);
-                free.send(call);
+            NodeRequest request = waiting.poll();
+            if (request.isStillValid()) {
+                idle.remove(connection);
+                connection.send(request);
             } else {
-                call.end(SubmissionResult.UNSENT);
+                request.end(SubmissionResult.UNSENT);
             }
         }
     }
--- a/src/main/java/dillfront/router/backend/NodeRequest.java
+++ b/src/main/java/dillfront/router/backend/NodeRequest.java
@@ -57,13 +57,13 @@
     /** Whether it may still be sent, after it had to wait for a connection. */
     abstract boolean isStillValid();
 
-    abstract void write(ChannelHandlerContext ctx, ChannelPromise last);
+    abstract void write(ChannelHandlerContext ctx, ChannelPromise promise);
 
     abstract void onEnd(
             SubmissionResult result,
-            Duration took,
-            NodeResponse answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report);
 
     /** Takes one message of the answer over; false where it is out of turn. */
@@ -147,9 +147,9 @@
             timeout.cancel(false);
             pool.manager.counters.timers--;
         }
-        NodeResponse answer = null;
+        NodeResponse response = null;
         if (result == SubmissionResult.COMMITTED) {
-            answer = new NodeResponse(description, row, completion);
+            response = new NodeResponse(description, row, completion);
         } else {
             release(description);
             release(row);
@@ -161,7 +161,7 @@
         onEnd(
                 result,
                 Duration.ofNanos(System.nanoTime() - startedNanos),
-                answer,
+                response,
                 protocolError ? NodeReport.EMPTY : new NodeReport(position, role),
                 protocolError ? NodeReport.EMPTY : report);
     }
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -18,10 +18,10 @@
     private final Exchange exchange;
     private final long deadlineNanos;
 
-    Submission(NodeConnectionPool pool, Exchange exchange, Duration limit) {
+    Submission(NodeConnectionPool pool, Exchange exchange, Duration timeout) {
         super(pool);
         this.exchange = exchange;
-        deadlineNanos = startedNanos + limit.toNanos();
+        deadlineNanos = startedNanos + timeout.toNanos();
     }
 
     @Override
@@ -31,18 +31,18 @@
 
     /** The client's statement as it came, but for how long to wait. */
     @Override
-    void write(ChannelHandlerContext ctx, ChannelPromise last) {
+    void write(ChannelHandlerContext ctx, ChannelPromise promise) {
         Statement statement = exchange.statement();
         ByteBuf message = exchange.message();
         int start = message.readerIndex();
         int size = message.readableBytes();
-        long leftMs = Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
-        String digits = Long.toString(leftMs);
+        long remainingMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
+        String digits = Long.toString(remainingMillis);
         if (digits.length() == statement.timeoutEnd - statement.timeoutStart) {
             // As long as the client's own: written over it, since the message is this txn's alone,
             // and sent in one piece.
             message.setCharSequence(start + statement.timeoutStart, digits, StandardCharsets.US_ASCII);
-            ctx.writeAndFlush(message.retainedSlice(start, size), last);
+            ctx.writeAndFlush(message.retainedSlice(start, size), promise);
             return;
         }
         ByteBuf head = ctx.alloc().buffer(5 + digits.length());
@@ -53,17 +53,17 @@
         ctx.write(message.retainedSlice(start + 5, statement.timeoutStart - 5));
         ctx.write(head);
         ctx.writeAndFlush(
-                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd), last);
+                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd), promise);
     }
 
     @Override
     void onEnd(
             SubmissionResult result,
-            Duration took,
-            NodeResponse answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report) {
         pool.manager.counters.ended(result);
-        exchange.submissionEnded(pool.node, result, took, answer, note, report);
+        exchange.submissionEnded(pool.node, result, duration, response, parameterReport, report);
     }
 }
--- a/src/main/java/dillfront/router/config/JsonObject.java
+++ b/src/main/java/dillfront/router/config/JsonObject.java
@@ -73,8 +73,8 @@
     /** The objects of a list that has to be there. */
     public List<JsonObject> getObjects(String name) {
         List<JsonObject> trees = new ArrayList<>();
-        for (Object one : getList(name)) {
-            if (one instanceof JsonObject tree) {
+        for (Object element : getList(name)) {
+            if (element instanceof JsonObject tree) {
                 trees.add(tree);
             }
         }
@@ -93,8 +93,8 @@
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    public double getDouble(String name, double otherwise) {
-        return values.get(name) instanceof Number number ? number.doubleValue() : otherwise;
+    public double getDouble(String name, double defaultValue) {
+        return values.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
     public long getLong(String name) {
@@ -105,8 +105,8 @@
         return microsToDuration(getLong(name));
     }
 
-    public static Duration microsToDuration(long us) {
+    public static Duration microsToDuration(long micros) {
         return Duration.ofSeconds(
-                Math.floorDiv(us, 1_000_000L), Math.floorMod(us, 1_000_000L) * 1000);
+                Math.floorDiv(micros, 1_000_000L), Math.floorMod(micros, 1_000_000L) * 1000);
     }
 }
--- a/src/main/java/dillfront/router/config/RouterConfig.java
+++ b/src/main/java/dillfront/router/config/RouterConfig.java
@@ -42,10 +42,10 @@
         }
         try (InputStream text = Files.newInputStream(Path.of(file))) {
             return read(text, env);
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException e) {
             throw new ConfigException("LB_CONFIG " + file + ": no such file");
-        } catch (IOException bad) {
-            String fault = bad.getMessage() == null ? bad.toString() : bad.getMessage();
+        } catch (IOException e) {
+            String fault = e.getMessage() == null ? e.toString() : e.getMessage();
             throw new ConfigException("LB_CONFIG " + file + ": " + fault.lines().findFirst().orElse(""));
         }
     }
@@ -55,9 +55,9 @@
      * now.
      */
     public static RouterConfig readForReload(Map<String, String> env) throws ConfigException {
-        Map<String, String> others = new HashMap<>(env);
-        others.remove("LB_DISCOVERY");
-        return read(others);
+        Map<String, String> reloadEnv = new HashMap<>(env);
+        reloadEnv.remove("LB_DISCOVERY");
+        return read(reloadEnv);
     }
 
     /** The same but for the settings. */
@@ -117,9 +117,9 @@
                 tree.getString("discovery"));
     }
 
-    private static InetSocketAddress address(Map<String, String> env, String name, String otherwise)
+    private static InetSocketAddress address(Map<String, String> env, String name, String defaultValue)
             throws ConfigException {
-        String text = env.getOrDefault(name, otherwise);
+        String text = env.getOrDefault(name, defaultValue);
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
             throw new ConfigException(name + " is no address: '" + text + "'");
@@ -130,7 +130,7 @@
     private static long seed(String hex) throws ConfigException {
         try {
             return Long.parseUnsignedLong(hex, 16);
-        } catch (NumberFormatException bad) {
+        } catch (NumberFormatException e) {
             throw new ConfigException("seed is no hexadecimal number: '" + hex + "'");
         }
     }
--- a/src/main/java/dillfront/router/config/RouterSettings.java
+++ b/src/main/java/dillfront/router/config/RouterSettings.java
@@ -32,18 +32,18 @@
     /**
      * @throws ConfigException with the key and the fault
      */
-    public static RouterSettings read(JsonObject setup) {
-        JsonObject family = setup.getObject("familyInfo");
-        Map<String, Integer> zones = indexByName(setup.getList("zones"));
+    public static RouterSettings read(JsonObject settingsJson) {
+        JsonObject familyInfo = settingsJson.getObject("familyInfo");
+        Map<String, Integer> zones = indexByName(settingsJson.getList("zones"));
         return new RouterSettings(
-                routing(setup, family, zones),
-                indexByName(names(setup.getObjects("classes"))),
-                indexByName(names(setup.getObjects("tenants"))),
+                routing(settingsJson, familyInfo, zones),
+                indexByName(names(settingsJson.getObjects("classes"))),
+                indexByName(names(settingsJson.getObjects("tenants"))),
                 zones,
-                family.getString("tokens").equals("brought"),
-                setup.getObject("bounds").getDuration("keepaliveUs"),
-                !setup.getObject("stats").getString("how").equals("off")
-                        && !setup.getObject("stats").getList("fields").isEmpty());
+                familyInfo.getString("tokens").equals("brought"),
+                settingsJson.getObject("bounds").getDuration("keepaliveUs"),
+                !settingsJson.getObject("stats").getString("how").equals("off")
+                        && !settingsJson.getObject("stats").getList("fields").isEmpty());
     }
 
     public int zoneIndex(String name) {
@@ -58,67 +58,67 @@
     // Loops, not streams: these are read at every start, which pays for each class of the JDK that
     // it uses first.
 
-    private static List<String> names(List<JsonObject> of) {
+    private static List<String> names(List<JsonObject> objects) {
         List<String> names = new ArrayList<>();
-        for (JsonObject one : of) {
-            names.add(one.getString("name"));
+        for (JsonObject entry : objects) {
+            names.add(entry.getString("name"));
         }
         return names;
     }
 
     private static Map<String, Integer> indexByName(List<?> names) {
-        Map<String, Integer> into = new HashMap<>();
+        Map<String, Integer> indices = new HashMap<>();
         for (Object name : names) {
-            into.put(String.valueOf(name), into.size());
+            indices.put(String.valueOf(name), indices.size());
         }
-        return into;
+        return indices;
     }
 
-    private static RoutingSettings routing(JsonObject setup, JsonObject family, Map<String, Integer> zones) {
-        JsonObject bounds = setup.getObject("bounds");
-        JsonObject rules = setup.getObject("rules");
-        JsonObject charges = setup.getObject("charges");
-        List<JsonObject> classes = setup.getObjects("classes");
-        List<TransactionType> rows = new ArrayList<>();
+    private static RoutingSettings routing(JsonObject settingsJson, JsonObject familyInfo, Map<String, Integer> zones) {
+        JsonObject bounds = settingsJson.getObject("bounds");
+        JsonObject rules = settingsJson.getObject("rules");
+        JsonObject charges = settingsJson.getObject("charges");
+        List<JsonObject> classes = settingsJson.getObjects("classes");
+        List<TransactionType> transactionTypes = new ArrayList<>();
         for (int i = 0; i < classes.size(); i++) {
-            JsonObject type = classes.get(i);
-            rows.add(
+            JsonObject transactionType = classes.get(i);
+            transactionTypes.add(
                     new TransactionType(
-                            switch (type.getString("effect")) {
+                            switch (transactionType.getString("effect")) {
                                 case "retryable" -> Repeatability.IDEMPOTENT;
                                 case "dedup" -> Repeatability.DEDUPLICATED;
                                 default -> Repeatability.NOT_REPEATABLE;
                             },
-                            !type.getString("dedupScope").equals("all"),
-                            type.getDuration("dedupWindowUs"),
-                            read(family.getList("classRead"), i),
-                            i < family.getList("classBoundUs").size()
-                                    ? toDuration(family.getList("classBoundUs").get(i))
+                            !transactionType.getString("dedupScope").equals("all"),
+                            transactionType.getDuration("dedupWindowUs"),
+                            read(familyInfo.getList("classRead"), i),
+                            i < familyInfo.getList("classBoundUs").size()
+                                    ? toDuration(familyInfo.getList("classBoundUs").get(i))
                                     : Duration.ZERO,
-                            type.getDuration("targetUs"),
-                            type.getDuration("deadlineUs"),
-                            type.getDouble("worth", 1),
-                            type.getDouble("lateShare", 0)));
+                            transactionType.getDuration("targetUs"),
+                            transactionType.getDuration("deadlineUs"),
+                            transactionType.getDouble("worth", 1),
+                            transactionType.getDouble("lateShare", 0)));
         }
         return new RoutingSettings(
-                setup.getDuration("stepUs"),
-                zones.getOrDefault(setup.getString("az"), -1),
+                settingsJson.getDuration("stepUs"),
+                zones.getOrDefault(settingsJson.getString("az"), -1),
                 bounds.getDuration("dialTimeoutUs"),
                 bounds.getBoolean("retryAfter") ? bounds.getDuration("maxRetryAfterUs") : Duration.ZERO,
                 (int) bounds.getDouble("maxAttempts", 1),
                 bounds.getBoolean("probes"),
-                setup.getString("registryMode").equals("ask"),
+                settingsJson.getString("registryMode").equals("ask"),
                 rules.getDuration("askWithinUs"),
-                !family.getString("guards").equals("off"),
+                !familyInfo.getString("guards").equals("off"),
                 rules.getBoolean("droppedStayOpen"),
                 rules.getDouble("coldFrom", 1),
                 rules.getDuration("coldUs"),
                 rules.getDouble("tipMultiple", 1),
                 rules.getDuration("tipAfterUs"),
                 charges.getDouble("probe", 0),
-                (int) setup.getDouble("groupSize", 1),
-                rows,
-                quotas(setup.getObjects("tenants")));
+                (int) settingsJson.getDouble("groupSize", 1),
+                transactionTypes,
+                quotas(settingsJson.getObjects("tenants")));
     }
 
     private static List<Double> quotas(List<JsonObject> tenants) {
--- a/src/main/java/dillfront/router/config/SettingsValidator.java
+++ b/src/main/java/dillfront/router/config/SettingsValidator.java
@@ -149,72 +149,72 @@
     }
 
     /** Names and forms in turn. */
-    private void checkFields(JsonObject tree, String place, Object... forms) {
+    private void checkFields(JsonObject tree, String path, Object... forms) {
         for (int i = 0; firstError == null && i < forms.length; i += 2) {
             Object value = tree.value((String) forms[i]);
-            String wrong = value == null ? null : ((Constraint) forms[i + 1]).violation(value);
+            String violation = value == null ? null : ((Constraint) forms[i + 1]).violation(value);
             firstError =
-                    wrong == null
+                    violation == null
                             ? null
-                            : "settings." + place + forms[i] + " " + wrong + ": '" + value + "'";
+                            : "settings." + path + forms[i] + " " + violation + ": '" + value + "'";
         }
     }
 
     /** Objects of a list, each with a name of its own. */
     private List<JsonObject> namedObjects(String name) {
         Set<String> names = new HashSet<>();
-        List<?> all = settings.getList(name);
-        for (int i = 0; firstError == null && i < all.size(); i++) {
-            String own = all.get(i) instanceof JsonObject tree ? tree.getString("name") : "";
-            if (own.isEmpty() || !names.add(own)) {
-                firstError = "settings." + name + "[" + i + "] has no name of its own: '" + own + "'";
+        List<?> elements = settings.getList(name);
+        for (int i = 0; firstError == null && i < elements.size(); i++) {
+            String elementName = elements.get(i) instanceof JsonObject tree ? tree.getString("name") : "";
+            if (elementName.isEmpty() || !names.add(elementName)) {
+                firstError = "settings." + name + "[" + i + "] has no name of its own: '" + elementName + "'";
             }
         }
         return firstError == null ? settings.getObjects(name) : List.of();
     }
 
     private void checkElements(String name, Constraint form, int types) {
-        List<?> all = settings.getObject("familyInfo").getList(name);
-        if (firstError == null && all.size() > types) {
+        List<?> elements = settings.getObject("familyInfo").getList(name);
+        if (firstError == null && elements.size() > types) {
             firstError =
                     "settings.familyInfo."
                             + name
                             + " has "
-                            + all.size()
+                            + elements.size()
                             + " values for "
                             + types
                             + " classes";
         }
-        for (int i = 0; firstError == null && i < all.size(); i++) {
-            String wrong = all.get(i) == null ? "is missing" : form.violation(all.get(i));
+        for (int i = 0; firstError == null && i < elements.size(); i++) {
+            String violation = elements.get(i) == null ? "is missing" : form.violation(elements.get(i));
             firstError =
-                    wrong == null
+                    violation == null
                             ? null
                             : "settings.familyInfo."
                                     + name
                                     + "["
                                     + i
                                     + "] "
-                                    + wrong
+                                    + violation
                                     + ": '"
-                                    + all.get(i)
+                                    + elements.get(i)
                                     + "'";
         }
     }
 
-    private static Constraint range(long least, long most) {
+    private static Constraint range(long min, long max) {
         return value ->
                 !(value instanceof Number n)
                         ? "is no number"
-                        : n.doubleValue() >= least && n.doubleValue() <= most
+                        : n.doubleValue() >= min && n.doubleValue() <= max
                                 ? null
                                 : "is out of range, "
-                                        + least
-                                        + (most == UNBOUNDED ? " or more" : " to " + most);
+                                        + min
+                                        + (max == UNBOUNDED ? " or more" : " to " + max);
     }
 
-    private static Constraint oneOf(String... known) {
+    private static Constraint oneOf(String... allowed) {
         return value ->
-                List.of(known).contains(value) ? null : "is none of " + String.join(", ", known);
+                List.of(allowed).contains(value) ? null : "is none of " + String.join(", ", allowed);
     }
 }
--- a/src/main/java/dillfront/router/discovery/ClosedNodes.java
+++ b/src/main/java/dillfront/router/discovery/ClosedNodes.java
@@ -47,8 +47,8 @@
     private long version;
 
     /** From now on; what is remembered from before is told by close() before that. */
-    public void listener(Listener of) {
-        listener = of;
+    public void listener(Listener newListener) {
+        listener = newListener;
     }
 
     /**
@@ -57,16 +57,16 @@
      * @param generation of that list
      * @param startedMs when the node last started, as the list has it
      */
-    public MemberState update(String id, MemberState said, long startedMs, long generation) {
-        ClosedNode before = closed.get(id);
-        boolean older =
-                before != null && generation <= before.generation && startedMs <= before.startedMs;
-        if (said != MemberState.READY) {
-            close(id, said, startedMs, generation);
-            return said;
+    public MemberState update(String id, MemberState reported, long startedMs, long generation) {
+        ClosedNode previous = closed.get(id);
+        boolean outdated =
+                previous != null && generation <= previous.generation && startedMs <= previous.startedMs;
+        if (reported != MemberState.READY) {
+            close(id, reported, startedMs, generation);
+            return reported;
         }
-        if (older) {
-            return before.state;
+        if (outdated) {
+            return previous.state;
         }
         if (closed.remove(id) != null) {
             version++;
@@ -74,40 +74,40 @@
                 listener.nodeOpened(id);
             }
         }
-        return said;
+        return reported;
     }
 
     /**
      * An older word that comes later says nothing new. One that drained stays drained when it is
      * gone: that binds more.
      */
-    public void close(String id, MemberState said, long startedMs, long generation) {
-        ClosedNode before = closed.get(id);
-        if (before == null || generation >= before.generation || startedMs > before.startedMs) {
+    public void close(String id, MemberState reported, long startedMs, long generation) {
+        ClosedNode previous = closed.get(id);
+        if (previous == null || generation >= previous.generation || startedMs > previous.startedMs) {
             boolean drained =
-                    before != null
-                            && before.state == MemberState.DRAINING
-                            && startedMs <= before.startedMs;
+                    previous != null
+                            && previous.state == MemberState.DRAINING
+                            && startedMs <= previous.startedMs;
             closed.remove(id);
-            ClosedNode now =
+            ClosedNode updated =
                     new ClosedNode(
-                            before == null ? generation : Math.max(generation, before.generation),
-                            drained ? MemberState.DRAINING : said,
-                            before == null ? startedMs : Math.max(startedMs, before.startedMs));
-            closed.put(id, now);
-            version += now.equals(before) ? 0 : 1;
-            if (listener != null && !now.equals(before)) {
-                listener.nodeClosed(id, now.state, now.startedMs, now.generation);
+                            previous == null ? generation : Math.max(generation, previous.generation),
+                            drained ? MemberState.DRAINING : reported,
+                            previous == null ? startedMs : Math.max(startedMs, previous.startedMs));
+            closed.put(id, updated);
+            version += updated.equals(previous) ? 0 : 1;
+            if (listener != null && !updated.equals(previous)) {
+                listener.nodeClosed(id, updated.state, updated.startedMs, updated.generation);
             }
         }
     }
 
     /** The words that hold, by the ids of their nodes, the latest last. */
     Map<String, long[]> entries() {
-        Map<String, long[]> words = new LinkedHashMap<>();
+        Map<String, long[]> entries = new LinkedHashMap<>();
         closed.forEach(
-                (id, closing) -> words.put(id, new long[] {closing.generation, closing.startedMs}));
-        return words;
+                (id, closing) -> entries.put(id, new long[] {closing.generation, closing.startedMs}));
+        return entries;
     }
 
     /** Changes with what is closed. */
@@ -121,13 +121,13 @@
 
     /** So many nodes are listed now: what goes beyond the bound is forgotten. */
     void trim(int listed) {
-        int most = Math.max(MIN_CAPACITY, CAPACITY_IN_LISTS * listed);
-        Iterator<String> first = closed.keySet().iterator();
-        while (closed.size() > most) {
-            String forgotten = first.next();
-            first.remove();
+        int capacity = Math.max(MIN_CAPACITY, CAPACITY_IN_LISTS * listed);
+        Iterator<String> oldestFirst = closed.keySet().iterator();
+        while (closed.size() > capacity) {
+            String evictedId = oldestFirst.next();
+            oldestFirst.remove();
             if (listener != null) {
-                listener.nodeOpened(forgotten);
+                listener.nodeOpened(evictedId);
             }
         }
     }
--- a/src/main/java/dillfront/router/discovery/ConfigReloadBackoff.java
+++ b/src/main/java/dillfront/router/discovery/ConfigReloadBackoff.java
@@ -24,11 +24,11 @@
     private Duration nextReload = Duration.ZERO;
 
     /**
-     * @param dial how long a connection may take to come up
+     * @param connectTimeout how long a connection may take to come up
      */
-    public ConfigReloadBackoff(Duration dial) {
-        minDelay = dial.multipliedBy(MIN_DELAY_CONNECT_TIMEOUTS);
-        maxDelay = dial.multipliedBy(MAX_DELAY_CONNECT_TIMEOUTS);
+    public ConfigReloadBackoff(Duration connectTimeout) {
+        minDelay = connectTimeout.multipliedBy(MIN_DELAY_CONNECT_TIMEOUTS);
+        maxDelay = connectTimeout.multipliedBy(MAX_DELAY_CONNECT_TIMEOUTS);
         delay = minDelay;
     }
 
--- a/src/main/java/dillfront/router/discovery/DiscoveryClient.java
+++ b/src/main/java/dillfront/router/discovery/DiscoveryClient.java
@@ -72,14 +72,14 @@
      */
     public DiscoveryClient(
             InetSocketAddress address,
-            Duration dial,
+            Duration connectTimeout,
             Counters counters,
             Log log,
             EventLoop loop,
             long generation,
             Listener listener) {
         this.address = address;
-        connectTimeoutNanos = dial.toNanos();
+        connectTimeoutNanos = connectTimeout.toNanos();
         this.counters = counters;
         this.log = log;
         this.loop = loop;
@@ -100,8 +100,8 @@
      * for whole; until then the old address is heard too. Guards against a drain that it has told,
      * and that lies unread meanwhile.
      */
-    public void changeAddress(InetSocketAddress to) {
-        address = to;
+    public void changeAddress(InetSocketAddress newAddress) {
+        address = newAddress;
         unreachableLogged = false;
         if (previous != null) {
             previous.close();
@@ -135,9 +135,9 @@
     /** Closes the connection and stops all timers. */
     public void close() {
         closed = true;
-        for (DiscoveryConnection one : new DiscoveryConnection[] {previous, current}) {
-            if (one != null) {
-                one.close();
+        for (DiscoveryConnection connection : new DiscoveryConnection[] {previous, current}) {
+            if (connection != null) {
+                connection.close();
             }
         }
     }
@@ -159,8 +159,8 @@
         /** Its first answer is there: from then on it may be waited for. */
         private boolean responded;
 
-        DiscoveryConnection(long after) {
-            this.afterGeneration = after;
+        DiscoveryConnection(long afterGeneration) {
+            this.afterGeneration = afterGeneration;
         }
 
         void readPending() {
@@ -190,7 +190,7 @@
                     });
         }
 
-        private void startResponseTimer(long nanos) {
+        private void startResponseTimer(long timeoutNanos) {
             if (responseTimer != null) {
                 responseTimer.cancel(false);
             }
@@ -199,15 +199,15 @@
                             () -> {
                                 // Guards against a pause of this process taken for discovery's:
                                 // what it wrote meanwhile lies unread.
-                                ScheduledFuture<?> awaited = responseTimer;
+                                ScheduledFuture<?> timerBeforeRead = responseTimer;
                                 readPending();
-                                if (ended || responseTimer != awaited) {
+                                if (ended || responseTimer != timerBeforeRead) {
                                     return;
                                 }
                                 log.warn("list-silent", "address", remoteAddress);
                                 close();
                             },
-                            nanos,
+                            timeoutNanos,
                             TimeUnit.NANOSECONDS);
         }
 
@@ -251,8 +251,8 @@
                     handleBody(body);
                     sendRequest(ctx);
                 }
-            } catch (HttpFormatException bad) {
-                fail(bad.getMessage());
+            } catch (HttpFormatException e) {
+                fail(e.getMessage());
             }
         }
 
@@ -275,18 +275,18 @@
                 if (this == current && previous != null) {
                     previous.close();
                 }
-            } catch (IOException bad) {
+            } catch (IOException e) {
                 throw new HttpFormatException(
                         "no JSON: "
-                                + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                                + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             } finally {
                 body.release();
             }
         }
 
-        private void fail(String fault) {
+        private void fail(String error) {
             counters.listFaults++;
-            log.warn("list-dropped", "fault", fault);
+            log.warn("list-dropped", "fault", error);
             close();
         }
 
--- a/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
+++ b/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
@@ -18,13 +18,13 @@
     private int bodyLength = -1;
 
     /** Takes the buffer over. */
-    public void add(ByteBuf in) {
+    public void add(ByteBuf bytes) {
         if (buffer == null) {
-            buffer = in;
+            buffer = bytes;
         } else {
             buffer.discardSomeReadBytes();
-            buffer.writeBytes(in);
-            in.release();
+            buffer.writeBytes(bytes);
+            bytes.release();
         }
     }
 
@@ -41,9 +41,9 @@
         if (!buffer.isReadable()) {
             release();
         } else {
-            ByteBuf rest = buffer.copy();
+            ByteBuf remaining = buffer.copy();
             buffer.release();
-            buffer = rest;
+            buffer = remaining;
         }
         return body;
     }
@@ -75,17 +75,17 @@
                                 StandardCharsets.ISO_8859_1)
                         .split("\r\n");
         buffer.readerIndex(end + 4);
-        String first = lines[0];
-        boolean known = first.startsWith("HTTP/1.0 ") || first.startsWith("HTTP/1.1 ");
+        String statusLine = lines[0];
+        boolean isHttp1 = statusLine.startsWith("HTTP/1.0 ") || statusLine.startsWith("HTTP/1.1 ");
         int code =
-                known && first.length() >= 12 && (first.length() == 12 || first.charAt(12) == ' ')
-                        ? parseDigits(first.substring(9, 12), 3)
+                isHttp1 && statusLine.length() >= 12 && (statusLine.length() == 12 || statusLine.charAt(12) == ' ')
+                        ? parseDigits(statusLine.substring(9, 12), 3)
                         : -1;
         if (code < 0) {
             throw new HttpFormatException("no status line");
         }
         status = code;
-        int stated = -1;
+        int contentLength = -1;
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             String name =
@@ -95,21 +95,21 @@
                 throw new HttpFormatException("an answer in chunks");
             } else if (name.equals("content-length")) {
                 int length = parseDigits(value, 9);
-                if (length < 0 || stated >= 0 && stated != length) {
+                if (length < 0 || contentLength >= 0 && contentLength != length) {
                     throw new HttpFormatException("length " + value);
                 }
-                stated = length;
+                contentLength = length;
             }
         }
-        if (stated < 0 || stated > MAX_BODY_BYTES) {
-            throw new HttpFormatException(stated < 0 ? "no length" : "length " + stated);
+        if (contentLength < 0 || contentLength > MAX_BODY_BYTES) {
+            throw new HttpFormatException(contentLength < 0 ? "no length" : "length " + contentLength);
         }
-        bodyLength = stated;
+        bodyLength = contentLength;
     }
 
     /** Digits and nothing else, at most so many; negative where it is no such number. */
-    private static int parseDigits(String text, int most) {
-        int number = text.isEmpty() || text.length() > most ? -1 : 0;
+    private static int parseDigits(String text, int maxDigits) {
+        int number = text.isEmpty() || text.length() > maxDigits ? -1 : 0;
         for (int i = 0; i < text.length() && number >= 0; i++) {
             int digit = text.charAt(i) - '0';
             number = digit >= 0 && digit <= 9 ? number * 10 + digit : -1;
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -58,21 +58,21 @@
     }
 
     /** What is read from now on is read by these. */
-    public void applySettings(RouterSettings next) {
-        settings = next;
+    public void applySettings(RouterSettings newSettings) {
+        settings = newSettings;
     }
 
     /**
      * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
      * it again.
      */
-    public void restoreClosed(String id, MemberState standing, long startedMs, long generation) {
-        closedNodes.close(id, standing, startedMs, generation);
+    public void restoreClosed(String id, MemberState state, long startedMs, long generation) {
+        closedNodes.close(id, state, startedMs, generation);
     }
 
     /** Who keeps such words for a later life. */
-    public void setClosureListener(ClosedNodes.Listener keeper) {
-        closedNodes.listener(keeper);
+    public void setClosureListener(ClosedNodes.Listener listener) {
+        closedNodes.listener(listener);
     }
 
     /** How many nodes are closed by words that are remembered. */
@@ -90,23 +90,23 @@
         List<Member> members = new ArrayList<>();
         long generation = list.getLong("generation");
         latestGeneration = Math.max(latestGeneration, generation);
-        Set<String> open = new TreeSet<>();
+        Set<String> omitted = new TreeSet<>();
         if (list.getBoolean("reset")) {
-            open.addAll(nodes.keySet());
-            open.removeAll(departed);
-            departed.addAll(open);
+            omitted.addAll(nodes.keySet());
+            omitted.removeAll(departed);
+            departed.addAll(omitted);
         }
         for (JsonObject entry : list.getObjects("instances")) {
             String id = entry.getString("instanceId");
             InetSocketAddress address = Address.parse(entry.getString("hostPort"));
-            MemberState standing =
+            MemberState state =
                     switch (entry.getString("lifecycle")) {
                         case "ready" -> MemberState.READY;
                         case "draining" -> MemberState.DRAINING;
                         case "gone" -> MemberState.GONE;
                         default -> null;
                     };
-            if (id.isEmpty() || address == null || standing == null) {
+            if (id.isEmpty() || address == null || state == null) {
                 log.warn(
                         "list-entry-left-out",
                         "id",
@@ -118,22 +118,22 @@
                 continue;
             }
             long startedMs = entry.getLong("startedAtMs");
-            MemberState holds = closedNodes.update(id, standing, startedMs, generation);
-            if (holds != standing) {
+            MemberState effective = closedNodes.update(id, state, startedMs, generation);
+            if (effective != state) {
                 log.warn(
                         "list-older",
                         "id",
                         id,
                         "says",
-                        standing,
+                        state,
                         "holds",
-                        holds,
+                        effective,
                         "generation",
                         generation);
-                standing = holds;
+                state = effective;
             }
-            open.remove(id);
-            if (standing == MemberState.GONE) {
+            omitted.remove(id);
+            if (state == MemberState.GONE) {
                 if (!nodes.containsKey(id)) {
                     continue;
                 }
@@ -141,8 +141,8 @@
             } else {
                 departed.remove(id);
             }
-            IndexedNode before = nodes.get(id);
-            int node = before != null ? before.index : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
+            IndexedNode previous = nodes.get(id);
+            int node = previous != null ? previous.index : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
             nodes.put(id, new IndexedNode(node, startedMs));
             groups.add((int) entry.getLong("cell"));
             membersById.put(
@@ -156,13 +156,13 @@
                                     entry.getDouble("weight", 1),
                                     entry.getString("role").equals("leader"),
                                     startedMs == 0 ? null : clock.sinceStart(startedMs),
-                                    standing),
+                                    state),
                             address,
                             startedMs));
             members.add(membersById.get(id));
         }
         // A whole list closes those that it leaves out.
-        for (String id : open) {
+        for (String id : omitted) {
             closedNodes.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
         }
         closedNodes.trim(nodes.size());
@@ -173,10 +173,10 @@
      * Gives back the index of each node that has left the list, if nobody holds anything of it any
      * more.
      */
-    public void removeDeparted(IntPredicate over) {
+    public void removeDeparted(IntPredicate isReleasable) {
         for (Iterator<String> ids = departed.iterator(); ids.hasNext(); ) {
             String id = ids.next();
-            if (over.test(nodes.get(id).index)) {
+            if (isReleasable.test(nodes.get(id).index)) {
                 freeIndices.add(nodes.remove(id).index);
                 membersById.remove(id);
                 ids.remove();
@@ -222,7 +222,7 @@
         }
         closedNodes.close(id, MemberState.DRAINING, startedMs, generation);
         NodeRow row = member.row();
-        Member now =
+        Member closedMember =
                 new Member(
                         id,
                         new NodeRow(
@@ -235,8 +235,8 @@
                                 MemberState.DRAINING),
                         member.address(),
                         member.startedMs());
-        membersById.put(id, now);
-        return now;
+        membersById.put(id, closedMember);
+        return closedMember;
     }
 
     /** How many indices were ever needed at once. */
--- a/src/main/java/dillfront/router/discovery/PeerClosureReports.java
+++ b/src/main/java/dillfront/router/discovery/PeerClosureReports.java
@@ -29,52 +29,52 @@
     private final Map<Integer, List<Closure>> reports = new HashMap<>();
 
     /**
-     * @param liars so many instances may say what they like without closing anything
+     * @param toleratedLiars so many instances may say what they like without closing anything
      */
-    public PeerClosureReports(int liars) {
-        this.toleratedLiars = liars;
+    public PeerClosureReports(int toleratedLiars) {
+        this.toleratedLiars = toleratedLiars;
     }
 
     /** An instance says all that its lists have closed. */
-    public void update(int instance, List<Closure> words) {
-        reports.put(instance, List.copyOf(words));
+    public void update(int instance, List<Closure> closures) {
+        reports.put(instance, List.copyOf(closures));
     }
 
     /** How many instances say that their lists have closed anything. */
     public int reportingInstances() {
-        return (int) reports.values().stream().filter(words -> !words.isEmpty()).count();
+        return (int) reports.values().stream().filter(closures -> !closures.isEmpty()).count();
     }
 
     /** What enough of them say of nodes in lists newer than this generation. */
     public List<Closure> closuresNewerThan(long generation) {
         Map<Long, List<Closure>> byNode = new HashMap<>();
-        for (List<Closure> words : reports.values()) {
-            for (Closure word : words) {
-                if (word.generation > generation) {
-                    byNode.computeIfAbsent(word.nodeHash, k -> new ArrayList<>()).add(word);
+        for (List<Closure> closures : reports.values()) {
+            for (Closure closure : closures) {
+                if (closure.generation > generation) {
+                    byNode.computeIfAbsent(closure.nodeHash, k -> new ArrayList<>()).add(closure);
                 }
             }
         }
-        List<Closure> enough = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, List<Closure>>> all = byNode.entrySet().iterator();
-                all.hasNext(); ) {
-            Map.Entry<Long, List<Closure>> one = all.next();
-            if (one.getValue().size() > toleratedLiars) {
+        List<Closure> confirmed = new ArrayList<>();
+        for (Iterator<Map.Entry<Long, List<Closure>>> entries = byNode.entrySet().iterator();
+                entries.hasNext(); ) {
+            Map.Entry<Long, List<Closure>> entry = entries.next();
+            if (entry.getValue().size() > toleratedLiars) {
                 // As far as the least of the first who are enough: none of the liars can make it
                 // more.
-                enough.add(
+                confirmed.add(
                         new Closure(
-                                one.getKey(),
-                                boundByCorrectInstance(one.getValue().stream().map(Closure::generation).toList()),
-                                boundByCorrectInstance(one.getValue().stream().map(Closure::startedMs).toList())));
+                                entry.getKey(),
+                                boundByCorrectInstance(entry.getValue().stream().map(Closure::generation).toList()),
+                                boundByCorrectInstance(entry.getValue().stream().map(Closure::startedMs).toList())));
             }
         }
-        enough.sort((a, b) -> Long.compare(a.nodeHash, b.nodeHash));
-        return enough;
+        confirmed.sort((a, b) -> Long.compare(a.nodeHash, b.nodeHash));
+        return confirmed;
     }
 
-    private long boundByCorrectInstance(List<Long> of) {
-        List<Long> sorted = new ArrayList<>(of);
+    private long boundByCorrectInstance(List<Long> values) {
+        List<Long> sorted = new ArrayList<>(values);
         sorted.sort(Collections.reverseOrder());
         return sorted.get(toleratedLiars);
     }
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -32,16 +32,16 @@
     private boolean finished;
 
     /**
-     * @param asker gets the answer; it owns the buffers that it is given
+     * @param receiver gets the answer; it owns the buffers that it is given
      */
     public Exchange(
-            ExchangeHandler desk, int slot, Statement statement, ByteBuf message, ResponseReceiver asker, long key) {
-        this.handler = desk;
+            ExchangeHandler handler, int slot, Statement statement, ByteBuf message, ResponseReceiver receiver, long key) {
+        this.handler = handler;
         this.key = key;
         this.slot = slot;
         this.statement = statement;
         this.message = message;
-        this.receiver = asker;
+        this.receiver = receiver;
     }
 
     public int slot() {
@@ -62,8 +62,8 @@
     }
 
     /** The module has taken the txn; it may be answered already. */
-    public void accepted(TransactionHandle by) {
-        handle = by;
+    public void accepted(TransactionHandle newHandle) {
+        handle = newHandle;
         releaseIfOver();
     }
 
@@ -73,9 +73,9 @@
         pendingSubmissions++;
     }
 
-    public void decline(Duration pause) {
+    public void decline(Duration retryAfter) {
         answered = true;
-        receiver.declined(pause);
+        receiver.declined(retryAfter);
         releaseIfOver();
     }
 
@@ -109,31 +109,31 @@
     }
 
     /**
-     * @param answer what the node answered where it committed, else null; taken over
+     * @param response what the node answered where it committed, else null; taken over
      */
     public void submissionEnded(
             int node,
             SubmissionResult result,
-            Duration took,
-            NodeResponse answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report) {
         handler.tick();
         pendingSubmissions--;
-        boolean told = answer != null && !answered;
-        handler.submissionEnded(this, node, result, told, note);
-        if (told) {
+        boolean delivered = response != null && !answered;
+        handler.submissionEnded(this, node, result, delivered, parameterReport);
+        if (delivered) {
             answered = true;
-            receiver.committed(answer);
-        } else if (answer != null) {
-            answer.release();
+            receiver.committed(response);
+        } else if (response != null) {
+            response.release();
         }
         handle.submissionEnded(
                 node,
                 result,
-                took,
+                duration,
                 answered,
-                handler.trustedReport(node, note),
+                handler.trustedReport(node, parameterReport),
                 handler.trustedReport(node, report));
         releaseIfOver();
     }
--- a/src/main/java/dillfront/router/exchange/ExchangeHandler.java
+++ b/src/main/java/dillfront/router/exchange/ExchangeHandler.java
@@ -12,12 +12,12 @@
     /**
      * Takes a txn, and the message that holds its statement. The answer may come during the call.
      *
-     * @param waited how long ago its last byte may have come
+     * @param timeSinceReceived how long ago its last byte may have come
      * @param tenant index of its client's tenant; -1 where it has none
      * @return null where nothing was taken: no such txn type or group is known, or a txn of this id
      *     is out, and the message is still the caller's
      */
-    Exchange begin(Statement statement, ByteBuf message, ResponseReceiver asker, Duration waited, int tenant);
+    Exchange begin(Statement statement, ByteBuf message, ResponseReceiver receiver, Duration timeSinceReceived, int tenant);
 
     /** The index of a txn type by its name; -1 where it is unknown. */
     int typeIndex(String name);
@@ -25,12 +25,12 @@
     /**
      * A submission ended; before the module is told.
      *
-     * @param told its client gets its answer by that
+     * @param clientAnswered its client gets its answer by that
      */
-    void submissionEnded(Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note);
+    void submissionEnded(Exchange exchange, int node, SubmissionResult result, boolean clientAnswered, NodeReport report);
 
     /** What the module is to believe of what a node says of itself. */
-    NodeReport trustedReport(int node, NodeReport says);
+    NodeReport trustedReport(int node, NodeReport report);
 
     /** Whether it may go to this node, beyond what the module knows of it. */
     boolean maySend(Exchange exchange, int node);
--- a/src/main/java/dillfront/router/exchange/NodeResponse.java
+++ b/src/main/java/dillfront/router/exchange/NodeResponse.java
@@ -17,18 +17,18 @@
                 || !root.hasMemoryAddress()) {
             return null;
         }
-        long from = description.memoryAddress() + description.readerIndex();
+        long start = description.memoryAddress() + description.readerIndex();
         long next = row.memoryAddress() + row.readerIndex();
         long last = completion.memoryAddress() + completion.readerIndex();
-        if (from + description.readableBytes() != next || next + row.readableBytes() != last) {
+        if (start + description.readableBytes() != next || next + row.readableBytes() != last) {
             return null;
         }
-        ByteBuf all =
+        ByteBuf joined =
                 root.retainedSlice(
-                        (int) (from - root.memoryAddress()),
-                        (int) (last - from) + completion.readableBytes());
+                        (int) (start - root.memoryAddress()),
+                        (int) (last - start) + completion.readableBytes());
         release();
-        return all;
+        return joined;
     }
 
     public void release() {
--- a/src/main/java/dillfront/router/exchange/ResponseReceiver.java
+++ b/src/main/java/dillfront/router/exchange/ResponseReceiver.java
@@ -6,9 +6,9 @@
 public interface ResponseReceiver {
 
     /** Takes the answer over. */
-    void committed(NodeResponse answer);
+    void committed(NodeResponse response);
 
-    void declined(Duration pause);
+    void declined(Duration retryAfter);
 
     void rolledBack();
 }
--- a/src/main/java/dillfront/router/exchange/Submitter.java
+++ b/src/main/java/dillfront/router/exchange/Submitter.java
@@ -5,7 +5,7 @@
 /** The server side as the daemon drives it; nothing comes back during a call. */
 public interface Submitter {
 
-    void submit(Exchange exchange, int node, Duration limit);
+    void submit(Exchange exchange, int node, Duration timeout);
 
     void closeIdleConnections(int node);
 
--- a/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
+++ b/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
@@ -27,12 +27,12 @@
     interface LoginCallback {
         void accepted(Gate.Session session);
 
-        void rejected(Refusal why, String text);
+        void rejected(Refusal refusal, String reason);
     }
 
-    void authenticate(String address, String user, String token, LoginCallback entry);
+    void authenticate(String address, String user, String token, LoginCallback callback);
 
     /** For the record: a txn of someone who is in was not taken. */
     void transactionDenied(
-            Gate.Session session, Refusal why, String type, boolean write, int group, String cause);
+            Gate.Session session, Refusal refusal, String type, boolean write, int group, String rule);
 }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -100,9 +100,9 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) {
+    public void channelRead(ChannelHandlerContext context, Object data) {
         if (closed) {
-            ((ByteBuf) read).release();
+            ((ByteBuf) data).release();
             return;
         }
         if (hasServedQuery && isBetweenQueries()) {
@@ -112,7 +112,7 @@
             maxReadAge = clients.loopLag.maxQueryAge(clients.clock.now());
             readNanos = System.nanoTime();
         }
-        decoder.add((ByteBuf) read);
+        decoder.add((ByteBuf) data);
         clients.queue(this);
         // What is written ahead waits with the client once it is more than one query can be.
         if (decoder.bufferedBytes() > FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !closed) {
@@ -142,12 +142,12 @@
                     handleStartup(message);
                 }
             }
-        } catch (FrameException bad) {
-            reject(Messages.PROTOCOL_VIOLATION, bad.getMessage());
-        } catch (RuntimeException fault) {
+        } catch (FrameException e) {
+            reject(Messages.PROTOCOL_VIOLATION, e.getMessage());
+        } catch (RuntimeException e) {
             // Outside the channel's own events nobody else would tell it: this client alone pays
             // for the fault.
-            exceptionCaught(ctx, fault);
+            exceptionCaught(ctx, e);
         }
         reportBufferedBytes();
         if (!closed && decoder.bufferedBytes() <= FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !ctx.channel().config().isAutoRead()) {
@@ -156,9 +156,9 @@
     }
 
     private void reportBufferedBytes() {
-        int before = reportedBytes;
+        int previous = reportedBytes;
         reportedBytes = decoder.bufferedBytes();
-        clients.bufferedBytesChanged(reportedBytes - before);
+        clients.bufferedBytesChanged(reportedBytes - previous);
     }
 
     private void handleStartup(ByteBuf message) {
@@ -188,15 +188,15 @@
      * pass for a part of it.
      */
     private void handleTlsRequest() {
-        ChannelHandler tls = clients.authenticator == null || encrypted ? null : clients.authenticator.tlsHandler();
-        if (tls != null && decoder.bufferedBytes() > 0) {
+        ChannelHandler tlsHandler = clients.authenticator == null || encrypted ? null : clients.authenticator.tlsHandler();
+        if (tlsHandler != null && decoder.bufferedBytes() > 0) {
             reject(Messages.PROTOCOL_VIOLATION, "bytes behind the request for TLS");
             return;
         }
-        ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tls == null ? 'N' : 'S'));
-        if (tls != null) {
+        ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tlsHandler == null ? 'N' : 'S'));
+        if (tlsHandler != null) {
             encrypted = true;
-            ctx.pipeline().addFirst(tls);
+            ctx.pipeline().addFirst(tlsHandler);
         }
     }
 
@@ -209,12 +209,12 @@
             reject(Refusal.UNKNOWN.code(), "only over TLS");
             return;
         }
-        Duration wait = clients.authenticator.retryDelay(address(), name);
-        if (!wait.isZero()) {
+        Duration delay = clients.authenticator.retryDelay(address(), name);
+        if (!delay.isZero()) {
             reject(
                     Refusal.PENALTY.code(),
                     "failed too often, to be tried again in "
-                            + Math.max(1, wait.toMillis())
+                            + Math.max(1, delay.toMillis())
                             + " ms");
             return;
         }
@@ -224,8 +224,8 @@
     }
 
     private String address() {
-        return ctx.channel().remoteAddress() instanceof InetSocketAddress at
-                ? at.getAddress().getHostAddress()
+        return ctx.channel().remoteAddress() instanceof InetSocketAddress socketAddress
+                ? socketAddress.getAddress().getHostAddress()
                 : "";
     }
 
@@ -246,12 +246,12 @@
                 token,
                 new ClientAuthenticator.LoginCallback() {
                     @Override
-                    public void accepted(Gate.Session in) {
+                    public void accepted(Gate.Session newSession) {
                         if (closed) {
-                            in.leave();
+                            newSession.leave();
                             return;
                         }
-                        session = in;
+                        session = newSession;
                         responsePending = false;
                         // Who has proven himself is no stranger.
                         clients.queryAccepted(ClientConnection.this);
@@ -263,11 +263,11 @@
                     }
 
                     @Override
-                    public void rejected(Refusal why, String text) {
+                    public void rejected(Refusal refusal, String text) {
                         if (!closed) {
                             responsePending = false;
                             // Why in full stands in the log alone.
-                            reject(why.code(), "not let in: " + why.word());
+                            reject(refusal.code(), "not let in: " + refusal.word());
                         }
                     }
                 });
@@ -331,25 +331,25 @@
             return;
         }
         // From its last byte, or since nothing went before it on this connection.
-        Duration waited = maxReadAge.plusNanos(System.nanoTime() - readNanos);
+        Duration timeSinceReceived = maxReadAge.plusNanos(System.nanoTime() - readNanos);
         Statement statement;
         try {
             statement = Statement.read(message);
-        } catch (StatementFormatException bad) {
+        } catch (StatementFormatException e) {
             message.release();
             clients.counters.outOfForm++;
-            clients.log.warn("query-out-of-form", "fault", bad.getMessage());
-            sendError(Messages.SYNTAX_ERROR, bad.getMessage(), null);
+            clients.log.warn("query-out-of-form", "fault", e.getMessage());
+            sendError(Messages.SYNTAX_ERROR, e.getMessage(), null);
             return;
         }
         if (session != null && !isAuthorized(statement, message)) {
             return;
         }
         responsePending = true;
-        Exchange taken =
+        Exchange newExchange =
                 clients.exchangeHandler.begin(
-                        statement, message, this, waited, session == null ? -1 : session.tenant());
-        if (taken == null) {
+                        statement, message, this, timeSinceReceived, session == null ? -1 : session.tenant());
+        if (newExchange == null) {
             responsePending = false;
             releaseShare();
             message.release();
@@ -358,7 +358,7 @@
             sendError(Messages.SYNTAX_ERROR, "unknown type or group, or an id that is open", null);
         } else {
             markServed();
-            exchange = responsePending ? taken : null;
+            exchange = responsePending ? newExchange : null;
         }
     }
 
@@ -369,26 +369,26 @@
     private boolean isAuthorized(Statement statement, ByteBuf message) {
         clients.authenticator.tick();
         int type = clients.exchangeHandler.typeIndex(statement.type);
-        Refusal no = session.take(type, statement.write, statement.group, statement);
-        if (no == null) {
+        Refusal refusal = session.take(type, statement.write, statement.group, statement);
+        if (refusal == null) {
             countedInShare = true;
             return true;
         }
-        String cause =
-                no == Refusal.NO_RIGHT
+        String rule =
+                refusal == Refusal.NO_RIGHT
                         ? session.cause(type, statement.write, statement.group, statement)
                         : "-";
         clients.authenticator.transactionDenied(
-                session, no, statement.type, statement.write, statement.group, cause);
+                session, refusal, statement.type, statement.write, statement.group, rule);
         message.release();
-        if (no.endsSession()) {
-            endSession(no);
+        if (refusal.endsSession()) {
+            endSession(refusal);
         } else {
-            Duration pause = no == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
+            Duration retryAfter = refusal == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
             sendError(
-                    no.code(),
-                    no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
-                    pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
+                    refusal.code(),
+                    refusal == Refusal.BUSY ? "beyond this user's share" : "no right to this",
+                    retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
         }
         return false;
     }
@@ -400,8 +400,8 @@
         }
     }
 
-    private void endSession(Refusal why) {
-        reject(why.code(), "no longer let in: " + why.word());
+    private void endSession(Refusal refusal) {
+        reject(refusal.code(), "no longer let in: " + refusal.word());
     }
 
     /** Its txn is over, for its share. */
@@ -424,27 +424,27 @@
     }
 
     @Override
-    public void committed(NodeResponse answer) {
+    public void committed(NodeResponse response) {
         clients.counters.committed++;
-        ByteBuf all = answer.joinedSlice();
-        if (all != null) {
-            ctx.write(all, ctx.voidPromise());
+        ByteBuf joined = response.joinedSlice();
+        if (joined != null) {
+            ctx.write(joined, ctx.voidPromise());
         } else {
-            ctx.write(answer.description(), ctx.voidPromise());
-            ctx.write(answer.row(), ctx.voidPromise());
-            ctx.write(answer.completion(), ctx.voidPromise());
+            ctx.write(response.description(), ctx.voidPromise());
+            ctx.write(response.row(), ctx.voidPromise());
+            ctx.write(response.completion(), ctx.voidPromise());
         }
         ctx.writeAndFlush(Messages.ready(), ctx.voidPromise());
         responseSent();
     }
 
     @Override
-    public void declined(Duration pause) {
+    public void declined(Duration retryAfter) {
         clients.counters.declined++;
         sendError(
                 Messages.DECLINED,
                 "declined, trying again is harmless",
-                pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
+                retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
         responseSent();
     }
 
@@ -494,17 +494,17 @@
         }
         if (exchange != null) {
             clients.counters.left++;
-            Exchange out = exchange;
+            Exchange abandoned = exchange;
             exchange = null;
-            out.clientDisconnected();
+            abandoned.clientDisconnected();
         }
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable rule) {
         // What is no TLS, where TLS was asked for, is the client's fault.
-        if (!(cause instanceof IOException) && !(cause.getCause() instanceof IOException)) {
-            clients.log.warn("client-connection", "fault", cause);
+        if (!(rule instanceof IOException) && !(rule.getCause() instanceof IOException)) {
+            clients.log.warn("client-connection", "fault", rule);
         }
         context.close();
     }
--- a/src/main/java/dillfront/router/frontend/ClientListener.java
+++ b/src/main/java/dillfront/router/frontend/ClientListener.java
@@ -69,39 +69,39 @@
     private boolean shuttingDown;
 
     /**
-     * @param most how many clients may be in at once
-     * @param mostKnown of these, those whose queries were taken
-     * @param mostWaiting how many bytes of messages not yet whole may be held for all of them
-     * @param dial how long one that was refused may take to read why; for what else they get, a
+     * @param maxClients how many clients may be in at once
+     * @param maxActiveClients of these, those whose queries were taken
+     * @param maxBufferedBytes how many bytes of messages not yet whole may be held for all of them
+     * @param connectTimeout how long one that was refused may take to read why; for what else they get, a
      *     multiple of it
      */
     public ClientListener(
-            ExchangeHandler desk,
-            LoopLagMonitor pace,
+            ExchangeHandler exchangeHandler,
+            LoopLagMonitor loopLag,
             MonotonicClock clock,
             Counters counters,
             Log log,
             EventLoop loop,
-            int most,
-            int mostKnown,
-            long mostWaiting,
-            Duration dial) {
-        this.exchangeHandler = desk;
-        this.loopLag = pace;
+            int maxClients,
+            int maxActiveClients,
+            long maxBufferedBytes,
+            Duration connectTimeout) {
+        this.exchangeHandler = exchangeHandler;
+        this.loopLag = loopLag;
         this.clock = clock;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        this.maxClients = most;
-        this.maxActiveClients = mostKnown;
-        this.maxBufferedBytes = mostWaiting;
-        connectTimeoutNanos = dial.toNanos();
+        this.maxClients = maxClients;
+        this.maxActiveClients = maxActiveClients;
+        this.maxBufferedBytes = maxBufferedBytes;
+        connectTimeoutNanos = connectTimeout.toNanos();
         loop.scheduleWithFixedDelay(this::closeExpired, connectTimeoutNanos, connectTimeoutNanos, TimeUnit.NANOSECONDS);
     }
 
     /** From now on those who come are asked who they are; before the door opens. */
-    public void setAuthenticator(ClientAuthenticator who) {
-        authenticator = who;
+    public void setAuthenticator(ClientAuthenticator newAuthenticator) {
+        authenticator = newAuthenticator;
     }
 
     /** Listens on this address. */
@@ -133,8 +133,8 @@
     }
 
     private void processQueue() {
-        Duration began = clock.now();
-        while (!queue.isEmpty() && loopLag.mayContinueTurn(began, clock.now())) {
+        Duration turnStart = clock.now();
+        while (!queue.isEmpty() && loopLag.mayContinueTurn(turnStart, clock.now())) {
             ClientConnection next = queue.poll();
             next.queued = false;
             next.processMessages();
@@ -172,9 +172,9 @@
 
     /** The one place where a client ceases to count. */
     private boolean remove(ClientConnection client) {
-        boolean was = rejected.remove(client) || newClients.remove(client) || activeClients.remove(client);
-        counters.clientConnections -= was ? 1 : 0;
-        return was;
+        boolean removed = rejected.remove(client) || newClients.remove(client) || activeClients.remove(client);
+        counters.clientConnections -= removed ? 1 : 0;
+        return removed;
     }
 
     private void close(ClientConnection client) {
@@ -189,10 +189,10 @@
     void queryAccepted(ClientConnection client) {
         if (newClients.remove(client)) {
             activeClients.add(client);
-            ClientConnection leaver =
+            ClientConnection evicted =
                     activeClients.size() >= maxActiveClients ? firstMatching(activeClients, ClientConnection::isIdle) : null;
-            if (leaver != null) {
-                close(leaver);
+            if (evicted != null) {
+                close(evicted);
             }
         }
     }
@@ -213,11 +213,11 @@
      * More or less of its messages waits than before. Guards against memory full of messages never
      * sent to their end.
      */
-    void bufferedBytesChanged(long more) {
-        bufferedBytes += more;
-        if (more > 0 && bufferedBytes > maxBufferedBytes) {
-            for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
-                for (ClientConnection client : List.copyOf(some)) {
+    void bufferedBytesChanged(long additionalBytes) {
+        bufferedBytes += additionalBytes;
+        if (additionalBytes > 0 && bufferedBytes > maxBufferedBytes) {
+            for (Set<ClientConnection> clients : List.of(newClients, activeClients)) {
+                for (ClientConnection client : List.copyOf(clients)) {
                     if (bufferedBytes > maxBufferedBytes / 2 && !client.responsePending() && !client.isBetweenQueries()) {
                         close(client);
                     }
@@ -238,41 +238,41 @@
      */
     private void evictIfFull() {
         if (size() >= maxClients) {
-            ClientConnection leaver = firstMatching(rejected, client -> true);
-            boolean many = newClients.size() > activeClients.size();
-            leaver =
-                    leaver != null
-                            ? leaver
+            ClientConnection evicted = firstMatching(rejected, client -> true);
+            boolean newClientsPrevail = newClients.size() > activeClients.size();
+            evicted =
+                    evicted != null
+                            ? evicted
                             : firstMatching(
                                     newClients,
                                     client ->
                                             !client.responsePending()
-                                                    && (many || client.waitedNanos() > connectTimeoutNanos));
-            leaver = leaver != null ? leaver : firstMatching(activeClients, ClientConnection::isIdle);
-            if (leaver != null) {
-                close(leaver);
+                                                    && (newClientsPrevail || client.waitedNanos() > connectTimeoutNanos));
+            evicted = evicted != null ? evicted : firstMatching(activeClients, ClientConnection::isIdle);
+            if (evicted != null) {
+                close(evicted);
             }
         }
-        boolean open = size() < maxClients;
-        if (!shuttingDown && serverChannel.config().isAutoRead() != open) {
+        boolean accepting = size() < maxClients;
+        if (!shuttingDown && serverChannel.config().isAutoRead() != accepting) {
             log.info(
                     "door",
                     "open",
-                    open,
+                    accepting,
                     "refused",
                     rejected.size(),
                     "strangers",
                     newClients.size(),
                     "known",
                     activeClients.size());
-            serverChannel.config().setAutoRead(open);
+            serverChannel.config().setAutoRead(accepting);
         }
     }
 
     private static ClientConnection firstMatching(
-            Set<ClientConnection> of, Predicate<ClientConnection> which) {
-        for (ClientConnection client : of) {
-            if (which.test(client)) {
+            Set<ClientConnection> candidates, Predicate<ClientConnection> condition) {
+        for (ClientConnection client : candidates) {
+            if (condition.test(client)) {
                 return client;
             }
         }
@@ -289,10 +289,10 @@
             List.copyOf(activeClients).forEach(ClientConnection::revalidateSession);
             List.copyOf(newClients).forEach(ClientConnection::revalidateSession);
         }
-        for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
-            for (ClientConnection client : List.copyOf(some)) {
-                boolean stays = some == activeClients && client.isBetweenQueries() && size() <= maxClients / 2;
-                if (!client.responsePending() && !stays && client.waitedNanos() > IDLE_CONNECT_TIMEOUTS * connectTimeoutNanos) {
+        for (Set<ClientConnection> clients : List.of(newClients, activeClients)) {
+            for (ClientConnection client : List.copyOf(clients)) {
+                boolean mayStayIdle = clients == activeClients && client.isBetweenQueries() && size() <= maxClients / 2;
+                if (!client.responsePending() && !mayStayIdle && client.waitedNanos() > IDLE_CONNECT_TIMEOUTS * connectTimeoutNanos) {
                     close(client);
                 }
             }
@@ -312,8 +312,8 @@
     }
 
     private void closeIdle() {
-        for (Set<ClientConnection> some : List.of(newClients, activeClients)) {
-            for (ClientConnection client : List.copyOf(some)) {
+        for (Set<ClientConnection> clients : List.of(newClients, activeClients)) {
+            for (ClientConnection client : List.copyOf(clients)) {
                 if (client.isIdle()) {
                     close(client);
                 }
--- a/src/main/java/dillfront/router/pgwire/FrameDecoder.java
+++ b/src/main/java/dillfront/router/pgwire/FrameDecoder.java
@@ -30,22 +30,22 @@
     }
 
     /** Takes the buffer over. */
-    public void add(ByteBuf in) {
+    public void add(ByteBuf bytes) {
         if (buffer == null) {
-            buffer = in;
+            buffer = bytes;
             return;
         }
         if (buffer.refCnt() > 1) {
             // Slices of it are in use elsewhere: it must not grow or move under them.
-            ByteBuf fresh = in.alloc().buffer(buffer.readableBytes() + in.readableBytes());
-            fresh.writeBytes(buffer);
+            ByteBuf replacement = bytes.alloc().buffer(buffer.readableBytes() + bytes.readableBytes());
+            replacement.writeBytes(buffer);
             buffer.release();
-            buffer = fresh;
+            buffer = replacement;
         } else {
             buffer.discardSomeReadBytes();
         }
-        buffer.writeBytes(in);
-        in.release();
+        buffer.writeBytes(bytes);
+        bytes.release();
     }
 
     /** The next whole message, to be released by the caller; null until one is there. */
@@ -58,11 +58,11 @@
         if (length < (awaitingStartup ? 8 : 4) || length > (awaitingStartup ? MAX_STARTUP_BYTES : maxMessageBytes)) {
             throw new FrameException("message length " + length);
         }
-        int whole = length + header - 4;
-        if (buffer.readableBytes() < whole) {
+        int totalLength = length + header - 4;
+        if (buffer.readableBytes() < totalLength) {
             return null;
         }
-        ByteBuf frame = buffer.readRetainedSlice(whole);
+        ByteBuf frame = buffer.readRetainedSlice(totalLength);
         if (!buffer.isReadable()) {
             release();
         }
--- a/src/main/java/dillfront/router/pgwire/Messages.java
+++ b/src/main/java/dillfront/router/pgwire/Messages.java
@@ -107,29 +107,29 @@
 
     /** The user that a startup message names; empty where it names none. */
     public static String user(ByteBuf message) {
-        int at = message.readerIndex() + 8;
+        int offset = message.readerIndex() + 8;
         int end = message.writerIndex();
-        while (at < end && message.getByte(at) != 0) {
-            int nameTo = indexOfZero(message, at, end);
+        while (offset < end && message.getByte(offset) != 0) {
+            int nameTo = indexOfZero(message, offset, end);
             int valueTo = indexOfZero(message, Math.min(end, nameTo + 1), end);
-            if (nameTo - at == 4
-                    && message.toString(at, 4, StandardCharsets.US_ASCII).equals("user")) {
+            if (nameTo - offset == 4
+                    && message.toString(offset, 4, StandardCharsets.US_ASCII).equals("user")) {
                 return message.toString(
                         nameTo + 1,
                         Math.max(0, Math.min(valueTo - nameTo - 1, 256)),
                         StandardCharsets.UTF_8);
             }
-            at = valueTo + 1;
+            offset = valueTo + 1;
         }
         return "";
     }
 
     private static int indexOfZero(ByteBuf message, int from, int end) {
-        int at = from;
-        while (at < end && message.getByte(at) != 0) {
-            at++;
+        int offset = from;
+        while (offset < end && message.getByte(offset) != 0) {
+            offset++;
         }
-        return at;
+        return offset;
     }
 
     /** What a password message says. */
@@ -141,16 +141,16 @@
 
     /** The code of an error message; empty where it holds none. */
     public static String sqlState(ByteBuf message) {
-        int at = message.readerIndex() + 5;
-        while (at < message.writerIndex() && message.getByte(at) != 0) {
-            int zero = message.indexOf(at, message.writerIndex(), (byte) 0);
-            if (zero < 0) {
+        int offset = message.readerIndex() + 5;
+        while (offset < message.writerIndex() && message.getByte(offset) != 0) {
+            int terminator = message.indexOf(offset, message.writerIndex(), (byte) 0);
+            if (terminator < 0) {
                 return "";
             }
-            if (message.getByte(at) == 'C') {
-                return message.toString(at + 1, zero - at - 1, StandardCharsets.US_ASCII);
+            if (message.getByte(offset) == 'C') {
+                return message.toString(offset + 1, terminator - offset - 1, StandardCharsets.US_ASCII);
             }
-            at = zero + 1;
+            offset = terminator + 1;
         }
         return "";
     }
@@ -171,12 +171,12 @@
     }
 
     /** Whether these bytes stand there. */
-    public static boolean matchesAt(ByteBuf message, int at, byte[] bytes) {
-        if (at + bytes.length > message.writerIndex()) {
+    public static boolean matchesAt(ByteBuf message, int offset, byte[] bytes) {
+        if (offset + bytes.length > message.writerIndex()) {
             return false;
         }
         for (int i = 0; i < bytes.length; i++) {
-            if (message.getByte(at + i) != bytes[i]) {
+            if (message.getByte(offset + i) != bytes[i]) {
                 return false;
             }
         }
@@ -184,27 +184,27 @@
     }
 
     /** Text from there up to the closing zero. */
-    public static String text(ByteBuf message, int at) {
-        return message.toString(at, message.writerIndex() - 1 - at, StandardCharsets.UTF_8);
+    public static String text(ByteBuf message, int offset) {
+        return message.toString(offset, message.writerIndex() - 1 - offset, StandardCharsets.UTF_8);
     }
 
     /** The one column of a row as text; null where there is not just one, or it is null. */
     public static String column(ByteBuf row) {
-        int at = row.readerIndex() + 5;
+        int offset = row.readerIndex() + 5;
         if (!hasOneColumn(row)) {
             return null;
         }
-        return row.toString(at + 6, row.getInt(at + 2), StandardCharsets.UTF_8);
+        return row.toString(offset + 6, row.getInt(offset + 2), StandardCharsets.UTF_8);
     }
 
     /** Whether a description is of one column, and nothing else. */
     public static boolean hasOneField(ByteBuf description) {
-        int at = description.readerIndex() + 5;
-        int zero =
-                description.readableBytes() < 7 || description.getShort(at) != 1
+        int offset = description.readerIndex() + 5;
+        int terminator =
+                description.readableBytes() < 7 || description.getShort(offset) != 1
                         ? -1
-                        : description.indexOf(at + 2, description.writerIndex(), (byte) 0);
-        return zero >= 0 && description.writerIndex() - zero == 19;
+                        : description.indexOf(offset + 2, description.writerIndex(), (byte) 0);
+        return terminator >= 0 && description.writerIndex() - terminator == 19;
     }
 
     /** Whether a message holds one text up to its end. */
@@ -215,10 +215,10 @@
 
     /** Whether a row holds one column that fills it. */
     public static boolean hasOneColumn(ByteBuf row) {
-        int at = row.readerIndex() + 5;
+        int offset = row.readerIndex() + 5;
         return row.readableBytes() >= 11
-                && row.getShort(at) == 1
-                && row.getInt(at + 2) == row.readableBytes() - 11;
+                && row.getShort(offset) == 1
+                && row.getInt(offset + 2) == row.readableBytes() - 11;
     }
 
     /** Whether a query holds nothing: white space and semicolons. */
--- a/src/main/java/dillfront/router/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -124,49 +124,49 @@
     }
 
     private void readComment() throws StatementFormatException {
-        boolean named = false;
-        boolean grouped = false;
+        boolean hasId = false;
+        boolean hasGroup = false;
         int from = at;
         while (true) {
-            int name = at;
-            int equals = scanTo('=');
-            if (equals == name || at >= end || message.getByte(at) != '=') {
+            int nameStart = at;
+            int nameEnd = scanTo('=');
+            if (nameEnd == nameStart || at >= end || message.getByte(at) != '=') {
                 throw new StatementFormatException("a name without a value");
             }
             at++;
-            int value = at;
-            int to = scanTo(',');
-            if (matches(name, equals, ID)) {
-                named = to > value;
-                idHash = hash(value, to);
-            } else if (matches(name, equals, TYPE)) {
-                type = readText(value, to);
-            } else if (matches(name, equals, TIMEOUT)) {
-                timeoutMs = readNumber(value, to);
-                timeoutStart = value - message.readerIndex();
-                timeoutEnd = to - message.readerIndex();
-            } else if (matches(name, equals, GROUP)) {
-                group = (int) Math.min(Integer.MAX_VALUE, readNumber(value, to));
-                grouped = true;
-            } else if (matches(name, equals, IDEMPOTENCY_KEY)) {
-                idempotencyKeyHash = hash(value, to);
-            } else if (matches(name, equals, LAST_WRITE)) {
-                lastWriteMs = readNumber(value, to);
+            int valueStart = at;
+            int valueEnd = scanTo(',');
+            if (matches(nameStart, nameEnd, ID)) {
+                hasId = valueEnd > valueStart;
+                idHash = hash(valueStart, valueEnd);
+            } else if (matches(nameStart, nameEnd, TYPE)) {
+                type = readText(valueStart, valueEnd);
+            } else if (matches(nameStart, nameEnd, TIMEOUT)) {
+                timeoutMs = readNumber(valueStart, valueEnd);
+                timeoutStart = valueStart - message.readerIndex();
+                timeoutEnd = valueEnd - message.readerIndex();
+            } else if (matches(nameStart, nameEnd, GROUP)) {
+                group = (int) Math.min(Integer.MAX_VALUE, readNumber(valueStart, valueEnd));
+                hasGroup = true;
+            } else if (matches(nameStart, nameEnd, IDEMPOTENCY_KEY)) {
+                idempotencyKeyHash = hash(valueStart, valueEnd);
+            } else if (matches(nameStart, nameEnd, LAST_WRITE)) {
+                lastWriteMs = readNumber(valueStart, valueEnd);
             }
             if (at >= end || message.getByte(at) != ',') {
                 break;
             }
             at++;
         }
-        if (at == from || !named || type == null || timeoutMs < 0 || !grouped) {
+        if (at == from || !hasId || type == null || timeoutMs < 0 || !hasGroup) {
             throw new StatementFormatException("the comment lacks id, c, d or cluster");
         }
     }
 
     /** Goes on to this character or to what ends a comment's entry. */
-    private int scanTo(char mark) {
+    private int scanTo(char delimiter) {
         while (at < end
-                && message.getByte(at) != mark
+                && message.getByte(at) != delimiter
                 && message.getByte(at) != ','
                 && message.getByte(at) != ' '
                 && message.getByte(at) != '*') {
@@ -206,15 +206,15 @@
         return number;
     }
 
-    private boolean skipIfPresent(byte[] words) {
+    private boolean skipIfPresent(byte[] literal) {
         // No words hold a zero, and one stands at the end: none can match beyond it.
-        boolean there = Messages.matchesAt(message, at, words);
-        at += there ? words.length : 0;
-        return there;
+        boolean present = Messages.matchesAt(message, at, literal);
+        at += present ? literal.length : 0;
+        return present;
     }
 
-    private void expect(byte[] words) throws StatementFormatException {
-        if (!skipIfPresent(words)) {
+    private void expect(byte[] literal) throws StatementFormatException {
+        if (!skipIfPresent(literal)) {
             throw new StatementFormatException("out of form at byte " + (at - message.readerIndex() - 5));
         }
     }
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -122,28 +122,28 @@
     private Socket client;
 
     @BeforeEach
-    void start(TestInfo scene) throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        node = new ServerSocket(0, 50, here);
-        list = new ServerSocket(0, 50, here);
+    void start(TestInfo testInfo) throws Exception {
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        node = new ServerSocket(0, 50, loopback);
+        list = new ServerSocket(0, 50, loopback);
         serve(node, this::node);
         serve(list, this::list);
         // Another process may have been given a free port before the router listens there.
-        for (int tries = 1; ; tries++) {
+        for (int attempt = 1; ; attempt++) {
             try {
-                start(here, scene);
+                start(loopback, testInfo);
                 return;
-            } catch (ConfigException taken) {
-                if (tries == 5 || !taken.getMessage().endsWith("Address already in use")) {
-                    throw taken;
+            } catch (ConfigException e) {
+                if (attempt == 5 || !e.getMessage().endsWith("Address already in use")) {
+                    throw e;
                 }
             }
         }
     }
 
-    private void start(InetAddress here, TestInfo scene) throws Exception {
+    private void start(InetAddress loopback, TestInfo testInfo) throws Exception {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 50, here)) {
+        try (ServerSocket free = new ServerSocket(0, 50, loopback)) {
             port = free.getLocalPort();
         }
         Path config = dir.resolve("config.json");
@@ -156,7 +156,7 @@
                                 + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':"
                                 + wholeList(41)
                                 + ",'settings':"
-                                + (scene.getTags().contains(LONG_TIMEOUTS)
+                                + (testInfo.getTags().contains(LONG_TIMEOUTS)
                                         ? SETTINGS.replace(
                                                         "'dialTimeoutUs':250000",
                                                         "'dialTimeoutUs':2000000")
@@ -174,14 +174,14 @@
                                     @Override
                                     public void println(Object line) {
                                         super.println(line);
-                                        LoopHold next = loopHolds.peek();
-                                        if (next != null && line.toString().contains(next.logText)) {
+                                        LoopHold hold = loopHolds.peek();
+                                        if (hold != null && line.toString().contains(hold.logText)) {
                                             loopHolds.remove().block();
                                         }
                                     }
                                 }));
         router.start();
-        client = new Socket(here, port);
+        client = new Socket(loopback, port);
         client.setSoTimeout(5000);
     }
 
@@ -201,25 +201,25 @@
         void handle(Socket socket) throws IOException;
     }
 
-    private static void serve(ServerSocket door, ConnectionHandler peer) {
+    private static void serve(ServerSocket serverSocket, ConnectionHandler handler) {
         Thread thread =
                 new Thread(
                         () -> {
-                            while (!door.isClosed()) {
+                            while (!serverSocket.isClosed()) {
                                 try {
-                                    Socket socket = door.accept();
-                                    Thread one =
+                                    Socket socket = serverSocket.accept();
+                                    Thread testCase =
                                             new Thread(
                                                     () -> {
                                                         try (socket) {
-                                                            peer.handle(socket);
-                                                        } catch (IOException over) {
+                                                            handler.handle(socket);
+                                                        } catch (IOException e) {
                                                             // The router ended it: so be it.
                                                         }
                                                     });
-                                    one.setDaemon(true);
-                                    one.start();
-                                } catch (IOException closed) {
+                                    testCase.setDaemon(true);
+                                    testCase.start();
+                                } catch (IOException e) {
                                     return;
                                 }
                             }
@@ -290,7 +290,7 @@
     /**
      * Discovery by the test's word: the whole list at once or as late as said, then what is told.
      */
-    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> told, long firstAfter) {
+    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> updates, long firstAfter) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -304,7 +304,7 @@
                         pause(discoveryRequests.size() == 1 ? firstAfter : 0);
                         answer(
                                 socket,
-                                discoveryRequests.size() == 1 && firstAfter == 0 ? wholeList(42) : told.take());
+                                discoveryRequests.size() == 1 && firstAfter == 0 ? wholeList(42) : updates.take());
                     } catch (InterruptedException over) {
                         return;
                     }
@@ -318,7 +318,7 @@
      * tells whoever asked last. From the moment that the test is ready to tell, that one is not
      * answered before.
      */
-    private ConnectionHandler longPollingDiscovery(BlockingQueue<String> told) {
+    private ConnectionHandler longPollingDiscovery(BlockingQueue<String> updates) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -336,17 +336,17 @@
                             socket,
                             wait == 0
                                     ? wholeList(42)
-                                    : awaitUpdate(socket, told, System.nanoTime() + wait * 1_000_000));
+                                    : awaitUpdate(socket, updates, System.nanoTime() + wait * 1_000_000));
                 }
             }
         };
     }
 
-    private String awaitUpdate(Socket socket, BlockingQueue<String> told, long end) {
+    private String awaitUpdate(Socket socket, BlockingQueue<String> updates, long end) {
         lastRequester = socket;
         while (lastRequester == socket && (ready || System.nanoTime() < end)) {
             waitingRequester = ready ? socket : null;
-            String next = told.poll();
+            String next = updates.poll();
             if (next != null) {
                 return next;
             }
@@ -363,11 +363,11 @@
      * A query that nobody can read, with this word in its line of the log, at which the loop may be
      * held.
      */
-    private static ByteBuf malformedQuery(String word) {
+    private static ByteBuf malformedQuery(String token) {
         return Messages.query(
                 Unpooled.buffer(),
                 "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d="
-                        + word
+                        + token
                         + ",cluster=2 */");
     }
 
@@ -413,13 +413,13 @@
      * none.
      */
     private static int unreadBytes(int local, int remote) {
-        String ends = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
+        String endpoints = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
         try {
             for (String file : new String[] {"/proc/net/tcp", "/proc/net/tcp6"}) {
                 for (String line : Files.readAllLines(Path.of(file))) {
-                    if (line.matches(".*" + ends + ".*")) {
+                    if (line.matches(".*" + endpoints + ".*")) {
                         return Integer.parseInt(
-                                line.replaceAll(".*" + ends + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
+                                line.replaceAll(".*" + endpoints + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
                     }
                 }
             }
@@ -556,12 +556,12 @@
 
     // ---- the client
 
-    private static ByteBuf query(String type, String key, int wait) {
-        return query(type, key, wait, Integer.toHexString(IDS.incrementAndGet()));
+    private static ByteBuf query(String type, String key, int timeoutMillis) {
+        return query(type, key, timeoutMillis, Integer.toHexString(IDS.incrementAndGet()));
     }
 
-    private static ByteBuf query(String type, String key, int wait, String id) {
-        String comment = "/* id=" + id + ",c=" + type + ",d=" + wait + ",k=5c,cluster=2 */";
+    private static ByteBuf query(String type, String key, int timeoutMillis, String id) {
+        String comment = "/* id=" + id + ",c=" + type + ",d=" + timeoutMillis + ",k=5c,cluster=2 */";
         return Messages.query(
                 Unpooled.buffer(),
                 type.equals("any")
@@ -577,40 +577,40 @@
     }
 
     /** Reads up to so many ReadyForQuery, or to the end of the connection. */
-    private String readResponses(int readies) throws IOException {
-        StringBuilder heard = new StringBuilder();
+    private String readResponses(int readyCount) throws IOException {
+        StringBuilder responses = new StringBuilder();
         DataInputStream in = new DataInputStream(client.getInputStream());
-        int left = readies;
-        while (left > 0) {
+        int remaining = readyCount;
+        while (remaining > 0) {
             int type = in.read();
             if (type < 0) {
-                return heard.append("end").toString();
+                return responses.append("end").toString();
             }
             byte[] body = in.readNBytes(in.readInt() - 4);
             if (type == 'S' || type == 'K' || type == 'R') {
                 continue;
             }
-            heard.append((char) type);
+            responses.append((char) type);
             if (type == 'D') {
-                heard.append(':')
+                responses.append(':')
                         .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
             } else if (type == 'E') {
-                heard.append(':')
+                responses.append(':')
                         .append(
                                 new String(body, StandardCharsets.UTF_8)
                                         .replaceAll("S.*?\0V.*?\0C", "")
                                         .replaceAll("\0+$", "")
                                         .replaceAll("\0", "|"));
             }
-            heard.append(' ');
-            left -= type == 'Z' ? 1 : 0;
+            responses.append(' ');
+            remaining -= type == 'Z' ? 1 : 0;
         }
-        return heard.toString().trim();
+        return responses.toString().trim();
     }
 
-    private void sendAndTrace(String what, ByteBuf bytes, int readies) throws IOException {
+    private void sendAndTrace(String label, ByteBuf bytes, int readyCount) throws IOException {
         send(client, bytes);
-        trace.append(String.format("%-22s %s\n", what, readResponses(readies)));
+        trace.append(String.format("%-22s %s\n", label, readResponses(readyCount)));
     }
 
     private void traceStatements() {
@@ -649,13 +649,13 @@
                                         l ->
                                                 Stream.of(all)
                                                         .allMatch(
-                                                                one ->
+                                                                testCase ->
                                                                         l.matches(
-                                                                                ".* " + one
+                                                                                ".* " + testCase
                                                                                         + "( .*|$)")));
                     });
-        } catch (AssertionError never) {
-            throw new AssertionError(never.getMessage() + ": " + counters(), never);
+        } catch (AssertionError e) {
+            throw new AssertionError(e.getMessage() + ": " + counters(), e);
         }
     }
 
@@ -828,10 +828,10 @@
             {"Terminate", startup().writeByte('X').writeInt(4)}
         };
         Socket first = client;
-        for (Object[] one : cases) {
+        for (Object[] testCase : cases) {
             client = new Socket(first.getInetAddress(), first.getPort());
             client.setSoTimeout(5000);
-            sendAndTrace((String) one[0], (ByteBuf) one[1], 9);
+            sendAndTrace((String) testCase[0], (ByteBuf) testCase[1], 9);
             client.close();
         }
         client = first;
@@ -1014,13 +1014,13 @@
         sendAndTrace("startup", startup(), 1);
         send(client, query("any", "slow", 900));
         awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
-        try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::serveSecondDiscovery);
+        try (ServerSocket newDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(newDiscovery, this::serveSecondDiscovery);
             Files.writeString(
                     file,
                     first.replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort())
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort())
                             .replace("\"sockets\":256", "\"sockets\":300"));
             sendSighup();
             trace.append("what was out           ").append(readResponses(1)).append('\n');
@@ -1067,9 +1067,9 @@
      */
     @Test
     void readsDrainBeforeSendingDecidedTransaction() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+        BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, longPollingDiscovery(told));
+            serve(discovery, longPollingDiscovery(updates));
             // Time enough for a txn on the busiest machine: only the order counts here.
             Path file = dir.resolve("config.json");
             Files.writeString(
@@ -1082,21 +1082,21 @@
             awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
             // In one turn: the loop stands still, a txn is decided, the loop stands still, then the
             // txn would be sent.
-            LoopHold before = holdLoopAt("'still");
-            LoopHold between = holdLoopAt(" counters ");
+            LoopHold holdBeforeDecision = holdLoopAt("'still");
+            LoopHold holdBeforeSend = holdLoopAt(" counters ");
             send(client, malformedQuery("still").writeBytes(query("move", "drained", 4_000)));
-            awaitCondition("the loop stands still before it decides", before::reached);
+            awaitCondition("the loop stands still before it decides", holdBeforeDecision::reached);
             router.printCounters();
-            before.release();
-            awaitCondition("the loop stands still between decision and send", between::reached);
-            told.add(drainingList());
+            holdBeforeDecision.release();
+            awaitCondition("the loop stands still between decision and send", holdBeforeSend::reached);
+            updates.add(drainingList());
             awaitCondition(
                     "the drain lies unread",
-                    () -> told.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
+                    () -> updates.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
             // Many steps of the clock: whoever was away for so long knows it. More of them change
             // nothing.
             Thread.sleep(100);
-            between.release();
+            holdBeforeSend.release();
             trace.append("the loop stands still        ").append(readResponses(1)).append('\n');
             trace.append("a txn to a node that drains  ").append(readResponses(1)).append('\n');
             traceStatements();
@@ -1112,30 +1112,30 @@
     @Test
     @Tag(LONG_TIMEOUTS)
     void honorsDrainFromPreviousDiscovery() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+        BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress());
-                ServerSocket silent = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, longPollingDiscovery(told));
+                ServerSocket unresponsiveDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(discovery, longPollingDiscovery(updates));
             restartWithDiscovery(discovery);
             sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
             ready = true;
             awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
-            LoopHold still = holdLoopAt("'still");
+            LoopHold loopHold = holdLoopAt("'still");
             send(client, malformedQuery("still"));
-            awaitCondition("the loop stands still", still::reached);
-            told.add(drainingList());
+            awaitCondition("the loop stands still", loopHold::reached);
+            updates.add(drainingList());
             awaitCondition(
                     "the drain lies unread",
-                    () -> told.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
+                    () -> updates.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
-                            .replace(":" + discovery.getLocalPort(), ":" + silent.getLocalPort()));
+                            .replace(":" + discovery.getLocalPort(), ":" + unresponsiveDiscovery.getLocalPort()));
             router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             // As long as a drain may take to be known.
             Thread.sleep(300);
-            still.release();
+            loopHold.release();
             trace.append("the loop stood still  ").append(readResponses(1)).append('\n');
             sendAndTrace("after the grace", query("any", "drained", 300), 1);
             traceStatements();
@@ -1165,11 +1165,11 @@
     @Test
     void reconnectsSilentDiscoveryClient() throws Exception {
         sendAndTrace("startup", startup(), 1);
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         awaitCondition("lists has 4", () -> discoveryConnections.get() >= 4);
-        long took = (System.nanoTime() - since) / 1_000_000;
+        long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
         trace.append("asked twice more, after two silences, within 4 s: ")
-                .append(took < 4000 && took > 1000)
+                .append(elapsedMillis < 4000 && elapsedMillis > 1000)
                 .append('\n');
         RoutingHarness.assertTraceEquals("router-list-silent", trace);
     }
@@ -1194,9 +1194,9 @@
     }
 
     /** Bounded, and it fails with what it waited for. */
-    private static void awaitCondition(String what, BooleanSupplier is) throws InterruptedException {
-        for (long end = System.nanoTime() + 20_000_000_000L; !is.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + what);
+    private static void awaitCondition(String description, BooleanSupplier condition) throws InterruptedException {
+        for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean(); ) {
+            assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + description);
             Thread.sleep(5);
         }
     }
@@ -1206,15 +1206,15 @@
     @Tag(LONG_TIMEOUTS)
     void freesStateOfReplacedNodes() throws Exception {
         sendAndTrace("startup", startup(), 1);
-        try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::serveChangingList);
+        try (ServerSocket newDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(newDiscovery, this::serveChangingList);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort()));
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort()));
             router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             for (int i = 0; i < 100; i++) {
                 // Out while its node is replaced; but no faster than the router hears of it, or
@@ -1228,8 +1228,8 @@
                 if (i < 99) {
                     readResponses(1);
                 }
-                int told = FIRST_REPLACEMENT_GENERATION + i;
-                awaitCondition("the router has list " + told, () -> askedAfter == told);
+                int generation = FIRST_REPLACEMENT_GENERATION + i;
+                awaitCondition("the router has list " + generation, () -> askedAfter == generation);
             }
             awaitCounters("node_rows=[2-5]", "node_connections=1");
         }
@@ -1315,10 +1315,10 @@
         for (int i = 1; i < 3; i++) {
             client = newClient();
             send(client, startup().writeBytes(query("once", "hang", 3_000)));
-            int many = i;
-            awaitCondition("seen has " + many, () -> receivedStatements.size() >= many);
+            int count = i;
+            awaitCondition("seen has " + count, () -> receivedStatements.size() >= count);
             client.close();
-            awaitCounters("left=" + many);
+            awaitCounters("left=" + count);
         }
         client = newClient();
         sendAndTrace("both are in use", startup().writeBytes(query("once", "k", 900)), 2);
@@ -1331,19 +1331,19 @@
     @Test
     void evictsLongestIdleClientAtLimit() throws Exception {
         sendAndTrace("startup", startup(), 1);
-        List<Socket> more = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
         Socket first = client;
         for (int i = 0; i < 108; i++) {
             client = new Socket(first.getInetAddress(), first.getPort());
             client.setSoTimeout(5000);
-            more.add(client);
+            idleClients.add(client);
             send(client, startup().writeBytes(Messages.query(Unpooled.buffer(), "")));
             readResponses(2);
         }
         sendAndTrace("the last of 109", query("any", "k", 900), 1);
         client = first;
         trace.append("the first              ").append(readResponses(1)).append('\n');
-        for (Socket socket : more) {
+        for (Socket socket : idleClients) {
             socket.close();
         }
         stopAndTraceCounters("accepted", "committed", "client_connections");
@@ -1363,16 +1363,16 @@
     @Test
     void silentClientsDoNotBlockOthers() throws Exception {
         sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
-        List<Socket> silent = new ArrayList<>();
-        long since = System.nanoTime();
+        List<Socket> silentClients = new ArrayList<>();
+        long startNanos = System.nanoTime();
         Socket first = client;
         for (int i = 0; i < 300; i++) {
             client = first;
-            silent.add(newClient());
+            silentClients.add(newClient());
             if (i % 3 == 1) {
-                send(silent.get(i), startup());
+                send(silentClients.get(i), startup());
             } else if (i % 3 == 2) {
-                send(silent.get(i), startup().writeBytes(query("any", "half", 900), 30));
+                send(silentClients.get(i), startup().writeBytes(query("any", "half", 900), 30));
             }
             if (i % 50 == 49) {
                 client = newClient();
@@ -1385,11 +1385,11 @@
         }
         client = first;
         sendAndTrace("the first", query("any", "k", 900), 1);
-        for (Socket socket : silent) {
+        for (Socket socket : silentClients) {
             while (readsByte(socket)) {}
         }
         trace.append("the silent are closed within 3 s: ")
-                .append(System.nanoTime() - since < 3_000_000_000L)
+                .append(System.nanoTime() - startNanos < 3_000_000_000L)
                 .append('\n');
         stopAndTraceCounters("accepted", "committed", "client_connections");
         assertNoLeaks();
