--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -27,24 +27,24 @@
     }
 
     private static String parse(String... pieces) {
-        StringBuilder seen = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         HttpResponseDecoder answers = new HttpResponseDecoder();
         try {
             for (String piece : pieces) {
                 answers.add(bytes(piece));
                 for (ByteBuf body = answers.next(); body != null; body = answers.next()) {
-                    seen.append(answers.status())
+                    output.append(answers.status())
                             .append(" '")
                             .append(body.toString(StandardCharsets.UTF_8))
                             .append("' ");
                     body.release();
                 }
             }
-        } catch (HttpFormatException bad) {
-            seen.append(bad.getMessage());
+        } catch (HttpFormatException e) {
+            output.append(e.getMessage());
         }
         answers.release();
-        return seen.append('\n').toString();
+        return output.append('\n').toString();
     }
 
     @Test
@@ -75,7 +75,7 @@
         MemberList list = new MemberList(RouterSettings.read(new JsonObject()), new MonotonicClock(), new Log(System.err));
         String entry =
                 "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
-        StringBuilder seen = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (int day = 0; day < 1000; day++) {
             String change =
                     day % 10 == 9
@@ -96,20 +96,20 @@
                                                     .getBytes(StandardCharsets.UTF_8))));
             if (day < 3) {
                 members.forEach(
-                        m -> seen.append(m.row().node()).append(m.row().standing()).append(' '));
+                        m -> output.append(m.row().node()).append(m.row().standing()).append(' '));
             }
             // What was out at index 0 never ends; all others are given back a day late.
-            int later = day;
-            list.removeDeparted(node -> node > 0 && later % 2 == 0);
+            int currentDay = day;
+            list.removeDeparted(node -> node > 0 && currentDay % 2 == 0);
         }
-        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", seen + "| " + list.indexCount());
+        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", output + "| " + list.indexCount());
     }
 
     @Test
     void skipsUnreadableEntry() throws IOException {
-        ByteArrayOutputStream lines = new ByteArrayOutputStream();
+        ByteArrayOutputStream logLines = new ByteArrayOutputStream();
         RouterSettings setup = RouterSettings.read(new JsonObject());
-        MemberList list = new MemberList(setup, new MonotonicClock(), new Log(new PrintStream(lines, true)));
+        MemberList list = new MemberList(setup, new MonotonicClock(), new Log(new PrintStream(logLines, true)));
         String entry =
                 "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
                         + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
@@ -142,7 +142,7 @@
                 .append(", group 4: ")
                 .append(list.mayHaveGroup(4))
                 .append('\n');
-        lines.toString(StandardCharsets.UTF_8)
+        logLines.toString(StandardCharsets.UTF_8)
                 .lines()
                 .forEach(line -> trace.append(line.substring(line.indexOf("WARN"))).append('\n'));
         RoutingHarness.assertTraceEquals("list", trace);
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -34,23 +34,23 @@
                 .writeBytes(BEHIND.getBytes(StandardCharsets.US_ASCII))
                 .writeByte(0);
         message.setInt(8, message.readableBytes() - 1);
-        boolean plain = key.length > 0;
+        boolean hasNoQuote = key.length > 0;
         for (byte b : key) {
-            plain &= b != '\'';
+            hasNoQuote &= b != '\'';
         }
-        Statement read;
+        Statement statement;
         try {
-            read = Statement.read(message);
-        } catch (StatementFormatException bad) {
-            assertEquals(false, plain, bad.getMessage());
+            statement = Statement.read(message);
+        } catch (StatementFormatException e) {
+            assertEquals(false, hasNoQuote, e.getMessage());
             return;
         }
         // A key that holds a quote is no key that could be read in two ways.
-        assertEquals(true, plain);
-        byte[] seen = new byte[read.length()];
-        for (int i = 0; i < seen.length; i++) {
-            seen[i] = read.at(i);
+        assertEquals(true, hasNoQuote);
+        byte[] readKey = new byte[statement.length()];
+        for (int i = 0; i < readKey.length; i++) {
+            readKey[i] = statement.at(i);
         }
-        assertArrayEquals(key, seen, Arrays.toString(seen));
+        assertArrayEquals(key, readKey, Arrays.toString(readKey));
     }
 }
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -23,13 +23,13 @@
 
     /** What the cutter makes of these pieces. */
     private static String decode(boolean untyped, ByteBuf... pieces) {
-        StringBuilder seen = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         FrameDecoder frames = untyped ? new FrameDecoder() : new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
         try {
             for (ByteBuf piece : pieces) {
                 frames.add(piece);
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
-                    seen.append(message.readableBytes())
+                    output.append(message.readableBytes())
                             .append(untyped ? "startup " : (char) message.getByte(0) + " ");
                     if (untyped) {
                         frames.startupReceived();
@@ -38,12 +38,12 @@
                     message.release();
                 }
             }
-        } catch (FrameException bad) {
-            seen.append(bad.getMessage());
+        } catch (FrameException e) {
+            output.append(e.getMessage());
         }
-        seen.append(" left ").append(frames.bufferedBytes());
+        output.append(" left ").append(frames.bufferedBytes());
         frames.release();
-        return seen.toString();
+        return output.toString();
     }
 
     @Test
@@ -108,67 +108,67 @@
 
     @Test
     void parsesStatements() throws IOException {
-        String read =
+        String select =
                 "SELECT body FROM objects WHERE oid = '7f3a' /* id=9b,c=basket,d=480,cluster=2 */";
-        String write =
+        String insert =
                 "INSERT INTO objects (oid, body) VALUES ('7f3a', '\\x9f03') RETURNING body "
                         + "/* id=9b,c=order,d=480,k=5c0f,cluster=2 */";
         String[] cases = {
-            read,
-            write,
-            read.replace("cluster=2", "cluster=2,after=1767225600123,r=1,new=x"),
-            read.replace("d=480", "d=0"),
-            read.replace("7f3a", ""),
-            read.replace("SELECT", "select"),
-            read + ";",
-            read.replace(" */", ""),
-            read.replace("id=9b,", ""),
-            read.replace("c=basket,", ""),
-            read.replace("d=480,", ""),
-            read.replace("cluster=2", "cluster=two"),
-            read.replace("d=480", "d=-1"),
-            read.replace("d=480", "d=99999999999999999999"),
-            read.replace("d=480", "d="),
-            read.replace("d=480", "d"),
-            read.replace("id=9b", "id="),
-            read.replace("body FROM", "secret FROM"),
+            select,
+            insert,
+            select.replace("cluster=2", "cluster=2,after=1767225600123,r=1,new=x"),
+            select.replace("d=480", "d=0"),
+            select.replace("7f3a", ""),
+            select.replace("SELECT", "select"),
+            select + ";",
+            select.replace(" */", ""),
+            select.replace("id=9b,", ""),
+            select.replace("c=basket,", ""),
+            select.replace("d=480,", ""),
+            select.replace("cluster=2", "cluster=two"),
+            select.replace("d=480", "d=-1"),
+            select.replace("d=480", "d=99999999999999999999"),
+            select.replace("d=480", "d="),
+            select.replace("d=480", "d"),
+            select.replace("id=9b", "id="),
+            select.replace("body FROM", "secret FROM"),
             "DROP TABLE objects",
             "",
-            write.replace("9f03", "9f0"),
-            write.replace("9f03", "9g03"),
-            write.replace("9f03", ""),
-            read.replace("'7f3a'", "'7f'''"),
-            read.replace("/* ", "/* /* ")
+            insert.replace("9f03", "9f0"),
+            insert.replace("9f03", "9g03"),
+            insert.replace("9f03", ""),
+            select.replace("'7f3a'", "'7f'''"),
+            select.replace("/* ", "/* /* ")
         };
         for (String text : cases) {
             trace.append(text).append("\n   ");
             ByteBuf message = query(text);
             try {
-                Statement s = Statement.read(message);
-                trace.append(s.write ? "write" : "read")
+                Statement statement = Statement.read(message);
+                trace.append(statement.write ? "write" : "read")
                         .append(" type ")
-                        .append(s.type)
+                        .append(statement.type)
                         .append(" wait ")
-                        .append(s.timeoutMs)
+                        .append(statement.timeoutMs)
                         .append(" group ")
-                        .append(s.group)
+                        .append(statement.group)
                         .append(" after ")
-                        .append(s.lastWriteMs)
+                        .append(statement.lastWriteMs)
                         .append(" digits ")
                         .append(
                                 message.toString(
-                                        s.timeoutStart,
-                                        s.timeoutEnd - s.timeoutStart,
+                                        statement.timeoutStart,
+                                        statement.timeoutEnd - statement.timeoutStart,
                                         StandardCharsets.US_ASCII));
-            } catch (StatementFormatException bad) {
-                trace.append(bad.getMessage());
+            } catch (StatementFormatException e) {
+                trace.append(e.getMessage());
             }
             trace.append('\n');
         }
         RoutingHarness.assertTraceEquals("statements", trace);
         // Cut short anywhere, it is out of form, never half a txn.
-        for (int length = 0; length < write.length(); length++) {
-            ByteBuf message = query(write.substring(0, length));
+        for (int length = 0; length < insert.length(); length++) {
+            ByteBuf message = query(insert.substring(0, length));
             org.junit.jupiter.api.Assertions.assertThrows(
                     StatementFormatException.class, () -> Statement.read(message));
         }
