--- a/src/main/java/dillfront/router/FileClientAuthenticator.java
+++ b/src/main/java/dillfront/router/FileClientAuthenticator.java
@@ -33,10 +33,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps the gate's state as the operator's files have it, and the door's TLS. Files are looked at
- * and read by a thread of their own, four times a second; what they say comes to the loop as one
- * object. Handshakes' arithmetic is done by that thread too, so that a storm of them takes none of
- * the loop's turns; so many at once, and the next are turned away.
+ * Authenticates clients by the operator's identity files and supplies the listener's TLS context. A
+ * separate thread checks and reads the files four times a second and hands the result to the event
+ * loop as one object. Handshake cryptography runs on that thread too, so that a burst of handshakes
+ * takes no time from the event loop; handshakes beyond the concurrency limit are rejected.
  */
 final class FileClientAuthenticator implements ClientAuthenticator {
 
@@ -44,12 +44,12 @@
     private static final int MAX_CONCURRENT_HANDSHAKES = 64;
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** All that one look at the files gave. */
+    /** Contents of the identity files, read together. */
     private record IdentityFiles(Policy policy, Tokens tokens, SslContext tls) {}
 
     private final Path operatorFile;
 
-    /** On the reader's thread after the start. */
+    /** Accessed on the file-reader thread only, once the constructor has returned. */
     private RouterSettings settings;
 
     private final MonotonicClock clock;
@@ -60,7 +60,10 @@
     private final ScheduledThreadPoolExecutor fileReader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
-    /** What was read last and was good, and the files of it as they were then. */
+    /**
+     * The last valid identity section, and the modification times and sizes of its files at that
+     * time.
+     */
     private Operator.IdentityPart identity;
 
     private String fileStamps;
@@ -69,7 +72,7 @@
     private SslContext tls;
     private int handshakes;
 
-    /** Reads the files once, or says what is wrong with them. */
+    /** Reads the identity files once; throws if they are invalid. */
     FileClientAuthenticator(
             Path operatorFile,
             Operator operator,
@@ -89,7 +92,10 @@
         fileStamps = readStamps(identity);
         apply(readFiles(identity, setup));
         fileReader.scheduleWithFixedDelay(
-                this::checkFiles, FILE_CHECK_INTERVAL.toMillis(), FILE_CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+                this::checkFiles,
+                FILE_CHECK_INTERVAL.toMillis(),
+                FILE_CHECK_INTERVAL.toMillis(),
+                TimeUnit.MILLISECONDS);
     }
 
     void close() {
@@ -97,17 +103,21 @@
     }
 
     /**
-     * Other settings: the rights are read by their txn types and tenants, and both change in one
-     * turn of the loop. Guards against rights that speak of a type by an index which has become
-     * another's.
+     * Applies new settings. Permissions refer to transaction types and tenants by index, so they
+     * are parsed again under the new settings, and both change in one task of the event loop:
+     * otherwise a permission could apply to the type that now has its old index.
      */
     void applySettings(RouterSettings newSettings, Runnable task) throws ConfigException {
         try {
-            fileReader.submit(
+            fileReader
+                    .submit(
                             () -> {
-                                // Where the settings are the same, a file that cannot be read now
-                                // keeps nobody from moving discovery.
-                                IdentityFiles identityFiles = newSettings.equals(settings) ? null : readFiles(identity, newSettings);
+                                // If the settings are unchanged, an unreadable identity file must
+                                // not block a change of the discovery address.
+                                IdentityFiles identityFiles =
+                                        newSettings.equals(settings)
+                                                ? null
+                                                : readFiles(identity, newSettings);
                                 settings = newSettings;
                                 loop.execute(
                                         () -> {
@@ -122,14 +132,14 @@
                     .get();
         } catch (InterruptedException | ExecutionException | RejectedExecutionException e) {
             throw new ConfigException(
-                    "identity, by these settings: "
+                    "identity is invalid under the new settings: "
                             + (e.getCause() == null ? e : e.getCause().getMessage()));
         }
     }
 
-    // ---- on the reader's thread
+    // ---- file-reader thread
 
-    /** Sizes and times of all files: when one differs they are read again. */
+    /** Returns the modification times and sizes of all files; any difference triggers a read. */
     private String readStamps(Operator.IdentityPart identityPart) {
         List<Path> files = new ArrayList<>(identityPart.files());
         files.add(operatorFile);
@@ -159,7 +169,8 @@
             Operator operator = Operator.read(operatorFile);
             if (operator.identity() == null) {
                 throw new Operator.BadOperator(
-                        operatorFile + ": identity() is gone; that waits for a start");
+                        operatorFile
+                                + ": identity() was removed; this takes effect only at a restart");
             }
             String stamps = readStamps(operator.identity());
             identityFiles = readFiles(operator.identity(), settings);
@@ -194,13 +205,20 @@
                 });
     }
 
-    private IdentityFiles readFiles(Operator.IdentityPart identityPart, RouterSettings routerSettings) throws Operator.BadOperator {
+    private IdentityFiles readFiles(
+            Operator.IdentityPart identityPart, RouterSettings routerSettings)
+            throws Operator.BadOperator {
         try {
-            Tokens newTokens = new Tokens(Files.readString(identityPart.jwks()), identityPart.issuer(), identityPart.audience());
+            Tokens newTokens =
+                    new Tokens(
+                            Files.readString(identityPart.jwks()),
+                            identityPart.issuer(),
+                            identityPart.audience());
             Set<String> revoked =
                     identityPart.revoked() == null
                             ? Set.of()
-                            : Files.readAllLines(identityPart.revoked(), StandardCharsets.UTF_8).stream()
+                            : Files.readAllLines(identityPart.revoked(), StandardCharsets.UTF_8)
+                                    .stream()
                                     .map(String::strip)
                                     .filter(line -> !line.isEmpty() && !line.startsWith("#"))
                                     .collect(Collectors.toSet());
@@ -208,12 +226,19 @@
                     identityPart.certificate() == null
                             ? null
                             : SslContextBuilder.forServer(
-                                            identityPart.certificate().toFile(), identityPart.privateKey().toFile())
+                                            identityPart.certificate().toFile(),
+                                            identityPart.privateKey().toFile())
                                     .sslProvider(SslProvider.JDK)
                                     .protocols("TLSv1.3", "TLSv1.2")
                                     .build();
             return new IdentityFiles(
-                    identityPart.policy(routerSettings.typeIndices(), routerSettings.tenantIndices(), newTokens.ids(), revoked), newTokens, sslContext);
+                    identityPart.policy(
+                            routerSettings.typeIndices(),
+                            routerSettings.tenantIndices(),
+                            newTokens.ids(),
+                            revoked),
+                    newTokens,
+                    sslContext);
         } catch (Tokens.BadToken e) {
             throw new Operator.BadOperator(identityPart.jwks() + ": " + e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
@@ -221,7 +246,7 @@
         }
     }
 
-    // ---- on the loop
+    // ---- event loop
 
     private void apply(IdentityFiles identityFiles) {
         tokens = identityFiles.tokens;
@@ -259,7 +284,10 @@
         return penalty.wait(address, user);
     }
 
-    /** The signature is checked by the reader's thread; what it says is weighed here. */
+    /**
+     * Verifies the signature on the file-reader thread; the access policy is evaluated on the event
+     * loop.
+     */
     @Override
     public void authenticate(String address, String user, String token, LoginCallback callback) {
         Tokens currentTokens = tokens;
@@ -281,14 +309,18 @@
                     loop.execute(
                             () -> {
                                 tick();
-                                Object result = rejection != null ? Refusal.UNKNOWN : gate.enter(verifiedCredential);
+                                Object result =
+                                        rejection != null
+                                                ? Refusal.UNKNOWN
+                                                : gate.enter(verifiedCredential);
                                 if (result instanceof Gate.Session session) {
                                     penalty.right(address, user);
                                     callback.accepted(session);
                                     return;
                                 }
                                 penalty.failed(address, user);
-                                String reason = rejection != null ? rejection : ((Refusal) result).word();
+                                String reason =
+                                        rejection != null ? rejection : ((Refusal) result).word();
                                 log.warn(
                                         "login-refused",
                                         "user",
--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -21,8 +21,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What the operator's file adds to a router: gossip, and a door for questions on loopback. On the
- * loop but for its making.
+ * Holds the services that the operator's file enables: gossip, the loopback admin server,
+ * authentication, persistent state and recovery. Runs on the event loop, except for the
+ * constructor.
  */
 final class OptionalServices {
 
@@ -31,12 +32,18 @@
     private final AdminServer adminServer;
     private final FileClientAuthenticator authenticator;
 
-    /** Null where nothing is remembered. */
+    /** Null if no state is persisted. */
     private final RouterStateStore stateStore;
 
     private final RecoveryCoordinator recovery;
 
-    OptionalServices(Operator operator, RouterConfig config, Router router, ClientListener clients, EventLoop loop, Log log)
+    OptionalServices(
+            Operator operator,
+            RouterConfig config,
+            Router router,
+            ClientListener clients,
+            EventLoop loop,
+            Log log)
             throws Operator.BadOperator {
         String name = config.name();
         long seed = config.seed();
@@ -61,7 +68,8 @@
         if (stateStore != null) {
             router.configureMemberList(
                     members -> {
-                        stateStore.closings()
+                        stateStore
+                                .closings()
                                 .forEach(
                                         c ->
                                                 members.restoreClosed(
@@ -149,23 +157,27 @@
                                                             ? "memory, doubts and sites are off\n"
                                                             : StatusFormatter.toText(
                                                                     recovery.status(
-                                                                            router.closedNodeCount(),
-                                                                            router.reportingPeerCount()));
+                                                                            router
+                                                                                    .closedNodeCount(),
+                                                                            router
+                                                                                    .reportingPeerCount()));
                                             case "status json" ->
                                                     recovery == null
                                                             ? "{}\n"
                                                             : StatusFormatter.toJson(
                                                                     recovery.status(
-                                                                            router.closedNodeCount(),
-                                                                            router.reportingPeerCount()));
+                                                                            router
+                                                                                    .closedNodeCount(),
+                                                                            router
+                                                                                    .reportingPeerCount()));
                                             default ->
                                                     "unknown question; known: peers, peers json, status, status json\n";
                                         });
     }
 
     /**
-     * False where nothing here goes by the settings; else what follows happens with the rights read
-     * anew, or not at all.
+     * Applies the settings to the parts that depend on them. Returns false if there are none;
+     * otherwise runs the task together with the re-read permissions, or throws and changes nothing.
      */
     boolean applySettings(RouterSettings newSettings, Runnable task) throws ConfigException {
         if (authenticator == null) {
--- a/src/main/java/dillfront/router/RecoveryCoordinator.java
+++ b/src/main/java/dillfront/router/RecoveryCoordinator.java
@@ -24,15 +24,15 @@
 import java.util.function.IntFunction;
 
 /**
- * What a router keeps in mind beyond the txn that asks, where the operator's file has it:
- * referenced txns that may have run, and how far each group has come back. Joins these decisions to
- * the disk and to the router's words. On the loop.
+ * Tracks state that outlives a single transaction, as far as the operator's file enables it: keyed
+ * transactions in doubt, and the recovery state of each group. Connects these decisions to the
+ * state store and the router's events. Runs on the event loop.
  */
 final class RecoveryCoordinator implements GroupRecovery.Listener, SiteHealthMonitor.Listener {
 
     /**
-     * State changes that are logged within one span of this length, in dial time-outs; the rest are
-     * counted.
+     * Maximum number of state changes logged per window; the window is 40 connect timeouts. Further
+     * changes are only counted.
      */
     private static final int MAX_LOG_LINES_PER_WINDOW = 64;
 
@@ -40,13 +40,13 @@
 
     private final Log log;
 
-    /** Null where it is off. */
+    /** Null if keyed transactions are not tracked. */
     private final InDoubtKeys inDoubtKeys;
 
     private final RouterStateStore stateStore;
     private final GroupRecovery groupRecovery;
 
-    /** Null where they are not watched. */
+    /** Null if site health monitoring is off. */
     private final SiteHealthMonitor siteHealth;
 
     private Map<Integer, String> zoneNames = Map.of();
@@ -56,13 +56,13 @@
     private long suppressedLogLines;
     private Duration now = Duration.ZERO;
 
-    /** What other routers have in doubt; null where none tells. */
+    /** Keys that other routers report as in doubt; null if peers do not report them. */
     private PeerInDoubtKeys peerInDoubtKeys;
 
     /**
-     * @param limits of the txns in doubt; null where they are not kept in mind
-     * @param stateStore null where nothing is remembered
-     * @param watchesSites what is lost is judged by site
+     * @param limits limits on tracked keys; null if keyed transactions are not tracked
+     * @param stateStore null if no state is persisted
+     * @param watchesSites whether node failures are evaluated per site
      */
     RecoveryCoordinator(
             InDoubtKeys.Limits limits,
@@ -78,7 +78,8 @@
         updateZoneNames(routerSettings);
         siteHealth =
                 watchesSites
-                        ? new SiteHealthMonitor(zoneNames.getOrDefault(settings.zone(), ""), connectTimeout, this)
+                        ? new SiteHealthMonitor(
+                                zoneNames.getOrDefault(settings.zone(), ""), connectTimeout, this)
                         : null;
         inDoubtKeys = limits == null ? null : new InDoubtKeys(limits, stateStore);
         groupRecovery = new GroupRecovery(startTime, connectTimeout, settings.warmUpTime(), this);
@@ -117,7 +118,7 @@
         zoneNames = names;
     }
 
-    // ---- txns
+    // ---- transactions
 
     boolean tracksKeys() {
         return inDoubtKeys != null;
@@ -127,7 +128,10 @@
         return inDoubtKeys.begin(key, time);
     }
 
-    /** Since when it may have run; null where nothing here or elsewhere says so. */
+    /**
+     * Returns since when the transaction may have run; null if neither this router nor a peer has
+     * it in doubt.
+     */
     Duration mayHaveRunSince(long key) {
         Duration since = inDoubtKeys.mayHaveRunSince(key);
         return since == null && isInDoubtAtPeer(key) ? InDoubtKeys.BEFORE_THIS_RUN : since;
@@ -141,7 +145,11 @@
         inDoubtKeys.finish(key, time);
     }
 
-    /** A submission ended, of a txn with a key or without (0). */
+    /**
+     * Records the end of a submission.
+     *
+     * @param key key of the transaction; 0 if it has none
+     */
     void recordSubmissionEnd(
             long key,
             int node,
@@ -162,17 +170,19 @@
     }
 
     /**
-     * Whether a write of this key, 0 where it has none, may go to this node now; asked again at the
-     * send. Guards against a write that waited for the disk or a connection while another router
-     * told that it may have run.
+     * Returns whether a write may go to this node now; checked again immediately before the send,
+     * since another router may report the key as in doubt while the write waits for the state store
+     * or a connection.
+     *
+     * @param key key of the transaction; 0 if it has none
      */
     boolean mayWrite(long key, int node, Duration time) {
         return (key == 0 || !isInDoubtAtPeer(key)) && groupRecovery.mayWrite(node, time);
     }
 
     /**
-     * One that claims to lead, and gets no write, stands at no present either: nothing that it says
-     * of itself counts.
+     * Discards the report of a node that claims to be the primary but is not accepted for writes:
+     * its replay position counts as little as its role.
      */
     NodeReport trustedReport(int node, NodeReport report, Duration time) {
         return report.role() == NodeRole.PRIMARY && !groupRecovery.isPrimaryAccepted(node, time)
@@ -220,7 +230,8 @@
     }
 
     /**
-     * @param observations what the router sees of each node, by its index, of so many
+     * @param observations the router's health observation of each node, by node index
+     * @param nodeCount number of node indices in use
      */
     void tick(Duration time, int nodeCount, IntFunction<HealthObservation> observations) {
         now = time;
@@ -240,7 +251,9 @@
     }
 
     private boolean mayLog() {
-        if (now.minus(logWindowStart).compareTo(connectTimeout.multipliedBy(LOG_WINDOW_CONNECT_TIMEOUTS)) > 0) {
+        if (now.minus(logWindowStart)
+                        .compareTo(connectTimeout.multipliedBy(LOG_WINDOW_CONNECT_TIMEOUTS))
+                > 0) {
             logWindowStart = now;
             logLinesInWindow = 0;
         }
@@ -296,7 +309,7 @@
         }
     }
 
-    /** For the operator: sections of names and values, in the order in which they are shown. */
+    /** Returns the status shown to the operator: sections of names and values in display order. */
     Map<String, Object> status(int closings, int witnesses) {
         Map<String, Object> sections = new LinkedHashMap<>();
         Map<String, Object> recovery = new LinkedHashMap<>();
@@ -308,7 +321,8 @@
         recovery.put("changes_unsaid", suppressedLogLines);
         sections.put("recovery", recovery);
         Map<String, Object> states = new LinkedHashMap<>();
-        groupRecovery.states()
+        groupRecovery
+                .states()
                 .forEach(
                         (group, state) ->
                                 states.put(
@@ -317,7 +331,8 @@
                                                 + (groupRecovery.awaitedPrimary(group) == null
                                                         ? ""
                                                         : ", awaits "
-                                                                + groupRecovery.awaitedPrimary(group))));
+                                                                + groupRecovery.awaitedPrimary(
+                                                                        group))));
         sections.put("groups", states);
         if (siteHealth != null) {
             Map<String, Object> fields = new LinkedHashMap<>();
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -3,17 +3,17 @@
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
 import dillfront.router.backend.NodeConnectionManager;
+import dillfront.router.config.JsonObject;
 import dillfront.router.config.MonotonicClock;
 import dillfront.router.config.RouterConfig;
 import dillfront.router.config.RouterSettings;
-import dillfront.router.config.JsonObject;
+import dillfront.router.discovery.DiscoveryClient;
 import dillfront.router.discovery.Member;
 import dillfront.router.discovery.MemberList;
-import dillfront.router.discovery.DiscoveryClient;
 import dillfront.router.discovery.PeerClosureReports;
-import dillfront.router.exchange.ResponseReceiver;
-import dillfront.router.exchange.ExchangeHandler;
 import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.ExchangeHandler;
+import dillfront.router.exchange.ResponseReceiver;
 import dillfront.router.pace.LoopLagMonitor;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
@@ -41,7 +41,8 @@
 import java.util.function.Consumer;
 
 /**
- * The module and what it drives: words of the network become its calls, its results go out again.
+ * Connects the routing engine to the network: network events become calls of the engine, and its
+ * decisions become network actions.
  */
 final class Router
         implements RoutingActions,
@@ -51,7 +52,7 @@
                 PeerHealthExchange.RoutingDecisions,
                 PeerRestrictionSync.ClosedNodeLists {
 
-    /** The part of the memory that one answer may take: 2 MB where it is 128. */
+    /** Divisor of the memory limit that bounds one node message: 2 MB of 128 MB. */
     private static final int RESPONSE_MEMORY_DIVISOR = 64;
 
     private RouterSettings settings;
@@ -61,33 +62,33 @@
     private final EventLoop loop;
     private final LoopLagMonitor loopLag;
 
-    /** Of its own delay, what the module has been told. */
+    /** Total event loop lag that the routing engine has been notified of. */
     private Duration reported = Duration.ZERO;
 
     private final MemberList members;
     private final RoutingEngine engine;
     private final NodeConnectionManager connectionManager;
 
-    /** A slot is used again once its txn is over. */
+    /** In-flight exchanges by slot; a slot is reused once its exchange has finished. */
     private final List<Exchange> exchanges = new ArrayList<>();
 
-    /** Of the txns that hold a slot. */
+    /** Ids of the transactions that occupy a slot. */
     private final Set<Long> openTransactionIds = new HashSet<>();
 
     private boolean hasMemberList;
 
-    /** The last expiry of all that was taken. */
+    /** Latest expiry of all accepted transactions. */
     private Duration lastExpiry = Duration.ZERO;
 
     private final List<Integer> freeSlots = new ArrayList<>();
 
-    /** Null where gossip is off. */
+    /** Null if gossip is off. */
     private PeerHealthExchange peerHealth;
 
-    /** How many others say that their lists have closed anything. */
+    /** Number of peers whose member lists have closed at least one node. */
     private int reportingPeers;
 
-    /** Null where nothing is kept in mind beyond the txns that are out. */
+    /** Null if no state is kept beyond transactions in flight. */
     private RecoveryCoordinator recovery;
 
     Router(
@@ -118,30 +119,27 @@
         engine = new RoutingEngine(settings.routing(), this, new SplittableRandom(config.seed()));
     }
 
-    /** Some list is there: before that, nothing can be served. */
+    /** Returns whether a member list is loaded; nothing can be served before that. */
     boolean hasMemberList() {
         return hasMemberList;
     }
 
-    /** By then each txn that was taken so far is answered, or nobody waits for it any more. */
+    /** Returns the time by which each accepted transaction is answered or has expired. */
     Duration lastExpiry() {
         return lastExpiry;
     }
 
-    /** Where the news come from, which go before all that is sent. */
+    /** Sets the discovery client, whose pending updates are read before anything is sent. */
     void setDiscoveryClient(DiscoveryClient watch) {
         connectionManager.discoveryReader(watch::readPending);
     }
 
-    /**
-     * Who remembers for a later life, and what is remembered from an earlier one. Before the first
-     * list.
-     */
+    /** Configures persistence of the member list. Called before the first list is applied. */
     void configureMemberList(Consumer<MemberList> configurer) {
         configurer.accept(members);
     }
 
-    /** How many nodes are closed by words that are remembered. */
+    /** Returns the number of nodes recorded as closed. */
     int closedNodeCount() {
         return members.closedNodes();
     }
@@ -151,15 +149,16 @@
     }
 
     /**
-     * What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key
-     * waits for. Before the first list.
+     * Sets the recovery coordinator and, if not null, the barrier that a keyed transaction awaits
+     * before it is sent. Called before the first list is applied.
      */
-    void setRecovery(RecoveryCoordinator coordinator, NodeConnectionManager.PersistenceBarrier barrier) {
+    void setRecovery(
+            RecoveryCoordinator coordinator, NodeConnectionManager.PersistenceBarrier barrier) {
         recovery = coordinator;
         connectionManager.persistenceBarrier(barrier);
     }
 
-    /** Others' words on nodes come through these. Before the first list. */
+    /** Sets the exchange of health reports with peers. Called before the first list is applied. */
     void setPeerHealth(PeerHealthExchange health) {
         peerHealth = health;
     }
@@ -169,8 +168,8 @@
     }
 
     /**
-     * Other settings from now on, for what is taken and sent; the caller asks for the whole list
-     * then.
+     * Applies new settings to transactions accepted and sent from now on; the caller then requests
+     * the complete member list.
      */
     void applySettings(RouterSettings newSettings) {
         tick();
@@ -184,7 +183,7 @@
         }
     }
 
-    // ---- words of the network
+    // ---- network events
 
     @Override
     public void tick() {
@@ -208,7 +207,10 @@
     @Override
     public void listReceived(JsonObject list) {
         List<Member> received = members.read(list);
-        received.forEach(member -> connectionManager.updateNode(member.row().node(), member.address(), member.startedMs()));
+        received.forEach(
+                member ->
+                        connectionManager.updateNode(
+                                member.row().node(), member.address(), member.startedMs()));
         hasMemberList = true;
         tick();
         List<NodeRow> rows = new ArrayList<>(received.size());
@@ -225,7 +227,10 @@
         removeDepartedNodes();
     }
 
-    /** Who has left the list goes from all tables at once, as soon as nothing of it is out. */
+    /**
+     * Removes nodes that have left the member list from all tables, each as soon as nothing is in
+     * flight to it.
+     */
     private void removeDepartedNodes() {
         members.removeDeparted(
                 node -> {
@@ -244,7 +249,7 @@
         counters.nodes = members.indexCount();
     }
 
-    /** Discovery itself has told a list. */
+    /** Records that discovery itself, rather than the configuration, has provided a member list. */
     void reported() {
         if (recovery != null) {
             recovery.setDiscoveryAvailable(true);
@@ -262,13 +267,17 @@
 
     @Override
     public Exchange begin(
-            Statement statement, ByteBuf message, ResponseReceiver receiver, Duration timeSinceReceived, int tenant) {
+            Statement statement,
+            ByteBuf message,
+            ResponseReceiver receiver,
+            Duration timeSinceReceived,
+            int tenant) {
         Integer type = settings.typeIndices().get(statement.type);
         if (type == null || !members.mayHaveGroup(statement.group)) {
             return null;
         }
-        // Guards against one client's query that passes for another's: nodes tell txns apart by
-        // nothing else.
+        // Nodes distinguish transactions by id only, so a second transaction with an open id could
+        // receive the first one's result.
         if (!openTransactionIds.add(statement.idHash)) {
             return null;
         }
@@ -317,10 +326,11 @@
     }
 
     /**
-     * It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time
-     * that clients heed.
+     * Declines a keyed transaction that cannot be tracked, with the longest retry delay that
+     * clients honor. It was never sent.
      */
-    private Exchange declineUntracked(Statement statement, ByteBuf message, ResponseReceiver receiver) {
+    private Exchange declineUntracked(
+            Statement statement, ByteBuf message, ResponseReceiver receiver) {
         openTransactionIds.remove(statement.idHash);
         counters.taken++;
         Exchange declined = new Exchange(this, -1, statement, message, receiver, 0);
@@ -331,9 +341,14 @@
 
     @Override
     public void submissionEnded(
-            Exchange exchange, int node, SubmissionResult result, boolean clientAnswered, NodeReport report) {
+            Exchange exchange,
+            int node,
+            SubmissionResult result,
+            boolean clientAnswered,
+            NodeReport report) {
         if (recovery != null) {
-            recovery.recordSubmissionEnd(exchange.key(), node, result, clientAnswered, report, clock.now());
+            recovery.recordSubmissionEnd(
+                    exchange.key(), node, result, clientAnswered, report, clock.now());
         }
     }
 
@@ -354,7 +369,7 @@
         return settings.typeIndices().getOrDefault(name, -1);
     }
 
-    /** Nobody waits longer than the settings let his type wait, whatever he says. */
+    /** Returns the client's timeout, capped by the total timeout of the transaction type. */
     private Duration clientTimeout(Statement statement, int type) {
         long maxTimeoutMillis =
                 settings.routing().transactionTypes().get(type).totalClientTimeout().toMillis();
@@ -381,7 +396,7 @@
         engine.probeCompleted(node, answered, trustedReport(node, report));
     }
 
-    // ---- what others say
+    // ---- peer reports
 
     @Override
     public long closedVersion() {
@@ -393,11 +408,12 @@
         return members.closures();
     }
 
-    /** What is closed elsewhere by lists that have not come here yet is closed here too. */
+    /** Closes nodes that enough peers report as closed by member lists newer than the one here. */
     @Override
     public void peerReportsChanged(PeerClosureReports reports) {
         reportingPeers = reports.reportingInstances();
-        List<PeerClosureReports.Closure> newerClosures = reports.closuresNewerThan(members.latestGeneration());
+        List<PeerClosureReports.Closure> newerClosures =
+                reports.closuresNewerThan(members.latestGeneration());
         if (newerClosures.isEmpty()) {
             return;
         }
@@ -409,7 +425,8 @@
             Member member =
                     id == null
                             ? null
-                            : members.closeByPeerReport(id, closure.generation(), closure.startedMs());
+                            : members.closeByPeerReport(
+                                    id, closure.generation(), closure.startedMs());
             if (member != null) {
                 closedMembers.add(member);
                 log.info(
@@ -448,7 +465,7 @@
         engine.advanceTrial(node);
     }
 
-    // ---- results of the module
+    // ---- actions of the routing engine
 
     @Override
     public void submit(int txn, int node, Duration timeout) {
@@ -480,7 +497,7 @@
         connectionManager.probe(node);
     }
 
-    /** The watch goes on by itself on sockets. */
+    /** Does nothing: the discovery client runs continuously. */
     @Override
     public void watchMemberList() {}
 
@@ -503,7 +520,8 @@
                         }
                         removeDepartedNodes();
                     } catch (RuntimeException e) {
-                        // A timer's fault would vanish in its future, and the clock's beat with it.
+                        // An exception in a timer task would be stored in its future unnoticed, and
+                        // the periodic tick would stop.
                         log.warn("beat", "fault", e);
                     }
                 },
--- a/src/main/java/dillfront/router/RouterServer.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -3,10 +3,10 @@
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
 import dillfront.router.config.ConfigException;
+import dillfront.router.config.JsonObject;
 import dillfront.router.config.MonotonicClock;
 import dillfront.router.config.RouterConfig;
 import dillfront.router.config.RouterSettings;
-import dillfront.router.config.JsonObject;
 import dillfront.router.discovery.ConfigReloadBackoff;
 import dillfront.router.discovery.DiscoveryClient;
 import dillfront.router.frontend.ClientListener;
@@ -23,40 +23,43 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Starts one router, keeps it going, and ends it. */
+/** Runs one router: starts it, reloads its configuration and shuts it down. */
 public final class RouterServer {
 
-    /** New clients may go on coming so long after the word to end. */
+    /** New clients are accepted for this long after the shutdown request. */
     private static final Duration SHUTDOWN_ACCEPT_TIME = Duration.ofMillis(600);
 
-    /**
-     * What is answered last still has to be read by its client, so many dial time-outs after the
-     * last expiry.
-     */
+    /** Time for clients to read their last response, in connect timeouts after the last expiry. */
     private static final int SHUTDOWN_GRACE_CONNECT_TIMEOUTS = 1;
 
     private static final Duration MAX_CPU_DEBT = Duration.ofSeconds(1);
 
-    /** How long the door waits for discovery where some list is known, in dial time-outs. */
+    /**
+     * How long the start waits for discovery if a member list is already known, in connect
+     * timeouts.
+     */
     private static final int FIRST_LIST_CONNECT_TIMEOUTS = 2;
 
     /**
-     * Descriptors that are neither a client's nor a node's: files, the list, the door, the
+     * Descriptors used neither by clients nor by nodes: files, discovery, the listener, the
      * selector.
      */
     private static final int RESERVED_DESCRIPTORS = 40;
 
-    /** The part of the memory that messages of clients may take until they are whole. */
+    /** Divisor of the memory limit that bounds the incomplete client messages held in total. */
     private static final int PARTIAL_MESSAGE_MEMORY_DIVISOR = 16;
 
-    /** Where a configuration is read from anew. */
+    /** Source from which the configuration is read again. */
     public interface ConfigSource {
         RouterConfig read() throws ConfigException;
     }
 
     private final long startNanos = System.nanoTime();
 
-    /** Up to here there was one thread: it has taken as much of its core as of the time. */
+    /**
+     * CPU time when the constructor ran. Only one thread existed until then, so uptime is an upper
+     * bound for it.
+     */
     private final Duration startCpuTime = cpuTime();
 
     private final RouterConfig config;
@@ -68,41 +71,46 @@
             new NioEventLoopGroup(1, new DefaultThreadFactory("router"));
     private final EventLoop loop = group.next();
 
-    /** Where discovery is, by the latest configuration. */
+    /** Discovery address of the latest configuration. */
     private InetSocketAddress discovery;
 
-    /** By the latest configuration; on the loop. */
+    /** Settings of the latest configuration; accessed on the event loop. */
     private RouterSettings settings;
 
     private Router router;
     private ClientListener clientListener;
     private DiscoveryClient discoveryClient;
 
-    /** Where a configuration is read from anew; null where nothing is heard. */
+    /** Source for reloads; null if signals are not registered. */
     private volatile ConfigSource configSource;
 
-    /** Where discovery was by the file that was read last; under this object's lock. */
+    /** Discovery address named by the last file read; guarded by this object's lock. */
     private String configuredDiscovery;
 
     private final ConfigReloadBackoff reloadBackoff;
 
-    /** What was wrong with the file when it was last read unasked; under the lock. */
+    /**
+     * Error of the last automatic reload, logged once per change; guarded by this object's lock.
+     */
     private String lastReloadError = "";
 
-    /** On the loop: the file is being read unasked. */
+    /** Whether an automatic reload is running; accessed on the event loop. */
     private boolean reloadInProgress;
 
-    /** On the loop, once this router ends: what it took is over by then. */
+    /** Time by which all accepted transactions are over; set on the event loop at shutdown. */
     private Duration shutdownDeadline;
 
-    /** Gossip and the questions about it; null where the operator's file does not ask for it. */
+    /**
+     * Gossip, authentication, persistent state and the admin server; null if the operator's file
+     * does not enable them.
+     */
     private volatile OptionalServices optionalServices;
 
     public RouterServer(RouterConfig config, Log log) {
         this(config, Operator.NONE, log);
     }
 
-    /** Binds the parts of one router; nothing listens before start(). */
+    /** Creates a router; nothing listens before start(). */
     public RouterServer(RouterConfig config, Operator operator, Log log) {
         this.config = config;
         this.operator = operator;
@@ -117,33 +125,42 @@
         return log;
     }
 
-    /**
-     * Hears the platform's words to this process from now on: SIGHUP to read the configuration
-     * anew, SIGUSR2 to print.
-     */
+    /** Registers signal handlers: SIGHUP reloads the configuration, SIGUSR2 prints the counters. */
     public void registerSignals(ConfigSource newSource) {
         configSource = newSource;
         SignalHandlers.register("HUP", () -> reload(newSource), log);
         SignalHandlers.register("USR2", this::printCounters, log);
     }
 
-    /** Says which of these words never reach this process; after hear(). */
+    /** Warns of signals that the process ignores. Call after registerSignals(). */
     private void checkSignals() {
-        SignalHandlers.warnIfIgnored("HUP", 1, "a new configuration is found only once discovery is lost", log);
-        SignalHandlers.warnIfIgnored("TERM", 15, "a planned end is not heard, and what is out then is lost", log);
+        SignalHandlers.warnIfIgnored(
+                "HUP", 1, "a configuration reload happens only after discovery is lost", log);
+        SignalHandlers.warnIfIgnored(
+                "TERM",
+                15,
+                "a shutdown request has no effect, and transactions in flight are lost",
+                log);
     }
 
-    /** Returns once clients can connect. */
+    /** Starts the router; returns once clients can connect. */
     public void start() throws ConfigException {
         int connectionsPerSide = Math.max(2, (config.maxDescriptors() - RESERVED_DESCRIPTORS) / 2);
         try {
             waitOutCpuDebt();
             loop.submit(
                             () -> {
-                                // By the latest settings, which a word before the start may have
-                                // changed.
+                                // Uses the latest settings, which a reload before the start may
+                                // have changed.
                                 RouterConfig initialConfig = config.withSettings(settings);
-                                router = new Router(initialConfig, new MonotonicClock(), counters, log, loop, connectionsPerSide);
+                                router =
+                                        new Router(
+                                                initialConfig,
+                                                new MonotonicClock(),
+                                                counters,
+                                                log,
+                                                loop,
+                                                connectionsPerSide);
                                 clientListener =
                                         new ClientListener(
                                                 router,
@@ -154,15 +171,21 @@
                                                 loop,
                                                 connectionsPerSide,
                                                 config.maxDescriptors() * 3 / 10,
-                                                (config.memoryMb() << 20) / PARTIAL_MESSAGE_MEMORY_DIVISOR,
+                                                (config.memoryMb() << 20)
+                                                        / PARTIAL_MESSAGE_MEMORY_DIVISOR,
                                                 config.settings().routing().connectTimeout());
                                 optionalServices =
                                         operator == Operator.NONE
                                                 ? null
                                                 : new OptionalServices(
-                                                        operator, initialConfig, router, clientListener, loop,
+                                                        operator,
+                                                        initialConfig,
+                                                        router,
+                                                        clientListener,
+                                                        loop,
                                                         log);
-                                boolean hasKnownMembers = !config.initialMembers().getList("instances").isEmpty();
+                                boolean hasKnownMembers =
+                                        !config.initialMembers().getList("instances").isEmpty();
                                 if (hasKnownMembers) {
                                     router.listReceived(config.initialMembers());
                                 }
@@ -173,22 +196,27 @@
                                                 counters,
                                                 log,
                                                 loop,
-                                                hasKnownMembers ? config.initialMembers().getLong("generation") : -1,
+                                                hasKnownMembers
+                                                        ? config.initialMembers()
+                                                                .getLong("generation")
+                                                        : -1,
                                                 new DiscoveryListener());
                                 router.setDiscoveryClient(discoveryClient);
                                 discoveryClient.start();
                                 return null;
                             })
                     .sync();
-            // What discovery has told is known before the door opens; if it says nothing, the known
-            // list will do.
+            // The listener opens after the first response of discovery; if there is none in time,
+            // the configured member list is used.
             long listDeadline =
                     System.nanoTime()
-                            + FIRST_LIST_CONNECT_TIMEOUTS * config.settings().routing().connectTimeout().toNanos();
+                            + FIRST_LIST_CONNECT_TIMEOUTS
+                                    * config.settings().routing().connectTimeout().toNanos();
             while (!loop.submit(
                             () ->
                                     router.hasMemberList()
-                                            && (discoveryClient.hasAnswered() || System.nanoTime() - listDeadline > 0))
+                                            && (discoveryClient.hasAnswered()
+                                                    || System.nanoTime() - listDeadline > 0))
                     .get()) {
                 Thread.sleep(config.settings().routing().clockStep().toMillis() + 1);
             }
@@ -211,9 +239,8 @@
     }
 
     /**
-     * Where the limits give part of a core, what the start has taken beyond that is taken back, all
-     * at once. Waits until it is, with the door shut: else those who come first wait, 0.4 s on half
-     * a core.
+     * Pays back the CPU time that the start used beyond the CPU limit, in one pause before the
+     * listener opens. Without it the first clients wait instead: 0.4 s at half a core.
      */
     private void waitOutCpuDebt() throws InterruptedException {
         Duration uptime = startCpuTime.plusNanos(System.nanoTime() - startNanos);
@@ -221,15 +248,20 @@
     }
 
     /**
-     * For how long nothing may be used until a share of the time covers what was used; a second at
-     * the most.
+     * Returns how long the process must stay idle until its CPU share covers the CPU time used; at
+     * most one second.
      */
     static Duration cpuDebt(Duration used, Duration uptime, double cpuShare) {
         Duration debt = Duration.ofNanos((long) (used.toNanos() / cpuShare)).minus(uptime);
-        return debt.isNegative() ? Duration.ZERO : debt.compareTo(MAX_CPU_DEBT) > 0 ? MAX_CPU_DEBT : debt;
+        return debt.isNegative()
+                ? Duration.ZERO
+                : debt.compareTo(MAX_CPU_DEBT) > 0 ? MAX_CPU_DEBT : debt;
     }
 
-    /** In ticks of a hundredth of a second, as Linux tells them; zero elsewhere. */
+    /**
+     * Returns the CPU time of this process in clock ticks of 10 ms, from Linux's /proc; zero on
+     * other systems.
+     */
     private static Duration cpuTime() {
         try {
             String stat = Files.readString(Path.of("/proc/self/stat"), StandardCharsets.ISO_8859_1);
@@ -242,9 +274,9 @@
     }
 
     /**
-     * Goes on serving while clients still come, then finishes all that was taken, however long its
-     * clients wait: what ends a router before that would lose it. Bounded by the last expiry that
-     * is out, and by no figure.
+     * Shuts the router down: keeps serving while clients still arrive, then completes every
+     * accepted transaction, since ending earlier would lose it. The time is bounded by the latest
+     * expiry in flight rather than by a constant.
      */
     public void stop() {
         log.info("stopping", "name", config.name());
@@ -259,8 +291,8 @@
     }
 
     /**
-     * Goes over to the configuration as it is now, if it can be used; at any time, also before the
-     * start. One reading after another, so that several words in a row end in the latest file.
+     * Reloads the configuration if it is valid; may be called at any time, also before the start.
+     * Reloads are serialized, so that several requests in a row end with the latest file.
      */
     public synchronized void reload(ConfigSource source) {
         try {
@@ -271,15 +303,17 @@
     }
 
     private void switchTo(RouterConfig newConfig, String trigger) throws ConfigException {
-        if (optionalServices == null || !optionalServices.applySettings(newConfig.settings(), () -> applyConfig(newConfig, trigger))) {
+        if (optionalServices == null
+                || !optionalServices.applySettings(
+                        newConfig.settings(), () -> applyConfig(newConfig, trigger))) {
             runOnLoop(() -> applyConfig(newConfig, trigger));
         }
         configuredDiscovery = newConfig.configuredDiscovery();
     }
 
     /**
-     * What discovery tells goes to the router; where it is lost, the configuration may name another
-     * place by now.
+     * Passes member lists to the router and, when discovery is lost, checks whether the
+     * configuration names another address.
      */
     private final class DiscoveryListener implements DiscoveryClient.Listener {
 
@@ -293,10 +327,14 @@
         @Override
         public void listFailed() {
             router.listFailed();
-            if (configSource != null && !reloadInProgress && reloadBackoff.shouldReload(router.clock().now())) {
+            if (configSource != null
+                    && !reloadInProgress
+                    && reloadBackoff.shouldReload(router.clock().now())) {
                 reloadInProgress = true;
-                // Not on the loop, which waits for no disk; rare, so it needs no thread that stays.
-                Thread reloadThread = new Thread(RouterServer.this::reloadAfterDiscoveryLoss, "configuration");
+                // Not on the event loop, which must not block on disk I/O; rare enough to need no
+                // permanent thread.
+                Thread reloadThread =
+                        new Thread(RouterServer.this::reloadAfterDiscoveryLoss, "configuration");
                 reloadThread.setDaemon(true);
                 reloadThread.start();
             }
@@ -304,9 +342,9 @@
     }
 
     /**
-     * Discovery is lost: has the file named another place since it was read? Then the word for it
-     * was lost, and counts as given now. A file that cannot be used, or names the same place,
-     * changes nothing; nor does LB_DISCOVERY, which held at the start alone.
+     * Applies the configuration file if it names another discovery address than the last one read:
+     * the SIGHUP for that change was lost. A file that is invalid or names the same address changes
+     * nothing. LB_DISCOVERY is ignored, since it applies to the start only.
      */
     private synchronized void reloadAfterDiscoveryLoss() {
         try {
@@ -325,7 +363,7 @@
         }
     }
 
-    /** Once the router has ended, what it is told no longer counts. */
+    /** Runs the task on the event loop; ignored once the loop is shutting down. */
     private void runOnLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
             loop.execute(task);
@@ -333,8 +371,8 @@
     }
 
     /**
-     * Txns that were taken go on by the settings of their time; a list that was read by the old
-     * ones is asked for anew.
+     * Applies a new configuration. Accepted transactions keep the settings they were accepted with;
+     * a member list parsed under the old settings is requested again.
      */
     private void applyConfig(RouterConfig newConfig, String trigger) {
         boolean settingsChanged = !settings.equals(newConfig.settings());
@@ -360,7 +398,7 @@
         }
     }
 
-    /** On request. */
+    /** Prints the counters. */
     public void printCounters() {
         loop.execute(() -> counters.print(log));
     }
@@ -371,7 +409,10 @@
             Duration now = router.clock().now();
             shutdownDeadline =
                     (router.lastExpiry().compareTo(now) > 0 ? router.lastExpiry() : now)
-                            .plus(settings.routing().connectTimeout().multipliedBy(SHUTDOWN_GRACE_CONNECT_TIMEOUTS));
+                            .plus(
+                                    settings.routing()
+                                            .connectTimeout()
+                                            .multipliedBy(SHUTDOWN_GRACE_CONNECT_TIMEOUTS));
         } finally {
             finishShutdownIfIdle();
         }
@@ -382,10 +423,13 @@
         try {
             drained = clientListener.closeIdleAndCheckEmpty() && counters.txns == 0;
         } catch (RuntimeException e) {
-            // It would vanish in the timer's future, and the end with it.
+            // An exception in a timer task would be stored in its future unnoticed, and the
+            // shutdown would never complete.
             log.warn("end", "fault", e);
         }
-        if (!drained && shutdownDeadline != null && router.clock().now().compareTo(shutdownDeadline) < 0) {
+        if (!drained
+                && shutdownDeadline != null
+                && router.clock().now().compareTo(shutdownDeadline) < 0) {
             loop.schedule(
                     this::finishShutdownIfIdle,
                     config.settings().routing().clockStep().toNanos(),
--- a/src/main/java/dillfront/router/SignalHandlers.java
+++ b/src/main/java/dillfront/router/SignalHandlers.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import sun.misc.Signal;
 
-/** Words of the platform to the process, each heard on a thread of its own. */
+/** Registers signal handlers; each handler runs on a thread of its own. */
 public final class SignalHandlers {
 
     private SignalHandlers() {}
 
     /**
-     * The type is no promise of the platform, and may go; a proxy round it costs 25 ms of every
-     * start.
+     * Uses sun.misc.Signal directly, an unsupported API; access by a dynamic proxy adds 25 ms to
+     * every start.
      */
     public static void register(String name, Runnable action, Log log) {
         try {
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Warns of a word that the system does not bring here. Who starts a process with a signal
-     * ignored, as nohup does and some supervisors and shells, leaves it ignored there, and the JVM
-     * then installs nothing and throws nothing.
+     * Warns if the process ignores the signal. A parent that starts a process with a signal
+     * ignored, as nohup and some supervisors and shells do, leaves it ignored, and the JVM then
+     * installs no handler without reporting an error.
      */
     static void warnIfIgnored(String name, int number, String consequence, Log log) {
         String ignored = readStatusField("SigIgn:");
@@ -39,19 +39,24 @@
                     "follows",
                     consequence,
                     "do",
-                    "start it by env --default-signal="
+                    "start the process with env --default-signal="
                             + name
                             + ", as run in deploy/balancer.toml does");
         }
     }
 
-    /** What Linux tells of this process; null elsewhere. */
+    /** Returns a field of /proc/self/status; null on systems other than Linux. */
     private static String readStatusField(String fieldName) {
         try {
             String status =
                     Files.readString(Path.of("/proc/self/status"), StandardCharsets.ISO_8859_1);
             int fieldStart = status.indexOf(fieldName);
-            return fieldStart < 0 ? null : status.substring(fieldStart + fieldName.length(), status.indexOf('\n', fieldStart)).strip();
+            return fieldStart < 0
+                    ? null
+                    : status.substring(
+                                    fieldStart + fieldName.length(),
+                                    status.indexOf('\n', fieldStart))
+                            .strip();
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/dillfront/router/StatusFormatter.java
+++ b/src/main/java/dillfront/router/StatusFormatter.java
@@ -6,10 +6,7 @@
 import java.io.StringWriter;
 import java.util.Map;
 
-/**
- * What an instance says of itself, in sections of names and values: to be read by people, a line a
- * section, or by programs.
- */
+/** Formats an instance's status as text, one line per section, or as JSON. */
 final class StatusFormatter {
 
     private StatusFormatter() {}
--- a/src/main/java/dillfront/router/WarmUpRun.java
+++ b/src/main/java/dillfront/router/WarmUpRun.java
@@ -14,10 +14,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Starts one router whose only node is its own door, and lets one client ask it: a txn comes back
- * to the door, is refused there since its id is open, and so goes through all that a router needs
- * at its start. The build runs this and keeps the classes that were loaded, so that a router that
- * starts again serves sooner. Nothing leaves the machine.
+ * Starts a router whose only node is its own listener and sends it queries: a transaction returns
+ * to the listener, is refused there because its id is open, and so passes through the code that a
+ * starting router needs. The build runs this and archives the classes loaded, so that later starts
+ * are faster. Uses the loopback interface only.
  */
 public final class WarmUpRun {
 
@@ -35,7 +35,7 @@
 
     private WarmUpRun() {}
 
-    /** Runs one router against itself for a moment, so that the classes it needs are loaded. */
+    /** Runs one router against itself so that the classes it needs are loaded. */
     public static void run(Log log) throws IOException, ConfigException {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -43,7 +43,8 @@
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
         RouterConfig read =
-                RouterConfig.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
+                RouterConfig.read(
+                        new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
         RouterServer daemon = new RouterServer(read, log);
         daemon.registerSignals(() -> read);
         daemon.start();
@@ -63,7 +64,7 @@
                 int type = client.getInputStream().read();
                 byte[] length = client.getInputStream().readNBytes(4);
                 if (length.length < 4) {
-                    throw new IOException("the rehearsal's router closed its client");
+                    throw new IOException("the router closed the warm-up client's connection");
                 }
                 client.getInputStream().readNBytes(Unpooled.wrappedBuffer(length).getInt(0) - 4);
                 readies += type == 'Z' ? 1 : 0;
--- a/src/main/java/dillfront/router/admin/AdminServer.java
+++ b/src/main/java/dillfront/router/admin/AdminServer.java
@@ -17,9 +17,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A door on loopback where the operator asks this instance about itself: one line in, a text out,
- * and the end. A few at a time, a short line, and a second for it: what asks badly costs no more
- * than that.
+ * Serves status queries of the operator on loopback: one line in, one text out, then close.
+ * Connections, line length and time are limited, so that a misbehaving client costs little.
  */
 public final class AdminServer {
 
@@ -35,7 +34,7 @@
     private int open;
 
     /**
-     * @param answers a text for a question, without the end of its line
+     * @param responder returns the text for a query, given without its line terminator
      */
     public AdminServer(
             EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> answers) {
@@ -45,9 +44,14 @@
         this.responder = answers;
     }
 
-    /** On the loop. */
+    /** Binds the server; called on the event loop. */
     public void open() {
-        Sockets.listen(loop, address, MAX_CONNECTIONS, WriteBufferWaterMark.DEFAULT, QueryHandler::new)
+        Sockets.listen(
+                        loop,
+                        address,
+                        MAX_CONNECTIONS,
+                        WriteBufferWaterMark.DEFAULT,
+                        QueryHandler::new)
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
@@ -68,7 +72,7 @@
         }
     }
 
-    /** One connection; gives its place back in channelInactive. */
+    /** One connection; its count is released in channelInactive. */
     private final class QueryHandler extends TerminalHandler {
 
         private final StringBuilder query = new StringBuilder();
--- a/src/main/java/dillfront/router/admin/package-info.java
+++ b/src/main/java/dillfront/router/admin/package-info.java
@@ -1,2 +1,2 @@
-/** Questions to a running router on loopback. */
+/** Status queries to a running router on loopback. */
 package dillfront.router.admin;
--- a/src/main/java/dillfront/router/backend/HealthProbe.java
+++ b/src/main/java/dillfront/router/backend/HealthProbe.java
@@ -8,7 +8,7 @@
 import io.netty.channel.ChannelPromise;
 import java.time.Duration;
 
-/** Asks a node how it is: for its report where nodes have one, else for a row. */
+/** Requests a node's load report or, if nodes do not report, a single row. */
 final class HealthProbe extends NodeRequest {
 
     HealthProbe(NodeConnectionPool pool) {
@@ -41,7 +41,7 @@
             }
             response.release();
         }
-        // One that answers in no form is up.
+        // A node that sends a malformed response is up.
         pool.manager.probeCompleted(
                 pool.node,
                 result == SubmissionResult.COMMITTED || result == SubmissionResult.SPOILT,
--- a/src/main/java/dillfront/router/backend/NodeConnection.java
+++ b/src/main/java/dillfront/router/backend/NodeConnection.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.network.Sockets;
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.FrameDecoder;
+import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.api.NodeRole;
 import dillfront.routing.api.SubmissionResult;
@@ -18,7 +18,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a node: opened for a call, then carrying one call at a time. */
+/** One connection to a node: opened for one request, then used for one request at a time. */
 final class NodeConnection extends TerminalHandler {
 
     private static final byte[] ROLE = ascii("node_role");
@@ -36,11 +36,11 @@
     private ChannelHandlerContext ctx;
     private ScheduledFuture<?> connectTimer;
 
-    /** While an answer has begun and has not ended. */
+    /** Running while a response is incomplete. */
     private ScheduledFuture<?> stallTimer;
 
     /**
-     * Whom it is opened for; it may have gone over another connection by the time this one is up.
+     * The request that this connection was opened for; it may be sent on another connection first.
      */
     private NodeRequest initiator;
 
@@ -48,7 +48,7 @@
     private boolean established;
     private boolean isClosed;
 
-    /** Since when it could be used; later than now while it rests. */
+    /** Time from which the connection may be used; in the future during the reuse delay. */
     long idleSinceNanos;
 
     NodeConnection(NodeConnectionPool pool, NodeRequest initiator) {
@@ -91,7 +91,7 @@
                 });
     }
 
-    /** The dial is over, well or not. */
+    /** Cancels the connect timer, whether the connection attempt succeeded or failed. */
     private void cancelConnectTimer() {
         if (connectTimer != null) {
             connectTimer.cancel(false);
@@ -104,7 +104,9 @@
         return isClosed;
     }
 
-    /** Neither the address nor the process behind it has changed since. */
+    /**
+     * Returns whether the connection is open and belongs to the node's current address and process.
+     */
     boolean isUsable() {
         return !isClosed && address.equals(pool.address) && openedMs >= pool.nodeStartedMs;
     }
@@ -159,10 +161,14 @@
         }
     }
 
-    /** Guards against lengths that do not fit: what has begun goes on at once, or it never will. */
+    /**
+     * Limits the time between parts of a response: a wrong length field could otherwise keep the
+     * response incomplete forever.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        boolean responseOpen = request != null && (decoder.bufferedBytes() > 0 || request.hasResponseStarted());
+        boolean responseOpen =
+                request != null && (decoder.bufferedBytes() > 0 || request.hasResponseStarted());
         if (!responseOpen && stallTimer != null) {
             cancelStallTimer();
         } else if (responseOpen && stallTimer == null) {
@@ -170,13 +176,13 @@
             stallTimer =
                     channel.eventLoop()
                             .schedule(
-                                    () -> failProtocol("an answer that does not go on"),
+                                    () -> failProtocol("incomplete response timed out"),
                                     manager.settings.routing().connectTimeout().toNanos(),
                                     TimeUnit.NANOSECONDS);
         }
     }
 
-    /** No answer is open any more. */
+    /** Cancels the stall timer; no response is incomplete. */
     private void cancelStallTimer() {
         if (stallTimer != null) {
             stallTimer.cancel(false);
@@ -193,7 +199,7 @@
         close();
     }
 
-    /** Takes one message over; false where none such can come now. */
+    /** Takes ownership of one message; returns false if it is not allowed in this state. */
     private boolean handleMessage(byte type, ByteBuf message) {
         if (request != null && (type == 'T' || type == 'D' || type == 'C')) {
             return request.accept(message);
@@ -274,12 +280,13 @@
         return true;
     }
 
-    /** The time of the call it carries is up: to stop waiting is to close the connection. */
+    /** Ends the request by timeout; abandoning a request requires closing its connection. */
     void timeOut() {
         NodeRequest timedOut = request;
         request = null;
         close();
-        timedOut.end(timedOut.fullySent ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
+        timedOut.end(
+                timedOut.fullySent ? SubmissionResult.TIMED_OUT : SubmissionResult.UNREACHABLE);
     }
 
     @Override
@@ -295,7 +302,9 @@
         close();
     }
 
-    /** The one place where a connection is given back, with what it carried. */
+    /**
+     * Closes the connection and ends its request; the only place where a connection is released.
+     */
     void close() {
         if (isClosed) {
             return;
--- a/src/main/java/dillfront/router/backend/NodeConnectionManager.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionManager.java
@@ -20,24 +20,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** All nodes, by the indices that the list gave them, and all connections to them. */
+/** Manages all nodes, by member list index, and the connections to them. */
 public final class NodeConnectionManager implements Submitter {
 
-    /** Where the word of a probe goes. */
+    /** Receives the results of health probes. */
     public interface ProbeListener {
         void probeCompleted(int node, boolean answered, NodeReport report);
     }
 
     /**
-     * Who tells, on the loop, once all that was to be kept is; or, with false, that it cannot be.
+     * Calls back on the event loop with true once all pending state is persisted, or with false if
+     * that fails.
      */
     public interface PersistenceBarrier {
         void whenPersisted(Consumer<Boolean> then);
     }
 
     /**
-     * A submission waits so long at the most to be kept, in dial time-outs; then it has never been
-     * sent.
+     * Maximum time that a submission waits for persistence, in connect timeouts; after that it ends
+     * as unsent.
      */
     private static final int PERSIST_CONNECT_TIMEOUTS = 1;
 
@@ -47,32 +48,35 @@
     final Counters counters;
     final Log log;
 
-    /** A peer that acknowledges late holds back what comes behind an answer by 40 ms. */
+    /**
+     * Delay before a connection is reused; TCP delayed acknowledgements hold back data that follows
+     * a response by 40 ms.
+     */
     final long reuseDelayNanos;
 
-    /** Of one message of a node. */
+    /** Maximum length of one node message. */
     final int maxMessageBytes;
 
     final EventLoop loop;
     private final int maxConnections;
     private final ProbeListener listener;
 
-    /** One a node index; what was opened for a node that is forgotten closes by itself. */
+    /** Pools by node index; connections of a removed node close by themselves. */
     private final List<NodeConnectionPool> pools = new ArrayList<>();
 
     private int openConnections;
 
-    /** What has to be kept before a txn with a key is sent; null where nothing is. */
+    /** Barrier awaited before a keyed transaction is sent; null if nothing is persisted. */
     private PersistenceBarrier persistenceBarrier;
 
-    /** Reads what discovery has written: see look(). */
+    /** Reads pending data from discovery; see readDiscovery(). */
     private Runnable discoveryReader = () -> {};
 
     private long lastDiscoveryReadNanos;
 
     /**
-     * @param maxConnections how many connections may be open at once
-     * @param maxMessageBytes how many bytes one message of a node may have
+     * @param maxConnections maximum number of open connections
+     * @param maxMessageBytes maximum length of one node message
      */
     public NodeConnectionManager(
             RouterSettings setup,
@@ -100,14 +104,14 @@
     }
 
     /**
-     * For what is sent from now on; what rests and how often old connections are looked for stays
-     * as at the start.
+     * Applies new settings to later sends; the reuse delay and the interval of the expiry check
+     * stay as at the start.
      */
     public void applySettings(RouterSettings newSettings) {
         settings = newSettings;
     }
 
-    /** From now on what carries a key is kept before it is sent. */
+    /** Sets the barrier that keyed transactions await before they are sent. */
     public void persistenceBarrier(PersistenceBarrier barrier) {
         persistenceBarrier = barrier;
     }
@@ -118,10 +122,10 @@
     }
 
     /**
-     * Before anything is sent: the news were looked at within the last step of the clock, unless
-     * the pace is sure that all sockets were within a beat, whatever the loop or the machine did
-     * meanwhile. Guards against a send that overtakes a drain which lies unread: after a pause all
-     * sockets are ready at once, and discovery's is one among hundreds.
+     * Ensures before a send that discovery's data was read within the last clock step, unless the
+     * lag monitor confirms that all sockets were read within a tick, even across pauses of the loop
+     * or the machine. After a pause all sockets are ready at once and discovery's is one of
+     * hundreds, so a send could otherwise overtake an unread drain.
      */
     void readDiscovery() {
         if (loopLag.isSocketDataRead(clock.now())) {
@@ -135,8 +139,8 @@
     }
 
     /**
-     * What the list says of a node: old connections are not used for a new address or a new
-     * process.
+     * Updates a node from the member list; idle connections to an old address or process are
+     * closed.
      */
     public void updateNode(int node, InetSocketAddress address, long startedMs) {
         while (pools.size() <= node) {
@@ -153,7 +157,8 @@
     }
 
     /**
-     * The node has left the list and nothing is out there: its index may name another from now on.
+     * Removes a node that has left the member list and has nothing in flight; its index may be
+     * reassigned.
      */
     public void removeNode(int node) {
         pools.get(node).address = null;
@@ -173,8 +178,8 @@
     }
 
     /**
-     * Guards against a write that nobody remembers after a loss of power: it goes once it is kept,
-     * if it still stands then.
+     * Sends the submission once its key is persisted, if it is still valid then. Without the wait a
+     * power loss could erase the record of a write that was sent.
      */
     private void startAfterPersist(Submission submission, Duration timeout) {
         loop.execute(
@@ -182,7 +187,8 @@
                     long maxWaitNanos =
                             Math.min(
                                     timeout.toNanos(),
-                                    PERSIST_CONNECT_TIMEOUTS * settings.routing().connectTimeout().toNanos());
+                                    PERSIST_CONNECT_TIMEOUTS
+                                            * settings.routing().connectTimeout().toNanos());
                     counters.timers++;
                     submission.timeout =
                             loop.schedule(
@@ -216,7 +222,8 @@
     }
 
     /**
-     * Only once the module has returned: what ends at once must not reach it within its own call.
+     * Starts the request after the routing engine's call has returned: a request that ends at once
+     * must not call back into the engine.
      */
     private void start(NodeRequest request, Duration timeout) {
         loop.execute(() -> dispatch(request, timeout));
@@ -224,7 +231,8 @@
 
     private void dispatch(NodeRequest request, Duration timeout) {
         counters.timers++;
-        request.timeout = loop.schedule(() -> onTimeout(request), timeout.toNanos(), TimeUnit.NANOSECONDS);
+        request.timeout =
+                loop.schedule(() -> onTimeout(request), timeout.toNanos(), TimeUnit.NANOSECONDS);
         readDiscovery();
         NodeConnectionPool pool = request.pool;
         if (!request.isStillValid()) {
@@ -238,7 +246,7 @@
             return;
         }
         if (openConnections >= maxConnections && !closeOldest()) {
-            // This router's own limit, and no word on the node.
+            // The router's own limit; it says nothing about the node.
             request.end(SubmissionResult.UNSENT);
             return;
         }
@@ -249,7 +257,9 @@
         new NodeConnection(pool, request).open();
     }
 
-    /** One that is free now will have rested then. */
+    /**
+     * Schedules the waiting requests for when a connection freed now has passed its reuse delay.
+     */
     void scheduleWaiting(NodeConnectionPool pool) {
         loop.schedule(pool::sendWaiting, reuseDelayNanos, TimeUnit.NANOSECONDS);
     }
@@ -259,7 +269,7 @@
             return;
         }
         if (!request.finalReadDone && !loopLag.isTimeLimitValid(request.lagAtStart, clock.now())) {
-            // After the next look at all sockets.
+            // The time limit takes effect after one more read of all sockets.
             request.finalReadDone = true;
             loop.schedule(() -> onTimeout(request), 0, TimeUnit.NANOSECONDS);
             return;
@@ -292,24 +302,29 @@
         counters.nodeConnections--;
     }
 
-    /** Before the node does: what is written to a connection that it has closed is lost. */
+    /**
+     * Closes idle connections before the node does: data written to a connection that the node has
+     * closed is lost.
+     */
     private void closeExpired() {
         long margin = 4 * settings.routing().connectTimeout().toNanos();
         long maxIdleNanos = Math.max(settings.nodeIdleTimeout().toNanos() - margin, margin);
         long now = System.nanoTime();
         for (NodeConnectionPool pool : pools) {
-            while (!pool.idle.isEmpty() && now - pool.idle.peekFirst().idleSinceNanos > maxIdleNanos) {
+            while (!pool.idle.isEmpty()
+                    && now - pool.idle.peekFirst().idleSinceNanos > maxIdleNanos) {
                 pool.idle.peekFirst().close();
             }
         }
     }
 
-    /** Makes room under the limit of descriptors. */
+    /** Closes the longest-idle connection to free a descriptor; returns false if none is idle. */
     private boolean closeOldest() {
         NodeConnection oldest = null;
         for (NodeConnectionPool pool : pools) {
             NodeConnection oldestIdle = pool.idle.peekFirst();
-            if (oldestIdle != null && (oldest == null || oldestIdle.idleSinceNanos - oldest.idleSinceNanos < 0)) {
+            if (oldestIdle != null
+                    && (oldest == null || oldestIdle.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = oldestIdle;
             }
         }
@@ -323,7 +338,7 @@
         pools.forEach(NodeConnectionPool::closeIdle);
     }
 
-    /** The ordinary form, digits alone, is read in place. */
+    /** Parses a position; decimal digits are parsed in place, any other form as text. */
     Duration parsePosition(ByteBuf message, int offset) {
         long millis = 0;
         int end = message.writerIndex() - 1;
@@ -338,8 +353,8 @@
     }
 
     /**
-     * A load report in its ordinary form, fields of digits with a point, is read in place: x0 in
-     * seconds, x1 as 0 or 1. Whatever else it may be is read as a text.
+     * Parses a load report: x0 is the position in seconds, x1 the role as 0 or 1. Fields of digits
+     * with a decimal point are parsed in place, any other form as text.
      */
     NodeReport parseReport(ByteBuf message, int offset) {
         Duration position = null;
@@ -352,7 +367,7 @@
             while (i < end && message.getByte(i) != '=') {
                 named &= message.getByte(i++) != ',';
             }
-            // In thousandths, rounded down; what comes behind those is dropped.
+            // Value in thousandths, rounded down; further digits only set hasRemainder.
             long thousandths = 0;
             int places = -1;
             boolean isDecimal = named && i + 1 < end && message.getByte(i + 1) != ',';
@@ -377,7 +392,8 @@
             for (int k = Math.max(places, 0); k < 3; k++) {
                 thousandths *= 10;
             }
-            boolean isKnownField = isDecimal && message.getByte(name) == 'x' && message.getByte(name + 2) == '=';
+            boolean isKnownField =
+                    isDecimal && message.getByte(name) == 'x' && message.getByte(name + 2) == '=';
             boolean isRole = isKnownField && message.getByte(name + 1) == '1';
             if (!isDecimal || isRole && (hasRemainder || thousandths != 0 && thousandths != 1000)) {
                 return parseReport(Messages.text(message, offset));
@@ -391,7 +407,7 @@
         return new NodeReport(position, role);
     }
 
-    /** A position in Unix milliseconds; null where it is none, as one that is still to come. */
+    /** Parses a position in Unix milliseconds; null if it is invalid or in the future. */
     Duration parsePosition(String text) {
         try {
             return parsePosition(Long.parseLong(text));
@@ -401,15 +417,18 @@
     }
 
     private Duration parsePosition(long millis) {
-        return millis <= 0 || millis > clock.unixMillis() + settings.routing().connectTimeout().toMillis()
+        return millis <= 0
+                        || millis
+                                > clock.unixMillis()
+                                        + settings.routing().connectTimeout().toMillis()
                 ? null
                 : clock.sinceStart(millis);
     }
 
     /**
-     * A load report: its position was rounded by its writer, to no more than a millisecond, so the
-     * lower one counts. One that cannot be read whole tells nothing, least of all who is the
-     * primary.
+     * Parses a load report from text. Its position is rounded by its writer to at most a
+     * millisecond, so the lower bound is used. A report that is malformed anywhere is discarded,
+     * since its role could not be trusted.
      */
     NodeReport parseReport(String text) {
         Duration position = null;
--- a/src/main/java/dillfront/router/backend/NodeConnectionPool.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionPool.java
@@ -5,17 +5,20 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** The connections to one node, and the calls that wait for one. */
+/** The connections to one node and the requests waiting for a connection. */
 final class NodeConnectionPool {
 
     final NodeConnectionManager manager;
     final int node;
     InetSocketAddress address;
 
-    /** When the node last started, in Unix time; what was opened before that is not used again. */
+    /** Unix time of the node's last start; connections opened before it are not reused. */
     long nodeStartedMs;
 
-    /** The one used last at the end: it is used first, so that the others grow old. */
+    /**
+     * Idle connections, most recently used last. The most recently used one is taken first, so that
+     * the others expire.
+     */
     final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
 
     final ArrayDeque<NodeRequest> waiting = new ArrayDeque<>();
@@ -26,8 +29,8 @@
     }
 
     /**
-     * A connection is up and free. After an answer it rests before it is used again: what comes
-     * behind that, a second copy or noise, must find no call that would take it for its own answer.
+     * Adds an idle connection. After a response it is not reused during the reuse delay: data after
+     * the response, such as a duplicate, must not be taken for the next request's response.
      */
     void addIdle(NodeConnection connection, long restNanos) {
         if (!connection.isUsable()) {
@@ -43,10 +46,14 @@
         }
     }
 
-    /** The one used last of those that have rested; null where none has. */
+    /**
+     * Returns the most recently used connection whose reuse delay has passed; null if there is
+     * none.
+     */
     NodeConnection findReusable() {
         long now = System.nanoTime();
-        for (Iterator<NodeConnection> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
+        for (Iterator<NodeConnection> newestFirst = idle.descendingIterator();
+                newestFirst.hasNext(); ) {
             NodeConnection connection = newestFirst.next();
             if (now - connection.idleSinceNanos >= 0) {
                 return connection;
@@ -56,8 +63,10 @@
     }
 
     void sendWaiting() {
-        for (NodeConnection connection = findReusable(); connection != null && !waiting.isEmpty(); connection = findReusable()) {
-            // Before each: the machine may stand still between two of them.
+        for (NodeConnection connection = findReusable();
+                connection != null && !waiting.isEmpty();
+                connection = findReusable()) {
+            // Before each send: the machine may pause between two of them.
             manager.readDiscovery();
             if (connection.isClosed()) {
                 continue;
--- a/src/main/java/dillfront/router/backend/NodeRequest.java
+++ b/src/main/java/dillfront/router/backend/NodeRequest.java
@@ -11,36 +11,35 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.time.Duration;
 
-/**
- * One question to a node, a submission or a probe: its time limit, and what has come back of the
- * answer.
- */
+/** One request to a node, a submission or a probe: its time limit and the response so far. */
 abstract class NodeRequest {
 
     final NodeConnectionPool pool;
     final long startedNanos = System.nanoTime();
 
-    /** Where it is out; null while it waits for a connection, and once it has ended. */
+    /**
+     * The connection that carries the request; null while it waits for one and after it has ended.
+     */
     NodeConnection connection;
 
-    /** Owned here: cancelled when the call ends. */
+    /** Timer of this request; cancelled when the request ends. */
     ScheduledFuture<?> timeout;
 
-    /** How far the router was behind then, in all. */
+    /** Total event loop lag when the request started. */
     final Duration lagAtStart;
 
-    /** Its time is up, and the sockets are looked at once more before that counts. */
+    /** Whether the time limit has passed and only one more read of all sockets is awaited. */
     boolean finalReadDone;
 
-    /** Its last byte was written. */
+    /** Whether the last byte was written. */
     boolean fullySent;
 
     boolean ended;
 
-    /** The node spoke out of turn or in no form: no word of this answer counts. */
+    /** Whether the node violated the protocol; the whole response is discarded then. */
     boolean protocolError;
 
-    // The answer so far; given on or released when the call ends.
+    // The response so far; handed over or released when the request ends.
     private ByteBuf description;
     private ByteBuf row;
     private ByteBuf completion;
@@ -54,7 +53,7 @@
         lagAtStart = pool.manager.loopLag.totalLag(pool.manager.clock.now());
     }
 
-    /** Whether it may still be sent, after it had to wait for a connection. */
+    /** Returns whether the request may still be sent after waiting for a connection. */
     abstract boolean isStillValid();
 
     abstract void write(ChannelHandlerContext ctx, ChannelPromise promise);
@@ -66,7 +65,9 @@
             NodeReport parameterReport,
             NodeReport report);
 
-    /** Takes one message of the answer over; false where it is out of turn. */
+    /**
+     * Takes ownership of one response message; returns false if it is not allowed in this state.
+     */
     boolean accept(ByteBuf message) {
         switch (message.getByte(message.readerIndex())) {
             case 'T' -> {
@@ -109,17 +110,17 @@
         return row;
     }
 
-    /** Some of an answer is there. */
+    /** Returns whether part of a response was received. */
     boolean hasResponseStarted() {
         return description != null || errorCode != null;
     }
 
-    /** Whether an answer is there whole, if the connection should end now. */
+    /** Returns whether the response would be complete if the connection closed now. */
     boolean isResponseComplete() {
         return completion != null || errorCode != null;
     }
 
-    /** How it ended, by what came back of it. */
+    /** Derives the result from the response received. */
     SubmissionResult result() {
         if (protocolError) {
             return fullySent ? SubmissionResult.SPOILT : SubmissionResult.UNREACHABLE;
@@ -136,7 +137,9 @@
                 : fullySent ? SubmissionResult.RESET : SubmissionResult.UNREACHABLE;
     }
 
-    /** The one place where a call ends: whatever it holds goes on or back. */
+    /**
+     * Ends the request and hands over or releases its buffers; the only place where a request ends.
+     */
     void end(SubmissionResult result) {
         if (ended) {
             return;
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -1,7 +1,7 @@
 package dillfront.router.backend;
 
-import dillfront.router.exchange.NodeResponse;
 import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.NodeResponse;
 import dillfront.router.pgwire.Statement;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.SubmissionResult;
@@ -12,7 +12,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** A txn at a node. */
+/** One submission of a transaction to a node. */
 final class Submission extends NodeRequest {
 
     private final Exchange exchange;
@@ -29,7 +29,7 @@
         return exchange.maySend(pool.node);
     }
 
-    /** The client's statement as it came, but for how long to wait. */
+    /** Writes the client's statement unchanged, except for the time limit. */
     @Override
     void write(ChannelHandlerContext ctx, ChannelPromise promise) {
         Statement statement = exchange.statement();
@@ -39,21 +39,27 @@
         long remainingMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
         String digits = Long.toString(remainingMillis);
         if (digits.length() == statement.timeoutEnd - statement.timeoutStart) {
-            // As long as the client's own: written over it, since the message is this txn's alone,
-            // and sent in one piece.
-            message.setCharSequence(start + statement.timeoutStart, digits, StandardCharsets.US_ASCII);
+            // Same number of digits as the client's: overwritten in place, since the message
+            // belongs to this transaction alone, and sent as one buffer.
+            message.setCharSequence(
+                    start + statement.timeoutStart, digits, StandardCharsets.US_ASCII);
             ctx.writeAndFlush(message.retainedSlice(start, size), promise);
             return;
         }
         ByteBuf head = ctx.alloc().buffer(5 + digits.length());
         head.writeByte('Q')
-                .writeInt(size - 1 - (statement.timeoutEnd - statement.timeoutStart) + digits.length());
+                .writeInt(
+                        size
+                                - 1
+                                - (statement.timeoutEnd - statement.timeoutStart)
+                                + digits.length());
         ByteBufUtil.writeAscii(head, digits);
         ctx.write(head.readRetainedSlice(5));
         ctx.write(message.retainedSlice(start + 5, statement.timeoutStart - 5));
         ctx.write(head);
         ctx.writeAndFlush(
-                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd), promise);
+                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd),
+                promise);
     }
 
     @Override
--- a/src/main/java/dillfront/router/backend/package-info.java
+++ b/src/main/java/dillfront/router/backend/package-info.java
@@ -1,2 +1,2 @@
-/** The router's connections to nodes, submissions and probes. */
+/** The router's connections to nodes, submissions and health probes. */
 package dillfront.router.backend;
--- a/src/main/java/dillfront/router/config/ConfigException.java
+++ b/src/main/java/dillfront/router/config/ConfigException.java
@@ -1,6 +1,6 @@
 package dillfront.router.config;
 
-/** The configuration cannot be used; the message names the fault. */
+/** Thrown if the configuration is invalid; the message names the fault. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/dillfront/router/config/JsonObject.java
+++ b/src/main/java/dillfront/router/config/JsonObject.java
@@ -11,14 +11,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** One JSON object read whole, for the rare messages: configuration, settings and member lists. */
+/**
+ * One JSON object in memory, used for infrequent messages: configuration, settings and member
+ * lists.
+ */
 public final class JsonObject {
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Map<String, Object> values = new HashMap<>();
 
-    /** A text that holds one object and nothing else. */
+    /** Parses a text that consists of exactly one object. */
     public static JsonObject parse(InputStream text) throws IOException {
         try (JsonParser json = JSON.createParser(text)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -32,7 +35,9 @@
         }
     }
 
-    /** The parser stands at the object's opening brace, and is left at its closing one. */
+    /**
+     * Reads one object; the parser is at its opening brace, and at its closing brace afterwards.
+     */
     public static JsonObject read(JsonParser json) throws IOException {
         JsonObject tree = new JsonObject();
         while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -61,7 +66,7 @@
         };
     }
 
-    /** As it was written; null where it was not. */
+    /** Returns the value as parsed; null if it is absent. */
     Object value(String name) {
         return values.get(name);
     }
@@ -70,7 +75,7 @@
         return values.get(name) instanceof JsonObject tree ? tree : new JsonObject();
     }
 
-    /** The objects of a list that has to be there. */
+    /** Returns the objects of a list; elements of other types are skipped. */
     public List<JsonObject> getObjects(String name) {
         List<JsonObject> trees = new ArrayList<>();
         for (Object element : getList(name)) {
--- a/src/main/java/dillfront/router/config/MonotonicClock.java
+++ b/src/main/java/dillfront/router/config/MonotonicClock.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Spans since the start: the wall clock is read once, then only the monotonic one. */
+/**
+ * Time since the start of the process. The wall clock is read once; later times are derived from
+ * the monotonic clock.
+ */
 public final class MonotonicClock {
 
     private final Instant startInstant = Instant.now();
@@ -13,7 +16,7 @@
         return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 
-    /** A Unix time as a span since the start; negative where it was before. */
+    /** Converts a Unix time to the time since the start; negative if it is earlier. */
     public Duration sinceStart(long unixMillis) {
         return Duration.between(startInstant, Instant.ofEpochMilli(unixMillis));
     }
--- a/src/main/java/dillfront/router/config/RouterConfig.java
+++ b/src/main/java/dillfront/router/config/RouterConfig.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * What the platform tells one router at its start.
+ * Configuration of one router.
  *
- * @param cpuCores the part of a core that it may use; large where nothing is said
- * @param maxDescriptors how many file descriptors it may hold
- * @param memoryMb how much memory it may take
- * @param initialMembers the member list as it last had it, in discovery's form
- * @param configuredDiscovery where the file itself says that discovery is, whatever the variables say; empty
- *     where it says nothing
+ * @param cpuCores CPU limit in cores; large if there is no limit
+ * @param maxDescriptors maximum number of file descriptors
+ * @param memoryMb memory limit in megabytes
+ * @param initialMembers the last known member list, in discovery's format
+ * @param configuredDiscovery discovery address in the file itself, regardless of environment
+ *     variables; empty if absent
  */
 public record RouterConfig(
         String name,
@@ -34,7 +34,7 @@
         RouterSettings settings,
         String configuredDiscovery) {
 
-    /** The variables go before what the file says of the same thing. */
+    /** Reads the configuration; environment variables override the file. */
     public static RouterConfig read(Map<String, String> env) throws ConfigException {
         String file = env.get("LB_CONFIG");
         if (file == null) {
@@ -46,13 +46,14 @@
             throw new ConfigException("LB_CONFIG " + file + ": no such file");
         } catch (IOException e) {
             String fault = e.getMessage() == null ? e.toString() : e.getMessage();
-            throw new ConfigException("LB_CONFIG " + file + ": " + fault.lines().findFirst().orElse(""));
+            throw new ConfigException(
+                    "LB_CONFIG " + file + ": " + fault.lines().findFirst().orElse(""));
         }
     }
 
     /**
-     * As at a reload: the variable names discovery's address at the start, the file where it is
-     * now.
+     * Reads the configuration for a reload. LB_DISCOVERY applies to the start only, so the file's
+     * discovery address is used.
      */
     public static RouterConfig readForReload(Map<String, String> env) throws ConfigException {
         Map<String, String> reloadEnv = new HashMap<>(env);
@@ -60,13 +61,24 @@
         return read(reloadEnv);
     }
 
-    /** The same but for the settings. */
+    /** Returns a copy with other settings. */
     public RouterConfig withSettings(RouterSettings other) {
         return new RouterConfig(
-                name, listen, discovery, seed, cpuCores, maxDescriptors, memoryMb, initialMembers, other, configuredDiscovery);
+                name,
+                listen,
+                discovery,
+                seed,
+                cpuCores,
+                maxDescriptors,
+                memoryMb,
+                initialMembers,
+                other,
+                configuredDiscovery);
     }
 
-    /** What of another configuration cannot be taken over by a router that runs. */
+    /**
+     * Returns the fields that differ in the other configuration and take effect only at a restart.
+     */
     public List<String> restartOnlyFields(RouterConfig other) {
         List<String> names = new ArrayList<>();
         if (!name.equals(other.name)) {
@@ -75,11 +87,15 @@
         if (!listen.equals(other.listen)) {
             names.add("listen");
         }
-        if (cpuCores != other.cpuCores || maxDescriptors != other.maxDescriptors || memoryMb != other.memoryMb) {
+        if (cpuCores != other.cpuCores
+                || maxDescriptors != other.maxDescriptors
+                || memoryMb != other.memoryMb) {
             names.add("limits");
         }
-        // Timers of clients and of discovery.
-        if (!settings.routing().connectTimeout().equals(other.settings.routing().connectTimeout())) {
+        // The timers of clients and discovery use the connect timeout of the start.
+        if (!settings.routing()
+                .connectTimeout()
+                .equals(other.settings.routing().connectTimeout())) {
             names.add("settings.bounds.dialTimeoutUs");
         }
         return names;
@@ -117,8 +133,8 @@
                 tree.getString("discovery"));
     }
 
-    private static InetSocketAddress address(Map<String, String> env, String name, String defaultValue)
-            throws ConfigException {
+    private static InetSocketAddress address(
+            Map<String, String> env, String name, String defaultValue) throws ConfigException {
         String text = env.getOrDefault(name, defaultValue);
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
--- a/src/main/java/dillfront/router/config/RouterSettings.java
+++ b/src/main/java/dillfront/router/config/RouterSettings.java
@@ -12,13 +12,13 @@
 import java.util.Map;
 
 /**
- * The settings object as the simulator's first message and the configuration file both hold it.
+ * The settings object shared by the simulator's first message and the configuration file.
  *
- * @param routing what the module reads of it
- * @param typeIndices the names that stand for the indices of settings, as are tenants and zones
- * @param hasSessionTokens session reads tell how long ago their session last wrote
- * @param nodeIdleTimeout a connection that carried nothing for so long is closed by the node
- * @param hasLoadReports nodes tell of themselves: in answers and probes, or in probes alone
+ * @param routing settings of the routing engine
+ * @param typeIndices indices of the transaction types by name; likewise for tenants and zones
+ * @param hasSessionTokens whether session reads state the time of the session's last write
+ * @param nodeIdleTimeout a node closes a connection that was idle for this long
+ * @param hasLoadReports whether nodes send load reports, in responses and probes or in probes only
  */
 public record RouterSettings(
         RoutingSettings routing,
@@ -50,13 +50,13 @@
         return zoneIndices.getOrDefault(name, -1);
     }
 
-    /** Spreads the numbers that stand for sessions over the module's indices. */
+    /** Maps a session's hash to one of the routing engine's session slots. */
     public static int sessionSlot(long number) {
         return Math.floorMod(number * 0x9E3779B97F4A7C15L >>> 20, RoutingEngine.SESSION_SLOTS);
     }
 
-    // Loops, not streams: these are read at every start, which pays for each class of the JDK that
-    // it uses first.
+    // Loops instead of streams: this code runs at every start, which pays for each JDK class that
+    // it loads first.
 
     private static List<String> names(List<JsonObject> objects) {
         List<String> names = new ArrayList<>();
@@ -74,7 +74,8 @@
         return indices;
     }
 
-    private static RoutingSettings routing(JsonObject settingsJson, JsonObject familyInfo, Map<String, Integer> zones) {
+    private static RoutingSettings routing(
+            JsonObject settingsJson, JsonObject familyInfo, Map<String, Integer> zones) {
         JsonObject bounds = settingsJson.getObject("bounds");
         JsonObject rules = settingsJson.getObject("rules");
         JsonObject charges = settingsJson.getObject("charges");
@@ -104,7 +105,9 @@
                 settingsJson.getDuration("stepUs"),
                 zones.getOrDefault(settingsJson.getString("az"), -1),
                 bounds.getDuration("dialTimeoutUs"),
-                bounds.getBoolean("retryAfter") ? bounds.getDuration("maxRetryAfterUs") : Duration.ZERO,
+                bounds.getBoolean("retryAfter")
+                        ? bounds.getDuration("maxRetryAfterUs")
+                        : Duration.ZERO,
                 (int) bounds.getDouble("maxAttempts", 1),
                 bounds.getBoolean("probes"),
                 settingsJson.getString("registryMode").equals("ask"),
--- a/src/main/java/dillfront/router/config/SettingsValidator.java
+++ b/src/main/java/dillfront/router/config/SettingsValidator.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * What is wrong with a settings object, by place. What is absent has its default and is no fault; a
- * key that is there must be of its kind, since one that is misread would be taken for its default
- * without a word.
+ * Validates a settings object and names the path of the first fault. Absent keys take their
+ * defaults; a present key must have the right type, since a value of a wrong type would silently be
+ * replaced by the default.
  */
 final class SettingsValidator {
 
-    /** How a place must be: a number within bounds, one of some words, a flag. */
+    /** Constraint on a value: a range, a set of words, or a Boolean. */
     private interface Constraint {
         String violation(Object value);
     }
@@ -32,7 +32,7 @@
         this.settings = settings;
     }
 
-    /** The first fault, with its place; null where there is none. */
+    /** Returns the first fault with its path; null if there is none. */
     static String firstError(JsonObject settings) {
         SettingsValidator checks = new SettingsValidator(settings);
         checks.validate();
@@ -148,7 +148,7 @@
         return settings.getObject(name);
     }
 
-    /** Names and forms in turn. */
+    /** Checks alternating names and constraints. */
     private void checkFields(JsonObject tree, String path, Object... forms) {
         for (int i = 0; firstError == null && i < forms.length; i += 2) {
             Object value = tree.value((String) forms[i]);
@@ -160,14 +160,22 @@
         }
     }
 
-    /** Objects of a list, each with a name of its own. */
+    /** Returns the objects of a list whose names must be present and unique. */
     private List<JsonObject> namedObjects(String name) {
         Set<String> names = new HashSet<>();
         List<?> elements = settings.getList(name);
         for (int i = 0; firstError == null && i < elements.size(); i++) {
-            String elementName = elements.get(i) instanceof JsonObject tree ? tree.getString("name") : "";
+            String elementName =
+                    elements.get(i) instanceof JsonObject tree ? tree.getString("name") : "";
             if (elementName.isEmpty() || !names.add(elementName)) {
-                firstError = "settings." + name + "[" + i + "] has no name of its own: '" + elementName + "'";
+                firstError =
+                        "settings."
+                                + name
+                                + "["
+                                + i
+                                + "] has no name of its own: '"
+                                + elementName
+                                + "'";
             }
         }
         return firstError == null ? settings.getObjects(name) : List.of();
@@ -186,7 +194,8 @@
                             + " classes";
         }
         for (int i = 0; firstError == null && i < elements.size(); i++) {
-            String violation = elements.get(i) == null ? "is missing" : form.violation(elements.get(i));
+            String violation =
+                    elements.get(i) == null ? "is missing" : form.violation(elements.get(i));
             firstError =
                     violation == null
                             ? null
@@ -215,6 +224,8 @@
 
     private static Constraint oneOf(String... allowed) {
         return value ->
-                List.of(allowed).contains(value) ? null : "is none of " + String.join(", ", allowed);
+                List.of(allowed).contains(value)
+                        ? null
+                        : "is none of " + String.join(", ", allowed);
     }
 }
--- a/src/main/java/dillfront/router/discovery/ClosedNodes.java
+++ b/src/main/java/dillfront/router/discovery/ClosedNodes.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * Which words of the lists stand: a word that closed a node is undone only by one that is known to
- * be newer, or by a new start of that node. Guards against a list that is older than what was told
- * before, as one from an agent that lags, was restored, or has just begun: it would open again what
- * drains or is gone. Words that close count from anyone.
+ * Decides which closures from member lists hold. A closed node reopens only by a list that is known
+ * to be newer, or by a restart of the node. An older list, from a discovery agent that lags, was
+ * restored or has just started, would otherwise reopen a node that is draining or gone. Closures
+ * count from every list.
  *
- * <p>Newer is what has a higher generation, whoever tells it. Harm: where a discovery numbers its
- * lists from anew, a node that was closed before and is ready again without a restart stays closed
- * until the numbers have caught up.
+ * <p>A list is newer if its generation is higher, whichever source provides it. Consequence: if
+ * discovery restarts its generations, a closed node that is ready again without a restart stays
+ * closed until the generations have caught up.
  *
- * <p>Pure: no clock, no socket; decided by what the lists say alone.
+ * <p>Depends on the contents of the lists only; uses no clock and no socket.
  */
 public final class ClosedNodes {
 
-    /** Who is told of each change, so that a later life may begin with them. */
+    /** Receives each change, to persist it across restarts. */
     public interface Listener {
         void nodeClosed(String id, MemberState standing, long startedMs, long generation);
 
@@ -27,40 +27,46 @@
     }
 
     /**
-     * How many nodes are remembered, in lists of the present length; those closed first are
-     * forgotten first.
+     * Capacity in multiples of the current list's length; the nodes closed first are evicted first.
      */
     private static final int CAPACITY_IN_LISTS = 4;
 
     private static final int MIN_CAPACITY = 64;
 
     /**
-     * The last word that closed a node: of which list, what it said, and the start of the process
-     * that it spoke of.
+     * The last closure of a node: the generation of the list, the state it set, and the node's
+     * start time in it.
      */
     private record ClosedNode(long generation, MemberState state, long startedMs) {}
 
-    /** Emptied by words that open a node again, and at the bound. */
+    /**
+     * Closed nodes by id, oldest closure first; entries leave when the node reopens or the capacity
+     * is exceeded.
+     */
     private final Map<String, ClosedNode> closed = new LinkedHashMap<>();
 
     private Listener listener;
     private long version;
 
-    /** From now on; what is remembered from before is told by close() before that. */
+    /**
+     * Sets the listener for later changes; persisted closures are restored by close() before that.
+     */
     public void listener(Listener newListener) {
         listener = newListener;
     }
 
     /**
-     * A list says this of a node; what holds after it.
+     * Applies a member list's entry for a node and returns the effective state.
      *
-     * @param generation of that list
-     * @param startedMs when the node last started, as the list has it
+     * @param generation generation of that list
+     * @param startedMs start time of the node in that list
      */
     public MemberState update(String id, MemberState reported, long startedMs, long generation) {
         ClosedNode previous = closed.get(id);
         boolean outdated =
-                previous != null && generation <= previous.generation && startedMs <= previous.startedMs;
+                previous != null
+                        && generation <= previous.generation
+                        && startedMs <= previous.startedMs;
         if (reported != MemberState.READY) {
             close(id, reported, startedMs, generation);
             return reported;
@@ -78,12 +84,14 @@
     }
 
     /**
-     * An older word that comes later says nothing new. One that drained stays drained when it is
-     * gone: that binds more.
+     * Records a closure; an older one is ignored. A draining node that is reported as gone stays
+     * draining, since DRAINING is the more restrictive state.
      */
     public void close(String id, MemberState reported, long startedMs, long generation) {
         ClosedNode previous = closed.get(id);
-        if (previous == null || generation >= previous.generation || startedMs > previous.startedMs) {
+        if (previous == null
+                || generation >= previous.generation
+                || startedMs > previous.startedMs) {
             boolean drained =
                     previous != null
                             && previous.state == MemberState.DRAINING
@@ -91,7 +99,9 @@
             closed.remove(id);
             ClosedNode updated =
                     new ClosedNode(
-                            previous == null ? generation : Math.max(generation, previous.generation),
+                            previous == null
+                                    ? generation
+                                    : Math.max(generation, previous.generation),
                             drained ? MemberState.DRAINING : reported,
                             previous == null ? startedMs : Math.max(startedMs, previous.startedMs));
             closed.put(id, updated);
@@ -102,15 +112,16 @@
         }
     }
 
-    /** The words that hold, by the ids of their nodes, the latest last. */
+    /** Returns the closures in force by node id, latest last, as generation and start time. */
     Map<String, long[]> entries() {
         Map<String, long[]> entries = new LinkedHashMap<>();
         closed.forEach(
-                (id, closing) -> entries.put(id, new long[] {closing.generation, closing.startedMs}));
+                (id, closing) ->
+                        entries.put(id, new long[] {closing.generation, closing.startedMs}));
         return entries;
     }
 
-    /** Changes with what is closed. */
+    /** Returns a version that changes with the closures. */
     long version() {
         return version;
     }
@@ -119,7 +130,7 @@
         return closed.size();
     }
 
-    /** So many nodes are listed now: what goes beyond the bound is forgotten. */
+    /** Evicts the oldest closures beyond the capacity for a list of this length. */
     void trim(int listed) {
         int capacity = Math.max(MIN_CAPACITY, CAPACITY_IN_LISTS * listed);
         Iterator<String> oldestFirst = closed.keySet().iterator();
--- a/src/main/java/dillfront/router/discovery/ConfigReloadBackoff.java
+++ b/src/main/java/dillfront/router/discovery/ConfigReloadBackoff.java
@@ -3,17 +3,15 @@
 import java.time.Duration;
 
 /**
- * When a router that hears nothing of discovery looks whether its configuration names another place
- * by now. Guards against a word that was lost: a SIGHUP that nobody caught, or that went to a
- * process which was just starting.
+ * Decides when a router that has lost discovery reads its configuration again, since the SIGHUP for
+ * a changed discovery address may have been lost: ignored, or sent while the process was starting.
  *
- * <p>At once when discovery is lost, then at gaps that double: a file that is read again and again
- * says nothing new, and a discovery that is down for an hour is down for every router. Pure: the
- * caller has the clock.
+ * <p>Reads at once when discovery is lost, then with exponential backoff: rereading a file gains
+ * little, and an outage of discovery affects every router. The caller provides the time.
  */
 public final class ConfigReloadBackoff {
 
-    /** The first gap and the longest, in dial time-outs. */
+    /** Minimum and maximum delay between reads, in connect timeouts. */
     private static final int MIN_DELAY_CONNECT_TIMEOUTS = 1;
 
     private static final int MAX_DELAY_CONNECT_TIMEOUTS = 16;
@@ -24,7 +22,7 @@
     private Duration nextReload = Duration.ZERO;
 
     /**
-     * @param connectTimeout how long a connection may take to come up
+     * @param connectTimeout time limit for a connection attempt
      */
     public ConfigReloadBackoff(Duration connectTimeout) {
         minDelay = connectTimeout.multipliedBy(MIN_DELAY_CONNECT_TIMEOUTS);
@@ -32,7 +30,10 @@
         delay = minDelay;
     }
 
-    /** Discovery was lost, or was tried in vain; whether the configuration is to be read now. */
+    /**
+     * Records that discovery was lost or a connection attempt failed; returns whether to read the
+     * configuration now.
+     */
     public boolean shouldReload(Duration now) {
         if (now.compareTo(nextReload) < 0) {
             return false;
@@ -43,8 +44,8 @@
     }
 
     /**
-     * Discovery has told something. The gap since the last reading stays: one that comes and goes
-     * asks for no more.
+     * Records a response of discovery. The time of the next read stays, so that a flapping
+     * discovery does not cause more reads.
      */
     public void reset() {
         delay = minDelay;
--- a/src/main/java/dillfront/router/discovery/DiscoveryClient.java
+++ b/src/main/java/dillfront/router/discovery/DiscoveryClient.java
@@ -20,22 +20,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks discovery for what is newer than the last list, again and again; one connection at a time,
- * two while it moves.
+ * Long-polls discovery for member lists newer than the last one, over one connection, or two while
+ * the address changes.
  */
 public final class DiscoveryClient {
 
-    /** Where the lists go. */
+    /** Receives the member lists. */
     public interface Listener {
         void listReceived(JsonObject list);
 
-        /** The watch broke; the last list holds. */
+        /** Called when the connection to discovery fails; the last list stays in force. */
         void listFailed();
     }
 
     /**
-     * How long discovery may wait for news, and how long an answer may take beyond that, in dial
-     * time-outs.
+     * Long-poll wait of discovery, and the additional time allowed for a response, in connect
+     * timeouts.
      */
     private static final int LONG_POLL_CONNECT_TIMEOUTS = 4;
 
@@ -48,27 +48,29 @@
     private final Listener listener;
     private InetSocketAddress address;
 
-    /** Of the latest list from this address; negative where none is known. */
+    /** Generation of the latest list from this address; negative if none is known. */
     private long generation;
 
     private DiscoveryConnection current;
 
     /**
-     * Where discovery was before it moved: heard until the new one has told its list, or it ends by
-     * itself.
+     * Connection to the previous address; kept until the new address has provided its list, or
+     * until it closes by itself.
      */
     private DiscoveryConnection previous;
 
     private boolean closed;
 
-    /** Discovery has answered since the start, so what it had told until then is known. */
+    /**
+     * Whether discovery has answered since the start, so that updates published before are known.
+     */
     private boolean hasAnswered;
 
-    /** Said once, until it is reached again. */
+    /** Whether the failure was logged; reset when discovery is reached again. */
     private boolean unreachableLogged;
 
     /**
-     * @param generation of the list that is known; negative where none is
+     * @param generation generation of the known list; negative if there is none
      */
     public DiscoveryClient(
             InetSocketAddress address,
@@ -87,7 +89,7 @@
         this.listener = listener;
     }
 
-    /** Connects to discovery and keeps asking until close(). */
+    /** Connects to discovery and polls it until close(). */
     public void start() {
         if (!closed && (current == null || current.ended || current == previous)) {
             current = new DiscoveryConnection(generation);
@@ -96,9 +98,9 @@
     }
 
     /**
-     * Discovery is elsewhere now. The last list holds until the first from there, which is asked
-     * for whole; until then the old address is heard too. Guards against a drain that it has told,
-     * and that lies unread meanwhile.
+     * Changes the discovery address. The last list stays in force until the first, complete one
+     * from the new address; until then the old connection is read too, since a drain published
+     * there may still be unread.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         address = newAddress;
@@ -115,8 +117,8 @@
     }
 
     /**
-     * Reads now what discovery has written, out of its turn among the sockets: what it has told
-     * binds what is sent.
+     * Reads pending data from discovery at once, ahead of other sockets: a published list binds
+     * every later send.
      */
     public void readPending() {
         if (previous != null) {
@@ -127,12 +129,12 @@
         }
     }
 
-    /** Discovery has answered since the start. */
+    /** Returns whether discovery has answered since the start. */
     public boolean hasAnswered() {
         return hasAnswered;
     }
 
-    /** Closes the connection and stops all timers. */
+    /** Closes the connections and stops all timers. */
     public void close() {
         closed = true;
         for (DiscoveryConnection connection : new DiscoveryConnection[] {previous, current}) {
@@ -142,21 +144,22 @@
         }
     }
 
-    /** One connection to discovery. Owns its buffer and its timer; both go back in close(). */
+    /** One connection to discovery. Owns its buffer and its timer, both released in close(). */
     private final class DiscoveryConnection extends TerminalHandler {
 
         private final HttpResponseDecoder decoder = new HttpResponseDecoder();
         private final InetSocketAddress remoteAddress = address;
-        private final long waitMs = TimeUnit.NANOSECONDS.toMillis(LONG_POLL_CONNECT_TIMEOUTS * connectTimeoutNanos);
+        private final long waitMs =
+                TimeUnit.NANOSECONDS.toMillis(LONG_POLL_CONNECT_TIMEOUTS * connectTimeoutNanos);
         private Channel channel;
         private ScheduledFuture<?> responseTimer;
         private boolean ended;
         private boolean connected;
 
-        /** What is newer than this is asked for; negative for the whole list. */
+        /** Generation after which lists are requested; negative requests the complete list. */
         private long afterGeneration;
 
-        /** Its first answer is there: from then on it may be waited for. */
+        /** Whether the first response was received; only later requests use a long poll. */
         private boolean responded;
 
         DiscoveryConnection(long afterGeneration) {
@@ -164,7 +167,9 @@
         }
 
         void readPending() {
-            if (connected && !ended && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
+            if (connected
+                    && !ended
+                    && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
                 socket.read();
             }
         }
@@ -176,7 +181,9 @@
                             loop,
                             remoteAddress,
                             this,
-                            (int) TimeUnit.NANOSECONDS.toMillis(2 * RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos));
+                            (int)
+                                    TimeUnit.NANOSECONDS.toMillis(
+                                            2 * RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos));
             if (connecting == null) {
                 close();
                 return;
@@ -197,8 +204,8 @@
             responseTimer =
                     loop.schedule(
                             () -> {
-                                // Guards against a pause of this process taken for discovery's:
-                                // what it wrote meanwhile lies unread.
+                                // A pause of this process is not taken for an unresponsive
+                                // discovery: data received meanwhile is read first.
                                 ScheduledFuture<?> timerBeforeRead = responseTimer;
                                 readPending();
                                 if (ended || responseTimer != timerBeforeRead) {
@@ -219,11 +226,14 @@
         }
 
         private void sendRequest(ChannelHandlerContext ctx) {
-            // The first is not waited for: it proves the way there, and brings what was told before
-            // this watch.
+            // The first request does not wait: its response proves the connection and brings
+            // updates published before.
             String query =
-                    afterGeneration >= 0 ? "?after=" + afterGeneration + "&wait_ms=" + (responded ? waitMs : 0) : "";
-            String host = remoteAddress.getAddress().getHostAddress() + ":" + remoteAddress.getPort();
+                    afterGeneration >= 0
+                            ? "?after=" + afterGeneration + "&wait_ms=" + (responded ? waitMs : 0)
+                            : "";
+            String host =
+                    remoteAddress.getAddress().getHostAddress() + ":" + remoteAddress.getPort();
             ctx.writeAndFlush(
                     ByteBufUtil.writeAscii(
                             ctx.alloc(),
@@ -232,10 +242,12 @@
                                     + " HTTP/1.1\r\nHost: "
                                     + host
                                     + "\r\n\r\n"));
-            // Short, since a connection that has fallen silent looks like one with no news until
-            // the wait is over.
+            // Kept short, since a dead connection is indistinguishable from one without updates
+            // until the poll ends.
             startResponseTimer(
-                    (afterGeneration >= 0 && responded ? LONG_POLL_CONNECT_TIMEOUTS : 0) * connectTimeoutNanos + RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos);
+                    (afterGeneration >= 0 && responded ? LONG_POLL_CONNECT_TIMEOUTS : 0)
+                                    * connectTimeoutNanos
+                            + RESPONSE_CONNECT_TIMEOUTS * connectTimeoutNanos);
         }
 
         @Override
@@ -264,7 +276,8 @@
                 JsonObject list = JsonObject.parse(new ByteBufInputStream(body));
                 if (list.getDouble("generation", -1) < 0
                         || list.getBoolean("reset") && list.getList("instances").isEmpty()) {
-                    throw new HttpFormatException("no generation, or a whole list of nothing");
+                    throw new HttpFormatException(
+                            "no generation, or a complete list without instances");
                 }
                 afterGeneration = list.getLong("generation");
                 generation = this == current ? afterGeneration : generation;
@@ -277,7 +290,7 @@
                 }
             } catch (IOException e) {
                 throw new HttpFormatException(
-                        "no JSON: "
+                        "invalid JSON: "
                                 + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             } finally {
                 body.release();
@@ -303,7 +316,10 @@
             close();
         }
 
-        /** The one place where a connection is given back; the next comes after a pause. */
+        /**
+         * Closes the connection, the only place where it is released; the next attempt follows
+         * after a delay.
+         */
         void close() {
             if (ended) {
                 return;
@@ -324,9 +340,12 @@
             }
             if (!closed) {
                 listener.listFailed();
-                // One that has answered is asked again at once: until then nothing is heard of
-                // drains.
-                loop.schedule(DiscoveryClient.this::start, responded ? 0 : connectTimeoutNanos / 4, TimeUnit.NANOSECONDS);
+                // After a working connection the next attempt is immediate, since drains are missed
+                // until then.
+                loop.schedule(
+                        DiscoveryClient.this::start,
+                        responded ? 0 : connectTimeoutNanos / 4,
+                        TimeUnit.NANOSECONDS);
             }
         }
     }
--- a/src/main/java/dillfront/router/discovery/HttpFormatException.java
+++ b/src/main/java/dillfront/router/discovery/HttpFormatException.java
@@ -1,6 +1,6 @@
 package dillfront.router.discovery;
 
-/** The answer cannot be read, nor what comes behind it. */
+/** Thrown if an HTTP response is malformed; the rest of the stream cannot be read either. */
 public final class HttpFormatException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
+++ b/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Cuts an HTTP/1.1 server's answers out of what it sends. Only answers of a stated length are read.
- * Owns what is not yet cut off; gives it back when it is used up, and in release().
+ * Decodes an HTTP/1.1 server's responses; only responses with a Content-Length are supported. Owns
+ * undecoded data, which is released when consumed and in release().
  */
 public final class HttpResponseDecoder {
 
@@ -17,7 +17,7 @@
     private int status;
     private int bodyLength = -1;
 
-    /** Takes the buffer over. */
+    /** Takes ownership of the buffer. */
     public void add(ByteBuf bytes) {
         if (buffer == null) {
             buffer = bytes;
@@ -28,7 +28,10 @@
         }
     }
 
-    /** The body of the next whole answer, to be released by the caller; null until one is there. */
+    /**
+     * Returns the body of the next complete response, to be released by the caller; null if it is
+     * incomplete.
+     */
     public ByteBuf next() throws HttpFormatException {
         if (buffer != null && bodyLength < 0) {
             parseHead();
@@ -48,7 +51,7 @@
         return body;
     }
 
-    /** Of the answer whose body was last given. */
+    /** Returns the status of the response whose body was returned last. */
     public int status() {
         return status;
     }
@@ -78,7 +81,9 @@
         String statusLine = lines[0];
         boolean isHttp1 = statusLine.startsWith("HTTP/1.0 ") || statusLine.startsWith("HTTP/1.1 ");
         int code =
-                isHttp1 && statusLine.length() >= 12 && (statusLine.length() == 12 || statusLine.charAt(12) == ' ')
+                isHttp1
+                                && statusLine.length() >= 12
+                                && (statusLine.length() == 12 || statusLine.charAt(12) == ' ')
                         ? parseDigits(statusLine.substring(9, 12), 3)
                         : -1;
         if (code < 0) {
@@ -102,12 +107,16 @@
             }
         }
         if (contentLength < 0 || contentLength > MAX_BODY_BYTES) {
-            throw new HttpFormatException(contentLength < 0 ? "no length" : "length " + contentLength);
+            throw new HttpFormatException(
+                    contentLength < 0 ? "no length" : "length " + contentLength);
         }
         bodyLength = contentLength;
     }
 
-    /** Digits and nothing else, at most so many; negative where it is no such number. */
+    /**
+     * Parses at most the given number of decimal digits; returns a negative number for any other
+     * text.
+     */
     private static int parseDigits(String text, int maxDigits) {
         int number = text.isEmpty() || text.length() > maxDigits ? -1 : 0;
         for (int i = 0; i < text.length() && number >= 0; i++) {
@@ -117,7 +126,7 @@
         return number;
     }
 
-    /** Releases what has not been read to its end. */
+    /** Releases undecoded data. */
     public void release() {
         if (buffer != null) {
             buffer.release();
--- a/src/main/java/dillfront/router/discovery/Member.java
+++ b/src/main/java/dillfront/router/discovery/Member.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * One entry of a list: its id, which is the same for all routers, what the module reads of it, and
- * where the node is.
+ * One member list entry: an id that is the same for all routers, the row for the routing engine,
+ * and the node's address.
  */
 public record Member(String id, NodeRow row, InetSocketAddress address, long startedMs) {}
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -2,9 +2,9 @@
 
 import dillfront.common.logging.Log;
 import dillfront.common.network.Address;
+import dillfront.router.config.JsonObject;
 import dillfront.router.config.MonotonicClock;
 import dillfront.router.config.RouterSettings;
-import dillfront.router.config.JsonObject;
 import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeRow;
 import java.net.InetSocketAddress;
@@ -19,36 +19,36 @@
 import java.util.TreeSet;
 import java.util.function.IntPredicate;
 
-/** Reads discovery's lists. Ids become indices here. */
+/** Reads discovery's member lists and maps node ids to indices. */
 public final class MemberList {
 
     private RouterSettings settings;
     private final MonotonicClock clock;
     private final Log log;
 
-    /** Its index, and when it last started, in Unix time, as the last list had it. */
+    /** A node's index and its start time (Unix time) in the last list. */
     private record IndexedNode(int index, long startedMs) {}
 
-    /** Of the machines in the list, and of those that have left it until they are forgotten. */
+    /** Listed nodes, and departed nodes whose index is not yet released. */
     private final Map<String, IndexedNode> nodes = new HashMap<>();
 
     private final ClosedNodes closedNodes = new ClosedNodes();
 
-    /** Ids of those that have left the list. */
+    /** Ids of nodes that have left the list. */
     private final Set<String> departed = new TreeSet<>();
 
-    /** Indices that may be given again, and how many there are in all. */
+    /** Indices available for reuse, and the number of indices ever assigned. */
     private final ArrayDeque<Integer> freeIndices = new ArrayDeque<>();
 
     private int indexCount;
 
-    /** Of the latest list that was read. */
+    /** Generation of the latest list read. */
     private long latestGeneration = -1;
 
-    /** The last row of each, to be said again where others close it. */
+    /** Last member of each node, reported again when peers close the node. */
     private final Map<String, Member> membersById = new HashMap<>();
 
-    /** Grows with the groups that any list has named. */
+    /** Groups named by any list; only grows. */
     private final Set<Integer> groups = new HashSet<>();
 
     public MemberList(RouterSettings setup, MonotonicClock clock, Log log) {
@@ -57,35 +57,32 @@
         this.log = log;
     }
 
-    /** What is read from now on is read by these. */
+    /** Applies new settings to lists read from now on. */
     public void applySettings(RouterSettings newSettings) {
         settings = newSettings;
     }
 
-    /**
-     * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
-     * it again.
-     */
+    /** Restores a persisted closure; only a newer list or a restart of the node reopens it. */
     public void restoreClosed(String id, MemberState state, long startedMs, long generation) {
         closedNodes.close(id, state, startedMs, generation);
     }
 
-    /** Who keeps such words for a later life. */
+    /** Sets the listener that persists closures. */
     public void setClosureListener(ClosedNodes.Listener listener) {
         closedNodes.listener(listener);
     }
 
-    /** How many nodes are closed by words that are remembered. */
+    /** Returns the number of nodes recorded as closed. */
     public int closedNodes() {
         return closedNodes.size();
     }
 
-    /** Whether any list has named this group, or none has come yet. */
+    /** Returns whether any list has named this group, or no list was read yet. */
     public boolean mayHaveGroup(int group) {
         return groups.isEmpty() || groups.contains(group);
     }
 
-    /** An entry that cannot be read is left out, and does not spoil the others. */
+    /** Reads a list; entries that are malformed are logged and skipped. */
     public List<Member> read(JsonObject list) {
         List<Member> members = new ArrayList<>();
         long generation = list.getLong("generation");
@@ -142,7 +139,10 @@
                 departed.remove(id);
             }
             IndexedNode previous = nodes.get(id);
-            int node = previous != null ? previous.index : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
+            int node =
+                    previous != null
+                            ? previous.index
+                            : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
             nodes.put(id, new IndexedNode(node, startedMs));
             groups.add((int) entry.getLong("cell"));
             membersById.put(
@@ -161,7 +161,7 @@
                             startedMs));
             members.add(membersById.get(id));
         }
-        // A whole list closes those that it leaves out.
+        // A complete list closes the nodes that it omits.
         for (String id : omitted) {
             closedNodes.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
         }
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Gives back the index of each node that has left the list, if nobody holds anything of it any
-     * more.
+     * Releases the index of each departed node for which the predicate confirms that nothing refers
+     * to it.
      */
     public void removeDeparted(IntPredicate isReleasable) {
         for (Iterator<String> ids = departed.iterator(); ids.hasNext(); ) {
@@ -184,33 +184,32 @@
         }
     }
 
-    /** Of all nodes that a list has named and that are not forgotten. */
+    /** Returns the ids of all nodes that have an index. */
     public Set<String> nodeIds() {
         return Set.copyOf(nodes.keySet());
     }
 
-    /** Of the latest list that was read; negative where none was. */
+    /** Returns the generation of the latest list read; negative if none was read. */
     public long latestGeneration() {
         return latestGeneration;
     }
 
-    /** Changes with closings(). */
+    /** Returns a version that changes with closures(). */
     public long closedNodesVersion() {
         return closedNodes.version();
     }
 
     /**
-     * What is closed now, by the ids of nodes: the generation of the list that closed it, and the
-     * start it spoke of.
+     * Returns the closures by node id: the generation of the list that closed the node, and the
+     * node's start time in it.
      */
     public Map<String, long[]> closures() {
         return closedNodes.entries();
     }
 
     /**
-     * Others' lists have closed this node, in a generation that no list here has reached: it is
-     * closed here as well, as by a word that is remembered. Null where it is not known here, has
-     * started since, or is closed already.
+     * Closes a node that peers' lists have closed in a generation not yet received here. Returns
+     * null if the node is unknown, has restarted since, or is closed already.
      */
     public Member closeByPeerReport(String id, long generation, long startedMs) {
         Member member = membersById.get(id);
@@ -239,7 +238,7 @@
         return closedMember;
     }
 
-    /** How many indices were ever needed at once. */
+    /** Returns the maximum number of indices in use at once. */
     public int indexCount() {
         return indexCount;
     }
--- a/src/main/java/dillfront/router/discovery/PeerClosureReports.java
+++ b/src/main/java/dillfront/router/discovery/PeerClosureReports.java
@@ -8,44 +8,44 @@
 import java.util.Map;
 
 /**
- * What other instances say that their lists have closed. Guards against an agent of discovery that
- * lags, or that was restored, where others' do not: its router would go on sending to a node that
- * drains. It restricts and never permits; so many may lie without closing anything, and what a list
- * of one's own says in the same generation or a later one goes before it.
+ * Collects the closures reported by peers. Guards against a discovery agent that lags or was
+ * restored while the peers' agents are current: its router would go on sending to a draining node.
+ * Reports restrict and never permit. A configured number of instances may report falsely without
+ * effect, and the router's own list prevails in the same or a later generation.
  *
- * <p>Pure. Rows are as many as instances, each of them bounded by what one datagram holds.
+ * <p>Holds one entry per instance, each bounded by the size of a datagram; uses no clock.
  */
 public final class PeerClosureReports {
 
     /**
-     * A node, by a hash of its id, that is closed by a list of this generation, if it has not
-     * started since.
+     * A node, by the hash of its id, closed by a list of this generation unless it has started
+     * since.
      */
     public record Closure(long nodeHash, long generation, long startedMs) {}
 
     private final int toleratedLiars;
 
-    /** By instance: its last word, whole. */
+    /** The complete last report of each instance. */
     private final Map<Integer, List<Closure>> reports = new HashMap<>();
 
     /**
-     * @param toleratedLiars so many instances may say what they like without closing anything
+     * @param toleratedLiars number of instances that may report falsely without closing a node
      */
     public PeerClosureReports(int toleratedLiars) {
         this.toleratedLiars = toleratedLiars;
     }
 
-    /** An instance says all that its lists have closed. */
+    /** Replaces an instance's report of all closures in its lists. */
     public void update(int instance, List<Closure> closures) {
         reports.put(instance, List.copyOf(closures));
     }
 
-    /** How many instances say that their lists have closed anything. */
+    /** Returns the number of instances that report at least one closure. */
     public int reportingInstances() {
         return (int) reports.values().stream().filter(closures -> !closures.isEmpty()).count();
     }
 
-    /** What enough of them say of nodes in lists newer than this generation. */
+    /** Returns the closures in lists newer than this generation that enough instances confirm. */
     public List<Closure> closuresNewerThan(long generation) {
         Map<Long, List<Closure>> byNode = new HashMap<>();
         for (List<Closure> closures : reports.values()) {
@@ -60,13 +60,19 @@
                 entries.hasNext(); ) {
             Map.Entry<Long, List<Closure>> entry = entries.next();
             if (entry.getValue().size() > toleratedLiars) {
-                // As far as the least of the first who are enough: none of the liars can make it
-                // more.
+                // Each value is bounded by the lowest of the first toleratedLiars + 1 values, at
+                // least one of which is correct.
                 confirmed.add(
                         new Closure(
                                 entry.getKey(),
-                                boundByCorrectInstance(entry.getValue().stream().map(Closure::generation).toList()),
-                                boundByCorrectInstance(entry.getValue().stream().map(Closure::startedMs).toList())));
+                                boundByCorrectInstance(
+                                        entry.getValue().stream()
+                                                .map(Closure::generation)
+                                                .toList()),
+                                boundByCorrectInstance(
+                                        entry.getValue().stream()
+                                                .map(Closure::startedMs)
+                                                .toList())));
             }
         }
         confirmed.sort((a, b) -> Long.compare(a.nodeHash, b.nodeHash));
--- a/src/main/java/dillfront/router/discovery/package-info.java
+++ b/src/main/java/dillfront/router/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The member list that discovery gives, and what was closed by it. */
+/** Member lists from discovery, and the closures they contain. */
 package dillfront.router.discovery;
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -8,9 +8,9 @@
 import java.time.Duration;
 
 /**
- * One txn, from its last byte until it is answered and nothing of it is out: the only place where
- * the client side and the server side meet. Owns the message with the statement, and gives it back
- * when it is over.
+ * One transaction, from its last byte until it is answered and has no submission in flight: the
+ * only place where the client side and the node side meet. Owns the message with the statement and
+ * releases it at the end.
  */
 public final class Exchange {
 
@@ -21,8 +21,8 @@
     private final ResponseReceiver receiver;
 
     /**
-     * What stands for its group and idempotency key where the router keeps them in mind
-     * (recovery.Doubts); else 0.
+     * Hash of the group and the idempotency key, if the router tracks the key
+     * (recovery.InDoubtKeys); otherwise 0.
      */
     private final long key;
 
@@ -32,10 +32,15 @@
     private boolean finished;
 
     /**
-     * @param receiver gets the answer; it owns the buffers that it is given
+     * @param receiver receives the response and takes ownership of its buffers
      */
     public Exchange(
-            ExchangeHandler handler, int slot, Statement statement, ByteBuf message, ResponseReceiver receiver, long key) {
+            ExchangeHandler handler,
+            int slot,
+            Statement statement,
+            ByteBuf message,
+            ResponseReceiver receiver,
+            long key) {
         this.handler = handler;
         this.key = key;
         this.slot = slot;
@@ -56,18 +61,20 @@
         return key;
     }
 
-    /** The client's message, as long as a submission is out. */
+    /** Returns the client's message; valid while a submission is in flight. */
     public ByteBuf message() {
         return message;
     }
 
-    /** The module has taken the txn; it may be answered already. */
+    /**
+     * Records that the routing engine has accepted the transaction, which may be answered already.
+     */
     public void accepted(TransactionHandle newHandle) {
         handle = newHandle;
         releaseIfOver();
     }
 
-    // ---- from the module
+    // ---- called by the routing engine
 
     public void submitted() {
         pendingSubmissions++;
@@ -85,9 +92,9 @@
         releaseIfOver();
     }
 
-    // ---- from the client side
+    // ---- called by the client side
 
-    /** The client's connection is gone; an answer is not delivered any more. */
+    /** Records that the client has disconnected; no response is delivered from now on. */
     public void clientDisconnected() {
         if (answered) {
             return;
@@ -98,10 +105,11 @@
         releaseIfOver();
     }
 
-    // ---- from the server side
+    // ---- called by the node side
 
     /**
-     * Whether a submission that waited for its connection may still go; if not, it ends as unsent.
+     * Returns whether a submission that waited for a connection may still be sent; if not, it ends
+     * as unsent.
      */
     public boolean maySend(int node) {
         handler.tick();
@@ -109,7 +117,7 @@
     }
 
     /**
-     * @param response what the node answered where it committed, else null; taken over
+     * @param response the node's response if it committed, otherwise null; ownership is taken
      */
     public void submissionEnded(
             int node,
--- a/src/main/java/dillfront/router/exchange/ExchangeHandler.java
+++ b/src/main/java/dillfront/router/exchange/ExchangeHandler.java
@@ -6,38 +6,55 @@
 import io.netty.buffer.ByteBuf;
 import java.time.Duration;
 
-/** Where exchanges are begun and given back. */
+/** Creates and releases exchanges. */
 public interface ExchangeHandler {
 
     /**
-     * Takes a txn, and the message that holds its statement. The answer may come during the call.
+     * Accepts a transaction and the message that holds its statement. The response may be delivered
+     * during the call.
      *
-     * @param timeSinceReceived how long ago its last byte may have come
-     * @param tenant index of its client's tenant; -1 where it has none
-     * @return null where nothing was taken: no such txn type or group is known, or a txn of this id
-     *     is out, and the message is still the caller's
+     * @param timeSinceReceived upper bound for the time since the last byte was received
+     * @param tenant index of the client's tenant; -1 if it has none
+     * @return null if the transaction type or group is unknown or a transaction with this id is
+     *     open; the caller then keeps the message
      */
-    Exchange begin(Statement statement, ByteBuf message, ResponseReceiver receiver, Duration timeSinceReceived, int tenant);
-
-    /** The index of a txn type by its name; -1 where it is unknown. */
+    Exchange begin(
+            Statement statement,
+            ByteBuf message,
+            ResponseReceiver receiver,
+            Duration timeSinceReceived,
+            int tenant);
+
+    /** Returns the index of a transaction type by name; -1 if it is unknown. */
     int typeIndex(String name);
 
     /**
-     * A submission ended; before the module is told.
+     * Records the end of a submission; called before the routing engine is notified.
      *
-     * @param clientAnswered its client gets its answer by that
+     * @param clientAnswered whether this response answers the client
      */
-    void submissionEnded(Exchange exchange, int node, SubmissionResult result, boolean clientAnswered, NodeReport report);
-
-    /** What the module is to believe of what a node says of itself. */
+    void submissionEnded(
+            Exchange exchange,
+            int node,
+            SubmissionResult result,
+            boolean clientAnswered,
+            NodeReport report);
+
+    /** Returns the part of a node's report that the routing engine may trust. */
     NodeReport trustedReport(int node, NodeReport report);
 
-    /** Whether it may go to this node, beyond what the module knows of it. */
+    /**
+     * Returns whether the transaction may be sent to this node by the rules outside the routing
+     * engine.
+     */
     boolean maySend(Exchange exchange, int node);
 
-    /** Sets the module's clock: called before each word to a handle. */
+    /** Sets the routing engine's clock; called before each call to a handle. */
     void tick();
 
-    /** The client has its answer, or left, and nothing is out. */
+    /**
+     * Releases an exchange whose client was answered or has disconnected and that has nothing in
+     * flight.
+     */
     void exchangeFinished(Exchange exchange);
 }
--- a/src/main/java/dillfront/router/exchange/NodeResponse.java
+++ b/src/main/java/dillfront/router/exchange/NodeResponse.java
@@ -2,12 +2,14 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** A node's whole answer: three messages as they came, owned by whoever holds this. */
+/**
+ * A node's complete response: its three messages as received, owned by the holder of this object.
+ */
 public record NodeResponse(ByteBuf description, ByteBuf row, ByteBuf completion) {
 
     /**
-     * The three as one slice, where they lie one behind the other in the buffer that they were read
-     * into; takes them over then. Null where they do not, and they stay as they are.
+     * Returns the three messages as one slice and releases them, if they are adjacent in one
+     * buffer; otherwise returns null and leaves them unchanged.
      */
     public ByteBuf joinedSlice() {
         ByteBuf root = description.unwrap();
--- a/src/main/java/dillfront/router/exchange/ResponseReceiver.java
+++ b/src/main/java/dillfront/router/exchange/ResponseReceiver.java
@@ -2,10 +2,13 @@
 
 import java.time.Duration;
 
-/** The client side of a txn: gets one final answer, unless it has left. */
+/**
+ * The client side of a transaction: receives one final response, unless the client has
+ * disconnected.
+ */
 public interface ResponseReceiver {
 
-    /** Takes the answer over. */
+    /** Takes ownership of the response. */
     void committed(NodeResponse response);
 
     void declined(Duration retryAfter);
--- a/src/main/java/dillfront/router/exchange/Submitter.java
+++ b/src/main/java/dillfront/router/exchange/Submitter.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** The server side as the daemon drives it; nothing comes back during a call. */
+/** The node side of the router; no callback occurs during a call. */
 public interface Submitter {
 
     void submit(Exchange exchange, int node, Duration timeout);
--- a/src/main/java/dillfront/router/exchange/package-info.java
+++ b/src/main/java/dillfront/router/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** One object for each transaction, from its last byte until nothing of it is outstanding. */
+/** One object per transaction, from its last byte until none of its submissions is in flight. */
 package dillfront.router.exchange;
--- a/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
+++ b/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
@@ -5,25 +5,29 @@
 import io.netty.channel.ChannelHandler;
 import java.time.Duration;
 
-/** Who may come in, for a door that asks; without it all are served. On the loop. */
+/**
+ * Authenticates clients; without an authenticator every client is served. Runs on the event loop.
+ */
 public interface ClientAuthenticator {
 
     /**
-     * A handler that makes a connection one of TLS; null where none can be had, or too many begin
-     * at once.
+     * Returns a new TLS handler; null if TLS is not configured or too many handshakes are in
+     * progress.
      */
     ChannelHandler tlsHandler();
 
-    /** Whoever speaks without TLS is refused. */
+    /** Returns whether clients must use TLS. */
     boolean requiresTls();
 
-    /** How long this one has to wait after failures before a credential is looked at. */
+    /**
+     * Returns how long this client must wait after failed attempts before a credential is checked.
+     */
     Duration retryDelay(String address, String user);
 
-    /** Sets the gate's clocks: called before each word to a session. */
+    /** Updates the access gate's clocks; called before each call to a session. */
     void tick();
 
-    /** What came of a credential. */
+    /** Receives the result of an authentication. */
     interface LoginCallback {
         void accepted(Gate.Session session);
 
@@ -32,7 +36,12 @@
 
     void authenticate(String address, String user, String token, LoginCallback callback);
 
-    /** For the record: a txn of someone who is in was not taken. */
+    /** Logs a transaction that an authenticated client was not permitted to run. */
     void transactionDenied(
-            Gate.Session session, Refusal refusal, String type, boolean write, int group, String rule);
+            Gate.Session session,
+            Refusal refusal,
+            String type,
+            boolean write,
+            int group,
+            String rule);
 }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -1,16 +1,16 @@
 package dillfront.router.frontend;
 
 import dillfront.common.network.TerminalHandler;
+import dillfront.router.exchange.Exchange;
 import dillfront.router.exchange.NodeResponse;
 import dillfront.router.exchange.ResponseReceiver;
-import dillfront.router.exchange.Exchange;
 import dillfront.router.identity.Gate;
 import dillfront.router.identity.Refusal;
-import dillfront.router.pgwire.FrameException;
-import dillfront.router.pgwire.StatementFormatException;
 import dillfront.router.pgwire.FrameDecoder;
+import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.Messages;
 import dillfront.router.pgwire.Statement;
+import dillfront.router.pgwire.StatementFormatException;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -19,7 +19,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** One client: queries taken one after another, each answered before the next is looked at. */
+/** One client connection: takes one query at a time and answers it before reading the next. */
 final class ClientConnection extends TerminalHandler implements ResponseReceiver {
 
     private final ClientListener clients;
@@ -28,8 +28,8 @@
     private boolean started;
 
     /**
-     * Where callers are asked: the name given, until it is proven; who is in; whether its txn is
-     * out.
+     * Authentication state, if an authenticator is set: the claimed user name until it is verified,
+     * the session, and whether its transaction counts against its share.
      */
     private String claimedUser;
 
@@ -38,44 +38,52 @@
     private Gate.Session session;
     private boolean countedInShare;
 
-    /** After a message of the extended protocol, until its Sync. */
+    /** Set after a message of the extended protocol, until its Sync. */
     private boolean skippingUntilSync;
 
-    /** The txn that is out; the connection owes its answer. */
+    /** The transaction in flight, whose response is pending. */
     private Exchange exchange;
 
     private boolean responsePending;
     private boolean closed;
 
     /**
-     * Since when it could have sent a whole query: since it came, was answered, or began one after
-     * that.
+     * Start of the wait for a complete query: since the connection was accepted, the last response
+     * was sent, or a query began after it.
      */
     private long waitingSinceNanos = System.nanoTime();
 
     private boolean hasServedQuery;
 
-    /** Of a message that is not whole, as last told. */
+    /** Buffered bytes last reported to the listener. */
     private int reportedBytes;
 
-    /** How long what was read last may have lain in the socket, and when it was read. */
+    /**
+     * Upper bound for how long the last data read was in the socket buffer, and when it was read.
+     */
     private Duration maxReadAge = Duration.ZERO;
 
     private long readNanos;
 
-    /** In the clients' line, to be looked at in its turn. */
+    /** Whether this connection is in the listener's queue. */
     boolean queued;
 
     ClientConnection(ClientListener clients) {
         this.clients = clients;
     }
 
-    /** Nothing of a query is here, and no answer is owed; one may be on its way out. */
+    /**
+     * Returns whether no part of a query is buffered and no response is pending; the last response
+     * may still be unsent.
+     */
     boolean isBetweenQueries() {
         return !responsePending && decoder.bufferedBytes() == 0;
     }
 
-    /** And none is on its way out: a close would cut that off. */
+    /**
+     * Returns whether the connection is between queries and the last response is sent, so that
+     * closing it loses nothing.
+     */
     boolean isIdle() {
         return isBetweenQueries() && isFlushed();
     }
@@ -114,7 +122,7 @@
         }
         decoder.add((ByteBuf) data);
         clients.queue(this);
-        // What is written ahead waits with the client once it is more than one query can be.
+        // Pipelined data stays in the client's socket once more than one maximum query is buffered.
         if (decoder.bufferedBytes() > FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !closed) {
             ctx.channel().config().setAutoRead(false);
         }
@@ -125,7 +133,7 @@
         clients.queue(this);
     }
 
-    /** Looks at what was read: its turn has come. */
+    /** Processes buffered messages; called in queue order. */
     void processMessages() {
         if (closed) {
             return;
@@ -145,12 +153,14 @@
         } catch (FrameException e) {
             reject(Messages.PROTOCOL_VIOLATION, e.getMessage());
         } catch (RuntimeException e) {
-            // Outside the channel's own events nobody else would tell it: this client alone pays
-            // for the fault.
+            // Outside of channel events no handler would report the exception; only this client's
+            // connection is closed.
             exceptionCaught(ctx, e);
         }
         reportBufferedBytes();
-        if (!closed && decoder.bufferedBytes() <= FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !ctx.channel().config().isAutoRead()) {
+        if (!closed
+                && decoder.bufferedBytes() <= FrameDecoder.MAX_CLIENT_MESSAGE_BYTES
+                && !ctx.channel().config().isAutoRead()) {
             ctx.channel().config().setAutoRead(true);
         }
     }
@@ -164,7 +174,9 @@
     private void handleStartup(ByteBuf message) {
         int code = message.getInt(message.readerIndex() + 4);
         String name =
-                code == Messages.PROTOCOL_VERSION && clients.authenticator != null ? Messages.user(message) : null;
+                code == Messages.PROTOCOL_VERSION && clients.authenticator != null
+                        ? Messages.user(message)
+                        : null;
         message.release();
         switch (code) {
             case Messages.SSL_REQUEST -> handleTlsRequest();
@@ -184,13 +196,16 @@
     }
 
     /**
-     * The one byte in the clear that says whether TLS begins; what came with the question would
-     * pass for a part of it.
+     * Answers a TLS or GSS encryption request with one unencrypted byte. Data sent along with the
+     * request is refused, since it would otherwise pass for part of the encrypted stream.
      */
     private void handleTlsRequest() {
-        ChannelHandler tlsHandler = clients.authenticator == null || encrypted ? null : clients.authenticator.tlsHandler();
+        ChannelHandler tlsHandler =
+                clients.authenticator == null || encrypted
+                        ? null
+                        : clients.authenticator.tlsHandler();
         if (tlsHandler != null && decoder.bufferedBytes() > 0) {
-            reject(Messages.PROTOCOL_VIOLATION, "bytes behind the request for TLS");
+            reject(Messages.PROTOCOL_VIOLATION, "data after the SSLRequest message");
             return;
         }
         ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tlsHandler == null ? 'N' : 'S'));
@@ -201,21 +216,19 @@
     }
 
     /**
-     * Asks for the token, as a password (AuthenticationCleartextPassword), over TLS alone where
-     * there is TLS.
+     * Requests the token as a password (AuthenticationCleartextPassword); only over TLS if TLS is
+     * configured.
      */
     private void requestPassword(String name) {
         if (clients.authenticator.requiresTls() && !encrypted) {
-            reject(Refusal.UNKNOWN.code(), "only over TLS");
+            reject(Refusal.UNKNOWN.code(), "TLS is required");
             return;
         }
         Duration delay = clients.authenticator.retryDelay(address(), name);
         if (!delay.isZero()) {
             reject(
                     Refusal.PENALTY.code(),
-                    "failed too often, to be tried again in "
-                            + Math.max(1, delay.toMillis())
-                            + " ms");
+                    "too many failed logins; retry in " + Math.max(1, delay.toMillis()) + " ms");
             return;
         }
         claimedUser = name;
@@ -238,7 +251,7 @@
         awaitingPassword = false;
         String token = Messages.password(message);
         message.release();
-        // Nothing else is looked at until it is known who this is.
+        // Nothing else is processed until the client is authenticated.
         responsePending = true;
         clients.authenticator.authenticate(
                 address(),
@@ -253,7 +266,7 @@
                         }
                         session = newSession;
                         responsePending = false;
-                        // Who has proven himself is no stranger.
+                        // An authenticated client no longer counts as a new client.
                         clients.queryAccepted(ClientConnection.this);
                         waitingSinceNanos = System.nanoTime();
                         ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
@@ -266,14 +279,14 @@
                     public void rejected(Refusal refusal, String text) {
                         if (!closed) {
                             responsePending = false;
-                            // Why in full stands in the log alone.
-                            reject(refusal.code(), "not let in: " + refusal.word());
+                            // The full reason is only logged.
+                            reject(refusal.code(), "authentication failed: " + refusal.word());
                         }
                     }
                 });
     }
 
-    /** Takes one message over. */
+    /** Takes ownership of one message and handles it. */
     private void handleMessage(ByteBuf message) {
         char type = (char) message.getByte(message.readerIndex());
         if (clients.authenticator != null && session == null) {
@@ -306,7 +319,10 @@
             }
             case 'F' -> {
                 if (!skippingUntilSync) {
-                    sendError(Messages.FEATURE_NOT_SUPPORTED, "no functions are served here", null);
+                    sendError(
+                            Messages.FEATURE_NOT_SUPPORTED,
+                            "function calls are not supported",
+                            null);
                 }
             }
             default -> reject(Messages.PROTOCOL_VIOLATION, "unknown message");
@@ -322,15 +338,16 @@
             return;
         }
         if (clients.shuttingDown()) {
-            // It came when this router had said goodbye: no longer than what is out may it go on.
-            // Never sent, so harmless.
+            // The query arrived after the shutdown began and was never sent, so a retry is
+            // harmless. The connection stays open no longer than its pending response.
             message.release();
             clients.counters.turnedAway++;
-            sendError(Messages.DECLINED, "this router ends, trying again is harmless", null);
+            sendError(Messages.DECLINED, "router is shutting down; retrying is safe", null);
             clients.queryAnswered(this);
             return;
         }
-        // From its last byte, or since nothing went before it on this connection.
+        // Time since the last byte was received; data pipelined behind an earlier query counts from
+        // that query's response.
         Duration timeSinceReceived = maxReadAge.plusNanos(System.nanoTime() - readNanos);
         Statement statement;
         try {
@@ -348,7 +365,11 @@
         responsePending = true;
         Exchange newExchange =
                 clients.exchangeHandler.begin(
-                        statement, message, this, timeSinceReceived, session == null ? -1 : session.tenant());
+                        statement,
+                        message,
+                        this,
+                        timeSinceReceived,
+                        session == null ? -1 : session.tenant());
         if (newExchange == null) {
             responsePending = false;
             releaseShare();
@@ -363,8 +384,8 @@
     }
 
     /**
-     * Whether this session may have this txn begun; if not, it has been told, and the message is
-     * gone.
+     * Checks whether the session may run this transaction; if not, sends the error and releases the
+     * message.
      */
     private boolean isAuthorized(Statement statement, ByteBuf message) {
         clients.authenticator.tick();
@@ -387,13 +408,15 @@
             Duration retryAfter = refusal == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
             sendError(
                     refusal.code(),
-                    refusal == Refusal.BUSY ? "beyond this user's share" : "no right to this",
+                    refusal == Refusal.BUSY
+                            ? "the user's transaction share is exhausted"
+                            : "permission denied",
                     retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
         }
         return false;
     }
 
-    /** Has it end, where it is idle and no longer let in. */
+    /** Closes the connection if it is idle and its session is no longer valid. */
     void revalidateSession() {
         if (session != null && !closed && isIdle() && session.over() != null) {
             endSession(session.over());
@@ -401,10 +424,10 @@
     }
 
     private void endSession(Refusal refusal) {
-        reject(refusal.code(), "no longer let in: " + refusal.word());
+        reject(refusal.code(), "session ended: " + refusal.word());
     }
 
-    /** Its txn is over, for its share. */
+    /** Releases the transaction from its user's share. */
     private void releaseShare() {
         if (countedInShare) {
             countedInShare = false;
@@ -455,7 +478,7 @@
         responseSent();
     }
 
-    /** What comes next is looked at once the module has returned. */
+    /** Later messages are processed after the routing engine's call has returned. */
     private void responseSent() {
         releaseShare();
         exchange = null;
@@ -474,8 +497,8 @@
         closed = true;
         decoder.release();
         reportBufferedBytes();
-        // Its last words are sent before the end, and what still comes is let go: a close would cut
-        // them off.
+        // The error is flushed before the close, and further input is read and discarded: an
+        // immediate close could reset the connection before the client has read the error.
         ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), true, code, text, null))
                 .addListener(sent -> clients.closeAfterDelay(this, ctx));
     }
@@ -502,7 +525,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable rule) {
-        // What is no TLS, where TLS was asked for, is the client's fault.
+        // Invalid TLS data is the client's fault and is not logged.
         if (!(rule instanceof IOException) && !(rule.getCause() instanceof IOException)) {
             clients.log.warn("client-connection", "fault", rule);
         }
--- a/src/main/java/dillfront/router/frontend/ClientListener.java
+++ b/src/main/java/dillfront/router/frontend/ClientListener.java
@@ -21,12 +21,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** The door for clients, and those that are in. */
+/** The listener for clients and its connected clients. */
 public final class ClientListener {
 
     /**
-     * A connection on which nothing is open may be closed after 2 s, as clients are told; in dial
-     * time-outs.
+     * A connection without an open transaction may be closed after 2 s, as documented for clients;
+     * in connect timeouts.
      */
     private static final int IDLE_CONNECT_TIMEOUTS = 8;
 
@@ -41,39 +41,36 @@
     private final long maxBufferedBytes;
     private final long connectTimeoutNanos;
 
-    /** Refused: they get their last words and no more. */
+    /** Rejected clients, which stay only until they have read the error. */
     private final Set<ClientConnection> rejected = new LinkedHashSet<>();
 
-    /** Nothing that they sent has been of use so far, the ones that came last at the end. */
+    /** Clients without an accepted query so far, oldest connection first. */
     private final Set<ClientConnection> newClients = new LinkedHashSet<>();
 
-    /** Those whose queries were taken, the ones answered last at the end. */
+    /** Clients with at least one accepted query, least recently answered first. */
     private final Set<ClientConnection> activeClients = new LinkedHashSet<>();
 
-    /**
-     * Those of whom something was read that has not been looked at yet, in the order in which it
-     * was read.
-     */
+    /** Connections with unprocessed data, in the order in which it was read. */
     private final ArrayDeque<ClientConnection> queue = new ArrayDeque<>();
 
     private boolean turnScheduled;
 
-    /** Bytes of messages that are not whole yet. */
+    /** Bytes of incomplete messages buffered for all clients. */
     private long bufferedBytes;
 
     private Channel serverChannel;
 
-    /** Null where all are served. */
+    /** Null if clients are not authenticated. */
     ClientAuthenticator authenticator;
 
     private boolean shuttingDown;
 
     /**
-     * @param maxClients how many clients may be in at once
-     * @param maxActiveClients of these, those whose queries were taken
-     * @param maxBufferedBytes how many bytes of messages not yet whole may be held for all of them
-     * @param connectTimeout how long one that was refused may take to read why; for what else they get, a
-     *     multiple of it
+     * @param maxClients maximum number of connected clients
+     * @param maxActiveClients maximum number of clients with an accepted query
+     * @param maxBufferedBytes maximum number of bytes of incomplete messages for all clients
+     * @param connectTimeout how long a rejected client may take to read the error; other client
+     *     timeouts are multiples of it
      */
     public ClientListener(
             ExchangeHandler exchangeHandler,
@@ -96,15 +93,16 @@
         this.maxActiveClients = maxActiveClients;
         this.maxBufferedBytes = maxBufferedBytes;
         connectTimeoutNanos = connectTimeout.toNanos();
-        loop.scheduleWithFixedDelay(this::closeExpired, connectTimeoutNanos, connectTimeoutNanos, TimeUnit.NANOSECONDS);
+        loop.scheduleWithFixedDelay(
+                this::closeExpired, connectTimeoutNanos, connectTimeoutNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** From now on those who come are asked who they are; before the door opens. */
+    /** Enables authentication; called before the listener opens. */
     public void setAuthenticator(ClientAuthenticator newAuthenticator) {
         authenticator = newAuthenticator;
     }
 
-    /** Listens on this address. */
+    /** Binds the listener to the address. */
     public ChannelFuture open(InetSocketAddress address) {
         ChannelFuture bound =
                 Sockets.listen(
@@ -118,8 +116,8 @@
     }
 
     /**
-     * Something was read of a client: it is looked at once the sockets that are ready have been, so
-     * that news of the list and answers of nodes go before new queries.
+     * Queues a client with unprocessed data. The queue is processed after all ready sockets have
+     * been read, so that member list updates and node responses take precedence over new queries.
      */
     void queue(ClientConnection client) {
         if (!client.queued) {
@@ -141,7 +139,7 @@
         }
         turnScheduled = !queue.isEmpty();
         if (turnScheduled) {
-            // Not execute(): that would come before the next look at the sockets.
+            // Not execute(), whose task would run before the next select.
             loop.schedule(this::processQueue, 0, TimeUnit.NANOSECONDS);
         }
     }
@@ -153,7 +151,10 @@
         evictIfFull();
     }
 
-    /** Ends the sending side, and the whole once the client has had time to read what was sent. */
+    /**
+     * Closes the sending side now, and the connection once the client has had time to read the
+     * error.
+     */
     void closeAfterDelay(ClientConnection client, ChannelHandlerContext ctx) {
         if (newClients.remove(client) || activeClients.remove(client)) {
             rejected.add(client);
@@ -170,9 +171,12 @@
         }
     }
 
-    /** The one place where a client ceases to count. */
+    /** Removes the client from its set; the only place where the client count decreases. */
     private boolean remove(ClientConnection client) {
-        boolean removed = rejected.remove(client) || newClients.remove(client) || activeClients.remove(client);
+        boolean removed =
+                rejected.remove(client)
+                        || newClients.remove(client)
+                        || activeClients.remove(client);
         counters.clientConnections -= removed ? 1 : 0;
         return removed;
     }
@@ -183,21 +187,24 @@
     }
 
     /**
-     * A query of its own was taken. Clients hold a third of all descriptors at the most, also for
-     * those who ask once and stay: near that the one idle longest goes, so that another can come.
+     * Records an accepted query. Active clients hold at most a third of all descriptors, even if
+     * they query once and stay connected: close to that limit the longest-idle client is closed for
+     * the next one.
      */
     void queryAccepted(ClientConnection client) {
         if (newClients.remove(client)) {
             activeClients.add(client);
             ClientConnection evicted =
-                    activeClients.size() >= maxActiveClients ? firstMatching(activeClients, ClientConnection::isIdle) : null;
+                    activeClients.size() >= maxActiveClients
+                            ? firstMatching(activeClients, ClientConnection::isIdle)
+                            : null;
             if (evicted != null) {
                 close(evicted);
             }
         }
     }
 
-    /** It has its answer. */
+    /** Records that the client's response was sent. */
     void queryAnswered(ClientConnection client) {
         if (activeClients.remove(client)) {
             activeClients.add(client);
@@ -210,15 +217,17 @@
     }
 
     /**
-     * More or less of its messages waits than before. Guards against memory full of messages never
-     * sent to their end.
+     * Adjusts the number of buffered bytes. Above the limit, clients with incomplete messages are
+     * closed, so that messages that are never completed cannot exhaust the memory.
      */
     void bufferedBytesChanged(long additionalBytes) {
         bufferedBytes += additionalBytes;
         if (additionalBytes > 0 && bufferedBytes > maxBufferedBytes) {
             for (Set<ClientConnection> clients : List.of(newClients, activeClients)) {
                 for (ClientConnection client : List.copyOf(clients)) {
-                    if (bufferedBytes > maxBufferedBytes / 2 && !client.responsePending() && !client.isBetweenQueries()) {
+                    if (bufferedBytes > maxBufferedBytes / 2
+                            && !client.responsePending()
+                            && !client.isBetweenQueries()) {
                         close(client);
                     }
                 }
@@ -231,10 +240,11 @@
     }
 
     /**
-     * At the limit one has to go, so that there is always room for one more: one that was refused,
-     * a stranger who has had time to say something or is one of many, the client idle longest.
-     * Where none is, the door waits, and what has come stays in line before it. Guards against
-     * hundreds that connect, say nothing or no whole query, and would keep the usual clients out.
+     * Closes one client at the limit, so that one more can always connect: first a rejected client,
+     * then a new client that had time to send a query or belongs to a majority of new clients, then
+     * the longest-idle active client. If none qualifies, accepting pauses and connections remain in
+     * the backlog. Otherwise hundreds of connections without a complete query would lock out
+     * regular clients.
      */
     private void evictIfFull() {
         if (size() >= maxClients) {
@@ -247,8 +257,13 @@
                                     newClients,
                                     client ->
                                             !client.responsePending()
-                                                    && (newClientsPrevail || client.waitedNanos() > connectTimeoutNanos));
-            evicted = evicted != null ? evicted : firstMatching(activeClients, ClientConnection::isIdle);
+                                                    && (newClientsPrevail
+                                                            || client.waitedNanos()
+                                                                    > connectTimeoutNanos));
+            evicted =
+                    evicted != null
+                            ? evicted
+                            : firstMatching(activeClients, ClientConnection::isIdle);
             if (evicted != null) {
                 close(evicted);
             }
@@ -280,8 +295,8 @@
     }
 
     /**
-     * Strangers have their time; so has a message to be sent to its end; who is idle goes while the
-     * house is half full.
+     * Closes expired clients: new clients and incomplete messages have a time limit, and idle
+     * clients are closed once more than half of the connections are in use.
      */
     private void closeExpired() {
         if (authenticator != null) {
@@ -291,20 +306,25 @@
         }
         for (Set<ClientConnection> clients : List.of(newClients, activeClients)) {
             for (ClientConnection client : List.copyOf(clients)) {
-                boolean mayStayIdle = clients == activeClients && client.isBetweenQueries() && size() <= maxClients / 2;
-                if (!client.responsePending() && !mayStayIdle && client.waitedNanos() > IDLE_CONNECT_TIMEOUTS * connectTimeoutNanos) {
+                boolean mayStayIdle =
+                        clients == activeClients
+                                && client.isBetweenQueries()
+                                && size() <= maxClients / 2;
+                if (!client.responsePending()
+                        && !mayStayIdle
+                        && client.waitedNanos() > IDLE_CONNECT_TIMEOUTS * connectTimeoutNanos) {
                     close(client);
                 }
             }
         }
     }
 
-    /** Nothing new is taken: see ClientConnection.query(). */
+    /** Returns whether new queries are declined; see ClientConnection.handleQuery(). */
     boolean shuttingDown() {
         return shuttingDown;
     }
 
-    /** No new clients; those that are in go once they have their answers. */
+    /** Stops accepting clients; connected clients are closed once they are answered. */
     public void beginShutdown() {
         shuttingDown = true;
         serverChannel.close();
@@ -321,7 +341,7 @@
         }
     }
 
-    /** After leave(): whether all have gone. Those whose answers are out by now go here. */
+    /** Closes idle clients and returns whether none is left; called after beginShutdown(). */
     public boolean closeIdleAndCheckEmpty() {
         closeIdle();
         return size() == 0;
--- a/src/main/java/dillfront/router/frontend/package-info.java
+++ b/src/main/java/dillfront/router/frontend/package-info.java
@@ -1,2 +1,2 @@
-/** The router's listener and the clients that are connected. */
+/** The router's listener and its client connections. */
 package dillfront.router.frontend;
--- a/src/main/java/dillfront/router/package-info.java
+++ b/src/main/java/dillfront/router/package-info.java
@@ -1,2 +1,5 @@
-/** The router in service (`serve`): its start, its end, and what drives the decisions. */
+/**
+ * The router process (`serve`): start, shutdown, and the connection between the network and the
+ * routing engine.
+ */
 package dillfront.router;
--- a/src/main/java/dillfront/router/pgwire/FrameDecoder.java
+++ b/src/main/java/dillfront/router/pgwire/FrameDecoder.java
@@ -3,41 +3,46 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Cuts what one peer sends into whole messages, each a slice of the buffer it was read into. Owns
- * what is not yet cut off; gives it back when it is used up, and in release().
+ * Decodes one peer's stream into complete messages, each a slice of the buffer it was read into.
+ * Owns undecoded data, which is released when consumed and in release().
  */
 public final class FrameDecoder {
 
-    /** Of a client's: a value of 64 KiB in hexadecimal digits, and a statement round it. */
+    /**
+     * Limit for client messages: a 64 KiB value in hexadecimal digits plus the statement around it.
+     */
     public static final int MAX_CLIENT_MESSAGE_BYTES = (1 << 17) + (1 << 12);
 
-    /** As PostgreSQL bounds it. */
+    /** Same limit as PostgreSQL. */
     private static final int MAX_STARTUP_BYTES = 10_000;
 
     private ByteBuf buffer;
     private final int maxMessageBytes;
     private boolean awaitingStartup;
 
-    /** A client's. The first message has no type: its startup. */
+    /**
+     * Creates a decoder for a client's stream, whose first message is an untyped startup message.
+     */
     public FrameDecoder() {
         this(MAX_CLIENT_MESSAGE_BYTES);
         awaitingStartup = true;
     }
 
-    /** A node's, with messages of at most this length. */
+    /** Creates a decoder for a node's stream with the given maximum message length. */
     public FrameDecoder(int longest) {
         this.maxMessageBytes = longest;
     }
 
-    /** Takes the buffer over. */
+    /** Takes ownership of the buffer. */
     public void add(ByteBuf bytes) {
         if (buffer == null) {
             buffer = bytes;
             return;
         }
         if (buffer.refCnt() > 1) {
-            // Slices of it are in use elsewhere: it must not grow or move under them.
-            ByteBuf replacement = bytes.alloc().buffer(buffer.readableBytes() + bytes.readableBytes());
+            // Slices of the buffer are in use, so it must not grow or move.
+            ByteBuf replacement =
+                    bytes.alloc().buffer(buffer.readableBytes() + bytes.readableBytes());
             replacement.writeBytes(buffer);
             buffer.release();
             buffer = replacement;
@@ -48,14 +53,17 @@
         bytes.release();
     }
 
-    /** The next whole message, to be released by the caller; null until one is there. */
+    /**
+     * Returns the next complete message, to be released by the caller; null if it is incomplete.
+     */
     public ByteBuf next() throws FrameException {
         int header = awaitingStartup ? 4 : 5;
         if (buffer == null || buffer.readableBytes() < header) {
             return null;
         }
         int length = buffer.getInt(buffer.readerIndex() + header - 4);
-        if (length < (awaitingStartup ? 8 : 4) || length > (awaitingStartup ? MAX_STARTUP_BYTES : maxMessageBytes)) {
+        if (length < (awaitingStartup ? 8 : 4)
+                || length > (awaitingStartup ? MAX_STARTUP_BYTES : maxMessageBytes)) {
             throw new FrameException("message length " + length);
         }
         int totalLength = length + header - 4;
@@ -69,7 +77,7 @@
         return frame;
     }
 
-    /** The startup is over: from now on each message has its type before its length. */
+    /** Ends the startup phase: every later message has a type byte before its length. */
     public void startupReceived() {
         awaitingStartup = false;
     }
@@ -78,7 +86,7 @@
         return buffer == null ? 0 : buffer.readableBytes();
     }
 
-    /** Releases what has not been read to its end. */
+    /** Releases undecoded data. */
     public void release() {
         if (buffer != null) {
             buffer.release();
--- a/src/main/java/dillfront/router/pgwire/FrameException.java
+++ b/src/main/java/dillfront/router/pgwire/FrameException.java
@@ -1,6 +1,6 @@
 package dillfront.router.pgwire;
 
-/** The peer does not speak the protocol; the connection cannot go on. */
+/** Thrown if the peer violates the protocol; the connection must be closed. */
 public final class FrameException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/dillfront/router/pgwire/Messages.java
+++ b/src/main/java/dillfront/router/pgwire/Messages.java
@@ -5,12 +5,10 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Writes messages, and reads the small ones. */
+/** Encodes protocol messages and decodes the small ones. */
 public final class Messages {
 
-    /**
-     * The first number of a client's startup: version 3.0, and the requests that come in its place.
-     */
+    /** Code in a client's startup message: version 3.0, or a special request in its place. */
     public static final int PROTOCOL_VERSION = 196608;
 
     public static final int CANCEL_REQUEST = 80877102;
@@ -25,7 +23,7 @@
 
     private Messages() {}
 
-    /** What a client is told once it has started. */
+    /** Writes the messages that complete a client's startup. */
     public static ByteBuf sessionStart(ByteBuf out) {
         out.writeByte('R').writeInt(8).writeInt(0);
         parameter(out, "server_version", "15.0");
@@ -49,7 +47,7 @@
     private static final ByteBuf READY =
             Unpooled.unreleasableBuffer(ready(Unpooled.directBuffer(6, 6)));
 
-    /** One that stands ready, for the ordinary path. */
+    /** Returns a preallocated ReadyForQuery message. */
     public static ByteBuf ready() {
         return READY.duplicate();
     }
@@ -59,7 +57,7 @@
     }
 
     /**
-     * @param detail null where there is none
+     * @param detail null if there is none
      */
     public static ByteBuf error(
             ByteBuf out, boolean fatal, String code, String message, String detail) {
@@ -87,7 +85,7 @@
         out.writeByte(0);
     }
 
-    /** Appends a StartupMessage of version 3.0. */
+    /** Writes a StartupMessage of version 3.0. */
     public static ByteBuf startup(ByteBuf out, String user, String database) {
         int start = out.writerIndex();
         out.writeInt(0).writeInt(PROTOCOL_VERSION);
@@ -105,7 +103,7 @@
         return out;
     }
 
-    /** The user that a startup message names; empty where it names none. */
+    /** Returns the user named by a startup message; empty if it names none. */
     public static String user(ByteBuf message) {
         int offset = message.readerIndex() + 8;
         int end = message.writerIndex();
@@ -132,14 +130,16 @@
         return offset;
     }
 
-    /** What a password message says. */
+    /** Returns the password of a password message. */
     public static String password(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.toString(
-                from, indexOfZero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
+                from,
+                indexOfZero(message, from, message.writerIndex()) - from,
+                StandardCharsets.UTF_8);
     }
 
-    /** The code of an error message; empty where it holds none. */
+    /** Returns the SQLSTATE of an error message; empty if there is none. */
     public static String sqlState(ByteBuf message) {
         int offset = message.readerIndex() + 5;
         while (offset < message.writerIndex() && message.getByte(offset) != 0) {
@@ -148,7 +148,8 @@
                 return "";
             }
             if (message.getByte(offset) == 'C') {
-                return message.toString(offset + 1, terminator - offset - 1, StandardCharsets.US_ASCII);
+                return message.toString(
+                        offset + 1, terminator - offset - 1, StandardCharsets.US_ASCII);
             }
             offset = terminator + 1;
         }
@@ -156,8 +157,8 @@
     }
 
     /**
-     * Where the value of a parameter message of this name begins; negative where it has another
-     * name, or no form.
+     * Returns the offset of the value in a ParameterStatus message of this name; negative if the
+     * name differs or the message is malformed.
      */
     public static int parameterValueOffset(ByteBuf message, byte[] name) {
         int from = message.readerIndex() + 5;
@@ -170,7 +171,7 @@
                 : -1;
     }
 
-    /** Whether these bytes stand there. */
+    /** Returns whether the message contains these bytes at the offset. */
     public static boolean matchesAt(ByteBuf message, int offset, byte[] bytes) {
         if (offset + bytes.length > message.writerIndex()) {
             return false;
@@ -183,12 +184,15 @@
         return true;
     }
 
-    /** Text from there up to the closing zero. */
+    /** Returns the text from the offset to the terminating zero at the end of the message. */
     public static String text(ByteBuf message, int offset) {
         return message.toString(offset, message.writerIndex() - 1 - offset, StandardCharsets.UTF_8);
     }
 
-    /** The one column of a row as text; null where there is not just one, or it is null. */
+    /**
+     * Returns the only column of a row as text; null if there is more than one column or its value
+     * is null.
+     */
     public static String column(ByteBuf row) {
         int offset = row.readerIndex() + 5;
         if (!hasOneColumn(row)) {
@@ -197,7 +201,7 @@
         return row.toString(offset + 6, row.getInt(offset + 2), StandardCharsets.UTF_8);
     }
 
-    /** Whether a description is of one column, and nothing else. */
+    /** Returns whether a row description consists of exactly one field. */
     public static boolean hasOneField(ByteBuf description) {
         int offset = description.readerIndex() + 5;
         int terminator =
@@ -207,13 +211,13 @@
         return terminator >= 0 && description.writerIndex() - terminator == 19;
     }
 
-    /** Whether a message holds one text up to its end. */
+    /** Returns whether a message consists of one zero-terminated string. */
     public static boolean hasOneString(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.indexOf(from, message.writerIndex(), (byte) 0) == message.writerIndex() - 1;
     }
 
-    /** Whether a row holds one column that fills it. */
+    /** Returns whether a row consists of exactly one column. */
     public static boolean hasOneColumn(ByteBuf row) {
         int offset = row.readerIndex() + 5;
         return row.readableBytes() >= 11
@@ -221,7 +225,7 @@
                 && row.getInt(offset + 2) == row.readableBytes() - 11;
     }
 
-    /** Whether a query holds nothing: white space and semicolons. */
+    /** Returns whether a query is empty: only whitespace and semicolons. */
     public static boolean isBlankQuery(ByteBuf query) {
         for (int i = query.readerIndex() + 5; i < query.writerIndex(); i++) {
             byte c = query.getByte(i);
--- a/src/main/java/dillfront/router/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client's statement, read in place. Keeps numbers, and the places in the message where the
- * waiting time stands, never the bytes.
+ * A client's statement, parsed in place. Keeps hashes, numbers and offsets into the message; copies
+ * no statement text other than the type.
  */
 public final class Statement implements KeyBytes {
 
@@ -23,32 +23,32 @@
     private static final byte[] LAST_WRITE = ascii("after");
     private static final byte[] IDEMPOTENCY_KEY = ascii("k");
 
-    /** Its client's name for the type. */
+    /** Transaction type, as named by the client. */
     public String type;
 
     public boolean write;
 
-    /** A hash of what tells this txn from all others. */
+    /** Hash of the transaction id. */
     public long idHash;
 
-    /** A hash of the quoted key, which names the session where there is one. */
+    /** Hash of the quoted object key, which also identifies the session, if any. */
     public long keyHash;
 
-    /** A hash of the idempotency key that a referenced txn carries; 0 where there is none. */
+    /** Hash of the idempotency key; 0 if there is none. */
     public long idempotencyKeyHash;
 
     public long timeoutMs = -1;
     public int group;
 
-    /** Unix time of the session's last write; 0 where it has none, or does not say. */
+    /** Unix time of the session's last write; 0 if there was none or it is not stated. */
     public long lastWriteMs;
 
-    /** Where the digits of the waiting time begin and end in the message. */
+    /** Start and end of the time limit's digits in the message. */
     public int timeoutStart;
 
     public int timeoutEnd;
 
-    /** Where the key begins in the message, and its bytes. */
+    /** Start and length of the object key in the message. */
     private int keyStart;
 
     private int keyLength;
@@ -63,14 +63,14 @@
         end = message.writerIndex() - 1;
     }
 
-    /** Reads a query message, type and length before it and a zero behind. */
+    /** Parses a query message, including its type, length and terminating zero. */
     public static Statement read(ByteBuf message) throws StatementFormatException {
         Statement statement = new Statement(message);
         statement.read();
         return statement;
     }
 
-    /** Of the key, while the message is still whoever's it was when it was read. */
+    /** Returns the length of the object key; valid while the message is retained. */
     @Override
     public int length() {
         return keyLength;
@@ -91,7 +91,8 @@
         }
         write = !skipIfPresent(SELECT);
         if (write && !skipIfPresent(INSERT)) {
-            throw new StatementFormatException("neither the read nor the write that is served here");
+            throw new StatementFormatException(
+                    "neither the read nor the write that is served here");
         }
         int from = at;
         while (at < end && message.getByte(at) != '\'') {
@@ -163,7 +164,7 @@
         }
     }
 
-    /** Goes on to this character or to what ends a comment's entry. */
+    /** Advances to the delimiter or to the end of the comment entry. */
     private int scanTo(char delimiter) {
         while (at < end
                 && message.getByte(at) != delimiter
@@ -196,7 +197,8 @@
         for (int i = from; i < to; i++) {
             int digit = message.getByte(i) - '0';
             if (digit < 0 || digit > 9) {
-                throw new StatementFormatException("no number: '" + readText(from, Math.min(to, from + 40)) + "'");
+                throw new StatementFormatException(
+                        "no number: '" + readText(from, Math.min(to, from + 40)) + "'");
             }
             number = number * 10 + digit;
         }
@@ -207,7 +209,8 @@
     }
 
     private boolean skipIfPresent(byte[] literal) {
-        // No words hold a zero, and one stands at the end: none can match beyond it.
+        // No literal contains a zero byte, and the message ends with one, so no match extends
+        // beyond the end.
         boolean present = Messages.matchesAt(message, at, literal);
         at += present ? literal.length : 0;
         return present;
@@ -215,7 +218,8 @@
 
     private void expect(byte[] literal) throws StatementFormatException {
         if (!skipIfPresent(literal)) {
-            throw new StatementFormatException("out of form at byte " + (at - message.readerIndex() - 5));
+            throw new StatementFormatException(
+                    "out of form at byte " + (at - message.readerIndex() - 5));
         }
     }
 }
