--- a/src/main/java/dillfront/router/pgwire/StatementFormatException.java
+++ b/src/main/java/dillfront/router/pgwire/StatementFormatException.java
@@ -1,6 +1,6 @@
 package dillfront.router.pgwire;
 
-/** A query that is not in the clients' form; the connection can go on. */
+/** Thrown if a query does not have the supported form; the connection stays usable. */
 public final class StatementFormatException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/dillfront/router/pgwire/package-info.java
+++ b/src/main/java/dillfront/router/pgwire/package-info.java
@@ -1,2 +1,2 @@
-/** PostgreSQL's wire protocol, version 3: messages and statements. */
+/** PostgreSQL wire protocol version 3: messages and statements. */
 package dillfront.router.pgwire;
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -47,7 +47,10 @@
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One whole router on loopback, between a client, a node and a list that the test holds. */
+/**
+ * Runs a complete router on loopback between a client, a node and a discovery server controlled by
+ * the test.
+ */
 class RouterTest {
 
     private static final AtomicInteger IDS = new AtomicInteger();
@@ -93,8 +96,8 @@
                     + "'tokens':'kept'},'rules':{'coldFrom':0.2,'coldUs':9000000}}";
 
     /**
-     * For scenes in which no time-out is meant to end: on a busy machine a stand-in takes longer
-     * than these.
+     * Tag of tests in which no timeout is meant to fire: on a busy machine a test server may take
+     * longer than the default timeouts.
      */
     private static final String LONG_TIMEOUTS = "patient";
 
@@ -105,12 +108,12 @@
     private final List<String> discoveryRequests = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger discoveryConnections = new AtomicInteger();
 
-    /** Where the loop is to stand still next. */
+    /** Log lines at which the event loop is to be blocked, in order. */
     private final Queue<LoopHold> loopHolds = new ConcurrentLinkedQueue<>();
 
     /**
-     * The connection on which discovery was asked last for what is newer; and, once the test is
-     * ready to tell, the one that waits.
+     * The connection that sent the last long poll and, once the test is ready to publish, the one
+     * waiting.
      */
     private volatile Socket lastRequester;
 
@@ -128,7 +131,7 @@
         list = new ServerSocket(0, 50, loopback);
         serve(node, this::node);
         serve(list, this::list);
-        // Another process may have been given a free port before the router listens there.
+        // Another process may take the free port before the router binds it.
         for (int attempt = 1; ; attempt++) {
             try {
                 start(loopback, testInfo);
@@ -175,7 +178,8 @@
                                     public void println(Object line) {
                                         super.println(line);
                                         LoopHold hold = loopHolds.peek();
-                                        if (hold != null && line.toString().contains(hold.logText)) {
+                                        if (hold != null
+                                                && line.toString().contains(hold.logText)) {
                                             loopHolds.remove().block();
                                         }
                                     }
@@ -195,7 +199,7 @@
         list.close();
     }
 
-    // ---- the stand-ins
+    // ---- test servers
 
     private interface ConnectionHandler {
         void handle(Socket socket) throws IOException;
@@ -214,7 +218,7 @@
                                                         try (socket) {
                                                             handler.handle(socket);
                                                         } catch (IOException e) {
-                                                            // The router ended it: so be it.
+                                                            // The router closed the connection.
                                                         }
                                                     });
                                     testCase.setDaemon(true);
@@ -238,8 +242,8 @@
     }
 
     /**
-     * A second address of discovery: answers at once with the whole list, and notes what it was
-     * asked.
+     * Serves a second discovery address: returns the complete list at once and records the
+     * requests.
      */
     private void serveSecondDiscovery(Socket socket) throws IOException {
         BufferedReader in =
@@ -266,7 +270,8 @@
     }
 
     /**
-     * Answers the first call with rubbish, then the first on each connection: the known list holds.
+     * Sends an invalid response to the first connection, then answers the first request of each
+     * connection; the configured list stays in force.
      */
     private void list(Socket socket) throws IOException {
         if (discoveryConnections.incrementAndGet() == 1) {
@@ -288,7 +293,8 @@
     }
 
     /**
-     * Discovery by the test's word: the whole list at once or as late as said, then what is told.
+     * Returns a discovery server controlled by the test: the complete list at once or after the
+     * delay, then the queued updates.
      */
     private ConnectionHandler discoveryFromQueue(BlockingQueue<String> updates, long firstAfter) {
         return socket -> {
@@ -304,7 +310,9 @@
                         pause(discoveryRequests.size() == 1 ? firstAfter : 0);
                         answer(
                                 socket,
-                                discoveryRequests.size() == 1 && firstAfter == 0 ? wholeList(42) : updates.take());
+                                discoveryRequests.size() == 1 && firstAfter == 0
+                                        ? wholeList(42)
+                                        : updates.take());
                     } catch (InterruptedException over) {
                         return;
                     }
@@ -314,9 +322,9 @@
     }
 
     /**
-     * As tells(), but as discovery does: without news it says so once its time is over, and it
-     * tells whoever asked last. From the moment that the test is ready to tell, that one is not
-     * answered before.
+     * Returns a discovery server like discoveryFromQueue() but with long polls: without an update
+     * it answers when the wait ends, and updates go to the last requester. Once the test is ready
+     * to publish, that request is not answered before the update.
      */
     private ConnectionHandler longPollingDiscovery(BlockingQueue<String> updates) {
         return socket -> {
@@ -336,7 +344,8 @@
                             socket,
                             wait == 0
                                     ? wholeList(42)
-                                    : awaitUpdate(socket, updates, System.nanoTime() + wait * 1_000_000));
+                                    : awaitUpdate(
+                                            socket, updates, System.nanoTime() + wait * 1_000_000));
                 }
             }
         };
@@ -360,8 +369,8 @@
     }
 
     /**
-     * A query that nobody can read, with this word in its line of the log, at which the loop may be
-     * held.
+     * Builds a malformed query that puts the token into a log line at which the event loop can be
+     * blocked.
      */
     private static ByteBuf malformedQuery(String token) {
         return Messages.query(
@@ -372,8 +381,7 @@
     }
 
     /**
-     * The router's loop stands still at the first line of its log that holds this text, until it is
-     * let go.
+     * Blocks the router's event loop at the first log line that contains the text, until released.
      */
     private static final class LoopHold {
         private final String logText;
@@ -409,8 +417,8 @@
     }
 
     /**
-     * How many bytes lie unread in this process's socket between these two ports; -1 where there is
-     * none.
+     * Returns the unread bytes in this process's socket between the two ports; -1 if there is no
+     * such socket.
      */
     private static int unreadBytes(int local, int remote) {
         String endpoints = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
@@ -419,7 +427,8 @@
                 for (String line : Files.readAllLines(Path.of(file))) {
                     if (line.matches(".*" + endpoints + ".*")) {
                         return Integer.parseInt(
-                                line.replaceAll(".*" + endpoints + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
+                                line.replaceAll(".*" + endpoints + "[0-9A-F]+:([0-9A-F]+).*", "$1"),
+                                16);
                     }
                 }
             }
@@ -429,7 +438,7 @@
         return -1;
     }
 
-    /** Does with a statement what its key says. */
+    /** Serves a node: the statement's key selects the response. */
     private void node(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         in.readNBytes(in.readInt() - 4);
@@ -554,14 +563,15 @@
         socket.getOutputStream().write(out);
     }
 
-    // ---- the client
+    // ---- client
 
     private static ByteBuf query(String type, String key, int timeoutMillis) {
         return query(type, key, timeoutMillis, Integer.toHexString(IDS.incrementAndGet()));
     }
 
     private static ByteBuf query(String type, String key, int timeoutMillis, String id) {
-        String comment = "/* id=" + id + ",c=" + type + ",d=" + timeoutMillis + ",k=5c,cluster=2 */";
+        String comment =
+                "/* id=" + id + ",c=" + type + ",d=" + timeoutMillis + ",k=5c,cluster=2 */";
         return Messages.query(
                 Unpooled.buffer(),
                 type.equals("any")
@@ -576,7 +586,7 @@
         return Messages.startup(Unpooled.buffer(), "worker", "catalog");
     }
 
-    /** Reads up to so many ReadyForQuery, or to the end of the connection. */
+    /** Reads up to the given number of ReadyForQuery messages, or to the end of the connection. */
     private String readResponses(int readyCount) throws IOException {
         StringBuilder responses = new StringBuilder();
         DataInputStream in = new DataInputStream(client.getInputStream());
@@ -592,10 +602,12 @@
             }
             responses.append((char) type);
             if (type == 'D') {
-                responses.append(':')
+                responses
+                        .append(':')
                         .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
             } else if (type == 'E') {
-                responses.append(':')
+                responses
+                        .append(':')
                         .append(
                                 new String(body, StandardCharsets.UTF_8)
                                         .replaceAll("S.*?\0V.*?\0C", "")
@@ -620,7 +632,7 @@
         receivedStatements.clear();
     }
 
-    /** The last line of counters. */
+    /** Returns the last line of counters. */
     private String counters() {
         return log.toString(StandardCharsets.UTF_8)
                 .lines()
@@ -629,7 +641,7 @@
                 .orElse("");
     }
 
-    /** Until one line of counters, printed from now on, has all of these. */
+    /** Waits until a line of counters printed from now on matches all patterns. */
     private void awaitCounters(String... all) throws InterruptedException {
         long before =
                 log.toString(StandardCharsets.UTF_8)
@@ -671,16 +683,16 @@
         }
     }
 
-    /** What was cut off and never given back is found once the collector has been by. */
+    /** Buffers that were never released are detected after a garbage collection. */
     private static void assertNoLeaks() {
         for (int i = 0; i < 5; i++) {
             System.gc();
             ByteBufAllocator.DEFAULT.directBuffer(16).release();
         }
-        assertEquals(0, LEAKS.get(), "buffers that were not given back");
+        assertEquals(0, LEAKS.get(), "unreleased buffers");
     }
 
-    // ---- the scenes
+    // ---- tests
 
     @Test
     void answersInOrderAndForwardsStatementsUnchanged() throws Exception {
@@ -734,7 +746,7 @@
                     "fields"
                 }) {
             sendAndTrace("once, " + key, query("once", key, 400), 1);
-            // Until it has recovered in the module's eyes.
+            // Repeated until the routing engine considers the node recovered.
             for (int i = 0; i < 6; i++) {
                 send(client, query("any", "ok", 900));
                 readResponses(1);
@@ -756,8 +768,8 @@
     }
 
     /**
-     * Guards against a second copy or noise behind an answer that meets the next txn on that
-     * connection.
+     * Guards against data after a response, such as a duplicate, being taken for the response of
+     * the next transaction on that connection.
      */
     @Test
     void discardsDataAfterResponse() throws Exception {
@@ -817,9 +829,15 @@
     @Test
     void closesInvalidClientsWithError() throws Exception {
         Object[][] cases = {
-            {"cancel", Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL_REQUEST).writeLong(7)},
+            {
+                "cancel",
+                Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL_REQUEST).writeLong(7)
+            },
             {"version 2", Unpooled.buffer().writeInt(8).writeInt(2 << 16)},
-            {"a startup too long", Unpooled.buffer().writeInt(10_001).writeInt(Messages.PROTOCOL_VERSION)},
+            {
+                "a startup too long",
+                Unpooled.buffer().writeInt(10_001).writeInt(Messages.PROTOCOL_VERSION)
+            },
             {"a length too small", startup().writeByte('Q').writeInt(3)},
             {
                 "a query too long",
@@ -843,7 +861,7 @@
         RoutingHarness.assertTraceEquals("router-no-client", trace);
     }
 
-    /** Guards against answers lost, and new clients turned away, while a router is being ended. */
+    /** Guards against lost responses and refused clients during a shutdown. */
     @Test
     void stopsOnceAllQueriesAreAnswered() throws Exception {
         sendAndTrace("startup", startup(), 1);
@@ -852,7 +870,7 @@
         Thread stopping = new Thread(router::stop);
         stopping.start();
         awaitCondition(
-                "the end has begun",
+                "the shutdown has begun",
                 () -> log.toString(StandardCharsets.UTF_8).contains(" stopping "));
         Socket first = client;
         client = new Socket(first.getInetAddress(), first.getPort());
@@ -880,16 +898,16 @@
     private volatile String currentList;
 
     /**
-     * The generation that discovery was asked last for more than, and how many connections have had
-     * a list and asked again.
+     * Generation in the last discovery request, and the number of connections that have requested a
+     * list at least twice.
      */
     private volatile long askedAfter;
 
     private final AtomicInteger refreshedConnections = new AtomicInteger();
 
     /**
-     * Discovery that tells what is so now: whole where nothing is known, else once it is newer or
-     * the wait is over.
+     * Serves the current list: complete if no generation is given, otherwise once it is newer or
+     * the wait ends.
      */
     private void serveCurrentList(Socket socket) throws IOException {
         BufferedReader in =
@@ -923,16 +941,18 @@
         Files.writeString(file, text);
         router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
         awaitCondition(
-                "the settings are taken over",
+                "the settings are applied",
                 () ->
                         log.toString(StandardCharsets.UTF_8)
                                 .endsWith(settings + " kept_as_at_start=[]\n"));
-        awaitCondition("the list is read by the new ones", () -> refreshedConnections.get() > before);
+        awaitCondition(
+                "the list is read under the new settings",
+                () -> refreshedConnections.get() > before);
     }
 
     /**
-     * Guards against txns lost or sent twice by a change of settings, and against one that has no
-     * way back.
+     * Guards against transactions lost or sent twice when settings change, and against a change
+     * that cannot be reverted.
      */
     @Test
     @Tag(LONG_TIMEOUTS)
@@ -957,8 +977,9 @@
             trace.append("what was out             ").append(readResponses(1)).append('\n');
             sendAndTrace("a type that is new", query("transfer", "new", 4_000), 1);
             sendAndTrace("one that is no more", query("move", "old", 4_000), 1);
-            currentList = wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
-            awaitCondition("the router knows that it is gone", () -> askedAfter == 43);
+            currentList =
+                    wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
+            awaitCondition("the router has the list without the node", () -> askedAfter == 43);
             sendAndTrace("gone, and open", query("transfer", "gone", 4_000), 1);
             send(client, query("transfer", "slow", 4_000));
             awaitCondition("seen has 5", () -> receivedStatements.size() >= 5);
@@ -968,7 +989,7 @@
             trace.append("what was out             ").append(readResponses(1)).append('\n');
             sendAndTrace("gone, and closed", query("any", "none", 300), 1);
             currentList = wholeList(44);
-            awaitCondition("the router knows that it is back", () -> askedAfter == 44);
+            awaitCondition("the router has the list with the node", () -> askedAfter == 44);
             sendAndTrace("as before", query("move", "back", 4_000), 1);
             traceStatements();
             stopAndTraceCounters(
@@ -993,8 +1014,8 @@
     }
 
     /**
-     * Guards against ending on SIGHUP, against a list asked for where none is any more, and against
-     * a bad file.
+     * Guards against ending on SIGHUP, against polling the old discovery address after a reload,
+     * and against an invalid file.
      */
     @Test
     @Tag(LONG_TIMEOUTS)
@@ -1045,7 +1066,10 @@
         RoutingHarness.assertTraceEquals("router-reloads", trace);
     }
 
-    /** A second router with the node's list from this stand-in alone; the first has ended. */
+    /**
+     * Starts a second router that gets its list from this discovery server only; the first has
+     * ended.
+     */
     private void restartWithDiscovery(ServerSocket discovery) throws Exception {
         client.close();
         router.stop();
@@ -1056,21 +1080,23 @@
                                 "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
                                 "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort());
         Files.writeString(file, text);
-        router = new RouterServer(RouterConfig.read(Map.of("LB_CONFIG", file.toString())), router.log());
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", file.toString())), router.log());
         router.start();
         client = newClient();
     }
 
     /**
-     * Guards against a send that overtakes a drain told while the loop stood still between decision
-     * and send.
+     * Guards against a send that overtakes a drain published while the event loop was blocked
+     * between decision and send.
      */
     @Test
     void readsDrainBeforeSendingDecidedTransaction() throws Exception {
         BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
             serve(discovery, longPollingDiscovery(updates));
-            // Time enough for a txn on the busiest machine: only the order counts here.
+            // A deadline long enough for the busiest machine; the test depends on the order only.
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
@@ -1079,22 +1105,27 @@
             restartWithDiscovery(discovery);
             sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 4_000)), 2);
             ready = true;
-            awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
-            // In one turn: the loop stands still, a txn is decided, the loop stands still, then the
-            // txn would be sent.
+            awaitCondition("discovery receives a long poll", () -> waitingRequester != null);
+            // In one turn of the loop: blocked, a transaction is decided, blocked again before the
+            // send.
             LoopHold holdBeforeDecision = holdLoopAt("'still");
             LoopHold holdBeforeSend = holdLoopAt(" counters ");
             send(client, malformedQuery("still").writeBytes(query("move", "drained", 4_000)));
-            awaitCondition("the loop stands still before it decides", holdBeforeDecision::reached);
+            awaitCondition("the loop is blocked before the decision", holdBeforeDecision::reached);
             router.printCounters();
             holdBeforeDecision.release();
-            awaitCondition("the loop stands still between decision and send", holdBeforeSend::reached);
+            awaitCondition(
+                    "the loop is blocked between decision and send", holdBeforeSend::reached);
             updates.add(drainingList());
             awaitCondition(
-                    "the drain lies unread",
-                    () -> updates.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
-            // Many steps of the clock: whoever was away for so long knows it. More of them change
-            // nothing.
+                    "the drain is unread",
+                    () ->
+                            updates.isEmpty()
+                                    && unreadBytes(
+                                                    waitingRequester.getPort(),
+                                                    waitingRequester.getLocalPort())
+                                            > 0);
+            // Many clock steps, so that the router detects the pause; a longer one changes nothing.
             Thread.sleep(100);
             holdBeforeSend.release();
             trace.append("the loop stands still        ").append(readResponses(1)).append('\n');
@@ -1106,34 +1137,42 @@
     }
 
     /**
-     * Guards against a drain that the old discovery has told, and that lies unread while the new
-     * one is not up.
+     * Guards against a drain that the previous discovery server has published and that is unread
+     * while the new one is unreachable.
      */
     @Test
     @Tag(LONG_TIMEOUTS)
     void honorsDrainFromPreviousDiscovery() throws Exception {
         BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress());
-                ServerSocket unresponsiveDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+                ServerSocket unresponsiveDiscovery =
+                        new ServerSocket(0, 50, list.getInetAddress())) {
             serve(discovery, longPollingDiscovery(updates));
             restartWithDiscovery(discovery);
             sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
             ready = true;
-            awaitCondition("discovery is asked for what is newer", () -> waitingRequester != null);
+            awaitCondition("discovery receives a long poll", () -> waitingRequester != null);
             LoopHold loopHold = holdLoopAt("'still");
             send(client, malformedQuery("still"));
-            awaitCondition("the loop stands still", loopHold::reached);
+            awaitCondition("the loop is blocked", loopHold::reached);
             updates.add(drainingList());
             awaitCondition(
-                    "the drain lies unread",
-                    () -> updates.isEmpty() && unreadBytes(waitingRequester.getPort(), waitingRequester.getLocalPort()) > 0);
+                    "the drain is unread",
+                    () ->
+                            updates.isEmpty()
+                                    && unreadBytes(
+                                                    waitingRequester.getPort(),
+                                                    waitingRequester.getLocalPort())
+                                            > 0);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
-                            .replace(":" + discovery.getLocalPort(), ":" + unresponsiveDiscovery.getLocalPort()));
+                            .replace(
+                                    ":" + discovery.getLocalPort(),
+                                    ":" + unresponsiveDiscovery.getLocalPort()));
             router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
-            // As long as a drain may take to be known.
+            // Time allowed for a drain to take effect.
             Thread.sleep(300);
             loopHold.release();
             trace.append("the loop stood still  ").append(readResponses(1)).append('\n');
@@ -1144,12 +1183,14 @@
         RoutingHarness.assertTraceEquals("router-former", trace);
     }
 
-    /** Guards against a door that opens on a list that is old by a restart. */
+    /** Guards against a listener that opens with a member list from before the restart. */
     @Test
     @Tag(LONG_TIMEOUTS)
     void listensOnceDiscoveryHasAnswered() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, discoveryFromQueue(new LinkedBlockingQueue<>(List.of(drainingList())), 300));
+            serve(
+                    discovery,
+                    discoveryFromQueue(new LinkedBlockingQueue<>(List.of(drainingList())), 300));
             restartWithDiscovery(discovery);
             sendAndTrace("the first query", startup().writeBytes(query("any", "drained", 300)), 2);
             traceStatements();
@@ -1158,10 +1199,7 @@
         RoutingHarness.assertTraceEquals("router-door", trace);
     }
 
-    /**
-     * Guards against a list that stands still because the connection to discovery has fallen
-     * silent.
-     */
+    /** Guards against a member list that goes stale because discovery stops answering. */
     @Test
     void reconnectsSilentDiscoveryClient() throws Exception {
         sendAndTrace("startup", startup(), 1);
@@ -1175,15 +1213,15 @@
     }
 
     /**
-     * Where the signal is ignored, as nohup leaves it, `env --default-signal=HUP` in .ci/run
-     * restores it.
+     * Sends SIGHUP to this process. If the signal is ignored, as under nohup, `env
+     * --default-signal=HUP` in .ci/run restores it.
      */
     private void sendSighup() throws Exception {
         long before = reloads();
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
                 .start()
                 .waitFor();
-        awaitCondition("the configuration is read anew after SIGHUP", () -> reloads() > before);
+        awaitCondition("the configuration is reloaded after SIGHUP", () -> reloads() > before);
     }
 
     private long reloads() {
@@ -1193,15 +1231,20 @@
                 .count();
     }
 
-    /** Bounded, and it fails with what it waited for. */
-    private static void awaitCondition(String description, BooleanSupplier condition) throws InterruptedException {
+    /** Waits up to 20 s and fails with the description of the condition. */
+    private static void awaitCondition(String description, BooleanSupplier condition)
+            throws InterruptedException {
         for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + description);
+            assertTrue(
+                    System.nanoTime() < end, "timed out after 20 s waiting until " + description);
             Thread.sleep(5);
         }
     }
 
-    /** Guards against rows, connections and tables of nodes that are replaced all day. */
+    /**
+     * Guards against leaking rows, connections and table entries of nodes that are replaced
+     * continuously.
+     */
     @Test
     @Tag(LONG_TIMEOUTS)
     void freesStateOfReplacedNodes() throws Exception {
@@ -1217,10 +1260,9 @@
                                     "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort()));
             router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             for (int i = 0; i < 100; i++) {
-                // Out while its node is replaced; but no faster than the router hears of it, or
-                // more rows are in use at once.
-                // The last comes while nothing is out: a probe's connection is all that there is to
-                // it.
+                // A transaction is in flight while its node is replaced, but replacements wait for
+                // the router to receive each list; otherwise more rows are in use at once. During
+                // the last replacement nothing is in flight, so its connection comes from a probe.
                 if (i < 99) {
                     send(client, query("any", "k", 4_000));
                 }
@@ -1247,10 +1289,10 @@
 
     private static final int FIRST_REPLACEMENT_GENERATION = 50;
 
-    /** How often the machine was replaced so far. */
+    /** Number of replacements of the node so far. */
     private volatile int replacementCount;
 
-    /** Tells of the newest machine, and that all are gone which whoever asks was told of before. */
+    /** Lists the newest node as ready, and the nodes since the requested generation as gone. */
     private void serveChangingList(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
@@ -1270,7 +1312,8 @@
                 askedAfter = after;
             } else if (line.isEmpty()) {
                 for (long end = System.nanoTime() + wait * 1_000_000;
-                        FIRST_REPLACEMENT_GENERATION + replacementCount <= after && System.nanoTime() < end; ) {
+                        FIRST_REPLACEMENT_GENERATION + replacementCount <= after
+                                && System.nanoTime() < end; ) {
                     pause(1);
                 }
                 int now = FIRST_REPLACEMENT_GENERATION + replacementCount;
@@ -1298,7 +1341,7 @@
         }
     }
 
-    /** Guards against blaming a node for the router's own limit on connections. */
+    /** Guards against blaming a node for the router's own connection limit. */
     @Test
     @Tag(LONG_TIMEOUTS)
     void doesNotBlameNodeForOwnConnectionLimit() throws Exception {
@@ -1327,7 +1370,7 @@
         RoutingHarness.assertTraceEquals("router-no-connection", trace);
     }
 
-    /** Guards against running out of descriptors: idle clients make room for new ones. */
+    /** Guards against running out of descriptors: idle clients are closed for new ones. */
     @Test
     void evictsLongestIdleClientAtLimit() throws Exception {
         sendAndTrace("startup", startup(), 1);
@@ -1357,8 +1400,8 @@
     }
 
     /**
-     * Guards against hundreds that say nothing, or half of something, in the place of those who
-     * ask.
+     * Guards against hundreds of connections without a complete query that lock out regular
+     * clients.
      */
     @Test
     void silentClientsDoNotBlockOthers() throws Exception {
@@ -1404,7 +1447,10 @@
         }
     }
 
-    /** Guards against a txn that passes for another's, and a wait that nobody could have. */
+    /**
+     * Guards against a transaction that is taken for another one with its id, and against an
+     * excessive client timeout.
+     */
     @Test
     void rejectsOpenTransactionId() throws Exception {
         sendAndTrace("startup", startup(), 1);
@@ -1464,7 +1510,9 @@
             trace.append(
                             assertThrows(
                                             ConfigException.class,
-                                            () -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())))
+                                            () ->
+                                                    RouterConfig.read(
+                                                            Map.of("LB_CONFIG", file.toString())))
                                     .getMessage()
                                     .replace(file.toString(), "FILE")
                                     .replaceAll(":\\d{4,5}", ":PORT"))
@@ -1479,12 +1527,15 @@
                                 dir.resolve("config.json").toString(),
                                 "LB_LISTEN",
                                 "here"))) {
-            trace.append(assertThrows(ConfigException.class, () -> RouterConfig.read(env)).getMessage())
+            trace.append(
+                            assertThrows(ConfigException.class, () -> RouterConfig.read(env))
+                                    .getMessage())
                     .append('\n');
         }
         RouterServer second =
                 new RouterServer(
-                        RouterConfig.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
+                        RouterConfig.read(
+                                Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
                         new Log(new PrintStream(log, true)));
         trace.append(
                         assertThrows(ConfigException.class, second::start)
@@ -1494,7 +1545,7 @@
         RoutingHarness.assertTraceEquals("bad-config", trace);
     }
 
-    /** Guards against a door that opens while the start is still being paid for. */
+    /** Guards against a listener that opens before the CPU debt of the start is paid back. */
     @Test
     void waitsOutStartupCpuDebt() throws Exception {
         long[][] cases = {
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dillfront.common.logging.Log;
+import dillfront.router.config.JsonObject;
 import dillfront.router.config.MonotonicClock;
 import dillfront.router.config.RouterSettings;
-import dillfront.router.config.JsonObject;
 import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The HTTP parser and the list reader, fed whole, in pieces and with what is broken. */
+/** Tests the HTTP decoder and the member list reader with complete, split and malformed input. */
 class ListTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -69,10 +69,14 @@
         RoutingHarness.assertTraceEquals("http", trace);
     }
 
-    /** Guards against a table of all machines that there ever were. */
+    /** Guards against an index table that grows with every node that ever existed. */
     @Test
     void reusesIndicesOfReplacedNodes() throws IOException {
-        MemberList list = new MemberList(RouterSettings.read(new JsonObject()), new MonotonicClock(), new Log(System.err));
+        MemberList list =
+                new MemberList(
+                        RouterSettings.read(new JsonObject()),
+                        new MonotonicClock(),
+                        new Log(System.err));
         String entry =
                 "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
         StringBuilder output = new StringBuilder();
@@ -98,7 +102,7 @@
                 members.forEach(
                         m -> output.append(m.row().node()).append(m.row().standing()).append(' '));
             }
-            // What was out at index 0 never ends; all others are given back a day late.
+            // Index 0 is never released; all others are released up to a day late.
             int currentDay = day;
             list.removeDeparted(node -> node > 0 && currentDay % 2 == 0);
         }
@@ -109,7 +113,9 @@
     void skipsUnreadableEntry() throws IOException {
         ByteArrayOutputStream logLines = new ByteArrayOutputStream();
         RouterSettings setup = RouterSettings.read(new JsonObject());
-        MemberList list = new MemberList(setup, new MonotonicClock(), new Log(new PrintStream(logLines, true)));
+        MemberList list =
+                new MemberList(
+                        setup, new MonotonicClock(), new Log(new PrintStream(logLines, true)));
         String entry =
                 "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
                         + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * What rights are asked about is what a node reads as the key: all between the quotes, byte for
- * byte.
+ * The key that permissions are checked against is the key that a node reads: all bytes between the
+ * quotes.
  */
 class KeyTest {
 
@@ -25,7 +25,7 @@
         if (quoted && key.length > 2) {
             key[key.length / 2] = '\'';
         }
-        // As a message comes: behind others in the buffer that was read into.
+        // As received: behind other messages in the buffer.
         ByteBuf message = Unpooled.buffer().writeZero(7);
         message.readerIndex(7);
         message.writeByte('Q').writeInt(0);
@@ -45,7 +45,7 @@
             assertEquals(false, hasNoQuote, e.getMessage());
             return;
         }
-        // A key that holds a quote is no key that could be read in two ways.
+        // A key that contains a quote would be ambiguous and is refused.
         assertEquals(true, hasNoQuote);
         byte[] readKey = new byte[statement.length()];
         for (int i = 0; i < readKey.length; i++) {
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -9,10 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/**
- * The cutter of messages and the parser of statements, fed whole, in pieces and with what is out of
- * form.
- */
+/** Tests the frame decoder and the statement parser with complete, split and malformed input. */
 class PgwireTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -21,10 +18,13 @@
         return Messages.query(Unpooled.buffer(), text);
     }
 
-    /** What the cutter makes of these pieces. */
+    /** Returns what the decoder makes of these pieces. */
     private static String decode(boolean untyped, ByteBuf... pieces) {
         StringBuilder output = new StringBuilder();
-        FrameDecoder frames = untyped ? new FrameDecoder() : new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
+        FrameDecoder frames =
+                untyped
+                        ? new FrameDecoder()
+                        : new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
         try {
             for (ByteBuf piece : pieces) {
                 frames.add(piece);
@@ -78,15 +78,25 @@
                 .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(-1)))
                 .append('\n');
         trace.append("longest: ")
-                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES)))
+                .append(
+                        decode(
+                                false,
+                                Unpooled.buffer()
+                                        .writeByte('Q')
+                                        .writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES)))
                 .append('\n');
         trace.append("longer: ")
-                .append(decode(false, Unpooled.buffer().writeByte('Q').writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES + 1)))
+                .append(
+                        decode(
+                                false,
+                                Unpooled.buffer()
+                                        .writeByte('Q')
+                                        .writeInt(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES + 1)))
                 .append('\n');
         RoutingHarness.assertTraceEquals("messages", trace);
     }
 
-    /** Slices that are out must not move when the buffer they were cut from grows. */
+    /** Guards against slices in use that change when the buffer they were cut from grows. */
     @Test
     void keepsSliceIntactWhileNextMessageArrives() throws FrameException {
         FrameDecoder frames = new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
@@ -166,7 +176,7 @@
             trace.append('\n');
         }
         RoutingHarness.assertTraceEquals("statements", trace);
-        // Cut short anywhere, it is out of form, never half a txn.
+        // Every truncated statement is malformed, never a partial transaction.
         for (int length = 0; length < insert.length(); length++) {
             ByteBuf message = query(insert.substring(0, length));
             org.junit.jupiter.api.Assertions.assertThrows(
