--- a/src/main/java/dillfront/router/FileClientAuthenticator.java
+++ b/src/main/java/dillfront/router/FileClientAuthenticator.java
@@ -70,7 +70,7 @@
     private String lastError = "";
     private Tokens tokens;
     private SslContext tls;
-    private int handshakes;
+    private int activeHandshakes;
 
     /** Reads the identity files once; throws if they are invalid. */
     FileClientAuthenticator(
@@ -267,14 +267,14 @@
 
     @Override
     public ChannelHandler tlsHandler() {
-        if (tls == null || handshakes >= MAX_CONCURRENT_HANDSHAKES) {
+        if (tls == null || activeHandshakes >= MAX_CONCURRENT_HANDSHAKES) {
             return null;
         }
         SslHandler handler =
                 new SslHandler(tls.newEngine(io.netty.buffer.ByteBufAllocator.DEFAULT), fileReader);
         handler.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT.toMillis());
-        handshakes++;
-        handler.handshakeFuture().addListener(done -> handshakes--);
+        activeHandshakes++;
+        handler.handshakeFuture().addListener(done -> activeHandshakes--);
         return handler;
     }
 
--- a/src/main/java/dillfront/router/RecoveryCoordinator.java
+++ b/src/main/java/dillfront/router/RecoveryCoordinator.java
@@ -113,9 +113,9 @@
     }
 
     private void updateZoneNames(RouterSettings routerSettings) {
-        Map<Integer, String> names = new HashMap<>();
-        routerSettings.zoneIndices().forEach((name, index) -> names.put(index, name));
-        zoneNames = names;
+        Map<Integer, String> namesByIndex = new HashMap<>();
+        routerSettings.zoneIndices().forEach((name, index) -> namesByIndex.put(index, name));
+        zoneNames = namesByIndex;
     }
 
     // ---- transactions
@@ -310,13 +310,13 @@
     }
 
     /** Returns the status shown to the operator: sections of names and values in display order. */
-    Map<String, Object> status(int closings, int witnesses) {
+    Map<String, Object> status(int closedNodeCount, int reportingPeerCount) {
         Map<String, Object> sections = new LinkedHashMap<>();
         Map<String, Object> recovery = new LinkedHashMap<>();
         recovery.put("loss", name(groupRecovery.outageScope()));
         recovery.put("sure", Math.round(groupRecovery.confidence() * 100) / 100.0);
-        recovery.put("closings", closings);
-        recovery.put("witnesses", witnesses);
+        recovery.put("closings", closedNodeCount);
+        recovery.put("witnesses", reportingPeerCount);
         recovery.put("writes_held_back", groupRecovery.heldWrites());
         recovery.put("changes_unsaid", suppressedLogLines);
         sections.put("recovery", recovery);
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -130,8 +130,8 @@
     }
 
     /** Sets the discovery client, whose pending updates are read before anything is sent. */
-    void setDiscoveryClient(DiscoveryClient watch) {
-        connectionManager.discoveryReader(watch::readPending);
+    void setDiscoveryClient(DiscoveryClient client) {
+        connectionManager.discoveryReader(client::readPending);
     }
 
     /** Configures persistence of the member list. Called before the first list is applied. */
@@ -468,9 +468,9 @@
     // ---- actions of the routing engine
 
     @Override
-    public void submit(int txn, int node, Duration timeout) {
+    public void submit(int slot, int node, Duration timeout) {
         counters.submitted++;
-        Exchange exchange = exchanges.get(txn);
+        Exchange exchange = exchanges.get(slot);
         if (exchange.key() != 0) {
             recovery.recordSend(exchange.key(), clock.now());
         }
@@ -478,13 +478,13 @@
     }
 
     @Override
-    public void decline(int txn, Duration retryAfter) {
-        exchanges.get(txn).decline(retryAfter);
+    public void decline(int slot, Duration retryAfter) {
+        exchanges.get(slot).decline(retryAfter);
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
-        exchanges.get(txn).rollBack();
+    public void reportUnknownOutcome(int slot) {
+        exchanges.get(slot).rollBack();
     }
 
     @Override
--- a/src/main/java/dillfront/router/RouterServer.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -67,9 +67,9 @@
     private final Log log;
     private final Counters counters = new Counters();
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final NioEventLoopGroup group =
+    private final NioEventLoopGroup eventLoopGroup =
             new NioEventLoopGroup(1, new DefaultThreadFactory("router"));
-    private final EventLoop loop = group.next();
+    private final EventLoop loop = eventLoopGroup.next();
 
     /** Discovery address of the latest configuration. */
     private InetSocketAddress discovery;
@@ -147,7 +147,7 @@
     public void start() throws ConfigException {
         int connectionsPerSide = Math.max(2, (config.maxDescriptors() - RESERVED_DESCRIPTORS) / 2);
         try {
-            waitOutCpuDebt();
+            payBackCpuDebt();
             loop.submit(
                             () -> {
                                 // Uses the latest settings, which a reload before the start may
@@ -220,12 +220,12 @@
                     .get()) {
                 Thread.sleep(config.settings().routing().clockStep().toMillis() + 1);
             }
-            waitOutCpuDebt();
+            payBackCpuDebt();
             loop.submit(() -> clientListener.open(config.listen())).get().sync();
         } catch (InterruptedException e) {
             throw new ConfigException("interrupted");
         } catch (Exception e) {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             if (e instanceof Operator.BadOperator) {
                 throw new ConfigException("LB_OPERATOR: " + e.getMessage());
             }
@@ -242,7 +242,7 @@
      * Pays back the CPU time that the start used beyond the CPU limit, in one pause before the
      * listener opens. Without it the first clients wait instead: 0.4 s at half a core.
      */
-    private void waitOutCpuDebt() throws InterruptedException {
+    private void payBackCpuDebt() throws InterruptedException {
         Duration uptime = startCpuTime.plusNanos(System.nanoTime() - startNanos);
         Thread.sleep(cpuDebt(cpuTime(), uptime, config.cpuCores()).toMillis());
     }
@@ -287,7 +287,7 @@
             Thread.currentThread().interrupt();
         }
         counters.print(log);
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     /**
--- a/src/main/java/dillfront/router/WarmUpRun.java
+++ b/src/main/java/dillfront/router/WarmUpRun.java
@@ -38,36 +38,36 @@
     /** Runs one router against itself so that the classes it needs are loaded. */
     public static void run(Log log) throws IOException, ConfigException {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket portReservation = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portReservation.getLocalPort();
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
-        RouterConfig read =
+        RouterConfig parsedConfig =
                 RouterConfig.read(
                         new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
-        RouterServer daemon = new RouterServer(read, log);
-        daemon.registerSignals(() -> read);
+        RouterServer daemon = new RouterServer(parsedConfig, log);
+        daemon.registerSignals(() -> parsedConfig);
         daemon.start();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5000);
-            ByteBuf all = Messages.startup(Unpooled.buffer(), "worker", "catalog");
-            Messages.query(all, "");
+            ByteBuf queries = Messages.startup(Unpooled.buffer(), "worker", "catalog");
+            Messages.query(queries, "");
             Messages.query(
-                    all,
+                    queries,
                     "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d=400,cluster=1,after=1 */");
             Messages.query(
-                    all,
+                    queries,
                     "INSERT INTO objects (oid, body) VALUES ('k', '\\x00') RETURNING body "
                             + "/* id=1,c=move,d=400,cluster=1 */");
-            client.getOutputStream().write(all.array(), 0, all.readableBytes());
-            for (int readies = 0; readies < 4; ) {
+            client.getOutputStream().write(queries.array(), 0, queries.readableBytes());
+            for (int readyCount = 0; readyCount < 4; ) {
                 int type = client.getInputStream().read();
                 byte[] length = client.getInputStream().readNBytes(4);
                 if (length.length < 4) {
                     throw new IOException("the router closed the warm-up client's connection");
                 }
                 client.getInputStream().readNBytes(Unpooled.wrappedBuffer(length).getInt(0) - 4);
-                readies += type == 'Z' ? 1 : 0;
+                readyCount += type == 'Z' ? 1 : 0;
             }
         }
         daemon.stop();
--- a/src/main/java/dillfront/router/admin/AdminServer.java
+++ b/src/main/java/dillfront/router/admin/AdminServer.java
@@ -37,11 +37,11 @@
      * @param responder returns the text for a query, given without its line terminator
      */
     public AdminServer(
-            EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> answers) {
+            EventLoop loop, InetSocketAddress address, Log log, UnaryOperator<String> responder) {
         this.loop = loop;
         this.address = address;
         this.log = log;
-        this.responder = answers;
+        this.responder = responder;
     }
 
     /** Binds the server; called on the event loop. */
--- a/src/main/java/dillfront/router/backend/NodeConnectionManager.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionManager.java
@@ -79,7 +79,7 @@
      * @param maxMessageBytes maximum length of one node message
      */
     public NodeConnectionManager(
-            RouterSettings setup,
+            RouterSettings settings,
             MonotonicClock clock,
             LoopLagMonitor loopLag,
             Counters counters,
@@ -88,7 +88,7 @@
             int maxConnections,
             int maxMessageBytes,
             ProbeListener listener) {
-        this.settings = setup;
+        this.settings = settings;
         this.clock = clock;
         this.loopLag = loopLag;
         this.counters = counters;
@@ -97,8 +97,8 @@
         this.maxConnections = maxConnections;
         this.maxMessageBytes = maxMessageBytes;
         this.listener = listener;
-        reuseDelayNanos = setup.routing().connectTimeout().toNanos() / 4;
-        Duration interval = setup.routing().connectTimeout();
+        reuseDelayNanos = settings.routing().connectTimeout().toNanos() / 4;
+        Duration interval = settings.routing().connectTimeout();
         loop.scheduleWithFixedDelay(
                 this::closeExpired, interval.toNanos(), interval.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -369,27 +369,27 @@
             }
             // Value in thousandths, rounded down; further digits only set hasRemainder.
             long thousandths = 0;
-            int places = -1;
+            int decimalPlaces = -1;
             boolean isDecimal = named && i + 1 < end && message.getByte(i + 1) != ',';
             int length = 0;
             boolean hasRemainder = false;
             i++;
             while (i < end && message.getByte(i) != ',') {
                 int digit = message.getByte(i) - '0';
-                if (digit == '.' - '0' && places < 0) {
-                    places = 0;
+                if (digit == '.' - '0' && decimalPlaces < 0) {
+                    decimalPlaces = 0;
                 } else if (digit < 0 || digit > 9 || length > 17) {
                     isDecimal = false;
-                } else if (places < 3) {
+                } else if (decimalPlaces < 3) {
                     thousandths = thousandths * 10 + digit;
-                    places += places < 0 ? 0 : 1;
+                    decimalPlaces += decimalPlaces < 0 ? 0 : 1;
                 } else {
                     hasRemainder |= digit > 0;
                 }
                 i++;
                 length++;
             }
-            for (int k = Math.max(places, 0); k < 3; k++) {
+            for (int k = Math.max(decimalPlaces, 0); k < 3; k++) {
                 thousandths *= 10;
             }
             boolean isKnownField =
--- a/src/main/java/dillfront/router/backend/NodeConnectionPool.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionPool.java
@@ -23,8 +23,8 @@
 
     final ArrayDeque<NodeRequest> waiting = new ArrayDeque<>();
 
-    NodeConnectionPool(NodeConnectionManager fleet, int node) {
-        this.manager = fleet;
+    NodeConnectionPool(NodeConnectionManager manager, int node) {
+        this.manager = manager;
         this.node = node;
     }
 
@@ -32,14 +32,14 @@
      * Adds an idle connection. After a response it is not reused during the reuse delay: data after
      * the response, such as a duplicate, must not be taken for the next request's response.
      */
-    void addIdle(NodeConnection connection, long restNanos) {
+    void addIdle(NodeConnection connection, long reuseDelayNanos) {
         if (!connection.isUsable()) {
             connection.close();
             return;
         }
-        connection.idleSinceNanos = System.nanoTime() + restNanos;
+        connection.idleSinceNanos = System.nanoTime() + reuseDelayNanos;
         idle.addLast(connection);
-        if (restNanos == 0) {
+        if (reuseDelayNanos == 0) {
             sendWaiting();
         } else if (!waiting.isEmpty()) {
             manager.scheduleWaiting(this);
--- a/src/main/java/dillfront/router/config/RouterConfig.java
+++ b/src/main/java/dillfront/router/config/RouterConfig.java
@@ -116,8 +116,8 @@
         if (fault != null) {
             throw new ConfigException(fault);
         }
-        RouterSettings setup = RouterSettings.read(settings);
-        if (setup.routing().connectTimeout().isZero() || setup.routing().clockStep().isZero()) {
+        RouterSettings routerSettings = RouterSettings.read(settings);
+        if (routerSettings.routing().connectTimeout().isZero() || routerSettings.routing().clockStep().isZero()) {
             throw new ConfigException("settings lack stepUs or bounds.dialTimeoutUs");
         }
         return new RouterConfig(
@@ -129,7 +129,7 @@
                 (int) tree.getObject("limits").getDouble("sockets", 1024),
                 (long) tree.getObject("limits").getDouble("memory_mb", 192),
                 tree.getObject("known"),
-                setup,
+                routerSettings,
                 tree.getString("discovery"));
     }
 
--- a/src/main/java/dillfront/router/config/SettingsValidator.java
+++ b/src/main/java/dillfront/router/config/SettingsValidator.java
@@ -181,7 +181,7 @@
         return firstError == null ? settings.getObjects(name) : List.of();
     }
 
-    private void checkElements(String name, Constraint form, int types) {
+    private void checkElements(String name, Constraint constraint, int types) {
         List<?> elements = settings.getObject("familyInfo").getList(name);
         if (firstError == null && elements.size() > types) {
             firstError =
@@ -195,7 +195,7 @@
         }
         for (int i = 0; firstError == null && i < elements.size(); i++) {
             String violation =
-                    elements.get(i) == null ? "is missing" : form.violation(elements.get(i));
+                    elements.get(i) == null ? "is missing" : constraint.violation(elements.get(i));
             firstError =
                     violation == null
                             ? null
--- a/src/main/java/dillfront/router/discovery/ClosedNodes.java
+++ b/src/main/java/dillfront/router/discovery/ClosedNodes.java
@@ -92,7 +92,7 @@
         if (previous == null
                 || generation >= previous.generation
                 || startedMs > previous.startedMs) {
-            boolean drained =
+            boolean wasDraining =
                     previous != null
                             && previous.state == MemberState.DRAINING
                             && startedMs <= previous.startedMs;
@@ -102,7 +102,7 @@
                             previous == null
                                     ? generation
                                     : Math.max(generation, previous.generation),
-                            drained ? MemberState.DRAINING : reported,
+                            wasDraining ? MemberState.DRAINING : reported,
                             previous == null ? startedMs : Math.max(startedMs, previous.startedMs));
             closed.put(id, updated);
             version += updated.equals(previous) ? 0 : 1;
--- a/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
+++ b/src/main/java/dillfront/router/discovery/HttpResponseDecoder.java
@@ -80,16 +80,16 @@
         buffer.readerIndex(end + 4);
         String statusLine = lines[0];
         boolean isHttp1 = statusLine.startsWith("HTTP/1.0 ") || statusLine.startsWith("HTTP/1.1 ");
-        int code =
+        int statusCode =
                 isHttp1
                                 && statusLine.length() >= 12
                                 && (statusLine.length() == 12 || statusLine.charAt(12) == ' ')
                         ? parseDigits(statusLine.substring(9, 12), 3)
                         : -1;
-        if (code < 0) {
+        if (statusCode < 0) {
             throw new HttpFormatException("no status line");
         }
-        status = code;
+        status = statusCode;
         int contentLength = -1;
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -51,8 +51,8 @@
     /** Groups named by any list; only grows. */
     private final Set<Integer> groups = new HashSet<>();
 
-    public MemberList(RouterSettings setup, MonotonicClock clock, Log log) {
-        this.settings = setup;
+    public MemberList(RouterSettings settings, MonotonicClock clock, Log log) {
+        this.settings = settings;
         this.clock = clock;
         this.log = log;
     }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -22,7 +22,7 @@
 /** One client connection: takes one query at a time and answers it before reading the next. */
 final class ClientConnection extends TerminalHandler implements ResponseReceiver {
 
-    private final ClientListener clients;
+    private final ClientListener listener;
     private final FrameDecoder decoder = new FrameDecoder();
     private ChannelHandlerContext ctx;
     private boolean started;
@@ -69,7 +69,7 @@
     boolean queued;
 
     ClientConnection(ClientListener clients) {
-        this.clients = clients;
+        this.listener = clients;
     }
 
     /**
@@ -104,7 +104,7 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         ctx = context;
-        clients.clientConnected(this);
+        listener.clientConnected(this);
     }
 
     @Override
@@ -117,11 +117,11 @@
             waitingSinceNanos = System.nanoTime();
         }
         if (!responsePending) {
-            maxReadAge = clients.loopLag.maxQueryAge(clients.clock.now());
+            maxReadAge = listener.loopLag.maxQueryAge(listener.clock.now());
             readNanos = System.nanoTime();
         }
         decoder.add((ByteBuf) data);
-        clients.queue(this);
+        listener.queue(this);
         // Pipelined data stays in the client's socket once more than one maximum query is buffered.
         if (decoder.bufferedBytes() > FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !closed) {
             ctx.channel().config().setAutoRead(false);
@@ -130,7 +130,7 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        clients.queue(this);
+        listener.queue(this);
     }
 
     /** Processes buffered messages; called in queue order. */
@@ -168,13 +168,13 @@
     private void reportBufferedBytes() {
         int previous = reportedBytes;
         reportedBytes = decoder.bufferedBytes();
-        clients.bufferedBytesChanged(reportedBytes - previous);
+        listener.bufferedBytesChanged(reportedBytes - previous);
     }
 
     private void handleStartup(ByteBuf message) {
         int code = message.getInt(message.readerIndex() + 4);
         String name =
-                code == Messages.PROTOCOL_VERSION && clients.authenticator != null
+                code == Messages.PROTOCOL_VERSION && listener.authenticator != null
                         ? Messages.user(message)
                         : null;
         message.release();
@@ -185,7 +185,7 @@
             case Messages.PROTOCOL_VERSION -> {
                 started = true;
                 decoder.startupReceived();
-                if (clients.authenticator != null) {
+                if (listener.authenticator != null) {
                     requestPassword(name);
                 } else {
                     ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
@@ -201,9 +201,9 @@
      */
     private void handleTlsRequest() {
         ChannelHandler tlsHandler =
-                clients.authenticator == null || encrypted
+                listener.authenticator == null || encrypted
                         ? null
-                        : clients.authenticator.tlsHandler();
+                        : listener.authenticator.tlsHandler();
         if (tlsHandler != null && decoder.bufferedBytes() > 0) {
             reject(Messages.PROTOCOL_VIOLATION, "data after the SSLRequest message");
             return;
@@ -220,11 +220,11 @@
      * configured.
      */
     private void requestPassword(String name) {
-        if (clients.authenticator.requiresTls() && !encrypted) {
+        if (listener.authenticator.requiresTls() && !encrypted) {
             reject(Refusal.UNKNOWN.code(), "TLS is required");
             return;
         }
-        Duration delay = clients.authenticator.retryDelay(address(), name);
+        Duration delay = listener.authenticator.retryDelay(address(), name);
         if (!delay.isZero()) {
             reject(
                     Refusal.PENALTY.code(),
@@ -253,7 +253,7 @@
         message.release();
         // Nothing else is processed until the client is authenticated.
         responsePending = true;
-        clients.authenticator.authenticate(
+        listener.authenticator.authenticate(
                 address(),
                 claimedUser,
                 token,
@@ -267,11 +267,11 @@
                         session = newSession;
                         responsePending = false;
                         // An authenticated client no longer counts as a new client.
-                        clients.queryAccepted(ClientConnection.this);
+                        listener.queryAccepted(ClientConnection.this);
                         waitingSinceNanos = System.nanoTime();
                         ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
                         if (decoder.bufferedBytes() > 0) {
-                            clients.queue(ClientConnection.this);
+                            listener.queue(ClientConnection.this);
                         }
                     }
 
@@ -289,7 +289,7 @@
     /** Takes ownership of one message and handles it. */
     private void handleMessage(ByteBuf message) {
         char type = (char) message.getByte(message.readerIndex());
-        if (clients.authenticator != null && session == null) {
+        if (listener.authenticator != null && session == null) {
             handlePassword(message);
             return;
         }
@@ -330,20 +330,20 @@
     }
 
     private void handleQuery(ByteBuf message) {
-        clients.counters.queries++;
+        listener.counters.queries++;
         if (Messages.isBlankQuery(message)) {
             message.release();
             markServed();
             ctx.writeAndFlush(Messages.emptyQuery(ctx.alloc().buffer(11)));
             return;
         }
-        if (clients.shuttingDown()) {
+        if (listener.shuttingDown()) {
             // The query arrived after the shutdown began and was never sent, so a retry is
             // harmless. The connection stays open no longer than its pending response.
             message.release();
-            clients.counters.turnedAway++;
+            listener.counters.turnedAway++;
             sendError(Messages.DECLINED, "router is shutting down; retrying is safe", null);
-            clients.queryAnswered(this);
+            listener.queryAnswered(this);
             return;
         }
         // Time since the last byte was received; data pipelined behind an earlier query counts from
@@ -354,8 +354,8 @@
             statement = Statement.read(message);
         } catch (StatementFormatException e) {
             message.release();
-            clients.counters.outOfForm++;
-            clients.log.warn("query-out-of-form", "fault", e.getMessage());
+            listener.counters.outOfForm++;
+            listener.log.warn("query-out-of-form", "fault", e.getMessage());
             sendError(Messages.SYNTAX_ERROR, e.getMessage(), null);
             return;
         }
@@ -364,7 +364,7 @@
         }
         responsePending = true;
         Exchange newExchange =
-                clients.exchangeHandler.begin(
+                listener.exchangeHandler.begin(
                         statement,
                         message,
                         this,
@@ -374,8 +374,8 @@
             responsePending = false;
             releaseShare();
             message.release();
-            clients.counters.outOfForm++;
-            clients.log.warn("query-unknown", "type", statement.type, "group", statement.group);
+            listener.counters.outOfForm++;
+            listener.log.warn("query-unknown", "type", statement.type, "group", statement.group);
             sendError(Messages.SYNTAX_ERROR, "unknown type or group, or an id that is open", null);
         } else {
             markServed();
@@ -388,8 +388,8 @@
      * message.
      */
     private boolean isAuthorized(Statement statement, ByteBuf message) {
-        clients.authenticator.tick();
-        int type = clients.exchangeHandler.typeIndex(statement.type);
+        listener.authenticator.tick();
+        int type = listener.exchangeHandler.typeIndex(statement.type);
         Refusal refusal = session.take(type, statement.write, statement.group, statement);
         if (refusal == null) {
             countedInShare = true;
@@ -399,7 +399,7 @@
                 refusal == Refusal.NO_RIGHT
                         ? session.cause(type, statement.write, statement.group, statement)
                         : "-";
-        clients.authenticator.transactionDenied(
+        listener.authenticator.transactionDenied(
                 session, refusal, statement.type, statement.write, statement.group, rule);
         message.release();
         if (refusal.endsSession()) {
@@ -438,7 +438,7 @@
     private void markServed() {
         hasServedQuery = true;
         waitingSinceNanos = System.nanoTime();
-        clients.queryAccepted(this);
+        listener.queryAccepted(this);
     }
 
     private void sendError(String code, String text, String detail) {
@@ -448,7 +448,7 @@
 
     @Override
     public void committed(NodeResponse response) {
-        clients.counters.committed++;
+        listener.counters.committed++;
         ByteBuf joined = response.joinedSlice();
         if (joined != null) {
             ctx.write(joined, ctx.voidPromise());
@@ -463,7 +463,7 @@
 
     @Override
     public void declined(Duration retryAfter) {
-        clients.counters.declined++;
+        listener.counters.declined++;
         sendError(
                 Messages.DECLINED,
                 "declined, trying again is harmless",
@@ -473,7 +473,7 @@
 
     @Override
     public void rolledBack() {
-        clients.counters.rolledBack++;
+        listener.counters.rolledBack++;
         sendError(Messages.ROLLED_BACK, "rolled back, whether it has run is not known", null);
         responseSent();
     }
@@ -486,21 +486,21 @@
         waitingSinceNanos = System.nanoTime();
         maxReadAge = Duration.ZERO;
         readNanos = waitingSinceNanos;
-        clients.queryAnswered(this);
+        listener.queryAnswered(this);
         if (decoder.bufferedBytes() > 0) {
-            clients.queue(this);
+            listener.queue(this);
         }
     }
 
     private void reject(String code, String text) {
-        clients.log.warn("client-refused", "fault", text);
+        listener.log.warn("client-refused", "fault", text);
         closed = true;
         decoder.release();
         reportBufferedBytes();
         // The error is flushed before the close, and further input is read and discarded: an
         // immediate close could reset the connection before the client has read the error.
         ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), true, code, text, null))
-                .addListener(sent -> clients.closeAfterDelay(this, ctx));
+                .addListener(sent -> listener.closeAfterDelay(this, ctx));
     }
 
     @Override
@@ -508,7 +508,7 @@
         closed = true;
         decoder.release();
         reportBufferedBytes();
-        clients.clientDisconnected(this);
+        listener.clientDisconnected(this);
         responsePending = false;
         releaseShare();
         if (session != null) {
@@ -516,7 +516,7 @@
             session = null;
         }
         if (exchange != null) {
-            clients.counters.left++;
+            listener.counters.left++;
             Exchange abandoned = exchange;
             exchange = null;
             abandoned.clientDisconnected();
@@ -524,10 +524,10 @@
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable rule) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // Invalid TLS data is the client's fault and is not logged.
-        if (!(rule instanceof IOException) && !(rule.getCause() instanceof IOException)) {
-            clients.log.warn("client-connection", "fault", rule);
+        if (!(cause instanceof IOException) && !(cause.getCause() instanceof IOException)) {
+            listener.log.warn("client-connection", "fault", cause);
         }
         context.close();
     }
--- a/src/main/java/dillfront/router/pgwire/FrameDecoder.java
+++ b/src/main/java/dillfront/router/pgwire/FrameDecoder.java
@@ -29,8 +29,8 @@
     }
 
     /** Creates a decoder for a node's stream with the given maximum message length. */
-    public FrameDecoder(int longest) {
-        this.maxMessageBytes = longest;
+    public FrameDecoder(int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
     }
 
     /** Takes ownership of the buffer. */
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -157,7 +157,7 @@
                                 + "','discovery':'127.0.0.1:"
                                 + list.getLocalPort()
                                 + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':"
-                                + wholeList(41)
+                                + completeList(41)
                                 + ",'settings':"
                                 + (testInfo.getTags().contains(LONG_TIMEOUTS)
                                         ? SETTINGS.replace(
@@ -232,7 +232,7 @@
         thread.start();
     }
 
-    private String wholeList(int generation) {
+    private String completeList(int generation) {
         return "{'generation':"
                 + generation
                 + ",'reset':true,'instances':[{'instanceId':'s-1','hostPort':'127.0.0.1:"
@@ -253,7 +253,7 @@
             if (line.startsWith("GET")) {
                 discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
             } else if (line.isEmpty() && discoveryRequests.size() < 2) {
-                answer(socket, wholeList(42));
+                answer(socket, completeList(42));
             }
         }
         discoveryRequests.add("closed");
@@ -296,7 +296,7 @@
      * Returns a discovery server controlled by the test: the complete list at once or after the
      * delay, then the queued updates.
      */
-    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> updates, long firstAfter) {
+    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> updates, long firstDelayMillis) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -307,11 +307,11 @@
                     discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
                 } else if (line.isEmpty()) {
                     try {
-                        pause(discoveryRequests.size() == 1 ? firstAfter : 0);
+                        pause(discoveryRequests.size() == 1 ? firstDelayMillis : 0);
                         answer(
                                 socket,
-                                discoveryRequests.size() == 1 && firstAfter == 0
-                                        ? wholeList(42)
+                                discoveryRequests.size() == 1 && firstDelayMillis == 0
+                                        ? completeList(42)
                                         : updates.take());
                     } catch (InterruptedException over) {
                         return;
@@ -343,7 +343,7 @@
                     answer(
                             socket,
                             wait == 0
-                                    ? wholeList(42)
+                                    ? completeList(42)
                                     : awaitUpdate(
                                             socket, updates, System.nanoTime() + wait * 1_000_000));
                 }
@@ -365,7 +365,7 @@
     }
 
     private String drainingList() {
-        return wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
+        return completeList(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
     }
 
     /**
@@ -388,8 +388,8 @@
         private final CountDownLatch reached = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
-        LoopHold(String at) {
-            this.logText = at;
+        LoopHold(String logText) {
+            this.logText = logText;
         }
 
         private void block() {
@@ -455,15 +455,15 @@
             receivedStatements.add(
                     text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
             String key = text.replaceAll("[^']*'([^']*)'.*", "$1");
-            ByteBuf note = Unpooled.buffer();
-            note.writeByte('S')
+            ByteBuf parameter = Unpooled.buffer();
+            parameter.writeByte('S')
                     .writeInt(21)
                     .writeBytes("node_role\0leader\0".getBytes(StandardCharsets.US_ASCII));
             switch (key) {
                 case "hang" -> {}
                 case "slow" -> {
                     pause(300);
-                    send(socket, Messages.ready(note.writeBytes(row(key))));
+                    send(socket, Messages.ready(parameter.writeBytes(row(key))));
                 }
                 case "reset" -> {
                     return;
@@ -498,7 +498,7 @@
                         send(
                                 socket,
                                 Messages.ready(
-                                        note.writeByte('S')
+                                        parameter.writeByte('S')
                                                 .writeInt(29)
                                                 .writeBytes(
                                                         "server_load\0x0=9e12,x1=7\0"
@@ -507,13 +507,13 @@
                                                 .writeBytes(row("mine"))));
                 case "empty" -> send(socket, Messages.ready(Unpooled.buffer()));
                 case "wide" ->
-                        send(socket, Messages.ready(note.writeBytes(row("w".repeat(300_000)))));
+                        send(socket, Messages.ready(parameter.writeBytes(row("w".repeat(300_000)))));
                 case "full", "miss", "error" ->
                         send(
                                 socket,
                                 Messages.ready(
                                         Messages.error(
-                                                note,
+                                                parameter,
                                                 false,
                                                 Map.of(
                                                                 "full", "53300", "miss", "25006",
@@ -521,7 +521,7 @@
                                                         .get(key),
                                                 "no",
                                                 null)));
-                default -> send(socket, Messages.ready(note.writeBytes(row(key))));
+                default -> send(socket, Messages.ready(parameter.writeBytes(row(key))));
             }
         }
     }
@@ -642,7 +642,7 @@
     }
 
     /** Waits until a line of counters printed from now on matches all patterns. */
-    private void awaitCounters(String... all) throws InterruptedException {
+    private void awaitCounters(String... patterns) throws InterruptedException {
         long before =
                 log.toString(StandardCharsets.UTF_8)
                         .lines()
@@ -650,7 +650,7 @@
                         .count();
         try {
             awaitCondition(
-                    "counters have " + List.of(all),
+                    "counters have " + List.of(patterns),
                     () -> {
                         router.printCounters();
                         return log.toString(StandardCharsets.UTF_8)
@@ -659,7 +659,7 @@
                                 .skip(before)
                                 .anyMatch(
                                         l ->
-                                                Stream.of(all)
+                                                Stream.of(patterns)
                                                         .allMatch(
                                                                 testCase ->
                                                                         l.matches(
@@ -901,7 +901,7 @@
      * Generation in the last discovery request, and the number of connections that have requested a
      * list at least twice.
      */
-    private volatile long askedAfter;
+    private volatile long requestedGeneration;
 
     private final AtomicInteger refreshedConnections = new AtomicInteger();
 
@@ -917,7 +917,7 @@
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
                 String after = line.replaceAll(".*after=(\\d+)&.*|.*", "$1");
-                askedAfter = after.isEmpty() ? -1 : Long.parseLong(after);
+                requestedGeneration = after.isEmpty() ? -1 : Long.parseLong(after);
                 if (++times == 2) {
                     refreshedConnections.incrementAndGet();
                 }
@@ -958,7 +958,7 @@
     @Tag(LONG_TIMEOUTS)
     void appliesAndRevertsSettingsWhileServing() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            currentList = wholeList(42);
+            currentList = completeList(42);
             serve(discovery, this::serveCurrentList);
             restartWithDiscovery(discovery);
             Path file = dir.resolve("config.json");
@@ -978,8 +978,8 @@
             sendAndTrace("a type that is new", query("transfer", "new", 4_000), 1);
             sendAndTrace("one that is no more", query("move", "old", 4_000), 1);
             currentList =
-                    wholeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
-            awaitCondition("the router has the list without the node", () -> askedAfter == 43);
+                    completeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
+            awaitCondition("the router has the list without the node", () -> requestedGeneration == 43);
             sendAndTrace("gone, and open", query("transfer", "gone", 4_000), 1);
             send(client, query("transfer", "slow", 4_000));
             awaitCondition("seen has 5", () -> receivedStatements.size() >= 5);
@@ -988,8 +988,8 @@
             reloadSettings(file, first, "changed");
             trace.append("what was out             ").append(readResponses(1)).append('\n');
             sendAndTrace("gone, and closed", query("any", "none", 300), 1);
-            currentList = wholeList(44);
-            awaitCondition("the router has the list with the node", () -> askedAfter == 44);
+            currentList = completeList(44);
+            awaitCondition("the router has the list with the node", () -> requestedGeneration == 44);
             sendAndTrace("as before", query("move", "back", 4_000), 1);
             traceStatements();
             stopAndTraceCounters(
@@ -1201,7 +1201,7 @@
 
     /** Guards against a member list that goes stale because discovery stops answering. */
     @Test
-    void reconnectsSilentDiscoveryClient() throws Exception {
+    void reconnectsToUnresponsiveDiscovery() throws Exception {
         sendAndTrace("startup", startup(), 1);
         long startNanos = System.nanoTime();
         awaitCondition("lists has 4", () -> discoveryConnections.get() >= 4);
@@ -1271,7 +1271,7 @@
                     readResponses(1);
                 }
                 int generation = FIRST_REPLACEMENT_GENERATION + i;
-                awaitCondition("the router has list " + generation, () -> askedAfter == generation);
+                awaitCondition("the router has list " + generation, () -> requestedGeneration == generation);
             }
             awaitCounters("node_rows=[2-5]", "node_connections=1");
         }
@@ -1309,7 +1309,7 @@
                         line.contains("wait_ms=")
                                 ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
                                 : 0;
-                askedAfter = after;
+                requestedGeneration = after;
             } else if (line.isEmpty()) {
                 for (long end = System.nanoTime() + wait * 1_000_000;
                         FIRST_REPLACEMENT_GENERATION + replacementCount <= after
@@ -1325,8 +1325,8 @@
                 if (now > after) {
                     entries.add(String.format(entry, now, "ready"));
                 }
-                for (long old = Math.max(after, 0); old > 0 && old < now; old++) {
-                    entries.add(String.format(entry, old, "gone"));
+                for (long departedNode = Math.max(after, 0); departedNode > 0 && departedNode < now; departedNode++) {
+                    entries.add(String.format(entry, departedNode, "gone"));
                 }
                 answer(
                         socket,
@@ -1404,18 +1404,18 @@
      * clients.
      */
     @Test
-    void silentClientsDoNotBlockOthers() throws Exception {
+    void inactiveConnectionsDoNotBlockClients() throws Exception {
         sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
-        List<Socket> silentClients = new ArrayList<>();
+        List<Socket> inactiveClients = new ArrayList<>();
         long startNanos = System.nanoTime();
         Socket first = client;
         for (int i = 0; i < 300; i++) {
             client = first;
-            silentClients.add(newClient());
+            inactiveClients.add(newClient());
             if (i % 3 == 1) {
-                send(silentClients.get(i), startup());
+                send(inactiveClients.get(i), startup());
             } else if (i % 3 == 2) {
-                send(silentClients.get(i), startup().writeBytes(query("any", "half", 900), 30));
+                send(inactiveClients.get(i), startup().writeBytes(query("any", "half", 900), 30));
             }
             if (i % 50 == 49) {
                 client = newClient();
@@ -1428,7 +1428,7 @@
         }
         client = first;
         sendAndTrace("the first", query("any", "k", 900), 1);
-        for (Socket socket : silentClients) {
+        for (Socket socket : inactiveClients) {
             while (readsByte(socket)) {}
         }
         trace.append("the silent are closed within 3 s: ")
@@ -1480,7 +1480,7 @@
 
     @Test
     void namesConfigurationFault() throws Exception {
-        String good = Files.readString(dir.resolve("config.json"));
+        String validConfig = Files.readString(dir.resolve("config.json"));
         String[][] cases = {
             {"", ""},
             {"'reset':true", "'reset':tru"},
@@ -1505,7 +1505,7 @@
                     file,
                     change[0].isEmpty()
                             ? ""
-                            : good.replace(
+                            : validConfig.replace(
                                     change[0].replace('\'', '"'), change[1].replace('\'', '"')));
             trace.append(
                             assertThrows(
@@ -1532,13 +1532,13 @@
                                     .getMessage())
                     .append('\n');
         }
-        RouterServer second =
+        RouterServer secondRouter =
                 new RouterServer(
                         RouterConfig.read(
                                 Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
                         new Log(new PrintStream(log, true)));
         trace.append(
-                        assertThrows(ConfigException.class, second::start)
+                        assertThrows(ConfigException.class, secondRouter::start)
                                 .getMessage()
                                 .replaceAll(":\\d{4,5}", ":PORT"))
                 .append('\n');
@@ -1547,7 +1547,7 @@
 
     /** Guards against a listener that opens before the CPU debt of the start is paid back. */
     @Test
-    void waitsOutStartupCpuDebt() throws Exception {
+    void paysBackStartupCpuDebt() throws Exception {
         long[][] cases = {
             {200, 280, 50}, {310, 300, 50}, {100, 280, 50}, {100, 280, 100}, {900, 300, 10}
         };
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -49,14 +49,14 @@
 
     @Test
     void decodesResponses() throws IOException {
-        String two =
+        String responses =
                 "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 3\r\n\r\n{a}HTTP/1.1 503 No\r\ncontent-length:0\r\n\r\n";
-        String whole = parse(two);
-        trace.append(whole);
-        for (int at = 1; at < two.length(); at++) {
-            assertEquals(whole, parse(two.substring(0, at), two.substring(at)), "cut at " + at);
+        String expected = parse(responses);
+        trace.append(expected);
+        for (int at = 1; at < responses.length(); at++) {
+            assertEquals(expected, parse(responses.substring(0, at), responses.substring(at)), "cut at " + at);
         }
-        assertEquals(whole, parse(two.split("")), "byte by byte");
+        assertEquals(expected, parse(responses.split("")), "byte by byte");
         trace.append(
                 parse(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{a}\r\n0\r\n\r\n"));
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -19,10 +19,10 @@
     }
 
     /** Returns what the decoder makes of these pieces. */
-    private static String decode(boolean untyped, ByteBuf... pieces) {
+    private static String decode(boolean startsWithStartup, ByteBuf... pieces) {
         StringBuilder output = new StringBuilder();
         FrameDecoder frames =
-                untyped
+                startsWithStartup
                         ? new FrameDecoder()
                         : new FrameDecoder(FrameDecoder.MAX_CLIENT_MESSAGE_BYTES);
         try {
@@ -30,10 +30,10 @@
                 frames.add(piece);
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
                     output.append(message.readableBytes())
-                            .append(untyped ? "startup " : (char) message.getByte(0) + " ");
-                    if (untyped) {
+                            .append(startsWithStartup ? "startup " : (char) message.getByte(0) + " ");
+                    if (startsWithStartup) {
                         frames.startupReceived();
-                        untyped = false;
+                        startsWithStartup = false;
                     }
                     message.release();
                 }
@@ -52,11 +52,11 @@
         all.writeBytes(query(""))
                 .writeBytes(query("SELECT 1"))
                 .writeBytes(Messages.ready(Unpooled.buffer()));
-        String whole = decode(true, all.copy());
-        trace.append("whole: ").append(whole).append('\n');
+        String expected = decode(true, all.copy());
+        trace.append("whole: ").append(expected).append('\n');
         for (int at = 1; at < all.readableBytes(); at++) {
             assertEquals(
-                    whole,
+                    expected,
                     decode(true, all.copy(0, at), all.copy(at, all.readableBytes() - at)),
                     "cut at " + at);
         }
@@ -64,7 +64,7 @@
         for (int i = 0; i < bytes.length; i++) {
             bytes[i] = all.copy(i, 1);
         }
-        assertEquals(whole, decode(true, bytes), "byte by byte");
+        assertEquals(expected, decode(true, bytes), "byte by byte");
         trace.append("short startup: ")
                 .append(decode(true, Unpooled.buffer().writeInt(7).writeInt(0)))
                 .append('\n');
