--- a/src/main/java/dillfront/router/WarmUpRun.java
+++ b/src/main/java/dillfront/router/WarmUpRun.java
@@ -38,7 +38,8 @@
     /** Runs one router against itself so that the classes it needs are loaded. */
     public static void run(Log log) throws IOException, ConfigException {
         int port;
-        try (ServerSocket portReservation = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket portReservation =
+                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = portReservation.getLocalPort();
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
--- a/src/main/java/dillfront/router/backend/NodeConnectionPool.java
+++ b/src/main/java/dillfront/router/backend/NodeConnectionPool.java
@@ -30,7 +30,7 @@
 
     /**
      * Adds an idle connection. After a response it is not reused during the reuse delay: data after
-     * the response, such as a duplicate, must not be taken for the next request's response.
+     * the response, such as a duplicate, must not be treated as the next request's response.
      */
     void addIdle(NodeConnection connection, long reuseDelayNanos) {
         if (!connection.isUsable()) {
--- a/src/main/java/dillfront/router/config/RouterConfig.java
+++ b/src/main/java/dillfront/router/config/RouterConfig.java
@@ -117,7 +117,8 @@
             throw new ConfigException(fault);
         }
         RouterSettings routerSettings = RouterSettings.read(settings);
-        if (routerSettings.routing().connectTimeout().isZero() || routerSettings.routing().clockStep().isZero()) {
+        if (routerSettings.routing().connectTimeout().isZero()
+                || routerSettings.routing().clockStep().isZero()) {
             throw new ConfigException("settings lack stepUs or bounds.dialTimeoutUs");
         }
         return new RouterConfig(
--- a/src/main/java/dillfront/router/discovery/DiscoveryClient.java
+++ b/src/main/java/dillfront/router/discovery/DiscoveryClient.java
@@ -204,7 +204,7 @@
             responseTimer =
                     loop.schedule(
                             () -> {
-                                // A pause of this process is not taken for an unresponsive
+                                // A pause of this process does not count as an unresponsive
                                 // discovery: data received meanwhile is read first.
                                 ScheduledFuture<?> timerBeforeRead = responseTimer;
                                 readPending();
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -196,8 +196,8 @@
     }
 
     /**
-     * Answers a TLS or GSS encryption request with one unencrypted byte. Data sent along with the
-     * request is refused, since it would otherwise pass for part of the encrypted stream.
+     * Answers a TLS request with one unencrypted byte. Data sent along with the request is refused,
+     * since it would otherwise pass for part of the encrypted stream.
      */
     private void handleTlsRequest() {
         ChannelHandler tlsHandler =
--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -296,7 +296,8 @@
      * Returns a discovery server controlled by the test: the complete list at once or after the
      * delay, then the queued updates.
      */
-    private ConnectionHandler discoveryFromQueue(BlockingQueue<String> updates, long firstDelayMillis) {
+    private ConnectionHandler discoveryFromQueue(
+            BlockingQueue<String> updates, long firstDelayMillis) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -365,7 +366,9 @@
     }
 
     private String drainingList() {
-        return completeList(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
+        return completeList(43)
+                .replace("'reset':true", "'reset':false")
+                .replace("ready", "draining");
     }
 
     /**
@@ -456,7 +459,8 @@
                     text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
             String key = text.replaceAll("[^']*'([^']*)'.*", "$1");
             ByteBuf parameter = Unpooled.buffer();
-            parameter.writeByte('S')
+            parameter
+                    .writeByte('S')
                     .writeInt(21)
                     .writeBytes("node_role\0leader\0".getBytes(StandardCharsets.US_ASCII));
             switch (key) {
@@ -498,7 +502,8 @@
                         send(
                                 socket,
                                 Messages.ready(
-                                        parameter.writeByte('S')
+                                        parameter
+                                                .writeByte('S')
                                                 .writeInt(29)
                                                 .writeBytes(
                                                         "server_load\0x0=9e12,x1=7\0"
@@ -507,7 +512,9 @@
                                                 .writeBytes(row("mine"))));
                 case "empty" -> send(socket, Messages.ready(Unpooled.buffer()));
                 case "wide" ->
-                        send(socket, Messages.ready(parameter.writeBytes(row("w".repeat(300_000)))));
+                        send(
+                                socket,
+                                Messages.ready(parameter.writeBytes(row("w".repeat(300_000)))));
                 case "full", "miss", "error" ->
                         send(
                                 socket,
@@ -768,7 +775,7 @@
     }
 
     /**
-     * Guards against data after a response, such as a duplicate, being taken for the response of
+     * Guards against data after a response, such as a duplicate, being treated as the response of
      * the next transaction on that connection.
      */
     @Test
@@ -978,8 +985,11 @@
             sendAndTrace("a type that is new", query("transfer", "new", 4_000), 1);
             sendAndTrace("one that is no more", query("move", "old", 4_000), 1);
             currentList =
-                    completeList(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
-            awaitCondition("the router has the list without the node", () -> requestedGeneration == 43);
+                    completeList(43)
+                            .replace("'reset':true", "'reset':false")
+                            .replace("ready", "gone");
+            awaitCondition(
+                    "the router has the list without the node", () -> requestedGeneration == 43);
             sendAndTrace("gone, and open", query("transfer", "gone", 4_000), 1);
             send(client, query("transfer", "slow", 4_000));
             awaitCondition("seen has 5", () -> receivedStatements.size() >= 5);
@@ -989,7 +999,8 @@
             trace.append("what was out             ").append(readResponses(1)).append('\n');
             sendAndTrace("gone, and closed", query("any", "none", 300), 1);
             currentList = completeList(44);
-            awaitCondition("the router has the list with the node", () -> requestedGeneration == 44);
+            awaitCondition(
+                    "the router has the list with the node", () -> requestedGeneration == 44);
             sendAndTrace("as before", query("move", "back", 4_000), 1);
             traceStatements();
             stopAndTraceCounters(
@@ -1271,7 +1282,9 @@
                     readResponses(1);
                 }
                 int generation = FIRST_REPLACEMENT_GENERATION + i;
-                awaitCondition("the router has list " + generation, () -> requestedGeneration == generation);
+                awaitCondition(
+                        "the router has list " + generation,
+                        () -> requestedGeneration == generation);
             }
             awaitCounters("node_rows=[2-5]", "node_connections=1");
         }
@@ -1325,7 +1338,9 @@
                 if (now > after) {
                     entries.add(String.format(entry, now, "ready"));
                 }
-                for (long departedNode = Math.max(after, 0); departedNode > 0 && departedNode < now; departedNode++) {
+                for (long departedNode = Math.max(after, 0);
+                        departedNode > 0 && departedNode < now;
+                        departedNode++) {
                     entries.add(String.format(entry, departedNode, "gone"));
                 }
                 answer(
@@ -1448,7 +1463,7 @@
     }
 
     /**
-     * Guards against a transaction that is taken for another one with its id, and against an
+     * Guards against a transaction that is confused with another one with its id, and against an
      * excessive client timeout.
      */
     @Test
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -54,7 +54,10 @@
         String expected = parse(responses);
         trace.append(expected);
         for (int at = 1; at < responses.length(); at++) {
-            assertEquals(expected, parse(responses.substring(0, at), responses.substring(at)), "cut at " + at);
+            assertEquals(
+                    expected,
+                    parse(responses.substring(0, at), responses.substring(at)),
+                    "cut at " + at);
         }
         assertEquals(expected, parse(responses.split("")), "byte by byte");
         trace.append(
--- a/src/test/java/dillfront/router/pgwire/PgwireTest.java
+++ b/src/test/java/dillfront/router/pgwire/PgwireTest.java
@@ -30,7 +30,10 @@
                 frames.add(piece);
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
                     output.append(message.readableBytes())
-                            .append(startsWithStartup ? "startup " : (char) message.getByte(0) + " ");
+                            .append(
+                                    startsWithStartup
+                                            ? "startup "
+                                            : (char) message.getByte(0) + " ");
                     if (startsWithStartup) {
                         frames.startupReceived();
                         startsWithStartup = false;
