--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -33,7 +33,7 @@
     private final FileClientAuthenticator authenticator;
 
     /** Null if no state is persisted. */
-    private final RouterStateStore stateStore;
+    private final RouterStateStore store;
 
     private final RecoveryCoordinator recovery;
 
@@ -61,14 +61,14 @@
         if (authenticator != null) {
             clients.setAuthenticator(authenticator);
         }
-        stateStore =
+        store =
                 operator.memory() == null
                         ? null
                         : RouterStateStore.open(operator.memory(), name, log, loop);
-        if (stateStore != null) {
+        if (store != null) {
             router.configureMemberList(
                     members -> {
-                        stateStore
+                        store
                                 .closings()
                                 .forEach(
                                         c ->
@@ -77,21 +77,21 @@
                                                         c.standing(),
                                                         c.startedMs(),
                                                         c.generation()));
-                        members.setClosureListener(stateStore);
+                        members.setClosureListener(store);
                     });
         }
         recovery =
-                stateStore == null && operator.doubts() == null && !operator.sites()
+                store == null && operator.doubts() == null && !operator.sites()
                         ? null
                         : new RecoveryCoordinator(
                                 operator.doubts(),
-                                stateStore,
+                                store,
                                 operator.sites(),
                                 config.settings(),
                                 router.clock().now(),
                                 log);
         if (recovery != null) {
-            router.setRecovery(recovery, stateStore == null ? null : stateStore::whenKept);
+            router.setRecovery(recovery, store == null ? null : store::whenKept);
         }
         Operator.GossipPart gossip = operator.gossip();
         if (gossip == null) {
@@ -158,18 +158,18 @@
                                                             : StatusFormatter.toText(
                                                                     recovery.status(
                                                                             router
-                                                                                    .closedNodeCount(),
+                                                                                    .closedNodes(),
                                                                             router
-                                                                                    .reportingPeerCount()));
+                                                                                    .reporters()));
                                             case "status json" ->
                                                     recovery == null
                                                             ? "{}\n"
                                                             : StatusFormatter.toJson(
                                                                     recovery.status(
                                                                             router
-                                                                                    .closedNodeCount(),
+                                                                                    .closedNodes(),
                                                                             router
-                                                                                    .reportingPeerCount()));
+                                                                                    .reporters()));
                                             default ->
                                                     "unknown question; known: peers, peers json, status, status json\n";
                                         });
@@ -206,8 +206,8 @@
         if (authenticator != null) {
             authenticator.close();
         }
-        if (stateStore != null) {
-            stateStore.close();
+        if (store != null) {
+            store.close();
         }
     }
 }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -140,11 +140,11 @@
     }
 
     /** Returns the number of nodes recorded as closed. */
-    int closedNodeCount() {
+    int closedNodes() {
         return members.closedNodes();
     }
 
-    int reportingPeerCount() {
+    int reporters() {
         return reportingPeers;
     }
 
