--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -68,8 +68,7 @@
         if (store != null) {
             router.configureMemberList(
                     members -> {
-                        store
-                                .closings()
+                        store.closings()
                                 .forEach(
                                         c ->
                                                 members.restoreClosed(
@@ -157,19 +156,15 @@
                                                             ? "memory, doubts and sites are off\n"
                                                             : StatusFormatter.toText(
                                                                     recovery.status(
-                                                                            router
-                                                                                    .closedNodes(),
-                                                                            router
-                                                                                    .reporters()));
+                                                                            router.closedNodes(),
+                                                                            router.reporters()));
                                             case "status json" ->
                                                     recovery == null
                                                             ? "{}\n"
                                                             : StatusFormatter.toJson(
                                                                     recovery.status(
-                                                                            router
-                                                                                    .closedNodes(),
-                                                                            router
-                                                                                    .reporters()));
+                                                                            router.closedNodes(),
+                                                                            router.reporters()));
                                             default ->
                                                     "unknown question; known: peers, peers json, status, status json\n";
                                         });
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -144,6 +144,7 @@
         return members.closedNodes();
     }
 
+    /** Returns the number of peers whose member lists have closed at least one node. */
     int reporters() {
         return reportingPeers;
     }
--- a/src/main/java/dillfront/router/RouterServer.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -57,8 +57,8 @@
     private final long startNanos = System.nanoTime();
 
     /**
-     * CPU time when the constructor ran. Only one thread existed until then, so uptime is an upper
-     * bound for it.
+     * CPU time when the constructor ran; counted as the uptime until then, since the only thread
+     * was busy throughout.
      */
     private final Duration startCpuTime = cpuTime();
 
