--- a/src/main/java/dillfront/benchmark/Drive.java
+++ b/src/main/java/dillfront/benchmark/RouterProcess.java
@@ -16,7 +16,7 @@
  * A router as a process of its own, started as the deployment starts it, and what it has used by
  * the system's count.
  */
-final class Drive implements AutoCloseable {
+final class RouterProcess implements AutoCloseable {
 
     private static final long TICK_MICROS = 10_000;
 
@@ -27,18 +27,18 @@
     /**
      * @param command what starts it, from this folder, with LB_CONFIG set
      */
-    Drive(List<String> command, Path folder, StandIns round, double cores)
+    RouterProcess(List<String> command, Path folder, StubBackends backends, double cores)
             throws IOException, InterruptedException {
         port = freePort();
         config = Files.createTempFile("dillfront", ".json");
-        Files.writeString(config, round.config(port, cores));
+        Files.writeString(config, backends.config(port, cores));
         ProcessBuilder builder = new ProcessBuilder(command).directory(folder.toFile());
         builder.environment().putAll(Map.of("LB_CONFIG", config.toString(), "LB_NAME", "n0"));
         builder.environment().remove("LB_LISTEN");
         builder.environment().remove("LB_DISCOVERY");
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD);
         process = builder.start();
-        for (int i = 0; i < 2000 && !open(); i++) {
+        for (int i = 0; i < 2000 && !isListening(); i++) {
             if (!process.isAlive()) {
                 throw new IOException("it ended: " + command);
             }
@@ -47,7 +47,7 @@
     }
 
     /** The command line of deploy/balancer.toml for this key. */
-    static List<String> deployed(Path folder, String key) throws IOException {
+    static List<String> deployedCommand(Path folder, String key) throws IOException {
         String line =
                 Files.readAllLines(folder.resolve("deploy/balancer.toml")).stream()
                         .filter(l -> l.startsWith(key + " ="))
@@ -60,7 +60,7 @@
                         line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))));
     }
 
-    private boolean open() {
+    private boolean isListening() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return socket.isConnected();
         } catch (IOException notYet) {
@@ -70,8 +70,8 @@
 
     /** One that nobody listens on now. */
     static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -84,13 +84,13 @@
 
     /** What all threads of it have used so far, in microseconds. */
     long cpuMicros() throws IOException {
-        String[] stat = stat(Path.of("/proc", Long.toString(process.pid()), "stat"));
+        String[] stat = procStat(Path.of("/proc", Long.toString(process.pid()), "stat"));
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) * TICK_MICROS;
     }
 
     /** Everything behind the name, which stands in brackets. */
-    static String[] stat(Path file) throws IOException {
-        String text = Files.readString(file, StandardCharsets.ISO_8859_1);
+    static String[] procStat(Path statFile) throws IOException {
+        String text = Files.readString(statFile, StandardCharsets.ISO_8859_1);
         return text.substring(text.lastIndexOf(')') + 2).split(" ");
     }
 
@@ -99,7 +99,7 @@
         process.destroy();
         try {
             process.waitFor();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         Files.deleteIfExists(config);
--- a/src/main/java/dillfront/benchmark/StandIns.java
+++ b/src/main/java/dillfront/benchmark/StubBackends.java
@@ -1,11 +1,11 @@
 package dillfront.benchmark;
 
 import dillfront.router.pgwire.Messages;
-import dillfront.simulation.processes.Agent;
-import dillfront.simulation.processes.Catalogue;
-import dillfront.simulation.processes.Group;
-import dillfront.simulation.processes.Node;
-import dillfront.simulation.processes.Stage;
+import dillfront.simulation.processes.DiscoveryAgent;
+import dillfront.simulation.processes.DiscoveryCatalog;
+import dillfront.simulation.processes.NodeGroup;
+import dillfront.simulation.processes.SimulatedNode;
+import dillfront.simulation.processes.TestHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.Closeable;
@@ -24,14 +24,14 @@
  * measured; a node answers each statement with a row of as many bytes as its key says, after a set
  * time.
  */
-final class StandIns implements Closeable {
+final class StubBackends implements Closeable {
 
     static final int GROUPS = 3;
-    static final int MEMBERS = 4;
+    static final int NODES_PER_GROUP = 4;
     private static final long FIRST_GENERATION = 41;
 
     /** Nobody waits for a core: what a node costs is its work's time. */
-    private static final int AT_ONCE = 256;
+    private static final int MAX_CONCURRENT_STATEMENTS = 256;
 
     private static final String SETTINGS =
             "{'az':'a','zones':['a','b'],'stepUs':5000,'groupSize':2,"
@@ -51,29 +51,35 @@
         "stock-view", "own-entries", "history", "balance-check", "post-movement"
     };
 
-    private final InetAddress here = InetAddress.getLoopbackAddress();
-    private final Stage stage = new Stage();
-    private final List<Node> nodes = new ArrayList<>();
-    private final List<Catalogue.Entry> first = new ArrayList<>();
-    private final Catalogue catalogue;
-    private final Agent discovery;
+    private final InetAddress loopback = InetAddress.getLoopbackAddress();
+    private final TestHarness stage = new TestHarness();
+    private final List<SimulatedNode> nodes = new ArrayList<>();
+    private final List<DiscoveryCatalog.Entry> initialEntries = new ArrayList<>();
+    private final DiscoveryCatalog catalogue;
+    private final DiscoveryAgent discovery;
     private final AtomicLong ids = new AtomicLong();
 
     /**
      * @param workMicros how long a node takes for a statement
      */
-    StandIns(long workMicros) {
-        Node.Work work = new Node.Work(AT_ONCE, workMicros, 1, 1, 1, 1000);
-        for (int i = 0; i < GROUPS * MEMBERS; i++) {
-            Group group =
-                    i % MEMBERS == 0 ? new Group(stage, i / MEMBERS, 0) : nodes.get(i - 1).group();
-            Node node = new Node(stage, "s-" + i, group, i % MEMBERS == 0, work);
+    StubBackends(long workMicros) {
+        SimulatedNode.Capacity work =
+                new SimulatedNode.Capacity(MAX_CONCURRENT_STATEMENTS, workMicros, 1, 1, 1, 1000);
+        for (int i = 0; i < GROUPS * NODES_PER_GROUP; i++) {
+            NodeGroup group =
+                    i % NODES_PER_GROUP == 0
+                            ? new NodeGroup(stage, i / NODES_PER_GROUP, 0)
+                            : nodes.get(i - 1).group();
+            SimulatedNode node =
+                    new SimulatedNode(stage, "s-" + i, group, i % NODES_PER_GROUP == 0, work);
             node.lag(0);
             nodes.add(node);
-            first.add(new Catalogue.Entry(node.id(), i / MEMBERS, "a", "ready", 0, node.leads()));
+            initialEntries.add(
+                    new DiscoveryCatalog.Entry(
+                            node.id(), i / NODES_PER_GROUP, "a", "ready", 0, node.primary()));
         }
-        catalogue = new Catalogue(FIRST_GENERATION, first);
-        discovery = new Agent(stage, "discovery", catalogue, this::port);
+        catalogue = new DiscoveryCatalog(FIRST_GENERATION, initialEntries);
+        discovery = new DiscoveryAgent(stage, "discovery", catalogue, this::port);
     }
 
     private int port(String id) {
@@ -82,14 +88,14 @@
 
     /** A configuration for a router that listens there. */
     String config(int port, double cores) {
-        String known =
-                first.stream()
-                        .map(e -> Agent.row(e, port(e.id())))
+        String entries =
+                initialEntries.stream()
+                        .map(entry -> DiscoveryAgent.entryJson(entry, port(entry.id())))
                         .collect(Collectors.joining(","));
         return ("{'name':'n0','listen':'127.0.0.1:"
                         + port
                         + "','discovery':'"
-                        + Stage.HOST
+                        + TestHarness.HOST
                         + ":"
                         + discovery.port()
                         + "','seed':'8c1f30d27a5be964','limits':{'cores':"
@@ -98,7 +104,7 @@
                         + "{'generation':"
                         + FIRST_GENERATION
                         + ",'reset':true,'instances':["
-                        + known
+                        + entries
                         + "]},'settings':"
                         + SETTINGS
                         + "}")
@@ -106,63 +112,68 @@
     }
 
     /** From now on this node drains, or is ready again; its number runs below GROUPS * MEMBERS. */
-    void tell(int node, String lifecycle) {
-        Catalogue.Entry e = first.get(node);
+    void setLifecycle(int node, String lifecycle) {
+        DiscoveryCatalog.Entry entry = initialEntries.get(node);
         stage.run(
                 () ->
-                        catalogue.change(
-                                new Catalogue.Entry(
-                                        e.id(), e.group(), e.zone(), lifecycle, 0, e.leads())));
+                        catalogue.update(
+                                new DiscoveryCatalog.Entry(
+                                        entry.id(),
+                                        entry.group(),
+                                        entry.zone(),
+                                        lifecycle,
+                                        0,
+                                        entry.primary())));
     }
 
     /** Waits until the router has the list as it is now, and asks for a newer one. */
-    void awaitListRead() {
-        discovery.awaitAsker();
+    void awaitInstanceListRead() {
+        discovery.awaitCurrentSubscriber();
     }
 
     /** How many statements came to the nodes of this group so far. */
-    int arrived(int group) {
-        int all = 0;
-        for (int i = 0; i < MEMBERS; i++) {
-            all += arrivals(group * MEMBERS + i).size();
+    int arrivalCount(int group) {
+        int sum = 0;
+        for (int i = 0; i < NODES_PER_GROUP; i++) {
+            sum += arrivals(group * NODES_PER_GROUP + i).size();
         }
-        return all;
+        return sum;
     }
 
     /** When each statement of a client came to this node, by System.nanoTime(). */
     List<Long> arrivals(int node) {
-        return nodes.get(node).arrivals();
+        return nodes.get(node).arrivalNanos();
     }
 
     /** One client that asks for as long as it is let. */
-    final class Client implements Closeable {
+    final class LoadClient implements Closeable {
 
         private final Socket socket;
         private final DataInputStream in;
         private final int number;
 
-        Client(int port, int number) throws IOException {
+        LoadClient(int port, int number) throws IOException {
             this.number = number;
-            socket = new Socket(here, port);
+            socket = new Socket(loopback, port);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
             in = new DataInputStream(new java.io.BufferedInputStream(socket.getInputStream()));
             write(Messages.startup(Unpooled.buffer(), "worker", "catalog"));
-            hear();
+            receive();
         }
 
         /** Asks once, by its number in turn one type or another; true where the value came. */
-        boolean ask(int turn, int bytes) throws IOException {
+        boolean request(int turn, int bytes) throws IOException {
             int type = (number + turn) % TYPES.length;
-            return ask(TYPES[type], bytes);
+            return request(TYPES[type], bytes);
         }
 
-        boolean ask(String type, int bytes) throws IOException {
-            say(type, bytes);
-            return hear();
+        boolean request(String type, int bytes) throws IOException {
+            send(type, bytes);
+            return receive();
         }
 
-        void say(String type, int bytes) throws IOException {
+        void send(String type, int bytes) throws IOException {
             boolean write = type.equals("post-movement");
             String key = bytes + "-" + number;
             String comment =
@@ -190,7 +201,7 @@
         }
 
         /** Whether something has come that was not heard yet. */
-        boolean answered() throws IOException {
+        boolean hasResponse() throws IOException {
             return in.available() > 0;
         }
 
@@ -198,14 +209,14 @@
             socket.getOutputStream().write(bytes.array(), 0, bytes.readableBytes());
         }
 
-        boolean hear() throws IOException {
-            boolean row = false;
+        boolean receive() throws IOException {
+            boolean hasRow = false;
             while (true) {
                 int type = in.readByte();
                 in.skipNBytes(in.readInt() - 4);
-                row |= type == 'D';
+                hasRow |= type == 'D';
                 if (type == 'Z') {
-                    return row;
+                    return hasRow;
                 }
             }
         }
@@ -221,11 +232,11 @@
      *
      * @return how many had their value, and how many asked
      */
-    long[] load(int port, int clients, long pauseMicros, int bytes, long millis)
+    long[] runLoad(int port, int clients, long pauseMicros, int bytes, long millis)
             throws IOException, InterruptedException {
-        AtomicLong good = new AtomicLong();
-        AtomicLong all = new AtomicLong();
-        long until = System.nanoTime() + millis * 1_000_000;
+        AtomicLong served = new AtomicLong();
+        AtomicLong requested = new AtomicLong();
+        long endNanos = System.nanoTime() + millis * 1_000_000;
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
             int number = i;
@@ -233,14 +244,14 @@
                     new Thread(
                             null,
                             () -> {
-                                try (Client client = new Client(port, number)) {
+                                try (LoadClient client = new LoadClient(port, number)) {
                                     LockSupport.parkNanos(pauseMicros * 1000 * number / clients);
-                                    for (int turn = 0; System.nanoTime() < until; turn++) {
-                                        all.incrementAndGet();
-                                        good.addAndGet(client.ask(turn, bytes) ? 1 : 0);
+                                    for (int turn = 0; System.nanoTime() < endNanos; turn++) {
+                                        requested.incrementAndGet();
+                                        served.addAndGet(client.request(turn, bytes) ? 1 : 0);
                                         LockSupport.parkNanos(pauseMicros * 1000);
                                     }
-                                } catch (IOException broken) {
+                                } catch (IOException failure) {
                                     // Counted as asked and not served.
                                 }
                             },
@@ -252,7 +263,7 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        return new long[] {good.get(), all.get()};
+        return new long[] {served.get(), requested.get()};
     }
 
     @Override
--- a/src/main/java/dillfront/benchmark/Relay.java
+++ b/src/main/java/dillfront/benchmark/TcpRelay.java
@@ -20,16 +20,16 @@
  * cost. Configured as a router is, by the file that LB_CONFIG names, of which it reads two
  * addresses.
  */
-public final class Relay {
+public final class TcpRelay {
 
-    private Relay() {}
+    private TcpRelay() {}
 
     /** Relays connections byte for byte; the arguments are the two addresses. */
     public static void main(String[] args) throws Exception {
         String config =
                 Files.readString(Path.of(System.getenv("LB_CONFIG")), StandardCharsets.US_ASCII);
-        InetSocketAddress listen = address(config, "\"listen\":\"");
-        InetSocketAddress node = address(config, "\"hostPort\":\"");
+        InetSocketAddress listen = parseAddress(config, "\"listen\":\"");
+        InetSocketAddress node = parseAddress(config, "\"hostPort\":\"");
         NioEventLoopGroup loop = new NioEventLoopGroup(1);
         new ServerBootstrap()
                 .group(loop)
@@ -45,12 +45,13 @@
                                                 .group(loop)
                                                 .channel(NioSocketChannel.class)
                                                 .option(ChannelOption.TCP_NODELAY, true)
-                                                .handler(new Passing(client))
+                                                .handler(new ForwardingHandler(client))
                                                 .connect(node)
                                                 .addListener(
-                                                        done -> client.config().setAutoRead(true))
+                                                        connected ->
+                                                                client.config().setAutoRead(true))
                                                 .channel();
-                                client.pipeline().addLast(new Passing(server));
+                                client.pipeline().addLast(new ForwardingHandler(server));
                             }
                         })
                 .bind(listen)
@@ -60,28 +61,28 @@
                 .sync();
     }
 
-    private static InetSocketAddress address(String config, String after) {
-        int from = config.indexOf(after) + after.length();
-        String[] parts = config.substring(from, config.indexOf('"', from)).split(":");
+    private static InetSocketAddress parseAddress(String config, String prefix) {
+        int start = config.indexOf(prefix) + prefix.length();
+        String[] parts = config.substring(start, config.indexOf('"', start)).split(":");
         return new InetSocketAddress(parts[0], Integer.parseInt(parts[1]));
     }
 
-    private static final class Passing extends ChannelInboundHandlerAdapter {
+    private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
 
-        private final Channel other;
+        private final Channel target;
 
-        Passing(Channel other) {
-            this.other = other;
+        ForwardingHandler(Channel target) {
+            this.target = target;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            other.writeAndFlush(bytes);
+            target.writeAndFlush(bytes);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            other.close();
+            target.close();
         }
     }
 }
--- a/src/main/java/dillfront/benchmark/Counts.java
+++ b/src/main/java/dillfront/benchmark/TransactionCostCounter.java
@@ -27,57 +27,57 @@
  * a JVM of its own, with the allocator's thread caches off, since what they hand out is not
  * counted; prints one line.
  */
-public final class Counts {
+public final class TransactionCostCounter {
 
-    private static final int WARM = 700;
-    private static final int COUNTED = 500;
+    private static final int WARM_UP_TRANSACTIONS = 700;
+    private static final int COUNTED_TRANSACTIONS = 500;
 
     /**
      * Nodes that answer at once would make the module expect that: the least silence would be a
      * trouble.
      */
-    private static final long WORK_MICROS = 4_000;
+    private static final long NODE_WORK_MICROS = 4_000;
 
     /** Connections rest after an answer: a client that never pauses would need one for each txn. */
-    private static final long PAUSE_NANOS = 1_500_000;
+    private static final long CLIENT_PAUSE_NANOS = 1_500_000;
 
-    private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    private final Path io;
-    private final long thread;
+    private final ThreadMXBean threadBean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+    private final Path ioStatsFile;
+    private final long routerThreadId;
 
-    private Counts() throws IOException {
-        Path found = null;
+    private TransactionCostCounter() throws IOException {
+        Path ioFile = null;
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
             for (Path task : tasks) {
-                found =
+                ioFile =
                         Files.readString(task.resolve("comm")).startsWith("router-")
                                 ? task.resolve("io")
-                                : found;
+                                : ioFile;
             }
         }
-        io = found;
-        long id = -1;
+        ioStatsFile = ioFile;
+        long threadId = -1;
         for (java.lang.management.ThreadInfo info :
-                threads.getThreadInfo(threads.getAllThreadIds())) {
-            id =
+                threadBean.getThreadInfo(threadBean.getAllThreadIds())) {
+            threadId =
                     info != null && info.getThreadName().startsWith("router-")
                             ? info.getThreadId()
-                            : id;
+                            : threadId;
         }
-        thread = id;
-        if (io == null || id < 0) {
+        routerThreadId = threadId;
+        if (ioStatsFile == null || threadId < 0) {
             throw new IOException("no thread of the router's is there to be counted");
         }
     }
 
     /** Heap bytes, buffers, reads, writes, bytes read, bytes written; so far. */
-    private long[] now() throws IOException {
+    private long[] snapshot() throws IOException {
         long buffers = 0;
         for (PoolArenaMetric arena : PooledByteBufAllocator.DEFAULT.metric().directArenas()) {
             buffers += arena.numAllocations();
         }
-        long[] counts = {threads.getThreadAllocatedBytes(thread), buffers, 0, 0, 0, 0};
-        for (String line : Files.readAllLines(io)) {
+        long[] counts = {threadBean.getThreadAllocatedBytes(routerThreadId), buffers, 0, 0, 0, 0};
+        for (String line : Files.readAllLines(ioStatsFile)) {
             long value = Long.parseLong(line.substring(line.indexOf(' ') + 1));
             switch (line.substring(0, line.indexOf(':'))) {
                 case "syscr" -> counts[2] = value;
@@ -91,48 +91,61 @@
     }
 
     /** What one of so many txns cost, each count as above. */
-    private double[] each(StandIns.Client client, String type, int bytes, int warm, int counted)
+    private double[] costPerTransaction(
+            StubBackends.LoadClient client, String type, int bytes, int warmUp, int counted)
             throws IOException {
-        for (int i = 0; i < warm; i++) {
-            client.ask(type, bytes);
-            LockSupport.parkNanos(PAUSE_NANOS);
+        for (int i = 0; i < warmUp; i++) {
+            client.request(type, bytes);
+            LockSupport.parkNanos(CLIENT_PAUSE_NANOS);
         }
-        long[] before = now();
+        long[] before = snapshot();
         for (int i = 0; i < counted; i++) {
-            if (!client.ask(type, bytes)) {
+            if (!client.request(type, bytes)) {
                 throw new IOException("a txn was not committed");
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(CLIENT_PAUSE_NANOS);
         }
-        long[] after = now();
-        double[] each = new double[after.length];
-        for (int i = 0; i < each.length; i++) {
-            each[i] = (after[i] - before[i]) / (double) counted;
+        long[] after = snapshot();
+        double[] cost = new double[after.length];
+        for (int i = 0; i < cost.length; i++) {
+            cost[i] = (after[i] - before[i]) / (double) counted;
         }
-        return each;
+        return cost;
     }
 
-    static String line() throws Exception {
+    static String measure() throws Exception {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = socket.getLocalPort();
         }
-        try (StandIns round = new StandIns(WORK_MICROS)) {
+        try (StubBackends backends = new StubBackends(NODE_WORK_MICROS)) {
             RouterServer daemon =
                     new RouterServer(
                             RouterConfig.read(
                                     new ByteArrayInputStream(
-                                            round.config(port, 8)
+                                            backends.config(port, 8)
                                                     .getBytes(StandardCharsets.US_ASCII))),
                             new Log(new PrintStream(OutputStream.nullOutputStream())));
             daemon.start();
-            Counts counts = new Counts();
+            TransactionCostCounter counts = new TransactionCostCounter();
             StringBuilder line = new StringBuilder();
-            try (StandIns.Client client = round.new Client(port, 1)) {
+            try (StubBackends.LoadClient client = backends.new LoadClient(port, 1)) {
                 // Connections rest after an answer, so several are open; what a quick client needs
                 // is there after this.
-                double[] small = counts.each(client, "post-movement", 100, WARM, COUNTED);
-                double[] large = counts.each(client, "history", 200_000, WARM / 5, COUNTED / 5);
+                double[] small =
+                        counts.costPerTransaction(
+                                client,
+                                "post-movement",
+                                100,
+                                WARM_UP_TRANSACTIONS,
+                                COUNTED_TRANSACTIONS);
+                double[] large =
+                        counts.costPerTransaction(
+                                client,
+                                "history",
+                                200_000,
+                                WARM_UP_TRANSACTIONS / 5,
+                                COUNTED_TRANSACTIONS / 5);
                 line.append(
                         String.format(
                                 Locale.ROOT,
@@ -160,10 +173,10 @@
     public static void main(String[] args) throws Exception {
         int status = 1;
         try {
-            System.out.println(line());
+            System.out.println(measure());
             status = 0;
-        } catch (Exception fault) {
-            System.err.println("counts: " + fault.getMessage());
+        } catch (Exception failure) {
+            System.err.println("counts: " + failure.getMessage());
         } finally {
             // The router's thread would keep the process.
             System.exit(status);
--- a/src/main/java/dillfront/benchmark/package-info.java
+++ b/src/main/java/dillfront/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Measurements of what a router costs, and the stand-ins that they need. Begin with {@link
- * dillfront.benchmark.Cost}.
+ * dillfront.benchmark.RouterCostBenchmark}.
  */
 package dillfront.benchmark;
--- a/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/ControlPlaneProgram.java
@@ -65,8 +65,8 @@
     private static void start(ControlNode node, Log log) {
         try {
             node.start();
-        } catch (Configuration.InvalidConfigurationException bad) {
-            log.warn("disk", "fault", bad.getMessage());
+        } catch (Configuration.InvalidConfigurationException e) {
+            log.warn("disk", "fault", e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
@@ -100,8 +100,8 @@
             NodeSettings next = source.read();
             environment.eventLoop().execute(() -> node.addSeeds(next.seedIps()));
             log.info("settings", "seeds", next.seedAddresses());
-        } catch (InvalidSettingsException bad) {
-            log.warn("settings", "fault", bad.getMessage());
+        } catch (InvalidSettingsException e) {
+            log.warn("settings", "fault", e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -104,8 +104,8 @@
         try {
             node.updateSettings(source.read());
             log.info("settings", "seeds", node.settings().seedAddresses());
-        } catch (InvalidSettingsException bad) {
-            log.warn("settings", "kept", "the former ones", "fault", bad.getMessage());
+        } catch (InvalidSettingsException e) {
+            log.warn("settings", "kept", "the former ones", "fault", e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/bootstrap/FileStateStore.java
+++ b/src/main/java/dillfront/bootstrap/FileStateStore.java
@@ -47,22 +47,22 @@
 
     @Override
     public CompletableFuture<Void> put(Map<String, String> texts) {
-        CompletableFuture<Void> done = new CompletableFuture<>();
-        writer.execute(() -> write(texts, done));
-        return done;
+        CompletableFuture<Void> written = new CompletableFuture<>();
+        writer.execute(() -> write(texts, written));
+        return written;
     }
 
-    private void write(Map<String, String> texts, CompletableFuture<Void> done) {
+    private void write(Map<String, String> texts, CompletableFuture<Void> written) {
         try {
             store.put(texts);
-            environment.eventLoop().execute(() -> done.complete(null));
-        } catch (KeyValueStore.StorageException | IllegalArgumentException bad) {
+            environment.eventLoop().execute(() -> written.complete(null));
+        } catch (KeyValueStore.StorageException | IllegalArgumentException e) {
             environment
                     .eventLoop()
                     .execute(
                             () -> {
-                                log.warn("disk", "fault", bad.getMessage());
-                                done.completeExceptionally(bad);
+                                log.warn("disk", "fault", e.getMessage());
+                                written.completeExceptionally(e);
                             });
         }
     }
--- a/src/main/java/dillfront/bootstrap/WarmUp.java
+++ b/src/main/java/dillfront/bootstrap/WarmUp.java
@@ -32,46 +32,48 @@
                     NodeSettings.InvalidSettingsException,
                     KeyValueStore.StorageException {
         Path folder = Files.createTempDirectory("rehearsal");
-        int[] port = new int[4];
-        for (int i = 0; i < port.length; i++) {
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                port[i] = free.getLocalPort();
+        int[] ports = new int[4];
+        for (int i = 0; i < ports.length; i++) {
+            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ports[i] = socket.getLocalPort();
             }
         }
-        String control = "127.0.0.1:" + port[0];
+        String controlAddress = "127.0.0.1:" + ports[0];
         JsonObject common =
                 Json.object()
                         .add("ip_address", "127.0.0.1")
                         .add("zone_name", "a")
                         .add("region", "a")
                         .add("zones", Json.object().add("a", "a"))
-                        .add("internal_port_range", Json.array(port[1], port[1]))
-                        .add("seed_addresses", Json.array().add(control))
+                        .add("internal_port_range", Json.array(ports[1], ports[1]))
+                        .add("seed_addresses", Json.array().add(controlAddress))
                         .add("first_start", true)
                         .add("bounds", Json.object())
                         .add("cloud_api", Json.object().add("address", "127.0.0.1:1"));
-        Path core = folder.resolve("core.json");
+        Path controlPlaneFile = folder.resolve("core.json");
         Files.writeString(
-                core,
+                controlPlaneFile,
                 new JsonObject(common)
                         .add("node_name", "core")
                         .add("data_directory", folder.resolve("data").toString())
-                        .add("listen_addresses", Json.object().add("control_address", control))
+                        .add(
+                                "listen_addresses",
+                                Json.object().add("control_address", controlAddress))
                         .toString());
-        Path front = folder.resolve("front.json");
+        Path dataPlaneFile = folder.resolve("front.json");
         Files.writeString(
-                front,
+                dataPlaneFile,
                 new JsonObject(common)
                         .add("node_name", "front")
                         .add(
                                 "listen_addresses",
                                 Json.object()
-                                        .add("front_address", "127.0.0.1:" + port[2])
-                                        .add("readiness_address", "127.0.0.1:" + port[3]))
+                                        .add("front_address", "127.0.0.1:" + ports[2])
+                                        .add("readiness_address", "127.0.0.1:" + ports[3]))
                         .toString());
-        ControlPlaneProgram.run(() -> NodeSettings.read(core));
-        DataPlaneProgram.run(() -> NodeSettings.read(front));
-        NettyEnvironment host = new NettyEnvironment(1);
+        ControlPlaneProgram.run(() -> NodeSettings.read(controlPlaneFile));
+        DataPlaneProgram.run(() -> NodeSettings.read(dataPlaneFile));
+        NettyEnvironment environment = new NettyEnvironment(1);
         JsonObject configuration =
                 Json.object()
                         .add("revision_number", 1)
@@ -94,7 +96,7 @@
                                                 Json.object()
                                                         .add("name", "s")
                                                         .add("connection_limit", 20)));
-        post(host, control, "/Configuration.Replace", configuration);
+        post(environment, controlAddress, "/Configuration.Replace", configuration);
         JsonObject heartbeat =
                 Json.object()
                         .add("service", "s")
@@ -103,25 +105,26 @@
                         .add("state", "ready")
                         .add("database_role", "primary")
                         .add("call_sequence", 1);
-        post(host, control, "/Instances.Heartbeat/i-1", heartbeat);
-        post(host, "127.0.0.1:" + port[3], "/readiness", Json.object());
+        post(environment, controlAddress, "/Instances.Heartbeat/i-1", heartbeat);
+        post(environment, "127.0.0.1:" + ports[3], "/readiness", Json.object());
         for (int attempts = 0; attempts < 50; attempts++) {
-            String reply = client(port[2]);
+            String reply = runClient(ports[2]);
             if (reply.contains("ERROR BUSY")) {
                 break;
             }
         }
     }
 
-    private static void post(NettyEnvironment host, String to, String path, JsonObject body) {
+    private static void post(
+            NettyEnvironment environment, String address, String path, JsonObject body) {
         try {
-            host.post(to, path, body.toString(), Map.of(), TIMEOUT_MS).join();
-        } catch (CompletionException none) {
-            System.err.println("rehearsal: " + path + ": " + none.getCause());
+            environment.post(address, path, body.toString(), Map.of(), TIMEOUT_MS).join();
+        } catch (CompletionException e) {
+            System.err.println("rehearsal: " + path + ": " + e.getCause());
         }
     }
 
-    private static String client(int port) throws IOException {
+    private static String runClient(int port) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream()
--- a/src/main/java/dillfront/cli/AcceptDataLoss.java
+++ b/src/main/java/dillfront/cli/AcceptDataLossCommand.java
@@ -33,10 +33,10 @@
             "Example: dillfront system accept-data-loss 10.1.0.8:8785 orders",
             "         dillfront system accept-data-loss 10.1.0.8:8785 orders --shown 1f0c9a7e21b4 --yes"
         })
-final class AcceptDataLoss implements Callable<Integer> {
+final class AcceptDataLossCommand implements Callable<Integer> {
 
-    private static final int NOTHING = 3;
-    private static final String[] NAMES = {
+    private static final int EXIT_NOTHING_LACKING = 3;
+    private static final String[] REQUEST_FIELDS = {
         "service", "move", "log_position", "least_acknowledged", "most_acknowledged", "out_of_reach"
     };
 
@@ -58,7 +58,7 @@
             names = "--shown",
             paramLabel = "SEAL",
             description = "what was shown: the seal that the command printed without --yes")
-    private String shown;
+    private String expectedSeal;
 
     @Option(names = "--yes", description = "give up what was shown; needs --shown")
     private boolean yes;
@@ -68,73 +68,78 @@
 
     @Override
     public Integer call() {
-        if (yes != (shown != null)) {
+        if (yes != (expectedSeal != null)) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
                     "--yes and --shown go together: look first, then accept what was shown");
         }
         try {
-            JsonObject lacking = lacking();
+            JsonObject lacking = fetchLacking();
             if (lacking == null) {
                 System.out.println(
                         json
                                 ? "{\"lacking\":null}"
                                 : service + ": nothing is lacking, as " + address + " knows");
-                return NOTHING;
+                return EXIT_NOTHING_LACKING;
             }
             String seal = seal(lacking);
             if (!yes) {
-                show(lacking, seal);
+                print(lacking, seal);
                 return 0;
             }
-            if (!seal.equals(shown)) {
-                show(lacking, seal);
-                return Commands.fault(
+            if (!seal.equals(expectedSeal)) {
+                print(lacking, seal);
+                return RootCommand.fail(
                         service
                                 + ": something else is lacking than what was shown; nothing was given up");
             }
-            WholeSystem.Answer is =
-                    WholeSystem.ask(address, "/Services.AcceptDataLoss", body(lacking).toString());
-            JsonObject said = Json.parse(is.text()).asObject();
-            if (is.status() != 200) {
-                return Commands.fault(
-                        service + ": " + is.status() + " " + said.getString("error_message", ""));
+            SystemCommand.Response response =
+                    SystemCommand.request(
+                            address, "/Services.AcceptDataLoss", requestBody(lacking).toString());
+            JsonObject responseBody = Json.parse(response.body()).asObject();
+            if (response.status() != 200) {
+                return RootCommand.fail(
+                        service
+                                + ": "
+                                + response.status()
+                                + " "
+                                + responseBody.getString("error_message", ""));
             }
             System.out.println(
                     json
-                            ? is.text()
+                            ? response.body()
                             : service
                                     + ": accepted, goes on from "
-                                    + said.getString("log_position", "")
+                                    + responseBody.getString("log_position", "")
                                     + " or a longer log that is there");
             return 0;
-        } catch (ParseException | UnsupportedOperationException | NullPointerException bad) {
-            return Commands.fault(address + ": no control process answers so: " + bad.getMessage());
-        } catch (IOException none) {
-            return Commands.fault("no answer from " + address + ": " + none.getMessage());
+        } catch (ParseException | UnsupportedOperationException | NullPointerException e) {
+            return RootCommand.fail(address + ": no control process answers so: " + e.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
         }
     }
 
-    private JsonObject lacking() throws IOException {
+    private JsonObject fetchLacking() throws IOException {
         JsonArray all =
-                Json.parse(WholeSystem.ask(address, "/status", null).text())
+                Json.parse(SystemCommand.request(address, "/status", null).body())
                         .asObject()
                         .get("lacking")
                         .asArray();
-        for (JsonValue one : all) {
-            if (one.asObject().getString("service", "").equals(service)) {
-                return one.asObject();
+        for (JsonValue entry : all) {
+            if (entry.asObject().getString("service", "").equals(service)) {
+                return entry.asObject();
             }
         }
         return null;
     }
 
-    private static JsonObject body(JsonObject lacking) {
-        JsonObject is = Json.object();
-        for (String name : NAMES) {
-            is.add(name, lacking.get(name));
+    private static JsonObject requestBody(JsonObject lacking) {
+        JsonObject request = Json.object();
+        for (String name : REQUEST_FIELDS) {
+            request.add(name, lacking.get(name));
         }
-        return is;
+        return request;
     }
 
     /** The same for the same loss, and for no other. */
@@ -142,20 +147,23 @@
         try {
             byte[] digest =
                     MessageDigest.getInstance("SHA-256")
-                            .digest(body(lacking).toString().getBytes(StandardCharsets.UTF_8));
+                            .digest(
+                                    requestBody(lacking)
+                                            .toString()
+                                            .getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, 6);
-        } catch (NoSuchAlgorithmException never) {
-            throw new IllegalStateException(never);
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
         }
     }
 
-    private void show(JsonObject lacking, String seal) {
+    private void print(JsonObject lacking, String seal) {
         if (json) {
             System.out.println(Json.object().add("lacking", lacking).add("seal", seal));
             return;
         }
         JsonArray servers = lacking.get("out_of_reach").asArray();
-        String log = lacking.getString("log_position", "");
+        String logPosition = lacking.getString("log_position", "");
         System.out.println(
                 service
                         + ": no primary; "
@@ -163,7 +171,7 @@
                         + " led last, lacking for "
                         + lacking.getLong("for_ms", 0) / 1_000
                         + " s");
-        System.out.println("  longest log left   " + log);
+        System.out.println("  longest log left   " + logPosition);
         System.out.println(
                 "  acknowledged up to "
                         + lacking.getString("least_acknowledged", "")
@@ -177,7 +185,7 @@
                 "Bringing back a server that has these commits loses nothing. To go on without them, for good:");
         System.out.println(
                 "  a server whose log ends at "
-                        + log
+                        + logPosition
                         + " or later leads; what clients were told of past that is gone");
         System.out.println(
                 "  dillfront system accept-data-loss "
--- a/src/main/java/dillfront/cli/Keys.java
+++ b/src/main/java/dillfront/cli/KeysCommand.java
@@ -32,7 +32,7 @@
         name = "keys",
         description = "Makes and publishes keys that sign tokens, and signs tokens.",
         mixinStandardHelpOptions = true)
-final class Keys implements Runnable {
+final class KeysCommand implements Runnable {
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -43,19 +43,23 @@
     }
 
     /** Beside it and then moved: a router never reads half of it. */
-    private static void replace(Path file, String text) throws IOException {
-        Path half = file.resolveSibling(file.getFileName() + ".new");
-        Files.writeString(half, text);
-        Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    private static void replaceAtomically(Path file, String text) throws IOException {
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        Files.writeString(temporary, text);
+        Files.move(
+                temporary,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static ECKey read(Path file) throws IOException {
+    private static ECKey readSigningKey(Path file) throws IOException {
         try {
             JWK key = JWK.parse(Files.readString(file));
             if (key instanceof ECKey ec && ec.isPrivate()) {
                 return ec;
             }
-        } catch (ParseException bad) {
+        } catch (ParseException e) {
             // Told below, without what the file says: it may be a secret.
         }
         throw new IOException(file + ": no signing key as `dillfront keys new` writes it");
@@ -65,7 +69,7 @@
             name = "new",
             description =
                     "Makes a signing key (ES256): the private one into FILE, which must not be there yet.")
-    int make(
+    int create(
             @Parameters(paramLabel = "FILE") Path file,
             @Option(
                             names = "--id",
@@ -76,7 +80,7 @@
             throws JOSEException {
         ECKey key =
                 new ECKeyGenerator(Curve.P_256).keyID(id).algorithm(JWSAlgorithm.ES256).generate();
-        return Commands.secret(file, key.toJSONString() + "\n");
+        return RootCommand.writeSecret(file, key.toJSONString() + "\n");
     }
 
     @Command(
@@ -94,12 +98,12 @@
         try {
             List<JWK> keys = new ArrayList<>();
             for (Path file : files) {
-                keys.add(read(file).toPublicJWK());
+                keys.add(readSigningKey(file).toPublicJWK());
             }
-            replace(to, new JWKSet(keys).toString() + "\n");
+            replaceAtomically(to, new JWKSet(keys).toString() + "\n");
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
@@ -126,7 +130,7 @@
                     int minutes)
             throws JOSEException {
         try {
-            ECKey key = read(file);
+            ECKey key = readSigningKey(file);
             String id = UUID.randomUUID().toString();
             Instant now = Instant.now();
             SignedJWT jwt =
@@ -145,8 +149,8 @@
             System.out.println(jwt.serialize());
             System.err.println("id " + id);
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 
@@ -158,15 +162,15 @@
             @Parameters(paramLabel = "ID", arity = "1..*") List<String> ids) {
         try {
             String before = Files.exists(list) ? Files.readString(list) : "";
-            replace(
+            replaceAtomically(
                     list,
                     before
                             + (before.isEmpty() || before.endsWith("\n") ? "" : "\n")
                             + String.join("\n", ids)
                             + "\n");
             return 0;
-        } catch (IOException bad) {
-            return Commands.fault(bad.getMessage());
+        } catch (IOException e) {
+            return RootCommand.fail(e.getMessage());
         }
     }
 }
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -4,13 +4,13 @@
 import dillfront.bootstrap.DataPlaneProgram;
 import dillfront.common.config.NodeSettings;
 import dillfront.common.logging.Log;
-import dillfront.common.logging.Silence;
+import dillfront.common.logging.NettyLoggerFactory;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.router.RouterServer;
 import dillfront.router.WarmUpRun;
 import dillfront.router.config.ConfigException;
 import dillfront.router.config.RouterConfig;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.simulator.InvalidInputException;
 import dillfront.routing.simulator.SimulatorServer;
 import java.io.IOException;
@@ -33,21 +33,24 @@
                                 "rehearse-system")
                         .contains(args[0])) {
             // Not for what the platform starts: the library's classes would cost each start.
-            System.exit(Commands.run(args));
+            System.exit(RootCommand.run(args));
         }
         try {
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 RouterServer daemon =
-                        new RouterServer(RouterConfig.read(System.getenv()), Operator.of(System.getenv()), log);
+                        new RouterServer(
+                                RouterConfig.read(System.getenv()),
+                                OperatorConfig.fromEnvironment(System.getenv()),
+                                log);
                 // Before the start: the JVM's own answer to SIGHUP is to end.
                 daemon.registerSignals(() -> RouterConfig.readForReload(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
-                Silence.over(log);
+                NettyLoggerFactory.install(log);
                 WarmUpRun.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
@@ -59,20 +62,20 @@
             } else {
                 new SimulatorServer(System.in, System.out).run();
             }
-        } catch (ConfigException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (ConfigException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (Operator.BadOperator bad) {
-            System.err.println("dillfront: LB_OPERATOR " + bad.getMessage());
+        } catch (OperatorConfig.InvalidOperatorConfigException e) {
+            System.err.println("dillfront: LB_OPERATOR " + e.getMessage());
             System.exit(1);
-        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (NodeSettings.InvalidSettingsException | KeyValueStore.StorageException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (InvalidInputException bad) {
-            System.err.println("dillfront: " + bad.getMessage());
+        } catch (InvalidInputException e) {
+            System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
-        } catch (IOException broken) {
-            System.err.println("dillfront: cannot go on: " + broken.getMessage());
+        } catch (IOException e) {
+            System.err.println("dillfront: cannot go on: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/dillfront/cli/Commands.java
+++ b/src/main/java/dillfront/cli/RootCommand.java
@@ -1,7 +1,7 @@
 package dillfront.cli;
 
 import dillfront.common.network.Address;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.PeerRegistry;
 import java.io.IOException;
@@ -41,17 +41,17 @@
             "  rehearse-system  both of them for a moment, for the build"
         },
         subcommands = {
-            Commands.Check.class,
-            Commands.Peers.class,
-            Commands.Status.class,
-            Commands.Keygen.class,
-            Keys.class,
-            Site.class,
-            WholeSystem.class
+            RootCommand.Check.class,
+            RootCommand.Peers.class,
+            RootCommand.Status.class,
+            RootCommand.Keygen.class,
+            KeysCommand.class,
+            SiteCommand.class,
+            SystemCommand.class
         })
-final class Commands implements Runnable {
+final class RootCommand implements Runnable {
 
-    private static final int PATIENCE_MS = 3000;
+    private static final int REQUEST_TIMEOUT_MS = 3000;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -63,14 +63,14 @@
 
     /** The exit code: 0 where all is well, 1 where it is not, 2 where the command line is wrong. */
     static int run(String... args) {
-        return new CommandLine(new Commands()).execute(args);
+        return new CommandLine(new RootCommand()).execute(args);
     }
 
     /**
      * A file that only its owner reads; one that is there is never overwritten. 0, or 1 once the
      * fault is told.
      */
-    static int secret(Path file, String text) {
+    static int writeSecret(Path file, String text) {
         try {
             Files.createFile(
                     file,
@@ -78,14 +78,14 @@
                             PosixFilePermissions.fromString("rw-------")));
             Files.writeString(file, text, StandardOpenOption.WRITE);
             return 0;
-        } catch (FileAlreadyExistsException there) {
-            return fault(file + ": is there already, and is left as it is");
-        } catch (IOException bad) {
-            return fault(file + ": " + bad.getMessage());
+        } catch (FileAlreadyExistsException e) {
+            return fail(file + ": is there already, and is left as it is");
+        } catch (IOException e) {
+            return fail(file + ": " + e.getMessage());
         }
     }
 
-    static int fault(String text) {
+    static int fail(String text) {
         System.err.println("dillfront: " + text);
         return 1;
     }
@@ -108,10 +108,10 @@
         @Override
         public Integer call() {
             try {
-                Operator operator = Operator.read(file);
+                OperatorConfig operator = OperatorConfig.read(file);
                 if (operator.gossip() != null && name != null) {
-                    operator.gossip().self(name);
-                    operator.gossip().key();
+                    operator.gossip().selfIndex(name);
+                    operator.gossip().privateKey();
                 }
                 System.out.println(
                         file
@@ -124,16 +124,18 @@
                                                 + operator.gossip().tuning().bytesPerSecond()
                                                 + " bytes a second")
                                 + ", control "
-                                + (operator.control() == null ? "off" : operator.control()));
+                                + (operator.controlAddress() == null
+                                        ? "off"
+                                        : operator.controlAddress()));
                 return 0;
-            } catch (Operator.BadOperator bad) {
-                return fault(bad.getMessage());
+            } catch (OperatorConfig.InvalidOperatorConfigException e) {
+                return fail(e.getMessage());
             }
         }
     }
 
     /** Asks a running instance one question. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class ControlSocketQuery implements Callable<Integer> {
 
         @Option(
                 names = "--control",
@@ -142,28 +144,28 @@
                 description = "where it answers, as control() in the operator's file says")
         private String control;
 
-        abstract String question();
+        abstract String query();
 
         @Override
         public Integer call() {
             InetSocketAddress address = Address.parse(control);
             if (address == null) {
-                return fault(
+                return fail(
                         "--control "
                                 + control
                                 + ": expected an address and a port, as 127.0.0.1:9946");
             }
             try (Socket socket = new Socket()) {
-                socket.connect(address, PATIENCE_MS);
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.connect(address, REQUEST_TIMEOUT_MS);
+                socket.setSoTimeout(REQUEST_TIMEOUT_MS);
                 socket.getOutputStream()
-                        .write((question() + "\n").getBytes(StandardCharsets.US_ASCII));
+                        .write((query() + "\n").getBytes(StandardCharsets.US_ASCII));
                 InputStream in = socket.getInputStream();
                 new PrintStream(System.out, true, StandardCharsets.UTF_8)
                         .print(new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 return 0;
-            } catch (IOException none) {
-                return fault("--control " + control + ": " + none.getMessage());
+            } catch (IOException e) {
+                return fail("--control " + control + ": " + e.getMessage());
             }
         }
     }
@@ -171,13 +173,13 @@
     @Command(
             name = "peers",
             description = "What a running instance thinks of its peers, and of nodes by hearsay.")
-    static final class Peers extends Asking {
+    static final class Peers extends ControlSocketQuery {
 
         @Option(names = "--json", description = "as JSON instead of a table")
         private boolean json;
 
         @Override
-        String question() {
+        String query() {
             return json ? "peers json" : "peers";
         }
     }
@@ -186,13 +188,13 @@
             name = "status",
             description =
                     "How far a running instance has come back, and what it remembers for its next life.")
-    static final class Status extends Asking {
+    static final class Status extends ControlSocketQuery {
 
         @Option(names = "--json", description = "as JSON instead of a line a section")
         private boolean json;
 
         @Override
-        String question() {
+        String query() {
             return json ? "status json" : "status";
         }
     }
@@ -210,11 +212,11 @@
         @Override
         public Integer call() throws GeneralSecurityException {
             KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
-            int made = secret(file, KeyFile.text(pair.getPrivate()));
-            if (made == 0) {
+            int exitCode = writeSecret(file, KeyFile.text(pair.getPrivate()));
+            if (exitCode == 0) {
                 System.out.println(HexFormat.of().formatHex(PeerRegistry.rawKey(pair.getPublic())));
             }
-            return made;
+            return exitCode;
         }
     }
 }
--- a/src/main/java/dillfront/cli/Site.java
+++ b/src/main/java/dillfront/cli/SiteCommand.java
@@ -30,8 +30,8 @@
         name = "site",
         description = "Plans for the loss of sites.",
         mixinStandardHelpOptions = true,
-        subcommands = Site.Plans.class)
-final class Site implements Runnable {
+        subcommands = SiteCommand.PlanCommand.class)
+final class SiteCommand implements Runnable {
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -50,7 +50,7 @@
                 "Example:",
                 "  dillfront site plan config.json --use 0.7 --mix view=0.6,move=0.4 --lost north"
             })
-    static final class Plans implements Callable<Integer> {
+    static final class PlanCommand implements Callable<Integer> {
 
         @Parameters(
                 paramLabel = "CONFIG",
@@ -63,7 +63,7 @@
                 defaultValue = "0.7",
                 description =
                         "what is asked, as a part of what all nodes can do (${DEFAULT-VALUE})")
-        private double use;
+        private double utilization;
 
         @Option(
                 names = "--mix",
@@ -71,45 +71,46 @@
                 split = ",",
                 description =
                         "the share of each txn type in the work; all the same where none is given")
-        private Map<String, Double> mix = new TreeMap<>();
+        private Map<String, Double> typeShares = new TreeMap<>();
 
         @Option(
                 names = "--lost",
                 paramLabel = "SITE",
                 split = ",",
                 description = "for the loss of these sites alone")
-        private List<String> lost = List.of();
+        private List<String> lostSites = List.of();
 
         @Option(names = "--json", description = "as JSON instead of a table")
         private boolean json;
 
         @Override
         public Integer call() {
-            double shares = mix.values().stream().mapToDouble(Double::doubleValue).sum();
-            if (use <= 0
-                    || !mix.isEmpty() && Math.abs(shares - 1) > 0.001
-                    || mix.values().stream().anyMatch(s -> s < 0)) {
-                return Commands.fault(
-                        use <= 0
-                                ? "--use " + use + ": expected more than 0"
+            double sumOfShares =
+                    typeShares.values().stream().mapToDouble(Double::doubleValue).sum();
+            if (utilization <= 0
+                    || !typeShares.isEmpty() && Math.abs(sumOfShares - 1) > 0.001
+                    || typeShares.values().stream().anyMatch(s -> s < 0)) {
+                return RootCommand.fail(
+                        utilization <= 0
+                                ? "--use " + utilization + ": expected more than 0"
                                 : "--mix: shares are "
-                                        + shares
+                                        + sumOfShares
                                         + " in all, expected 1 and none below 0");
             }
             PlannerInput estate;
             try (InputStream in = Files.newInputStream(file)) {
-                estate = PlannerInputReader.read(JsonObject.parse(in), use, mix);
-            } catch (NoSuchFileException none) {
-                return Commands.fault(file + ": no such file");
-            } catch (IOException | ConfigException bad) {
-                return Commands.fault(
+                estate = PlannerInputReader.read(JsonObject.parse(in), utilization, typeShares);
+            } catch (NoSuchFileException e) {
+                return RootCommand.fail(file + ": no such file");
+            } catch (IOException | ConfigException e) {
+                return RootCommand.fail(
                         file
                                 + ": "
-                                + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                                + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             }
-            for (String site : lost) {
+            for (String site : lostSites) {
                 if (!estate.sites().contains(site)) {
-                    return Commands.fault(
+                    return RootCommand.fail(
                             "--lost "
                                     + site
                                     + ": no such site; there are "
@@ -117,15 +118,15 @@
                 }
             }
             List<LoadPlan> plans =
-                    lost.isEmpty()
+                    lostSites.isEmpty()
                             ? LoadPlanner.allPlans(estate)
-                            : List.of(LoadPlanner.plan(estate, new TreeSet<>(lost)));
+                            : List.of(LoadPlanner.plan(estate, new TreeSet<>(lostSites)));
             System.out.print(json ? json(estate, plans) : table(estate, plans));
             return 0;
         }
     }
 
-    private static String name(LoadPlan plan) {
+    private static String labelOf(LoadPlan plan) {
         return plan.lost().isEmpty() ? "none" : String.join("+", plan.lost());
     }
 
@@ -147,17 +148,17 @@
                             .sum();
             Map<Double, List<String>> refused = new TreeMap<>((a, b) -> Double.compare(b, a));
             for (PlannerInput.TransactionType kind : estate.transactionTypes()) {
-                double part = plan.refusedPart(kind.name());
-                if (part > 0.0005) {
-                    refused.computeIfAbsent(part, k -> new java.util.ArrayList<>())
-                            .add(String.format(Locale.ROOT, "%s %.1f%%", kind.name(), part * 100));
+                double share = plan.refusedPart(kind.name());
+                if (share > 0.0005) {
+                    refused.computeIfAbsent(share, k -> new java.util.ArrayList<>())
+                            .add(String.format(Locale.ROOT, "%s %.1f%%", kind.name(), share * 100));
                 }
             }
             out.append(
                     String.format(
                             Locale.ROOT,
                             "%-24s %5.1f%% %6.1f%%  %s%n",
-                            name(plan),
+                            labelOf(plan),
                             100 * plan.served() / plan.requested(),
                             100 * crosses / plan.requested(),
                             refused.isEmpty()
@@ -170,7 +171,7 @@
         }
         for (LoadPlan plan : plans) {
             for (LoadPlan.Group group : plan.groups()) {
-                List<String> binds =
+                List<String> limits =
                         group.loads().stream()
                                 .filter(r -> r.limit() != LoadPlan.Limit.NONE)
                                 .map(
@@ -179,15 +180,15 @@
                                                         Locale.ROOT,
                                                         "%s: %s, %.1f%% refused",
                                                         r.type(),
-                                                        word(r.limit()),
+                                                        describe(r.limit()),
                                                         100 * (1 - r.served() / r.requested())))
                                 .toList();
-                if (group.needsElection() || !binds.isEmpty()) {
+                if (group.needsElection() || !limits.isEmpty()) {
                     out.append(
                             String.format(
                                     Locale.ROOT,
                                     "%n%s, group %d: %d of %d members left, %s",
-                                    name(plan),
+                                    labelOf(plan),
                                     group.number(),
                                     group.left(),
                                     group.members(),
@@ -198,14 +199,14 @@
                                                             + group.primary()
                                                             + ")"
                                                     : group.primary() + " leads"));
-                    binds.forEach(b -> out.append("\n  ").append(b));
+                    limits.forEach(b -> out.append("\n  ").append(b));
                 }
             }
         }
         return out.append('\n').toString().replace("\n\n\n", "\n\n");
     }
 
-    private static String word(LoadPlan.Limit limit) {
+    private static String describe(LoadPlan.Limit limit) {
         return switch (limit) {
             case NO_MEMBER -> "no member is left";
             case PRIMARY -> "the primary is full";
@@ -215,7 +216,7 @@
     }
 
     /** To a millionth: what is behind that is the solver's rounding. */
-    private static double micro(double amount) {
+    private static double roundToMillionth(double amount) {
         return Math.round(amount * 1e6) / 1e6;
     }
 
@@ -232,8 +233,8 @@
                     out.writeString(site);
                 }
                 out.writeEndArray();
-                out.writeNumberField("asked", micro(plan.requested()));
-                out.writeNumberField("served", micro(plan.served()));
+                out.writeNumberField("asked", roundToMillionth(plan.requested()));
+                out.writeNumberField("served", roundToMillionth(plan.served()));
                 out.writeArrayFieldStart("groups");
                 for (LoadPlan.Group group : plan.groups()) {
                     out.writeStartObject();
@@ -246,9 +247,9 @@
                     for (LoadPlan.TypeLoad row : group.loads()) {
                         out.writeStartObject();
                         out.writeStringField("kind", row.type());
-                        out.writeNumberField("asked", micro(row.requested()));
-                        out.writeNumberField("served", micro(row.served()));
-                        out.writeNumberField("crosses", micro(row.crossSite()));
+                        out.writeNumberField("asked", roundToMillionth(row.requested()));
+                        out.writeNumberField("served", roundToMillionth(row.served()));
+                        out.writeNumberField("crosses", roundToMillionth(row.crossSite()));
                         out.writeStringField("limit", row.limit().name().toLowerCase(Locale.ROOT));
                         out.writeArrayFieldStart("flows");
                         for (LoadPlan.Flow flow : row.flows()) {
@@ -256,7 +257,7 @@
                             out.writeStringField("from", flow.fromSite());
                             out.writeStringField("node", flow.node());
                             out.writeStringField("at", flow.at());
-                            out.writeNumberField("amount", micro(flow.amount()));
+                            out.writeNumberField("amount", roundToMillionth(flow.amount()));
                             out.writeEndObject();
                         }
                         out.writeEndArray();
@@ -270,8 +271,8 @@
             }
             out.writeEndArray();
             out.writeEndObject();
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
         return text.append('\n').toString();
     }
--- a/src/main/java/dillfront/cli/WholeSystem.java
+++ b/src/main/java/dillfront/cli/SystemCommand.java
@@ -27,14 +27,14 @@
         mixinStandardHelpOptions = true,
         description = "Checks and asks the two programs of the whole system.",
         subcommands = {
-            WholeSystem.CheckSettings.class,
-            WholeSystem.CheckConfiguration.class,
-            WholeSystem.Asks.class,
-            AcceptDataLoss.class
+            SystemCommand.CheckSettings.class,
+            SystemCommand.CheckConfiguration.class,
+            SystemCommand.ShowStatus.class,
+            AcceptDataLossCommand.class
         })
-final class WholeSystem implements Runnable {
+final class SystemCommand implements Runnable {
 
-    private static final int PATIENCE_MS = 3_000;
+    private static final int REQUEST_TIMEOUT_MS = 3_000;
 
     @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
 
@@ -56,24 +56,24 @@
         @Override
         public Integer call() {
             try {
-                NodeSettings is = NodeSettings.read(file);
+                NodeSettings settings = NodeSettings.read(file);
                 System.out.println(
                         file
                                 + ": "
-                                + is.nodeName()
+                                + settings.nodeName()
                                 + " in "
-                                + is.zoneName()
+                                + settings.zoneName()
                                 + ", "
-                                + (is.frontAddress() != null
-                                        ? "front " + is.frontAddress()
-                                        : is.controlAddress() != null
-                                                ? "control " + is.controlAddress()
+                                + (settings.frontAddress() != null
+                                        ? "front " + settings.frontAddress()
+                                        : settings.controlAddress() != null
+                                                ? "control " + settings.controlAddress()
                                                 : "serves nothing")
                                 + ", seeds "
-                                + is.seedAddresses());
+                                + settings.seedAddresses());
                 return 0;
-            } catch (NodeSettings.InvalidSettingsException bad) {
-                return Commands.fault(bad.getMessage());
+            } catch (NodeSettings.InvalidSettingsException e) {
+                return RootCommand.fail(e.getMessage());
             }
         }
     }
@@ -90,21 +90,21 @@
         @Override
         public Integer call() {
             try {
-                Configuration is = Configuration.parse(Files.readAllBytes(file));
+                Configuration configuration = Configuration.parse(Files.readAllBytes(file));
                 System.out.println(
                         file
                                 + ": version "
-                                + is.revision()
+                                + configuration.revision()
                                 + ", "
-                                + is.routeCount()
+                                + configuration.routeCount()
                                 + " routes, "
-                                + is.services().size()
+                                + configuration.services().size()
                                 + " services");
                 return 0;
-            } catch (Configuration.InvalidConfigurationException bad) {
-                return Commands.fault(file + ": " + bad.getMessage());
-            } catch (IOException bad) {
-                return Commands.fault(file + ": cannot be read: " + bad.getMessage());
+            } catch (Configuration.InvalidConfigurationException e) {
+                return RootCommand.fail(file + ": " + e.getMessage());
+            } catch (IOException e) {
+                return RootCommand.fail(file + ": cannot be read: " + e.getMessage());
             }
         }
     }
@@ -114,7 +114,7 @@
             name = "status",
             description = "Asks a data plane or a control plane what it holds.",
             footer = "Example: dillfront system status 10.1.0.8:8785")
-    static final class Asks implements Callable<Integer> {
+    static final class ShowStatus implements Callable<Integer> {
         @Parameters(description = "its readiness_address or control_address, as IP:PORT")
         private String address;
 
@@ -124,11 +124,12 @@
         @Override
         public Integer call() {
             try {
-                Answer is = ask(address, "/status", null);
-                if (is.status() != 200) {
-                    return Commands.fault(address + ": " + is.status() + " " + is.text());
+                Response response = request(address, "/status", null);
+                if (response.status() != 200) {
+                    return RootCommand.fail(
+                            address + ": " + response.status() + " " + response.body());
                 }
-                String text = is.text();
+                String text = response.body();
                 System.out.println(
                         json
                                 ? text
@@ -137,16 +138,16 @@
                                         .getString("status", "")
                                         .replace(" | ", "\n"));
                 return 0;
-            } catch (ParseException | UnsupportedOperationException bad) {
-                return Commands.fault(address + ": " + bad.getMessage());
-            } catch (IOException none) {
-                return Commands.fault("no answer from " + address + ": " + none.getMessage());
+            } catch (ParseException | UnsupportedOperationException e) {
+                return RootCommand.fail(address + ": " + e.getMessage());
+            } catch (IOException e) {
+                return RootCommand.fail("no answer from " + address + ": " + e.getMessage());
             }
         }
     }
 
     /** What was answered. */
-    record Answer(int status, String text) {}
+    record Response(int status, String body) {}
 
     /**
      * Asks a process.
@@ -154,31 +155,37 @@
      * @param address IP:PORT
      * @param body of a POST; null for a GET
      */
-    static Answer ask(String address, String path, String body) throws IOException {
-        InetSocketAddress to = Address.parse(address);
-        if (to == null) {
+    static Response request(String address, String path, String body) throws IOException {
+        InetSocketAddress target = Address.parse(address);
+        if (target == null) {
             throw new IOException("no IP:PORT");
         }
-        HttpURLConnection asked =
+        HttpURLConnection connection =
                 (HttpURLConnection)
-                        URI.create("http://" + to.getHostString() + ":" + to.getPort() + path)
+                        URI.create(
+                                        "http://"
+                                                + target.getHostString()
+                                                + ":"
+                                                + target.getPort()
+                                                + path)
                                 .toURL()
                                 .openConnection();
         try {
-            asked.setConnectTimeout(PATIENCE_MS);
-            asked.setReadTimeout(PATIENCE_MS);
+            connection.setConnectTimeout(REQUEST_TIMEOUT_MS);
+            connection.setReadTimeout(REQUEST_TIMEOUT_MS);
             if (body != null) {
-                asked.setDoOutput(true);
-                asked.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
+                connection.setDoOutput(true);
+                connection.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
             }
-            int status = asked.getResponseCode();
-            try (InputStream in = status < 400 ? asked.getInputStream() : asked.getErrorStream()) {
-                return new Answer(
+            int status = connection.getResponseCode();
+            try (InputStream in =
+                    status < 400 ? connection.getInputStream() : connection.getErrorStream()) {
+                return new Response(
                         status,
                         in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
             }
         } finally {
-            asked.disconnect();
+            connection.disconnect();
         }
     }
 }
--- a/src/main/java/dillfront/common/config/Configuration.java
+++ b/src/main/java/dillfront/common/config/Configuration.java
@@ -11,8 +11,8 @@
 
         private static final long serialVersionUID = 1;
 
-        InvalidConfigurationException(String fault) {
-            super(fault);
+        InvalidConfigurationException(String message) {
+            super(message);
         }
     }
 
--- a/src/main/java/dillfront/common/config/ConfigurationParser.java
+++ b/src/main/java/dillfront/common/config/ConfigurationParser.java
@@ -25,12 +25,12 @@
     static final long DEFAULT_TRANSACTION_IDLE_MS = 3_000;
 
     /** Whole numbers above this are not exact as floating point. */
-    private static final long MAX_EXACT = 1L << 52;
+    private static final long MAX_EXACT_DOUBLE = 1L << 52;
 
     private final byte[] body;
     private final Map<String, Service> services = new HashMap<>();
     private final Map<String, Route> routes = new HashMap<>();
-    private final Set<String> routePlaces = new HashSet<>();
+    private final Set<String> routeKeys = new HashSet<>();
     private final Set<String> routeNames = new HashSet<>();
 
     ConfigurationParser(byte[] body) {
@@ -38,38 +38,38 @@
     }
 
     Configuration parse() throws InvalidConfigurationException {
-        JsonObject all = parseJson();
-        long revision = number(all, "", "revision_number", 0, Long.MAX_VALUE, null);
+        JsonObject root = parseJson();
+        long revision = number(root, "", "revision_number", 0, Long.MAX_VALUE, null);
         int index = 0;
-        for (JsonValue element : array(all, "services")) {
+        for (JsonValue element : array(root, "services")) {
             parseService(element, "services[" + index++ + "]");
         }
         index = 0;
-        for (JsonValue element : array(all, "routes")) {
+        for (JsonValue element : array(root, "routes")) {
             parseRoute(element, "routes[" + index++ + "]");
         }
-        return new Configuration(revision, body, routes, services, transactionIdle(all));
+        return new Configuration(revision, body, routes, services, transactionIdle(root));
     }
 
     private JsonObject parseJson() throws InvalidConfigurationException {
         String text;
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
-        } catch (CharacterCodingException bad) {
+        } catch (CharacterCodingException e) {
             throw new InvalidConfigurationException("the body is not UTF-8");
         }
         try {
             return Json.parse(text).asObject();
-        } catch (ParseException bad) {
+        } catch (ParseException e) {
             throw new InvalidConfigurationException(
                     "line "
-                            + bad.getLocation().line
+                            + e.getLocation().line
                             + ", column "
-                            + bad.getLocation().column
+                            + e.getLocation().column
                             + ": no whole JSON");
-        } catch (UnsupportedOperationException bad) {
+        } catch (UnsupportedOperationException e) {
             throw new InvalidConfigurationException("the body is no object");
-        } catch (StackOverflowError bad) {
+        } catch (StackOverflowError e) {
             throw new InvalidConfigurationException("the body is nested too deep");
         }
     }
@@ -115,7 +115,7 @@
             throw new InvalidConfigurationException(
                     place + ".service: no service is named '" + route.service() + "'");
         }
-        if (!routePlaces.add(route.database() + " " + prefix)) {
+        if (!routeKeys.add(route.database() + " " + prefix)) {
             throw new InvalidConfigurationException(
                     place
                             + ": a second route for host '"
@@ -143,8 +143,8 @@
         };
     }
 
-    private static long transactionIdle(JsonObject all) throws InvalidConfigurationException {
-        JsonValue limits = all.get("limits");
+    private static long transactionIdle(JsonObject root) throws InvalidConfigurationException {
+        JsonValue limits = root.get("limits");
         return limits == null
                 ? DEFAULT_TRANSACTION_IDLE_MS
                 : number(
@@ -185,25 +185,25 @@
     }
 
     /**
-     * @param otherwise stands for a field that is not there; null where it has to be
+     * @param defaultValue stands for a field that is not there; null where it has to be
      */
     private static long number(
-            JsonObject in, String place, String name, long min, long max, Long otherwise)
+            JsonObject in, String place, String name, long min, long max, Long defaultValue)
             throws InvalidConfigurationException {
         JsonValue value = in.get(name);
-        if (value == null && otherwise != null) {
-            return otherwise;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
-        String where = place.isEmpty() ? name : place + "." + name;
+        String field = place.isEmpty() ? name : place + "." + name;
         try {
             double number = value == null || !value.isNumber() ? Double.NaN : value.asDouble();
             if (!(number >= min && number <= max) || number != Math.rint(number)) {
                 throw new InvalidConfigurationException(
-                        where + ": " + value + " is no whole number from " + min + " to " + max);
+                        field + ": " + value + " is no whole number from " + min + " to " + max);
             }
-            return number > MAX_EXACT ? Long.parseLong(value.toString()) : (long) number;
-        } catch (NumberFormatException bad) {
-            throw new InvalidConfigurationException(where + ": " + value + " is no number");
+            return number > MAX_EXACT_DOUBLE ? Long.parseLong(value.toString()) : (long) number;
+        } catch (NumberFormatException e) {
+            throw new InvalidConfigurationException(field + ": " + value + " is no number");
         }
     }
 }
--- a/src/main/java/dillfront/common/config/NodeSettings.java
+++ b/src/main/java/dillfront/common/config/NodeSettings.java
@@ -49,12 +49,12 @@
     public static final class InvalidSettingsException extends Exception {
         private static final long serialVersionUID = 1;
 
-        public InvalidSettingsException(String fault) {
-            super(fault);
+        public InvalidSettingsException(String message) {
+            super(message);
         }
     }
 
-    public static final String VARIABLE = "DILLFRONT_SETTINGS";
+    public static final String PATH_VARIABLE = "DILLFRONT_SETTINGS";
     private static final String DEFAULT_PATH = "/etc/dillfront/node.json";
 
     /**
@@ -62,29 +62,29 @@
      */
     public static NodeSettings fromEnvironment(java.util.Map<String, String> variables)
             throws InvalidSettingsException {
-        return read(Path.of(variables.getOrDefault(VARIABLE, DEFAULT_PATH)));
+        return read(Path.of(variables.getOrDefault(PATH_VARIABLE, DEFAULT_PATH)));
     }
 
     /**
      * @throws Bad with the file, the place and the fault
      */
     public static NodeSettings read(Path file) throws InvalidSettingsException {
-        JsonObject all;
+        JsonObject root;
         try {
-            all = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
-        } catch (IOException | UnsupportedOperationException bad) {
-            throw new InvalidSettingsException(file + ": " + bad);
-        } catch (ParseException bad) {
+            root = Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject();
+        } catch (IOException | UnsupportedOperationException e) {
+            throw new InvalidSettingsException(file + ": " + e);
+        } catch (ParseException e) {
             throw new InvalidSettingsException(
-                    file + ", line " + bad.getLocation().line + ": " + bad.getMessage());
+                    file + ", line " + e.getLocation().line + ": " + e.getMessage());
         }
         try {
-            JsonObject listen = object(all, "listen_addresses");
-            JsonObject bounds = object(all, "bounds");
+            JsonObject listen = object(root, "listen_addresses");
+            JsonObject bounds = object(root, "bounds");
             java.util.Map<String, String> regions = new java.util.HashMap<>();
-            object(all, "zones")
+            object(root, "zones")
                     .forEach(member -> regions.put(member.getName(), member.getValue().asString()));
-            JsonValue ports = all.get("internal_port_range");
+            JsonValue ports = root.get("internal_port_range");
             if (ports == null
                     || !ports.isArray()
                     || ports.asArray().isEmpty()
@@ -92,39 +92,39 @@
                 throw new InvalidSettingsException("internal_port_range: no list of ports");
             }
             List<String> seeds = new ArrayList<>();
-            if (all.get("seed_addresses") != null) {
-                for (JsonValue one : all.get("seed_addresses").asArray()) {
-                    seeds.add(address(one.asString(), "seed_addresses"));
+            if (root.get("seed_addresses") != null) {
+                for (JsonValue seed : root.get("seed_addresses").asArray()) {
+                    seeds.add(address(seed.asString(), "seed_addresses"));
                 }
             }
-            JsonValue platform = all.get("cloud_api");
+            JsonValue platform = root.get("cloud_api");
             return new NodeSettings(
-                    requiredText(all, "node_name"),
-                    requiredText(all, "zone_name"),
-                    all.getString("region", ""),
+                    requiredText(root, "node_name"),
+                    requiredText(root, "zone_name"),
+                    root.getString("region", ""),
                     regions,
-                    requiredText(all, "ip_address"),
+                    requiredText(root, "ip_address"),
                     optionalText(listen, "front_address"),
                     optionalText(listen, "readiness_address"),
                     optionalText(listen, "control_address"),
                     ports.asArray().get(0).asInt(),
                     List.copyOf(seeds),
-                    all.getBoolean("first_start", false),
-                    optionalText(all, "data_directory"),
-                    all.get("tolerated_losses") == null
+                    root.getBoolean("first_start", false),
+                    optionalText(root, "data_directory"),
+                    root.get("tolerated_losses") == null
                             ? 0
-                            : Math.max(0, object(all, "tolerated_losses").getInt("machines", 0)),
-                    number(all, "heartbeat_interval_ms", 1_200),
+                            : Math.max(0, object(root, "tolerated_losses").getInt("machines", 0)),
+                    number(root, "heartbeat_interval_ms", 1_200),
                     drainMillis(bounds),
                     Math.round(bounds.getDouble("grace_period_s", 6) * 1_000),
                     platform == null || platform.isNull()
                             ? null
                             : optionalText(platform.asObject(), "address"));
-        } catch (InvalidSettingsException bad) {
-            throw new InvalidSettingsException(file + ": " + bad.getMessage());
-        } catch (UnsupportedOperationException | NumberFormatException bad) {
+        } catch (InvalidSettingsException e) {
+            throw new InvalidSettingsException(file + ": " + e.getMessage());
+        } catch (UnsupportedOperationException | NumberFormatException e) {
             throw new InvalidSettingsException(
-                    file + ": a field of another kind: " + bad.getMessage());
+                    file + ": a field of another kind: " + e.getMessage());
         }
     }
 
@@ -135,47 +135,47 @@
     }
 
     private static JsonObject object(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || !is.isObject()) {
+        JsonValue value = in.get(name);
+        if (value == null || !value.isObject()) {
             throw new InvalidSettingsException(name + ": no object");
         }
-        return is.asObject();
+        return value.asObject();
     }
 
     private static String requiredText(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || !is.isString() || is.asString().isEmpty()) {
+        JsonValue value = in.get(name);
+        if (value == null || !value.isString() || value.asString().isEmpty()) {
             throw new InvalidSettingsException(name + ": no text");
         }
-        return is.asString();
+        return value.asString();
     }
 
     private static String optionalText(JsonObject in, String name) throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null || is.isNull()) {
+        JsonValue value = in.get(name);
+        if (value == null || value.isNull()) {
             return null;
         }
         String text = requiredText(in, name);
         return name.endsWith("address") ? address(text, name) : text;
     }
 
-    private static String address(String text, String place) throws InvalidSettingsException {
+    private static String address(String text, String field) throws InvalidSettingsException {
         if (Address.parse(text) == null) {
-            throw new InvalidSettingsException(place + ": '" + text + "' is no IP:PORT");
+            throw new InvalidSettingsException(field + ": '" + text + "' is no IP:PORT");
         }
         return text;
     }
 
-    private static long number(JsonObject in, String name, long otherwise)
+    private static long number(JsonObject in, String name, long defaultValue)
             throws InvalidSettingsException {
-        JsonValue is = in.get(name);
-        if (is == null) {
-            return otherwise;
+        JsonValue value = in.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (!is.isNumber() || !(is.asDouble() > 0 && is.asDouble() < 1e9)) {
-            throw new InvalidSettingsException(name + ": " + is + " is no number above 0");
+        if (!value.isNumber() || !(value.asDouble() > 0 && value.asDouble() < 1e9)) {
+            throw new InvalidSettingsException(name + ": " + value + " is no number above 0");
         }
-        return Math.round(is.asDouble());
+        return Math.round(value.asDouble());
     }
 
     /** Where the machine of this address hears the system's own processes. */
--- a/src/main/java/dillfront/common/environment/HttpPost.java
+++ b/src/main/java/dillfront/common/environment/HttpPost.java
@@ -116,8 +116,8 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object in) {
-        FullHttpResponse message = (FullHttpResponse) in;
+    public void channelRead(ChannelHandlerContext ctx, Object received) {
+        FullHttpResponse message = (FullHttpResponse) received;
         try {
             if (message.decoderResult().isFailure()) {
                 fail("no whole answer");
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -63,10 +63,10 @@
     /** After a call that is the last one, or no HTTP: whatever follows is no call. */
     private boolean lastRequest;
 
-    HttpServerHandler(Environment host, HttpEndpoint calls, long longestMs) {
-        this.environment = host;
-        this.endpoint = calls;
-        this.timeoutMillis = longestMs;
+    HttpServerHandler(Environment environment, HttpEndpoint endpoint, long timeoutMillis) {
+        this.environment = environment;
+        this.endpoint = endpoint;
+        this.timeoutMillis = timeoutMillis;
     }
 
     /** One call's turn to be answered: once, and not after the connection is over. */
@@ -86,11 +86,11 @@
                                                     503, "no answer in " + timeoutMillis + " ms")));
         }
 
-        void respond(Environment.HttpResponse is) {
+        void respond(Environment.HttpResponse response) {
             if (current == this) {
                 timeout.cancel();
                 current = null;
-                write(is, last);
+                write(response, last);
             }
         }
     }
@@ -107,8 +107,8 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-        pendingParts.add((HttpObject) in);
+    public void channelRead(ChannelHandlerContext context, Object received) {
+        pendingParts.add((HttpObject) received);
         readNext();
     }
 
@@ -162,77 +162,80 @@
     private void startRequest(HttpRequest request) {
         currentRequest = request;
         body = Unpooled.buffer(256);
-        String expected = request.headers().get("Expect");
-        boolean large = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
-        if (expected != null && (large || !expected.equalsIgnoreCase("100-continue"))) {
+        String expectation = request.headers().get("Expect");
+        boolean tooLarge = HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES;
+        if (expectation != null && (tooLarge || !expectation.equalsIgnoreCase("100-continue"))) {
             // Whether its body comes all the same, nobody can say: what follows is not read as
             // calls.
-            refuse(large ? 413 : 417, "not expected", true);
-        } else if (large) {
+            refuse(tooLarge ? 413 : 417, "not expected", true);
+        } else if (tooLarge) {
             refuse(
                     413,
                     "a body of more than " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
-        } else if (expected != null) {
+        } else if (expectation != null) {
             // Not through the codec, which would take it for the answer.
             ctx.pipeline().context("codec").writeAndFlush(Unpooled.wrappedBuffer(CONTINUE));
         }
     }
 
     /** The rest of its body, if any, is passed over. */
-    private void refuse(int status, String why, boolean last) {
+    private void refuse(int status, String message, boolean last) {
         currentRequest = null;
         body = null;
         lastRequest = last;
-        new Exchange(last).respond(errorResponse(status, why));
+        new Exchange(last).respond(errorResponse(status, message));
     }
 
     private void dispatch() {
         HttpRequest request = currentRequest;
         currentRequest = null;
         lastRequest = !HttpUtil.isKeepAlive(request);
-        Exchange its = new Exchange(lastRequest);
-        byte[] all = new byte[body.readableBytes()];
-        body.readBytes(all);
+        Exchange exchange = new Exchange(lastRequest);
+        byte[] content = new byte[body.readableBytes()];
+        body.readBytes(content);
         body = null;
         String uri = request.uri();
-        int query = uri.indexOf('?');
+        int queryStart = uri.indexOf('?');
         try {
-            endpoint.call(request.method().name(), query < 0 ? uri : uri.substring(0, query), all)
+            endpoint.call(
+                            request.method().name(),
+                            queryStart < 0 ? uri : uri.substring(0, queryStart),
+                            content)
                     .whenComplete(
-                            (is, fault) ->
-                                    its.respond(
-                                            fault != null
+                            (response, error) ->
+                                    exchange.respond(
+                                            error != null
                                                     ? errorResponse(
-                                                            503, String.valueOf(fault.getMessage()))
-                                                    : is == null || is.body() == null
+                                                            503, String.valueOf(error.getMessage()))
+                                                    : response == null || response.body() == null
                                                             ? errorResponse(500, "no answer")
-                                                            : is));
-        } catch (RuntimeException | StackOverflowError fault) {
+                                                            : response));
+        } catch (RuntimeException | StackOverflowError error) {
             // This call alone pays for it, not those beside it on the connection.
-            reportFault(fault);
-            its.respond(errorResponse(500, "fault in " + request.method().name()));
+            reportError(error);
+            exchange.respond(errorResponse(500, "fault in " + request.method().name()));
         }
     }
 
-    private void write(Environment.HttpResponse is, boolean last) {
+    private void write(Environment.HttpResponse response, boolean last) {
         DefaultFullHttpResponse out =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.valueOf(is.status()),
-                        Unpooled.wrappedBuffer(is.body()));
+                        HttpResponseStatus.valueOf(response.status()),
+                        Unpooled.wrappedBuffer(response.body()));
         out.headers()
                 .set("Content-Type", "application/json")
-                .set("Content-Length", is.body().length);
-        if (is.location() != null) {
-            out.headers().set("Location", is.location());
+                .set("Content-Length", response.body().length);
+        if (response.location() != null) {
+            out.headers().set("Location", response.location());
         }
         if (last) {
             out.headers().set("Connection", "close");
         }
-        var sent = ctx.writeAndFlush(out);
+        var written = ctx.writeAndFlush(out);
         if (last) {
-            sent.addListener(ChannelFutureListener.CLOSE);
+            written.addListener(ChannelFutureListener.CLOSE);
         }
         if (!pendingParts.isEmpty()) {
             // Not at once: an answer may come while the next call is being read.
@@ -252,11 +255,11 @@
     }
 
     /** An answer that says what was wrong. */
-    public static Environment.HttpResponse errorResponse(int status, String fault) {
+    public static Environment.HttpResponse errorResponse(int status, String message) {
         return new Environment.HttpResponse(
                 status,
                 com.eclipsesource.json.Json.object()
-                        .add("error_message", fault)
+                        .add("error_message", message)
                         .toString()
                         .getBytes(StandardCharsets.UTF_8));
     }
@@ -272,18 +275,18 @@
         pendingParts.clear();
     }
 
-    private void reportFault(Throwable fault) {
+    private void reportError(Throwable error) {
         environment.warn(
                 "fault on a call: "
-                        + fault
+                        + error
                         + " at "
-                        + (fault.getStackTrace().length == 0 ? "-" : fault.getStackTrace()[0]));
+                        + (error.getStackTrace().length == 0 ? "-" : error.getStackTrace()[0]));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof java.io.IOException)) {
-            reportFault(cause);
+            reportError(cause);
         }
         ctx.close();
     }
--- a/src/main/java/dillfront/common/environment/NettyEnvironment.java
+++ b/src/main/java/dillfront/common/environment/NettyEnvironment.java
@@ -53,8 +53,8 @@
         this(seed, new RingLog(System.err, "dillfront"));
     }
 
-    public NettyEnvironment(long seed, RingLog ring) {
-        this.eventLog = ring;
+    public NettyEnvironment(long seed, RingLog eventLog) {
+        this.eventLog = eventLog;
         random = new SplittableRandom(seed);
     }
 
@@ -68,8 +68,8 @@
     }
 
     @Override
-    public Timer schedule(long ms, Runnable run) {
-        Future<?> timer = eventLoop.schedule(run, Math.max(0, ms), TimeUnit.MILLISECONDS);
+    public Timer schedule(long delayMillis, Runnable task) {
+        Future<?> timer = eventLoop.schedule(task, Math.max(0, delayMillis), TimeUnit.MILLISECONDS);
         return () -> timer.cancel(false);
     }
 
@@ -89,9 +89,9 @@
     }
 
     static InetSocketAddress address(String text) {
-        InetSocketAddress is = Address.parse(text);
+        InetSocketAddress parsed = Address.parse(text);
         // Connecting there is refused, as at a machine that is down.
-        return is == null ? UNREACHABLE : is;
+        return parsed == null ? UNREACHABLE : parsed;
     }
 
     /** One connection. */
@@ -103,14 +103,14 @@
         private boolean open;
         private boolean closed;
 
-        NettyConnection(Framing form, ConnectionListener listener) {
-            this.framing = form;
+        NettyConnection(Framing framing, ConnectionListener listener) {
+            this.framing = framing;
             this.listener = listener;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            ByteToMessageDecoder cutter =
+            ByteToMessageDecoder decoder =
                     framing == Framing.LINES
                             ? new DelimiterBasedFrameDecoder(
                                     MAX_LINE_BYTES,
@@ -118,7 +118,7 @@
                                     true,
                                     Unpooled.wrappedBuffer(new byte[] {13, 10}))
                             : new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4, true);
-            ctx.pipeline().addBefore(ctx.name(), "cut", cutter);
+            ctx.pipeline().addBefore(ctx.name(), "cut", decoder);
         }
 
         @Override
@@ -131,8 +131,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object in) {
-            ByteBuf bytes = (ByteBuf) in;
+        public void channelRead(ChannelHandlerContext ctx, Object received) {
+            ByteBuf bytes = (ByteBuf) received;
             byte[] message = new byte[bytes.readableBytes()];
             bytes.readBytes(message);
             bytes.release();
@@ -155,10 +155,10 @@
             ctx.close();
         }
 
-        void closeWith(String why) {
+        void closeWith(String reason) {
             if (!closed) {
                 closed = true;
-                listener.onClose(why);
+                listener.onClose(reason);
             }
         }
 
@@ -194,18 +194,20 @@
     }
 
     @Override
-    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
-        NettyConnection line = new NettyConnection(form, ear);
-        ChannelFuture opening = Sockets.connect(eventLoop, address(address), line, timeoutMs);
-        if (opening == null) {
-            eventLoop.execute(() -> line.closeWith("no descriptor"));
-            return line;
+    public Connection connect(
+            String address, Framing framing, int timeoutMillis, ConnectionListener listener) {
+        NettyConnection connection = new NettyConnection(framing, listener);
+        ChannelFuture connecting =
+                Sockets.connect(eventLoop, address(address), connection, timeoutMillis);
+        if (connecting == null) {
+            eventLoop.execute(() -> connection.closeWith("no descriptor"));
+            return connection;
         }
-        line.channel = opening.channel();
-        opening.addListener(
+        connection.channel = connecting.channel();
+        connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        line.closeWith(
+                        connection.closeWith(
                                 done.cause() instanceof java.net.ConnectException
                                                 && !(done.cause()
                                                         instanceof
@@ -214,64 +216,67 @@
                                         : "unreachable");
                     }
                 });
-        return line;
+        return connection;
     }
 
     /**
      * Listens for connections of this framing.
      *
-     * @param at IP:PORT
+     * @param address IP:PORT
      * @throws IOException where that cannot be
      */
-    public void listen(String at, Framing form, Function<Environment, ConnectionListener> listeners)
+    public void listen(
+            String address, Framing framing, Function<Environment, ConnectionListener> listeners)
             throws IOException {
         bind(
                 () ->
                         Sockets.listen(
                                 eventLoop,
-                                address(at),
+                                address(address),
                                 BACKLOG,
                                 WRITE_BUFFER_LIMITS,
-                                () -> new NettyConnection(form, listeners.apply(this))),
-                at);
+                                () -> new NettyConnection(framing, listeners.apply(this))),
+                address);
     }
 
     /**
      * Serves HTTP.
      *
-     * @param at IP:PORT
+     * @param address IP:PORT
      * @throws IOException where that cannot be
      */
-    public void serveHttp(String at, HttpServerHandler.HttpEndpoint calls) throws IOException {
-        serveHttp(at, calls, HttpServerHandler.MAX_HANDLING_MS);
+    public void serveHttp(String address, HttpServerHandler.HttpEndpoint endpoint)
+            throws IOException {
+        serveHttp(address, endpoint, HttpServerHandler.MAX_HANDLING_MS);
     }
 
     /**
-     * @param longestMs a call that is not answered by then is answered so
+     * @param handlingTimeoutMillis a call that is not answered by then is answered so
      */
-    void serveHttp(String at, HttpServerHandler.HttpEndpoint calls, long longestMs)
+    void serveHttp(
+            String address, HttpServerHandler.HttpEndpoint endpoint, long handlingTimeoutMillis)
             throws IOException {
         bind(
                 () ->
                         Sockets.listen(
                                 eventLoop,
-                                address(at),
+                                address(address),
                                 BACKLOG,
                                 WRITE_BUFFER_LIMITS,
-                                () -> new HttpServerHandler(this, calls, longestMs)),
-                at);
+                                () -> new HttpServerHandler(this, endpoint, handlingTimeoutMillis)),
+                address);
     }
 
     /** Server sockets are made on the event loop. */
-    private void bind(Supplier<ChannelFuture> server, String at) throws IOException {
-        Future<ChannelFuture> made = eventLoop.submit(server::get);
+    private void bind(Supplier<ChannelFuture> server, String address) throws IOException {
+        Future<ChannelFuture> binding = eventLoop.submit(server::get);
         try {
-            ChannelFuture bound = made.get(5, TimeUnit.SECONDS);
+            ChannelFuture bound = binding.get(5, TimeUnit.SECONDS);
             if (!bound.awaitUninterruptibly(5_000) || !bound.isSuccess()) {
-                throw new IOException("cannot listen on " + at + ": " + bound.cause());
+                throw new IOException("cannot listen on " + address + ": " + bound.cause());
             }
-        } catch (ExecutionException | TimeoutException | InterruptedException fault) {
-            throw new IOException("cannot listen on " + at, fault);
+        } catch (ExecutionException | TimeoutException | InterruptedException e) {
+            throw new IOException("cannot listen on " + address, e);
         }
     }
 
--- a/src/main/java/dillfront/common/environment/RingLog.java
+++ b/src/main/java/dillfront/common/environment/RingLog.java
@@ -19,8 +19,8 @@
     /** How many were noted, and how many of them went out or fell out. */
     private long recorded;
 
-    private long written;
-    private long minute;
+    private long consumed;
+    private long currentMinute;
     private int dumpsThisMinute;
 
     public RingLog(PrintStream out, String name) {
@@ -28,30 +28,30 @@
         this.name = name;
     }
 
-    public void record(long ms, String event) {
-        lines[(int) (recorded++ % CAPACITY)] = ms + " " + event;
+    public void record(long millis, String event) {
+        lines[(int) (recorded++ % CAPACITY)] = millis + " " + event;
     }
 
     /** Notes it, and writes out all that was not written yet. */
-    public void warn(long ms, String event) {
-        record(ms, event);
-        if (ms / MINUTE_MS != minute) {
-            minute = ms / MINUTE_MS;
+    public void warn(long millis, String event) {
+        record(millis, event);
+        if (millis / MINUTE_MS != currentMinute) {
+            currentMinute = millis / MINUTE_MS;
             dumpsThisMinute = 0;
         }
         if (++dumpsThisMinute > MAX_DUMPS_PER_MINUTE) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        if (recorded - written > CAPACITY) {
+        if (recorded - consumed > CAPACITY) {
             text.append(name)
                     .append(" left out ")
-                    .append(recorded - written - CAPACITY)
+                    .append(recorded - consumed - CAPACITY)
                     .append('\n');
-            written = recorded - CAPACITY;
+            consumed = recorded - CAPACITY;
         }
-        for (; written < recorded; written++) {
-            text.append(name).append(' ').append(lines[(int) (written % CAPACITY)]).append('\n');
+        for (; consumed < recorded; consumed++) {
+            text.append(name).append(' ').append(lines[(int) (consumed % CAPACITY)]).append('\n');
         }
         out.print(text);
         out.flush();
--- a/src/main/java/dillfront/common/logging/Counters.java
+++ b/src/main/java/dillfront/common/logging/Counters.java
@@ -6,30 +6,30 @@
 public final class Counters {
 
     public long queries;
-    public long outOfForm;
+    public long malformedQueries;
 
     /** Came when this router was ending, and was told to go elsewhere. */
-    public long turnedAway;
+    public long declinedWhileStopping;
 
-    public long taken;
+    public long startedTransactions;
     public long committed;
     public long declined;
     public long rolledBack;
-    public long left;
+    public long abandonedByClient;
     public long submitted;
     public long probes;
     public long dialed;
     public long accepted;
     public long lists;
-    public long listFaults;
-    public long longestTurnMs;
+    public long failedLists;
+    public long longestLoopTurnMillis;
     private final long[] ended = new long[SubmissionResult.values().length];
 
     // Held now.
-    public int txns;
+    public int openTransactions;
 
     /** Rows for nodes, in use or to be used again: as many as were needed at once. */
-    public int nodes;
+    public int nodeRows;
 
     public int clientConnections;
     public int nodeConnections;
@@ -42,17 +42,17 @@
     /** Writes every counter as one log line. */
     public void print(Log log) {
         Object[] line = new Object[2 * (20 + ended.length)];
-        int at = 0;
-        for (Object o :
+        int index = 0;
+        for (Object nameOrValue :
                 new Object[] {
                     "queries",
                     queries,
                     "out_of_form",
-                    outOfForm,
+                    malformedQueries,
                     "turned_away",
-                    turnedAway,
+                    declinedWhileStopping,
                     "taken",
-                    taken,
+                    startedTransactions,
                     "committed",
                     committed,
                     "declined",
@@ -60,7 +60,7 @@
                     "rolled_back",
                     rolledBack,
                     "left",
-                    left,
+                    abandonedByClient,
                     "submitted",
                     submitted,
                     "probes",
@@ -72,11 +72,11 @@
                     "lists",
                     lists,
                     "list_faults",
-                    listFaults,
+                    failedLists,
                     "longest_turn_ms",
-                    longestTurnMs,
+                    longestLoopTurnMillis,
                     "txns_held",
-                    txns,
+                    openTransactions,
                     "client_connections",
                     clientConnections,
                     "node_connections",
@@ -84,15 +84,15 @@
                     "timers",
                     timers,
                     "node_rows",
-                    nodes
+                    nodeRows
                 }) {
-            line[at++] = o;
+            line[index++] = nameOrValue;
         }
         for (SubmissionResult result : SubmissionResult.values()) {
-            line[at++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
-            line[at++] = ended[result.ordinal()];
+            line[index++] = "ended_" + result.name().toLowerCase(java.util.Locale.ROOT);
+            line[index++] = ended[result.ordinal()];
         }
         log.info("counters", line);
-        longestTurnMs = 0;
+        longestLoopTurnMillis = 0;
     }
 }
--- a/src/main/java/dillfront/common/logging/Log.java
+++ b/src/main/java/dillfront/common/logging/Log.java
@@ -12,73 +12,75 @@
  */
 public final class Log {
 
-    private static final int LINES_A_SECOND = 40;
+    private static final int MAX_LINES_PER_SECOND = 40;
 
     private final PrintStream out;
-    private long second;
-    private int lines;
-    private int dropped;
+    private long currentSecond;
+    private int linesInSecond;
+    private int droppedLines;
 
     public Log(PrintStream out) {
         this.out = out;
     }
 
     public void info(String event, Object... namesAndValues) {
-        line("INFO", event, namesAndValues);
+        write("INFO", event, namesAndValues);
     }
 
     public void warn(String event, Object... namesAndValues) {
-        line("WARN", event, namesAndValues);
+        write("WARN", event, namesAndValues);
     }
 
-    private void line(String level, String event, Object... namesAndValues) {
+    private void write(String level, String event, Object... namesAndValues) {
         Instant now = Instant.now();
-        if (now.getEpochSecond() != second) {
-            second = now.getEpochSecond();
-            lines = 0;
+        if (now.getEpochSecond() != currentSecond) {
+            currentSecond = now.getEpochSecond();
+            linesInSecond = 0;
         }
-        if (++lines > LINES_A_SECOND) {
-            dropped++;
+        if (++linesInSecond > MAX_LINES_PER_SECOND) {
+            droppedLines++;
             return;
         }
         StringBuilder line =
                 new StringBuilder(128)
-                        .append(LocalDateTime.ofEpochSecond(second, now.getNano(), ZoneOffset.UTC))
+                        .append(
+                                LocalDateTime.ofEpochSecond(
+                                        currentSecond, now.getNano(), ZoneOffset.UTC))
                         .append("Z ")
                         .append(level)
                         .append(' ')
                         .append(event);
         for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
-            Object given = namesAndValues[i + 1];
+            Object argument = namesAndValues[i + 1];
             String value =
-                    given instanceof Throwable fault && fault.getStackTrace().length > 0
-                            ? fault + " at " + fault.getStackTrace()[0]
-                            : String.valueOf(given);
+                    argument instanceof Throwable throwable && throwable.getStackTrace().length > 0
+                            ? throwable + " at " + throwable.getStackTrace()[0]
+                            : String.valueOf(argument);
             line.append(' ').append(namesAndValues[i]).append('=');
-            line.append(plain(value) ? value : quoted(value));
+            line.append(isPlain(value) ? value : quote(value));
         }
-        if (dropped > 0) {
-            line.append(" lines_left_out=").append(dropped);
-            dropped = 0;
+        if (droppedLines > 0) {
+            line.append(" lines_left_out=").append(droppedLines);
+            droppedLines = 0;
         }
         out.println(line);
     }
 
-    private static boolean plain(String value) {
+    private static boolean isPlain(String value) {
         for (int i = 0; i < value.length(); i++) {
-            char c = value.charAt(i);
-            if (c <= ' ' || c >= 127 || c == '"') {
+            char character = value.charAt(i);
+            if (character <= ' ' || character >= 127 || character == '"') {
                 return false;
             }
         }
         return !value.isEmpty();
     }
 
-    private static String quoted(String value) {
+    private static String quote(String value) {
         StringBuilder text = new StringBuilder("\"");
         for (int i = 0; i < Math.min(200, value.length()); i++) {
-            char c = value.charAt(i);
-            text.append(c < ' ' || c == '"' || c > 126 ? '?' : c);
+            char character = value.charAt(i);
+            text.append(character < ' ' || character == '"' || character > 126 ? '?' : character);
         }
         return text.append('"').toString();
     }
--- a/src/main/java/dillfront/common/logging/Silence.java
+++ b/src/main/java/dillfront/common/logging/NettyLoggerFactory.java
@@ -8,36 +8,36 @@
  * What Netty has to say, of which warnings alone go on to our log. Netty would look for three
  * logging libraries first, and end with the JDK's: 40 ms of every start.
  */
-public final class Silence extends InternalLoggerFactory {
+public final class NettyLoggerFactory extends InternalLoggerFactory {
 
     private final Log log;
 
-    private Silence(Log log) {
+    private NettyLoggerFactory(Log log) {
         this.log = log;
     }
 
     /** Before the first use of Netty. */
-    public static void over(Log log) {
-        InternalLoggerFactory.setDefaultFactory(new Silence(log));
+    public static void install(Log log) {
+        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory(log));
     }
 
     @Override
     protected InternalLogger newInstance(String name) {
-        return new Warnings(name, log);
+        return new WarningLogger(name, log);
     }
 
-    private static final class Warnings extends AbstractInternalLogger {
+    private static final class WarningLogger extends AbstractInternalLogger {
 
         private static final long serialVersionUID = 1L;
         private final transient Log log;
 
-        Warnings(String name, Log log) {
+        WarningLogger(String name, Log log) {
             super(name);
             this.log = log;
         }
 
-        private void say(String message, Object fault) {
-            log.warn("netty", "from", name(), "message", message, "fault", fault);
+        private void forward(String message, Object argument) {
+            log.warn("netty", "from", name(), "message", message, "fault", argument);
         }
 
         @Override
@@ -58,7 +58,7 @@
         public void trace(String format, Object... arguments) {}
 
         @Override
-        public void trace(String message, Throwable fault) {}
+        public void trace(String message, Throwable cause) {}
 
         @Override
         public boolean isDebugEnabled() {
@@ -78,7 +78,7 @@
         public void debug(String format, Object... arguments) {}
 
         @Override
-        public void debug(String message, Throwable fault) {}
+        public void debug(String message, Throwable cause) {}
 
         @Override
         public boolean isInfoEnabled() {
@@ -98,7 +98,7 @@
         public void info(String format, Object... arguments) {}
 
         @Override
-        public void info(String message, Throwable fault) {}
+        public void info(String message, Throwable cause) {}
 
         @Override
         public boolean isWarnEnabled() {
@@ -107,27 +107,27 @@
 
         @Override
         public void warn(String message) {
-            say(message, "");
+            forward(message, "");
         }
 
         @Override
         public void warn(String format, Object a) {
-            say(format, a);
+            forward(format, a);
         }
 
         @Override
         public void warn(String format, Object a, Object b) {
-            say(format, b);
+            forward(format, b);
         }
 
         @Override
         public void warn(String format, Object... arguments) {
-            say(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
+            forward(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
         }
 
         @Override
-        public void warn(String message, Throwable fault) {
-            say(message, fault);
+        public void warn(String message, Throwable cause) {
+            forward(message, cause);
         }
 
         @Override
@@ -137,27 +137,27 @@
 
         @Override
         public void error(String message) {
-            say(message, "");
+            forward(message, "");
         }
 
         @Override
         public void error(String format, Object a) {
-            say(format, a);
+            forward(format, a);
         }
 
         @Override
         public void error(String format, Object a, Object b) {
-            say(format, b);
+            forward(format, b);
         }
 
         @Override
         public void error(String format, Object... arguments) {
-            say(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
+            forward(format, arguments.length > 0 ? arguments[arguments.length - 1] : "");
         }
 
         @Override
-        public void error(String message, Throwable fault) {
-            say(message, fault);
+        public void error(String message, Throwable cause) {
+            forward(message, cause);
         }
     }
 }
--- a/src/main/java/dillfront/common/network/Address.java
+++ b/src/main/java/dillfront/common/network/Address.java
@@ -22,7 +22,7 @@
             return port < 1 || port > 65535
                     ? null
                     : new InetSocketAddress(InetAddress.getByAddress(host), port);
-        } catch (NumberFormatException | UnknownHostException none) {
+        } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
     }
--- a/src/main/java/dillfront/common/network/Sockets.java
+++ b/src/main/java/dillfront/common/network/Sockets.java
@@ -25,17 +25,17 @@
      * is left.
      */
     public static ChannelFuture connect(
-            EventLoop loop, InetSocketAddress to, TerminalHandler handler, int timeoutMs) {
+            EventLoop loop, InetSocketAddress address, TerminalHandler handler, int timeoutMs) {
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
-        } catch (ChannelException none) {
+        } catch (ChannelException e) {
             return null;
         }
         channel.config().setTcpNoDelay(true).setConnectTimeoutMillis(timeoutMs);
         channel.pipeline().addLast(handler);
         ChannelFuture registered = loop.register(channel);
-        return registered.isSuccess() ? channel.connect(to) : registered;
+        return registered.isSuccess() ? channel.connect(address) : registered;
     }
 
     /**
@@ -43,20 +43,22 @@
      */
     public static ChannelFuture listen(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress address,
             int backlog,
-            WriteBufferWaterMark mark,
-            Supplier<TerminalHandler> each) {
-        NioServerSocketChannel door = new NioServerSocketChannel();
-        door.config().setBacklog(backlog).setReuseAddress(true);
-        door.pipeline()
+            WriteBufferWaterMark writeBufferLimits,
+            Supplier<TerminalHandler> handlers) {
+        NioServerSocketChannel server = new NioServerSocketChannel();
+        server.config().setBacklog(backlog).setReuseAddress(true);
+        server.pipeline()
                 .addLast(
                         new TerminalHandler() {
                             @Override
-                            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                                NioSocketChannel client = (NioSocketChannel) accepted;
-                                client.config().setTcpNoDelay(true).setWriteBufferWaterMark(mark);
-                                client.pipeline().addLast(each.get());
+                            public void channelRead(ChannelHandlerContext ctx, Object message) {
+                                NioSocketChannel client = (NioSocketChannel) message;
+                                client.config()
+                                        .setTcpNoDelay(true)
+                                        .setWriteBufferWaterMark(writeBufferLimits);
+                                client.pipeline().addLast(handlers.get());
                                 loop.register(client)
                                         .addListener(
                                                 done -> {
@@ -82,7 +84,7 @@
                                 ctx.fireExceptionCaught(cause);
                             }
                         });
-        ChannelFuture registered = loop.register(door);
-        return registered.isSuccess() ? door.bind(at) : registered;
+        ChannelFuture registered = loop.register(server);
+        return registered.isSuccess() ? server.bind(address) : registered;
     }
 }
--- a/src/main/java/dillfront/router/FileClientAuthenticator.java
+++ b/src/main/java/dillfront/router/FileClientAuthenticator.java
@@ -5,12 +5,12 @@
 import dillfront.router.config.MonotonicClock;
 import dillfront.router.config.RouterSettings;
 import dillfront.router.frontend.ClientAuthenticator;
-import dillfront.router.identity.Gate;
-import dillfront.router.identity.Penalty;
+import dillfront.router.identity.AccessController;
+import dillfront.router.identity.LoginThrottle;
 import dillfront.router.identity.Policy;
 import dillfront.router.identity.Refusal;
-import dillfront.router.operator.Operator;
-import dillfront.router.tokens.Tokens;
+import dillfront.router.operator.OperatorConfig;
+import dillfront.router.tokens.TokenVerifier;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
@@ -45,7 +45,7 @@
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
     /** Contents of the identity files, read together. */
-    private record IdentityFiles(Policy policy, Tokens tokens, SslContext tls) {}
+    private record IdentityFiles(Policy policy, TokenVerifier tokens, SslContext tls) {}
 
     private final Path operatorFile;
 
@@ -55,8 +55,8 @@
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final Log log;
-    private final Gate gate = new Gate();
-    private final Penalty penalty;
+    private final AccessController gate = new AccessController();
+    private final LoginThrottle penalty;
     private final ScheduledThreadPoolExecutor fileReader =
             new ScheduledThreadPoolExecutor(1, new DefaultThreadFactory("identity", true));
 
@@ -64,30 +64,30 @@
      * The last valid identity section, and the modification times and sizes of its files at that
      * time.
      */
-    private Operator.IdentityPart identity;
+    private OperatorConfig.IdentityConfig identity;
 
     private String fileStamps;
     private String lastError = "";
-    private Tokens tokens;
+    private TokenVerifier tokens;
     private SslContext tls;
     private int activeHandshakes;
 
     /** Reads the identity files once; throws if they are invalid. */
     FileClientAuthenticator(
             Path operatorFile,
-            Operator operator,
+            OperatorConfig operator,
             RouterSettings setup,
             long seed,
             MonotonicClock clock,
             EventLoop loop,
             Log log)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         this.operatorFile = operatorFile;
         this.settings = setup;
         this.clock = clock;
         this.loop = loop;
         this.log = log;
-        penalty = new Penalty(seed);
+        penalty = new LoginThrottle(seed);
         identity = operator.identity();
         fileStamps = readStamps(identity);
         apply(readFiles(identity, setup));
@@ -140,7 +140,7 @@
     // ---- file-reader thread
 
     /** Returns the modification times and sizes of all files; any difference triggers a read. */
-    private String readStamps(Operator.IdentityPart identityPart) {
+    private String readStamps(OperatorConfig.IdentityConfig identityPart) {
         List<Path> files = new ArrayList<>(identityPart.files());
         files.add(operatorFile);
         StringBuilder stamps = new StringBuilder();
@@ -166,9 +166,9 @@
         String error = "";
         IdentityFiles identityFiles = null;
         try {
-            Operator operator = Operator.read(operatorFile);
+            OperatorConfig operator = OperatorConfig.read(operatorFile);
             if (operator.identity() == null) {
-                throw new Operator.BadOperator(
+                throw new OperatorConfig.InvalidOperatorConfigException(
                         operatorFile
                                 + ": identity() was removed; this takes effect only at a restart");
             }
@@ -176,7 +176,7 @@
             identityFiles = readFiles(operator.identity(), settings);
             identity = operator.identity();
             fileStamps = stamps;
-        } catch (Operator.BadOperator e) {
+        } catch (OperatorConfig.InvalidOperatorConfigException e) {
             error = e.getMessage();
         } catch (RuntimeException e) {
             error = String.valueOf(e);
@@ -197,7 +197,7 @@
                                 "keys",
                                 validFiles.policy.keys());
                     } else {
-                        gate.unreadable();
+                        gate.markPolicyUnreadable();
                         if (!alreadyLogged) {
                             log.warn("identity-unreadable", "fault", errorMessage);
                         }
@@ -206,18 +206,18 @@
     }
 
     private IdentityFiles readFiles(
-            Operator.IdentityPart identityPart, RouterSettings routerSettings)
-            throws Operator.BadOperator {
+            OperatorConfig.IdentityConfig identityPart, RouterSettings routerSettings)
+            throws OperatorConfig.InvalidOperatorConfigException {
         try {
-            Tokens newTokens =
-                    new Tokens(
+            TokenVerifier newTokens =
+                    new TokenVerifier(
                             Files.readString(identityPart.jwks()),
                             identityPart.issuer(),
                             identityPart.audience());
             Set<String> revoked =
-                    identityPart.revoked() == null
+                    identityPart.revokedFile() == null
                             ? Set.of()
-                            : Files.readAllLines(identityPart.revoked(), StandardCharsets.UTF_8)
+                            : Files.readAllLines(identityPart.revokedFile(), StandardCharsets.UTF_8)
                                     .stream()
                                     .map(String::strip)
                                     .filter(line -> !line.isEmpty() && !line.startsWith("#"))
@@ -235,14 +235,15 @@
                     identityPart.policy(
                             routerSettings.typeIndices(),
                             routerSettings.tenantIndices(),
-                            newTokens.ids(),
+                            newTokens.keyIds(),
                             revoked),
                     newTokens,
                     sslContext);
-        } catch (Tokens.BadToken e) {
-            throw new Operator.BadOperator(identityPart.jwks() + ": " + e.getMessage());
+        } catch (TokenVerifier.InvalidTokenException e) {
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    identityPart.jwks() + ": " + e.getMessage());
         } catch (IOException | IllegalArgumentException e) {
-            throw new Operator.BadOperator("identity: " + e);
+            throw new OperatorConfig.InvalidOperatorConfigException("identity: " + e);
         }
     }
 
@@ -251,13 +252,13 @@
     private void apply(IdentityFiles identityFiles) {
         tokens = identityFiles.tokens;
         tls = identityFiles.tls;
-        gate.read(identityFiles.policy);
+        gate.replacePolicy(identityFiles.policy);
     }
 
     @Override
     public void tick() {
-        gate.at(clock.now(), Duration.ofMillis(clock.unixMillis()));
-        penalty.at(clock.now());
+        gate.updateTime(clock.now(), Duration.ofMillis(clock.unixMillis()));
+        penalty.updateTime(clock.now());
     }
 
     @Override
@@ -281,7 +282,7 @@
     @Override
     public Duration retryDelay(String address, String user) {
         tick();
-        return penalty.wait(address, user);
+        return penalty.loginDelay(address, user);
     }
 
     /**
@@ -290,21 +291,21 @@
      */
     @Override
     public void authenticate(String address, String user, String token, LoginCallback callback) {
-        Tokens currentTokens = tokens;
+        TokenVerifier currentTokens = tokens;
         fileReader.execute(
                 () -> {
-                    Gate.Credential credential = null;
+                    AccessController.Credential credential = null;
                     String credentialError = null;
                     try {
-                        credential = currentTokens.read(token);
+                        credential = currentTokens.verify(token);
                         credentialError =
                                 credential.principal().equals(user)
                                         ? null
                                         : "the token is for '" + credential.principal() + "'";
-                    } catch (Tokens.BadToken e) {
+                    } catch (TokenVerifier.InvalidTokenException e) {
                         credentialError = e.getMessage();
                     }
-                    Gate.Credential verifiedCredential = credential;
+                    AccessController.Credential verifiedCredential = credential;
                     String rejection = credentialError;
                     loop.execute(
                             () -> {
@@ -312,15 +313,15 @@
                                 Object result =
                                         rejection != null
                                                 ? Refusal.UNKNOWN
-                                                : gate.enter(verifiedCredential);
-                                if (result instanceof Gate.Session session) {
-                                    penalty.right(address, user);
+                                                : gate.openSession(verifiedCredential);
+                                if (result instanceof AccessController.Session session) {
+                                    penalty.recordSuccess(address, user);
                                     callback.accepted(session);
                                     return;
                                 }
-                                penalty.failed(address, user);
+                                penalty.recordFailure(address, user);
                                 String reason =
-                                        rejection != null ? rejection : ((Refusal) result).word();
+                                        rejection != null ? rejection : ((Refusal) result).label();
                                 log.warn(
                                         "login-refused",
                                         "user",
@@ -336,7 +337,7 @@
 
     @Override
     public void transactionDenied(
-            Gate.Session session,
+            AccessController.Session session,
             Refusal refusal,
             String type,
             boolean write,
@@ -345,7 +346,7 @@
         log.warn(
                 "denied",
                 "who",
-                session.name(),
+                session.principalName(),
                 "why",
                 refusal,
                 "type",
--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -8,7 +8,7 @@
 import dillfront.router.discovery.PeerClosureReports;
 import dillfront.router.frontend.ClientListener;
 import dillfront.router.memory.RouterStateStore;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
 import dillfront.router.peers.PeerRestrictionSync;
@@ -38,13 +38,13 @@
     private final RecoveryCoordinator recovery;
 
     OptionalServices(
-            Operator operator,
+            OperatorConfig operator,
             RouterConfig config,
             Router router,
             ClientListener clients,
             EventLoop loop,
             Log log)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         String name = config.name();
         long seed = config.seed();
         authenticator =
@@ -62,9 +62,9 @@
             clients.setAuthenticator(authenticator);
         }
         store =
-                operator.memory() == null
+                operator.stateFolder() == null
                         ? null
-                        : RouterStateStore.open(operator.memory(), name, log, loop);
+                        : RouterStateStore.open(operator.stateFolder(), name, log, loop);
         if (store != null) {
             router.configureMemberList(
                     members -> {
@@ -80,24 +80,26 @@
                     });
         }
         recovery =
-                store == null && operator.doubts() == null && !operator.sites()
+                store == null
+                                && operator.uncertainTransactionBounds() == null
+                                && !operator.assessesSites()
                         ? null
                         : new RecoveryCoordinator(
-                                operator.doubts(),
+                                operator.uncertainTransactionBounds(),
                                 store,
-                                operator.sites(),
+                                operator.assessesSites(),
                                 config.settings(),
                                 router.clock().now(),
                                 log);
         if (recovery != null) {
             router.setRecovery(recovery, store == null ? null : store::whenKept);
         }
-        Operator.GossipPart gossip = operator.gossip();
+        OperatorConfig.GossipSection gossip = operator.gossip();
         if (gossip == null) {
             peerHealth = null;
             gossipTransport = null;
         } else {
-            int selfIndex = gossip.self(name);
+            int selfIndex = gossip.selfIndex(name);
             PeerRegistry peers = gossip.ring();
             peerHealth = new PeerHealthExchange(gossip.tuning(), peers.size(), router);
             gossipTransport =
@@ -105,9 +107,9 @@
                             gossip.tuning(),
                             peers,
                             selfIndex,
-                            gossip.bind(),
+                            gossip.bindAddress(),
                             PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
-                            gossip.key(),
+                            gossip.privateKey(),
                             loop,
                             log,
                             router.clock()::now,
@@ -118,9 +120,11 @@
             peerHealth.setGossip(gossipTransport::gossip);
             router.setPeerHealth(peerHealth);
             PeerInDoubtKeys peerKeys =
-                    operator.doubts() == null
+                    operator.uncertainTransactionBounds() == null
                             ? null
-                            : new PeerInDoubtKeys(peers.size(), operator.doubts().retention());
+                            : new PeerInDoubtKeys(
+                                    peers.size(),
+                                    operator.uncertainTransactionBounds().retention());
             if (peerKeys != null) {
                 recovery.peerInDoubtKeys(peerKeys);
             }
@@ -133,11 +137,11 @@
                             router.clock()::now));
         }
         adminServer =
-                operator.control() == null
+                operator.controlAddress() == null
                         ? null
                         : new AdminServer(
                                 loop,
-                                operator.control(),
+                                operator.controlAddress(),
                                 log,
                                 query ->
                                         switch (query) {
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -247,7 +247,7 @@
                     }
                     return removed;
                 });
-        counters.nodes = members.indexCount();
+        counters.nodeRows = members.indexCount();
     }
 
     /** Records that discovery itself, rather than the configuration, has provided a member list. */
@@ -300,8 +300,8 @@
         } else {
             exchanges.set(slot, exchange);
         }
-        counters.taken++;
-        counters.txns++;
+        counters.startedTransactions++;
+        counters.openTransactions++;
         Duration now = clock.now();
         Duration timeSinceLastWrite =
                 !settings.hasSessionTokens()
@@ -333,7 +333,7 @@
     private Exchange declineUntracked(
             Statement statement, ByteBuf message, ResponseReceiver receiver) {
         openTransactionIds.remove(statement.idHash);
-        counters.taken++;
+        counters.startedTransactions++;
         Exchange declined = new Exchange(this, -1, statement, message, receiver, 0);
         declined.decline(settings.routing().maxRetryDelay());
         message.release();
@@ -385,7 +385,7 @@
         exchanges.set(exchange.slot(), null);
         openTransactionIds.remove(exchange.statement().idHash);
         freeSlots.add(exchange.slot());
-        counters.txns--;
+        counters.openTransactions--;
     }
 
     @Override
@@ -510,8 +510,10 @@
                     try {
                         tick();
                         loopLag.recordTick(clock.now());
-                        counters.longestTurnMs =
-                                Math.max(counters.longestTurnMs, loopLag.longestLag().toMillis());
+                        counters.longestLoopTurnMillis =
+                                Math.max(
+                                        counters.longestLoopTurnMillis,
+                                        loopLag.longestLag().toMillis());
                         engine.onWakeUp();
                         if (peerHealth != null) {
                             peerHealth.tick(clock.now());
--- a/src/main/java/dillfront/router/RouterServer.java
+++ b/src/main/java/dillfront/router/RouterServer.java
@@ -10,7 +10,7 @@
 import dillfront.router.discovery.ConfigReloadBackoff;
 import dillfront.router.discovery.DiscoveryClient;
 import dillfront.router.frontend.ClientListener;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -63,7 +63,7 @@
     private final Duration startCpuTime = cpuTime();
 
     private final RouterConfig config;
-    private final Operator operator;
+    private final OperatorConfig operator;
     private final Log log;
     private final Counters counters = new Counters();
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -107,11 +107,11 @@
     private volatile OptionalServices optionalServices;
 
     public RouterServer(RouterConfig config, Log log) {
-        this(config, Operator.NONE, log);
+        this(config, OperatorConfig.NONE, log);
     }
 
     /** Creates a router; nothing listens before start(). */
-    public RouterServer(RouterConfig config, Operator operator, Log log) {
+    public RouterServer(RouterConfig config, OperatorConfig operator, Log log) {
         this.config = config;
         this.operator = operator;
         this.log = log;
@@ -175,7 +175,7 @@
                                                         / PARTIAL_MESSAGE_MEMORY_DIVISOR,
                                                 config.settings().routing().connectTimeout());
                                 optionalServices =
-                                        operator == Operator.NONE
+                                        operator == OperatorConfig.NONE
                                                 ? null
                                                 : new OptionalServices(
                                                         operator,
@@ -226,7 +226,7 @@
             throw new ConfigException("interrupted");
         } catch (Exception e) {
             eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            if (e instanceof Operator.BadOperator) {
+            if (e instanceof OperatorConfig.InvalidOperatorConfigException) {
                 throw new ConfigException("LB_OPERATOR: " + e.getMessage());
             }
             throw new ConfigException("LB_LISTEN " + config.listen() + ": " + e.getMessage());
@@ -421,7 +421,7 @@
     private void finishShutdownIfIdle() {
         boolean drained = false;
         try {
-            drained = clientListener.closeIdleAndCheckEmpty() && counters.txns == 0;
+            drained = clientListener.closeIdleAndCheckEmpty() && counters.openTransactions == 0;
         } catch (RuntimeException e) {
             // An exception in a timer task would be stored in its future unnoticed, and the
             // shutdown would never complete.
@@ -441,7 +441,7 @@
                 log.warn(
                         "stopped-with-work",
                         "txns",
-                        counters.txns,
+                        counters.openTransactions,
                         "clients",
                         counters.clientConnections);
             }
--- a/src/main/java/dillfront/router/discovery/DiscoveryClient.java
+++ b/src/main/java/dillfront/router/discovery/DiscoveryClient.java
@@ -298,7 +298,7 @@
         }
 
         private void fail(String error) {
-            counters.listFaults++;
+            counters.failedLists++;
             log.warn("list-dropped", "fault", error);
             close();
         }
--- a/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
+++ b/src/main/java/dillfront/router/frontend/ClientAuthenticator.java
@@ -1,6 +1,6 @@
 package dillfront.router.frontend;
 
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.Refusal;
 import io.netty.channel.ChannelHandler;
 import java.time.Duration;
@@ -29,7 +29,7 @@
 
     /** Receives the result of an authentication. */
     interface LoginCallback {
-        void accepted(Gate.Session session);
+        void accepted(AccessController.Session session);
 
         void rejected(Refusal refusal, String reason);
     }
@@ -38,7 +38,7 @@
 
     /** Logs a transaction that an authenticated client was not permitted to run. */
     void transactionDenied(
-            Gate.Session session,
+            AccessController.Session session,
             Refusal refusal,
             String type,
             boolean write,
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -4,7 +4,7 @@
 import dillfront.router.exchange.Exchange;
 import dillfront.router.exchange.NodeResponse;
 import dillfront.router.exchange.ResponseReceiver;
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import dillfront.router.identity.Refusal;
 import dillfront.router.pgwire.FrameDecoder;
 import dillfront.router.pgwire.FrameException;
@@ -35,7 +35,7 @@
 
     private boolean awaitingPassword;
     private boolean encrypted;
-    private Gate.Session session;
+    private AccessController.Session session;
     private boolean countedInShare;
 
     /** Set after a message of the extended protocol, until its Sync. */
@@ -221,13 +221,13 @@
      */
     private void requestPassword(String name) {
         if (listener.authenticator.requiresTls() && !encrypted) {
-            reject(Refusal.UNKNOWN.code(), "TLS is required");
+            reject(Refusal.UNKNOWN.sqlState(), "TLS is required");
             return;
         }
         Duration delay = listener.authenticator.retryDelay(address(), name);
         if (!delay.isZero()) {
             reject(
-                    Refusal.PENALTY.code(),
+                    Refusal.PENALTY.sqlState(),
                     "too many failed logins; retry in " + Math.max(1, delay.toMillis()) + " ms");
             return;
         }
@@ -259,9 +259,9 @@
                 token,
                 new ClientAuthenticator.LoginCallback() {
                     @Override
-                    public void accepted(Gate.Session newSession) {
+                    public void accepted(AccessController.Session newSession) {
                         if (closed) {
-                            newSession.leave();
+                            newSession.close();
                             return;
                         }
                         session = newSession;
@@ -280,7 +280,7 @@
                         if (!closed) {
                             responsePending = false;
                             // The full reason is only logged.
-                            reject(refusal.code(), "authentication failed: " + refusal.word());
+                            reject(refusal.sqlState(), "authentication failed: " + refusal.label());
                         }
                     }
                 });
@@ -341,7 +341,7 @@
             // The query arrived after the shutdown began and was never sent, so a retry is
             // harmless. The connection stays open no longer than its pending response.
             message.release();
-            listener.counters.turnedAway++;
+            listener.counters.declinedWhileStopping++;
             sendError(Messages.DECLINED, "router is shutting down; retrying is safe", null);
             listener.queryAnswered(this);
             return;
@@ -354,7 +354,7 @@
             statement = Statement.read(message);
         } catch (StatementFormatException e) {
             message.release();
-            listener.counters.outOfForm++;
+            listener.counters.malformedQueries++;
             listener.log.warn("query-out-of-form", "fault", e.getMessage());
             sendError(Messages.SYNTAX_ERROR, e.getMessage(), null);
             return;
@@ -374,7 +374,7 @@
             responsePending = false;
             releaseShare();
             message.release();
-            listener.counters.outOfForm++;
+            listener.counters.malformedQueries++;
             listener.log.warn("query-unknown", "type", statement.type, "group", statement.group);
             sendError(Messages.SYNTAX_ERROR, "unknown type or group, or an id that is open", null);
         } else {
@@ -390,14 +390,14 @@
     private boolean isAuthorized(Statement statement, ByteBuf message) {
         listener.authenticator.tick();
         int type = listener.exchangeHandler.typeIndex(statement.type);
-        Refusal refusal = session.take(type, statement.write, statement.group, statement);
+        Refusal refusal = session.admit(type, statement.write, statement.group, statement);
         if (refusal == null) {
             countedInShare = true;
             return true;
         }
         String rule =
                 refusal == Refusal.NO_RIGHT
-                        ? session.cause(type, statement.write, statement.group, statement)
+                        ? session.decidingRule(type, statement.write, statement.group, statement)
                         : "-";
         listener.authenticator.transactionDenied(
                 session, refusal, statement.type, statement.write, statement.group, rule);
@@ -405,9 +405,9 @@
         if (refusal.endsSession()) {
             endSession(refusal);
         } else {
-            Duration retryAfter = refusal == Refusal.BUSY ? session.comeBack() : Duration.ZERO;
+            Duration retryAfter = refusal == Refusal.BUSY ? session.retryDelay() : Duration.ZERO;
             sendError(
-                    refusal.code(),
+                    refusal.sqlState(),
                     refusal == Refusal.BUSY
                             ? "the user's transaction share is exhausted"
                             : "permission denied",
@@ -418,20 +418,20 @@
 
     /** Closes the connection if it is idle and its session is no longer valid. */
     void revalidateSession() {
-        if (session != null && !closed && isIdle() && session.over() != null) {
-            endSession(session.over());
+        if (session != null && !closed && isIdle() && session.refusal() != null) {
+            endSession(session.refusal());
         }
     }
 
     private void endSession(Refusal refusal) {
-        reject(refusal.code(), "session ended: " + refusal.word());
+        reject(refusal.sqlState(), "session ended: " + refusal.label());
     }
 
     /** Releases the transaction from its user's share. */
     private void releaseShare() {
         if (countedInShare) {
             countedInShare = false;
-            session.done();
+            session.release();
         }
     }
 
@@ -512,11 +512,11 @@
         responsePending = false;
         releaseShare();
         if (session != null) {
-            session.leave();
+            session.close();
             session = null;
         }
         if (exchange != null) {
-            listener.counters.left++;
+            listener.counters.abandonedByClient++;
             Exchange abandoned = exchange;
             exchange = null;
             abandoned.clientDisconnected();
--- a/src/main/java/dillfront/router/identity/KeyBytes.java
+++ b/src/main/java/dillfront/router/identity/KeyBytes.java
@@ -5,7 +5,7 @@
 
     int length();
 
-    byte at(int index);
+    byte byteAt(int index);
 
     /** A copy of these bytes as a map key. */
     static KeyBytes of(byte[] bytes) {
@@ -16,7 +16,7 @@
             }
 
             @Override
-            public byte at(int index) {
+            public byte byteAt(int index) {
                 return bytes[index];
             }
         };
--- a/src/main/java/dillfront/router/identity/Policy.java
+++ b/src/main/java/dillfront/router/identity/Policy.java
@@ -10,28 +10,29 @@
  *
  * @param principals by name
  * @param keys ids of the signing keys and certificates' issuers that count now
- * @param revoked ids of credentials that count no more: serials of certificates, ids of tokens
- * @param overlap for how long a key that is no longer among the keys still counts for those who
- *     came by it
- * @param holds for how long this state stands when it can't be read again
+ * @param revokedCredentials ids of credentials that count no more: serials of certificates, ids of
+ *     tokens
+ * @param keyGracePeriod for how long a key that is no longer among the keys still counts for those
+ *     who came by it
+ * @param maxStaleness for how long this state stands when it can't be read again
  * @param shares how many txns of each tenant may be out at once
  */
 public record Policy(
         Map<String, Principal> principals,
         Set<String> keys,
-        Set<String> revoked,
-        Duration overlap,
-        Duration holds,
-        Shares.Setting shares) {
+        Set<String> revokedCredentials,
+        Duration keyGracePeriod,
+        Duration maxStaleness,
+        TenantShares.Limits shares) {
 
-    public static final Policy NOBODY =
+    public static final Policy EMPTY =
             new Policy(
                     Map.of(),
                     Set.of(),
                     Set.of(),
                     Duration.ZERO,
                     Duration.ZERO,
-                    Shares.Setting.NONE);
+                    TenantShares.Limits.NONE);
 
     /** Where tenants have no shares. */
     public Policy(
@@ -40,12 +41,12 @@
             Set<String> revoked,
             Duration overlap,
             Duration holds) {
-        this(principals, keys, revoked, overlap, holds, Shares.Setting.NONE);
+        this(principals, keys, revoked, overlap, holds, TenantShares.Limits.NONE);
     }
 
     public Policy {
         principals = Map.copyOf(principals);
         keys = Set.copyOf(keys);
-        revoked = Set.copyOf(revoked);
+        revokedCredentials = Set.copyOf(revokedCredentials);
     }
 }
--- a/src/main/java/dillfront/router/identity/Refusal.java
+++ b/src/main/java/dillfront/router/identity/Refusal.java
@@ -21,19 +21,19 @@
     /** Beyond what he may begin a second, or have out at once. */
     BUSY("53300");
 
-    private final String code;
+    private final String sqlState;
 
     Refusal(String code) {
-        this.code = code;
+        this.sqlState = code;
     }
 
     /** As SQLSTATE, PostgreSQL's appendix A. */
-    public String code() {
-        return code;
+    public String sqlState() {
+        return sqlState;
     }
 
     /** As people are told. */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/dillfront/router/identity/Rights.java
+++ b/src/main/java/dillfront/router/identity/Rights.java
@@ -23,146 +23,153 @@
         DENIED
     }
 
-    private static final class Node {
+    private static final class RadixNode {
         /** What leads here from the parent, its first byte included. */
         byte[] label;
 
         /** First bytes of the children's labels as unsigned numbers, rising. */
-        int[] firsts = {};
+        int[] firstBytes = {};
 
-        Node[] children = {};
-        long allow;
-        long deny;
+        RadixNode[] children = {};
+        long allowedAccesses;
+        long deniedAccesses;
 
-        Node(byte[] label) {
+        RadixNode(byte[] label) {
             this.label = label;
         }
 
-        Node child(int first) {
-            int at = Arrays.binarySearch(firsts, first);
-            return at < 0 ? null : children[at];
+        RadixNode child(int firstByte) {
+            int index = Arrays.binarySearch(firstBytes, firstByte);
+            return index < 0 ? null : children[index];
         }
 
-        void put(Node child) {
-            int first = child.label[0] & 0xff;
-            int at = Arrays.binarySearch(firsts, first);
-            if (at >= 0) {
-                children[at] = child;
+        void putChild(RadixNode child) {
+            int firstByte = child.label[0] & 0xff;
+            int index = Arrays.binarySearch(firstBytes, firstByte);
+            if (index >= 0) {
+                children[index] = child;
                 return;
             }
-            int place = -at - 1;
-            int[] moreFirsts = new int[firsts.length + 1];
-            Node[] more = new Node[firsts.length + 1];
-            System.arraycopy(firsts, 0, moreFirsts, 0, place);
-            System.arraycopy(children, 0, more, 0, place);
-            System.arraycopy(firsts, place, moreFirsts, place + 1, firsts.length - place);
-            System.arraycopy(children, place, more, place + 1, firsts.length - place);
-            moreFirsts[place] = first;
-            more[place] = child;
-            firsts = moreFirsts;
-            children = more;
+            int insertion = -index - 1;
+            int[] newFirstBytes = new int[firstBytes.length + 1];
+            RadixNode[] newChildren = new RadixNode[firstBytes.length + 1];
+            System.arraycopy(firstBytes, 0, newFirstBytes, 0, insertion);
+            System.arraycopy(children, 0, newChildren, 0, insertion);
+            System.arraycopy(
+                    firstBytes,
+                    insertion,
+                    newFirstBytes,
+                    insertion + 1,
+                    firstBytes.length - insertion);
+            System.arraycopy(
+                    children, insertion, newChildren, insertion + 1, firstBytes.length - insertion);
+            newFirstBytes[insertion] = firstByte;
+            newChildren[insertion] = child;
+            firstBytes = newFirstBytes;
+            children = newChildren;
         }
     }
 
     private final List<Rule> rules;
-    private final Node all = new Node(new byte[0]);
+    private final RadixNode commonTree = new RadixNode(new byte[0]);
 
     /** Groups that rules name, rising, and their tries. */
     private final int[] groups;
 
-    private final Node[] tries;
+    private final RadixNode[] groupTrees;
 
     /** Indexes the rules by principal and key prefix. */
     public Rights(List<Rule> rules) {
         this.rules = List.copyOf(rules);
-        TreeMap<Integer, Node> named = new TreeMap<>();
+        TreeMap<Integer, RadixNode> treesByGroup = new TreeMap<>();
         for (Rule rule : rules) {
-            Node root =
-                    rule.group() == Rule.ANY
-                            ? all
-                            : named.computeIfAbsent(rule.group(), g -> new Node(new byte[0]));
+            RadixNode root =
+                    rule.group() == Rule.ANY_GROUP
+                            ? commonTree
+                            : treesByGroup.computeIfAbsent(
+                                    rule.group(), g -> new RadixNode(new byte[0]));
             add(root, rule);
         }
-        groups = named.keySet().stream().mapToInt(Integer::intValue).toArray();
-        tries = named.values().toArray(new Node[0]);
+        groups = treesByGroup.keySet().stream().mapToInt(Integer::intValue).toArray();
+        groupTrees = treesByGroup.values().toArray(new RadixNode[0]);
     }
 
-    private static void add(Node root, Rule rule) {
-        Node node = root;
-        byte[] rest = rule.prefix();
-        while (rest.length > 0) {
-            Node next = node.child(rest[0] & 0xff);
+    private static void add(RadixNode root, Rule rule) {
+        RadixNode node = root;
+        byte[] remaining = rule.prefix();
+        while (remaining.length > 0) {
+            RadixNode next = node.child(remaining[0] & 0xff);
             if (next == null) {
-                next = new Node(rest);
-                node.put(next);
+                next = new RadixNode(remaining);
+                node.putChild(next);
                 node = next;
                 break;
             }
-            int same = 0;
-            while (same < rest.length
-                    && same < next.label.length
-                    && rest[same] == next.label[same]) {
-                same++;
+            int commonLength = 0;
+            while (commonLength < remaining.length
+                    && commonLength < next.label.length
+                    && remaining[commonLength] == next.label[commonLength]) {
+                commonLength++;
             }
-            if (same < next.label.length) {
-                Node middle = new Node(Arrays.copyOf(next.label, same));
-                next.label = Arrays.copyOfRange(next.label, same, next.label.length);
-                middle.put(next);
-                node.put(middle);
-                next = middle;
+            if (commonLength < next.label.length) {
+                RadixNode split = new RadixNode(Arrays.copyOf(next.label, commonLength));
+                next.label = Arrays.copyOfRange(next.label, commonLength, next.label.length);
+                split.putChild(next);
+                node.putChild(split);
+                next = split;
             }
-            rest = Arrays.copyOfRange(rest, same, rest.length);
+            remaining = Arrays.copyOfRange(remaining, commonLength, remaining.length);
             node = next;
         }
         if (rule.allow()) {
-            node.allow |= rule.bits();
+            node.allowedAccesses |= rule.accessMask();
         } else {
-            node.deny |= rule.bits();
+            node.deniedAccesses |= rule.accessMask();
         }
     }
 
     /** Whether a txn of this type and key may be; type by its index in the settings. */
     public Verdict verdict(int type, boolean write, int group, KeyBytes key) {
-        if (type < 0 || type >= Rule.TYPES) {
+        if (type < 0 || type >= Rule.MAX_TYPES) {
             return Verdict.NO_RULE;
         }
-        long bit = Rule.bit(type, write);
-        int own = groups.length == 0 ? -1 : Arrays.binarySearch(groups, group);
-        int found = walk(all, bit, key);
-        if (found >= 0 && own >= 0) {
-            int also = walk(tries[own], bit, key);
-            found = also < 0 ? also : found | also;
+        long bit = Rule.accessBit(type, write);
+        int groupIndex = groups.length == 0 ? -1 : Arrays.binarySearch(groups, group);
+        int outcome = walk(commonTree, bit, key);
+        if (outcome >= 0 && groupIndex >= 0) {
+            int groupOutcome = walk(groupTrees[groupIndex], bit, key);
+            outcome = groupOutcome < 0 ? groupOutcome : outcome | groupOutcome;
         }
-        return found < 0 ? Verdict.DENIED : found > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
+        return outcome < 0 ? Verdict.DENIED : outcome > 0 ? Verdict.ALLOWED : Verdict.NO_RULE;
     }
 
     /**
      * 1 where some node on the key's way allows it, 0 where none does, negative where one denies
      * it.
      */
-    private static int walk(Node root, long bit, KeyBytes key) {
+    private static int walk(RadixNode root, long bit, KeyBytes key) {
         int length = key.length();
-        int at = 0;
+        int position = 0;
         int allowed = 0;
-        Node node = root;
+        RadixNode node = root;
         while (true) {
-            if ((node.deny & bit) != 0) {
+            if ((node.deniedAccesses & bit) != 0) {
                 return -1;
             }
-            allowed |= (node.allow & bit) != 0 ? 1 : 0;
-            if (at >= length) {
+            allowed |= (node.allowedAccesses & bit) != 0 ? 1 : 0;
+            if (position >= length) {
                 return allowed;
             }
-            node = node.child(key.at(at) & 0xff);
-            if (node == null || length - at < node.label.length) {
+            node = node.child(key.byteAt(position) & 0xff);
+            if (node == null || length - position < node.label.length) {
                 return allowed;
             }
             for (int i = 1; i < node.label.length; i++) {
-                if (key.at(at + i) != node.label[i]) {
+                if (key.byteAt(position + i) != node.label[i]) {
                     return allowed;
                 }
             }
-            at += node.label.length;
+            position += node.label.length;
         }
     }
 
@@ -170,24 +177,24 @@
      * The first rule that decides it as the verdict does, in the order in which rules were given;
      * for a denial's record.
      */
-    public String cause(int type, boolean write, int group, KeyBytes key) {
+    public String decidingRule(int type, boolean write, int group, KeyBytes key) {
         String allowed = null;
         for (Rule rule : rules) {
-            if (rule.speaksOf(type, write, group, key)) {
+            if (rule.matches(type, write, group, key)) {
                 if (!rule.allow()) {
-                    return rule.from();
+                    return rule.source();
                 }
-                allowed = allowed == null ? rule.from() : allowed;
+                allowed = allowed == null ? rule.source() : allowed;
             }
         }
         return allowed == null ? "no rule allows it" : allowed;
     }
 
     /** Through all rules one after another: what the index is measured against. */
-    public Verdict plainly(int type, boolean write, int group, KeyBytes key) {
+    public Verdict verdictByScan(int type, boolean write, int group, KeyBytes key) {
         boolean allowed = false;
         for (Rule rule : rules) {
-            if (rule.speaksOf(type, write, group, key)) {
+            if (rule.matches(type, write, group, key)) {
                 if (!rule.allow()) {
                     return Verdict.DENIED;
                 }
--- a/src/main/java/dillfront/router/identity/Rule.java
+++ b/src/main/java/dillfront/router/identity/Rule.java
@@ -5,27 +5,27 @@
 /**
  * One right, or its denial.
  *
- * @param types bits of txn types, by index; ALL for all of them, also those that come later
+ * @param typeMask bits of txn types, by index; ALL for all of them, also those that come later
  * @param reads holds for reads
  * @param writes holds for writes
  * @param group of nodes; ANY for all
  * @param prefix what the key begins with; empty for all keys
- * @param from where the rule stands, for people
+ * @param source where the rule stands, for people
  */
 public record Rule(
         boolean allow,
-        int types,
+        int typeMask,
         boolean reads,
         boolean writes,
         int group,
         byte[] prefix,
-        String from) {
+        String source) {
 
-    public static final int ALL = -1;
-    public static final int ANY = -1;
+    public static final int ALL_TYPES = -1;
+    public static final int ANY_GROUP = -1;
 
     /** Types have indices below this. */
-    public static final int TYPES = 32;
+    public static final int MAX_TYPES = 32;
 
     /**
      * @throws IllegalArgumentException where the rule contradicts itself
@@ -41,35 +41,36 @@
      * @param access r, w or rw
      */
     public static Rule of(
-            boolean allow, int types, String access, int group, String prefix, String from) {
+            boolean allow, int typeMask, String access, int group, String prefix, String source) {
         return new Rule(
                 allow,
-                types,
+                typeMask,
                 access.contains("r"),
                 access.contains("w"),
                 group,
                 prefix.getBytes(StandardCharsets.UTF_8),
-                from);
+                source);
     }
 
     /** Bit of a type and an access within 64: reads below, writes above. */
-    static long bit(int type, boolean write) {
-        return 1L << (write ? TYPES + type : type);
+    static long accessBit(int type, boolean write) {
+        return 1L << (write ? MAX_TYPES + type : type);
     }
 
-    long bits() {
-        return (reads ? types & 0xffffffffL : 0) | (writes ? (types & 0xffffffffL) << TYPES : 0);
+    long accessMask() {
+        return (reads ? typeMask & 0xffffffffL : 0)
+                | (writes ? (typeMask & 0xffffffffL) << MAX_TYPES : 0);
     }
 
     /** Whether it speaks of this txn; the plain reading, against which the index is tested. */
-    boolean speaksOf(int type, boolean write, int group, KeyBytes key) {
-        if ((bits() & bit(type, write)) == 0
-                || this.group != ANY && this.group != group
+    boolean matches(int type, boolean write, int group, KeyBytes key) {
+        if ((accessMask() & accessBit(type, write)) == 0
+                || this.group != ANY_GROUP && this.group != group
                 || key.length() < prefix.length) {
             return false;
         }
         for (int i = 0; i < prefix.length; i++) {
-            if (key.at(i) != prefix[i]) {
+            if (key.byteAt(i) != prefix[i]) {
                 return false;
             }
         }
--- a/src/main/java/dillfront/router/memory/RouterStateStore.java
+++ b/src/main/java/dillfront/router/memory/RouterStateStore.java
@@ -4,7 +4,7 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.StorageFolder;
 import dillfront.router.discovery.ClosedNodes;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.api.MemberState;
 import java.io.IOException;
@@ -131,7 +131,7 @@
      * @param loop executor for the callbacks of {@link #whenKept}
      */
     public static RouterStateStore open(Path folder, String name, Log log, Executor loop)
-            throws Operator.BadOperator {
+            throws OperatorConfig.InvalidOperatorConfigException {
         CompactingLog storage;
         try {
             StorageFolder disk = new StorageFolder.LocalFolder(folder);
@@ -139,10 +139,12 @@
                 storage = CompactingLog.open(disk, folder.toString(), name);
             } catch (CompactingLog.UnusableLogException unusable) {
                 disk.close();
-                throw new Operator.BadOperator("memory " + folder + ": " + unusable.getMessage());
+                throw new OperatorConfig.InvalidOperatorConfigException(
+                        "memory " + folder + ": " + unusable.getMessage());
             }
         } catch (IOException | CompactingLog.LockedException unusable) {
-            throw new Operator.BadOperator("memory " + folder + ": " + unusable.getMessage());
+            throw new OperatorConfig.InvalidOperatorConfigException(
+                    "memory " + folder + ": " + unusable.getMessage());
         }
         if (storage.damage() != null) {
             log.warn(
--- a/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
+++ b/src/main/java/dillfront/router/peers/PeerRestrictionSync.java
@@ -116,7 +116,9 @@
     public void receiveClosedNodes(int peer, long[] closedNodes) {
         List<PeerClosureReports.Closure> reports = new ArrayList<>();
         for (int i = 0; i + 2 < closedNodes.length; i += GossipCodec.PARTS_PER_CLOSED_NODE) {
-            reports.add(new PeerClosureReports.Closure(closedNodes[i], closedNodes[i + 1], closedNodes[i + 2]));
+            reports.add(
+                    new PeerClosureReports.Closure(
+                            closedNodes[i], closedNodes[i + 1], closedNodes[i + 2]));
         }
         witnesses.update(peer, reports);
         lists.peerReportsChanged(witnesses);
--- a/src/main/java/dillfront/router/pgwire/Statement.java
+++ b/src/main/java/dillfront/router/pgwire/Statement.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public byte at(int index) {
+    public byte byteAt(int index) {
         return message.getByte(keyStart + index);
     }
 
--- a/src/main/java/dillfront/router/plan/PlannerInputReader.java
+++ b/src/main/java/dillfront/router/plan/PlannerInputReader.java
@@ -20,7 +20,8 @@
      * @param requestedPart requested work, as a part of the capacity of all nodes
      * @param mix share of each transaction type in the work; empty for equal shares
      */
-    public static PlannerInput read(JsonObject config, double requestedPart, Map<String, Double> mix)
+    public static PlannerInput read(
+            JsonObject config, double requestedPart, Map<String, Double> mix)
             throws ConfigException {
         JsonObject settings = config.getObject("settings");
         List<?> readClasses = settings.getObject("familyInfo").getList("classRead");
--- a/src/main/java/dillfront/router/recovery/CapacityEstimator.java
+++ b/src/main/java/dillfront/router/recovery/CapacityEstimator.java
@@ -21,10 +21,11 @@
  * <p>Safe in the sum over routers, regardless of how many have restarted: the learned part never
  * exceeds what nodes did and kept up with, and the initial part is taken from the load of this
  * router, without retries, spread over all nodes that were ever listed at once, so that the first
- * nodes to return do not get the share of all. In simulation ({@link dillfront.simulation.Dark})
- * with three times the usual load in the first second and clients that try three times, cold nodes
- * reach 0.65 of the load that overloads them. Its cost: a router with few transactions seldom has
- * one for the node whose share it holds; a fleet of such routers learns slowly.
+ * nodes to return do not get the share of all. In simulation ({@link
+ * dillfront.simulation.ColdStartSimulation}) with three times the usual load in the first second
+ * and clients that try three times, cold nodes reach 0.65 of the load that overloads them. Its
+ * cost: a router with few transactions seldom has one for the node whose share it holds; a fleet of
+ * such routers learns slowly.
  *
  * <p>Pure: no clock, no random source, no I/O. The estimate is not stored: warmth from before a
  * restart permits nothing.
--- a/src/main/java/dillfront/router/script/Lexer.java
+++ b/src/main/java/dillfront/router/script/Lexer.java
@@ -10,8 +10,8 @@
  */
 final class Lexer {
 
-    private static final int LONGEST = 1 << 20;
-    private static final List<String> SIGNS =
+    private static final int MAX_SCRIPT_LENGTH = 1 << 20;
+    private static final List<String> OPERATORS =
             List.of(
                     "//=", "==", "!=", "<=", ">=", "+=", "-=", "*=", "%=", "//", "+", "-", "*", "%",
                     "<", ">", "=", "(", ")", "[", "]", "{", "}", ",", ":", ".", ";");
@@ -20,7 +20,7 @@
     private final List<Token> tokens = new ArrayList<>();
     private final ArrayDeque<Integer> indents = new ArrayDeque<>(List.of(0));
     private final ArrayDeque<Token> brackets = new ArrayDeque<>();
-    private int at;
+    private int position;
     private int line = 1;
     private int lineStart;
 
@@ -28,70 +28,70 @@
         this.text = text;
     }
 
-    static List<Token> tokens(String text) throws ScriptError {
-        if (text.length() > LONGEST) {
-            throw new ScriptError(1, 1, "longer than " + LONGEST + " characters");
+    static List<Token> tokens(String text) throws ScriptException {
+        if (text.length() > MAX_SCRIPT_LENGTH) {
+            throw new ScriptException(1, 1, "longer than " + MAX_SCRIPT_LENGTH + " characters");
         }
-        return new Lexer(text).all();
+        return new Lexer(text).readAll();
     }
 
-    private ScriptError error(String fault) {
-        return new ScriptError(line, at - lineStart + 1, fault);
+    private ScriptException error(String message) {
+        return new ScriptException(line, position - lineStart + 1, message);
     }
 
-    private void add(Token.Kind kind, String what, int from) {
-        tokens.add(new Token(kind, what, line, from - lineStart + 1));
+    private void add(Token.Kind kind, String text, int start) {
+        tokens.add(new Token(kind, text, line, start - lineStart + 1));
     }
 
     private char peek() {
-        return at < text.length() ? text.charAt(at) : '\0';
+        return position < text.length() ? text.charAt(position) : '\0';
     }
 
-    private List<Token> all() throws ScriptError {
-        while (at < text.length()) {
-            if (brackets.isEmpty() && !indentation()) {
+    private List<Token> readAll() throws ScriptException {
+        while (position < text.length()) {
+            if (brackets.isEmpty() && !readIndentation()) {
                 continue;
             }
             line();
         }
         if (!brackets.isEmpty()) {
-            throw new ScriptError(
-                    brackets.peek(), "this " + brackets.peek().shown() + " is not closed");
+            throw new ScriptException(
+                    brackets.peek(), "this " + brackets.peek().describe() + " is not closed");
         }
         if (!tokens.isEmpty() && tokens.get(tokens.size() - 1).kind() != Token.Kind.NEWLINE) {
-            add(Token.Kind.NEWLINE, "", at);
+            add(Token.Kind.NEWLINE, "", position);
         }
         while (indents.pop() > 0) {
-            add(Token.Kind.DEDENT, "", at);
+            add(Token.Kind.DEDENT, "", position);
         }
-        add(Token.Kind.END, "", at);
+        add(Token.Kind.END, "", position);
         return tokens;
     }
 
     /** The spaces at the begin of a line; false where the line holds nothing else. */
-    private boolean indentation() throws ScriptError {
+    private boolean readIndentation() throws ScriptException {
         int spaces = 0;
         while (peek() == ' ') {
             spaces++;
-            at++;
+            position++;
         }
         if (peek() == '\t') {
             throw error("a tab: blocks are indented by spaces");
         }
-        if (peek() == '\r' || peek() == '\n' || peek() == '#' || at >= text.length()) {
-            while (at < text.length() && peek() != '\n') {
-                at++;
+        if (peek() == '\r' || peek() == '\n' || peek() == '#' || position >= text.length()) {
+            while (position < text.length() && peek() != '\n') {
+                position++;
             }
             newLine();
             return false;
         }
         if (spaces > indents.peek()) {
             indents.push(spaces);
-            add(Token.Kind.INDENT, "", at);
+            add(Token.Kind.INDENT, "", position);
         }
         while (spaces < indents.peek()) {
             indents.pop();
-            add(Token.Kind.DEDENT, "", at);
+            add(Token.Kind.DEDENT, "", position);
         }
         if (spaces != indents.peek()) {
             throw error("this line's indentation is that of no block above");
@@ -100,59 +100,59 @@
     }
 
     private void newLine() {
-        at++;
+        position++;
         line++;
-        lineStart = at;
+        lineStart = position;
     }
 
     /** Words up to the end of the line. */
-    private void line() throws ScriptError {
-        while (at < text.length()) {
+    private void line() throws ScriptException {
+        while (position < text.length()) {
             char c = peek();
-            int from = at;
+            int start = position;
             if (c == '\n') {
                 if (brackets.isEmpty()) {
-                    add(Token.Kind.NEWLINE, "", at);
+                    add(Token.Kind.NEWLINE, "", position);
                 }
                 newLine();
                 return;
             } else if (c == ' ' || c == '\r' || c == '\t') {
-                at++;
+                position++;
             } else if (c == '#') {
-                while (at < text.length() && peek() != '\n') {
-                    at++;
+                while (position < text.length() && peek() != '\n') {
+                    position++;
                 }
             } else if (c == '"' || c == '\'') {
-                string(c);
+                readString(c);
             } else if (c >= '0' && c <= '9') {
                 while (peek() >= '0' && peek() <= '9' || peek() == '_') {
-                    at++;
+                    position++;
                 }
                 if (Character.isLetter(peek()) || peek() == '.') {
                     throw error("expected a whole number (spans are strings, as \"250ms\")");
                 }
-                add(Token.Kind.NUMBER, text.substring(from, at).replace("_", ""), from);
+                add(Token.Kind.NUMBER, text.substring(start, position).replace("_", ""), start);
             } else if (Character.isLetter(c) || c == '_') {
                 while (Character.isLetterOrDigit(peek()) || peek() == '_') {
-                    at++;
+                    position++;
                 }
-                add(Token.Kind.NAME, text.substring(from, at), from);
+                add(Token.Kind.NAME, text.substring(start, position), start);
             } else {
-                sign();
+                readOperator();
             }
         }
     }
 
-    private void string(char quote) throws ScriptError {
-        int from = at++;
+    private void readString(char quote) throws ScriptException {
+        int start = position++;
         StringBuilder value = new StringBuilder();
         while (peek() != quote) {
-            if (at >= text.length() || peek() == '\n') {
-                at = from;
+            if (position >= text.length() || peek() == '\n') {
+                position = start;
                 throw error("this string is not closed on its line");
             }
             if (peek() == '\\') {
-                at++;
+                position++;
                 switch (peek()) {
                     case 'n' -> value.append('\n');
                     case 't' -> value.append('\t');
@@ -162,27 +162,27 @@
             } else {
                 value.append(peek());
             }
-            at++;
+            position++;
         }
-        at++;
-        add(Token.Kind.STRING, value.toString(), from);
+        position++;
+        add(Token.Kind.STRING, value.toString(), start);
     }
 
-    private void sign() throws ScriptError {
-        for (String sign : SIGNS) {
-            if (text.startsWith(sign, at)) {
-                add(Token.Kind.SIGN, sign, at);
+    private void readOperator() throws ScriptException {
+        for (String operator : OPERATORS) {
+            if (text.startsWith(operator, position)) {
+                add(Token.Kind.OPERATOR, operator, position);
                 Token token = tokens.get(tokens.size() - 1);
-                if ("([{".contains(sign)) {
+                if ("([{".contains(operator)) {
                     brackets.push(token);
-                } else if (")]}".contains(sign)) {
+                } else if (")]}".contains(operator)) {
                     if (brackets.isEmpty()
-                            || "([{".indexOf(brackets.peek().text()) != ")]}".indexOf(sign)) {
-                        throw error("this " + sign + " closes nothing");
+                            || "([{".indexOf(brackets.peek().text()) != ")]}".indexOf(operator)) {
+                        throw error("this " + operator + " closes nothing");
                     }
                     brackets.pop();
                 }
-                at += sign.length();
+                position += operator.length();
                 return;
             }
         }
