--- a/src/main/java/dillfront/router/script/Parser.java
+++ b/src/main/java/dillfront/router/script/Parser.java
@@ -8,8 +8,8 @@
 /** From words to a tree, by descent; says what it expected where it can't go on. */
 final class Parser {
 
-    private static final int DEEPEST = 64;
-    private static final Set<String> WORDS =
+    private static final int MAX_DEPTH = 64;
+    private static final Set<String> RESERVED_WORDS =
             Set.of(
                     "if",
                     "elif",
@@ -34,7 +34,7 @@
                     "class");
 
     /** Weakest first; of one row from left to right. */
-    private static final List<Set<String>> BINARY =
+    private static final List<Set<String>> BINARY_OPERATORS =
             List.of(
                     Set.of("or"),
                     Set.of("and"),
@@ -43,7 +43,7 @@
                     Set.of("*", "//", "%"));
 
     private final List<Token> tokens;
-    private int at;
+    private int position;
     private int depth;
     private boolean inFunction;
     private int inLoop;
@@ -52,50 +52,50 @@
         this.tokens = tokens;
     }
 
-    static List<Tree.Step> parse(String text) throws ScriptError {
+    static List<SyntaxTree.Statement> parse(String text) throws ScriptException {
         Parser parser = new Parser(Lexer.tokens(text));
-        List<Tree.Step> steps = new ArrayList<>();
+        List<SyntaxTree.Statement> statements = new ArrayList<>();
         while (parser.peek().kind() != Kind.END) {
-            parser.step(steps);
+            parser.statement(statements);
         }
-        return steps;
+        return statements;
     }
 
     private Token peek() {
-        return tokens.get(at);
+        return tokens.get(position);
     }
 
     private Token next() {
-        return tokens.get(at++);
+        return tokens.get(position++);
     }
 
-    private boolean takes(String sign) {
-        if (peek().is(sign)) {
-            at++;
+    private boolean accept(String text) {
+        if (peek().matches(text)) {
+            position++;
             return true;
         }
         return false;
     }
 
-    private ScriptError expected(String what) {
-        return new ScriptError(peek(), "expected " + what + ", found " + peek().shown());
+    private ScriptException expected(String what) {
+        return new ScriptException(peek(), "expected " + what + ", found " + peek().describe());
     }
 
-    private Token expect(String sign) throws ScriptError {
-        if (!peek().is(sign)) {
-            throw expected("'" + sign + "'");
+    private Token expect(String text) throws ScriptException {
+        if (!peek().matches(text)) {
+            throw expected("'" + text + "'");
         }
         return next();
     }
 
-    private Token name() throws ScriptError {
-        if (peek().kind() != Kind.NAME || WORDS.contains(peek().text())) {
+    private Token name() throws ScriptException {
+        if (peek().kind() != Kind.NAME || RESERVED_WORDS.contains(peek().text())) {
             throw expected("a name");
         }
         return next();
     }
 
-    private void endOfLine() throws ScriptError {
+    private void endOfLine() throws ScriptException {
         if (peek().kind() != Kind.NEWLINE) {
             throw expected("the end of the line");
         }
@@ -103,110 +103,112 @@
     }
 
     /** Guards the stack: what goes in comes out by depth--, and a fault ends the whole. */
-    private void deeper(Token at, String what) throws ScriptError {
-        if (++depth > DEEPEST) {
-            throw new ScriptError(at, what + " are more than " + DEEPEST + " deep");
+    private void enterLevel(Token token, String what) throws ScriptException {
+        if (++depth > MAX_DEPTH) {
+            throw new ScriptException(token, what + " are more than " + MAX_DEPTH + " deep");
         }
     }
 
     // ---- steps
 
-    private void step(List<Tree.Step> into) throws ScriptError {
+    private void statement(List<SyntaxTree.Statement> statements) throws ScriptException {
         Token first = peek();
         switch (first.kind() == Kind.NAME ? first.text() : "") {
-            case "if" -> into.add(choice());
+            case "if" -> statements.add(ifStatement());
             case "for" -> {
                 next();
                 List<Token> names = names();
                 expect("in");
-                Tree.Value in = value();
+                SyntaxTree.Expression iterable = expression();
                 inLoop++;
-                into.add(new Tree.For(first, names, in, block()));
+                statements.add(new SyntaxTree.ForStatement(first, names, iterable, block()));
                 inLoop--;
             }
-            case "def" -> into.add(function());
+            case "def" -> statements.add(functionDefinition());
             case "while", "lambda", "load", "import", "class" ->
-                    throw new ScriptError(
+                    throw new ScriptException(
                             first, "'" + first.text() + "' is not part of these scripts");
             default -> {
-                small(into);
+                simpleStatement(statements);
                 endOfLine();
             }
         }
     }
 
-    private void small(List<Tree.Step> into) throws ScriptError {
+    private void simpleStatement(List<SyntaxTree.Statement> statements) throws ScriptException {
         Token first = peek();
-        if (first.is("pass") || first.is("break") || first.is("continue")) {
-            if (!first.is("pass") && inLoop == 0) {
-                throw new ScriptError(first, "'" + first.text() + "' outside of a for");
+        if (first.matches("pass") || first.matches("break") || first.matches("continue")) {
+            if (!first.matches("pass") && inLoop == 0) {
+                throw new ScriptException(first, "'" + first.text() + "' outside of a for");
             }
-            into.add(new Tree.Leave(next()));
-        } else if (first.is("return")) {
+            statements.add(new SyntaxTree.ControlStatement(next()));
+        } else if (first.matches("return")) {
             if (!inFunction) {
-                throw new ScriptError(first, "'return' outside of a function");
+                throw new ScriptException(first, "'return' outside of a function");
             }
             next();
-            into.add(new Tree.Return(first, peek().kind() == Kind.NEWLINE ? null : value()));
+            statements.add(
+                    new SyntaxTree.ReturnStatement(
+                            first, peek().kind() == Kind.NEWLINE ? null : expression()));
         } else {
-            Tree.Value value = value();
-            if (value instanceof Tree.Name && (peek().is("=") || peek().is(","))) {
-                at--;
+            SyntaxTree.Expression value = expression();
+            if (value instanceof SyntaxTree.Name && (peek().matches("=") || peek().matches(","))) {
+                position--;
                 List<Token> names = names();
                 expect("=");
-                into.add(new Tree.Set(first, names, "=", value()));
-            } else if (value instanceof Tree.Name
-                    && peek().kind() == Kind.SIGN
+                statements.add(new SyntaxTree.Assignment(first, names, "=", expression()));
+            } else if (value instanceof SyntaxTree.Name
+                    && peek().kind() == Kind.OPERATOR
                     && peek().text().length() > 1
                     && peek().text().endsWith("=")
                     && !"==!=<=>=".contains(peek().text())) {
-                String sign = next().text();
-                into.add(
-                        new Tree.Set(
+                String operator = next().text();
+                statements.add(
+                        new SyntaxTree.Assignment(
                                 first,
                                 List.of(first),
-                                sign.substring(0, sign.length() - 1),
-                                value()));
+                                operator.substring(0, operator.length() - 1),
+                                expression()));
             } else {
-                into.add(new Tree.Do(first, value));
+                statements.add(new SyntaxTree.ExpressionStatement(first, value));
             }
         }
     }
 
-    private List<Token> names() throws ScriptError {
+    private List<Token> names() throws ScriptException {
         List<Token> names = new ArrayList<>(List.of(name()));
-        while (takes(",")) {
+        while (accept(",")) {
             names.add(name());
         }
         return names;
     }
 
-    private Tree.Step choice() throws ScriptError {
+    private SyntaxTree.Statement ifStatement() throws ScriptException {
         Token first = next();
-        Tree.Value when = value();
-        List<Tree.Step> then = block();
-        List<Tree.Step> otherwise = List.of();
-        if (peek().is("elif")) {
-            otherwise = List.of(choice());
-        } else if (takes("else")) {
-            otherwise = block();
+        SyntaxTree.Expression condition = expression();
+        List<SyntaxTree.Statement> whenTrue = block();
+        List<SyntaxTree.Statement> whenFalse = List.of();
+        if (peek().matches("elif")) {
+            whenFalse = List.of(ifStatement());
+        } else if (accept("else")) {
+            whenFalse = block();
         }
-        return new Tree.If(first, when, then, otherwise);
+        return new SyntaxTree.IfStatement(first, condition, whenTrue, whenFalse);
     }
 
-    private Tree.Step function() throws ScriptError {
+    private SyntaxTree.Statement functionDefinition() throws ScriptException {
         Token first = next();
         if (inFunction) {
-            throw new ScriptError(first, "a function within a function");
+            throw new ScriptException(first, "a function within a function");
         }
-        Token called = name();
+        Token functionName = name();
         expect("(");
-        List<Token> names = new ArrayList<>(List.of(called));
-        List<Tree.Value> defaults = new ArrayList<>();
-        while (!peek().is(")")) {
+        List<Token> names = new ArrayList<>(List.of(functionName));
+        List<SyntaxTree.Expression> defaults = new ArrayList<>();
+        while (!peek().matches(")")) {
             names.add(name());
-            defaults.add(takes("=") ? value() : null);
-            if (!peek().is(")")) {
+            defaults.add(accept("=") ? expression() : null);
+            if (!peek().matches(")")) {
                 expect(",");
             }
         }
@@ -214,113 +216,114 @@
         inFunction = true;
         int loops = inLoop;
         inLoop = 0;
-        List<Tree.Step> steps = block();
+        List<SyntaxTree.Statement> body = block();
         inLoop = loops;
         inFunction = false;
-        return new Tree.Def(first, names, defaults, steps);
+        return new SyntaxTree.FunctionDefinition(first, names, defaults, body);
     }
 
-    private List<Tree.Step> block() throws ScriptError {
+    private List<SyntaxTree.Statement> block() throws ScriptException {
         expect(":");
-        List<Tree.Step> steps = new ArrayList<>();
+        List<SyntaxTree.Statement> statements = new ArrayList<>();
         if (peek().kind() != Kind.NEWLINE) {
-            small(steps);
+            simpleStatement(statements);
             endOfLine();
-            return steps;
+            return statements;
         }
         next();
         if (peek().kind() != Kind.INDENT) {
             throw expected("an indented block");
         }
         next();
-        deeper(peek(), "blocks");
+        enterLevel(peek(), "blocks");
         while (peek().kind() != Kind.DEDENT) {
-            step(steps);
+            statement(statements);
         }
         next();
         depth--;
-        return steps;
+        return statements;
     }
 
     // ---- values
 
-    private Tree.Value value() throws ScriptError {
-        deeper(peek(), "values");
-        Tree.Value value = binary(0);
-        if (peek().is("if")) {
-            Token at = next();
-            Tree.Value when = binary(0);
+    private SyntaxTree.Expression expression() throws ScriptException {
+        enterLevel(peek(), "values");
+        SyntaxTree.Expression value = binary(0);
+        if (peek().matches("if")) {
+            Token token = next();
+            SyntaxTree.Expression condition = binary(0);
             expect("else");
-            value = new Tree.Choice(at, when, value, value());
+            value = new SyntaxTree.Conditional(token, condition, value, expression());
         }
         depth--;
         return value;
     }
 
-    private Tree.Value binary(int row) throws ScriptError {
-        if (row == BINARY.size()) {
+    private SyntaxTree.Expression binary(int level) throws ScriptException {
+        if (level == BINARY_OPERATORS.size()) {
             return unary();
         }
-        if (row == 2 && peek().is("not")) {
-            Token sign = next();
-            deeper(sign, "values");
-            Tree.Value of = binary(row);
+        if (level == 2 && peek().matches("not")) {
+            Token operator = next();
+            enterLevel(operator, "values");
+            SyntaxTree.Expression operand = binary(level);
             depth--;
-            return new Tree.Unary(sign, of);
+            return new SyntaxTree.Unary(operator, operand);
         }
-        Tree.Value left = binary(row + 1);
-        while ((peek().kind() == Kind.SIGN || peek().kind() == Kind.NAME)
-                && BINARY.get(row).contains(peek().text())) {
-            Token sign = next();
-            left = new Tree.Binary(sign, left, binary(row + 1));
-            if (row == 2
-                    && BINARY.get(row).contains(peek().text())
+        SyntaxTree.Expression left = binary(level + 1);
+        while ((peek().kind() == Kind.OPERATOR || peek().kind() == Kind.NAME)
+                && BINARY_OPERATORS.get(level).contains(peek().text())) {
+            Token operator = next();
+            left = new SyntaxTree.Binary(operator, left, binary(level + 1));
+            if (level == 2
+                    && BINARY_OPERATORS.get(level).contains(peek().text())
                     && peek().kind() != Kind.STRING) {
-                throw new ScriptError(peek(), "comparisons in a row: use brackets and 'and'");
+                throw new ScriptException(peek(), "comparisons in a row: use brackets and 'and'");
             }
         }
         return left;
     }
 
-    private Tree.Value unary() throws ScriptError {
-        if (peek().is("-")) {
-            Token sign = next();
-            deeper(sign, "values");
-            Tree.Value of = unary();
+    private SyntaxTree.Expression unary() throws ScriptException {
+        if (peek().matches("-")) {
+            Token operator = next();
+            enterLevel(operator, "values");
+            SyntaxTree.Expression operand = unary();
             depth--;
-            return new Tree.Unary(sign, of);
+            return new SyntaxTree.Unary(operator, operand);
         }
-        Tree.Value value = primary();
+        SyntaxTree.Expression value = primary();
         while (true) {
-            if (peek().is("(")) {
+            if (peek().matches("(")) {
                 value = call(value);
-            } else if (peek().is("[")) {
-                Token at = next();
-                value = new Tree.Index(at, value, value());
+            } else if (peek().matches("[")) {
+                Token bracket = next();
+                value = new SyntaxTree.Index(bracket, value, expression());
                 expect("]");
-            } else if (peek().is(".")) {
+            } else if (peek().matches(".")) {
                 next();
                 Token method = name();
-                if (!peek().is("(")) {
+                if (!peek().matches("(")) {
                     throw expected("'(' behind the name of a method");
                 }
-                Tree.Call call = call(value);
-                if (call.names().stream().anyMatch(n -> n != null)) {
-                    throw new ScriptError(method, "a method takes no names of arguments");
+                SyntaxTree.Call call = call(value);
+                if (call.keywords().stream().anyMatch(n -> n != null)) {
+                    throw new ScriptException(method, "a method takes no names of arguments");
                 }
-                value = new Tree.Method(method, value, call.values());
+                value = new SyntaxTree.MethodCall(method, value, call.arguments());
             } else {
                 return value;
             }
         }
     }
 
-    private Tree.Call call(Tree.Value of) throws ScriptError {
-        Token at = expect("(");
+    private SyntaxTree.Call call(SyntaxTree.Expression function) throws ScriptException {
+        Token bracket = expect("(");
         List<Token> names = new ArrayList<>();
-        List<Tree.Value> values = new ArrayList<>();
-        while (!peek().is(")")) {
-            boolean named = peek().kind() == Kind.NAME && tokens.get(this.at + 1).is("=");
+        List<SyntaxTree.Expression> values = new ArrayList<>();
+        while (!peek().matches(")")) {
+            boolean named =
+                    peek().kind() == Kind.NAME && tokens.get(this.position + 1).matches("=");
             if (!named && names.stream().anyMatch(n -> n != null)) {
                 throw expected("an argument with its name, as those before");
             }
@@ -328,90 +331,95 @@
             if (named) {
                 next();
             }
-            values.add(value());
-            if (!peek().is(")")) {
+            values.add(expression());
+            if (!peek().matches(")")) {
                 expect(",");
             }
         }
         next();
-        return new Tree.Call(of instanceof Tree.Name name ? name.at() : at, of, names, values);
+        return new SyntaxTree.Call(
+                function instanceof SyntaxTree.Name name ? name.at() : bracket,
+                function,
+                names,
+                values);
     }
 
-    private Tree.Value primary() throws ScriptError {
+    private SyntaxTree.Expression primary() throws ScriptException {
         Token first = peek();
         switch (first.kind()) {
             case NUMBER -> {
                 next();
                 try {
-                    return new Tree.Literal(first, Long.parseLong(first.text()));
-                } catch (NumberFormatException large) {
-                    throw new ScriptError(first, "a number beyond 64 bits");
+                    return new SyntaxTree.Literal(first, Long.parseLong(first.text()));
+                } catch (NumberFormatException e) {
+                    throw new ScriptException(first, "a number beyond 64 bits");
                 }
             }
             case STRING -> {
                 next();
-                return new Tree.Literal(first, first.text());
+                return new SyntaxTree.Literal(first, first.text());
             }
             case NAME -> {
                 switch (first.text()) {
                     case "True", "False" -> {
                         next();
-                        return new Tree.Literal(first, first.text().equals("True"));
+                        return new SyntaxTree.Literal(first, first.text().equals("True"));
                     }
                     case "None" -> {
                         next();
-                        return new Tree.Literal(first, null);
+                        return new SyntaxTree.Literal(first, null);
                     }
                     default -> {
-                        return new Tree.Name(name());
+                        return new SyntaxTree.Name(name());
                     }
                 }
             }
             default -> {}
         }
-        if (takes("(")) {
-            Tree.Value value = value();
+        if (accept("(")) {
+            SyntaxTree.Expression value = expression();
             expect(")");
             return value;
         }
-        if (takes("[")) {
-            return items(first);
+        if (accept("[")) {
+            return listLiteral(first);
         }
-        if (takes("{")) {
-            List<Tree.Value> keys = new ArrayList<>();
-            List<Tree.Value> values = new ArrayList<>();
-            while (!peek().is("}")) {
-                keys.add(value());
+        if (accept("{")) {
+            List<SyntaxTree.Expression> keys = new ArrayList<>();
+            List<SyntaxTree.Expression> values = new ArrayList<>();
+            while (!peek().matches("}")) {
+                keys.add(expression());
                 expect(":");
-                values.add(value());
-                if (!peek().is("}")) {
+                values.add(expression());
+                if (!peek().matches("}")) {
                     expect(",");
                 }
             }
             next();
-            return new Tree.Entries(first, keys, values);
+            return new SyntaxTree.DictLiteral(first, keys, values);
         }
         throw expected("a value");
     }
 
-    private Tree.Value items(Token first) throws ScriptError {
-        List<Tree.Value> values = new ArrayList<>();
-        while (!peek().is("]")) {
-            values.add(value());
-            if (values.size() == 1 && peek().is("for")) {
+    private SyntaxTree.Expression listLiteral(Token first) throws ScriptException {
+        List<SyntaxTree.Expression> values = new ArrayList<>();
+        while (!peek().matches("]")) {
+            values.add(expression());
+            if (values.size() == 1 && peek().matches("for")) {
                 next();
                 List<Token> names = names();
                 expect("in");
-                Tree.Value in = binary(0);
-                Tree.Value when = takes("if") ? binary(0) : null;
+                SyntaxTree.Expression iterable = binary(0);
+                SyntaxTree.Expression condition = accept("if") ? binary(0) : null;
                 expect("]");
-                return new Tree.Comprehension(first, values.get(0), names, in, when);
+                return new SyntaxTree.Comprehension(
+                        first, values.get(0), names, iterable, condition);
             }
-            if (!peek().is("]")) {
+            if (!peek().matches("]")) {
                 expect(",");
             }
         }
         next();
-        return new Tree.Items(first, values);
+        return new SyntaxTree.ListLiteral(first, values);
     }
 }
--- a/src/main/java/dillfront/router/script/ScriptError.java
+++ b/src/main/java/dillfront/router/script/ScriptException.java
@@ -1,20 +1,20 @@
 package dillfront.router.script;
 
 /** What is wrong with a script, and where: lines and columns count from one. */
-public final class ScriptError extends Exception {
+public final class ScriptException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final int line;
     private final int column;
 
-    public ScriptError(int line, int column, String fault) {
-        super(fault);
+    public ScriptException(int line, int column, String message) {
+        super(message);
         this.line = line;
         this.column = column;
     }
 
-    ScriptError(Token at, String fault) {
-        this(at.line(), at.column(), fault);
+    ScriptException(Token token, String message) {
+        this(token.line(), token.column(), message);
     }
 
     public int line() {
--- a/src/main/java/dillfront/router/script/Token.java
+++ b/src/main/java/dillfront/router/script/Token.java
@@ -11,19 +11,19 @@
         NAME,
         NUMBER,
         STRING,
-        SIGN,
+        OPERATOR,
         NEWLINE,
         INDENT,
         DEDENT,
         END
     }
 
-    boolean is(String sign) {
-        return (kind == Kind.SIGN || kind == Kind.NAME) && text.equals(sign);
+    boolean matches(String expected) {
+        return (kind == Kind.OPERATOR || kind == Kind.NAME) && text.equals(expected);
     }
 
     /** As an error names it. */
-    String shown() {
+    String describe() {
         return switch (kind) {
             case NEWLINE -> "the end of the line";
             case INDENT -> "an indented line";
--- a/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
+++ b/src/main/java/dillfront/routing/simulator/SimulatedRouter.java
@@ -1,8 +1,8 @@
 package dillfront.routing.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.router.config.RouterSettings;
 import dillfront.router.config.JsonObject;
+import dillfront.router.config.RouterSettings;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeReport;
@@ -79,7 +79,9 @@
                             setup.zoneIndex(entry.getString("locality")),
                             entry.getDouble("scale", 1),
                             entry.getDouble("primary", 0) == 1,
-                            startedUs == 0 ? null : JsonObject.microsToDuration(startedUs - originUs),
+                            startedUs == 0
+                                    ? null
+                                    : JsonObject.microsToDuration(startedUs - originUs),
                             switch ((int) entry.getLong("availability")) {
                                 case 1 -> MemberState.READY;
                                 case 2 -> MemberState.DRAINING;
@@ -143,7 +145,12 @@
         transaction.pending--;
         transaction.answered |= event.finished;
         transaction.handle.submissionEnded(
-                node, result, JsonObject.microsToDuration(event.durationUs), event.finished, current, event.report);
+                node,
+                result,
+                JsonObject.microsToDuration(event.durationUs),
+                event.finished,
+                current,
+                event.report);
         releaseIfFinished(slot);
     }
 
--- a/src/main/java/dillfront/simulation/CapacityMeasure.java
+++ b/src/main/java/dillfront/simulation/CapacityMeasure.java
@@ -28,25 +28,25 @@
  */
 public final class CapacityMeasure {
 
-    private static final int INNER = 17_400;
-    private static final int CONTROL = 17_300;
-    private static final String[] IPS = ControlProcesses.IPS;
-    private static final long BEAT_MS = ControlProcesses.BEAT_MS;
+    private static final int INTERNAL_PORT = 17_400;
+    private static final int CONTROL_PORT = 17_300;
+    private static final String[] IPS = ControlPlaneProcesses.IPS;
+    private static final long HEARTBEAT_MS = ControlPlaneProcesses.HEARTBEAT_MS;
 
     /** Where all hollow servers are asked how they are, each at an address of its own. */
-    private static final int HOLLOW = 17_500;
+    private static final int STUB_SERVER_PORT = 17_500;
 
-    private static final int CALM_S = 6;
-    private static final int SETTLE_S = 4;
+    private static final int MEASURE_SECONDS = 6;
+    private static final int SETTLE_SECONDS = 4;
     private static final int CHANGES = 5;
-    private static final int TRIES = 60;
+    private static final int MAX_ATTEMPTS = 60;
 
-    private final NettyEnvironment host = new NettyEnvironment(1);
-    private final ControlProcesses processes =
-            new ControlProcesses(
+    private final NettyEnvironment environment = new NettyEnvironment(1);
+    private final ControlPlaneProcesses processes =
+            new ControlPlaneProcesses(
                     "capacity",
-                    CONTROL,
-                    INNER,
+                    CONTROL_PORT,
+                    INTERNAL_PORT,
                     "-Xmx192m",
                     "-XX:+UseSerialGC",
                     "-XX:TieredStopAtLevel=1",
@@ -54,63 +54,76 @@
                     "target/dillfront.jar");
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLong messages = new AtomicLong();
-    private final int fronts;
+    private final int dataPlanes;
     private final int databases;
-    private final long[] versions;
-    private final AtomicInteger waiting = new AtomicInteger();
-    private CompletableFuture<Void> everywhere = new CompletableFuture<>();
+    private final long[] receivedRevisions;
+    private final AtomicInteger pendingDataPlanes = new AtomicInteger();
+    private CompletableFuture<Void> receivedByAll = new CompletableFuture<>();
 
-    private CapacityMeasure(int fronts) throws IOException {
-        this.fronts = fronts;
-        databases = fronts / 4;
-        versions = new long[fronts];
+    private CapacityMeasure(int dataPlanes) throws IOException {
+        this.dataPlanes = dataPlanes;
+        databases = dataPlanes / 4;
+        receivedRevisions = new long[dataPlanes];
     }
 
     private record Row(
-            int fronts, double bytes, double messages, double share, long configMs, double mb) {}
+            int dataPlanes,
+            double bytes,
+            double messages,
+            double cpuShare,
+            long configMs,
+            double peakMb) {}
 
     /** Prints a line of results for each number of data planes. */
     public static void main(String[] args) throws Exception {
         List<Row> rows = new ArrayList<>();
-        for (int fronts : new int[] {50, 200, 800}) {
-            CapacityMeasure one = new CapacityMeasure(fronts);
+        for (int dataPlanes : new int[] {50, 200, 800}) {
+            CapacityMeasure measure = new CapacityMeasure(dataPlanes);
             try {
-                rows.add(one.run());
+                rows.add(measure.run());
                 System.err.println(rows.get(rows.size() - 1));
             } finally {
-                one.end();
+                measure.close();
             }
         }
         Row small = rows.get(0);
         Row large = rows.get(rows.size() - 1);
-        double sizes = Math.log((double) large.fronts() / small.fronts());
+        double sizes = Math.log((double) large.dataPlanes() / small.dataPlanes());
         double growth =
                 Math.pow(
                         10,
-                        Math.log(Math.max(1e-6, large.share()) / Math.max(1e-6, small.share()))
+                        Math.log(
+                                        Math.max(1e-6, large.cpuShare())
+                                                / Math.max(1e-6, small.cpuShare()))
                                 / sizes);
-        for (Row r : rows) {
+        for (Row row : rows) {
             System.out.printf(
                     "capacity: routers=%d bytes_a_router=%.0f messages_a_router=%.2f control_core_share=%.4f config_ms_p99=%d "
                             + "control_mb=%.0f growth_10x=%.1f%n",
-                    r.fronts(), r.bytes(), r.messages(), r.share(), r.configMs(), r.mb(), growth);
+                    row.dataPlanes(),
+                    row.bytes(),
+                    row.messages(),
+                    row.cpuShare(),
+                    row.configMs(),
+                    row.peakMb(),
+                    growth);
         }
         System.exit(0);
     }
 
     /** Leads, and does nothing. */
-    private static final class Server implements Environment.ConnectionListener {
-        private Environment.Connection link;
+    private static final class StubServer implements Environment.ConnectionListener {
+        private Environment.Connection connection;
 
         @Override
         public void onOpen(Environment.Connection opened) {
-            link = opened;
+            connection = opened;
         }
 
         @Override
         public void onMessage(byte[] message) {
             String line = new String(message, StandardCharsets.US_ASCII);
-            link.send(
+            connection.send(
                     (line.startsWith("CONNECT")
                                     ? "READY I 1.1"
                                     : "ROW primary 1 1.1 0 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1")
@@ -118,109 +131,136 @@
         }
 
         @Override
-        public void onClose(String why) {
+        public void onClose(String reason) {
             // It comes again.
         }
     }
 
     private Row run() throws Exception {
-        host.listen("0.0.0.0:" + HOLLOW, Environment.Framing.LINES, h -> new Server());
+        environment.listen(
+                "0.0.0.0:" + STUB_SERVER_PORT,
+                Environment.Framing.LINES,
+                accepted -> new StubServer());
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(1_500);
         configure(1).get(10, TimeUnit.SECONDS);
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .submit(
                         () -> {
-                            for (int i = 0; i < fronts; i++) {
-                                new Front(i).dial();
+                            for (int i = 0; i < dataPlanes; i++) {
+                                new StubDataPlane(i).connect();
                             }
-                            for (int d = 0; d < databases; d++) {
-                                for (int s = 0; s < 3; s++) {
-                                    beats(
-                                            "i-" + d + "-" + s,
-                                            "127.1." + d + "." + (10 + s) + ":" + HOLLOW,
-                                            "db" + d,
-                                            s == 0,
-                                            host.random().nextInt((int) BEAT_MS));
+                            for (int database = 0; database < databases; database++) {
+                                for (int server = 0; server < 3; server++) {
+                                    scheduleHeartbeats(
+                                            "i-" + database + "-" + server,
+                                            "127.1."
+                                                    + database
+                                                    + "."
+                                                    + (10 + server)
+                                                    + ":"
+                                                    + STUB_SERVER_PORT,
+                                            "db" + database,
+                                            server == 0,
+                                            environment.random().nextInt((int) HEARTBEAT_MS));
                                 }
                             }
                         })
                 .get();
-        TimeUnit.SECONDS.sleep(SETTLE_S);
-        long cpu = processes.cpuNanos();
-        long b = bytes.get();
-        long m = messages.get();
-        TimeUnit.SECONDS.sleep(CALM_S);
-        double share = (processes.cpuNanos() - cpu) / 1e9 / CALM_S / IPS.length;
-        double bytesEach = (double) (bytes.get() - b) / CALM_S / fronts;
-        double messagesEach = (double) (messages.get() - m) / CALM_S / fronts;
-        List<Long> took = new ArrayList<>();
-        for (int v = 2; v < 2 + CHANGES; v++) {
-            everywhere = new CompletableFuture<>();
-            waiting.set(fronts);
-            configure(v).get(10, TimeUnit.SECONDS);
-            long from = System.nanoTime();
-            everywhere.get(20, TimeUnit.SECONDS);
-            took.add((System.nanoTime() - from) / 1_000_000);
+        TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
+        long cpuBefore = processes.cpuNanos();
+        long bytesBefore = bytes.get();
+        long messagesBefore = messages.get();
+        TimeUnit.SECONDS.sleep(MEASURE_SECONDS);
+        double cpuShare = (processes.cpuNanos() - cpuBefore) / 1e9 / MEASURE_SECONDS / IPS.length;
+        double bytesEach = (double) (bytes.get() - bytesBefore) / MEASURE_SECONDS / dataPlanes;
+        double messagesEach =
+                (double) (messages.get() - messagesBefore) / MEASURE_SECONDS / dataPlanes;
+        List<Long> latenciesMillis = new ArrayList<>();
+        for (int revision = 2; revision < 2 + CHANGES; revision++) {
+            receivedByAll = new CompletableFuture<>();
+            pendingDataPlanes.set(dataPlanes);
+            configure(revision).get(10, TimeUnit.SECONDS);
+            long startNanos = System.nanoTime();
+            receivedByAll.get(20, TimeUnit.SECONDS);
+            latenciesMillis.add((System.nanoTime() - startNanos) / 1_000_000);
         }
-        Collections.sort(took);
-        double mb = 0;
+        Collections.sort(latenciesMillis);
+        double peakMb = 0;
         for (int i = 0; i < IPS.length; i++) {
-            mb = Math.max(mb, processes.peakMb(i));
+            peakMb = Math.max(peakMb, processes.peakMb(i));
         }
-        return new Row(fronts, bytesEach, messagesEach, share, took.get(took.size() - 1), mb);
+        return new Row(
+                dataPlanes,
+                bytesEach,
+                messagesEach,
+                cpuShare,
+                latenciesMillis.get(latenciesMillis.size() - 1),
+                peakMb);
     }
 
-    private CompletableFuture<Environment.HttpResponse> configure(long version) {
+    private CompletableFuture<Environment.HttpResponse> configure(long revision) {
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
-        for (int d = 0; d < databases; d++) {
+        for (int database = 0; database < databases; database++) {
             services.add(
                     Json.object()
-                            .add("name", "db" + d)
+                            .add("name", "db" + database)
                             .add("connection_limit", 100)
                             .add("synchronous_replicas", 1));
             routes.add(
                     Json.object()
-                            .add("name", "r" + d)
-                            .add("host_name", "h" + d)
+                            .add("name", "r" + database)
+                            .add("host_name", "h" + database)
                             .add("path_prefix", "/")
                             .add("route_kind", "primary")
-                            .add("timeout_ms", 1_000 + version)
+                            .add("timeout_ms", 1_000 + revision)
                             .add("priority", 1)
-                            .add("service", "db" + d));
+                            .add("service", "db" + database));
         }
         JsonValue body =
                 Json.object()
-                        .add("revision_number", version)
+                        .add("revision_number", revision)
                         .add("routes", routes)
                         .add("services", services);
-        CompletableFuture<Environment.HttpResponse> taken = new CompletableFuture<>();
-        send(body.toString(), TRIES, taken);
-        return taken;
+        CompletableFuture<Environment.HttpResponse> accepted = new CompletableFuture<>();
+        send(body.toString(), MAX_ATTEMPTS, accepted);
+        return accepted;
     }
 
     /** As an operator does: one that got no clear answer goes again as it was. */
-    private void send(String body, int tries, CompletableFuture<Environment.HttpResponse> taken) {
-        host.post(processes.control(tries), "/Configuration.Replace", body, Map.of(), 8_000)
+    private void send(
+            String body, int attemptsLeft, CompletableFuture<Environment.HttpResponse> accepted) {
+        environment
+                .post(
+                        processes.controlAddress(attemptsLeft),
+                        "/Configuration.Replace",
+                        body,
+                        Map.of(),
+                        8_000)
                 .whenComplete(
-                        (is, fault) -> {
-                            if (fault == null && is.status() == 200) {
-                                taken.complete(is);
-                            } else if (tries == 0 || fault == null && is.status() < 500) {
-                                taken.completeExceptionally(
-                                        fault == null
-                                                ? new IllegalStateException("status " + is.status())
-                                                : fault);
+                        (response, error) -> {
+                            if (error == null && response.status() == 200) {
+                                accepted.complete(response);
+                            } else if (attemptsLeft == 0
+                                    || error == null && response.status() < 500) {
+                                accepted.completeExceptionally(
+                                        error == null
+                                                ? new IllegalStateException(
+                                                        "status " + response.status())
+                                                : error);
                             } else {
-                                host.schedule(100, () -> send(body, tries - 1, taken));
+                                environment.schedule(
+                                        100, () -> send(body, attemptsLeft - 1, accepted));
                             }
                         });
     }
 
-    private void beats(String id, String address, String service, boolean leads, long in) {
-        host.schedule(
-                in,
+    private void scheduleHeartbeats(
+            String id, String address, String service, boolean isPrimary, long delayMillis) {
+        environment.schedule(
+                delayMillis,
                 () -> {
                     String body =
                             Json.object()
@@ -228,63 +268,68 @@
                                     .add("address", address)
                                     .add("zone_name", "z")
                                     .add("state", "ready")
-                                    .add("database_role", leads ? "primary" : "replica")
-                                    .add("call_sequence", host.nowMillis())
+                                    .add("database_role", isPrimary ? "primary" : "replica")
+                                    .add("call_sequence", environment.nowMillis())
                                     .toString();
-                    host.post(
-                            processes.control(host.random().nextInt(IPS.length)),
+                    environment.post(
+                            processes.controlAddress(environment.random().nextInt(IPS.length)),
                             "/Instances.Heartbeat/" + id,
                             body,
                             Map.of(),
                             1_000);
-                    beats(id, address, service, leads, BEAT_MS);
+                    scheduleHeartbeats(id, address, service, isPrimary, HEARTBEAT_MS);
                 });
     }
 
     /** A front that asks for news, and keeps nothing but what it has. */
-    private final class Front implements Environment.ConnectionListener {
+    private final class StubDataPlane implements Environment.ConnectionListener {
         private final int number;
-        private Environment.Connection link;
-        private String boot = "";
-        private long has;
-        private long question;
-        private long record = -1;
-        private long suspects = -1;
-        private byte[] body = new byte[0];
-        private boolean told;
+        private Environment.Connection connection;
+        private String peerIncarnation = "";
+        private long tableVersion;
+        private long requestNumber;
+        private long recordNumber = -1;
+        private long suspicionVersion = -1;
+        private byte[] configuration = new byte[0];
+        private boolean digestSent;
 
-        Front(int number) {
+        StubDataPlane(int number) {
             this.number = number;
         }
 
-        void dial() {
-            link = host.connect(processes.inner(number), Environment.Framing.FRAMES, 1_000, this);
+        void connect() {
+            connection =
+                    environment.connect(
+                            processes.internalAddress(number),
+                            Environment.Framing.FRAMES,
+                            1_000,
+                            this);
         }
 
         @Override
         public void onOpen(Environment.Connection opened) {
-            link = opened;
-            ask();
+            connection = opened;
+            requestUpdates();
         }
 
-        private void ask() {
-            Map<String, Object> out = new LinkedHashMap<>();
-            out.put("t", "news");
-            out.put("n", "front-" + number);
-            out.put("q", ++question);
-            out.put("b", boot);
-            out.put("r", has);
-            out.put("c", versions[number]);
-            if (!told) {
-                told = true;
-                out.put("cd", BinaryDelta.digest(body));
+        private void requestUpdates() {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("t", "news");
+            fields.put("n", "front-" + number);
+            fields.put("q", ++requestNumber);
+            fields.put("b", peerIncarnation);
+            fields.put("r", tableVersion);
+            fields.put("c", receivedRevisions[number]);
+            if (!digestSent) {
+                digestSent = true;
+                fields.put("cd", BinaryDelta.digest(configuration));
             }
-            out.put("k", record);
-            out.put("sn", suspects);
-            byte[] message = MessageCodec.encode(out);
+            fields.put("k", recordNumber);
+            fields.put("sn", suspicionVersion);
+            byte[] message = MessageCodec.encode(fields);
             bytes.addAndGet(message.length + 4L);
             messages.incrementAndGet();
-            link.send(message);
+            connection.send(message);
         }
 
         @Override
@@ -292,54 +337,57 @@
             bytes.addAndGet(message.length + 4L);
             messages.incrementAndGet();
             try {
-                MessageCodec.Fields in = MessageCodec.decode(message);
-                if (in.has("b")) {
-                    boot = in.string("b");
-                    has = in.number("r", 0);
+                MessageCodec.Fields fields = MessageCodec.decode(message);
+                if (fields.has("b")) {
+                    peerIncarnation = fields.string("b");
+                    tableVersion = fields.number("r", 0);
                 }
-                suspects = in.number("sn", suspects);
-                in.maps("p").forEach(row -> record = Math.max(record, row.number("k", 0)));
-                if (in.has("cb")) {
+                suspicionVersion = fields.number("sn", suspicionVersion);
+                fields.maps("p")
+                        .forEach(row -> recordNumber = Math.max(recordNumber, row.number("k", 0)));
+                if (fields.has("cb")) {
                     // Of a text that sends each configuration whole.
-                    body = in.bytes("cb");
-                    versions[number] = Configuration.parse(body).revision();
-                    if (waiting.decrementAndGet() == 0) {
-                        everywhere.complete(null);
+                    configuration = fields.bytes("cb");
+                    receivedRevisions[number] = Configuration.parse(configuration).revision();
+                    if (pendingDataPlanes.decrementAndGet() == 0) {
+                        receivedByAll.complete(null);
                     }
-                } else if (in.has("cv")) {
-                    body =
-                            in.has("cx")
-                                    ? BinaryDelta.apply(body, in.bytes("cx"))
-                                    : Compression.decompress(in.bytes("cz"), BinaryDelta.MAX_BYTES);
-                    versions[number] = in.number("cv", -1);
-                    told = false;
-                    if (waiting.decrementAndGet() == 0) {
-                        everywhere.complete(null);
+                } else if (fields.has("cv")) {
+                    configuration =
+                            fields.has("cx")
+                                    ? BinaryDelta.apply(configuration, fields.bytes("cx"))
+                                    : Compression.decompress(
+                                            fields.bytes("cz"), BinaryDelta.MAX_BYTES);
+                    receivedRevisions[number] = fields.number("cv", -1);
+                    digestSent = false;
+                    if (pendingDataPlanes.decrementAndGet() == 0) {
+                        receivedByAll.complete(null);
                     }
                 }
-                if (in.number("q", -1) == question && in.flag("alone")) {
+                if (fields.number("q", -1) == requestNumber && fields.flag("alone")) {
                     // A real one would go on to another; this one asks the same again.
-                    host.schedule(100, this::ask);
-                } else if (in.number("q", -1) == question) {
-                    ask();
+                    environment.schedule(100, this::requestUpdates);
+                } else if (fields.number("q", -1) == requestNumber) {
+                    requestUpdates();
                 }
             } catch (MessageCodec.MalformedMessageException
                     | BinaryDelta.InvalidDeltaException
                     | Compression.CorruptDataException
-                    | Configuration.InvalidConfigurationException bad) {
-                throw new IllegalStateException(bad);
+                    | Configuration.InvalidConfigurationException e) {
+                throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void onClose(String why) {
-            host.schedule(200, this::dial);
+        public void onClose(String reason) {
+            environment.schedule(200, this::connect);
         }
     }
 
-    private void end() throws IOException, InterruptedException {
-        processes.end();
-        host.eventLoop()
+    private void close() throws IOException, InterruptedException {
+        processes.close();
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/simulation/ChangesMeasure.java
+++ b/src/main/java/dillfront/simulation/ChangesMeasure.java
@@ -30,27 +30,27 @@
  */
 public final class ChangesMeasure {
 
-    private static final int INNER = 17_700;
-    private static final int CONTROL = 17_600;
+    private static final int INTERNAL_PORT = 17_700;
+    private static final int CONTROL_PORT = 17_600;
     private static final int ROUTES = 300;
     private static final int CHANGES = 200;
-    private static final int AWAY = 600;
-    private static final long WITHIN_MS = 30_000;
+    private static final int MISSED_CHANGES = 600;
+    private static final long AWAIT_TIMEOUT_MS = 30_000;
 
-    private final NettyEnvironment host = new NettyEnvironment(1);
-    private final ControlProcesses processes;
-    private final AtomicLong heard = new AtomicLong();
-    private final AtomicLong has = new AtomicLong(-1);
-    private final List<Long> took = new ArrayList<>();
-    private long version;
-    private int length;
+    private final NettyEnvironment environment = new NettyEnvironment(1);
+    private final ControlPlaneProcesses processes;
+    private final AtomicLong receivedBytes = new AtomicLong();
+    private final AtomicLong receivedRevision = new AtomicLong(-1);
+    private final List<Long> latenciesMillis = new ArrayList<>();
+    private long revision;
+    private int configurationBytes;
 
     private ChangesMeasure(String jar) throws IOException {
         processes =
-                new ControlProcesses(
+                new ControlPlaneProcesses(
                         "changes",
-                        CONTROL,
-                        INNER,
+                        CONTROL_PORT,
+                        INTERNAL_PORT,
                         "-Xms40m",
                         "-Xmx40m",
                         "-Xss256k",
@@ -62,14 +62,15 @@
 
     /** Prints one line of results; a full run takes one to two minutes. */
     public static void main(String[] args) throws Exception {
-        ChangesMeasure one = new ChangesMeasure(args.length > 0 ? args[0] : "target/dillfront.jar");
+        ChangesMeasure measure =
+                new ChangesMeasure(args.length > 0 ? args[0] : "target/dillfront.jar");
         try {
-            one.disk();
+            measure.measureDisk();
             if (!(args.length > 0 && args[0].equals("disk"))) {
-                one.run();
+                measure.run();
             }
         } finally {
-            one.end();
+            measure.close();
         }
         System.exit(0);
     }
@@ -78,48 +79,48 @@
         processes.start(true);
         TimeUnit.MILLISECONDS.sleep(2_500);
         configure();
-        host.eventLoop().submit(() -> new Front().dial()).get();
-        await(() -> has.get() == version);
-        long front = heard.get();
-        long read = processes.io(1, "rchar");
-        long written = processes.io(1, "write_bytes");
-        long cpu = processes.cpuNanos(1);
-        took.clear();
+        environment.eventLoop().submit(() -> new StubDataPlane().connect()).get();
+        await(() -> receivedRevision.get() == revision);
+        long bytesBefore = receivedBytes.get();
+        long readBefore = processes.ioCounter(1, "rchar");
+        long writtenBefore = processes.ioCounter(1, "write_bytes");
+        long cpuBefore = processes.cpuNanos(1);
+        latenciesMillis.clear();
         for (int i = 0; i < CHANGES; i++) {
             configure();
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        await(() -> has.get() == version);
-        Collections.sort(took);
+        await(() -> receivedRevision.get() == revision);
+        Collections.sort(latenciesMillis);
         System.out.printf(
                 "changes: routes=%d bytes=%d changes=%d front_bytes_a_change=%d control_read_a_change=%d control_disk_a_change=%d "
                         + "control_cpu_ms_a_change=%.1f acknowledged_ms_p50=%d acknowledged_ms_p99=%d%n",
                 ROUTES,
-                length,
+                configurationBytes,
                 CHANGES,
-                (heard.get() - front) / CHANGES,
-                (processes.io(1, "rchar") - read) / CHANGES,
-                (processes.io(1, "write_bytes") - written) / CHANGES,
-                (processes.cpuNanos(1) - cpu) / 1e6 / CHANGES,
-                took.get(CHANGES / 2),
-                took.get(CHANGES * 99 / 100));
-        for (boolean emptied : new boolean[] {false, true}) {
+                (receivedBytes.get() - bytesBefore) / CHANGES,
+                (processes.ioCounter(1, "rchar") - readBefore) / CHANGES,
+                (processes.ioCounter(1, "write_bytes") - writtenBefore) / CHANGES,
+                (processes.cpuNanos(1) - cpuBefore) / 1e6 / CHANGES,
+                latenciesMillis.get(CHANGES / 2),
+                latenciesMillis.get(CHANGES * 99 / 100));
+        for (boolean deleteData : new boolean[] {false, true}) {
             processes.kill(2, false);
-            for (int i = 0; i < AWAY; i++) {
+            for (int i = 0; i < MISSED_CHANGES; i++) {
                 configure();
             }
-            if (emptied) {
+            if (deleteData) {
                 processes.kill(2, true);
             }
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             processes.start(2, false);
-            await(() -> status(2).contains("version=" + version + " "));
+            await(() -> status(2).contains("version=" + revision + " "));
             System.out.printf(
                     "changes: behind=%d emptied=%b catch_up_ms=%d read=%d peak_mb=%.0f%n",
-                    AWAY,
-                    emptied,
-                    (System.nanoTime() - from) / 1_000_000,
-                    processes.io(2, "rchar"),
+                    MISSED_CHANGES,
+                    deleteData,
+                    (System.nanoTime() - startNanos) / 1_000_000,
+                    processes.ioCounter(2, "rchar"),
                     processes.peakMb(2));
         }
         System.out.println("changes: " + status(0));
@@ -129,58 +130,59 @@
      * A configuration of some 300 KB, kept as a control process keeps it: how long a put takes, and
      * how long the file gets.
      */
-    private void disk() throws Exception {
+    private void measureDisk() throws Exception {
         Path data = Files.createDirectories(processes.folder().resolve("disk"));
-        KeyValueStore keep = KeyValueStore.open(data, "measure");
-        List<Long> puts = new ArrayList<>();
-        long most = 0;
-        for (int i = 0; i < AWAY; i++) {
-            Map<String, String> texts = new LinkedHashMap<>();
+        KeyValueStore store = KeyValueStore.open(data, "measure");
+        List<Long> putMicros = new ArrayList<>();
+        long maxFileBytes = 0;
+        for (int i = 0; i < MISSED_CHANGES; i++) {
+            Map<String, String> entries = new LinkedHashMap<>();
             for (int piece = 0; piece < 19; piece++) {
-                texts.put(
+                entries.put(
                         "piece" + piece,
                         (i + " " + piece + ",").repeat(16_000 / (i + " " + piece + ",").length()));
             }
-            long from = System.nanoTime();
-            keep.put(texts);
-            puts.add((System.nanoTime() - from) / 1_000);
-            most = Math.max(most, Files.size(data.resolve("memory.log")));
+            long startNanos = System.nanoTime();
+            store.put(entries);
+            putMicros.add((System.nanoTime() - startNanos) / 1_000);
+            maxFileBytes = Math.max(maxFileBytes, Files.size(data.resolve("memory.log")));
         }
-        Collections.sort(puts);
-        Runtime run = Runtime.getRuntime();
+        Collections.sort(putMicros);
+        Runtime runtime = Runtime.getRuntime();
         System.out.printf(
                 "changes: disk_bytes=%d puts=%d put_us_p50=%d put_us_p99=%d put_us_most=%d file_most=%d heap_most_mb=%d%n",
                 19 * 16_000,
-                AWAY,
-                puts.get(AWAY / 2),
-                puts.get(AWAY * 99 / 100),
-                puts.get(AWAY - 1),
-                most,
-                run.maxMemory() >> 20);
+                MISSED_CHANGES,
+                putMicros.get(MISSED_CHANGES / 2),
+                putMicros.get(MISSED_CHANGES * 99 / 100),
+                putMicros.get(MISSED_CHANGES - 1),
+                maxFileBytes,
+                runtime.maxMemory() >> 20);
     }
 
-    private interface Is {
-        boolean so() throws Exception;
+    private interface Condition {
+        boolean isMet() throws Exception;
     }
 
-    private static void await(Is is) throws Exception {
-        long from = System.nanoTime();
-        while (!is.so()) {
-            if (System.nanoTime() - from > WITHIN_MS * 1_000_000) {
-                throw new IllegalStateException("not within " + WITHIN_MS + " ms");
+    private static void await(Condition condition) throws Exception {
+        long startNanos = System.nanoTime();
+        while (!condition.isMet()) {
+            if (System.nanoTime() - startNanos > AWAIT_TIMEOUT_MS * 1_000_000) {
+                throw new IllegalStateException("not within " + AWAIT_TIMEOUT_MS + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private String status(int of) {
+    private String status(int index) {
         try {
             return new String(
-                    host.post(processes.control(of), "/status", "{}", Map.of(), 1_000)
+                    environment
+                            .post(processes.controlAddress(index), "/status", "{}", Map.of(), 1_000)
                             .join()
                             .body(),
                     StandardCharsets.UTF_8);
-        } catch (CompletionException notYet) {
+        } catch (CompletionException e) {
             return "";
         }
     }
@@ -190,18 +192,18 @@
      * taken.
      */
     private void configure() throws Exception {
-        version++;
+        revision++;
         JsonArray routes = Json.array().asArray();
         JsonArray services = Json.array().asArray();
         for (int i = 0; i < ROUTES; i++) {
-            long number = i + ROUTES * (version / 10 > i ? 1 : 0);
+            long number = i + ROUTES * (revision / 10 > i ? 1 : 0);
             routes.add(
                     Json.object()
                             .add("name", "r-" + Long.toHexString(number * 7_919))
                             .add("host_name", "host" + number * 104_729)
                             .add("path_prefix", "/")
                             .add("route_kind", "read_your_writes")
-                            .add("timeout_ms", i == version % ROUTES ? 950 : 800)
+                            .add("timeout_ms", i == revision % ROUTES ? 950 : 800)
                             .add("target_latency_ms", 600)
                             .add("priority", 2)
                             .add("service", "service" + i % 40)
@@ -220,118 +222,122 @@
         }
         String body =
                 Json.object()
-                        .add("revision_number", version)
+                        .add("revision_number", revision)
                         .add("routes", routes)
                         .add("services", services)
                         .toString();
-        length = body.length();
-        long from = System.nanoTime();
-        for (int tries = 0; tries < 50; tries++) {
+        configurationBytes = body.length();
+        long startNanos = System.nanoTime();
+        for (int attempt = 0; attempt < 50; attempt++) {
             try {
-                Environment.HttpResponse answer =
-                        host.post(
-                                        processes.control(tries % 2),
+                Environment.HttpResponse response =
+                        environment
+                                .post(
+                                        processes.controlAddress(attempt % 2),
                                         "/Configuration.Replace",
                                         body,
                                         Map.of(),
                                         5_000)
                                 .join();
-                if (answer.status() == 200) {
-                    took.add((System.nanoTime() - from) / 1_000_000);
+                if (response.status() == 200) {
+                    latenciesMillis.add((System.nanoTime() - startNanos) / 1_000_000);
                     return;
                 }
-            } catch (CompletionException again) {
+            } catch (CompletionException e) {
                 // To the next.
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        throw new IllegalStateException("version " + version + " was not taken");
+        throw new IllegalStateException("version " + revision + " was not taken");
     }
 
     /** Asks the second process, which takes no orders here, and keeps the bytes alone. */
-    private final class Front implements Environment.ConnectionListener {
-        private Environment.Connection link;
-        private String boot = "";
-        private long table;
-        private long question;
-        private long suspects = -1;
-        private byte[] body = new byte[0];
-        private boolean told;
+    private final class StubDataPlane implements Environment.ConnectionListener {
+        private Environment.Connection connection;
+        private String peerIncarnation = "";
+        private long tableVersion;
+        private long requestNumber;
+        private long suspicionVersion = -1;
+        private byte[] configuration = new byte[0];
+        private boolean digestSent;
 
-        void dial() {
-            link = host.connect(processes.inner(1), Environment.Framing.FRAMES, 1_000, this);
+        void connect() {
+            connection =
+                    environment.connect(
+                            processes.internalAddress(1), Environment.Framing.FRAMES, 1_000, this);
         }
 
         @Override
         public void onOpen(Environment.Connection opened) {
-            link = opened;
-            ask();
+            connection = opened;
+            requestUpdates();
         }
 
-        private void ask() {
-            Map<String, Object> out = new LinkedHashMap<>();
-            out.put("t", "news");
-            out.put("n", "front-1");
-            out.put("q", ++question);
-            out.put("b", boot);
-            out.put("r", table);
-            out.put("c", has.get());
-            if (!told) {
-                told = true;
-                out.put("cd", BinaryDelta.digest(body));
+        private void requestUpdates() {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("t", "news");
+            fields.put("n", "front-1");
+            fields.put("q", ++requestNumber);
+            fields.put("b", peerIncarnation);
+            fields.put("r", tableVersion);
+            fields.put("c", receivedRevision.get());
+            if (!digestSent) {
+                digestSent = true;
+                fields.put("cd", BinaryDelta.digest(configuration));
             }
-            out.put("sn", suspects);
-            link.send(MessageCodec.encode(out));
+            fields.put("sn", suspicionVersion);
+            connection.send(MessageCodec.encode(fields));
         }
 
         @Override
         public void onMessage(byte[] message) {
-            heard.addAndGet(message.length + 4L);
+            receivedBytes.addAndGet(message.length + 4L);
             try {
-                MessageCodec.Fields in = MessageCodec.decode(message);
-                if (in.has("b")) {
-                    boot = in.string("b");
-                    table = in.number("r", 0);
+                MessageCodec.Fields fields = MessageCodec.decode(message);
+                if (fields.has("b")) {
+                    peerIncarnation = fields.string("b");
+                    tableVersion = fields.number("r", 0);
                 }
-                suspects = in.number("sn", suspects);
-                byte[] next =
-                        in.has("cb")
-                                ? in.bytes("cb")
-                                : in.has("cx")
-                                        ? BinaryDelta.apply(body, in.bytes("cx"))
-                                        : in.has("cz")
+                suspicionVersion = fields.number("sn", suspicionVersion);
+                byte[] received =
+                        fields.has("cb")
+                                ? fields.bytes("cb")
+                                : fields.has("cx")
+                                        ? BinaryDelta.apply(configuration, fields.bytes("cx"))
+                                        : fields.has("cz")
                                                 ? Compression.decompress(
-                                                        in.bytes("cz"), BinaryDelta.MAX_BYTES)
-                                                : body;
-                if (next != body) {
-                    body = next;
-                    told = false;
-                    has.set(
-                            Json.parse(new String(body, StandardCharsets.UTF_8))
+                                                        fields.bytes("cz"), BinaryDelta.MAX_BYTES)
+                                                : configuration;
+                if (received != configuration) {
+                    configuration = received;
+                    digestSent = false;
+                    receivedRevision.set(
+                            Json.parse(new String(configuration, StandardCharsets.UTF_8))
                                     .asObject()
                                     .getLong("revision_number", -1));
                 }
-                if (in.flag("alone")) {
-                    host.schedule(100, this::ask);
-                } else if (in.number("q", -1) == question) {
-                    ask();
+                if (fields.flag("alone")) {
+                    environment.schedule(100, this::requestUpdates);
+                } else if (fields.number("q", -1) == requestNumber) {
+                    requestUpdates();
                 }
             } catch (MessageCodec.MalformedMessageException
                     | BinaryDelta.InvalidDeltaException
-                    | Compression.CorruptDataException bad) {
-                throw new IllegalStateException(bad);
+                    | Compression.CorruptDataException e) {
+                throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void onClose(String why) {
-            host.schedule(200, this::dial);
+        public void onClose(String reason) {
+            environment.schedule(200, this::connect);
         }
     }
 
-    private void end() throws IOException, InterruptedException {
-        processes.end();
-        host.eventLoop()
+    private void close() throws IOException, InterruptedException {
+        processes.close();
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
--- a/src/main/java/dillfront/simulation/Loopback.java
+++ b/src/main/java/dillfront/simulation/LoopbackSimulation.java
@@ -24,11 +24,11 @@
  * The same world in real time: each router on an event loop, its words signed and sent over UDP on
  * loopback.
  */
-public final class Loopback {
+public final class LoopbackSimulation {
 
-    private static final int LOOPS = 4;
+    private static final int EVENT_LOOPS = 4;
 
-    private record LoopTime(EventLoop loop, long startNanos) implements Clockwork {
+    private record EventLoopScheduler(EventLoop loop, long startNanos) implements TaskScheduler {
 
         @Override
         public Duration now() {
@@ -36,54 +36,55 @@
         }
 
         @Override
-        public void after(Duration span, Runnable work) {
-            loop.schedule(work, span.toNanos(), TimeUnit.NANOSECONDS);
+        public void schedule(Duration delay, Runnable task) {
+            loop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private Loopback() {}
+    private LoopbackSimulation() {}
 
     /** Plays it, in as much time as it says. */
-    public static World.Outcome play(World.Script script) throws Exception {
-        NioEventLoopGroup group = new NioEventLoopGroup(LOOPS);
-        List<UdpGossipTransport> all = new ArrayList<>();
+    public static RouterSimulation.Outcome run(RouterSimulation.Scenario scenario)
+            throws Exception {
+        NioEventLoopGroup group = new NioEventLoopGroup(EVENT_LOOPS);
+        List<UdpGossipTransport> transports = new ArrayList<>();
         try {
             long start = System.nanoTime();
-            List<LoopTime> times = new ArrayList<>();
-            for (int i = 0; i < script.routers(); i++) {
-                times.add(new LoopTime(group.next(), start));
+            List<EventLoopScheduler> schedulers = new ArrayList<>();
+            for (int i = 0; i < scenario.routers(); i++) {
+                schedulers.add(new EventLoopScheduler(group.next(), start));
             }
-            World world =
-                    new World(
-                            script,
-                            times,
-                            new World.Wire() {
+            RouterSimulation simulation =
+                    new RouterSimulation(
+                            scenario,
+                            schedulers,
+                            new RouterSimulation.GossipNetwork() {
                                 @Override
-                                public void start(List<World.Router> routers) {
+                                public void start(List<RouterSimulation.Router> routers) {
                                     try {
-                                        speak(script, routers, times, all);
-                                    } catch (Exception bad) {
-                                        throw new IllegalStateException(bad);
+                                        openTransports(scenario, routers, schedulers, transports);
+                                    } catch (Exception e) {
+                                        throw new IllegalStateException(e);
                                     }
                                 }
 
                                 @Override
-                                public GossipProtocol of(int router) {
-                                    return all.get(router).gossip();
+                                public GossipProtocol protocolOf(int router) {
+                                    return transports.get(router).gossip();
                                 }
 
                                 @Override
-                                public double bytes() {
-                                    return all.stream()
+                                public double meanBytesSent() {
+                                    return transports.stream()
                                             .mapToLong(d -> d.gossip().budget().bytesSent())
                                             .average()
                                             .orElse(0);
                                 }
                             });
-            world.start();
-            Thread.sleep(script.end().toMillis());
+            simulation.start();
+            Thread.sleep(scenario.end().toMillis());
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-            return world.outcome();
+            return simulation.result();
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -93,58 +94,59 @@
      * Keys, addresses and sockets of all; each reads the same ring from a text of its own, as each
      * process would.
      */
-    private static void speak(
-            World.Script script,
-            List<World.Router> routers,
-            List<LoopTime> times,
-            List<UdpGossipTransport> all)
+    private static void openTransports(
+            RouterSimulation.Scenario scenario,
+            List<RouterSimulation.Router> routers,
+            List<EventLoopScheduler> schedulers,
+            List<UdpGossipTransport> transports)
             throws Exception {
         List<KeyPair> keys = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
         KeyPairGenerator generator = KeyPairGenerator.getInstance("Ed25519");
-        List<DatagramSocket> held = new ArrayList<>();
+        List<DatagramSocket> sockets = new ArrayList<>();
         for (int i = 0; i < routers.size(); i++) {
             keys.add(generator.generateKeyPair());
-            held.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
-            ports.add(held.get(i).getLocalPort());
+            sockets.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+            ports.add(sockets.get(i).getLocalPort());
         }
-        held.forEach(DatagramSocket::close);
+        sockets.forEach(DatagramSocket::close);
         Log log = new Log(new PrintStream(System.err, true));
         for (int i = 0; i < routers.size(); i++) {
-            PeerRegistry ring = new PeerRegistry();
+            PeerRegistry registry = new PeerRegistry();
             for (int k = 0; k < routers.size(); k++) {
                 // Only the first few addresses are told; the others are learnt.
-                ring.add(
+                registry.add(
                         "r" + k,
                         k < 3 || k == i
                                 ? new InetSocketAddress(
                                         InetAddress.getLoopbackAddress(), ports.get(k))
                                 : null);
-                ring.key(
+                registry.key(
                         k,
                         HexFormat.of().formatHex(PeerRegistry.rawKey(keys.get(k).getPublic())),
                         Duration.ZERO,
                         Duration.ofDays(1_000_000));
             }
-            World.Router router = routers.get(i);
-            LoopTime time = times.get(i);
-            all.add(
+            RouterSimulation.Router router = routers.get(i);
+            EventLoopScheduler scheduler = schedulers.get(i);
+            transports.add(
                     new UdpGossipTransport(
                             GossipConfig.DEFAULT,
-                            ring,
+                            registry,
                             i,
                             null,
                             PeerRegistry.keyId(PeerRegistry.rawKey(keys.get(i).getPublic())),
                             keys.get(i).getPrivate(),
-                            time.loop(),
+                            scheduler.loop(),
                             log,
-                            time::now,
+                            scheduler::now,
                             () -> Duration.ofMillis(System.currentTimeMillis()),
-                            new SplittableRandom(script.seed() + i),
-                            (word, age) -> router.neighbours.receiveClaim(word, age, time.now())));
+                            new SplittableRandom(scenario.seed() + i),
+                            (claim, age) ->
+                                    router.peerHealth.receiveClaim(claim, age, scheduler.now())));
         }
         for (int i = 0; i < routers.size(); i++) {
-            times.get(i).loop().execute(all.get(i)::open);
+            schedulers.get(i).loop().execute(transports.get(i)::open);
         }
     }
 }
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -3,12 +3,12 @@
 import dillfront.common.logging.Log;
 import dillfront.router.memory.RouterStateStore;
 import dillfront.routing.api.MemberState;
-import dillfront.simulation.processes.Audit;
-import dillfront.simulation.processes.Load;
-import dillfront.simulation.processes.Mix;
-import dillfront.simulation.processes.Node;
+import dillfront.simulation.processes.InvariantChecker;
+import dillfront.simulation.processes.LoadGenerator;
 import dillfront.simulation.processes.Rig;
-import dillfront.simulation.processes.Router;
+import dillfront.simulation.processes.RouterProcess;
+import dillfront.simulation.processes.SimulatedNode;
+import dillfront.simulation.processes.TransactionMix;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -34,52 +34,54 @@
 public final class PowerMeasure {
 
     private static final int ROUTERS = 4;
-    private static final int RIGS = 4;
-    private static final int LOSSES = 5;
+    private static final int RIG_COUNT = 4;
+    private static final int LOSSES_PER_RIG = 5;
 
     /** A return is over once so many txns were served, by all routers. */
-    private static final int SERVED = 100;
+    private static final int RECOVERED_TXNS = 100;
 
-    private static final Node.Work WORK = new Node.Work(2, 5000, 0.2, 3000, 2, 1000);
-    private static final Node.Work QUICK = new Node.Work(8, 500, 0.2, 3000, 2, 1000);
-    private static final int CLOSED = 64;
-    private static final long CLOSED_MS = 1500;
+    private static final SimulatedNode.Capacity WORK =
+            new SimulatedNode.Capacity(2, 5000, 0.2, 3000, 2, 1000);
+    private static final SimulatedNode.Capacity FAST_WORK =
+            new SimulatedNode.Capacity(8, 500, 0.2, 3000, 2, 1000);
+    private static final int CLOSED_LOOP_CLIENTS = 64;
+    private static final long CLOSED_LOOP_MS = 1500;
 
     private PowerMeasure() {}
 
     /** Prints one line of results. */
     public static void main(String[] args) throws Exception {
-        ExecutorService rigs = Executors.newFixedThreadPool(RIGS + 1);
+        ExecutorService executor = Executors.newFixedThreadPool(RIG_COUNT + 1);
         List<Future<Losses>> fleets = new ArrayList<>();
-        for (int i = 0; i < RIGS; i++) {
+        for (int i = 0; i < RIG_COUNT; i++) {
             int seed = 30 + i;
-            fleets.add(rigs.submit(() -> losses(ROUTERS, LOSSES, seed)));
+            fleets.add(executor.submit(() -> measureLosses(ROUTERS, LOSSES_PER_RIG, seed)));
         }
         // One router that gets all that the four get, beside them.
-        Future<Losses> ideal = rigs.submit(() -> losses(1, LOSSES, 30));
-        Losses all = new Losses(new ArrayList<>(), new long[6], 0);
-        for (Future<Losses> one : fleets) {
-            all = all.and(one.get());
+        Future<Losses> idealRouter = executor.submit(() -> measureLosses(1, LOSSES_PER_RIG, 30));
+        Losses total = new Losses(new ArrayList<>(), new long[6], 0);
+        for (Future<Losses> fleet : fleets) {
+            total = total.merge(fleet.get());
         }
-        rigs.shutdown();
-        double back = median(all.backMs);
+        executor.shutdown();
+        double medianBackMs = median(total.backMs);
         String line =
                 String.format(
                         Locale.ROOT,
                         "power: processes=%d losses=%d twice=%d drained=%d stale=%d tipped=%d unanswered=%d "
                                 + "back_ms=%.0f back_ms_vs_ideal=%.2f cold_peak_of_limit=%.2f",
-                        RIGS * ROUTERS,
-                        all.backMs.size(),
-                        all.rules[2],
-                        all.rules[3],
-                        all.rules[5],
-                        all.rules[4],
-                        all.rules[1],
-                        back,
-                        back / median(ideal.get().backMs),
-                        all.peak);
-        double[] mix = {rate(true, false), rate(false, false)};
-        double[] writes = {rate(true, true), rate(false, true)};
+                        RIG_COUNT * ROUTERS,
+                        total.backMs.size(),
+                        total.breachesByRule[2],
+                        total.breachesByRule[3],
+                        total.breachesByRule[5],
+                        total.breachesByRule[4],
+                        total.breachesByRule[1],
+                        medianBackMs,
+                        medianBackMs / median(idealRouter.get().backMs),
+                        total.peakLoad);
+        double[] mix = {measureRate(true, false), measureRate(false, false)};
+        double[] writes = {measureRate(true, true), measureRate(false, true)};
         line +=
                 String.format(
                         Locale.ROOT,
@@ -87,20 +89,22 @@
                         mix[0] / mix[1],
                         writes[0] / writes[1],
                         writes[0],
-                        recoverMs(100_000));
-        Small.Found small = Small.explore(5, Integer.MAX_VALUE, Small.Plant.NONE);
-        if (small.broken() != null) {
-            throw new IllegalStateException(small.toString());
+                        measureRecoveryMillis(100_000));
+        RouterModelChecker.CheckResult modelChecking =
+                RouterModelChecker.explore(
+                        5, Integer.MAX_VALUE, RouterModelChecker.InjectedFault.NONE);
+        if (modelChecking.violation() != null) {
+            throw new IllegalStateException(modelChecking.toString());
         }
-        Dark.Outcome[] hundred = play(100, 200);
-        Dark.Outcome[] thousand = play(1000, 4);
-        Dark.Outcome[] crowd =
+        ColdStartSimulation.Outcome[] with100Routers = simulate(100, 200);
+        ColdStartSimulation.Outcome[] with1000Routers = simulate(1000, 4);
+        ColdStartSimulation.Outcome[] afterBurst =
                 IntStream.range(0, 24)
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        Dark.play(
-                                                new Dark.Case(
+                                        ColdStartSimulation.run(
+                                                new ColdStartSimulation.Scenario(
                                                         100,
                                                         4,
                                                         4,
@@ -113,52 +117,55 @@
                                                         0,
                                                         0,
                                                         seed)))
-                        .toArray(Dark.Outcome[]::new);
+                        .toArray(ColdStartSimulation.Outcome[]::new);
         System.out.printf(
                 Locale.ROOT,
                 "%s small_states=%d first_s_100=%.2f served_of_could_100=%.2f cold_peak_of_limit_100=%.2f "
                         + "first_s_1000=%.2f served_of_could_1000=%.2f cold_peak_of_limit_1000=%.2f wave_of_mean=%.2f%n",
                 line,
-                small.states(),
-                worst(hundred, 0),
-                mean(hundred),
-                worst(hundred, 1),
-                worst(thousand, 0),
-                mean(thousand),
-                worst(thousand, 1),
-                Arrays.stream(crowd).mapToDouble(Dark.Outcome::wave).max().orElse(0));
+                modelChecking.states(),
+                worst(with100Routers, 0),
+                mean(with100Routers),
+                worst(with100Routers, 1),
+                worst(with1000Routers, 0),
+                mean(with1000Routers),
+                worst(with1000Routers, 1),
+                Arrays.stream(afterBurst)
+                        .mapToDouble(ColdStartSimulation.Outcome::retryPeak)
+                        .max()
+                        .orElse(0));
     }
 
     /**
      * @param backMs of each loss, until SERVED were served after it
      */
-    private record Losses(List<Long> backMs, long[] rules, double peak) {
+    private record Losses(List<Long> backMs, long[] breachesByRule, double peakLoad) {
 
-        Losses and(Losses other) {
-            List<Long> all = new ArrayList<>(backMs);
-            all.addAll(other.backMs);
-            long[] sum = new long[rules.length];
-            Arrays.setAll(sum, i -> rules[i] + other.rules[i]);
-            return new Losses(all, sum, Math.max(peak, other.peak));
+        Losses merge(Losses other) {
+            List<Long> mergedBackMs = new ArrayList<>(backMs);
+            mergedBackMs.addAll(other.backMs);
+            long[] sum = new long[breachesByRule.length];
+            Arrays.setAll(sum, i -> breachesByRule[i] + other.breachesByRule[i]);
+            return new Losses(mergedBackMs, sum, Math.max(peakLoad, other.peakLoad));
         }
     }
 
-    private static double median(List<Long> of) {
-        return of.stream().sorted().skip(of.size() / 2).findFirst().orElse(0L);
+    private static double median(List<Long> values) {
+        return values.stream().sorted().skip(values.size() / 2).findFirst().orElse(0L);
     }
 
-    private static String memory(Rig rig, int r) {
-        return "memory(folder = \"" + rig.folder().resolve("m" + r) + "\")\ndoubts()\n";
+    private static String storageSettings(Rig rig, int router) {
+        return "memory(folder = \"" + rig.folder().resolve("m" + router) + "\")\ndoubts()\n";
     }
 
-    private static Dark.Outcome[] play(int routers, int seeds) {
+    private static ColdStartSimulation.Outcome[] simulate(int routerCount, int seeds) {
         return IntStream.range(0, seeds)
                 .parallel()
                 .mapToObj(
                         seed ->
-                                Dark.play(
-                                        new Dark.Case(
-                                                routers,
+                                ColdStartSimulation.run(
+                                        new ColdStartSimulation.Scenario(
+                                                routerCount,
                                                 4,
                                                 4,
                                                 0.3 + 0.1 * (seed % 8),
@@ -170,48 +177,52 @@
                                                 seed % 4 * 0.15,
                                                 seed % 5 * 0.1,
                                                 seed)))
-                .toArray(Dark.Outcome[]::new);
+                .toArray(ColdStartSimulation.Outcome[]::new);
     }
 
-    private static double worst(Dark.Outcome[] of, int which) {
-        return Arrays.stream(of)
-                .mapToDouble(o -> which == 0 ? o.first() : o.peak())
+    private static double worst(ColdStartSimulation.Outcome[] outcomes, int column) {
+        return Arrays.stream(outcomes)
+                .mapToDouble(
+                        outcome -> column == 0 ? outcome.firstServedSeconds() : outcome.peakLoad())
                 .max()
                 .orElse(0);
     }
 
-    private static double mean(Dark.Outcome[] of) {
-        return Arrays.stream(of).mapToDouble(Dark.Outcome::served).average().orElse(0);
+    private static double mean(ColdStartSimulation.Outcome[] outcomes) {
+        return Arrays.stream(outcomes)
+                .mapToDouble(ColdStartSimulation.Outcome::servedFraction)
+                .average()
+                .orElse(0);
     }
 
     /**
      * How long the next life takes to read a memory of so many closed nodes, in a JVM that has read
      * one before.
      */
-    private static long recoverMs(int closings) throws Exception {
+    private static long measureRecoveryMillis(int closings) throws Exception {
         Path folder = Files.createTempDirectory("dillfront-memory");
         Log log = new Log(new PrintStream(OutputStream.nullOutputStream()));
         try {
-            RouterStateStore first = RouterStateStore.open(folder, "r0", log, Runnable::run);
+            RouterStateStore store = RouterStateStore.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                first.nodeClosed("s-" + i, MemberState.DRAINING, i, i);
+                store.nodeClosed("s-" + i, MemberState.DRAINING, i, i);
             }
-            CountDownLatch kept = new CountDownLatch(1);
-            first.whenKept(well -> kept.countDown());
-            kept.await();
-            first.close();
-            long from = System.nanoTime();
-            RouterStateStore next = RouterStateStore.open(folder, "r0", log, Runnable::run);
-            int found = next.closings().size();
-            long took = (System.nanoTime() - from) / 1_000_000;
-            next.close();
+            CountDownLatch persisted = new CountDownLatch(1);
+            store.whenKept(success -> persisted.countDown());
+            persisted.await();
+            store.close();
+            long startNanos = System.nanoTime();
+            RouterStateStore recovered = RouterStateStore.open(folder, "r0", log, Runnable::run);
+            int found = recovered.closings().size();
+            long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+            recovered.close();
             if (found != closings) {
                 throw new IllegalStateException("of " + closings + " there are " + found);
             }
-            return took;
+            return elapsedMillis;
         } finally {
-            try (Stream<Path> all = Files.walk(folder)) {
-                for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
+            try (Stream<Path> paths = Files.walk(folder)) {
+                for (Path file : paths.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
                 }
             }
@@ -222,92 +233,98 @@
      * How many txns a second one router serves, to clients that ask the next as soon as they have
      * an answer.
      */
-    private static double rate(boolean remembers, boolean writes) throws Exception {
-        Rig.Plan plan = Rig.Plan.of(1, 1, 3).work(QUICK);
-        try (Rig rig = new Rig(remembers ? plan.operator(PowerMeasure::memory) : plan)) {
+    private static double measureRate(boolean persistsState, boolean writes) throws Exception {
+        Rig.Plan plan = Rig.Plan.of(1, 1, 3).capacity(FAST_WORK);
+        try (Rig rig =
+                new Rig(persistsState ? plan.operatorFile(PowerMeasure::storageSettings) : plan)) {
             rig.start();
             long[] count = new long[1];
-            rig.stage()
+            rig.harness()
                     .run(
                             () -> {
-                                for (int i = 0; i < CLOSED; i++) {
-                                    next(rig, writes, count);
+                                for (int i = 0; i < CLOSED_LOOP_CLIENTS; i++) {
+                                    sendNext(rig, writes, count);
                                 }
                             });
-            Thread.sleep(CLOSED_MS / 2);
-            long from = rig.stage().now();
-            long before = rig.stage().call(() -> count[0]);
-            Thread.sleep(CLOSED_MS);
-            long after = rig.stage().call(() -> count[0]);
-            double rate = (after - before) * 1e9 / (rig.stage().now() - from);
-            rig.stage().run(() -> count[0] = Long.MIN_VALUE / 2);
-            rig.settle();
+            Thread.sleep(CLOSED_LOOP_MS / 2);
+            long startNanos = rig.harness().nowNanos();
+            long before = rig.harness().call(() -> count[0]);
+            Thread.sleep(CLOSED_LOOP_MS);
+            long after = rig.harness().call(() -> count[0]);
+            double rate = (after - before) * 1e9 / (rig.harness().nowNanos() - startNanos);
+            rig.harness().run(() -> count[0] = Long.MIN_VALUE / 2);
+            rig.awaitAllAnswered();
             return rate;
         }
     }
 
-    private static void next(Rig rig, boolean writes, long[] count) {
+    private static void sendNext(Rig rig, boolean writes, long[] count) {
         if (count[0] < 0) {
             return;
         }
         long number = ++count[0];
-        Mix.Type type =
-                writes ? Mix.type("move") : Mix.TYPES.get((int) (number % Mix.TYPES.size()));
+        TransactionMix.TransactionType type =
+                writes
+                        ? TransactionMix.type("move")
+                        : TransactionMix.TYPES.get((int) (number % TransactionMix.TYPES.size()));
         rig.router(0)
-                .caller()
-                .ask(
+                .client()
+                .submit(
                         type.name(),
                         0,
-                        type.write() ? "c" + number : "16-" + number % 1000,
+                        type.isWrite() ? "c" + number : "16-" + number % 1000,
                         1500,
                         0,
-                        a -> next(rig, writes, count));
+                        answer -> sendNext(rig, writes, count));
     }
 
     /**
      * Real processes: all lose power, nodes and routers come back side by side, as many are served
      * again, and so on.
      */
-    private static Losses losses(int routers, int many, long seed) throws Exception {
+    private static Losses measureLosses(int routers, int count, long seed) throws Exception {
         try (Rig rig =
                 new Rig(
                         Rig.Plan.of(routers, 2, 3)
-                                .work(WORK)
+                                .capacity(WORK)
                                 .zones("a", "b", "c")
-                                .operator(PowerMeasure::memory))) {
+                                .operatorFile(PowerMeasure::storageSettings))) {
             rig.start();
-            Load load = new Load(rig, seed, 5000);
+            LoadGenerator load = new LoadGenerator(rig, seed, 5000);
             load.start();
             List<Long> backMs = new ArrayList<>();
-            for (int loss = 0; loss < many; loss++) {
-                served(rig, load);
-                rig.cut();
-                for (Node node : rig.nodes()) {
-                    rig.back(node, 0);
+            for (int loss = 0; loss < count; loss++) {
+                awaitServed(rig, load);
+                rig.losePower();
+                for (SimulatedNode node : rig.nodes()) {
+                    rig.restartNode(node, 0);
                 }
-                for (int r = 0; r < routers; r++) {
-                    rig.agent(r, 0).open();
+                for (int router = 0; router < routers; router++) {
+                    rig.agent(router, 0).open();
                 }
-                long at = rig.stage().now();
+                long startNanos = rig.harness().nowNanos();
                 rig.start();
-                served(rig, load);
-                backMs.add((rig.stage().now() - at) / 1_000_000);
+                awaitServed(rig, load);
+                backMs.add((rig.harness().nowNanos() - startNanos) / 1_000_000);
             }
             load.stop();
-            rig.settle();
-            rig.routers().forEach(Router::end);
-            Audit audit = Audit.of(rig.stage().record(), true);
+            rig.awaitAllAnswered();
+            rig.routers().forEach(RouterProcess::shutDown);
+            InvariantChecker audit = InvariantChecker.of(rig.harness().events(), true);
             long[] rules = new long[6];
-            audit.breaches().forEach(b -> rules[b.rule()]++);
-            return new Losses(backMs, rules, audit.peak());
+            audit.violations().forEach(breach -> rules[breach.rule()]++);
+            return new Losses(backMs, rules, audit.peakWarmupLoad());
         }
     }
 
-    private static void served(Rig rig, Load load) {
-        List<String> lives = rig.routers().stream().map(Router::life).toList();
-        rig.stage()
+    private static void awaitServed(Rig rig, LoadGenerator load) {
+        List<String> incarnationIds =
+                rig.routers().stream().map(RouterProcess::incarnation).toList();
+        rig.harness()
                 .await(
-                        SERVED + " were served",
-                        () -> lives.stream().mapToInt(load::committed).sum() >= SERVED);
+                        RECOVERED_TXNS + " were served",
+                        () ->
+                                incarnationIds.stream().mapToInt(load::committed).sum()
+                                        >= RECOVERED_TXNS);
     }
 }
--- a/src/main/java/dillfront/simulation/StandInServer.java
+++ b/src/main/java/dillfront/simulation/StubDatabaseServer.java
@@ -15,14 +15,14 @@
  * PAUSE, RESUME, STEPDOWN, and statements of data planes. All servers of a group share one log, as
  * with synchronous replicas. On one environment's thread.
  */
-final class StandInServer {
+final class StubDatabaseServer {
 
     private static final int HEARTBEAT_TIMEOUT_MS = 900;
 
     /** The servers of one service. */
     static final class Group {
         final String service;
-        final List<StandInServer> servers = new ArrayList<>();
+        final List<StubDatabaseServer> servers = new ArrayList<>();
 
         /** Keys that were written. */
         final TreeSet<String> written = new TreeSet<>();
@@ -34,13 +34,13 @@
             this.service = service;
         }
 
-        StandInServer primary() {
+        StubDatabaseServer primary() {
             return servers.stream().filter(s -> s.primary).findFirst().orElse(null);
         }
 
         /** The platform makes this server the primary; whether it runs. */
         boolean promote(String id) {
-            for (StandInServer server : servers) {
+            for (StubDatabaseServer server : servers) {
                 if (server.id.equals(id) && server.running) {
                     servers.forEach(other -> other.primary = other == server);
                     server.pauseTerm = 0;
@@ -68,7 +68,7 @@
     private long pauseTerm;
     private long callSequence;
 
-    StandInServer(
+    StubDatabaseServer(
             NettyEnvironment environment,
             Group group,
             String id,
@@ -85,7 +85,7 @@
         primary = group.servers.isEmpty();
         group.servers.add(this);
         environment.listen(address, Environment.Framing.LINES, accepted -> new Session());
-        environment.eventLoop().execute(this::beat);
+        environment.eventLoop().execute(this::scheduleHeartbeats);
     }
 
     String id() {
@@ -93,19 +93,19 @@
     }
 
     /** It is lost: it answers nothing any more, and sends no heartbeat. */
-    void lose() {
+    void fail() {
         running = false;
         primary = false;
     }
 
     /** It runs again, as a replica. */
-    void comeBack() {
+    void restart() {
         running = true;
         pauseTerm = 0;
     }
 
-    private void beat() {
-        environment.schedule(intervalMillis, this::beat);
+    private void scheduleHeartbeats() {
+        environment.schedule(intervalMillis, this::scheduleHeartbeats);
         heartbeat();
     }
 
@@ -153,11 +153,11 @@
         }
 
         private void answer(String statement) {
-            String[] word = statement.split(" ");
-            switch (word[0]) {
+            String[] tokens = statement.split(" ");
+            switch (tokens[0]) {
                 case "STATUS" -> status();
                 case "PAUSE" -> {
-                    pauseTerm = Long.parseLong(word[1]);
+                    pauseTerm = Long.parseLong(tokens[1]);
                     status();
                 }
                 case "RESUME" -> {
@@ -168,7 +168,7 @@
                     primary = false;
                     status();
                 }
-                case "WRITE" -> write(word[1]);
+                case "WRITE" -> write(tokens[1]);
                 case "READ", "AFTER" -> send("ROW v\r\nCOMPLETE -\r\nREADY I " + group.position());
                 default -> send("COMPLETE -\r\nREADY I " + group.position());
             }
--- a/src/main/java/dillfront/simulation/SystemMeasure.java
+++ b/src/main/java/dillfront/simulation/SystemMeasure.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import dillfront.simulation.system.Day;
+import dillfront.simulation.system.SystemSimulation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -11,17 +11,17 @@
  */
 public final class SystemMeasure {
 
-    private static final long PLAY_MS = 24_000;
+    private static final long SCHEDULE_MS = 24_000;
     private static final long BUDGET_MS = 42_000;
-    private static final int MOST_DAYS = 600;
+    private static final int MAX_SCHEDULES = 600;
 
     private SystemMeasure() {}
 
-    private static Day play(long seed) {
-        Day day = new Day(seed, 2, 2, 9, PLAY_MS);
-        day.random();
-        day.play();
-        return day;
+    private static SystemSimulation run(long seed) {
+        SystemSimulation schedule = new SystemSimulation(seed, 2, 2, 9, SCHEDULE_MS);
+        schedule.addRandomFaults();
+        schedule.run();
+        return schedule;
     }
 
     /**
@@ -30,74 +30,75 @@
      */
     public static void main(String[] args) {
         if (args.length > 0) {
-            Day day = play(Long.parseLong(args[0]));
-            day.story.forEach(System.out::println);
-            day.told().forEach(System.out::println);
-            day.status().forEach(System.out::println);
-            day.breaches().forEach(System.out::println);
+            SystemSimulation schedule = run(Long.parseLong(args[0]));
+            schedule.eventLog.forEach(System.out::println);
+            schedule.traceLog().forEach(System.out::println);
+            schedule.status().forEach(System.out::println);
+            schedule.violations().forEach(System.out::println);
             System.out.println(
                     "served "
-                            + day.served()
+                            + schedule.served()
                             + " promotions "
-                            + day.promotions()
+                            + schedule.promotions()
                             + " promote_ms "
-                            + day.promoteMs());
+                            + schedule.promotionMillis());
             return;
         }
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         List<Long> promote = new ArrayList<>();
         List<Long> config = new ArrayList<>();
-        int days = 0;
-        int broken = 0;
+        int schedules = 0;
+        int violations = 0;
         int lost = 0;
         int twice = 0;
         int stale = 0;
         int promotions = 0;
         double served = 0;
         for (long seed = 1;
-                days < MOST_DAYS && (System.nanoTime() - from) / 1_000_000 < BUDGET_MS;
+                schedules < MAX_SCHEDULES
+                        && (System.nanoTime() - startNanos) / 1_000_000 < BUDGET_MS;
                 seed++) {
-            Day day = play(seed);
-            days++;
-            broken += day.breaches().size();
-            lost += day.lost();
-            twice += day.twice();
-            stale += day.stale();
-            promotions += day.promotions();
-            served += day.served();
-            promote.addAll(day.promoteMs());
-            config.addAll(day.configMs());
-            if (!day.breaches().isEmpty()) {
+            SystemSimulation schedule = run(seed);
+            schedules++;
+            violations += schedule.violations().size();
+            lost += schedule.lostCommits();
+            twice += schedule.duplicateCommits();
+            stale += schedule.staleReads();
+            promotions += schedule.promotions();
+            served += schedule.served();
+            promote.addAll(schedule.promotionMillis());
+            config.addAll(schedule.configurationApplyMillis());
+            if (!schedule.violations().isEmpty()) {
                 System.out.println(
                         "seed "
                                 + seed
                                 + ": "
-                                + day.breaches().get(0)
-                                + (day.breaches().size() > 1
-                                        ? " and " + (day.breaches().size() - 1) + " more"
+                                + schedule.violations().get(0)
+                                + (schedule.violations().size() > 1
+                                        ? " and " + (schedule.violations().size() - 1) + " more"
                                         : ""));
-            } else if (day.served() < 0.8) {
-                System.out.println("seed " + seed + ": served " + day.served());
+            } else if (schedule.served() < 0.8) {
+                System.out.println("seed " + seed + ": served " + schedule.served());
             }
         }
         System.out.printf(
                 "system: days=%d rules_broken=%d lost=%d twice=%d stale=%d promotions=%d promote_ms_p99=%d config_ms_p99=%d served=%.4f%n",
-                days,
-                broken,
+                schedules,
+                violations,
                 lost,
                 twice,
                 stale,
                 promotions,
                 p99(promote),
                 p99(config),
-                served / days);
+                served / schedules);
     }
 
-    private static long p99(List<Long> of) {
-        if (of.isEmpty()) {
+    private static long p99(List<Long> values) {
+        if (values.isEmpty()) {
             return 0;
         }
-        Collections.sort(of);
-        return of.get(Math.min(of.size() - 1, of.size() * 99 / 100));
+        Collections.sort(values);
+        return values.get(Math.min(values.size() - 1, values.size() * 99 / 100));
     }
 }
--- a/src/main/java/dillfront/simulation/Clockwork.java
+++ b/src/main/java/dillfront/simulation/TaskScheduler.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /** Time, virtual or not, and what is to be done later. */
-public interface Clockwork {
+public interface TaskScheduler {
 
     /** Since the start. */
     Duration now();
 
-    void after(Duration span, Runnable work);
+    void schedule(Duration delay, Runnable task);
 }
--- a/src/main/java/dillfront/simulation/UpgradeMeasure.java
+++ b/src/main/java/dillfront/simulation/UpgradeMeasure.java
@@ -47,21 +47,21 @@
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofMillis(CALL_TIMEOUT_MS)).build();
     private final NettyEnvironment environment = new NettyEnvironment(1);
-    private final StandInServer.Group group = new StandInServer.Group(SERVICE);
+    private final StubDatabaseServer.Group group = new StubDatabaseServer.Group(SERVICE);
     private final List<Process> dataPlanes = new ArrayList<>();
-    private final String[] before;
+    private final String[] earlier;
     private final String[] present;
-    private final ControlProcesses controls;
+    private final ControlPlaneProcesses controls;
     private final List<String> acknowledged = new ArrayList<>();
     private long revision;
     private int mixed;
     private int lost;
     private int unread;
 
-    private UpgradeMeasure(Path beforeJar, Path presentJar) throws IOException {
-        before = command(beforeJar);
+    private UpgradeMeasure(Path earlierJar, Path presentJar) throws IOException {
+        earlier = command(earlierJar);
         present = command(presentJar);
-        controls = new ControlProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, before);
+        controls = new ControlPlaneProcesses("upgrade", CONTROL_PORT, INTERNAL_PORT, earlier);
     }
 
     private static String[] command(Path jar) {
@@ -76,10 +76,10 @@
         } catch (AssertionError failed) {
             // The event loop's thread would go on for ever.
             System.out.println(failed.getMessage());
-            measure.end();
+            measure.close();
             System.exit(1);
         }
-        measure.end();
+        measure.close();
         System.out.println(
                 "upgrade: mixed="
                         + measure.mixed
@@ -91,21 +91,21 @@
     }
 
     private void run() throws Exception {
-        startStandIns();
-        controls.platform("127.0.0.1:" + PLATFORM_PORT);
+        startStubs();
+        controls.platformAddress("127.0.0.1:" + PLATFORM_PORT);
         controls.start(true);
-        startDataPlane(0, before);
+        startDataPlane(0, earlier);
         startDataPlane(1, present);
-        until("all control processes run", () -> holders() == 1);
+        await("all control processes run", () -> holders() == 1);
         changeConfiguration();
         write();
         replace(nonHolder(), present);
         failOver("with the earlier version as lease holder");
         replace(holder(), present);
-        until("another holds the lease", () -> holders() == 1);
-        replaceAllThatAreOld();
-        until("the present version holds the lease", () -> holders() == 1);
-        goBack(nonHolder());
+        await("another holds the lease", () -> holders() == 1);
+        replaceRemaining();
+        await("the present version holds the lease", () -> holders() == 1);
+        downgrade(nonHolder());
         failOver("with the present version as lease holder");
         mixed += dataPlanes.size();
         check();
@@ -113,13 +113,13 @@
 
     // ---- the steps
 
-    private void replace(int which, String... java) throws Exception {
-        controls.kill(which, false);
-        controls.java(which, java);
-        controls.start(which, false);
-        String members = status((which + 1) % ControlProcesses.IPS.length);
+    private void replace(int index, String... jvmArguments) throws Exception {
+        controls.kill(index, false);
+        controls.jvmArguments(index, jvmArguments);
+        controls.start(index, false);
+        String members = status((index + 1) % ControlPlaneProcesses.IPS.length);
         try {
-            until("it is back", () -> status(which).contains("version=" + revision + " "));
+            await("it is back", () -> status(index).contains("version=" + revision + " "));
         } catch (AssertionError notBack) {
             unread++;
             System.out.println(notBack.getMessage() + "; members were " + members);
@@ -130,8 +130,8 @@
         write();
     }
 
-    private void replaceAllThatAreOld() throws Exception {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+    private void replaceRemaining() throws Exception {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             if (!isPresent(i)) {
                 replace(i, present);
             }
@@ -139,41 +139,41 @@
     }
 
     /** One process of the earlier version beside a lease holder of the present one. */
-    private void goBack(int which) throws Exception {
-        replace(which, before);
+    private void downgrade(int index) throws Exception {
+        replace(index, earlier);
     }
 
-    private boolean isPresent(int which) {
-        return List.of(present).equals(controls.javaOf(which));
+    private boolean isPresent(int index) {
+        return List.of(present).equals(controls.jvmArgumentsOf(index));
     }
 
     private void failOver(String when) throws Exception {
-        StandInServer primary = group.primary();
-        environment.eventLoop().submit(primary::lose).get();
-        until(
+        StubDatabaseServer primary = group.primary();
+        environment.eventLoop().submit(primary::fail).get();
+        await(
                 "another server is the primary " + when,
                 () -> {
-                    StandInServer next = group.primary();
-                    return next != null
-                            && status(0).contains(SERVICE + " primary=" + next.id())
+                    StubDatabaseServer current = group.primary();
+                    return current != null
+                            && status(0).contains(SERVICE + " primary=" + current.id())
                             && !status(0).contains("moving");
                 });
         write();
         changeConfiguration();
         // Else it would be waited for in the next one, as it may hold what no other log does.
-        environment.eventLoop().submit(primary::comeBack).get();
+        environment.eventLoop().submit(primary::restart).get();
     }
 
     private void changeConfiguration() throws Exception {
         revision++;
         String body = configuration(revision);
-        until(
+        await(
                 "revision " + revision + " is acknowledged",
                 () -> call("POST", "/Configuration.Replace", body) == 200);
-        until(
+        await(
                 "revision " + revision + " is everywhere",
                 () -> {
-                    for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+                    for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
                         if (!status(i).contains("version=" + revision + " ")) {
                             return false;
                         }
@@ -215,7 +215,7 @@
         for (int i = 0; i < dataPlanes.size(); i++) {
             int port = CLIENT_PORT + i;
             String key = "k" + acknowledged.size();
-            until("a write at data plane " + i + " is acknowledged", () -> write(port, key));
+            await("a write at data plane " + i + " is acknowledged", () -> write(port, key));
             acknowledged.add(key);
         }
     }
@@ -238,23 +238,23 @@
         for (String key : acknowledged) {
             lost += group.written.contains(key) ? 0 : 1;
         }
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             lost += status(i).contains("version=" + revision + " ") ? 0 : 1;
         }
     }
 
     // ---- processes and stand-ins
 
-    private void startStandIns() throws IOException {
+    private void startStubs() throws IOException {
         List<String> addresses = new ArrayList<>();
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-            addresses.add(controls.control(i));
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+            addresses.add(controls.controlAddress(i));
         }
         environment.serveHttp(
                 "127.0.0.1:" + PLATFORM_PORT,
                 (method, path, body) -> CompletableFuture.completedFuture(promote(body)));
         for (int i = 0; i < SERVERS; i++) {
-            new StandInServer(
+            new StubDatabaseServer(
                     environment,
                     group,
                     "server-" + i,
@@ -270,10 +270,10 @@
         return new HttpResponse(runs ? 200 : 409, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    private void startDataPlane(int number, String... java) throws IOException {
+    private void startDataPlane(int number, String... jvmArguments) throws IOException {
         JsonArray seeds = Json.array().asArray();
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-            seeds.add(controls.control(i));
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+            seeds.add(controls.controlAddress(i));
         }
         JsonObject listen =
                 Json.object()
@@ -295,28 +295,28 @@
                         .add("cloud_api", Json.NULL);
         Path file = controls.folder().resolve("front-" + number + ".json");
         Files.writeString(file, settings.toString());
-        List<String> line = new ArrayList<>();
-        line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        line.addAll(List.of(java));
-        line.add("data-plane");
-        ProcessBuilder start = new ProcessBuilder(line);
-        start.environment().put("DILLFRONT_SETTINGS", file.toString());
-        start.redirectErrorStream(true)
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(List.of(jvmArguments));
+        command.add("data-plane");
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("DILLFRONT_SETTINGS", file.toString());
+        builder.redirectErrorStream(true)
                 .redirectOutput(controls.folder().resolve("front-" + number + ".log").toFile());
-        dataPlanes.add(start.start());
+        dataPlanes.add(builder.start());
     }
 
-    private void end() throws IOException, InterruptedException {
+    private void close() throws IOException, InterruptedException {
         for (Process process : dataPlanes) {
             process.destroyForcibly().waitFor();
         }
-        controls.end();
+        controls.close();
     }
 
     // ---- calls
 
     private int call(String method, String path, String body) throws InterruptedException {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             int status = call(i, method, path, body);
             if (status == 200) {
                 return status;
@@ -325,12 +325,15 @@
         return 0;
     }
 
-    private int call(int which, String method, String path, String body)
+    private int call(int index, String method, String path, String body)
             throws InterruptedException {
         try {
             return http.send(
                             HttpRequest.newBuilder(
-                                            URI.create("http://" + controls.control(which) + path))
+                                            URI.create(
+                                                    "http://"
+                                                            + controls.controlAddress(index)
+                                                            + path))
                                     .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                                     .build(),
@@ -341,14 +344,14 @@
         }
     }
 
-    private String status(int which) throws InterruptedException {
+    private String status(int index) throws InterruptedException {
         try {
             String body =
                     http.send(
                                     HttpRequest.newBuilder(
                                                     URI.create(
                                                             "http://"
-                                                                    + controls.control(which)
+                                                                    + controls.controlAddress(index)
                                                                     + "/status"))
                                             .timeout(Duration.ofMillis(CALL_TIMEOUT_MS))
                                             .build(),
@@ -360,20 +363,20 @@
         }
     }
 
-    private boolean holdsLease(int which) throws InterruptedException {
-        return status(which).contains(" held promised=");
+    private boolean holdsLease(int index) throws InterruptedException {
+        return status(index).contains(" held promised=");
     }
 
     private int holders() throws InterruptedException {
         int count = 0;
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             count += holdsLease(i) ? 1 : 0;
         }
         return count;
     }
 
     private int holder() throws InterruptedException {
-        for (int i = 0; i < ControlProcesses.IPS.length; i++) {
+        for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
             if (holdsLease(i)) {
                 return i;
             }
@@ -382,16 +385,19 @@
     }
 
     private int nonHolder() throws InterruptedException {
-        return (holder() + 1) % ControlProcesses.IPS.length;
+        return (holder() + 1) % ControlPlaneProcesses.IPS.length;
     }
 
-    private void until(String what, Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
+    private void await(String description, Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + STEP_TIMEOUT_MS * 1_000_000;
         while (!condition.call()) {
-            if (System.nanoTime() > end) {
-                StringBuilder text = new StringBuilder("not within the time: " + what);
-                for (int i = 0; i < ControlProcesses.IPS.length; i++) {
-                    text.append('\n').append(controls.control(i)).append(' ').append(status(i));
+            if (System.nanoTime() > deadlineNanos) {
+                StringBuilder text = new StringBuilder("not within the time: " + description);
+                for (int i = 0; i < ControlPlaneProcesses.IPS.length; i++) {
+                    text.append('\n')
+                            .append(controls.controlAddress(i))
+                            .append(' ')
+                            .append(status(i));
                 }
                 throw new AssertionError(text);
             }
--- a/src/main/java/dillfront/simulation/processes/Rig.java
+++ b/src/main/java/dillfront/simulation/processes/Rig.java
@@ -26,22 +26,22 @@
      * What there is to be.
      *
      * @param zones routers and the members of a group stand in them by turns
-     * @param expiryMs how long clients of each type may wait, by the settings
+     * @param deadlineMs how long clients of each type may wait, by the settings
      * @param command what starts a router; null for this JVM's own classes
      * @param settings what is changed in the text of the settings, which is in single quotes there
-     * @param operator the text of the operator's file for a router, by the rig and its index; null
-     *     for none
+     * @param operatorFile the text of the operator's file for a router, by the rig and its index;
+     *     null for none
      */
     public record Plan(
             int routers,
             int groups,
-            int members,
+            int membersPerGroup,
             List<String> zones,
-            long expiryMs,
-            Node.Work work,
+            long deadlineMs,
+            SimulatedNode.Capacity capacity,
             List<String> command,
             UnaryOperator<String> settings,
-            BiFunction<Rig, Integer, String> operator) {
+            BiFunction<Rig, Integer, String> operatorFile) {
 
         /** So many routers, groups, and members a group. */
         public static Plan of(int routers, int groups, int members) {
@@ -51,7 +51,7 @@
                     members,
                     List.of("a"),
                     2000,
-                    new Node.Work(4, 2000, 0.2, 4000, 2, 1000),
+                    new SimulatedNode.Capacity(4, 2000, 0.2, 4000, 2, 1000),
                     null,
                     UnaryOperator.identity(),
                     null);
@@ -62,100 +62,153 @@
             return new Plan(
                     routers,
                     groups,
-                    members,
+                    membersPerGroup,
                     List.of(names),
-                    expiryMs,
-                    work,
+                    deadlineMs,
+                    capacity,
                     command,
                     settings,
-                    operator);
+                    operatorFile);
         }
 
-        public Plan expiry(long ms) {
-            return new Plan(routers, groups, members, zones, ms, work, command, settings, operator);
+        public Plan deadline(long ms) {
+            return new Plan(
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    ms,
+                    capacity,
+                    command,
+                    settings,
+                    operatorFile);
         }
 
-        public Plan work(Node.Work other) {
+        public Plan capacity(SimulatedNode.Capacity newCapacity) {
             return new Plan(
-                    routers, groups, members, zones, expiryMs, other, command, settings, operator);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    deadlineMs,
+                    newCapacity,
+                    command,
+                    settings,
+                    operatorFile);
         }
 
-        public Plan command(List<String> other) {
+        public Plan command(List<String> newCommand) {
             return new Plan(
-                    routers, groups, members, zones, expiryMs, work, other, settings, operator);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    deadlineMs,
+                    capacity,
+                    newCommand,
+                    settings,
+                    operatorFile);
         }
 
-        public Plan operator(BiFunction<Rig, Integer, String> text) {
+        public Plan operatorFile(BiFunction<Rig, Integer, String> newOperatorFile) {
             return new Plan(
-                    routers, groups, members, zones, expiryMs, work, command, settings, text);
+                    routers,
+                    groups,
+                    membersPerGroup,
+                    zones,
+                    deadlineMs,
+                    capacity,
+                    command,
+                    settings,
+                    newOperatorFile);
         }
     }
 
-    private static final long FIRST_GENERATION = 41;
+    private static final long INITIAL_GENERATION = 41;
 
     private final Plan plan;
     private final Path folder;
-    private final Stage stage = new Stage();
-    private final Thread atExit = new Thread(this::endProcesses, "rig");
-    private final List<Group> groups = new ArrayList<>();
-    private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final Catalogue catalogue;
-    private final List<Router> routers = new ArrayList<>();
+    private final TestHarness harness = new TestHarness();
+    private final Thread shutdownHook = new Thread(this::stopProcesses, "rig");
+    private final List<NodeGroup> groups = new ArrayList<>();
+    private final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
+    private final DiscoveryCatalog catalog;
+    private final List<RouterProcess> routers = new ArrayList<>();
 
     /** By router and node. */
-    private final Map<String, Relay> toNode = new HashMap<>();
+    private final Map<String, TcpFaultProxy> nodeProxies = new HashMap<>();
 
     /** By router: its agents, as many as it was ever moved to, and the ways there. */
-    private final List<List<Agent>> agents = new ArrayList<>();
+    private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
 
-    private final List<List<Relay>> toAgent = new ArrayList<>();
-    private final List<Hub> hubs = new ArrayList<>();
+    private final List<List<TcpFaultProxy>> agentProxies = new ArrayList<>();
+    private final List<UdpFaultProxy> udpProxies = new ArrayList<>();
 
     /** Sets all up; the routers are started by start(). */
     public Rig(Plan plan) throws IOException {
         this.plan = plan;
         folder = Files.createTempDirectory("dillfront-rig");
-        Runtime.getRuntime().addShutdownHook(atExit);
-        List<Catalogue.Entry> entries = new ArrayList<>();
-        for (int g = 0; g < plan.groups; g++) {
-            Group group = new Group(stage, g, Mix.WINDOW_MS);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        List<DiscoveryCatalog.Entry> entries = new ArrayList<>();
+        for (int groupIndex = 0; groupIndex < plan.groups; groupIndex++) {
+            NodeGroup group = new NodeGroup(harness, groupIndex, TransactionMix.DEDUP_WINDOW_MS);
             groups.add(group);
-            for (int m = 0; m < plan.members; m++) {
-                String id = "s-" + (g * plan.members + m);
-                nodes.put(id, new Node(stage, id, group, m == 0, plan.work));
+            for (int memberIndex = 0; memberIndex < plan.membersPerGroup; memberIndex++) {
+                String id = "s-" + (groupIndex * plan.membersPerGroup + memberIndex);
+                nodes.put(
+                        id, new SimulatedNode(harness, id, group, memberIndex == 0, plan.capacity));
                 entries.add(
-                        new Catalogue.Entry(
-                                id, g, plan.zones.get(m % plan.zones.size()), "ready", 0, m == 0));
+                        new DiscoveryCatalog.Entry(
+                                id,
+                                groupIndex,
+                                plan.zones.get(memberIndex % plan.zones.size()),
+                                "ready",
+                                0,
+                                memberIndex == 0));
             }
         }
-        catalogue = new Catalogue(FIRST_GENERATION, entries);
-        for (int r = 0; r < plan.routers; r++) {
-            String name = "r" + r;
+        catalog = new DiscoveryCatalog(INITIAL_GENERATION, entries);
+        for (int routerIndex = 0; routerIndex < plan.routers; routerIndex++) {
+            String name = "r" + routerIndex;
             Path config = folder.resolve(name + ".json");
-            List<String> command = plan.command != null ? plan.command : own();
-            Map<String, String> more = new HashMap<>();
-            if (plan.operator != null) {
-                more.put("LB_OPERATOR", folder.resolve(name + ".star").toString());
+            List<String> command = plan.command != null ? plan.command : routerCommand();
+            Map<String, String> extraEnvironment = new HashMap<>();
+            if (plan.operatorFile != null) {
+                extraEnvironment.put("LB_OPERATOR", folder.resolve(name + ".star").toString());
             }
-            Router router = new Router(stage, name, Stage.free(r), config, command, more);
+            RouterProcess router =
+                    new RouterProcess(
+                            harness,
+                            name,
+                            TestHarness.freeAddress(routerIndex),
+                            config,
+                            command,
+                            extraEnvironment);
             routers.add(router);
-            for (Node node : nodes.values()) {
-                toNode.put(
+            for (SimulatedNode node : nodes.values()) {
+                nodeProxies.put(
                         name + ">" + node.id(),
-                        new Relay(stage, router::life, () -> Stage.here(node.port())));
+                        new TcpFaultProxy(
+                                harness,
+                                router::incarnation,
+                                () -> TestHarness.localAddress(node.port())));
             }
             agents.add(new ArrayList<>());
-            toAgent.add(new ArrayList<>());
-            addAgent(r);
-            configure(r, 0);
+            agentProxies.add(new ArrayList<>());
+            addAgent(routerIndex);
+            writeConfiguration(routerIndex, 0);
         }
-        for (int r = 0; r < plan.routers && plan.operator != null; r++) {
-            Files.writeString(folder.resolve("r" + r + ".star"), plan.operator.apply(this, r));
+        for (int routerIndex = 0;
+                routerIndex < plan.routers && plan.operatorFile != null;
+                routerIndex++) {
+            Files.writeString(
+                    folder.resolve("r" + routerIndex + ".star"),
+                    plan.operatorFile.apply(this, routerIndex));
         }
     }
 
     /** The program by this JVM's own classes, as the deployment would start it. */
-    public static List<String> own() {
+    public static List<String> routerCommand() {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -170,110 +223,126 @@
 
     /** Starts all routers side by side, and returns once all serve. */
     public void start() {
-        routers.forEach(Router::start);
-        routers.forEach(Router::awaitServing);
+        routers.forEach(RouterProcess::start);
+        routers.forEach(RouterProcess::awaitServing);
     }
 
-    public Stage stage() {
-        return stage;
+    public TestHarness harness() {
+        return harness;
     }
 
     public Path folder() {
         return folder;
     }
 
-    public List<Router> routers() {
+    public List<RouterProcess> routers() {
         return routers;
     }
 
-    public Router router(int r) {
-        return routers.get(r);
+    public RouterProcess router(int routerIndex) {
+        return routers.get(routerIndex);
     }
 
-    public List<Group> groups() {
+    public List<NodeGroup> groups() {
         return groups;
     }
 
-    public Node node(String id) {
+    public SimulatedNode node(String id) {
         return nodes.get(id);
     }
 
-    public List<Node> nodes() {
+    public List<SimulatedNode> nodes() {
         return List.copyOf(nodes.values());
     }
 
-    public Catalogue catalogue() {
-        return catalogue;
+    public DiscoveryCatalog catalog() {
+        return catalog;
     }
 
     /** The way from a router to a node. */
-    public Relay link(int router, String node) {
-        return toNode.get("r" + router + ">" + node);
+    public TcpFaultProxy nodeProxy(int router, String nodeId) {
+        return nodeProxies.get("r" + router + ">" + nodeId);
     }
 
-    public Relay agentLink(int router, int agent) {
-        return toAgent.get(router).get(agent);
+    public TcpFaultProxy agentProxy(int router, int agent) {
+        return agentProxies.get(router).get(agent);
     }
 
-    public Agent agent(int router, int agent) {
+    public DiscoveryAgent agent(int router, int agent) {
         return agents.get(router).get(agent);
     }
 
     /** One agent more for this router, at a port of its own; its number. */
-    public int addAgent(int r) {
-        String name = "r" + r;
-        Agent agent =
-                new Agent(stage, "a" + agents.get(r).size(), catalogue, id -> nodes.get(id).port());
-        agent.way(name, id -> toNode.get(name + ">" + id).port());
-        agents.get(r).add(agent);
-        toAgent.get(r).add(new Relay(stage, routers.get(r)::life, () -> Stage.here(agent.port())));
-        return agents.get(r).size() - 1;
+    public int addAgent(int routerIndex) {
+        String name = "r" + routerIndex;
+        DiscoveryAgent agent =
+                new DiscoveryAgent(
+                        harness,
+                        "a" + agents.get(routerIndex).size(),
+                        catalog,
+                        id -> nodes.get(id).port());
+        agent.setNodePorts(name, id -> nodeProxies.get(name + ">" + id).port());
+        agents.get(routerIndex).add(agent);
+        agentProxies
+                .get(routerIndex)
+                .add(
+                        new TcpFaultProxy(
+                                harness,
+                                routers.get(routerIndex)::incarnation,
+                                () -> TestHarness.localAddress(agent.port())));
+        return agents.get(routerIndex).size() - 1;
     }
 
     /**
      * Writes the router's configuration, with discovery at this agent of its own and the first list
      * as known.
      */
-    public void configure(int r, int agent) {
-        String name = "r" + r;
+    public void writeConfiguration(int routerIndex, int agent) {
+        String name = "r" + routerIndex;
         List<String> known = new ArrayList<>();
-        for (Catalogue.Entry e : catalogue.upTo(FIRST_GENERATION).entries().values()) {
-            known.add(Agent.row(e, toNode.get(name + ">" + e.id()).port()));
+        for (DiscoveryCatalog.Entry entry :
+                catalog.versionAt(INITIAL_GENERATION).entries().values()) {
+            known.add(
+                    DiscoveryAgent.entryJson(
+                            entry, nodeProxies.get(name + ">" + entry.id()).port()));
         }
         String text =
                 "{'name':'"
                         + name
                         + "','listen':'"
-                        + routers.get(r).address().getHostString()
+                        + routers.get(routerIndex).address().getHostString()
                         + ":"
-                        + routers.get(r).address().getPort()
+                        + routers.get(routerIndex).address().getPort()
                         + "','discovery':'"
-                        + Stage.HOST
+                        + TestHarness.HOST
                         + ":"
-                        + toAgent.get(r).get(agent).port()
+                        + agentProxies.get(routerIndex).get(agent).port()
                         + "','seed':'"
-                        + Long.toHexString(0x8c1f30d27a5be964L + r)
+                        + Long.toHexString(0x8c1f30d27a5be964L + routerIndex)
                         + "','limits':"
                         + "{'cores':1.0,'memory_mb':128,'sockets':512},'known':{'generation':"
-                        + FIRST_GENERATION
+                        + INITIAL_GENERATION
                         + ",'reset':true,"
                         + "'instances':["
                         + String.join(",", known)
                         + "]},'settings':"
                         + plan.settings.apply(
-                                Mix.settings(
-                                        plan.zones.get(r % plan.zones.size()),
+                                TransactionMix.settingsJson(
+                                        plan.zones.get(routerIndex % plan.zones.size()),
                                         plan.zones,
                                         plan.routers,
-                                        plan.expiryMs,
-                                        plan.work))
+                                        plan.deadlineMs,
+                                        plan.capacity))
                         + "}";
         try {
-            Path next = folder.resolve(name + ".next");
-            Files.writeString(next, text.replace('\'', '"'));
-            Files.move(next, routers.get(r).config(), java.nio.file.StandardCopyOption.ATOMIC_MOVE);
-        } catch (IOException bad) {
-            throw new IllegalStateException(bad);
+            Path newFile = folder.resolve(name + ".next");
+            Files.writeString(newFile, text.replace('\'', '"'));
+            Files.move(
+                    newFile,
+                    routers.get(routerIndex).configFile(),
+                    java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+        } catch (IOException ex) {
+            throw new IllegalStateException(ex);
         }
     }
 
@@ -281,71 +350,77 @@
      * On the loop: the latest generation that this life has shown at this agent to have read;
      * negative where none.
      */
-    public long heard(String lifeAndAgent) {
-        return stage.heard(lifeAndAgent);
+    public long acknowledgedGeneration(String subscription) {
+        return harness.acknowledgedGeneration(subscription);
     }
 
     /**
      * Datagrams between these two are lost from now on, both ways, or pass; for routers that talk.
      */
-    public void apart(int one, int other, boolean lost) {
-        hubs.get(one).cut(other, lost);
-        hubs.get(other).cut(one, lost);
+    public void setPartitioned(int first, int second, boolean partitioned) {
+        udpProxies.get(first).setBlocked(second, partitioned);
+        udpProxies.get(second).setBlocked(first, partitioned);
     }
 
     /**
      * A hub before each router's datagrams, whose own sockets are at these addresses. Before
      * start().
      */
-    public List<Hub> hubs(List<InetSocketAddress> sockets) {
-        if (hubs.isEmpty()) {
-            sockets.forEach(s -> hubs.add(new Hub(stage, s, sockets)));
+    public List<UdpFaultProxy> udpProxies(List<InetSocketAddress> sockets) {
+        if (udpProxies.isEmpty()) {
+            sockets.forEach(socket -> udpProxies.add(new UdpFaultProxy(harness, socket, sockets)));
         }
-        return hubs;
+        return udpProxies;
     }
 
     /** Power is gone for all at once: routers, nodes, and the agents that routers are at. */
-    public void cut() {
-        routers.stream().filter(r -> !r.down()).forEach(Router::kill);
-        nodes.values().stream().filter(Node::up).forEach(Node::kill);
-        agents.forEach(all -> all.stream().filter(Agent::up).forEach(Agent::close));
+    public void losePower() {
+        routers.stream().filter(router -> !router.isDown()).forEach(RouterProcess::kill);
+        nodes.values().stream().filter(SimulatedNode::isListening).forEach(SimulatedNode::kill);
+        agents.forEach(
+                routerAgents ->
+                        routerAgents.stream()
+                                .filter(DiscoveryAgent::isListening)
+                                .forEach(DiscoveryAgent::close));
     }
 
     /** A node is back, cold, with its data so far behind what it had, and discovery knows of it. */
-    public void back(Node node, long lostMs) {
-        node.start(lostMs);
-        stage.run(
+    public void restartNode(SimulatedNode node, long lostDataMs) {
+        node.start(lostDataMs);
+        harness.run(
                 () -> {
-                    Catalogue.Entry before = catalogue.entry(node.id());
-                    catalogue.change(before.startedAt(node.startedMs));
+                    DiscoveryCatalog.Entry previous = catalog.entry(node.id());
+                    catalog.update(previous.readyWithStart(node.startedMs));
                 });
     }
 
     /** A client of this router asks once, with no write of its session before. */
-    public CompletableFuture<Happening.Answered> ask(
-            int router, String type, int group, String key, long waitMs) {
-        CompletableFuture<Happening.Answered> answer = new CompletableFuture<>();
-        stage.run(
+    public CompletableFuture<Event.QueryEnded> submit(
+            int router, String type, int group, String key, long timeoutMs) {
+        CompletableFuture<Event.QueryEnded> answer = new CompletableFuture<>();
+        harness.run(
                 () ->
                         routers.get(router)
-                                .caller()
-                                .ask(type, group, key, waitMs, 0, answer::complete));
+                                .client()
+                                .submit(type, group, key, timeoutMs, 0, answer::complete));
         return answer;
     }
 
     /** How often nodes have read a statement with this key, and how often it had its effect. */
-    public long[] count(String key) {
+    public long[] receivedAndAppliedCounts(String key) {
         long[] counts = new long[2];
-        stage.run(
+        harness.run(
                 () ->
-                        stage.each(
-                                h -> {
+                        harness.forEachEvent(
+                                event -> {
                                     counts[0] +=
-                                            h instanceof Happening.Sent s && s.key().equals(key)
+                                            event instanceof Event.StatementReceived statement
+                                                            && statement.key().equals(key)
                                                     ? 1
                                                     : 0;
                                     counts[1] +=
-                                            h instanceof Happening.Ran r && r.key().equals(key)
+                                            event instanceof Event.WriteApplied write
+                                                            && write.key().equals(key)
                                                     ? 1
                                                     : 0;
                                 }));
@@ -353,23 +428,23 @@
     }
 
     /** Until nobody waits for an answer. */
-    public void settle() {
-        stage.await(
+    public void awaitAllAnswered() {
+        harness.await(
                 "all clients had their answers",
-                () -> routers.stream().allMatch(r -> r.caller().waiting() == 0));
+                () -> routers.stream().allMatch(router -> router.client().pendingCount() == 0));
     }
 
-    private void endProcesses() {
-        routers.forEach(Router::close);
+    private void stopProcesses() {
+        routers.forEach(RouterProcess::close);
     }
 
     @Override
     public void close() throws IOException {
-        endProcesses();
-        stage.close();
-        Runtime.getRuntime().removeShutdownHook(atExit);
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path file : all.sorted(Comparator.reverseOrder()).toList()) {
+        stopProcesses();
+        harness.close();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path file : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
--- a/src/main/java/dillfront/simulation/processes/Stage.java
+++ b/src/main/java/dillfront/simulation/processes/TestHarness.java
@@ -32,13 +32,13 @@
  * of it that the auditor reads. Buffers are not pooled: what is measured in the same process counts
  * pooled ones.
  */
-public final class Stage implements AutoCloseable {
+public final class TestHarness implements AutoCloseable {
 
     /**
      * What has not come by then never comes: far beyond any time that a machine under load may
      * take.
      */
-    private static final long PATIENCE_MS = 30_000;
+    private static final long TIMEOUT_MS = 30_000;
 
     /**
      * Where stand-ins listen. Connections come from 127.0.0.1: none of them takes the port of a
@@ -46,23 +46,23 @@
      */
     public static final String HOST = "127.0.0.2";
 
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1, Stage::thread);
-    private final EventLoop loop = group.next();
+    private final NioEventLoopGroup loopGroup = new NioEventLoopGroup(1, TestHarness::newThread);
+    private final EventLoop loop = loopGroup.next();
     private final long startNanos = System.nanoTime();
 
     /** All that happened, in its order; on the loop. Ends with the rig. */
-    private final List<Happening> record = new ArrayList<>();
+    private final List<Event> events = new ArrayList<>();
 
-    private final Map<String, Long> heard = new HashMap<>();
+    private final Map<String, Long> acknowledgedGeneration = new HashMap<>();
 
     /**
      * Who is behind a connection, by both its ports, as one port may serve to several places;
      * emptied as they close.
      */
-    private final Map<Long, String> behind = new HashMap<>();
+    private final Map<Long, String> connectionOwner = new HashMap<>();
 
-    private static Thread thread(Runnable work) {
-        Thread thread = new Thread(work, "stage");
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "stage");
         thread.setDaemon(true);
         return thread;
     }
@@ -72,15 +72,15 @@
     }
 
     /** Nanoseconds since the stage was set. */
-    public long now() {
+    public long nowNanos() {
         return System.nanoTime() - startNanos;
     }
 
     /** On the loop. */
-    void happened(Happening what) {
-        record.add(what);
-        if (what instanceof Happening.Heard h) {
-            heard.put(h.life(), h.generation());
+    void recordEvent(Event event) {
+        events.add(event);
+        if (event instanceof Event.ListAcknowledged acknowledged) {
+            acknowledgedGeneration.put(acknowledged.subscription(), acknowledged.generation());
         }
     }
 
@@ -88,99 +88,100 @@
      * On the loop: what this life has last shown to have read at this agent, {@code r1#2<a0};
      * negative where nothing.
      */
-    long heard(String lifeAndAgent) {
-        return heard.getOrDefault(lifeAndAgent, -1L);
+    long acknowledgedGeneration(String subscription) {
+        return acknowledgedGeneration.getOrDefault(subscription, -1L);
     }
 
     /**
      * On the loop: this connection, open on our side, is one of whoever is named; null once it is
      * over.
      */
-    void behind(int from, int to, String who) {
-        if (who == null) {
-            behind.remove(key(from, to));
+    void connectionOwner(int clientPort, int serverPort, String owner) {
+        if (owner == null) {
+            connectionOwner.remove(portPair(clientPort, serverPort));
         } else {
-            behind.put(key(from, to), who);
+            connectionOwner.put(portPair(clientPort, serverPort), owner);
         }
     }
 
-    private static long key(int from, int to) {
-        return (long) from << 16 | to;
+    private static long portPair(int clientPort, int serverPort) {
+        return (long) clientPort << 16 | serverPort;
     }
 
     /** On the loop: who is behind one that was accepted; its port where nobody is known. */
-    String behind(Channel accepted) {
-        int from = ((InetSocketAddress) accepted.remoteAddress()).getPort();
-        return behind.getOrDefault(key(from, port(accepted)), "port-" + from);
+    String connectionOwner(Channel accepted) {
+        int clientPort = ((InetSocketAddress) accepted.remoteAddress()).getPort();
+        return connectionOwner.getOrDefault(
+                portPair(clientPort, port(accepted)), "port-" + clientPort);
     }
 
     /** On the loop: what happened so far, in its order. */
-    void each(Consumer<Happening> of) {
-        record.forEach(of);
+    void forEachEvent(Consumer<Event> consumer) {
+        events.forEach(consumer);
     }
 
     /** On the loop: how many statements of this life of a router the node has read so far. */
-    long sent(String life, String node) {
-        return record.stream()
+    long statementsReceived(String incarnation, String node) {
+        return events.stream()
                 .filter(
-                        h ->
-                                h instanceof Happening.Sent s
-                                        && s.life().equals(life)
-                                        && s.node().equals(node))
+                        event ->
+                                event instanceof Event.StatementReceived statement
+                                        && statement.incarnation().equals(incarnation)
+                                        && statement.node().equals(node))
                 .count();
     }
 
     /** On the loop: how many statements that write this node has read so far. */
-    long writes(String node) {
-        return record.stream()
+    long writesReceived(String node) {
+        return events.stream()
                 .filter(
-                        h ->
-                                h instanceof Happening.Sent s
-                                        && s.node().equals(node)
-                                        && Mix.type(s.type()).write())
+                        event ->
+                                event instanceof Event.StatementReceived statement
+                                        && statement.node().equals(node)
+                                        && TransactionMix.type(statement.type()).isWrite())
                 .count();
     }
 
     /** A copy of what happened so far. */
-    public List<Happening> record() {
-        return call(() -> List.copyOf(record));
+    public List<Event> events() {
+        return call(() -> List.copyOf(events));
     }
 
     /** Done on the loop; returns once it is. */
-    public <T> T call(Callable<T> what) {
+    public <T> T call(Callable<T> task) {
         if (loop.inEventLoop()) {
             try {
-                return what.call();
-            } catch (Exception fault) {
-                throw new IllegalStateException(fault);
+                return task.call();
+            } catch (Exception e) {
+                throw new IllegalStateException(e);
             }
         }
         try {
-            return loop.submit(what).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        } catch (ExecutionException fault) {
-            throw new IllegalStateException(fault.getCause());
-        } catch (Exception stopped) {
-            throw new IllegalStateException(stopped);
+            return loop.submit(task).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException e) {
+            throw new IllegalStateException(e.getCause());
+        } catch (Exception e) {
+            throw new IllegalStateException(e);
         }
     }
 
     /** Runs this on the stage's event loop and waits for it. */
-    public void run(Runnable what) {
+    public void run(Runnable task) {
         call(
                 () -> {
-                    what.run();
+                    task.run();
                     return null;
                 });
     }
 
     /** Waits until this is so, as looked at on the loop; not for how long, but for what. */
-    public void await(String what, BooleanSupplier so) {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
-        while (!call(so::getAsBoolean)) {
-            if (System.nanoTime() - until > 0) {
-                throw new IllegalStateException("it never came that " + what);
+    public void await(String description, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+        while (!call(condition::getAsBoolean)) {
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IllegalStateException("it never came that " + description);
             }
-            pause();
+            sleepBriefly();
         }
     }
 
@@ -189,58 +190,59 @@
      * written before a word of its own that was just read lies in some socket here by then, as
      * loopback delivers at once.
      */
-    void afterNextLook(Runnable then) {
-        loop.schedule(() -> loop.schedule(then, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
+    void afterNextPoll(Runnable task) {
+        loop.schedule(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS), 0, TimeUnit.NANOSECONDS);
     }
 
     /**
      * A door on loopback; port 0 asks for one. Off the loop: one that was just shut lets go of its
      * port only as the loop next looks at its sockets, so a port that is taken is tried again.
      */
-    Channel listen(int port, Supplier<TerminalHandler> each) {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    Channel listen(int port, Supplier<TerminalHandler> handlerFactory) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (true) {
             ChannelFuture bound =
                     call(
                             () ->
                                     Sockets.listen(
                                             loop,
-                                            here(port),
+                                            localAddress(port),
                                             1024,
                                             WriteBufferWaterMark.DEFAULT,
-                                            () -> new Unpooled(each.get())));
-            bound.awaitUninterruptibly(PATIENCE_MS);
+                                            () -> new UnpooledInitializer(handlerFactory.get())));
+            bound.awaitUninterruptibly(TIMEOUT_MS);
             if (bound.isSuccess()) {
                 return bound.channel();
             }
-            if (!(bound.cause() instanceof BindException) || System.nanoTime() - until > 0) {
+            if (!(bound.cause() instanceof BindException)
+                    || System.nanoTime() - deadlineNanos > 0) {
                 throw new IllegalStateException("port " + port, bound.cause());
             }
-            pause();
+            sleepBriefly();
         }
     }
 
     /** Between two looks at what is awaited. */
-    static void pause() {
+    static void sleepBriefly() {
         try {
             Thread.sleep(1);
-        } catch (InterruptedException stopped) {
-            throw new IllegalStateException(stopped);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
         }
     }
 
     /** Ends a connection as a machine does that knows nothing of it. */
-    static void reset(Channel channel) {
+    static void resetConnection(Channel channel) {
         try {
             ((SocketChannelConfig) channel.config()).setSoLinger(0);
-        } catch (ChannelException over) {
+        } catch (ChannelException e) {
             // The other side has ended it in this moment.
         }
         channel.close();
     }
 
-    static int port(Channel door) {
-        return ((InetSocketAddress) door.localAddress()).getPort();
+    static int port(Channel channel) {
+        return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
     /**
@@ -248,40 +250,40 @@
      * uses that address, so that none of its many connections takes the port while a process is
      * down.
      */
-    static InetSocketAddress free(int number) {
+    static InetSocketAddress freeAddress(int number) {
         String host = "127.0.1." + (1 + number);
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-            return new InetSocketAddress(host, free.getLocalPort());
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+            return new InetSocketAddress(host, socket.getLocalPort());
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
     }
 
-    static InetSocketAddress here(int port) {
+    static InetSocketAddress localAddress(int port) {
         return new InetSocketAddress(HOST, port);
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(PATIENCE_MS);
+        loopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(TIMEOUT_MS);
     }
 
     /**
      * Has the channel use buffers of its own before anything is read, then leaves it to the handler
      * meant.
      */
-    private static final class Unpooled extends TerminalHandler {
+    private static final class UnpooledInitializer extends TerminalHandler {
 
-        private final TerminalHandler meant;
+        private final TerminalHandler delegate;
 
-        Unpooled(TerminalHandler meant) {
-            this.meant = meant;
+        UnpooledInitializer(TerminalHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             ctx.channel().config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
-            ctx.pipeline().replace(this, null, meant);
+            ctx.pipeline().replace(this, null, delegate);
         }
 
         @Override
--- a/src/main/java/dillfront/simulation/processes/Hub.java
+++ b/src/main/java/dillfront/simulation/processes/UdpFaultProxy.java
@@ -17,38 +17,41 @@
  * port of its own, as behind a translation of addresses. Passes datagrams on, or loses those of
  * some others, both ways. On the stage's loop.
  */
-public final class Hub {
+public final class UdpFaultProxy {
 
-    private final Stage stage;
+    private final TestHarness harness;
     private final InetSocketAddress target;
-    private final NioDatagramChannel door;
+    private final NioDatagramChannel socket;
 
     /**
      * By where a datagram came from: the port at which the target sees its sender. As many as
      * senders; ends with the rig.
      */
-    private final Map<InetSocketAddress, NioDatagramChannel> seen = new HashMap<>();
+    private final Map<InetSocketAddress, NioDatagramChannel> senderChannels = new HashMap<>();
 
-    private final Set<Integer> cut = new TreeSet<>();
-    private final List<InetSocketAddress> known;
+    private final Set<Integer> setBlocked = new TreeSet<>();
+    private final List<InetSocketAddress> routerAddresses;
 
     /**
      * @param target where the router's own socket is
-     * @param known where those of all routers are, by their numbers
+     * @param routerAddresses where those of all routers are, by their numbers
      */
-    Hub(Stage stage, InetSocketAddress target, List<InetSocketAddress> known) {
-        this.stage = stage;
+    UdpFaultProxy(
+            TestHarness harness,
+            InetSocketAddress target,
+            List<InetSocketAddress> routerAddresses) {
+        this.harness = harness;
         this.target = target;
-        this.known = known;
-        door = open((from, packet) -> there(packet));
+        this.routerAddresses = routerAddresses;
+        socket = open((from, packet) -> forwardToTarget(packet));
     }
 
-    private interface Taken {
-        void take(InetSocketAddress from, DatagramPacket packet);
+    private interface DatagramHandler {
+        void handle(InetSocketAddress from, DatagramPacket packet);
     }
 
-    private NioDatagramChannel open(Taken to) {
-        return stage.call(
+    private NioDatagramChannel open(DatagramHandler handler) {
+        return harness.call(
                 () -> {
                     NioDatagramChannel channel = new NioDatagramChannel();
                     channel.config().setAllocator(UnpooledByteBufAllocator.DEFAULT);
@@ -59,7 +62,7 @@
                                         public void channelRead(
                                                 ChannelHandlerContext ctx, Object read) {
                                             DatagramPacket packet = (DatagramPacket) read;
-                                            to.take(packet.sender(), packet);
+                                            handler.handle(packet.sender(), packet);
                                         }
 
                                         @Override
@@ -68,50 +71,50 @@
                                             // A router that is down has no port.
                                         }
                                     });
-                    stage.loop().register(channel);
-                    channel.bind(Stage.here(0));
+                    harness.loop().register(channel);
+                    channel.bind(TestHarness.localAddress(0));
                     return channel;
                 });
     }
 
     /** Where others reach the router. */
     public InetSocketAddress address() {
-        return stage.call(() -> door.localAddress());
+        return harness.call(() -> socket.localAddress());
     }
 
     /** Datagrams between this router and that one are lost from now on, or pass. */
-    public void cut(int other, boolean lost) {
-        stage.run(
+    public void setBlocked(int other, boolean blocked) {
+        harness.run(
                 () -> {
-                    if (lost) {
-                        cut.add(other);
+                    if (blocked) {
+                        setBlocked.add(other);
                     } else {
-                        cut.remove(other);
+                        setBlocked.remove(other);
                     }
                 });
     }
 
     /** From some router to this one. */
-    private void there(DatagramPacket packet) {
+    private void forwardToTarget(DatagramPacket packet) {
         InetSocketAddress from = packet.sender();
-        if (cut.contains(known.indexOf(from))) {
+        if (setBlocked.contains(routerAddresses.indexOf(from))) {
             packet.release();
             return;
         }
-        NioDatagramChannel near = seen.get(from);
-        if (near == null) {
-            near = open((of, answer) -> back(from, answer));
-            seen.put(from, near);
+        NioDatagramChannel senderChannel = senderChannels.get(from);
+        if (senderChannel == null) {
+            senderChannel = open((source, reply) -> forwardToSender(from, reply));
+            senderChannels.put(from, senderChannel);
         }
-        near.writeAndFlush(new DatagramPacket(packet.content(), target));
+        senderChannel.writeAndFlush(new DatagramPacket(packet.content(), target));
     }
 
     /** From this router to the one that it sees at that port. */
-    private void back(InetSocketAddress to, DatagramPacket packet) {
-        if (cut.contains(known.indexOf(to))) {
+    private void forwardToSender(InetSocketAddress sender, DatagramPacket packet) {
+        if (setBlocked.contains(routerAddresses.indexOf(sender))) {
             packet.release();
             return;
         }
-        door.writeAndFlush(new DatagramPacket(packet.content(), to));
+        socket.writeAndFlush(new DatagramPacket(packet.content(), sender));
     }
 }
--- a/src/main/java/dillfront/simulation/system/ControlCounts.java
+++ b/src/main/java/dillfront/simulation/system/ControlCounts.java
@@ -9,64 +9,64 @@
  */
 public final class ControlCounts {
 
-    public long losses;
-    public long acknowledged;
-    public long lost;
-    public long back;
-    public long twoUnderOne;
-    public long refusedAgain;
-    public long minorityAnswers;
-    public long twoHolders;
-    public long fenceRepeats;
-    public long replaced;
-    public long noMajority;
-    public long behindChanges;
-    public long wrongCaller;
-    public long sentTwice;
-    public final List<Long> replaceMs = new ArrayList<>();
-    public final List<Long> catchUpMs = new ArrayList<>();
-    public final List<Long> acknowledgeMs = new ArrayList<>();
+    public long machineLosses;
+    public long acknowledgedChanges;
+    public long lostChanges;
+    public long revisionRegressions;
+    public long conflictingContents;
+    public long rejectedAfterAcknowledge;
+    public long minorityResponses;
+    public long concurrentLeaseHolders;
+    public long fencingTokenReuses;
+    public long replacements;
+    public long overdueChanges;
+    public long caughtUpChanges;
+    public long misroutedResponses;
+    public long duplicateExecutions;
+    public final List<Long> replacementMillis = new ArrayList<>();
+    public final List<Long> catchUpMillis = new ArrayList<>();
+    public final List<Long> acknowledgeMillis = new ArrayList<>();
 
     public ControlCounts() {}
 
-    ControlCounts(Audit audit, ConfigAudit of) {
-        losses = of.losses;
-        acknowledged = of.acknowledged;
-        lost = of.lost;
-        back = of.back;
-        twoUnderOne = of.twoUnderOne;
-        refusedAgain = of.refusedAgain;
-        minorityAnswers = of.minorityAnswers;
-        twoHolders = of.twoHolders;
-        fenceRepeats = of.fenceRepeats;
-        replaced = of.replaced;
-        noMajority = of.noMajority;
-        behindChanges = of.behindChanges;
-        wrongCaller = audit.wrongCaller;
-        sentTwice = audit.sentTwice;
-        replaceMs.addAll(of.replaceMs);
-        catchUpMs.addAll(of.catchUpMs);
-        acknowledgeMs.addAll(of.acknowledgeMs);
+    ControlCounts(ConsistencyChecker consistency, ConfigurationChecker configuration) {
+        machineLosses = configuration.machineLosses;
+        acknowledgedChanges = configuration.acknowledged;
+        lostChanges = configuration.lostChanges;
+        revisionRegressions = configuration.revisionRegressions;
+        conflictingContents = configuration.conflictingContents;
+        rejectedAfterAcknowledge = configuration.rejectedAfterAcknowledge;
+        minorityResponses = configuration.minorityResponses;
+        concurrentLeaseHolders = configuration.concurrentLeaseHolders;
+        fencingTokenReuses = configuration.fencingTokenReuses;
+        replacements = configuration.replacements;
+        overdueChanges = configuration.overdueChanges;
+        caughtUpChanges = configuration.caughtUpChanges;
+        misroutedResponses = consistency.reportMisrouted;
+        duplicateExecutions = consistency.duplicateExecutions;
+        replacementMillis.addAll(configuration.replacementMillis);
+        catchUpMillis.addAll(configuration.catchUpMillis);
+        acknowledgeMillis.addAll(configuration.acknowledgeMillis);
     }
 
     /** Adds what was counted elsewhere. */
     public void add(ControlCounts other) {
-        losses += other.losses;
-        acknowledged += other.acknowledged;
-        lost += other.lost;
-        back += other.back;
-        twoUnderOne += other.twoUnderOne;
-        refusedAgain += other.refusedAgain;
-        minorityAnswers += other.minorityAnswers;
-        twoHolders += other.twoHolders;
-        fenceRepeats += other.fenceRepeats;
-        replaced += other.replaced;
-        noMajority += other.noMajority;
-        behindChanges += other.behindChanges;
-        wrongCaller += other.wrongCaller;
-        sentTwice += other.sentTwice;
-        replaceMs.addAll(other.replaceMs);
-        catchUpMs.addAll(other.catchUpMs);
-        acknowledgeMs.addAll(other.acknowledgeMs);
+        machineLosses += other.machineLosses;
+        acknowledgedChanges += other.acknowledgedChanges;
+        lostChanges += other.lostChanges;
+        revisionRegressions += other.revisionRegressions;
+        conflictingContents += other.conflictingContents;
+        rejectedAfterAcknowledge += other.rejectedAfterAcknowledge;
+        minorityResponses += other.minorityResponses;
+        concurrentLeaseHolders += other.concurrentLeaseHolders;
+        fencingTokenReuses += other.fencingTokenReuses;
+        replacements += other.replacements;
+        overdueChanges += other.overdueChanges;
+        caughtUpChanges += other.caughtUpChanges;
+        misroutedResponses += other.misroutedResponses;
+        duplicateExecutions += other.duplicateExecutions;
+        replacementMillis.addAll(other.replacementMillis);
+        catchUpMillis.addAll(other.catchUpMillis);
+        acknowledgeMillis.addAll(other.acknowledgeMillis);
     }
 }
--- a/src/main/java/dillfront/simulation/system/ControlMachine.java
+++ b/src/main/java/dillfront/simulation/system/ControlMachine.java
@@ -5,47 +5,47 @@
 /** A machine with a control process and a disk. */
 final class ControlMachine {
 
-    final Sim.Machine machine;
-    final Disk disk;
-    ControlNode core;
+    final Simulator.Machine host;
+    final SimulatedDisk disk;
+    ControlNode node;
 
     /** When its process last began. */
-    long startedAt;
+    long startedAtMillis;
 
     /** It is gone for good; nobody starts it again. */
-    boolean gone;
+    boolean decommissioned;
 
     /**
      * The newest number that was acknowledged when its process began; -1 once it has all of that.
      */
-    long behind = -1;
+    long catchUpRevision = -1;
 
     /** How many changes it has to catch up. */
-    int behindBy;
+    int catchUpChanges;
 
     /** It took the place of another, and is not yet one of those that count. */
-    boolean replaces;
+    boolean awaitingMembership;
 
     /** Cut off from a majority since then, without a break; -1 where it is not. */
-    long aloneSince = -1;
+    long isolatedSinceMillis = -1;
 
     /** Since when it has reached a majority, in this life. */
-    long contactFrom;
+    long majorityContactSinceMillis;
 
     /** Acknowledged numbers when it was last known to have all. */
-    int hadChanges;
+    int changesWhenCaughtUp;
 
-    ControlMachine(Sim sim, Sim.Machine machine) {
-        this.machine = machine;
-        disk = new Disk(sim, machine);
+    ControlMachine(Simulator sim, Simulator.Machine host) {
+        this.host = host;
+        disk = new SimulatedDisk(sim, host);
     }
 
-    boolean runs() {
-        return machine.up && !machine.frozen();
+    boolean isRunning() {
+        return host.up && !host.paused();
     }
 
-    void down(boolean power) {
-        machine.down(power);
-        disk.cutShort();
+    void down(boolean powerLoss) {
+        host.down(powerLoss);
+        disk.interrupt();
     }
 }
